--- a/emulator/src/main/java/gingerring/emulator/core/World.java
+++ b/emulator/src/main/java/gingerring/emulator/core/World.java
@@ -11,15 +11,37 @@
 import java.util.TreeSet;
 
 /**
- * A described run: the fleet, the service grades, the clients and the troubles at their times. Read from
- * JSON, where everything has a usual value; what is unknown, or out of its range, is refused with its name.
- * Times stand in milliseconds there, and a pair is a range that a seed draws from.
+ * A described run: the fleet, the service grades, the clients and the troubles at their times. Read
+ * from JSON, where everything has a usual value; what is unknown, or out of its range, is refused
+ * with its name. Times stand in milliseconds there, and a pair is a range that a seed draws from.
  */
-public record World(long seed, int boxes, int folios, int copies, int cores, double slowShare, int queueMost,
-    double coldFrom, Duration warmUp, double tipMultiple, Duration tipAfter, Duration drainGrace,
-    Duration listLag, Duration handshake, Duration idle, int linesMost, Range pause, Range pauseEvery,
-    double badParts, Duration length, double rate, int clients,
-    int retries, int trips, List<Grade> grades, List<Trouble> troubles) {
+public record World(
+    long seed,
+    int boxes,
+    int folios,
+    int copies,
+    int cores,
+    double slowShare,
+    int queueMost,
+    double coldFrom,
+    Duration warmUp,
+    double tipMultiple,
+    Duration tipAfter,
+    Duration drainGrace,
+    Duration listLag,
+    Duration handshake,
+    Duration idle,
+    int linesMost,
+    Range pause,
+    Range pauseEvery,
+    double badParts,
+    Duration length,
+    double rate,
+    int clients,
+    int retries,
+    int trips,
+    List<Grade> grades,
+    List<Trouble> troubles) {
   /** A range that is drawn from evenly. */
   public record Range(double low, double high) {
     double at(double share) {
@@ -28,28 +50,51 @@
   }
 
   /** What a repeat does: nothing, nothing while its mark is known, or harm. */
-  public enum Repeats { REISSUABLE, NUMBERED, AT_MOST_ONCE }
+  public enum Repeats {
+    REISSUABLE,
+    NUMBERED,
+    AT_MOST_ONCE
+  }
 
   /**
-   * A service grade; {@code folios} is the share of all folios that a scan asks for, {@code late} what an
-   * answer after the quoted time still earns, {@code skewed} that a few parts weigh most.
+   * A service grade; {@code folios} is the share of all folios that a scan asks for, {@code late}
+   * what an answer after the quoted time still earns, {@code skewed} that a few parts weigh most.
    */
-  public record Grade(String name, double share, Duration quoted, Duration patience, Repeats repeats,
-      Duration window, double floor, double folios, Range work, double earnings, double late,
+  public record Grade(
+      String name,
+      double share,
+      Duration quoted,
+      Duration patience,
+      Repeats repeats,
+      Duration window,
+      double floor,
+      double folios,
+      Range work,
+      double earnings,
+      double late,
       boolean skewed) {}
 
   /** What goes wrong with so many boxes; {@code size} is a share or a factor, by kind. */
   public record Trouble(Kind kind, Duration at, Duration span, int boxes, double size) {
     public enum Kind {
-      /** The process dies and comes back cold. */ CRASH,
-      /** The machine says nothing more, and comes back cold. */ VANISH,
-      /** It takes parts and answers none. */ HANG,
-      /** It fails a share of its parts at once. */ ERRORS,
-      /** It spoils a share of its answers. */ SPOIL,
-      /** It works slower by a factor. */ SLOW,
-      /** It drains, goes, and a cold successor comes. */ DRAIN,
-      /** The list lags by a factor more. */ STALE,
-      /** Its connections break, a share of them each second. */ BREAK
+      /** The process dies and comes back cold. */
+      CRASH,
+      /** The machine says nothing more, and comes back cold. */
+      VANISH,
+      /** It takes parts and answers none. */
+      HANG,
+      /** It fails a share of its parts at once. */
+      ERRORS,
+      /** It spoils a share of its answers. */
+      SPOIL,
+      /** It works slower by a factor. */
+      SLOW,
+      /** It drains, goes, and a cold successor comes. */
+      DRAIN,
+      /** The list lags by a factor more. */
+      STALE,
+      /** Its connections break, a share of them each second. */
+      BREAK
     }
 
     public boolean active(Duration now) {
@@ -105,52 +150,114 @@
     World world() throws Unfit, Json.Malformed {
       List<Grade> grades = new ArrayList<>();
       for (Object each : list("grades")) {
-        grades.add(new Reading(Fields.object(each, "a grade"), "grades." + grades.size() + ".").grade());
+        grades.add(
+            new Reading(Fields.object(each, "a grade"), "grades." + grades.size() + ".").grade());
       }
       int boxes = (int) number("boxes", 12, 1, 2000);
       List<Trouble> troubles = new ArrayList<>();
       for (Object each : list("troubles")) {
-        troubles.add(new Reading(Fields.object(each, "a trouble"), "troubles." + troubles.size() + ".")
-            .trouble(boxes));
+        troubles.add(
+            new Reading(Fields.object(each, "a trouble"), "troubles." + troubles.size() + ".")
+                .trouble(boxes));
       }
-      World world = new World((long) number("seed", 1, 0, 1L << 53), boxes,
-          (int) number("folios", boxes, 1, 1 << 16), (int) number("copies", Math.min(3, boxes), 1, boxes),
-          (int) number("cores", 2, 1, 64), number("slowShare", 0.3, 0, 1),
-          (int) number("queueMost", 40, 1, 1 << 20), number("coldFrom", 0.19, 0.01, 1), span("warmUpMs",
-          18_000),
-          number("tipMultiple", 4, 1, 1000), span("tipAfterMs", 2000), span("drainGraceMs", 1000),
-          span("listLagMs", 1500), span("handshakeMs", 0), span("idleMs", 30_000),
-          (int) number("linesMost", 1000, 1, 1 << 20), range("pauseMs", 60, 290), range("pauseEveryMs", 3000,
-          9500),
-          number("badParts", 0, 0, 1), span("lengthMs", 20_000), number("rate", 10, 0.01, 1e5),
-          (int) number("clients", 40, 1, 50_000), (int) number("retries", 3, 0, 100),
-          (int) number("trips", 3, 1, 100), grades.isEmpty() ? usualGrades() : grades, troubles);
+      World world =
+          new World(
+              (long) number("seed", 1, 0, 1L << 53),
+              boxes,
+              (int) number("folios", boxes, 1, 1 << 16),
+              (int) number("copies", Math.min(3, boxes), 1, boxes),
+              (int) number("cores", 2, 1, 64),
+              number("slowShare", 0.3, 0, 1),
+              (int) number("queueMost", 40, 1, 1 << 20),
+              number("coldFrom", 0.19, 0.01, 1),
+              span("warmUpMs", 18_000),
+              number("tipMultiple", 4, 1, 1000),
+              span("tipAfterMs", 2000),
+              span("drainGraceMs", 1000),
+              span("listLagMs", 1500),
+              span("handshakeMs", 0),
+              span("idleMs", 30_000),
+              (int) number("linesMost", 1000, 1, 1 << 20),
+              range("pauseMs", 60, 290),
+              range("pauseEveryMs", 3000, 9500),
+              number("badParts", 0, 0, 1),
+              span("lengthMs", 20_000),
+              number("rate", 10, 0.01, 1e5),
+              (int) number("clients", 40, 1, 50_000),
+              (int) number("retries", 3, 0, 100),
+              (int) number("trips", 3, 1, 100),
+              grades.isEmpty() ? usualGrades() : grades,
+              troubles);
       nothingLeft();
       return world;
     }
 
     private static List<Grade> usualGrades() {
       return List.of(
-          new Grade("skill-search", 0.4, Duration.ofSeconds(2), Duration.ofSeconds(4), Repeats.REISSUABLE,
-              Duration.ZERO, 0.4, 1, new Range(14, 20), 5, 0.3, true),
-          new Grade("hours-report", 0.2, Duration.ofSeconds(3), Duration.ofSeconds(10), Repeats.REISSUABLE,
-              Duration.ZERO, 1, 0.5, new Range(16, 22), 3, 0.1, false),
-          new Grade("signoff-post", 0.4, Duration.ofSeconds(2), Duration.ofSeconds(5), Repeats.NUMBERED,
-              Duration.ofSeconds(5), 1, 0.1, new Range(12, 16), 1, 0, false));
+          new Grade(
+              "skill-search",
+              0.4,
+              Duration.ofSeconds(2),
+              Duration.ofSeconds(4),
+              Repeats.REISSUABLE,
+              Duration.ZERO,
+              0.4,
+              1,
+              new Range(14, 20),
+              5,
+              0.3,
+              true),
+          new Grade(
+              "hours-report",
+              0.2,
+              Duration.ofSeconds(3),
+              Duration.ofSeconds(10),
+              Repeats.REISSUABLE,
+              Duration.ZERO,
+              1,
+              0.5,
+              new Range(16, 22),
+              3,
+              0.1,
+              false),
+          new Grade(
+              "signoff-post",
+              0.4,
+              Duration.ofSeconds(2),
+              Duration.ofSeconds(5),
+              Repeats.NUMBERED,
+              Duration.ofSeconds(5),
+              1,
+              0.1,
+              new Range(12, 16),
+              1,
+              0,
+              false));
     }
 
     private Grade grade() throws Unfit, Json.Malformed {
       String repeats = text("repeats", "reissuable");
-      Repeats kind = switch (repeats) {
-        case "reissuable" -> Repeats.REISSUABLE;
-        case "numbered" -> Repeats.NUMBERED;
-        case "at-most-once" -> Repeats.AT_MOST_ONCE;
-        default -> throw new Unfit(place + "repeats is unknown: " + repeats);
-      };
-      Grade grade = new Grade(text("name", null), number("share", 1, 0, 1e6), span("quotedMs", 2000),
-          span("patienceMs", 4000), kind, span("windowMs", 5000), number("floor", 1, 0, 1),
-          number("folios", 1, 0, 1), range("workMs", 10, 20), number("earnings", 1, 0, 1e9),
-          number("late", 0, 0, 1), flag("skewed"));
+      Repeats kind =
+          switch (repeats) {
+            case "reissuable" -> Repeats.REISSUABLE;
+            case "numbered" -> Repeats.NUMBERED;
+            case "at-most-once" -> Repeats.AT_MOST_ONCE;
+            default -> throw new Unfit(place + "repeats is unknown: " + repeats);
+          };
+      Grade grade =
+          new Grade(
+              text("name", null),
+              number("share", 1, 0, 1e6),
+              span("quotedMs", 2000),
+              span("patienceMs", 4000),
+              kind,
+              span("windowMs", 5000),
+              number("floor", 1, 0, 1),
+              number("folios", 1, 0, 1),
+              range("workMs", 10, 20),
+              number("earnings", 1, 0, 1e9),
+              number("late", 0, 0, 1),
+              flag("skewed"));
       nothingLeft();
       return grade;
     }
@@ -159,8 +266,13 @@
       String kind = text("kind", null);
       for (Trouble.Kind each : Trouble.Kind.values()) {
         if (each.name().equalsIgnoreCase(kind)) {
-          Trouble trouble = new Trouble(each, span("atMs", 0), span("forMs", 5000),
-              (int) number("boxes", 1, 0, boxes), number("size", 0.5, 0, 1000));
+          Trouble trouble =
+              new Trouble(
+                  each,
+                  span("atMs", 0),
+                  span("forMs", 5000),
+                  (int) number("boxes", 1, 0, boxes),
+                  number("size", 0.5, 0, 1000));
           nothingLeft();
           return trouble;
         }
@@ -168,14 +280,16 @@
       throw new Unfit(place + "kind is unknown: " + kind);
     }
 
-    private double number(String name, double usual, double least, double most) throws Unfit, Json.Malformed {
+    private double number(String name, double usual, double least, double most)
+        throws Unfit, Json.Malformed {
       if (!from.containsKey(name)) {
         return usual;
       }
       double value = Fields.number(from, name);
       from.remove(name);
       if (value < least || value > most) {
-        throw new Unfit(place + name + " is out of range: " + value + " is not " + least + " to " + most);
+        throw new Unfit(
+            place + name + " is out of range: " + value + " is not " + least + " to " + most);
       }
       return value;
     }
@@ -190,8 +304,11 @@
       }
       List<Object> pair = Fields.list(from, name);
       from.remove(name);
-      if (pair.size() != 2 || !(pair.get(0) instanceof Double one) || !(pair.get(1) instanceof Double other)
-          || one < 0 || other < one) {
+      if (pair.size() != 2
+          || !(pair.get(0) instanceof Double one)
+          || !(pair.get(1) instanceof Double other)
+          || one < 0
+          || other < one) {
         throw new Unfit(place + name + " is no pair of numbers from low to high");
       }
       return new Range(one, other);
--- a/emulator/src/main/java/gingerring/emulator/crossings/Judge.java
+++ b/emulator/src/main/java/gingerring/emulator/crossings/Judge.java
@@ -9,29 +9,44 @@
 import java.util.Map;
 
 /**
- * Judges one crossing by what its parties' sockets saw: the {@link Referee}'s rules, and what holds when a client
- * goes and when a process ends. Times are the reactor's; each is judged from the moment seen at a party's socket.
+ * Judges one crossing by what its parties' sockets saw: the {@link Referee}'s rules, and what holds
+ * when a client goes and when a process ends. Times are the reactor's; each is judged from the
+ * moment seen at a party's socket.
  */
 final class Judge {
   /** Of a request whose client has gone no attempt, first or further, begins later than this. */
   static final Duration GONE = Duration.ofMillis(100);
+
   /**
-   * What a busy machine may add to that: a process may stand still between its look at the clock and its
-   * write. With it no first attempt is let by 0.3 s after its client went. The window in which a numbered part
-   * may be sent again gets none of it, or parts sent past that window would be let by.
+   * What a busy machine may add to that: a process may stand still between its look at the clock
+   * and its write. With it no first attempt is let by 0.3 s after its client went. The window in
+   * which a numbered part may be sent again gets none of it, or parts sent past that window would
+   * be let by.
    */
   static final Duration SCHEDULING = Duration.ofMillis(150);
-  /** An answer is late for its client, and not lost, up to half a second after the client's time. */
+
+  /**
+   * An answer is late for its client, and not lost, up to half a second after the client's time.
+   */
   static final Duration LATE = Duration.ofMillis(500);
-  /** A connection that ends this long after a request was written to it may not have had it read. */
+
+  /**
+   * A connection that ends this long after a request was written to it may not have had it read.
+   */
   static final Duration CROSSES = Duration.ofMillis(250);
-  /** A process ends by the longest patience and this after SIGTERM, or is killed; beyond this as well it hangs. */
+
+  /**
+   * A process ends by the longest patience and this after SIGTERM, or is killed; beyond this as
+   * well it hangs.
+   */
   static final Duration KILLED = Duration.ofMillis(700);
+
   static final Duration ENDING = Duration.ofSeconds(5);
 
   /** A rule that was broken. */
   record Foul(String rule, Duration at, String what) {
-    @Override public String toString() {
+    @Override
+    public String toString() {
       return rule + " at " + at.toMillis() + " ms: " + what;
     }
   }
@@ -41,8 +56,13 @@
     Duration until;
     Duration gone;
     Duration answered;
-    /** It came to a connection that had ended, or ended just then: it was never taken, and is not sent on. */
+
+    /**
+     * It came to a connection that had ended, or ended just then: it was never taken, and is not
+     * sent on.
+     */
     boolean unread;
+
     int parts;
 
     Request(Duration asked, Duration until) {
@@ -64,7 +84,9 @@
     referee = new Referee(world);
   }
 
-  /** The rig runs: told often. Where it stood still, what it saw late is not held against the mixer. */
+  /**
+   * The rig runs: told often. Where it stood still, what it saw late is not held against the mixer.
+   */
   void beat(Duration now) {
     if (beat != null && now.minus(beat).compareTo(Referee.SLACK) > 0) {
       stalls.add(new Duration[] {beat, now});
@@ -91,7 +113,8 @@
   }
 
   /** The mixer had ended that connection before; the request is owed nothing, and not sent on. */
-  void askedAfterEnd(String mark, String grade, Map<Integer, Double> shares, String key, Duration at) {
+  void askedAfterEnd(
+      String mark, String grade, Map<Integer, Double> shares, String key, Duration at) {
     asked(mark, grade, shares, key, at);
     requests.get(mark).unread = true;
   }
@@ -104,7 +127,8 @@
     }
   }
 
-  void answered(String mark, Duration at, boolean nacked, boolean whole, Map<Integer, String> values) {
+  void answered(
+      String mark, Duration at, boolean nacked, boolean whole, Map<Integer, String> values) {
     Request request = requests.get(mark);
     if (request != null) {
       request.answered = at;
@@ -123,11 +147,19 @@
     if (request.unread || request.gone != null || request.answered != null) {
       return;
     }
-    boolean crossed = at.minus(request.asked).minus(stalled(request.asked, at)).compareTo(CROSSES) <= 0;
+    boolean crossed =
+        at.minus(request.asked).minus(stalled(request.asked, at)).compareTo(CROSSES) <= 0;
     if (request.parts > 0 || !crossed) {
-      own.add(new Foul("SCAN_LOST", at, mark + " had its connection ended by the mixer "
-          + at.minus(request.asked).toMillis() + " ms after it was written, with " + request.parts
-          + " parts sent on and no answer"));
+      own.add(
+          new Foul(
+              "SCAN_LOST",
+              at,
+              mark
+                  + " had its connection ended by the mixer "
+                  + at.minus(request.asked).toMillis()
+                  + " ms after it was written, with "
+                  + request.parts
+                  + " parts sent on and no answer"));
       request.answered = at;
     } else {
       request.unread = true;
@@ -142,14 +174,36 @@
     Request request = requests.get(mark);
     if (request != null) {
       request.parts++;
-      if (request.gone != null && at.minus(request.gone).minus(stalled(request.gone, at))
-          .compareTo(GONE.plus(SCHEDULING)) > 0) {
-        own.add(new Foul("GONE_CLIENT", at, mark + '.' + folio + " was sent to box " + box + ' '
-            + at.minus(request.gone).toMillis() + " ms after its client went, as attempt " + request.parts));
+      if (request.gone != null
+          && at.minus(request.gone)
+                  .minus(stalled(request.gone, at))
+                  .compareTo(GONE.plus(SCHEDULING))
+              > 0) {
+        own.add(
+            new Foul(
+                "GONE_CLIENT",
+                at,
+                mark
+                    + '.'
+                    + folio
+                    + " was sent to box "
+                    + box
+                    + ' '
+                    + at.minus(request.gone).toMillis()
+                    + " ms after its client went, as attempt "
+                    + request.parts));
       }
       if (request.unread) {
-        own.add(new Foul("SHUTDOWN", at, mark + '.' + folio + " was sent to box " + box
-            + " though it came to a connection that had ended"));
+        own.add(
+            new Foul(
+                "SHUTDOWN",
+                at,
+                mark
+                    + '.'
+                    + folio
+                    + " was sent to box "
+                    + box
+                    + " though it came to a connection that had ended"));
       }
     }
     referee.part(mark, folio, key, box, at);
@@ -183,22 +237,32 @@
 
   /** The longest that a process may go on after SIGTERM, the machine's share in it. */
   Duration endsBy() {
-    Duration patience = world.grades().stream().map(World.Grade::patience).max(Duration::compareTo).get();
+    Duration patience =
+        world.grades().stream().map(World.Grade::patience).max(Duration::compareTo).get();
     return terminated.plus(patience).plus(KILLED).plus(ENDING);
   }
 
-  /** Looks at what is due: requests that have had no answer in time, a process that should have ended. */
+  /**
+   * Looks at what is due: requests that have had no answer in time, a process that should have
+   * ended.
+   */
   void look(Duration now, boolean alive) {
-    requests.forEach((mark, request) -> {
-      if (owed(request) && now.compareTo(request.until) > 0) {
-        request.answered = now;
-        referee.lost(mark, now);
-      }
-    });
-    if (terminated != null && alive && now.compareTo(endsBy()) > 0
+    requests.forEach(
+        (mark, request) -> {
+          if (owed(request) && now.compareTo(request.until) > 0) {
+            request.answered = now;
+            referee.lost(mark, now);
+          }
+        });
+    if (terminated != null
+        && alive
+        && now.compareTo(endsBy()) > 0
         && own.stream().noneMatch(foul -> foul.rule.equals("END"))) {
-      own.add(new Foul("END", now, "the mixer had not ended " + now.minus(terminated).toMillis()
-          + " ms after SIGTERM"));
+      own.add(
+          new Foul(
+              "END",
+              now,
+              "the mixer had not ended " + now.minus(terminated).toMillis() + " ms after SIGTERM"));
     }
   }
 
--- a/emulator/src/main/java/gingerring/emulator/crossings/Scene.java
+++ b/emulator/src/main/java/gingerring/emulator/crossings/Scene.java
@@ -40,15 +40,19 @@
 import java.util.stream.Collectors;
 
 /**
- * The parties about one mixer: discovery's agents, four boxes, clients. Everything runs on the reactor's
- * thread but the reading of the system's table of connections, which posts what it found. A crossing gets boxes
- * of its own, under names that were not there before, and a judge of its own.
+ * The parties about one mixer: discovery's agents, four boxes, clients. Everything runs on the
+ * reactor's thread but the reading of the system's table of connections, which posts what it found.
+ * A crossing gets boxes of its own, under names that were not there before, and a judge of its own.
  */
 final class Scene {
   private static final Duration TICK = Duration.ofMillis(5);
   private static final Duration STILL_HERE = Duration.ofSeconds(2);
-  /** What a silent watch misses counts as told by then, and what a new discovery says after SIGHUP. */
+
+  /**
+   * What a silent watch misses counts as told by then, and what a new discovery says after SIGHUP.
+   */
   static final Duration SILENT_MOST = Duration.ofSeconds(6);
+
   private static final Duration MOVE_MOST = Duration.ofSeconds(4);
   private static final Duration STEADY_EVERY = Duration.ofMillis(40);
   private static final Duration WARM_EVERY = Duration.ofMillis(60);
@@ -60,21 +64,37 @@
   private static final int FRAME_MOST = 1 << 17;
 
   /** What a box does with an answer that is ready. */
-  private enum Mode { ANSWERS, HOLDS, HANGS }
+  private enum Mode {
+    ANSWERS,
+    HOLDS,
+    HANGS
+  }
 
   private static final AtomicInteger SCENES = new AtomicInteger();
 
   private final World world;
   private final Reactor reactor;
+
   /** Of this scene alone: a port that a box has left must not become another scene's. */
   private final InetAddress address;
-  /** One look at a time at the system's table of connections, as long as the reactor's own would take. */
-  private final ThreadPoolExecutor looks = new ThreadPoolExecutor(0, 1, 1, TimeUnit.SECONDS,
-      new LinkedBlockingQueue<>(), task -> {
-        Thread thread = new Thread(task, "looks");
-        thread.setDaemon(true);
-        return thread;
-      });
+
+  /**
+   * One look at a time at the system's table of connections, as long as the reactor's own would
+   * take.
+   */
+  private final ThreadPoolExecutor looks =
+      new ThreadPoolExecutor(
+          0,
+          1,
+          1,
+          TimeUnit.SECONDS,
+          new LinkedBlockingQueue<>(),
+          task -> {
+            Thread thread = new Thread(task, "looks");
+            thread.setDaemon(true);
+            return thread;
+          });
+
   private final List<String> trail = new ArrayList<>();
   private final List<Seat> seats = new ArrayList<>();
   private final Set<Seat> untold = new LinkedHashSet<>();
@@ -105,8 +125,14 @@
     this.world = world;
     this.reactor = reactor;
     long pid = ProcessHandle.current().pid();
-    address = InetAddress.getByAddress(new byte[] {127, (byte) (64 + pid % 128), (byte) (pid >> 7),
-        (byte) (1 + SCENES.getAndIncrement() % 250)});
+    address =
+        InetAddress.getByAddress(
+            new byte[] {
+              127,
+              (byte) (64 + pid % 128),
+              (byte) (pid >> 7),
+              (byte) (1 + SCENES.getAndIncrement() % 250)
+            });
     agent = new Agent();
     tick();
     stillHere();
@@ -167,14 +193,19 @@
     rested = new Asker();
   }
 
-  /** Whether each client has had a whole answer, asking until it has: the mixer knows the boxes then. */
+  /**
+   * Whether each client has had a whole answer, asking until it has: the mixer knows the boxes
+   * then.
+   */
   boolean warm() {
     boolean all = true;
     for (Asker asker : List.copyOf(askers)) {
       if (!asker.warm) {
         all = false;
         // a mixer that is asked without a pause serves parts of what it is asked
-        if (!asker.wire.closed() && asker.mark == null && asker.opened
+        if (!asker.wire.closed()
+            && asker.mark == null
+            && asker.opened
             && (asker.asked == null || now().minus(asker.asked).compareTo(WARM_EVERY) > 0)) {
           asker.ask(world.grades().get(0), 0, world.folios());
         }
@@ -189,10 +220,12 @@
     seats.forEach(seat -> seat.mode = Mode.HOLDS);
     World.Grade grade = world.grades().get(draw.grade(world.grades().size()));
     String mark = subject.ask(grade, draw.between("folio", 0, world.folios() - 1), 2);
-    atFirstPart.put(mark, () -> {
-      note("the first frame is at " + target.id);
-      atFrame.run();
-    });
+    atFirstPart.put(
+        mark,
+        () -> {
+          note("the first frame is at " + target.id);
+          atFrame.run();
+        });
     other.ask(world.grades().get(0), 0, world.folios());
     steadily(0);
   }
@@ -201,10 +234,15 @@
   void goOn() {
     if (draw.goesOnByResets()) {
       note("boxes reset what is out");
-      seats.stream().filter(seat -> seat.mode == Mode.HOLDS).forEach(seat -> {
-        seat.release(false);
-        List.copyOf(seat.lines).stream().filter(line -> line.out > 0).forEach(line -> line.wire.reset());
-      });
+      seats.stream()
+          .filter(seat -> seat.mode == Mode.HOLDS)
+          .forEach(
+              seat -> {
+                seat.release(false);
+                List.copyOf(seat.lines).stream()
+                    .filter(line -> line.out > 0)
+                    .forEach(line -> line.wire.reset());
+              });
     }
     release();
   }
@@ -237,14 +275,18 @@
   void dismantle() {
     playing = false;
     over = true;
-    List.copyOf(askers).forEach(asker -> {
-      asker.left = true;
-      asker.wire.close();
-    });
+    List.copyOf(askers)
+        .forEach(
+            asker -> {
+              asker.left = true;
+              asker.wire.close();
+            });
     askers.clear();
     steady.clear();
     agent.returns();
-    List.copyOf(agent.watches).stream().filter(watch -> watch.muted).forEach(watch -> watch.wire.reset());
+    List.copyOf(agent.watches).stream()
+        .filter(watch -> watch.muted)
+        .forEach(watch -> watch.wire.reset());
     seats.forEach(Seat::dismantle);
     seats.clear();
     untold.clear();
@@ -261,39 +303,43 @@
     }
     for (Asker asker : steady) {
       if (asker.opened && asker.mark == null) {
-        World.Grade grade = world.grades().get((int) (draw.chance("steady grade", number)
-            * world.grades().size()));
+        World.Grade grade =
+            world.grades().get((int) (draw.chance("steady grade", number) * world.grades().size()));
         asker.ask(grade, (int) (draw.chance("steady folio", number) * world.folios()), 1);
         break;
       }
     }
     int mine = generation;
-    reactor.after(STEADY_EVERY, () -> {
-      if (mine == generation) {
-        steadily(number + 1);
-      }
-    });
+    reactor.after(
+        STEADY_EVERY,
+        () -> {
+          if (mine == generation) {
+            steadily(number + 1);
+          }
+        });
   }
 
   private void tick() {
-    reactor.after(TICK, () -> {
-      if (judge != null) {
-        judge.beat(now());
-        if (mixer != null) {
-          mixer.log().forEach(this::logged);
-          if (!mixer.alive() && !exited) {
-            exited = true;
-            note("the mixer has ended with " + mixer.exitCode());
-            judge.exited(mixer.exitCode(), now());
+    reactor.after(
+        TICK,
+        () -> {
+          if (judge != null) {
+            judge.beat(now());
+            if (mixer != null) {
+              mixer.log().forEach(this::logged);
+              if (!mixer.alive() && !exited) {
+                exited = true;
+                note("the mixer has ended with " + mixer.exitCode());
+                judge.exited(mixer.exitCode(), now());
+              }
+            }
+            if (playing) {
+              judge.look(now(), !exited);
+            }
+            settle();
           }
-        }
-        if (playing) {
-          judge.look(now(), !exited);
-        }
-        settle();
-      }
-      tick();
-    });
+          tick();
+        });
   }
 
   private void logged(String line) {
@@ -306,10 +352,12 @@
   }
 
   private void stillHere() {
-    reactor.after(STILL_HERE, () -> {
-      agent.line("");
-      stillHere();
-    });
+    reactor.after(
+        STILL_HERE,
+        () -> {
+          agent.line("");
+          stillHere();
+        });
   }
 
   // ---- the events ----
@@ -321,7 +369,8 @@
       case SIGTERM -> {
         judge.terminated(now());
         terminatedAt = terminatedAt == null ? now() : terminatedAt;
-        boolean again = atEnding == null && trail.stream().anyMatch(line -> line.contains("ending:"));
+        boolean again =
+            atEnding == null && trail.stream().anyMatch(line -> line.contains("ending:"));
         mixer.terminate();
         if (again) {
           seen.run();
@@ -373,18 +422,24 @@
       }
       case BOXES_CLOSE_IDLE -> {
         for (Seat seat : seats) {
-          List.copyOf(seat.lines).stream().filter(line -> line.out == 0).forEach(line -> line.wire.close());
+          List.copyOf(seat.lines).stream()
+              .filter(line -> line.out == 0)
+              .forEach(line -> line.wire.close());
         }
         seen.run();
       }
       case BOX_RESETS -> {
         target.release(false);
-        List.copyOf(target.lines).stream().filter(line -> line.out > 0).forEach(line -> line.wire.reset());
+        List.copyOf(target.lines).stream()
+            .filter(line -> line.out > 0)
+            .forEach(line -> line.wire.reset());
         seen.run();
       }
       case BOX_ENDS -> {
         target.release(false);
-        List.copyOf(target.lines).stream().filter(line -> line.out > 0).forEach(line -> line.wire.close());
+        List.copyOf(target.lines).stream()
+            .filter(line -> line.out > 0)
+            .forEach(line -> line.wire.close());
         seen.run();
       }
       case BOX_HANGS -> {
@@ -396,7 +451,7 @@
       case BOXES_LATE -> {
         for (Seat seat : seats) {
           if (seat != target) {
-            seat.late(() -> { });
+            seat.late(() -> {});
           }
         }
         target.late(seen);
@@ -429,11 +484,14 @@
         if (rested.wire.closed() || rested.mark != null || rested.orderly) {
           seen.run();
         } else {
-          rested.ask(world.grades().get(draw.between("next", 0, 2)), draw.between("next folio", 0, 3), 2);
-          reactor.after(Duration.ofMillis(draw.between("goes", 0, 60)), () -> {
-            rested.leave(draw.chance("goes by reset") < 0.5);
-            seen.run();
-          });
+          rested.ask(
+              world.grades().get(draw.between("next", 0, 2)), draw.between("next folio", 0, 3), 2);
+          reactor.after(
+              Duration.ofMillis(draw.between("goes", 0, 60)),
+              () -> {
+                rested.leave(draw.chance("goes by reset") < 0.5);
+                seen.run();
+              });
         }
       }
       case CLIENT_RESTS -> {
@@ -446,23 +504,28 @@
         for (int i = 0; i < MANY; i++) {
           Asker asker = new Asker();
           int folio = i % world.folios();
-          asker.atOpen = () -> {
-            String mark = asker.ask(world.grades().get(0), folio, 2);
-            atFirstPart.put(mark, () -> {
+          asker.atOpen =
+              () -> {
+                String mark = asker.ask(world.grades().get(0), folio, 2);
+                atFirstPart.put(
+                    mark,
+                    () -> {
+                      if (first[0] != null) {
+                        Runnable due = first[0];
+                        first[0] = null;
+                        due.run();
+                      }
+                    });
+              };
+        }
+        reactor.after(
+            UNSEEN,
+            () -> {
               if (first[0] != null) {
-                Runnable due = first[0];
+                first[0].run();
                 first[0] = null;
-                due.run();
               }
             });
-          };
-        }
-        reactor.after(UNSEEN, () -> {
-          if (first[0] != null) {
-            first[0].run();
-            first[0] = null;
-          }
-        });
       }
       default -> throw new IllegalStateException(event.toString());
     }
@@ -471,12 +534,13 @@
   /** Runs it at the first frame of a request, or after a while where none comes. */
   private void once(String mark, Runnable seen) {
     Runnable[] due = {seen};
-    Runnable fires = () -> {
-      if (due[0] != null) {
-        due[0] = null;
-        seen.run();
-      }
-    };
+    Runnable fires =
+        () -> {
+          if (due[0] != null) {
+            due[0] = null;
+            seen.run();
+          }
+        };
     atFirstPart.put(mark, fires);
     reactor.after(UNSEEN, fires);
   }
@@ -496,13 +560,16 @@
     mutedAt = null;
     String known = "{\"revision\":0,\"complete\":true,\"members\":[]}";
     InetSocketAddress to = agent.listening.address();
-    Thread thread = new Thread(() -> { // the signal is another process's to send: the reactor does not wait
-      try {
-        mixer.reload(world, to, known);
-      } catch (IOException e) {
-        throw new UncheckedIOException(e);
-      }
-    }, "reload");
+    Thread thread =
+        new Thread(
+            () -> { // the signal is another process's to send: the reactor does not wait
+              try {
+                mixer.reload(world, to, known);
+              } catch (IOException e) {
+                throw new UncheckedIOException(e);
+              }
+            },
+            "reload");
     thread.setDaemon(true);
     thread.start();
     reactor.after(Duration.ofSeconds(10), before.listening::close);
@@ -541,9 +608,16 @@
     }
 
     String list(boolean complete, List<Seat> of) {
-      return "{\"revision\":" + revision + ",\"complete\":" + complete + ",\"members\":["
-          + of.stream().filter(seat -> !complete || !seat.phase.equals("DELETED")).map(Seat::member)
-              .collect(Collectors.joining(",")) + "]}";
+      return "{\"revision\":"
+          + revision
+          + ",\"complete\":"
+          + complete
+          + ",\"members\":["
+          + of.stream()
+              .filter(seat -> !complete || !seat.phase.equals("DELETED"))
+              .map(Seat::member)
+              .collect(Collectors.joining(","))
+          + "]}";
     }
 
     void line(String text) {
@@ -569,7 +643,10 @@
       settle();
     }
 
-    /** What it has been sent meanwhile, it says at once: to open watches, and to calls that still wait. */
+    /**
+     * What it has been sent meanwhile, it says at once: to open watches, and to calls that still
+     * wait.
+     */
     void returns() {
       if (!down) {
         return;
@@ -596,14 +673,18 @@
       this.wire = wire;
     }
 
-    @Override public void bytes(byte[] bytes, int length) {
+    @Override
+    public void bytes(byte[] bytes, int length) {
       request.append(new String(bytes, 0, length, StandardCharsets.ISO_8859_1));
       if (request.indexOf("\r\n\r\n") < 0) {
         return;
       }
       streams = request.indexOf("stream=1") >= 0;
       request.setLength(0);
-      note("discovery is called" + (streams ? " for a watch" : "") + (of.down ? ", and is down" : ""));
+      note(
+          "discovery is called"
+              + (streams ? " for a watch" : "")
+              + (of.down ? ", and is down" : ""));
       if (of.down) {
         of.waiting.add(this);
       } else {
@@ -619,7 +700,9 @@
     void answer() {
       String list = of.list(true, seats);
       if (streams) {
-        wire.put("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
+        wire.put(
+            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+                .getBytes(StandardCharsets.US_ASCII));
         of.watches.add(this);
         line(list);
         if (of == agent) {
@@ -628,17 +711,20 @@
           List.copyOf(untold).forEach(Scene.this::told);
         }
       } else {
-        wire.put(("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list)
-            .getBytes(StandardCharsets.US_ASCII));
+        wire.put(
+            ("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list)
+                .getBytes(StandardCharsets.US_ASCII));
       }
     }
 
     void line(String text) {
-      wire.put((Integer.toHexString(text.length() + 1) + "\r\n" + text + "\n\r\n")
-          .getBytes(StandardCharsets.US_ASCII));
+      wire.put(
+          (Integer.toHexString(text.length() + 1) + "\r\n" + text + "\n\r\n")
+              .getBytes(StandardCharsets.US_ASCII));
     }
 
-    @Override public void closed() {
+    @Override
+    public void closed() {
       of.watches.remove(this);
       of.waiting.remove(this);
     }
@@ -657,8 +743,12 @@
     long upSinceMs;
     Mode mode = Mode.ANSWERS;
     private int port;
-    /** How often it has listened anew: what was to come up late does not, once its place is taken. */
+
+    /**
+     * How often it has listened anew: what was to come up late does not, once its place is taken.
+     */
     private int lives;
+
     private boolean late;
     private ServerSocketChannel full;
     private final List<SocketChannel> fillers = new ArrayList<>();
@@ -680,9 +770,19 @@
     }
 
     String member() {
-      return "{\"id\":\"" + id + "\",\"host_port\":\"" + address.getHostAddress() + ':' + port
-          + "\",\"locality\":\"a\",\"flavor\":\"emulated\",\"cell\":" + number + ",\"phase\":\"" + phase
-          + "\",\"size\":1.0,\"up_since_ms\":" + upSinceMs + "}";
+      return "{\"id\":\""
+          + id
+          + "\",\"host_port\":\""
+          + address.getHostAddress()
+          + ':'
+          + port
+          + "\",\"locality\":\"a\",\"flavor\":\"emulated\",\"cell\":"
+          + number
+          + ",\"phase\":\""
+          + phase
+          + "\",\"size\":1.0,\"up_since_ms\":"
+          + upSinceMs
+          + "}";
     }
 
     void tell(String as) {
@@ -718,7 +818,11 @@
 
     /** An answer that has begun, of which a byte comes now and then and never the last. */
     void trickle(Runnable seen) {
-      Line line = lines.stream().filter(each -> each.out > 0 && each.lastId != null).findFirst().orElse(null);
+      Line line =
+          lines.stream()
+              .filter(each -> each.out > 0 && each.lastId != null)
+              .findFirst()
+              .orElse(null);
       if (line == null) {
         seen.run();
         return;
@@ -726,22 +830,31 @@
       mode = Mode.HANGS;
       release(false);
       byte[] begin = ("R" + line.lastId + " done 1 -\n").getBytes(StandardCharsets.US_ASCII);
-      line.wire.put(ByteBuffer.allocate(4 + begin.length).order(ByteOrder.LITTLE_ENDIAN).putInt(60_000)
-          .put(begin).array());
+      line.wire.put(
+          ByteBuffer.allocate(4 + begin.length)
+              .order(ByteOrder.LITTLE_ENDIAN)
+              .putInt(60_000)
+              .put(begin)
+              .array());
       drip(line);
       reactor.post(seen);
     }
 
     private void drip(Line line) {
-      reactor.after(Duration.ofMillis(30), () -> {
-        if (!line.wire.closed()) {
-          line.wire.put(new byte[] {'x'});
-          drip(line);
-        }
-      });
+      reactor.after(
+          Duration.ofMillis(30),
+          () -> {
+            if (!line.wire.closed()) {
+              line.wire.put(new byte[] {'x'});
+              drip(line);
+            }
+          });
     }
 
-    /** Its connections are reset and its backlog is full: a new one comes up when the system asks again. */
+    /**
+     * Its connections are reset and its backlog is full: a new one comes up when the system asks
+     * again.
+     */
     void late(Runnable seen) throws IOException {
       if (late) { // it is already
         seen.run();
@@ -756,35 +869,40 @@
     }
 
     private void fill(int life, Runnable seen) {
-      reactor.after(TICK, () -> {
-        if (life != lives) {
-          seen.run();
-          return;
-        }
-        try {
-          full = ServerSocketChannel.open();
-          full.setOption(StandardSocketOptions.SO_REUSEADDR, true);
-          full.bind(at(port), 1);
-          for (int i = 0; i < 2; i++) {
-            SocketChannel filler = SocketChannel.open();
-            filler.configureBlocking(false); // the mixer may have come first
-            filler.connect(at(port));
-            fillers.add(filler);
-          }
-          note("the backlog of " + id + " is full");
-          awaitDial(now().plus(UNSEEN), seen);
-          reactor.after(Duration.ofMillis(draw.between("late", 150, 900)), () -> {
-            if (life == lives) {
-              comesUp(life);
+      reactor.after(
+          TICK,
+          () -> {
+            if (life != lives) {
+              seen.run();
+              return;
+            }
+            try {
+              full = ServerSocketChannel.open();
+              full.setOption(StandardSocketOptions.SO_REUSEADDR, true);
+              full.bind(at(port), 1);
+              for (int i = 0; i < 2; i++) {
+                SocketChannel filler = SocketChannel.open();
+                filler.configureBlocking(false); // the mixer may have come first
+                filler.connect(at(port));
+                fillers.add(filler);
+              }
+              note("the backlog of " + id + " is full");
+              awaitDial(now().plus(UNSEEN), seen);
+              reactor.after(
+                  Duration.ofMillis(draw.between("late", 150, 900)),
+                  () -> {
+                    if (life == lives) {
+                      comesUp(life);
+                    }
+                  });
+            } catch (
+                BindException e) { // the selector holds a closed channel's port until its next turn
+              unfill();
+              fill(life, seen);
+            } catch (IOException e) {
+              throw new UncheckedIOException(e);
             }
           });
-        } catch (BindException e) { // the selector holds a closed channel's port until its next turn
-          unfill();
-          fill(life, seen);
-        } catch (IOException e) {
-          throw new UncheckedIOException(e);
-        }
-      });
     }
 
     private void comesUp(int life) {
@@ -821,20 +939,23 @@
     /** Waits until the system shows a connection being made to the port, or for a while. */
     private void awaitDial(Duration until, Runnable seen) {
       byte[] ip = address.getAddress();
-      String to = String.format("%02X%02X%02X%02X:%04X 02 ", ip[3], ip[2], ip[1], ip[0], port); // SYN_SENT
-      looks.execute(() -> { // thousands of lines take long to read: the reactor does not stand still for them
-        boolean dialled = dialled(to);
-        reactor.post(() -> {
-          if (dialled) {
-            note("a connection to " + id + " is being made");
-          }
-          if (dialled || now().compareTo(until) > 0) {
-            seen.run();
-          } else {
-            reactor.after(TICK, () -> awaitDial(until, seen));
-          }
-        });
-      });
+      String to =
+          String.format("%02X%02X%02X%02X:%04X 02 ", ip[3], ip[2], ip[1], ip[0], port); // SYN_SENT
+      looks.execute(
+          () -> { // thousands of lines take long to read: the reactor does not stand still for them
+            boolean dialled = dialled(to);
+            reactor.post(
+                () -> {
+                  if (dialled) {
+                    note("a connection to " + id + " is being made");
+                  }
+                  if (dialled || now().compareTo(until) > 0) {
+                    seen.run();
+                  } else {
+                    reactor.after(TICK, () -> awaitDial(until, seen));
+                  }
+                });
+          });
     }
 
     private boolean dialled(String to) {
@@ -853,15 +974,18 @@
 
     // ---- Box.Host ----
 
-    @Override public Duration now() {
+    @Override
+    public Duration now() {
       return reactor.now();
     }
 
-    @Override public void after(Duration span, Runnable task) {
+    @Override
+    public void after(Duration span, Runnable task) {
       reactor.after(span, task);
     }
 
-    @Override public void answer(Box.Part part, String end) {
+    @Override
+    public void answer(Box.Part part, String end) {
       Runnable answers = () -> ((Line) part.link()).answer(part, end);
       if (mode == Mode.ANSWERS || end.equals("full")) {
         answers.run();
@@ -870,11 +994,13 @@
       }
     }
 
-    @Override public boolean runs(Box.Part part) {
+    @Override
+    public boolean runs(Box.Part part) {
       return true;
     }
 
-    @Override public void fell(Box which) {
+    @Override
+    public void fell(Box which) {
       judge.fell(number, reactor.now());
       note(id + " fell");
     }
@@ -894,7 +1020,8 @@
       seat.lines.add(this);
     }
 
-    @Override public void bytes(byte[] bytes, int length) {
+    @Override
+    public void bytes(byte[] bytes, int length) {
       kept.write(bytes, 0, length);
       ByteBuffer all = ByteBuffer.wrap(kept.toByteArray()).order(ByteOrder.LITTLE_ENDIAN);
       while (all.remaining() >= 4) {
@@ -919,7 +1046,8 @@
     private void frame(byte[] frame) {
       switch (frame[0]) {
         case 'S' -> call(frame);
-        case 'C' -> seat.box.cancel(new String(frame, 1, frame.length - 1, StandardCharsets.US_ASCII));
+        case 'C' ->
+            seat.box.cancel(new String(frame, 1, frame.length - 1, StandardCharsets.US_ASCII));
         case 'H' -> {
           if (seat.mode != Mode.HANGS) {
             put("Hdone");
@@ -935,7 +1063,7 @@
     }
 
     private void call(byte[] frame) {
-      for (int at = 1; at < frame.length;) {
+      for (int at = 1; at < frame.length; ) {
         int end = at;
         while (end < frame.length && frame[end] != '\n') {
           end++;
@@ -984,17 +1112,31 @@
       String value = Fate.value(world.seed(), part.text(), part.folio());
       boolean done = end.equals("done");
       judge.returned(mark(part.id()), part.folio(), seat.number, end, done ? value : null, now());
-      put("R" + part.id() + ' ' + end + ' ' + (done ? Fate.bits(0, value) >>> 33 : 0) + ' ' + report() + '\n'
-          + (done ? value : ""));
+      put(
+          "R"
+              + part.id()
+              + ' '
+              + end
+              + ' '
+              + (done ? Fate.bits(0, value) >>> 33 : 0)
+              + ' '
+              + report()
+              + '\n'
+              + (done ? value : ""));
     }
 
     private void put(String frame) {
       byte[] bytes = frame.getBytes(StandardCharsets.UTF_8);
-      wire.put(ByteBuffer.allocate(4 + bytes.length).order(ByteOrder.LITTLE_ENDIAN).putInt(bytes.length)
-          .put(bytes).array());
+      wire.put(
+          ByteBuffer.allocate(4 + bytes.length)
+              .order(ByteOrder.LITTLE_ENDIAN)
+              .putInt(bytes.length)
+              .put(bytes)
+              .array());
     }
 
-    @Override public void closed() {
+    @Override
+    public void closed() {
       seat.lines.remove(this);
     }
   }
@@ -1021,7 +1163,8 @@
       wire = reactor.dial(mixer.address(), this);
     }
 
-    @Override public void opened() {
+    @Override
+    public void opened() {
       opened = true;
       if (atOpen != null) {
         atOpen.run();
@@ -1030,17 +1173,38 @@
 
     private byte[] request(String as, World.Grade grade, Map<Integer, Double> shares) {
       String text = grade.name() + ':' + as;
-      String json = "{\"targets\":[" + shares.entrySet().stream().map(share -> "{\"partition\":"
-          + share.getKey() + ",\"share\":" + share.getValue() + ",\"est_us\":3000}")
-          .collect(Collectors.joining(",")) + "],\"query\":\"" + text + "\"}";
-      return ("POST /api HTTP/1.1\r\nHost: mixer\r\nX-Txn: " + as + "\r\nX-Lane: " + grade.name()
-          + "\r\nX-Remaining-Ms: " + grade.patience().toMillis()
-          + (key(as, grade) == null ? "" : "\r\nIdempotency-Key: " + key(as, grade)) + "\r\nContent-Length: "
-          + json.length() + "\r\n\r\n" + json).getBytes(StandardCharsets.US_ASCII);
+      String json =
+          "{\"targets\":["
+              + shares.entrySet().stream()
+                  .map(
+                      share ->
+                          "{\"partition\":"
+                              + share.getKey()
+                              + ",\"share\":"
+                              + share.getValue()
+                              + ",\"est_us\":3000}")
+                  .collect(Collectors.joining(","))
+              + "],\"query\":\""
+              + text
+              + "\"}";
+      return ("POST /api HTTP/1.1\r\nHost: mixer\r\nX-Txn: "
+              + as
+              + "\r\nX-Lane: "
+              + grade.name()
+              + "\r\nX-Remaining-Ms: "
+              + grade.patience().toMillis()
+              + (key(as, grade) == null ? "" : "\r\nIdempotency-Key: " + key(as, grade))
+              + "\r\nContent-Length: "
+              + json.length()
+              + "\r\n\r\n"
+              + json)
+          .getBytes(StandardCharsets.US_ASCII);
     }
 
     private static String key(String as, World.Grade grade) {
-      return grade.repeats() == World.Repeats.NUMBERED ? String.format("%032x", Fate.bits(5, as) >>> 1) : null;
+      return grade.repeats() == World.Repeats.NUMBERED
+          ? String.format("%032x", Fate.bits(5, as) >>> 1)
+          : null;
     }
 
     private static Map<Integer, Double> shares(int first, int count, int folios) {
@@ -1081,17 +1245,24 @@
       if (wire.closed()) {
         return;
       }
-      wire.put(("POST /api HTTP/1.1\r\nHost: mixer\r\nX-Txn: f" + mark + "\r\nX-Lane: "
-          + world.grades().get(0).name() + "\r\nX-Remaining-Ms: 1000\r\nContent-Length: 60000\r\n\r\n")
-          .getBytes(StandardCharsets.US_ASCII));
+      wire.put(
+          ("POST /api HTTP/1.1\r\nHost: mixer\r\nX-Txn: f"
+                  + mark
+                  + "\r\nX-Lane: "
+                  + world.grades().get(0).name()
+                  + "\r\nX-Remaining-Ms: 1000\r\nContent-Length: 60000\r\n\r\n")
+              .getBytes(StandardCharsets.US_ASCII));
       wire.put(new byte[FLOOD]);
       left = true;
       wire.close(); // once all has left, which closed() tells
     }
 
-    @Override public boolean keepsHalfOpen() {
+    @Override
+    public boolean keepsHalfOpen() {
       orderly = true;
-      note("the mixer has ended " + (mark == null ? "a resting client's connection" : "the connection of " + mark));
+      note(
+          "the mixer has ended "
+              + (mark == null ? "a resting client's connection" : "the connection of " + mark));
       if (!speaksAfterEnd || mark != null) {
         return false;
       }
@@ -1105,12 +1276,14 @@
       return true;
     }
 
-    @Override protected void malformed(Malformed e) {
+    @Override
+    protected void malformed(Malformed e) {
       note("the answer to " + mark + " is no HTTP: " + e.getMessage());
       wire.reset();
     }
 
-    @Override protected void message(Head head, byte[] json) {
+    @Override
+    protected void message(Head head, byte[] json) {
       if (atByte != null) {
         Runnable due = atByte;
         atByte = null;
@@ -1124,7 +1297,11 @@
       note("answered " + mark + ' ' + answer.status() + (served ? " " + answer.fate() : ""));
       warm |= answer.fate() == Seen.Fate.WHOLE;
       if (mine == generation && !left) {
-        judge.answered(mark, now(), answer.fate() == Seen.Fate.NACKED, answer.whole(),
+        judge.answered(
+            mark,
+            now(),
+            answer.fate() == Seen.Fate.NACKED,
+            answer.whole(),
             served ? answer.values() : null);
       }
       mark = null;
@@ -1136,7 +1313,8 @@
       }
     }
 
-    @Override public void closed() {
+    @Override
+    public void closed() {
       askers.remove(this);
       if (mine != generation || mark == null) {
         return;
@@ -1147,7 +1325,12 @@
       } else if (!opened) {
         judge.refused(mark);
       } else {
-        note("the connection of " + mark + " was " + (orderly ? "ended" : "reset") + " by the mixer");
+        note(
+            "the connection of "
+                + mark
+                + " was "
+                + (orderly ? "ended" : "reset")
+                + " by the mixer");
         judge.ended(mark, now());
       }
     }
--- a/emulator/src/main/java/gingerring/emulator/fleet/Agenda.java
+++ b/emulator/src/main/java/gingerring/emulator/fleet/Agenda.java
@@ -3,12 +3,13 @@
 import java.util.PriorityQueue;
 
 /**
- * Simulated time in milliseconds: what is due is done in the order of its times, and of asking where they are
- * equal.
+ * Simulated time in milliseconds: what is due is done in the order of its times, and of asking
+ * where they are equal.
  */
 final class Agenda {
   private record Due(double at, long number, Runnable task) implements Comparable<Due> {
-    @Override public int compareTo(Due other) {
+    @Override
+    public int compareTo(Due other) {
       int byTime = Double.compare(at, other.at);
       return byTime != 0 ? byTime : Long.compare(number, other.number);
     }
--- a/emulator/src/main/java/gingerring/emulator/fleet/Choices.java
+++ b/emulator/src/main/java/gingerring/emulator/fleet/Choices.java
@@ -18,24 +18,35 @@
 public final class Choices {
   /** How a mixer picks among a folio's holders. */
   public enum Policy {
-    /** Any. */ RANDOM,
-    /** Fewest own parts out, ties from the scan's home on: what a mixer does today. */ LEAST_OWN,
-    /** The one of two with fewer own parts out. */ TWO,
-    /** Fewest own parts out among those that its cover prefers. */ COVER
+    /** Any. */
+    RANDOM,
+    /** Fewest own parts out, ties from the scan's home on: what a mixer does today. */
+    LEAST_OWN,
+    /** The one of two with fewer own parts out. */
+    TWO,
+    /** Fewest own parts out among those that its cover prefers. */
+    COVER
   }
 
   /**
-   * {@code use}: the share of the boxes' capacity that is asked for; {@code copies}: holders of a folio, next
-   * to each other on the ring; {@code keep}: how many of them a cover prefers; {@code seconds} of simulated
-   * time. Demand is uneven: one mixer in ten asks for ten times what each other one does.
+   * {@code use}: the share of the boxes' capacity that is asked for; {@code copies}: holders of a
+   * folio, next to each other on the ring; {@code keep}: how many of them a cover prefers; {@code
+   * seconds} of simulated time. Demand is uneven: one mixer in ten asks for ten times what each
+   * other one does.
    */
-  public record Setup(int mixers, int boxes, int copies, int keep, double use, double seconds, long seed) {}
+  public record Setup(
+      int mixers, int boxes, int copies, int keep, double use, double seconds, long seed) {}
 
   /**
-   * What came of it: a box's busy time, the largest over the mean; connections at a box, mean and most; how
-   * long parts took, in milliseconds.
+   * What came of it: a box's busy time, the largest over the mean; connections at a box, mean and
+   * most; how long parts took, in milliseconds.
    */
-  public record Result(double largestOverMean, double linesMean, int linesMost, double p50, double p99,
+  public record Result(
+      double largestOverMean,
+      double linesMean,
+      int linesMost,
+      double p50,
+      double p99,
       long parts) {}
 
   private static final int ZONES = 3;
@@ -104,10 +115,13 @@
     agenda.until(setup.seconds * 1000);
     double sum = stations.stream().mapToDouble(each -> each.busy).sum();
     double most = stations.stream().mapToDouble(each -> each.busy).max().orElse(0);
-    return new Result(most / (sum / setup.boxes),
+    return new Result(
+        most / (sum / setup.boxes),
         stations.stream().mapToInt(each -> each.lines.size()).average().orElse(0),
         stations.stream().mapToInt(each -> each.lines.size()).max().orElse(0),
-        micros.getValueAtPercentile(50) / 1e3, micros.getValueAtPercentile(99) / 1e3, parts);
+        micros.getValueAtPercentile(50) / 1e3,
+        micros.getValueAtPercentile(99) / 1e3,
+        parts);
   }
 
   private double exponential(double mean) {
@@ -115,14 +129,16 @@
   }
 
   private void next(int mixer, double rate) {
-    agenda.at(agenda.now() + exponential(1 / rate), () -> {
-      int first = chance.nextInt(setup.boxes);
-      int home = chance.nextInt(setup.copies);
-      for (int i = 0; i < Math.max(1, (int) (FOLIOS_ASKED * setup.boxes)); i++) {
-        send(mixer, pick(mixer, (first + i) % setup.boxes, home));
-      }
-      next(mixer, rate);
-    });
+    agenda.at(
+        agenda.now() + exponential(1 / rate),
+        () -> {
+          int first = chance.nextInt(setup.boxes);
+          int home = chance.nextInt(setup.copies);
+          for (int i = 0; i < Math.max(1, (int) (FOLIOS_ASKED * setup.boxes)); i++) {
+            send(mixer, pick(mixer, (first + i) % setup.boxes, home));
+          }
+          next(mixer, rate);
+        });
   }
 
   private int pick(int mixer, int folio, int home) {
@@ -151,18 +167,21 @@
     parts++;
     double sent = agenda.now();
     double work = exponential(WORK_MS);
-    Runnable part = () -> {
-      station.running++;
-      station.busy += work;
-      agenda.at(agenda.now() + work, () -> {
-        station.running--;
-        out[mixer][box]--;
-        micros.recordValue(Math.min(3_600_000_000L, (long) ((agenda.now() - sent) * 1000)));
-        if (!station.waiting.isEmpty()) {
-          station.waiting.poll().run();
-        }
-      });
-    };
+    Runnable part =
+        () -> {
+          station.running++;
+          station.busy += work;
+          agenda.at(
+              agenda.now() + work,
+              () -> {
+                station.running--;
+                out[mixer][box]--;
+                micros.recordValue(Math.min(3_600_000_000L, (long) ((agenda.now() - sent) * 1000)));
+                if (!station.waiting.isEmpty()) {
+                  station.waiting.poll().run();
+                }
+              });
+        };
     if (station.running < SERVERS) {
       part.run();
     } else {
--- a/emulator/src/main/java/gingerring/emulator/fleet/Portions.java
+++ b/emulator/src/main/java/gingerring/emulator/fleet/Portions.java
@@ -9,17 +9,23 @@
 import java.util.SplittableRandom;
 
 /**
- * One box's room shared by mixers that hear each other's demands, answers and refusals late, in simulated
- * time. In its course demand shifts, some leave, new ones come, and the box's capacity halves and comes back.
+ * One box's room shared by mixers that hear each other's demands, answers and refusals late, in
+ * simulated time. In its course demand shifts, some leave, new ones come, and the box's capacity
+ * halves and comes back.
  */
 public final class Portions {
-  /** {@code delayMs}: the mean age at which a report counts, each between a half and one and a half of it. */
-  public record Setup(int mixers, double delayMs, double gain, double most, double holdMs, long seed) {}
+  /**
+   * {@code delayMs}: the mean age at which a report counts, each between a half and one and a half
+   * of it.
+   */
+  public record Setup(
+      int mixers, double delayMs, double gain, double most, double holdMs, long seed) {}
 
   /**
-   * {@code errors}: by change (shift, leave, join, halved, back), the largest distance of any mixer from its
-   * due, over that or the even part if larger, from 5 s after the change to the next; {@code refused}: share
-   * refused from 5 s after a change on; {@code swing}: largest less least sum sent then, over the capacity.
+   * {@code errors}: by change (shift, leave, join, halved, back), the largest distance of any mixer
+   * from its due, over that or the even part if larger, from 5 s after the change to the next;
+   * {@code refused}: share refused from 5 s after a change on; {@code swing}: largest less least
+   * sum sent then, over the capacity.
    */
   public record Result(double[] errors, double refused, double swing) {}
 
@@ -87,7 +93,8 @@
       }
       double served = Math.min(1, capacity / Math.max(1e-9, all));
       for (int i = 0; i < n; i++) {
-        reports[i].addFirst(new Report(there[i] ? demand[i] : 0, sent[i] * served, sent[i] * (1 - served)));
+        reports[i].addFirst(
+            new Report(there[i] ? demand[i] : 0, sent[i] * served, sent[i] * (1 - served)));
         if (reports[i].size() > 100) {
           reports[i].removeLast();
         }
@@ -104,8 +111,10 @@
         double[] due = FairShares.of(capacity, wanted, even);
         for (int i = 0; i < n; i++) {
           if (there[i]) {
-            errors[change] = Math.max(errors[change], Math.abs(sent[i] - due[i]) / Math.max(due[i],
-                capacity / count));
+            errors[change] =
+                Math.max(
+                    errors[change],
+                    Math.abs(sent[i] - due[i]) / Math.max(due[i], capacity / count));
           }
         }
         refusedSum += all * (1 - served);
@@ -122,8 +131,14 @@
     return new RoomBelief(setup.gain, setup.most, Duration.ofMillis((long) setup.holdMs));
   }
 
-  private static double change(int which, double[] demand, boolean[] there, RoomBelief[] beliefs, Setup setup,
-      SplittableRandom chance, double capacity) {
+  private static double change(
+      int which,
+      double[] demand,
+      boolean[] there,
+      RoomBelief[] beliefs,
+      Setup setup,
+      SplittableRandom chance,
+      double capacity) {
     int n = demand.length;
     switch (which) {
       case 0 -> { // what one half asked for, the other asks for now
--- a/emulator/src/main/java/gingerring/emulator/fleet/Probes.java
+++ b/emulator/src/main/java/gingerring/emulator/fleet/Probes.java
@@ -13,20 +13,24 @@
 public final class Probes {
   /** How a mixer decides that it is to probe. */
   public enum Way {
-    /** Each for itself, after 2 s, then 4, then every 8: what a mixer does today. */ ALONE,
-    /** In turns, each hearing of others' probes after a while, or not. */ TURNS,
-    /** At moments of its own drawn by the size of the fleet; nobody hears of others'. */ SPREAD
+    /** Each for itself, after 2 s, then 4, then every 8: what a mixer does today. */
+    ALONE,
+    /** In turns, each hearing of others' probes after a while, or not. */
+    TURNS,
+    /** At moments of its own drawn by the size of the fleet; nobody hears of others'. */
+    SPREAD
   }
 
   /**
-   * {@code stopped}: the share of the mixers that are gone and that the others still count on; {@code lost}:
-   * the share of words that do not arrive; {@code back}: when the box answers again, in seconds from its
-   * bench.
+   * {@code stopped}: the share of the mixers that are gone and that the others still count on;
+   * {@code lost}: the share of words that do not arrive; {@code back}: when the box answers again,
+   * in seconds from its bench.
    */
   public record Setup(int mixers, double stopped, double lost, double back, long seed) {}
 
   /**
-   * Probes a second until the box was back, the most in any one second, and how late the first found it back.
+   * Probes a second until the box was back, the most in any one second, and how late the first
+   * found it back.
    */
   public record Result(double perSecond, int most, double foundAfter) {}
 
@@ -82,7 +86,8 @@
         bySecond[(int) (at / 1000)]++;
       }
     }
-    return new Result(before / setup.back, Arrays.stream(bySecond).max().orElse(0), (found - end) / 1000);
+    return new Result(
+        before / setup.back, Arrays.stream(bySecond).max().orElse(0), (found - end) / 1000);
   }
 
   private void probe() {
@@ -94,27 +99,32 @@
 
   private void alone(int mixer, int times) {
     probe();
-    agenda.at(agenda.now() + BENCH_MS[Math.min(times, BENCH_MS.length - 1)], () -> alone(mixer, times + 1));
+    agenda.at(
+        agenda.now() + BENCH_MS[Math.min(times, BENCH_MS.length - 1)],
+        () -> alone(mixer, times + 1));
   }
 
   /** The rota of each decides; what one tells arrives after a while at the others, or is lost. */
   private void turn(int mixer) {
     Duration due = rotas.get(mixer).due(members, time());
-    agenda.at(due.toNanos() / 1e6, () -> {
-      Rota rota = rotas.get(mixer);
-      if (rota.due(members, time()).compareTo(time()) <= 0) {
-        long round = rota.acts(time());
-        probe();
-        for (int other = 0; other < setup.mixers; other++) {
-          int told = other;
-          if (other != mixer && chance.nextDouble() >= setup.lost) {
-            agenda.at(agenda.now() + HEARD_AFTER_MS,
-                () -> rotas.get(told).heard(members.get(mixer), round, members, time()));
+    agenda.at(
+        due.toNanos() / 1e6,
+        () -> {
+          Rota rota = rotas.get(mixer);
+          if (rota.due(members, time()).compareTo(time()) <= 0) {
+            long round = rota.acts(time());
+            probe();
+            for (int other = 0; other < setup.mixers; other++) {
+              int told = other;
+              if (other != mixer && chance.nextDouble() >= setup.lost) {
+                agenda.at(
+                    agenda.now() + HEARD_AFTER_MS,
+                    () -> rotas.get(told).heard(members.get(mixer), round, members, time()));
+              }
+            }
           }
-        }
-      }
-      turn(mixer);
-    });
+          turn(mixer);
+        });
   }
 
   private Duration time() {
--- a/emulator/src/main/java/gingerring/emulator/fleet/Society.java
+++ b/emulator/src/main/java/gingerring/emulator/fleet/Society.java
@@ -21,28 +21,37 @@
 import java.util.TreeMap;
 
 /**
- * Mixers that talk, in simulated time: the cores of {@code peers} as a mixer runs them, with faults by
- * message (loss, delay, doubled and reordered, cut both ways or one way), processes stopped, killed and
- * started anew, clocks set off, and hostile ones. The same setup plays the same.
+ * Mixers that talk, in simulated time: the cores of {@code peers} as a mixer runs them, with faults
+ * by message (loss, delay, doubled and reordered, cut both ways or one way), processes stopped,
+ * killed and started anew, clocks set off, and hostile ones. The same setup plays the same.
  *
- * <p>Boxes are alive or dead by the schedule; each mixer sends them parts at its own rate, benches one that
- * fails it twice in a row, and asks it when it is its turn. What the mixer's own module does is left out:
- * only what talk adds is played here.
+ * <p>Boxes are alive or dead by the schedule; each mixer sends them parts at its own rate, benches
+ * one that fails it twice in a row, and asks it when it is its turn. What the mixer's own module
+ * does is left out: only what talk adds is played here.
  */
 public final class Society {
   /** What goes wrong; {@code some} are those it befalls, {@code others} the far side of a cut. */
-  public record Fault(Kind kind, double atMs, double forMs, Set<Integer> some, Set<Integer> others,
-      double size) {
+  public record Fault(
+      Kind kind, double atMs, double forMs, Set<Integer> some, Set<Integer> others, double size) {
     public enum Kind {
-      /** Nothing goes between some and others. */ CUT,
-      /** Nothing goes from some to others. */ CUT_ONE_WAY,
-      /** Processes stand still, and what comes for them waits, so much at most. */ STOP,
-      /** Processes end, and new ones start empty under their names. */ KILL,
-      /** They say that all boxes fail. */ LIE,
-      /** They claim an endless demand. */ GREED,
-      /** They send again what was sent to them before. */ REPEAT,
-      /** They claim turns that are not theirs, and that the dead box answers. */ CLAIM,
-      /** So many boxes are dead. */ BOXES_DEAD
+      /** Nothing goes between some and others. */
+      CUT,
+      /** Nothing goes from some to others. */
+      CUT_ONE_WAY,
+      /** Processes stand still, and what comes for them waits, so much at most. */
+      STOP,
+      /** Processes end, and new ones start empty under their names. */
+      KILL,
+      /** They say that all boxes fail. */
+      LIE,
+      /** They claim an endless demand. */
+      GREED,
+      /** They send again what was sent to them before. */
+      REPEAT,
+      /** They claim turns that are not theirs, and that the dead box answers. */
+      CLAIM,
+      /** So many boxes are dead. */
+      BOXES_DEAD
     }
 
     boolean during(double now) {
@@ -51,14 +60,26 @@
   }
 
   /**
-   * {@code loss}, {@code twice}: shares of letters lost and doubled; {@code delayMs}: the most of an even
-   * delay; {@code clockMs}: clocks are off by as much at the most; {@code rate}: parts a second and mixer.
+   * {@code loss}, {@code twice}: shares of letters lost and doubled; {@code delayMs}: the most of
+   * an even delay; {@code clockMs}: clocks are off by as much at the most; {@code rate}: parts a
+   * second and mixer.
    */
-  public record Setup(int mixers, int zones, int boxes, double loss, double twice, double delayMs,
+  public record Setup(
+      int mixers,
+      int zones,
+      int boxes,
+      double loss,
+      double twice,
+      double delayMs,
       double clockMs,
-      double rate, double seconds, long seed, List<Fault> faults, Company.Rules rules) {
+      double rate,
+      double seconds,
+      long seed,
+      List<Fault> faults,
+      Company.Rules rules) {
     public static Setup usual(int mixers, double seconds, long seed, List<Fault> faults) {
-      return new Setup(mixers, 3, 20, 0.02, 0.005, 20, 50, 5, seconds, seed, faults, Company.Rules.usual());
+      return new Setup(
+          mixers, 3, 20, 0.02, 0.005, 20, 50, 5, seconds, seed, faults, Company.Rules.usual());
     }
   }
 
@@ -66,22 +87,28 @@
   public static final class Result {
     /** By second: the most and the mean bytes that one mixer sent. */
     public final List<double[]> bytes = new ArrayList<>();
+
     /** Living mixers taken for gone by others who could hear them, over the run. */
     public int wronglyGone;
+
     /** For each kill: when the last of the others knew. */
     public final List<Double> known = new ArrayList<>();
+
     /** Asks of dead boxes by second, and of boxes alive. */
     public final Map<Integer, Integer> asks = new TreeMap<>();
+
     /** For each box that came back: when the first, and when all who had benched it, asked it. */
     public final List<double[]> found = new ArrayList<>();
-    /**
-     * The largest doubt that an honest mixer had of a box that was alive.
-     */
+
+    /** The largest doubt that an honest mixer had of a box that was alive. */
     public double doubtOfAlive;
+
     /** The largest demand believed over the true one. */
     public double demand;
+
     /** Pairs of living mixers that do not know each other as there, at the end. */
     public int strangers;
+
     public final Map<Company.Count, Long> counts = new TreeMap<>();
     public final Map<Membership.Count, Long> memberCounts = new TreeMap<>();
   }
@@ -118,8 +145,15 @@
     void start() {
       alive = true;
       begun = agenda.now();
-      company = new Company(peer(number), place(number), UNIX + (long) (begun + clockMs),
-          withZone(setup.rules, zone), Seal.of(List.of(KEY)), chance.split(), this);
+      company =
+          new Company(
+              peer(number),
+              place(number),
+              UNIX + (long) (begun + clockMs),
+              withZone(setup.rules, zone),
+              Seal.of(List.of(KEY)),
+              chance.split(),
+              this);
       List<Long> boxes = new ArrayList<>();
       for (long box = 0; box < setup.boxes; box++) {
         boxes.add(box);
@@ -136,7 +170,9 @@
       later(1000 * chance.nextDouble() / rate, mine, this::part);
     }
 
-    /** Something of this process, later; not if it has ended, and when it goes on if it is stopped. */
+    /**
+     * Something of this process, later; not if it has ended, and when it goes on if it is stopped.
+     */
     void later(double span, Company mine, Runnable task) {
       agenda.at(agenda.now() + span, () -> run(mine, task));
     }
@@ -189,16 +225,19 @@
           }
         }
       }
-      later(answers ? 2 : 250, company, () -> {
-        asking.remove(box);
-        company.asked(box, answers);
-        if (answers) {
-          benched.remove(box);
-          failures.remove(box);
-        } else {
-          benched.put(box, agenda.now() + BENCH_MS);
-        }
-      });
+      later(
+          answers ? 2 : 250,
+          company,
+          () -> {
+            asking.remove(box);
+            company.asked(box, answers);
+            if (answers) {
+              benched.remove(box);
+              failures.remove(box);
+            } else {
+              benched.put(box, agenda.now() + BENCH_MS);
+            }
+          });
     }
 
     void part() {
@@ -227,24 +266,28 @@
       later(-1000 * Math.log(1 - chance.nextDouble()) / rate, company, this::part);
     }
 
-    @Override public Duration now() {
+    @Override
+    public Duration now() {
       return Duration.ofNanos((long) Math.ceil((agenda.now() - begun) * 1e6));
     }
 
-    @Override public void send(Place to, byte[] letter) {
+    @Override
+    public void send(Place to, byte[] letter) {
       int other = to.port() - 1;
       if (chance.nextDouble() < setup.loss || cut(number, other)) {
         return;
       }
       for (int copies = chance.nextDouble() < setup.twice ? 2 : 1; copies > 0; copies--) {
-        agenda.at(agenda.now() + 0.1 + chance.nextDouble() * setup.delayMs, () ->
-            nodes.get(other).arrive(number, letter));
+        agenda.at(
+            agenda.now() + 0.1 + chance.nextDouble() * setup.delayMs,
+            () -> nodes.get(other).arrive(number, letter));
       }
     }
 
     private void arrive(int from, byte[] letter) {
       if (alive && (!active(Fault.Kind.STOP, number) || waiting.size() < BUFFER)) {
-        if (active(Fault.Kind.REPEAT, number) || heard.size() < BUFFER && hostile.contains(number)) {
+        if (active(Fault.Kind.REPEAT, number)
+            || heard.size() < BUFFER && hostile.contains(number)) {
           heard.add(letter);
           if (heard.size() > BUFFER) {
             heard.poll();
@@ -254,11 +297,13 @@
       }
     }
 
-    @Override public void answers(long box) {
+    @Override
+    public void answers(long box) {
       benched.computeIfPresent(box, (each, until) -> agenda.now());
     }
 
-    @Override public void changed(Standing now) {
+    @Override
+    public void changed(Standing now) {
       if (now.state() != Standing.State.GONE) {
         return;
       }
@@ -273,10 +318,17 @@
           return;
         }
       }
-      boolean excused = setup.faults.stream().anyMatch(fault -> agenda.now() >= fault.atMs
-          && agenda.now() < fault.atMs + fault.forMs + 10_000 && fault.kind != Fault.Kind.BOXES_DEAD
-          && (fault.some.contains(who) || fault.some.contains(number) || fault.others.contains(who)
-          || fault.others.contains(number)));
+      boolean excused =
+          setup.faults.stream()
+              .anyMatch(
+                  fault ->
+                      agenda.now() >= fault.atMs
+                          && agenda.now() < fault.atMs + fault.forMs + 10_000
+                          && fault.kind != Fault.Kind.BOXES_DEAD
+                          && (fault.some.contains(who)
+                              || fault.some.contains(number)
+                              || fault.others.contains(who)
+                              || fault.others.contains(number)));
       if (!excused) {
         result.wronglyGone++;
       }
@@ -344,8 +396,17 @@
   }
 
   private static Company.Rules withZone(Company.Rules rules, int zone) {
-    return new Company.Rules(rules.membership(), zone, rules.sayEvery(), rules.sayTo(), rules.sees(),
-        rules.believes(), rules.witnesses(), rules.roundEvery(), rules.roundStep(), rules.boxesMost(),
+    return new Company.Rules(
+        rules.membership(),
+        zone,
+        rules.sayEvery(),
+        rules.sayTo(),
+        rules.sees(),
+        rules.believes(),
+        rules.witnesses(),
+        rules.roundEvery(),
+        rules.roundStep(),
+        rules.boxesMost(),
         rules.bytesPerSecond());
   }
 
@@ -363,8 +424,8 @@
       if (fault.during(agenda.now())) {
         boolean forth = fault.some.contains(from) && fault.others.contains(to);
         boolean back = fault.some.contains(to) && fault.others.contains(from);
-        if (fault.kind == Fault.Kind.CUT && (forth || back) || fault.kind == Fault.Kind.CUT_ONE_WAY
-            && forth) {
+        if (fault.kind == Fault.Kind.CUT && (forth || back)
+            || fault.kind == Fault.Kind.CUT_ONE_WAY && forth) {
           return true;
         }
       }
@@ -389,14 +450,17 @@
       measure();
     }
     deaths.forEach(death -> result.known.add(death.known - death.at));
-    returns.forEach(each -> result.found.add(new double[] {each.first - each.at, each.last - each.at}));
+    returns.forEach(
+        each -> result.found.add(new double[] {each.first - each.at, each.last - each.at}));
     for (Node one : nodes) {
       for (Node other : nodes) {
         boolean both = one != other && one.alive && other.alive;
         result.strangers += both && one.company.membership().life(peer(other.number)) == 0 ? 1 : 0;
       }
       if (one.alive) {
-        one.company.counts().forEach((which, count) -> result.counts.merge(which, count, Long::sum));
+        one.company
+            .counts()
+            .forEach((which, count) -> result.counts.merge(which, count, Long::sum));
         for (Membership.Count which : Membership.Count.values()) {
           result.memberCounts.merge(which, one.company.membership().count(which), Long::sum);
         }
@@ -407,23 +471,33 @@
 
   private void schedule(Fault fault) {
     switch (fault.kind) {
-      case KILL -> fault.some.forEach(who -> {
-        deaths.add(new Death(who, fault.atMs, fault.forMs));
-        agenda.at(fault.atMs, () -> {
-          nodes.get(who).alive = false;
-          nodes.get(who).waiting.clear();
-        });
-        agenda.at(fault.atMs + fault.forMs, () -> nodes.get(who).start());
-      });
-      case STOP -> fault.some.forEach(who -> agenda.at(fault.atMs + fault.forMs, () -> {
-        Node node = nodes.get(who);
-        List<Runnable> due = new ArrayList<>(node.waiting);
-        node.waiting.clear();
-        due.forEach(task -> node.run(node.company, task));
-      }));
-      case BOXES_DEAD -> fault.some.forEach(box -> returns.add(new Return(box, fault.atMs + fault.forMs)));
+      case KILL ->
+          fault.some.forEach(
+              who -> {
+                deaths.add(new Death(who, fault.atMs, fault.forMs));
+                agenda.at(
+                    fault.atMs,
+                    () -> {
+                      nodes.get(who).alive = false;
+                      nodes.get(who).waiting.clear();
+                    });
+                agenda.at(fault.atMs + fault.forMs, () -> nodes.get(who).start());
+              });
+      case STOP ->
+          fault.some.forEach(
+              who ->
+                  agenda.at(
+                      fault.atMs + fault.forMs,
+                      () -> {
+                        Node node = nodes.get(who);
+                        List<Runnable> due = new ArrayList<>(node.waiting);
+                        node.waiting.clear();
+                        due.forEach(task -> node.run(node.company, task));
+                      }));
+      case BOXES_DEAD ->
+          fault.some.forEach(box -> returns.add(new Return(box, fault.atMs + fault.forMs)));
       case LIE, GREED, REPEAT, CLAIM -> hostile.addAll(fault.some);
-      default -> { }
+      default -> {}
     }
   }
 
@@ -452,7 +526,8 @@
           }
         }
         if (agenda.now() > 15_000) {
-          // what is heard is a sample of the fleet: the sum of what it tells, over what those would ask
+          // what is heard is a sample of the fleet: the sum of what it tells, over what those would
+          // ask
           result.demand = Math.max(result.demand, node.company.demand() / Math.max(1, asked));
         }
       }
@@ -460,8 +535,12 @@
   }
 
   private boolean aliveFor(long box, double span) {
-    return setup.faults.stream().noneMatch(fault -> fault.kind == Fault.Kind.BOXES_DEAD
-        && fault.some.contains((int) box) && agenda.now() >= fault.atMs && agenda.now() < fault.atMs
-        + fault.forMs + span);
+    return setup.faults.stream()
+        .noneMatch(
+            fault ->
+                fault.kind == Fault.Kind.BOXES_DEAD
+                    && fault.some.contains((int) box)
+                    && agenda.now() >= fault.atMs
+                    && agenda.now() < fault.atMs + fault.forMs + span);
   }
 }
--- a/emulator/src/main/java/gingerring/emulator/run/Charts.java
+++ b/emulator/src/main/java/gingerring/emulator/run/Charts.java
@@ -19,22 +19,27 @@
   private Charts() {}
 
   /** Each series by second; all are of emulated boxes, which the title says. */
-  public static void lines(Path file, String title, String what, Map<String, Map<Integer, Double>> series)
+  public static void lines(
+      Path file, String title, String what, Map<String, Map<Integer, Double>> series)
       throws IOException {
     lines(file, title + " (emulated boxes)", "second", what, series);
   }
 
-  /** Each series by whatever the points are counted by; the title has to say what the figures are of. */
-  public static void lines(Path file, String title, String by, String what,
-      Map<String, Map<Integer, Double>> series)
+  /**
+   * Each series by whatever the points are counted by; the title has to say what the figures are
+   * of.
+   */
+  public static void lines(
+      Path file, String title, String by, String what, Map<String, Map<Integer, Double>> series)
       throws IOException {
     System.setProperty("java.awt.headless", "true");
     XYSeriesCollection all = new XYSeriesCollection();
-    series.forEach((name, points) -> {
-      XYSeries line = new XYSeries(name);
-      points.forEach(line::add);
-      all.addSeries(line);
-    });
+    series.forEach(
+        (name, points) -> {
+          XYSeries line = new XYSeries(name);
+          points.forEach(line::add);
+          all.addSeries(line);
+        });
     JFreeChart chart = ChartFactory.createXYLineChart(title, by, what, all);
     if (file.toAbsolutePath().getParent() != null) {
       Files.createDirectories(file.toAbsolutePath().getParent());
@@ -45,7 +50,10 @@
   /** Service by second of a run. */
   public static Map<Integer, Double> service(Run.Result result) {
     Map<Integer, Double> points = new TreeMap<>();
-    result.tally().seconds.forEach((second, its) -> points.put(second, its[0] == 0 ? 1 : its[1] / its[0]));
+    result
+        .tally()
+        .seconds
+        .forEach((second, its) -> points.put(second, its[0] == 0 ? 1 : its[1] / its[0]));
     return points;
   }
 }
--- a/emulator/src/main/java/gingerring/emulator/run/Clients.java
+++ b/emulator/src/main/java/gingerring/emulator/run/Clients.java
@@ -28,10 +28,10 @@
 import java.util.TreeMap;
 
 /**
- * The clients of a run. Each wish belongs to one of the world's clients, drawn from the seed, and is asked at
- * its time on a connection of that client that is idle, or on a new one; with twice as many connections as
- * clients open, another's that has been idle longest makes room, and where none is idle it waits for the next
- * that ends. A wish that was not answered is tried again.
+ * The clients of a run. Each wish belongs to one of the world's clients, drawn from the seed, and
+ * is asked at its time on a connection of that client that is idle, or on a new one; with twice as
+ * many connections as clients open, another's that has been idle longest makes room, and where none
+ * is idle it waits for the next that ends. A wish that was not answered is tried again.
  */
 public final class Clients {
   /** Which of several mixers a client's next connection goes to, and where that one is now. */
@@ -49,8 +49,10 @@
   private final Tally tally;
   private final Retries retries;
   private final Map<Integer, Deque<Client>> idle = new HashMap<>();
+
   /** All that are idle, the one idle longest first. */
   private final Set<Client> resting = new LinkedHashSet<>();
+
   private final Deque<Try> waiting = new ArrayDeque<>();
   private final Set<Client> asking = new LinkedHashSet<>();
   private final Runnable over;
@@ -61,21 +63,42 @@
   /** One try of a wish. {@code first} is when its wish was first asked. */
   private record Try(Wish wish, int number, Duration first) {}
 
-  Clients(World world, Reactor reactor, Referee referee, InetSocketAddress mixer, double pace, Tally tally,
+  Clients(
+      World world,
+      Reactor reactor,
+      Referee referee,
+      InetSocketAddress mixer,
+      double pace,
+      Tally tally,
       Runnable over) {
-    this(world, reactor, referee, new Way() {
-      @Override public int mixer(int client) {
-        return 0;
-      }
+    this(
+        world,
+        reactor,
+        referee,
+        new Way() {
+          @Override
+          public int mixer(int client) {
+            return 0;
+          }
 
-      @Override public InetSocketAddress address(int number) {
-        return mixer;
-      }
-    }, pace, tally, over);
+          @Override
+          public InetSocketAddress address(int number) {
+            return mixer;
+          }
+        },
+        pace,
+        tally,
+        over);
   }
 
   /** Clients of several mixers. */
-  public Clients(World world, Reactor reactor, Referee referee, Way way, double pace, Tally tally,
+  public Clients(
+      World world,
+      Reactor reactor,
+      Referee referee,
+      Way way,
+      double pace,
+      Tally tally,
       Runnable over) {
     this.world = world;
     this.reactor = reactor;
@@ -84,8 +107,10 @@
     this.pace = pace;
     this.tally = tally;
     this.over = over;
-    retries = new Retries(new Retries.Rule(world.retries(), Duration.ofMillis(200), 2, 0.5),
-        new SplittableRandom(world.seed() + 1));
+    retries =
+        new Retries(
+            new Retries.Rule(world.retries(), Duration.ofMillis(200), 2, 0.5),
+            new SplittableRandom(world.seed() + 1));
   }
 
   public void begin(List<Wish> wishes) {
@@ -94,7 +119,8 @@
       over.run();
     }
     for (Wish wish : wishes) {
-      reactor.after(Duration.ofNanos((long) (wish.at().toNanos() / pace)),
+      reactor.after(
+          Duration.ofNanos((long) (wish.at().toNanos() / pace)),
           () -> ask(new Try(wish, 0, reactor.now())));
     }
   }
@@ -130,9 +156,10 @@
 
   private void ended(Try which, Answer answer) {
     Duration took = reactor.now().minus(which.first);
-    Optional<Duration> again = answer.fate() == Seen.Fate.WHOLE || answer.fate() == Seen.Fate.PART
-        ? Optional.empty()
-        : retries.next(which.number, answer.comeBack());
+    Optional<Duration> again =
+        answer.fate() == Seen.Fate.WHOLE || answer.fate() == Seen.Fate.PART
+            ? Optional.empty()
+            : retries.next(which.number, answer.comeBack());
     tally.ended(which.wish, answer, took, reactor.now());
     if (again.isPresent() && took.plus(again.get()).compareTo(which.wish.grade().patience()) < 0) {
       tally.retries++;
@@ -146,15 +173,25 @@
     room();
   }
 
-  /** What the wishes that have no end yet wait for, one line each party; empty once all have theirs. */
+  /**
+   * What the wishes that have no end yet wait for, one line each party; empty once all have theirs.
+   */
   public List<String> waitsFor() {
     Map<Integer, Integer> asked = new TreeMap<>();
     asking.forEach(client -> asked.merge(client.mixer, 1, Integer::sum));
     List<String> lines = new ArrayList<>();
-    asked.forEach((mixer, count) -> lines.add("m" + mixer + " owes " + count + " clients an answer"));
+    asked.forEach(
+        (mixer, count) -> lines.add("m" + mixer + " owes " + count + " clients an answer"));
     if (!waiting.isEmpty()) {
-      lines.add(waiting.size() + " wishes wait for a client's connection, with " + connections + " of "
-          + 2 * world.clients() + " open and " + resting.size() + " idle");
+      lines.add(
+          waiting.size()
+              + " wishes wait for a client's connection, with "
+              + connections
+              + " of "
+              + 2 * world.clients()
+              + " open and "
+              + resting.size()
+              + " idle");
     }
     int rest = open - asking.size() - waiting.size();
     if (rest > 0) {
@@ -188,29 +225,48 @@
       mark = mine;
       World.Grade grade = next.wish.grade();
       byte[] json = next.wish.body(world);
-      String text = "POST /api HTTP/1.1\r\nHost: mixer\r\nX-Txn: " + mark + "\r\nX-Lane: " + grade.name()
-          + "\r\nX-Remaining-Ms: " + grade.patience().toMillis() + (next.number > 0 ? "\r\nX-Resent: 1" : "")
-          + (grade.repeats() == World.Repeats.NUMBERED ? "\r\nIdempotency-Key: " + next.wish.key() : "")
-          + "\r\nContent-Length: " + json.length + "\r\n\r\n";
+      String text =
+          "POST /api HTTP/1.1\r\nHost: mixer\r\nX-Txn: "
+              + mark
+              + "\r\nX-Lane: "
+              + grade.name()
+              + "\r\nX-Remaining-Ms: "
+              + grade.patience().toMillis()
+              + (next.number > 0 ? "\r\nX-Resent: 1" : "")
+              + (grade.repeats() == World.Repeats.NUMBERED
+                  ? "\r\nIdempotency-Key: " + next.wish.key()
+                  : "")
+              + "\r\nContent-Length: "
+              + json.length
+              + "\r\n\r\n";
       wire.put(text.getBytes(StandardCharsets.US_ASCII));
       wire.put(json);
       tally.asked++;
-      referee.asked(mixer, mark, grade.name(), next.wish.shares(),
-          grade.repeats() == World.Repeats.NUMBERED ? next.wish.key() : null, reactor.now(),
+      referee.asked(
+          mixer,
+          mark,
+          grade.name(),
+          next.wish.shares(),
+          grade.repeats() == World.Repeats.NUMBERED ? next.wish.key() : null,
+          reactor.now(),
           grade.patience());
-      reactor.after(grade.patience().plus(Referee.SLACK), () -> {
-        if (mine.equals(mark) && now != null) {
-          referee.lost(mark, reactor.now());
-          wire.reset();
-        }
-      });
+      reactor.after(
+          grade.patience().plus(Referee.SLACK),
+          () -> {
+            if (mine.equals(mark) && now != null) {
+              referee.lost(mark, reactor.now());
+              wire.reset();
+            }
+          });
     }
 
-    @Override protected void malformed(Malformed e) {
+    @Override
+    protected void malformed(Malformed e) {
       wire.reset();
     }
 
-    @Override protected void message(Head head, byte[] json) {
+    @Override
+    protected void message(Head head, byte[] json) {
       Try ended = now;
       if (ended == null) {
         return;
@@ -219,7 +275,11 @@
       asking.remove(this);
       Answer answer = Answer.read(head, json);
       boolean served = answer.fate() == Seen.Fate.WHOLE || answer.fate() == Seen.Fate.PART;
-      referee.answered(mark, reactor.now(), answer.fate() == Seen.Fate.NACKED, answer.whole(),
+      referee.answered(
+          mark,
+          reactor.now(),
+          answer.fate() == Seen.Fate.NACKED,
+          answer.whole(),
           served ? answer.values() : null);
       if (head.says("connection", "close")) {
         end();
@@ -244,7 +304,8 @@
       wire.close();
     }
 
-    @Override public void closed() {
+    @Override
+    public void closed() {
       boolean first = !gone;
       leave();
       if (now == null) {
@@ -256,7 +317,9 @@
         now = null;
         asking.remove(this);
         referee.left(mark, reactor.now());
-        ended(ended, new Answer(Seen.Fate.LEFT, 0, false, Map.of(), Duration.ZERO, "its connection ended"));
+        ended(
+            ended,
+            new Answer(Seen.Fate.LEFT, 0, false, Map.of(), Duration.ZERO, "its connection ended"));
       }
     }
 
--- a/emulator/src/main/java/gingerring/emulator/run/MixerProcess.java
+++ b/emulator/src/main/java/gingerring/emulator/run/MixerProcess.java
@@ -6,7 +6,6 @@
 import java.io.IOException;
 import java.io.InputStreamReader;
 import java.net.InetSocketAddress;
-import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.time.Duration;
@@ -24,18 +23,26 @@
 
 /** A real mixer as a child of this process, from the same class path, configured for a world. */
 public final class MixerProcess implements AutoCloseable {
-  /** Which of a fleet a mixer is; {@code peers} is the file of its peers, or null where it has none. */
-  public record Member(String name, int number, int fleet, List<String> zones, int zone, Path peers) {
+  /**
+   * Which of a fleet a mixer is; {@code peers} is the file of its peers, or null where it has none.
+   */
+  public record Member(
+      String name, int number, int fleet, List<String> zones, int zone, Path peers) {
     static final Member ALONE = new Member("emulated", 0, 1, List.of("a"), 0, null);
   }
 
   private static final Pattern LISTENS = Pattern.compile("listens at [^ ]*:([0-9]+),");
   private static final long START_MS = 20_000;
   private static final long END_MS = 5_000;
-  private static final List<String> FLAGS = List.of("-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1",
-      "-XX:-UsePerfData", "-Xms24m", "-Xss512k");
-  /** The deployment's heap, in MB, and what a client's two connections may take on top of it, in KB. */
+  private static final List<String> FLAGS =
+      List.of(
+          "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-XX:-UsePerfData", "-Xms24m", "-Xss512k");
+
+  /**
+   * The deployment's heap, in MB, and what a client's two connections may take on top of it, in KB.
+   */
   private static final int HEAP_MB = 64;
+
   private static final int CLIENT_KB = 48;
 
   private final Process process;
@@ -48,51 +55,68 @@
   private MixerProcess(Process process, Path config) {
     this.process = process;
     this.config = config;
-    Thread reader = new Thread(() -> {
-      try (BufferedReader out = new BufferedReader(new InputStreamReader(process.getInputStream()))) {
-        for (String line = out.readLine(); line != null; line = out.readLine()) {
-          lines.offer(line);
-        }
-      } catch (IOException e) {
-        lines.offer("the mixer's output ended: " + e.getMessage());
-      }
-    }, "mixer-log");
+    Thread reader =
+        new Thread(
+            () -> {
+              try (BufferedReader out =
+                  new BufferedReader(new InputStreamReader(process.getInputStream()))) {
+                for (String line = out.readLine(); line != null; line = out.readLine()) {
+                  lines.offer(line);
+                }
+              } catch (IOException e) {
+                lines.offer("the mixer's output ended: " + e.getMessage());
+              }
+            },
+            "mixer-log");
     reader.setDaemon(true);
     reader.start();
   }
 
-  /** Starts one; {@code known} is the list it begins with, {@code record} a file to record to, or null. */
-  public static MixerProcess start(World world, InetSocketAddress discovery, String known, Path record)
-      throws IOException {
+  /**
+   * Starts one; {@code known} is the list it begins with, {@code record} a file to record to, or
+   * null.
+   */
+  public static MixerProcess start(
+      World world, InetSocketAddress discovery, String known, Path record) throws IOException {
     return start(world, discovery, known, record, Member.ALONE);
   }
 
   /** Starts one of a fleet. */
-  public static MixerProcess start(World world, InetSocketAddress discovery, String known, Path record,
-      Member member)
+  public static MixerProcess start(
+      World world, InetSocketAddress discovery, String known, Path record, Member member)
       throws IOException {
     return start(world, discovery, known, record, member, UnaryOperator.identity());
   }
 
   /** Starts one alone, with its configuration edited: for settings that a world does not tell. */
-  public static MixerProcess startEdited(World world, InetSocketAddress discovery, String known,
-      UnaryOperator<String> edit) throws IOException {
+  public static MixerProcess startEdited(
+      World world, InetSocketAddress discovery, String known, UnaryOperator<String> edit)
+      throws IOException {
     return start(world, discovery, known, null, Member.ALONE, edit);
   }
 
-  private static MixerProcess start(World world, InetSocketAddress discovery, String known, Path record,
-      Member member, UnaryOperator<String> edit) throws IOException {
+  private static MixerProcess start(
+      World world,
+      InetSocketAddress discovery,
+      String known,
+      Path record,
+      Member member,
+      UnaryOperator<String> edit)
+      throws IOException {
     Path config = Files.createTempFile("gingerring-mixer", ".json");
     Files.writeString(config, edit.apply(config(world, discovery, known, member)));
-    List<String> command = new ArrayList<>(List.of(
-        Path.of(System.getProperty("java.home"), "bin", "java").toString()));
+    List<String> command =
+        new ArrayList<>(
+            List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString()));
     command.addAll(FLAGS);
     command.add("-Xmx" + (HEAP_MB + (int) ((long) world.clients() * CLIENT_KB >> 10)) + "m");
     command.addAll(List.of("-cp", System.getProperty("java.class.path")));
-    command.addAll(member.peers() != null
-        ? List.of("gingerring.peering.Main", "serve", "--peers", member.peers().toString())
-        : record == null ? List.of("gingerring.Main", "serve")
-        : List.of("gingerring.cli.Gingerring", "serve", "--record", record.toString()));
+    command.addAll(
+        member.peers() != null
+            ? List.of("gingerring.peering.Main", "serve", "--peers", member.peers().toString())
+            : record == null
+                ? List.of("gingerring.Main", "serve")
+                : List.of("gingerring.cli.Gingerring", "serve", "--record", record.toString()));
     ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
     builder.environment().remove("GINGERRING_LOG"); // its lines are read here as plain ones
     builder.environment().put("LB_CONFIG", config.toString());
@@ -145,20 +169,25 @@
   /** Sends a signal by its name, as STOP or CONT. */
   public void signal(String name) throws IOException {
     try {
-      new ProcessBuilder("kill", "-" + name, String.valueOf(process.pid())).start().waitFor(END_MS,
-          TimeUnit.MILLISECONDS);
+      new ProcessBuilder("kill", "-" + name, String.valueOf(process.pid()))
+          .start()
+          .waitFor(END_MS, TimeUnit.MILLISECONDS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
-  /** Has it read its configuration again (SIGHUP), which differs from before in where discovery is. */
+  /**
+   * Has it read its configuration again (SIGHUP), which differs from before in where discovery is.
+   */
   public void reload(World world, InetSocketAddress discovery, String known) throws IOException {
     Files.writeString(config, edit.apply(config(world, discovery, known, Member.ALONE)));
     signal("HUP");
   }
 
-  /** Asks it to end (SIGTERM), as a planned restart does, and does not wait. Its output is read on. */
+  /**
+   * Asks it to end (SIGTERM), as a planned restart does, and does not wait. Its output is read on.
+   */
   public void terminate() {
     process.toHandle().destroy(); // the process's own would close its streams
   }
@@ -225,7 +254,8 @@
     }
   }
 
-  @Override public void close() {
+  @Override
+  public void close() {
     process.destroyForcibly();
     try {
       Files.deleteIfExists(config);
@@ -236,8 +266,11 @@
 
   /** The configuration of a mixer before this world's store, in the deployment's form. */
   static String config(World world, InetSocketAddress discovery, String known, Member member) {
-    String grades = world.grades().stream().map(MixerProcess::grade).collect(Collectors.joining(",\n      "));
-    return String.format(Locale.ROOT, """
+    String grades =
+        world.grades().stream().map(MixerProcess::grade).collect(Collectors.joining(",\n      "));
+    return String.format(
+        Locale.ROOT,
+        """
         {"name": "%s", "listen": "127.0.0.1:0", "discovery": "%s:%d", "seed": "%016x",
          "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 8192}, "known": %s,
          "settings": {
@@ -252,13 +285,31 @@
           "Safety": {"ColdFrom": %f, "DrainGraceMs": %f, "GraceToAnswerMs": 20.0, "TipAfterMs": %f,
            "TipMultiple": %f, "WarmUpMs": %f},
           "Skus": ["emulated"], "Zone": %d, "Zones": ["%s"]}}
-        """, member.name(), discovery.getAddress().getHostAddress(), discovery.getPort(), world.seed(), known, grades,
-        list(world, grade -> "0"), list(world, grade -> String.valueOf(grade.floor())),
-        list(world, grade -> "0.95"), list(world, grade -> "1.0"), world.boxes(), world.copies(),
-        world.folios(), member.fleet(), member.number(), millis(world.idle()), world.trips(),
+        """,
+        member.name(),
+        discovery.getAddress().getHostAddress(),
+        discovery.getPort(),
+        world.seed(),
+        known,
+        grades,
+        list(world, grade -> "0"),
+        list(world, grade -> String.valueOf(grade.floor())),
+        list(world, grade -> "0.95"),
+        list(world, grade -> "1.0"),
+        world.boxes(),
+        world.copies(),
+        world.folios(),
+        member.fleet(),
+        member.number(),
+        millis(world.idle()),
+        world.trips(),
         world.coldFrom(),
-        millis(world.drainGrace()), millis(world.tipAfter()), world.tipMultiple(), millis(world.warmUp()),
-        member.zone(), String.join("\", \"", member.zones()));
+        millis(world.drainGrace()),
+        millis(world.tipAfter()),
+        world.tipMultiple(),
+        millis(world.warmUp()),
+        member.zone(),
+        String.join("\", \"", member.zones()));
   }
 
   private static String list(World world, Function<Grade, String> value) {
@@ -266,14 +317,22 @@
   }
 
   private static String grade(Grade grade) {
-    String repeats = switch (grade.repeats()) {
-      case REISSUABLE -> "idempotent";
-      case NUMBERED -> "deduplicated";
-      case AT_MOST_ONCE -> "at_most_once";
-    };
-    return String.format(Locale.ROOT, "{\"Name\": \"%s\", \"AimMs\": %f, \"HardLimitMs\": %f, "
-        + "\"Idempotency\": \"%s\", \"LateWorth\": %f, \"WindowMs\": %f, \"Worth\": %f}", grade.name(),
-        millis(grade.quoted()), millis(grade.patience()), repeats, grade.late(), millis(grade.window()),
+    String repeats =
+        switch (grade.repeats()) {
+          case REISSUABLE -> "idempotent";
+          case NUMBERED -> "deduplicated";
+          case AT_MOST_ONCE -> "at_most_once";
+        };
+    return String.format(
+        Locale.ROOT,
+        "{\"Name\": \"%s\", \"AimMs\": %f, \"HardLimitMs\": %f, "
+            + "\"Idempotency\": \"%s\", \"LateWorth\": %f, \"WindowMs\": %f, \"Worth\": %f}",
+        grade.name(),
+        millis(grade.quoted()),
+        millis(grade.patience()),
+        repeats,
+        grade.late(),
+        millis(grade.window()),
         grade.earnings());
   }
 
--- a/emulator/src/main/java/gingerring/emulator/run/Passage.java
+++ b/emulator/src/main/java/gingerring/emulator/run/Passage.java
@@ -5,8 +5,8 @@
 import java.util.Deque;
 
 /**
- * What a link knows of the bytes that it carries to a box: whose they are, and when they left the sender. A
- * link that holds bytes back delivers them late, and that is not the sender's doing.
+ * What a link knows of the bytes that it carries to a box: whose they are, and when they left the
+ * sender. A link that holds bytes back delivers them late, and that is not the sender's doing.
  */
 public final class Passage {
   private record Piece(long end, Duration at) {}
@@ -29,7 +29,10 @@
     pieces.add(new Piece(taken, at));
   }
 
-  /** When the sender had handed over so many bytes; asked in order, as what lies before is forgotten. */
+  /**
+   * When the sender had handed over so many bytes; asked in order, as what lies before is
+   * forgotten.
+   */
   Duration sent(long bytes) {
     while (pieces.size() > 1 && pieces.peek().end < bytes) {
       pieces.poll();
--- a/emulator/src/main/java/gingerring/emulator/run/RandomRouter.java
+++ b/emulator/src/main/java/gingerring/emulator/run/RandomRouter.java
@@ -25,9 +25,10 @@
 import java.util.TreeMap;
 
 /**
- * The baseline: a router without judgement. Each part goes once, to a holder chosen by plain chance from the
- * list at the start; the scan is answered once all parts are in, in part at the quoted time where the floor is
- * met, and given up otherwise. It keeps no drains and spares no cold box: the referee shows that.
+ * The baseline: a router without judgement. Each part goes once, to a holder chosen by plain chance
+ * from the list at the start; the scan is answered once all parts are in, in part at the quoted
+ * time where the floor is met, and given up otherwise. It keeps no drains and spares no cold box:
+ * the referee shows that.
  */
 final class RandomRouter {
   private final World world;
@@ -47,7 +48,8 @@
       for (Object each : Fields.list(Fields.object(Json.read(list), "list"), "members")) {
         Map<String, Object> member = Fields.object(each, "member");
         String address = Fields.text(member, "host_port");
-        boxes.put((int) Fields.whole(member, "cell"),
+        boxes.put(
+            (int) Fields.whole(member, "cell"),
             Store.loopback(Integer.parseInt(address.substring(address.indexOf(':') + 1))));
       }
     } catch (Json.Malformed e) {
@@ -87,8 +89,10 @@
     if (scans.remove(scan.mark) == null) {
       return;
     }
-    boolean partial = scan.grade.repeats() == World.Repeats.REISSUABLE && !scan.values.isEmpty()
-        && scan.weight() >= scan.grade.floor();
+    boolean partial =
+        scan.grade.repeats() == World.Repeats.REISSUABLE
+            && !scan.values.isEmpty()
+            && scan.weight() >= scan.grade.floor();
     if (!whole && !partial) {
       scan.asker.put(HttpWriter.answer(500, false, "", new byte[0]));
       return;
@@ -96,12 +100,17 @@
     StringBuilder json = new StringBuilder("{\"whole\":" + whole + ",\"results\":[");
     String between = "";
     for (Map.Entry<Integer, String> value : scan.values.entrySet()) {
-      json.append(between).append("{\"partition\":").append(value.getKey()).append(",\"value\":\"")
-          .append(value.getValue()).append("\"}");
+      json.append(between)
+          .append("{\"partition\":")
+          .append(value.getKey())
+          .append(",\"value\":\"")
+          .append(value.getValue())
+          .append("\"}");
       between = ",";
     }
-    scan.asker.put(HttpWriter.answer(200, false, "",
-        json.append("]}").toString().getBytes(StandardCharsets.US_ASCII)));
+    scan.asker.put(
+        HttpWriter.answer(
+            200, false, "", json.append("]}").toString().getBytes(StandardCharsets.US_ASCII)));
   }
 
   /** A client's connection. */
@@ -117,11 +126,13 @@
       wire.put(answer);
     }
 
-    @Override protected void malformed(Malformed e) {
+    @Override
+    protected void malformed(Malformed e) {
       wire.reset();
     }
 
-    @Override protected void message(Head head, byte[] json) throws Malformed {
+    @Override
+    protected void message(Head head, byte[] json) throws Malformed {
       try {
         Map<String, Object> asked = Fields.object(Json.read(json), "the body");
         Scan scan = new Scan(this, head.header("X-Txn"), world.grade(head.header("X-Lane")));
@@ -133,13 +144,16 @@
         String key = head.header("Idempotency-Key");
         for (int folio : scan.shares.keySet()) {
           List<Integer> holders = world.holders(folio);
-          line(holders.get(random.nextInt(holders.size()))).send(scan, folio, key, Fields.text(asked, "query"));
+          line(holders.get(random.nextInt(holders.size())))
+              .send(scan, folio, key, Fields.text(asked, "query"));
         }
-        reactor.after(scan.grade.quoted(), () -> {
-          if (scan.weight() >= scan.grade.floor()) {
-            settle(scan, true);
-          }
-        });
+        reactor.after(
+            scan.grade.quoted(),
+            () -> {
+              if (scan.weight() >= scan.grade.floor()) {
+                settle(scan, true);
+              }
+            });
         Duration end = scan.grade.patience().minusMillis(20);
         reactor.after(end, () -> settle(scan, true));
       } catch (Json.Malformed e) {
@@ -147,7 +161,8 @@
       }
     }
 
-    @Override public void closed() {
+    @Override
+    public void closed() {
       scans.values().removeIf(scan -> scan.asker == this);
     }
   }
@@ -173,14 +188,31 @@
 
     void send(Scan scan, int folio, String key, String text) {
       out.put(scan.mark + '.' + folio, folio);
-      String line = "S" + scan.mark + '.' + folio + ' ' + folio + " d=" + scan.grade.patience().toMillis()
-          + (key == null ? "" : ",k=" + key) + ' ' + text.length() + '\n' + text;
+      String line =
+          "S"
+              + scan.mark
+              + '.'
+              + folio
+              + ' '
+              + folio
+              + " d="
+              + scan.grade.patience().toMillis()
+              + (key == null ? "" : ",k=" + key)
+              + ' '
+              + text.length()
+              + '\n'
+              + text;
       byte[] bytes = line.getBytes(StandardCharsets.US_ASCII);
-      wire.put(ByteBuffer.allocate(4 + bytes.length).order(ByteOrder.LITTLE_ENDIAN).putInt(bytes.length)
-          .put(bytes).array());
+      wire.put(
+          ByteBuffer.allocate(4 + bytes.length)
+              .order(ByteOrder.LITTLE_ENDIAN)
+              .putInt(bytes.length)
+              .put(bytes)
+              .array());
     }
 
-    @Override public void bytes(byte[] bytes, int length) {
+    @Override
+    public void bytes(byte[] bytes, int length) {
       kept.write(bytes, 0, length);
       ByteBuffer all = ByteBuffer.wrap(kept.toByteArray()).order(ByteOrder.LITTLE_ENDIAN);
       while (all.remaining() >= 4 && all.remaining() >= 4 + all.getInt(all.position())) {
@@ -209,7 +241,8 @@
       }
     }
 
-    @Override public void closed() {
+    @Override
+    public void closed() {
       for (String id : List.copyOf(out.keySet())) {
         returned(id, null);
       }
--- a/emulator/src/main/java/gingerring/emulator/run/Run.java
+++ b/emulator/src/main/java/gingerring/emulator/run/Run.java
@@ -16,21 +16,35 @@
 /** One run: a world's store, a router before it, its clients; and what came of it. */
 public final class Run {
   /** Which router stands before the store. */
-  public enum Router { MIXER, RANDOM }
+  public enum Router {
+    MIXER,
+    RANDOM
+  }
 
   /**
-   * What came of a run; {@code load} by box: parts done, and milliseconds of work. {@code mixerCpu}: seconds of CPU
-   * that the mixer used from its start to the last answer, NaN where there was none.
+   * What came of a run; {@code load} by box: parts done, and milliseconds of work. {@code
+   * mixerCpu}: seconds of CPU that the mixer used from its start to the last answer, NaN where
+   * there was none.
    */
-  public record Result(Router router, Tally tally, Referee referee, Map<Integer, double[]> load, Duration took,
-      double mixerCpu, int exitCode, int failures) {}
+  public record Result(
+      Router router,
+      Tally tally,
+      Referee referee,
+      Map<Integer, double[]> load,
+      Duration took,
+      double mixerCpu,
+      int exitCode,
+      int failures) {}
 
   private static final Duration SETTLE = Duration.ofMillis(300);
   private static final Duration SPARE = Duration.ofSeconds(60);
 
   private Run() {}
 
-  /** Runs until every wish has had its end; {@code record} names a capture file for the mixer, or is null. */
+  /**
+   * Runs until every wish has had its end; {@code record} names a capture file for the mixer, or is
+   * null.
+   */
   public static Result of(World world, Router router, double pace, Path record) throws IOException {
     Reactor reactor = new Reactor();
     Referee referee = new Referee(world);
@@ -52,23 +66,35 @@
       double cpuBefore = mixer == null ? Double.NaN : mixer.cpuSeconds();
       CountDownLatch over = new CountDownLatch(1);
       AtomicReference<Duration> took = new AtomicReference<>(Duration.ZERO);
-      reactor.post(() -> {
-        Duration start = reactor.now().plus(SETTLE);
-        reactor.after(SETTLE, () -> {
-          store.begin();
-          new Clients(world, reactor, referee, address, pace, tally, () -> {
-            took.set(reactor.now().minus(start));
-            over.countDown();
-          }).begin(Script.of(world));
-        });
-      });
+      reactor.post(
+          () -> {
+            Duration start = reactor.now().plus(SETTLE);
+            reactor.after(
+                SETTLE,
+                () -> {
+                  store.begin();
+                  new Clients(
+                          world,
+                          reactor,
+                          referee,
+                          address,
+                          pace,
+                          tally,
+                          () -> {
+                            took.set(reactor.now().minus(start));
+                            over.countDown();
+                          })
+                      .begin(Script.of(world));
+                });
+          });
       long most = (long) (world.length().toMillis() / pace) + SPARE.toMillis();
       if (!over.await(most, TimeUnit.MILLISECONDS)) {
         throw new IOException("the run did not end within " + most + " ms");
       }
       double cpu = mixer == null ? Double.NaN : mixer.cpuSeconds() - cpuBefore;
       int code = mixer == null ? 0 : mixer.end();
-      return new Result(router, tally, referee, store.load(), took.get(), cpu, code, reactor.failures());
+      return new Result(
+          router, tally, referee, store.load(), took.get(), cpu, code, reactor.failures());
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
       throw new IOException("interrupted", e);
--- a/emulator/src/main/java/gingerring/emulator/run/Store.java
+++ b/emulator/src/main/java/gingerring/emulator/run/Store.java
@@ -28,8 +28,9 @@
 import java.util.function.IntConsumer;
 
 /**
- * The boxes of a world and the discovery that lists them, on ephemeral ports of 127.0.0.1, in one reactor.
- * {@code pace} makes the world's own times (troubles, warm-up, the list's lag) run faster; work does not.
+ * The boxes of a world and the discovery that lists them, on ephemeral ports of 127.0.0.1, in one
+ * reactor. {@code pace} makes the world's own times (troubles, warm-up, the list's lag) run faster;
+ * work does not.
  */
 public final class Store implements Box.Host {
   private static final int FRAME_MOST = (1 << 16) + 1024;
@@ -43,8 +44,10 @@
     Reactor.Listening listening;
     String phase = "SERVING";
     long upSinceMs;
+
     /** How often it was replaced: a successor goes by another name. */
     int successor;
+
     final Set<Line> lines = new LinkedHashSet<>();
     boolean silent;
 
@@ -57,17 +60,25 @@
     }
 
     String member(String as, View view) {
-      return "{\"id\":\"" + id() + "\",\"host_port\":\"127.0.0.1:"
+      return "{\"id\":\""
+          + id()
+          + "\",\"host_port\":\"127.0.0.1:"
           + view.way.applyAsInt(box.number, listening.address().getPort())
-          + "\",\"locality\":\"" + zones.get(box.number % zones.size())
-          + "\",\"flavor\":\"emulated\",\"cell\":" + box.number + ",\"phase\":\"" + as
-          + "\",\"size\":1.0,\"up_since_ms\":" + upSinceMs + "}";
+          + "\",\"locality\":\""
+          + zones.get(box.number % zones.size())
+          + "\",\"flavor\":\"emulated\",\"cell\":"
+          + box.number
+          + ",\"phase\":\""
+          + as
+          + "\",\"size\":1.0,\"up_since_ms\":"
+          + upSinceMs
+          + "}";
     }
   }
 
   /**
-   * One mixer's sight of the store: its own discovery, which tells it its own addresses of the boxes. {@code
-   * way} makes of a box's number and port the port that this mixer is told.
+   * One mixer's sight of the store: its own discovery, which tells it its own addresses of the
+   * boxes. {@code way} makes of a box's number and port the port that this mixer is told.
    */
   public final class View {
     private final int mixer;
@@ -76,7 +87,7 @@
     private final Reactor.Listening listening;
     private boolean silent;
     private final List<Runnable> heldBack = new ArrayList<>();
-    private IntConsumer closed = port -> { };
+    private IntConsumer closed = port -> {};
 
     View(int mixer, IntBinaryOperator way) throws IOException {
       this.mixer = mixer;
@@ -120,16 +131,20 @@
   private final List<Seat> seats = new ArrayList<>();
   private final List<String> zones;
   private final List<View> views = new ArrayList<>();
+
   /**
-   * Asks of boxes by second since the start of the reactor, connections made, the most at one box, list
-   * calls.
+   * Asks of boxes by second since the start of the reactor, connections made, the most at one box,
+   * list calls.
    */
   private final Map<Integer, Integer> probes = new TreeMap<>();
+
   private long linesMade;
   private int linesMost;
   private long calls;
+
   /** By the ports of both its ends, what the link knows of a connection's bytes. */
   private final Map<Long, Passage> passages = new HashMap<>();
+
   private final Map<String, Duration> marks = new HashMap<>();
   private Duration zero = Duration.ZERO;
   private int revision = 1;
@@ -142,8 +157,8 @@
   }
 
   /** The same, with boxes in turn in these zones. */
-  public Store(World world, Reactor reactor, Referee referee, double pace,
-      List<String> zones) throws IOException {
+  public Store(World world, Reactor reactor, Referee referee, double pace, List<String> zones)
+      throws IOException {
     this.zones = zones;
     this.world = world;
     this.reactor = reactor;
@@ -202,11 +217,17 @@
         members.add(seat.member(seat.phase, view));
       }
     }
-    return "{\"revision\":" + revision + ",\"complete\":true,\"members\":[" + String.join(",", members)
+    return "{\"revision\":"
+        + revision
+        + ",\"complete\":true,\"members\":["
+        + String.join(",", members)
         + "]}";
   }
 
-  /** The run begins with the first part that comes, which is taken to come at this time of the world. */
+  /**
+   * The run begins with the first part that comes, which is taken to come at this time of the
+   * world.
+   */
   public void beginWithFirstPart(Duration at) {
     firstPartAt = at;
   }
@@ -238,19 +259,23 @@
 
   // ---- Box.Host ----
 
-  @Override public Duration now() {
+  @Override
+  public Duration now() {
     return Duration.ofNanos((long) (reactor.now().minus(zero).toNanos() * pace));
   }
 
-  @Override public void after(Duration span, Runnable task) {
+  @Override
+  public void after(Duration span, Runnable task) {
     reactor.after(span, task);
   }
 
-  @Override public void answer(Box.Part part, String end) {
+  @Override
+  public void answer(Box.Part part, String end) {
     ((Line) part.link()).answer(part, end);
   }
 
-  @Override public boolean runs(Box.Part part) {
+  @Override
+  public boolean runs(Box.Part part) {
     World.Grade grade = world.grade(part.text().replaceAll(":.*", ""));
     if (part.key() == null || grade == null || grade.repeats() != World.Repeats.NUMBERED) {
       return true;
@@ -267,7 +292,8 @@
     return before == null;
   }
 
-  @Override public void fell(Box box) {
+  @Override
+  public void fell(Box box) {
     referee.fell(box.number, reactor.now());
     crash(seats.get(box.number));
   }
@@ -290,14 +316,16 @@
       case DRAIN -> {
         seat.box.drain();
         told(seat, "DRAINING");
-        reactor.after(scaled(DRAIN_TAKES), () -> {
-          seat.box.stop();
-          crash(seat);
-          told(seat, "DELETED");
-        });
+        reactor.after(
+            scaled(DRAIN_TAKES),
+            () -> {
+              seat.box.stop();
+              crash(seat);
+              told(seat, "DELETED");
+            });
       }
       case BREAK -> breakSome(trouble, seat);
-      default -> { } // the box looks for itself
+      default -> {} // the box looks for itself
     }
   }
 
@@ -331,7 +359,7 @@
           }
         }
       }
-      default -> { }
+      default -> {}
     }
   }
 
@@ -352,44 +380,60 @@
   private void told(Seat seat, String phase) {
     Map<View, String> before = new LinkedHashMap<>();
     views.forEach(view -> before.put(view, seat.member(phase, view)));
-    double lag = world.troubles().stream().filter(trouble -> trouble.kind() == Trouble.Kind.STALE
-        && trouble.active(now())).mapToDouble(Trouble::size).max().orElse(0);
+    double lag =
+        world.troubles().stream()
+            .filter(trouble -> trouble.kind() == Trouble.Kind.STALE && trouble.active(now()))
+            .mapToDouble(Trouble::size)
+            .max()
+            .orElse(0);
     Duration wait = scaled(world.listLag()).multipliedBy((long) (1 + lag));
-    reactor.after(wait, () -> {
-      seat.phase = phase;
-      revision++;
-      String head = "{\"revision\":" + revision + ",\"complete\":false,\"members\":[";
-      before.forEach((view, member) -> {
-        Runnable tell = () -> {
-          referee.told(view.mixer, seat.box.number, phase.equals("SERVING") ? null : reactor.now());
-          view.line(head + member + "]}");
-        };
-        if (view.silent) {
-          view.heldBack.add(tell);
-        } else {
-          tell.run();
-        }
-      });
-    });
+    reactor.after(
+        wait,
+        () -> {
+          seat.phase = phase;
+          revision++;
+          String head = "{\"revision\":" + revision + ",\"complete\":false,\"members\":[";
+          before.forEach(
+              (view, member) -> {
+                Runnable tell =
+                    () -> {
+                      referee.told(
+                          view.mixer,
+                          seat.box.number,
+                          phase.equals("SERVING") ? null : reactor.now());
+                      view.line(head + member + "]}");
+                    };
+                if (view.silent) {
+                  view.heldBack.add(tell);
+                } else {
+                  tell.run();
+                }
+              });
+        });
   }
 
   /** Connections that have stood idle for their time are closed, as the protocol has it. */
   private void sweep() {
-    reactor.after(Duration.ofSeconds(1), () -> {
-      Duration now = reactor.now();
-      for (Seat seat : seats) {
-        List.copyOf(seat.lines).stream().filter(line -> line.out == 0
-            && now.minus(line.used).compareTo(world.idle()) > 0).forEach(line -> line.wire.close());
-      }
-      sweep();
-    });
+    reactor.after(
+        Duration.ofSeconds(1),
+        () -> {
+          Duration now = reactor.now();
+          for (Seat seat : seats) {
+            List.copyOf(seat.lines).stream()
+                .filter(line -> line.out == 0 && now.minus(line.used).compareTo(world.idle()) > 0)
+                .forEach(line -> line.wire.close());
+          }
+          sweep();
+        });
   }
 
   private void stillHere() {
-    reactor.after(STILL_HERE, () -> {
-      views.stream().filter(view -> !view.silent).forEach(view -> view.line(""));
-      stillHere();
-    });
+    reactor.after(
+        STILL_HERE,
+        () -> {
+          views.stream().filter(view -> !view.silent).forEach(view -> view.line(""));
+          stillHere();
+        });
   }
 
   // ---- figures ----
@@ -397,7 +441,8 @@
   /** Parts done and milliseconds of work, by box. */
   public Map<Integer, double[]> load() {
     Map<Integer, double[]> load = new TreeMap<>();
-    seats.forEach(seat -> load.put(seat.box.number, new double[] {seat.box.done(), seat.box.worked()}));
+    seats.forEach(
+        seat -> load.put(seat.box.number, new double[] {seat.box.done(), seat.box.worked()}));
     return load;
   }
 
@@ -427,12 +472,16 @@
     private final Seat seat;
     private final Wire wire;
     private final ByteArrayOutputStream kept = new ByteArrayOutputStream();
+
     /** Parts that are out on it, and when it last carried anything. */
     private int out;
+
     private Duration used = reactor.now();
     private boolean greeted;
+
     /** The link that it came by; null where there is none between. */
     private Passage passage;
+
     private long read;
 
     Line(Seat seat, Wire wire) {
@@ -449,7 +498,8 @@
       }
     }
 
-    @Override public void bytes(byte[] bytes, int length) {
+    @Override
+    public void bytes(byte[] bytes, int length) {
       if (read == 0) {
         passage = passages.get(ends(wire.remote(), wire.local()));
       }
@@ -479,7 +529,8 @@
       used = reactor.now();
       switch (frame[0]) {
         case 'S' -> call(frame);
-        case 'C' -> seat.box.cancel(new String(frame, 1, frame.length - 1, StandardCharsets.US_ASCII));
+        case 'C' ->
+            seat.box.cancel(new String(frame, 1, frame.length - 1, StandardCharsets.US_ASCII));
         case 'H' -> {
           probes.merge((int) reactor.now().toSeconds(), 1, Integer::sum);
           if (seat.box.active(Trouble.Kind.HANG) == null) {
@@ -499,7 +550,7 @@
         begin(firstPartAt);
         firstPartAt = null;
       }
-      for (int at = 1; at < frame.length;) {
+      for (int at = 1; at < frame.length; ) {
         int end = at;
         while (end < frame.length && frame[end] != '\n') {
           end++;
@@ -522,7 +573,14 @@
         if (passage == null) {
           referee.part(mark(words[0]), folio, key, seat.box.number, now);
         } else {
-          referee.part(passage.mixer(), mark(words[0]), folio, key, seat.box.number, passage.sent(read), now);
+          referee.part(
+              passage.mixer(),
+              mark(words[0]),
+              folio,
+              key,
+              seat.box.number,
+              passage.sent(read),
+              now);
         }
         out++;
         Box.Part part = new Box.Part(this, words[0], folio, key, text);
@@ -551,24 +609,37 @@
       used = reactor.now();
       String value = Fate.value(world.seed(), part.text(), part.folio());
       boolean done = end.equals("done");
-      referee.returned(mark(part.id()), part.folio(), seat.box.number, end, done ? value : null,
-          used);
+      referee.returned(
+          mark(part.id()), part.folio(), seat.box.number, end, done ? value : null, used);
       if (end.equals("spoilt")) {
         put("R" + part.id() + " strange 0 -\nspoilt");
       } else {
-        put("R" + part.id() + ' ' + end + ' ' + (done ? Fate.bits(0, value) >>> 33 : 0) + ' ' + report()
-            + '\n'
-            + (done ? value : ""));
+        put(
+            "R"
+                + part.id()
+                + ' '
+                + end
+                + ' '
+                + (done ? Fate.bits(0, value) >>> 33 : 0)
+                + ' '
+                + report()
+                + '\n'
+                + (done ? value : ""));
       }
     }
 
     private void put(String frame) {
       byte[] bytes = frame.getBytes(StandardCharsets.UTF_8);
-      wire.put(ByteBuffer.allocate(4 + bytes.length).order(ByteOrder.LITTLE_ENDIAN).putInt(bytes.length)
-          .put(bytes).array());
+      wire.put(
+          ByteBuffer.allocate(4 + bytes.length)
+              .order(ByteOrder.LITTLE_ENDIAN)
+              .putInt(bytes.length)
+              .put(bytes)
+              .array());
     }
 
-    @Override public void closed() {
+    @Override
+    public void closed() {
       seat.lines.remove(this);
       passages.values().remove(passage);
     }
@@ -586,7 +657,8 @@
       this.wire = wire;
     }
 
-    @Override public void bytes(byte[] bytes, int length) {
+    @Override
+    public void bytes(byte[] bytes, int length) {
       request.append(new String(bytes, 0, length, StandardCharsets.ISO_8859_1));
       if (request.indexOf("\r\n\r\n") < 0) {
         return;
@@ -598,22 +670,27 @@
         return;
       }
       if (stream) {
-        wire.put("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
+        wire.put(
+            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+                .getBytes(StandardCharsets.US_ASCII));
         view.watches.add(this);
         line(view.list());
       } else {
         String list = view.list();
-        wire.put(("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list)
-            .getBytes(StandardCharsets.US_ASCII));
+        wire.put(
+            ("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list)
+                .getBytes(StandardCharsets.US_ASCII));
       }
     }
 
     void line(String text) {
-      wire.put((Integer.toHexString(text.length() + 1) + "\r\n" + text + "\n\r\n")
-          .getBytes(StandardCharsets.US_ASCII));
+      wire.put(
+          (Integer.toHexString(text.length() + 1) + "\r\n" + text + "\n\r\n")
+              .getBytes(StandardCharsets.US_ASCII));
     }
 
-    @Override public void closed() {
+    @Override
+    public void closed() {
       view.watches.remove(this);
     }
   }
--- a/emulator/src/main/java/gingerring/emulator/run/Tally.java
+++ b/emulator/src/main/java/gingerring/emulator/run/Tally.java
@@ -11,8 +11,9 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * What clients saw of a run. Service is the earnings answered within the quoted time, counted from a wish's
- * first try, over the earnings asked for; an answer in part earns its weight, a late one the grade's late share.
+ * What clients saw of a run. Service is the earnings answered within the quoted time, counted from
+ * a wish's first try, over the earnings asked for; an answer in part earns its weight, a late one
+ * the grade's late share.
  */
 public final class Tally {
   /** Of one grade. */
@@ -25,10 +26,13 @@
   }
 
   public final Map<String, ByGrade> grades = new TreeMap<>();
+
   /** By the second of the wish, as the world counts it: what was asked, and what was earned. */
   public final Map<Integer, double[]> seconds = new TreeMap<>();
+
   public long asked;
   public long retries;
+
   /** Tries that found no connection idle. */
   public long waited;
 
@@ -43,8 +47,12 @@
     double share = 0;
     if (answer.fate() == Fate.WHOLE || answer.fate() == Fate.PART) {
       mine.micros.recordValue(Math.min(600_000_000L, took.toNanos() / 1000));
-      share = answer.fate() == Fate.WHOLE ? 1 : answer.values().keySet().stream()
-          .mapToDouble(folio -> wish.shares().getOrDefault(folio, 0.0)).sum();
+      share =
+          answer.fate() == Fate.WHOLE
+              ? 1
+              : answer.values().keySet().stream()
+                  .mapToDouble(folio -> wish.shares().getOrDefault(folio, 0.0))
+                  .sum();
       share *= took.compareTo(grade.quoted()) <= 0 ? 1 : grade.late();
     }
     mine.asked += grade.earnings();
