--- a/layout/src/main/java/gingerring/layout/Folio.java
+++ b/layout/src/main/java/gingerring/layout/Folio.java
@@ -3,11 +3,12 @@
 import java.util.List;
 
 /**
- * A folio of one version: its slices in the order of their keys, who holds it, and what is being done to it.
- * {@code successor} is the box that a move copies to, and {@code source} the one that it takes it from; both are
- * null unless it moves.
+ * A folio of one version: its slices in the order of their keys, who holds it, and what is being
+ * done to it. {@code successor} is the box that a move copies to, and {@code source} the one that
+ * it takes it from; both are null unless it moves.
  */
-public record Folio(FolioId id, List<Slice> slices, List<BoxId> holders, BoxId source, BoxId successor) {
+public record Folio(
+    FolioId id, List<Slice> slices, List<BoxId> holders, BoxId source, BoxId successor) {
   public Folio {
     slices = List.copyOf(slices);
     holders = List.copyOf(holders);
--- a/layout/src/main/java/gingerring/layout/Hints.java
+++ b/layout/src/main/java/gingerring/layout/Hints.java
@@ -6,12 +6,13 @@
 import java.util.Iterator;
 
 /**
- * What boxes say of themselves ahead of discovery: that they no longer hold some keys, as of a version. One such
- * answer teaches at once, and cautiously: it takes the box that says it out of the choice for those keys, and
- * nothing else. No box can move a layout, or speak for another; a lying one harms its own load alone.
+ * What boxes say of themselves ahead of discovery: that they no longer hold some keys, as of a
+ * version. One such answer teaches at once, and cautiously: it takes the box that says it out of
+ * the choice for those keys, and nothing else. No box can move a layout, or speak for another; a
+ * lying one harms its own load alone.
  *
- * <p>A hint ends when the version that it names is in force, or after {@link #LIFE}, so that a version that never
- * comes is not waited for. {@link #MOST} are kept; the eldest goes.
+ * <p>A hint ends when the version that it names is in force, or after {@link #LIFE}, so that a
+ * version that never comes is not waited for. {@link #MOST} are kept; the eldest goes.
  */
 public final class Hints {
   public static final Duration LIFE = Duration.ofSeconds(10);
@@ -49,7 +50,7 @@
   }
 
   private void forget(Layout inForce, Duration now) {
-    for (Iterator<Hint> each = hints.iterator(); each.hasNext();) {
+    for (Iterator<Hint> each = hints.iterator(); each.hasNext(); ) {
       Hint hint = each.next();
       if (hint.version <= inForce.version() || now.minus(hint.at).compareTo(LIFE) > 0) {
         each.remove();
--- a/layout/src/main/java/gingerring/layout/Layout.java
+++ b/layout/src/main/java/gingerring/layout/Layout.java
@@ -13,13 +13,14 @@
 import org.pcollections.TreePMap;
 
 /**
- * One version of which folio holds which keys: immutable. Every key from 0 up to {@link #keys} has one owner. A
- * step makes the next version, sharing all but what it changes: a change costs O(log n) time and memory for each
- * folio that it names, and {@link #owner} O(log n).
+ * One version of which folio holds which keys: immutable. Every key from 0 up to {@link #keys} has
+ * one owner. A step makes the next version, sharing all but what it changes: a change costs O(log
+ * n) time and memory for each folio that it names, and {@link #owner} O(log n).
  */
 public final class Layout {
   /** Folios and slices of a layout, at most. */
   public static final int FOLIOS_MOST = 1 << 21;
+
   private static final double ROUNDING = 1e-6;
 
   /** What stands at a slice's first key. */
@@ -30,7 +31,8 @@
   private final TreePMap<Long, Place> places;
   private final HashPMap<FolioId, Folio> folios;
 
-  private Layout(long version, long keys, TreePMap<Long, Place> places, HashPMap<FolioId, Folio> folios) {
+  private Layout(
+      long version, long keys, TreePMap<Long, Place> places, HashPMap<FolioId, Folio> folios) {
     this.version = version;
     this.keys = keys;
     this.places = places;
@@ -60,16 +62,26 @@
     long at = 0;
     for (Place place : all) {
       if (place.slice.from() != at) {
-        throw new Refused(place.slice.from() > at
-            ? "keys " + at + " to " + place.slice.from() + " have no owner, before " + place.folio
-            : place.folio + ": keys " + place.slice.from() + " to " + at + " have two owners");
+        throw new Refused(
+            place.slice.from() > at
+                ? "keys "
+                    + at
+                    + " to "
+                    + place.slice.from()
+                    + " have no owner, before "
+                    + place.folio
+                : place.folio + ": keys " + place.slice.from() + " to " + at + " have two owners");
       }
       at = place.slice.to();
       places = places.plus(place.slice.from(), place);
     }
     if (at != keys) {
-      throw new Refused("keys " + Math.min(at, keys) + " to " + Math.max(at, keys)
-          + (at < keys ? " have no owner" : " are beyond the last"));
+      throw new Refused(
+          "keys "
+              + Math.min(at, keys)
+              + " to "
+              + Math.max(at, keys)
+              + (at < keys ? " have no owner" : " are beyond the last"));
     }
     return new Layout(version, keys, places, folios);
   }
@@ -80,15 +92,23 @@
     }
     for (int i = 1; i < folio.slices().size(); i++) {
       if (folio.slices().get(i).from() < folio.slices().get(i - 1).to()) {
-        throw new Refused(folio.id() + ": its slices " + folio.slices().get(i - 1) + " and "
-            + folio.slices().get(i) + " are out of order or overlap");
+        throw new Refused(
+            folio.id()
+                + ": its slices "
+                + folio.slices().get(i - 1)
+                + " and "
+                + folio.slices().get(i)
+                + " are out of order or overlap");
       }
     }
-    if (folio.holders().isEmpty() || new HashSet<>(folio.holders()).size() != folio.holders().size()) {
+    if (folio.holders().isEmpty()
+        || new HashSet<>(folio.holders()).size() != folio.holders().size()) {
       throw new Refused(folio.id() + " has no holder, or one twice");
     }
-    if ((folio.source() == null) != (folio.successor() == null) || folio.moving()
-        && (!folio.holders().contains(folio.source()) || folio.holders().contains(folio.successor()))) {
+    if ((folio.source() == null) != (folio.successor() == null)
+        || folio.moving()
+            && (!folio.holders().contains(folio.source())
+                || folio.holders().contains(folio.successor()))) {
       throw new Refused(folio.id() + " moves from no holder, or to one");
     }
   }
@@ -104,8 +124,10 @@
       return merge(merge);
     } else if (step instanceof Step.MoveBegins begins) {
       Folio folio = still(step, begins.folio());
-      return with(step, new Folio(folio.id(), folio.slices(), folio.holders(), begins.source(),
-          begins.successor()));
+      return with(
+          step,
+          new Folio(
+              folio.id(), folio.slices(), folio.holders(), begins.source(), begins.successor()));
     } else if (step instanceof Step.MoveEnds ends) {
       Folio folio = moving(step, ends.folio());
       List<BoxId> holders = new ArrayList<>(folio.holders());
@@ -119,7 +141,8 @@
   private Layout split(Step.Split split) throws Refused {
     Folio from = still(split, split.from());
     if (split.into().size() < 2) {
-      throw new Refused("step " + split.version() + ": a split of " + from.id() + " into fewer than two");
+      throw new Refused(
+          "step " + split.version() + ": a split of " + from.id() + " into fewer than two");
     }
     HashPMap<FolioId, Folio> next = folios.minus(from.id());
     TreePMap<Long, Place> nextPlaces = places;
@@ -130,7 +153,8 @@
     for (Folio folio : split.into()) {
       check(folio);
       if (folio.moving()) {
-        throw new Refused("step " + split.version() + ": " + folio.id() + " moves before it is there");
+        throw new Refused(
+            "step " + split.version() + ": " + folio.id() + " moves before it is there");
       }
       // the old folio's number may go on with one of the new
       if (next.containsKey(folio.id())) {
@@ -155,29 +179,54 @@
       long key = old.from();
       while (key < old.to()) {
         if (at == sorted.size() || sorted.get(at).from() != key) {
-          throw new Refused("step " + step.version() + ": of " + from.id() + "'s keys, " + key + " to "
-              + (at == sorted.size() ? old.to() : sorted.get(at).from()) + " would have no owner or two");
+          throw new Refused(
+              "step "
+                  + step.version()
+                  + ": of "
+                  + from.id()
+                  + "'s keys, "
+                  + key
+                  + " to "
+                  + (at == sorted.size() ? old.to() : sorted.get(at).from())
+                  + " would have no owner or two");
         }
         key = sorted.get(at++).to();
       }
       if (key != old.to()) {
-        throw new Refused("step " + step.version() + ": keys " + old.to() + " to " + key + " are not "
-            + from.id() + "'s");
+        throw new Refused(
+            "step "
+                + step.version()
+                + ": keys "
+                + old.to()
+                + " to "
+                + key
+                + " are not "
+                + from.id()
+                + "'s");
       }
     }
     if (at != sorted.size()) {
-      throw new Refused("step " + step.version() + ": keys " + sorted.get(at) + " are not " + from.id() + "'s");
+      throw new Refused(
+          "step " + step.version() + ": keys " + sorted.get(at) + " are not " + from.id() + "'s");
     }
     double weight = into.stream().mapToDouble(Slice::weight).sum();
     if (Math.abs(weight - from.weight()) > ROUNDING * from.weight()) {
-      throw new Refused("step " + step.version() + ": " + from.id() + " weighs " + from.weight()
-          + ", what it becomes " + weight);
+      throw new Refused(
+          "step "
+              + step.version()
+              + ": "
+              + from.id()
+              + " weighs "
+              + from.weight()
+              + ", what it becomes "
+              + weight);
     }
   }
 
   private Layout merge(Step.Merge merge) throws Refused {
     if (merge.from().size() < 2 || new HashSet<>(merge.from()).size() != merge.from().size()) {
-      throw new Refused("step " + merge.version() + ": a merge of fewer than two folios, or of one twice");
+      throw new Refused(
+          "step " + merge.version() + ": a merge of fewer than two folios, or of one twice");
     }
     HashPMap<FolioId, Folio> next = folios;
     List<Slice> slices = new ArrayList<>();
@@ -264,7 +313,7 @@
       return met;
     }
     Place place = first.getValue();
-    for (long at = from; place != null && place.slice.from() < to;) {
+    for (long at = from; place != null && place.slice.from() < to; ) {
       if (place.slice.to() > at) {
         met.add(Map.entry(place.slice.within(from, to), place.folio));
       }
--- a/layout/src/main/java/gingerring/layout/LayoutLog.java
+++ b/layout/src/main/java/gingerring/layout/LayoutLog.java
@@ -5,15 +5,24 @@
 import java.util.TreeMap;
 
 /**
- * Brings changes into their order. Steps may come early, late, twice, or not at all; a whole list closes a gap.
- * Call {@link #step} and {@link #list} with what is heard, {@link #gap} to learn whether to ask for a list.
+ * Brings changes into their order. Steps may come early, late, twice, or not at all; a whole list
+ * closes a gap. Call {@link #step} and {@link #list} with what is heard, {@link #gap} to learn
+ * whether to ask for a list.
  *
- * <p>A step that does not fit is refused and kept out for good: what follows waits for a list. A list older than
- * what is in force changes nothing, so that a source behind the others cannot turn time back.
+ * <p>A step that does not fit is refused and kept out for good: what follows waits for a list. A
+ * list older than what is in force changes nothing, so that a source behind the others cannot turn
+ * time back.
  */
 public final class LayoutLog {
   /** What became of what was heard. */
-  public enum Heard { TAKEN, WAITS, KNOWN, OLD, REFUSED, FULL }
+  public enum Heard {
+    TAKEN,
+    WAITS,
+    KNOWN,
+    OLD,
+    REFUSED,
+    FULL
+  }
 
   /** Steps that may wait for one that is missing. */
   public static final int WAITING_MOST = 1024;
@@ -98,7 +107,10 @@
     }
   }
 
-  /** Whether something is missing between what is in force and what waits, or was refused: ask for a list. */
+  /**
+   * Whether something is missing between what is in force and what waits, or was refused: ask for a
+   * list.
+   */
   public boolean gap() {
     return !waiting.isEmpty() || refusedVersion >= 0;
   }
--- a/layout/src/main/java/gingerring/layout/Ledger.java
+++ b/layout/src/main/java/gingerring/layout/Ledger.java
@@ -10,23 +10,33 @@
 import java.util.TreeMap;
 
 /**
- * One scan's account by range of keys: what it asked, what is in, what is missing. A key counts once, whichever
- * folio brought it under whichever version; {@link #whole} and {@link #weight} are judged on keys alone.
+ * One scan's account by range of keys: what it asked, what is in, what is missing. A key counts
+ * once, whichever folio brought it under whichever version; {@link #whole} and {@link #weight} are
+ * judged on keys alone.
  *
- * <p>A box answers for ranges, and may tell its parts apart: then what is in already is left out and the rest
- * counts. Where it cannot, an answer that overlaps what is in is set aside, and the rest has to be asked anew.
+ * <p>A box answers for ranges, and may tell its parts apart: then what is in already is left out
+ * and the rest counts. Where it cannot, an answer that overlaps what is in is set aside, and the
+ * rest has to be asked anew.
  */
 public final class Ledger {
   /** One value that a box gave for a range of keys. */
   public record Entry(long from, long to, long value) {}
 
   /** What became of an answer: all of it counts, some, nothing new, or it cannot be cut. */
-  public enum Taken { ALL, SOME, NOTHING, SET_ASIDE, STRANGE }
+  public enum Taken {
+    ALL,
+    SOME,
+    NOTHING,
+    SET_ASIDE,
+    STRANGE
+  }
 
   private final RangeSet<Long> asked = TreeRangeSet.create();
   private final RangeSet<Long> in = TreeRangeSet.create();
+
   /** Weight by key: each range's share of the scan, as finely as it is known. */
   private final TreeRangeMap<Long, Double> density = TreeRangeMap.create();
+
   private final Map<Long, Entry> counted = new TreeMap<>();
   private double total;
   private double weighed;
@@ -35,7 +45,9 @@
     return Range.closedOpen(from, to);
   }
 
-  /** The scan asks for this folio of the version that it began under, with this share of its weight. */
+  /**
+   * The scan asks for this folio of the version that it began under, with this share of its weight.
+   */
   public void ask(Folio folio, double share) {
     double all = folio.weight();
     for (Slice slice : folio.slices()) {
@@ -50,8 +62,9 @@
   }
 
   /**
-   * A newer version knows better how what is missing weighs: of each range asked, the weight is divided as that
-   * layout's slices have it. The sum stays; what is in keeps the weight that it came with.
+   * A newer version knows better how what is missing weighs: of each range asked, the weight is
+   * divided as that layout's slices have it. The sum stays; what is in keeps the weight that it
+   * came with.
    */
   public void refine(Layout layout) {
     for (Map.Entry<Range<Long>, Double> piece : List.copyOf(density.asMapOfRanges().entrySet())) {
@@ -66,7 +79,8 @@
         double weight = piece.getValue() * (to - from);
         for (Map.Entry<Slice, FolioId> each : over) {
           Slice slice = each.getKey();
-          density.put(range(slice.from(), slice.to()),
+          density.put(
+              range(slice.from(), slice.to()),
               weight * slice.weight() / all / (slice.to() - slice.from()));
         }
       }
@@ -77,8 +91,10 @@
   public Map<FolioId, List<Range<Long>>> missing(Layout layout) {
     Map<FolioId, List<Range<Long>>> folios = new TreeMap<>();
     for (Range<Long> keys : missing().asRanges()) {
-      for (Map.Entry<Slice, FolioId> each : layout.over(keys.lowerEndpoint(), keys.upperEndpoint())) {
-        folios.computeIfAbsent(each.getValue(), id -> new ArrayList<>())
+      for (Map.Entry<Slice, FolioId> each :
+          layout.over(keys.lowerEndpoint(), keys.upperEndpoint())) {
+        folios
+            .computeIfAbsent(each.getValue(), id -> new ArrayList<>())
             .add(range(each.getKey().from(), each.getKey().to()));
       }
     }
@@ -92,13 +108,14 @@
   }
 
   /**
-   * A box has answered. {@code apart}: its entries can be counted one by one; else all of them or none. An entry
-   * that is partly in is never cut itself, as its value is of all its keys.
+   * A box has answered. {@code apart}: its entries can be counted one by one; else all of them or
+   * none. An entry that is partly in is never cut itself, as its value is of all its keys.
    */
   public Taken answer(List<Entry> entries, boolean apart) {
     RangeSet<Long> its = TreeRangeSet.create();
     for (Entry entry : entries) {
-      if (entry.from >= entry.to || its.intersects(range(entry.from, entry.to))
+      if (entry.from >= entry.to
+          || its.intersects(range(entry.from, entry.to))
           || !asked.encloses(range(entry.from, entry.to))) {
         return Taken.STRANGE; // it answers what was not asked, or one thing twice
       }
@@ -122,8 +139,10 @@
       Range<Long> keys = range(entry.from, entry.to);
       in.add(keys);
       counted.put(entry.from, entry);
-      for (Map.Entry<Range<Long>, Double> piece : density.subRangeMap(keys).asMapOfRanges().entrySet()) {
-        weighed += piece.getValue() * (piece.getKey().upperEndpoint() - piece.getKey().lowerEndpoint());
+      for (Map.Entry<Range<Long>, Double> piece :
+          density.subRangeMap(keys).asMapOfRanges().entrySet()) {
+        weighed +=
+            piece.getValue() * (piece.getKey().upperEndpoint() - piece.getKey().lowerEndpoint());
       }
     }
     return all ? Taken.ALL : Taken.SOME;
--- a/layout/src/main/java/gingerring/layout/Planner.java
+++ b/layout/src/main/java/gingerring/layout/Planner.java
@@ -12,19 +12,23 @@
 import java.util.TreeMap;
 
 /**
- * Plans the steps from one layout to another: first splits, then moves in waves, then merges. Every step is applied
- * as it is planned, so no key is ever without an owner; no box is copied to by more than so many moves at a time,
- * which is what a cold successor can take; and folios are merged only where the same boxes hold them.
+ * Plans the steps from one layout to another: first splits, then moves in waves, then merges. Every
+ * step is applied as it is planned, so no key is ever without an owner; no box is copied to by more
+ * than so many moves at a time, which is what a cold successor can take; and folios are merged only
+ * where the same boxes hold them.
  *
- * <p>Weights stay as they were: a plan changes who holds what, not how it weighs. What no steps can do is refused: a
- * number that would name other keys, a folio that would only change its number, another number of holders.
+ * <p>Weights stay as they were: a plan changes who holds what, not how it weighs. What no steps can
+ * do is refused: a number that would name other keys, a folio that would only change its number,
+ * another number of holders.
  */
 public final class Planner {
   private final Layout to;
   private final int atOnce;
   private final List<Step> steps = new ArrayList<>();
+
   /** Folios as they stand between splits and merges, with what they are to be part of. */
   private final Map<FolioId, FolioId> targets = new TreeMap<>();
+
   private Layout now;
   private int numbers;
 
@@ -50,7 +54,8 @@
     for (Layout layout : List.of(from, to)) {
       for (Folio folio : layout.folios()) {
         if (folio.moving()) {
-          throw new Refused(folio.id() + " of version " + layout.version() + " is moving: that has to end first");
+          throw new Refused(
+              folio.id() + " of version " + layout.version() + " is moving: that has to end first");
         }
       }
     }
@@ -80,7 +85,8 @@
       Map<FolioId, List<Slice>> parts = new TreeMap<>();
       for (Slice slice : folio.slices()) {
         for (Map.Entry<Slice, FolioId> each : to.over(slice.from(), slice.to())) {
-          parts.computeIfAbsent(each.getValue(), id -> new ArrayList<>())
+          parts
+              .computeIfAbsent(each.getValue(), id -> new ArrayList<>())
               .add(slice.within(each.getKey().from(), each.getKey().to()));
         }
       }
@@ -104,7 +110,8 @@
       for (Map.Entry<FolioId, List<Slice>> part : cut.getValue().entrySet()) {
         FolioId target = part.getKey();
         // what stays keeps its number; what is alone in its target has that one's at once
-        FolioId id = target.equals(folio.id()) || pieces.get(target) == 1 ? target : new FolioId(numbers++);
+        FolioId id =
+            target.equals(folio.id()) || pieces.get(target) == 1 ? target : new FolioId(numbers++);
         into.add(new Folio(id, part.getValue(), folio.holders()));
         targets.put(id, target);
       }
@@ -122,8 +129,12 @@
       List<BoxId> successors = new ArrayList<>(target.holders());
       successors.removeAll(folio.holders());
       if (sources.size() != successors.size()) {
-        throw new Refused(target.id() + " would have " + target.holders().size() + " holders, and has "
-            + folio.holders().size());
+        throw new Refused(
+            target.id()
+                + " would have "
+                + target.holders().size()
+                + " holders, and has "
+                + folio.holders().size());
       }
       Deque<BoxId[]> mine = new ArrayDeque<>();
       for (int i = 0; i < sources.size(); i++) {
@@ -162,8 +173,12 @@
         for (FolioId part : each.getValue()) {
           assert holders.equals(new HashSet<>(now.folio(part).orElseThrow().holders())) : part;
         }
-        step(new Step.Merge(now.version() + 1, each.getValue(), each.getKey(),
-            to.folio(each.getKey()).orElseThrow().holders()));
+        step(
+            new Step.Merge(
+                now.version() + 1,
+                each.getValue(),
+                each.getKey(),
+                to.folio(each.getKey()).orElseThrow().holders()));
       }
     }
   }
--- a/layout/src/main/java/gingerring/layout/Refused.java
+++ b/layout/src/main/java/gingerring/layout/Refused.java
@@ -1,6 +1,8 @@
 package gingerring.layout;
 
-/** A change or a list that cannot be taken; the message names the entry. Nothing of it was taken. */
+/**
+ * A change or a list that cannot be taken; the message names the entry. Nothing of it was taken.
+ */
 public final class Refused extends Exception {
   private static final long serialVersionUID = 1;
 
--- a/layout/src/main/java/gingerring/layout/Slice.java
+++ b/layout/src/main/java/gingerring/layout/Slice.java
@@ -1,13 +1,14 @@
 package gingerring.layout;
 
 /**
- * Provider keys from {@code from} up to, but not, {@code to}, and how much they weigh among all: the ledger's
- * measure of what is in.
+ * Provider keys from {@code from} up to, but not, {@code to}, and how much they weigh among all:
+ * the ledger's measure of what is in.
  */
 public record Slice(long from, long to, double weight) {
   public Slice {
     if (from < 0 || to <= from || !(weight > 0) || !Double.isFinite(weight)) {
-      throw new IllegalArgumentException("a slice from " + from + " to " + to + " weighing " + weight);
+      throw new IllegalArgumentException(
+          "a slice from " + from + " to " + to + " weighing " + weight);
     }
   }
 
@@ -15,11 +16,13 @@
   Slice within(long low, long high) {
     long start = Math.max(from, low);
     long end = Math.min(to, high);
-    return start == from && end == to ? this
+    return start == from && end == to
+        ? this
         : new Slice(start, end, weight * ((double) (end - start) / (double) (to - from)));
   }
 
-  @Override public String toString() {
+  @Override
+  public String toString() {
     return "[" + from + ", " + to + ")";
   }
 }
--- a/layout/src/main/java/gingerring/layout/Step.java
+++ b/layout/src/main/java/gingerring/layout/Step.java
@@ -14,7 +14,8 @@
   }
 
   /** Several folios become one, which has their keys and these holders. */
-  record Merge(long version, List<FolioId> from, FolioId into, List<BoxId> holders) implements Step {
+  record Merge(long version, List<FolioId> from, FolioId into, List<BoxId> holders)
+      implements Step {
     public Merge {
       from = List.copyOf(from);
       holders = List.copyOf(holders);
--- a/layout/src/main/java/gingerring/layout/Versions.java
+++ b/layout/src/main/java/gingerring/layout/Versions.java
@@ -4,10 +4,10 @@
 import java.util.TreeMap;
 
 /**
- * The versions that scans still need. A scan {@link #hold}s the one in force when it begins and {@link #release}s
- * it once no trip of it is out; a version that nobody holds and that is not in force is forgotten at once. At
- * {@link #MOST} versions the oldest is forgotten though held: its scans can no more be translated, which
- * {@link #get} tells, and {@link #pushedOut} counts.
+ * The versions that scans still need. A scan {@link #hold}s the one in force when it begins and
+ * {@link #release}s it once no trip of it is out; a version that nobody holds and that is not in
+ * force is forgotten at once. At {@link #MOST} versions the oldest is forgotten though held: its
+ * scans can no more be translated, which {@link #get} tells, and {@link #pushedOut} counts.
  */
 public final class Versions {
   public static final int MOST = 4096;
@@ -32,7 +32,8 @@
   /** A newer version is in force. */
   public void inForce(Layout layout) {
     if (layout.version() <= inForce.version()) {
-      throw new IllegalArgumentException("version " + layout.version() + " after " + inForce.version());
+      throw new IllegalArgumentException(
+          "version " + layout.version() + " after " + inForce.version());
     }
     inForce = layout;
   }
@@ -59,7 +60,8 @@
   }
 
   public Optional<Layout> get(long version) {
-    return version == inForce.version() ? Optional.of(inForce)
+    return version == inForce.version()
+        ? Optional.of(inForce)
         : Optional.ofNullable(held.get(version)).map(each -> each.layout);
   }
 
--- a/mixer/src/main/java/gingerring/Main.java
+++ b/mixer/src/main/java/gingerring/Main.java
@@ -16,7 +16,8 @@
       System.exit(Serve.run(System.getenv(), System.err));
     }
     System.err.println("usage: java -jar gingerring.jar drill    (decides on the bench's wire)");
-    System.err.println("       java -jar gingerring.jar serve    (a real mixer, as LB_CONFIG tells)");
+    System.err.println(
+        "       java -jar gingerring.jar serve    (a real mixer, as LB_CONFIG tells)");
     System.exit(2);
   }
 }
--- a/mixer/src/main/java/gingerring/back/Back.java
+++ b/mixer/src/main/java/gingerring/back/Back.java
@@ -40,8 +40,7 @@
   private final Set<Station> busy = new LinkedHashSet<>();
   private Duration complained;
 
-  public Back(Network network, Returns returns, Terms terms, Counts counts,
-      TurnClock clock) {
+  public Back(Network network, Returns returns, Terms terms, Counts counts, TurnClock clock) {
     this.network = network;
     this.returns = returns;
     this.counts = counts;
@@ -50,14 +49,16 @@
     batch = Math.max(1, (int) terms.number("Domain.Batch", 1));
     streams = Math.max(1, terms.count("PolicyLimits.StreamsPerConn"));
     dialTimeOut = terms.span("PolicyLimits.DialTimeoutMs");
-    // the searcher may close as early as its time for idle ones, and its word of that takes a moment: the
+    // the searcher may close as early as its time for idle ones, and its word of that takes a
+    // moment: the
     // time in which a connection has to come up, but never so much that none could be used twice
     Duration idle = terms.span("PolicyLimits.ConnIdleMs");
     Duration half = idle.dividedBy(2);
     idleMost = dialTimeOut.compareTo(half) < 0 ? idle.minus(dialTimeOut) : half;
     cancels = terms.flag("PolicyLimits.Cancel");
     // where reports come by probes alone, a probe asks for one
-    boolean byProbe = terms.has("LoadReport.Source") && terms.text("LoadReport.Source").equals("probe");
+    boolean byProbe =
+        terms.has("LoadReport.Source") && terms.text("LoadReport.Source").equals("probe");
     probeLetter = byProbe ? 'M' : 'H';
     clock.wakeAfter(SWEEP, this::sweep);
   }
@@ -73,8 +74,8 @@
   }
 
   /**
-   * The list says that it drains or has gone: what has not begun there does not, whatever keeps it. A send
-   * counts from its first byte, which may be a whole dial after the list was told.
+   * The list says that it drains or has gone: what has not begun there does not, whatever keeps it.
+   * A send counts from its first byte, which may be a whole dial after the list was told.
    */
   public void withhold(SearcherId id) {
     at(id, Station::withhold);
@@ -96,17 +97,19 @@
     }
     errand.since = now();
     station.send(errand);
-    clock.wakeAfter(errand.until.minus(now()), () -> {
-      if (!withdraw(errand) && !errand.done) {
-        errand.link.timedOut(errand);
-        ended(errand, Outcome.TIMED_OUT);
-      }
-    });
+    clock.wakeAfter(
+        errand.until.minus(now()),
+        () -> {
+          if (!withdraw(errand) && !errand.done) {
+            errand.link.timedOut(errand);
+            ended(errand, Outcome.TIMED_OUT);
+          }
+        });
   }
 
   /**
-   * Makes what waits into calls, and puts those into the rings of the links that have room. It comes last
-   * in a turn, so that what leaves is looked at by all that is known when it does.
+   * Makes what waits into calls, and puts those into the rings of the links that have room. It
+   * comes last in a turn, so that what leaves is looked at by all that is known when it does.
    */
   public void dispatch() {
     List<Station> turn = List.copyOf(busy);
@@ -119,7 +122,8 @@
   }
 
   /**
-   * Gives a trip up: one that has not begun never does, and the searcher is told of any other if it may be.
+   * Gives a trip up: one that has not begun never does, and the searcher is told of any other if it
+   * may be.
    */
   public void recall(Errand errand) {
     if (!withdraw(errand) && !errand.done && cancels) {
@@ -129,9 +133,9 @@
   }
 
   /**
-   * Nobody wants the trip any more: it ends if nothing of it was put yet, and is left alone if it was.
-   * Returns whether it ended. Guards against work for nobody, and against an effect that nobody knows of,
-   * also where trips under way cannot be called off.
+   * Nobody wants the trip any more: it ends if nothing of it was put yet, and is left alone if it
+   * was. Returns whether it ended. Guards against work for nobody, and against an effect that
+   * nobody knows of, also where trips under way cannot be called off.
    */
   public boolean withdraw(Errand errand) {
     if (errand.done || errand.begun()) {
--- a/mixer/src/main/java/gingerring/back/Errand.java
+++ b/mixer/src/main/java/gingerring/back/Errand.java
@@ -9,30 +9,54 @@
   public final PartId part;
   public final int trip;
   public final SearcherId searcher;
+
   /** What the frames call the part. */
   final String mark;
+
   final int shard;
   final String key;
   final byte[] text;
   final Duration until;
+
   /** By when it has to begin, or null: a repeat that begins later is taken for another request. */
   private Duration startBy;
+
   /** When it was sent. */
   Duration since;
+
   Station station;
+
   /** Where its frame ends in all that was put into its link's ring; -1 before it was put. */
   long frameEnd = -1;
+
   Link link;
   boolean done;
 
-  public Errand(PartId part, int trip, SearcherId searcher, String mark, int shard, String key, byte[] text,
+  public Errand(
+      PartId part,
+      int trip,
+      SearcherId searcher,
+      String mark,
+      int shard,
+      String key,
+      byte[] text,
       Duration until) {
     this(part, trip, searcher, mark, shard, key, text, until, null);
   }
 
-  /** {@code until}: when its end is no longer waited for; {@code startBy}: null where that is all. */
-  public Errand(PartId part, int trip, SearcherId searcher, String mark, int shard, String key, byte[] text,
-      Duration until, Duration startBy) {
+  /**
+   * {@code until}: when its end is no longer waited for; {@code startBy}: null where that is all.
+   */
+  public Errand(
+      PartId part,
+      int trip,
+      SearcherId searcher,
+      String mark,
+      int shard,
+      String key,
+      byte[] text,
+      Duration until,
+      Duration startBy) {
     this.part = part;
     this.trip = trip;
     this.searcher = searcher;
--- a/mixer/src/main/java/gingerring/back/Frames.java
+++ b/mixer/src/main/java/gingerring/back/Frames.java
@@ -9,7 +9,9 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** The searchers' frames: a length of four bytes, least first, that covers a letter and the rest. */
+/**
+ * The searchers' frames: a length of four bytes, least first, that covers a letter and the rest.
+ */
 final class Frames {
   /** A frame that is not of the protocol. */
   static final class Malformed extends Exception {
@@ -26,6 +28,7 @@
   }
 
   private static final int HEAD = 4;
+
   /** A value goes on in an answer of 64 KiB at most. */
   static final int FRAME_MOST = (1 << 16) + 1024;
 
@@ -53,7 +56,8 @@
         if (headRead < HEAD) {
           return;
         }
-        long length = Integer.toUnsignedLong(ByteBuffer.wrap(head).order(ByteOrder.LITTLE_ENDIAN).getInt());
+        long length =
+            Integer.toUnsignedLong(ByteBuffer.wrap(head).order(ByteOrder.LITTLE_ENDIAN).getInt());
         if (length < 1 || length > FRAME_MOST) {
           throw new Malformed("a frame of " + length + " bytes");
         }
@@ -72,8 +76,12 @@
   }
 
   static byte[] frame(char letter, byte[] rest) {
-    return ByteBuffer.allocate(HEAD + 1 + rest.length).order(ByteOrder.LITTLE_ENDIAN).putInt(1 + rest.length)
-        .put((byte) letter).put(rest).array();
+    return ByteBuffer.allocate(HEAD + 1 + rest.length)
+        .order(ByteOrder.LITTLE_ENDIAN)
+        .putInt(1 + rest.length)
+        .put((byte) letter)
+        .put(rest)
+        .array();
   }
 
   /** One call: a line and the text for each part. */
@@ -81,8 +89,16 @@
     ByteArrayOutputStream rest = new ByteArrayOutputStream();
     for (Errand errand : errands) {
       long wait = Math.max(1, errand.until.minus(now).toMillis());
-      String line = errand.mark + ' ' + errand.shard + " d=" + wait
-          + (errand.key == null ? "" : ",k=" + errand.key) + ' ' + errand.text.length + '\n';
+      String line =
+          errand.mark
+              + ' '
+              + errand.shard
+              + " d="
+              + wait
+              + (errand.key == null ? "" : ",k=" + errand.key)
+              + ' '
+              + errand.text.length
+              + '\n';
       rest.writeBytes(line.getBytes(StandardCharsets.US_ASCII));
       rest.writeBytes(errand.text);
     }
--- a/mixer/src/main/java/gingerring/back/Link.java
+++ b/mixer/src/main/java/gingerring/back/Link.java
@@ -30,28 +30,41 @@
   }
 
   private static final int PAST_MOST = 512;
-  /** No further call is put behind so many bytes that have not left: they could not be kept back any more. */
+
+  /**
+   * No further call is put behind so many bytes that have not left: they could not be kept back any
+   * more.
+   */
   private static final int PUT_MOST = 4096;
 
   private final Back back;
   private final Station station;
   private final Connection connection;
   private final Frames frames = new Frames();
+
   /** Small frames that leave behind the calls of their turn. */
   private final List<byte[]> notes = new ArrayList<>();
+
   private final Map<String, Errand> out = new LinkedHashMap<>();
+
   /** The latest parts that are out no more: an answer to any other is spoilt. */
   private final Set<String> past = new LinkedHashSet<>();
+
   private final Deque<Probe> probes = new ArrayDeque<>();
   private boolean up;
+
   /** The dial has taken longer than its time: it may still come up, and is not counted on. */
   private boolean late;
+
   /** Nothing new goes by it: it is closed once nothing is out on it. */
   private boolean retired;
+
   final Duration dialled;
   private Duration used;
+
   /** When all that was put before had last left. */
   private Duration freeAt;
+
   private Duration heard;
 
   Link(Back back, Station station) {
@@ -61,10 +74,12 @@
     used = dialled;
     heard = dialled;
     connection = back.network().dial(station.address(), Back.OUT_MOST, this);
-    back.wakeAfter(back.dialTimeOut(), () -> {
-      late = true;
-      back.busy(station);
-    });
+    back.wakeAfter(
+        back.dialTimeOut(),
+        () -> {
+          late = true;
+          back.busy(station);
+        });
   }
 
   boolean up() {
@@ -112,8 +127,8 @@
   }
 
   /**
-   * It has stood idle for so long that the searcher may be closing it. Not in the turn in which it comes
-   * up, also where no idle time is allowed: what waited for it goes by it.
+   * It has stood idle for so long that the searcher may be closing it. Not in the turn in which it
+   * comes up, also where no idle time is allowed: what waited for it goes by it.
    */
   boolean stale() {
     return idle() && (up || late) && back.now().minus(used).compareTo(back.idleMost()) > 0;
@@ -124,10 +139,11 @@
   }
 
   /**
-   * Guards against links that nobody uses just now and that keep others from being dialled, with few
-   * descriptors.
+   * Guards against links that nobody uses just now and that keep others from being dialled, with
+   * few descriptors.
    */
-  @Override public Duration restsSince() {
+  @Override
+  public Duration restsSince() {
     return up && idle() ? used : null;
   }
 
@@ -143,8 +159,9 @@
   }
 
   /**
-   * Puts what waits into the ring, as far as there is room for parts, if all that was put before has left.
-   * Guards against a frame that leaves long after it was decided: what is kept here can still be kept back.
+   * Puts what waits into the ring, as far as there is room for parts, if all that was put before
+   * has left. Guards against a frame that leaves long after it was decided: what is kept here can
+   * still be kept back.
    */
   void dispatch(Collection<Errand> waiting) {
     if (usableNow() && free()) {
@@ -184,10 +201,11 @@
       write(call.subList(call.size() / 2, call.size()));
     } else {
       // it waits until the ring is empty again
-      call.forEach(errand -> {
-        errand.link = null;
-        out.remove(errand.mark);
-      });
+      call.forEach(
+          errand -> {
+            errand.link = null;
+            out.remove(errand.mark);
+          });
     }
   }
 
@@ -206,10 +224,14 @@
     closeIfSpent();
   }
 
-  /** A trip has timed out: nothing is sent, and a link that has told nothing since is not trusted on. */
+  /**
+   * A trip has timed out: nothing is sent, and a link that has told nothing since is not trusted
+   * on.
+   */
   void timedOut(Errand errand) {
     remove(errand);
-    if (heard.compareTo(dialled) <= 0 || back.now().minus(heard).compareTo(back.dialTimeOut()) > 0) {
+    if (heard.compareTo(dialled) <= 0
+        || back.now().minus(heard).compareTo(back.dialTimeOut()) > 0) {
       retired = true;
     }
     closeIfSpent();
@@ -227,28 +249,33 @@
       return;
     }
     probes.add(probe);
-    back.wakeAfter(back.dialTimeOut(), () -> {
-      if (probes.remove(probe)) {
-        // answers are matched by their order, so nothing more is asked on this link
-        retired = true;
-        back.probed(station, Outcome.TIMED_OUT, back.now().minus(probe.sent), null);
-        closeIfSpent();
-      }
-    });
+    back.wakeAfter(
+        back.dialTimeOut(),
+        () -> {
+          if (probes.remove(probe)) {
+            // answers are matched by their order, so nothing more is asked on this link
+            retired = true;
+            back.probed(station, Outcome.TIMED_OUT, back.now().minus(probe.sent), null);
+            closeIfSpent();
+          }
+        });
   }
 
-  @Override public void opened() {
+  @Override
+  public void opened() {
     up = true;
     used = back.now();
     station.opened(this);
   }
 
-  @Override public void drained() {
+  @Override
+  public void drained() {
     freeAt = back.now();
     back.busy(station);
   }
 
-  @Override public void readable() {
+  @Override
+  public void readable() {
     heard = back.now();
     used = heard;
     if (!connection.usable()) {
@@ -261,20 +288,24 @@
       spoilt(e.getMessage());
     }
     if (frames.midway() && connection.usable()) {
-      // answers are written whole: guards against one that stops short, or whose length is not its own
+      // answers are written whole: guards against one that stops short, or whose length is not its
+      // own
       long read = frames.framesRead();
-      back.wakeAfter(back.dialTimeOut(), () -> {
-        if (frames.framesRead() == read && connection.usable()) {
-          spoilt("a frame stopped short");
-        }
-      });
+      back.wakeAfter(
+          back.dialTimeOut(),
+          () -> {
+            if (frames.framesRead() == read && connection.usable()) {
+              spoilt("a frame stopped short");
+            }
+          });
     }
     closeIfSpent();
   }
 
   /**
-   * Where the next frame begins can no longer be told, so nothing more of it is believed. The part it was for
-   * may have run, and so may all others out on it: they end as on a connection that breaks.
+   * Where the next frame begins can no longer be told, so nothing more of it is believed. The part
+   * it was for may have run, and so may all others out on it: they end as on a connection that
+   * breaks.
    */
   private void spoilt(String what) {
     back.complain("a searcher's frame could not be used: " + what);
@@ -286,8 +317,11 @@
     switch (letter) {
       case 'R' -> result(rest);
       case 'H', 'M' -> probed(letter, new String(rest, StandardCharsets.US_ASCII));
-      case 'F' -> throw new Frames.Malformed("F: " + new String(rest, 0, Math.min(rest.length, 80),
-          StandardCharsets.US_ASCII).replaceAll("[^ -~]", "?"));
+      case 'F' ->
+          throw new Frames.Malformed(
+              "F: "
+                  + new String(rest, 0, Math.min(rest.length, 80), StandardCharsets.US_ASCII)
+                      .replaceAll("[^ -~]", "?"));
       default -> throw new Frames.Malformed("letter " + (int) letter);
     }
   }
@@ -301,12 +335,13 @@
     if (end == rest.length || words.length != 4) {
       throw new Frames.Malformed("R without its line");
     }
-    Outcome outcome = switch (words[1]) {
-      case "done" -> Outcome.SUCCEEDED;
-      case "failed" -> Outcome.ERROR;
-      case "full" -> Outcome.FULL;
-      default -> throw new Frames.Malformed("R with an unknown end");
-    };
+    Outcome outcome =
+        switch (words[1]) {
+          case "done" -> Outcome.SUCCEEDED;
+          case "failed" -> Outcome.ERROR;
+          case "full" -> Outcome.FULL;
+          default -> throw new Frames.Malformed("R with an unknown end");
+        };
     Errand errand = out.get(words[0]);
     if (errand == null) {
       if (!past.contains(words[0])) {
@@ -320,7 +355,11 @@
       throw new Frames.Malformed("R with a value that is no text");
     }
     remove(errand);
-    back.ended(errand, outcome, back.reports().read(words[3]), outcome == Outcome.SUCCEEDED ? value : null);
+    back.ended(
+        errand,
+        outcome,
+        back.reports().read(words[3]),
+        outcome == Outcome.SUCCEEDED ? value : null);
   }
 
   /** Whether a value can stand in a client's answer as it is. */
@@ -352,18 +391,25 @@
     if (letter == 'H' && !answer.equals("done") && !answer.equals("failed")) {
       throw new Frames.Malformed("H with an unknown end");
     }
-    back.probed(station, report || answer.equals("done") ? Outcome.SUCCEEDED : Outcome.ERROR,
-        back.now().minus(probe.sent), report ? back.reports().read(answer) : null);
+    back.probed(
+        station,
+        report || answer.equals("done") ? Outcome.SUCCEEDED : Outcome.ERROR,
+        back.now().minus(probe.sent),
+        report ? back.reports().read(answer) : null);
   }
 
-  /** The searcher's process is known to be gone: what is out ends now, before anything else is told of it. */
+  /**
+   * The searcher's process is known to be gone: what is out ends now, before anything else is told
+   * of it.
+   */
   void abandon() {
     close();
     // how far MINA has written is not known here: whatever was put may have left
     end(Long.MAX_VALUE);
   }
 
-  @Override public void closed() {
+  @Override
+  public void closed() {
     end(connection.written());
   }
 
--- a/mixer/src/main/java/gingerring/back/LoadReports.java
+++ b/mixer/src/main/java/gingerring/back/LoadReports.java
@@ -4,12 +4,27 @@
 import gingerring.net.Counts;
 import java.util.Map;
 
-/** Puts the figures of a searcher's load report in the order of the columns that the mixer was told. */
+/**
+ * Puts the figures of a searcher's load report in the order of the columns that the mixer was told.
+ */
 final class LoadReports {
   private static final float[] NONE = {};
+
   /** The protocol's names for the columns that WIRE names. */
-  private static final Map<String, String> NAMES = Map.of("concurrent", "inflight", "depth", "queue",
-      "load_share", "util", "mean_ms", "latency_ms", "tps", "qps", "err_ps", "eps");
+  private static final Map<String, String> NAMES =
+      Map.of(
+          "concurrent",
+          "inflight",
+          "depth",
+          "queue",
+          "load_share",
+          "util",
+          "mean_ms",
+          "latency_ms",
+          "tps",
+          "qps",
+          "err_ps",
+          "eps");
 
   private final String[] columns;
   private final Counts counts;
--- a/mixer/src/main/java/gingerring/back/Station.java
+++ b/mixer/src/main/java/gingerring/back/Station.java
@@ -12,8 +12,9 @@
 import java.util.Set;
 
 /**
- * A searcher as the network has it: where it listens, the links to it, and the errands that wait for one of
- * them to take them. What waits here has not begun, and is looked at again at the moment in which it would.
+ * A searcher as the network has it: where it listens, the links to it, and the errands that wait
+ * for one of them to take them. What waits here has not begun, and is looked at again at the moment
+ * in which it would.
  */
 final class Station {
   /** Dials under way to one searcher: one that is late may still come up while another is tried. */
@@ -22,13 +23,18 @@
   final SearcherId id;
   private final Back back;
   private InetSocketAddress address;
+
   /** The list no longer has it: forgotten once nothing is out there. */
   private boolean gone;
+
   /** The list says that it drains or has gone: nothing begins there any more. */
   private boolean withheld;
+
   private final List<Link> links = new ArrayList<>();
+
   /** In the order in which they came; none has been put into a link's ring. */
   private final Set<Errand> waiting = new LinkedHashSet<>();
+
   /** Probes that wait for a connection, by when they were asked for. */
   private final List<Link.Probe> probes = new ArrayList<>();
 
@@ -47,8 +53,10 @@
     gone = false;
     withheld = false;
     if (startedAt != null) {
-      // made for a process that is no more: the new one is cold, and is to get no more than is decided for it
-      List.copyOf(waiting).stream().filter(errand -> errand.since.compareTo(startedAt) < 0)
+      // made for a process that is no more: the new one is cold, and is to get no more than is
+      // decided for it
+      List.copyOf(waiting).stream()
+          .filter(errand -> errand.since.compareTo(startedAt) < 0)
           .forEach(errand -> back.ended(errand, Outcome.NOT_SENT));
     }
     for (Link link : List.copyOf(links)) {
@@ -87,18 +95,23 @@
     giveUpUnlessUp(errand);
   }
 
-  /** An errand that no connection comes up for in its time, or none that is read from, has found nobody. */
+  /**
+   * An errand that no connection comes up for in its time, or none that is read from, has found
+   * nobody.
+   */
   private void giveUpUnlessUp(Errand errand) {
-    back.wakeAfter(back.dialTimeOut(), () -> {
-      if (waiting.contains(errand)) {
-        List.copyOf(links).stream().filter(Link::stuck).forEach(Link::retire);
-        if (links.stream().anyMatch(Link::up)) {
-          giveUpUnlessUp(errand);
-        } else {
-          back.ended(errand, Outcome.UNREACHABLE);
-        }
-      }
-    });
+    back.wakeAfter(
+        back.dialTimeOut(),
+        () -> {
+          if (waiting.contains(errand)) {
+            List.copyOf(links).stream().filter(Link::stuck).forEach(Link::retire);
+            if (links.stream().anyMatch(Link::up)) {
+              giveUpUnlessUp(errand);
+            } else {
+              back.ended(errand, Outcome.UNREACHABLE);
+            }
+          }
+        });
   }
 
   /** It has been put, or has ended without. */
@@ -106,9 +119,13 @@
     waiting.remove(errand);
   }
 
-  /** Puts what waits and may still begin into the links that have room, and dials where there are too few. */
+  /**
+   * Puts what waits and may still begin into the links that have room, and dials where there are
+   * too few.
+   */
   void dispatch() {
-    // by the time it is, and not by the turn's: guards against a process that stands still within a turn
+    // by the time it is, and not by the turn's: guards against a process that stands still within a
+    // turn
     Duration now = back.clock();
     for (Errand errand : List.copyOf(waiting)) {
       if (withheld || !errand.mayBegin(now)) {
@@ -130,8 +147,11 @@
     int lacking = 0;
     int further = 0;
     for (Errand errand : waiting) {
-      Link taker = links.stream().filter(link -> room.getOrDefault(link, 0) > 0 && link.mayTake(errand))
-          .findFirst().orElse(null);
+      Link taker =
+          links.stream()
+              .filter(link -> room.getOrDefault(link, 0) > 0 && link.mayTake(errand))
+              .findFirst()
+              .orElse(null);
       if (taker != null) {
         room.merge(taker, -1, Integer::sum);
       } else if (further > 0) {
@@ -145,9 +165,9 @@
   }
 
   /**
-   * Dials, unless as many dials are under way as may be. Where one of them is late and may never come up, as
-   * after a machine vanished, the oldest makes room. Guards against a storm of handshakes at a searcher whose
-   * connections come up late, each closed before it is of use.
+   * Dials, unless as many dials are under way as may be. Where one of them is late and may never
+   * come up, as after a machine vanished, the oldest makes room. Guards against a storm of
+   * handshakes at a searcher whose connections come up late, each closed before it is of use.
    */
   private boolean dial() {
     List<Link> coming = links.stream().filter(Link::coming).toList();
@@ -176,11 +196,13 @@
     Link.Probe probe = new Link.Probe(back.now());
     probes.add(probe);
     back.busy(this);
-    back.wakeAfter(back.dialTimeOut(), () -> {
-      if (probes.remove(probe)) {
-        back.probed(this, Outcome.UNREACHABLE, back.now().minus(probe.sent), null);
-      }
-    });
+    back.wakeAfter(
+        back.dialTimeOut(),
+        () -> {
+          if (probes.remove(probe)) {
+            back.probed(this, Outcome.UNREACHABLE, back.now().minus(probe.sent), null);
+          }
+        });
   }
 
   /** A link is up: what waited for one goes by it. */
@@ -204,7 +226,8 @@
 
   /** Probes that waited for a connection have found nobody. */
   private void unanswered() {
-    probes.forEach(probe -> back.probed(this, Outcome.UNREACHABLE, back.now().minus(probe.sent), null));
+    probes.forEach(
+        probe -> back.probed(this, Outcome.UNREACHABLE, back.now().minus(probe.sent), null));
     probes.clear();
   }
 
--- a/mixer/src/main/java/gingerring/decide/Grade.java
+++ b/mixer/src/main/java/gingerring/decide/Grade.java
@@ -5,7 +5,11 @@
 /** A service grade. */
 public final class Grade {
   /** What a repeat does: nothing, nothing while its mark is known, or harm. */
-  public enum Repeats { REISSUABLE, NUMBERED, AT_MOST_ONCE }
+  public enum Repeats {
+    REISSUABLE,
+    NUMBERED,
+    AT_MOST_ONCE
+  }
 
   public Repeats repeats;
   public Duration quoted;
@@ -22,12 +26,15 @@
     String at = "Classes." + i + ".";
     Grade grade = new Grade();
     String repeats = terms.text(at + "Idempotency");
-    grade.repeats = switch (repeats) {
-      case "idempotent" -> Repeats.REISSUABLE;
-      case "deduplicated" -> Repeats.NUMBERED;
-      case "at_most_once" -> Repeats.AT_MOST_ONCE;
-      default -> throw new IllegalArgumentException("setting " + at + "Idempotency is unknown: " + repeats);
-    };
+    grade.repeats =
+        switch (repeats) {
+          case "idempotent" -> Repeats.REISSUABLE;
+          case "deduplicated" -> Repeats.NUMBERED;
+          case "at_most_once" -> Repeats.AT_MOST_ONCE;
+          default ->
+              throw new IllegalArgumentException(
+                  "setting " + at + "Idempotency is unknown: " + repeats);
+        };
     grade.quoted = terms.span(at + "AimMs");
     grade.quotedStretch = terms.number(at + "AimStretch", 0);
     grade.patience = terms.span(at + "HardLimitMs");
@@ -39,7 +46,10 @@
     return grade;
   }
 
-  /** May be answered from some of its parts: only a grade that may run again can leave the others behind. */
+  /**
+   * May be answered from some of its parts: only a grade that may run again can leave the others
+   * behind.
+   */
   public boolean partial() {
     return floor < need && repeats == Repeats.REISSUABLE;
   }
--- a/mixer/src/main/java/gingerring/decide/Host.java
+++ b/mixer/src/main/java/gingerring/decide/Host.java
@@ -8,10 +8,10 @@
   Duration now();
 
   /**
-   * Starts a trip for a part; trips of a part number 0, 1, 2 in the order of these calls.
-   * {@code startWithin}: where it is not null, no trip of the part begins later than so long from now,
-   * neither this one nor an earlier one that waits; what cannot begin in that time never does, and its end
-   * tells that it never ran.
+   * Starts a trip for a part; trips of a part number 0, 1, 2 in the order of these calls. {@code
+   * startWithin}: where it is not null, no trip of the part begins later than so long from now,
+   * neither this one nor an earlier one that waits; what cannot begin in that time never does, and
+   * its end tells that it never ran.
    */
   void send(PartId part, SearcherId searcher, Duration timeOut, Duration startWithin);
 
@@ -44,17 +44,25 @@
 
   void log(String line);
 
-  /** Whether this mixer is to ask a benched searcher itself now, or leaves that to others who tell it. */
+  /**
+   * Whether this mixer is to ask a benched searcher itself now, or leaves that to others who tell
+   * it.
+   */
   default boolean asksItself(SearcherId searcher) {
     return true;
   }
 
-  /** The share of a searcher's parts that fail as other mixers see it, 0 to 1; 0 where nobody tells. */
+  /**
+   * The share of a searcher's parts that fail as other mixers see it, 0 to 1; 0 where nobody tells.
+   */
   default double doubt(SearcherId searcher) {
     return 0;
   }
 
-  /** Whether a searcher is one of those that this mixer is to prefer; all are where it knows of no others. */
+  /**
+   * Whether a searcher is one of those that this mixer is to prefer; all are where it knows of no
+   * others.
+   */
   default boolean prefers(SearcherId searcher) {
     return true;
   }
--- a/mixer/src/main/java/gingerring/decide/Mixer.java
+++ b/mixer/src/main/java/gingerring/decide/Mixer.java
@@ -16,10 +16,10 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Decides what becomes of the scans at one mixer. Its host calls one method for each thing that happens,
- * one call at a time, and the mixer acts at once through the {@link Host} that it was handed at start.
- * Nothing here knows of a wire, another mixer or a real clock. docs/design.md says what is the design's and
- * what departs from it.
+ * Decides what becomes of the scans at one mixer. Its host calls one method for each thing that
+ * happens, one call at a time, and the mixer acts at once through the {@link Host} that it was
+ * handed at start. Nothing here knows of a wire, another mixer or a real clock. docs/design.md says
+ * what is the design's and what departs from it.
  */
 public final class Mixer {
   // The design's starting values.
@@ -27,69 +27,119 @@
   private static final double PRESSURE_BOUND = 0.1;
   private static final double COVERAGE_STEP = 0.1;
   private static final Duration COVERAGE_PACE = Duration.ofSeconds(1);
+
   /** How far above the floor the least target stays. */
   private static final double HEADROOM = 1.25;
+
   /** How long before the quoted time a partial answer goes out: a few round trips and ticks. */
   private static final Duration ANSWER_MARGIN = Duration.ofMillis(50);
+
   /** How long before its client's patience ends a scan is closed, so that its answer is in time. */
   private static final Duration CLOSE_MARGIN = Duration.ofMillis(10);
+
   /** The share of the time left that a part's expected stay may take, as stays scatter about it. */
   private static final double STAY_SHARE = 0.5;
+
   /**
-   * The fleet's pace is that of the last seconds, and so is a searcher's where so many answers tell it; else
-   * the window of a searcher grows until they do, since at a quiet mixer they come seconds apart.
+   * The fleet's pace is that of the last seconds, and so is a searcher's where so many answers tell
+   * it; else the window of a searcher grows until they do, since at a quiet mixer they come seconds
+   * apart.
    */
   private static final Duration HEALTH_WINDOW = Duration.ofSeconds(3);
+
   private static final Duration HEALTH_MEMORY = Duration.ofSeconds(10);
   private static final int HEALTH_BUCKETS = 20;
   private static final int RECENT = 7;
   private static final double OWN_TELLING = 6;
   private static final int BUCKETS = 12;
   private static final Duration LOOK_ROUND = Duration.ofMillis(100);
+
   /** So many rounds without one: the mixer itself stood still. */
   private static final double STOOD_STILL = 2;
-  /** No word for this long, and for this many usual spans between answers, is silence and no mere pause. */
+
+  /**
+   * No word for this long, and for this many usual spans between answers, is silence and no mere
+   * pause.
+   */
   private static final Duration SILENCE = Duration.ofMillis(700);
+
   private static final double SILENCE_PACES = 6;
-  /** So many errors, and so large a share of all ends, are more than a healthy searcher makes by chance. */
+
+  /**
+   * So many errors, and so large a share of all ends, are more than a healthy searcher makes by
+   * chance.
+   */
   private static final double ERRORS_LEAST = 2;
+
   private static final double ERROR_SHARE = 0.4;
+
   /** Where others see so large a share fail, a shorter silence and a single error are borne. */
   private static final double DOUBT = 0.8;
+
   private static final double DOUBTED_SHARE = 0.5;
+
   /** The fleet's pace counts in each searcher's as so many answers, once so many tell it. */
   private static final double ANSWERS_LENT = 2;
+
   private static final double ANSWERS_TELLING = 10;
+
   /** The fleet's pace counts in that of each zone as so many answers. */
   private static final double ZONE_LENT = 3;
+
   /** How much of a pace a further own part adds to a line that it shares with others' parts. */
   private static final double OWN_SHARE = 0.5;
-  /** A bench lasts some seconds, doubled each time in a row, and ends in so many parts one at a time. */
+
+  /**
+   * A bench lasts some seconds, doubled each time in a row, and ends in so many parts one at a
+   * time.
+   */
   private static final Duration BENCH_LEAST = Duration.ofSeconds(2);
+
   private static final Duration BENCH_MOST = Duration.ofSeconds(8);
   private static final int TRIALS = 3;
-  /** Own ration of further trips, beside any that the rules set: so many, and so many for each first trip. */
+
+  /**
+   * Own ration of further trips, beside any that the rules set: so many, and so many for each first
+   * trip.
+   */
   private static final double EXTRA_FEW = 2;
+
   private static final double EXTRA_SHARE = 0.1;
+
   /** Long enough that a scan's first trips still count when its late parts are copied. */
   private static final Duration EXTRA_WINDOW = Duration.ofSeconds(6);
+
   /** A part out for so many usual stays is late: few that come by themselves are. */
   private static final double LATE_STAYS = 3;
-  /** The cold guard: its share of the rule's multiple, mixers that may take one part each at once, memory. */
+
+  /**
+   * The cold guard: its share of the rule's multiple, mixers that may take one part each at once,
+   * memory.
+   */
   private static final double COLD_SHARE = 1;
+
   private static final double COLD_MIXERS = 4;
   private static final Duration WARM_MEMORY = Duration.ofSeconds(30);
+
   /** By so many standard errors of their count are scans that came taken to be fewer than usual. */
   private static final double SURE_ERRORS = 1.5;
-  /** The usual stay is that of the latest so many answers, from so long ago at most: scans may be rare. */
+
+  /**
+   * The usual stay is that of the latest so many answers, from so long ago at most: scans may be
+   * rare.
+   */
   private static final double STAYS_TELLING = 60;
+
   private static final Duration STAY_MEMORY = Duration.ofSeconds(20);
   private static final int STAY_BUCKETS = 40;
   private static final Duration FRESH = Duration.ofSeconds(3);
+
   /** How soon the roster is asked again after a failure, and as much again by chance. */
   private static final Duration ROSTER_RETRY = Duration.ofMillis(500);
+
   /** How far weights may sum up short for their rounding. */
   private static final double WEIGHT_SLACK = 0.00005;
+
   private static final int LOG_LINES = 60;
 
   private final Host host;
@@ -106,8 +156,13 @@
 
   private final Terms terms;
   private final Duration tipAfter;
-  /** Parts that came within the memory and within the cold guard's window, scans; parts let take turns. */
+
+  /**
+   * Parts that came within the memory and within the cold guard's window, scans; parts let take
+   * turns.
+   */
   private final TimeRing came = new TimeRing(WARM_MEMORY, BUCKETS);
+
   private final TimeRing cameNow;
   private final TimeRing scansCame = new TimeRing(WARM_MEMORY, BUCKETS);
   private final TimeRing coldShares;
@@ -118,14 +173,21 @@
   private final TimeRing extras = new TimeRing(EXTRA_WINDOW, BUCKETS);
   private final TimeRing settled = new TimeRing(PRESSURE_WINDOW, BUCKETS);
   private final TimeRing pressed = new TimeRing(PRESSURE_WINDOW, BUCKETS);
-  /** Searchers with own parts out, recent evidence or a bench: a large roster is mostly none of these. */
+
+  /**
+   * Searchers with own parts out, recent evidence or a bench: a large roster is mostly none of
+   * these.
+   */
   private final Set<Searcher> active = new LinkedHashSet<>();
+
   private Duration surveyedAt;
   private double fleetPace;
   private final Map<Integer, Double> zonePaces = new HashMap<>();
   private double usualGap;
+
   /** Trips recalled to send their parts elsewhere, whose ends have not been told. */
   private int moving;
+
   private final TimeRing warmAnswers = new TimeRing(WARM_MEMORY, BUCKETS);
   private final TimeRing warmTime = new TimeRing(WARM_MEMORY, BUCKETS);
   private final TimeRing stays = new TimeRing(STAY_MEMORY, STAY_BUCKETS);
@@ -134,6 +196,7 @@
   private double coverage = 1;
   private Duration coverageMoved = Duration.ZERO;
   private Duration lastEvent = Duration.ZERO;
+
   /** The roster will be asked for again: failures until then add no calls. */
   private boolean rosterRetry;
 
@@ -159,22 +222,32 @@
   }
 
   /** A scan has come, with all its parts: the ordinary path. */
-  public void scanArrived(ScanId id, long number, int gradeNumber, long key, boolean repeat, Duration work,
-      Duration end, List<Part> arrived) {
+  public void scanArrived(
+      ScanId id,
+      long number,
+      int gradeNumber,
+      long key,
+      boolean repeat,
+      Duration work,
+      Duration end,
+      List<Part> arrived) {
     Duration now = arriving();
     Scan scan = new Scan(id, number, grades.get(gradeNumber), key, work, end);
     scan.fullQuoted = now.plus(scan.grade.quoted).plus(scale(work, scan.grade.quotedStretch));
     scan.quoted = min(scan.fullQuoted, end.minus(CLOSE_MARGIN));
     scan.due = due(scan, now);
     hold(scan, arrived, now);
-    // all parts while coverage is full; under pressure the heaviest up to the coverage, never under the floor
+    // all parts while coverage is full; under pressure the heaviest up to the coverage, never under
+    // the floor
     List<Part> selected = select(scan, arrived, now);
     // each to the replica with the fewest own parts out, if one can be expected to answer in time
     double placed = 0;
     double late = 0;
     // least choice first, so that others go around the last holders of a shard
-    selected.forEach(part -> part.choices = (int) roster.holders(part.shard).stream()
-        .filter(Mixer::trusted).count());
+    selected.forEach(
+        part ->
+            part.choices =
+                (int) roster.holders(part.shard).stream().filter(Mixer::trusted).count());
     Comparator<Part> leastChoice = Comparator.comparingInt(part -> part.choices);
     for (Part part : selected.stream().sorted(leastChoice).toList()) {
       if (plan(part, now)) {
@@ -184,7 +257,8 @@
         late++;
       }
     }
-    // a part kept back because its searchers are too busy is refused as full by the mixer's own judgement
+    // a part kept back because its searchers are too busy is refused as full by the mixer's own
+    // judgement
     settled.add(now, late);
     pressed.add(now, late);
     boolean enough = placed >= least(scan) - WEIGHT_SLACK && scan.quoted.compareTo(now) > 0;
@@ -216,7 +290,8 @@
     hold(scan, arrived, now);
     for (Part part : arrived) {
       firsts.add(now, 1);
-      // the first step's work is done and lost without it: a holder that may be late is better than none
+      // the first step's work is done and lost without it: a holder that may be late is better than
+      // none
       if (!plan(part, now) && plan(part, now, each -> true, Duration.ofNanos(Long.MAX_VALUE))) {
         part.planned.plannedParts++;
       }
@@ -229,9 +304,10 @@
   }
 
   /**
-   * By when the first step is to be answered. Where a second one follows, that is early enough for its parts
-   * to be late by what parts stayed of late, and half of the time at the earliest. Guards against a first
-   * step that waits for its last part until no time is left for the second, and all its work is lost.
+   * By when the first step is to be answered. Where a second one follows, that is early enough for
+   * its parts to be late by what parts stayed of late, and half of the time at the earliest. Guards
+   * against a first step that waits for its last part until no time is left for the second, and all
+   * its work is lost.
    */
   private Duration due(Scan scan, Duration now) {
     if (scan.grade.fetch == 0) {
@@ -260,18 +336,22 @@
   }
 
   /**
-   * The parts to send: down to the coverage, with room above the floor by what stays of late let expect. A
-   * scan of just its floor falls to a single late part, and all its work is lost. Where the pressure's window
-   * holds too little to tell, the usual stay stands in: from half of what the gate on stays lets through, the
-   * coverage narrows until the gate shuts. Guards against jams that a mixer of few scans would meet with all
-   * its parts each time; on old news it leaves parts behind for nothing.
+   * The parts to send: down to the coverage, with room above the floor by what stays of late let
+   * expect. A scan of just its floor falls to a single late part, and all its work is lost. Where
+   * the pressure's window holds too little to tell, the usual stay stands in: from half of what the
+   * gate on stays lets through, the coverage narrows until the gate shuts. Guards against jams that
+   * a mixer of few scans would meet with all its parts each time; on old news it leaves parts
+   * behind for nothing.
    */
   private List<Part> select(Scan scan, List<Part> arrived, Duration now) {
     Duration left = scan.quoted.minus(now);
-    double stood = settled.sum(now) >= ANSWERS_TELLING ? 0
-        : usualStay(now) / (STAY_SHARE * Math.max(1, left.toNanos()));
-    double target = Math.max(Math.min(coverage, 2 - 2 * stood),
-        least(scan) * HEADROOM / (1 - lateShare(left, now)));
+    double stood =
+        settled.sum(now) >= ANSWERS_TELLING
+            ? 0
+            : usualStay(now) / (STAY_SHARE * Math.max(1, left.toNanos()));
+    double target =
+        Math.max(
+            Math.min(coverage, 2 - 2 * stood), least(scan) * HEADROOM / (1 - lateShare(left, now)));
     if (target >= 1) {
       return arrived;
     }
@@ -294,8 +374,8 @@
   }
 
   /**
-   * The replica with fewest own parts out, ties from its home on: of the preferred ones, else of all trusted,
-   * a benched one only where no other can.
+   * The replica with fewest own parts out, ties from its home on: of the preferred ones, else of
+   * all trusted, a benched one only where no other can.
    */
   private boolean plan(Part part, Duration now) {
     if (!plan(part, now, preferred) && !plan(part, now, Mixer::usable)) {
@@ -316,19 +396,26 @@
   private boolean plan(Part part, Duration now, Predicate<Searcher> choice, Duration left) {
     List<Searcher> holders = roster.holders(part.shard);
     int home = home(part, Math.max(1, holders.size()));
-    // a client of little patience is no jam: half of the full quoted time will do if the stay fits at all.
-    // It spends work on what is often late, and that may feed a jam no longer than the gate takes to see it
+    // a client of little patience is no jam: half of the full quoted time will do if the stay fits
+    // at all.
+    // It spends work on what is often late, and that may feed a jam no longer than the gate takes
+    // to see it
     Duration fit = scale(left, 1 / STAY_SHARE);
     Duration room = max(left, min(fit, part.scan.fullQuoted.minus(now)));
-    // a part whose trip has failed: without another the work of the scan's other parts is lost. Guards
-    // against searchers that refuse or fail while the other holder is busy or far; may carry a jam on, in the
+    // a part whose trip has failed: without another the work of the scan's other parts is lost.
+    // Guards
+    // against searchers that refuse or fail while the other holder is busy or far; may carry a jam
+    // on, in the
     // ration
     boolean last = !part.trips.isEmpty() && !part.out();
     for (int i = 0; i < holders.size(); i++) {
       Searcher searcher = holders.get((home + i) % holders.size());
-      boolean tried = part.trips.stream().anyMatch(trip -> trip.searcher == searcher)
-          || part.scan.failedAt(part.shard, searcher);
-      if (!tried && choice.test(searcher) && coldRoom(searcher, part, now)
+      boolean tried =
+          part.trips.stream().anyMatch(trip -> trip.searcher == searcher)
+              || part.scan.failedAt(part.shard, searcher);
+      if (!tried
+          && choice.test(searcher)
+          && coldRoom(searcher, part, now)
           && inTime(searcher, last ? fit : room, now)
           && (part.planned == null || load(searcher, now) < load(part.planned, now))) {
         part.planned = searcher;
@@ -346,7 +433,8 @@
   }
 
   private static int home(Part part, int holders) {
-    long seed = part.key != 0 ? part.key : part.scan.key != 0 ? part.scan.key : part.scan.id.number();
+    long seed =
+        part.key != 0 ? part.key : part.scan.key != 0 ? part.scan.key : part.scan.id.number();
     long hash = (seed * 0x9E3779B97F4A7C15L) ^ (part.shard * 0xC2B2AE3D27D4EB4FL);
     hash = (hash ^ (hash >>> 32)) * 0xD6E8FEB86659FD93L;
     return (int) Math.floorMod(hash ^ (hash >>> 32), (long) holders);
@@ -357,8 +445,9 @@
   }
 
   /**
-   * The share of parts sent now that would come late, as stays scatter like waits in a line. None on old
-   * news: a mixer that nacks all it gets learns nothing more, and must let a scan through now and then.
+   * The share of parts sent now that would come late, as stays scatter like waits in a line. None
+   * on old news: a mixer that nacks all it gets learns nothing more, and must let a scan through
+   * now and then.
    */
   private double lateShare(Duration left, Duration now) {
     boolean known = usualStay(now) > 0 && now.minus(stayNoted).compareTo(FRESH) <= 0;
@@ -373,21 +462,23 @@
   }
 
   /**
-   * How long a part sent now would stay: what parts stayed there of late, and for each own part out beyond
-   * the usual number a share of the pace, since other mixers' parts stand in the same line and do not grow
-   * with ours.
+   * How long a part sent now would stay: what parts stayed there of late, and for each own part out
+   * beyond the usual number a share of the pace, since other mixers' parts stand in the same line
+   * and do not grow with ours.
    */
   private Duration stay(Searcher searcher, Duration now) {
     Duration pace = pace(searcher, now);
     double out = searcher.out.size() + searcher.plannedParts + 1;
     int back = Math.max(RECENT, searcher.answers.back(now, OWN_TELLING));
-    double usual = Math.max(1, searcher.held.sum(now, back) / Math.max(1, searcher.busy.sum(now, back)));
+    double usual =
+        Math.max(1, searcher.held.sum(now, back) / Math.max(1, searcher.busy.sum(now, back)));
     return Duration.ofNanos((long) (pace.toNanos() * (usual + OWN_SHARE * (out - usual))));
   }
 
   /**
-   * Time with own parts out for each answer: what a place in its line costs, whoever else stands in it. Its
-   * zone's pace counts as a few answers more, so that a quiet mixer does not take one pause for slowness.
+   * Time with own parts out for each answer: what a place in its line costs, whoever else stands in
+   * it. Its zone's pace counts as a few answers more, so that a quiet mixer does not take one pause
+   * for slowness.
    */
   private Duration pace(Searcher searcher, Duration now) {
     searcher.noteBusy(now);
@@ -397,8 +488,10 @@
     }
     double usual = zonePaces.getOrDefault(searcher.listing.zone(), fleetPace);
     int back = Math.max(RECENT, searcher.answers.back(now, OWN_TELLING));
-    return Duration.ofNanos((long) ((searcher.busy.sum(now, back) + ANSWERS_LENT * usual)
-        / (searcher.answers.sum(now, back) + ANSWERS_LENT)));
+    return Duration.ofNanos(
+        (long)
+            ((searcher.busy.sum(now, back) + ANSWERS_LENT * usual)
+                / (searcher.answers.sum(now, back) + ANSWERS_LENT)));
   }
 
   private int load(Searcher searcher, Duration now) {
@@ -420,16 +513,18 @@
 
   private boolean cold(Searcher searcher, Duration now) {
     Duration warmUp = terms.span("Safety.WarmUpMs", Duration.ZERO);
-    return searcher.startedAt != null && now.minus(searcher.startedAt).compareTo(warmUp.plus(tipAfter)) < 0;
+    return searcher.startedAt != null
+        && now.minus(searcher.startedAt).compareTo(warmUp.plus(tipAfter)) < 0;
   }
 
   /**
-   * The cold guard: in any window of the rule's length a searcher that started lately gets at most its
-   * present share, times COLD_SHARE of the rule's multiple, of what warm searchers have answered this mixer
-   * in such a time over the last half minute; every trip and copy counts from its first instant. Less than a
-   * part a window is taken as single parts in turns. What was answered could be borne, so mixers that all
-   * keep to this stay under the rule together. The long memory serves a fleet that starts all at once. The
-   * guard also keeps a slow starter from drawing parts because it has none out; it may idle a fast one.
+   * The cold guard: in any window of the rule's length a searcher that started lately gets at most
+   * its present share, times COLD_SHARE of the rule's multiple, of what warm searchers have
+   * answered this mixer in such a time over the last half minute; every trip and copy counts from
+   * its first instant. Less than a part a window is taken as single parts in turns. What was
+   * answered could be borne, so mixers that all keep to this stay under the rule together. The long
+   * memory serves a fleet that starts all at once. The guard also keeps a slow starter from drawing
+   * parts because it has none out; it may idle a fast one.
    */
   private boolean coldRoom(Searcher searcher, Part part, Duration now) {
     if (!cold(searcher, now) || warmth(searcher, now) >= 1) {
@@ -438,28 +533,33 @@
     // a mixer that has not yet seen a full window of its searchers does not overrate them
     double seen = Math.max(warmTime.sum(now), (double) tipAfter.toNanos() * roster.all().size());
     double usual = warmAnswers.sum(now) * tipAfter.toNanos() / seen;
-    double allowed = COLD_SHARE * terms.number("Safety.TipMultiple", 1) * warmth(searcher, now) * usual;
-    // how often it may get a single part: less often with so many mixers that one each were too much
+    double allowed =
+        COLD_SHARE * terms.number("Safety.TipMultiple", 1) * warmth(searcher, now) * usual;
+    // how often it may get a single part: less often with so many mixers that one each were too
+    // much
     double alike = Math.max(1, fleetSize() / COLD_MIXERS);
     Duration turn = scale(tipAfter, allowed > 0 ? Math.min(alike, 1 / allowed) : alike);
-    // the first turn at a moment of chance: all mixers hear of a start together, and they may be too many
+    // the first turn at a moment of chance: all mixers hear of a start together, and they may be
+    // too many
     if (!searcher.startedAt.equals(searcher.turnsSince)) {
       searcher.turnsSince = searcher.startedAt;
       double waited = alike == 1 ? 1 : chance.nextDouble();
       searcher.lastSent = searcher.startedAt.minus(scale(turn, waited));
     }
-    boolean itsTurn = now.minus(searcher.lastSent).compareTo(turn) > 0
-        && (part.scan.coldShare == 1 || part.luck(chance) < part.scan.coldShare);
-    return searcher.sends.sum(now) + searcher.plannedParts + 1 <= Math.max(itsTurn ? 1 : 0, allowed);
+    boolean itsTurn =
+        now.minus(searcher.lastSent).compareTo(turn) > 0
+            && (part.scan.coldShare == 1 || part.luck(chance) < part.scan.coldShare);
+    return searcher.sends.sum(now) + searcher.plannedParts + 1
+        <= Math.max(itsTurn ? 1 : 0, allowed);
   }
 
   /**
-   * How many parts of a window may take turns at cold searchers: the rule's multiple of what came in such a
-   * time before it, as far as the scans that came are enough to tell, or this mixer's part of the few that
-   * the fleet may send each searcher at once. What comes beyond leaves turns alone. Guards against parts
-   * that come to all mixers together after a quiet time, as when clients return: by then it is the turn of
-   * them all, and with many mixers they are too many. It keeps a mixer of few scans from some turns on an
-   * ordinary day.
+   * How many parts of a window may take turns at cold searchers: the rule's multiple of what came
+   * in such a time before it, as far as the scans that came are enough to tell, or this mixer's
+   * part of the few that the fleet may send each searcher at once. What comes beyond leaves turns
+   * alone. Guards against parts that come to all mixers together after a quiet time, as when
+   * clients return: by then it is the turn of them all, and with many mixers they are too many. It
+   * keeps a mixer of few scans from some turns on an ordinary day.
    */
   private double turnsMost(Duration now) {
     Duration before = max(tipAfter, min(now, WARM_MEMORY).minus(tipAfter));
@@ -467,7 +567,8 @@
     double usual = earlier * tipAfter.toNanos() / before.toNanos();
     double scansEarlier = scansCame.sum(now) * earlier / Math.max(1, came.sum(now));
     double sure = 1 - SURE_ERRORS / Math.sqrt(Math.max(1, scansEarlier));
-    return Math.max(usual * Math.max(1, terms.number("Safety.TipMultiple", 1) * sure),
+    return Math.max(
+        usual * Math.max(1, terms.number("Safety.TipMultiple", 1) * sure),
         roster.all().size() * COLD_MIXERS / fleetSize());
   }
 
@@ -476,7 +577,9 @@
     return Math.max(1, terms.number("FleetSize", roster.all().size()));
   }
 
-  /** The least share of its capacity that a searcher may have had a window ago: 1 once it is warm. */
+  /**
+   * The least share of its capacity that a searcher may have had a window ago: 1 once it is warm.
+   */
   private double warmth(Searcher searcher, Duration now) {
     Duration warmUp = terms.span("Safety.WarmUpMs", Duration.ZERO);
     if (!cold(searcher, now) || warmUp.isZero()) {
@@ -490,10 +593,13 @@
   private void send(Part part, Duration now) {
     Searcher searcher = part.planned;
     active.add(searcher);
-    // a repeat is dropped up to the window's end only, and a host may begin a trip later than it was decided
+    // a repeat is dropped up to the window's end only, and a host may begin a trip later than it
+    // was decided
     Duration since = part.mayHaveRunSince();
-    Duration startWithin = part.scan.grade.repeats != Grade.Repeats.NUMBERED || since == null ? null
-        : since.plus(part.scan.grade.window).minus(now);
+    Duration startWithin =
+        part.scan.grade.repeats != Grade.Repeats.NUMBERED || since == null
+            ? null
+            : since.plus(part.scan.grade.window).minus(now);
     part.trips.add(searcher.send(part, now, callParts()));
     host.send(part.id, searcher.id, part.scan.end.minus(now), startWithin);
   }
@@ -552,11 +658,14 @@
         searcher.unheard = Duration.ZERO;
         judge(searcher, now);
       }
-      default -> { }
+      default -> {}
     }
   }
 
-  /** Books a trip to the pressure, once. What one bad searcher or zone does must not narrow every scan. */
+  /**
+   * Books a trip to the pressure, once. What one bad searcher or zone does must not narrow every
+   * scan.
+   */
   private void settle(Trip trip, Duration now, boolean refusedOrLate) {
     if (!trip.settled && trip.searcher.benchedUntil == null) {
       trip.settled = true;
@@ -566,10 +675,11 @@
   }
 
   /**
-   * Another trip for a part, if rules, ration and time allow one and some other searcher can do it. A trip
-   * in the stead of one that never ran adds no work, so the own ration does not bind it. Guards against a
-   * scan of many parts falling to a single full or unreachable searcher, with the work of all the others
-   * lost and its client back at once; it may carry a jam on to the holders that are left.
+   * Another trip for a part, if rules, ration and time allow one and some other searcher can do it.
+   * A trip in the stead of one that never ran adds no work, so the own ration does not bind it.
+   * Guards against a scan of many parts falling to a single full or unreachable searcher, with the
+   * work of all the others lost and its client back at once; it may carry a jam on to the holders
+   * that are left.
    */
   private void sendAgain(Part part, Duration now) {
     boolean instead = part.mayHaveRunSince() == null;
@@ -584,28 +694,37 @@
   /** What the rules say of another trip now, whatever it may be good for. */
   private boolean mayGoAgain(Part part, Duration now) {
     long out = part.trips.stream().filter(trip -> trip.outcome == null).count();
-    return mayFollow(part, now) && (out == 0 || out == 1 && terms.flag("PolicyLimits.SecondCopies"));
+    return mayFollow(part, now)
+        && (out == 0 || out == 1 && terms.flag("PolicyLimits.SecondCopies"));
   }
 
   /** What the rules say of another trip once no more are out than may be. */
   private boolean mayFollow(Part part, Duration now) {
     Scan scan = part.scan;
     Duration since = part.mayHaveRunSince();
-    boolean harmless = switch (scan.grade.repeats) {
-      case REISSUABLE -> true;
-      case NUMBERED -> since == null || now.minus(since).compareTo(scan.grade.window) < 0;
-      case AT_MOST_ONCE -> since == null;
-    };
-    boolean open = !scan.closed && !part.in && !part.over
-        && now.compareTo(scan.end.minus(CLOSE_MARGIN)) < 0;
-    double allowed = terms.number("Safety.ExtraFree", 0)
-        + terms.number("Safety.ResendRatio", 0) * rationTaken.sumWithin(now);
-    boolean ration = !terms.has("Safety.ResendSpanMs") || rationExtras.sum(now) + moving + 1 <= allowed;
-    return harmless && open && ration
+    boolean harmless =
+        switch (scan.grade.repeats) {
+          case REISSUABLE -> true;
+          case NUMBERED -> since == null || now.minus(since).compareTo(scan.grade.window) < 0;
+          case AT_MOST_ONCE -> since == null;
+        };
+    boolean open =
+        !scan.closed && !part.in && !part.over && now.compareTo(scan.end.minus(CLOSE_MARGIN)) < 0;
+    double allowed =
+        terms.number("Safety.ExtraFree", 0)
+            + terms.number("Safety.ResendRatio", 0) * rationTaken.sumWithin(now);
+    boolean ration =
+        !terms.has("Safety.ResendSpanMs") || rationExtras.sum(now) + moving + 1 <= allowed;
+    return harmless
+        && open
+        && ration
         && part.trips.size() < terms.number("PolicyLimits.MaxAttempts", 1);
   }
 
-  /** Further trips feed a jam: their number follows that of first trips, unless the rules set a budget. */
+  /**
+   * Further trips feed a jam: their number follows that of first trips, unless the rules set a
+   * budget.
+   */
   private boolean withinRation(Duration now) {
     return terms.has("Safety.ResendSpanMs")
         || extras.sum(now) + moving + 1 <= EXTRA_FEW + EXTRA_SHARE * firsts.sum(now);
@@ -654,11 +773,15 @@
 
   /** Closes a scan at once: sent back where to ask again does no harm, else scrapped. */
   private void giveUp(Scan scan) {
-    boolean harmless = scan.grade.repeats == Grade.Repeats.REISSUABLE
-        || scan.parts.stream().allMatch(part -> part.mayHaveRunSince() == null);
+    boolean harmless =
+        scan.grade.repeats == Grade.Repeats.REISSUABLE
+            || scan.parts.stream().allMatch(part -> part.mayHaveRunSince() == null);
     if (harmless) {
-      host.nack(scan.id, terms.flag("PolicyLimits.RetryAfter")
-          ? terms.span("PolicyLimits.MaxRetryAfterMs", Duration.ZERO) : Duration.ZERO);
+      host.nack(
+          scan.id,
+          terms.flag("PolicyLimits.RetryAfter")
+              ? terms.span("PolicyLimits.MaxRetryAfterMs", Duration.ZERO)
+              : Duration.ZERO);
     } else {
       host.scrap(scan.id);
     }
@@ -679,15 +802,17 @@
   }
 
   /**
-   * Stays are booked scan by scan: single answers would tell of the quick half of a scan first and of the
-   * slow half last. All are cut off at the quoted time, and those cut off count by their time only, since
-   * answers alone would tell only of stays under it. What a benched searcher keeps tells nothing of others.
+   * Stays are booked scan by scan: single answers would tell of the quick half of a scan first and
+   * of the slow half last. All are cut off at the quoted time, and those cut off count by their
+   * time only, since answers alone would tell only of stays under it. What a benched searcher keeps
+   * tells nothing of others.
    */
   private void noteStay(Trip trip, Duration now) {
     if ((trip.outcome == null || !trip.outcome.neverRan) && trip.searcher.benchedUntil == null) {
       Duration end = trip.outcome == null ? now : trip.ended;
       boolean late = end.compareTo(trip.part.scan.quoted) > 0;
-      stays.add(now, max(Duration.ZERO, min(end, trip.part.scan.quoted).minus(trip.sent)).toNanos());
+      stays.add(
+          now, max(Duration.ZERO, min(end, trip.part.scan.quoted).minus(trip.sent)).toNanos());
       stayed.add(now, trip.outcome == Outcome.SUCCEEDED && !late ? 1 : 0);
       stayNoted = now;
     }
@@ -711,10 +836,15 @@
     }
   }
 
-  /** What is still out near the quoted time has timed out, whether the scan is answered without it or not. */
+  /**
+   * What is still out near the quoted time has timed out, whether the scan is answered without it
+   * or not.
+   */
   private void timeOut(Scan scan, Duration now) {
     for (Part part : scan.parts) {
-      part.trips.stream().filter(trip -> trip.outcome == null).forEach(trip -> settle(trip, now, true));
+      part.trips.stream()
+          .filter(trip -> trip.outcome == null)
+          .forEach(trip -> settle(trip, now, true));
     }
   }
 
@@ -739,9 +869,10 @@
   }
 
   /**
-   * The time of an event that comes in. A look round is due so often that a longer gap shows that this
-   * mixer itself stood still: that time is no silence of the searchers' and no pace of theirs. Guards
-   * against pauses of the process and of its machine; hurts nothing while rounds come on time.
+   * The time of an event that comes in. A look round is due so often that a longer gap shows that
+   * this mixer itself stood still: that time is no silence of the searchers' and no pace of theirs.
+   * Guards against pauses of the process and of its machine; hurts nothing while rounds come on
+   * time.
    */
   private Duration arriving() {
     Duration now = host.now();
@@ -753,13 +884,13 @@
   }
 
   /**
-   * Measures what hangs on all searchers, once for each moment: the fleet's pace, the span between answers
-   * to this mixer (waits that have not ended, and may never, are left out of it), and each zone's pace as
-   * seen from here. That guards against whatever strikes a zone, or the way to it, and no single searcher:
-   * slow and lossy links, cut ways, zones that are jammed; a mixer has too few parts at each searcher to see
-   * it there. It may send too much to the other zones, whose own paces then tell. A zone that nothing is
-   * sent to is forgotten in the window, and tried again. Benched searchers are left out of it: what one bad
-   * searcher does is not its zone's.
+   * Measures what hangs on all searchers, once for each moment: the fleet's pace, the span between
+   * answers to this mixer (waits that have not ended, and may never, are left out of it), and each
+   * zone's pace as seen from here. That guards against whatever strikes a zone, or the way to it,
+   * and no single searcher: slow and lossy links, cut ways, zones that are jammed; a mixer has too
+   * few parts at each searcher to see it there. It may send too much to the other zones, whose own
+   * paces then tell. A zone that nothing is sent to is forgotten in the window, and tried again.
+   * Benched searchers are left out of it: what one bad searcher does is not its zone's.
    */
   private void survey(Duration now) {
     if (now.equals(surveyedAt)) {
@@ -783,8 +914,9 @@
     // too few answers tell of the start, not of the fleet: nothing is kept back on them
     fleetPace = answers < ANSWERS_TELLING ? 0 : busy / answers;
     zonePaces.clear();
-    zones.forEach((zone, sums) ->
-        zonePaces.put(zone, (sums[0] + ZONE_LENT * fleetPace) / (sums[1] + ZONE_LENT)));
+    zones.forEach(
+        (zone, sums) ->
+            zonePaces.put(zone, (sums[0] + ZONE_LENT * fleetPace) / (sums[1] + ZONE_LENT)));
     usualGap = gaps / Math.max(1, answers);
   }
 
@@ -793,7 +925,8 @@
   }
 
   private void lookRound() {
-    wakeAfter(LOOK_ROUND, this::lookRound); // first, so that a failure in one round does not end them all
+    wakeAfter(
+        LOOK_ROUND, this::lookRound); // first, so that a failure in one round does not end them all
     Duration now = host.now();
     if (now.minus(coverageMoved).compareTo(COVERAGE_PACE) >= 0) {
       coverageMoved = now;
@@ -806,13 +939,17 @@
     }
     active.removeIf(searcher -> searcher.quiet(now));
     // a benched searcher bears nothing: its time is not time of a warm one
-    warmTime.add(now, LOOK_ROUND.toNanos()
-        * roster.all().stream().filter(each -> trusted(each) && !cold(each, now)).count());
+    warmTime.add(
+        now,
+        LOOK_ROUND.toNanos()
+            * roster.all().stream().filter(each -> trusted(each) && !cold(each, now)).count());
     // a copy, since a bench may send copies to searchers that were not active
     for (Searcher searcher : List.copyOf(active)) {
       judge(searcher, now);
       copyLate(searcher, now);
-      if (searcher.benchedUntil != null && searcher.benchedUntil.compareTo(now) <= 0 && !searcher.probing
+      if (searcher.benchedUntil != null
+          && searcher.benchedUntil.compareTo(now) <= 0
+          && !searcher.probing
           && host.asksItself(searcher.id)) {
         if (terms.flag("PolicyLimits.Probing") && searcher.ready()) {
           searcher.probing = true;
@@ -838,7 +975,9 @@
     }
   }
 
-  /** Another mixer had an answer of it: this one may ask it too, and goes by its own answer alone. */
+  /**
+   * Another mixer had an answer of it: this one may ask it too, and goes by its own answer alone.
+   */
   public void othersHeard(SearcherId id) {
     Searcher searcher = roster.get(id);
     if (searcher != null && searcher.benchedUntil != null) {
@@ -846,14 +985,19 @@
     }
   }
 
-  /** Re-entry: one part at a time, until a few have been answered, and judged by new evidence alone. */
+  /**
+   * Re-entry: one part at a time, until a few have been answered, and judged by new evidence alone.
+   */
   private void tryAgain(Searcher searcher) {
     searcher.benchedUntil = null;
     searcher.forget();
     searcher.trialsLeft = TRIALS;
   }
 
-  /** Judges a searcher by this mixer's own evidence: silence or errors. Slowness the gate on stays meets. */
+  /**
+   * Judges a searcher by this mixer's own evidence: silence or errors. Slowness the gate on stays
+   * meets.
+   */
   private void judge(Searcher searcher, Duration now) {
     if (searcher.benchedUntil != null || !searcher.ready()) {
       return;
@@ -862,11 +1006,13 @@
     double errors = searcher.errors.sum(now, RECENT);
     double ended = errors + searcher.answers.sum(now, RECENT);
     boolean doubted = host.doubt(searcher.id) >= DOUBT;
-    // what others are late by as well is no silence, also where too few answers came lately to tell their gap
+    // what others are late by as well is no silence, also where too few answers came lately to tell
+    // their gap
     double usual = Math.max(LATE_STAYS * usualStay(now), SILENCE_PACES * usualGap);
     double silence = Math.max(SILENCE.toNanos(), usual) * (doubted ? DOUBTED_SHARE : 1);
     searcher.noteBusy(now);
-    // only time with own parts out counts, and only from the last word on: a busy searcher still answers
+    // only time with own parts out counts, and only from the last word on: a busy searcher still
+    // answers
     // now and then; and a cold one takes its time
     if (searcher.unheard.toNanos() > silence / warmth(searcher, now)) {
       bench(searcher, "silent");
@@ -877,7 +1023,8 @@
 
   private void bench(Searcher searcher, String why) {
     Duration now = host.now();
-    boolean again = searcher.benchSpan != null && (searcher.benchedUntil != null || searcher.trialsLeft > 0);
+    boolean again =
+        searcher.benchSpan != null && (searcher.benchedUntil != null || searcher.trialsLeft > 0);
     searcher.benchSpan = again ? min(BENCH_MOST, searcher.benchSpan.multipliedBy(2)) : BENCH_LEAST;
     searcher.benchedUntil = now.plus(searcher.benchSpan);
     searcher.trialsLeft = 0;
@@ -886,11 +1033,12 @@
   }
 
   /**
-   * A part out for far longer than parts usually stay gets a copy elsewhere, as late as that can well be in
-   * time or can still earn, since most late parts come by themselves; in scans of two steps sooner, by half
-   * of its step's time, as both steps hang on it. Guards against whatever keeps a single answer away, when a
-   * mixer sends each searcher too little to judge it: lost answers, hung, silent, slow or pausing searchers,
-   * such as fail one grade alone, cut ways. It may feed a jam, hence the ration.
+   * A part out for far longer than parts usually stay gets a copy elsewhere, as late as that can
+   * well be in time or can still earn, since most late parts come by themselves; in scans of two
+   * steps sooner, by half of its step's time, as both steps hang on it. Guards against whatever
+   * keeps a single answer away, when a mixer sends each searcher too little to judge it: lost
+   * answers, hung, silent, slow or pausing searchers, such as fail one grade alone, cut ways. It
+   * may feed a jam, hence the ration.
    */
   private void copyLate(Searcher searcher, Duration now) {
     double stay = usualStay(now);
@@ -900,7 +1048,8 @@
       Scan scan = part.scan;
       boolean twoSteps = scan.grade.fetch > 0;
       double half = scan.due.minus(trip.sent).toNanos() / 2.0;
-      double late = stay == 0 ? half : Math.min(twoSteps ? half : Long.MAX_VALUE, LATE_STAYS * stay);
+      double late =
+          stay == 0 ? half : Math.min(twoSteps ? half : Long.MAX_VALUE, LATE_STAYS * stay);
       Duration by = now.compareTo(scan.due) < 0 || scan.grade.lateShare == 0 ? scan.due : scan.end;
       double out = now.minus(trip.sent).toNanos();
       double left = by.minus(now).toNanos();
@@ -909,7 +1058,8 @@
       }
       if (copies && (twoSteps || stay == 0 || left <= LATE_STAYS * stay + LOOK_ROUND.toNanos())) {
         sendAgain(part, now);
-      } else if (!copies && left <= stay / STAY_SHARE + LOOK_ROUND.toNanos()
+      } else if (!copies
+          && left <= stay / STAY_SHARE + LOOK_ROUND.toNanos()
           && searcher.unheard.toNanos() >= out) {
         move(part, now);
       }
@@ -917,14 +1067,18 @@
   }
 
   /**
-   * Where no second trip may fly beside the first, a late one is recalled and its part sent elsewhere when
-   * its end is told: as late as the gate is likely to let another go, and only from a searcher that has given
-   * no word since, as what answers others will come to this one too. Guards against all that copies do, lost
-   * answers of a busy searcher left aside. It throws away a trip that may still come, and feeds a jam, hence
-   * the ration; trips that the ration or the holders would not let follow are left alone.
+   * Where no second trip may fly beside the first, a late one is recalled and its part sent
+   * elsewhere when its end is told: as late as the gate is likely to let another go, and only from
+   * a searcher that has given no word since, as what answers others will come to this one too.
+   * Guards against all that copies do, lost answers of a busy searcher left aside. It throws away a
+   * trip that may still come, and feeds a jam, hence the ration; trips that the ration or the
+   * holders would not let follow are left alone.
    */
   private void move(Part part, Duration now) {
-    if (terms.flag("PolicyLimits.Cancel") && !part.moving && mayFollow(part, now) && withinRation(now)
+    if (terms.flag("PolicyLimits.Cancel")
+        && !part.moving
+        && mayFollow(part, now)
+        && withinRation(now)
         && plan(part, now)) {
       part.moving = true;
       moving++;
@@ -936,24 +1090,32 @@
   /** The roster has been told: all of it, or what changed. */
   public void rosterTold(List<Listing> lines, boolean all) {
     Duration now = arriving();
-    // a searcher that has gone, or has started anew, is judged anew; what was out there will be late
-    for (Searcher searcher : roster.told(lines, all, each -> each.spent(now) && !cold(each, now),
-        id -> new Searcher(id, HEALTH_MEMORY, HEALTH_BUCKETS, tipAfter, BUCKETS))) {
+    // a searcher that has gone, or has started anew, is judged anew; what was out there will be
+    // late
+    for (Searcher searcher :
+        roster.told(
+            lines,
+            all,
+            each -> each.spent(now) && !cold(each, now),
+            id -> new Searcher(id, HEALTH_MEMORY, HEALTH_BUCKETS, tipAfter, BUCKETS))) {
       searcher.benchedUntil = null;
       searcher.forget();
     }
   }
 
   /**
-   * A call for the roster failed, or the subscription broke: ask again soon, not all mixers at one moment.
+   * A call for the roster failed, or the subscription broke: ask again soon, not all mixers at one
+   * moment.
    */
   public void rosterFailed() {
     if (!rosterRetry) {
       rosterRetry = true;
-      wakeAfter(ROSTER_RETRY.plusNanos(chance.nextLong(ROSTER_RETRY.toNanos())), () -> {
-        rosterRetry = false;
-        host.watchRoster(true);
-      });
+      wakeAfter(
+          ROSTER_RETRY.plusNanos(chance.nextLong(ROSTER_RETRY.toNanos())),
+          () -> {
+            rosterRetry = false;
+            host.watchRoster(true);
+          });
     }
   }
 
