--- a/mixer/src/main/java/gingerring/decide/Outcome.java
+++ b/mixer/src/main/java/gingerring/decide/Outcome.java
@@ -2,8 +2,14 @@
 
 /** How a trip or a probe ended, and whether that proves that the work never ran. */
 public enum Outcome {
-  SUCCEEDED(false), ERROR(false), FULL(true), TIMED_OUT(false), UNREACHABLE(true), BROKEN(false),
-  CALLED_OFF(false), NOT_SENT(true);
+  SUCCEEDED(false),
+  ERROR(false),
+  FULL(true),
+  TIMED_OUT(false),
+  UNREACHABLE(true),
+  BROKEN(false),
+  CALLED_OFF(false),
+  NOT_SENT(true);
 
   public final boolean neverRan;
 
--- a/mixer/src/main/java/gingerring/decide/Part.java
+++ b/mixer/src/main/java/gingerring/decide/Part.java
@@ -14,13 +14,21 @@
   public Scan scan;
   public final List<Trip> trips = new ArrayList<>();
   public boolean in;
-  /** Its step has been answered, or the host told the end of its patience: nothing may be sent for it. */
+
+  /**
+   * Its step has been answered, or the host told the end of its patience: nothing may be sent for
+   * it.
+   */
   public boolean over;
+
   /** Its trip out was recalled for another to follow. */
   public boolean moving;
+
   public Searcher planned;
+
   /** How many trusted searchers hold its shard. */
   public int choices;
+
   private double luck = -1;
 
   public Part(PartId id, int shard, double weight, long key) {
@@ -30,7 +38,9 @@
     this.key = key;
   }
 
-  /** One draw for all searchers and moments, so that trying them again does not make it likelier. */
+  /**
+   * One draw for all searchers and moments, so that trying them again does not make it likelier.
+   */
   public double luck(RandomGenerator chance) {
     luck = luck < 0 ? chance.nextDouble() : luck;
     return luck;
--- a/mixer/src/main/java/gingerring/decide/Roster.java
+++ b/mixer/src/main/java/gingerring/decide/Roster.java
@@ -43,26 +43,39 @@
   }
 
   /**
-   * Takes in a whole list or a change to it; returns those that have gone or have started anew. Those spent
-   * are forgotten first: a mixer outlives thousands of searchers.
+   * Takes in a whole list or a change to it; returns those that have gone or have started anew.
+   * Those spent are forgotten first: a mixer outlives thousands of searchers.
    */
-  public List<Searcher> told(List<Listing> lines, boolean all, Predicate<Searcher> spent,
+  public List<Searcher> told(
+      List<Listing> lines,
+      boolean all,
+      Predicate<Searcher> spent,
       Function<SearcherId, Searcher> newcomer) {
     searchers.values().removeIf(spent);
     Map<SearcherId, Listing> told = new TreeMap<>();
     for (Searcher searcher : searchers.values()) {
       if (all) {
         Listing old = searcher.listing;
-        told.put(searcher.id, new Listing(searcher.id, old.zone(), old.machine(), old.cell(),
-            Listing.Standing.GONE, old.size(), old.startedAt()));
+        told.put(
+            searcher.id,
+            new Listing(
+                searcher.id,
+                old.zone(),
+                old.machine(),
+                old.cell(),
+                Listing.Standing.GONE,
+                old.size(),
+                old.startedAt()));
       }
     }
     lines.forEach(line -> told.put(line.searcher(), line));
     List<Searcher> lost = new ArrayList<>();
     for (Listing line : told.values()) {
       Searcher searcher = searchers.computeIfAbsent(line.searcher(), newcomer);
-      boolean restarted = searcher.listing != null && line.startedAt() != null
-          && !line.startedAt().equals(searcher.startedAt);
+      boolean restarted =
+          searcher.listing != null
+              && line.startedAt() != null
+              && !line.startedAt().equals(searcher.startedAt);
       searcher.listing = line;
       searcher.startedAt = line.startedAt() != null ? line.startedAt() : searcher.startedAt;
       if (restarted || line.standing() == Listing.Standing.GONE) {
--- a/mixer/src/main/java/gingerring/decide/Scan.java
+++ b/mixer/src/main/java/gingerring/decide/Scan.java
@@ -11,20 +11,28 @@
   public final Grade grade;
   public final long key;
   public final Duration work;
+
   /** When its client gives this try up. */
   public final Duration end;
+
   public final List<Part> parts = new ArrayList<>();
+
   /** By when its client is to have its answer. */
   public Duration quoted;
+
   /** The same for a client that waits so long. */
   public Duration fullQuoted;
+
   /** By when the step in hand is to be answered. */
   public Duration due;
+
   /** The first step has been answered from, and its parts are {@code firstParts}. */
   public boolean secondStep;
+
   public int firstParts;
   public boolean wholeSoFar = true;
   public boolean closed;
+
   /** The share of its parts that may take a turn at a cold searcher. */
   public double coldShare;
 
--- a/mixer/src/main/java/gingerring/decide/Searcher.java
+++ b/mixer/src/main/java/gingerring/decide/Searcher.java
@@ -10,31 +10,42 @@
   public final SearcherId id;
   public Listing listing;
   public Duration startedAt;
+
   /** Own trips out, oldest first, and the calls that they share. */
   public final Set<Trip> out = new LinkedHashSet<>();
+
   public int callsOut;
   public Trip.Call call;
+
   /** When it was last sent a part, or from when its first turn counts while it is cold. */
   public Duration lastSent;
+
   /** The start that its turns go by. */
   public Duration turnsSince;
+
   public int plannedParts;
   public Duration busySince;
+
   /** Time with own parts out since the last word from it. */
   public Duration unheard = Duration.ZERO;
+
   /** Time with own parts out, and the same times their number. */
   public final TimeRing busy;
+
   public final TimeRing held;
   public final TimeRing answers;
   public final TimeRing errors;
   public final TimeRing sends;
+
   /** Null while it is trusted; else when it may next be tried. */
   public Duration benchedUntil;
+
   public Duration benchSpan;
   public boolean probing;
   public int trialsLeft;
 
-  public Searcher(SearcherId id, Duration window, int buckets, Duration coldWindow, int coldBuckets) {
+  public Searcher(
+      SearcherId id, Duration window, int buckets, Duration coldWindow, int coldBuckets) {
     this.id = id;
     busy = new TimeRing(window, buckets);
     held = new TimeRing(window, buckets);
@@ -49,7 +60,10 @@
 
   /** Nothing of it is out, recent or benched. */
   public boolean quiet(Duration now) {
-    return out.isEmpty() && benchedUntil == null && busy.sum(now) == 0 && answers.sum(now) == 0
+    return out.isEmpty()
+        && benchedUntil == null
+        && busy.sum(now) == 0
+        && answers.sum(now) == 0
         && errors.sum(now) == 0;
   }
 
--- a/mixer/src/main/java/gingerring/decide/Terms.java
+++ b/mixer/src/main/java/gingerring/decide/Terms.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 
 /**
- * Reads the values handed over at start; what is needed and missing or unreadable is named. Numbers are read
- * once, since scans ask for them over and over.
+ * Reads the values handed over at start; what is needed and missing or unreadable is named. Numbers
+ * are read once, since scans ask for them over and over.
  */
 public final class Terms {
   private final Map<String, String> map;
--- a/mixer/src/main/java/gingerring/decide/TimeRing.java
+++ b/mixer/src/main/java/gingerring/decide/TimeRing.java
@@ -4,8 +4,8 @@
 import java.util.Arrays;
 
 /**
- * Sums over the recent past, in fixed buckets of time that are used again in a ring. Amounts are whole
- * numbers, so that the running total stays exact.
+ * Sums over the recent past, in fixed buckets of time that are used again in a ring. Amounts are
+ * whole numbers, so that the running total stays exact.
  */
 public final class TimeRing {
   private final long span;
--- a/mixer/src/main/java/gingerring/discovery/Members.java
+++ b/mixer/src/main/java/gingerring/discovery/Members.java
@@ -11,17 +11,28 @@
 import java.util.Map;
 
 /**
- * A list of searchers, whole or only what changed, in discovery's form. One that holds a member that cannot
- * be is refused whole. Of a member that is named twice the last entry counts, as if it had changed in
- * between.
+ * A list of searchers, whole or only what changed, in discovery's form. One that holds a member
+ * that cannot be is refused whole. Of a member that is named twice the last entry counts, as if it
+ * had changed in between.
  */
 public record Members(long revision, boolean complete, List<Member> members) {
-  /** {@code upSinceMs} is Unix time, 0 for long ago; {@code address} is null where one is gone without. */
-  public record Member(String id, InetSocketAddress address, String locality, String flavor, int cell,
-      Standing standing, float size, double upSinceMs) {}
+  /**
+   * {@code upSinceMs} is Unix time, 0 for long ago; {@code address} is null where one is gone
+   * without.
+   */
+  public record Member(
+      String id,
+      InetSocketAddress address,
+      String locality,
+      String flavor,
+      int cell,
+      Standing standing,
+      float size,
+      double upSinceMs) {}
 
   private static final int CELL_MOST = 1 << 20;
   private static final int PORT_MOST = 65535;
+
   /** Times up to then count exactly in nanoseconds from any other. */
   private static final double UP_SINCE_MOST_MS = 9e12;
 
@@ -32,28 +43,35 @@
       Member member = member(Fields.object(each, "a member"));
       members.put(member.id(), member);
     }
-    return new Members(Fields.whole(list, "revision"), Fields.flag(list, "complete"),
+    return new Members(
+        Fields.whole(list, "revision"),
+        Fields.flag(list, "complete"),
         List.copyOf(members.values()));
   }
 
   private static Member member(Map<String, Object> from) throws Json.Malformed {
     String id = Fields.text(from, "id");
-    Standing standing = switch (Fields.text(from, "phase")) {
-      case "SERVING" -> Standing.READY;
-      case "DRAINING" -> Standing.DRAINING;
-      case "DELETED" -> Standing.GONE;
-      default -> throw new Json.Malformed("phase is unknown");
-    };
+    Standing standing =
+        switch (Fields.text(from, "phase")) {
+          case "SERVING" -> Standing.READY;
+          case "DRAINING" -> Standing.DRAINING;
+          case "DELETED" -> Standing.GONE;
+          default -> throw new Json.Malformed("phase is unknown");
+        };
     if (id.isEmpty()) {
       throw new Json.Malformed("id is empty");
     }
     if (standing == Standing.GONE) {
-      return new Member(id, null, "", "", 0, standing, 1, 0); // whatever else it says, nobody calls it
+      return new Member(
+          id, null, "", "", 0, standing, 1, 0); // whatever else it says, nobody calls it
     }
     long cell = Fields.whole(from, "cell");
     float size = (float) Fields.number(from, "size");
     double upSinceMs = Fields.number(from, "up_since_ms");
-    if (cell > CELL_MOST || !(size > 0) || Float.isInfinite(size) || upSinceMs < 0
+    if (cell > CELL_MOST
+        || !(size > 0)
+        || Float.isInfinite(size)
+        || upSinceMs < 0
         || upSinceMs > UP_SINCE_MOST_MS) {
       throw new Json.Malformed("cell, size or up_since_ms cannot be");
     }
@@ -61,8 +79,15 @@
     if (address.getPort() == 0) {
       throw new Json.Malformed("nobody listens at port 0");
     }
-    return new Member(id, address, Fields.text(from, "locality"),
-        Fields.text(from, "flavor"), (int) cell, standing, size, upSinceMs);
+    return new Member(
+        id,
+        address,
+        Fields.text(from, "locality"),
+        Fields.text(from, "flavor"),
+        (int) cell,
+        standing,
+        size,
+        upSinceMs);
   }
 
   /** An address in figures; names are not looked up. */
--- a/mixer/src/main/java/gingerring/drill/Drill.java
+++ b/mixer/src/main/java/gingerring/drill/Drill.java
@@ -49,7 +49,8 @@
       return false;
     }
     if (head.length < HEADER) {
-      throw new Malformed("input ended after " + head.length + " of " + HEADER + " bytes of a header");
+      throw new Malformed(
+          "input ended after " + head.length + " of " + HEADER + " bytes of a header");
     }
     ByteBuffer header = ByteBuffer.wrap(head).order(ByteOrder.LITTLE_ENDIAN);
     int number = header.getInt();
@@ -65,7 +66,8 @@
     }
     byte[] body = read(length - (HEADER - 8), where);
     if (count > body.length / Records.HEAD) {
-      throw new Malformed(where + ": " + count + " records do not fit in " + body.length + " bytes");
+      throw new Malformed(
+          where + ": " + count + " records do not fit in " + body.length + " bytes");
     }
     replies.begin(number);
     Records records = new Records(body, where);
@@ -111,7 +113,8 @@
     while (body.size() < length) {
       byte[] chunk = in.readNBytes((int) Math.min(CHUNK, length - body.size()));
       if (chunk.length == 0) {
-        throw new Malformed(where + ": input ended after " + body.size() + " of " + length + " bytes");
+        throw new Malformed(
+            where + ": input ended after " + body.size() + " of " + length + " bytes");
       }
       body.write(chunk);
     }
--- a/mixer/src/main/java/gingerring/drill/Records.java
+++ b/mixer/src/main/java/gingerring/drill/Records.java
@@ -24,14 +24,22 @@
   static final int ROSTER = 10;
   static final int AT = 11;
   static final int HEAD = 5;
+
   /** The largest time that still counts exactly in nanoseconds. */
   static final double MOST_MS = 9e12;
+
   private static final int ENTRY = 23;
 
   /** A numbered list of searchers; times of start are on the batches' clock, 0 for long ago. */
   record Page(List<Line> lines) {}
 
-  record Line(SearcherId searcher, int zone, int machine, int cell, Listing.Standing standing, float size,
+  record Line(
+      SearcherId searcher,
+      int zone,
+      int machine,
+      int cell,
+      Listing.Standing standing,
+      float size,
       double startedMs) {}
 
   private final ByteBuffer bytes;
@@ -60,7 +68,8 @@
     code = Byte.toUnsignedInt(bytes.get());
     long length = Integer.toUnsignedLong(bytes.getInt());
     if (length > bytes.remaining()) {
-      throw new Drill.Malformed(where() + ": " + length + " bytes claimed, " + bytes.remaining() + " left");
+      throw new Drill.Malformed(
+          where() + ": " + length + " bytes claimed, " + bytes.remaining() + " left");
     }
     end = bytes.position() + (int) length;
   }
@@ -157,8 +166,8 @@
 
   byte[] rest(long length) throws Drill.Malformed {
     if (length > end - bytes.position()) {
-      throw new Drill.Malformed(where() + ": " + length + " bytes claimed, "
-          + (end - bytes.position()) + " left");
+      throw new Drill.Malformed(
+          where() + ": " + length + " bytes claimed, " + (end - bytes.position()) + " left");
     }
     byte[] rest = new byte[(int) length];
     bytes.get(rest);
@@ -172,8 +181,8 @@
   Page page() throws Drill.Malformed {
     long n = u32();
     if (n > (end - bytes.position()) / ENTRY) {
-      throw new Drill.Malformed(where() + ": " + n + " lines do not fit in "
-          + (end - bytes.position()) + " bytes");
+      throw new Drill.Malformed(
+          where() + ": " + n + " lines do not fit in " + (end - bytes.position()) + " bytes");
     }
     List<Line> lines = new ArrayList<>();
     for (long i = 0; i < n; i++) {
--- a/mixer/src/main/java/gingerring/front/Asks.java
+++ b/mixer/src/main/java/gingerring/front/Asks.java
@@ -25,6 +25,7 @@
   private static final Pattern MILLIS = Pattern.compile("[0-9]{1,9}");
   private static final Pattern ROUTE = Pattern.compile("[0-9a-fA-F]{16}");
   private static final long MICROS_MOST = 86_400_000_000L;
+
   /** How far from 1 shares may sum up for their rounding. An answer is whole by their sum. */
   private static final double ROUNDING = 0.01;
 
@@ -44,7 +45,8 @@
 
   Ask read(Head head, byte[] body) throws Malformed {
     String mark = mark(head, "X-Txn");
-    Integer grade = lanes.get(String.valueOf(head.header("X-Lane")).replace(' ', '_').replace(',', '_'));
+    Integer grade =
+        lanes.get(String.valueOf(head.header("X-Lane")).replace(' ', '_').replace(',', '_'));
     if (grade == null) {
       throw new Malformed(400, "no known X-Lane");
     }
@@ -55,15 +57,23 @@
     String key = numbered.get(grade) ? mark(head, "Idempotency-Key") : null;
     try {
       Map<String, Object> object = Fields.object(Json.read(body), "the body");
-      return new Ask(mark, grade, "1".equals(head.header("X-Resent")), key,
-          patience(grade, Long.parseLong(remaining)), pieces(Fields.list(object, "targets")),
+      return new Ask(
+          mark,
+          grade,
+          "1".equals(head.header("X-Resent")),
+          key,
+          patience(grade, Long.parseLong(remaining)),
+          pieces(Fields.list(object, "targets")),
           bytes(Fields.text(object, "query")));
     } catch (Json.Malformed e) {
       throw new Malformed(400, e.getMessage());
     }
   }
 
-  /** No client of a grade waits longer than the settings say. Guards against a figure that keeps it here. */
+  /**
+   * No client of a grade waits longer than the settings say. Guards against a figure that keeps it
+   * here.
+   */
   private Duration patience(int grade, long millis) {
     Duration most = patience.get(grade);
     return Duration.ofMillis(millis).compareTo(most) < 0 ? Duration.ofMillis(millis) : most;
@@ -79,10 +89,15 @@
     }
   }
 
-  /** A mark goes into the searchers' frames as it is, so nothing that frames are cut by may stand in it. */
+  /**
+   * A mark goes into the searchers' frames as it is, so nothing that frames are cut by may stand in
+   * it.
+   */
   private static String mark(Head head, String name) throws Malformed {
     String mark = head.header(name);
-    if (mark == null || mark.isEmpty() || mark.length() > MARK_MOST
+    if (mark == null
+        || mark.isEmpty()
+        || mark.length() > MARK_MOST
         || !mark.chars().allMatch(c -> c > ' ' && c < 127 && c != ',')) {
       throw new Malformed(400, "no " + name);
     }
@@ -105,8 +120,12 @@
       }
       sum += share;
       long micros = target.containsKey("est_us") ? Fields.whole(target, "est_us") : 0;
-      pieces.add(new Ask.Piece((int) shard, share, Duration.ofNanos(Math.min(micros, MICROS_MOST) * 1000),
-          target.containsKey("route") ? route(Fields.text(target, "route")) : 0));
+      pieces.add(
+          new Ask.Piece(
+              (int) shard,
+              share,
+              Duration.ofNanos(Math.min(micros, MICROS_MOST) * 1000),
+              target.containsKey("route") ? route(Fields.text(target, "route")) : 0));
     }
     if (Math.abs(sum - 1) > ROUNDING) {
       throw new Json.Malformed("the shares do not sum to 1");
--- a/mixer/src/main/java/gingerring/front/Client.java
+++ b/mixer/src/main/java/gingerring/front/Client.java
@@ -12,7 +12,10 @@
 import java.util.Comparator;
 import java.util.Map;
 
-/** One client's connection: a request at a time, the next left in the ring until the answer has been put. */
+/**
+ * One client's connection: a request at a time, the next left in the ring until the answer has been
+ * put.
+ */
 final class Client implements Party, Reply {
   private final Front front;
   private final Connection connection;
@@ -22,14 +25,19 @@
   private Head head;
   private Duration since;
   private Duration idleSince;
+
   /** A scan of this client is in hand. */
   private boolean waiting;
+
   /** The answer to the request in hand is the last on this connection. */
   private boolean last;
+
   /** The last answer has been put: what still comes is dropped until the client has gone. */
   private boolean over;
+
   /** Is being ended for another. */
   private boolean gaveWay;
+
   /** Has had an answer to a whole request. */
   private boolean asked;
 
@@ -38,46 +46,66 @@
     this.crowded = crowded;
     this.connection = connection;
     idleSince = front.now();
-    parser = new HttpParser(true, Front.BODY_MOST, new HttpParser.Sink() {
-      @Override public void head(Head read) {
-        head = read;
-        if (read.says("expect", "100-continue")) {
-          put(HttpWriter.CONTINUE);
-        }
-      }
+    parser =
+        new HttpParser(
+            true,
+            Front.BODY_MOST,
+            new HttpParser.Sink() {
+              @Override
+              public void head(Head read) {
+                head = read;
+                if (read.says("expect", "100-continue")) {
+                  put(HttpWriter.CONTINUE);
+                }
+              }
 
-      @Override public void body(byte[] bytes, int length) throws Malformed {
-        front.holdBody(length);
-        body.write(bytes, 0, length);
-      }
+              @Override
+              public void body(byte[] bytes, int length) throws Malformed {
+                front.holdBody(length);
+                body.write(bytes, 0, length);
+              }
 
-      @Override public void end() throws Malformed {
-        asked();
-      }
-    });
+              @Override
+              public void end() throws Malformed {
+                asked();
+              }
+            });
   }
 
   /** Between requests, with nothing read of the next. */
   boolean idle() {
-    return !waiting && !over && !gaveWay && !parser.midway() && connection.in.size() == 0
+    return !waiting
+        && !over
+        && !gaveWay
+        && !parser.midway()
+        && connection.in.size() == 0
         && connection.out.size() == 0;
   }
 
   /** A request has begun to come, and is not there after longer than whole ones take. */
   private boolean half() {
-    return !waiting && !over && !gaveWay && since != null && parser.midway()
+    return !waiting
+        && !over
+        && !gaveWay
+        && since != null
+        && parser.midway()
         && front.now().minus(since).compareTo(Front.SWEEP) > 0;
   }
 
-  /** Whether it may be ended where room is wanted: idle, its last answer gone, or with half a request come. */
+  /**
+   * Whether it may be ended where room is wanted: idle, its last answer gone, or with half a
+   * request come.
+   */
   boolean spare() {
     return over ? connection.unsentFree() && !gaveWay : idle() || half();
   }
 
   /** Those that are spare, in the order in which they are ended. */
-  static final Comparator<Client> SPARE_FIRST = Comparator.<Client, Boolean>comparing(client -> !client.over)
-      .thenComparing(Client::half).thenComparing(client -> client.asked)
-      .thenComparing(client -> client.since != null ? client.since : client.idleSince);
+  static final Comparator<Client> SPARE_FIRST =
+      Comparator.<Client, Boolean>comparing(client -> !client.over)
+          .thenComparing(Client::half)
+          .thenComparing(client -> client.asked)
+          .thenComparing(client -> client.since != null ? client.since : client.idleSince);
 
   /** Ends it for another, unless a request has just come; half a request is refused first. */
   boolean giveWay() {
@@ -119,9 +147,11 @@
     }
   }
 
-  @Override public void readable() {
+  @Override
+  public void readable() {
     try {
-      // the next request waits until the last answer has left: a slow reader holds up no one but itself
+      // the next request waits until the last answer has left: a slow reader holds up no one but
+      // itself
       while (!waiting && !over && connection.out.size() == 0 && connection.in.size() > 0) {
         if (since == null) {
           since = connection.heard();
@@ -132,7 +162,8 @@
       refuse(e.status);
     }
     if (waiting && connection.crowded()) {
-      // much came behind the request in hand: unread, it would hide that the client goes. Where the next
+      // much came behind the request in hand: unread, it would hide that the client goes. Where the
+      // next
       // request begins is lost by it, so that the answer will be the last
       front.counts().add("clients that sent too much", 1);
       last = true;
@@ -152,8 +183,8 @@
   }
 
   /**
-   * The process ends now: nothing more is read, and whatever has come of a request is refused, which promises
-   * that nothing was sent on.
+   * The process ends now: nothing more is read, and whatever has come of a request is refused,
+   * which promises that nothing was sent on.
    */
   void endNow() {
     if (waiting || over || leave()) {
@@ -169,7 +200,8 @@
     }
   }
 
-  @Override public void drained() {
+  @Override
+  public void drained() {
     readable();
   }
 
@@ -181,8 +213,8 @@
     int query = head.second().indexOf('?');
     String path = query < 0 ? head.second() : head.second().substring(0, query);
     switch (path) {
-      case "/ready" -> respond(!head.first().equals("GET") ? 405 : front.ready() ? 200 : 503, "",
-          new byte[0]);
+      case "/ready" ->
+          respond(!head.first().equals("GET") ? 405 : front.ready() ? 200 : 503, "", new byte[0]);
       case "/api" -> {
         if (!head.first().equals("POST")) {
           respond(405, "", new byte[0]);
@@ -217,13 +249,15 @@
     }
   }
 
-  @Override public void answer(boolean whole, Map<Integer, byte[]> values) {
+  @Override
+  public void answer(boolean whole, Map<Integer, byte[]> values) {
     ByteArrayOutputStream json = new ByteArrayOutputStream();
     json.writeBytes(("{\"whole\":" + whole + ",\"results\":[").getBytes(StandardCharsets.US_ASCII));
     boolean first = true;
     for (Map.Entry<Integer, byte[]> value : values.entrySet()) {
-      json.writeBytes(((first ? "" : ",") + "{\"partition\":" + value.getKey() + ",\"value\":\"")
-          .getBytes(StandardCharsets.US_ASCII));
+      json.writeBytes(
+          ((first ? "" : ",") + "{\"partition\":" + value.getKey() + ",\"value\":\"")
+              .getBytes(StandardCharsets.US_ASCII));
       escape(value.getValue(), json);
       json.writeBytes("\"}".getBytes(StandardCharsets.US_ASCII));
       first = false;
@@ -245,12 +279,16 @@
     }
   }
 
-  @Override public void nack(Duration comeBack) {
-    respond(503, comeBack.isZero() ? "" : "Retry-After: " + comeBack.toMillis() / 1000.0 + "\r\n",
+  @Override
+  public void nack(Duration comeBack) {
+    respond(
+        503,
+        comeBack.isZero() ? "" : "Retry-After: " + comeBack.toMillis() / 1000.0 + "\r\n",
         new byte[0]);
   }
 
-  @Override public void scrap() {
+  @Override
+  public void scrap() {
     respond(500, "", new byte[0]);
   }
 
@@ -286,7 +324,8 @@
     return idle() && connection.closeIfUnread();
   }
 
-  @Override public void closed() {
+  @Override
+  public void closed() {
     front.gone(this, gaveWay);
     front.dropBody(body.size());
     body = new ByteArrayOutputStream();
--- a/mixer/src/main/java/gingerring/front/Front.java
+++ b/mixer/src/main/java/gingerring/front/Front.java
@@ -19,8 +19,13 @@
 public final class Front {
   static final int BODY_MOST = 64 * 1024;
   private static final int OUT_MOST = 1 << 20;
-  /** How long a request may take to come, and an answer to leave; and how long a client may say nothing. */
+
+  /**
+   * How long a request may take to come, and an answer to leave; and how long a client may say
+   * nothing.
+   */
   static final Duration COMING = Duration.ofSeconds(2);
+
   static final Duration LEAVING = Duration.ofSeconds(10);
   static final Duration IDLE = Duration.ofSeconds(60);
   static final Duration SWEEP = Duration.ofMillis(250);
@@ -35,16 +40,24 @@
   private final int connectionsMost;
   private int bodies;
   private boolean ended;
+
   /** Connections being ended for others. */
   private int givingWay;
+
   private final Set<Client> clients = new LinkedHashSet<>();
 
   /**
-   * {@code again} runs a task in the next turn; the network is to hold so many connections at one time, those
-   * dialled too.
+   * {@code again} runs a task in the next turn; the network is to hold so many connections at one
+   * time, those dialled too.
    */
-  public Front(Network network, Intake intake, Terms terms, Counts counts, TurnClock clock,
-      Consumer<Runnable> again, int connectionsMost) {
+  public Front(
+      Network network,
+      Intake intake,
+      Terms terms,
+      Counts counts,
+      TurnClock clock,
+      Consumer<Runnable> again,
+      int connectionsMost) {
     this.network = network;
     this.intake = intake;
     this.counts = counts;
@@ -66,7 +79,8 @@
       connection.close(); // never read: its client may come again
       return;
     }
-    // guards against newcomers of one turn that are sent away while enough others are being ended for them
+    // guards against newcomers of one turn that are sent away while enough others are being ended
+    // for them
     boolean crowded = !shed() && network.full(givingWay);
     Client client = new Client(this, connection, crowded);
     connection.party(client);
@@ -74,10 +88,10 @@
   }
 
   /**
-   * Guards against running out of descriptors, where dials are to find some: first go those that have had
-   * their last answer, then who never asked for anything, then the longest idle, then who began a request and
-   * does not end it: a flood of such holds all room otherwise, until their time is over. Where all are busy
-   * a newcomer's scan is nacked. Returns whether any went.
+   * Guards against running out of descriptors, where dials are to find some: first go those that
+   * have had their last answer, then who never asked for anything, then the longest idle, then who
+   * began a request and does not end it: a flood of such holds all room otherwise, until their time
+   * is over. Where all are busy a newcomer's scan is nacked. Returns whether any went.
    */
   private boolean shed() {
     int shortBy = network.shortBy() - givingWay;
@@ -94,8 +108,9 @@
   }
 
   /**
-   * Ends connections that a request or an answer has been on for too long, or nothing. Guards against clients
-   * that send half a request or none: they are owed an end, and hold descriptors and memory.
+   * Ends connections that a request or an answer has been on for too long, or nothing. Guards
+   * against clients that send half a request or none: they are owed an end, and hold descriptors
+   * and memory.
    */
   private void sweep() {
     List.copyOf(clients).forEach(Client::sweep);
@@ -103,12 +118,17 @@
     clock.wakeAfter(SWEEP, this::sweep);
   }
 
-  /** The end is near: connections between requests are closed, the others end with their answers. */
+  /**
+   * The end is near: connections between requests are closed, the others end with their answers.
+   */
   public void end() {
     List.copyOf(clients).stream().filter(Client::idle).forEach(Client::leave);
   }
 
-  /** The end is here, and no scan is in hand: every connection ends, and no request is read any more. */
+  /**
+   * The end is here, and no scan is in hand: every connection ends, and no request is read any
+   * more.
+   */
   public void endNow() {
     ended = true;
     List.copyOf(clients).forEach(Client::endNow);
--- a/mixer/src/main/java/gingerring/front/Intake.java
+++ b/mixer/src/main/java/gingerring/front/Intake.java
@@ -10,7 +10,10 @@
   /** Whether the end is near, so that every connection is to end with its answer. */
   boolean ending();
 
-  /** Takes a scan whose first byte came at {@code since}; false where one of this mark is already in hand. */
+  /**
+   * Takes a scan whose first byte came at {@code since}; false where one of this mark is already in
+   * hand.
+   */
   boolean take(Ask ask, Duration since, Reply reply);
 
   /** The client of a scan in hand has gone away. */
--- a/mixer/src/main/java/gingerring/http/HttpParser.java
+++ b/mixer/src/main/java/gingerring/http/HttpParser.java
@@ -9,8 +9,8 @@
 import java.util.regex.Pattern;
 
 /**
- * Reads HTTP/1.1 messages (RFC 9112) from a ring, in whatever pieces they come, and stops after each so that
- * the next stays in the ring. One direction a parser: requests, or answers to a GET.
+ * Reads HTTP/1.1 messages (RFC 9112) from a ring, in whatever pieces they come, and stops after
+ * each so that the next stays in the ring. One direction a parser: requests, or answers to a GET.
  */
 public final class HttpParser {
   /** What is read is told here as it comes. */
@@ -29,7 +29,16 @@
   private static final Pattern LENGTH = Pattern.compile("[0-9]{1,18}");
   private static final Pattern CHUNK_SIZE = Pattern.compile("[0-9a-fA-F]{1,8}");
 
-  private enum At { FIRST_LINE, HEADERS, BODY, CHUNK_SIZE, CHUNK, CHUNK_END, TRAILERS, TO_END }
+  private enum At {
+    FIRST_LINE,
+    HEADERS,
+    BODY,
+    CHUNK_SIZE,
+    CHUNK,
+    CHUNK_END,
+    TRAILERS,
+    TO_END
+  }
 
   private final boolean requests;
   private final long bodyMost;
@@ -57,11 +66,13 @@
   /** Reads on to the end of a message, or of the bytes there are; true once a message has ended. */
   public boolean read(ByteRing in) throws Malformed {
     while (in.size() > 0) {
-      boolean ended = switch (at) {
-        case FIRST_LINE, HEADERS, CHUNK_SIZE, TRAILERS, CHUNK_END -> lineRead(in) && lineEnded();
-        case BODY, CHUNK -> piece(in);
-        case TO_END -> rest(in);
-      };
+      boolean ended =
+          switch (at) {
+            case FIRST_LINE, HEADERS, CHUNK_SIZE, TRAILERS, CHUNK_END ->
+                lineRead(in) && lineEnded();
+            case BODY, CHUNK -> piece(in);
+            case TO_END -> rest(in);
+          };
       if (ended) {
         at = At.FIRST_LINE;
         headLength = 0;
@@ -118,8 +129,11 @@
     }
     words = text.split(" ", requests ? -1 : 3);
     String version = words.length < 2 ? "" : words[requests ? words.length - 1 : 0];
-    if (words.length < 2 || requests && words.length != 3 || !VERSION.matcher(version).matches()
-        || words[0].isEmpty() || words[1].isEmpty()) {
+    if (words.length < 2
+        || requests && words.length != 3
+        || !VERSION.matcher(version).matches()
+        || words[0].isEmpty()
+        || words[1].isEmpty()) {
       throw new Malformed(400, "no first line of HTTP/1");
     }
     headers = new LinkedHashMap<>();
@@ -132,7 +146,9 @@
     if (colon < 1 || !token(text, colon)) {
       throw new Malformed(400, "no header line");
     }
-    headers.merge(text.substring(0, colon).toLowerCase(Locale.ROOT), text.substring(colon + 1).strip(),
+    headers.merge(
+        text.substring(0, colon).toLowerCase(Locale.ROOT),
+        text.substring(colon + 1).strip(),
         (one, other) -> one + ", " + other);
     return false;
   }
@@ -140,7 +156,9 @@
   private static boolean token(String text, int length) {
     for (int i = 0; i < length; i++) {
       char c = text.charAt(i);
-      if (!(c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9'
+      if (!(c >= 'a' && c <= 'z'
+          || c >= 'A' && c <= 'Z'
+          || c >= '0' && c <= '9'
           || "!#$%&'*+-.^_`|~".indexOf(c) >= 0)) {
         return false;
       }
@@ -168,7 +186,8 @@
     } else {
       left = 0;
       // 1xx, 204 and 304 have no body (RFC 9112 6.3)
-      boolean bare = requests || words[1].startsWith("1") || words[1].equals("204") || words[1].equals("304");
+      boolean bare =
+          requests || words[1].startsWith("1") || words[1].equals("204") || words[1].equals("304");
       at = bare ? At.BODY : At.TO_END;
     }
     sink.head(head);
--- a/mixer/src/main/java/gingerring/http/HttpWriter.java
+++ b/mixer/src/main/java/gingerring/http/HttpWriter.java
@@ -6,26 +6,58 @@
 
 /** Writes HTTP/1.1 messages whole. */
 public final class HttpWriter {
-  private static final Map<Integer, String> REASONS = Map.of(200, "OK", 400, "Bad Request", 404, "Not Found",
-      405, "Method Not Allowed", 408, "Request Timeout", 413, "Content Too Large",
-      431, "Request Header Fields Too Large",
-      500, "Internal Server Error", 503, "Service Unavailable");
+  private static final Map<Integer, String> REASONS =
+      Map.of(
+          200,
+          "OK",
+          400,
+          "Bad Request",
+          404,
+          "Not Found",
+          405,
+          "Method Not Allowed",
+          408,
+          "Request Timeout",
+          413,
+          "Content Too Large",
+          431,
+          "Request Header Fields Too Large",
+          500,
+          "Internal Server Error",
+          503,
+          "Service Unavailable");
   public static final byte[] CONTINUE = ascii("HTTP/1.1 100 Continue\r\n\r\n");
 
   private HttpWriter() {}
 
   public static byte[] answer(int status, boolean last, String extra, byte[] body) {
     ByteArrayOutputStream out = new ByteArrayOutputStream(body.length + 128);
-    out.writeBytes(ascii("HTTP/1.1 " + status + ' ' + REASONS.getOrDefault(status, "Error") + "\r\n"
-        + (body.length > 0 ? "Content-Type: application/json\r\n" : "")
-        + extra + (last ? "Connection: close\r\n" : "") + "Content-Length: " + body.length + "\r\n\r\n"));
+    out.writeBytes(
+        ascii(
+            "HTTP/1.1 "
+                + status
+                + ' '
+                + REASONS.getOrDefault(status, "Error")
+                + "\r\n"
+                + (body.length > 0 ? "Content-Type: application/json\r\n" : "")
+                + extra
+                + (last ? "Connection: close\r\n" : "")
+                + "Content-Length: "
+                + body.length
+                + "\r\n\r\n"));
     out.writeBytes(body);
     return out.toByteArray();
   }
 
   public static byte[] get(String target, String host, boolean last) {
-    return ascii("GET " + target + " HTTP/1.1\r\nHost: " + host + "\r\n"
-        + (last ? "Connection: close\r\n" : "") + "\r\n");
+    return ascii(
+        "GET "
+            + target
+            + " HTTP/1.1\r\nHost: "
+            + host
+            + "\r\n"
+            + (last ? "Connection: close\r\n" : "")
+            + "\r\n");
   }
 
   private static byte[] ascii(String text) {
--- a/mixer/src/main/java/gingerring/http/Malformed.java
+++ b/mixer/src/main/java/gingerring/http/Malformed.java
@@ -1,6 +1,9 @@
 package gingerring.http;
 
-/** Input that is not HTTP, or more of it than is taken; {@code status} is what its sender is answered. */
+/**
+ * Input that is not HTTP, or more of it than is taken; {@code status} is what its sender is
+ * answered.
+ */
 public final class Malformed extends Exception {
   private static final long serialVersionUID = 1;
   public final int status;
--- a/mixer/src/main/java/gingerring/json/Json.java
+++ b/mixer/src/main/java/gingerring/json/Json.java
@@ -11,7 +11,8 @@
 
 /**
  * Reads JSON (RFC 8259) strictly: one value, UTF-8, no name twice, no deeper than {@link #DEEPEST}.
- * Values come as {@code Map}, {@code List}, {@code String}, {@code Double}, {@code Boolean} and null.
+ * Values come as {@code Map}, {@code List}, {@code String}, {@code Double}, {@code Boolean} and
+ * null.
  */
 public final class Json {
   /** Input that is not JSON. */
@@ -24,7 +25,8 @@
   }
 
   static final int DEEPEST = 16;
-  private static final Pattern NUMBER = Pattern.compile("-?(0|[1-9][0-9]*)(\\.[0-9]+)?([eE][+-]?[0-9]+)?");
+  private static final Pattern NUMBER =
+      Pattern.compile("-?(0|[1-9][0-9]*)(\\.[0-9]+)?([eE][+-]?[0-9]+)?");
 
   private final String text;
   private int at;
--- a/mixer/src/main/java/gingerring/net/ByteRing.java
+++ b/mixer/src/main/java/gingerring/net/ByteRing.java
@@ -3,8 +3,9 @@
 import java.nio.ByteBuffer;
 
 /**
- * Bytes on their way through a connection, in a ring that holds so many at most. One that starts at its full
- * size never moves, so that one thread may put while another takes; a smaller one grows, for one thread.
+ * Bytes on their way through a connection, in a ring that holds so many at most. One that starts at
+ * its full size never moves, so that one thread may put while another takes; a smaller one grows,
+ * for one thread.
  */
 public final class ByteRing {
   private final int most;
--- a/mixer/src/main/java/gingerring/net/Connection.java
+++ b/mixer/src/main/java/gingerring/net/Connection.java
@@ -9,46 +9,68 @@
 import org.apache.mina.core.session.IoSession;
 
 /**
- * One connection as the loop has it: a ring of bytes for each direction, both bounded. The methods marked so
- * are MINA's thread's; all others are the loop's.
+ * One connection as the loop has it: a ring of bytes for each direction, both bounded. The methods
+ * marked so are MINA's thread's; all others are the loop's.
  */
 public final class Connection {
   /** What one read brings at most; reading stops while the ring has no room for that. */
   static final int READ = 4096;
+
   private static final int IN = 2 * READ;
   private static final int OUT_FIRST = 1024;
+
   /** How long a connection's last bytes may take to leave. */
   private static final Duration FLUSH_MOST = Duration.ofSeconds(10);
+
   /** How much is read and dropped before what is read is paced. */
   private static final long DROPPED_AT_ONCE = 1 << 20;
 
   public final ByteRing in = new ByteRing(IN, IN);
   public final ByteRing out;
+
   /** The other side opened it. */
   final boolean came;
+
   private final Network network;
   private Party party;
   private ConnectFuture dialled;
   private volatile IoSession session;
   private boolean opened;
+
   /** This side, as a tap counts them. */
   private int mine;
+
   /** How many bytes MINA has in hand; 0 where it has none. */
   private int writing;
+
   private boolean closing;
   private boolean closed;
+
   /** This side is to be ended by a half-close, once flushed; and has been. */
   private boolean endsOrderly;
+
   private boolean halfClosed;
-  /** Nothing that still comes is wanted: it is read and dropped, as fast as it comes for so many bytes. */
+
+  /**
+   * Nothing that still comes is wanted: it is read and dropped, as fast as it comes for so many
+   * bytes.
+   */
   private volatile boolean dropping;
+
   private long dropped;
+
   /** The other side has ended its own, and all that it sent before has been read. */
   private volatile boolean finRead;
+
   private final AtomicBoolean told = new AtomicBoolean();
   private volatile boolean paused;
-  /** Bytes were read that are not in the ring yet; and nothing more is to be read. Both under this lock. */
+
+  /**
+   * Bytes were read that are not in the ring yet; and nothing more is to be read. Both under this
+   * lock.
+   */
   private boolean unput;
+
   private boolean unheeded;
   private volatile Duration heard = Duration.ZERO;
 
@@ -198,9 +220,9 @@
   }
 
   /**
-   * Reading goes on once there is room again, on MINA's thread. Guards against a resumption that comes
-   * between the two steps of a pause ({@link #received}): it would go unheard, and nothing would ever be
-   * read again.
+   * Reading goes on once there is room again, on MINA's thread. Guards against a resumption that
+   * comes between the two steps of a pause ({@link #received}): it would go unheard, and nothing
+   * would ever be read again.
    */
   public void resume() {
     if (paused && !crowded() && !closed) {
@@ -247,24 +269,28 @@
     }
   }
 
-  /** Nothing that was put waits to leave: what is put now is written at the end of this turn, as one. */
+  /**
+   * Nothing that was put waits to leave: what is put now is written at the end of this turn, as
+   * one.
+   */
   public boolean unsentFree() {
     return out.size() == 0 && writing == 0;
   }
 
   /**
-   * Whether the other side ended the connection by an orderly close, all that it had sent having been read;
-   * not by a reset, and not before this side had ended it at once. Told by the time of {@link Party#closed}.
+   * Whether the other side ended the connection by an orderly close, all that it had sent having
+   * been read; not by a reset, and not before this side had ended it at once. Told by the time of
+   * {@link Party#closed}.
    */
   public boolean endedOrderly() {
     return finRead;
   }
 
   /**
-   * Ends the connection in an orderly way once what was put has left: this side is half-closed, what still
-   * comes is read and dropped, within bounds of bytes and time, until the other side has closed too. Guards
-   * against a close over unread bytes, which resets the connection and takes the last answer with it. The
-   * party is told of no more bytes, and of the end.
+   * Ends the connection in an orderly way once what was put has left: this side is half-closed,
+   * what still comes is read and dropped, within bounds of bytes and time, until the other side has
+   * closed too. Guards against a close over unread bytes, which resets the connection and takes the
+   * last answer with it. The party is told of no more bytes, and of the end.
    */
   public void endAfterFlush() {
     if (!opened || network.within()) {
@@ -287,9 +313,9 @@
   }
 
   /**
-   * Nothing that has come or still comes is wanted: it is read and dropped, at a pace once it is much, and
-   * the party is told of no more bytes. Guards against the end of the other side that is not seen behind
-   * them.
+   * Nothing that has come or still comes is wanted: it is read and dropped, at a pace once it is
+   * much, and the party is told of no more bytes. Guards against the end of the other side that is
+   * not seen behind them.
    */
   public void dropRest() {
     dropping = true;
@@ -304,9 +330,9 @@
   }
 
   /**
-   * Ends the connection at once if nothing has been read from it that its party has not seen; nothing is from
-   * then on. Guards against a request that is read just as its connection is ended for being idle: its client
-   * would take it for lost, while one that was never read is sent again.
+   * Ends the connection at once if nothing has been read from it that its party has not seen;
+   * nothing is from then on. Guards against a request that is read just as its connection is ended
+   * for being idle: its client would take it for lost, while one that was never read is sent again.
    */
   public boolean closeIfUnread() {
     synchronized (this) {
--- a/mixer/src/main/java/gingerring/net/Counts.java
+++ b/mixer/src/main/java/gingerring/net/Counts.java
@@ -25,10 +25,15 @@
     return count == null ? 0 : count.sum();
   }
 
-  @Override public String toString() {
+  @Override
+  public String toString() {
     StringBuilder text = new StringBuilder();
-    counts.forEach((what, many) -> text.append(text.length() == 0 ? "" : ", ").append(what).append(' ')
-        .append(many.sum()));
+    counts.forEach(
+        (what, many) ->
+            text.append(text.length() == 0 ? "" : ", ")
+                .append(what)
+                .append(' ')
+                .append(many.sum()));
     return text.length() == 0 ? "none" : text.toString();
   }
 }
--- a/mixer/src/main/java/gingerring/net/Network.java
+++ b/mixer/src/main/java/gingerring/net/Network.java
@@ -39,58 +39,82 @@
 import org.apache.mina.transport.vmpipe.VmPipeConnector;
 
 /**
- * Apache MINA: one thread reads and writes for those who come in and those we call. Its handlers pass bytes
- * and events on to the loop and do nothing else.
+ * Apache MINA: one thread reads and writes for those who come in and those we call. Its handlers
+ * pass bytes and events on to the loop and do nothing else.
  */
 public final class Network {
   private static final String CONNECTION = "connection";
   private static final int BACKLOG = 512;
   private static final int STACK = 1 << 18;
+
   /** How long a half-closed connection is read from, and how often the ends are looked after. */
   private static final Duration LINGER = Duration.ofMillis(300);
+
   private static final Duration ENDS_EVERY = Duration.ofMillis(50);
+
   /** Of a flood that is dropped, so much is read in each such span. */
   private static final int DROP = 1 << 16;
+
   private static final Duration DROP_EVERY = Duration.ofMillis(10);
+
   /** How long a newcomer waits for room before it is closed. */
   private static final Duration ROOM_WAIT = Duration.ofMillis(10);
+
   /**
-   * Of all connections that there may be: those that are dialled at most, and what is kept free for them; and
-   * what no newcomer gets, for dials that come at once.
+   * Of all connections that there may be: those that are dialled at most, and what is kept free for
+   * them; and what no newcomer gets, for dials that come at once.
    */
   private static final double DIALLED_MOST = 0.75;
+
   private static final double KEPT_FREE = 0.25;
   private static final double SPARE = 1 / 16.0;
 
   final Inbox inbox;
   final Counts counts;
+
   /** Null where nothing is recorded. */
   final Tap tap;
-  private final ExecutorService threads = Executors.newCachedThreadPool(task -> {
-    Thread thread = new Thread(null, task, "mina", STACK);
-    thread.setDaemon(true);
-    return thread;
-  });
+
+  private final ExecutorService threads =
+      Executors.newCachedThreadPool(
+          task -> {
+            Thread thread = new Thread(null, task, "mina", STACK);
+            thread.setDaemon(true);
+            return thread;
+          });
   private final Processor processor = new Processor();
+
   /** Tasks of MINA's connector, until the turn that dials is over. */
   private final Queue<Runnable> dialling = new ConcurrentLinkedQueue<>();
+
   private final IoConnector connector;
   private final boolean within;
   private IoAcceptor acceptor;
+
   /** Held while a connection is accepted: who holds it keeps those that come in the backlog. */
   final Object accepting = new Object();
+
   /** Connections that came in and have not ended. */
   private final AtomicInteger taken = new AtomicInteger();
-  /** Connections of both kinds that there may be at one time; and those dialled that have not ended. */
+
+  /**
+   * Connections of both kinds that there may be at one time; and those dialled that have not ended.
+   */
   private volatile int most = Integer.MAX_VALUE;
+
   private volatile int dialled;
+
   /** Dials for which there was no descriptor, by connection. */
   private final Map<Connection, Runnable> waiting = new LinkedHashMap<>();
-  private Runnable whenShort = () -> { };
+
+  private Runnable whenShort = () -> {};
   private final Set<Connection> dirty = new LinkedHashSet<>();
   private final Set<Connection> all = new LinkedHashSet<>();
 
-  /** {@code within}: without sockets, to addresses that this same network listens at, by MINA's pipes. */
+  /**
+   * {@code within}: without sockets, to addresses that this same network listens at, by MINA's
+   * pipes.
+   */
   public Network(Inbox inbox, Counts counts, boolean within) {
     this(inbox, counts, within, null);
   }
@@ -104,7 +128,8 @@
     if (within) {
       connector = new VmPipeConnector(threads);
     } else {
-      // its thread ends when no dial is under way; started after the last dial of a turn and not with the
+      // its thread ends when no dial is under way; started after the last dial of a turn and not
+      // with the
       // first, it is woken once for all of them
       NioSocketConnector sockets = new NioSocketConnector(dialling::add, processor);
       prepare(sockets.getSessionConfig());
@@ -119,44 +144,49 @@
   }
 
   /**
-   * Takes connections at an address; each is told to {@code accepted}, which gives it a party. {@code most}
-   * counts all connections, those dialled too: where they are many, fewer are taken. Returns the address,
-   * with the port that was free where port 0 was asked for.
+   * Takes connections at an address; each is told to {@code accepted}, which gives it a party.
+   * {@code most} counts all connections, those dialled too: where they are many, fewer are taken.
+   * Returns the address, with the port that was free where port 0 was asked for.
    */
-  public InetSocketAddress listen(InetSocketAddress address, int most, int outMost,
-      Consumer<Connection> accepted) throws IOException {
+  public InetSocketAddress listen(
+      InetSocketAddress address, int most, int outMost, Consumer<Connection> accepted)
+      throws IOException {
     this.most = within ? Integer.MAX_VALUE : most;
     acceptor = within ? new VmPipeAcceptor(threads) : sockets();
-    acceptor.setHandler(new Passing() {
-      /**
-       * Its descriptor is free once the selector has let go of its channel, in the next round. Guards
-       * against a flood of newcomers for whom there is room by the count, and no descriptor yet: the
-       * acceptor would stand still for a second.
-       */
-      @Override public void sessionClosed(IoSession session) {
-        if (within) {
-          released();
-        } else {
-          processor.run(this::released);
-        }
-        super.sessionClosed(session);
-      }
+    acceptor.setHandler(
+        new Passing() {
+          /**
+           * Its descriptor is free once the selector has let go of its channel, in the next round.
+           * Guards against a flood of newcomers for whom there is room by the count, and no
+           * descriptor yet: the acceptor would stand still for a second.
+           */
+          @Override
+          public void sessionClosed(IoSession session) {
+            if (within) {
+              released();
+            } else {
+              processor.run(this::released);
+            }
+            super.sessionClosed(session);
+          }
 
-      private void released() {
-        taken.decrementAndGet();
-        roomMade();
-      }
+          private void released() {
+            taken.decrementAndGet();
+            roomMade();
+          }
 
-      @Override public void sessionCreated(IoSession session) {
-        Connection connection = new Connection(Network.this, outMost, true);
-        session.setAttribute(CONNECTION, connection);
-        connection.up(session, true);
-        inbox.post(() -> {
-          all.add(connection);
-          accepted.accept(connection);
+          @Override
+          public void sessionCreated(IoSession session) {
+            Connection connection = new Connection(Network.this, outMost, true);
+            session.setAttribute(CONNECTION, connection);
+            connection.up(session, true);
+            inbox.post(
+                () -> {
+                  all.add(connection);
+                  accepted.accept(connection);
+                });
+          }
         });
-      }
-    });
     acceptor.bind(place(address));
     return within ? address : (InetSocketAddress) acceptor.getLocalAddress();
   }
@@ -173,7 +203,9 @@
     return within ? new VmPipeAddress(address.getPort()) : address;
   }
 
-  /** Takes no more connections; those there are stay, and those that stand in the backlog are taken. */
+  /**
+   * Takes no more connections; those there are stay, and those that stand in the backlog are taken.
+   */
   public void stopListening() {
     if (acceptor != null && acceptor.isActive()) {
       acceptor.setCloseOnDeactivation(false);
@@ -182,8 +214,8 @@
   }
 
   /**
-   * Calls an address; its party is told once the connection is up, or that it never came up. Where there is
-   * no descriptor for it, it waits for one.
+   * Calls an address; its party is told once the connection is up, or that it never came up. Where
+   * there is no descriptor for it, it waits for one.
    */
   public Connection dial(InetSocketAddress address, int outMost, Party party) {
     Connection connection = new Connection(this, outMost, false);
@@ -205,24 +237,28 @@
   }
 
   private void connect(Connection connection, InetSocketAddress address) {
-    ConnectFuture future = connector.connect(place(address), (session, ignored) -> {
-      session.setAttribute(CONNECTION, connection);
-      connection.up(session, false);
-    });
+    ConnectFuture future =
+        connector.connect(
+            place(address),
+            (session, ignored) -> {
+              session.setAttribute(CONNECTION, connection);
+              connection.up(session, false);
+            });
     dialled++;
     connection.dialled(future);
-    future.addListener(ignored -> {
-      if (!future.isConnected()) {
-        inbox.post(connection::tellClosed);
-      }
-    });
+    future.addListener(
+        ignored -> {
+          if (!future.isConnected()) {
+            inbox.post(connection::tellClosed);
+          }
+        });
   }
 
   /**
-   * Gives a dial up by closing its channel. Guards against ConnectFuture.cancel: where it crosses the
-   * dial's coming up or its refusal, MINA's connector counts the dial as over twice, and ends its thread
-   * while another dial is under way, which is then told nothing. A closed channel is counted once, or not
-   * at all: then the thread stays.
+   * Gives a dial up by closing its channel. Guards against ConnectFuture.cancel: where it crosses
+   * the dial's coming up or its refusal, MINA's connector counts the dial as over twice, and ends
+   * its thread while another dial is under way, which is then told nothing. A closed channel is
+   * counted once, or not at all: then the thread stays.
    */
   void abandon(ConnectFuture dial) {
     if (dial instanceof AbstractPollingIoConnector<?, ?>.ConnectionRequest request) {
@@ -238,17 +274,23 @@
 
   /** Those dialled, or that wait for it, and are not being ended. */
   private long dialledOpen() {
-    return dialled < DIALLED_MOST * most ? dialled
+    return dialled < DIALLED_MOST * most
+        ? dialled
         : all.stream().filter(each -> !each.came && each.usable()).count();
   }
 
-  /** Guards against links that nobody uses just now, and that take the descriptors of all clients. */
+  /**
+   * Guards against links that nobody uses just now, and that take the descriptors of all clients.
+   */
   private void closeLongestResting() {
-    all.stream().filter(each -> !each.came && each.usable() && each.restsSince() != null)
-        .min(Comparator.comparing(Connection::restsSince)).ifPresent(each -> {
-          counts.add("resting links shed", 1);
-          each.close();
-        });
+    all.stream()
+        .filter(each -> !each.came && each.usable() && each.restsSince() != null)
+        .min(Comparator.comparing(Connection::restsSince))
+        .ifPresent(
+            each -> {
+              counts.add("resting links shed", 1);
+              each.close();
+            });
   }
 
   /** So many connections more there may be. */
@@ -261,7 +303,10 @@
     return (int) Math.ceil(most * SPARE);
   }
 
-  /** Whether there is so little room that one who comes is to be sent away, once so many more have ended. */
+  /**
+   * Whether there is so little room that one who comes is to be sent away, once so many more have
+   * ended.
+   */
   public boolean full(int ending) {
     return most != Integer.MAX_VALUE && room() + ending < 2 * spare();
   }
@@ -367,22 +412,27 @@
   }
 
   /**
-   * MINA's processor, with its wake-up call within reach: a change of interest waits for the next one. It
-   * also ends connections in an orderly way, on its own thread, where their channels are at hand.
+   * MINA's processor, with its wake-up call within reach: a change of interest waits for the next
+   * one. It also ends connections in an orderly way, on its own thread, where their channels are at
+   * hand.
    */
   private final class Processor extends NioProcessor {
     private final Queue<Runnable> tasks = new ConcurrentLinkedQueue<>();
+
     /** By when connections that are being ended are closed; this thread's. */
     private final Map<Connection, Duration> ends = new LinkedHashMap<>();
+
     /** When floods are read from again. */
     private final Map<Connection, Duration> floods = new LinkedHashMap<>();
+
     private final IoBuffer scrap = IoBuffer.allocate(DROP);
 
     Processor() {
       super(threads);
     }
 
-    @Override protected void wakeup() {
+    @Override
+    protected void wakeup() {
       super.wakeup();
     }
 
@@ -392,11 +442,16 @@
       wakeup();
     }
 
-    @Override protected int select(long timeOut) throws Exception {
-      int selected = super.select(!floods.isEmpty() ? DROP_EVERY.toMillis()
-          : !ends.isEmpty() ? ENDS_EVERY.toMillis() : timeOut);
+    @Override
+    protected int select(long timeOut) throws Exception {
+      int selected =
+          super.select(
+              !floods.isEmpty()
+                  ? DROP_EVERY.toMillis()
+                  : !ends.isEmpty() ? ENDS_EVERY.toMillis() : timeOut);
       if (!floods.isEmpty() || !ends.isEmpty()) {
-        // MINA takes selects that come back early and empty, ten in a row, for a broken selector, and makes
+        // MINA takes selects that come back early and empty, ten in a row, for a broken selector,
+        // and makes
         // a new one
         wakeupCalled.set(true);
       }
@@ -405,21 +460,28 @@
       }
       if (!ends.isEmpty() || !floods.isEmpty()) {
         Duration now = inbox.clock();
-        floods.entrySet().removeIf(flood -> {
-          boolean due = flood.getValue().compareTo(now) <= 0;
-          if (due) {
-            flood.getKey().session().resumeRead();
-          }
-          return due;
-        });
-        ends.entrySet().removeIf(end -> {
-          IoSession session = end.getKey().session();
-          if (session.isConnected() && !session.isClosing() && end.getValue().compareTo(now) <= 0) {
-            counts.add("ends cut short", 1);
-            session.closeNow();
-          }
-          return session.isClosing() || !session.isConnected();
-        });
+        floods
+            .entrySet()
+            .removeIf(
+                flood -> {
+                  boolean due = flood.getValue().compareTo(now) <= 0;
+                  if (due) {
+                    flood.getKey().session().resumeRead();
+                  }
+                  return due;
+                });
+        ends.entrySet()
+            .removeIf(
+                end -> {
+                  IoSession session = end.getKey().session();
+                  if (session.isConnected()
+                      && !session.isClosing()
+                      && end.getValue().compareTo(now) <= 0) {
+                    counts.add("ends cut short", 1);
+                    session.closeNow();
+                  }
+                  return session.isClosing() || !session.isConnected();
+                });
       }
       return selected;
     }
@@ -452,7 +514,8 @@
       return 0;
     }
 
-    @Override protected int read(NioSession session, IoBuffer buffer) throws Exception {
+    @Override
+    protected int read(NioSession session, IoBuffer buffer) throws Exception {
       Connection connection = of(session);
       if (connection.dropping()) {
         return drop(connection);
@@ -466,13 +529,15 @@
   }
 
   /**
-   * MINA's acceptor, taking no more than there is room for: it gives the loop a moment to make room, and
-   * closes at once what comes when there is none. Guards against a crowd that takes the last descriptor: the
-   * acceptor would then stand still for a second at a time, and no searcher could be dialled.
+   * MINA's acceptor, taking no more than there is room for: it gives the loop a moment to make
+   * room, and closes at once what comes when there is none. Guards against a crowd that takes the
+   * last descriptor: the acceptor would then stand still for a second at a time, and no searcher
+   * could be dialled.
    */
   private final class Acceptor extends NioSocketAcceptor {
     /**
-     * No room was made for the last newcomer: the next does not wait for any, and holds up none behind it.
+     * No room was made for the last newcomer: the next does not wait for any, and holds up none
+     * behind it.
      */
     private boolean stayedFull;
 
@@ -480,7 +545,8 @@
       super(threads, processor);
     }
 
-    @Override protected NioSession accept(IoProcessor<NioSession> processor, ServerSocketChannel handle)
+    @Override
+    protected NioSession accept(IoProcessor<NioSession> processor, ServerSocketChannel handle)
         throws Exception {
       synchronized (accepting) {
         return acceptOne(processor, handle);
@@ -490,7 +556,9 @@
     private NioSession acceptOne(IoProcessor<NioSession> processor, ServerSocketChannel handle)
         throws Exception {
       long until = System.nanoTime() + ROOM_WAIT.toNanos();
-      for (long left = 1; room() <= spare() && !stayedFull && left > 0; left = until - System.nanoTime()) {
+      for (long left = 1;
+          room() <= spare() && !stayedFull && left > 0;
+          left = until - System.nanoTime()) {
         TimeUnit.NANOSECONDS.timedWait(accepting, Math.max(1_000_000, left));
       }
       stayedFull = room() <= spare();
@@ -510,10 +578,11 @@
     }
 
     /**
-     * Takes what stands in the backlog before the listening ends. Guards against clients who have connected,
-     * and perhaps written their request, and are reset without an answer.
+     * Takes what stands in the backlog before the listening ends. Guards against clients who have
+     * connected, and perhaps written their request, and are reset without an answer.
      */
-    @Override protected void close(ServerSocketChannel handle) throws Exception {
+    @Override
+    protected void close(ServerSocketChannel handle) throws Exception {
       SelectionKey key = handle.keyFor(selector);
       selector.selectedKeys().remove(key);
       selector.selectNow();
@@ -535,31 +604,37 @@
 
   /** Passes on what MINA tells, from its thread to the loop's. */
   private class Passing extends IoHandlerAdapter {
-    @Override public void sessionOpened(IoSession session) {
+    @Override
+    public void sessionOpened(IoSession session) {
       inbox.post(of(session)::tellOpened);
     }
 
-    @Override public void messageReceived(IoSession session, Object message) {
+    @Override
+    public void messageReceived(IoSession session, Object message) {
       of(session).received((IoBuffer) message);
     }
 
-    @Override public void messageSent(IoSession session, Object message) {
+    @Override
+    public void messageSent(IoSession session, Object message) {
       of(session).sent();
     }
 
-    @Override public void sessionClosed(IoSession session) {
+    @Override
+    public void sessionClosed(IoSession session) {
       if (within) {
         of(session).finRead(); // pipes know no reset
       }
       inbox.post(of(session)::tellClosed);
     }
 
-    @Override public void inputClosed(IoSession session) {
+    @Override
+    public void inputClosed(IoSession session) {
       of(session).finRead();
       session.closeNow();
     }
 
-    @Override public void exceptionCaught(IoSession session, Throwable cause) {
+    @Override
+    public void exceptionCaught(IoSession session, Throwable cause) {
       counts.add("connections broken", 1);
       session.closeNow();
     }
--- a/mixer/src/main/java/gingerring/net/Party.java
+++ b/mixer/src/main/java/gingerring/net/Party.java
@@ -5,11 +5,14 @@
 /** Who owns a connection: called on the loop's thread alone. */
 public interface Party {
   /** Nobody: what comes is left in the ring. */
-  Party NONE = new Party() {
-    @Override public void readable() {}
+  Party NONE =
+      new Party() {
+        @Override
+        public void readable() {}
 
-    @Override public void closed() {}
-  };
+        @Override
+        public void closed() {}
+      };
 
   /** The connection is up. */
   default void opened() {}
@@ -21,7 +24,8 @@
   default void drained() {}
 
   /**
-   * Since when nothing has been under way, so that a dialled connection may be ended for another; or null.
+   * Since when nothing has been under way, so that a dialled connection may be ended for another;
+   * or null.
    */
   default Duration restsSince() {
     return null;
--- a/mixer/src/main/java/gingerring/net/Tap.java
+++ b/mixer/src/main/java/gingerring/net/Tap.java
@@ -3,9 +3,9 @@
 import java.net.InetSocketAddress;
 
 /**
- * Told of all that connections carry, for a recording. Called on the network's and the loop's threads, of
- * one direction of a connection on one of them; must return at once and keep nothing waiting. Side 0 is who
- * opened the connection. The bytes are the tap's to keep, and not to change.
+ * Told of all that connections carry, for a recording. Called on the network's and the loop's
+ * threads, of one direction of a connection on one of them; must return at once and keep nothing
+ * waiting. Side 0 is who opened the connection. The bytes are the tap's to keep, and not to change.
  */
 public interface Tap {
   void opened(long connection, InetSocketAddress opener, InetSocketAddress listener);
--- a/mixer/src/main/java/gingerring/serve/Bounds.java
+++ b/mixer/src/main/java/gingerring/serve/Bounds.java
@@ -7,17 +7,19 @@
 import java.util.stream.IntStream;
 
 /**
- * What the settings must keep to. The mixer reads some of them only when it first needs them, long after its
- * start: what it could not use then is named before it, with what an operator can do.
+ * What the settings must keep to. The mixer reads some of them only when it first needs them, long
+ * after its start: what it could not use then is named before it, with what an operator can do.
  *
- * <p>Whatever the pages leave open is served, by these readings. A drain grace, a window, an idle time, a
- * warm-up or a worth of 0 is one: nothing is sent after it, no repeat is in it, no connection is kept, a
- * searcher is warm at once, a scan is served like any other. A quoted time over the patience counts as the
- * patience. A shard may have more holders than there are cells: they begin again at the first. What is left
- * out and has a neutral reading has that one; the fleet's size too.
+ * <p>Whatever the pages leave open is served, by these readings. A drain grace, a window, an idle
+ * time, a warm-up or a worth of 0 is one: nothing is sent after it, no repeat is in it, no
+ * connection is kept, a searcher is warm at once, a scan is served like any other. A quoted time
+ * over the patience counts as the patience. A shard may have more holders than there are cells:
+ * they begin again at the first. What is left out and has a neutral reading has that one; the
+ * fleet's size too.
  *
- * <p>Refused is what no scan could be served by, or no rule kept: times in which nothing comes up, is
- * answered or counts, none of what there must be one of, a need of nothing, two grades of one name.
+ * <p>Refused is what no scan could be served by, or no rule kept: times in which nothing comes up,
+ * is answered or counts, none of what there must be one of, a need of nothing, two grades of one
+ * name.
  */
 final class Bounds {
   /** A setting that cannot be used. */
@@ -45,40 +47,71 @@
 
   /** The largest time that still counts exactly in nanoseconds, as on the wire. */
   private static final double MOST = 9e12;
+
   /**
-   * Each with the least that it may be and the most, if there is one; {@code *} for each service grade,
-   * {@code !} where it must be there. Numbers of parts, cells and searchers are counted one by one. A scan is
-   * closed 10 ms before its client's patience ends, so that no shorter one could be served; and a wait from
-   * ten million seconds on has no plain decimals in Retry-After.
+   * Each with the least that it may be and the most, if there is one; {@code *} for each service
+   * grade, {@code !} where it must be there. Numbers of parts, cells and searchers are counted one
+   * by one. A scan is closed 10 ms before its client's patience ends, so that no shorter one could
+   * be served; and a wait from ten million seconds on has no plain decimals in Retry-After.
    */
-  private static final List<String> NUMBERS = List.of("FleetSize 1", "Domain.Batch 1 1e9",
-      "!Domain.Places 1 1048576", "!Domain.Reach 1 1048576", "!Domain.Slices 1 1048576",
-      "!PolicyLimits.ConnIdleMs 0", "!PolicyLimits.DialTimeoutMs 1", "PolicyLimits.MaxAttempts 1",
-      "PolicyLimits.MaxRetryAfterMs 0 9e9", "!PolicyLimits.MostHeld 1", "!PolicyLimits.StreamsPerConn 1",
-      "Safety.ColdFrom 0 1", "Safety.DrainGraceMs 0", "Safety.ExtraFree 0", "Safety.ResendRatio 0",
-      "Safety.ResendSpanMs 1", "Safety.TipAfterMs 1", "Safety.TipMultiple 0", "!Safety.WarmUpMs 0",
-      "!Classes.*.AimMs 1", "Classes.*.AimStretch 0", "!Classes.*.HardLimitMs 11",
-      "Classes.*.LateWorth 0 1", "Classes.*.WindowMs 0");
+  private static final List<String> NUMBERS =
+      List.of(
+          "FleetSize 1",
+          "Domain.Batch 1 1e9",
+          "!Domain.Places 1 1048576",
+          "!Domain.Reach 1 1048576",
+          "!Domain.Slices 1 1048576",
+          "!PolicyLimits.ConnIdleMs 0",
+          "!PolicyLimits.DialTimeoutMs 1",
+          "PolicyLimits.MaxAttempts 1",
+          "PolicyLimits.MaxRetryAfterMs 0 9e9",
+          "!PolicyLimits.MostHeld 1",
+          "!PolicyLimits.StreamsPerConn 1",
+          "Safety.ColdFrom 0 1",
+          "Safety.DrainGraceMs 0",
+          "Safety.ExtraFree 0",
+          "Safety.ResendRatio 0",
+          "Safety.ResendSpanMs 1",
+          "Safety.TipAfterMs 1",
+          "Safety.TipMultiple 0",
+          "!Safety.WarmUpMs 0",
+          "!Classes.*.AimMs 1",
+          "Classes.*.AimStretch 0",
+          "!Classes.*.HardLimitMs 11",
+          "Classes.*.LateWorth 0 1",
+          "Classes.*.WindowMs 0");
+
   /**
-   * Lists with an item for each service grade. Second steps have no form on sockets; and a grade that needs
-   * nothing would be answered with nothing.
+   * Lists with an item for each service grade. Second steps have no form on sockets; and a grade
+   * that needs nothing would be answered with nothing.
    */
-  private static final List<String> BY_GRADE = List.of("Domain.ClassFetch 0 0", "Domain.ClassFloor 0 1",
-      "Domain.NeedByClass 0.0001 1");
-  private static final List<String> FLAGS = List.of("PolicyLimits.Cancel", "PolicyLimits.Probing",
-      "PolicyLimits.RetryAfter", "PolicyLimits.SecondCopies");
-  private static final List<String> CHOICES = List.of("!Discovery automatic subscribe",
-      "LoadReport.Source answers probe none", "!Classes.*.Idempotency idempotent deduplicated at_most_once");
+  private static final List<String> BY_GRADE =
+      List.of("Domain.ClassFetch 0 0", "Domain.ClassFloor 0 1", "Domain.NeedByClass 0.0001 1");
+
+  private static final List<String> FLAGS =
+      List.of(
+          "PolicyLimits.Cancel",
+          "PolicyLimits.Probing",
+          "PolicyLimits.RetryAfter",
+          "PolicyLimits.SecondCopies");
+  private static final List<String> CHOICES =
+      List.of(
+          "!Discovery automatic subscribe",
+          "LoadReport.Source answers probe none",
+          "!Classes.*.Idempotency idempotent deduplicated at_most_once");
   private static final List<String> THERE = List.of("Zones", "Skus");
-  private static final List<String> BUDGET = List.of("Safety.ExtraFree", "Safety.ResendRatio",
-      "Safety.ResendSpanMs");
+  private static final List<String> BUDGET =
+      List.of("Safety.ExtraFree", "Safety.ResendRatio", "Safety.ResendSpanMs");
 
   private Bounds() {}
 
   /** Throws {@link Refused} for the first setting that cannot be used. */
   static void check(Terms terms) {
-    must(terms.has("Classes.count") && number(terms, "Classes.count", "a list") >= 1, "Classes",
-        "is no list of grades", "give one object for each service grade, one at least");
+    must(
+        terms.has("Classes.count") && number(terms, "Classes.count", "a list") >= 1,
+        "Classes",
+        "is no list of grades",
+        "give one object for each service grade, one at least");
     int grades = terms.count("Classes.count");
     for (String line : NUMBERS) {
       String[] bound = line.split(" ");
@@ -95,8 +128,11 @@
       }
     }
     for (String key : FLAGS) {
-      must(!terms.has(key) || terms.text(key).equals("true") || terms.text(key).equals("false"), key,
-          "is neither true nor false", "give one of them");
+      must(
+          !terms.has(key) || terms.text(key).equals("true") || terms.text(key).equals("false"),
+          key,
+          "is neither true nor false",
+          "give one of them");
     }
     for (String line : CHOICES) {
       List<String> choice = List.of(line.split(" "));
@@ -113,7 +149,10 @@
     }
     long told = BUDGET.stream().filter(terms::has).count();
     for (String key : BUDGET) {
-      must(told == 0 || terms.has(key), key, "is missing beside the others of a budget",
+      must(
+          told == 0 || terms.has(key),
+          key,
+          "is missing beside the others of a budget",
           "give " + String.join(", ", BUDGET) + ", or none of them");
     }
     grades(terms, grades);
@@ -126,19 +165,30 @@
       String at = "Classes." + i + ".";
       there(terms, "!", at + "Name", "give the name that clients send in X-Lane");
       String name = terms.text(at + "Name");
-      must(!name.isEmpty() && name.chars().allMatch(c -> c > ' ' && c < 127), at + "Name",
-          "is nothing that a header carries", "give a name of plain ASCII text");
+      must(
+          !name.isEmpty() && name.chars().allMatch(c -> c > ' ' && c < 127),
+          at + "Name",
+          "is nothing that a header carries",
+          "give a name of plain ASCII text");
       Integer other = names.putIfAbsent(name, i);
-      must(other == null, at + "Name", "is that of Classes." + other + " too", "give each a name of its own");
-      must(!terms.text(at + "Idempotency").equals("deduplicated") || terms.has(at + "WindowMs"),
-          at + "WindowMs", "is missing", "give the time for which repeats of the grade are dropped");
+      must(
+          other == null,
+          at + "Name",
+          "is that of Classes." + other + " too",
+          "give each a name of its own");
+      must(
+          !terms.text(at + "Idempotency").equals("deduplicated") || terms.has(at + "WindowMs"),
+          at + "WindowMs",
+          "is missing",
+          "give the time for which repeats of the grade are dropped");
     }
   }
 
   private static List<String> keys(String entry, int grades) {
     String key = entry.replace("!", "");
-    return !key.contains("*") ? List.of(key) : IntStream.range(0, grades)
-        .mapToObj(i -> key.replace("*", String.valueOf(i))).toList();
+    return !key.contains("*")
+        ? List.of(key)
+        : IntStream.range(0, grades).mapToObj(i -> key.replace("*", String.valueOf(i))).toList();
   }
 
   private static boolean there(Terms terms, String entry, String key, String remedy) {
@@ -158,7 +208,8 @@
     try {
       return terms.item(key, place, 1);
     } catch (IllegalArgumentException e) {
-      throw new Refused(key, "has no number at place " + place, "give " + range + " for each grade");
+      throw new Refused(
+          key, "has no number at place " + place, "give " + range + " for each grade");
     }
   }
 
@@ -168,7 +219,10 @@
 
   private static void within(String key, double value, String[] bound) {
     double most = bound.length > 2 ? Double.parseDouble(bound[2]) : MOST;
-    must(value >= Double.parseDouble(bound[1]) && value <= most, key, "is out of its range, " + value,
+    must(
+        value >= Double.parseDouble(bound[1]) && value <= most,
+        key,
+        "is out of its range, " + value,
         "give " + range(bound));
   }
 
--- a/mixer/src/main/java/gingerring/serve/Desk.java
+++ b/mixer/src/main/java/gingerring/serve/Desk.java
@@ -34,8 +34,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The mixer's place among the sockets: what happens becomes calls of the mixer, and its calls become frames
- * and answers. Does for the mixer what the simulator's world does, and decides nothing.
+ * The mixer's place among the sockets: what happens becomes calls of the mixer, and its calls
+ * become frames and answers. Does for the mixer what the simulator's world does, and decides
+ * nothing.
  */
 final class Desk implements Host, Intake, Returns, Watch.Told {
   /** A scan in hand, until its one final answer. */
@@ -71,6 +72,7 @@
   }
 
   private static final Logger LOG = LoggerFactory.getLogger("gingerring.mixer");
+
   /** How many marks of the latest scans are remembered. */
   private static final int PAST_MOST = 8192;
 
@@ -85,13 +87,15 @@
   private final Map<ScanId, Open> scans = new LinkedHashMap<>();
   private final Map<PartId, Piece> pieces = new HashMap<>();
   private final Map<String, Open> marks = new HashMap<>();
+
   /**
-   * The marks of the latest scans that were taken and have ended. Guards against a client that sends one
-   * mark again and again: what is still to come for the former scan could not be told from what the next
-   * one asks for, so that each would need a connection of its own to every searcher, until no descriptor is
-   * left.
+   * The marks of the latest scans that were taken and have ended. Guards against a client that
+   * sends one mark again and again: what is still to come for the former scan could not be told
+   * from what the next one asks for, so that each would need a connection of its own to every
+   * searcher, until no descriptor is left.
    */
   private final Set<String> past = new LinkedHashSet<>();
+
   private final Map<Reply, Open> replies = new IdentityHashMap<>();
   private final Map<String, SearcherId> searchers = new HashMap<>();
   private final Map<SearcherId, Listing> listed = new HashMap<>();
@@ -100,15 +104,24 @@
   private Mixer mixer;
   private Back back;
   private Watch watch;
+
   /** What others tell; null where this mixer knows of none. */
   private Neighbours neighbours;
+
   private boolean ready;
-  /** Discovery has said something since the start, or could not be asked; and scans that came before. */
+
+  /**
+   * Discovery has said something since the start, or could not be asked; and scans that came
+   * before.
+   */
   private boolean heard;
+
   private boolean practising;
   private final List<Runnable> early = new ArrayList<>();
+
   /** Once the end is announced: by when all must be answered. */
   private Duration endBy;
+
   private boolean lastCall;
 
   /** {@code startMs}: Unix time at the loop's zero. */
@@ -138,10 +151,10 @@
   }
 
   /**
-   * The mixer starts, and is told the list as it was known in the same turn. That list may be old, so that a
-   * mixer that is told changes is ready once discovery has had its word. Guards against sending to searchers
-   * that left while this process was down: from its first moment on, what discovery's agent has counts as
-   * told.
+   * The mixer starts, and is told the list as it was known in the same turn. That list may be old,
+   * so that a mixer that is told changes is ready once discovery has had its word. Guards against
+   * sending to searchers that left while this process was down: from its first moment on, what
+   * discovery's agent has counts as told.
    */
   void start(Back back, Watch watch, long seed, Members known) {
     this.back = back;
@@ -158,15 +171,18 @@
 
   // ---- what happens ----
 
-  @Override public boolean ready() {
+  @Override
+  public boolean ready() {
     return ready && heard && !practising && endBy == null;
   }
 
-  @Override public boolean ending() {
+  @Override
+  public boolean ending() {
     return lastCall;
   }
 
-  @Override public boolean take(Ask ask, Duration since, Reply reply) {
+  @Override
+  public boolean take(Ask ask, Duration since, Reply reply) {
     if (marks.containsKey(ask.mark()) || past.contains(ask.mark())) {
       counts.add("marks sent again", 1);
       return false;
@@ -194,11 +210,12 @@
     counts.add("scans taken", 1);
     // whatever becomes of it in the mixer, it is answered by the end of its client's patience
     loop.wakeAfter(scan.end.minus(now()), () -> loop.tell(() -> overdue(scan)));
-    Runnable arrival = () -> {
-      if (!scan.answered) {
-        arrive(scan, parts);
-      }
-    };
+    Runnable arrival =
+        () -> {
+          if (!scan.answered) {
+            arrive(scan, parts);
+          }
+        };
     if (heard) {
       loop.tellLast(arrival);
     } else {
@@ -209,8 +226,15 @@
 
   private void arrive(Open scan, List<Part> parts) {
     try {
-      mixer.scanArrived(scan.id, scan.id.number(), scan.ask.grade(), 0, scan.ask.repeat(), scan.ask.work(),
-          scan.end, parts);
+      mixer.scanArrived(
+          scan.id,
+          scan.id.number(),
+          scan.ask.grade(),
+          0,
+          scan.ask.repeat(),
+          scan.ask.work(),
+          scan.end,
+          parts);
     } catch (RuntimeException | Error e) {
       overdue(scan);
       throw e;
@@ -227,7 +251,8 @@
     }
   }
 
-  @Override public void left(Reply reply) {
+  @Override
+  public void left(Reply reply) {
     Open scan = replies.get(reply);
     if (scan != null) {
       counts.add("clients that left", 1);
@@ -253,7 +278,9 @@
     scan.pieces.forEach(this::drop);
   }
 
-  /** What has not begun for a part that is over never does, whatever becomes of what is under way. */
+  /**
+   * What has not begun for a part that is over never does, whatever becomes of what is under way.
+   */
   private void withdraw(Piece piece) {
     piece.trips.forEach(back::withdraw);
   }
@@ -264,48 +291,68 @@
     }
   }
 
-  @Override public void ended(Errand errand, Outcome outcome, float[] load, byte[] value) {
-    loop.tell(() -> {
-      Piece piece = pieces.get(errand.part);
-      boolean over = piece == null || piece.scan.answered || piece.value != null;
-      if (piece != null && !over && outcome == Outcome.SUCCEEDED) {
-        piece.value = value;
-        held--;
-        over = true;
-        withdraw(piece);
-      }
-      mixer.tripEnded(errand.part, errand.trip, outcome, over, load);
-      if (neighbours != null) {
-        neighbours.ended(errand.searcher.address(), outcome);
-      }
-      if (piece != null) {
-        drop(piece);
-      }
-    });
-  }
-
-  @Override public void probed(SearcherId searcher, Outcome outcome, Duration taken, float[] load) {
-    loop.tell(() -> {
-      mixer.probed(searcher, outcome, taken, load);
-      if (neighbours != null) {
-        neighbours.asked(searcher.address(), outcome == Outcome.SUCCEEDED);
-      }
-    });
-  }
-
-  @Override public void list(Members members) {
+  @Override
+  public void ended(Errand errand, Outcome outcome, float[] load, byte[] value) {
+    loop.tell(
+        () -> {
+          Piece piece = pieces.get(errand.part);
+          boolean over = piece == null || piece.scan.answered || piece.value != null;
+          if (piece != null && !over && outcome == Outcome.SUCCEEDED) {
+            piece.value = value;
+            held--;
+            over = true;
+            withdraw(piece);
+          }
+          mixer.tripEnded(errand.part, errand.trip, outcome, over, load);
+          if (neighbours != null) {
+            neighbours.ended(errand.searcher.address(), outcome);
+          }
+          if (piece != null) {
+            drop(piece);
+          }
+        });
+  }
+
+  @Override
+  public void probed(SearcherId searcher, Outcome outcome, Duration taken, float[] load) {
+    loop.tell(
+        () -> {
+          mixer.probed(searcher, outcome, taken, load);
+          if (neighbours != null) {
+            neighbours.asked(searcher.address(), outcome == Outcome.SUCCEEDED);
+          }
+        });
+  }
+
+  @Override
+  public void list(Members members) {
     List<Listing> lines = new ArrayList<>();
     List<SearcherId> leaving = new ArrayList<>();
     for (Members.Member member : members.members()) {
       SearcherId id = searchers.computeIfAbsent(member.id(), this::newId);
       Listing last = listed.get(id);
-      Duration started = member.upSinceMs() == 0 ? null
-          : Duration.ofNanos(Math.round((member.upSinceMs() - startMs) * 1e6));
-      Listing line = member.address() == null && last != null
-          ? new Listing(id, last.zone(), last.machine(), last.cell(), member.standing(), last.size(),
-              last.startedAt())
-          : new Listing(id, zones.indexOf(member.locality()), machines.indexOf(member.flavor()),
-              member.cell(), member.standing(), member.size(), started);
+      Duration started =
+          member.upSinceMs() == 0
+              ? null
+              : Duration.ofNanos(Math.round((member.upSinceMs() - startMs) * 1e6));
+      Listing line =
+          member.address() == null && last != null
+              ? new Listing(
+                  id,
+                  last.zone(),
+                  last.machine(),
+                  last.cell(),
+                  member.standing(),
+                  last.size(),
+                  last.startedAt())
+              : new Listing(
+                  id,
+                  zones.indexOf(member.locality()),
+                  machines.indexOf(member.flavor()),
+                  member.cell(),
+                  member.standing(),
+                  member.size(),
+                  started);
       lines.add(line);
       listed.put(id, line);
       if (member.address() == null || member.standing() == Listing.Standing.GONE) {
@@ -320,12 +367,17 @@
       leaving.addAll(listed.keySet().stream().filter(id -> !told.contains(id)).toList());
       leaving.forEach(this::forget);
     }
-    lines.stream().filter(line -> line.standing() == Listing.Standing.GONE).map(Listing::searcher)
+    lines.stream()
+        .filter(line -> line.standing() == Listing.Standing.GONE)
+        .map(Listing::searcher)
         .forEach(this::forget);
     loop.tell(() -> mixer.rosterTold(lines, members.complete()));
     // told after the list, so that what has not left yet goes elsewhere by it
-    leaving.addAll(lines.stream().filter(line -> line.standing() != Listing.Standing.READY)
-        .map(Listing::searcher).toList());
+    leaving.addAll(
+        lines.stream()
+            .filter(line -> line.standing() != Listing.Standing.READY)
+            .map(Listing::searcher)
+            .toList());
     leaving.forEach(back::withhold);
     if (neighbours != null) {
       neighbours.listed(listed.values());
@@ -341,10 +393,17 @@
 
   /** How many scans, parts and searchers something is kept for. */
   int kept() {
-    return scans.size() + pieces.size() + marks.size() + replies.size() + searchers.size() + listed.size();
+    return scans.size()
+        + pieces.size()
+        + marks.size()
+        + replies.size()
+        + searchers.size()
+        + listed.size();
   }
 
-  /** The same number at every mixer, and of two names that hash alike the second the next one free. */
+  /**
+   * The same number at every mixer, and of two names that hash alike the second the next one free.
+   */
   private SearcherId newId(String name) {
     long hash = 0xcbf29ce484222325L;
     for (int i = 0; i < name.length(); i++) {
@@ -356,12 +415,14 @@
     return new SearcherId(hash);
   }
 
-  @Override public void failed() {
+  @Override
+  public void failed() {
     loop.tell(() -> mixer.rosterFailed());
     word();
   }
 
-  @Override public void word() {
+  @Override
+  public void word() {
     heard = true;
     early.forEach(loop::tellLast);
     early.clear();
@@ -392,11 +453,13 @@
 
   // ---- what the mixer does ----
 
-  @Override public Duration now() {
+  @Override
+  public Duration now() {
     return loop.now();
   }
 
-  @Override public void send(PartId part, SearcherId searcher, Duration timeOut, Duration startWithin) {
+  @Override
+  public void send(PartId part, SearcherId searcher, Duration timeOut, Duration startWithin) {
     Piece piece = pieces.get(part);
     int number = piece == null ? 0 : piece.trips.size();
     Duration until = piece == null ? now() : now().plus(timeOut);
@@ -404,12 +467,23 @@
       until = piece.scan.end;
     }
     Ask ask = piece == null ? null : piece.scan.ask;
-    Errand errand = new Errand(part, number, searcher,
-        piece == null ? "" : ask.mark() + '.' + piece.shard, piece == null ? 0 : piece.shard,
-        piece == null ? null : ask.key(), piece == null ? null : ask.text(), until,
-        startWithin == null ? null : now().plus(startWithin));
-    boolean over = piece == null || piece.scan.answered || piece.value != null
-        || piece.trips.size() >= tripsMost || until.compareTo(now()) <= 0;
+    Errand errand =
+        new Errand(
+            part,
+            number,
+            searcher,
+            piece == null ? "" : ask.mark() + '.' + piece.shard,
+            piece == null ? 0 : piece.shard,
+            piece == null ? null : ask.key(),
+            piece == null ? null : ask.text(),
+            until,
+            startWithin == null ? null : now().plus(startWithin));
+    boolean over =
+        piece == null
+            || piece.scan.answered
+            || piece.value != null
+            || piece.trips.size() >= tripsMost
+            || until.compareTo(now()) <= 0;
     counts.must(!over, "a trip is for a part that is not over");
     if (piece != null) {
       if (startWithin != null) {
@@ -425,14 +499,16 @@
     }
   }
 
-  @Override public void recall(PartId part, int trip) {
+  @Override
+  public void recall(PartId part, int trip) {
     Piece piece = pieces.get(part);
     if (piece != null && trip < piece.trips.size()) {
       back.recall(piece.trips.get(trip));
     }
   }
 
-  @Override public void answer(ScanId id, boolean whole) {
+  @Override
+  public void answer(ScanId id, boolean whole) {
     Open scan = scans.get(id);
     if (scan == null) {
       return;
@@ -449,7 +525,8 @@
     finish(scan);
   }
 
-  @Override public void nack(ScanId id, Duration comeBack) {
+  @Override
+  public void nack(ScanId id, Duration comeBack) {
     Open scan = scans.get(id);
     if (scan != null) {
       counts.add("nacks", 1);
@@ -458,7 +535,8 @@
     }
   }
 
-  @Override public void scrap(ScanId id) {
+  @Override
+  public void scrap(ScanId id) {
     Open scan = scans.get(id);
     if (scan != null) {
       counts.add("scraps", 1);
@@ -467,26 +545,31 @@
     }
   }
 
-  @Override public void probe(SearcherId searcher) {
+  @Override
+  public void probe(SearcherId searcher) {
     if (neighbours != null) {
       neighbours.asks(searcher.address());
     }
     back.probe(searcher);
   }
 
-  @Override public boolean asksItself(SearcherId searcher) {
+  @Override
+  public boolean asksItself(SearcherId searcher) {
     return neighbours == null || neighbours.asksItself(searcher.address());
   }
 
-  @Override public double doubt(SearcherId searcher) {
+  @Override
+  public double doubt(SearcherId searcher) {
     return neighbours == null ? 0 : neighbours.doubt(searcher.address());
   }
 
-  @Override public boolean prefers(SearcherId searcher) {
+  @Override
+  public boolean prefers(SearcherId searcher) {
     return neighbours == null || neighbours.prefers(searcher.address());
   }
 
-  @Override public void benched(SearcherId searcher) {
+  @Override
+  public void benched(SearcherId searcher) {
     if (neighbours != null) {
       neighbours.benched(searcher.address());
     }
@@ -497,27 +580,33 @@
     loop.tell(() -> mixer.othersHeard(new SearcherId(searcher)));
   }
 
-  @Override public void closeIdle(SearcherId searcher) {
+  @Override
+  public void closeIdle(SearcherId searcher) {
     back.closeIdle(searcher);
   }
 
-  @Override public void watchRoster(boolean on) {
+  @Override
+  public void watchRoster(boolean on) {
     loop.tell(on ? watch::open : watch::close);
   }
 
-  @Override public void fetchRoster() {
+  @Override
+  public void fetchRoster() {
     watch.fetch();
   }
 
-  @Override public void tell(int peer, byte[] bytes) {
+  @Override
+  public void tell(int peer, byte[] bytes) {
     counts.add("words to peers dropped", 1);
   }
 
-  @Override public void wakeAfter(Duration span, WakeId wake) {
+  @Override
+  public void wakeAfter(Duration span, WakeId wake) {
     loop.wakeAfter(span, () -> loop.tell(() -> mixer.woken(wake)));
   }
 
-  @Override public void log(String line) {
+  @Override
+  public void log(String line) {
     LOG.info(line);
   }
 }
--- a/mixer/src/main/java/gingerring/serve/Loop.java
+++ b/mixer/src/main/java/gingerring/serve/Loop.java
@@ -15,12 +15,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The one thread that owns the mixer and all state. Each turn gathers all that is ready, hands it to the
- * mixer in one go, and then carries out what came back.
+ * The one thread that owns the mixer and all state. Each turn gathers all that is ready, hands it
+ * to the mixer in one go, and then carries out what came back.
  */
 final class Loop implements Inbox, TurnClock {
   private record Wake(Duration at, long number, Runnable task) implements Comparable<Wake> {
-    @Override public int compareTo(Wake other) {
+    @Override
+    public int compareTo(Wake other) {
       int byTime = at.compareTo(other.at);
       return byTime != 0 ? byTime : Long.compare(number, other.number);
     }
@@ -31,15 +32,19 @@
 
   private final Counts counts;
   private final long startNanos = System.nanoTime();
+
   /**
-   * Holds a few events a connection at most: each waits for its turn before it posts the next. No lock stands
-   * between those who post and the loop: a thread that is stopped anywhere in {@link #post} keeps neither the
-   * loop nor its wakes. Guards against the blocking queues of java.util.concurrent, whose timed waiters turn
-   * without a pause (Condition.awaitNanos) while the one that signals them is not run.
+   * Holds a few events a connection at most: each waits for its turn before it posts the next. No
+   * lock stands between those who post and the loop: a thread that is stopped anywhere in {@link
+   * #post} keeps neither the loop nor its wakes. Guards against the blocking queues of
+   * java.util.concurrent, whose timed waiters turn without a pause (Condition.awaitNanos) while the
+   * one that signals them is not run.
    */
   private final Queue<Runnable> inbox = new ConcurrentLinkedQueue<>();
+
   /** The loop's thread while it waits, or is about to. */
   private volatile Thread sleeper;
+
   private final PriorityQueue<Wake> wakes = new PriorityQueue<>();
   private List<Runnable> tellings = new ArrayList<>();
   private List<Runnable> lastTellings = new ArrayList<>();
@@ -53,11 +58,13 @@
     this.counts = counts;
   }
 
-  @Override public Duration now() {
+  @Override
+  public Duration now() {
     return owner == null ? clock() : now; // before the first turn
   }
 
-  @Override public void post(Runnable event) {
+  @Override
+  public void post(Runnable event) {
     inbox.add(event);
     Thread waiting = sleeper;
     if (waiting != null) {
@@ -70,20 +77,28 @@
     return inbox.size();
   }
 
-  @Override public void wakeAfter(Duration span, Runnable task) {
-    counts.must(owner == null || owner == Thread.currentThread(), "wakes are asked for on the loop's thread");
+  @Override
+  public void wakeAfter(Duration span, Runnable task) {
+    counts.must(
+        owner == null || owner == Thread.currentThread(),
+        "wakes are asked for on the loop's thread");
     wakes.add(new Wake(now().plus(span), wakeCount++, task));
   }
 
-  /** Something to tell the mixer once all that is ready has been gathered; from the mixer, next turn. */
+  /**
+   * Something to tell the mixer once all that is ready has been gathered; from the mixer, next
+   * turn.
+   */
   void tell(Runnable telling) {
-    counts.must(owner == null || owner == Thread.currentThread(), "the mixer is told on the loop's thread");
+    counts.must(
+        owner == null || owner == Thread.currentThread(), "the mixer is told on the loop's thread");
     tellings.add(telling);
   }
 
   /** The same, after all else of the turn: what is new is decided by all that is known. */
   void tellLast(Runnable telling) {
-    counts.must(owner == null || owner == Thread.currentThread(), "the mixer is told on the loop's thread");
+    counts.must(
+        owner == null || owner == Thread.currentThread(), "the mixer is told on the loop's thread");
     lastTellings.add(telling);
   }
 
@@ -113,13 +128,18 @@
     }
   }
 
-  @Override public Duration clock() {
+  @Override
+  public Duration clock() {
     return Duration.ofNanos(System.nanoTime() - startNanos);
   }
 
   private void await(List<Runnable> ready) {
-    long nanos = !tellings.isEmpty() || !lastTellings.isEmpty() ? 0
-        : wakes.isEmpty() ? TimeUnit.SECONDS.toNanos(1) : wakes.peek().at.minus(clock()).toNanos();
+    long nanos =
+        !tellings.isEmpty() || !lastTellings.isEmpty()
+            ? 0
+            : wakes.isEmpty()
+                ? TimeUnit.SECONDS.toNanos(1)
+                : wakes.peek().at.minus(clock()).toNanos();
     if (nanos > 0) {
       sleeper = owner;
       if (inbox.isEmpty()) { // looked at after the sleeper is named: what is posted later finds it
@@ -135,7 +155,9 @@
     }
   }
 
-  /** Runs one thing of a turn. Guards the process and all other scans against whatever fails in it. */
+  /**
+   * Runs one thing of a turn. Guards the process and all other scans against whatever fails in it.
+   */
   void guard(String what, Runnable task) {
     try {
       task.run();
--- a/mixer/src/main/java/gingerring/serve/Neighbours.java
+++ b/mixer/src/main/java/gingerring/serve/Neighbours.java
@@ -8,9 +8,10 @@
 import java.util.Collection;
 
 /**
- * The other mixers, as a mixer's process meets them: told what this one sees, and asked what others tell.
- * All calls come on the loop's thread; searchers go by the number that every mixer makes of their names.
- * Given to {@link Serve}, or not: without one, nothing of it is loaded, opened or started.
+ * The other mixers, as a mixer's process meets them: told what this one sees, and asked what others
+ * tell. All calls come on the loop's thread; searchers go by the number that every mixer makes of
+ * their names. Given to {@link Serve}, or not: without one, nothing of it is loaded, opened or
+ * started.
  */
 public interface Neighbours {
   /** What the process lends: its loop's clock and inbox, and a way to its mixer. */
--- a/mixer/src/main/java/gingerring/serve/Orders.java
+++ b/mixer/src/main/java/gingerring/serve/Orders.java
@@ -14,8 +14,14 @@
 import java.util.Map;
 
 /** All that a mixer is told at its start. */
-record Orders(String name, InetSocketAddress listen, InetSocketAddress discovery, long seed, int sockets,
-    Members known, Terms terms) {
+record Orders(
+    String name,
+    InetSocketAddress listen,
+    InetSocketAddress discovery,
+    long seed,
+    int sockets,
+    Members known,
+    Terms terms) {
   /** Something needed is missing or cannot be read; the message names it, in one line. */
   static final class Unfit extends Exception {
     private static final long serialVersionUID = 1;
@@ -27,6 +33,7 @@
   }
 
   private static final int SOCKETS_USUAL = 1024;
+
   /** What the process holds by itself, discovery, a few searchers and a few clients. */
   private static final int SOCKETS_LEAST = 64;
 
@@ -58,21 +65,35 @@
     if (discovery.getPort() == 0) {
       throw new Unfit("discovery has no port: give the address of discovery's agent");
     }
-    return new Orders(text(told, "name", env.get("LB_NAME")),
-        address(told, "listen", env.get("LB_LISTEN")), discovery, seed(told), sockets(told), known(told),
+    return new Orders(
+        text(told, "name", env.get("LB_NAME")),
+        address(told, "listen", env.get("LB_LISTEN")),
+        discovery,
+        seed(told),
+        sockets(told),
+        known(told),
         terms);
   }
 
-  /** Whether what a running mixer cannot take over is the same; seed and known list are for a start alone. */
+  /**
+   * Whether what a running mixer cannot take over is the same; seed and known list are for a start
+   * alone.
+   */
   boolean differsOnlyInDiscovery(Orders other) {
-    return name.equals(other.name) && listen.equals(other.listen) && sockets == other.sockets
+    return name.equals(other.name)
+        && listen.equals(other.listen)
+        && sockets == other.sockets
         && terms.map().equals(other.terms.map());
   }
 
-  /** Nested values as paths to plain ones, lists of objects counted and numbered, as WIRE has them. */
+  /**
+   * Nested values as paths to plain ones, lists of objects counted and numbered, as WIRE has them.
+   */
   static void flatten(String path, Object value, Map<String, String> flat) {
     if (value instanceof Map<?, ?> map) {
-      map.forEach((name, each) -> flatten(path.isEmpty() ? name.toString() : path + '.' + name, each, flat));
+      map.forEach(
+          (name, each) ->
+              flatten(path.isEmpty() ? name.toString() : path + '.' + name, each, flat));
     } else if (value instanceof List<?> list && !list.isEmpty() && list.get(0) instanceof Map) {
       flat.put(path + ".count", String.valueOf(list.size()));
       for (int i = 0; i < list.size(); i++) {
@@ -88,7 +109,8 @@
   private static String plain(Object value) {
     if (value instanceof Double number) {
       return number == Math.rint(number) && Math.abs(number) < Long.MAX_VALUE
-          ? String.valueOf(number.longValue()) : number.toString();
+          ? String.valueOf(number.longValue())
+          : number.toString();
     }
     return value == null ? "" : value.toString().replace(' ', '_').replace(',', '_');
   }
@@ -129,15 +151,21 @@
       throw new Unfit("limits.sockets cannot be read (" + e.getMessage() + "): give a number");
     }
     if (sockets < SOCKETS_LEAST) {
-      throw new Unfit("limits.sockets is out of its range, " + sockets + ": give a number from "
-          + SOCKETS_LEAST + " on, and three for each searcher if there are so many");
+      throw new Unfit(
+          "limits.sockets is out of its range, "
+              + sockets
+              + ": give a number from "
+              + SOCKETS_LEAST
+              + " on, and three for each searcher if there are so many");
     }
     return (int) sockets;
   }
 
   private static Members known(Map<String, Object> told) throws Unfit {
     try {
-      return told.containsKey("known") ? Members.read(told.get("known")) : new Members(0, true, List.of());
+      return told.containsKey("known")
+          ? Members.read(told.get("known"))
+          : new Members(0, true, List.of());
     } catch (Json.Malformed e) {
       throw new Unfit("known: " + e.getMessage());
     }
--- a/mixer/src/main/java/gingerring/serve/Practice.java
+++ b/mixer/src/main/java/gingerring/serve/Practice.java
@@ -10,17 +10,20 @@
 import java.util.List;
 
 /**
- * Before it is ready, a mixer calls its own front by connections of its own and asks, some times on each,
- * whether it is ready. Guards against a first scan that dials all its searchers through sockets nobody has
- * used yet: the rehearsal passes MINA's pipes, and what sockets need beside them would be compiled while a
- * client waits.
+ * Before it is ready, a mixer calls its own front by connections of its own and asks, some times on
+ * each, whether it is ready. Guards against a first scan that dials all its searchers through
+ * sockets nobody has used yet: the rehearsal passes MINA's pipes, and what sockets need beside them
+ * would be compiled while a client waits.
  */
 final class Practice {
   /** Asked for and given here, each passes the same way twice: enough that it is compiled. */
   private static final int ANSWERS = 192;
+
   private static final int CALLS_MOST = 24;
+
   /** Each call holds two descriptors: this keeps them to a sixteenth of those there are. */
   private static final int SOCKETS_EACH = 32;
+
   private static final int OUT_MOST = 1024;
 
   private final Network network;
@@ -39,8 +42,9 @@
     this.front = front;
     this.counts = counts;
     this.done = done;
-    request = ("GET /ready HTTP/1.1\r\nHost: " + front.getAddress().getHostAddress() + "\r\n\r\n")
-        .getBytes(StandardCharsets.US_ASCII);
+    request =
+        ("GET /ready HTTP/1.1\r\nHost: " + front.getAddress().getHostAddress() + "\r\n\r\n")
+            .getBytes(StandardCharsets.US_ASCII);
   }
 
   void begin() {
@@ -59,7 +63,8 @@
     private final Connection connection = network.dial(front, OUT_MOST, this);
     private int rounds;
 
-    @Override public void opened() {
+    @Override
+    public void opened() {
       ask();
     }
 
@@ -68,7 +73,8 @@
       connection.touch();
     }
 
-    @Override public void readable() {
+    @Override
+    public void readable() {
       connection.in.clear(); // an answer is put whole, and leaves whole
       counts.add("answers practised", 1);
       if (++rounds * calls < ANSWERS) {
@@ -78,7 +84,8 @@
       }
     }
 
-    @Override public void closed() {
+    @Override
+    public void closed() {
       if (--open == 0) {
         done.run();
       }
--- a/mixer/src/main/java/gingerring/serve/Rehearsal.java
+++ b/mixer/src/main/java/gingerring/serve/Rehearsal.java
@@ -23,10 +23,10 @@
 import java.util.Map;
 
 /**
- * Before the first client comes, sample scans go the whole way from a client's bytes to a searcher's and
- * back, through everything that real ones pass but the sockets: on a loop, network and mixer of its own
- * that are dropped after it. Guards against a first second of answers that are late because the JVM has yet
- * to load and compile all that they need, on part of a core.
+ * Before the first client comes, sample scans go the whole way from a client's bytes to a
+ * searcher's and back, through everything that real ones pass but the sockets: on a loop, network
+ * and mixer of its own that are dropped after it. Guards against a first second of answers that are
+ * late because the JVM has yet to load and compile all that they need, on part of a core.
  */
 final class Rehearsal {
   private static final int SCANS = 60;
@@ -61,12 +61,16 @@
     Back back = new Back(network, desk, terms, counts, loop);
     List<Members.Member> members = new ArrayList<>();
     for (int cell = 0; cell < terms.count("Domain.Places"); cell++) {
-      members.add(new Members.Member("sample-" + cell, searchers, "", "", cell, Standing.READY, 1, 0));
+      members.add(
+          new Members.Member("sample-" + cell, searchers, "", "", cell, Standing.READY, 1, 0));
     }
     Watch watch = new Watch(network, place(3), 0, desk, counts, loop);
     desk.start(back, watch, 0, new Members(0, true, members));
     try {
-      store.listen(searchers, Integer.MAX_VALUE, OUT_MOST,
+      store.listen(
+          searchers,
+          Integer.MAX_VALUE,
+          OUT_MOST,
           connection -> connection.party(new Sample(connection)));
       new Front(network, desk, terms, counts, loop, loop::post, Integer.MAX_VALUE).listen(front);
     } catch (IOException e) {
@@ -76,10 +80,12 @@
       new Caller();
     }
     loop.wakeAfter(LONGEST, loop::stop);
-    loop.run(back::dispatch, () -> {
-      network.flush();
-      store.flush();
-    });
+    loop.run(
+        back::dispatch,
+        () -> {
+          network.flush();
+          store.flush();
+        });
     network.dispose();
     store.dispose();
     return answered;
@@ -89,7 +95,8 @@
   private final class Caller implements Party {
     private final Connection connection = network.dial(front, OUT_MOST, this);
 
-    @Override public void opened() {
+    @Override
+    public void opened() {
       ask();
     }
 
@@ -99,19 +106,32 @@
       int parts = Math.min(PARTS, terms.count("Domain.Slices"));
       StringBuilder targets = new StringBuilder();
       for (int i = 0; i < parts; i++) {
-        targets.append(i == 0 ? "" : ",").append("{\"partition\":")
-            .append((number + i) % terms.count("Domain.Slices")).append(",\"share\":").append(1.0 / parts)
+        targets
+            .append(i == 0 ? "" : ",")
+            .append("{\"partition\":")
+            .append((number + i) % terms.count("Domain.Slices"))
+            .append(",\"share\":")
+            .append(1.0 / parts)
             .append(",\"est_us\":1000}");
       }
       String body = "{\"targets\":[" + targets + "],\"query\":\"\"}";
-      connection.out.put(("POST /api HTTP/1.1\r\nHost: sample\r\nX-Txn: sample-" + number + "\r\nX-Lane: "
-          + terms.text("Classes." + grade + ".Name") + "\r\nX-Remaining-Ms: 60000\r\nIdempotency-Key: "
-          + number + "\r\nContent-Length: " + body.length() + "\r\n\r\n" + body)
-          .getBytes(StandardCharsets.US_ASCII));
+      connection.out.put(
+          ("POST /api HTTP/1.1\r\nHost: sample\r\nX-Txn: sample-"
+                  + number
+                  + "\r\nX-Lane: "
+                  + terms.text("Classes." + grade + ".Name")
+                  + "\r\nX-Remaining-Ms: 60000\r\nIdempotency-Key: "
+                  + number
+                  + "\r\nContent-Length: "
+                  + body.length()
+                  + "\r\n\r\n"
+                  + body)
+              .getBytes(StandardCharsets.US_ASCII));
       connection.touch();
     }
 
-    @Override public void readable() {
+    @Override
+    public void readable() {
       // an answer is put whole, and leaves whole
       connection.in.clear();
       if (++answered >= SCANS) {
@@ -121,7 +141,8 @@
       }
     }
 
-    @Override public void closed() {}
+    @Override
+    public void closed() {}
   }
 
   /** A searcher that has every part at once. */
@@ -134,10 +155,12 @@
       this.connection = connection;
     }
 
-    @Override public void readable() {
+    @Override
+    public void readable() {
       held += connection.in.take(bytes, held, bytes.length - held);
       ByteBuffer buffer = ByteBuffer.wrap(bytes, 0, held).order(ByteOrder.LITTLE_ENDIAN);
-      while (buffer.remaining() >= 4 && buffer.remaining() >= 4 + buffer.getInt(buffer.position())) {
+      while (buffer.remaining() >= 4
+          && buffer.remaining() >= 4 + buffer.getInt(buffer.position())) {
         byte[] frame = new byte[buffer.getInt()];
         buffer.get(frame);
         if (frame[0] == 'S') {
@@ -152,12 +175,17 @@
     private void answer(String parts) {
       for (String part : parts.split("\n")) { // their text is empty
         String rest = "R" + part.split(" ", 2)[0] + " done 1 -\nvalue";
-        connection.out.put(ByteBuffer.allocate(4 + rest.length()).order(ByteOrder.LITTLE_ENDIAN)
-            .putInt(rest.length()).put(rest.getBytes(StandardCharsets.US_ASCII)).array());
+        connection.out.put(
+            ByteBuffer.allocate(4 + rest.length())
+                .order(ByteOrder.LITTLE_ENDIAN)
+                .putInt(rest.length())
+                .put(rest.getBytes(StandardCharsets.US_ASCII))
+                .array());
       }
       connection.touch();
     }
 
-    @Override public void closed() {}
+    @Override
+    public void closed() {}
   }
 }
--- a/mixer/src/main/java/gingerring/serve/Serve.java
+++ b/mixer/src/main/java/gingerring/serve/Serve.java
@@ -22,21 +22,39 @@
 /** Starts a real mixer, runs it in the foreground, and ends it at SIGTERM. */
 public final class Serve {
   private static final Logger LOG = LoggerFactory.getLogger("gingerring.serve");
+
   /** How long after SIGTERM clients may still come: what comes later may go unanswered. */
   private static final Duration STILL_COMING = Duration.ofMillis(700);
-  /** The longest patience that a restart waits for, and how long before the end the last scans are closed. */
+
+  /**
+   * The longest patience that a restart waits for, and how long before the end the last scans are
+   * closed.
+   */
   private static final Duration PATIENCE_MOST = Duration.ofSeconds(3);
+
   private static final Duration END_MARGIN = Duration.ofMillis(300);
-  /** How long before that each answer becomes its connection's last, and how long the idle ones stay on. */
+
+  /**
+   * How long before that each answer becomes its connection's last, and how long the idle ones stay
+   * on.
+   */
   private static final Duration LAST_CALL = Duration.ofMillis(600);
+
   private static final Duration CLOSING = Duration.ofMillis(200);
+
   /** Answers need a moment to leave. */
   private static final Duration FLUSH = Duration.ofMillis(100);
-  /** Whatever holds practice up, and however long a dial may take, it is no longer in the way then. */
+
+  /**
+   * Whatever holds practice up, and however long a dial may take, it is no longer in the way then.
+   */
   private static final Duration PRACTICE_MOST = Duration.ofSeconds(1);
+
   private static final Duration STATUS_EVERY = Duration.ofSeconds(60);
+
   /** Descriptors for the process itself, and for connections at least. */
   private static final int SOCKETS_OWN = 40;
+
   private static final int SOCKETS_LEAST = 16;
 
   private final Map<String, String> env;
@@ -50,8 +68,10 @@
   private Desk desk;
   private Back back;
   private Watch watch;
+
   /** What holds for this process; of later configurations, only where discovery is. */
   private Orders atStart;
+
   private Duration endBy;
 
   Serve(Map<String, String> env, Tap tap, Neighbours neighbours) {
@@ -66,26 +86,36 @@
   }
 
   /**
-   * The same, with all that its connections carry told to a tap, and among other mixers; null for none of
-   * either.
+   * The same, with all that its connections carry told to a tap, and among other mixers; null for
+   * none of either.
    */
-  public static int run(Map<String, String> env, PrintStream complaints, Tap tap, Neighbours neighbours) {
+  public static int run(
+      Map<String, String> env, PrintStream complaints, Tap tap, Neighbours neighbours) {
     Serve serve = new Serve(env, tap, neighbours);
-    // before anything is read: untended, SIGHUP ends a process, and one that comes early is not to be lost
+    // before anything is read: untended, SIGHUP ends a process, and one that comes early is not to
+    // be lost
     SignalHandler before = Signal.handle(new Signal("HUP"), signal -> serve.reload());
-    if (before == SignalHandler.SIG_IGN) { // the virtual machine leaves a signal that it was started without
-      LOG.warn("SIGHUP is ignored, as whoever started this process wanted (nohup?): there is no reload");
+    if (before
+        == SignalHandler
+            .SIG_IGN) { // the virtual machine leaves a signal that it was started without
+      LOG.warn(
+          "SIGHUP is ignored, as whoever started this process wanted (nohup?): there is no reload");
     }
     try {
-      return serve.serve(Orders.read(env), complaints, listening ->
-          Runtime.getRuntime().addShutdownHook(new Thread(serve::terminate, "end")));
+      return serve.serve(
+          Orders.read(env),
+          complaints,
+          listening -> Runtime.getRuntime().addShutdownHook(new Thread(serve::terminate, "end")));
     } catch (Orders.Unfit | IllegalArgumentException e) {
       complaints.println("gingerring serve: " + e.getMessage());
       return 2;
     }
   }
 
-  /** Runs it until it has ended; {@code up} is told the address it listens at. Returns the exit code. */
+  /**
+   * Runs it until it has ended; {@code up} is told the address it listens at. Returns the exit
+   * code.
+   */
   int serve(Orders orders, PrintStream complaints, Consumer<InetSocketAddress> up) {
     Terms terms = orders.terms();
     int rehearsed = new Rehearsal(terms).run();
@@ -95,10 +125,18 @@
     desk = new Desk(loop, terms, counts, startMs);
     back = new Back(network, desk, terms, counts, loop);
     atStart = orders;
-    watch = new Watch(network, orders.discovery(), orders.known().revision(), desk, counts, loop,
-        terms);
-    front = new Front(network, desk, terms, counts, loop, loop::post,
-        Math.max(SOCKETS_LEAST, orders.sockets() - SOCKETS_OWN));
+    watch =
+        new Watch(
+            network, orders.discovery(), orders.known().revision(), desk, counts, loop, terms);
+    front =
+        new Front(
+            network,
+            desk,
+            terms,
+            counts,
+            loop,
+            loop::post,
+            Math.max(SOCKETS_LEAST, orders.sockets() - SOCKETS_OWN));
     if (neighbours != null) {
       desk.among(neighbours);
       neighbours.begin(new Lent(orders, startMs));
@@ -109,17 +147,23 @@
     try {
       listening = front.listen(orders.listen());
     } catch (IOException e) {
-      complaints.println("gingerring serve: cannot listen at " + orders.listen() + ": " + e.getMessage());
+      complaints.println(
+          "gingerring serve: cannot listen at " + orders.listen() + ": " + e.getMessage());
       return 1;
     }
     up.accept(listening);
-    LOG.info("{} listens at {}, {} searchers known, {} scans rehearsed", orders.name(), listening,
-        orders.known().members().size(), rehearsed);
+    LOG.info(
+        "{} listens at {}, {} searchers known, {} scans rehearsed",
+        orders.name(),
+        listening,
+        orders.known().members().size(),
+        rehearsed);
     status();
     Practice practice = new Practice(network, listening, orders.sockets(), counts, desk::practised);
     practice.begin();
     Duration dial = terms.span("PolicyLimits.DialTimeoutMs");
-    loop.wakeAfter(dial.compareTo(PRACTICE_MOST) < 0 ? dial : PRACTICE_MOST, desk::practised); // may go on
+    loop.wakeAfter(
+        dial.compareTo(PRACTICE_MOST) < 0 ? dial : PRACTICE_MOST, desk::practised); // may go on
     loop.wakeAfter(PRACTICE_MOST, practice::end);
     loop.run(back::dispatch, network::flush);
     LOG.info("ended; counts: {}", counts);
@@ -131,9 +175,9 @@
   }
 
   /**
-   * SIGHUP: the file is read again, on the signal's own thread and one reading at a time, so that the newest
-   * is taken last. What cannot be used changes nothing; what holds for a process from its start waits for
-   * the next.
+   * SIGHUP: the file is read again, on the signal's own thread and one reading at a time, so that
+   * the newest is taken last. What cannot be used changes nothing; what holds for a process from
+   * its start waits for the next.
    */
   synchronized void reload() {
     try {
@@ -145,20 +189,28 @@
   }
 
   private void takeOver(Orders orders) {
-    LOG.info("reload: discovery at {}{}", orders.discovery(),
+    LOG.info(
+        "reload: discovery at {}{}",
+        orders.discovery(),
         orders.differsOnlyInDiscovery(atStart) ? "" : "; what else is new waits for a restart");
     watch.move(orders.discovery());
   }
 
   private void status() {
-    loop.wakeAfter(STATUS_EVERY, () -> {
-      LOG.info("{} scans open, {} clients, {} connections; counts: {}", desk.open(), front.clients(),
-          network.connections(), counts);
-      if (neighbours != null) {
-        LOG.info("{}", neighbours.status());
-      }
-      status();
-    });
+    loop.wakeAfter(
+        STATUS_EVERY,
+        () -> {
+          LOG.info(
+              "{} scans open, {} clients, {} connections; counts: {}",
+              desk.open(),
+              front.clients(),
+              network.connections(),
+              counts);
+          if (neighbours != null) {
+            LOG.info("{}", neighbours.status());
+          }
+          status();
+        });
   }
 
   /** SIGTERM: the loop ends in its own time, and the process with code 0. */
@@ -173,8 +225,9 @@
   }
 
   /**
-   * Clients stay while their connections do, and may have nowhere else to go while other mixers restart too:
-   * they are served on as ever for most of the time that is left, and then moved over answer by answer.
+   * Clients stay while their connections do, and may have nowhere else to go while other mixers
+   * restart too: they are served on as ever for most of the time that is left, and then moved over
+   * answer by answer.
    */
   void announceEnd() {
     if (endBy != null) {
@@ -195,16 +248,18 @@
     endBy = loop.now().plus(patience).plus(STILL_COMING).minus(END_MARGIN);
     desk.announceEnd(endBy);
     loop.wakeAfter(STILL_COMING, network::stopListening);
-    loop.wakeAfter(endBy.minus(LAST_CALL).minus(loop.now()), () -> {
-      desk.lastCall();
-      loop.wakeAfter(LAST_CALL.minus(CLOSING), this::watchEnd);
-    });
+    loop.wakeAfter(
+        endBy.minus(LAST_CALL).minus(loop.now()),
+        () -> {
+          desk.lastCall();
+          loop.wakeAfter(LAST_CALL.minus(CLOSING), this::watchEnd);
+        });
   }
 
   /**
-   * Clients send on for as long as their connections stay open: each is closed as it becomes idle, and the
-   * process ends once none is left, or at its time. Guards against a request that is read after the last look
-   * at what is open, and goes unanswered.
+   * Clients send on for as long as their connections stay open: each is closed as it becomes idle,
+   * and the process ends once none is left, or at its time. Guards against a request that is read
+   * after the last look at what is open, and goes unanswered.
    */
   private void watchEnd() {
     network.stopListening();
@@ -237,43 +292,53 @@
       this.startMs = Math.round(startMs);
     }
 
-    @Override public String name() {
+    @Override
+    public String name() {
       return orders.name();
     }
 
-    @Override public int zone() {
+    @Override
+    public int zone() {
       return orders.terms().has("Zone") ? orders.terms().count("Zone") : -1;
     }
 
-    @Override public int places() {
+    @Override
+    public int places() {
       return orders.terms().count("Domain.Places");
     }
 
-    @Override public int reach() {
+    @Override
+    public int reach() {
       return orders.terms().count("Domain.Reach");
     }
 
-    @Override public long startMs() {
+    @Override
+    public long startMs() {
       return startMs;
     }
 
-    @Override public void othersHeard(long searcher) {
+    @Override
+    public void othersHeard(long searcher) {
       desk.othersHeard(searcher);
     }
 
-    @Override public Duration now() {
+    @Override
+    public Duration now() {
       return loop.now();
     }
 
-    @Override public void wakeAfter(Duration span, Runnable task) {
+    @Override
+    public void wakeAfter(Duration span, Runnable task) {
       loop.wakeAfter(span, task);
     }
 
-    @Override public void post(Runnable event) {
+    @Override
+    public void post(Runnable event) {
       loop.post(event);
     }
 
-    @Override public Duration clock() {
+    @Override
+    public Duration clock() {
       return loop.clock();
     }
   }
