--- a/peering/src/main/java/gingerring/peering/Guest.java
+++ b/peering/src/main/java/gingerring/peering/Guest.java
@@ -7,17 +7,18 @@
 import gingerring.peers.Place;
 import gingerring.peers.Seal;
 import java.io.IOException;
-import java.net.InetSocketAddress;
-import java.net.SocketTimeoutException;
 import java.net.DatagramPacket;
 import java.net.DatagramSocket;
+import java.net.InetSocketAddress;
+import java.net.SocketTimeoutException;
 import java.util.Arrays;
 import java.util.List;
 import java.util.SplittableRandom;
 
 /**
- * Asks a running mixer what it knows of its peers, over its peers' socket and with the fleet's key, without
- * becoming one of them. For tools; blocks for {@value #TRIES} tries of {@value #TRY_MS} ms at the most.
+ * Asks a running mixer what it knows of its peers, over its peers' socket and with the fleet's key,
+ * without becoming one of them. For tools; blocks for {@value #TRIES} tries of {@value #TRY_MS} ms
+ * at the most.
  */
 public final class Guest {
   private static final int TRIES = 3;
@@ -26,8 +27,8 @@
   private Guest() {}
 
   /** {@code about}: as {@link Peering#explain} has it. */
-  public static String ask(InetSocketAddress mixer, List<byte[]> keys, char about,
-      long box) throws IOException {
+  public static String ask(InetSocketAddress mixer, List<byte[]> keys, char about, long box)
+      throws IOException {
     Letters letters = new Letters(Seal.of(keys));
     PeerId self = new PeerId(new SplittableRandom().nextLong());
     Place place = PeerSettings.place(mixer);
@@ -35,8 +36,8 @@
       socket.setSoTimeout(TRY_MS);
       byte[] bytes = new byte[Letters.MOST + 1];
       for (int i = 1; i <= TRIES; i++) {
-        byte[] letter = letters.write(new Letter(self, 1, i, new Body.Query(about, box), List.of(),
-            List.of()));
+        byte[] letter =
+            letters.write(new Letter(self, 1, i, new Body.Query(about, box), List.of(), List.of()));
         socket.send(new DatagramPacket(letter, letter.length, PeerSettings.address(place)));
         try {
           long until = System.nanoTime() + TRY_MS * 1_000_000L;
@@ -55,7 +56,9 @@
         }
       }
     }
-    throw new IOException("no answer from " + mixer
-        + ": no mixer's peers listen there, or it does not hold this fleet's key");
+    throw new IOException(
+        "no answer from "
+            + mixer
+            + ": no mixer's peers listen there, or it does not hold this fleet's key");
   }
 }
--- a/peering/src/main/java/gingerring/peering/Main.java
+++ b/peering/src/main/java/gingerring/peering/Main.java
@@ -4,7 +4,10 @@
 import java.io.IOException;
 import java.nio.file.Path;
 
-/** A real mixer with peers: {@code serve --peers FILE}, on a class path of the mixer's and this alone. */
+/**
+ * A real mixer with peers: {@code serve --peers FILE}, on a class path of the mixer's and this
+ * alone.
+ */
 public final class Main {
   private Main() {}
 
@@ -14,8 +17,9 @@
       System.exit(2);
     }
     try {
-      System.exit(Serve.run(System.getenv(), System.err, null,
-          new Peering(PeerSettings.read(Path.of(args[2])))));
+      System.exit(
+          Serve.run(
+              System.getenv(), System.err, null, new Peering(PeerSettings.read(Path.of(args[2])))));
     } catch (IOException e) {
       System.err.println("gingerring serve: " + e.getMessage());
       System.exit(2);
--- a/peering/src/main/java/gingerring/peering/PeerSettings.java
+++ b/peering/src/main/java/gingerring/peering/PeerSettings.java
@@ -20,15 +20,20 @@
 import java.util.Map;
 
 /**
- * What a mixer is told of its peers, from a JSON file, checked as a whole: all that is wrong with it is said
- * at once, with the name of each place, and then nothing of it is taken.
+ * What a mixer is told of its peers, from a JSON file, checked as a whole: all that is wrong with
+ * it is said at once, with the name of each place, and then nothing of it is taken.
  *
  * @param listen where datagrams come in; port 0 takes any
  * @param advertised where the others reach it, null for the place listened at
  * @param prefer holders preferred of each folio, 0 to prefer none
  */
-public record PeerSettings(InetSocketAddress listen, Place advertised, List<Place> seeds, List<byte[]> keys,
-    int prefer, Company.Rules rules) {
+public record PeerSettings(
+    InetSocketAddress listen,
+    Place advertised,
+    List<Place> seeds,
+    List<byte[]> keys,
+    int prefer,
+    Company.Rules rules) {
   /** A file that cannot be used; a line for each thing that is wrong. */
   public static final class Unfit extends IOException {
     private static final long serialVersionUID = 1;
@@ -38,11 +43,29 @@
     }
   }
 
-  private static final List<String> NAMES = List.of("listen", "advertise", "seeds", "key_files", "prefer",
-      "zone",
-      "period_ms", "ack_ms", "helpers", "reconnect_ms", "forget_ms", "peers_most", "say_ms", "say_to",
-      "sees_ms",
-      "believes_ms", "witnesses", "round_ms", "step_ms", "boxes_most", "bytes_per_second");
+  private static final List<String> NAMES =
+      List.of(
+          "listen",
+          "advertise",
+          "seeds",
+          "key_files",
+          "prefer",
+          "zone",
+          "period_ms",
+          "ack_ms",
+          "helpers",
+          "reconnect_ms",
+          "forget_ms",
+          "peers_most",
+          "say_ms",
+          "say_to",
+          "sees_ms",
+          "believes_ms",
+          "witnesses",
+          "round_ms",
+          "step_ms",
+          "boxes_most",
+          "bytes_per_second");
 
   /** One reading, with what it complains of. */
   private static final class Reading {
@@ -59,10 +82,19 @@
       if (!told.containsKey(name)) {
         return usual;
       }
-      if (!(told.get(name) instanceof Double number) || !(number >= least && number <= most)
+      if (!(told.get(name) instanceof Double number)
+          || !(number >= least && number <= most)
           || whole && number != Math.rint(number)) {
-        complaints.add(name + " is " + told.get(name) + ", and has to be a " + (whole ? "whole " : "")
-            + "number from " + plain(least) + " to " + plain(most));
+        complaints.add(
+            name
+                + " is "
+                + told.get(name)
+                + ", and has to be a "
+                + (whole ? "whole " : "")
+                + "number from "
+                + plain(least)
+                + " to "
+                + plain(most));
         return usual;
       }
       return number;
@@ -77,7 +109,8 @@
     }
 
     Duration span(String name, Duration usual, double leastMs) {
-      return Duration.ofNanos((long) (number(name, usual.toNanos() / 1e6, leastMs, 86_400_000, false) * 1e6));
+      return Duration.ofNanos(
+          (long) (number(name, usual.toNanos() / 1e6, leastMs, 86_400_000, false) * 1e6));
     }
 
     InetSocketAddress address(String name, Object value, boolean anyPort) {
@@ -86,7 +119,9 @@
         try {
           int port = Integer.parseInt(text.substring(colon + 1));
           // an address as digits is not looked up
-          if (colon > 0 && text.substring(0, colon).matches("[0-9]{1,3}(\\.[0-9]{1,3}){3}") && port <= 0xFFFF
+          if (colon > 0
+              && text.substring(0, colon).matches("[0-9]{1,3}(\\.[0-9]{1,3}){3}")
+              && port <= 0xFFFF
               && port >= (anyPort ? 0 : 1)) {
             return new InetSocketAddress(InetAddress.getByName(text.substring(0, colon)), port);
           }
@@ -94,8 +129,11 @@
           // said below
         }
       }
-      complaints.add(name + " is " + value
-          + ", and has to be an IPv4 address and a port, as \"127.0.0.1:7100\"");
+      complaints.add(
+          name
+              + " is "
+              + value
+              + ", and has to be an IPv4 address and a port, as \"127.0.0.1:7100\"");
       return null;
     }
 
@@ -142,8 +180,10 @@
       }
     }
     InetSocketAddress listen = reading.address("listen", told.get("listen"), true);
-    InetSocketAddress advertise = told.containsKey("advertise")
-        ? reading.address("advertise", told.get("advertise"), false) : null;
+    InetSocketAddress advertise =
+        told.containsKey("advertise")
+            ? reading.address("advertise", told.get("advertise"), false)
+            : null;
     List<Place> seeds = new ArrayList<>();
     for (Object each : reading.list("seeds")) {
       InetSocketAddress seed = reading.address("seeds." + seeds.size(), each, false);
@@ -161,8 +201,13 @@
     if (!reading.complaints.isEmpty()) {
       throw new Unfit(file, reading.complaints);
     }
-    return new PeerSettings(listen, advertise == null ? null : place(advertise), List.copyOf(seeds),
-        List.copyOf(keys), prefer, rules);
+    return new PeerSettings(
+        listen,
+        advertise == null ? null : place(advertise),
+        List.copyOf(seeds),
+        List.copyOf(keys),
+        prefer,
+        rules);
   }
 
   private static Company.Rules rules(Reading reading) {
@@ -170,17 +215,21 @@
     Membership.Rules known = usual.membership();
     try {
       return new Company.Rules(
-          new Membership.Rules(reading.span("period_ms", known.period(), 10), reading.span("ack_ms",
-          known.ackIn(), 1),
+          new Membership.Rules(
+              reading.span("period_ms", known.period(), 10),
+              reading.span("ack_ms", known.ackIn(), 1),
               reading.count("helpers", known.helpers(), 0, 100),
               reading.span("reconnect_ms", known.reconnect(), 10),
               reading.span("forget_ms", known.forget(), 1000),
               reading.count("peers_most", known.peersMost(), 1, 10_000)),
-          reading.count("zone", usual.zone(), -1, 10_000), reading.span("say_ms", usual.sayEvery(), 50),
-          reading.count("say_to", usual.sayTo(), 0, 1000), reading.span("sees_ms", usual.sees(), 100),
-          reading.span("believes_ms", usual.believes(), 100), reading.count("witnesses", usual.witnesses(), 1,
-          1000),
-          reading.span("round_ms", usual.roundEvery(), 100), reading.span("step_ms", usual.roundStep(), 10),
+          reading.count("zone", usual.zone(), -1, 10_000),
+          reading.span("say_ms", usual.sayEvery(), 50),
+          reading.count("say_to", usual.sayTo(), 0, 1000),
+          reading.span("sees_ms", usual.sees(), 100),
+          reading.span("believes_ms", usual.believes(), 100),
+          reading.count("witnesses", usual.witnesses(), 1, 1000),
+          reading.span("round_ms", usual.roundEvery(), 100),
+          reading.span("step_ms", usual.roundStep(), 10),
           reading.count("boxes_most", usual.boxesMost(), 1, 100_000),
           reading.count("bytes_per_second", usual.bytesPerSecond(), 1200, 100_000_000));
     } catch (IllegalArgumentException e) {
@@ -201,8 +250,11 @@
   static InetSocketAddress address(Place place) {
     int number = place.address();
     try {
-      return new InetSocketAddress(InetAddress.getByAddress(
-          new byte[] {(byte) (number >> 24), (byte) (number >> 16), (byte) (number >> 8), (byte) number}),
+      return new InetSocketAddress(
+          InetAddress.getByAddress(
+              new byte[] {
+                (byte) (number >> 24), (byte) (number >> 16), (byte) (number >> 8), (byte) number
+              }),
           place.port());
     } catch (UnknownHostException e) {
       throw new IllegalStateException("four bytes are an address", e);
--- a/peering/src/main/java/gingerring/peering/PeerSocket.java
+++ b/peering/src/main/java/gingerring/peering/PeerSocket.java
@@ -17,9 +17,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The one datagram socket of a mixer's peers. A thread of its own waits for what comes and leaves it with the
- * loop; at most {@value #WAITING_MOST} datagrams wait there, more are dropped and counted, as one that floods
- * must not take the mixer's memory.
+ * The one datagram socket of a mixer's peers. A thread of its own waits for what comes and leaves
+ * it with the loop; at most {@value #WAITING_MOST} datagrams wait there, more are dropped and
+ * counted, as one that floods must not take the mixer's memory.
  */
 final class PeerSocket implements Closeable {
   static final int WAITING_MOST = 256;
@@ -70,16 +70,18 @@
         byte[] bytes = new byte[buffer.remaining()];
         buffer.get(bytes);
         waiting.incrementAndGet();
-        inbox.accept(() -> {
-          waiting.decrementAndGet();
-          received.accept(PeerSettings.place(from), bytes);
-        });
+        inbox.accept(
+            () -> {
+              waiting.decrementAndGet();
+              received.accept(PeerSettings.place(from), bytes);
+            });
       } catch (AsynchronousCloseException e) {
         return;
       } catch (ClosedChannelException e) {
         return;
       } catch (IOException e) {
-        LOG.debug("a datagram could not be taken: {}", e.toString()); // as where a peer's port is closed
+        LOG.debug(
+            "a datagram could not be taken: {}", e.toString()); // as where a peer's port is closed
       }
     }
   }
@@ -100,7 +102,8 @@
     return unsent;
   }
 
-  @Override public void close() {
+  @Override
+  public void close() {
     try {
       channel.close();
     } catch (IOException e) {
--- a/peering/src/main/java/gingerring/peering/Peering.java
+++ b/peering/src/main/java/gingerring/peering/Peering.java
@@ -31,7 +31,10 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The peers of one mixer's process: their socket and their company, between {@code Serve} and the core. */
+/**
+ * The peers of one mixer's process: their socket and their company, between {@code Serve} and the
+ * core.
+ */
 public final class Peering implements Neighbours, Company.Host {
   private static final Logger LOG = LoggerFactory.getLogger("gingerring.peers");
   private static final Duration TICK = Duration.ofMillis(100);
@@ -50,27 +53,53 @@
     this.settings = settings;
   }
 
-  @Override public void begin(Ground lent) {
+  @Override
+  public void begin(Ground lent) {
     ground = lent;
     try {
-      socket = new PeerSocket(settings.listen(), lent::post, (from, bytes) -> company.received(from, bytes));
+      socket =
+          new PeerSocket(
+              settings.listen(), lent::post, (from, bytes) -> company.received(from, bytes));
       InetSocketAddress bound = socket.address();
       here = settings.advertised() != null ? settings.advertised() : PeerSettings.place(bound);
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
     Company.Rules told = settings.rules();
-    Company.Rules rules = told.zone() >= 0 ? told : new Company.Rules(told.membership(), lent.zone(),
-        told.sayEvery(),
-        told.sayTo(), told.sees(), told.believes(), told.witnesses(), told.roundEvery(), told.roundStep(),
-        told.boxesMost(), told.bytesPerSecond());
+    Company.Rules rules =
+        told.zone() >= 0
+            ? told
+            : new Company.Rules(
+                told.membership(),
+                lent.zone(),
+                told.sayEvery(),
+                told.sayTo(),
+                told.sees(),
+                told.believes(),
+                told.witnesses(),
+                told.roundEvery(),
+                told.roundStep(),
+                told.boxesMost(),
+                told.bytesPerSecond());
     PeerId self = PeerId.named(lent.name());
-    company = new Company(self, here, lent.startMs(), rules, Seal.of(settings.keys()),
-        new SplittableRandom(self.number() ^ lent.startMs()), this);
+    company =
+        new Company(
+            self,
+            here,
+            lent.startMs(),
+            rules,
+            Seal.of(settings.keys()),
+            new SplittableRandom(self.number() ^ lent.startMs()),
+            this);
     if (settings.prefer() > 0) {
-      preference = new Preference(new MixerId(self.number()), settings.prefer(), lent.places(), lent.reach());
+      preference =
+          new Preference(
+              new MixerId(self.number()), settings.prefer(), lent.places(), lent.reach());
     }
-    LOG.info("peers at {}, bound to port {}, as {}", here, address().getPort(),
+    LOG.info(
+        "peers at {}, bound to port {}, as {}",
+        here,
+        address().getPort(),
         Long.toHexString(self.number()));
     company.begin(settings.seeds());
     socket.start();
@@ -78,27 +107,40 @@
   }
 
   private void tick() {
-    ground.wakeAfter(TICK, () -> {
-      if (!ended) {
-        company.tick();
-        if (company.membership().superseded() && !saidSuperseded) {
-          saidSuperseded = true;
-          LOG.warn("another mixer has started under the name {}: this one says nothing to peers any more",
-              ground.name());
-        }
-        tick();
-      }
-    });
+    ground.wakeAfter(
+        TICK,
+        () -> {
+          if (!ended) {
+            company.tick();
+            if (company.membership().superseded() && !saidSuperseded) {
+              saidSuperseded = true;
+              LOG.warn(
+                  "another mixer has started under the name {}: this one says nothing to peers any more",
+                  ground.name());
+            }
+            tick();
+          }
+        });
   }
 
   // ---- Neighbours ----
 
-  @Override public void listed(Collection<Listing> searchers) {
+  @Override
+  public void listed(Collection<Listing> searchers) {
     company.listed(searchers.stream().map(each -> each.searcher().address()).toList());
     if (preference != null) {
-      preference.listed(searchers.stream().filter(each -> each.standing() == Listing.Standing.READY)
-          .map(each -> new Preference.Listed(new Box(id(each.searcher().address()), each.zone(),
-              each.size() > 0 ? each.size() : 1), each.cell())).toList());
+      preference.listed(
+          searchers.stream()
+              .filter(each -> each.standing() == Listing.Standing.READY)
+              .map(
+                  each ->
+                      new Preference.Listed(
+                          new Box(
+                              id(each.searcher().address()),
+                              each.zone(),
+                              each.size() > 0 ? each.size() : 1),
+                          each.cell()))
+              .toList());
     }
   }
 
@@ -106,52 +148,67 @@
     return new BoxId(searcher);
   }
 
-  @Override public void ended(long searcher, Outcome outcome) {
+  @Override
+  public void ended(long searcher, Outcome outcome) {
     switch (outcome) {
       case SUCCEEDED -> company.saw(searcher, true);
       case ERROR, BROKEN, UNREACHABLE -> company.saw(searcher, false);
-      default -> { } // full or late tells of load, and not of the box
+      default -> {} // full or late tells of load, and not of the box
     }
   }
 
-  @Override public void benched(long searcher) {
+  @Override
+  public void benched(long searcher) {
     company.silent(searcher);
     if (preference != null) {
       preference.distrusts(id(searcher));
     }
   }
 
-  @Override public boolean asksItself(long searcher) {
+  @Override
+  public boolean asksItself(long searcher) {
     return company.turn(searcher);
   }
 
-  @Override public void asks(long searcher) {
+  @Override
+  public void asks(long searcher) {
     company.asks(searcher);
   }
 
-  @Override public void asked(long searcher, boolean answered) {
+  @Override
+  public void asked(long searcher, boolean answered) {
     company.asked(searcher, answered);
     if (answered && preference != null) {
       preference.trusts(id(searcher));
     }
   }
 
-  @Override public double doubt(long searcher) {
+  @Override
+  public double doubt(long searcher) {
     return company.doubt(searcher);
   }
 
-  @Override public boolean prefers(long searcher) {
+  @Override
+  public boolean prefers(long searcher) {
     return preference == null || preference.prefers(id(searcher));
   }
 
-  @Override public String status() {
-    return "peers: " + company.membership().present().size() + " there, health "
+  @Override
+  public String status() {
+    return "peers: "
+        + company.membership().present().size()
+        + " there, health "
         + company.membership().health()
-        + ", " + company.bytes() + " bytes sent, " + socket.dropped() + " datagrams dropped; counts: "
+        + ", "
+        + company.bytes()
+        + " bytes sent, "
+        + socket.dropped()
+        + " datagrams dropped; counts: "
         + new TreeMap<>(company.counts());
   }
 
-  @Override public void end(Duration within) {
+  @Override
+  public void end(Duration within) {
     company.leave();
     ended = true;
     LOG.info("{}", status());
@@ -172,25 +229,36 @@
 
   // ---- Company.Host ----
 
-  @Override public Duration now() {
+  @Override
+  public Duration now() {
     return ground.now();
   }
 
-  @Override public void send(Place to, byte[] letter) {
+  @Override
+  public void send(Place to, byte[] letter) {
     socket.send(to, letter);
   }
 
-  @Override public void answers(long box) {
+  @Override
+  public void answers(long box) {
     ground.othersHeard(box);
   }
 
-  @Override public void changed(Standing now) {
-    LOG.info("peer {} at {}: {}", Long.toHexString(now.peer().number()), now.place(),
+  @Override
+  public void changed(Standing now) {
+    LOG.info(
+        "peer {} at {}: {}",
+        Long.toHexString(now.peer().number()),
+        now.place(),
         now.state().name().toLowerCase(Locale.ROOT));
   }
 
-  /** What operators ask: {@code p} peers, {@code w} why of a box, {@code s} shares, {@code c} counts. */
-  @Override public String explain(Body.Query query) {
+  /**
+   * What operators ask: {@code p} peers, {@code w} why of a box, {@code s} shares, {@code c}
+   * counts.
+   */
+  @Override
+  public String explain(Body.Query query) {
     List<String> lines = new ArrayList<>();
     switch (query.about()) {
       case 'p' -> peers(lines);
@@ -204,11 +272,28 @@
 
   private void peers(List<String> lines) {
     List<Standing> all = company.membership().all();
-    lines.add(ground.name() + " life " + ground.startMs() + " health " + company.membership().health() + ", "
-        + company.membership().present().size() + " of " + all.size() + " there");
+    lines.add(
+        ground.name()
+            + " life "
+            + ground.startMs()
+            + " health "
+            + company.membership().health()
+            + ", "
+            + company.membership().present().size()
+            + " of "
+            + all.size()
+            + " there");
     for (Standing each : all.subList(0, Math.min(LINES, all.size()))) {
-      lines.add(Long.toHexString(each.peer().number()) + " " + each.place() + " "
-          + each.state().name().toLowerCase(Locale.ROOT) + " life " + each.life() + " rise " + each.rise());
+      lines.add(
+          Long.toHexString(each.peer().number())
+              + " "
+              + each.place()
+              + " "
+              + each.state().name().toLowerCase(Locale.ROOT)
+              + " life "
+              + each.life()
+              + " rise "
+              + each.rise());
     }
     if (all.size() > LINES) {
       lines.add("and " + (all.size() - LINES) + " more");
@@ -217,36 +302,53 @@
 
   private void why(long box, List<String> lines) {
     Seen own = company.own(box);
-    lines.add(String.format(Locale.ROOT, "own: %.0f answered, %.0f failed; others: doubt %.2f; preferred: %s",
-        own.answered(), own.failed(), company.doubt(box), prefers(box)));
+    lines.add(
+        String.format(
+            Locale.ROOT,
+            "own: %.0f answered, %.0f failed; others: doubt %.2f; preferred: %s",
+            own.answered(),
+            own.failed(),
+            company.doubt(box),
+            prefers(box)));
     String matter = company.matterOf(box);
     lines.add(matter.isEmpty() ? "nobody asks about it" : matter);
     for (Words.Kept each : company.heard()) {
       Seen seen = each.word().boxes().get(box);
       if (seen != null && lines.size() < LINES) {
-        lines.add(String.format(Locale.ROOT, "%x (zone %d, %d ms ago): %.0f answered, %.0f failed",
-            each.word().author().number(), each.word().zone(), now().minus(each.at()).toMillis(),
-            seen.answered(),
-            seen.failed()));
+        lines.add(
+            String.format(
+                Locale.ROOT,
+                "%x (zone %d, %d ms ago): %.0f answered, %.0f failed",
+                each.word().author().number(),
+                each.word().zone(),
+                now().minus(each.at()).toMillis(),
+                seen.answered(),
+                seen.failed()));
       }
     }
   }
 
   /**
-   * What each asks for a second, and what would be its due of all that is asked if a tenth of it had to go.
+   * What each asks for a second, and what would be its due of all that is asked if a tenth of it
+   * had to go.
    */
   private void shares(List<String> lines) {
     Map<Long, Double> demands = new TreeMap<>();
-    company.heard().forEach(each -> demands.put(each.word().author().number(), each.word().demand()));
+    company
+        .heard()
+        .forEach(each -> demands.put(each.word().author().number(), each.word().demand()));
     demands.put(PeerId.named(ground.name()).number(), company.ownDemand());
     double[] wanted = demands.values().stream().mapToDouble(Double::doubleValue).toArray();
     double[] even = new double[wanted.length];
     Arrays.fill(even, 1);
     double all = Arrays.stream(wanted).sum();
     double[] shares = FairShares.of(0.9 * all, wanted, even);
-    lines.add(String.format(Locale.ROOT, "%.1f parts a second heard of, by %d mixers; of nine tenths of it:",
-        all,
-        wanted.length));
+    lines.add(
+        String.format(
+            Locale.ROOT,
+            "%.1f parts a second heard of, by %d mixers; of nine tenths of it:",
+            all,
+            wanted.length));
     int i = 0;
     for (long who : demands.keySet()) {
       if (i < LINES) {
--- a/peers/src/main/java/gingerring/peers/Body.java
+++ b/peers/src/main/java/gingerring/peers/Body.java
@@ -4,7 +4,9 @@
 
 /** What one letter between two mixers is about; news of others goes beside it. */
 public sealed interface Body {
-  /** Are you there? {@code peer} is whom the sender means: another at that place does not answer. */
+  /**
+   * Are you there? {@code peer} is whom the sender means: another at that place does not answer.
+   */
   record Ping(int number, PeerId peer) implements Body {}
 
   /** I am. */
@@ -19,7 +21,9 @@
   /** Tell me whom you know, from this number on (as unsigned). */
   record Ask(long from) implements Body {}
 
-  /** Whom I know, in the order of their numbers; {@code next} is where the rest begins, 0 for none. */
+  /**
+   * Whom I know, in the order of their numbers; {@code next} is where the rest begins, 0 for none.
+   */
   record Page(List<Standing> standings, long next) implements Body {
     public Page {
       standings = List.copyOf(standings);
--- a/peers/src/main/java/gingerring/peers/Budget.java
+++ b/peers/src/main/java/gingerring/peers/Budget.java
@@ -3,9 +3,9 @@
 import java.time.Duration;
 
 /**
- * A ceiling on the bytes that a mixer sends its peers: so many a second over any span, and one second's worth
- * at once. What would go over it is not sent and counted; words go first, as others can do without them for
- * longer: they may use half of it.
+ * A ceiling on the bytes that a mixer sends its peers: so many a second over any span, and one
+ * second's worth at once. What would go over it is not sent and counted; words go first, as others
+ * can do without them for longer: they may use half of it.
  */
 final class Budget {
   private final double perNano;
@@ -16,9 +16,11 @@
 
   Budget(int bytesPerSecond) {
     if (bytesPerSecond < Letters.MOST) {
-      throw new IllegalArgumentException("a ceiling of " + bytesPerSecond
-          + " bytes a second is under one letter of "
-          + Letters.MOST);
+      throw new IllegalArgumentException(
+          "a ceiling of "
+              + bytesPerSecond
+              + " bytes a second is under one letter of "
+              + Letters.MOST);
     }
     perNano = bytesPerSecond / 1e9;
     most = bytesPerSecond;
--- a/peers/src/main/java/gingerring/peers/Company.java
+++ b/peers/src/main/java/gingerring/peers/Company.java
@@ -16,18 +16,20 @@
 import java.util.random.RandomGenerator;
 
 /**
- * One mixer among its peers: who they are ({@link Membership}), what they say and how much it weighs ({@link
- * Words}, {@link Hearsay}), and whose turn it is to ask a benched box for all ({@link Rota}). Its owner calls
- * {@link #begin} once, {@link #tick} ten times a second, {@link #received} for each datagram, {@link #saw},
- * {@link #silent}, {@link #asks} and {@link #asked} for what the mixer meets, and asks {@link #turn} and
- * {@link #doubt} when the mixer wants to know; it acts by {@link Host}.
+ * One mixer among its peers: who they are ({@link Membership}), what they say and how much it
+ * weighs ({@link Words}, {@link Hearsay}), and whose turn it is to ask a benched box for all
+ * ({@link Rota}). Its owner calls {@link #begin} once, {@link #tick} ten times a second, {@link
+ * #received} for each datagram, {@link #saw}, {@link #silent}, {@link #asks} and {@link #asked} for
+ * what the mixer meets, and asks {@link #turn} and {@link #doubt} when the mixer wants to know; it
+ * acts by {@link Host}.
  *
- * <p>Nothing that others say is an order. A note that a box has answered lets this mixer ask it too, sooner
- * than it would have; a word that a box fails shortens how long its silence is borne. What any one peer can
- * move is so much and no more, and with nobody heard every answer is what it would be without peers.
+ * <p>Nothing that others say is an order. A note that a box has answered lets this mixer ask it
+ * too, sooner than it would have; a word that a box fails shortens how long its silence is borne.
+ * What any one peer can move is so much and no more, and with nobody heard every answer is what it
+ * would be without peers.
  *
- * <p>Bounds: as of its parts; {@link Rules#boxesMost} boxes in hand; one note a box is passed on, the newest;
- * and {@link Rules#bytesPerSecond} sent at the most.
+ * <p>Bounds: as of its parts; {@link Rules#boxesMost} boxes in hand; one note a box is passed on,
+ * the newest; and {@link Rules#bytesPerSecond} sent at the most.
  */
 public final class Company {
   /** How it acts, and the clock. */
@@ -51,41 +53,82 @@
   }
 
   /**
-   * {@code zone}: where this mixer stands, -1 where that is not told; {@code sayEvery} and {@code sayTo}: how
-   * often its word goes out, and to how many drawn by chance; {@code sees}: what span a word tells of; {@code
-   * believes}: how long one counts; {@code witnesses}: how many are needed, see {@link Hearsay} (2f + 1 stand
-   * against f that lie together); {@code roundEvery} and {@code
+   * {@code zone}: where this mixer stands, -1 where that is not told; {@code sayEvery} and {@code
+   * sayTo}: how often its word goes out, and to how many drawn by chance; {@code sees}: what span a
+   * word tells of; {@code believes}: how long one counts; {@code witnesses}: how many are needed,
+   * see {@link Hearsay} (2f + 1 stand against f that lie together); {@code roundEvery} and {@code
    * roundStep}: the rota of asks; {@code bytesPerSecond}: the ceiling.
    */
-  public record Rules(Membership.Rules membership, int zone, Duration sayEvery, int sayTo, Duration sees,
-      Duration believes, int witnesses, Duration roundEvery, Duration roundStep, int boxesMost,
+  public record Rules(
+      Membership.Rules membership,
+      int zone,
+      Duration sayEvery,
+      int sayTo,
+      Duration sees,
+      Duration believes,
+      int witnesses,
+      Duration roundEvery,
+      Duration roundStep,
+      int boxesMost,
       int bytesPerSecond) {
     public Rules {
-      if (sayEvery.isZero() || sayEvery.isNegative() || sayTo < 0 || boxesMost < 1
+      if (sayEvery.isZero()
+          || sayEvery.isNegative()
+          || sayTo < 0
+          || boxesMost < 1
           || believes.compareTo(sayEvery) <= 0) {
-        throw new IllegalArgumentException("a word each " + sayEvery + " to " + sayTo + ", believed for "
-            + believes
-            + ", of " + boxesMost + " boxes");
+        throw new IllegalArgumentException(
+            "a word each "
+                + sayEvery
+                + " to "
+                + sayTo
+                + ", believed for "
+                + believes
+                + ", of "
+                + boxesMost
+                + " boxes");
       }
     }
 
     public static Rules usual() {
-      return new Rules(Membership.Rules.usual(), -1, Duration.ofSeconds(1), 3, Duration.ofSeconds(5),
-          Duration.ofSeconds(10), 7, Duration.ofSeconds(2), Duration.ofMillis(250), 512, 16_384);
+      return new Rules(
+          Membership.Rules.usual(),
+          -1,
+          Duration.ofSeconds(1),
+          3,
+          Duration.ofSeconds(5),
+          Duration.ofSeconds(10),
+          7,
+          Duration.ofSeconds(2),
+          Duration.ofMillis(250),
+          512,
+          16_384);
     }
   }
 
   /** What happened, by cause. */
   public enum Count {
-    /** Letters sent, and taken. */ SENT, TAKEN,
-    /** Not proved, or no letter. */ REFUSED,
-    /** Came before, far behind, or of an earlier life. */ REPEATED,
-    /** Not sent for the ceiling. */ OVER_CEILING,
-    /** Words taken, and not. */ WORDS, WORDS_DROPPED,
-    /** Notes believed, and not. */ NOTES, NOTES_DISBELIEVED,
-    /** Of boxes that no list names. */ STRANGE_BOX,
-    /** Asked a box for all. */ ASKED,
-    /** Asked one on another's word, in vain. */ MISLED
+    /** Letters sent, and taken. */
+    SENT,
+    TAKEN,
+    /** Not proved, or no letter. */
+    REFUSED,
+    /** Came before, far behind, or of an earlier life. */
+    REPEATED,
+    /** Not sent for the ceiling. */
+    OVER_CEILING,
+    /** Words taken, and not. */
+    WORDS,
+    WORDS_DROPPED,
+    /** Notes believed, and not. */
+    NOTES,
+    NOTES_DISBELIEVED,
+    /** Of boxes that no list names. */
+    STRANGE_BOX,
+    /** Asked a box for all. */
+    ASKED,
+    /** Asked one on another's word, in vain. */
+    MISLED
   }
 
   private static final double PARTS_LEAST = 1;
@@ -95,31 +138,44 @@
   private static final int NOTES = 4;
   private static final int PASS_TO = 3;
   private static final double NOTES_PASSED_ON = 4;
+
   /** So much later asks of their own each further mixer draws, after one had an answer. */
   private static final Duration AFTER_ANSWER = Duration.ofMillis(5);
-  /** A box of which others see less fail is sound; how often their words alone may lead to an ask. */
+
+  /**
+   * A box of which others see less fail is sound; how often their words alone may lead to an ask.
+   */
   private static final double SOUND = 0.5;
+
   private static final Duration BY_WORDS = Duration.ofSeconds(5);
+
   /**
-   * How long who was wrong of an answer is not believed in one: an honest one may be wrong of a box that
-   * falls.
+   * How long who was wrong of an answer is not believed in one: an honest one may be wrong of a box
+   * that falls.
    */
   private static final Duration MISLED = Duration.ofSeconds(10);
+
   private static final int MISLED_DOUBLED = 8;
+
   /** What a bench for silence counts for in one's word, in parts that failed. */
   private static final double SILENCE_PARTS = 3;
 
   /** A box that this mixer asks about, or hears of. */
   private static final class Matter {
     final Rota rota;
+
     /** From when on it may ask by itself since another had an answer; null where none had. */
     Duration answered;
+
     /** The round that it acts for, while its ask is out. */
     Long round;
+
     /** Whose note was believed last. */
     Note last;
+
     /** Whose word of an answer the ask that is out goes by; null where it is a turn. */
     PeerId onWordOf;
+
     /** When others' words may next lead to an ask. */
     Duration byWords = Duration.ZERO;
 
@@ -143,10 +199,13 @@
   private final Budget budget;
   private final Spread<Long, Note> notes;
   private final Map<Long, Matter> matters = new LinkedHashMap<>(16, 0.75f, true);
+
   /**
-   * Who said of a box that it answers, and it did not: until when nothing of that is believed, and how often.
+   * Who said of a box that it answers, and it did not: until when nothing of that is believed, and
+   * how often.
    */
   private final Map<PeerId, Misled> misled = new LinkedHashMap<>();
+
   private final Map<Count, Long> counts = new TreeMap<>();
   private Set<Long> listed = Set.of();
   private long number;
@@ -154,7 +213,13 @@
   private long bytes;
 
   /** {@code life}: Unix time in milliseconds at which {@link Host#now} was zero. */
-  public Company(PeerId self, Place here, long life, Rules rules, Seal seal, RandomGenerator chance,
+  public Company(
+      PeerId self,
+      Place here,
+      long life,
+      Rules rules,
+      Seal seal,
+      RandomGenerator chance,
       Host host) {
     this.self = self;
     this.life = life;
@@ -162,28 +227,45 @@
     this.host = host;
     letters = new Letters(seal);
     numbers = new Numbers(2 * rules.membership.peersMost());
-    words = new Words(self, rules.membership.peersMost(), Letters.boxes(0, 0), rules.sayEvery.dividedBy(2),
-        rules.believes);
+    words =
+        new Words(
+            self,
+            rules.membership.peersMost(),
+            Letters.boxes(0, 0),
+            rules.sayEvery.dividedBy(2),
+            rules.believes);
     hearsay = new Hearsay(rules.witnesses, PARTS_LEAST, LENT, DEMAND_MOST);
     sight = new Sight(rules.sees, rules.boxesMost);
     budget = new Budget(rules.bytesPerSecond);
     notes = new Spread<>(rules.boxesMost, NOTES_PASSED_ON);
-    membership = new Membership(self, here, life, rules.membership, chance, new Membership.Host() {
-      @Override public Duration now() {
-        return host.now();
-      }
-
-      @Override public void send(Place to, Body body) {
-        Company.this.send(to, body, false);
-      }
-
-      @Override public void changed(Standing now) {
-        if (now.state() == Standing.State.LEFT) { // what one who is gone said ages by itself: it may be back
-          words.left(now.peer(), now.life(), host.now());
-        }
-        host.changed(now);
-      }
-    });
+    membership =
+        new Membership(
+            self,
+            here,
+            life,
+            rules.membership,
+            chance,
+            new Membership.Host() {
+              @Override
+              public Duration now() {
+                return host.now();
+              }
+
+              @Override
+              public void send(Place to, Body body) {
+                Company.this.send(to, body, false);
+              }
+
+              @Override
+              public void changed(Standing now) {
+                if (now.state()
+                    == Standing.State
+                        .LEFT) { // what one who is gone said ages by itself: it may be back
+                  words.left(now.peer(), now.life(), host.now());
+                }
+                host.changed(now);
+              }
+            });
   }
 
   public void begin(List<Place> places) {
@@ -196,8 +278,14 @@
     Duration now = host.now();
     if (now.compareTo(sayNext) >= 0) {
       sayNext = now.plus(rules.sayEvery);
-      Word word = new Word(self, life, number, rules.zone, sight.demand(now),
-          sight.worth(Letters.boxes(NEWS, NOTES), now));
+      Word word =
+          new Word(
+              self,
+              life,
+              number,
+              rules.zone,
+              sight.demand(now),
+              sight.worth(Letters.boxes(NEWS, NOTES), now));
       membership.some(rules.sayTo).forEach(each -> send(each.place(), new Body.Say(word), true));
     }
   }
@@ -207,7 +295,8 @@
       return;
     }
     int room = Letters.newsBeside(body);
-    List<Note> passed = room < 2 * NOTES ? List.of() : notes.take(NOTES, membership.present().size() + 1);
+    List<Note> passed =
+        room < 2 * NOTES ? List.of() : notes.take(NOTES, membership.present().size() + 1);
     List<Standing> news = membership.news(Math.min(NEWS, room - passed.size()));
     byte[] letter = letters.write(new Letter(self, life, ++number, body, news, passed));
     if (!budget.take(letter.length, word, host.now())) {
@@ -236,7 +325,10 @@
     count(Count.TAKEN);
     membership.heard(letter.author(), letter.life(), from, letter.body(), letter.news());
     if (letter.body() instanceof Body.Say say) {
-      count(words.heard(say.word(), host.now()) == Words.Verdict.TAKEN ? Count.WORDS : Count.WORDS_DROPPED);
+      count(
+          words.heard(say.word(), host.now()) == Words.Verdict.TAKEN
+              ? Count.WORDS
+              : Count.WORDS_DROPPED);
     } else if (letter.body() instanceof Body.Query query) {
       send(from, new Body.Reply(host.explain(query)), true);
     }
@@ -255,10 +347,15 @@
     Matter matter = matter(note.box());
     long before = matter.rota.disbelieved();
     // who had asked in this round has had its answer
-    boolean more = note.answered() && matter.last != null && !matter.last.answered()
-        && matter.last.author().equals(note.author()) && matter.last.round() == note.round();
+    boolean more =
+        note.answered()
+            && matter.last != null
+            && !matter.last.answered()
+            && matter.last.author().equals(note.author())
+            && matter.last.round() == note.round();
     boolean itsLife = note.life() == membership.life(note.author());
-    if (!itsLife || !more && !matter.rota.heard(id(note.author()), note.round(), mixers(), common())) {
+    if (!itsLife
+        || !more && !matter.rota.heard(id(note.author()), note.round(), mixers(), common())) {
       if (!itsLife || matter.rota.disbelieved() > before) {
         count(Count.NOTES_DISBELIEVED);
       }
@@ -270,14 +367,18 @@
     if (note.answered() && (liar == null || liar.until.compareTo(host.now()) <= 0)) {
       matter.onWordOf = note.author();
       // all are to ask it now, and not all in one moment
-      Duration wait = new Turns(id(self), AFTER_ANSWER).spread(note.box(), note.round(), mixers().size());
+      Duration wait =
+          new Turns(id(self), AFTER_ANSWER).spread(note.box(), note.round(), mixers().size());
       matter.answered = host.now().plus(wait);
       host.answers(note.box());
     }
     pass(note);
   }
 
-  /** News that does not bear waiting for the next letter: to some at once, each of whom does the same. */
+  /**
+   * News that does not bear waiting for the next letter: to some at once, each of whom does the
+   * same.
+   */
   private void pass(Note note) {
     notes.add(note.box(), note);
     membership.some(PASS_TO).forEach(each -> send(each.place(), new Body.Pass(), false));
@@ -329,8 +430,8 @@
   }
 
   /**
-   * Whether this mixer may ask a benched box now: where its turn has come and nobody was heard to have asked
-   * in this round, or another had an answer. Alone, always.
+   * Whether this mixer may ask a benched box now: where its turn has come and nobody was heard to
+   * have asked in this round, or another had an answer. Alone, always.
    */
   public boolean turn(long box) {
     List<PeerId> present = membership.present();
@@ -379,7 +480,9 @@
     }
   }
 
-  /** Who says falsely that a box answers is not believed in it for a while, twice as long each time. */
+  /**
+   * Who says falsely that a box answers is not believed in it for a while, twice as long each time.
+   */
   private void misledBy(PeerId author) {
     Misled before = misled.remove(author);
     int times = before == null ? 0 : Math.min(before.times + 1, MISLED_DOUBLED);
@@ -390,7 +493,9 @@
     count(Count.MISLED);
   }
 
-  /** The share of a box's parts that fail as others see it: 0 where too few tell, or nothing does. */
+  /**
+   * The share of a box's parts that fail as others see it: 0 where too few tell, or nothing does.
+   */
   public double doubt(long box) {
     double failing = hearsay.failing(box, new Seen(0, 0), words.fresh(host.now()));
     return Double.isNaN(failing) ? 0 : failing;
@@ -421,16 +526,24 @@
     membership.leave();
   }
 
-  /** Which asks of a box are told, and by whom last: a line for operators; empty where none is in hand. */
+  /**
+   * Which asks of a box are told, and by whom last: a line for operators; empty where none is in
+   * hand.
+   */
   public String matterOf(long box) {
     Matter matter = matters.get(box);
     if (matter == null) {
       return "";
     }
     Duration due = matter.rota.due(mixers(), common()).minus(common());
-    return "own turn in " + due.toMillis() + " ms" + (matter.last == null ? "" : ", last asked by "
-        + Long.toHexString(matter.last.author().number()) + (matter.last.answered() ? ": answered"
-        : ": no answer yet"));
+    return "own turn in "
+        + due.toMillis()
+        + " ms"
+        + (matter.last == null
+            ? ""
+            : ", last asked by "
+                + Long.toHexString(matter.last.author().number())
+                + (matter.last.answered() ? ": answered" : ": no answer yet"));
   }
 
   public Membership membership() {
--- a/peers/src/main/java/gingerring/peers/Hearsay.java
+++ b/peers/src/main/java/gingerring/peers/Hearsay.java
@@ -8,11 +8,12 @@
 import java.util.Set;
 
 /**
- * How much the others' words weigh. Own sight comes first: what others saw counts as so many own parts at
- * most. What they saw is taken as the median over witnesses, each with one voice however much it claims, so
- * that of 2f + 1 witnesses any f that lie, alone or together, cannot bring it outside of what the others saw
- * (the median's breakdown point; Rousseeuw and Leroy, "Robust Regression and Outlier Detection", 1987).
- * Demands are summed with each held to a multiple of their median.
+ * How much the others' words weigh. Own sight comes first: what others saw counts as so many own
+ * parts at most. What they saw is taken as the median over witnesses, each with one voice however
+ * much it claims, so that of 2f + 1 witnesses any f that lie, alone or together, cannot bring it
+ * outside of what the others saw (the median's breakdown point; Rousseeuw and Leroy, "Robust
+ * Regression and Outlier Detection", 1987). Demands are summed with each held to a multiple of
+ * their median.
  */
 public final class Hearsay {
   private final int witnesses;
@@ -21,15 +22,22 @@
   private final double demandMost;
 
   /**
-   * {@code witnesses}: so many are needed before others are believed, half of all who are heard among them,
-   * in two zones where they stand in more than one; {@code partsLeast}: who saw fewer parts of a box is no
-   * witness; {@code lent}: what all of them together count for, in own parts; {@code demandMost}: how many
-   * times the median demand one peer may claim.
+   * {@code witnesses}: so many are needed before others are believed, half of all who are heard
+   * among them, in two zones where they stand in more than one; {@code partsLeast}: who saw fewer
+   * parts of a box is no witness; {@code lent}: what all of them together count for, in own parts;
+   * {@code demandMost}: how many times the median demand one peer may claim.
    */
   public Hearsay(int witnesses, double partsLeast, double lent, double demandMost) {
     if (witnesses < 1 || !(partsLeast > 0) || !(lent >= 0) || !(demandMost >= 1)) {
-      throw new IllegalArgumentException("witnesses " + witnesses + ", parts " + partsLeast + ", lent " + lent
-          + ", demand " + demandMost);
+      throw new IllegalArgumentException(
+          "witnesses "
+              + witnesses
+              + ", parts "
+              + partsLeast
+              + ", lent "
+              + lent
+              + ", demand "
+              + demandMost);
     }
     this.witnesses = witnesses;
     this.partsLeast = partsLeast;
@@ -38,8 +46,8 @@
   }
 
   /**
-   * The share of parts that fail at a box, 0 to 1: own sight, and what others saw lent to it. NaN where
-   * neither tells anything.
+   * The share of parts that fail at a box, 0 to 1: own sight, and what others saw lent to it. NaN
+   * where neither tells anything.
    */
   public double failing(long box, Seen own, Collection<Words.Kept> words) {
     List<Double> told = new ArrayList<>();
@@ -53,8 +61,10 @@
         zones.add(each.word().zone());
       }
     }
-    boolean believed = told.size() >= witnesses && 2 * told.size() >= words.size()
-        && zones.size() >= Math.min(2, allZones.size());
+    boolean believed =
+        told.size() >= witnesses
+            && 2 * told.size() >= words.size()
+            && zones.size() >= Math.min(2, allZones.size());
     double weight = believed ? lent : 0;
     double all = own.parts() + weight;
     return all == 0 ? Double.NaN : (own.failed() + (believed ? weight * median(told) : 0)) / all;
--- a/peers/src/main/java/gingerring/peers/Letters.java
+++ b/peers/src/main/java/gingerring/peers/Letters.java
@@ -11,14 +11,15 @@
 import java.util.TreeMap;
 
 /**
- * Letters as bytes, most significant byte first: form 2 (1 byte), author, life, number (8 each), kind (1),
- * the body, a count of news (1) with 35 bytes each, a count of notes (1) with 33 each, and the proof ({@link
- * Seal}). At most {@value #MOST} bytes, so that a letter is one packet on any usual way.
+ * Letters as bytes, most significant byte first: form 2 (1 byte), author, life, number (8 each),
+ * kind (1), the body, a count of news (1) with 35 bytes each, a count of notes (1) with 33 each,
+ * and the proof ({@link Seal}). At most {@value #MOST} bytes, so that a letter is one packet on any
+ * usual way.
  *
- * <p>Bodies: ping number (4), peer (8); ack and nack number (4); help number (4), peer (8), place (6); ask
- * from (8); page next (8), count (1), standings; say zone (4), demand (4, a float), count (2), then by number
- * box (8), answered, failed (2 each, whole parts, 65,535 at most); pass nothing; query about (1), box (8);
- * reply length (2), text in UTF-8.
+ * <p>Bodies: ping number (4), peer (8); ack and nack number (4); help number (4), peer (8), place
+ * (6); ask from (8); page next (8), count (1), standings; say zone (4), demand (4, a float), count
+ * (2), then by number box (8), answered, failed (2 each, whole parts, 65,535 at most); pass
+ * nothing; query about (1), box (8); reply length (2), text in UTF-8.
  */
 public final class Letters {
   /** Bytes that are no letter, or not proved; the message says which. */
@@ -80,8 +81,15 @@
     to.put((byte) letter.news().size());
     letter.news().forEach(each -> standing(to, each));
     to.put((byte) letter.notes().size());
-    letter.notes().forEach(each -> to.putLong(each.author().number()).putLong(each.life()).putLong(each.box())
-        .putLong(each.round()).put((byte) (each.answered() ? 1 : 0)));
+    letter
+        .notes()
+        .forEach(
+            each ->
+                to.putLong(each.author().number())
+                    .putLong(each.life())
+                    .putLong(each.box())
+                    .putLong(each.round())
+                    .put((byte) (each.answered() ? 1 : 0)));
     int length = to.position();
     seal.seal(bytes, length);
     return Arrays.copyOf(bytes, length + Seal.PROOF);
@@ -104,10 +112,14 @@
       page.standings().forEach(each -> standing(to, each));
     } else if (body instanceof Body.Say say) {
       Word word = say.word();
-      to.put((byte) 's').putInt(word.zone()).putFloat((float) Math.min(Float.MAX_VALUE, word.demand()))
+      to.put((byte) 's')
+          .putInt(word.zone())
+          .putFloat((float) Math.min(Float.MAX_VALUE, word.demand()))
           .putShort((short) word.boxes().size());
-      new TreeMap<>(word.boxes()).forEach((box, seen) -> to.putLong(box).putShort(parts(seen.answered()))
-          .putShort(parts(seen.failed())));
+      new TreeMap<>(word.boxes())
+          .forEach(
+              (box, seen) ->
+                  to.putLong(box).putShort(parts(seen.answered())).putShort(parts(seen.failed())));
     } else if (body instanceof Body.Query query) {
       to.put((byte) 'w').put((byte) query.about()).putLong(query.box());
     } else if (body instanceof Body.Reply reply) {
@@ -134,7 +146,9 @@
   private static void standing(ByteBuffer to, Standing standing) {
     to.putLong(standing.peer().number());
     place(to, standing.place());
-    to.putLong(standing.life()).putInt(standing.rise()).put((byte) standing.state().ordinal())
+    to.putLong(standing.life())
+        .putInt(standing.rise())
+        .put((byte) standing.state().ordinal())
         .putLong(standing.by().number());
   }
 
@@ -142,8 +156,10 @@
   public Letter read(byte[] from) throws Refused {
     int length = seal.proved(from);
     if (length < 0) {
-      throw new Refused(from.length <= HEAD + Seal.PROOF ? "too short for a letter: " + from.length + " bytes"
-          : "not proved by a key that holds here");
+      throw new Refused(
+          from.length <= HEAD + Seal.PROOF
+              ? "too short for a letter: " + from.length + " bytes"
+              : "not proved by a key that holds here");
     }
     ByteBuffer in = ByteBuffer.wrap(from, 0, length);
     try {
@@ -158,8 +174,9 @@
       List<Standing> news = standings(in);
       List<Note> notes = new ArrayList<>();
       for (int i = Byte.toUnsignedInt(in.get()); i > 0; i--) {
-        notes.add(new Note(new PeerId(in.getLong()), in.getLong(), in.getLong(), in.getLong(),
-            in.get() == 1));
+        notes.add(
+            new Note(
+                new PeerId(in.getLong()), in.getLong(), in.getLong(), in.getLong(), in.get() == 1));
       }
       if (in.hasRemaining()) {
         throw new Refused("proved, and no letter: " + in.remaining() + " bytes over");
@@ -222,8 +239,9 @@
     int count = Short.toUnsignedInt(in.getShort());
     Map<Long, Seen> boxes = new HashMap<>();
     for (int i = 0; i < count; i++) {
-      boxes.put(in.getLong(), new Seen(Short.toUnsignedInt(in.getShort()),
-          Short.toUnsignedInt(in.getShort())));
+      boxes.put(
+          in.getLong(),
+          new Seen(Short.toUnsignedInt(in.getShort()), Short.toUnsignedInt(in.getShort())));
     }
     if (boxes.size() != count) {
       throw new Refused("proved, and no letter: a box stands there twice");
--- a/peers/src/main/java/gingerring/peers/Membership.java
+++ b/peers/src/main/java/gingerring/peers/Membership.java
@@ -15,21 +15,23 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Who the other mixers are: SWIM (Das, Gupta and Motivala, DSN 2002) with the local health, the growing
- * confidence in a suspicion and the word to the suspected first of Lifeguard (Dadgar, Phillips and Currey,
- * DSN-W 2018). Its host calls {@link #begin} once, {@link #tick} some times within {@code Rules.ackIn},
- * {@link #heard} for each letter that was proved, {@link #news} for what the next letter is to carry; it acts
- * by {@link Host}.
+ * Who the other mixers are: SWIM (Das, Gupta and Motivala, DSN 2002) with the local health, the
+ * growing confidence in a suspicion and the word to the suspected first of Lifeguard (Dadgar,
+ * Phillips and Currey, DSN-W 2018). Its host calls {@link #begin} once, {@link #tick} some times
+ * within {@code Rules.ackIn}, {@link #heard} for each letter that was proved, {@link #news} for
+ * what the next letter is to carry; it acts by {@link Host}.
  *
- * <p>What a mixer does alone, at once: it asks one other each period, through helpers where that is silent,
- * and suspects it where these are too. Who is suspected and lives says so with a higher rise. What is
- * suspected long enough is gone, and comes back under the same name with a higher rise or a later life; words
- * of an earlier life never count. Each half of a cut fleet takes the other for gone and asks one of the gone
- * now and then, by which they find each other again. A process that learns of a later life under its own name
- * is {@link #superseded}: it falls silent, so that of two with one name only the later speaks.
+ * <p>What a mixer does alone, at once: it asks one other each period, through helpers where that is
+ * silent, and suspects it where these are too. Who is suspected and lives says so with a higher
+ * rise. What is suspected long enough is gone, and comes back under the same name with a higher
+ * rise or a later life; words of an earlier life never count. Each half of a cut fleet takes the
+ * other for gone and asks one of the gone now and then, by which they find each other again. A
+ * process that learns of a later life under its own name is {@link #superseded}: it falls silent,
+ * so that of two with one name only the later speaks.
  *
- * <p>Bounds: {@code Rules.peersMost} peers, newcomers beyond are turned away and counted; as much news; four
- * errands for others at once from any one peer, 64 in all. Memory: some 300 bytes a peer.
+ * <p>Bounds: {@code Rules.peersMost} peers, newcomers beyond are turned away and counted; as much
+ * news; four errands for others at once from any one peer, 64 in all. Memory: some 300 bytes a
+ * peer.
  */
 public final class Membership {
   /** How it sends and what it tells its owner. */
@@ -39,51 +41,89 @@
     /** Sends a letter, which may be lost. */
     void send(Place to, Body body);
 
-    /** What is believed of one peer is new: it came, is suspected, is trusted again, has gone or left. */
+    /**
+     * What is believed of one peer is new: it came, is suspected, is trusted again, has gone or
+     * left.
+     */
     void changed(Standing now);
   }
 
   /**
-   * {@code period}: between two asks; {@code ackIn}: how long an answer may take before helpers are asked;
-   * {@code helpers}: so many are; {@code reconnect}: how often one of the gone, or a place told at the start,
-   * is tried; {@code forget}: how long the gone are remembered; {@code peersMost}: how many are known at
-   * most.
+   * {@code period}: between two asks; {@code ackIn}: how long an answer may take before helpers are
+   * asked; {@code helpers}: so many are; {@code reconnect}: how often one of the gone, or a place
+   * told at the start, is tried; {@code forget}: how long the gone are remembered; {@code
+   * peersMost}: how many are known at most.
    */
-  public record Rules(Duration period, Duration ackIn, int helpers, Duration reconnect, Duration forget,
+  public record Rules(
+      Duration period,
+      Duration ackIn,
+      int helpers,
+      Duration reconnect,
+      Duration forget,
       int peersMost) {
     public Rules {
-      if (ackIn.isZero() || ackIn.isNegative() || period.compareTo(ackIn.multipliedBy(2)) < 0 || helpers < 0
-          || reconnect.compareTo(period) < 0 || peersMost < 1) {
-        throw new IllegalArgumentException("a period of " + period + ", answers in " + ackIn + ", " + helpers
-            + " helpers, one gone tried each " + reconnect + ", " + peersMost + " peers");
+      if (ackIn.isZero()
+          || ackIn.isNegative()
+          || period.compareTo(ackIn.multipliedBy(2)) < 0
+          || helpers < 0
+          || reconnect.compareTo(period) < 0
+          || peersMost < 1) {
+        throw new IllegalArgumentException(
+            "a period of "
+                + period
+                + ", answers in "
+                + ackIn
+                + ", "
+                + helpers
+                + " helpers, one gone tried each "
+                + reconnect
+                + ", "
+                + peersMost
+                + " peers");
       }
     }
 
     public static Rules usual() {
-      return new Rules(Duration.ofSeconds(1), Duration.ofMillis(300), 3, Duration.ofSeconds(5),
-          Duration.ofMinutes(10), 2000);
+      return new Rules(
+          Duration.ofSeconds(1),
+          Duration.ofMillis(300),
+          3,
+          Duration.ofSeconds(5),
+          Duration.ofMinutes(10),
+          2000);
     }
   }
 
   /** What happened, by cause. */
   public enum Count {
-    /** Asks without any answer. */ UNANSWERED,
-    /** Suspicions raised here. */ SUSPECTED,
-    /** Taken for gone here. */ GONE,
-    /** Own suspicion spoken against. */ REFUTED,
-    /** Words of an earlier life or rise. */ STALE,
-    /** Newcomers beyond the bound. */ NO_ROOM,
-    /** Asks meant for another at this place. */ NOT_ME,
-    /** Errands beyond the bound. */ TOO_BUSY
+    /** Asks without any answer. */
+    UNANSWERED,
+    /** Suspicions raised here. */
+    SUSPECTED,
+    /** Taken for gone here. */
+    GONE,
+    /** Own suspicion spoken against. */
+    REFUTED,
+    /** Words of an earlier life or rise. */
+    STALE,
+    /** Newcomers beyond the bound. */
+    NO_ROOM,
+    /** Asks meant for another at this place. */
+    NOT_ME,
+    /** Errands beyond the bound. */
+    TOO_BUSY
   }
 
   private static final class Member {
     Standing standing;
     Duration since;
+
     /** While suspected: who says so, and when it is gone. */
     final Set<PeerId> accusers = new HashSet<>();
+
     /** When its suspicion ran out and it was asked one last time; null before that. */
     Duration lastAsked;
+
     /** When it was told that it is taken for gone. */
     Duration lastTold;
 
@@ -115,18 +155,24 @@
   private record Errand(Place back, int number, Duration at) {}
 
   private static final int HEALTH_MOST = 8;
+
   /**
-   * Lifeguard's alpha and beta: the least and the most of a suspicion, in periods by the fleet's logarithm.
+   * Lifeguard's alpha and beta: the least and the most of a suspicion, in periods by the fleet's
+   * logarithm.
    */
   private static final double SUSPICION_LEAST = 4;
+
   private static final double SUSPICION_MOST = 6;
+
   /** So many others who suspect the same make a suspicion as short as it gets. */
   private static final int CONFIRMERS = 2;
+
   private static final double PASSED_ON = 4;
   private static final int PAGE = 20;
   private static final int ERRANDS_MOST = 64;
   private static final int ERRANDS_EACH = 4;
   private static final double NACK_AT = 0.8;
+
   /** Asks for the end of the list: each page begins with who sends it. */
   private static final long STRANGER = -1;
 
@@ -150,13 +196,16 @@
   private Asking asking;
   private Duration askNext;
   private Duration reconnectNext;
+
   /** Whose pages are followed to their end. */
   private Place askedWhole;
+
   private boolean superseded;
   private boolean left;
 
   /** {@code life}: as in {@link Standing}; {@code here}: where the others reach this mixer. */
-  public Membership(PeerId self, Place here, long life, Rules rules, RandomGenerator chance, Host host) {
+  public Membership(
+      PeerId self, Place here, long life, Rules rules, RandomGenerator chance, Host host) {
     this.self = self;
     this.here = here;
     this.life = life;
@@ -166,7 +215,9 @@
     spread = new Spread<>(rules.peersMost, PASSED_ON);
   }
 
-  /** Joins by asking at some places whom they know; it goes on to ask there while nobody is known. */
+  /**
+   * Joins by asking at some places whom they know; it goes on to ask there while nobody is known.
+   */
   public void begin(List<Place> places) {
     seeds = places.stream().filter(place -> !place.equals(here)).toList();
     Duration now = host.now();
@@ -203,13 +254,16 @@
         runOut(each, now);
       }
     }
-    errands.values().removeIf(errand -> {
-      boolean late = now.minus(errand.at).toNanos() >= NACK_AT * rules.ackIn.toNanos();
-      if (late) {
-        host.send(errand.back, new Body.Nack(errand.number));
-      }
-      return late;
-    });
+    errands
+        .values()
+        .removeIf(
+            errand -> {
+              boolean late = now.minus(errand.at).toNanos() >= NACK_AT * rules.ackIn.toNanos();
+              if (late) {
+                host.send(errand.back, new Body.Nack(errand.number));
+              }
+              return late;
+            });
     ask(now);
     if (now.compareTo(reconnectNext) >= 0) {
       reconnectNext = now.plus(rules.reconnect.dividedBy(2)).plus(part(rules.reconnect));
@@ -218,9 +272,9 @@
   }
 
   /**
-   * A suspicion has run out. It may be of a cut that has ended since, so it is asked one last time, and
-   * nobody is taken for gone by one who hears it: it is told of its suspicion again, against which it can
-   * speak.
+   * A suspicion has run out. It may be of a cut that has ended since, so it is asked one last time,
+   * and nobody is taken for gone by one who hears it: it is told of its suspicion again, against
+   * which it can speak.
    */
   private void runOut(Member member, Duration now) {
     if (member.lastAsked == null) {
@@ -239,8 +293,10 @@
       Duration allowed = rules.ackIn.multipliedBy(1L + asking.health);
       if (!asking.helped && now.minus(asking.at).compareTo(allowed) >= 0) {
         asking.helped = true;
-        Standing target = members.get(asking.peer.number()) == null ? null
-            : members.get(asking.peer.number()).standing;
+        Standing target =
+            members.get(asking.peer.number()) == null
+                ? null
+                : members.get(asking.peer.number()).standing;
         if (target != null) {
           for (Standing helper : some(rules.helpers, asking.peer)) {
             asking.helpers.add(helper.place());
@@ -296,11 +352,14 @@
   /** So many of those who are here, by chance, but that one. */
   private List<Standing> some(int count, PeerId but) {
     List<Standing> here = new ArrayList<>();
-    members.values().forEach(each -> {
-      if (each.standing.state() == State.HERE && !each.standing.peer().equals(but)) {
-        here.add(each.standing);
-      }
-    });
+    members
+        .values()
+        .forEach(
+            each -> {
+              if (each.standing.state() == State.HERE && !each.standing.peer().equals(but)) {
+                here.add(each.standing);
+              }
+            });
     List<Standing> some = new ArrayList<>();
     while (some.size() < count && !here.isEmpty()) {
       some.add(here.remove(chance.nextInt(here.size())));
@@ -323,33 +382,42 @@
     }
   }
 
-  /** Between the least and the most, the shorter the more others suspect the same (Lifeguard, IV.B). */
+  /**
+   * Between the least and the most, the shorter the more others suspect the same (Lifeguard, IV.B).
+   */
   private Duration suspicion(Member member) {
-    double least = SUSPICION_LEAST * Math.max(1, Math.log10(Math.max(1, there))) * rules.period.toNanos();
+    double least =
+        SUSPICION_LEAST * Math.max(1, Math.log10(Math.max(1, there))) * rules.period.toNanos();
     int wanted = Math.min(CONFIRMERS, there - 2);
     if (wanted < 1) {
       return Duration.ofNanos((long) least);
     }
-    double share = Math.log(member.accusers.size()) / Math.log(wanted
-        + 1.0); // the first accuser is no confirmer
+    double share =
+        Math.log(member.accusers.size())
+            / Math.log(wanted + 1.0); // the first accuser is no confirmer
     return Duration.ofNanos((long) Math.max(least, least * SUSPICION_MOST * (1 - share)));
   }
 
   /**
-   * One of the gone is asked whom it knows, or a place told at the start at which nobody known stands: so
-   * halves of a fleet meet again, and islands that began at several such places. Else one who is there is
-   * asked for a page from anywhere in its list, which mends what news did not bring; a page alone, so that
-   * its cost is the same in a fleet of any size.
+   * One of the gone is asked whom it knows, or a place told at the start at which nobody known
+   * stands: so halves of a fleet meet again, and islands that began at several such places. Else
+   * one who is there is asked for a page from anywhere in its list, which mends what news did not
+   * bring; a page alone, so that its cost is the same in a fleet of any size.
    */
   private void reconnect(Duration now) {
-    members.values().removeIf(each -> !each.standing.there()
-        && now.minus(each.since).compareTo(rules.forget) > 0);
+    members
+        .values()
+        .removeIf(
+            each -> !each.standing.there() && now.minus(each.since).compareTo(rules.forget) > 0);
     List<Place> gone = new ArrayList<>();
-    members.values().forEach(each -> {
-      if (each.standing.state() == State.GONE) {
-        gone.add(each.standing.place());
-      }
-    });
+    members
+        .values()
+        .forEach(
+            each -> {
+              if (each.standing.state() == State.GONE) {
+                gone.add(each.standing.place());
+              }
+            });
     // one that nobody known stands at may be the heart of another island of this fleet
     Set<Place> known = new HashSet<>();
     members.values().forEach(each -> known.add(each.standing.place()));
@@ -366,7 +434,8 @@
   }
 
   /** A letter of a mixer in that life has come that was proved to be of the fleet. */
-  public void heard(PeerId author, long authorLife, Place from, Body body, Collection<Standing> news) {
+  public void heard(
+      PeerId author, long authorLife, Place from, Body body, Collection<Standing> news) {
     if (superseded || left) {
       return;
     }
@@ -377,15 +446,19 @@
       sender.since = now;
       sender.lastAsked = null;
     }
-    if (sender != null && sender.standing.state() == State.GONE
+    if (sender != null
+        && sender.standing.state() == State.GONE
         && (sender.lastTold == null || now.minus(sender.lastTold).compareTo(rules.period) >= 0)) {
       // it lives, and does not know what is believed of it: told, it speaks against that
       sender.lastTold = now;
       host.send(from, new Body.Page(List.of(sender.standing), 0));
     }
-    if ((sender == null || authorLife > sender.standing.life()) && !(body instanceof Body.Ask) && !(body instanceof Body.Page)
+    if ((sender == null || authorLife > sender.standing.life())
+        && !(body instanceof Body.Ask)
+        && !(body instanceof Body.Page)
         && !(body instanceof Body.Query)) {
-      // whose own word was lost, or has been forgotten, or was of an earlier life: it is to say who it is
+      // whose own word was lost, or has been forgotten, or was of an earlier life: it is to say who
+      // it is
       host.send(from, new Body.Ask(STRANGER));
     }
     if (body instanceof Body.Ping ping) {
@@ -417,7 +490,8 @@
     if (errand != null) {
       host.send(errand.back, new Body.Ack(errand.number));
     }
-    // through a helper the number alone tells: a helper that lies can hide that a peer is gone, for a while
+    // through a helper the number alone tells: a helper that lies can hide that a peer is gone, for
+    // a while
     if (asking != null && ack.number() == asking.number) {
       if (asking.peer.equals(author) || asking.helped) {
         asking = null;
@@ -468,8 +542,11 @@
       return;
     }
     Standing before = member.standing;
-    boolean sameSuspicion = told.state() == State.SUSPECTED && before.state() == State.SUSPECTED
-        && told.life() == before.life() && told.rise() == before.rise();
+    boolean sameSuspicion =
+        told.state() == State.SUSPECTED
+            && before.state() == State.SUSPECTED
+            && told.life() == before.life()
+            && told.rise() == before.rise();
     if (sameSuspicion) {
       if (member.accusers.size() <= CONFIRMERS && member.accusers.add(told.by())) {
         spread.add(told.peer(), told); // a further accuser is news
@@ -547,7 +624,10 @@
 
   /** Those who are there, suspected ones among them: who may hold a turn. */
   public List<PeerId> present() {
-    return members.values().stream().map(each -> each.standing).filter(Standing::there).map(Standing::peer)
+    return members.values().stream()
+        .map(each -> each.standing)
+        .filter(Standing::there)
+        .map(Standing::peer)
         .toList();
   }
 
--- a/peers/src/main/java/gingerring/peers/Numbers.java
+++ b/peers/src/main/java/gingerring/peers/Numbers.java
@@ -4,9 +4,9 @@
 import java.util.Map;
 
 /**
- * Which letters have come already: a window of 64 numbers for each author, as of IPsec (RFC 4303, 3.4.3). A
- * letter of an earlier life, one that came before, and one far behind are not taken. At most so many authors,
- * the one heard longest ago goes first; some 100 bytes each.
+ * Which letters have come already: a window of 64 numbers for each author, as of IPsec (RFC 4303,
+ * 3.4.3). A letter of an earlier life, one that came before, and one far behind are not taken. At
+ * most so many authors, the one heard longest ago goes first; some 100 bytes each.
  */
 final class Numbers {
   private static final int WIDE = 64;
@@ -14,6 +14,7 @@
   private static final class Window {
     long life;
     long highest;
+
     /** Bit i: the number that is i below the highest has come. */
     long come;
   }
--- a/peers/src/main/java/gingerring/peers/PeerId.java
+++ b/peers/src/main/java/gingerring/peers/PeerId.java
@@ -2,7 +2,10 @@
 
 import java.nio.charset.StandardCharsets;
 
-/** Another mixer, by the number that every mixer makes of its name: the same after it has started anew. */
+/**
+ * Another mixer, by the number that every mixer makes of its name: the same after it has started
+ * anew.
+ */
 public record PeerId(long number) {
   /** FNV-1a of the name's bytes (Fowler, Noll, Vo; IETF draft-eastlake-fnv). */
   public static PeerId named(String name) {
--- a/peers/src/main/java/gingerring/peers/Place.java
+++ b/peers/src/main/java/gingerring/peers/Place.java
@@ -8,9 +8,16 @@
     }
   }
 
-  @Override public String toString() {
-    return (address >>> 24) + "." + (address >>> 16 & 0xFF) + '.' + (address >>> 8 & 0xFF) + '.'
+  @Override
+  public String toString() {
+    return (address >>> 24)
+        + "."
+        + (address >>> 16 & 0xFF)
+        + '.'
+        + (address >>> 8 & 0xFF)
+        + '.'
         + (address & 0xFF)
-        + ':' + port;
+        + ':'
+        + port;
   }
 }
--- a/peers/src/main/java/gingerring/peers/Seal.java
+++ b/peers/src/main/java/gingerring/peers/Seal.java
@@ -9,12 +9,13 @@
 import javax.crypto.spec.SecretKeySpec;
 
 /**
- * The proof that a letter's author knows the fleet's key: HMAC-SHA256 (RFC 2104, FIPS 180-4) cut to 16 bytes,
- * over all that comes before it. Whoever knows the key can speak for any peer; a letter cannot be changed or
- * made by who does not. One that is sent again as it was is proved too: {@link Numbers} drops it.
+ * The proof that a letter's author knows the fleet's key: HMAC-SHA256 (RFC 2104, FIPS 180-4) cut to
+ * 16 bytes, over all that comes before it. Whoever knows the key can speak for any peer; a letter
+ * cannot be changed or made by who does not. One that is sent again as it was is proved too: {@link
+ * Numbers} drops it.
  *
- * <p>Keys change without a gap: {@link #seal} proves with the first key, {@link #open} believes any of them.
- * Not for use by several threads at once.
+ * <p>Keys change without a gap: {@link #seal} proves with the first key, {@link #open} believes any
+ * of them. Not for use by several threads at once.
  */
 public final class Seal {
   /** Bytes of a proof. */
@@ -64,7 +65,8 @@
       return -1;
     }
     byte[] proof = Arrays.copyOfRange(bytes, length, bytes.length);
-    return macs.stream().anyMatch(mac -> MessageDigest.isEqual(proof, proof(mac, bytes, length))) ? length
+    return macs.stream().anyMatch(mac -> MessageDigest.isEqual(proof, proof(mac, bytes, length)))
+        ? length
         : -1;
   }
 }
--- a/peers/src/main/java/gingerring/peers/Sight.java
+++ b/peers/src/main/java/gingerring/peers/Sight.java
@@ -8,9 +8,9 @@
 import java.util.Map;
 
 /**
- * What this mixer itself saw of each box of late, in buckets of a ring, and which of it is worth telling
- * first: the boxes that failed, then those that answered most. At most {@code boxesMost} boxes: what was seen
- * of others is not kept, and counted. 16 bytes a box and bucket.
+ * What this mixer itself saw of each box of late, in buckets of a ring, and which of it is worth
+ * telling first: the boxes that failed, then those that answered most. At most {@code boxesMost}
+ * boxes: what was seen of others is not kept, and counted. 16 bytes a box and bucket.
  */
 final class Sight {
   private static final int BUCKETS = 5;
@@ -76,19 +76,24 @@
   /** What to tell, of so many boxes at most; what was seen of none is forgotten. */
   Map<Long, Seen> worth(int boxes, Duration now) {
     Map<Long, Seen> all = new HashMap<>();
-    rings.keySet().removeIf(box -> {
-      Seen seen = of(box, now);
-      if (seen.parts() > 0) {
-        all.put(box, seen);
-      }
-      return seen.parts() == 0;
-    });
+    rings
+        .keySet()
+        .removeIf(
+            box -> {
+              Seen seen = of(box, now);
+              if (seen.parts() > 0) {
+                all.put(box, seen);
+              }
+              return seen.parts() == 0;
+            });
     if (all.size() <= boxes) {
       return all;
     }
     List<Map.Entry<Long, Seen>> order = new ArrayList<>(all.entrySet());
-    order.sort(Comparator.<Map.Entry<Long, Seen>>comparingDouble(each -> -each.getValue().failed())
-        .thenComparingDouble(each -> -each.getValue().answered()).thenComparing(Map.Entry::getKey));
+    order.sort(
+        Comparator.<Map.Entry<Long, Seen>>comparingDouble(each -> -each.getValue().failed())
+            .thenComparingDouble(each -> -each.getValue().answered())
+            .thenComparing(Map.Entry::getKey));
     Map<Long, Seen> first = new HashMap<>();
     order.subList(0, boxes).forEach(each -> first.put(each.getKey(), each.getValue()));
     return first;
--- a/peers/src/main/java/gingerring/peers/Spread.java
+++ b/peers/src/main/java/gingerring/peers/Spread.java
@@ -7,10 +7,10 @@
 import java.util.Map;
 
 /**
- * News that each mixer passes on a few times beside whatever it sends (Das, Gupta and Motivala, "SWIM", DSN
- * 2002, 4.1): of each subject the newest alone, what was passed on least often first, each so many times as
- * the logarithm of the fleet's size asks for. At most {@code most} subjects: what was passed on most often
- * goes for what is new, and is counted.
+ * News that each mixer passes on a few times beside whatever it sends (Das, Gupta and Motivala,
+ * "SWIM", DSN 2002, 4.1): of each subject the newest alone, what was passed on least often first,
+ * each so many times as the logarithm of the fleet's size asks for. At most {@code most} subjects:
+ * what was passed on most often goes for what is new, and is counted.
  */
 final class Spread<S, N> {
   private static final class Item<N> {
@@ -38,9 +38,11 @@
 
   void add(S subject, N news) {
     if (!items.containsKey(subject) && items.size() >= most) {
-      S oldest = items.entrySet().stream().max(Comparator.comparingInt(each ->
-          each.getValue().sent)).orElseThrow()
-          .getKey();
+      S oldest =
+          items.entrySet().stream()
+              .max(Comparator.comparingInt(each -> each.getValue().sent))
+              .orElseThrow()
+              .getKey();
       items.remove(oldest);
       dropped++;
     }
@@ -53,8 +55,9 @@
       return List.of();
     }
     List<Map.Entry<S, Item<N>>> order = new ArrayList<>(items.entrySet());
-    order.sort(Comparator.<Map.Entry<S, Item<N>>>comparingInt(each -> each.getValue().sent)
-        .thenComparingLong(each -> -each.getValue().since));
+    order.sort(
+        Comparator.<Map.Entry<S, Item<N>>>comparingInt(each -> each.getValue().sent)
+            .thenComparingLong(each -> -each.getValue().since));
     List<N> taken = new ArrayList<>();
     int limit = (int) Math.ceil(times * Math.max(1, Math.ceil(Math.log10(fleet + 1.0))));
     for (Map.Entry<S, Item<N>> each : order.subList(0, Math.min(atMost, order.size()))) {
--- a/peers/src/main/java/gingerring/peers/Standing.java
+++ b/peers/src/main/java/gingerring/peers/Standing.java
@@ -1,9 +1,9 @@
 package gingerring.peers;
 
 /**
- * What one mixer is believed to be. Of two words about it the one of the later life holds; within a life that
- * it has left is final; else the higher rise; else the worse news. This is an order, so that all who hear the
- * same words, in whatever order and however often, believe the same.
+ * What one mixer is believed to be. Of two words about it the one of the later life holds; within a
+ * life that it has left is final; else the higher rise; else the worse news. This is an order, so
+ * that all who hear the same words, in whatever order and however often, believe the same.
  *
  * @param life when its process started, as Unix time in milliseconds
  * @param rise counts up each time it speaks against being suspected; only it itself raises it
@@ -11,7 +11,12 @@
  */
 public record Standing(PeerId peer, Place place, long life, int rise, State state, PeerId by) {
   /** From good news to bad. */
-  public enum State { HERE, SUSPECTED, GONE, LEFT }
+  public enum State {
+    HERE,
+    SUSPECTED,
+    GONE,
+    LEFT
+  }
 
   /** Whether this holds over what was believed before. */
   public boolean over(Standing before) {
--- a/peers/src/main/java/gingerring/peers/Words.java
+++ b/peers/src/main/java/gingerring/peers/Words.java
@@ -8,23 +8,28 @@
 import java.util.Map;
 
 /**
- * The latest word of each peer. Call {@link #heard} for each word that came and whose sender was proved;
- * {@link #fresh} for those that still count.
+ * The latest word of each peer. Call {@link #heard} for each word that came and whose sender was
+ * proved; {@link #fresh} for those that still count.
  *
- * <p>Bounds: {@code peersMost} peers, of whom the one silent longest goes for a newcomer once its word has
- * aged, and a newcomer is turned away while none has; {@code boxesMost} boxes a word; one word a peer in each
- * {@code apart}. What is not taken is counted by cause ({@link #count}). Memory: the words kept, and some 100
- * bytes a peer.
+ * <p>Bounds: {@code peersMost} peers, of whom the one silent longest goes for a newcomer once its
+ * word has aged, and a newcomer is turned away while none has; {@code boxesMost} boxes a word; one
+ * word a peer in each {@code apart}. What is not taken is counted by cause ({@link #count}).
+ * Memory: the words kept, and some 100 bytes a peer.
  */
 public final class Words {
   /** What became of a word. */
   public enum Verdict {
     TAKEN,
-    /** Its author has since started anew, or it is an own word that came back. */ OLD_LIFE,
-    /** Its author has said something newer, or the same word came twice. */ OLD_NUMBER,
-    /** Its author speaks too often. */ TOO_SOON,
-    /** It tells of more boxes than one word may. */ TOO_LARGE,
-    /** There are as many peers as are kept, and none of them has fallen silent. */ NO_ROOM
+    /** Its author has since started anew, or it is an own word that came back. */
+    OLD_LIFE,
+    /** Its author has said something newer, or the same word came twice. */
+    OLD_NUMBER,
+    /** Its author speaks too often. */
+    TOO_SOON,
+    /** It tells of more boxes than one word may. */
+    TOO_LARGE,
+    /** There are as many peers as are kept, and none of them has fallen silent. */
+    NO_ROOM
   }
 
   /** A word and when it came. */
@@ -35,15 +40,24 @@
   private final int boxesMost;
   private final Duration apart;
   private final Duration age;
+
   /** The one heard longest ago first. */
   private final Map<PeerId, Kept> kept = new LinkedHashMap<>();
+
   private final Map<Verdict, Long> counts = new EnumMap<>(Verdict.class);
 
   /** {@code age}: how long a word counts. */
   public Words(PeerId self, int peersMost, int boxesMost, Duration apart, Duration age) {
     if (peersMost < 1 || boxesMost < 1 || apart.isNegative() || age.compareTo(apart) <= 0) {
-      throw new IllegalArgumentException("peers " + peersMost + ", boxes " + boxesMost + ", words " + apart
-          + " apart that count for " + age);
+      throw new IllegalArgumentException(
+          "peers "
+              + peersMost
+              + ", boxes "
+              + boxesMost
+              + ", words "
+              + apart
+              + " apart that count for "
+              + age);
     }
     this.self = self;
     this.peersMost = peersMost;
@@ -82,19 +96,23 @@
     if (word.boxes().size() > boxesMost) {
       return Verdict.TOO_LARGE;
     }
-    boolean room = last != null || kept.size() < peersMost
-        || now.minus(kept.values().iterator().next().at).compareTo(age) >= 0;
+    boolean room =
+        last != null
+            || kept.size() < peersMost
+            || now.minus(kept.values().iterator().next().at).compareTo(age) >= 0;
     return room ? Verdict.TAKEN : Verdict.NO_ROOM;
   }
 
   /**
-   * The peer has said that it leaves: what it said counts no more. Its life is remembered until it is
-   * forgotten.
+   * The peer has said that it leaves: what it said counts no more. Its life is remembered until it
+   * is forgotten.
    */
   public void left(PeerId peer, long life, Duration now) {
     Kept last = kept.get(peer);
     if (last != null && last.word.life() <= life) {
-      kept.put(peer, new Kept(new Word(peer, life, Long.MAX_VALUE, last.word.zone(), 0, Map.of()), last.at));
+      kept.put(
+          peer,
+          new Kept(new Word(peer, life, Long.MAX_VALUE, last.word.zone(), 0, Map.of()), last.at));
     }
   }
 
