--- a/share/src/main/java/gingerring/share/Cover.java
+++ b/share/src/main/java/gingerring/share/Cover.java
@@ -11,17 +11,19 @@
 import java.util.Set;
 
 /**
- * Which boxes a mixer prefers: few enough that connections are bounded, and of each folio so many holders as
- * retries need, in two zones where that can be had. Each mixer takes the boxes in an order of its own, drawn
- * by size for each pair of mixer and box; takes each that some folio still wants; and then drops, the last
- * first, what no folio misses. So over many mixers a box is preferred in proportion to its size, and a box
- * that comes or goes moves little, since the order of all others stays.
+ * Which boxes a mixer prefers: few enough that connections are bounded, and of each folio so many
+ * holders as retries need, in two zones where that can be had. Each mixer takes the boxes in an
+ * order of its own, drawn by size for each pair of mixer and box; takes each that some folio still
+ * wants; and then drops, the last first, what no folio misses. So over many mixers a box is
+ * preferred in proportion to its size, and a box that comes or goes moves little, since the order
+ * of all others stays.
  *
- * <p>A mixer widens by leaving out of {@code boxes} what it does not trust: the others of that folio stand
- * in. A box that no folio lists is never preferred; a folio whose holders are all left out stays without one.
+ * <p>A mixer widens by leaving out of {@code boxes} what it does not trust: the others of that
+ * folio stand in. A box that no folio lists is never preferred; a folio whose holders are all left
+ * out stays without one.
  *
- * <p>Cost: O(b log b + sum over boxes of the folios each holds, times their holders); memory of the same
- * order.
+ * <p>Cost: O(b log b + sum over boxes of the folios each holds, times their holders); memory of the
+ * same order.
  */
 public final class Cover {
   private final int keep;
@@ -30,8 +32,9 @@
   private final Map<BoxId, List<Integer>> held = new HashMap<>();
 
   /**
-   * {@code folios}: the holders of each, of which those that are not among the boxes are passed over.
-   * {@code keep}: so many holders of each folio are preferred, or all where it has fewer; at least one.
+   * {@code folios}: the holders of each, of which those that are not among the boxes are passed
+   * over. {@code keep}: so many holders of each folio are preferred, or all where it has fewer; at
+   * least one.
    */
   public Cover(Collection<Box> boxes, Collection<? extends Collection<BoxId>> folios, int keep) {
     if (keep < 1) {
@@ -56,7 +59,8 @@
   public Set<BoxId> of(MixerId mixer) {
     List<BoxId> order = new ArrayList<>(held.keySet());
     Map<BoxId, Double> draws = new HashMap<>();
-    order.forEach(id -> draws.put(id, Ranks.weighted(mixer.number(), id.number(), boxes.get(id).size())));
+    order.forEach(
+        id -> draws.put(id, Ranks.weighted(mixer.number(), id.number(), boxes.get(id).size())));
     order.sort(Comparator.<BoxId>comparingDouble(draws::get).thenComparingLong(BoxId::number));
     Set<BoxId> chosen = new LinkedHashSet<>();
     for (BoxId id : order) {
@@ -66,7 +70,8 @@
     }
     for (int i = order.size() - 1; i >= 0; i--) {
       BoxId id = order.get(i);
-      if (chosen.remove(id) && !held.get(id).stream().allMatch(folio -> served(folios.get(folio), chosen))) {
+      if (chosen.remove(id)
+          && !held.get(id).stream().allMatch(folio -> served(folios.get(folio), chosen))) {
         chosen.add(id);
       }
     }
@@ -95,7 +100,8 @@
   }
 
   /**
-   * In how many zones a folio's preferred holders have to stand: two where it can be, one for a single one.
+   * In how many zones a folio's preferred holders have to stand: two where it can be, one for a
+   * single one.
    */
   private int zonesOf(List<BoxId> holders) {
     long there = holders.stream().map(id -> boxes.get(id).zone()).distinct().count();
--- a/share/src/main/java/gingerring/share/FairShares.java
+++ b/share/src/main/java/gingerring/share/FairShares.java
@@ -5,24 +5,25 @@
 import java.util.stream.IntStream;
 
 /**
- * A box's room shared by demand, weighted max-min (Bertsekas and Gallager, "Data Networks", 6.5.2): nobody
- * gets more than it asks for, what that leaves goes to the others by weight, and nobody's share can grow but
- * at the cost of one who has no more for its weight.
+ * A box's room shared by demand, weighted max-min (Bertsekas and Gallager, "Data Networks", 6.5.2):
+ * nobody gets more than it asks for, what that leaves goes to the others by weight, and nobody's
+ * share can grow but at the cost of one who has no more for its weight.
  */
 public final class FairShares {
   private FairShares() {}
 
   /**
-   * The shares, in the order of the demands, in the demands' unit. Demands and weights are zero or more; one
-   * of weight zero gets only what nobody of weight wants. O(n log n).
+   * The shares, in the order of the demands, in the demands' unit. Demands and weights are zero or
+   * more; one of weight zero gets only what nobody of weight wants. O(n log n).
    *
-   * @throws IllegalArgumentException naming the place, for a room, demand or weight that is below zero or no
-   *     number
+   * @throws IllegalArgumentException naming the place, for a room, demand or weight that is below
+   *     zero or no number
    */
   public static double[] of(double room, double[] demands, double[] weights) {
     check("room", room);
     if (demands.length != weights.length) {
-      throw new IllegalArgumentException(demands.length + " demands and " + weights.length + " weights");
+      throw new IllegalArgumentException(
+          demands.length + " demands and " + weights.length + " weights");
     }
     for (int i = 0; i < demands.length; i++) {
       check("demand " + i, demands[i]);
@@ -43,12 +44,17 @@
   }
 
   /**
-   * Fills from the least demand for its weight on; adds to the shares, returns the room that nobody wanted.
+   * Fills from the least demand for its weight on; adds to the shares, returns the room that nobody
+   * wanted.
    */
   private static double fill(double room, double[] demands, double[] weights, double[] shares) {
-    int[] order = IntStream.range(0, demands.length).filter(i -> weights[i] > 0 && demands[i] > 0).boxed()
-        .sorted(Comparator.comparingDouble(i -> demands[i] / weights[i])).mapToInt(Integer::intValue)
-        .toArray();
+    int[] order =
+        IntStream.range(0, demands.length)
+            .filter(i -> weights[i] > 0 && demands[i] > 0)
+            .boxed()
+            .sorted(Comparator.comparingDouble(i -> demands[i] / weights[i]))
+            .mapToInt(Integer::intValue)
+            .toArray();
     double left = room;
     double weight = Arrays.stream(order).mapToDouble(i -> weights[i]).sum();
     for (int i : order) {
--- a/share/src/main/java/gingerring/share/Preference.java
+++ b/share/src/main/java/gingerring/share/Preference.java
@@ -8,11 +8,11 @@
 import java.util.TreeMap;
 
 /**
- * The boxes that one mixer prefers, as its list and its trust move: a {@link Cover} of all that it trusts.
- * Call {@link #listed} for each list, {@link #distrusts} and {@link #trusts} when a box is benched and back,
- * and ask {@link #prefers}. Where a box that it preferred fails, others of that box's folios stand in at
- * once; when it is back, so is the old choice. Before the first list, and with nothing trusted, all are
- * preferred.
+ * The boxes that one mixer prefers, as its list and its trust move: a {@link Cover} of all that it
+ * trusts. Call {@link #listed} for each list, {@link #distrusts} and {@link #trusts} when a box is
+ * benched and back, and ask {@link #prefers}. Where a box that it preferred fails, others of that
+ * box's folios stand in at once; when it is back, so is the old choice. Before the first list, and
+ * with nothing trusted, all are preferred.
  */
 public final class Preference {
   /** A box, and the cell of the ring that it stands in. */
@@ -28,12 +28,13 @@
   private long moved;
 
   /**
-   * {@code keep}: holders preferred of each folio; {@code places}: cells of the ring; {@code reach}: how many
-   * cells from a folio's own on hold it.
+   * {@code keep}: holders preferred of each folio; {@code places}: cells of the ring; {@code
+   * reach}: how many cells from a folio's own on hold it.
    */
   public Preference(MixerId self, int keep, int places, int reach) {
     if (keep < 1 || places < 1 || reach < 1) {
-      throw new IllegalArgumentException("keep " + keep + ", places " + places + ", reach " + reach);
+      throw new IllegalArgumentException(
+          "keep " + keep + ", places " + places + ", reach " + reach);
     }
     this.self = self;
     this.keep = keep;
@@ -61,14 +62,22 @@
 
   private void chooseAnew() {
     Map<Integer, List<BoxId>> cells = new TreeMap<>();
-    List<Box> trusted = listed.stream().filter(each -> !distrusted.contains(each.box().id())).map(Listed::box)
-        .toList();
+    List<Box> trusted =
+        listed.stream()
+            .filter(each -> !distrusted.contains(each.box().id()))
+            .map(Listed::box)
+            .toList();
     for (int folio = 0; folio < places; folio++) {
       int first = folio;
-      cells.put(folio, listed.stream().filter(each -> Math.floorMod(each.cell() - first, places) < reach)
-          .map(each -> each.box().id()).toList());
+      cells.put(
+          folio,
+          listed.stream()
+              .filter(each -> Math.floorMod(each.cell() - first, places) < reach)
+              .map(each -> each.box().id())
+              .toList());
     }
-    Set<BoxId> chosen = trusted.isEmpty() ? null : new Cover(trusted, cells.values(), keep).of(self);
+    Set<BoxId> chosen =
+        trusted.isEmpty() ? null : new Cover(trusted, cells.values(), keep).of(self);
     if (preferred != null && chosen != null) {
       moved += chosen.stream().filter(each -> !preferred.contains(each)).count();
     }
--- a/share/src/main/java/gingerring/share/Ranks.java
+++ b/share/src/main/java/gingerring/share/Ranks.java
@@ -1,9 +1,9 @@
 package gingerring.share;
 
 /**
- * Rendezvous ranks (Thaler and Ravishankar, "Using name-based mappings to increase hit rates", IEEE/ACM
- * Transactions on Networking 6(1), 1998): a draw for each pair that all who know both compute alike. When one
- * side's member comes or goes, no pair of others changes.
+ * Rendezvous ranks (Thaler and Ravishankar, "Using name-based mappings to increase hit rates",
+ * IEEE/ACM Transactions on Networking 6(1), 1998): a draw for each pair that all who know both
+ * compute alike. When one side's member comes or goes, no pair of others changes.
  */
 public final class Ranks {
   private static final long STRIDE = 0x9E3779B97F4A7C15L;
@@ -11,7 +11,8 @@
   private Ranks() {}
 
   /**
-   * Stafford's variant 13 of the 64-bit finalizer, as in java.util.SplittableRandom: every bit moves every.
+   * Stafford's variant 13 of the 64-bit finalizer, as in java.util.SplittableRandom: every bit
+   * moves every.
    */
   public static long mix(long bits) {
     long mixed = (bits ^ (bits >>> 30)) * 0xBF58476D1CE4E5B9L;
@@ -30,8 +31,9 @@
   }
 
   /**
-   * A pair's weighted draw: the least of many is each with odds as its weight (Efraimidis and Spirakis,
-   * "Weighted random sampling with a reservoir", Information Processing Letters 97, 2006).
+   * A pair's weighted draw: the least of many is each with odds as its weight (Efraimidis and
+   * Spirakis, "Weighted random sampling with a reservoir", Information Processing Letters 97,
+   * 2006).
    */
   static double weighted(long one, long other, double weight) {
     return -Math.log(unit(one, other)) / weight;
--- a/share/src/main/java/gingerring/share/Rota.java
+++ b/share/src/main/java/gingerring/share/Rota.java
@@ -4,20 +4,20 @@
 import java.util.Collection;
 
 /**
- * One matter that is done once in each span by one mixer for all, as one mixer knows it. All times are of the
- * common clock: since a moment that all know. Ask {@link #due} when this mixer acts if it hears of nobody who
- * has; call {@link #acts} when it does, and tell the others the round that it returns; {@link #heard} when
- * another tells so. Rounds are numbered by the clock, so that one who starts anew, or wakes after a stop,
- * knows the round at once and needs nobody's word for it.
+ * One matter that is done once in each span by one mixer for all, as one mixer knows it. All times
+ * are of the common clock: since a moment that all know. Ask {@link #due} when this mixer acts if
+ * it hears of nobody who has; call {@link #acts} when it does, and tell the others the round that
+ * it returns; {@link #heard} when another tells so. Rounds are numbered by the clock, so that one
+ * who starts anew, or wakes after a stop, knows the round at once and needs nobody's word for it.
  *
- * <p>Two act in a round: one more for each mixer that a word did not reach within its step, and one more for
- * each whose clock is off by more than a step. Nobody acts: those who come first and are not there take a
- * step each, and where they fill a whole span the next round has another order.
+ * <p>Two act in a round: one more for each mixer that a word did not reach within its step, and one
+ * more for each whose clock is off by more than a step. Nobody acts: those who come first and are
+ * not there take a step each, and where they fill a whole span the next round has another order.
  *
- * <p>Who claims rounds that it did not do holds up only its own: a claim is believed only from a member whose
- * place has come, by this mixer's own order and clock, give or take a step. So of n members f that claim
- * falsely, alone or together, hold up no round in which none of them comes first among those there. State:
- * two numbers.
+ * <p>Who claims rounds that it did not do holds up only its own: a claim is believed only from a
+ * member whose place has come, by this mixer's own order and clock, give or take a step. So of n
+ * members f that claim falsely, alone or together, hold up no round in which none of them comes
+ * first among those there. State: two numbers.
  */
 public final class Rota {
   private final Turns turns;
@@ -25,14 +25,19 @@
   private final long matter;
   private final Duration every;
   private final Duration step;
+
   /** The last round that is known to have been done. */
   private long done = Long.MIN_VALUE;
+
   private long disbelieved;
 
-  /** {@code every}: a round's span; {@code step}: how long one who acts takes until the others know. */
+  /**
+   * {@code every}: a round's span; {@code step}: how long one who acts takes until the others know.
+   */
   public Rota(MixerId self, long matter, Duration every, Duration step) {
     if (every.compareTo(step) < 0) {
-      throw new IllegalArgumentException("a round of " + every + " is shorter than a step of " + step);
+      throw new IllegalArgumentException(
+          "a round of " + every + " is shorter than a step of " + step);
     }
     turns = new Turns(self, step);
     this.self = self;
@@ -46,7 +51,10 @@
     return Math.floorDiv(now.toNanos(), every.toNanos());
   }
 
-  /** When this mixer next acts, unless it hears of another before: now, where its turn has passed unused. */
+  /**
+   * When this mixer next acts, unless it hears of another before: now, where its turn has passed
+   * unused.
+   */
   public Duration due(Collection<MixerId> members, Duration now) {
     long next = Math.max(round(now), done == Long.MIN_VALUE ? Long.MIN_VALUE : done + 1);
     Duration wait = turns.wait(matter, next, members);
@@ -70,9 +78,13 @@
       return false;
     }
     Duration turn = step.multipliedBy(new Turns(author, step).place(matter, told, members) - 1L);
-    boolean round = told == round(now) || told == round(now.plus(step)) || told == round(now.minus(step));
-    boolean its = members.contains(author) && !author.equals(self)
-        && round && now.minus(every.multipliedBy(told)).compareTo(turn) >= 0;
+    boolean round =
+        told == round(now) || told == round(now.plus(step)) || told == round(now.minus(step));
+    boolean its =
+        members.contains(author)
+            && !author.equals(self)
+            && round
+            && now.minus(every.multipliedBy(told)).compareTo(turn) >= 0;
     if (!its) {
       disbelieved++;
       return false;
--- a/share/src/main/java/gingerring/share/Turns.java
+++ b/share/src/main/java/gingerring/share/Turns.java
@@ -4,20 +4,20 @@
 import java.util.Collection;
 
 /**
- * Whose turn it is to do what one is to do for all: to probe a benched box, to give a cold one its next part,
- * to connect first after a loss, to ask discovery first when it is back. {@link #wait} says how long after
- * the matter fell due this mixer leaves it to others; if it has no word by then that it was done, it may do
- * it.
+ * Whose turn it is to do what one is to do for all: to probe a benched box, to give a cold one its
+ * next part, to connect first after a loss, to ask discovery first when it is back. {@link #wait}
+ * says how long after the matter fell due this mixer leaves it to others; if it has no word by then
+ * that it was done, it may do it.
  *
- * <p>With the members known, they stand in an order drawn for the matter and its round, a step apart. Its two
- * failures: where views of who is there differ by d members, at most d + 1 hold the same place, so that at
- * most d + 1 act in one step; where the first r are gone, stopped or do not know, the next acts after r
- * steps.
+ * <p>With the members known, they stand in an order drawn for the matter and its round, a step
+ * apart. Its two failures: where views of who is there differ by d members, at most d + 1 hold the
+ * same place, so that at most d + 1 act in one step; where the first r are gone, stopped or do not
+ * know, the next acts after r steps.
  *
- * <p>Without talk only the size of the fleet is known, and no mixer hears that another acted: each draws its
- * own time from so many steps, so that over the fleet one acts in a step on average, however large the fleet
- * is ({@link #spread}); some act in the same step, as in any draw, and the longest span without any is that
- * of such a draw.
+ * <p>Without talk only the size of the fleet is known, and no mixer hears that another acted: each
+ * draws its own time from so many steps, so that over the fleet one acts in a step on average,
+ * however large the fleet is ({@link #spread}); some act in the same step, as in any draw, and the
+ * longest span without any is that of such a draw.
  */
 public final class Turns {
   private final MixerId self;
@@ -33,8 +33,9 @@
   }
 
   /**
-   * How many of the members come before this mixer, which itself need not stand among them. {@code matter}
-   * names what is to be done and for whom, {@code round} counts up so that no mixer owns a matter for good.
+   * How many of the members come before this mixer, which itself need not stand among them. {@code
+   * matter} names what is to be done and for whom, {@code round} counts up so that no mixer owns a
+   * matter for good.
    */
   public int place(long matter, long round, Collection<MixerId> members) {
     long key = Ranks.draw(matter, round);
@@ -52,7 +53,10 @@
     return step.multipliedBy(place(matter, round, members));
   }
 
-  /** The same where nobody is heard: a time of its own, at most {@code size} steps, even over the fleet. */
+  /**
+   * The same where nobody is heard: a time of its own, at most {@code size} steps, even over the
+   * fleet.
+   */
   public Duration spread(long matter, long round, int size) {
     double share = Ranks.unit(Ranks.draw(matter, round), self.number());
     return Duration.ofNanos((long) (step.toNanos() * share * Math.max(1, size)));
--- a/traffic/src/main/java/gingerring/traffic/flow/Direction.java
+++ b/traffic/src/main/java/gingerring/traffic/flow/Direction.java
@@ -5,17 +5,27 @@
 import java.util.TreeMap;
 
 /**
- * One direction of a flow: offsets from its first byte, unwrapped from sequence numbers. What comes early is
- * held, not overlapping, by offset; of bytes that come twice the first stay. Nothing is passed on before it is
- * {@code flowing}: where a stream begins has to be sure first, in both directions.
+ * One direction of a flow: offsets from its first byte, unwrapped from sequence numbers. What comes
+ * early is held, not overlapping, by offset; of bytes that come twice the first stay. Nothing is
+ * passed on before it is {@code flowing}: where a stream begins has to be sure first, in both
+ * directions.
  */
 final class Direction {
-  /** Farther off than this a segment is not of this stream: a window is 1 GiB at most (RFC 7323 2.2). */
+  /**
+   * Farther off than this a segment is not of this stream: a window is 1 GiB at most (RFC 7323
+   * 2.2).
+   */
   private static final int FAR = 1 << 30;
-  /** How far before the first byte seen a SYN may stand and still be taken for one that came late. */
+
+  /**
+   * How far before the first byte seen a SYN may stand and still be taken for one that came late.
+   */
   private static final int LATE = 1 << 20;
 
-  /** Whom bytes go to once they are in order; {@code acknowledged} is a sequence number of the other direction. */
+  /**
+   * Whom bytes go to once they are in order; {@code acknowledged} is a sequence number of the other
+   * direction.
+   */
   interface Out {
     void bytes(byte[] bytes, int at, int length, long nanos, int acknowledged);
 
@@ -31,17 +41,23 @@
 
   private final TreeMap<Long, Block> early = new TreeMap<>();
   boolean known;
+
   /** Where the stream begins is sure: by its SYN, or by what was seen until it had to be. */
   boolean settled;
+
   boolean flowing;
   private int first;
   long next;
+
   /** How far the peer was seen to have taken it, and the first that was seen of that. */
   long acknowledged;
+
   private long floor = Long.MAX_VALUE;
   int held;
+
   /** When the oldest gap was met. */
   long gapSince;
+
   long finAt = -1;
   boolean finTold;
   long conflicting;
@@ -98,7 +114,9 @@
   /** Whether a SYN that makes the stream begin here can be this stream's own, come late. */
   boolean mayBeginAt(int sequence, boolean opened) {
     int before = first - sequence;
-    return !known || before == 0 || !settled && Math.abs(before) < LATE
+    return !known
+        || before == 0
+        || !settled && Math.abs(before) < LATE
         || !opened && before > 0 && before < LATE;
   }
 
@@ -146,10 +164,13 @@
   private void hold(long offset, byte[] b, int at, int length, long nanos, int acknowledged) {
     long end = offset + length;
     Map.Entry<Long, Block> before = early.floorEntry(offset);
-    long from = before != null && before.getKey() + before.getValue().length() > offset
-        ? before.getKey() : offset;
+    long from =
+        before != null && before.getKey() + before.getValue().length() > offset
+            ? before.getKey()
+            : offset;
     long cursor = offset;
-    for (Map.Entry<Long, Block> block : new TreeMap<>(early.subMap(from, true, end, false)).entrySet()) {
+    for (Map.Entry<Long, Block> block :
+        new TreeMap<>(early.subMap(from, true, end, false)).entrySet()) {
       long start = block.getKey();
       long stop = start + block.getValue().length();
       if (start > cursor) {
--- a/traffic/src/main/java/gingerring/traffic/flow/FlowTable.java
+++ b/traffic/src/main/java/gingerring/traffic/flow/FlowTable.java
@@ -8,11 +8,12 @@
 import java.util.TreeMap;
 
 /**
- * Call {@link #segment} for each segment in the order of the file, then {@link #end}. What is in order goes to
- * the {@link Sink} at once. The same segments give the same calls.
+ * Call {@link #segment} for each segment in the order of the file, then {@link #end}. What is in
+ * order goes to the {@link Sink} at once. The same segments give the same calls.
  *
- * <p>A flow that was not seen to open begins with the lowest byte among its first segments, or where its peer
- * waited for more; until that is sure they are held. A SYN with another number on the ports of a known flow ends that and begins a new one.
+ * <p>A flow that was not seen to open begins with the lowest byte among its first segments, or
+ * where its peer waited for more; until that is sure they are held. A SYN with another number on
+ * the ports of a known flow ends that and begins a new one.
  */
 public final class FlowTable {
   /** Who is told of flows. Sides are 0, which opened it or was seen first, and 1. */
@@ -20,8 +21,9 @@
     void opened(Flow flow);
 
     /**
-     * Bytes next in the stream of a side; they are to be copied if kept. {@code nanos} is when they were captured,
-     * {@code taken} how much of the other side's stream their sender had acknowledged by then.
+     * Bytes next in the stream of a side; they are to be copied if kept. {@code nanos} is when they
+     * were captured, {@code taken} how much of the other side's stream their sender had
+     * acknowledged by then.
      */
     void bytes(Flow flow, int side, long nanos, long taken, byte[] bytes, int at, int length);
 
@@ -143,8 +145,10 @@
       count("segments that contradict what came before");
     }
     held += mine.held - before;
-    while (mine.gapped() && (mine.held > bounds.heldPerDirection() || held > bounds.heldInAll()
-        || now - mine.gapSince > bounds.patience().toNanos())) {
+    while (mine.gapped()
+        && (mine.held > bounds.heldPerDirection()
+            || held > bounds.heldInAll()
+            || now - mine.gapSince > bounds.patience().toNanos())) {
       if (mine.flowing) {
         giveUp(flow, side);
       } else {
@@ -171,11 +175,14 @@
       return this;
     }
 
-    @Override public void bytes(byte[] bytes, int at, int length, long nanos, int acknowledged) {
-      sink.bytes(flow, side, nanos, flow.directions[1 - side].offset(acknowledged), bytes, at, length);
+    @Override
+    public void bytes(byte[] bytes, int at, int length, long nanos, int acknowledged) {
+      sink.bytes(
+          flow, side, nanos, flow.directions[1 - side].offset(acknowledged), bytes, at, length);
     }
 
-    @Override public void gap(long missing) {
+    @Override
+    public void gap(long missing) {
       count("gaps that never filled");
       sink.gap(flow, side, now, missing);
     }
@@ -183,17 +190,20 @@
 
   /** A SYN that is no repeat of the one that opened this flow. */
   private boolean opensAnew(Flow flow, Segment s) {
-    return !s.has(Segment.ACK) && (flow.over || !flow.directions[side].mayBeginAt(s.sequence + 1, flow.whole));
+    return !s.has(Segment.ACK)
+        && (flow.over || !flow.directions[side].mayBeginAt(s.sequence + 1, flow.whole));
   }
 
   private Flow find(Segment s) {
     if (last != null && matches(last.key, s)) {
       return last;
     }
-    Flow flow = flows.get(new Flow.Key(s.fromHigh, s.fromLow, s.fromPort, s.toHigh, s.toLow, s.toPort));
+    Flow flow =
+        flows.get(new Flow.Key(s.fromHigh, s.fromLow, s.fromPort, s.toHigh, s.toLow, s.toPort));
     side = 0;
     if (flow == null) {
-      flow = flows.get(new Flow.Key(s.toHigh, s.toLow, s.toPort, s.fromHigh, s.fromLow, s.fromPort));
+      flow =
+          flows.get(new Flow.Key(s.toHigh, s.toLow, s.toPort, s.fromHigh, s.fromLow, s.fromPort));
       side = 1;
     }
     last = flow;
@@ -201,13 +211,21 @@
   }
 
   private boolean matches(Flow.Key key, Segment s) {
-    if (key.portA() == s.fromPort && key.portB() == s.toPort && key.lowA() == s.fromLow
-        && key.lowB() == s.toLow && key.highA() == s.fromHigh && key.highB() == s.toHigh) {
+    if (key.portA() == s.fromPort
+        && key.portB() == s.toPort
+        && key.lowA() == s.fromLow
+        && key.lowB() == s.toLow
+        && key.highA() == s.fromHigh
+        && key.highB() == s.toHigh) {
       side = 0;
       return true;
     }
-    if (key.portB() == s.fromPort && key.portA() == s.toPort && key.lowB() == s.fromLow
-        && key.lowA() == s.toLow && key.highB() == s.fromHigh && key.highA() == s.toHigh) {
+    if (key.portB() == s.fromPort
+        && key.portA() == s.toPort
+        && key.lowB() == s.fromLow
+        && key.lowA() == s.toLow
+        && key.highB() == s.fromHigh
+        && key.highA() == s.toHigh) {
       side = 1;
       return true;
     }
@@ -215,7 +233,7 @@
   }
 
   private Flow open(Segment s) {
-    for (Iterator<Flow> eldest = flows.values().iterator(); eldest.hasNext();) {
+    for (Iterator<Flow> eldest = flows.values().iterator(); eldest.hasNext(); ) {
       Flow flow = eldest.next();
       boolean idle = now - flow.seen > bounds.idle().toNanos();
       if (!idle && flows.size() < bounds.flows()) {
@@ -227,9 +245,13 @@
     // who answers a SYN did not open the flow
     boolean answers = s.has(Segment.SYN) && s.has(Segment.ACK);
     side = answers ? 1 : 0;
-    Flow flow = new Flow(numbers++, answers
-        ? new Flow.Key(s.toHigh, s.toLow, s.toPort, s.fromHigh, s.fromLow, s.fromPort)
-        : new Flow.Key(s.fromHigh, s.fromLow, s.fromPort, s.toHigh, s.toLow, s.toPort), now);
+    Flow flow =
+        new Flow(
+            numbers++,
+            answers
+                ? new Flow.Key(s.toHigh, s.toLow, s.toPort, s.fromHigh, s.fromLow, s.fromPort)
+                : new Flow.Key(s.fromHigh, s.fromLow, s.fromPort, s.toHigh, s.toLow, s.toPort),
+            now);
     flow.whole = s.has(Segment.SYN);
     flows.put(flow.key, flow);
     last = flow;
--- a/traffic/src/main/java/gingerring/traffic/pcap/CaptureReader.java
+++ b/traffic/src/main/java/gingerring/traffic/pcap/CaptureReader.java
@@ -13,19 +13,29 @@
 import java.util.zip.GZIPInputStream;
 
 /**
- * Reads pcap (both byte orders, microseconds and nanoseconds) and pcapng, plain or compressed by gzip or zstd,
- * packet by packet in one buffer of {@link #BUFFER} bytes however long the file is. After the last packet
- * {@link #end} tells whether the file was whole; what stands before a cut or a fault is read all the same.
+ * Reads pcap (both byte orders, microseconds and nanoseconds) and pcapng, plain or compressed by
+ * gzip or zstd, packet by packet in one buffer of {@link #BUFFER} bytes however long the file is.
+ * After the last packet {@link #end} tells whether the file was whole; what stands before a cut or
+ * a fault is read all the same.
  *
  * <p>Formats: draft-ietf-opsawg-pcap and draft-ietf-opsawg-pcapng.
  */
 public final class CaptureReader implements Closeable {
-  /** How the file ended: not yet, whole, in the midst of a record, or where no record can be read. */
-  public enum End { GOING, WHOLE, CUT, BROKEN }
+  /**
+   * How the file ended: not yet, whole, in the midst of a record, or where no record can be read.
+   */
+  public enum End {
+    GOING,
+    WHOLE,
+    CUT,
+    BROKEN
+  }
 
   static final int BUFFER = 1 << 20;
+
   /** The longest packet that tcpdump writes; a length beyond it is taken for a fault. */
   static final int PACKET_MOST = 1 << 18;
+
   private static final int BLOCK_MOST = PACKET_MOST + (1 << 16);
   private static final int INTERFACES_MOST = 1024;
   private static final int MICROS = 0xa1b2c3d4;
@@ -41,8 +51,10 @@
   private byte[] buffer = new byte[BUFFER];
   private int at;
   private int filled;
+
   /** Where the buffer's first byte stands in the file once unpacked. */
   private long base;
+
   private boolean section;
   private boolean swapped;
   private boolean nanos;
@@ -56,7 +68,12 @@
     this.name = name;
     this.in = in;
     if (!has(4)) {
-      throw new NotReadable(name, filled, end != End.GOING ? "it cannot be unpacked" : filled == 0 ? "the file is empty" : "too short for a capture file");
+      throw new NotReadable(
+          name,
+          filled,
+          end != End.GOING
+              ? "it cannot be unpacked"
+              : filled == 0 ? "the file is empty" : "too short for a capture file");
     }
     int magic = u32raw(at);
     if (magic == SECTION) {
@@ -101,8 +118,11 @@
     if (head.length == 4 && (head[0] & 0xFF) == 0x1f && (head[1] & 0xFF) == 0x8b) {
       return new GZIPInputStream(peeked, 1 << 16);
     }
-    if (head.length == 4 && (head[0] & 0xFF) == 0x28 && (head[1] & 0xFF) == 0xb5
-        && (head[2] & 0xFF) == 0x2f && (head[3] & 0xFF) == 0xfd) {
+    if (head.length == 4
+        && (head[0] & 0xFF) == 0x28
+        && (head[1] & 0xFF) == 0xb5
+        && (head[2] & 0xFF) == 0x2f
+        && (head[3] & 0xFF) == 0xfd) {
       return new ZstdInputStreamNoFinalizer(peeked);
     }
     return peeked;
@@ -210,7 +230,7 @@
     }
     long units = 1_000_000;
     long offset = 0;
-    for (int option = body + 8; option + 4 <= body + most;) {
+    for (int option = body + 8; option + 4 <= body + most; ) {
       int code = u16(option);
       int size = u16(option + 2);
       if (code == 0 || option + 4 + size > body + most) {
@@ -248,8 +268,9 @@
     long time = (u32(body + 4) & 0xFFFFFFFFL) << 32 | u32(body + 8) & 0xFFFFFFFFL;
     long seconds = Long.divideUnsigned(time, from.unitsPerSecond);
     long rest = Long.remainderUnsigned(time, from.unitsPerSecond);
-    packet.nanos = (seconds + from.offsetSeconds) * 1_000_000_000L
-        + (long) (rest * (1e9 / from.unitsPerSecond) + 0.5);
+    packet.nanos =
+        (seconds + from.offsetSeconds) * 1_000_000_000L
+            + (long) (rest * (1e9 / from.unitsPerSecond) + 0.5);
     packet.link = from.link;
     fill(packet, body + 20, length, u32(body + 16));
     return true;
@@ -262,15 +283,17 @@
     }
     int original = u32(body);
     int snap = interfaces.get(0).snap;
-    int length = (int) Math.min(Math.min(original & 0xFFFFFFFFL, most - 4),
-        snap > 0 ? snap : Integer.MAX_VALUE);
+    int length =
+        (int)
+            Math.min(
+                Math.min(original & 0xFFFFFFFFL, most - 4), snap > 0 ? snap : Integer.MAX_VALUE);
     packet.link = interfaces.get(0).link;
     fill(packet, body + 4, length, original);
     return true;
   }
 
   private boolean statistics(int body, int most) {
-    for (int option = body + 12; option + 4 <= body + most;) {
+    for (int option = body + 12; option + 4 <= body + most; ) {
       int code = u16(option);
       int size = u16(option + 2);
       if (code == 0 || option + 4 + size > body + most) {
@@ -301,7 +324,10 @@
     return false;
   }
 
-  /** Whether so many bytes stand in the buffer from {@code at} on, once more have been read if need be. */
+  /**
+   * Whether so many bytes stand in the buffer from {@code at} on, once more have been read if need
+   * be.
+   */
   private boolean has(int count) {
     if (filled - at >= count) {
       return true;
@@ -334,7 +360,9 @@
   }
 
   private int u32raw(int from) {
-    return (buffer[from] & 0xFF) << 24 | (buffer[from + 1] & 0xFF) << 16 | (buffer[from + 2] & 0xFF) << 8
+    return (buffer[from] & 0xFF) << 24
+        | (buffer[from + 1] & 0xFF) << 16
+        | (buffer[from + 2] & 0xFF) << 8
         | buffer[from + 3] & 0xFF;
   }
 
@@ -350,7 +378,8 @@
     return swapped ? other << 32 | one : one << 32 | other;
   }
 
-  @Override public void close() throws IOException {
+  @Override
+  public void close() throws IOException {
     in.close();
   }
 }
--- a/traffic/src/main/java/gingerring/traffic/pcap/CaptureWriter.java
+++ b/traffic/src/main/java/gingerring/traffic/pcap/CaptureWriter.java
@@ -12,9 +12,10 @@
 import java.util.zip.GZIPOutputStream;
 
 /**
- * Writes one capture file. The name tells the form: pcapng where it holds {@code .pcapng}, else pcap with
- * nanoseconds; compressed where it ends in {@code .gz} or {@code .zst}. The file stands under its name with
- * {@code .part} behind it until {@link #close}, so that none under its final name is half written.
+ * Writes one capture file. The name tells the form: pcapng where it holds {@code .pcapng}, else
+ * pcap with nanoseconds; compressed where it ends in {@code .gz} or {@code .zst}. The file stands
+ * under its name with {@code .part} behind it until {@link #close}, so that none under its final
+ * name is half written.
  */
 public final class CaptureWriter implements Closeable {
   private static final int NANOS = 0xa1b23c4d;
@@ -36,8 +37,10 @@
     String name = file.getFileName().toString();
     part = file.resolveSibling(name + ".part");
     OutputStream raw = Files.newOutputStream(part);
-    OutputStream packed = name.endsWith(".gz") ? new GZIPOutputStream(raw, 1 << 16)
-        : name.endsWith(".zst") ? new ZstdOutputStream(raw) : raw;
+    OutputStream packed =
+        name.endsWith(".gz")
+            ? new GZIPOutputStream(raw, 1 << 16)
+            : name.endsWith(".zst") ? new ZstdOutputStream(raw) : raw;
     out = new BufferedOutputStream(packed, 1 << 18);
     blocks = name.contains(".pcapng");
     if (blocks) {
@@ -55,7 +58,8 @@
     return written;
   }
 
-  public void packet(long nanos, byte[] bytes, int at, int length, int original) throws IOException {
+  public void packet(long nanos, byte[] bytes, int at, int length, int original)
+      throws IOException {
     if (blocks) {
       int padded = length + 3 & ~3;
       flushHead(put(0, 6, 32 + padded, 0, (int) (nanos >>> 32), (int) nanos, length, original));
@@ -64,13 +68,17 @@
       flushHead(put(0, 32 + padded));
       written += 32 + padded;
     } else {
-      flushHead(put(0, (int) (nanos / 1_000_000_000L), (int) (nanos % 1_000_000_000L), length, original));
+      flushHead(
+          put(0, (int) (nanos / 1_000_000_000L), (int) (nanos % 1_000_000_000L), length, original));
       out.write(bytes, at, length);
       written += 16 + length;
     }
   }
 
-  /** Marks that packets were dropped here; pcap without blocks has no place for that, and says nothing. */
+  /**
+   * Marks that packets were dropped here; pcap without blocks has no place for that, and says
+   * nothing.
+   */
   public void drops(long nanos, long many) throws IOException {
     if (blocks && many > 0) {
       byte[] comment = (many + " packets dropped before this").getBytes(StandardCharsets.US_ASCII);
@@ -107,7 +115,8 @@
   }
 
   /** Ends the file and gives it its name. */
-  @Override public void close() throws IOException {
+  @Override
+  public void close() throws IOException {
     if (!closed) {
       closed = true;
       out.close();
--- a/traffic/src/main/java/gingerring/traffic/pcap/Edits.java
+++ b/traffic/src/main/java/gingerring/traffic/pcap/Edits.java
@@ -17,10 +17,15 @@
 
   private Edits() {}
 
-  /** The packets of {@code from} that are wanted; times in Unix nanoseconds, {@code before} not included. */
-  public static Done cut(Path from, Path to, long since, long before, Predicate<Segment> wanted, boolean rest)
+  /**
+   * The packets of {@code from} that are wanted; times in Unix nanoseconds, {@code before} not
+   * included.
+   */
+  public static Done cut(
+      Path from, Path to, long since, long before, Predicate<Segment> wanted, boolean rest)
       throws IOException {
-    return merge(List.of(from), to, packet -> packet.nanos >= since && packet.nanos < before, wanted, rest);
+    return merge(
+        List.of(from), to, packet -> packet.nanos >= since && packet.nanos < before, wanted, rest);
   }
 
   /** The packets of all files in the order of their times; each file is taken to be in order. */
@@ -31,15 +36,18 @@
   private record Head(CaptureReader reader, Packet packet, int number) {}
 
   /** {@code rest}: packets that hold no TCP segment go along too. */
-  private static Done merge(List<Path> from, Path to, Predicate<Packet> when, Predicate<Segment> wanted,
-      boolean rest) throws IOException {
+  private static Done merge(
+      List<Path> from, Path to, Predicate<Packet> when, Predicate<Segment> wanted, boolean rest)
+      throws IOException {
     if (from.size() > FILES_MOST) {
       throw new IOException("more than " + FILES_MOST + " files");
     }
-    PriorityQueue<Head> heads = new PriorityQueue<>((one, other) -> {
-      int byTime = Long.compare(one.packet.nanos, other.packet.nanos);
-      return byTime != 0 ? byTime : Integer.compare(one.number, other.number);
-    });
+    PriorityQueue<Head> heads =
+        new PriorityQueue<>(
+            (one, other) -> {
+              int byTime = Long.compare(one.packet.nanos, other.packet.nanos);
+              return byTime != 0 ? byTime : Integer.compare(one.number, other.number);
+            });
     List<CaptureReader> readers = new ArrayList<>();
     CaptureWriter out = null;
     try {
@@ -62,8 +70,15 @@
         Packet packet = head.packet;
         all++;
         if (packet.link != link) {
-          throw new IOException(from.get(head.number - 1) + ": offset " + head.reader.offset() + ": link type "
-              + packet.link + " beside " + link + ": one file holds one");
+          throw new IOException(
+              from.get(head.number - 1)
+                  + ": offset "
+                  + head.reader.offset()
+                  + ": link type "
+                  + packet.link
+                  + " beside "
+                  + link
+                  + ": one file holds one");
         }
         boolean tcp = layers.read(packet, segment);
         if (when.test(packet) && (tcp ? wanted.test(segment) : rest)) {
@@ -76,7 +91,10 @@
       }
       out.close();
       out = null;
-      return new Done(taken, all, readers.stream().map(CaptureReader::why).filter(why -> !why.isEmpty()).toList());
+      return new Done(
+          taken,
+          all,
+          readers.stream().map(CaptureReader::why).filter(why -> !why.isEmpty()).toList());
     } finally {
       if (out != null) {
         out.abandon();
--- a/traffic/src/main/java/gingerring/traffic/pcap/Fragments.java
+++ b/traffic/src/main/java/gingerring/traffic/pcap/Fragments.java
@@ -7,8 +7,9 @@
 import java.util.Map;
 
 /**
- * Puts IP fragments together. Holds {@link #MOST} datagrams of 64 KiB at most, each for {@link #WAIT_NANOS} of
- * the capture's time; the oldest goes when another comes. Of bytes that come twice the first are taken.
+ * Puts IP fragments together. Holds {@link #MOST} datagrams of 64 KiB at most, each for {@link
+ * #WAIT_NANOS} of the capture's time; the oldest goes when another comes. Of bytes that come twice
+ * the first are taken.
  */
 final class Fragments {
   static final int MOST = 64;
@@ -37,7 +38,7 @@
 
   /** The whole datagram's payload once its last fragment has come, else null. */
   byte[] add(Segment of, int id, int offset, boolean more, byte[] b, int at, int length) {
-    for (Iterator<Datagram> each = open.values().iterator(); each.hasNext();) {
+    for (Iterator<Datagram> each = open.values().iterator(); each.hasNext(); ) {
       if (of.nanos - each.next().since <= WAIT_NANOS) {
         break;
       }
@@ -61,8 +62,10 @@
       open.put(key, datagram);
     }
     if (datagram.bytes.length < offset + length) {
-      datagram.bytes = Arrays.copyOf(datagram.bytes,
-          Math.min(DATAGRAM_MOST, Math.max(offset + length, 2 * datagram.bytes.length)));
+      datagram.bytes =
+          Arrays.copyOf(
+              datagram.bytes,
+              Math.min(DATAGRAM_MOST, Math.max(offset + length, 2 * datagram.bytes.length)));
     }
     for (int i = 0; i < length; i++) {
       if (!datagram.in.get(offset + i)) {
--- a/traffic/src/main/java/gingerring/traffic/pcap/Layers.java
+++ b/traffic/src/main/java/gingerring/traffic/pcap/Layers.java
@@ -4,9 +4,10 @@
 import java.util.TreeMap;
 
 /**
- * Takes a packet apart down to its TCP segment: Ethernet with VLAN tags, raw IP, Linux cooked (1 and 2) and
- * loopback; IPv4 with fragments, IPv6 with extension headers. Checksums are not judged, since a capture on the
- * sending machine sees them before the card fills them in. What holds no segment is counted by cause.
+ * Takes a packet apart down to its TCP segment: Ethernet with VLAN tags, raw IP, Linux cooked (1
+ * and 2) and loopback; IPv4 with fragments, IPv6 with extension headers. Checksums are not judged,
+ * since a capture on the sending machine sees them before the card fills them in. What holds no
+ * segment is counted by cause.
  */
 public final class Layers {
   private static final int TCP = 6;
@@ -76,7 +77,9 @@
   }
 
   private boolean typed(int type, byte[] b, int at, int end, int beyond) {
-    return type == 0x0800 || type == 0x86dd ? ip(b, at, end, beyond) : no("packets that are not IP");
+    return type == 0x0800 || type == 0x86dd
+        ? ip(b, at, end, beyond)
+        : no("packets that are not IP");
   }
 
   private boolean ip(byte[] b, int at, int end, int beyond) {
@@ -117,10 +120,19 @@
     into.toLow = MAPPED | u32(b, at + 16) & 0xFFFFFFFFL;
     int placing = u16(b, at + 6);
     if ((placing & 0x3FFF) != 0) {
-      return fragment(b[at + 9] & 0xFF, u16(b, at + 4), (placing & 0x1FFF) * 8, (placing & 0x2000) != 0,
-          b, at + head, stop, cut);
-    }
-    return (b[at + 9] & 0xFF) == TCP ? tcp(b, at + head, stop, cut) : no("packets that are not TCP");
+      return fragment(
+          b[at + 9] & 0xFF,
+          u16(b, at + 4),
+          (placing & 0x1FFF) * 8,
+          (placing & 0x2000) != 0,
+          b,
+          at + head,
+          stop,
+          cut);
+    }
+    return (b[at + 9] & 0xFF) == TCP
+        ? tcp(b, at + head, stop, cut)
+        : no("packets that are not TCP");
   }
 
   private boolean six(byte[] b, int at, int end, int beyond) {
@@ -159,8 +171,15 @@
           }
           int placing = u16(b, at + 2);
           if ((placing & 0xFFF9) != 0) {
-            return fragment(b[at] & 0xFF, u32(b, at + 4), placing & 0xFFF8, (placing & 1) != 0, b, at + 8,
-                stop, cut);
+            return fragment(
+                b[at] & 0xFF,
+                u32(b, at + 4),
+                placing & 0xFFF8,
+                (placing & 1) != 0,
+                b,
+                at + 8,
+                stop,
+                cut);
           }
           next = b[at] & 0xFF;
           at += 8;
@@ -175,7 +194,8 @@
     return no("packets of too many headers");
   }
 
-  private boolean fragment(int protocol, int id, int offset, boolean more, byte[] b, int at, int stop, int cut) {
+  private boolean fragment(
+      int protocol, int id, int offset, boolean more, byte[] b, int at, int stop, int cut) {
     if (protocol != TCP) {
       return no("packets that are not TCP");
     }
--- a/traffic/src/main/java/gingerring/traffic/pcap/Nets.java
+++ b/traffic/src/main/java/gingerring/traffic/pcap/Nets.java
@@ -11,7 +11,10 @@
 import java.util.List;
 import java.util.function.Predicate;
 
-/** Which segments are wanted: by networks that an end of theirs is in, and by ports. Empty lists want all. */
+/**
+ * Which segments are wanted: by networks that an end of theirs is in, and by ports. Empty lists
+ * want all.
+ */
 public final class Nets implements Predicate<Segment> {
   private static final long MAPPED = 0xFFFF00000000L;
 
@@ -20,7 +23,10 @@
   private final boolean any;
   private final List<Integer> ports;
 
-  /** Networks such as {@code 10.0.0.0/8}, {@code 2001:db8::/32} or one address; others are refused by name. */
+  /**
+   * Networks such as {@code 10.0.0.0/8}, {@code 2001:db8::/32} or one address; others are refused
+   * by name.
+   */
   public Nets(List<String> networks, List<Integer> ports) {
     any = networks.isEmpty();
     this.ports = List.copyOf(ports);
@@ -38,7 +44,8 @@
     }
   }
 
-  @Override public boolean test(Segment segment) {
+  @Override
+  public boolean test(Segment segment) {
     return (any || in(segment.fromHigh, segment.fromLow) || in(segment.toHigh, segment.toLow))
         && (ports.isEmpty() || ports.contains(segment.fromPort) || ports.contains(segment.toPort));
   }
--- a/traffic/src/main/java/gingerring/traffic/pcap/NotReadable.java
+++ b/traffic/src/main/java/gingerring/traffic/pcap/NotReadable.java
@@ -2,7 +2,9 @@
 
 import java.io.IOException;
 
-/** A file that cannot be read at all; the message names the file, the offset in it and the cause. */
+/**
+ * A file that cannot be read at all; the message names the file, the offset in it and the cause.
+ */
 public final class NotReadable extends IOException {
   private static final long serialVersionUID = 1;
 
--- a/traffic/src/main/java/gingerring/traffic/record/Anonymiser.java
+++ b/traffic/src/main/java/gingerring/traffic/record/Anonymiser.java
@@ -24,10 +24,10 @@
 import java.util.TreeMap;
 
 /**
- * Makes a capture in which texts, values and keys are hidden (see {@link Blanks}): streams are read into
- * messages, these are written anew, and packets are forged for them. What is not read as a whole message, and
- * what speaks another protocol, could hold anything and is left out, counted by cause. Addresses, times, marks,
- * grades and weights stay.
+ * Makes a capture in which texts, values and keys are hidden (see {@link Blanks}): streams are read
+ * into messages, these are written anew, and packets are forged for them. What is not read as a
+ * whole message, and what speaks another protocol, could hold anything and is left out, counted by
+ * cause. Addresses, times, marks, grades and weights stay.
  */
 public final class Anonymiser implements FlowTable.Sink {
   private static final int PIECE = 1 << 12;
@@ -78,7 +78,8 @@
         return;
       }
       if (parser == null && !frames) {
-        // the first bytes tell; a segment holds a whole first line in all that we write and nearly all else
+        // the first bytes tell; a segment holds a whole first line in all that we write and nearly
+        // all else
         String first = new String(bytes, from, Math.min(length, 8), StandardCharsets.ISO_8859_1);
         boolean answers = first.startsWith("HTTP/1.");
         if (answers || first.matches("(?s)[A-Z]{3,7} .*")) {
@@ -96,7 +97,7 @@
         return;
       }
       try {
-        for (int done = 0; done < length;) {
+        for (int done = 0; done < length; ) {
           int count = Math.min(PIECE, length - done);
           ring.put(bytes, from + done, count);
           done += count;
@@ -116,29 +117,36 @@
       }
     }
 
-    @Override public void head(Head read) {
+    @Override
+    public void head(Head read) {
       head = read;
     }
 
-    @Override public void body(byte[] bytes, int length) {
+    @Override
+    public void body(byte[] bytes, int length) {
       kept.write(bytes, 0, length);
     }
 
-    @Override public void end() {
+    @Override
+    public void end() {
       String body = kept.size() == 0 ? "" : blanks.body(kept.toString(StandardCharsets.UTF_8));
       kept = new ByteArrayOutputStream();
       byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
-      StringBuilder text = new StringBuilder(head.first() + ' ' + head.second() + ' ' + head.third() + "\r\n");
-      head.headers().forEach((name, value) -> {
-        if (!name.equals("content-length") && !name.equals("transfer-encoding")) {
-          text.append(name).append(": ").append(value).append("\r\n");
-        }
-      });
+      StringBuilder text =
+          new StringBuilder(head.first() + ' ' + head.second() + ' ' + head.third() + "\r\n");
+      head.headers()
+          .forEach(
+              (name, value) -> {
+                if (!name.equals("content-length") && !name.equals("transfer-encoding")) {
+                  text.append(name).append(": ").append(value).append("\r\n");
+                }
+              });
       if (!head.second().startsWith("1")) {
         text.append("content-length: ").append(bytes.length).append("\r\n");
       }
       ByteArrayOutputStream out = new ByteArrayOutputStream();
-      out.writeBytes(blanks.headers(text.append("\r\n").toString()).getBytes(StandardCharsets.ISO_8859_1));
+      out.writeBytes(
+          blanks.headers(text.append("\r\n").toString()).getBytes(StandardCharsets.ISO_8859_1));
       out.writeBytes(bytes);
       messages++;
       flow.put(nanos, number, out.toByteArray());
@@ -164,8 +172,14 @@
           return;
         }
         messages++;
-        flow.put(nanos, number, ByteBuffer.allocate(4 + hidden.length).order(ByteOrder.LITTLE_ENDIAN)
-            .putInt(hidden.length).put(hidden).array());
+        flow.put(
+            nanos,
+            number,
+            ByteBuffer.allocate(4 + hidden.length)
+                .order(ByteOrder.LITTLE_ENDIAN)
+                .putInt(hidden.length)
+                .put(hidden)
+                .array());
       }
       kept.reset();
       kept.write(all.array(), all.position(), all.remaining());
@@ -179,18 +193,22 @@
           return null;
         }
         String value = new String(frame, end + 1, frame.length - end - 1, StandardCharsets.UTF_8);
-        return joined(new String(frame, 0, end + 1, StandardCharsets.ISO_8859_1),
+        return joined(
+            new String(frame, 0, end + 1, StandardCharsets.ISO_8859_1),
             value.isEmpty() ? "" : blanks.hidden(value));
       }
       if (frame[0] != 'S') {
         return frame[0] == 'F' ? new byte[] {'F'} : frame;
       }
       StringBuilder call = new StringBuilder("S");
-      for (int at = 1; at < frame.length;) {
+      for (int at = 1; at < frame.length; ) {
         int end = line(frame, at);
-        String[] words = end < 0 ? new String[0]
-            : new String(frame, at, end - at, StandardCharsets.ISO_8859_1).split(" ");
-        if (words.length != 4 || !words[3].matches("[0-9]{1,6}")
+        String[] words =
+            end < 0
+                ? new String[0]
+                : new String(frame, at, end - at, StandardCharsets.ISO_8859_1).split(" ");
+        if (words.length != 4
+            || !words[3].matches("[0-9]{1,6}")
             || end + 1 + Integer.parseInt(words[3]) > frame.length) {
           return null;
         }
@@ -201,8 +219,15 @@
           list.append(list.length() == 0 ? "" : ",")
               .append(pair.startsWith("k=") ? "k=" + blanks.hidden(pair.substring(2)) : pair);
         }
-        call.append(words[0]).append(' ').append(words[1]).append(' ').append(list).append(' ')
-            .append(text.length()).append('\n').append(text);
+        call.append(words[0])
+            .append(' ')
+            .append(words[1])
+            .append(' ')
+            .append(list)
+            .append(' ')
+            .append(text.length())
+            .append('\n')
+            .append(text);
         at = end + 1 + length;
       }
       return call.toString().getBytes(StandardCharsets.ISO_8859_1);
@@ -280,21 +305,26 @@
     counts.merge(what, 1L, Long::sum);
   }
 
-  @Override public void opened(Flow flow) {
+  @Override
+  public void opened(Flow flow) {
     flow.owner = new Anew(flow);
   }
 
-  @Override public void bytes(Flow flow, int side, long nanos, long taken, byte[] bytes, int at, int length) {
+  @Override
+  public void bytes(Flow flow, int side, long nanos, long taken, byte[] bytes, int at, int length) {
     ((Anew) flow.owner).sides[side].add(nanos, bytes, at, length);
   }
 
-  @Override public void gap(Flow flow, int side, long nanos, long missing) {
+  @Override
+  public void gap(Flow flow, int side, long nanos, long missing) {
     ((Anew) flow.owner).sides[side].lose("directions with a hole, from there on");
   }
 
-  @Override public void finished(Flow flow, int side, long nanos) {}
+  @Override
+  public void finished(Flow flow, int side, long nanos) {}
 
-  @Override public void closed(Flow flow, Flow.How how, long nanos) {
+  @Override
+  public void closed(Flow flow, Flow.How how, long nanos) {
     Anew anew = (Anew) flow.owner;
     if (anew.open && (how == Flow.How.FINISHED || how == Flow.How.RESET)) {
       anew.forge.close(nanos, how == Flow.How.RESET, 0, this::packet);
--- a/traffic/src/main/java/gingerring/traffic/record/Blanks.java
+++ b/traffic/src/main/java/gingerring/traffic/record/Blanks.java
@@ -13,9 +13,10 @@
 import javax.crypto.spec.SecretKeySpec;
 
 /**
- * Hides query texts, values and idempotency keys behind a hash keyed by a secret: equal ones stay equal, so
- * that repeats are recognised, and none can be read or, without the secret, tried out. Everything keeps its
- * length where that is 16 or more; what is shorter becomes 16 hex digits, and the body's length follows.
+ * Hides query texts, values and idempotency keys behind a hash keyed by a secret: equal ones stay
+ * equal, so that repeats are recognised, and none can be read or, without the secret, tried out.
+ * Everything keeps its length where that is 16 or more; what is shorter becomes 16 hex digits, and
+ * the body's length follows.
  */
 public final class Blanks {
   private static final int DIGITS = 16;
@@ -47,7 +48,8 @@
   /** The headers of a request, its key hidden. */
   public String headers(String headers) {
     Matcher key = KEY.matcher(headers);
-    return key.replaceAll(found -> Matcher.quoteReplacement(found.group(1) + hidden(found.group(2))));
+    return key.replaceAll(
+        found -> Matcher.quoteReplacement(found.group(1) + hidden(found.group(2))));
   }
 
   /** The body of a request or of an answer; what is no such body is hidden whole. */
@@ -68,8 +70,11 @@
 
   /** Every string under this name, whatever its escapes. */
   private static String replaced(String json, String name, UnaryOperator<String> with) {
-    Pattern found = Pattern.compile("(\"" + name + "\"\\s*:\\s*\")((?:[^\"\\\\]|\\\\.)*)\"", Pattern.DOTALL);
-    return found.matcher(json).replaceAll(each ->
-        Matcher.quoteReplacement(each.group(1) + with.apply(each.group(2)) + '"'));
+    Pattern found =
+        Pattern.compile("(\"" + name + "\"\\s*:\\s*\")((?:[^\"\\\\]|\\\\.)*)\"", Pattern.DOTALL);
+    return found
+        .matcher(json)
+        .replaceAll(
+            each -> Matcher.quoteReplacement(each.group(1) + with.apply(each.group(2)) + '"'));
   }
 }
--- a/traffic/src/main/java/gingerring/traffic/record/Forge.java
+++ b/traffic/src/main/java/gingerring/traffic/record/Forge.java
@@ -5,9 +5,9 @@
 import java.util.Arrays;
 
 /**
- * One connection's bytes as the packets that could have carried them: raw IP (link type 101), handshake, data
- * in segments of {@link #SEGMENT} bytes with what each side has taken, an end; checksums and sequence numbers
- * as other tools expect them.
+ * One connection's bytes as the packets that could have carried them: raw IP (link type 101),
+ * handshake, data in segments of {@link #SEGMENT} bytes with what each side has taken, an end;
+ * checksums and sequence numbers as other tools expect them.
  */
 public final class Forge {
   /** Who takes the packets; {@code bytes} are used again. */
@@ -26,8 +26,10 @@
 
   private final byte[][] addresses = new byte[2][];
   private final int[] ports = new int[2];
+
   /** The next sequence number of each side. */
   private final int[] next = new int[2];
+
   private final byte[] packet = new byte[60 + SEGMENT];
   private int ids;
 
--- a/traffic/src/main/java/gingerring/traffic/record/Recorder.java
+++ b/traffic/src/main/java/gingerring/traffic/record/Recorder.java
@@ -23,9 +23,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A mixer's tap that writes a capture. The mixer's threads only copy and queue; one thread of its own forges and
- * writes. The queue is bounded in events and in bytes: what finds it full is dropped, and the hole stands in
- * the connection's stream and as a mark in the file. A disk that fails ends the recording and nothing else.
+ * A mixer's tap that writes a capture. The mixer's threads only copy and queue; one thread of its
+ * own forges and writes. The queue is bounded in events and in bytes: what finds it full is
+ * dropped, and the hole stands in the connection's stream and as a mark in the file. A disk that
+ * fails ends the recording and nothing else.
  */
 public final class Recorder implements Tap, Closeable {
   /** When a file is ended and the next begun, and how many are kept; the eldest goes. */
@@ -38,10 +39,21 @@
   private static final Logger LOG = LoggerFactory.getLogger("gingerring.record");
   private static final long END_WAIT_MS = 5000;
 
-  private enum What { OPENED, DATA, CLOSED }
+  private enum What {
+    OPENED,
+    DATA,
+    CLOSED
+  }
 
-  private record Event(What what, long connection, long nanos, InetSocketAddress opener,
-      InetSocketAddress listener, int side, byte[] bytes, long[] hole) {}
+  private record Event(
+      What what,
+      long connection,
+      long nanos,
+      InetSocketAddress opener,
+      InetSocketAddress listener,
+      int side,
+      byte[] bytes,
+      long[] hole) {}
 
   private final Path file;
   private final Rotation rotation;
@@ -49,10 +61,13 @@
   private final ArrayBlockingQueue<Event> queue;
   private final AtomicLong queued = new AtomicLong();
   private final AtomicLong dropped = new AtomicLong();
+
   /** Bytes dropped since the last that were queued, by connection and side. */
   private final Map<Long, long[]> holes = new HashMap<>();
+
   /** Connections whose end was dropped; under the holes' lock. */
   private final Set<Long> gone = new HashSet<>();
+
   private final Map<Long, Forge> forges = new HashMap<>();
   private final Deque<Path> files = new ArrayDeque<>();
   private final Thread writer;
@@ -103,15 +118,18 @@
 
   // ---- the mixer's threads ----
 
-  @Override public void opened(long connection, InetSocketAddress opener, InetSocketAddress listener) {
+  @Override
+  public void opened(long connection, InetSocketAddress opener, InetSocketAddress listener) {
     offer(new Event(What.OPENED, connection, now(), opener, listener, 0, null, hole(connection)));
   }
 
-  @Override public void data(long connection, int side, byte[] bytes) {
+  @Override
+  public void data(long connection, int side, byte[] bytes) {
     offer(new Event(What.DATA, connection, now(), null, null, side, bytes, hole(connection)));
   }
 
-  @Override public void closed(long connection, int side) {
+  @Override
+  public void closed(long connection, int side) {
     offer(new Event(What.CLOSED, connection, now(), null, null, side, null, hole(connection)));
   }
 
@@ -169,7 +187,8 @@
         if (event != null) {
           take(event);
         }
-        if (holed && queue.isEmpty()) { // whatever came before an end that was dropped has been taken
+        if (holed
+            && queue.isEmpty()) { // whatever came before an end that was dropped has been taken
           synchronized (holes) {
             gone.forEach(forges::remove);
             gone.clear();
@@ -181,7 +200,10 @@
     } catch (IOException | RuntimeException e) {
       failed = true;
       queue.clear();
-      LOG.atError().addKeyValue("file", file).addKeyValue("cause", e.toString()).log("recording ended");
+      LOG.atError()
+          .addKeyValue("file", file)
+          .addKeyValue("cause", e.toString())
+          .log("recording ended");
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
@@ -241,8 +263,12 @@
     if (number > 0) {
       String name = file.getFileName().toString();
       int dot = name.indexOf('.');
-      next = file.resolveSibling((dot < 0 ? name : name.substring(0, dot)) + '-' + number
-          + (dot < 0 ? "" : name.substring(dot)));
+      next =
+          file.resolveSibling(
+              (dot < 0 ? name : name.substring(0, dot))
+                  + '-'
+                  + number
+                  + (dot < 0 ? "" : name.substring(dot)));
     }
     number++;
     out = new CaptureWriter(next, Forge.LINK);
@@ -256,12 +282,14 @@
     return z ^ z >>> 31;
   }
 
-  @Override public void end() {
+  @Override
+  public void end() {
     close();
   }
 
   /** Writes what is queued and ends the file; waits some seconds at most. */
-  @Override public void close() {
+  @Override
+  public void close() {
     ending = true;
     try {
       writer.join(END_WAIT_MS);
--- a/traffic/src/main/java/gingerring/traffic/replay/Chain.java
+++ b/traffic/src/main/java/gingerring/traffic/replay/Chain.java
@@ -34,8 +34,11 @@
   /** Whether one more try can belong here: the last has ended, and not with an answer. */
   boolean open(Seen next, long windowNanos) {
     Seen last = last();
-    boolean unmet = last.fate() == Fate.NACKED || last.fate() == Fate.SCRAPPED || last.fate() == Fate.LEFT
-        || last.fate() == Fate.INCOMPLETE;
+    boolean unmet =
+        last.fate() == Fate.NACKED
+            || last.fate() == Fate.SCRAPPED
+            || last.fate() == Fate.LEFT
+            || last.fate() == Fate.INCOMPLETE;
     long ended = Math.max(last.answeredAt(), last.askedAt());
     return unmet && next.askedAt() >= last.askedAt() && next.askedAt() - ended <= windowNanos;
   }
--- a/traffic/src/main/java/gingerring/traffic/replay/Comparison.java
+++ b/traffic/src/main/java/gingerring/traffic/replay/Comparison.java
@@ -11,16 +11,19 @@
 import java.util.TreeSet;
 
 /**
- * Compares outcomes scan by scan. Two agree where both were answered whole, or from the same parts, or nacked,
- * or scrapped, or left by their client, and no value that both have differs. Each difference gets one cause,
- * the first that fits of the list in {@link #cause}. What the recording does not show is not compared.
+ * Compares outcomes scan by scan. Two agree where both were answered whole, or from the same parts,
+ * or nacked, or scrapped, or left by their client, and no value that both have differs. Each
+ * difference gets one cause, the first that fits of the list in {@link #cause}. What the recording
+ * does not show is not compared.
  */
 public final class Comparison {
   /** A scan whose outcomes differ. */
-  public record Difference(String mark, String grade, Outcome recorded, Outcome replayed, String cause) {}
+  public record Difference(
+      String mark, String grade, Outcome recorded, Outcome replayed, String cause) {}
 
   /** Differences kept to be shown; all are counted. */
   public static final int SHOWN_MOST = 1000;
+
   /** From this share of its client's time on an answer is close to its limit. */
   private static final double CLOSE = 0.9;
 
@@ -43,7 +46,8 @@
       return;
     }
     compared++;
-    table.computeIfAbsent(recorded.fate(), f -> new EnumMap<>(Fate.class))
+    table
+        .computeIfAbsent(recorded.fate(), f -> new EnumMap<>(Fate.class))
         .merge(replayed.fate(), 1L, Long::sum);
     if (agree(recorded, replayed)) {
       agreed++;
@@ -57,17 +61,21 @@
   }
 
   static boolean agree(Outcome one, Outcome other) {
-    return one.fate() == other.fate() && one.shards().equals(other.shards()) && differing(one, other).isEmpty();
+    return one.fate() == other.fate()
+        && one.shards().equals(other.shards())
+        && differing(one, other).isEmpty();
   }
 
   private static TreeSet<Integer> differing(Outcome one, Outcome other) {
     TreeSet<Integer> shards = new TreeSet<>();
-    one.values().forEach((shard, value) -> {
-      String its = other.values().get(shard);
-      if (its != null && !its.equals(value)) {
-        shards.add(shard);
-      }
-    });
+    one.values()
+        .forEach(
+            (shard, value) -> {
+              String its = other.values().get(shard);
+              if (its != null && !its.equals(value)) {
+                shards.add(shard);
+              }
+            });
     return shards;
   }
 
--- a/traffic/src/main/java/gingerring/traffic/replay/Pacer.java
+++ b/traffic/src/main/java/gingerring/traffic/replay/Pacer.java
@@ -10,12 +10,13 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Decides when each step is sent. Call {@link #turn} with the time whenever {@link #next} is due, and {@link
- * #ended} when a connection has its answer or its end; steps go to {@link Host#send}. A connection carries a
- * request at a time, in order.
+ * Decides when each step is sent. Call {@link #turn} with the time whenever {@link #next} is due,
+ * and {@link #ended} when a connection has its answer or its end; steps go to {@link Host#send}. A
+ * connection carries a request at a time, in order.
  *
- * <p>Two kinds of lateness are kept apart, so that pace and outcome do not blur. A step is <em>held</em> while
- * the answer before it is not there: that is the mixer's doing. From then on every moment is the tool's own.
+ * <p>Two kinds of lateness are kept apart, so that pace and outcome do not blur. A step is
+ * <em>held</em> while the answer before it is not there: that is the mixer's doing. From then on
+ * every moment is the tool's own.
  */
 public final class Pacer {
   /** Who sends. */
@@ -24,8 +25,15 @@
   }
 
   /** How a run's sending went. {@code valid} is false where the tool itself was the bottleneck. */
-  public record Report(long sent, long held, Duration heldP99, Duration lateP50, Duration lateP99,
-      Duration lateMost, boolean valid, String why) {}
+  public record Report(
+      long sent,
+      long held,
+      Duration heldP99,
+      Duration lateP50,
+      Duration lateP99,
+      Duration lateMost,
+      boolean valid,
+      String why) {}
 
   private static final long HIGHEST = Duration.ofHours(24).toNanos() / 1000;
 
@@ -36,16 +44,17 @@
   private final boolean timed;
   private final List<Deque<Step>> lanes = new ArrayList<>();
   private final List<Boolean> busy = new ArrayList<>();
-  private final PriorityQueue<Ready> ready = new PriorityQueue<>(
-      Comparator.comparing(Ready::from).thenComparing(each -> each.step.number()));
+  private final PriorityQueue<Ready> ready =
+      new PriorityQueue<>(
+          Comparator.comparing(Ready::from).thenComparing(each -> each.step.number()));
   private final Histogram late = new Histogram(HIGHEST, 3);
   private final Histogram held = new Histogram(HIGHEST, 3);
   private long sent;
   private int waiting;
 
   /**
-   * {@code lateMost}: the tool's own lateness at the 99th percentile beyond which a run is not valid. Without
-   * recorded times ({@code timed} false) there is no lateness.
+   * {@code lateMost}: the tool's own lateness at the 99th percentile beyond which a run is not
+   * valid. Without recorded times ({@code timed} false) there is no lateness.
    */
   public Pacer(List<Step> steps, int laneCount, Duration lateMost, boolean timed, Host host) {
     this.host = host;
@@ -124,10 +133,23 @@
     long heldCount = held.getTotalCount() - held.getCountBetweenValues(0, 1000);
     Duration p99 = micros(late.getValueAtPercentile(99));
     boolean valid = !timed || p99.compareTo(lateMost) <= 0;
-    String why = valid ? "" : "the tool sent " + p99.toMillis() + " ms late at the 99th percentile, over "
-        + lateMost.toMillis() + " ms: its pace is not the one asked for";
-    return new Report(sent, heldCount, micros(held.getValueAtPercentile(99)),
-        micros(late.getValueAtPercentile(50)), p99, micros(late.getMaxValue()), valid, why);
+    String why =
+        valid
+            ? ""
+            : "the tool sent "
+                + p99.toMillis()
+                + " ms late at the 99th percentile, over "
+                + lateMost.toMillis()
+                + " ms: its pace is not the one asked for";
+    return new Report(
+        sent,
+        heldCount,
+        micros(held.getValueAtPercentile(99)),
+        micros(late.getValueAtPercentile(50)),
+        p99,
+        micros(late.getMaxValue()),
+        valid,
+        why);
   }
 
   /** The tool's own lateness, microseconds. */
--- a/traffic/src/main/java/gingerring/traffic/replay/Plan.java
+++ b/traffic/src/main/java/gingerring/traffic/replay/Plan.java
@@ -12,13 +12,15 @@
 import java.util.Map;
 
 /**
- * What a replay sends: every scan whose request the recording holds whole, on a connection for each recorded
- * one, at recorded times divided by the pace. Holds {@link #MOST} scans at most.
+ * What a replay sends: every scan whose request the recording holds whole, on a connection for each
+ * recorded one, at recorded times divided by the pace. Holds {@link #MOST} scans at most.
  */
 public final class Plan {
   public static final int MOST = 1_000_000;
+
   /** How long after an end a retry may follow and still be taken for one. */
   public static final Duration RETRY_WINDOW = Duration.ofSeconds(60);
+
   /** A pace that does not wait for any recorded time. */
   public static final double AT_ONCE = Double.POSITIVE_INFINITY;
 
@@ -54,8 +56,15 @@
       int lane = laneOf.computeIfAbsent(seen.connection(), c -> laneOf.size());
       long due = pace == AT_ONCE ? 0 : Math.round((seen.askedAt() - start) / pace);
       Chain chain = of.get(seen);
-      steps.add(new Step(steps.size(), lane, Duration.ofNanos(due), seen, chain, chain.tries().indexOf(seen),
-          seen.request()));
+      steps.add(
+          new Step(
+              steps.size(),
+              lane,
+              Duration.ofNanos(due),
+              seen,
+              chain,
+              chain.tries().indexOf(seen),
+              seen.request()));
     }
     lanes = laneOf.size();
   }
@@ -81,7 +90,13 @@
   /** The step that tries again what {@code step} did not get, under a fresh mark. */
   public Step again(Step step, int number, Duration due) {
     int attempt = step.attempt() + 1;
-    return new Step(number, step.lane(), due, step.scan(), step.chain(), attempt,
+    return new Step(
+        number,
+        step.lane(),
+        due,
+        step.scan(),
+        step.chain(),
+        attempt,
         remarked(step.scan().request(), step.scan().mark() + '~' + attempt, marked));
   }
 
--- a/traffic/src/main/java/gingerring/traffic/replay/Replayer.java
+++ b/traffic/src/main/java/gingerring/traffic/replay/Replayer.java
@@ -15,20 +15,28 @@
 import java.util.Optional;
 
 /**
- * Carries a plan out against a mixer: a connection for each recorded one, a request at a time, its answer read
- * and compared. A client whose time is up closes its connection, as the protocol has it, and dials again for
- * the next. Ends once every step has had its end.
+ * Carries a plan out against a mixer: a connection for each recorded one, a request at a time, its
+ * answer read and compared. A client whose time is up closes its connection, as the protocol has
+ * it, and dials again for the next. Ends once every step has had its end.
  */
 public final class Replayer {
   /** What is wanted of a run. {@code retries} is null where they are sent as recorded. */
   public record Wish(InetSocketAddress to, double pace, Duration lateMost, Retries retries) {}
 
   /** What came of it. */
-  public record Result(Comparison comparison, Timeline recorded, Timeline replayed, Pacer.Report pacing,
-      Duration took, long retriesMade, int leftOut, int lanes) {}
+  public record Result(
+      Comparison comparison,
+      Timeline recorded,
+      Timeline replayed,
+      Pacer.Report pacing,
+      Duration took,
+      long retriesMade,
+      int leftOut,
+      int lanes) {}
 
   /** A client gives an answer this much longer than its time, for the way back. */
   private static final Duration SLACK = Duration.ofMillis(50);
+
   private static final Duration LEAD = Duration.ofMillis(100);
   private static final int ANSWER_MOST = 1 << 20;
 
@@ -61,15 +69,23 @@
   }
 
   private Result run() {
-    pacer = new Pacer(plan.steps(), plan.lanes(), wish.lateMost, wish.pace != Plan.AT_ONCE, this::send);
+    pacer =
+        new Pacer(plan.steps(), plan.lanes(), wish.lateMost, wish.pace != Plan.AT_ONCE, this::send);
     for (Step step : plan.steps()) {
       recorded.add(Duration.ofNanos(step.scan().askedAt() - start), step.scan().fate());
     }
     zero = reactor.now().plus(LEAD);
     reactor.after(LEAD, this::turn);
     reactor.run();
-    return new Result(comparison, recorded, replayed, pacer.report(), reactor.now().minus(zero), retriesMade,
-        plan.leftOut(), plan.lanes());
+    return new Result(
+        comparison,
+        recorded,
+        replayed,
+        pacer.report(),
+        reactor.now().minus(zero),
+        retriesMade,
+        plan.leftOut(),
+        plan.lanes());
   }
 
   private Duration now() {
@@ -107,10 +123,14 @@
     open.remove(step.number());
     Duration now = now();
     pacer.ended(step.lane(), now);
-    boolean unmet = outcome.fate() == Fate.NACKED || outcome.fate() == Fate.SCRAPPED
-        || outcome.fate() == Fate.LEFT;
-    Optional<Duration> again = wish.retries == null || !unmet ? Optional.empty()
-        : wish.retries.next(step.attempt(), comeBack);
+    boolean unmet =
+        outcome.fate() == Fate.NACKED
+            || outcome.fate() == Fate.SCRAPPED
+            || outcome.fate() == Fate.LEFT;
+    Optional<Duration> again =
+        wish.retries == null || !unmet
+            ? Optional.empty()
+            : wish.retries.next(step.attempt(), comeBack);
     if (again.isPresent()) {
       retriesMade++;
       pacer.add(plan.again(step, numbers++, now.plus(again.get())));
@@ -138,12 +158,14 @@
       due = next.due().compareTo(free) > 0 ? next.due() : free;
       retried = false;
       put();
-      reactor.after(Duration.ofMillis(next.scan().remainingMs()).plus(SLACK), () -> {
-        if (step == next) {
-          drop();
-          end(new Answer(Fate.LEFT, 0, false, Map.of(), Duration.ZERO, ""));
-        }
-      });
+      reactor.after(
+          Duration.ofMillis(next.scan().remainingMs()).plus(SLACK),
+          () -> {
+            if (step == next) {
+              drop();
+              end(new Answer(Fate.LEFT, 0, false, Map.of(), Duration.ZERO, ""));
+            }
+          });
     }
 
     private void put() {
@@ -193,10 +215,23 @@
       }
       step = null;
       free = now();
-      double weight = ended.scan().targets().stream()
-          .filter(target -> answer.values().containsKey(target.shard())).mapToDouble(Seen.Target::share).sum();
-      ended(ended, new Outcome(answer.fate(), answer.status(), answer.values(), weight, sentAt,
-          free.minus(sentAt), sentAt.minus(due), due.minus(ended.due())), answer.comeBack());
+      double weight =
+          ended.scan().targets().stream()
+              .filter(target -> answer.values().containsKey(target.shard()))
+              .mapToDouble(Seen.Target::share)
+              .sum();
+      ended(
+          ended,
+          new Outcome(
+              answer.fate(),
+              answer.status(),
+              answer.values(),
+              weight,
+              sentAt,
+              free.minus(sentAt),
+              sentAt.minus(due),
+              due.minus(ended.due())),
+          answer.comeBack());
     }
   }
 
@@ -217,15 +252,19 @@
       wire.put(request);
     }
 
-    @Override protected void message(Head head, byte[] body) {
+    @Override
+    protected void message(Head head, byte[] body) {
       lane.answered(this, Answer.read(head, body), head.says("connection", "close"));
     }
 
-    @Override protected void malformed(Malformed e) {
-      lane.answered(this, new Answer(Fate.SCRAPPED, 0, false, Map.of(), Duration.ZERO, e.getMessage()), true);
+    @Override
+    protected void malformed(Malformed e) {
+      lane.answered(
+          this, new Answer(Fate.SCRAPPED, 0, false, Map.of(), Duration.ZERO, e.getMessage()), true);
     }
 
-    @Override public void closed() {
+    @Override
+    public void closed() {
       lane.lost(this, midway());
     }
   }
--- a/traffic/src/main/java/gingerring/traffic/replay/Retries.java
+++ b/traffic/src/main/java/gingerring/traffic/replay/Retries.java
@@ -11,12 +11,15 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Finds a client's retries in a recording, and makes retries anew in a replay. A retry is a scan of the same
- * grade with the same key, or without keys of the same text and parts, asked after one that was not answered;
- * of several it could belong to, the one that ended last. Marked retries and unmarked ones are found alike.
+ * Finds a client's retries in a recording, and makes retries anew in a replay. A retry is a scan of
+ * the same grade with the same key, or without keys of the same text and parts, asked after one
+ * that was not answered; of several it could belong to, the one that ended last. Marked retries and
+ * unmarked ones are found alike.
  */
 public final class Retries {
-  /** How clients retry: so many times, after a wait that grows by a factor and is spread by chance. */
+  /**
+   * How clients retry: so many times, after a wait that grows by a factor and is spread by chance.
+   */
   public record Rule(int most, Duration pause, double factor, double spread) {
     public static final Rule USUAL = new Rule(3, Duration.ofMillis(200), 2, 0.5);
 
@@ -36,7 +39,10 @@
     this.chance = chance;
   }
 
-  /** The recording's scans, in the order of their asking, as chains; a retry follows within {@code window}. */
+  /**
+   * The recording's scans, in the order of their asking, as chains; a retry follows within {@code
+   * window}.
+   */
   public static List<Chain> chains(List<Seen> scans, Duration window) {
     List<Chain> chains = new ArrayList<>();
     Map<String, List<Chain>> unmet = new HashMap<>();
@@ -47,11 +53,17 @@
         continue; // it never came whole
       }
       List<Chain> same = unmet.computeIfAbsent(wish(seen), w -> new ArrayList<>());
-      same.removeIf(chain -> seen.askedAt() - Math.max(chain.last().answeredAt(), chain.last().askedAt())
-          > window.toNanos());
-      Optional<Chain> mine = same.stream().filter(chain -> chain.open(seen, window.toNanos())
-          && chain.last().answeredAt() <= seen.askedAt())
-          .max(Comparator.comparingLong(chain -> chain.last().answeredAt()));
+      same.removeIf(
+          chain ->
+              seen.askedAt() - Math.max(chain.last().answeredAt(), chain.last().askedAt())
+                  > window.toNanos());
+      Optional<Chain> mine =
+          same.stream()
+              .filter(
+                  chain ->
+                      chain.open(seen, window.toNanos())
+                          && chain.last().answeredAt() <= seen.askedAt())
+              .max(Comparator.comparingLong(chain -> chain.last().answeredAt()));
       if (mine.isPresent()) {
         mine.get().add(seen);
       } else {
@@ -64,12 +76,14 @@
   }
 
   private static String wish(Seen seen) {
-    return seen.grade() + '\n' + (seen.key() != null ? seen.key() : seen.text() + '\n' + seen.targets());
+    return seen.grade()
+        + '\n'
+        + (seen.key() != null ? seen.key() : seen.text() + '\n' + seen.targets());
   }
 
   /**
-   * When the try after this one is due, counted from the end of this; empty where the client gives up. Try 0 is
-   * the first. {@code comeBack} is what it was told, zero for nothing; it is followed.
+   * When the try after this one is due, counted from the end of this; empty where the client gives
+   * up. Try 0 is the first. {@code comeBack} is what it was told, zero for nothing; it is followed.
    */
   public Optional<Duration> next(int number, Duration comeBack) {
     if (number >= rule.most) {
--- a/traffic/src/main/java/gingerring/traffic/replay/Step.java
+++ b/traffic/src/main/java/gingerring/traffic/replay/Step.java
@@ -3,5 +3,9 @@
 import gingerring.traffic.scan.Seen;
 import java.time.Duration;
 
-/** One sending of a replay: on which connection, when (from the replay's start, at its pace), and what. */
-public record Step(int number, int lane, Duration due, Seen scan, Chain chain, int attempt, byte[] request) {}
+/**
+ * One sending of a replay: on which connection, when (from the replay's start, at its pace), and
+ * what.
+ */
+public record Step(
+    int number, int lane, Duration due, Seen scan, Chain chain, int attempt, byte[] request) {}
--- a/traffic/src/main/java/gingerring/traffic/replay/Timeline.java
+++ b/traffic/src/main/java/gingerring/traffic/replay/Timeline.java
@@ -8,8 +8,8 @@
 import java.util.Map;
 
 /**
- * Fates by the second of their asking, in the recording's time. Holds {@link #MOST} seconds; later ones count
- * as the last.
+ * Fates by the second of their asking, in the recording's time. Holds {@link #MOST} seconds; later
+ * ones count as the last.
  */
 public final class Timeline {
   public static final int MOST = 100_000;
--- a/traffic/src/main/java/gingerring/traffic/scan/Answer.java
+++ b/traffic/src/main/java/gingerring/traffic/scan/Answer.java
@@ -8,17 +8,32 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** What a mixer answered; {@code comeBack} is zero where it did not say, {@code wrong} empty where all is well. */
-public record Answer(Fate fate, int status, boolean whole, Map<Integer, String> values, Duration comeBack,
+/**
+ * What a mixer answered; {@code comeBack} is zero where it did not say, {@code wrong} empty where
+ * all is well.
+ */
+public record Answer(
+    Fate fate,
+    int status,
+    boolean whole,
+    Map<Integer, String> values,
+    Duration comeBack,
     String wrong) {
   public static Answer read(Head head, byte[] body) {
     int status = head.second().matches("[0-9]{3}") ? Integer.parseInt(head.second()) : 0;
     String told = head.header("retry-after");
-    Duration comeBack = told != null && told.matches("[0-9]{1,6}(\\.[0-9]{1,6})?")
-        ? Duration.ofNanos((long) (Double.parseDouble(told) * 1e9)) : Duration.ZERO;
+    Duration comeBack =
+        told != null && told.matches("[0-9]{1,6}(\\.[0-9]{1,6})?")
+            ? Duration.ofNanos((long) (Double.parseDouble(told) * 1e9))
+            : Duration.ZERO;
     if (status != 200) {
-      return new Answer(status == 429 || status == 503 ? Fate.NACKED : Fate.SCRAPPED, status, false, Map.of(),
-          comeBack, "");
+      return new Answer(
+          status == 429 || status == 503 ? Fate.NACKED : Fate.SCRAPPED,
+          status,
+          false,
+          Map.of(),
+          comeBack,
+          "");
     }
     try {
       Map<String, Object> object = Fields.object(Json.read(body), "the answer");
@@ -30,7 +45,8 @@
       boolean whole = Fields.flag(object, "whole");
       return new Answer(whole ? Fate.WHOLE : Fate.PART, status, whole, values, comeBack, "");
     } catch (Json.Malformed e) {
-      return new Answer(Fate.SCRAPPED, status, false, Map.of(), comeBack, "an answer without results");
+      return new Answer(
+          Fate.SCRAPPED, status, false, Map.of(), comeBack, "an answer without results");
     }
   }
 }
--- a/traffic/src/main/java/gingerring/traffic/scan/Exchange.java
+++ b/traffic/src/main/java/gingerring/traffic/scan/Exchange.java
@@ -13,8 +13,8 @@
 import java.util.Map;
 
 /**
- * A request for a scan and what became of it, still as bytes. {@link #fate} costs a look over them, {@link #seen}
- * reads them whole. A request that did not come whole has none.
+ * A request for a scan and what became of it, still as bytes. {@link #fate} costs a look over them,
+ * {@link #seen} reads them whole. A request that did not come whole has none.
  */
 public final class Exchange {
   private static final long MILLIS_MOST = 86_400_000;
@@ -25,14 +25,23 @@
   private final Message request;
   private final long firstAt;
   private final long wholeAt;
+
   /** How much of the answers the client had taken when it asked. */
   final long taken;
+
   private Message answer;
   private long answeredAt;
   private Fate fate;
   private String missing = "";
 
-  Exchange(long number, long connection, String client, Message request, long firstAt, long wholeAt, long taken) {
+  Exchange(
+      long number,
+      long connection,
+      String client,
+      Message request,
+      long firstAt,
+      long wholeAt,
+      long taken) {
     this.number = number;
     this.connection = connection;
     this.client = client;
@@ -68,8 +77,12 @@
     if (fate == null) {
       int status = answer.status();
       int whole = status == 200 ? answer.skimWhole() : 0;
-      fate = status == 429 || status == 503 ? Fate.NACKED : status != 200 ? Fate.SCRAPPED
-          : whole > 0 ? Fate.WHOLE : whole == 0 ? Fate.PART : read().fate();
+      fate =
+          status == 429 || status == 503
+              ? Fate.NACKED
+              : status != 200
+                  ? Fate.SCRAPPED
+                  : whole > 0 ? Fate.WHOLE : whole == 0 ? Fate.PART : read().fate();
     }
     return fate;
   }
@@ -81,10 +94,30 @@
   /** Everything there is to know of it. */
   public Seen seen() {
     if (request == null) {
-      return new Seen(number, connection, client, firstAt, 0, 0, "", "", 0, false, null, List.of(), "",
-          new byte[0], Fate.INCOMPLETE, 0, false, Map.of(), 0, missing);
+      return new Seen(
+          number,
+          connection,
+          client,
+          firstAt,
+          0,
+          0,
+          "",
+          "",
+          0,
+          false,
+          null,
+          List.of(),
+          "",
+          new byte[0],
+          Fate.INCOMPLETE,
+          0,
+          false,
+          Map.of(),
+          0,
+          missing);
     }
-    Answer read = answer == null ? new Answer(fate, 0, false, Map.of(), Duration.ZERO, missing) : read();
+    Answer read =
+        answer == null ? new Answer(fate, 0, false, Map.of(), Duration.ZERO, missing) : read();
     Head head = request.head();
     byte[] body = request.body();
     List<Target> targets = new ArrayList<>();
@@ -95,17 +128,34 @@
       text = Fields.text(object, "query");
       for (Object each : Fields.list(object, "targets")) {
         Map<String, Object> target = Fields.object(each, "a target");
-        targets.add(new Target((int) Fields.whole(target, "partition"), Fields.number(target, "share")));
+        targets.add(
+            new Target((int) Fields.whole(target, "partition"), Fields.number(target, "share")));
       }
     } catch (Json.Malformed e) {
       wrong = wrong.isEmpty() ? "no scan's body: " + e.getMessage() : wrong;
     }
     String remaining = header(head, "X-Remaining-Ms");
-    return new Seen(number, connection, client, firstAt, wholeAt, answeredAt, header(head, "X-Txn"),
+    return new Seen(
+        number,
+        connection,
+        client,
+        firstAt,
+        wholeAt,
+        answeredAt,
+        header(head, "X-Txn"),
         header(head, "X-Lane"),
         remaining.matches("[0-9]{1,9}") ? Math.min(MILLIS_MOST, Long.parseLong(remaining)) : 0,
-        header(head, "X-Resent").equals("1"), head.header("Idempotency-Key"), targets, text, again(head, body),
-        read.fate(), read.status(), read.whole(), read.values(), read.comeBack().toNanos() / 1e9, wrong);
+        header(head, "X-Resent").equals("1"),
+        head.header("Idempotency-Key"),
+        targets,
+        text,
+        again(head, body),
+        read.fate(),
+        read.status(),
+        read.whole(),
+        read.values(),
+        read.comeBack().toNanos() / 1e9,
+        wrong);
   }
 
   private static String header(Head head, String name) {
@@ -115,14 +165,18 @@
 
   /** The request anew, its body framed by its length. */
   private static byte[] again(Head head, byte[] body) {
-    StringBuilder text = new StringBuilder(head.first()).append(' ').append(head.second())
-        .append(" HTTP/1.1\r\n");
-    head.headers().forEach((name, value) -> {
-      if (!name.equals("transfer-encoding") && !name.equals("content-length") && !name.equals("connection")
-          && !name.equals("expect")) {
-        text.append(name).append(": ").append(value).append("\r\n");
-      }
-    });
+    StringBuilder text =
+        new StringBuilder(head.first()).append(' ').append(head.second()).append(" HTTP/1.1\r\n");
+    head.headers()
+        .forEach(
+            (name, value) -> {
+              if (!name.equals("transfer-encoding")
+                  && !name.equals("content-length")
+                  && !name.equals("connection")
+                  && !name.equals("expect")) {
+                text.append(name).append(": ").append(value).append("\r\n");
+              }
+            });
     text.append("content-length: ").append(body.length).append("\r\n\r\n");
     ByteArrayOutputStream out = new ByteArrayOutputStream(text.length() + body.length);
     out.writeBytes(text.toString().getBytes(StandardCharsets.ISO_8859_1));
--- a/traffic/src/main/java/gingerring/traffic/scan/FrameTalk.java
+++ b/traffic/src/main/java/gingerring/traffic/scan/FrameTalk.java
@@ -7,7 +7,10 @@
 
 /** A mixer's connection to a searcher: calls and their returns, matched by the parts' ids. */
 final class FrameTalk implements Talk {
-  /** More parts than this are not out on one connection; the eldest is forgotten, and counted unanswered. */
+  /**
+   * More parts than this are not out on one connection; the eldest is forgotten, and counted
+   * unanswered.
+   */
   private static final int OUT_MOST = 1 << 16;
 
   private final ScanReader reader;
@@ -26,7 +29,8 @@
     reader.count("connections to searchers");
   }
 
-  @Override public void bytes(int side, long nanos, long taken, byte[] bytes, int at, int length) {
+  @Override
+  public void bytes(int side, long nanos, long taken, byte[] bytes, int at, int length) {
     if (!frames[side].add(bytes, at, length, nanos, side == mixer ? this::said : this::heard)) {
       lost();
     }
@@ -50,7 +54,7 @@
 
   private void call(byte[] frame, long nanos) {
     trips.calls++;
-    for (int at = 1; at < frame.length;) {
+    for (int at = 1; at < frame.length; ) {
       int end = at;
       while (end < frame.length && frame[end] != '\n') {
         end++;
@@ -95,14 +99,17 @@
     }
   }
 
-  @Override public void gap(int side, long nanos, long missing) {
+  @Override
+  public void gap(int side, long nanos, long missing) {
     frames[side].lose();
     lost();
   }
 
-  @Override public void finished(int side, long nanos) {}
+  @Override
+  public void finished(int side, long nanos) {}
 
-  @Override public void closed(Flow.How how, long nanos) {
+  @Override
+  public void closed(Flow.How how, long nanos) {
     trips.unanswered += out.size();
   }
 }
--- a/traffic/src/main/java/gingerring/traffic/scan/Frames.java
+++ b/traffic/src/main/java/gingerring/traffic/scan/Frames.java
@@ -1,9 +1,13 @@
 package gingerring.traffic.scan;
 
-/** The searchers' frames in a stream that may have holes: a length of four bytes, least first, then the rest. */
+/**
+ * The searchers' frames in a stream that may have holes: a length of four bytes, least first, then
+ * the rest.
+ */
 final class Frames {
   /** Longer than this no frame is; see the mixer's own reader. */
   private static final int MOST = (1 << 16) + 1024;
+
   private static final String LETTERS = "SCHMRF";
 
   /** Who is told of each whole frame: its letter first. */
--- a/traffic/src/main/java/gingerring/traffic/scan/HttpTalk.java
+++ b/traffic/src/main/java/gingerring/traffic/scan/HttpTalk.java
@@ -14,16 +14,21 @@
 import java.util.regex.Pattern;
 
 /**
- * A client's connection: requests and answers, matched in their order and by what the client had taken of the
- * answers when it asked. An answer that began before that is none to this request, so that one lost in a hole
- * shifts no other, and one that the capture shows before its request finds it all the same. After a hole,
- * reading goes on at the next line that begins a message.
+ * A client's connection: requests and answers, matched in their order and by what the client had
+ * taken of the answers when it asked. An answer that began before that is none to this request, so
+ * that one lost in a hole shifts no other, and one that the capture shows before its request finds
+ * it all the same. After a hole, reading goes on at the next line that begins a message.
  */
 final class HttpTalk implements Talk {
   private static final int REQUEST_MOST = 64 << 10;
   private static final int ANSWER_MOST = 1 << 20;
-  /** Requests without their answers, and answers without their requests, that are kept of one connection. */
+
+  /**
+   * Requests without their answers, and answers without their requests, that are kept of one
+   * connection.
+   */
   private static final int PENDING_MOST = 1024;
+
   private static final int EARLY_MOST = 64;
   private static final int PIECE = 1 << 12;
   private static final int LINE_MOST = PIECE;
@@ -44,7 +49,9 @@
   private final Deque<Exchange> pending = new ArrayDeque<>();
   private final Deque<Answered> early = new ArrayDeque<>();
 
-  /** {@code begin}: where in the stream of {@code side} the first bytes stand that this is given. */
+  /**
+   * {@code begin}: where in the stream of {@code side} the first bytes stand that this is given.
+   */
   HttpTalk(ScanReader reader, Flow flow, int client, int side, long begin) {
     this.reader = reader;
     this.flow = flow;
@@ -59,32 +66,45 @@
   }
 
   /**
-   * One direction. Plain messages are told by a look over the bytes; what is unusual goes through the parser, a
-   * message at a time.
+   * One direction. Plain messages are told by a look over the bytes; what is unusual goes through
+   * the parser, a message at a time.
    */
   private final class Half implements HttpParser.Sink {
     final boolean requests;
     final int bodyMost;
-    /** Bytes that have come and belong to no whole message yet: from {@code first} up to {@code end}. */
+
+    /**
+     * Bytes that have come and belong to no whole message yet: from {@code first} up to {@code
+     * end}.
+     */
     byte[] kept = new byte[PIECE];
+
     int first;
     int end;
+
     /** Of a message whose head is in: its length, and where its body begins. */
     int wanted;
+
     int wantedBody;
     boolean begun;
     long beginAt;
     long beginTaken;
     long begin;
+
     /** Where in the stream the kept bytes end. */
     long offset;
+
     long nanos;
     long taken;
+
     /** After a hole: the bytes up to a line that begins a message are passed over. */
     boolean astray;
+
     final StringBuilder line = new StringBuilder();
+
     /** While a message is unusual. */
     HttpParser parser;
+
     ByteRing ring;
     ByteArrayOutputStream body;
     Head head;
@@ -122,8 +142,10 @@
 
     private void keep(byte[] bytes, int at, int length) {
       if (end + length > kept.length) {
-        byte[] larger = end - first + length > kept.length
-            ? new byte[Math.max(2 * kept.length, end - first + length)] : kept;
+        byte[] larger =
+            end - first + length > kept.length
+                ? new byte[Math.max(2 * kept.length, end - first + length)]
+                : kept;
         System.arraycopy(kept, first, larger, 0, end - first);
         kept = larger;
         end -= first;
@@ -194,7 +216,8 @@
           body = new ByteArrayOutputStream();
           continue;
         }
-        Message message = new Message(Arrays.copyOfRange(kept, first, found.end), found.bodyAt - first);
+        Message message =
+            new Message(Arrays.copyOfRange(kept, first, found.end), found.bodyAt - first);
         first = found.end;
         begun = false;
         tell(message);
@@ -203,7 +226,10 @@
       end = 0;
     }
 
-    /** Gives the parser what there is, a piece at a time; true once a message or the stream's sense has ended. */
+    /**
+     * Gives the parser what there is, a piece at a time; true once a message or the stream's sense
+     * has ended.
+     */
     private boolean parse() {
       try {
         while (first < end) {
@@ -229,15 +255,18 @@
       }
     }
 
-    @Override public void head(Head read) {
+    @Override
+    public void head(Head read) {
       head = read;
     }
 
-    @Override public void body(byte[] bytes, int length) {
+    @Override
+    public void body(byte[] bytes, int length) {
       body.write(bytes, 0, length);
     }
 
-    @Override public void end() {
+    @Override
+    public void end() {
       Head whole = head;
       head = null;
       tell(Message.of(whole, body.toByteArray()));
@@ -245,14 +274,16 @@
 
     private void tell(Message message) {
       if (requests) {
-        asked(new Exchange(reader.number(), flow.number, name, message, beginAt, nanos, beginTaken));
+        asked(
+            new Exchange(reader.number(), flow.number, name, message, beginAt, nanos, beginTaken));
       } else if (message.status() / 100 != 1) { // 100 Continue is no answer yet
         answered(new Answered(message, begin, nanos));
       }
     }
   }
 
-  @Override public void bytes(int side, long nanos, long taken, byte[] bytes, int at, int length) {
+  @Override
+  public void bytes(int side, long nanos, long taken, byte[] bytes, int at, int length) {
     Half half = halves[side];
     half.nanos = nanos;
     half.taken = taken;
@@ -297,7 +328,8 @@
     }
   }
 
-  @Override public void gap(int side, long nanos, long missing) {
+  @Override
+  public void gap(int side, long nanos, long missing) {
     Half half = halves[side];
     boolean midway = half.begun;
     long begin = midway ? half.begin : half.offset;
@@ -309,7 +341,9 @@
     }
   }
 
-  /** The answers' stream has a hole: every request that may have been answered in it is incomplete. */
+  /**
+   * The answers' stream has a hole: every request that may have been answered in it is incomplete.
+   */
   private void lost(long from, long to, String why) {
     while (!pending.isEmpty() && pending.peek().taken < to) {
       tell(pending.poll().incomplete(why));
@@ -318,13 +352,18 @@
 
   private void incomplete(Half half, String why) {
     reader.count("requests that are incomplete");
-    tell(new Exchange(reader.number(), flow.number, name, null, half.beginAt, 0, 0).incomplete(why));
+    tell(
+        new Exchange(reader.number(), flow.number, name, null, half.beginAt, 0, 0).incomplete(why));
   }
 
-  @Override public void finished(int side, long nanos) {
+  @Override
+  public void finished(int side, long nanos) {
     Half half = halves[side];
     // an answer that tells no length ends with its connection
-    if (side != client && half.head != null && half.begun && half.head.header("content-length") == null
+    if (side != client
+        && half.head != null
+        && half.begun
+        && half.head.header("content-length") == null
         && half.head.header("transfer-encoding") == null) {
       half.nanos = nanos;
       half.end();
@@ -332,19 +371,22 @@
     }
   }
 
-  @Override public void closed(Flow.How how, long nanos) {
+  @Override
+  public void closed(Flow.How how, long nanos) {
     boolean seenToEnd = how == Flow.How.FINISHED || how == Flow.How.RESET;
-    String why = switch (how) {
-      case FINISHED, RESET -> "";
-      case FILE_ENDED -> "the file ends before its answer";
-      default -> "its connection was lost sight of before its answer";
-    };
+    String why =
+        switch (how) {
+          case FINISHED, RESET -> "";
+          case FILE_ENDED -> "the file ends before its answer";
+          default -> "its connection was lost sight of before its answer";
+        };
     while (!pending.isEmpty()) {
       tell(seenToEnd ? pending.poll().left(nanos) : pending.poll().incomplete(why));
     }
     Half half = halves[client];
     if (half.begun) {
-      incomplete(half, seenToEnd ? "its client broke off in its request" : "the file ends in its request");
+      incomplete(
+          half, seenToEnd ? "its client broke off in its request" : "the file ends in its request");
     }
     for (; !early.isEmpty(); early.poll()) {
       reader.count("answers whose request was not captured");
--- a/traffic/src/main/java/gingerring/traffic/scan/Message.java
+++ b/traffic/src/main/java/gingerring/traffic/scan/Message.java
@@ -9,12 +9,17 @@
 import java.util.Map;
 
 /**
- * An HTTP/1.1 message that came whole, as its bytes; taken apart when it is asked for. {@link #skim} tells plain
- * messages from a buffer without making anything, and leaves all others to the parser.
+ * An HTTP/1.1 message that came whole, as its bytes; taken apart when it is asked for. {@link
+ * #skim} tells plain messages from a buffer without making anything, and leaves all others to the
+ * parser.
  */
 final class Message {
   /** What {@link #skim} found. */
-  enum Skim { WHOLE, MORE, UNUSUAL }
+  enum Skim {
+    WHOLE,
+    MORE,
+    UNUSUAL
+  }
 
   private static final int HEAD_MOST = 8192;
   private static final byte[] LENGTH = "content-length:".getBytes(StandardCharsets.US_ASCII);
@@ -29,8 +34,11 @@
 
   static {
     for (char c = '!'; c < 127; c++) {
-      TOKEN[c] = c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9'
-          || "!#$%&'*+-.^_`|~".indexOf(c) >= 0;
+      TOKEN[c] =
+          c >= 'a' && c <= 'z'
+              || c >= 'A' && c <= 'Z'
+              || c >= '0' && c <= '9'
+              || "!#$%&'*+-.^_`|~".indexOf(c) >= 0;
     }
     Arrays.fill(PLAIN, ' ', 127, true);
     PLAIN['\t'] = true;
@@ -49,7 +57,8 @@
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     StringBuilder text = new StringBuilder(head.first()).append(' ').append(head.second());
     text.append(head.third().isEmpty() ? "" : " " + head.third()).append("\r\n");
-    head.headers().forEach((name, value) -> text.append(name).append(": ").append(value).append("\r\n"));
+    head.headers()
+        .forEach((name, value) -> text.append(name).append(": ").append(value).append("\r\n"));
     out.writeBytes(text.append("\r\n").toString().getBytes(StandardCharsets.ISO_8859_1));
     int bodyAt = out.size();
     out.writeBytes(body);
@@ -63,8 +72,9 @@
   }
 
   /**
-   * Looks whether a message that is framed by a content length, or has no body, stands whole from {@code at} on.
-   * What it takes the parser takes too, with the same ends; whatever it does not know is unusual.
+   * Looks whether a message that is framed by a content length, or has no body, stands whole from
+   * {@code at} on. What it takes the parser takes too, with the same ends; whatever it does not
+   * know is unusual.
    */
   static Skim skim(byte[] b, int at, int end, boolean request, int bodyMost, Found found) {
     found.end = at; // not known
@@ -108,7 +118,9 @@
         while (colon < stop && b[colon] > 0 && TOKEN[b[colon]]) {
           colon++;
         }
-        if (colon == line || colon == stop || b[colon] != ':'
+        if (colon == line
+            || colon == stop
+            || b[colon] != ':'
             || colon - line == CODING.length - 1 && says(b, line, stop, CODING)) {
           return Skim.UNUSUAL;
         }
@@ -127,15 +139,27 @@
 
   private static boolean firstLine(byte[] b, int line, int stop, boolean request) {
     int version = request ? stop - 8 : line;
-    if (version < line || stop - version < 8 || b[version] != 'H' || b[version + 1] != 'T'
-        || b[version + 2] != 'T' || b[version + 3] != 'P' || b[version + 4] != '/' || b[version + 5] != '1'
-        || b[version + 6] != '.' || b[version + 7] != '0' && b[version + 7] != '1') {
+    if (version < line
+        || stop - version < 8
+        || b[version] != 'H'
+        || b[version + 1] != 'T'
+        || b[version + 2] != 'T'
+        || b[version + 3] != 'P'
+        || b[version + 4] != '/'
+        || b[version + 5] != '1'
+        || b[version + 6] != '.'
+        || b[version + 7] != '0' && b[version + 7] != '1') {
       return false;
     }
     if (!request) {
-      return stop - line >= 12 && b[line + 8] == ' ' && digit(b[line + 9]) && digit(b[line + 10])
-          && digit(b[line + 11]) && (stop - line == 12 || b[line + 12] == ' ')
-          && b[line + 9] != '1' && !(b[line + 9] == '2' && b[line + 10] == '0' && b[line + 11] == '4')
+      return stop - line >= 12
+          && b[line + 8] == ' '
+          && digit(b[line + 9])
+          && digit(b[line + 10])
+          && digit(b[line + 11])
+          && (stop - line == 12 || b[line + 12] == ' ')
+          && b[line + 9] != '1'
+          && !(b[line + 9] == '2' && b[line + 10] == '0' && b[line + 11] == '4')
           && !(b[line + 9] == '3' && b[line + 10] == '0' && b[line + 11] == '4');
     }
     int spaces = 0;
@@ -185,13 +209,15 @@
   /** The status of an answer. */
   int status() {
     return bytes.length >= 12 && digit(bytes[9]) && digit(bytes[10]) && digit(bytes[11])
-        ? (bytes[9] - '0') * 100 + (bytes[10] - '0') * 10 + bytes[11] - '0' : 0;
+        ? (bytes[9] - '0') * 100 + (bytes[10] - '0') * 10 + bytes[11] - '0'
+        : 0;
   }
 
   /** Whether this is a request for a scan. */
   boolean scan() {
     byte[] start = {'P', 'O', 'S', 'T', ' ', '/', 'a', 'p', 'i'};
-    return bytes.length > start.length && Arrays.equals(bytes, 0, start.length, start, 0, start.length)
+    return bytes.length > start.length
+        && Arrays.equals(bytes, 0, start.length, start, 0, start.length)
         && (bytes[start.length] == ' ' || bytes[start.length] == '?');
   }
 
@@ -200,20 +226,23 @@
   }
 
   Head head() {
-    String[] lines = new String(bytes, 0, Math.max(0, bodyAt - 4), StandardCharsets.ISO_8859_1).split("\r\n");
+    String[] lines =
+        new String(bytes, 0, Math.max(0, bodyAt - 4), StandardCharsets.ISO_8859_1).split("\r\n");
     String[] words = lines[0].split(" ", 3);
     Map<String, String> headers = new LinkedHashMap<>();
     for (int i = 1; i < lines.length; i++) {
       int colon = lines[i].indexOf(':');
-      headers.merge(lines[i].substring(0, colon).toLowerCase(Locale.ROOT), lines[i].substring(colon + 1).strip(),
+      headers.merge(
+          lines[i].substring(0, colon).toLowerCase(Locale.ROOT),
+          lines[i].substring(colon + 1).strip(),
           (one, other) -> one + ", " + other);
     }
     return new Head(words[0], words[1], words.length > 2 ? words[2] : "", headers);
   }
 
   /**
-   * Whether the body is an answer in the form in which the mixer writes it: 1 where it is marked whole, 0 where
-   * not, -1 where the form is another and has to be read.
+   * Whether the body is an answer in the form in which the mixer writes it: 1 where it is marked
+   * whole, 0 where not, -1 where the form is another and has to be read.
    */
   int skimWhole() {
     int at = after(bodyAt, ANSWER);
@@ -227,14 +256,18 @@
         return -1;
       }
       int digits = after(at, FOLIO);
-      for (at = digits; at >= 0 && at < bytes.length && digit(bytes[at]);) {
+      for (at = digits; at >= 0 && at < bytes.length && digit(bytes[at]); ) {
         at++;
       }
       if (at <= digits || at - digits > 9 || bytes[digits] == '0' && at - digits > 1) {
         return -1;
       }
       at = after(at, VALUE);
-      while (at >= 0 && at < bytes.length && bytes[at] >= ' ' && bytes[at] != '"' && bytes[at] != '\\') {
+      while (at >= 0
+          && at < bytes.length
+          && bytes[at] >= ' '
+          && bytes[at] != '"'
+          && bytes[at] != '\\') {
         at++;
       }
       if (at < 0 || at + 1 >= bytes.length || bytes[at] != '"' || bytes[at + 1] != '}') {
@@ -242,7 +275,9 @@
       }
       at += 2;
     }
-    return at >= 0 && at + 2 == bytes.length && bytes[at] == ']' && bytes[at + 1] == '}' ? whole : -1;
+    return at >= 0 && at + 2 == bytes.length && bytes[at] == ']' && bytes[at + 1] == '}'
+        ? whole
+        : -1;
   }
 
   /** Where what follows this text begins, or -1 where it does not stand here. */
--- a/traffic/src/main/java/gingerring/traffic/scan/ScanReader.java
+++ b/traffic/src/main/java/gingerring/traffic/scan/ScanReader.java
@@ -9,9 +9,10 @@
 import java.util.regex.Pattern;
 
 /**
- * Tells what each flow speaks by its first bytes, and reads it: HTTP/1.1 with scans, the searchers' frames, or
- * something foreign, which is counted and left. Scans come out when they have ended, which is not always the
- * order in which they were asked: {@link Seen#number} counts by their asking.
+ * Tells what each flow speaks by its first bytes, and reads it: HTTP/1.1 with scans, the searchers'
+ * frames, or something foreign, which is counted and left. Scans come out when they have ended,
+ * which is not always the order in which they were asked: {@link Seen#number} counts by their
+ * asking.
  */
 public final class ScanReader implements FlowTable.Sink {
   /** What a flow's owner is until enough of it was seen to tell. */
@@ -21,6 +22,7 @@
     int side = -1;
     long nanos;
     long taken;
+
     /** Some of its bytes were passed over: any that follow may begin a message. */
     boolean amidst;
 
@@ -31,15 +33,20 @@
     }
   }
 
-  private static final Talk FOREIGN = new Talk() {
-    @Override public void bytes(int side, long nanos, long taken, byte[] bytes, int at, int length) {}
+  private static final Talk FOREIGN =
+      new Talk() {
+        @Override
+        public void bytes(int side, long nanos, long taken, byte[] bytes, int at, int length) {}
 
-    @Override public void gap(int side, long nanos, long missing) {}
+        @Override
+        public void gap(int side, long nanos, long missing) {}
 
-    @Override public void finished(int side, long nanos) {}
+        @Override
+        public void finished(int side, long nanos) {}
 
-    @Override public void closed(Flow.How how, long nanos) {}
-  };
+        @Override
+        public void closed(Flow.How how, long nanos) {}
+      };
 
   private static final Pattern REQUEST = Pattern.compile("(?s)[A-Z]{3,7} .*");
 
@@ -72,11 +79,13 @@
     counts.merge(what, 1L, Long::sum);
   }
 
-  @Override public void opened(Flow flow) {
+  @Override
+  public void opened(Flow flow) {
     flow.owner = new Unknown();
   }
 
-  @Override public void bytes(Flow flow, int side, long nanos, long taken, byte[] bytes, int at, int length) {
+  @Override
+  public void bytes(Flow flow, int side, long nanos, long taken, byte[] bytes, int at, int length) {
     if (flow.owner instanceof Unknown unknown) {
       if (unknown.side >= 0 && unknown.side != side) {
         unknown.forget();
@@ -111,7 +120,8 @@
 
   /** A probe's frame is shorter than what tells an HTTP request. */
   private static boolean ended(Unknown unknown) {
-    return unknown.size >= 5 && Frames.length(unknown.head) >= 1
+    return unknown.size >= 5
+        && Frames.length(unknown.head) >= 1
         && unknown.size >= 4 + Frames.length(unknown.head);
   }
 
@@ -124,7 +134,8 @@
       return new HttpTalk(this, flow, side, side, begin);
     }
     if (Frames.looksLike(unknown.head, unknown.size)) {
-      return new FrameTalk(this, flow, unknown.head[4] == 'R' || unknown.head[4] == 'F' ? 1 - side : side);
+      return new FrameTalk(
+          this, flow, unknown.head[4] == 'R' || unknown.head[4] == 'F' ? 1 - side : side);
     }
     if (!flow.whole || unknown.amidst) {
       return null;
@@ -133,7 +144,8 @@
     return FOREIGN;
   }
 
-  @Override public void gap(Flow flow, int side, long nanos, long missing) {
+  @Override
+  public void gap(Flow flow, int side, long nanos, long missing) {
     if (flow.owner instanceof Talk talk) {
       talk.gap(side, nanos, missing);
     } else {
@@ -141,13 +153,15 @@
     }
   }
 
-  @Override public void finished(Flow flow, int side, long nanos) {
+  @Override
+  public void finished(Flow flow, int side, long nanos) {
     if (flow.owner instanceof Talk talk) {
       talk.finished(side, nanos);
     }
   }
 
-  @Override public void closed(Flow flow, Flow.How how, long nanos) {
+  @Override
+  public void closed(Flow flow, Flow.How how, long nanos) {
     if (flow.owner instanceof Talk talk) {
       talk.closed(how, nanos);
     } else if (flow.owner instanceof Unknown unknown && (unknown.size > 0 || unknown.amidst)) {
--- a/traffic/src/main/java/gingerring/traffic/scan/Seen.java
+++ b/traffic/src/main/java/gingerring/traffic/scan/Seen.java
@@ -4,25 +4,53 @@
 import java.util.Map;
 
 /**
- * A scan as a capture shows it. Times are Unix time in nanoseconds; {@code askedAt} is that of its request's
- * first byte, {@code wholeAt} of its last, {@code answeredAt} of its answer's last byte, 0 where there was none.
- * {@code fate} says what the capture shows of its end, and {@code missing} why it shows no more.
+ * A scan as a capture shows it. Times are Unix time in nanoseconds; {@code askedAt} is that of its
+ * request's first byte, {@code wholeAt} of its last, {@code answeredAt} of its answer's last byte,
+ * 0 where there was none. {@code fate} says what the capture shows of its end, and {@code missing}
+ * why it shows no more.
  */
-public record Seen(long number, long connection, String client, long askedAt, long wholeAt, long answeredAt,
-    String mark, String grade, long remainingMs, boolean resent, String key, List<Target> targets, String text,
-    byte[] request, Fate fate, int status, boolean whole, Map<Integer, String> values, double comeBack,
+public record Seen(
+    long number,
+    long connection,
+    String client,
+    long askedAt,
+    long wholeAt,
+    long answeredAt,
+    String mark,
+    String grade,
+    long remainingMs,
+    boolean resent,
+    String key,
+    List<Target> targets,
+    String text,
+    byte[] request,
+    Fate fate,
+    int status,
+    boolean whole,
+    Map<Integer, String> values,
+    double comeBack,
     String missing) {
   /** One part of what was asked. */
   public record Target(int shard, double share) {}
 
   /**
-   * What became of a scan: answered whole or in part, sent back, given up; its client left before; the capture
-   * does not tell.
+   * What became of a scan: answered whole or in part, sent back, given up; its client left before;
+   * the capture does not tell.
    */
-  public enum Fate { WHOLE, PART, NACKED, SCRAPPED, LEFT, INCOMPLETE }
+  public enum Fate {
+    WHOLE,
+    PART,
+    NACKED,
+    SCRAPPED,
+    LEFT,
+    INCOMPLETE
+  }
 
   /** The weight of the parts that are in, of all that was asked. */
   public double weight() {
-    return targets.stream().filter(target -> values.containsKey(target.shard)).mapToDouble(Target::share).sum();
+    return targets.stream()
+        .filter(target -> values.containsKey(target.shard))
+        .mapToDouble(Target::share)
+        .sum();
   }
 }
--- a/traffic/src/main/java/gingerring/traffic/wire/Datagrams.java
+++ b/traffic/src/main/java/gingerring/traffic/wire/Datagrams.java
@@ -7,16 +7,20 @@
 import java.nio.channels.SelectionKey;
 import java.util.function.BiConsumer;
 
-/** One datagram socket of a {@link Reactor}; what cannot be sent at once is lost, as datagrams are. */
+/**
+ * One datagram socket of a {@link Reactor}; what cannot be sent at once is lost, as datagrams are.
+ */
 public final class Datagrams {
   private static final int MOST = 1 << 16;
+
   /** So many a turn, so that one socket's flood does not keep the others waiting. */
   private static final int EACH_TURN = 64;
 
   private final DatagramChannel channel;
   private final ByteBuffer buffer = ByteBuffer.allocate(MOST);
 
-  Datagrams(Reactor reactor, InetSocketAddress address, BiConsumer<InetSocketAddress, byte[]> received)
+  Datagrams(
+      Reactor reactor, InetSocketAddress address, BiConsumer<InetSocketAddress, byte[]> received)
       throws IOException {
     channel = DatagramChannel.open();
     channel.bind(address);
--- a/traffic/src/main/java/gingerring/traffic/wire/HttpOwner.java
+++ b/traffic/src/main/java/gingerring/traffic/wire/HttpOwner.java
@@ -6,7 +6,10 @@
 import gingerring.net.ByteRing;
 import java.io.ByteArrayOutputStream;
 
-/** Who owns a wire that carries HTTP/1.1, requests or answers: told of each message once it is whole. */
+/**
+ * Who owns a wire that carries HTTP/1.1, requests or answers: told of each message once it is
+ * whole.
+ */
 public abstract class HttpOwner implements Wire.Owner {
   private static final int PIECE = 1 << 13;
 
@@ -16,25 +19,32 @@
   private ByteArrayOutputStream body = new ByteArrayOutputStream();
 
   protected HttpOwner(boolean requests, int bodyMost) {
-    parser = new HttpParser(requests, bodyMost, new HttpParser.Sink() {
-      @Override public void head(Head read) {
-        head = read;
-      }
+    parser =
+        new HttpParser(
+            requests,
+            bodyMost,
+            new HttpParser.Sink() {
+              @Override
+              public void head(Head read) {
+                head = read;
+              }
 
-      @Override public void body(byte[] bytes, int length) {
-        body.write(bytes, 0, length);
-      }
+              @Override
+              public void body(byte[] bytes, int length) {
+                body.write(bytes, 0, length);
+              }
 
-      @Override public void end() throws Malformed {
-        Head whole = head;
-        byte[] bytes = body.toByteArray();
-        head = null;
-        body = new ByteArrayOutputStream();
-        if (requests || !whole.second().startsWith("1")) { // 100 Continue is no answer yet
-          message(whole, bytes);
-        }
-      }
-    });
+              @Override
+              public void end() throws Malformed {
+                Head whole = head;
+                byte[] bytes = body.toByteArray();
+                head = null;
+                body = new ByteArrayOutputStream();
+                if (requests || !whole.second().startsWith("1")) { // 100 Continue is no answer yet
+                  message(whole, bytes);
+                }
+              }
+            });
   }
 
   protected abstract void message(Head head, byte[] body) throws Malformed;
@@ -47,9 +57,10 @@
     return parser.midway();
   }
 
-  @Override public final void bytes(byte[] bytes, int length) {
+  @Override
+  public final void bytes(byte[] bytes, int length) {
     try {
-      for (int at = 0; at < length;) {
+      for (int at = 0; at < length; ) {
         int count = Math.min(length - at, PIECE);
         ring.put(bytes, at, count);
         at += count;
--- a/traffic/src/main/java/gingerring/traffic/wire/Reactor.java
+++ b/traffic/src/main/java/gingerring/traffic/wire/Reactor.java
@@ -22,12 +22,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One thread that owns all sockets, timers and state. {@link #run} it on a thread of its own; everything but
- * {@link #post} and {@link #stop} is for that thread, or for before it runs.
+ * One thread that owns all sockets, timers and state. {@link #run} it on a thread of its own;
+ * everything but {@link #post} and {@link #stop} is for that thread, or for before it runs.
  */
 public final class Reactor implements Closeable {
   private record Timer(long at, long number, Runnable task) implements Comparable<Timer> {
-    @Override public int compareTo(Timer other) {
+    @Override
+    public int compareTo(Timer other) {
       return at != other.at ? Long.compare(at, other.at) : Long.compare(number, other.number);
     }
   }
@@ -85,7 +86,8 @@
   }
 
   /** Takes connections at a loopback address; {@code owner} is asked for whom each is. */
-  public Listening listen(InetSocketAddress address, Function<Wire, Wire.Owner> owner) throws IOException {
+  public Listening listen(InetSocketAddress address, Function<Wire, Wire.Owner> owner)
+      throws IOException {
     loopback(address);
     ServerSocketChannel channel = ServerSocketChannel.open();
     try {
@@ -102,8 +104,12 @@
     }
   }
 
-  /** A datagram socket at a loopback address; {@code received} is told of what comes, on this thread. */
-  public Datagrams datagrams(InetSocketAddress address, BiConsumer<InetSocketAddress, byte[]> received)
+  /**
+   * A datagram socket at a loopback address; {@code received} is told of what comes, on this
+   * thread.
+   */
+  public Datagrams datagrams(
+      InetSocketAddress address, BiConsumer<InetSocketAddress, byte[]> received)
       throws IOException {
     loopback(address);
     return new Datagrams(this, address, received);
@@ -174,8 +180,11 @@
   public void run() {
     while (running) {
       try {
-        long wait = timers.isEmpty() ? 1000
-            : Math.max(0, (timers.peek().at - (System.nanoTime() - start) + 999_999) / 1_000_000);
+        long wait =
+            timers.isEmpty()
+                ? 1000
+                : Math.max(
+                    0, (timers.peek().at - (System.nanoTime() - start) + 999_999) / 1_000_000);
         if (wait == 0 || !posted.isEmpty() || !dirty.isEmpty()) {
           selector.selectNow();
         } else {
@@ -184,7 +193,7 @@
       } catch (IOException e) {
         throw new UncheckedIOException(e);
       }
-      for (Iterator<SelectionKey> keys = selector.selectedKeys().iterator(); keys.hasNext();) {
+      for (Iterator<SelectionKey> keys = selector.selectedKeys().iterator(); keys.hasNext(); ) {
         SelectionKey key = keys.next();
         keys.remove();
         if (key.attachment() instanceof Wire wire) {
@@ -216,7 +225,8 @@
     }
   }
 
-  @Override public void close() {
+  @Override
+  public void close() {
     running = false;
     for (SelectionKey key : selector.keys()) {
       try {
--- a/traffic/src/main/java/gingerring/traffic/wire/Wire.java
+++ b/traffic/src/main/java/gingerring/traffic/wire/Wire.java
@@ -9,8 +9,9 @@
 import java.util.Arrays;
 
 /**
- * One connection of a {@link Reactor}. What is put leaves in one write a turn; more than {@link #OUT_MOST}
- * bytes unsent end the connection, as a peer that does not read would else take all memory.
+ * One connection of a {@link Reactor}. What is put leaves in one write a turn; more than {@link
+ * #OUT_MOST} bytes unsent end the connection, as a peer that does not read would else take all
+ * memory.
  */
 public final class Wire {
   static final int OUT_MOST = 4 << 20;
@@ -55,7 +56,9 @@
       channel.configureBlocking(false);
       channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
       up = isUp;
-      key = channel.register(reactor.selector, isUp ? SelectionKey.OP_READ : SelectionKey.OP_CONNECT, this);
+      key =
+          channel.register(
+              reactor.selector, isUp ? SelectionKey.OP_READ : SelectionKey.OP_CONNECT, this);
       if (isUp) {
         owner.opened();
       }
@@ -134,8 +137,10 @@
       return;
     }
     if (end + length > out.length) {
-      byte[] larger = end - first + length > out.length / 2
-          ? new byte[Math.max(2 * out.length, end - first + length)] : out;
+      byte[] larger =
+          end - first + length > out.length / 2
+              ? new byte[Math.max(2 * out.length, end - first + length)]
+              : out;
       System.arraycopy(out, first, larger, 0, end - first);
       out = larger;
       end -= first;
@@ -161,8 +166,10 @@
 
   private void interest() {
     if (key != null && key.isValid()) {
-      key.interestOps(!up ? SelectionKey.OP_CONNECT
-          : (deaf ? 0 : SelectionKey.OP_READ) | (end > first ? SelectionKey.OP_WRITE : 0));
+      key.interestOps(
+          !up
+              ? SelectionKey.OP_CONNECT
+              : (deaf ? 0 : SelectionKey.OP_READ) | (end > first ? SelectionKey.OP_WRITE : 0));
     }
   }
 
