--- a/emulator/src/main/java/gingerring/emulator/core/World.java
+++ b/emulator/src/main/java/gingerring/emulator/core/World.java
@@ -76,6 +76,7 @@
 
   /** What goes wrong with so many boxes; {@code size} is a share or a factor, by kind. */
   public record Trouble(Kind kind, Duration at, Duration span, int boxes, double size) {
+    /** What goes wrong. */
     public enum Kind {
       /** The process dies and comes back cold. */
       CRASH,
--- a/emulator/src/main/java/gingerring/emulator/fleet/Portions.java
+++ b/emulator/src/main/java/gingerring/emulator/fleet/Portions.java
@@ -172,7 +172,7 @@
     return capacity;
   }
 
-  @SuppressWarnings("unchecked") // no arrays of generic type
+  @SuppressWarnings({"unchecked", "rawtypes"}) // no arrays of generic type
   private static Deque<Report>[] deques(int n) {
     Deque<Report>[] deques = new Deque[n];
     Arrays.setAll(deques, i -> new ArrayDeque<>());
--- a/emulator/src/main/java/gingerring/emulator/fleet/Society.java
+++ b/emulator/src/main/java/gingerring/emulator/fleet/Society.java
@@ -33,6 +33,7 @@
   /** What goes wrong; {@code some} are those it befalls, {@code others} the far side of a cut. */
   public record Fault(
       Kind kind, double atMs, double forMs, Set<Integer> some, Set<Integer> others, double size) {
+    /** What goes wrong. */
     public enum Kind {
       /** Nothing goes between some and others. */
       CUT,
--- a/emulator/src/main/java/gingerring/emulator/rig/Plan.java
+++ b/emulator/src/main/java/gingerring/emulator/rig/Plan.java
@@ -37,6 +37,7 @@
   /** One thing that goes wrong; {@code size} by kind. */
   public record Fault(
       Kind kind, Duration at, Duration span, Set<Integer> mixers, Set<Integer> boxes, double size) {
+    /** What goes wrong. */
     public enum Kind {
       /** Processes are killed, and new ones start empty after the span. */
       KILL,
--- a/share/src/test/java/gingerring/share/FairSharesTest.java
+++ b/share/src/test/java/gingerring/share/FairSharesTest.java
@@ -46,9 +46,9 @@
     for (int i = 0; i < count; i++) {
       assertTrue(shares[i] <= demands[i]);
       for (int j = 0; j < count; j++) {
-        boolean short_ = shares[i] < demands[i] - 1e-9;
+        boolean shortShare = shares[i] < demands[i] - 1e-9;
         assertTrue(
-            !short_ || shares[j] / weights[j] <= shares[i] / weights[i] + 1e-9,
+            !shortShare || shares[j] / weights[j] <= shares[i] / weights[i] + 1e-9,
             "who is short has the most");
       }
     }
