--- a/bench/src/main/java/gingerring/bench/RecordingCost.java
+++ b/bench/src/main/java/gingerring/bench/RecordingCost.java
@@ -1,7 +1,7 @@
 package gingerring.bench;
 
 import gingerring.emulator.core.World;
-import gingerring.emulator.run.Run;
+import gingerring.emulator.experiment.Run;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/cli/src/main/java/gingerring/cli/DemoCommand.java
+++ b/cli/src/main/java/gingerring/cli/DemoCommand.java
@@ -1,8 +1,8 @@
 package gingerring.cli;
 
 import gingerring.emulator.core.World;
-import gingerring.emulator.run.Run;
-import gingerring.emulator.run.Tables;
+import gingerring.emulator.experiment.Run;
+import gingerring.emulator.experiment.Tables;
 import java.io.InputStream;
 import java.io.PrintWriter;
 import java.util.concurrent.Callable;
--- a/cli/src/main/java/gingerring/cli/ExperimentCommand.java
+++ b/cli/src/main/java/gingerring/cli/ExperimentCommand.java
@@ -1,9 +1,9 @@
 package gingerring.cli;
 
 import gingerring.emulator.core.World;
-import gingerring.emulator.run.Charts;
-import gingerring.emulator.run.Run;
-import gingerring.emulator.run.Tables;
+import gingerring.emulator.experiment.Charts;
+import gingerring.emulator.experiment.Run;
+import gingerring.emulator.experiment.Tables;
 import java.io.PrintWriter;
 import java.nio.file.Path;
 import java.util.LinkedHashMap;
--- a/cli/src/main/java/gingerring/cli/FleetCommand.java
+++ b/cli/src/main/java/gingerring/cli/FleetCommand.java
@@ -1,14 +1,14 @@
 package gingerring.cli;
 
 import gingerring.emulator.core.World;
-import gingerring.emulator.fleet.Choices;
-import gingerring.emulator.fleet.Probes;
-import gingerring.emulator.fleet.Society;
-import gingerring.emulator.rig.Fleet;
-import gingerring.emulator.rig.Overlap;
-import gingerring.emulator.rig.Plan;
-import gingerring.emulator.rig.RigError;
-import gingerring.emulator.run.Charts;
+import gingerring.emulator.simulation.Choices;
+import gingerring.emulator.simulation.Probes;
+import gingerring.emulator.simulation.Society;
+import gingerring.emulator.harness.Fleet;
+import gingerring.emulator.harness.Overlap;
+import gingerring.emulator.harness.Plan;
+import gingerring.emulator.harness.RigError;
+import gingerring.emulator.experiment.Charts;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.nio.file.Files;
--- a/cli/src/main/java/gingerring/cli/ReplayCommand.java
+++ b/cli/src/main/java/gingerring/cli/ReplayCommand.java
@@ -1,6 +1,6 @@
 package gingerring.cli;
 
-import gingerring.emulator.run.Charts;
+import gingerring.emulator.experiment.Charts;
 import gingerring.traffic.flow.Bounds;
 import gingerring.traffic.pcap.CaptureReader;
 import gingerring.traffic.replay.Comparison;
--- a/cli/src/main/java/gingerring/cli/ServeCommand.java
+++ b/cli/src/main/java/gingerring/cli/ServeCommand.java
@@ -2,8 +2,8 @@
 
 import gingerring.peering.PeerSettings;
 import gingerring.peering.Peering;
-import gingerring.serve.Neighbours;
-import gingerring.serve.Serve;
+import gingerring.server.Neighbours;
+import gingerring.server.Serve;
 import gingerring.traffic.record.Recorder;
 import java.nio.file.Path;
 import java.time.Duration;
--- a/emulator/src/main/java/gingerring/emulator/run/Charts.java
+++ b/emulator/src/main/java/gingerring/emulator/experiment/Charts.java
@@ -1,4 +1,4 @@
-package gingerring.emulator.run;
+package gingerring.emulator.experiment;
 
 import java.io.IOException;
 import java.nio.file.Files;
--- a/emulator/src/main/java/gingerring/emulator/run/Passage.java
+++ b/emulator/src/main/java/gingerring/emulator/experiment/Passage.java
@@ -1,4 +1,4 @@
-package gingerring.emulator.run;
+package gingerring.emulator.experiment;
 
 import java.time.Duration;
 import java.util.ArrayDeque;
--- a/emulator/src/main/java/gingerring/emulator/run/Store.java
+++ b/emulator/src/main/java/gingerring/emulator/experiment/Store.java
@@ -1,4 +1,4 @@
-package gingerring.emulator.run;
+package gingerring.emulator.experiment;
 
 import gingerring.emulator.core.Box;
 import gingerring.emulator.core.Fate;
--- a/emulator/src/main/java/gingerring/emulator/run/Tables.java
+++ b/emulator/src/main/java/gingerring/emulator/experiment/Tables.java
@@ -1,4 +1,4 @@
-package gingerring.emulator.run;
+package gingerring.emulator.experiment;
 
 import gingerring.traffic.scan.Seen.Fate;
 import java.io.IOException;
--- a/emulator/src/main/java/gingerring/emulator/run/package-info.java
+++ b/emulator/src/main/java/gingerring/emulator/experiment/package-info.java
@@ -3,4 +3,4 @@
  * child, the baseline, and experiments that put them together and keep tables and charts. All
  * figures that come from here are of emulated boxes.
  */
-package gingerring.emulator.run;
+package gingerring.emulator.experiment;
--- a/emulator/src/main/java/gingerring/emulator/rig/Fleet.java
+++ b/emulator/src/main/java/gingerring/emulator/harness/Fleet.java
@@ -1,14 +1,14 @@
-package gingerring.emulator.rig;
+package gingerring.emulator.harness;
 
 import gingerring.emulator.core.Fate;
 import gingerring.emulator.core.Referee;
 import gingerring.emulator.core.Script;
 import gingerring.emulator.core.World;
-import gingerring.emulator.rig.Plan.Fault;
-import gingerring.emulator.run.Clients;
-import gingerring.emulator.run.MixerProcess;
-import gingerring.emulator.run.Store;
-import gingerring.emulator.run.Tally;
+import gingerring.emulator.harness.Plan.Fault;
+import gingerring.emulator.experiment.Clients;
+import gingerring.emulator.experiment.MixerProcess;
+import gingerring.emulator.experiment.Store;
+import gingerring.emulator.experiment.Tally;
 import gingerring.peering.Guest;
 import gingerring.peers.PeerId;
 import gingerring.peers.Place;
--- a/emulator/src/main/java/gingerring/emulator/rig/Hub.java
+++ b/emulator/src/main/java/gingerring/emulator/harness/Hub.java
@@ -1,6 +1,6 @@
-package gingerring.emulator.rig;
+package gingerring.emulator.harness;
 
-import gingerring.emulator.run.Store;
+import gingerring.emulator.experiment.Store;
 import gingerring.traffic.wire.Datagrams;
 import gingerring.traffic.wire.Reactor;
 import java.io.IOException;
--- a/emulator/src/main/java/gingerring/emulator/rig/Keep.java
+++ b/emulator/src/main/java/gingerring/emulator/harness/Keep.java
@@ -1,6 +1,6 @@
-package gingerring.emulator.rig;
+package gingerring.emulator.harness;
 
-import gingerring.emulator.run.MixerProcess;
+import gingerring.emulator.experiment.MixerProcess;
 import gingerring.traffic.wire.Reactor;
 import java.io.IOException;
 import java.io.UncheckedIOException;
--- a/emulator/src/main/java/gingerring/emulator/rig/Liar.java
+++ b/emulator/src/main/java/gingerring/emulator/harness/Liar.java
@@ -1,4 +1,4 @@
-package gingerring.emulator.rig;
+package gingerring.emulator.harness;
 
 import gingerring.peers.Company;
 import gingerring.peers.PeerId;
--- a/emulator/src/main/java/gingerring/emulator/rig/Overlap.java
+++ b/emulator/src/main/java/gingerring/emulator/harness/Overlap.java
@@ -1,6 +1,6 @@
-package gingerring.emulator.rig;
+package gingerring.emulator.harness;
 
-import gingerring.emulator.rig.Plan.Fault.Kind;
+import gingerring.emulator.harness.Plan.Fault.Kind;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
--- a/emulator/src/main/java/gingerring/emulator/rig/Plan.java
+++ b/emulator/src/main/java/gingerring/emulator/harness/Plan.java
@@ -1,4 +1,4 @@
-package gingerring.emulator.rig;
+package gingerring.emulator.harness;
 
 import gingerring.emulator.core.Fate;
 import gingerring.emulator.core.World;
--- a/emulator/src/main/java/gingerring/emulator/rig/Relay.java
+++ b/emulator/src/main/java/gingerring/emulator/harness/Relay.java
@@ -1,7 +1,7 @@
-package gingerring.emulator.rig;
+package gingerring.emulator.harness;
 
-import gingerring.emulator.run.Passage;
-import gingerring.emulator.run.Store;
+import gingerring.emulator.experiment.Passage;
+import gingerring.emulator.experiment.Store;
 import gingerring.traffic.wire.Reactor;
 import gingerring.traffic.wire.Wire;
 import java.io.IOException;
--- a/emulator/src/main/java/gingerring/emulator/rig/RigError.java
+++ b/emulator/src/main/java/gingerring/emulator/harness/RigError.java
@@ -1,4 +1,4 @@
-package gingerring.emulator.rig;
+package gingerring.emulator.harness;
 
 import java.io.IOException;
 import java.nio.file.NoSuchFileException;
--- a/emulator/src/main/java/gingerring/emulator/rig/package-info.java
+++ b/emulator/src/main/java/gingerring/emulator/harness/package-info.java
@@ -1,8 +1,8 @@
 /**
  * The fleet rig: many real mixers as processes before one emulated store, with every link between
  * them through a layer of faults, and a schedule of what breaks. {@link
- * gingerring.emulator.rig.Plan} describes a run, {@link gingerring.emulator.rig.Fleet} plays it. It
+ * gingerring.emulator.harness.Plan} describes a run, {@link gingerring.emulator.harness.Fleet} plays it. It
  * meets mixers on sockets alone. The same description and seed give the same schedule; the verdict
  * comes from the referee and from what must hold over all processes.
  */
-package gingerring.emulator.rig;
+package gingerring.emulator.harness;
--- a/emulator/src/main/java/gingerring/emulator/crossings/Crossings.java
+++ b/emulator/src/main/java/gingerring/emulator/interleaving/Crossings.java
@@ -1,7 +1,7 @@
-package gingerring.emulator.crossings;
+package gingerring.emulator.interleaving;
 
 import gingerring.emulator.core.World;
-import gingerring.emulator.run.MixerProcess;
+import gingerring.emulator.experiment.MixerProcess;
 import gingerring.traffic.wire.Reactor;
 import java.io.IOException;
 import java.io.PrintStream;
--- a/emulator/src/main/java/gingerring/emulator/crossings/Draw.java
+++ b/emulator/src/main/java/gingerring/emulator/interleaving/Draw.java
@@ -1,4 +1,4 @@
-package gingerring.emulator.crossings;
+package gingerring.emulator.interleaving;
 
 import gingerring.emulator.core.Fate;
 
@@ -87,7 +87,7 @@
 
   /** How to play it alone. */
   public String replay() {
-    return "java -cp cli/target/gingerring-cli.jar gingerring.emulator.crossings.Crossings --seed "
+    return "java -cp cli/target/gingerring-cli.jar gingerring.emulator.interleaving.Crossings --seed "
         + seed
         + " --pair "
         + this;
--- a/emulator/src/main/java/gingerring/emulator/crossings/Event.java
+++ b/emulator/src/main/java/gingerring/emulator/interleaving/Event.java
@@ -1,4 +1,4 @@
-package gingerring.emulator.crossings;
+package gingerring.emulator.interleaving;
 
 /**
  * What may cross something else at a mixer. Its point is what releases the event that comes second.
--- a/emulator/src/main/java/gingerring/emulator/crossings/Judge.java
+++ b/emulator/src/main/java/gingerring/emulator/interleaving/Judge.java
@@ -1,4 +1,4 @@
-package gingerring.emulator.crossings;
+package gingerring.emulator.interleaving;
 
 import gingerring.emulator.core.Referee;
 import gingerring.emulator.core.World;
--- a/emulator/src/main/java/gingerring/emulator/crossings/Scene.java
+++ b/emulator/src/main/java/gingerring/emulator/interleaving/Scene.java
@@ -1,9 +1,9 @@
-package gingerring.emulator.crossings;
+package gingerring.emulator.interleaving;
 
 import gingerring.emulator.core.Box;
 import gingerring.emulator.core.Fate;
 import gingerring.emulator.core.World;
-import gingerring.emulator.run.MixerProcess;
+import gingerring.emulator.experiment.MixerProcess;
 import gingerring.http.Head;
 import gingerring.http.Malformed;
 import gingerring.traffic.scan.Answer;
--- a/emulator/src/main/java/gingerring/emulator/fleet/Portions.java
+++ b/emulator/src/main/java/gingerring/emulator/simulation/Portions.java
@@ -1,4 +1,4 @@
-package gingerring.emulator.fleet;
+package gingerring.emulator.simulation;
 
 import gingerring.share.FairShares;
 import gingerring.share.RoomBelief;
--- a/emulator/src/test/java/gingerring/emulator/run/ClientsTest.java
+++ b/emulator/src/test/java/gingerring/emulator/experiment/ClientsTest.java
@@ -1,4 +1,4 @@
-package gingerring.emulator.run;
+package gingerring.emulator.experiment;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/emulator/src/test/java/gingerring/emulator/rig/FleetRigTest.java
+++ b/emulator/src/test/java/gingerring/emulator/harness/FleetRigTest.java
@@ -1,4 +1,4 @@
-package gingerring.emulator.rig;
+package gingerring.emulator.harness;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
--- a/emulator/src/test/java/gingerring/emulator/rig/PlantedFoulsTest.java
+++ b/emulator/src/test/java/gingerring/emulator/harness/PlantedFoulsTest.java
@@ -1,4 +1,4 @@
-package gingerring.emulator.rig;
+package gingerring.emulator.harness;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
@@ -6,7 +6,7 @@
 import gingerring.emulator.core.Referee;
 import gingerring.emulator.core.Referee.Rule;
 import gingerring.emulator.core.World;
-import gingerring.emulator.run.Store;
+import gingerring.emulator.experiment.Store;
 import gingerring.traffic.wire.Reactor;
 import gingerring.traffic.wire.Wire;
 import java.io.IOException;
--- a/emulator/src/test/java/gingerring/emulator/crossings/JudgeTest.java
+++ b/emulator/src/test/java/gingerring/emulator/interleaving/JudgeTest.java
@@ -1,4 +1,4 @@
-package gingerring.emulator.crossings;
+package gingerring.emulator.interleaving;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/emulator/src/test/java/gingerring/emulator/fleet/FleetTest.java
+++ b/emulator/src/test/java/gingerring/emulator/simulation/FleetTest.java
@@ -1,4 +1,4 @@
-package gingerring.emulator.fleet;
+package gingerring.emulator.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
--- a/emulator/src/test/java/gingerring/emulator/fleet/SocietyTest.java
+++ b/emulator/src/test/java/gingerring/emulator/simulation/SocietyTest.java
@@ -1,12 +1,12 @@
-package gingerring.emulator.fleet;
+package gingerring.emulator.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gingerring.emulator.fleet.Society.Fault;
-import gingerring.emulator.fleet.Society.Fault.Kind;
-import gingerring.emulator.fleet.Society.Result;
-import gingerring.emulator.fleet.Society.Setup;
+import gingerring.emulator.simulation.Society.Fault;
+import gingerring.emulator.simulation.Society.Fault.Kind;
+import gingerring.emulator.simulation.Society.Result;
+import gingerring.emulator.simulation.Society.Setup;
 import gingerring.peers.Company;
 import gingerring.peers.Membership;
 import java.util.List;
--- a/duty/src/main/java/gingerring/duty/Candidate.java
+++ b/lease/src/main/java/gingerring/lease/Candidate.java
@@ -1,6 +1,6 @@
-package gingerring.duty;
+package gingerring.lease;
 
-import gingerring.duty.Checks.Check;
+import gingerring.lease.Checks.Check;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.Collection;
--- a/duty/src/main/java/gingerring/duty/Checks.java
+++ b/lease/src/main/java/gingerring/lease/Checks.java
@@ -1,4 +1,4 @@
-package gingerring.duty;
+package gingerring.lease;
 
 /** Each check of this module, so that a test can take one out and see that it is missed. */
 record Checks(Check out) {
--- a/duty/src/main/java/gingerring/duty/DutyError.java
+++ b/lease/src/main/java/gingerring/lease/DutyError.java
@@ -1,4 +1,4 @@
-package gingerring.duty;
+package gingerring.lease;
 
 /** What an operator can meet of duties: a stable code, the place, what happened, and what to do. */
 public abstract sealed class DutyError extends RuntimeException {
--- a/duty/src/main/java/gingerring/duty/ElectorId.java
+++ b/lease/src/main/java/gingerring/lease/ElectorId.java
@@ -1,4 +1,4 @@
-package gingerring.duty;
+package gingerring.lease;
 
 /** A mixer in its part as an elector. */
 public record ElectorId(MixerId mixer) implements Comparable<ElectorId> {
--- a/duty/src/main/java/gingerring/duty/MixerId.java
+++ b/lease/src/main/java/gingerring/lease/MixerId.java
@@ -1,4 +1,4 @@
-package gingerring.duty;
+package gingerring.lease;
 
 /**
  * A mixer, by the number that every mixer makes of its name: the same after it has started anew.
--- a/duty/src/main/java/gingerring/duty/Ranks.java
+++ b/lease/src/main/java/gingerring/lease/Ranks.java
@@ -1,4 +1,4 @@
-package gingerring.duty;
+package gingerring.lease;
 
 import static gingerring.share.Ranks.draw;
 import static gingerring.share.Ranks.mix;
--- a/duty/src/main/java/gingerring/duty/Term.java
+++ b/lease/src/main/java/gingerring/lease/Term.java
@@ -1,4 +1,4 @@
-package gingerring.duty;
+package gingerring.lease;
 
 /**
  * How far a duty's leases have come: counts up with each lease that is asked for, never back.
--- a/duty/src/main/java/gingerring/duty/Token.java
+++ b/lease/src/main/java/gingerring/lease/Token.java
@@ -1,4 +1,4 @@
-package gingerring.duty;
+package gingerring.lease;
 
 /**
  * What a holder shows with each piece of a duty's work, as Chubby's sequencer (Burrows, OSDI 2006):
--- a/duty/src/main/java/gingerring/duty/Word.java
+++ b/lease/src/main/java/gingerring/lease/Word.java
@@ -1,4 +1,4 @@
-package gingerring.duty;
+package gingerring.lease;
 
 import java.time.Duration;
 
--- a/duty/src/test/java/gingerring/duty/DutyLayoutTest.java
+++ b/lease/src/test/java/gingerring/lease/DutyLayoutTest.java
@@ -1,4 +1,4 @@
-package gingerring.duty;
+package gingerring.lease;
 
 import com.tngtech.archunit.core.domain.JavaClasses;
 import com.tngtech.archunit.core.importer.ClassFileImporter;
@@ -16,12 +16,12 @@
     JavaClasses classes =
         new ClassFileImporter()
             .withImportOption(new ImportOption.DoNotIncludeTests())
-            .importPackages("gingerring.duty");
+            .importPackages("gingerring.lease");
     ArchRuleDefinition.classes()
         .should()
         .onlyDependOnClassesThat()
         .resideInAnyPackage(
-            "gingerring.duty",
+            "gingerring.lease",
             "gingerring.share",
             "java.lang",
             "java.lang.invoke",
--- a/duty/src/test/java/gingerring/duty/MutationTest.java
+++ b/lease/src/test/java/gingerring/lease/MutationTest.java
@@ -1,4 +1,4 @@
-package gingerring.duty;
+package gingerring.lease;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/duty/src/test/java/gingerring/duty/PlantedTest.java
+++ b/lease/src/test/java/gingerring/lease/PlantedTest.java
@@ -1,8 +1,8 @@
-package gingerring.duty;
+package gingerring.lease;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import gingerring.duty.Checks.Check;
+import gingerring.lease.Checks.Check;
 import java.util.Arrays;
 import java.util.EnumMap;
 import java.util.Map;
--- a/mixer/src/main/java/gingerring/Main.java
+++ b/mixer/src/main/java/gingerring/Main.java
@@ -1,7 +1,7 @@
 package gingerring;
 
-import gingerring.drill.Drill;
-import gingerring.serve.Serve;
+import gingerring.simulator.Drill;
+import gingerring.server.Serve;
 import java.io.IOException;
 
 /** The command line: one subcommand for each way to run the router. */
--- a/mixer/src/main/java/gingerring/back/Frames.java
+++ b/mixer/src/main/java/gingerring/backend/Frames.java
@@ -1,4 +1,4 @@
-package gingerring.back;
+package gingerring.backend;
 
 import gingerring.net.ByteRing;
 import java.io.ByteArrayOutputStream;
--- a/mixer/src/main/java/gingerring/back/Link.java
+++ b/mixer/src/main/java/gingerring/backend/Link.java
@@ -1,4 +1,4 @@
-package gingerring.back;
+package gingerring.backend;
 
 import gingerring.decide.Outcome;
 import gingerring.net.Connection;
--- a/mixer/src/main/java/gingerring/back/LoadReports.java
+++ b/mixer/src/main/java/gingerring/backend/LoadReports.java
@@ -1,4 +1,4 @@
-package gingerring.back;
+package gingerring.backend;
 
 import gingerring.decide.Terms;
 import gingerring.net.Counts;
--- a/mixer/src/main/java/gingerring/front/Front.java
+++ b/mixer/src/main/java/gingerring/frontend/Front.java
@@ -1,4 +1,4 @@
-package gingerring.front;
+package gingerring.frontend;
 
 import gingerring.decide.Terms;
 import gingerring.http.Malformed;
--- a/mixer/src/main/java/gingerring/front/Intake.java
+++ b/mixer/src/main/java/gingerring/frontend/Intake.java
@@ -1,4 +1,4 @@
-package gingerring.front;
+package gingerring.frontend;
 
 import java.time.Duration;
 
--- a/mixer/src/main/java/gingerring/serve/Bounds.java
+++ b/mixer/src/main/java/gingerring/server/Bounds.java
@@ -1,4 +1,4 @@
-package gingerring.serve;
+package gingerring.server;
 
 import gingerring.decide.Terms;
 import java.util.HashMap;
--- a/mixer/src/main/java/gingerring/serve/Desk.java
+++ b/mixer/src/main/java/gingerring/server/Desk.java
@@ -1,8 +1,8 @@
-package gingerring.serve;
+package gingerring.server;
 
-import gingerring.back.Back;
-import gingerring.back.Errand;
-import gingerring.back.Returns;
+import gingerring.backend.Back;
+import gingerring.backend.Errand;
+import gingerring.backend.Returns;
 import gingerring.decide.Host;
 import gingerring.decide.Listing;
 import gingerring.decide.Mixer;
@@ -15,9 +15,9 @@
 import gingerring.decide.WakeId;
 import gingerring.discovery.Members;
 import gingerring.discovery.Watch;
-import gingerring.front.Ask;
-import gingerring.front.Intake;
-import gingerring.front.Reply;
+import gingerring.frontend.Ask;
+import gingerring.frontend.Intake;
+import gingerring.frontend.Reply;
 import gingerring.net.Counts;
 import java.time.Duration;
 import java.util.ArrayList;
--- a/mixer/src/main/java/gingerring/serve/Loop.java
+++ b/mixer/src/main/java/gingerring/server/Loop.java
@@ -1,4 +1,4 @@
-package gingerring.serve;
+package gingerring.server;
 
 import gingerring.net.Counts;
 import gingerring.net.Inbox;
--- a/mixer/src/main/java/gingerring/serve/Rehearsal.java
+++ b/mixer/src/main/java/gingerring/server/Rehearsal.java
@@ -1,11 +1,11 @@
-package gingerring.serve;
+package gingerring.server;
 
-import gingerring.back.Back;
+import gingerring.backend.Back;
 import gingerring.decide.Listing.Standing;
 import gingerring.decide.Terms;
 import gingerring.discovery.Members;
 import gingerring.discovery.Watch;
-import gingerring.front.Front;
+import gingerring.frontend.Front;
 import gingerring.net.Connection;
 import gingerring.net.Counts;
 import gingerring.net.Network;
--- a/mixer/src/main/java/gingerring/serve/Serve.java
+++ b/mixer/src/main/java/gingerring/server/Serve.java
@@ -1,9 +1,9 @@
-package gingerring.serve;
+package gingerring.server;
 
-import gingerring.back.Back;
+import gingerring.backend.Back;
 import gingerring.decide.Terms;
 import gingerring.discovery.Watch;
-import gingerring.front.Front;
+import gingerring.frontend.Front;
 import gingerring.net.Counts;
 import gingerring.net.Network;
 import gingerring.net.Tap;
@@ -21,7 +21,7 @@
 
 /** Starts a real mixer, runs it in the foreground, and ends it at SIGTERM. */
 public final class Serve {
-  private static final Logger LOG = LoggerFactory.getLogger("gingerring.serve");
+  private static final Logger LOG = LoggerFactory.getLogger("gingerring.server");
 
   /** How long after SIGTERM clients may still come: what comes later may go unanswered. */
   private static final Duration STILL_COMING = Duration.ofMillis(700);
--- a/mixer/src/main/java/gingerring/drill/Drill.java
+++ b/mixer/src/main/java/gingerring/simulator/Drill.java
@@ -1,4 +1,4 @@
-package gingerring.drill;
+package gingerring.simulator;
 
 import java.io.BufferedInputStream;
 import java.io.ByteArrayOutputStream;
--- a/mixer/src/main/java/gingerring/drill/Records.java
+++ b/mixer/src/main/java/gingerring/simulator/Records.java
@@ -1,4 +1,4 @@
-package gingerring.drill;
+package gingerring.simulator;
 
 import gingerring.decide.Listing;
 import gingerring.decide.Outcome;
--- a/mixer/src/main/java/gingerring/drill/Seat.java
+++ b/mixer/src/main/java/gingerring/simulator/Seat.java
@@ -1,4 +1,4 @@
-package gingerring.drill;
+package gingerring.simulator;
 
 import gingerring.decide.Host;
 import gingerring.decide.Listing;
--- a/mixer/src/test/java/gingerring/LayoutTest.java
+++ b/mixer/src/test/java/gingerring/LayoutTest.java
@@ -47,7 +47,7 @@
             "java.util.concurrent..",
             "org.apache.mina..",
             "gingerring.net..",
-            "gingerring.serve..")
+            "gingerring.server..")
         .check(PROGRAM);
     noClasses()
         .that()
--- a/mixer/src/test/java/gingerring/back/FramesTest.java
+++ b/mixer/src/test/java/gingerring/backend/FramesTest.java
@@ -1,4 +1,4 @@
-package gingerring.back;
+package gingerring.backend;
 
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertEquals;
--- a/mixer/src/test/java/gingerring/serve/DeskTest.java
+++ b/mixer/src/test/java/gingerring/server/DeskTest.java
@@ -1,16 +1,16 @@
-package gingerring.serve;
+package gingerring.server;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gingerring.back.Back;
+import gingerring.backend.Back;
 import gingerring.decide.Listing.Standing;
 import gingerring.decide.Terms;
 import gingerring.discovery.Members;
 import gingerring.discovery.Watch;
-import gingerring.front.Ask;
-import gingerring.front.Reply;
+import gingerring.frontend.Ask;
+import gingerring.frontend.Reply;
 import gingerring.json.Json;
 import gingerring.net.Counts;
 import gingerring.net.Network;
--- a/mixer/src/test/java/gingerring/serve/DialCrossingTest.java
+++ b/mixer/src/test/java/gingerring/server/DialCrossingTest.java
@@ -1,4 +1,4 @@
-package gingerring.serve;
+package gingerring.server;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
--- a/mixer/src/test/java/gingerring/serve/Late.java
+++ b/mixer/src/test/java/gingerring/server/Late.java
@@ -1,4 +1,4 @@
-package gingerring.serve;
+package gingerring.server;
 
 import java.io.Closeable;
 import java.io.IOException;
--- a/mixer/src/test/java/gingerring/serve/LoopTest.java
+++ b/mixer/src/test/java/gingerring/server/LoopTest.java
@@ -1,4 +1,4 @@
-package gingerring.serve;
+package gingerring.server;
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -117,7 +117,7 @@
         } else if (event instanceof ThreadStartEvent start
             && start.thread().name().equals("poster")) {
           watch(child, start.thread(), "java.util.concurrent.*");
-          watch(child, start.thread(), "gingerring.serve.*");
+          watch(child, start.thread(), "gingerring.server.*");
         } else if (event instanceof MethodEntryEvent entry) {
           posting |= entry.method().name().equals("post");
           calls += posting ? 1 : 0;
--- a/mixer/src/test/java/gingerring/serve/Rig.java
+++ b/mixer/src/test/java/gingerring/server/Rig.java
@@ -1,4 +1,4 @@
-package gingerring.serve;
+package gingerring.server;
 
 import gingerring.net.Tap;
 import java.io.ByteArrayOutputStream;
--- a/mixer/src/test/java/gingerring/serve/SearcherCloseCrossingTest.java
+++ b/mixer/src/test/java/gingerring/server/SearcherCloseCrossingTest.java
@@ -1,11 +1,11 @@
-package gingerring.serve;
+package gingerring.server;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gingerring.back.Back;
-import gingerring.back.Errand;
-import gingerring.back.Returns;
+import gingerring.backend.Back;
+import gingerring.backend.Errand;
+import gingerring.backend.Returns;
 import gingerring.decide.Outcome;
 import gingerring.decide.SearcherId;
 import gingerring.decide.Terms;
--- a/mixer/src/test/java/gingerring/drill/DrillTest.java
+++ b/mixer/src/test/java/gingerring/simulator/DrillTest.java
@@ -1,4 +1,4 @@
-package gingerring.drill;
+package gingerring.simulator;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/peering/src/main/java/gingerring/peering/Main.java
+++ b/peering/src/main/java/gingerring/peering/Main.java
@@ -1,6 +1,6 @@
 package gingerring.peering;
 
-import gingerring.serve.Serve;
+import gingerring.server.Serve;
 import java.io.IOException;
 import java.nio.file.Path;
 
--- a/peering/src/main/java/gingerring/peering/Peering.java
+++ b/peering/src/main/java/gingerring/peering/Peering.java
@@ -10,7 +10,7 @@
 import gingerring.peers.Seen;
 import gingerring.peers.Standing;
 import gingerring.peers.Words;
-import gingerring.serve.Neighbours;
+import gingerring.server.Neighbours;
 import gingerring.share.Box;
 import gingerring.share.BoxId;
 import gingerring.share.FairShares;
--- a/peering/src/test/java/gingerring/peering/PeeringTest.java
+++ b/peering/src/test/java/gingerring/peering/PeeringTest.java
@@ -11,7 +11,7 @@
 import gingerring.peers.Company;
 import gingerring.peers.Membership;
 import gingerring.peers.PeerId;
-import gingerring.serve.Neighbours;
+import gingerring.server.Neighbours;
 import java.io.IOException;
 import java.net.DatagramPacket;
 import java.net.DatagramSocket;
--- a/traffic/src/test/java/gingerring/traffic/LayoutTest.java
+++ b/traffic/src/test/java/gingerring/traffic/LayoutTest.java
@@ -48,11 +48,11 @@
         .dependOnClassesThat()
         .resideInAnyPackage(
             "gingerring.decide..",
-            "gingerring.serve..",
-            "gingerring.front..",
-            "gingerring.back..",
+            "gingerring.server..",
+            "gingerring.frontend..",
+            "gingerring.backend..",
             "gingerring.discovery..",
-            "gingerring.drill..")
+            "gingerring.simulator..")
         .check(TRAFFIC);
   }
 }
