--- a/cli/src/main/java/gingerring/cli/ServeCommand.java
+++ b/cli/src/main/java/gingerring/cli/ServeCommand.java
@@ -2,8 +2,8 @@
 
 import gingerring.peering.PeerSettings;
 import gingerring.peering.Peering;
-import gingerring.server.Neighbours;
-import gingerring.server.Serve;
+import gingerring.server.PeerService;
+import gingerring.server.MixerServer;
 import gingerring.traffic.record.Recorder;
 import java.nio.file.Path;
 import java.time.Duration;
@@ -52,9 +52,9 @@
 
   @Override
   public Integer call() throws Exception {
-    Neighbours neighbours = peers == null ? null : new Peering(PeerSettings.read(peers));
+    PeerService neighbours = peers == null ? null : new Peering(PeerSettings.read(peers));
     if (record == null) {
-      return Serve.run(System.getenv(), System.err, null, neighbours);
+      return MixerServer.run(System.getenv(), System.err, null, neighbours);
     }
     if (megabytes < 1 || minutes < 1 || files < 1) {
       throw new IllegalArgumentException(
@@ -65,7 +65,7 @@
             record,
             new Recorder.Rotation(megabytes << 20, Duration.ofMinutes(minutes), files),
             System.nanoTime())) {
-      return Serve.run(System.getenv(), System.err, recorder.start(), neighbours);
+      return MixerServer.run(System.getenv(), System.err, recorder.start(), neighbours);
     }
   }
 }
--- a/mixer/src/main/java/gingerring/Main.java
+++ b/mixer/src/main/java/gingerring/Main.java
@@ -1,7 +1,7 @@
 package gingerring;
 
 import gingerring.simulator.Drill;
-import gingerring.server.Serve;
+import gingerring.server.MixerServer;
 import java.io.IOException;
 
 /** The command line: one subcommand for each way to run the router. */
@@ -13,7 +13,7 @@
       System.exit(new Drill(System.in, System.out).run(System.err));
     }
     if (args.length == 1 && args[0].equals("serve")) {
-      System.exit(Serve.run(System.getenv(), System.err));
+      System.exit(MixerServer.run(System.getenv(), System.err));
     }
     System.err.println("usage: java -jar gingerring.jar drill    (decides on the bench's wire)");
     System.err.println(
--- a/mixer/src/main/java/gingerring/backend/Back.java
+++ b/mixer/src/main/java/gingerring/backend/Back.java
@@ -2,7 +2,7 @@
 
 import gingerring.decide.Outcome;
 import gingerring.decide.SearcherId;
-import gingerring.decide.Terms;
+import gingerring.decide.Settings;
 import gingerring.net.Counts;
 import gingerring.net.Network;
 import gingerring.net.TurnClock;
@@ -40,7 +40,7 @@
   private final Set<Station> busy = new LinkedHashSet<>();
   private Duration complained;
 
-  public Back(Network network, Returns returns, Terms terms, Counts counts, TurnClock clock) {
+  public Back(Network network, Returns returns, Settings terms, Counts counts, TurnClock clock) {
     this.network = network;
     this.returns = returns;
     this.counts = counts;
--- a/mixer/src/main/java/gingerring/backend/LoadReports.java
+++ b/mixer/src/main/java/gingerring/backend/LoadReports.java
@@ -1,6 +1,6 @@
 package gingerring.backend;
 
-import gingerring.decide.Terms;
+import gingerring.decide.Settings;
 import gingerring.net.Counts;
 import java.util.Map;
 
@@ -29,7 +29,7 @@
   private final String[] columns;
   private final Counts counts;
 
-  LoadReports(Terms terms, Counts counts) {
+  LoadReports(Settings terms, Counts counts) {
     this.counts = counts;
     String told = terms.has("LoadReport.Columns") ? terms.text("LoadReport.Columns") : "";
     columns = told.isEmpty() ? new String[0] : told.split(",");
--- a/mixer/src/main/java/gingerring/decide/Listing.java
+++ b/mixer/src/main/java/gingerring/decide/MemberEntry.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 
 /** One line of the roster. {@code startedAt} is null where the searcher started long ago. */
-public record Listing(
+public record MemberEntry(
     SearcherId searcher,
     int zone,
     int machine,
--- a/mixer/src/main/java/gingerring/decide/Roster.java
+++ b/mixer/src/main/java/gingerring/decide/MemberList.java
@@ -10,13 +10,13 @@
 import java.util.function.Predicate;
 
 /** The searchers that a mixer has been told of, and which of them hold a shard. */
-public final class Roster {
+public final class MemberList {
   private final int places;
   private final int reach;
   private final Map<SearcherId, Searcher> searchers = new TreeMap<>();
   private final Map<Integer, List<Searcher>> cells = new HashMap<>();
 
-  public Roster(int places, int reach) {
+  public MemberList(int places, int reach) {
     if (places < 1) {
       throw new IllegalArgumentException("setting Domain.Places is no number of cells: " + places);
     }
@@ -47,30 +47,30 @@
    * Those spent are forgotten first: a mixer outlives thousands of searchers.
    */
   public List<Searcher> told(
-      List<Listing> lines,
+      List<MemberEntry> lines,
       boolean all,
       Predicate<Searcher> spent,
       Function<SearcherId, Searcher> newcomer) {
     searchers.values().removeIf(spent);
-    Map<SearcherId, Listing> told = new TreeMap<>();
+    Map<SearcherId, MemberEntry> told = new TreeMap<>();
     for (Searcher searcher : searchers.values()) {
       if (all) {
-        Listing old = searcher.listing;
+        MemberEntry old = searcher.listing;
         told.put(
             searcher.id,
-            new Listing(
+            new MemberEntry(
                 searcher.id,
                 old.zone(),
                 old.machine(),
                 old.cell(),
-                Listing.Standing.GONE,
+                MemberEntry.Standing.GONE,
                 old.size(),
                 old.startedAt()));
       }
     }
     lines.forEach(line -> told.put(line.searcher(), line));
     List<Searcher> lost = new ArrayList<>();
-    for (Listing line : told.values()) {
+    for (MemberEntry line : told.values()) {
       Searcher searcher = searchers.computeIfAbsent(line.searcher(), newcomer);
       boolean restarted =
           searcher.listing != null
@@ -78,7 +78,7 @@
               && !line.startedAt().equals(searcher.startedAt);
       searcher.listing = line;
       searcher.startedAt = line.startedAt() != null ? line.startedAt() : searcher.startedAt;
-      if (restarted || line.standing() == Listing.Standing.GONE) {
+      if (restarted || line.standing() == MemberEntry.Standing.GONE) {
         lost.add(searcher);
       }
     }
--- a/mixer/src/main/java/gingerring/decide/Mixer.java
+++ b/mixer/src/main/java/gingerring/decide/Mixer.java
@@ -144,8 +144,8 @@
 
   private final Host host;
   private final RandomGenerator chance;
-  private final List<Grade> grades = new ArrayList<>();
-  private final Roster roster;
+  private final List<ServiceClass> grades = new ArrayList<>();
+  private final MemberList roster;
   private final Map<ScanId, Scan> scans = new HashMap<>();
   private final Map<Long, Scan> scansByNumber = new HashMap<>();
   private final Map<PartId, Part> parts = new HashMap<>();
@@ -154,7 +154,7 @@
   private int wakeCount;
   private int logged;
 
-  private final Terms terms;
+  private final Settings terms;
   private final Duration tipAfter;
 
   /**
@@ -204,10 +204,10 @@
     this.host = host;
     this.chance = chance;
     preferred = each -> usable(each) && host.prefers(each.id);
-    terms = new Terms(map);
-    roster = new Roster(terms.count("Domain.Places"), terms.count("Domain.Reach"));
+    terms = new Settings(map);
+    roster = new MemberList(terms.count("Domain.Places"), terms.count("Domain.Reach"));
     for (int i = 0; i < terms.count("Classes.count"); i++) {
-      grades.add(Grade.read(terms, i));
+      grades.add(ServiceClass.read(terms, i));
     }
     tipAfter = max(Duration.ofMillis(1), terms.span("Safety.TipAfterMs", HEALTH_WINDOW));
     cameNow = new TimeRing(tipAfter, BUCKETS);
@@ -597,7 +597,7 @@
     // was decided
     Duration since = part.mayHaveRunSince();
     Duration startWithin =
-        part.scan.grade.repeats != Grade.Repeats.NUMBERED || since == null
+        part.scan.grade.repeats != ServiceClass.Repeats.NUMBERED || since == null
             ? null
             : since.plus(part.scan.grade.window).minus(now);
     part.trips.add(searcher.send(part, now, callParts()));
@@ -774,7 +774,7 @@
   /** Closes a scan at once: sent back where to ask again does no harm, else scrapped. */
   private void giveUp(Scan scan) {
     boolean harmless =
-        scan.grade.repeats == Grade.Repeats.REISSUABLE
+        scan.grade.repeats == ServiceClass.Repeats.REISSUABLE
             || scan.parts.stream().allMatch(part -> part.mayHaveRunSince() == null);
     if (harmless) {
       host.nack(
@@ -1088,7 +1088,7 @@
   }
 
   /** The roster has been told: all of it, or what changed. */
-  public void rosterTold(List<Listing> lines, boolean all) {
+  public void rosterTold(List<MemberEntry> lines, boolean all) {
     Duration now = arriving();
     // a searcher that has gone, or has started anew, is judged anew; what was out there will be
     // late
--- a/mixer/src/main/java/gingerring/decide/Scan.java
+++ b/mixer/src/main/java/gingerring/decide/Scan.java
@@ -8,7 +8,7 @@
 public final class Scan {
   public final ScanId id;
   public final long number;
-  public final Grade grade;
+  public final ServiceClass grade;
   public final long key;
   public final Duration work;
 
@@ -36,7 +36,7 @@
   /** The share of its parts that may take a turn at a cold searcher. */
   public double coldShare;
 
-  public Scan(ScanId id, long number, Grade grade, long key, Duration work, Duration end) {
+  public Scan(ScanId id, long number, ServiceClass grade, long key, Duration work, Duration end) {
     this.id = id;
     this.number = number;
     this.grade = grade;
--- a/mixer/src/main/java/gingerring/decide/Searcher.java
+++ b/mixer/src/main/java/gingerring/decide/Searcher.java
@@ -8,7 +8,7 @@
 /** A searcher as one mixer sees it: the roster's line, its own trips, and what came of them. */
 public final class Searcher {
   public final SearcherId id;
-  public Listing listing;
+  public MemberEntry listing;
   public Duration startedAt;
 
   /** Own trips out, oldest first, and the calls that they share. */
@@ -55,7 +55,7 @@
   }
 
   public boolean ready() {
-    return listing.standing() == Listing.Standing.READY;
+    return listing.standing() == MemberEntry.Standing.READY;
   }
 
   /** Nothing of it is out, recent or benched. */
@@ -69,7 +69,7 @@
 
   /** Gone, and nothing is out there or counts in the cold guard's window. */
   public boolean spent(Duration now) {
-    return listing.standing() == Listing.Standing.GONE && out.isEmpty() && sends.sum(now) == 0;
+    return listing.standing() == MemberEntry.Standing.GONE && out.isEmpty() && sends.sum(now) == 0;
   }
 
   /** Drops what was measured of it: it is to be judged anew. */
--- a/mixer/src/main/java/gingerring/decide/Grade.java
+++ b/mixer/src/main/java/gingerring/decide/ServiceClass.java
@@ -3,7 +3,7 @@
 import java.time.Duration;
 
 /** A service grade. */
-public final class Grade {
+public final class ServiceClass {
   /** What a repeat does: nothing, nothing while its mark is known, or harm. */
   public enum Repeats {
     REISSUABLE,
@@ -22,9 +22,9 @@
   public int fetch;
 
   /** Reads the grade of a number. */
-  static Grade read(Terms terms, int i) {
+  static ServiceClass read(Settings terms, int i) {
     String at = "Classes." + i + ".";
-    Grade grade = new Grade();
+    ServiceClass grade = new ServiceClass();
     String repeats = terms.text(at + "Idempotency");
     grade.repeats =
         switch (repeats) {
--- a/mixer/src/main/java/gingerring/decide/Terms.java
+++ b/mixer/src/main/java/gingerring/decide/Settings.java
@@ -8,11 +8,11 @@
  * Reads the values handed over at start; what is needed and missing or unreadable is named. Numbers
  * are read once, since scans ask for them over and over.
  */
-public final class Terms {
+public final class Settings {
   private final Map<String, String> map;
   private final Map<String, Double> numbers = new HashMap<>();
 
-  public Terms(Map<String, String> map) {
+  public Settings(Map<String, String> map) {
     this.map = map;
   }
 
--- a/mixer/src/main/java/gingerring/discovery/Members.java
+++ b/mixer/src/main/java/gingerring/discovery/Members.java
@@ -1,6 +1,6 @@
 package gingerring.discovery;
 
-import gingerring.decide.Listing.Standing;
+import gingerring.decide.MemberEntry.Standing;
 import gingerring.json.Fields;
 import gingerring.json.Json;
 import java.net.InetAddress;
--- a/mixer/src/main/java/gingerring/discovery/Watch.java
+++ b/mixer/src/main/java/gingerring/discovery/Watch.java
@@ -1,6 +1,6 @@
 package gingerring.discovery;
 
-import gingerring.decide.Terms;
+import gingerring.decide.Settings;
 import gingerring.http.Head;
 import gingerring.http.HttpParser;
 import gingerring.http.HttpWriter;
@@ -147,7 +147,7 @@
       Told told,
       Counts counts,
       TurnClock clock,
-      Terms terms) {
+      Settings terms) {
     this(network, address, revision, told, counts, clock, pace(terms));
   }
 
@@ -173,7 +173,7 @@
    * that, so that one may be lost or the agent return right after it. Elsewhere, and with a longer
    * grace, the term is that of silence.
    */
-  private static Duration pace(Terms terms) {
+  private static Duration pace(Settings terms) {
     if (!terms.text("Discovery").equals("automatic") || !terms.has("Safety.DrainGraceMs")) {
       return slowest();
     }
--- a/mixer/src/main/java/gingerring/frontend/Asks.java
+++ b/mixer/src/main/java/gingerring/frontend/Asks.java
@@ -1,6 +1,6 @@
 package gingerring.frontend;
 
-import gingerring.decide.Terms;
+import gingerring.decide.Settings;
 import gingerring.http.Head;
 import gingerring.http.Malformed;
 import gingerring.json.Fields;
@@ -34,7 +34,7 @@
   private final List<Duration> patience = new ArrayList<>();
   private final int shards;
 
-  Asks(Terms terms) {
+  Asks(Settings terms) {
     for (int i = 0; i < terms.count("Classes.count"); i++) {
       lanes.put(terms.text("Classes." + i + ".Name"), i);
       patience.add(terms.span("Classes." + i + ".HardLimitMs"));
--- a/mixer/src/main/java/gingerring/frontend/Front.java
+++ b/mixer/src/main/java/gingerring/frontend/Front.java
@@ -1,6 +1,6 @@
 package gingerring.frontend;
 
-import gingerring.decide.Terms;
+import gingerring.decide.Settings;
 import gingerring.http.Malformed;
 import gingerring.net.Connection;
 import gingerring.net.Counts;
@@ -53,7 +53,7 @@
   public Front(
       Network network,
       Intake intake,
-      Terms terms,
+      Settings terms,
       Counts counts,
       TurnClock clock,
       Consumer<Runnable> again,
--- a/mixer/src/main/java/gingerring/server/Bounds.java
+++ b/mixer/src/main/java/gingerring/server/Bounds.java
@@ -1,6 +1,6 @@
 package gingerring.server;
 
-import gingerring.decide.Terms;
+import gingerring.decide.Settings;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -106,7 +106,7 @@
   private Bounds() {}
 
   /** Throws {@link Refused} for the first setting that cannot be used. */
-  static void check(Terms terms) {
+  static void check(Settings terms) {
     must(
         terms.has("Classes.count") && number(terms, "Classes.count", "a list") >= 1,
         "Classes",
@@ -159,7 +159,7 @@
   }
 
   /** What grades must have that others need not, and must have for themselves. */
-  private static void grades(Terms terms, int grades) {
+  private static void grades(Settings terms, int grades) {
     Map<String, Integer> names = new HashMap<>();
     for (int i = 0; i < grades; i++) {
       String at = "Classes." + i + ".";
@@ -191,12 +191,12 @@
         : IntStream.range(0, grades).mapToObj(i -> key.replace("*", String.valueOf(i))).toList();
   }
 
-  private static boolean there(Terms terms, String entry, String key, String remedy) {
+  private static boolean there(Settings terms, String entry, String key, String remedy) {
     must(!entry.startsWith("!") || terms.has(key), key, "is missing", remedy);
     return terms.has(key);
   }
 
-  private static double number(Terms terms, String key, String range) {
+  private static double number(Settings terms, String key, String range) {
     try {
       return terms.number(key);
     } catch (IllegalArgumentException e) {
@@ -204,7 +204,7 @@
     }
   }
 
-  private static double item(Terms terms, String key, int place, String range) {
+  private static double item(Settings terms, String key, int place, String range) {
     try {
       return terms.item(key, place, 1);
     } catch (IllegalArgumentException e) {
--- a/mixer/src/main/java/gingerring/server/Orders.java
+++ b/mixer/src/main/java/gingerring/server/MixerConfig.java
@@ -1,6 +1,6 @@
 package gingerring.server;
 
-import gingerring.decide.Terms;
+import gingerring.decide.Settings;
 import gingerring.discovery.Members;
 import gingerring.json.Fields;
 import gingerring.json.Json;
@@ -14,20 +14,20 @@
 import java.util.Map;
 
 /** All that a mixer is told at its start. */
-record Orders(
+record MixerConfig(
     String name,
     InetSocketAddress listen,
     InetSocketAddress discovery,
     long seed,
     int sockets,
     Members known,
-    Terms terms) {
+    Settings terms) {
   /** Something needed is missing or cannot be read; the message names it, in one line. */
-  static final class Unfit extends Exception {
+  static final class InvalidConfig extends Exception {
     private static final long serialVersionUID = 1;
 
     /** What came from the file may hold anything. */
-    Unfit(String message) {
+    InvalidConfig(String message) {
       super(message.replaceAll("\\p{Cntrl}", "?"));
     }
   }
@@ -37,35 +37,35 @@
   /** What the process holds by itself, discovery, a few searchers and a few clients. */
   private static final int SOCKETS_LEAST = 64;
 
-  static Orders read(Map<String, String> env) throws Unfit {
+  static MixerConfig read(Map<String, String> env) throws InvalidConfig {
     String file = env.get("LB_CONFIG");
     if (file == null) {
-      throw new Unfit("LB_CONFIG is missing");
+      throw new InvalidConfig("LB_CONFIG is missing");
     }
     Map<String, Object> told;
     try {
       told = Fields.object(Json.read(Files.readAllBytes(Path.of(file))), "it");
     } catch (IOException | InvalidPathException e) {
-      throw new Unfit("LB_CONFIG names a file that cannot be read: " + file);
+      throw new InvalidConfig("LB_CONFIG names a file that cannot be read: " + file);
     } catch (Json.Malformed e) {
-      throw new Unfit("LB_CONFIG: " + e.getMessage());
+      throw new InvalidConfig("LB_CONFIG: " + e.getMessage());
     }
     Map<String, String> flat = new HashMap<>();
     if (!(told.get("settings") instanceof Map<?, ?> settings) || settings.isEmpty()) {
-      throw new Unfit("settings is missing or no object: give the deployment's settings");
+      throw new InvalidConfig("settings is missing or no object: give the deployment's settings");
     }
     flatten("", settings, flat);
-    Terms terms = new Terms(flat);
+    Settings terms = new Settings(flat);
     try {
       Bounds.check(terms);
     } catch (IllegalArgumentException e) {
-      throw new Unfit(e.getMessage());
+      throw new InvalidConfig(e.getMessage());
     }
     InetSocketAddress discovery = address(told, "discovery", env.get("LB_DISCOVERY"));
     if (discovery.getPort() == 0) {
-      throw new Unfit("discovery has no port: give the address of discovery's agent");
+      throw new InvalidConfig("discovery has no port: give the address of discovery's agent");
     }
-    return new Orders(
+    return new MixerConfig(
         text(told, "name", env.get("LB_NAME")),
         address(told, "listen", env.get("LB_LISTEN")),
         discovery,
@@ -79,7 +79,7 @@
    * Whether what a running mixer cannot take over is the same; seed and known list are for a start
    * alone.
    */
-  boolean differsOnlyInDiscovery(Orders other) {
+  boolean differsOnlyInDiscovery(MixerConfig other) {
     return name.equals(other.name)
         && listen.equals(other.listen)
         && sockets == other.sockets
@@ -100,7 +100,7 @@
         flatten(path + '.' + i, list.get(i), flat);
       }
     } else if (value instanceof List<?> list) {
-      flat.put(path, String.join(",", list.stream().map(Orders::plain).toList()));
+      flat.put(path, String.join(",", list.stream().map(MixerConfig::plain).toList()));
     } else {
       flat.put(path, plain(value));
     }
@@ -115,32 +115,32 @@
     return value == null ? "" : value.toString().replace(' ', '_').replace(',', '_');
   }
 
-  private static String text(Map<String, Object> told, String name, String otherwise) throws Unfit {
+  private static String text(Map<String, Object> told, String name, String otherwise) throws InvalidConfig {
     Object value = told.getOrDefault(name, otherwise);
     if (value instanceof String text && !text.isEmpty()) {
       return text;
     }
-    throw new Unfit(name + " is missing");
+    throw new InvalidConfig(name + " is missing");
   }
 
   private static InetSocketAddress address(Map<String, Object> told, String name, String otherwise)
-      throws Unfit {
+      throws InvalidConfig {
     try {
       return Members.address(text(told, name, otherwise));
     } catch (Json.Malformed e) {
-      throw new Unfit(name + ": " + e.getMessage());
+      throw new InvalidConfig(name + ": " + e.getMessage());
     }
   }
 
-  private static long seed(Map<String, Object> told) throws Unfit {
+  private static long seed(Map<String, Object> told) throws InvalidConfig {
     try {
       return Long.parseUnsignedLong(text(told, "seed", null), 16);
     } catch (NumberFormatException e) {
-      throw new Unfit("seed is no number in hex digits");
+      throw new InvalidConfig("seed is no number in hex digits");
     }
   }
 
-  private static int sockets(Map<String, Object> told) throws Unfit {
+  private static int sockets(Map<String, Object> told) throws InvalidConfig {
     double sockets = SOCKETS_USUAL;
     try {
       Map<String, Object> limits = Fields.object(told.getOrDefault("limits", Map.of()), "limits");
@@ -148,10 +148,10 @@
         sockets = Fields.number(limits, "sockets");
       }
     } catch (Json.Malformed e) {
-      throw new Unfit("limits.sockets cannot be read (" + e.getMessage() + "): give a number");
+      throw new InvalidConfig("limits.sockets cannot be read (" + e.getMessage() + "): give a number");
     }
     if (sockets < SOCKETS_LEAST) {
-      throw new Unfit(
+      throw new InvalidConfig(
           "limits.sockets is out of its range, "
               + sockets
               + ": give a number from "
@@ -161,13 +161,13 @@
     return (int) sockets;
   }
 
-  private static Members known(Map<String, Object> told) throws Unfit {
+  private static Members known(Map<String, Object> told) throws InvalidConfig {
     try {
       return told.containsKey("known")
           ? Members.read(told.get("known"))
           : new Members(0, true, List.of());
     } catch (Json.Malformed e) {
-      throw new Unfit("known: " + e.getMessage());
+      throw new InvalidConfig("known: " + e.getMessage());
     }
   }
 }
--- a/mixer/src/main/java/gingerring/server/Desk.java
+++ b/mixer/src/main/java/gingerring/server/MixerHost.java
@@ -4,14 +4,14 @@
 import gingerring.backend.Errand;
 import gingerring.backend.Returns;
 import gingerring.decide.Host;
-import gingerring.decide.Listing;
+import gingerring.decide.MemberEntry;
 import gingerring.decide.Mixer;
 import gingerring.decide.Outcome;
 import gingerring.decide.Part;
 import gingerring.decide.PartId;
 import gingerring.decide.ScanId;
 import gingerring.decide.SearcherId;
-import gingerring.decide.Terms;
+import gingerring.decide.Settings;
 import gingerring.decide.WakeId;
 import gingerring.discovery.Members;
 import gingerring.discovery.Watch;
@@ -38,7 +38,7 @@
  * become frames and answers. Does for the mixer what the simulator's world does, and decides
  * nothing.
  */
-final class Desk implements Host, Intake, Returns, Watch.Told {
+final class MixerHost implements Host, Intake, Returns, Watch.Told {
   /** A scan in hand, until its one final answer. */
   private static final class Open {
     final ScanId id;
@@ -77,7 +77,7 @@
   private static final int PAST_MOST = 8192;
 
   private final Loop loop;
-  private final Terms terms;
+  private final Settings terms;
   private final Counts counts;
   private final double startMs;
   private final int heldMost;
@@ -98,7 +98,7 @@
 
   private final Map<Reply, Open> replies = new IdentityHashMap<>();
   private final Map<String, SearcherId> searchers = new HashMap<>();
-  private final Map<SearcherId, Listing> listed = new HashMap<>();
+  private final Map<SearcherId, MemberEntry> listed = new HashMap<>();
   private long ids;
   private int held;
   private Mixer mixer;
@@ -106,7 +106,7 @@
   private Watch watch;
 
   /** What others tell; null where this mixer knows of none. */
-  private Neighbours neighbours;
+  private PeerService neighbours;
 
   private boolean ready;
 
@@ -125,7 +125,7 @@
   private boolean lastCall;
 
   /** {@code startMs}: Unix time at the loop's zero. */
-  Desk(Loop loop, Terms terms, Counts counts, double startMs) {
+  MixerHost(Loop loop, Settings terms, Counts counts, double startMs) {
     this.loop = loop;
     this.terms = terms;
     this.counts = counts;
@@ -137,7 +137,7 @@
   }
 
   /** Before the start: with others to hear from. */
-  void among(Neighbours others) {
+  void among(PeerService others) {
     neighbours = others;
   }
 
@@ -326,18 +326,18 @@
 
   @Override
   public void list(Members members) {
-    List<Listing> lines = new ArrayList<>();
+    List<MemberEntry> lines = new ArrayList<>();
     List<SearcherId> leaving = new ArrayList<>();
     for (Members.Member member : members.members()) {
       SearcherId id = searchers.computeIfAbsent(member.id(), this::newId);
-      Listing last = listed.get(id);
+      MemberEntry last = listed.get(id);
       Duration started =
           member.upSinceMs() == 0
               ? null
               : Duration.ofNanos(Math.round((member.upSinceMs() - startMs) * 1e6));
-      Listing line =
+      MemberEntry line =
           member.address() == null && last != null
-              ? new Listing(
+              ? new MemberEntry(
                   id,
                   last.zone(),
                   last.machine(),
@@ -345,7 +345,7 @@
                   member.standing(),
                   last.size(),
                   last.startedAt())
-              : new Listing(
+              : new MemberEntry(
                   id,
                   zones.indexOf(member.locality()),
                   machines.indexOf(member.flavor()),
@@ -355,7 +355,7 @@
                   started);
       lines.add(line);
       listed.put(id, line);
-      if (member.address() == null || member.standing() == Listing.Standing.GONE) {
+      if (member.address() == null || member.standing() == MemberEntry.Standing.GONE) {
         back.gone(id);
       } else {
         back.listed(id, member.address(), line.startedAt());
@@ -368,15 +368,15 @@
       leaving.forEach(this::forget);
     }
     lines.stream()
-        .filter(line -> line.standing() == Listing.Standing.GONE)
-        .map(Listing::searcher)
+        .filter(line -> line.standing() == MemberEntry.Standing.GONE)
+        .map(MemberEntry::searcher)
         .forEach(this::forget);
     loop.tell(() -> mixer.rosterTold(lines, members.complete()));
     // told after the list, so that what has not left yet goes elsewhere by it
     leaving.addAll(
         lines.stream()
-            .filter(line -> line.standing() != Listing.Standing.READY)
-            .map(Listing::searcher)
+            .filter(line -> line.standing() != MemberEntry.Standing.READY)
+            .map(MemberEntry::searcher)
             .toList());
     leaving.forEach(back::withhold);
     if (neighbours != null) {
--- a/mixer/src/main/java/gingerring/server/Serve.java
+++ b/mixer/src/main/java/gingerring/server/MixerServer.java
@@ -1,7 +1,7 @@
 package gingerring.server;
 
 import gingerring.backend.Back;
-import gingerring.decide.Terms;
+import gingerring.decide.Settings;
 import gingerring.discovery.Watch;
 import gingerring.frontend.Front;
 import gingerring.net.Counts;
@@ -20,7 +20,7 @@
 import sun.misc.SignalHandler;
 
 /** Starts a real mixer, runs it in the foreground, and ends it at SIGTERM. */
-public final class Serve {
+public final class MixerServer {
   private static final Logger LOG = LoggerFactory.getLogger("gingerring.server");
 
   /** How long after SIGTERM clients may still come: what comes later may go unanswered. */
@@ -59,22 +59,22 @@
 
   private final Map<String, String> env;
   private final Tap tap;
-  private final Neighbours neighbours;
+  private final PeerService neighbours;
   final Counts counts = new Counts();
   final Loop loop = new Loop(counts);
   private final CountDownLatch ended = new CountDownLatch(1);
   private Network network;
   Front front;
-  private Desk desk;
+  private MixerHost desk;
   private Back back;
   private Watch watch;
 
   /** What holds for this process; of later configurations, only where discovery is. */
-  private Orders atStart;
+  private MixerConfig atStart;
 
   private Duration endBy;
 
-  Serve(Map<String, String> env, Tap tap, Neighbours neighbours) {
+  MixerServer(Map<String, String> env, Tap tap, PeerService neighbours) {
     this.env = env;
     this.tap = tap;
     this.neighbours = neighbours;
@@ -90,8 +90,8 @@
    * none of either.
    */
   public static int run(
-      Map<String, String> env, PrintStream complaints, Tap tap, Neighbours neighbours) {
-    Serve serve = new Serve(env, tap, neighbours);
+      Map<String, String> env, PrintStream complaints, Tap tap, PeerService neighbours) {
+    MixerServer serve = new MixerServer(env, tap, neighbours);
     // before anything is read: untended, SIGHUP ends a process, and one that comes early is not to
     // be lost
     SignalHandler before = Signal.handle(new Signal("HUP"), signal -> serve.reload());
@@ -103,10 +103,10 @@
     }
     try {
       return serve.serve(
-          Orders.read(env),
+          MixerConfig.read(env),
           complaints,
           listening -> Runtime.getRuntime().addShutdownHook(new Thread(serve::terminate, "end")));
-    } catch (Orders.Unfit | IllegalArgumentException e) {
+    } catch (MixerConfig.InvalidConfig | IllegalArgumentException e) {
       complaints.println("gingerring serve: " + e.getMessage());
       return 2;
     }
@@ -116,13 +116,13 @@
    * Runs it until it has ended; {@code up} is told the address it listens at. Returns the exit
    * code.
    */
-  int serve(Orders orders, PrintStream complaints, Consumer<InetSocketAddress> up) {
-    Terms terms = orders.terms();
+  int serve(MixerConfig orders, PrintStream complaints, Consumer<InetSocketAddress> up) {
+    Settings terms = orders.terms();
     int rehearsed = new Rehearsal(terms).run();
     // one reading of both clocks
     double startMs = System.currentTimeMillis() - loop.clock().toNanos() / 1e6;
     network = new Network(loop, counts, false, tap);
-    desk = new Desk(loop, terms, counts, startMs);
+    desk = new MixerHost(loop, terms, counts, startMs);
     back = new Back(network, desk, terms, counts, loop);
     atStart = orders;
     watch =
@@ -181,14 +181,14 @@
    */
   synchronized void reload() {
     try {
-      Orders orders = Orders.read(env);
+      MixerConfig orders = MixerConfig.read(env);
       loop.post(() -> takeOver(orders));
-    } catch (Orders.Unfit e) {
+    } catch (MixerConfig.InvalidConfig e) {
       LOG.warn("reload: the configuration in force stays: {}", e.getMessage());
     }
   }
 
-  private void takeOver(Orders orders) {
+  private void takeOver(MixerConfig orders) {
     LOG.info(
         "reload: discovery at {}{}",
         orders.discovery(),
@@ -238,7 +238,7 @@
     if (neighbours != null) {
       neighbours.end(STILL_COMING);
     }
-    Terms terms = atStart.terms();
+    Settings terms = atStart.terms();
     Duration patience = Duration.ZERO;
     for (int i = 0; i < terms.count("Classes.count"); i++) {
       Duration its = terms.span("Classes." + i + ".HardLimitMs");
@@ -283,11 +283,11 @@
   }
 
   /** What neighbours are lent of this process. */
-  private final class Lent implements Neighbours.Ground {
-    private final Orders orders;
+  private final class Lent implements PeerService.Context {
+    private final MixerConfig orders;
     private final long startMs;
 
-    Lent(Orders orders, double startMs) {
+    Lent(MixerConfig orders, double startMs) {
       this.orders = orders;
       this.startMs = Math.round(startMs);
     }
--- a/mixer/src/main/java/gingerring/server/Neighbours.java
+++ b/mixer/src/main/java/gingerring/server/PeerService.java
@@ -1,6 +1,6 @@
 package gingerring.server;
 
-import gingerring.decide.Listing;
+import gingerring.decide.MemberEntry;
 import gingerring.decide.Outcome;
 import gingerring.net.Inbox;
 import gingerring.net.TurnClock;
@@ -10,12 +10,12 @@
 /**
  * The other mixers, as a mixer's process meets them: told what this one sees, and asked what others
  * tell. All calls come on the loop's thread; searchers go by the number that every mixer makes of
- * their names. Given to {@link Serve}, or not: without one, nothing of it is loaded, opened or
+ * their names. Given to {@link MixerServer}, or not: without one, nothing of it is loaded, opened or
  * started.
  */
-public interface Neighbours {
+public interface PeerService {
   /** What the process lends: its loop's clock and inbox, and a way to its mixer. */
-  interface Ground extends TurnClock, Inbox {
+  interface Context extends TurnClock, Inbox {
     String name();
 
     /** The number of this mixer's zone in its settings; -1 where there is none. */
@@ -34,9 +34,9 @@
   }
 
   /** The process is about to take scans. */
-  void begin(Ground ground);
+  void begin(Context ground);
 
-  void listed(Collection<Listing> searchers);
+  void listed(Collection<MemberEntry> searchers);
 
   /** A trip there has ended. */
   void ended(long searcher, Outcome outcome);
--- a/mixer/src/main/java/gingerring/server/Rehearsal.java
+++ b/mixer/src/main/java/gingerring/server/Rehearsal.java
@@ -1,8 +1,8 @@
 package gingerring.server;
 
 import gingerring.backend.Back;
-import gingerring.decide.Listing.Standing;
-import gingerring.decide.Terms;
+import gingerring.decide.MemberEntry.Standing;
+import gingerring.decide.Settings;
 import gingerring.discovery.Members;
 import gingerring.discovery.Watch;
 import gingerring.frontend.Front;
@@ -35,7 +35,7 @@
   private static final int PARTS = 6;
   private static final int OUT_MOST = 1 << 16;
 
-  private final Terms terms;
+  private final Settings terms;
   private final Counts counts = new Counts();
   private final Loop loop = new Loop(counts);
   private final Network network = new Network(loop, counts, true);
@@ -44,10 +44,10 @@
   private int asked;
   private int answered;
 
-  Rehearsal(Terms told) {
+  Rehearsal(Settings told) {
     Map<String, String> map = new HashMap<>(told.map());
     map.put("Discovery", "none here");
-    terms = new Terms(map);
+    terms = new Settings(map);
   }
 
   private static InetSocketAddress place(int port) {
@@ -57,7 +57,7 @@
   /** Returns how many sample scans were answered, the less the less of a core there is. */
   int run() {
     Network store = new Network(loop, counts, true);
-    Desk desk = new Desk(loop, terms, counts, 0);
+    MixerHost desk = new MixerHost(loop, terms, counts, 0);
     Back back = new Back(network, desk, terms, counts, loop);
     List<Members.Member> members = new ArrayList<>();
     for (int cell = 0; cell < terms.count("Domain.Places"); cell++) {
--- a/mixer/src/main/java/gingerring/simulator/Records.java
+++ b/mixer/src/main/java/gingerring/simulator/Records.java
@@ -1,6 +1,6 @@
 package gingerring.simulator;
 
-import gingerring.decide.Listing;
+import gingerring.decide.MemberEntry;
 import gingerring.decide.Outcome;
 import gingerring.decide.SearcherId;
 import java.nio.ByteBuffer;
@@ -38,7 +38,7 @@
       int zone,
       int machine,
       int cell,
-      Listing.Standing standing,
+      MemberEntry.Standing standing,
       float size,
       double startedMs) {}
 
@@ -191,12 +191,12 @@
     return new Page(lines);
   }
 
-  private Listing.Standing standing() throws Drill.Malformed {
+  private MemberEntry.Standing standing() throws Drill.Malformed {
     int mode = u8();
     return switch (mode) {
-      case 0 -> Listing.Standing.GONE;
-      case 1 -> Listing.Standing.READY;
-      case 2 -> Listing.Standing.DRAINING;
+      case 0 -> MemberEntry.Standing.GONE;
+      case 1 -> MemberEntry.Standing.READY;
+      case 2 -> MemberEntry.Standing.DRAINING;
       default -> throw new Drill.Malformed(where() + ": no searcher stands at " + mode);
     };
   }
--- a/mixer/src/main/java/gingerring/simulator/Seat.java
+++ b/mixer/src/main/java/gingerring/simulator/Seat.java
@@ -1,7 +1,7 @@
 package gingerring.simulator;
 
 import gingerring.decide.Host;
-import gingerring.decide.Listing;
+import gingerring.decide.MemberEntry;
 import gingerring.decide.Mixer;
 import gingerring.decide.Part;
 import gingerring.decide.PartId;
@@ -132,11 +132,11 @@
       throw new Drill.Malformed(
           records.where() + ": no list of kind " + mode + " and page " + number);
     }
-    List<Listing> lines = new ArrayList<>();
+    List<MemberEntry> lines = new ArrayList<>();
     for (Records.Line line : page.lines()) {
       Duration started = line.startedMs() == 0 ? null : span(line.startedMs() - startMs);
       lines.add(
-          new Listing(
+          new MemberEntry(
               line.searcher(),
               line.zone(),
               line.machine(),
--- a/mixer/src/test/java/gingerring/backend/FramesTest.java
+++ b/mixer/src/test/java/gingerring/backend/FramesTest.java
@@ -5,7 +5,7 @@
 
 import gingerring.decide.PartId;
 import gingerring.decide.SearcherId;
-import gingerring.decide.Terms;
+import gingerring.decide.Settings;
 import gingerring.net.ByteRing;
 import gingerring.net.Counts;
 import java.io.ByteArrayOutputStream;
@@ -82,7 +82,7 @@
   void readsLoadReportsByTheColumnsTold() {
     Counts counts = new Counts();
     LoadReports reports =
-        new LoadReports(new Terms(Map.of("LoadReport.Columns", "depth,load_share")), counts);
+        new LoadReports(new Settings(Map.of("LoadReport.Columns", "depth,load_share")), counts);
     assertArrayEquals(new float[] {7, 0.5f}, reports.read("inflight=3,util=0.5,queue=7"));
     assertEquals(0, reports.read("-").length);
     for (String unreadable : List.of("queue", "queue=NaN", "", ",", "=3", "queue=7,util")) {
--- a/mixer/src/test/java/gingerring/decide/ColdFleetTest.java
+++ b/mixer/src/test/java/gingerring/decide/ColdFleetTest.java
@@ -138,9 +138,9 @@
             .toList();
     fleet.forEach(each -> each.fleet(shape.searchers));
     double rate = calls * LOAD * shape.searchers / shape.parts / size * STEP / WINDOW;
-    List<Listing> lost =
+    List<MemberEntry> lost =
         IntStream.of(last ? new int[] {0, 1, 2, 10, 11} : new int[] {0})
-            .mapToObj(i -> line(i, i, Listing.Standing.GONE, null))
+            .mapToObj(i -> line(i, i, MemberEntry.Standing.GONE, null))
             .toList();
     for (long at = STEP; at <= start + RAMP; at += STEP) {
       long since = at - start;
@@ -150,7 +150,7 @@
         if (since == -DOWN + STEP) {
           each.mixer.rosterTold(lost, false);
         } else if (since == 0) {
-          each.mixer.rosterTold(List.of(line(0, 0, Listing.Standing.READY, each.now)), false);
+          each.mixer.rosterTold(List.of(line(0, 0, MemberEntry.Standing.READY, each.now)), false);
         }
         int come =
             since == traffic.from && traffic != Traffic.THIN
--- a/mixer/src/test/java/gingerring/decide/LeavingTest.java
+++ b/mixer/src/test/java/gingerring/decide/LeavingTest.java
@@ -30,22 +30,22 @@
     EVENTS.put(
         "its searchers go",
         stage ->
-            stage.mixer.rosterTold(List.of(Stage.line(3, 3, Listing.Standing.READY, null)), true));
+            stage.mixer.rosterTold(List.of(Stage.line(3, 3, MemberEntry.Standing.READY, null)), true));
     EVENTS.put(
         "its searchers drain",
         stage ->
             stage.mixer.rosterTold(
                 List.of(
-                    Stage.line(0, 0, Listing.Standing.DRAINING, null),
-                    Stage.line(1, 1, Listing.Standing.DRAINING, null)),
+                    Stage.line(0, 0, MemberEntry.Standing.DRAINING, null),
+                    Stage.line(1, 1, MemberEntry.Standing.DRAINING, null)),
                 false));
     EVENTS.put(
         "its searchers start anew",
         stage ->
             stage.mixer.rosterTold(
                 List.of(
-                    Stage.line(0, 0, Listing.Standing.READY, stage.now),
-                    Stage.line(1, 1, Listing.Standing.READY, stage.now)),
+                    Stage.line(0, 0, MemberEntry.Standing.READY, stage.now),
+                    Stage.line(1, 1, MemberEntry.Standing.READY, stage.now)),
                 false));
     EVENTS.put("the roster fails", stage -> stage.mixer.rosterFailed());
     EVENTS.put("a copy is due", stage -> stage.pass(600));
--- a/mixer/src/test/java/gingerring/decide/MixerTest.java
+++ b/mixer/src/test/java/gingerring/decide/MixerTest.java
@@ -55,13 +55,13 @@
    */
   @Test
   void forgetsSearchersThatHaveGoneUnlessSomethingIsOutThere() {
-    Roster roster = new Roster(4, 2);
+    MemberList roster = new MemberList(4, 2);
     Searcher busy = null;
     for (int i = 0; i < 2000; i++) {
       Duration now = ms(100 * i);
-      List<Listing> lines = new ArrayList<>(List.of(line(i, i % 4, Listing.Standing.READY, null)));
+      List<MemberEntry> lines = new ArrayList<>(List.of(line(i, i % 4, MemberEntry.Standing.READY, null)));
       if (i >= 4) {
-        lines.add(line(i - 4, i % 4, Listing.Standing.GONE, null));
+        lines.add(line(i - 4, i % 4, MemberEntry.Standing.GONE, null));
       }
       roster.told(
           lines,
@@ -168,9 +168,9 @@
     }
     stage.mixer.rosterTold(
         List.of(
-            line(0, 0, Listing.Standing.GONE, null),
-            line(1, 1, Listing.Standing.GONE, null),
-            line(5, 1, Listing.Standing.READY, stage.now)),
+            line(0, 0, MemberEntry.Standing.GONE, null),
+            line(1, 1, MemberEntry.Standing.GONE, null),
+            line(5, 1, MemberEntry.Standing.READY, stage.now)),
         false);
     int first = stage.sent.size();
     for (int i = 0; i < 36; i++) {
@@ -188,7 +188,7 @@
   @Test
   void partsWithAChoiceGoAroundTheLastHolderOfAShard() {
     Stage stage = new Stage("Domain.Places", "8").fleet(8);
-    stage.mixer.rosterTold(List.of(line(1, 1, Listing.Standing.GONE, null)), false);
+    stage.mixer.rosterTold(List.of(line(1, 1, MemberEntry.Standing.GONE, null)), false);
     stage.scan(1, 0.25, 0.25, 0.25, 0.25);
     assertEquals(4, stage.sent.stream().map(Stage.Sent::searcher).distinct().count());
   }
@@ -471,11 +471,11 @@
             "false",
             "PolicyLimits.Cancel",
             "false");
-    List<Listing> lines = new ArrayList<>();
+    List<MemberEntry> lines = new ArrayList<>();
     Map<SearcherId, Integer> zones = new HashMap<>();
     for (int i = 0; i < 8; i++) {
       zones.put(new SearcherId(i), i % 2);
-      lines.add(new Listing(new SearcherId(i), i % 2, 0, i, Listing.Standing.READY, 1, null));
+      lines.add(new MemberEntry(new SearcherId(i), i % 2, 0, i, MemberEntry.Standing.READY, 1, null));
     }
     stage.mixer.rosterTold(lines, true);
     for (int i = 0; i < 4; i++) {
@@ -636,11 +636,11 @@
     Stage stage = new Stage("Domain.Reach", "1").fleet(4);
     for (int i = 0; i < 120; i++) {
       stage.scan(1000 + i, 0.25, 0.25, 0.25, 0.25);
-      for (Listing.Standing now : List.of(Listing.Standing.DRAINING, Listing.Standing.READY)) {
+      for (MemberEntry.Standing now : List.of(MemberEntry.Standing.DRAINING, MemberEntry.Standing.READY)) {
         for (int j = 1; j < 4; j++) {
           stage.mixer.rosterTold(List.of(line(j, j, now, null)), false);
         }
-        stage.pass(now == Listing.Standing.DRAINING ? 250 : 0);
+        stage.pass(now == MemberEntry.Standing.DRAINING ? 250 : 0);
         for (int j = stage.sent.size() - 4; j < stage.sent.size(); j++) {
           stage.end(j, Outcome.SUCCEEDED);
         }
@@ -648,7 +648,7 @@
     }
     stage.mixer.rosterTold(
         List.of(
-            line(0, 0, Listing.Standing.GONE, null), line(5, 0, Listing.Standing.READY, stage.now)),
+            line(0, 0, MemberEntry.Standing.GONE, null), line(5, 0, MemberEntry.Standing.READY, stage.now)),
         false);
     int first = stage.sent.size();
     for (int i = 0; i < 30; i++) {
@@ -664,7 +664,7 @@
     warm(stage, 200);
     stage.pass(4000);
     for (int i = 0; i < 4; i++) {
-      stage.mixer.rosterTold(List.of(line(i, i, Listing.Standing.READY, stage.now)), false);
+      stage.mixer.rosterTold(List.of(line(i, i, MemberEntry.Standing.READY, stage.now)), false);
     }
     int first = stage.sent.size();
     for (int i = 0; i < 200; i++) {
@@ -718,11 +718,11 @@
       Stage stage = new Stage(odd);
       stage.mixer.rosterTold(
           List.of(
-              line(0, 0, Listing.Standing.READY, ms(-1)),
-              line(1, 1, Listing.Standing.READY, ms(-1))),
+              line(0, 0, MemberEntry.Standing.READY, ms(-1)),
+              line(1, 1, MemberEntry.Standing.READY, ms(-1))),
           true);
       stage.pass(20_000);
-      stage.mixer.rosterTold(List.of(line(0, 0, Listing.Standing.READY, stage.now)), false);
+      stage.mixer.rosterTold(List.of(line(0, 0, MemberEntry.Standing.READY, stage.now)), false);
       stage.scan(1, 1);
       assertEquals(1, stage.sent.size(), Arrays.toString(odd));
       stage.end(0, Outcome.SUCCEEDED);
@@ -809,7 +809,7 @@
     int later = 0;
     for (int i = 0; i < 38; i++) {
       Stage stage = new Stage("FleetSize", "38", "Seed", "" + i, "Domain.Reach", "1").fleet(4);
-      stage.mixer.rosterTold(List.of(line(0, 0, Listing.Standing.READY, ms(0))), false);
+      stage.mixer.rosterTold(List.of(line(0, 0, MemberEntry.Standing.READY, ms(0))), false);
       for (int scan = 0; scan < 55; scan++) {
         int sent = stage.sent.size();
         stage.scan(scan, 1);
--- a/mixer/src/test/java/gingerring/decide/RulesTest.java
+++ b/mixer/src/test/java/gingerring/decide/RulesTest.java
@@ -31,7 +31,7 @@
     final List<Trip> trips = new ArrayList<>();
     final List<Duration> taken = new ArrayList<>();
     final List<String> broken = new ArrayList<>();
-    final Map<Integer, Listing> told = new HashMap<>();
+    final Map<Integer, MemberEntry> told = new HashMap<>();
     final Map<ScanId, List<PartId>> firstStep = new HashMap<>();
     final Map<ScanId, List<PartId>> secondStep = new HashMap<>();
     final Map<ScanId, Boolean> firstWhole = new HashMap<>();
@@ -97,8 +97,8 @@
       long out = before.stream().filter(trip -> trip.outcome == null).count();
       check(out == 0 || copies && out == 1, "duplicate: copies");
       check(before.size() < 3, "too many trips");
-      Listing line = told.get(searcher);
-      check(line.standing() == Listing.Standing.READY, "drain");
+      MemberEntry line = told.get(searcher);
+      check(line.standing() == MemberEntry.Standing.READY, "drain");
       cold(line, searcher);
       if (budget != null && !before.isEmpty()) {
         Duration from = now.minus(ms(budget[0]));
@@ -115,7 +115,7 @@
      * All mixers alike, a cold searcher bears the multiple of its share of the most that any
      * searcher answered.
      */
-    private void cold(Listing line, int searcher) {
+    private void cold(MemberEntry line, int searcher) {
       Duration window = ms(2000);
       if (line.startedAt() == null || now.minus(line.startedAt()).compareTo(ms(12_000)) >= 0) {
         return;
@@ -243,7 +243,7 @@
     day.window = ms(window);
     for (int i = 0; i < 6; i++) {
       Duration started = random.nextInt(4) == 0 ? ms(-500) : null;
-      day.told.put(i, Stage.line(i, i % 4, Listing.Standing.READY, started));
+      day.told.put(i, Stage.line(i, i % 4, MemberEntry.Standing.READY, started));
     }
     day.mixer.rosterTold(List.copyOf(day.told.values()), true);
     for (int step = 0; step < 250; step++) {
@@ -260,10 +260,10 @@
       case 0, 1 -> arrive(day, random, step);
       case 2 -> {
         int searcher = random.nextInt(6);
-        Listing.Standing standing = Listing.Standing.values()[random.nextInt(3)];
+        MemberEntry.Standing standing = MemberEntry.Standing.values()[random.nextInt(3)];
         Duration started = random.nextBoolean() ? day.now.minus(ms(random.nextInt(300))) : null;
         Duration known = started != null ? started : day.told.get(searcher).startedAt();
-        Listing line = Stage.line(searcher, searcher % 4, standing, started);
+        MemberEntry line = Stage.line(searcher, searcher % 4, standing, started);
         day.told.put(searcher, Stage.line(searcher, searcher % 4, standing, known));
         day.mixer.rosterTold(List.of(line), false);
       }
@@ -361,8 +361,8 @@
     add(day, scan, parts, 100, 0, 1);
     day.asked.put(scan, new Model.Asked(scan, 2, ms(9000)));
     day.firstStep.put(scan, List.of(new PartId(100)));
-    day.told.put(1, Stage.line(1, 0, Listing.Standing.READY, ms(0)));
-    day.told.put(2, Stage.line(2, 0, Listing.Standing.DRAINING, null));
+    day.told.put(1, Stage.line(1, 0, MemberEntry.Standing.READY, ms(0)));
+    day.told.put(2, Stage.line(2, 0, MemberEntry.Standing.DRAINING, null));
     for (int i = 0; i < 4; i++) {
       day.send(new PartId(100), new SearcherId(1 + i % 2), ms(1), null);
     }
--- a/mixer/src/test/java/gingerring/decide/Stage.java
+++ b/mixer/src/test/java/gingerring/decide/Stage.java
@@ -66,14 +66,14 @@
     return Duration.ofMillis(ms);
   }
 
-  static Listing line(int number, int cell, Listing.Standing standing, Duration startedAt) {
-    return new Listing(new SearcherId(number), 0, 0, cell, standing, 1, startedAt);
+  static MemberEntry line(int number, int cell, MemberEntry.Standing standing, Duration startedAt) {
+    return new MemberEntry(new SearcherId(number), 0, 0, cell, standing, 1, startedAt);
   }
 
   /** One warm searcher in each of so many cells, numbered as the cells. */
   Stage fleet(int cells) {
     mixer.rosterTold(
-        IntStream.range(0, cells).mapToObj(i -> line(i, i, Listing.Standing.READY, null)).toList(),
+        IntStream.range(0, cells).mapToObj(i -> line(i, i, MemberEntry.Standing.READY, null)).toList(),
         true);
     return this;
   }
--- a/mixer/src/test/java/gingerring/discovery/MembersTest.java
+++ b/mixer/src/test/java/gingerring/discovery/MembersTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
-import gingerring.decide.Listing.Standing;
+import gingerring.decide.MemberEntry.Standing;
 import gingerring.json.Json;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
--- a/mixer/src/test/java/gingerring/server/DeskTest.java
+++ b/mixer/src/test/java/gingerring/server/DeskTest.java
@@ -5,8 +5,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import gingerring.backend.Back;
-import gingerring.decide.Listing.Standing;
-import gingerring.decide.Terms;
+import gingerring.decide.MemberEntry.Standing;
+import gingerring.decide.Settings;
 import gingerring.discovery.Members;
 import gingerring.discovery.Watch;
 import gingerring.frontend.Ask;
@@ -59,11 +59,11 @@
         new byte[0]);
   }
 
-  private static Terms terms() throws IOException, Json.Malformed {
+  private static Settings terms() throws IOException, Json.Malformed {
     Map<String, String> flat = new HashMap<>();
     Map<?, ?> example = (Map<?, ?>) Json.read(Files.readAllBytes(Path.of("example/config.json")));
-    Orders.flatten("", example.get("settings"), flat);
-    return new Terms(flat);
+    MixerConfig.flatten("", example.get("settings"), flat);
+    return new Settings(flat);
   }
 
   /** Guards against a mixer that compiles what scans need while its first clients wait. */
@@ -78,7 +78,7 @@
     Counts counts = new Counts();
     Loop loop = new Loop(counts);
     Network network = new Network(loop, counts, true);
-    Desk desk = new Desk(loop, terms(), counts, 0);
+    MixerHost desk = new MixerHost(loop, terms(), counts, 0);
     Back back = new Back(network, desk, terms(), counts, loop);
     InetSocketAddress nobody = new InetSocketAddress("127.0.0.1", 9);
     desk.start(
@@ -167,13 +167,13 @@
     final Counts counts = new Counts();
     final Loop loop = new Loop(counts);
     final Network network = new Network(loop, counts, false);
-    final Desk desk;
+    final MixerHost desk;
     final Back back;
     final InetSocketAddress place;
 
     Bare(InetSocketAddress place) throws IOException, Json.Malformed {
       this.place = place;
-      desk = new Desk(loop, terms(), counts, 0);
+      desk = new MixerHost(loop, terms(), counts, 0);
       back = new Back(network, desk, terms(), counts, loop);
       desk.start(
           back, new Watch(network, place, 0, desk, counts, loop), 1, list(true, Standing.READY));
@@ -272,11 +272,11 @@
    */
   @Test
   void aFailureOfTheMixerScrapsTheScanAtHandAndNoOther() throws IOException, Json.Malformed {
-    Terms terms = terms();
+    Settings terms = terms();
     Counts counts = new Counts();
     Loop loop = new Loop(counts);
     Network network = new Network(loop, counts, true);
-    Desk desk = new Desk(loop, terms, counts, 0);
+    MixerHost desk = new MixerHost(loop, terms, counts, 0);
     Watch watch = new Watch(network, new InetSocketAddress("127.0.0.1", 1), 0, desk, counts, loop);
     desk.start(
         new Back(network, desk, terms, counts, loop), watch, 1, new Members(0, true, List.of()));
--- a/mixer/src/test/java/gingerring/server/FrontCrossingTest.java
+++ b/mixer/src/test/java/gingerring/server/FrontCrossingTest.java
@@ -257,9 +257,9 @@
       String config = example();
       Map<String, String> env = Map.of("LB_CONFIG", file.toString());
       Files.writeString(file, config.replace("8500", "" + first.address().getPort()));
-      Orders orders = Orders.read(env);
+      MixerConfig orders = MixerConfig.read(env);
       Files.writeString(file, config.replace("8500", "" + next.address().getPort()));
-      Serve serve = new Serve(env, null, null);
+      MixerServer serve = new MixerServer(env, null, null);
       serve.reload();
       Thread thread = new Thread(() -> serve.serve(orders, System.err, at -> {}));
       thread.start();
@@ -486,9 +486,9 @@
               .replace("\"HardLimitMs\": 2000.0", "\"HardLimitMs\": 500.0")
               .replace("600.0", "300.0"));
       Map<String, String> env = Map.of("LB_CONFIG", file.toString());
-      Serve serve = new Serve(env, null, null);
+      MixerServer serve = new MixerServer(env, null, null);
       assertEquals(
-          0, serve.serve(Orders.read(env), System.err, at -> serve.loop.post(serve::announceEnd)));
+          0, serve.serve(MixerConfig.read(env), System.err, at -> serve.loop.post(serve::announceEnd)));
       serve.dispose();
       assertEquals(1, serve.counts.get("ends announced"));
       assertEquals(0, serve.counts.get("failures in an event"));
--- a/mixer/src/test/java/gingerring/server/OrdersTest.java
+++ b/mixer/src/test/java/gingerring/server/OrdersTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gingerring.decide.Terms;
+import gingerring.decide.Settings;
 import gingerring.json.Fields;
 import gingerring.json.Json;
 import java.nio.file.Files;
@@ -17,7 +17,7 @@
   @Test
   void flattensSettingsAsTheFirstMessageOfTheWireHasThem() throws Json.Malformed {
     Map<String, String> flat = new TreeMap<>();
-    Orders.flatten(
+    MixerConfig.flatten(
         "",
         Json.read(
             "{\"Classes\":[{\"AimMs\":1500.5,\"Name\":\"cohort report\"},"
@@ -37,7 +37,7 @@
   void namesEachSettingThatCannotBeUsed() throws Exception {
     Object example = Json.read(Files.readAllBytes(Path.of("example/config.json")));
     Map<String, String> house = new TreeMap<>();
-    Orders.flatten("", Fields.object(example, "it").get("settings"), house);
+    MixerConfig.flatten("", Fields.object(example, "it").get("settings"), house);
     house.putAll(
         Map.of(
             "Safety.ExtraFree",
@@ -52,7 +52,7 @@
             "false",
             "Weights",
             "rough"));
-    Bounds.check(new Terms(house));
+    Bounds.check(new Settings(house));
     String all =
         "Safety.ResendSpanMs=-1 Safety.ResendSpanMs=0 Safety.ResendSpanMs= Safety.ExtraFree=NaN "
             + "Safety.ExtraFree=-5 Safety.ResendRatio=a Safety.ResendRatio Safety.ExtraFree Safety.ResendSpanMs "
@@ -67,7 +67,7 @@
         other.put(pair[0], pair[1]);
       }
       String told =
-          assertThrows(IllegalArgumentException.class, () -> Bounds.check(new Terms(other)), unfit)
+          assertThrows(IllegalArgumentException.class, () -> Bounds.check(new Settings(other)), unfit)
               .getMessage();
       assertTrue(told.startsWith("setting " + pair[0] + " ") && !told.contains("\n"), told);
     }
--- a/mixer/src/test/java/gingerring/server/Rig.java
+++ b/mixer/src/test/java/gingerring/server/Rig.java
@@ -43,7 +43,7 @@
   private static final int NAP_MS = 2;
 
   final Agent agent;
-  final Serve serve;
+  final MixerServer serve;
   private final Path file;
   private final String config;
   private final Thread thread;
@@ -77,8 +77,8 @@
     file = Files.createTempFile("rig", ".json");
     configure(agent.address());
     Map<String, String> env = Map.of("LB_CONFIG", file.toString());
-    serve = new Serve(env, tap, null);
-    Orders orders = Orders.read(env);
+    serve = new MixerServer(env, tap, null);
+    MixerConfig orders = MixerConfig.read(env);
     thread =
         new Thread(
             () -> {
@@ -104,7 +104,7 @@
     return text;
   }
 
-  /** Writes the configuration anew; it counts from the next {@link Serve#reload}. */
+  /** Writes the configuration anew; it counts from the next {@link MixerServer#reload}. */
   void configure(InetSocketAddress discovery, String... swaps) throws IOException {
     Files.writeString(
         file, swap(config, swaps).replace("127.0.0.1:8500", "127.0.0.1:" + discovery.getPort()));
--- a/mixer/src/test/java/gingerring/server/SearcherCloseCrossingTest.java
+++ b/mixer/src/test/java/gingerring/server/SearcherCloseCrossingTest.java
@@ -8,7 +8,7 @@
 import gingerring.backend.Returns;
 import gingerring.decide.Outcome;
 import gingerring.decide.SearcherId;
-import gingerring.decide.Terms;
+import gingerring.decide.Settings;
 import gingerring.json.Json;
 import gingerring.net.Counts;
 import gingerring.net.Inbox;
@@ -471,12 +471,12 @@
     Dials() throws IOException, Json.Malformed {
       Map<String, String> flat = new HashMap<>();
       Path example = Files.exists(Path.of("example")) ? Path.of("example") : Path.of("../example");
-      Orders.flatten(
+      MixerConfig.flatten(
           "",
           ((Map<?, ?>) Json.read(Files.readAllBytes(example.resolve("config.json"))))
               .get("settings"),
           flat);
-      Terms terms = new Terms(flat);
+      Settings terms = new Settings(flat);
       back = new Back(network, this, terms, counts, turns);
       dialTimeOut = terms.span("PolicyLimits.DialTimeoutMs");
       door.setSoTimeout(Rig.WAIT_MS);
--- a/mixer/src/test/java/gingerring/server/SettingsTest.java
+++ b/mixer/src/test/java/gingerring/server/SettingsTest.java
@@ -208,7 +208,7 @@
             .replace(settings.swap[0], settings.swap[1])
             .replace("127.0.0.1:8081", "192.0.2.1:8081"));
     ByteArrayOutputStream said = new ByteArrayOutputStream();
-    int code = Serve.run(Map.of("LB_CONFIG", file.toString()), new PrintStream(said, true));
+    int code = MixerServer.run(Map.of("LB_CONFIG", file.toString()), new PrintStream(said, true));
     String line = said.toString(StandardCharsets.UTF_8);
     assertEquals(2, code, line);
     assertTrue(line.matches("gingerring serve: " + settings.entry + "[ :].*\\R"), line);
--- a/mixer/src/test/java/gingerring/server/WatchStage.java
+++ b/mixer/src/test/java/gingerring/server/WatchStage.java
@@ -1,6 +1,6 @@
 package gingerring.server;
 
-import gingerring.decide.Terms;
+import gingerring.decide.Settings;
 import gingerring.discovery.Members;
 import gingerring.discovery.Watch;
 import gingerring.net.Counts;
@@ -99,7 +99,7 @@
             },
             counts,
             clock,
-            new Terms(Map.of("Discovery", way, "Safety.DrainGraceMs", String.valueOf(graceMs))));
+            new Settings(Map.of("Discovery", way, "Safety.DrainGraceMs", String.valueOf(graceMs))));
     thread = new Thread(() -> loop.run(() -> {}, network::flush), "watch stage");
     thread.start();
   }
--- a/peering/src/main/java/gingerring/peering/Main.java
+++ b/peering/src/main/java/gingerring/peering/Main.java
@@ -1,6 +1,6 @@
 package gingerring.peering;
 
-import gingerring.server.Serve;
+import gingerring.server.MixerServer;
 import java.io.IOException;
 import java.nio.file.Path;
 
@@ -18,7 +18,7 @@
     }
     try {
       System.exit(
-          Serve.run(
+          MixerServer.run(
               System.getenv(), System.err, null, new Peering(PeerSettings.read(Path.of(args[2])))));
     } catch (IOException e) {
       System.err.println("gingerring serve: " + e.getMessage());
--- a/peering/src/main/java/gingerring/peering/Peering.java
+++ b/peering/src/main/java/gingerring/peering/Peering.java
@@ -1,6 +1,6 @@
 package gingerring.peering;
 
-import gingerring.decide.Listing;
+import gingerring.decide.MemberEntry;
 import gingerring.decide.Outcome;
 import gingerring.peers.Body;
 import gingerring.peers.Company;
@@ -10,7 +10,7 @@
 import gingerring.peers.Seen;
 import gingerring.peers.Standing;
 import gingerring.peers.Words;
-import gingerring.server.Neighbours;
+import gingerring.server.PeerService;
 import gingerring.share.Box;
 import gingerring.share.BoxId;
 import gingerring.share.FairShares;
@@ -35,13 +35,13 @@
  * The peers of one mixer's process: their socket and their company, between {@code Serve} and the
  * core.
  */
-public final class Peering implements Neighbours, Company.Host {
+public final class Peering implements PeerService, Company.Host {
   private static final Logger LOG = LoggerFactory.getLogger("gingerring.peers");
   private static final Duration TICK = Duration.ofMillis(100);
   private static final int LINES = 24;
 
   private final PeerSettings settings;
-  private Ground ground;
+  private Context ground;
   private PeerSocket socket;
   private Company company;
   private Preference preference;
@@ -54,7 +54,7 @@
   }
 
   @Override
-  public void begin(Ground lent) {
+  public void begin(Context lent) {
     ground = lent;
     try {
       socket =
@@ -126,12 +126,12 @@
   // ---- Neighbours ----
 
   @Override
-  public void listed(Collection<Listing> searchers) {
+  public void listed(Collection<MemberEntry> searchers) {
     company.listed(searchers.stream().map(each -> each.searcher().address()).toList());
     if (preference != null) {
       preference.listed(
           searchers.stream()
-              .filter(each -> each.standing() == Listing.Standing.READY)
+              .filter(each -> each.standing() == MemberEntry.Standing.READY)
               .map(
                   each ->
                       new Preference.Listed(
--- a/peering/src/test/java/gingerring/peering/PeeringTest.java
+++ b/peering/src/test/java/gingerring/peering/PeeringTest.java
@@ -5,13 +5,13 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gingerring.decide.Listing;
+import gingerring.decide.MemberEntry;
 import gingerring.decide.Outcome;
 import gingerring.decide.SearcherId;
 import gingerring.peers.Company;
 import gingerring.peers.Membership;
 import gingerring.peers.PeerId;
-import gingerring.server.Neighbours;
+import gingerring.server.PeerService;
 import java.io.IOException;
 import java.net.DatagramPacket;
 import java.net.DatagramSocket;
@@ -37,7 +37,7 @@
   private final List<Member> members = new ArrayList<>();
 
   /** A mixer's loop, as far as peers need it. */
-  private final class Member implements Neighbours.Ground {
+  private final class Member implements PeerService.Context {
     final ScheduledExecutorService loop = Executors.newSingleThreadScheduledExecutor();
     final long start = System.nanoTime();
     final long startMs = System.currentTimeMillis();
@@ -82,7 +82,7 @@
             peering.begin(this);
             peering.listed(
                 List.of(
-                    new Listing(new SearcherId(BOX), 0, 0, 0, Listing.Standing.READY, 1, null)));
+                    new MemberEntry(new SearcherId(BOX), 0, 0, 0, MemberEntry.Standing.READY, 1, null)));
           });
       String shown = Guest.ask(address(), keys, 'p', 0);
       assertTrue(shown.startsWith(name + " life " + startMs), shown);
