--- a/bench/src/main/java/gingerring/bench/MembershipCost.java
+++ b/bench/src/main/java/gingerring/bench/MembershipCost.java
@@ -1,10 +1,10 @@
 package gingerring.bench;
 
-import gingerring.peers.Company;
+import gingerring.peers.PeerNode;
 import gingerring.peers.PeerId;
-import gingerring.peers.Place;
-import gingerring.peers.Seal;
-import gingerring.peers.Standing;
+import gingerring.peers.PeerAddress;
+import gingerring.peers.MessageAuthenticator;
+import gingerring.peers.PeerRecord;
 import io.scalecube.cluster.Cluster;
 import io.scalecube.cluster.ClusterConfig;
 import io.scalecube.cluster.ClusterImpl;
@@ -102,22 +102,22 @@
     return first;
   }
 
-  private static final class Own implements Company.Host {
+  private static final class Own implements PeerNode.Host {
     final DatagramSocket socket = new DatagramSocket(0, InetAddress.getLoopbackAddress());
-    final Place here = new Place(0x7F000001, socket.getLocalPort());
+    final PeerAddress here = new PeerAddress(0x7F000001, socket.getLocalPort());
     final long start = System.nanoTime();
-    final Company company;
+    final PeerNode company;
     volatile int there;
 
-    Own(int number, Place seed) throws IOException {
+    Own(int number, PeerAddress seed) throws IOException {
       socket.setSoTimeout(50);
       company =
-          new Company(
+          new PeerNode(
               PeerId.named("m" + number),
               here,
               System.currentTimeMillis(),
-              Company.Rules.usual(),
-              Seal.of(List.of(new byte[32])),
+              PeerNode.Rules.usual(),
+              MessageAuthenticator.of(List.of(new byte[32])),
               new SplittableRandom(number),
               this);
       company.begin(seed == null ? List.of() : List.of(seed));
@@ -134,7 +134,7 @@
           DatagramPacket packet = new DatagramPacket(bytes, bytes.length);
           socket.receive(packet);
           company.received(
-              new Place(0x7F000001, packet.getPort()), Arrays.copyOf(bytes, packet.getLength()));
+              new PeerAddress(0x7F000001, packet.getPort()), Arrays.copyOf(bytes, packet.getLength()));
         } catch (SocketTimeoutException e) {
           // time for a tick
         } catch (IOException e) {
@@ -154,7 +154,7 @@
     }
 
     @Override
-    public void send(Place to, byte[] letter) {
+    public void send(PeerAddress to, byte[] letter) {
       try {
         socket.send(
             new DatagramPacket(
@@ -168,6 +168,6 @@
     public void answers(long box) {}
 
     @Override
-    public void changed(Standing now) {}
+    public void changed(PeerRecord now) {}
   }
 }
--- a/emulator/src/main/java/gingerring/emulator/harness/Fleet.java
+++ b/emulator/src/main/java/gingerring/emulator/harness/Fleet.java
@@ -11,7 +11,7 @@
 import gingerring.emulator.experiment.Tally;
 import gingerring.peering.Guest;
 import gingerring.peers.PeerId;
-import gingerring.peers.Place;
+import gingerring.peers.PeerAddress;
 import gingerring.traffic.wire.Datagrams;
 import gingerring.traffic.wire.Reactor;
 import java.io.IOException;
@@ -357,7 +357,7 @@
     for (int i = 0; i < world.boxes(); i++) {
       boxes.add(PeerId.named("box-" + i).number());
     }
-    List<Place> seeds = new ArrayList<>();
+    List<PeerAddress> seeds = new ArrayList<>();
     for (int i = 0; i < plan.mixers() && plan.peers(); i++) {
       seeds.add(place(i));
     }
@@ -368,7 +368,7 @@
         Datagrams socket =
             reactor.datagrams(
                 Store.loopback(0),
-                (from, letter) -> liar.received(new Place(0x7F000001, from.getPort()), letter));
+                (from, letter) -> liar.received(new PeerAddress(0x7F000001, from.getPort()), letter));
         hub.bound(number, socket.address().getPort());
         liar.begin(socket);
       } catch (IOException e) {
@@ -377,8 +377,8 @@
     }
   }
 
-  private Place place(int mixer) {
-    return new Place(0x7F000001, hub.place(mixer).getPort());
+  private PeerAddress place(int mixer) {
+    return new PeerAddress(0x7F000001, hub.place(mixer).getPort());
   }
 
   /**
--- a/emulator/src/main/java/gingerring/emulator/harness/Liar.java
+++ b/emulator/src/main/java/gingerring/emulator/harness/Liar.java
@@ -1,10 +1,10 @@
 package gingerring.emulator.harness;
 
-import gingerring.peers.Company;
+import gingerring.peers.PeerNode;
 import gingerring.peers.PeerId;
-import gingerring.peers.Place;
-import gingerring.peers.Seal;
-import gingerring.peers.Standing;
+import gingerring.peers.PeerAddress;
+import gingerring.peers.MessageAuthenticator;
+import gingerring.peers.PeerRecord;
 import gingerring.traffic.wire.Datagrams;
 import gingerring.traffic.wire.Reactor;
 import java.net.InetSocketAddress;
@@ -17,12 +17,12 @@
  * each of them and had an answer, and that its clients want endlessly much. It calls no box and
  * serves no client.
  */
-final class Liar implements Company.Host {
+final class Liar implements PeerNode.Host {
   private static final Duration TICK = Duration.ofMillis(100);
   private static final int GREED = 1000;
 
   private final Reactor reactor;
-  private final Company company;
+  private final PeerNode company;
   private final List<Long> boxes;
   private final Duration start;
   private Datagrams socket;
@@ -30,8 +30,8 @@
   Liar(
       int number,
       Reactor reactor,
-      Place here,
-      List<Place> seeds,
+      PeerAddress here,
+      List<PeerAddress> seeds,
       List<byte[]> keys,
       List<Long> boxes) {
     this.reactor = reactor;
@@ -39,12 +39,12 @@
     start = reactor.now();
     PeerId self = PeerId.named("liar-" + number);
     company =
-        new Company(
+        new PeerNode(
             self,
             here,
             System.currentTimeMillis(),
-            Company.Rules.usual(),
-            Seal.of(keys),
+            PeerNode.Rules.usual(),
+            MessageAuthenticator.of(keys),
             new SplittableRandom(self.number()),
             this);
     company.listed(boxes);
@@ -56,7 +56,7 @@
     tick();
   }
 
-  void received(Place from, byte[] letter) {
+  void received(PeerAddress from, byte[] letter) {
     company.received(from, letter);
   }
 
@@ -79,7 +79,7 @@
   }
 
   @Override
-  public void send(Place to, byte[] letter) {
+  public void send(PeerAddress to, byte[] letter) {
     if (socket != null) {
       socket.send(new InetSocketAddress("127.0.0.1", to.port()), letter);
     }
@@ -89,5 +89,5 @@
   public void answers(long box) {}
 
   @Override
-  public void changed(Standing now) {}
+  public void changed(PeerRecord now) {}
 }
--- a/emulator/src/main/java/gingerring/emulator/simulation/Society.java
+++ b/emulator/src/main/java/gingerring/emulator/simulation/Society.java
@@ -1,11 +1,11 @@
 package gingerring.emulator.simulation;
 
-import gingerring.peers.Company;
+import gingerring.peers.PeerNode;
 import gingerring.peers.Membership;
 import gingerring.peers.PeerId;
-import gingerring.peers.Place;
-import gingerring.peers.Seal;
-import gingerring.peers.Standing;
+import gingerring.peers.PeerAddress;
+import gingerring.peers.MessageAuthenticator;
+import gingerring.peers.PeerRecord;
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
 import java.util.ArrayDeque;
@@ -77,10 +77,10 @@
       double seconds,
       long seed,
       List<Fault> faults,
-      Company.Rules rules) {
+      PeerNode.Rules rules) {
     public static Setup usual(int mixers, double seconds, long seed, List<Fault> faults) {
       return new Setup(
-          mixers, 3, 20, 0.02, 0.005, 20, 50, 5, seconds, seed, faults, Company.Rules.usual());
+          mixers, 3, 20, 0.02, 0.005, 20, 50, 5, seconds, seed, faults, PeerNode.Rules.usual());
     }
   }
 
@@ -110,7 +110,7 @@
     /** Pairs of living mixers that do not know each other as there, at the end. */
     public int strangers;
 
-    public final Map<Company.Count, Long> counts = new TreeMap<>();
+    public final Map<PeerNode.Count, Long> counts = new TreeMap<>();
     public final Map<Membership.Count, Long> memberCounts = new TreeMap<>();
   }
 
@@ -121,13 +121,13 @@
   private static final byte[] KEY = "a key for play alone".getBytes(StandardCharsets.US_ASCII);
 
   /** One mixer's process. */
-  private final class Node implements Company.Host {
+  private final class Node implements PeerNode.Host {
     final int number;
     final int zone;
     final double clockMs;
     final double rate;
     double begun;
-    Company company;
+    PeerNode company;
     boolean alive;
     final Deque<Runnable> waiting = new ArrayDeque<>();
     final Deque<byte[]> heard = new ArrayDeque<>();
@@ -147,12 +147,12 @@
       alive = true;
       begun = agenda.now();
       company =
-          new Company(
+          new PeerNode(
               peer(number),
               place(number),
               UNIX + (long) (begun + clockMs),
               withZone(setup.rules, zone),
-              Seal.of(List.of(KEY)),
+              MessageAuthenticator.of(List.of(KEY)),
               chance.split(),
               this);
       List<Long> boxes = new ArrayList<>();
@@ -166,7 +166,7 @@
       asking.clear();
       // the first few places are told to all, as a file would tell them
       company.begin(List.of(place(0), place(1 % setup.mixers), place(2 % setup.mixers)));
-      Company mine = company;
+      PeerNode mine = company;
       later(chance.nextDouble() * TICK_MS, mine, this::tick);
       later(1000 * chance.nextDouble() / rate, mine, this::part);
     }
@@ -174,11 +174,11 @@
     /**
      * Something of this process, later; not if it has ended, and when it goes on if it is stopped.
      */
-    void later(double span, Company mine, Runnable task) {
+    void later(double span, PeerNode mine, Runnable task) {
       agenda.at(agenda.now() + span, () -> run(mine, task));
     }
 
-    private void run(Company mine, Runnable task) {
+    private void run(PeerNode mine, Runnable task) {
       if (alive && company == mine) {
         if (active(Fault.Kind.STOP, number)) {
           waiting.add(task);
@@ -273,7 +273,7 @@
     }
 
     @Override
-    public void send(Place to, byte[] letter) {
+    public void send(PeerAddress to, byte[] letter) {
       int other = to.port() - 1;
       if (chance.nextDouble() < setup.loss || cut(number, other)) {
         return;
@@ -304,8 +304,8 @@
     }
 
     @Override
-    public void changed(Standing now) {
-      if (now.state() != Standing.State.GONE) {
+    public void changed(PeerRecord now) {
+      if (now.state() != PeerRecord.State.GONE) {
         return;
       }
       int who = (int) now.peer().number() - 1;
@@ -392,12 +392,12 @@
     return new PeerId(number + 1L);
   }
 
-  private static Place place(int number) {
-    return new Place(0x7F000001, number + 1);
+  private static PeerAddress place(int number) {
+    return new PeerAddress(0x7F000001, number + 1);
   }
 
-  private static Company.Rules withZone(Company.Rules rules, int zone) {
-    return new Company.Rules(
+  private static PeerNode.Rules withZone(PeerNode.Rules rules, int zone) {
+    return new PeerNode.Rules(
         rules.membership(),
         zone,
         rules.sayEvery(),
--- a/emulator/src/test/java/gingerring/emulator/simulation/SocietyTest.java
+++ b/emulator/src/test/java/gingerring/emulator/simulation/SocietyTest.java
@@ -7,7 +7,7 @@
 import gingerring.emulator.simulation.Society.Fault.Kind;
 import gingerring.emulator.simulation.Society.Result;
 import gingerring.emulator.simulation.Society.Setup;
-import gingerring.peers.Company;
+import gingerring.peers.PeerNode;
 import gingerring.peers.Membership;
 import java.util.List;
 import java.util.Set;
@@ -33,7 +33,7 @@
       Result result = play(40, 60, seed);
       assertEquals(0, result.wronglyGone);
       assertEquals(0, result.strangers);
-      assertTrue(most(result) <= 2 * Company.Rules.usual().bytesPerSecond());
+      assertTrue(most(result) <= 2 * PeerNode.Rules.usual().bytesPerSecond());
       assertEquals(0, result.doubtOfAlive);
     }
   }
@@ -136,7 +136,7 @@
     Result repeated = play(16, 60, 7, fault(Kind.REPEAT, 10_000, 50_000, one));
     assertEquals(0, repeated.strangers);
     assertEquals(0, repeated.wronglyGone);
-    assertTrue(repeated.counts.get(Company.Count.REPEATED) > 500);
+    assertTrue(repeated.counts.get(PeerNode.Count.REPEATED) > 500);
   }
 
   /**
@@ -161,7 +161,7 @@
     assertTrue(
         claimed.found.get(0)[0] < 8000,
         "found after " + claimed.found.get(0)[0] + " ms, without claims " + honest.found.get(0)[0]);
-    assertTrue(claimed.counts.get(Company.Count.NOTES_DISBELIEVED) > 1000);
+    assertTrue(claimed.counts.get(PeerNode.Count.NOTES_DISBELIEVED) > 1000);
   }
 
   /** Many that begin at once at three places do not end as islands round each. */
@@ -199,7 +199,7 @@
       early += result.asks.getOrDefault(second, 0);
       late += result.asks.getOrDefault(second + 60, 0);
     }
-    assertTrue(result.counts.get(Company.Count.MISLED) > 0);
+    assertTrue(result.counts.get(PeerNode.Count.MISLED) > 0);
     assertTrue(late < early / 2, early + " asks in 20 s at first, " + late + " later");
   }
 
--- a/peering/src/main/java/gingerring/peering/Guest.java
+++ b/peering/src/main/java/gingerring/peering/Guest.java
@@ -1,11 +1,11 @@
 package gingerring.peering;
 
-import gingerring.peers.Body;
-import gingerring.peers.Letter;
-import gingerring.peers.Letters;
+import gingerring.peers.MessageBody;
+import gingerring.peers.PeerMessage;
+import gingerring.peers.MessageCodec;
 import gingerring.peers.PeerId;
-import gingerring.peers.Place;
-import gingerring.peers.Seal;
+import gingerring.peers.PeerAddress;
+import gingerring.peers.MessageAuthenticator;
 import java.io.IOException;
 import java.net.DatagramPacket;
 import java.net.DatagramSocket;
@@ -29,29 +29,29 @@
   /** {@code about}: as {@link Peering#explain} has it. */
   public static String ask(InetSocketAddress mixer, List<byte[]> keys, char about, long box)
       throws IOException {
-    Letters letters = new Letters(Seal.of(keys));
+    MessageCodec letters = new MessageCodec(MessageAuthenticator.of(keys));
     PeerId self = new PeerId(new SplittableRandom().nextLong());
-    Place place = PeerSettings.place(mixer);
+    PeerAddress place = PeerSettings.place(mixer);
     try (DatagramSocket socket = new DatagramSocket()) {
       socket.setSoTimeout(TRY_MS);
-      byte[] bytes = new byte[Letters.MOST + 1];
+      byte[] bytes = new byte[MessageCodec.MOST + 1];
       for (int i = 1; i <= TRIES; i++) {
         byte[] letter =
-            letters.write(new Letter(self, 1, i, new Body.Query(about, box), List.of(), List.of()));
+            letters.write(new PeerMessage(self, 1, i, new MessageBody.Query(about, box), List.of(), List.of()));
         socket.send(new DatagramPacket(letter, letter.length, PeerSettings.address(place)));
         try {
           long until = System.nanoTime() + TRY_MS * 1_000_000L;
           while (System.nanoTime() < until) {
             DatagramPacket packet = new DatagramPacket(bytes, bytes.length);
             socket.receive(packet);
-            Letter answer = letters.read(Arrays.copyOf(bytes, packet.getLength()));
-            if (answer.body() instanceof Body.Reply reply) {
+            PeerMessage answer = letters.read(Arrays.copyOf(bytes, packet.getLength()));
+            if (answer.body() instanceof MessageBody.Reply reply) {
               return reply.text();
             }
           }
         } catch (SocketTimeoutException e) {
           // asked again
-        } catch (Letters.Refused e) {
+        } catch (MessageCodec.InvalidMessage e) {
           throw new IOException(mixer + " answered what is " + e.getMessage(), e);
         }
       }
--- a/peering/src/main/java/gingerring/peering/PeerSettings.java
+++ b/peering/src/main/java/gingerring/peering/PeerSettings.java
@@ -2,10 +2,10 @@
 
 import gingerring.json.Fields;
 import gingerring.json.Json;
-import gingerring.peers.Company;
+import gingerring.peers.PeerNode;
 import gingerring.peers.Membership;
-import gingerring.peers.Place;
-import gingerring.peers.Seal;
+import gingerring.peers.PeerAddress;
+import gingerring.peers.MessageAuthenticator;
 import java.io.IOException;
 import java.net.Inet4Address;
 import java.net.InetAddress;
@@ -29,11 +29,11 @@
  */
 public record PeerSettings(
     InetSocketAddress listen,
-    Place advertised,
-    List<Place> seeds,
+    PeerAddress advertised,
+    List<PeerAddress> seeds,
     List<byte[]> keys,
     int prefer,
-    Company.Rules rules) {
+    PeerNode.Rules rules) {
   /** A file that cannot be used; a line for each thing that is wrong. */
   public static final class Unfit extends IOException {
     private static final long serialVersionUID = 1;
@@ -155,7 +155,7 @@
       }
       try {
         byte[] key = Files.readAllBytes(file.toAbsolutePath().resolveSibling(text));
-        Seal.of(List.of(key));
+        MessageAuthenticator.of(List.of(key));
         return key;
       } catch (IOException e) {
         complaints.add(name + " names a file that cannot be read: " + text);
@@ -184,7 +184,7 @@
         told.containsKey("advertise")
             ? reading.address("advertise", told.get("advertise"), false)
             : null;
-    List<Place> seeds = new ArrayList<>();
+    List<PeerAddress> seeds = new ArrayList<>();
     for (Object each : reading.list("seeds")) {
       InetSocketAddress seed = reading.address("seeds." + seeds.size(), each, false);
       seeds.add(seed == null ? null : place(seed));
@@ -197,7 +197,7 @@
       reading.complaints.add("key_files has to name a file with the fleet's key");
     }
     int prefer = reading.count("prefer", 0, 0, 1000);
-    Company.Rules rules = rules(reading);
+    PeerNode.Rules rules = rules(reading);
     if (!reading.complaints.isEmpty()) {
       throw new Unfit(file, reading.complaints);
     }
@@ -210,11 +210,11 @@
         rules);
   }
 
-  private static Company.Rules rules(Reading reading) {
-    Company.Rules usual = Company.Rules.usual();
+  private static PeerNode.Rules rules(Reading reading) {
+    PeerNode.Rules usual = PeerNode.Rules.usual();
     Membership.Rules known = usual.membership();
     try {
-      return new Company.Rules(
+      return new PeerNode.Rules(
           new Membership.Rules(
               reading.span("period_ms", known.period(), 10),
               reading.span("ack_ms", known.ackIn(), 1),
@@ -238,16 +238,16 @@
     }
   }
 
-  static Place place(InetSocketAddress address) {
+  static PeerAddress place(InetSocketAddress address) {
     byte[] bytes = ((Inet4Address) address.getAddress()).getAddress();
     int number = 0;
     for (byte each : bytes) {
       number = number << 8 | each & 0xFF;
     }
-    return new Place(number, address.getPort());
+    return new PeerAddress(number, address.getPort());
   }
 
-  static InetSocketAddress address(Place place) {
+  static InetSocketAddress address(PeerAddress place) {
     int number = place.address();
     try {
       return new InetSocketAddress(
--- a/peering/src/main/java/gingerring/peering/PeerSocket.java
+++ b/peering/src/main/java/gingerring/peering/PeerSocket.java
@@ -1,7 +1,7 @@
 package gingerring.peering;
 
-import gingerring.peers.Letters;
-import gingerring.peers.Place;
+import gingerring.peers.MessageCodec;
+import gingerring.peers.PeerAddress;
 import java.io.Closeable;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -27,13 +27,13 @@
 
   private final DatagramChannel channel;
   private final Consumer<Runnable> inbox;
-  private final BiConsumer<Place, byte[]> received;
+  private final BiConsumer<PeerAddress, byte[]> received;
   private final AtomicInteger waiting = new AtomicInteger();
   private final AtomicLong dropped = new AtomicLong();
   private long unsent;
 
   /** {@code received} is called by what is posted to the inbox. */
-  PeerSocket(InetSocketAddress listen, Consumer<Runnable> inbox, BiConsumer<Place, byte[]> received)
+  PeerSocket(InetSocketAddress listen, Consumer<Runnable> inbox, BiConsumer<PeerAddress, byte[]> received)
       throws IOException {
     this.inbox = inbox;
     this.received = received;
@@ -57,7 +57,7 @@
   }
 
   private void run() {
-    ByteBuffer buffer = ByteBuffer.allocateDirect(Letters.MOST + 1); // what is longer is no letter
+    ByteBuffer buffer = ByteBuffer.allocateDirect(MessageCodec.MOST + 1); // what is longer is no letter
     while (channel.isOpen()) {
       try {
         buffer.clear();
@@ -86,7 +86,7 @@
     }
   }
 
-  void send(Place to, byte[] letter) {
+  void send(PeerAddress to, byte[] letter) {
     try {
       channel.send(ByteBuffer.wrap(letter), PeerSettings.address(to));
     } catch (IOException e) {
--- a/peering/src/main/java/gingerring/peering/Peering.java
+++ b/peering/src/main/java/gingerring/peering/Peering.java
@@ -2,14 +2,14 @@
 
 import gingerring.decide.MemberEntry;
 import gingerring.decide.Outcome;
-import gingerring.peers.Body;
-import gingerring.peers.Company;
+import gingerring.peers.MessageBody;
+import gingerring.peers.PeerNode;
 import gingerring.peers.PeerId;
-import gingerring.peers.Place;
-import gingerring.peers.Seal;
-import gingerring.peers.Seen;
-import gingerring.peers.Standing;
-import gingerring.peers.Words;
+import gingerring.peers.PeerAddress;
+import gingerring.peers.MessageAuthenticator;
+import gingerring.peers.BoxObservation;
+import gingerring.peers.PeerRecord;
+import gingerring.peers.PeerReports;
 import gingerring.server.PeerService;
 import gingerring.share.Box;
 import gingerring.share.BoxId;
@@ -35,7 +35,7 @@
  * The peers of one mixer's process: their socket and their company, between {@code Serve} and the
  * core.
  */
-public final class Peering implements PeerService, Company.Host {
+public final class Peering implements PeerService, PeerNode.Host {
   private static final Logger LOG = LoggerFactory.getLogger("gingerring.peers");
   private static final Duration TICK = Duration.ofMillis(100);
   private static final int LINES = 24;
@@ -43,9 +43,9 @@
   private final PeerSettings settings;
   private Context ground;
   private PeerSocket socket;
-  private Company company;
+  private PeerNode company;
   private Preference preference;
-  private Place here;
+  private PeerAddress here;
   private boolean ended;
   private boolean saidSuperseded;
 
@@ -65,11 +65,11 @@
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
-    Company.Rules told = settings.rules();
-    Company.Rules rules =
+    PeerNode.Rules told = settings.rules();
+    PeerNode.Rules rules =
         told.zone() >= 0
             ? told
-            : new Company.Rules(
+            : new PeerNode.Rules(
                 told.membership(),
                 lent.zone(),
                 told.sayEvery(),
@@ -83,12 +83,12 @@
                 told.bytesPerSecond());
     PeerId self = PeerId.named(lent.name());
     company =
-        new Company(
+        new PeerNode(
             self,
             here,
             lent.startMs(),
             rules,
-            Seal.of(settings.keys()),
+            MessageAuthenticator.of(settings.keys()),
             new SplittableRandom(self.number() ^ lent.startMs()),
             this);
     if (settings.prefer() > 0) {
@@ -235,7 +235,7 @@
   }
 
   @Override
-  public void send(Place to, byte[] letter) {
+  public void send(PeerAddress to, byte[] letter) {
     socket.send(to, letter);
   }
 
@@ -245,7 +245,7 @@
   }
 
   @Override
-  public void changed(Standing now) {
+  public void changed(PeerRecord now) {
     LOG.info(
         "peer {} at {}: {}",
         Long.toHexString(now.peer().number()),
@@ -258,7 +258,7 @@
    * counts.
    */
   @Override
-  public String explain(Body.Query query) {
+  public String explain(MessageBody.Query query) {
     List<String> lines = new ArrayList<>();
     switch (query.about()) {
       case 'p' -> peers(lines);
@@ -271,7 +271,7 @@
   }
 
   private void peers(List<String> lines) {
-    List<Standing> all = company.membership().all();
+    List<PeerRecord> all = company.membership().all();
     lines.add(
         ground.name()
             + " life "
@@ -283,7 +283,7 @@
             + " of "
             + all.size()
             + " there");
-    for (Standing each : all.subList(0, Math.min(LINES, all.size()))) {
+    for (PeerRecord each : all.subList(0, Math.min(LINES, all.size()))) {
       lines.add(
           Long.toHexString(each.peer().number())
               + " "
@@ -301,7 +301,7 @@
   }
 
   private void why(long box, List<String> lines) {
-    Seen own = company.own(box);
+    BoxObservation own = company.own(box);
     lines.add(
         String.format(
             Locale.ROOT,
@@ -312,8 +312,8 @@
             prefers(box)));
     String matter = company.matterOf(box);
     lines.add(matter.isEmpty() ? "nobody asks about it" : matter);
-    for (Words.Kept each : company.heard()) {
-      Seen seen = each.word().boxes().get(box);
+    for (PeerReports.Kept each : company.heard()) {
+      BoxObservation seen = each.word().boxes().get(box);
       if (seen != null && lines.size() < LINES) {
         lines.add(
             String.format(
--- a/peering/src/test/java/gingerring/peering/PeerSettingsTest.java
+++ b/peering/src/test/java/gingerring/peering/PeerSettingsTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gingerring.peers.Company;
-import gingerring.peers.Place;
+import gingerring.peers.PeerNode;
+import gingerring.peers.PeerAddress;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -31,13 +31,13 @@
                 """
         {"listen": "127.0.0.1:0", "advertise": "127.0.0.9:7100", "seeds": ["127.0.0.2:7101"], "key_files": ["key"],
          "prefer": 2, "ack_ms": 50, "period_ms": 200, "witnesses": 3}"""));
-    assertEquals(new Place(0x7F000009, 7100), settings.advertised());
-    assertEquals(List.of(new Place(0x7F000002, 7101)), settings.seeds());
+    assertEquals(new PeerAddress(0x7F000009, 7100), settings.advertised());
+    assertEquals(List.of(new PeerAddress(0x7F000002, 7101)), settings.seeds());
     assertEquals("127.0.0.2:7101", settings.seeds().get(0).toString());
     assertEquals(2, settings.prefer());
     assertEquals(Duration.ofMillis(50), settings.rules().membership().ackIn());
     assertEquals(3, settings.rules().witnesses());
-    assertEquals(Company.Rules.usual().believes(), settings.rules().believes());
+    assertEquals(PeerNode.Rules.usual().believes(), settings.rules().believes());
   }
 
   /** All that is wrong is said at once, each with its place. */
--- a/peering/src/test/java/gingerring/peering/PeeringTest.java
+++ b/peering/src/test/java/gingerring/peering/PeeringTest.java
@@ -8,7 +8,7 @@
 import gingerring.decide.MemberEntry;
 import gingerring.decide.Outcome;
 import gingerring.decide.SearcherId;
-import gingerring.peers.Company;
+import gingerring.peers.PeerNode;
 import gingerring.peers.Membership;
 import gingerring.peers.PeerId;
 import gingerring.server.PeerService;
@@ -48,9 +48,9 @@
 
     Member(String name, List<byte[]> keys, Member seed) throws IOException {
       this.name = name;
-      Company.Rules usual = Company.Rules.usual();
-      Company.Rules quick =
-          new Company.Rules(
+      PeerNode.Rules usual = PeerNode.Rules.usual();
+      PeerNode.Rules quick =
+          new PeerNode.Rules(
               new Membership.Rules(
                   Duration.ofMillis(200),
                   Duration.ofMillis(60),
--- a/peers/src/main/java/gingerring/peers/Budget.java
+++ b/peers/src/main/java/gingerring/peers/Budget.java
@@ -15,12 +15,12 @@
   private long refused;
 
   Budget(int bytesPerSecond) {
-    if (bytesPerSecond < Letters.MOST) {
+    if (bytesPerSecond < MessageCodec.MOST) {
       throw new IllegalArgumentException(
           "a ceiling of "
               + bytesPerSecond
               + " bytes a second is under one letter of "
-              + Letters.MOST);
+              + MessageCodec.MOST);
     }
     perNano = bytesPerSecond / 1e9;
     most = bytesPerSecond;
--- a/peers/src/main/java/gingerring/peers/Hearsay.java
+++ b/peers/src/main/java/gingerring/peers/Hearsay.java
@@ -49,12 +49,12 @@
    * The share of parts that fail at a box, 0 to 1: own sight, and what others saw lent to it. NaN
    * where neither tells anything.
    */
-  public double failing(long box, Seen own, Collection<Words.Kept> words) {
+  public double failing(long box, BoxObservation own, Collection<PeerReports.Kept> words) {
     List<Double> told = new ArrayList<>();
     Set<Integer> zones = new HashSet<>();
     Set<Integer> allZones = new HashSet<>();
-    for (Words.Kept each : words) {
-      Seen seen = each.word().boxes().get(box);
+    for (PeerReports.Kept each : words) {
+      BoxObservation seen = each.word().boxes().get(box);
       allZones.add(each.word().zone());
       if (seen != null && seen.parts() >= partsLeast) {
         told.add(seen.failed() / seen.parts());
@@ -71,7 +71,7 @@
   }
 
   /** The demand of the whole fleet in parts a second: the own, and each other's up to its bound. */
-  public double demand(double own, Collection<Words.Kept> words) {
+  public double demand(double own, Collection<PeerReports.Kept> words) {
     List<Double> all = new ArrayList<>();
     words.forEach(each -> all.add(each.word().demand()));
     all.add(own);
--- a/peers/src/main/java/gingerring/peers/Membership.java
+++ b/peers/src/main/java/gingerring/peers/Membership.java
@@ -1,6 +1,6 @@
 package gingerring.peers;
 
-import gingerring.peers.Standing.State;
+import gingerring.peers.PeerRecord.State;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -39,13 +39,13 @@
     Duration now();
 
     /** Sends a letter, which may be lost. */
-    void send(Place to, Body body);
+    void send(PeerAddress to, MessageBody body);
 
     /**
      * What is believed of one peer is new: it came, is suspected, is trusted again, has gone or
      * left.
      */
-    void changed(Standing now);
+    void changed(PeerRecord now);
   }
 
   /**
@@ -115,7 +115,7 @@
   }
 
   private static final class Member {
-    Standing standing;
+    PeerRecord standing;
     Duration since;
 
     /** While suspected: who says so, and when it is gone. */
@@ -127,7 +127,7 @@
     /** When it was told that it is taken for gone. */
     Duration lastTold;
 
-    Member(Standing standing, Duration since) {
+    Member(PeerRecord standing, Duration since) {
       this.standing = standing;
       this.since = since;
     }
@@ -139,7 +139,7 @@
     final int number;
     final Duration at;
     final int health;
-    final Set<Place> helpers = new HashSet<>();
+    final Set<PeerAddress> helpers = new HashSet<>();
     int nacked;
     boolean helped;
 
@@ -152,7 +152,7 @@
   }
 
   /** An ask on another's behalf. */
-  private record Errand(Place back, int number, Duration at) {}
+  private record Errand(PeerAddress back, int number, Duration at) {}
 
   private static final int HEALTH_MOST = 8;
 
@@ -177,7 +177,7 @@
   private static final long STRANGER = -1;
 
   private final PeerId self;
-  private final Place here;
+  private final PeerAddress here;
   private final long life;
   private final Rules rules;
   private final RandomGenerator chance;
@@ -185,10 +185,10 @@
   private final NavigableMap<Long, Member> members = new TreeMap<>(Long::compareUnsigned);
   private final Set<Member> suspects = new LinkedHashSet<>();
   private final List<PeerId> order = new ArrayList<>();
-  private final Spread<PeerId, Standing> spread;
+  private final Spread<PeerId, PeerRecord> spread;
   private final Map<Integer, Errand> errands = new HashMap<>();
   private final Map<Count, Long> counts = new HashMap<>();
-  private List<Place> seeds = List.of();
+  private List<PeerAddress> seeds = List.of();
   private int there;
   private int rise;
   private int health;
@@ -198,14 +198,14 @@
   private Duration reconnectNext;
 
   /** Whose pages are followed to their end. */
-  private Place askedWhole;
+  private PeerAddress askedWhole;
 
   private boolean superseded;
   private boolean left;
 
-  /** {@code life}: as in {@link Standing}; {@code here}: where the others reach this mixer. */
+  /** {@code life}: as in {@link PeerRecord}; {@code here}: where the others reach this mixer. */
   public Membership(
-      PeerId self, Place here, long life, Rules rules, RandomGenerator chance, Host host) {
+      PeerId self, PeerAddress here, long life, Rules rules, RandomGenerator chance, Host host) {
     this.self = self;
     this.here = here;
     this.life = life;
@@ -218,7 +218,7 @@
   /**
    * Joins by asking at some places whom they know; it goes on to ask there while nobody is known.
    */
-  public void begin(List<Place> places) {
+  public void begin(List<PeerAddress> places) {
     seeds = places.stream().filter(place -> !place.equals(here)).toList();
     Duration now = host.now();
     askNext = now.plus(part(rules.period));
@@ -230,17 +230,17 @@
   }
 
   /** All that one knows, page by page. */
-  private void askWhole(Place place) {
+  private void askWhole(PeerAddress place) {
     askedWhole = place;
-    host.send(place, new Body.Ask(0));
+    host.send(place, new MessageBody.Ask(0));
   }
 
   private Duration part(Duration span) {
     return Duration.ofNanos(chance.nextLong(span.toNanos()));
   }
 
-  private Standing own() {
-    return new Standing(self, here, life, rise, left ? State.LEFT : State.HERE, self);
+  private PeerRecord own() {
+    return new PeerRecord(self, here, life, rise, left ? State.LEFT : State.HERE, self);
   }
 
   /** Time has passed. */
@@ -260,7 +260,7 @@
             errand -> {
               boolean late = now.minus(errand.at).toNanos() >= NACK_AT * rules.ackIn.toNanos();
               if (late) {
-                host.send(errand.back, new Body.Nack(errand.number));
+                host.send(errand.back, new MessageBody.Nack(errand.number));
               }
               return late;
             });
@@ -280,7 +280,7 @@
     if (member.lastAsked == null) {
       member.lastAsked = now;
       spread.add(member.standing.peer(), member.standing);
-      host.send(member.standing.place(), new Body.Ping(++numbers, member.standing.peer()));
+      host.send(member.standing.place(), new MessageBody.Ping(++numbers, member.standing.peer()));
     } else if (now.minus(member.lastAsked).compareTo(rules.period) >= 0) {
       count(Count.GONE);
       take(member.standing.as(State.GONE, self), now);
@@ -293,14 +293,14 @@
       Duration allowed = rules.ackIn.multipliedBy(1L + asking.health);
       if (!asking.helped && now.minus(asking.at).compareTo(allowed) >= 0) {
         asking.helped = true;
-        Standing target =
+        PeerRecord target =
             members.get(asking.peer.number()) == null
                 ? null
                 : members.get(asking.peer.number()).standing;
         if (target != null) {
-          for (Standing helper : some(rules.helpers, asking.peer)) {
+          for (PeerRecord helper : some(rules.helpers, asking.peer)) {
             asking.helpers.add(helper.place());
-            host.send(helper.place(), new Body.Help(asking.number, target.peer(), target.place()));
+            host.send(helper.place(), new MessageBody.Help(asking.number, target.peer(), target.place()));
           }
         }
       }
@@ -315,19 +315,19 @@
     }
     if (asking == null && now.compareTo(askNext) >= 0) {
       askNext = now.plus(rules.period);
-      Standing next = next();
+      PeerRecord next = next();
       if (next != null) {
         asking = new Asking(next.peer(), ++numbers, now, health);
         if (next.state() == State.SUSPECTED) {
           spread.add(next.peer(), next); // it is to hear of it first from whom it can answer
         }
-        host.send(next.place(), new Body.Ping(asking.number, next.peer()));
+        host.send(next.place(), new MessageBody.Ping(asking.number, next.peer()));
       }
     }
   }
 
   /** Each in turn, in an order that is drawn anew when all have been asked. */
-  private Standing next() {
+  private PeerRecord next() {
     for (int tries = members.size() + 1; tries > 0; tries--) {
       if (order.isEmpty()) {
         members.values().forEach(each -> order.add(each.standing.peer()));
@@ -350,8 +350,8 @@
   }
 
   /** So many of those who are here, by chance, but that one. */
-  private List<Standing> some(int count, PeerId but) {
-    List<Standing> here = new ArrayList<>();
+  private List<PeerRecord> some(int count, PeerId but) {
+    List<PeerRecord> here = new ArrayList<>();
     members
         .values()
         .forEach(
@@ -360,7 +360,7 @@
                 here.add(each.standing);
               }
             });
-    List<Standing> some = new ArrayList<>();
+    List<PeerRecord> some = new ArrayList<>();
     while (some.size() < count && !here.isEmpty()) {
       some.add(here.remove(chance.nextInt(here.size())));
     }
@@ -368,7 +368,7 @@
   }
 
   /** So many of those who are here, by chance, for a word. */
-  public List<Standing> some(int count) {
+  public List<PeerRecord> some(int count) {
     return superseded || left ? List.of() : some(count, self);
   }
 
@@ -409,7 +409,7 @@
         .values()
         .removeIf(
             each -> !each.standing.there() && now.minus(each.since).compareTo(rules.forget) > 0);
-    List<Place> gone = new ArrayList<>();
+    List<PeerAddress> gone = new ArrayList<>();
     members
         .values()
         .forEach(
@@ -419,13 +419,13 @@
               }
             });
     // one that nobody known stands at may be the heart of another island of this fleet
-    Set<Place> known = new HashSet<>();
+    Set<PeerAddress> known = new HashSet<>();
     members.values().forEach(each -> known.add(each.standing.place()));
     seeds.stream().filter(seed -> !known.contains(seed)).forEach(gone::add);
     if (!gone.isEmpty()) {
       askWhole(gone.get(chance.nextInt(gone.size())));
     } else {
-      some(1, self).forEach(each -> host.send(each.place(), new Body.Ask(chance.nextLong())));
+      some(1, self).forEach(each -> host.send(each.place(), new MessageBody.Ask(chance.nextLong())));
     }
   }
 
@@ -435,7 +435,7 @@
 
   /** A letter of a mixer in that life has come that was proved to be of the fleet. */
   public void heard(
-      PeerId author, long authorLife, Place from, Body body, Collection<Standing> news) {
+      PeerId author, long authorLife, PeerAddress from, MessageBody body, Collection<PeerRecord> news) {
     if (superseded || left) {
       return;
     }
@@ -451,44 +451,44 @@
         && (sender.lastTold == null || now.minus(sender.lastTold).compareTo(rules.period) >= 0)) {
       // it lives, and does not know what is believed of it: told, it speaks against that
       sender.lastTold = now;
-      host.send(from, new Body.Page(List.of(sender.standing), 0));
+      host.send(from, new MessageBody.Page(List.of(sender.standing), 0));
     }
     if ((sender == null || authorLife > sender.standing.life())
-        && !(body instanceof Body.Ask)
-        && !(body instanceof Body.Page)
-        && !(body instanceof Body.Query)) {
+        && !(body instanceof MessageBody.Ask)
+        && !(body instanceof MessageBody.Page)
+        && !(body instanceof MessageBody.Query)) {
       // whose own word was lost, or has been forgotten, or was of an earlier life: it is to say who
       // it is
-      host.send(from, new Body.Ask(STRANGER));
+      host.send(from, new MessageBody.Ask(STRANGER));
     }
-    if (body instanceof Body.Ping ping) {
+    if (body instanceof MessageBody.Ping ping) {
       if (ping.peer().equals(self)) {
-        host.send(from, new Body.Ack(ping.number()));
+        host.send(from, new MessageBody.Ack(ping.number()));
       } else {
         count(Count.NOT_ME); // the place was another's before
       }
-    } else if (body instanceof Body.Ack ack) {
+    } else if (body instanceof MessageBody.Ack ack) {
       acked(author, ack, now);
-    } else if (body instanceof Body.Nack nack) {
+    } else if (body instanceof MessageBody.Nack nack) {
       if (asking != null && nack.number() == asking.number && asking.helpers.remove(from)) {
         asking.nacked++;
       }
-    } else if (body instanceof Body.Help help) {
+    } else if (body instanceof MessageBody.Help help) {
       help(from, help, now);
-    } else if (body instanceof Body.Ask question) {
+    } else if (body instanceof MessageBody.Ask question) {
       host.send(from, page(question.from()));
-    } else if (body instanceof Body.Page page) {
+    } else if (body instanceof MessageBody.Page page) {
       page.standings().forEach(each -> take(each, now));
       if (page.next() != 0 && from.equals(askedWhole)) {
-        host.send(from, new Body.Ask(page.next()));
+        host.send(from, new MessageBody.Ask(page.next()));
       }
     }
   }
 
-  private void acked(PeerId author, Body.Ack ack, Duration now) {
+  private void acked(PeerId author, MessageBody.Ack ack, Duration now) {
     Errand errand = errands.remove(ack.number());
     if (errand != null) {
-      host.send(errand.back, new Body.Ack(errand.number));
+      host.send(errand.back, new MessageBody.Ack(errand.number));
     }
     // through a helper the number alone tells: a helper that lies can hide that a peer is gone, for
     // a while
@@ -500,18 +500,18 @@
     }
   }
 
-  private void help(Place from, Body.Help help, Duration now) {
+  private void help(PeerAddress from, MessageBody.Help help, Duration now) {
     long his = errands.values().stream().filter(errand -> errand.back.equals(from)).count();
     if (errands.size() >= ERRANDS_MOST || his >= ERRANDS_EACH) {
       count(Count.TOO_BUSY);
       return;
     }
     errands.put(++numbers, new Errand(from, help.number(), now));
-    host.send(help.place(), new Body.Ping(numbers, help.peer()));
+    host.send(help.place(), new MessageBody.Ping(numbers, help.peer()));
   }
 
-  private Body.Page page(long from) {
-    List<Standing> page = new ArrayList<>();
+  private MessageBody.Page page(long from) {
+    List<PeerRecord> page = new ArrayList<>();
     page.add(own());
     long next = 0;
     for (Member each : members.tailMap(from, true).values()) {
@@ -521,11 +521,11 @@
       }
       page.add(each.standing);
     }
-    return new Body.Page(page, next);
+    return new MessageBody.Page(page, next);
   }
 
   /** Takes in what is believed of one peer, if it holds over what was. */
-  private void take(Standing told, Duration now) {
+  private void take(PeerRecord told, Duration now) {
     if (told.peer().equals(self)) {
       aboutSelf(told);
       return;
@@ -541,7 +541,7 @@
       moved(member, null, now);
       return;
     }
-    Standing before = member.standing;
+    PeerRecord before = member.standing;
     boolean sameSuspicion =
         told.state() == State.SUSPECTED
             && before.state() == State.SUSPECTED
@@ -570,8 +570,8 @@
     return oldest != null && members.remove(oldest.standing.peer().number()) != null;
   }
 
-  private void moved(Member member, Standing before, Duration now) {
-    Standing standing = member.standing;
+  private void moved(Member member, PeerRecord before, Duration now) {
+    PeerRecord standing = member.standing;
     member.since = now;
     member.lastAsked = null;
     member.lastTold = null;
@@ -592,7 +592,7 @@
     }
   }
 
-  private void aboutSelf(Standing told) {
+  private void aboutSelf(PeerRecord told) {
     if (told.life() > life) {
       superseded = true;
     } else if (told.life() == life && told.state() != State.HERE && told.rise() >= rise) {
@@ -607,18 +607,18 @@
   public void leave() {
     left = true;
     spread.add(self, own());
-    for (Standing each : some(rules.helpers + 1, self)) {
-      host.send(each.place(), new Body.Page(List.of(own()), 0));
+    for (PeerRecord each : some(rules.helpers + 1, self)) {
+      host.send(each.place(), new MessageBody.Page(List.of(own()), 0));
     }
   }
 
   /** News for the next letter, so many at most. */
-  public List<Standing> news(int most) {
+  public List<PeerRecord> news(int most) {
     return spread.take(most, there + 1);
   }
 
   /** All that is known of the others, by their numbers. */
-  public List<Standing> all() {
+  public List<PeerRecord> all() {
     return members.values().stream().map(each -> each.standing).toList();
   }
 
@@ -626,8 +626,8 @@
   public List<PeerId> present() {
     return members.values().stream()
         .map(each -> each.standing)
-        .filter(Standing::there)
-        .map(Standing::peer)
+        .filter(PeerRecord::there)
+        .map(PeerRecord::peer)
         .toList();
   }
 
--- a/peers/src/main/java/gingerring/peers/Seal.java
+++ b/peers/src/main/java/gingerring/peers/MessageAuthenticator.java
@@ -17,7 +17,7 @@
  * <p>Keys change without a gap: {@link #seal} proves with the first key, {@link #open} believes any
  * of them. Not for use by several threads at once.
  */
-public final class Seal {
+public final class MessageAuthenticator {
   /** Bytes of a proof. */
   static final int PROOF = 16;
 
@@ -26,16 +26,16 @@
 
   private final List<Mac> macs;
 
-  private Seal(List<Mac> macs) {
+  private MessageAuthenticator(List<Mac> macs) {
     this.macs = macs;
   }
 
   /** Keys of 16 bytes or more, the one to prove with first. */
-  public static Seal of(List<byte[]> keys) {
+  public static MessageAuthenticator of(List<byte[]> keys) {
     if (keys.isEmpty() || keys.stream().anyMatch(key -> key.length < KEY_LEAST)) {
       throw new IllegalArgumentException("a key of at least " + KEY_LEAST + " bytes is needed");
     }
-    return new Seal(keys.stream().map(Seal::mac).toList());
+    return new MessageAuthenticator(keys.stream().map(MessageAuthenticator::mac).toList());
   }
 
   private static Mac mac(byte[] key) {
--- a/peers/src/main/java/gingerring/peers/Body.java
+++ b/peers/src/main/java/gingerring/peers/MessageBody.java
@@ -3,42 +3,42 @@
 import java.util.List;
 
 /** What one letter between two mixers is about; news of others goes beside it. */
-public sealed interface Body {
+public sealed interface MessageBody {
   /**
    * Are you there? {@code peer} is whom the sender means: another at that place does not answer.
    */
-  record Ping(int number, PeerId peer) implements Body {}
+  record Ping(int number, PeerId peer) implements MessageBody {}
 
   /** I am. */
-  record Ack(int number) implements Body {}
+  record Ack(int number) implements MessageBody {}
 
   /** Whom you asked me to ask has not answered yet; I myself am there. */
-  record Nack(int number) implements Body {}
+  record Nack(int number) implements MessageBody {}
 
   /** Ask that one for me. */
-  record Help(int number, PeerId peer, Place place) implements Body {}
+  record Help(int number, PeerId peer, PeerAddress place) implements MessageBody {}
 
   /** Tell me whom you know, from this number on (as unsigned). */
-  record Ask(long from) implements Body {}
+  record Ask(long from) implements MessageBody {}
 
   /**
    * Whom I know, in the order of their numbers; {@code next} is where the rest begins, 0 for none.
    */
-  record Page(List<Standing> standings, long next) implements Body {
+  record Page(List<PeerRecord> standings, long next) implements MessageBody {
     public Page {
       standings = List.copyOf(standings);
     }
   }
 
   /** What I have seen. */
-  record Say(Word word) implements Body {}
+  record Say(PeerReport word) implements MessageBody {}
 
   /** Nothing but what goes beside it. */
-  record Pass() implements Body {}
+  record Pass() implements MessageBody {}
 
   /** An operator asks: what of ({@code about}, a letter), and of which box where it is of one. */
-  record Query(char about, long box) implements Body {}
+  record Query(char about, long box) implements MessageBody {}
 
   /** The answer, in plain lines. */
-  record Reply(String text) implements Body {}
+  record Reply(String text) implements MessageBody {}
 }
--- a/peers/src/main/java/gingerring/peers/Place.java
+++ b/peers/src/main/java/gingerring/peers/PeerAddress.java
@@ -1,8 +1,8 @@
 package gingerring.peers;
 
 /** Where a mixer hears the others: an IPv4 address and a port. */
-public record Place(int address, int port) {
-  public Place {
+public record PeerAddress(int address, int port) {
+  public PeerAddress {
     if (port < 1 || port > 0xFFFF) {
       throw new IllegalArgumentException("port " + port);
     }
--- a/peers/src/main/java/gingerring/peers/Letter.java
+++ b/peers/src/main/java/gingerring/peers/PeerMessage.java
@@ -9,9 +9,9 @@
  * @param news what is believed of the members, passed on
  * @param notes what was asked of benched boxes for all, passed on
  */
-public record Letter(
-    PeerId author, long life, long number, Body body, List<Standing> news, List<Note> notes) {
-  public Letter {
+public record PeerMessage(
+    PeerId author, long life, long number, MessageBody body, List<PeerRecord> news, List<Note> notes) {
+  public PeerMessage {
     news = List.copyOf(news);
     notes = List.copyOf(notes);
   }
--- a/peers/src/main/java/gingerring/peers/Company.java
+++ b/peers/src/main/java/gingerring/peers/PeerNode.java
@@ -17,7 +17,7 @@
 
 /**
  * One mixer among its peers: who they are ({@link Membership}), what they say and how much it
- * weighs ({@link Words}, {@link Hearsay}), and whose turn it is to ask a benched box for all
+ * weighs ({@link PeerReports}, {@link Hearsay}), and whose turn it is to ask a benched box for all
  * ({@link Rota}). Its owner calls {@link #begin} once, {@link #tick} ten times a second, {@link
  * #received} for each datagram, {@link #saw}, {@link #silent}, {@link #asks} and {@link #asked} for
  * what the mixer meets, and asks {@link #turn} and {@link #doubt} when the mixer wants to know; it
@@ -31,23 +31,23 @@
  * <p>Bounds: as of its parts; {@link Rules#boxesMost} boxes in hand; one note a box is passed on,
  * the newest; and {@link Rules#bytesPerSecond} sent at the most.
  */
-public final class Company {
+public final class PeerNode {
   /** How it acts, and the clock. */
   public interface Host {
     /** Time since the start of this mixer. */
     Duration now();
 
     /** Sends a datagram, which may be lost. */
-    void send(Place to, byte[] letter);
+    void send(PeerAddress to, byte[] letter);
 
     /** Another mixer had an answer of a benched box: it may be asked. */
     void answers(long box);
 
     /** A peer came, went or is in doubt. */
-    void changed(Standing now);
+    void changed(PeerRecord now);
 
     /** What to answer an operator who asks. */
-    default String explain(Body.Query query) {
+    default String explain(MessageBody.Query query) {
       return "";
     }
   }
@@ -190,10 +190,10 @@
   private final long life;
   private final Rules rules;
   private final Host host;
-  private final Letters letters;
+  private final MessageCodec letters;
   private final Membership membership;
   private final Numbers numbers;
-  private final Words words;
+  private final PeerReports words;
   private final Hearsay hearsay;
   private final Sight sight;
   private final Budget budget;
@@ -213,25 +213,25 @@
   private long bytes;
 
   /** {@code life}: Unix time in milliseconds at which {@link Host#now} was zero. */
-  public Company(
+  public PeerNode(
       PeerId self,
-      Place here,
+      PeerAddress here,
       long life,
       Rules rules,
-      Seal seal,
+      MessageAuthenticator seal,
       RandomGenerator chance,
       Host host) {
     this.self = self;
     this.life = life;
     this.rules = rules;
     this.host = host;
-    letters = new Letters(seal);
+    letters = new MessageCodec(seal);
     numbers = new Numbers(2 * rules.membership.peersMost());
     words =
-        new Words(
+        new PeerReports(
             self,
             rules.membership.peersMost(),
-            Letters.boxes(0, 0),
+            MessageCodec.boxes(0, 0),
             rules.sayEvery.dividedBy(2),
             rules.believes);
     hearsay = new Hearsay(rules.witnesses, PARTS_LEAST, LENT, DEMAND_MOST);
@@ -252,14 +252,14 @@
               }
 
               @Override
-              public void send(Place to, Body body) {
-                Company.this.send(to, body, false);
+              public void send(PeerAddress to, MessageBody body) {
+                PeerNode.this.send(to, body, false);
               }
 
               @Override
-              public void changed(Standing now) {
+              public void changed(PeerRecord now) {
                 if (now.state()
-                    == Standing.State
+                    == PeerRecord.State
                         .LEFT) { // what one who is gone said ages by itself: it may be back
                   words.left(now.peer(), now.life(), host.now());
                 }
@@ -268,7 +268,7 @@
             });
   }
 
-  public void begin(List<Place> places) {
+  public void begin(List<PeerAddress> places) {
     membership.begin(places);
   }
 
@@ -278,27 +278,27 @@
     Duration now = host.now();
     if (now.compareTo(sayNext) >= 0) {
       sayNext = now.plus(rules.sayEvery);
-      Word word =
-          new Word(
+      PeerReport word =
+          new PeerReport(
               self,
               life,
               number,
               rules.zone,
               sight.demand(now),
-              sight.worth(Letters.boxes(NEWS, NOTES), now));
-      membership.some(rules.sayTo).forEach(each -> send(each.place(), new Body.Say(word), true));
+              sight.worth(MessageCodec.boxes(NEWS, NOTES), now));
+      membership.some(rules.sayTo).forEach(each -> send(each.place(), new MessageBody.Say(word), true));
     }
   }
 
-  private void send(Place to, Body body, boolean word) {
+  private void send(PeerAddress to, MessageBody body, boolean word) {
     if (membership.superseded()) {
       return;
     }
-    int room = Letters.newsBeside(body);
+    int room = MessageCodec.newsBeside(body);
     List<Note> passed =
         room < 2 * NOTES ? List.of() : notes.take(NOTES, membership.present().size() + 1);
-    List<Standing> news = membership.news(Math.min(NEWS, room - passed.size()));
-    byte[] letter = letters.write(new Letter(self, life, ++number, body, news, passed));
+    List<PeerRecord> news = membership.news(Math.min(NEWS, room - passed.size()));
+    byte[] letter = letters.write(new PeerMessage(self, life, ++number, body, news, passed));
     if (!budget.take(letter.length, word, host.now())) {
       count(Count.OVER_CEILING);
       return;
@@ -309,11 +309,11 @@
   }
 
   /** A datagram has come. */
-  public void received(Place from, byte[] datagram) {
-    Letter letter;
+  public void received(PeerAddress from, byte[] datagram) {
+    PeerMessage letter;
     try {
       letter = letters.read(datagram);
-    } catch (Letters.Refused e) {
+    } catch (MessageCodec.InvalidMessage e) {
       count(Count.REFUSED);
       return;
     }
@@ -324,13 +324,13 @@
     }
     count(Count.TAKEN);
     membership.heard(letter.author(), letter.life(), from, letter.body(), letter.news());
-    if (letter.body() instanceof Body.Say say) {
+    if (letter.body() instanceof MessageBody.Say say) {
       count(
-          words.heard(say.word(), host.now()) == Words.Verdict.TAKEN
+          words.heard(say.word(), host.now()) == PeerReports.Verdict.TAKEN
               ? Count.WORDS
               : Count.WORDS_DROPPED);
-    } else if (letter.body() instanceof Body.Query query) {
-      send(from, new Body.Reply(host.explain(query)), true);
+    } else if (letter.body() instanceof MessageBody.Query query) {
+      send(from, new MessageBody.Reply(host.explain(query)), true);
     }
     letter.notes().forEach(this::noted);
   }
@@ -381,7 +381,7 @@
    */
   private void pass(Note note) {
     notes.add(note.box(), note);
-    membership.some(PASS_TO).forEach(each -> send(each.place(), new Body.Pass(), false));
+    membership.some(PASS_TO).forEach(each -> send(each.place(), new MessageBody.Pass(), false));
   }
 
   private Matter matter(long box) {
@@ -450,7 +450,7 @@
   }
 
   private boolean answersOthers(long box) {
-    return hearsay.failing(box, new Seen(0, 0), words.fresh(host.now())) < SOUND;
+    return hearsay.failing(box, new BoxObservation(0, 0), words.fresh(host.now())) < SOUND;
   }
 
   /** This mixer asks a benched box now. */
@@ -497,7 +497,7 @@
    * The share of a box's parts that fail as others see it: 0 where too few tell, or nothing does.
    */
   public double doubt(long box) {
-    double failing = hearsay.failing(box, new Seen(0, 0), words.fresh(host.now()));
+    double failing = hearsay.failing(box, new BoxObservation(0, 0), words.fresh(host.now()));
     return Double.isNaN(failing) ? 0 : failing;
   }
 
@@ -512,12 +512,12 @@
   }
 
   /** What this mixer saw of a box, as its next word would tell it. */
-  public Seen own(long box) {
+  public BoxObservation own(long box) {
     return sight.of(box, host.now());
   }
 
   /** The words that count now. */
-  public List<Words.Kept> heard() {
+  public List<PeerReports.Kept> heard() {
     return words.fresh(host.now());
   }
 
--- a/peers/src/main/java/gingerring/peers/Standing.java
+++ b/peers/src/main/java/gingerring/peers/PeerRecord.java
@@ -9,7 +9,7 @@
  * @param rise counts up each time it speaks against being suspected; only it itself raises it
  * @param by who says so first of a suspicion; else the mixer itself
  */
-public record Standing(PeerId peer, Place place, long life, int rise, State state, PeerId by) {
+public record PeerRecord(PeerId peer, PeerAddress place, long life, int rise, State state, PeerId by) {
   /** From good news to bad. */
   public enum State {
     HERE,
@@ -19,7 +19,7 @@
   }
 
   /** Whether this holds over what was believed before. */
-  public boolean over(Standing before) {
+  public boolean over(PeerRecord before) {
     if (life != before.life) {
       return life > before.life;
     }
@@ -29,8 +29,8 @@
     return rise != before.rise ? rise > before.rise : state.compareTo(before.state) > 0;
   }
 
-  Standing as(State other, PeerId says) {
-    return new Standing(peer, place, life, rise, other, says);
+  PeerRecord as(State other, PeerId says) {
+    return new PeerRecord(peer, place, life, rise, other, says);
   }
 
   /** Whether one can send to it and expect an answer. */
--- a/peers/src/main/java/gingerring/peers/Word.java
+++ b/peers/src/main/java/gingerring/peers/PeerReport.java
@@ -12,9 +12,9 @@
  * @param demand parts a second that its clients ask for
  * @param boxes what it saw, by the box's number
  */
-public record Word(
-    PeerId author, long life, long number, int zone, double demand, Map<Long, Seen> boxes) {
-  public Word {
+public record PeerReport(
+    PeerId author, long life, long number, int zone, double demand, Map<Long, BoxObservation> boxes) {
+  public PeerReport {
     if (!(demand >= 0) || Double.isInfinite(demand)) {
       throw new IllegalArgumentException("a demand of " + demand);
     }
--- a/peers/src/main/java/gingerring/peers/Words.java
+++ b/peers/src/main/java/gingerring/peers/PeerReports.java
@@ -16,7 +16,7 @@
  * word a peer in each {@code apart}. What is not taken is counted by cause ({@link #count}).
  * Memory: the words kept, and some 100 bytes a peer.
  */
-public final class Words {
+public final class PeerReports {
   /** What became of a word. */
   public enum Verdict {
     TAKEN,
@@ -33,7 +33,7 @@
   }
 
   /** A word and when it came. */
-  public record Kept(Word word, Duration at) {}
+  public record Kept(PeerReport word, Duration at) {}
 
   private final PeerId self;
   private final int peersMost;
@@ -47,7 +47,7 @@
   private final Map<Verdict, Long> counts = new EnumMap<>(Verdict.class);
 
   /** {@code age}: how long a word counts. */
-  public Words(PeerId self, int peersMost, int boxesMost, Duration apart, Duration age) {
+  public PeerReports(PeerId self, int peersMost, int boxesMost, Duration apart, Duration age) {
     if (peersMost < 1 || boxesMost < 1 || apart.isNegative() || age.compareTo(apart) <= 0) {
       throw new IllegalArgumentException(
           "peers "
@@ -67,7 +67,7 @@
   }
 
   /** A word has come. */
-  public Verdict heard(Word word, Duration now) {
+  public Verdict heard(PeerReport word, Duration now) {
     Verdict verdict = judge(word, now);
     counts.merge(verdict, 1L, Long::sum);
     if (verdict == Verdict.TAKEN) {
@@ -80,7 +80,7 @@
     return verdict;
   }
 
-  private Verdict judge(Word word, Duration now) {
+  private Verdict judge(PeerReport word, Duration now) {
     Kept last = kept.get(word.author());
     if (word.author().equals(self) || last != null && word.life() < last.word.life()) {
       return Verdict.OLD_LIFE;
@@ -112,7 +112,7 @@
     if (last != null && last.word.life() <= life) {
       kept.put(
           peer,
-          new Kept(new Word(peer, life, Long.MAX_VALUE, last.word.zone(), 0, Map.of()), last.at));
+          new Kept(new PeerReport(peer, life, Long.MAX_VALUE, last.word.zone(), 0, Map.of()), last.at));
     }
   }
 
--- a/peers/src/main/java/gingerring/peers/Sight.java
+++ b/peers/src/main/java/gingerring/peers/Sight.java
@@ -58,10 +58,10 @@
   }
 
   /** Of one box; nothing where nothing was seen. */
-  Seen of(long box, Duration now) {
+  BoxObservation of(long box, Duration now) {
     Ring ring = rings.get(box);
     if (ring == null) {
-      return new Seen(0, 0);
+      return new BoxObservation(0, 0);
     }
     turn(ring, now);
     double answered = 0;
@@ -70,17 +70,17 @@
       answered += ring.answered[i];
       failed += ring.failed[i];
     }
-    return new Seen(answered, failed);
+    return new BoxObservation(answered, failed);
   }
 
   /** What to tell, of so many boxes at most; what was seen of none is forgotten. */
-  Map<Long, Seen> worth(int boxes, Duration now) {
-    Map<Long, Seen> all = new HashMap<>();
+  Map<Long, BoxObservation> worth(int boxes, Duration now) {
+    Map<Long, BoxObservation> all = new HashMap<>();
     rings
         .keySet()
         .removeIf(
             box -> {
-              Seen seen = of(box, now);
+              BoxObservation seen = of(box, now);
               if (seen.parts() > 0) {
                 all.put(box, seen);
               }
@@ -89,12 +89,12 @@
     if (all.size() <= boxes) {
       return all;
     }
-    List<Map.Entry<Long, Seen>> order = new ArrayList<>(all.entrySet());
+    List<Map.Entry<Long, BoxObservation>> order = new ArrayList<>(all.entrySet());
     order.sort(
-        Comparator.<Map.Entry<Long, Seen>>comparingDouble(each -> -each.getValue().failed())
+        Comparator.<Map.Entry<Long, BoxObservation>>comparingDouble(each -> -each.getValue().failed())
             .thenComparingDouble(each -> -each.getValue().answered())
             .thenComparing(Map.Entry::getKey));
-    Map<Long, Seen> first = new HashMap<>();
+    Map<Long, BoxObservation> first = new HashMap<>();
     order.subList(0, boxes).forEach(each -> first.put(each.getKey(), each.getValue()));
     return first;
   }
--- a/peers/src/test/java/gingerring/peers/BoundsTest.java
+++ b/peers/src/test/java/gingerring/peers/BoundsTest.java
@@ -32,7 +32,7 @@
     long refused = 0;
     for (int i = 0; i < 400; i++) {
       now += chance.nextInt(200);
-      int bytes = chance.nextInt(1, Letters.MOST + 1);
+      int bytes = chance.nextInt(1, MessageCodec.MOST + 1);
       if (budget.take(bytes, chance.nextBoolean(), ms(now))) {
         sent.add(new long[] {now, bytes});
       } else {
@@ -58,7 +58,7 @@
     }
     assertEquals(4, words);
     assertTrue(budget.take(1200, false, Duration.ZERO));
-    assertThrows(IllegalArgumentException.class, () -> new Budget(Letters.MOST - 1));
+    assertThrows(IllegalArgumentException.class, () -> new Budget(MessageCodec.MOST - 1));
   }
 
   /** Against a list of all that was seen and when. */
@@ -79,7 +79,7 @@
       long asked = chance.nextInt(4);
       long answers = all.stream().filter(each -> each[1] == asked && each[2] == 1).count();
       long failures = all.stream().filter(each -> each[1] == asked && each[2] == 0).count();
-      assertEquals(new Seen(answers, failures), sight.of(asked, ms(now)));
+      assertEquals(new BoxObservation(answers, failures), sight.of(asked, ms(now)));
       assertEquals(all.size() / 5.0, sight.demand(ms(now)), 1e-9);
     }
     sight.add(9, 1, 0, ms(now));
@@ -93,8 +93,8 @@
     for (long box = 0; box < 50; box++) {
       sight.add(box, box, box == 3 ? 1 : 0, Duration.ZERO);
     }
-    Map<Long, Seen> told = sight.worth(3, Duration.ZERO);
-    assertEquals(Map.of(3L, new Seen(3, 1), 49L, new Seen(49, 0), 48L, new Seen(48, 0)), told);
+    Map<Long, BoxObservation> told = sight.worth(3, Duration.ZERO);
+    assertEquals(Map.of(3L, new BoxObservation(3, 1), 49L, new BoxObservation(49, 0), 48L, new BoxObservation(48, 0)), told);
   }
 
   /**
--- a/peers/src/test/java/gingerring/peers/HearsayTest.java
+++ b/peers/src/test/java/gingerring/peers/HearsayTest.java
@@ -14,12 +14,12 @@
 import org.junit.jupiter.api.Test;
 
 class HearsayTest {
-  private static final Seen NOTHING = new Seen(0, 0);
+  private static final BoxObservation NOTHING = new BoxObservation(0, 0);
 
-  private static Words.Kept kept(
+  private static PeerReports.Kept kept(
       int author, int zone, double demand, double answered, double failed) {
-    return new Words.Kept(
-        new Word(new PeerId(author), 1, 1, zone, demand, Map.of(5L, new Seen(answered, failed))),
+    return new PeerReports.Kept(
+        new PeerReport(new PeerId(author), 1, 1, zone, demand, Map.of(5L, new BoxObservation(answered, failed))),
         Duration.ZERO);
   }
 
@@ -28,7 +28,7 @@
   void liarsInTheMinorityMoveNothingOutOfRange(@ForAll long seed) {
     SplittableRandom chance = new SplittableRandom(seed);
     int f = 1 + chance.nextInt(7);
-    List<Words.Kept> words = new ArrayList<>();
+    List<PeerReports.Kept> words = new ArrayList<>();
     double low = 1;
     double high = 0;
     for (int i = 0; i < f + 1; i++) {
@@ -46,20 +46,20 @@
     assertTrue(
         told >= low - 1e-12 && told <= high + 1e-12, () -> "brought out of range to " + told);
     // and own sight comes first: 16 own parts without a failure, and they all count as four
-    assertTrue(hearsay.failing(5, new Seen(16, 0), words) <= 0.2 * high + 1e-12);
+    assertTrue(hearsay.failing(5, new BoxObservation(16, 0), words) <= 0.2 * high + 1e-12);
   }
 
   @Test
   void fewWitnessesOrOneZoneAreNotEnough() {
     Hearsay hearsay = new Hearsay(3, 5, 4, 3);
-    List<Words.Kept> words = new ArrayList<>(List.of(kept(1, 0, 1, 0, 10), kept(2, 1, 1, 0, 10)));
+    List<PeerReports.Kept> words = new ArrayList<>(List.of(kept(1, 0, 1, 0, 10), kept(2, 1, 1, 0, 10)));
     assertEquals(Double.NaN, hearsay.failing(5, NOTHING, words));
     words.add(kept(3, 1, 1, 0, 4)); // it saw too little
-    assertEquals(0, hearsay.failing(5, new Seen(2, 0), words));
+    assertEquals(0, hearsay.failing(5, new BoxObservation(2, 0), words));
     words.add(kept(4, 1, 1, 0, 10));
     assertEquals(1, hearsay.failing(5, NOTHING, words), 1e-12);
     assertEquals(Double.NaN, hearsay.failing(6, NOTHING, words), "nobody told of that one");
-    List<Words.Kept> near =
+    List<PeerReports.Kept> near =
         new ArrayList<>(List.of(kept(1, 0, 1, 0, 10), kept(2, 0, 1, 0, 10), kept(3, 0, 1, 0, 10)));
     assertEquals(1, hearsay.failing(5, NOTHING, near), 1e-12, "all there are stand in one zone");
     near.add(kept(4, 1, 1, 1, 0)); // there is another zone, and nobody there saw enough
@@ -70,7 +70,7 @@
   @Test
   void noDemandIsEndless() {
     Hearsay hearsay = new Hearsay(3, 1, 4, 3);
-    List<Words.Kept> words = new ArrayList<>();
+    List<PeerReports.Kept> words = new ArrayList<>();
     for (int i = 0; i < 15; i++) {
       words.add(kept(i, 0, i == 0 ? 1e12 : 10, 1, 0));
     }
--- a/peers/src/test/java/gingerring/peers/LettersTest.java
+++ b/peers/src/test/java/gingerring/peers/LettersTest.java
@@ -21,53 +21,53 @@
   private static final byte[] KEY = "a key of this fleet".getBytes();
   private static final byte[] NEXT = "the key that follows".getBytes();
 
-  private static Letters with(byte[]... keys) {
-    return new Letters(Seal.of(List.of(keys)));
+  private static MessageCodec with(byte[]... keys) {
+    return new MessageCodec(MessageAuthenticator.of(List.of(keys)));
   }
 
-  private static Standing standing(SplittableRandom chance) {
-    return new Standing(
+  private static PeerRecord standing(SplittableRandom chance) {
+    return new PeerRecord(
         new PeerId(chance.nextLong()),
-        new Place(chance.nextInt(), chance.nextInt(1, 65_536)),
+        new PeerAddress(chance.nextInt(), chance.nextInt(1, 65_536)),
         chance.nextLong(),
         chance.nextInt(),
-        Standing.State.values()[chance.nextInt(4)],
+        PeerRecord.State.values()[chance.nextInt(4)],
         new PeerId(chance.nextLong()));
   }
 
-  private static List<Standing> standings(SplittableRandom chance, int most) {
-    List<Standing> standings = new ArrayList<>();
+  private static List<PeerRecord> standings(SplittableRandom chance, int most) {
+    List<PeerRecord> standings = new ArrayList<>();
     for (int i = chance.nextInt(most + 1); i > 0; i--) {
       standings.add(standing(chance));
     }
     return standings;
   }
 
-  private static Letter letter(SplittableRandom chance) {
+  private static PeerMessage letter(SplittableRandom chance) {
     PeerId author = new PeerId(chance.nextLong());
     long life = chance.nextLong();
     long number = chance.nextLong();
     int asked = chance.nextInt();
-    Body body =
+    MessageBody body =
         switch (chance.nextInt(10)) {
-          case 0 -> new Body.Ping(asked, new PeerId(chance.nextLong()));
-          case 1 -> new Body.Ack(asked);
-          case 2 -> new Body.Nack(asked);
-          case 3 -> new Body.Help(asked, new PeerId(chance.nextLong()), standing(chance).place());
-          case 4 -> new Body.Ask(chance.nextLong());
-          case 5 -> new Body.Page(standings(chance, 20), chance.nextLong());
+          case 0 -> new MessageBody.Ping(asked, new PeerId(chance.nextLong()));
+          case 1 -> new MessageBody.Ack(asked);
+          case 2 -> new MessageBody.Nack(asked);
+          case 3 -> new MessageBody.Help(asked, new PeerId(chance.nextLong()), standing(chance).place());
+          case 4 -> new MessageBody.Ask(chance.nextLong());
+          case 5 -> new MessageBody.Page(standings(chance, 20), chance.nextLong());
           case 6 -> {
-            Map<Long, Seen> boxes = new HashMap<>();
-            for (int i = chance.nextInt(Letters.boxes(6, 4) + 1); i > 0; i--) {
+            Map<Long, BoxObservation> boxes = new HashMap<>();
+            for (int i = chance.nextInt(MessageCodec.boxes(6, 4) + 1); i > 0; i--) {
               boxes.put(
-                  chance.nextLong(), new Seen(chance.nextInt(65_536), chance.nextInt(65_536)));
+                  chance.nextLong(), new BoxObservation(chance.nextInt(65_536), chance.nextInt(65_536)));
             }
-            yield new Body.Say(
-                new Word(author, life, number, chance.nextInt(-1, 9), chance.nextInt(1000), boxes));
+            yield new MessageBody.Say(
+                new PeerReport(author, life, number, chance.nextInt(-1, 9), chance.nextInt(1000), boxes));
           }
-          case 7 -> new Body.Query((char) chance.nextInt(256), chance.nextLong());
-          case 8 -> new Body.Reply("x\u00e9".repeat(chance.nextInt(200)));
-          default -> new Body.Pass();
+          case 7 -> new MessageBody.Query((char) chance.nextInt(256), chance.nextLong());
+          case 8 -> new MessageBody.Reply("x\u00e9".repeat(chance.nextInt(200)));
+          default -> new MessageBody.Pass();
         };
     List<Note> notes = new ArrayList<>();
     for (int i = chance.nextInt(5); i > 0; i--) {
@@ -79,37 +79,37 @@
               chance.nextLong(),
               chance.nextBoolean()));
     }
-    return new Letter(author, life, number, body, standings(chance, 6), notes);
+    return new PeerMessage(author, life, number, body, standings(chance, 6), notes);
   }
 
   @Property(tries = 400, seed = "33")
-  void whatIsWrittenIsReadAndNothingElseIs(@ForAll long seed) throws Letters.Refused {
+  void whatIsWrittenIsReadAndNothingElseIs(@ForAll long seed) throws MessageCodec.InvalidMessage {
     SplittableRandom chance = new SplittableRandom(seed);
-    Letter letter = letter(chance);
-    Letters letters = with(KEY);
+    PeerMessage letter = letter(chance);
+    MessageCodec letters = with(KEY);
     byte[] bytes = letters.write(letter);
-    assertTrue(bytes.length <= Letters.MOST);
+    assertTrue(bytes.length <= MessageCodec.MOST);
     assertEquals(letter, letters.read(bytes));
     byte[] bent = bytes.clone();
     bent[chance.nextInt(bent.length)] ^= (byte) (1 << chance.nextInt(8));
-    assertThrows(Letters.Refused.class, () -> letters.read(bent));
+    assertThrows(MessageCodec.InvalidMessage.class, () -> letters.read(bent));
     assertThrows(
-        Letters.Refused.class,
+        MessageCodec.InvalidMessage.class,
         () -> letters.read(Arrays.copyOf(bytes, chance.nextInt(bytes.length))));
-    assertThrows(Letters.Refused.class, () -> letters.read(Arrays.copyOf(bytes, bytes.length + 1)));
-    assertThrows(Letters.Refused.class, () -> with(NEXT).read(bytes));
+    assertThrows(MessageCodec.InvalidMessage.class, () -> letters.read(Arrays.copyOf(bytes, bytes.length + 1)));
+    assertThrows(MessageCodec.InvalidMessage.class, () -> with(NEXT).read(bytes));
   }
 
   /** A key is changed in three steps, mixer by mixer; at no step is a letter refused. */
   @Test
-  void keysChangeWithoutAGap() throws Letters.Refused {
-    Letter letter = letter(new SplittableRandom(1));
-    List<Letters> steps = List.of(with(KEY), with(KEY, NEXT), with(NEXT, KEY), with(NEXT));
+  void keysChangeWithoutAGap() throws MessageCodec.InvalidMessage {
+    PeerMessage letter = letter(new SplittableRandom(1));
+    List<MessageCodec> steps = List.of(with(KEY), with(KEY, NEXT), with(NEXT, KEY), with(NEXT));
     for (int i = 0; i + 1 < steps.size(); i++) {
       assertEquals(letter, steps.get(i).read(steps.get(i + 1).write(letter)));
       assertEquals(letter, steps.get(i + 1).read(steps.get(i).write(letter)));
     }
-    assertThrows(Letters.Refused.class, () -> steps.get(0).read(steps.get(3).write(letter)));
+    assertThrows(MessageCodec.InvalidMessage.class, () -> steps.get(0).read(steps.get(3).write(letter)));
   }
 
   /** Who holds the key and writes nonsense is refused with a reason, whatever the nonsense. */
@@ -117,7 +117,7 @@
   void provedNonsenseIsRefused(@ForAll long seed) throws Exception {
     SplittableRandom chance = new SplittableRandom(seed);
     byte[] bytes = with(KEY).write(letter(chance));
-    int length = bytes.length - Seal.PROOF;
+    int length = bytes.length - MessageAuthenticator.PROOF;
     int cut = chance.nextInt(2) == 0 ? chance.nextInt(1, length) : length;
     byte[] plain = Arrays.copyOf(bytes, cut);
     for (int i = chance.nextInt(4); i >= 0; i--) {
@@ -125,11 +125,11 @@
     }
     Mac mac = Mac.getInstance("HmacSHA256");
     mac.init(new SecretKeySpec(KEY, "HmacSHA256"));
-    byte[] proof = Arrays.copyOf(mac.doFinal(plain), Seal.PROOF);
-    byte[] sealed = ByteBuffer.allocate(plain.length + Seal.PROOF).put(plain).put(proof).array();
+    byte[] proof = Arrays.copyOf(mac.doFinal(plain), MessageAuthenticator.PROOF);
+    byte[] sealed = ByteBuffer.allocate(plain.length + MessageAuthenticator.PROOF).put(plain).put(proof).array();
     try {
       with(KEY).read(sealed); // some changes make another letter
-    } catch (Letters.Refused e) {
+    } catch (MessageCodec.InvalidMessage e) {
       assertTrue(
           e.getMessage().startsWith("proved, and no letter")
               || e.getMessage().startsWith("of form"));
@@ -138,21 +138,21 @@
 
   @Test
   void shortKeysAreRefused() {
-    assertThrows(IllegalArgumentException.class, () -> Seal.of(List.of(new byte[15])));
-    assertThrows(IllegalArgumentException.class, () -> Seal.of(List.of()));
+    assertThrows(IllegalArgumentException.class, () -> MessageAuthenticator.of(List.of(new byte[15])));
+    assertThrows(IllegalArgumentException.class, () -> MessageAuthenticator.of(List.of()));
   }
 
   @Test
-  void whatDoesNotFitIsCut() throws Letters.Refused {
+  void whatDoesNotFitIsCut() throws MessageCodec.InvalidMessage {
     PeerId author = new PeerId(1);
-    Word much = new Word(author, 1, 1, 0, 1e300, Map.of(1L, new Seen(1e9, 70_000)));
-    Letter read =
+    PeerReport much = new PeerReport(author, 1, 1, 0, 1e300, Map.of(1L, new BoxObservation(1e9, 70_000)));
+    PeerMessage read =
         with(KEY)
             .read(
                 with(KEY)
-                    .write(new Letter(author, 1, 1, new Body.Say(much), List.of(), List.of())));
-    Word word = ((Body.Say) read.body()).word();
-    assertEquals(new Seen(65_535, 65_535), word.boxes().get(1L));
+                    .write(new PeerMessage(author, 1, 1, new MessageBody.Say(much), List.of(), List.of())));
+    PeerReport word = ((MessageBody.Say) read.body()).word();
+    assertEquals(new BoxObservation(65_535, 65_535), word.boxes().get(1L));
     assertTrue(word.demand() <= Float.MAX_VALUE);
   }
 }
--- a/peers/src/test/java/gingerring/peers/LivesExplorationTest.java
+++ b/peers/src/test/java/gingerring/peers/LivesExplorationTest.java
@@ -21,7 +21,7 @@
 class LivesExplorationTest {
   private static final long CALM_MS = 60_000;
 
-  private record Flying(int from, long life, int to, Body body, List<Standing> news) {}
+  private record Flying(int from, long life, int to, MessageBody body, List<PeerRecord> news) {}
 
   /** What may happen next. */
   private enum Choice {
@@ -54,8 +54,8 @@
       }
     }
 
-    private Place place(int mixer) {
-      return new Place(1, 1 + mixer);
+    private PeerAddress place(int mixer) {
+      return new PeerAddress(1, 1 + mixer);
     }
 
     void start(int who) {
@@ -76,12 +76,12 @@
                 }
 
                 @Override
-                public void send(Place to, Body body) {
+                public void send(PeerAddress to, MessageBody body) {
                   flying.add(new Flying(who, mineLife, to.port() - 1, body, mine[0].news(4)));
                 }
 
                 @Override
-                public void changed(Standing standing) {
+                public void changed(PeerRecord standing) {
                   int other = (int) standing.peer().number() - 1;
                   assertTrue(
                       standing.life() >= seen[who][other],
--- a/peers/src/test/java/gingerring/peers/MembershipTest.java
+++ b/peers/src/test/java/gingerring/peers/MembershipTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gingerring.peers.Standing.State;
+import gingerring.peers.PeerRecord.State;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -20,12 +20,12 @@
  */
 class MembershipTest {
   private static final PeerId SELF = new PeerId(100);
-  private static final Place HERE = place(100);
+  private static final PeerAddress HERE = place(100);
   private static final long LIFE = 50;
 
-  private final List<Body> sent = new ArrayList<>();
-  private final List<Place> to = new ArrayList<>();
-  private final List<Standing> changes = new ArrayList<>();
+  private final List<MessageBody> sent = new ArrayList<>();
+  private final List<PeerAddress> to = new ArrayList<>();
+  private final List<PeerRecord> changes = new ArrayList<>();
   private Duration now = Duration.ZERO;
   private final Membership membership =
       new Membership(
@@ -41,27 +41,27 @@
             }
 
             @Override
-            public void send(Place place, Body body) {
+            public void send(PeerAddress place, MessageBody body) {
               to.add(place);
               sent.add(body);
             }
 
             @Override
-            public void changed(Standing standing) {
+            public void changed(PeerRecord standing) {
               changes.add(standing);
             }
           });
 
-  private static Place place(int port) {
-    return new Place(0x7F000001, port);
+  private static PeerAddress place(int port) {
+    return new PeerAddress(0x7F000001, port);
   }
 
-  private static Standing here(int peer, long life, int rise, State state) {
-    return new Standing(new PeerId(peer), place(peer), life, rise, state, new PeerId(peer));
+  private static PeerRecord here(int peer, long life, int rise, State state) {
+    return new PeerRecord(new PeerId(peer), place(peer), life, rise, state, new PeerId(peer));
   }
 
-  private void told(Standing... standings) {
-    membership.heard(new PeerId(1), 1, place(1), new Body.Pass(), List.of(standings));
+  private void told(PeerRecord... standings) {
+    membership.heard(new PeerId(1), 1, place(1), new MessageBody.Pass(), List.of(standings));
   }
 
   private void pass(long ms) {
@@ -74,12 +74,12 @@
   private State state(int peer) {
     return membership.all().stream()
         .filter(each -> each.peer().number() == peer)
-        .map(Standing::state)
+        .map(PeerRecord::state)
         .findFirst()
         .orElse(null);
   }
 
-  private <T extends Body> List<T> sent(Class<T> kind) {
+  private <T extends MessageBody> List<T> sent(Class<T> kind) {
     return sent.stream().filter(kind::isInstance).map(kind::cast).collect(Collectors.toList());
   }
 
@@ -87,13 +87,13 @@
   void asksThroughHelpersBeforeItSuspects() {
     membership.begin(List.of());
     told(here(1, 1, 0, State.HERE), here(2, 1, 0, State.HERE), here(3, 1, 0, State.HERE));
-    while (sent(Body.Ping.class).isEmpty()) {
+    while (sent(MessageBody.Ping.class).isEmpty()) {
       pass(50);
     }
-    Body.Ping ping = sent(Body.Ping.class).get(0);
+    MessageBody.Ping ping = sent(MessageBody.Ping.class).get(0);
     int asked = (int) ping.peer().number();
     pass(300);
-    List<Body.Help> helps = sent(Body.Help.class);
+    List<MessageBody.Help> helps = sent(MessageBody.Help.class);
     assertEquals(2, helps.size()); // all others
     assertTrue(
         helps.stream()
@@ -101,7 +101,7 @@
     assertEquals(State.HERE, state(asked));
     // a helper had its answer: nothing is suspected
     int helper = asked == 1 ? 2 : 1;
-    membership.heard(new PeerId(helper), 1, place(helper), new Body.Ack(ping.number()), List.of());
+    membership.heard(new PeerId(helper), 1, place(helper), new MessageBody.Ack(ping.number()), List.of());
     pass(700);
     assertEquals(State.HERE, state(asked));
     assertEquals(0, membership.count(Membership.Count.SUSPECTED));
@@ -120,7 +120,7 @@
     // it is not forgotten: now and then it is asked whom it knows
     sent.clear();
     pass(15_000);
-    assertFalse(sent(Body.Ask.class).isEmpty());
+    assertFalse(sent(MessageBody.Ask.class).isEmpty());
     // it says that it lives: with a higher rise of the same life, and with a new life
     told(here(1, 1, 0, State.HERE));
     assertEquals(State.GONE, state(1), "an old word");
@@ -143,10 +143,10 @@
     assertEquals(State.SUSPECTED, state(1));
     sent.clear();
     while (membership.count(Membership.Count.GONE) == 0 && now.toSeconds() < 60) {
-      int before = sent(Body.Ping.class).size();
+      int before = sent(MessageBody.Ping.class).size();
       pass(50);
-      if (sent(Body.Ping.class).size() > before) {
-        membership.heard(new PeerId(1), 1, place(1), new Body.Pass(), List.of());
+      if (sent(MessageBody.Ping.class).size() > before) {
+        membership.heard(new PeerId(1), 1, place(1), new MessageBody.Pass(), List.of());
       }
     }
     assertEquals(State.SUSPECTED, state(1));
@@ -159,9 +159,9 @@
   void whoIsTakenForGoneAndSpeaksIsToldSo() {
     membership.begin(List.of());
     told(here(1, 1, 0, State.GONE), here(2, 1, 0, State.HERE));
-    membership.heard(new PeerId(1), 1, place(1), new Body.Pass(), List.of());
-    membership.heard(new PeerId(1), 1, place(1), new Body.Pass(), List.of());
-    List<Body.Page> told = sent(Body.Page.class);
+    membership.heard(new PeerId(1), 1, place(1), new MessageBody.Pass(), List.of());
+    membership.heard(new PeerId(1), 1, place(1), new MessageBody.Pass(), List.of());
+    List<MessageBody.Page> told = sent(MessageBody.Page.class);
     assertEquals(1, told.size(), "once a period");
     assertEquals(State.GONE, told.get(0).standings().get(0).state());
     assertEquals(place(1), to.get(sent.indexOf(told.get(0))));
@@ -172,8 +172,8 @@
     membership.begin(List.of());
     told(
         here(1, 1, 0, State.HERE),
-        new Standing(SELF, HERE, LIFE, 0, State.SUSPECTED, new PeerId(1)));
-    Standing own =
+        new PeerRecord(SELF, HERE, LIFE, 0, State.SUSPECTED, new PeerId(1)));
+    PeerRecord own =
         membership.news(10).stream()
             .filter(each -> each.peer().equals(SELF))
             .findFirst()
@@ -181,7 +181,7 @@
     assertEquals(State.HERE, own.state());
     assertEquals(1, own.rise());
     assertEquals(1, membership.health());
-    told(new Standing(SELF, HERE, LIFE, 0, State.GONE, new PeerId(1)));
+    told(new PeerRecord(SELF, HERE, LIFE, 0, State.GONE, new PeerId(1)));
     assertEquals(1, membership.count(Membership.Count.REFUTED), "that was answered before");
   }
 
@@ -192,20 +192,20 @@
     for (int i = 1; i < 8; i++) {
       told(here(i, 1, 0, State.HERE));
     }
-    Standing suspected = here(5, 1, 0, State.SUSPECTED);
-    told(new Standing(suspected.peer(), suspected.place(), 1, 0, State.SUSPECTED, new PeerId(2)));
+    PeerRecord suspected = here(5, 1, 0, State.SUSPECTED);
+    told(new PeerRecord(suspected.peer(), suspected.place(), 1, 0, State.SUSPECTED, new PeerId(2)));
     for (int i = 0; i < 5; i++) {
-      told(new Standing(suspected.peer(), suspected.place(), 1, 0, State.SUSPECTED, new PeerId(2)));
+      told(new PeerRecord(suspected.peer(), suspected.place(), 1, 0, State.SUSPECTED, new PeerId(2)));
     }
     now = now.plusMillis(5000);
     membership.tick();
     assertEquals(State.SUSPECTED, state(5));
     assertTrue(
-        sent(Body.Ping.class).stream()
+        sent(MessageBody.Ping.class).stream()
             .noneMatch(ping -> ping.peer().equals(new PeerId(5)) && ping.number() > 1),
         "nothing has run out");
-    told(new Standing(suspected.peer(), suspected.place(), 1, 0, State.SUSPECTED, new PeerId(3)));
-    told(new Standing(suspected.peer(), suspected.place(), 1, 0, State.SUSPECTED, new PeerId(4)));
+    told(new PeerRecord(suspected.peer(), suspected.place(), 1, 0, State.SUSPECTED, new PeerId(3)));
+    told(new PeerRecord(suspected.peer(), suspected.place(), 1, 0, State.SUSPECTED, new PeerId(4)));
     membership.tick();
     now = now.plusMillis(1000);
     membership.tick();
@@ -215,11 +215,11 @@
   @Test
   void ofTwoWithOneNameTheEarlierFallsSilent() {
     membership.begin(List.of(place(1)));
-    told(here(1, 1, 0, State.HERE), new Standing(SELF, place(9), LIFE + 1, 0, State.HERE, SELF));
+    told(here(1, 1, 0, State.HERE), new PeerRecord(SELF, place(9), LIFE + 1, 0, State.HERE, SELF));
     assertTrue(membership.superseded());
     sent.clear();
     pass(20_000);
-    membership.heard(new PeerId(1), 1, place(1), new Body.Ping(1, SELF), List.of());
+    membership.heard(new PeerId(1), 1, place(1), new MessageBody.Ping(1, SELF), List.of());
     assertEquals(List.of(), sent);
   }
 
@@ -227,48 +227,48 @@
   @Test
   void whoIsUnknownIsAskedWhoItIs() {
     membership.begin(List.of());
-    membership.heard(new PeerId(9), 1, place(9), new Body.Pass(), List.of());
+    membership.heard(new PeerId(9), 1, place(9), new MessageBody.Pass(), List.of());
     assertEquals(List.of(place(9)), to);
-    assertEquals(1, sent(Body.Ask.class).size());
+    assertEquals(1, sent(MessageBody.Ask.class).size());
     membership.heard(
         new PeerId(9),
         3,
         place(9),
-        new Body.Page(List.of(here(9, 3, 0, State.HERE)), 0),
+        new MessageBody.Page(List.of(here(9, 3, 0, State.HERE)), 0),
         List.of());
     assertEquals(3, membership.life(new PeerId(9)));
     // and again where it speaks in a life that it was not known in
     sent.clear();
-    membership.heard(new PeerId(9), 4, place(9), new Body.Pass(), List.of());
-    assertEquals(1, sent(Body.Ask.class).size());
+    membership.heard(new PeerId(9), 4, place(9), new MessageBody.Pass(), List.of());
+    assertEquals(1, sent(MessageBody.Ask.class).size());
   }
 
   /** An address that is another's by now does not answer for whom it was before. */
   @Test
   void answersForItselfAlone() {
-    membership.heard(new PeerId(1), 1, place(1), new Body.Ping(1, new PeerId(99)), List.of());
-    assertEquals(List.of(), sent(Body.Ack.class));
+    membership.heard(new PeerId(1), 1, place(1), new MessageBody.Ping(1, new PeerId(99)), List.of());
+    assertEquals(List.of(), sent(MessageBody.Ack.class));
     assertEquals(1, membership.count(Membership.Count.NOT_ME));
-    membership.heard(new PeerId(1), 1, place(1), new Body.Ping(2, SELF), List.of());
-    assertEquals(List.of(new Body.Ack(2)), sent(Body.Ack.class));
+    membership.heard(new PeerId(1), 1, place(1), new MessageBody.Ping(2, SELF), List.of());
+    assertEquals(List.of(new MessageBody.Ack(2)), sent(MessageBody.Ack.class));
   }
 
   @Test
   void helpsAndSaysWhereItCannot() {
     membership.begin(List.of());
     membership.heard(
-        new PeerId(1), 1, place(1), new Body.Help(7, new PeerId(2), place(2)), List.of());
-    Body.Ping ping = sent(Body.Ping.class).get(0);
-    membership.heard(new PeerId(2), 1, place(2), new Body.Ack(ping.number()), List.of());
-    assertEquals(new Body.Ack(7), sent.get(sent.size() - 1));
+        new PeerId(1), 1, place(1), new MessageBody.Help(7, new PeerId(2), place(2)), List.of());
+    MessageBody.Ping ping = sent(MessageBody.Ping.class).get(0);
+    membership.heard(new PeerId(2), 1, place(2), new MessageBody.Ack(ping.number()), List.of());
+    assertEquals(new MessageBody.Ack(7), sent.get(sent.size() - 1));
     membership.heard(
-        new PeerId(1), 1, place(1), new Body.Help(8, new PeerId(2), place(2)), List.of());
+        new PeerId(1), 1, place(1), new MessageBody.Help(8, new PeerId(2), place(2)), List.of());
     pass(300);
-    assertTrue(sent.contains(new Body.Nack(8)));
+    assertTrue(sent.contains(new MessageBody.Nack(8)));
     // one peer has so many errands open at once, and no more
     for (int i = 0; i < 20; i++) {
       membership.heard(
-          new PeerId(1), 1, place(1), new Body.Help(100 + i, new PeerId(2), place(2)), List.of());
+          new PeerId(1), 1, place(1), new MessageBody.Help(100 + i, new PeerId(2), place(2)), List.of());
     }
     assertEquals(16, membership.count(Membership.Count.TOO_BUSY));
   }
@@ -281,8 +281,8 @@
     long from = 0;
     Set<PeerId> told = new HashSet<>();
     do {
-      membership.heard(new PeerId(1), 1, place(1), new Body.Ask(from), List.of());
-      Body.Page page = (Body.Page) sent.get(sent.size() - 1);
+      membership.heard(new PeerId(1), 1, place(1), new MessageBody.Ask(from), List.of());
+      MessageBody.Page page = (MessageBody.Page) sent.get(sent.size() - 1);
       assertEquals(SELF, page.standings().get(0).peer(), "each page begins with who sends it");
       page.standings().forEach(each -> told.add(each.peer()));
       from = page.next();
@@ -308,13 +308,13 @@
               }
 
               @Override
-              public void send(Place place, Body body) {}
+              public void send(PeerAddress place, MessageBody body) {}
 
               @Override
-              public void changed(Standing standing) {}
+              public void changed(PeerRecord standing) {}
             });
     for (int i = 1; i <= 4; i++) {
-      small.heard(new PeerId(1), 1, place(1), new Body.Pass(), List.of(here(i, 1, 0, State.HERE)));
+      small.heard(new PeerId(1), 1, place(1), new MessageBody.Pass(), List.of(here(i, 1, 0, State.HERE)));
     }
     assertEquals(3, small.all().size());
     assertEquals(1, small.count(Membership.Count.NO_ROOM));
@@ -322,7 +322,7 @@
         new PeerId(1),
         1,
         place(1),
-        new Body.Pass(),
+        new MessageBody.Pass(),
         List.of(here(2, 1, 0, State.GONE), here(4, 1, 0, State.HERE)));
     assertEquals(List.of(new PeerId(1), new PeerId(3), new PeerId(4)), small.present());
   }
@@ -335,7 +335,7 @@
     to.clear();
     sent.clear();
     pass(20_000);
-    assertTrue(to.contains(place(2)) && sent.get(to.indexOf(place(2))) instanceof Body.Ask);
+    assertTrue(to.contains(place(2)) && sent.get(to.indexOf(place(2))) instanceof MessageBody.Ask);
     told(here(2, 1, 0, State.HERE));
     told(here(1, 1, 1, State.HERE));
     sent.clear();
@@ -345,7 +345,7 @@
         i < sent.size();
         i++) { // all are known: one page from somewhere, and no whole list
       assertTrue(
-          !(sent.get(i) instanceof Body.Ask ask) || ask.from() != 0, "asked anew at " + to.get(i));
+          !(sent.get(i) instanceof MessageBody.Ask ask) || ask.from() != 0, "asked anew at " + to.get(i));
     }
   }
 
@@ -354,7 +354,7 @@
     membership.begin(List.of());
     told(here(1, 1, 0, State.HERE), here(2, 1, 0, State.HERE));
     membership.leave();
-    List<Body.Page> words = sent(Body.Page.class);
+    List<MessageBody.Page> words = sent(MessageBody.Page.class);
     assertEquals(2, words.size());
     assertEquals(State.LEFT, words.get(0).standings().get(0).state());
     sent.clear();
--- a/peers/src/test/java/gingerring/peers/StandingTest.java
+++ b/peers/src/test/java/gingerring/peers/StandingTest.java
@@ -14,19 +14,19 @@
 class StandingTest {
   private static final PeerId PEER = new PeerId(7);
 
-  private static Standing draw(SplittableRandom chance) {
-    return new Standing(
+  private static PeerRecord draw(SplittableRandom chance) {
+    return new PeerRecord(
         PEER,
-        new Place(1, 1),
+        new PeerAddress(1, 1),
         chance.nextInt(3),
         chance.nextInt(3),
-        Standing.State.values()[chance.nextInt(4)],
+        PeerRecord.State.values()[chance.nextInt(4)],
         PEER);
   }
 
-  private static Standing fold(List<Standing> words) {
-    Standing believed = words.get(0);
-    for (Standing each : words) {
+  private static PeerRecord fold(List<PeerRecord> words) {
+    PeerRecord believed = words.get(0);
+    for (PeerRecord each : words) {
       believed = each.over(believed) ? each : believed;
     }
     return believed;
@@ -36,17 +36,17 @@
   @Property(tries = 500, seed = "41")
   void theSameWordsInAnyOrderEndInTheSameBelief(@ForAll long seed) {
     SplittableRandom chance = new SplittableRandom(seed);
-    List<Standing> words = new ArrayList<>();
+    List<PeerRecord> words = new ArrayList<>();
     for (int i = chance.nextInt(1, 12); i > 0; i--) {
       words.add(draw(chance));
     }
-    Standing believed = fold(words);
+    PeerRecord believed = fold(words);
     words.addAll(words.subList(0, chance.nextInt(words.size() + 1)));
     Collections.shuffle(words, new Random(seed));
-    Standing again = fold(words);
+    PeerRecord again = fold(words);
     assertEquals(believed.life(), again.life());
     assertEquals(believed.state(), again.state());
-    if (believed.state() != Standing.State.LEFT) {
+    if (believed.state() != PeerRecord.State.LEFT) {
       assertEquals(believed.rise(), again.rise());
     }
   }
@@ -54,8 +54,8 @@
   @Property(tries = 300, seed = "42")
   void anEarlierLifeNeverHoldsOverALaterOne(@ForAll long seed) {
     SplittableRandom chance = new SplittableRandom(seed);
-    Standing one = draw(chance);
-    Standing other = draw(chance);
+    PeerRecord one = draw(chance);
+    PeerRecord other = draw(chance);
     if (one.life() < other.life()) {
       assertFalse(one.over(other));
     }
--- a/peers/src/test/java/gingerring/peers/WordsTest.java
+++ b/peers/src/test/java/gingerring/peers/WordsTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gingerring.peers.Words.Verdict;
+import gingerring.peers.PeerReports.Verdict;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -20,8 +20,8 @@
   private static final Duration APART = Duration.ofMillis(500);
   private static final Duration AGE = Duration.ofSeconds(5);
 
-  private static Word word(long author, long life, long number) {
-    return new Word(new PeerId(author), life, number, 0, 1, Map.of(7L, new Seen(number, life)));
+  private static PeerReport word(long author, long life, long number) {
+    return new PeerReport(new PeerId(author), life, number, 0, 1, Map.of(7L, new BoxObservation(number, life)));
   }
 
   private static Duration ms(long millis) {
@@ -32,14 +32,14 @@
   @Property(tries = 300, seed = "30")
   void keepsWhatPlainSearchingWould(@ForAll long seed) {
     SplittableRandom chance = new SplittableRandom(seed);
-    Words words = new Words(SELF, 100, 4, APART, AGE);
-    List<Words.Kept> taken = new ArrayList<>();
+    PeerReports words = new PeerReports(SELF, 100, 4, APART, AGE);
+    List<PeerReports.Kept> taken = new ArrayList<>();
     long now = 0;
     for (int i = 0; i < 200; i++) {
       now += chance.nextInt(400);
-      Word word = word(chance.nextInt(8), chance.nextInt(3), chance.nextInt(40));
+      PeerReport word = word(chance.nextInt(8), chance.nextInt(3), chance.nextInt(40));
       boolean newest = true;
-      for (Words.Kept each : taken) {
+      for (PeerReports.Kept each : taken) {
         if (each.word().author().equals(word.author())) {
           newest &=
               word.life() > each.word().life()
@@ -49,17 +49,17 @@
       }
       assertEquals(newest, words.heard(word, ms(now)) == Verdict.TAKEN);
       if (newest) {
-        taken.add(new Words.Kept(word, ms(now)));
+        taken.add(new PeerReports.Kept(word, ms(now)));
       }
     }
-    Map<PeerId, Word> last = new HashMap<>();
-    for (Words.Kept each : taken) {
+    Map<PeerId, PeerReport> last = new HashMap<>();
+    for (PeerReports.Kept each : taken) {
       last.remove(each.word().author());
       if (now - each.at().toMillis() < AGE.toMillis()) {
         last.put(each.word().author(), each.word());
       }
     }
-    Map<PeerId, Word> fresh = new HashMap<>();
+    Map<PeerId, PeerReport> fresh = new HashMap<>();
     words.fresh(ms(now)).forEach(each -> fresh.put(each.word().author(), each.word()));
     assertEquals(last, fresh);
   }
@@ -70,7 +70,7 @@
    */
   @Test
   void anEarlierLifeNeverWins() {
-    Words words = new Words(SELF, 10, 4, APART, AGE);
+    PeerReports words = new PeerReports(SELF, 10, 4, APART, AGE);
     assertEquals(Verdict.TAKEN, words.heard(word(1, 100, 50), ms(0)));
     assertEquals(Verdict.TAKEN, words.heard(word(1, 200, 1), ms(1000)));
     assertEquals(Verdict.OLD_LIFE, words.heard(word(1, 100, 51), ms(2000)));
@@ -87,7 +87,7 @@
    */
   @Test
   void twoByOneNameSpeakNoMoreThanOne() {
-    Words words = new Words(SELF, 10, 4, APART, AGE);
+    PeerReports words = new PeerReports(SELF, 10, 4, APART, AGE);
     int taken = 0;
     for (int i = 0; i < 100; i++) {
       taken += words.heard(word(1, 100 + i, 1), ms(i * 100)) == Verdict.TAKEN ? 1 : 0;
@@ -98,14 +98,14 @@
 
   @Test
   void itsBoundsHold() {
-    Words words = new Words(SELF, 3, 2, APART, AGE);
+    PeerReports words = new PeerReports(SELF, 3, 2, APART, AGE);
     for (int i = 0; i < 3; i++) {
       assertEquals(Verdict.TAKEN, words.heard(word(i, 1, 1), ms(i)));
     }
     assertEquals(Verdict.NO_ROOM, words.heard(word(3, 1, 1), ms(100)));
-    Map<Long, Seen> many = Map.of(1L, new Seen(1, 0), 2L, new Seen(1, 0), 3L, new Seen(1, 0));
+    Map<Long, BoxObservation> many = Map.of(1L, new BoxObservation(1, 0), 2L, new BoxObservation(1, 0), 3L, new BoxObservation(1, 0));
     assertEquals(
-        Verdict.TOO_LARGE, words.heard(new Word(new PeerId(1), 1, 2, 0, 0, many), ms(1000)));
+        Verdict.TOO_LARGE, words.heard(new PeerReport(new PeerId(1), 1, 2, 0, 0, many), ms(1000)));
     assertEquals(
         Verdict.TAKEN, words.heard(word(0, 1, 2), ms(4000)), "now 1 is the one heard longest ago");
     assertEquals(Verdict.TAKEN, words.heard(word(3, 1, 1), ms(5002)));
@@ -116,7 +116,7 @@
 
   @Test
   void whoLeavesIsForgottenAtOnceAndComesBackWithANewLifeAlone() {
-    Words words = new Words(SELF, 10, 4, APART, AGE);
+    PeerReports words = new PeerReports(SELF, 10, 4, APART, AGE);
     words.heard(word(1, 100, 5), ms(0));
     words.left(new PeerId(1), 100, ms(600));
     assertEquals(List.of(), words.fresh(ms(600)));
@@ -127,9 +127,9 @@
 
   @Test
   void refusesWhatCannotBe() {
-    assertThrows(IllegalArgumentException.class, () -> new Words(SELF, 0, 1, APART, AGE));
-    assertThrows(IllegalArgumentException.class, () -> new Words(SELF, 1, 1, AGE, APART));
-    assertThrows(IllegalArgumentException.class, () -> new Seen(Double.NaN, 0));
-    assertThrows(IllegalArgumentException.class, () -> new Word(SELF, 1, 1, 0, -1, Map.of()));
+    assertThrows(IllegalArgumentException.class, () -> new PeerReports(SELF, 0, 1, APART, AGE));
+    assertThrows(IllegalArgumentException.class, () -> new PeerReports(SELF, 1, 1, AGE, APART));
+    assertThrows(IllegalArgumentException.class, () -> new BoxObservation(Double.NaN, 0));
+    assertThrows(IllegalArgumentException.class, () -> new PeerReport(SELF, 1, 1, 0, -1, Map.of()));
   }
 }
