--- a/cli/src/main/java/gingerring/cli/PeersCommand.java
+++ b/cli/src/main/java/gingerring/cli/PeersCommand.java
@@ -1,6 +1,6 @@
 package gingerring.cli;
 
-import gingerring.peering.Guest;
+import gingerring.peering.PeerQueryClient;
 import gingerring.peering.PeerSettings;
 import gingerring.peers.PeerId;
 import java.io.IOException;
@@ -57,7 +57,7 @@
       }
     }
     PrintWriter out = spec.commandLine().getOut();
-    out.println(Guest.ask(mixer, settings.keys(), about, box));
+    out.println(PeerQueryClient.ask(mixer, settings.keys(), about, box));
     out.flush();
   }
 
--- a/emulator/src/main/java/gingerring/emulator/harness/Fleet.java
+++ b/emulator/src/main/java/gingerring/emulator/harness/Fleet.java
@@ -9,7 +9,7 @@
 import gingerring.emulator.experiment.MixerProcess;
 import gingerring.emulator.experiment.Store;
 import gingerring.emulator.experiment.Tally;
-import gingerring.peering.Guest;
+import gingerring.peering.PeerQueryClient;
 import gingerring.peers.PeerId;
 import gingerring.peers.PeerAddress;
 import gingerring.traffic.wire.Datagrams;
@@ -595,7 +595,7 @@
     reactor.post(() -> address.complete(hub.boundAt(mixer)));
     try {
       Matcher there =
-          THERE.matcher(Guest.ask(address.get(END_MS, TimeUnit.MILLISECONDS), keys, 'p', 0));
+          THERE.matcher(PeerQueryClient.ask(address.get(END_MS, TimeUnit.MILLISECONDS), keys, 'p', 0));
       result.present.add(there.find() ? Integer.parseInt(there.group(1)) : -1);
     } catch (IOException | ExecutionException | TimeoutException e) {
       result.present.add(-1);
--- a/emulator/src/main/java/gingerring/emulator/simulation/Choices.java
+++ b/emulator/src/main/java/gingerring/emulator/simulation/Choices.java
@@ -2,7 +2,7 @@
 
 import gingerring.share.Box;
 import gingerring.share.BoxId;
-import gingerring.share.Cover;
+import gingerring.share.SubsetSelector;
 import gingerring.share.MixerId;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -87,7 +87,7 @@
       }
       folios.add(holders);
     }
-    Cover cover = new Cover(boxes, folios, setup.keep);
+    SubsetSelector cover = new SubsetSelector(boxes, folios, setup.keep);
     for (int m = 0; m < setup.mixers; m++) {
       boolean[] mine = new boolean[setup.boxes];
       if (policy == Policy.COVER) {
--- a/emulator/src/main/java/gingerring/emulator/simulation/Portions.java
+++ b/emulator/src/main/java/gingerring/emulator/simulation/Portions.java
@@ -1,7 +1,7 @@
 package gingerring.emulator.simulation;
 
 import gingerring.share.FairShares;
-import gingerring.share.RoomBelief;
+import gingerring.share.CapacityEstimator;
 import java.time.Duration;
 import java.util.ArrayDeque;
 import java.util.Arrays;
@@ -45,7 +45,7 @@
     int n = setup.mixers;
     double[] demand = new double[n];
     boolean[] there = new boolean[n];
-    RoomBelief[] beliefs = new RoomBelief[n];
+    CapacityEstimator[] beliefs = new CapacityEstimator[n];
     Deque<Report>[] reports = deques(n);
     int[] late = new int[n];
     for (int i = 0; i < n; i++) {
@@ -127,15 +127,15 @@
     return new Result(errors, refusedSum / Math.max(1e-9, sentSum), swing);
   }
 
-  private static RoomBelief belief(Setup setup) {
-    return new RoomBelief(setup.gain, setup.most, Duration.ofMillis((long) setup.holdMs));
+  private static CapacityEstimator belief(Setup setup) {
+    return new CapacityEstimator(setup.gain, setup.most, Duration.ofMillis((long) setup.holdMs));
   }
 
   private static double change(
       int which,
       double[] demand,
       boolean[] there,
-      RoomBelief[] beliefs,
+      CapacityEstimator[] beliefs,
       Setup setup,
       SplittableRandom chance,
       double capacity) {
--- a/emulator/src/main/java/gingerring/emulator/simulation/Probes.java
+++ b/emulator/src/main/java/gingerring/emulator/simulation/Probes.java
@@ -1,7 +1,7 @@
 package gingerring.emulator.simulation;
 
 import gingerring.share.MixerId;
-import gingerring.share.Rota;
+import gingerring.share.TurnSchedule;
 import gingerring.share.Turns;
 import java.time.Duration;
 import java.util.ArrayList;
@@ -45,7 +45,7 @@
   private final Agenda agenda = new Agenda();
   private final SplittableRandom chance;
   private final List<MixerId> members = new ArrayList<>();
-  private final List<Rota> rotas = new ArrayList<>();
+  private final List<TurnSchedule> rotas = new ArrayList<>();
   private final List<Double> probes = new ArrayList<>();
   private double found = Double.NaN;
 
@@ -55,7 +55,7 @@
     chance = new SplittableRandom(setup.seed);
     for (int i = 0; i < setup.mixers; i++) {
       members.add(new MixerId(chance.nextLong()));
-      rotas.add(new Rota(members.get(i), MATTER, Duration.ofMillis((long) ROUND_MS), STEP));
+      rotas.add(new TurnSchedule(members.get(i), MATTER, Duration.ofMillis((long) ROUND_MS), STEP));
     }
   }
 
@@ -110,7 +110,7 @@
     agenda.at(
         due.toNanos() / 1e6,
         () -> {
-          Rota rota = rotas.get(mixer);
+          TurnSchedule rota = rotas.get(mixer);
           if (rota.due(members, time()).compareTo(time()) <= 0) {
             long round = rota.acts(time());
             probe();
--- a/lease/src/main/java/gingerring/lease/DutyName.java
+++ b/lease/src/main/java/gingerring/lease/DutyName.java
@@ -21,6 +21,6 @@
     for (byte each : text.getBytes(StandardCharsets.UTF_8)) {
       hash = (hash ^ (each & 0xFF)) * 0x100000001b3L;
     }
-    return gingerring.share.Ranks.mix(hash);
+    return gingerring.share.RendezvousHash.mix(hash);
   }
 }
--- a/lease/src/main/java/gingerring/lease/Ranks.java
+++ b/lease/src/main/java/gingerring/lease/Ranks.java
@@ -1,7 +1,7 @@
 package gingerring.lease;
 
-import static gingerring.share.Ranks.draw;
-import static gingerring.share.Ranks.mix;
+import static gingerring.share.RendezvousHash.draw;
+import static gingerring.share.RendezvousHash.mix;
 
 import java.util.ArrayList;
 import java.util.Collection;
--- a/peering/src/main/java/gingerring/peering/Guest.java
+++ b/peering/src/main/java/gingerring/peering/PeerQueryClient.java
@@ -20,11 +20,11 @@
  * without becoming one of them. For tools; blocks for {@value #TRIES} tries of {@value #TRY_MS} ms
  * at the most.
  */
-public final class Guest {
+public final class PeerQueryClient {
   private static final int TRIES = 3;
   private static final int TRY_MS = 700;
 
-  private Guest() {}
+  private PeerQueryClient() {}
 
   /** {@code about}: as {@link Peering#explain} has it. */
   public static String ask(InetSocketAddress mixer, List<byte[]> keys, char about, long box)
--- a/peering/src/test/java/gingerring/peering/PeeringTest.java
+++ b/peering/src/test/java/gingerring/peering/PeeringTest.java
@@ -84,7 +84,7 @@
                 List.of(
                     new MemberEntry(new SearcherId(BOX), 0, 0, 0, MemberEntry.Standing.READY, 1, null)));
           });
-      String shown = Guest.ask(address(), keys, 'p', 0);
+      String shown = PeerQueryClient.ask(address(), keys, 'p', 0);
       assertTrue(shown.startsWith(name + " life " + startMs), shown);
       members.add(this);
     }
@@ -101,7 +101,7 @@
 
     String ask(char about) {
       try {
-        return Guest.ask(address(), KEYS, about, BOX);
+        return PeerQueryClient.ask(address(), KEYS, about, BOX);
       } catch (IOException e) {
         throw new AssertionError(e);
       }
@@ -255,7 +255,7 @@
     Member mixer = members.get(0);
     assertThrows(
         IOException.class,
-        () -> Guest.ask(mixer.address(), List.of("another fleet's key".getBytes()), 'p', 0));
+        () -> PeerQueryClient.ask(mixer.address(), List.of("another fleet's key".getBytes()), 'p', 0));
     try (DatagramSocket noise = new DatagramSocket()) {
       byte[] bytes = new byte[1500];
       for (int i = 0; i < 2000; i++) {
--- a/peers/src/main/java/gingerring/peers/PeerNode.java
+++ b/peers/src/main/java/gingerring/peers/PeerNode.java
@@ -1,7 +1,7 @@
 package gingerring.peers;
 
 import gingerring.share.MixerId;
-import gingerring.share.Rota;
+import gingerring.share.TurnSchedule;
 import gingerring.share.Turns;
 import java.time.Duration;
 import java.util.ArrayList;
@@ -18,7 +18,7 @@
 /**
  * One mixer among its peers: who they are ({@link Membership}), what they say and how much it
  * weighs ({@link PeerReports}, {@link Hearsay}), and whose turn it is to ask a benched box for all
- * ({@link Rota}). Its owner calls {@link #begin} once, {@link #tick} ten times a second, {@link
+ * ({@link TurnSchedule}). Its owner calls {@link #begin} once, {@link #tick} ten times a second, {@link
  * #received} for each datagram, {@link #saw}, {@link #silent}, {@link #asks} and {@link #asked} for
  * what the mixer meets, and asks {@link #turn} and {@link #doubt} when the mixer wants to know; it
  * acts by {@link Host}.
@@ -162,7 +162,7 @@
 
   /** A box that this mixer asks about, or hears of. */
   private static final class Matter {
-    final Rota rota;
+    final TurnSchedule rota;
 
     /** From when on it may ask by itself since another had an answer; null where none had. */
     Duration answered;
@@ -179,7 +179,7 @@
     /** When others' words may next lead to an ask. */
     Duration byWords = Duration.ZERO;
 
-    Matter(Rota rota) {
+    Matter(TurnSchedule rota) {
       this.rota = rota;
     }
   }
@@ -390,7 +390,7 @@
       if (matters.size() >= rules.boxesMost) {
         matters.remove(matters.keySet().iterator().next());
       }
-      matter = new Matter(new Rota(id(self), box, rules.roundEvery, rules.roundStep));
+      matter = new Matter(new TurnSchedule(id(self), box, rules.roundEvery, rules.roundStep));
       matters.put(box, matter);
     }
     return matter;
--- a/share/src/main/java/gingerring/share/RoomBelief.java
+++ b/share/src/main/java/gingerring/share/CapacityEstimator.java
@@ -19,7 +19,7 @@
  * <p>The belief overshoots by what it is tried larger while a refusal is on its way: {@code most}
  * times the reports' delay over {@code every} at the worst.
  */
-public final class RoomBelief {
+public final class CapacityEstimator {
   /** Shares refused below this are chance. */
   private static final double REFUSED = 0.01;
 
@@ -48,7 +48,7 @@
    * most}: the largest step up, as a share; {@code hold}: how long it is not tried larger after a
    * refusal, twice the reports' delay or more.
    */
-  public RoomBelief(double gain, double most, Duration hold) {
+  public CapacityEstimator(double gain, double most, Duration hold) {
     if (!(gain > 0 && gain <= 1) || !(most >= TRY_LEAST && most <= 1) || hold.isNegative()) {
       throw new IllegalArgumentException("gain " + gain + ", most " + most + ", hold " + hold);
     }
--- a/share/src/main/java/gingerring/share/Preference.java
+++ b/share/src/main/java/gingerring/share/Preference.java
@@ -8,7 +8,7 @@
 import java.util.TreeMap;
 
 /**
- * The boxes that one mixer prefers, as its list and its trust move: a {@link Cover} of all that it
+ * The boxes that one mixer prefers, as its list and its trust move: a {@link SubsetSelector} of all that it
  * trusts. Call {@link #listed} for each list, {@link #distrusts} and {@link #trusts} when a box is
  * benched and back, and ask {@link #prefers}. Where a box that it preferred fails, others of that
  * box's folios stand in at once; when it is back, so is the old choice. Before the first list, and
@@ -77,7 +77,7 @@
               .toList());
     }
     Set<BoxId> chosen =
-        trusted.isEmpty() ? null : new Cover(trusted, cells.values(), keep).of(self);
+        trusted.isEmpty() ? null : new SubsetSelector(trusted, cells.values(), keep).of(self);
     if (preferred != null && chosen != null) {
       moved += chosen.stream().filter(each -> !preferred.contains(each)).count();
     }
--- a/share/src/main/java/gingerring/share/Ranks.java
+++ b/share/src/main/java/gingerring/share/RendezvousHash.java
@@ -5,10 +5,10 @@
  * IEEE/ACM Transactions on Networking 6(1), 1998): a draw for each pair that all who know both
  * compute alike. When one side's member comes or goes, no pair of others changes.
  */
-public final class Ranks {
+public final class RendezvousHash {
   private static final long STRIDE = 0x9E3779B97F4A7C15L;
 
-  private Ranks() {}
+  private RendezvousHash() {}
 
   /**
    * Stafford's variant 13 of the 64-bit finalizer, as in java.util.SplittableRandom: every bit
--- a/share/src/main/java/gingerring/share/Cover.java
+++ b/share/src/main/java/gingerring/share/SubsetSelector.java
@@ -25,7 +25,7 @@
  * <p>Cost: O(b log b + sum over boxes of the folios each holds, times their holders); memory of the
  * same order.
  */
-public final class Cover {
+public final class SubsetSelector {
   private final int keep;
   private final Map<BoxId, Box> boxes = new HashMap<>();
   private final List<List<BoxId>> folios = new ArrayList<>();
@@ -36,7 +36,7 @@
    * over. {@code keep}: so many holders of each folio are preferred, or all where it has fewer; at
    * least one.
    */
-  public Cover(Collection<Box> boxes, Collection<? extends Collection<BoxId>> folios, int keep) {
+  public SubsetSelector(Collection<Box> boxes, Collection<? extends Collection<BoxId>> folios, int keep) {
     if (keep < 1) {
       throw new IllegalArgumentException("keep is " + keep + ", and has to be 1 or more");
     }
@@ -60,7 +60,7 @@
     List<BoxId> order = new ArrayList<>(held.keySet());
     Map<BoxId, Double> draws = new HashMap<>();
     order.forEach(
-        id -> draws.put(id, Ranks.weighted(mixer.number(), id.number(), boxes.get(id).size())));
+        id -> draws.put(id, RendezvousHash.weighted(mixer.number(), id.number(), boxes.get(id).size())));
     order.sort(Comparator.<BoxId>comparingDouble(draws::get).thenComparingLong(BoxId::number));
     Set<BoxId> chosen = new LinkedHashSet<>();
     for (BoxId id : order) {
--- a/share/src/main/java/gingerring/share/Rota.java
+++ b/share/src/main/java/gingerring/share/TurnSchedule.java
@@ -19,7 +19,7 @@
  * members f that claim falsely, alone or together, hold up no round in which none of them comes
  * first among those there. State: two numbers.
  */
-public final class Rota {
+public final class TurnSchedule {
   private final Turns turns;
   private final MixerId self;
   private final long matter;
@@ -34,7 +34,7 @@
   /**
    * {@code every}: a round's span; {@code step}: how long one who acts takes until the others know.
    */
-  public Rota(MixerId self, long matter, Duration every, Duration step) {
+  public TurnSchedule(MixerId self, long matter, Duration every, Duration step) {
     if (every.compareTo(step) < 0) {
       throw new IllegalArgumentException(
           "a round of " + every + " is shorter than a step of " + step);
--- a/share/src/main/java/gingerring/share/Turns.java
+++ b/share/src/main/java/gingerring/share/Turns.java
@@ -38,11 +38,11 @@
    * matter for good.
    */
   public int place(long matter, long round, Collection<MixerId> members) {
-    long key = Ranks.draw(matter, round);
-    long mine = Ranks.draw(key, self.number());
+    long key = RendezvousHash.draw(matter, round);
+    long mine = RendezvousHash.draw(key, self.number());
     int before = 0;
     for (MixerId member : members) {
-      long its = Ranks.draw(key, member.number());
+      long its = RendezvousHash.draw(key, member.number());
       before += its < mine || its == mine && member.number() < self.number() ? 1 : 0;
     }
     return before;
@@ -58,7 +58,7 @@
    * fleet.
    */
   public Duration spread(long matter, long round, int size) {
-    double share = Ranks.unit(Ranks.draw(matter, round), self.number());
+    double share = RendezvousHash.unit(RendezvousHash.draw(matter, round), self.number());
     return Duration.ofNanos((long) (step.toNanos() * share * Math.max(1, size)));
   }
 }
--- a/share/src/test/java/gingerring/share/CoverTest.java
+++ b/share/src/test/java/gingerring/share/CoverTest.java
@@ -50,7 +50,7 @@
     List<Box> all = ring(size, zones);
     List<List<BoxId>> folios = folios(all, copies);
     List<Box> trusted = all.stream().filter(box -> chance.nextInt(5) > 0).toList();
-    Set<BoxId> chosen = new Cover(trusted, folios, keep).of(new MixerId(seed));
+    Set<BoxId> chosen = new SubsetSelector(trusted, folios, keep).of(new MixerId(seed));
     assertTrue(plainlyCovered(trusted, folios, keep, chosen));
     for (BoxId spare : chosen) {
       Set<BoxId> fewer = new HashSet<>(chosen);
@@ -97,10 +97,10 @@
     int moved = 0;
     int had = 0;
     for (int m = 0; m < 200; m++) {
-      Set<BoxId> before = new Cover(all, folios, 2).of(new MixerId(m));
+      Set<BoxId> before = new SubsetSelector(all, folios, 2).of(new MixerId(m));
       BoxId gone = before.iterator().next();
       Set<BoxId> after =
-          new Cover(all.stream().filter(box -> !box.id().equals(gone)).toList(), folios, 2)
+          new SubsetSelector(all.stream().filter(box -> !box.id().equals(gone)).toList(), folios, 2)
               .of(new MixerId(m));
       assertFalse(after.contains(gone));
       Set<BoxId> changed = new HashSet<>(before);
@@ -126,7 +126,7 @@
     List<List<BoxId>> one = List.of(boxes.stream().map(Box::id).toList()); // a folio that all hold
     double[] mixers = new double[30];
     for (int m = 0; m < 9000; m++) {
-      new Cover(boxes, one, 1).of(new MixerId(m)).forEach(id -> mixers[(int) id.number()]++);
+      new SubsetSelector(boxes, one, 1).of(new MixerId(m)).forEach(id -> mixers[(int) id.number()]++);
     }
     for (int i = 0; i < 30; i++) {
       assertEquals(i < 15 ? 200 : 400, mixers[i], 5 * Math.sqrt(400));
@@ -135,9 +135,9 @@
 
   @Test
   void refusesWhatCannotBe() {
-    assertThrows(IllegalArgumentException.class, () -> new Cover(ring(3, 1), List.of(), 0));
+    assertThrows(IllegalArgumentException.class, () -> new SubsetSelector(ring(3, 1), List.of(), 0));
     assertThrows(IllegalArgumentException.class, () -> new Box(new BoxId(1), 0, 0));
     List<Box> twice = List.of(new Box(new BoxId(1), 0, 1), new Box(new BoxId(1), 1, 1));
-    assertThrows(IllegalArgumentException.class, () -> new Cover(twice, List.of(), 1));
+    assertThrows(IllegalArgumentException.class, () -> new SubsetSelector(twice, List.of(), 1));
   }
 }
--- a/share/src/test/java/gingerring/share/RoomBeliefTest.java
+++ b/share/src/test/java/gingerring/share/RoomBeliefTest.java
@@ -19,7 +19,7 @@
 
   @Test
   void whileNothingIsRefusedAllIsOnesOwnDemand() {
-    RoomBelief belief = new RoomBelief(1, 0.02, ms(2000));
+    CapacityEstimator belief = new CapacityEstimator(1, 0.02, ms(2000));
     belief.told(1000, 0, ms(0));
     assertEquals(70, belief.portion(new double[] {70, 900}, new double[] {1, 1}, 0));
     belief.told(1000, 5, ms(250)); // by chance
@@ -28,7 +28,7 @@
 
   @Test
   void theRoomIsWhatWasAnsweredWhereSomeWereRefused() {
-    RoomBelief belief = new RoomBelief(1, 0.02, ms(2000));
+    CapacityEstimator belief = new CapacityEstimator(1, 0.02, ms(2000));
     belief.told(800, 200, ms(0));
     assertEquals(800, belief.room());
     assertEquals(700, belief.portion(new double[] {900, 100}, new double[] {1, 1}, 0));
@@ -42,7 +42,7 @@
 
   @Test
   void isTriedLargerFasterAndFasterAndNotAgainAfterARefusal() {
-    RoomBelief belief = new RoomBelief(1, 0.02, ms(2000));
+    CapacityEstimator belief = new CapacityEstimator(1, 0.02, ms(2000));
     belief.told(800, 200, ms(0));
     belief.told(800, 0, ms(1000));
     assertEquals(800, belief.room(), "the last refusal is too new");
@@ -65,7 +65,7 @@
   @Property(tries = 100, seed = "81")
   void believesInTheMostOfItsWindow(@ForAll long seed) {
     SplittableRandom chance = new SplittableRandom(seed);
-    RoomBelief belief = new RoomBelief(1, 0.02, ms(1000));
+    CapacityEstimator belief = new CapacityEstimator(1, 0.02, ms(1000));
     List<double[]> told = new ArrayList<>();
     long at = 0;
     for (int i = 0; i < 100; i++) {
@@ -86,9 +86,9 @@
 
   @Test
   void refusesWhatCannotBe() {
-    assertThrows(IllegalArgumentException.class, () -> new RoomBelief(0, 0.02, ms(1)));
-    assertThrows(IllegalArgumentException.class, () -> new RoomBelief(1, 2, ms(1)));
+    assertThrows(IllegalArgumentException.class, () -> new CapacityEstimator(0, 0.02, ms(1)));
+    assertThrows(IllegalArgumentException.class, () -> new CapacityEstimator(1, 2, ms(1)));
     assertThrows(
-        IllegalArgumentException.class, () -> new RoomBelief(1, 0.02, ms(1)).told(-1, 0, ms(0)));
+        IllegalArgumentException.class, () -> new CapacityEstimator(1, 0.02, ms(1)).told(-1, 0, ms(0)));
   }
 }
--- a/share/src/test/java/gingerring/share/RotaTest.java
+++ b/share/src/test/java/gingerring/share/RotaTest.java
@@ -28,8 +28,8 @@
     return members;
   }
 
-  private static Rota rota(int mixer) {
-    return new Rota(new MixerId(mixer + 1), MATTER, EVERY, STEP);
+  private static TurnSchedule rota(int mixer) {
+    return new TurnSchedule(new MixerId(mixer + 1), MATTER, EVERY, STEP);
   }
 
   /**
@@ -81,8 +81,8 @@
       }
     }
 
-    static Rota at(int mixer, long done, List<MixerId> members) {
-      Rota rota = rota(mixer);
+    static TurnSchedule at(int mixer, long done, List<MixerId> members) {
+      TurnSchedule rota = rota(mixer);
       if (done >= 0) {
         rota.acts(EVERY.multipliedBy(done)); // the same state, reached by itself
       }
@@ -146,7 +146,7 @@
       List<long[]> fewer = new ArrayList<>(state.words);
       fewer.remove(from);
       List<Long> done = new ArrayList<>(state.done);
-      Rota rota = at(to, state.done.get(to), members(3));
+      TurnSchedule rota = at(to, state.done.get(to), members(3));
       if (listens
           && rota.heard(
               new MixerId(word[0] + 1), word[2], members(3), STEP.multipliedBy(state.tick))) {
@@ -203,7 +203,7 @@
       int excuses = state.tick % 4 == 0 && state.tick > 0 ? carried(state) : state.excuses;
       int acted = 0;
       for (int m = 0; m < 3; m++) {
-        Rota rota = at(m, state.done.get(m), members(3));
+        TurnSchedule rota = at(m, state.done.get(m), members(3));
         if (state.stoppedUntil.get(m) <= state.tick
             && rota.due(members(3), now).compareTo(now) <= 0) {
           long round = rota.acts(now);
@@ -263,7 +263,7 @@
   @Property(tries = 30, seed = "32")
   void whoClaimsFalselyHoldsUpItsOwnTurnsAlone(@ForAll int start) {
     List<MixerId> members = members(8);
-    Rota honest = rota(0);
+    TurnSchedule honest = rota(0);
     int heldUp = 0;
     for (long round = start; round < start + 200L; round++) {
       Duration begun = EVERY.multipliedBy(round);
@@ -292,7 +292,7 @@
   @Test
   void whoWakesKnowsTheRoundByTheClock() {
     List<MixerId> members = members(3);
-    Rota rota = rota(0);
+    TurnSchedule rota = rota(0);
     rota.acts(Duration.ZERO);
     Duration woken = EVERY.multipliedBy(25).plus(STEP);
     Duration due = rota.due(members, woken);
@@ -303,6 +303,6 @@
 
   @Test
   void refusesARoundShorterThanAStep() {
-    assertThrows(IllegalArgumentException.class, () -> new Rota(new MixerId(1), 1, STEP, EVERY));
+    assertThrows(IllegalArgumentException.class, () -> new TurnSchedule(new MixerId(1), 1, STEP, EVERY));
   }
 }
