--- a/bench/src/main/java/gingerring/bench/LayoutBench.java
+++ b/bench/src/main/java/gingerring/bench/LayoutBench.java
@@ -1,11 +1,11 @@
 package gingerring.bench;
 
 import gingerring.layout.BoxId;
-import gingerring.layout.Folio;
-import gingerring.layout.FolioId;
+import gingerring.layout.Partition;
+import gingerring.layout.PartitionId;
 import gingerring.layout.Layout;
-import gingerring.layout.Refused;
-import gingerring.layout.Slice;
+import gingerring.layout.LayoutException;
+import gingerring.layout.KeyRange;
 import gingerring.layout.Step;
 import java.util.ArrayList;
 import java.util.List;
@@ -44,35 +44,35 @@
   private List<BoxId> holders;
 
   @Setup
-  public void make() throws Refused {
+  public void make() throws LayoutException {
     random = new SplittableRandom(1);
     holders = List.of(new BoxId("a"), new BoxId("b"), new BoxId("c"));
-    List<Folio> list = new ArrayList<>();
+    List<Partition> list = new ArrayList<>();
     for (int i = 0; i < folios; i++) {
-      list.add(new Folio(new FolioId(i), List.of(new Slice(i * EACH, (i + 1) * EACH, 1)), holders));
+      list.add(new Partition(new PartitionId(i), List.of(new KeyRange(i * EACH, (i + 1) * EACH, 1)), holders));
     }
     layout = Layout.of(0, folios * EACH, list);
   }
 
   @Benchmark
-  public FolioId lookup() {
+  public PartitionId lookup() {
     return layout.owner(random.nextLong(folios * EACH));
   }
 
   /** A split of one folio into two: the next version, which shares the rest. */
   @Benchmark
-  public Layout split() throws Refused {
+  public Layout split() throws LayoutException {
     int which = random.nextInt(folios);
     long from = which * EACH;
     return layout.apply(
         new Step.Split(
             1,
-            new FolioId(which),
+            new PartitionId(which),
             List.of(
-                new Folio(new FolioId(which), List.of(new Slice(from, from + 400, 0.4)), holders),
-                new Folio(
-                    new FolioId(folios),
-                    List.of(new Slice(from + 400, from + EACH, 0.6)),
+                new Partition(new PartitionId(which), List.of(new KeyRange(from, from + 400, 0.4)), holders),
+                new Partition(
+                    new PartitionId(folios),
+                    List.of(new KeyRange(from + 400, from + EACH, 0.6)),
                     holders))));
   }
 }
--- a/cli/src/main/java/gingerring/cli/LayoutCommand.java
+++ b/cli/src/main/java/gingerring/cli/LayoutCommand.java
@@ -1,10 +1,10 @@
 package gingerring.cli;
 
 import gingerring.layout.BoxId;
-import gingerring.layout.Folio;
+import gingerring.layout.Partition;
 import gingerring.layout.Layout;
 import gingerring.layout.Planner;
-import gingerring.layout.Refused;
+import gingerring.layout.LayoutException;
 import gingerring.layout.Step;
 import java.io.IOException;
 import java.io.PrintWriter;
@@ -40,13 +40,13 @@
     return spec.commandLine().getOut();
   }
 
-  private static List<Folio> sorted(Layout layout) {
-    List<Folio> folios = new ArrayList<>(layout.folios());
-    folios.sort(Comparator.comparing(Folio::id));
+  private static List<Partition> sorted(Layout layout) {
+    List<Partition> folios = new ArrayList<>(layout.folios());
+    folios.sort(Comparator.comparing(Partition::id));
     return folios;
   }
 
-  private static String text(Folio folio) {
+  private static String text(Partition folio) {
     return folio.id()
         + " holds "
         + folio.slices()
@@ -73,7 +73,7 @@
                 + " folios");
     sorted(layout).forEach(folio -> out().println("  " + text(folio)));
     for (BoxId box : layout.boxes().stream().sorted().toList()) {
-      List<Folio> held =
+      List<Partition> held =
           sorted(layout).stream().filter(folio -> folio.holders().contains(box)).toList();
       out()
           .printf(
@@ -81,7 +81,7 @@
               "  box %s: %d folios, weight %.4g%n",
               box,
               held.size(),
-              held.stream().mapToDouble(Folio::weight).sum());
+              held.stream().mapToDouble(Partition::weight).sum());
     }
     return 0;
   }
@@ -114,15 +114,15 @@
     Layout one = LayoutFile.read(from);
     Layout other = LayoutFile.read(to);
     int differ = 0;
-    for (Folio folio : sorted(one)) {
-      Optional<Folio> its = other.folio(folio.id());
+    for (Partition folio : sorted(one)) {
+      Optional<Partition> its = other.folio(folio.id());
       if (!its.equals(Optional.of(folio))) {
         differ++;
         out().println("- " + text(folio));
         its.ifPresent(now -> out().println("+ " + text(now)));
       }
     }
-    for (Folio folio : sorted(other)) {
+    for (Partition folio : sorted(other)) {
       if (one.folio(folio.id()).isEmpty()) {
         differ++;
         out().println("+ " + text(folio));
@@ -153,7 +153,7 @@
       steps.forEach(step -> out().println(text(step)));
       out().println(steps.size() + " steps, from version " + one.version());
       return 0;
-    } catch (Refused e) {
+    } catch (LayoutException e) {
       spec.commandLine().getErr().println("gingerring layout plan: " + e.getMessage());
       return Gingerring.VERDICT;
     }
--- a/cli/src/main/java/gingerring/cli/LayoutFile.java
+++ b/cli/src/main/java/gingerring/cli/LayoutFile.java
@@ -3,11 +3,11 @@
 import gingerring.json.Fields;
 import gingerring.json.Json;
 import gingerring.layout.BoxId;
-import gingerring.layout.Folio;
-import gingerring.layout.FolioId;
+import gingerring.layout.Partition;
+import gingerring.layout.PartitionId;
 import gingerring.layout.Layout;
-import gingerring.layout.Refused;
-import gingerring.layout.Slice;
+import gingerring.layout.LayoutException;
+import gingerring.layout.KeyRange;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -28,20 +28,20 @@
     String place = "";
     try {
       Map<String, Object> object = Fields.object(Json.read(json), "the layout");
-      List<Folio> folios = new ArrayList<>();
+      List<Partition> folios = new ArrayList<>();
       for (Object each : Fields.list(object, "folios")) {
         place = "folios." + folios.size() + ": ";
         folios.add(folio(Fields.object(each, "it")));
       }
       place = "";
       return Layout.of(Fields.whole(object, "version"), Fields.whole(object, "keys"), folios);
-    } catch (Json.Malformed | Refused | IllegalArgumentException e) {
+    } catch (Json.Malformed | LayoutException | IllegalArgumentException e) {
       throw new IOException(file + ": " + place + e.getMessage());
     }
   }
 
-  private static Folio folio(Map<String, Object> from) throws Json.Malformed {
-    List<Slice> slices = new ArrayList<>();
+  private static Partition folio(Map<String, Object> from) throws Json.Malformed {
+    List<KeyRange> slices = new ArrayList<>();
     for (Object each : Fields.list(from, "slices")) {
       if (!(each instanceof List<?> slice)
           || slice.size() != 3
@@ -53,7 +53,7 @@
         throw new Json.Malformed(
             "a slice is its first key, the key after its last, and its weight");
       }
-      slices.add(new Slice(low.longValue(), high.longValue(), weight));
+      slices.add(new KeyRange(low.longValue(), high.longValue(), weight));
     }
     List<BoxId> holders = new ArrayList<>();
     for (Object each : Fields.list(from, "holders")) {
@@ -62,8 +62,8 @@
       }
       holders.add(new BoxId(name));
     }
-    return new Folio(
-        new FolioId((int) Fields.whole(from, "id")),
+    return new Partition(
+        new PartitionId((int) Fields.whole(from, "id")),
         slices,
         holders,
         box(from, "source"),
--- a/layout/src/main/java/gingerring/layout/Slice.java
+++ b/layout/src/main/java/gingerring/layout/KeyRange.java
@@ -4,8 +4,8 @@
  * Provider keys from {@code from} up to, but not, {@code to}, and how much they weigh among all:
  * the ledger's measure of what is in.
  */
-public record Slice(long from, long to, double weight) {
-  public Slice {
+public record KeyRange(long from, long to, double weight) {
+  public KeyRange {
     if (from < 0 || to <= from || !(weight > 0) || !Double.isFinite(weight)) {
       throw new IllegalArgumentException(
           "a slice from " + from + " to " + to + " weighing " + weight);
@@ -13,12 +13,12 @@
   }
 
   /** The part of it within a range; it weighs in proportion to its keys. */
-  Slice within(long low, long high) {
+  KeyRange within(long low, long high) {
     long start = Math.max(from, low);
     long end = Math.min(to, high);
     return start == from && end == to
         ? this
-        : new Slice(start, end, weight * ((double) (end - start) / (double) (to - from)));
+        : new KeyRange(start, end, weight * ((double) (end - start) / (double) (to - from)));
   }
 
   @Override
--- a/layout/src/main/java/gingerring/layout/Layout.java
+++ b/layout/src/main/java/gingerring/layout/Layout.java
@@ -24,15 +24,15 @@
   private static final double ROUNDING = 1e-6;
 
   /** What stands at a slice's first key. */
-  private record Place(Slice slice, FolioId folio) {}
+  private record Place(KeyRange slice, PartitionId folio) {}
 
   private final long version;
   private final long keys;
   private final TreePMap<Long, Place> places;
-  private final HashPMap<FolioId, Folio> folios;
+  private final HashPMap<PartitionId, Partition> folios;
 
   private Layout(
-      long version, long keys, TreePMap<Long, Place> places, HashPMap<FolioId, Folio> folios) {
+      long version, long keys, TreePMap<Long, Place> places, HashPMap<PartitionId, Partition> folios) {
     this.version = version;
     this.keys = keys;
     this.places = places;
@@ -40,18 +40,18 @@
   }
 
   /** A whole list; refused unless every key from 0 up to {@code keys} has one owner. */
-  public static Layout of(long version, long keys, Collection<Folio> list) throws Refused {
+  public static Layout of(long version, long keys, Collection<Partition> list) throws LayoutException {
     if (version < 0 || keys <= 0) {
-      throw new Refused("version " + version + " of " + keys + " keys cannot be");
+      throw new LayoutException("version " + version + " of " + keys + " keys cannot be");
     }
     if (list.size() > FOLIOS_MOST) {
-      throw new Refused("more than " + FOLIOS_MOST + " folios");
+      throw new LayoutException("more than " + FOLIOS_MOST + " folios");
     }
-    HashPMap<FolioId, Folio> folios = HashTreePMap.empty();
+    HashPMap<PartitionId, Partition> folios = HashTreePMap.empty();
     List<Place> all = new ArrayList<>();
-    for (Folio folio : list) {
+    for (Partition folio : list) {
       if (folios.containsKey(folio.id())) {
-        throw new Refused(folio.id() + " stands there twice");
+        throw new LayoutException(folio.id() + " stands there twice");
       }
       check(folio);
       folios = folios.plus(folio.id(), folio);
@@ -62,7 +62,7 @@
     long at = 0;
     for (Place place : all) {
       if (place.slice.from() != at) {
-        throw new Refused(
+        throw new LayoutException(
             place.slice.from() > at
                 ? "keys "
                     + at
@@ -76,7 +76,7 @@
       places = places.plus(place.slice.from(), place);
     }
     if (at != keys) {
-      throw new Refused(
+      throw new LayoutException(
           "keys "
               + Math.min(at, keys)
               + " to "
@@ -86,13 +86,13 @@
     return new Layout(version, keys, places, folios);
   }
 
-  private static void check(Folio folio) throws Refused {
+  private static void check(Partition folio) throws LayoutException {
     if (folio.slices().isEmpty()) {
-      throw new Refused(folio.id() + " has no keys");
+      throw new LayoutException(folio.id() + " has no keys");
     }
     for (int i = 1; i < folio.slices().size(); i++) {
       if (folio.slices().get(i).from() < folio.slices().get(i - 1).to()) {
-        throw new Refused(
+        throw new LayoutException(
             folio.id()
                 + ": its slices "
                 + folio.slices().get(i - 1)
@@ -103,65 +103,65 @@
     }
     if (folio.holders().isEmpty()
         || new HashSet<>(folio.holders()).size() != folio.holders().size()) {
-      throw new Refused(folio.id() + " has no holder, or one twice");
+      throw new LayoutException(folio.id() + " has no holder, or one twice");
     }
     if ((folio.source() == null) != (folio.successor() == null)
         || folio.moving()
             && (!folio.holders().contains(folio.source())
                 || folio.holders().contains(folio.successor()))) {
-      throw new Refused(folio.id() + " moves from no holder, or to one");
+      throw new LayoutException(folio.id() + " moves from no holder, or to one");
     }
   }
 
   /** The next version; refused whole where a step does not fit this one. */
-  public Layout apply(Step step) throws Refused {
+  public Layout apply(Step step) throws LayoutException {
     if (step.version() != version + 1) {
-      throw new Refused("step " + step.version() + " does not follow version " + version);
+      throw new LayoutException("step " + step.version() + " does not follow version " + version);
     }
     if (step instanceof Step.Split split) {
       return split(split);
     } else if (step instanceof Step.Merge merge) {
       return merge(merge);
     } else if (step instanceof Step.MoveBegins begins) {
-      Folio folio = still(step, begins.folio());
+      Partition folio = still(step, begins.folio());
       return with(
           step,
-          new Folio(
+          new Partition(
               folio.id(), folio.slices(), folio.holders(), begins.source(), begins.successor()));
     } else if (step instanceof Step.MoveEnds ends) {
-      Folio folio = moving(step, ends.folio());
+      Partition folio = moving(step, ends.folio());
       List<BoxId> holders = new ArrayList<>(folio.holders());
       holders.set(holders.indexOf(folio.source()), folio.successor());
-      return with(step, new Folio(folio.id(), folio.slices(), holders));
+      return with(step, new Partition(folio.id(), folio.slices(), holders));
     }
-    Folio folio = moving(step, ((Step.MoveFails) step).folio());
-    return with(step, new Folio(folio.id(), folio.slices(), folio.holders()));
+    Partition folio = moving(step, ((Step.MoveFails) step).folio());
+    return with(step, new Partition(folio.id(), folio.slices(), folio.holders()));
   }
 
-  private Layout split(Step.Split split) throws Refused {
-    Folio from = still(split, split.from());
+  private Layout split(Step.Split split) throws LayoutException {
+    Partition from = still(split, split.from());
     if (split.into().size() < 2) {
-      throw new Refused(
+      throw new LayoutException(
           "step " + split.version() + ": a split of " + from.id() + " into fewer than two");
     }
-    HashPMap<FolioId, Folio> next = folios.minus(from.id());
+    HashPMap<PartitionId, Partition> next = folios.minus(from.id());
     TreePMap<Long, Place> nextPlaces = places;
-    for (Slice slice : from.slices()) {
+    for (KeyRange slice : from.slices()) {
       nextPlaces = nextPlaces.minus(slice.from());
     }
-    List<Slice> all = new ArrayList<>();
-    for (Folio folio : split.into()) {
+    List<KeyRange> all = new ArrayList<>();
+    for (Partition folio : split.into()) {
       check(folio);
       if (folio.moving()) {
-        throw new Refused(
+        throw new LayoutException(
             "step " + split.version() + ": " + folio.id() + " moves before it is there");
       }
       // the old folio's number may go on with one of the new
       if (next.containsKey(folio.id())) {
-        throw new Refused("step " + split.version() + ": " + folio.id() + " is there already");
+        throw new LayoutException("step " + split.version() + ": " + folio.id() + " is there already");
       }
       next = next.plus(folio.id(), folio);
-      for (Slice slice : folio.slices()) {
+      for (KeyRange slice : folio.slices()) {
         nextPlaces = nextPlaces.plus(slice.from(), new Place(slice, folio.id()));
         all.add(slice);
       }
@@ -171,15 +171,15 @@
   }
 
   /** The new slices cover the old ones' keys, each once, and weigh as much. */
-  private static void same(Step step, Folio from, List<Slice> into) throws Refused {
-    List<Slice> sorted = new ArrayList<>(into);
-    sorted.sort(Comparator.comparingLong(Slice::from));
+  private static void same(Step step, Partition from, List<KeyRange> into) throws LayoutException {
+    List<KeyRange> sorted = new ArrayList<>(into);
+    sorted.sort(Comparator.comparingLong(KeyRange::from));
     int at = 0;
-    for (Slice old : from.slices()) {
+    for (KeyRange old : from.slices()) {
       long key = old.from();
       while (key < old.to()) {
         if (at == sorted.size() || sorted.get(at).from() != key) {
-          throw new Refused(
+          throw new LayoutException(
               "step "
                   + step.version()
                   + ": of "
@@ -193,7 +193,7 @@
         key = sorted.get(at++).to();
       }
       if (key != old.to()) {
-        throw new Refused(
+        throw new LayoutException(
             "step "
                 + step.version()
                 + ": keys "
@@ -206,12 +206,12 @@
       }
     }
     if (at != sorted.size()) {
-      throw new Refused(
+      throw new LayoutException(
           "step " + step.version() + ": keys " + sorted.get(at) + " are not " + from.id() + "'s");
     }
-    double weight = into.stream().mapToDouble(Slice::weight).sum();
+    double weight = into.stream().mapToDouble(KeyRange::weight).sum();
     if (Math.abs(weight - from.weight()) > ROUNDING * from.weight()) {
-      throw new Refused(
+      throw new LayoutException(
           "step "
               + step.version()
               + ": "
@@ -223,55 +223,55 @@
     }
   }
 
-  private Layout merge(Step.Merge merge) throws Refused {
+  private Layout merge(Step.Merge merge) throws LayoutException {
     if (merge.from().size() < 2 || new HashSet<>(merge.from()).size() != merge.from().size()) {
-      throw new Refused(
+      throw new LayoutException(
           "step " + merge.version() + ": a merge of fewer than two folios, or of one twice");
     }
-    HashPMap<FolioId, Folio> next = folios;
-    List<Slice> slices = new ArrayList<>();
-    for (FolioId id : merge.from()) {
+    HashPMap<PartitionId, Partition> next = folios;
+    List<KeyRange> slices = new ArrayList<>();
+    for (PartitionId id : merge.from()) {
       slices.addAll(still(merge, id).slices());
       next = next.minus(id);
     }
-    slices.sort(Comparator.comparingLong(Slice::from));
+    slices.sort(Comparator.comparingLong(KeyRange::from));
     if (next.containsKey(merge.into())) {
-      throw new Refused("step " + merge.version() + ": " + merge.into() + " is there already");
+      throw new LayoutException("step " + merge.version() + ": " + merge.into() + " is there already");
     }
-    Folio folio = new Folio(merge.into(), slices, merge.holders());
+    Partition folio = new Partition(merge.into(), slices, merge.holders());
     check(folio);
     TreePMap<Long, Place> nextPlaces = places;
-    for (Slice slice : slices) {
+    for (KeyRange slice : slices) {
       nextPlaces = nextPlaces.plus(slice.from(), new Place(slice, folio.id()));
     }
     return new Layout(merge.version(), keys, nextPlaces, next.plus(folio.id(), folio));
   }
 
-  private Layout with(Step step, Folio folio) throws Refused {
+  private Layout with(Step step, Partition folio) throws LayoutException {
     check(folio);
     return new Layout(step.version(), keys, places, folios.plus(folio.id(), folio));
   }
 
-  private Folio there(Step step, FolioId id) throws Refused {
-    Folio folio = folios.get(id);
+  private Partition there(Step step, PartitionId id) throws LayoutException {
+    Partition folio = folios.get(id);
     if (folio == null) {
-      throw new Refused("step " + step.version() + ": there is no " + id);
+      throw new LayoutException("step " + step.version() + ": there is no " + id);
     }
     return folio;
   }
 
-  private Folio still(Step step, FolioId id) throws Refused {
-    Folio folio = there(step, id);
+  private Partition still(Step step, PartitionId id) throws LayoutException {
+    Partition folio = there(step, id);
     if (folio.moving()) {
-      throw new Refused("step " + step.version() + ": " + id + " is moving");
+      throw new LayoutException("step " + step.version() + ": " + id + " is moving");
     }
     return folio;
   }
 
-  private Folio moving(Step step, FolioId id) throws Refused {
-    Folio folio = there(step, id);
+  private Partition moving(Step step, PartitionId id) throws LayoutException {
+    Partition folio = there(step, id);
     if (!folio.moving()) {
-      throw new Refused("step " + step.version() + ": " + id + " is not moving");
+      throw new LayoutException("step " + step.version() + ": " + id + " is not moving");
     }
     return folio;
   }
@@ -289,16 +289,16 @@
     return folios.size();
   }
 
-  public Optional<Folio> folio(FolioId id) {
+  public Optional<Partition> folio(PartitionId id) {
     return Optional.ofNullable(folios.get(id));
   }
 
-  public Collection<Folio> folios() {
+  public Collection<Partition> folios() {
     return folios.values();
   }
 
   /** The folio that holds a key. */
-  public FolioId owner(long key) {
+  public PartitionId owner(long key) {
     if (key < 0 || key >= keys) {
       throw new IllegalArgumentException("key " + key + " is not one of " + keys);
     }
@@ -306,8 +306,8 @@
   }
 
   /** The slices that a range of keys meets, in order, cut to it, each with its folio. */
-  public List<Map.Entry<Slice, FolioId>> over(long from, long to) {
-    List<Map.Entry<Slice, FolioId>> met = new ArrayList<>();
+  public List<Map.Entry<KeyRange, PartitionId>> over(long from, long to) {
+    List<Map.Entry<KeyRange, PartitionId>> met = new ArrayList<>();
     Map.Entry<Long, Place> first = places.floorEntry(Math.max(0, from));
     if (first == null || to <= from) {
       return met;
@@ -326,7 +326,7 @@
   /** Boxes that hold anything, or are to. */
   public Set<BoxId> boxes() {
     Set<BoxId> boxes = new HashSet<>();
-    for (Folio folio : folios.values()) {
+    for (Partition folio : folios.values()) {
       boxes.addAll(folio.holders());
       if (folio.moving()) {
         boxes.add(folio.successor());
--- a/layout/src/main/java/gingerring/layout/Refused.java
+++ b/layout/src/main/java/gingerring/layout/LayoutException.java
@@ -3,10 +3,10 @@
 /**
  * A change or a list that cannot be taken; the message names the entry. Nothing of it was taken.
  */
-public final class Refused extends Exception {
+public final class LayoutException extends Exception {
   private static final long serialVersionUID = 1;
 
-  public Refused(String message) {
+  public LayoutException(String message) {
     super(message, null, false, false);
   }
 }
--- a/layout/src/main/java/gingerring/layout/LayoutLog.java
+++ b/layout/src/main/java/gingerring/layout/LayoutLog.java
@@ -69,7 +69,7 @@
       try {
         inForce = inForce.apply(next);
         taken = true;
-      } catch (Refused e) {
+      } catch (LayoutException e) {
         refuse(e.getMessage());
         refusedVersion = next.version();
         return taken;
--- a/layout/src/main/java/gingerring/layout/Ledger.java
+++ b/layout/src/main/java/gingerring/layout/Ledger.java
@@ -48,9 +48,9 @@
   /**
    * The scan asks for this folio of the version that it began under, with this share of its weight.
    */
-  public void ask(Folio folio, double share) {
+  public void ask(Partition folio, double share) {
     double all = folio.weight();
-    for (Slice slice : folio.slices()) {
+    for (KeyRange slice : folio.slices()) {
       Range<Long> keys = range(slice.from(), slice.to());
       if (asked.intersects(keys)) {
         throw new IllegalArgumentException("keys " + slice + " asked twice");
@@ -73,12 +73,12 @@
       if (in.intersects(piece.getKey())) {
         continue;
       }
-      List<Map.Entry<Slice, FolioId>> over = layout.over(from, to);
+      List<Map.Entry<KeyRange, PartitionId>> over = layout.over(from, to);
       double all = over.stream().mapToDouble(each -> each.getKey().weight()).sum();
       if (over.size() > 1 && all > 0) {
         double weight = piece.getValue() * (to - from);
-        for (Map.Entry<Slice, FolioId> each : over) {
-          Slice slice = each.getKey();
+        for (Map.Entry<KeyRange, PartitionId> each : over) {
+          KeyRange slice = each.getKey();
           density.put(
               range(slice.from(), slice.to()),
               weight * slice.weight() / all / (slice.to() - slice.from()));
@@ -88,10 +88,10 @@
   }
 
   /** Folios of a layout that hold what is missing, each with the ranges to ask of it. */
-  public Map<FolioId, List<Range<Long>>> missing(Layout layout) {
-    Map<FolioId, List<Range<Long>>> folios = new TreeMap<>();
+  public Map<PartitionId, List<Range<Long>>> missing(Layout layout) {
+    Map<PartitionId, List<Range<Long>>> folios = new TreeMap<>();
     for (Range<Long> keys : missing().asRanges()) {
-      for (Map.Entry<Slice, FolioId> each :
+      for (Map.Entry<KeyRange, PartitionId> each :
           layout.over(keys.lowerEndpoint(), keys.upperEndpoint())) {
         folios
             .computeIfAbsent(each.getValue(), id -> new ArrayList<>())
--- a/layout/src/main/java/gingerring/layout/Folio.java
+++ b/layout/src/main/java/gingerring/layout/Partition.java
@@ -7,14 +7,14 @@
  * done to it. {@code successor} is the box that a move copies to, and {@code source} the one that
  * it takes it from; both are null unless it moves.
  */
-public record Folio(
-    FolioId id, List<Slice> slices, List<BoxId> holders, BoxId source, BoxId successor) {
-  public Folio {
+public record Partition(
+    PartitionId id, List<KeyRange> slices, List<BoxId> holders, BoxId source, BoxId successor) {
+  public Partition {
     slices = List.copyOf(slices);
     holders = List.copyOf(holders);
   }
 
-  public Folio(FolioId id, List<Slice> slices, List<BoxId> holders) {
+  public Partition(PartitionId id, List<KeyRange> slices, List<BoxId> holders) {
     this(id, slices, holders, null, null);
   }
 
@@ -23,6 +23,6 @@
   }
 
   public double weight() {
-    return slices.stream().mapToDouble(Slice::weight).sum();
+    return slices.stream().mapToDouble(KeyRange::weight).sum();
   }
 }
--- a/layout/src/main/java/gingerring/layout/FolioId.java
+++ b/layout/src/main/java/gingerring/layout/PartitionId.java
@@ -1,9 +1,9 @@
 package gingerring.layout;
 
 /** Names a folio. A number is not used again for another folio. */
-public record FolioId(int number) implements Comparable<FolioId> {
+public record PartitionId(int number) implements Comparable<PartitionId> {
   @Override
-  public int compareTo(FolioId other) {
+  public int compareTo(PartitionId other) {
     return Integer.compare(number, other.number);
   }
 
--- a/layout/src/main/java/gingerring/layout/Planner.java
+++ b/layout/src/main/java/gingerring/layout/Planner.java
@@ -27,7 +27,7 @@
   private final List<Step> steps = new ArrayList<>();
 
   /** Folios as they stand between splits and merges, with what they are to be part of. */
-  private final Map<FolioId, FolioId> targets = new TreeMap<>();
+  private final Map<PartitionId, PartitionId> targets = new TreeMap<>();
 
   private Layout now;
   private int numbers;
@@ -37,24 +37,24 @@
     this.to = to;
     this.atOnce = atOnce;
     for (Layout layout : List.of(from, to)) {
-      for (Folio folio : layout.folios()) {
+      for (Partition folio : layout.folios()) {
         numbers = Math.max(numbers, folio.id().number() + 1);
       }
     }
   }
 
   /** {@code atOnce}: moves that copy to one box at a time, 1 or more. */
-  public static List<Step> plan(Layout from, Layout to, int atOnce) throws Refused {
+  public static List<Step> plan(Layout from, Layout to, int atOnce) throws LayoutException {
     if (atOnce < 1) {
-      throw new Refused("no move at a time: " + atOnce);
+      throw new LayoutException("no move at a time: " + atOnce);
     }
     if (from.keys() != to.keys()) {
-      throw new Refused("one layout has " + from.keys() + " keys, the other " + to.keys());
+      throw new LayoutException("one layout has " + from.keys() + " keys, the other " + to.keys());
     }
     for (Layout layout : List.of(from, to)) {
-      for (Folio folio : layout.folios()) {
+      for (Partition folio : layout.folios()) {
         if (folio.moving()) {
-          throw new Refused(
+          throw new LayoutException(
               folio.id() + " of version " + layout.version() + " is moving: that has to end first");
         }
       }
@@ -66,25 +66,25 @@
     return planner.steps;
   }
 
-  private void step(Step step) throws Refused {
+  private void step(Step step) throws LayoutException {
     now = now.apply(step);
     steps.add(step);
   }
 
-  private static List<Folio> sorted(Layout layout) {
-    List<Folio> folios = new ArrayList<>(layout.folios());
-    folios.sort(Comparator.comparing(Folio::id));
+  private static List<Partition> sorted(Layout layout) {
+    List<Partition> folios = new ArrayList<>(layout.folios());
+    folios.sort(Comparator.comparing(Partition::id));
     return folios;
   }
 
   /** Cuts each folio where its keys go to different ones. */
-  private void split() throws Refused {
-    Map<FolioId, Integer> pieces = new HashMap<>();
-    Map<FolioId, Map<FolioId, List<Slice>>> cuts = new TreeMap<>();
-    for (Folio folio : sorted(now)) {
-      Map<FolioId, List<Slice>> parts = new TreeMap<>();
-      for (Slice slice : folio.slices()) {
-        for (Map.Entry<Slice, FolioId> each : to.over(slice.from(), slice.to())) {
+  private void split() throws LayoutException {
+    Map<PartitionId, Integer> pieces = new HashMap<>();
+    Map<PartitionId, Map<PartitionId, List<KeyRange>>> cuts = new TreeMap<>();
+    for (Partition folio : sorted(now)) {
+      Map<PartitionId, List<KeyRange>> parts = new TreeMap<>();
+      for (KeyRange slice : folio.slices()) {
+        for (Map.Entry<KeyRange, PartitionId> each : to.over(slice.from(), slice.to())) {
           parts
               .computeIfAbsent(each.getValue(), id -> new ArrayList<>())
               .add(slice.within(each.getKey().from(), each.getKey().to()));
@@ -93,26 +93,26 @@
       parts.keySet().forEach(id -> pieces.merge(id, 1, Integer::sum));
       cuts.put(folio.id(), parts);
       if (to.folio(folio.id()).isPresent() && !parts.containsKey(folio.id())) {
-        throw new Refused(folio.id() + " would name other keys");
+        throw new LayoutException(folio.id() + " would name other keys");
       }
     }
-    for (Map.Entry<FolioId, Map<FolioId, List<Slice>>> cut : cuts.entrySet()) {
-      Folio folio = now.folio(cut.getKey()).orElseThrow();
+    for (Map.Entry<PartitionId, Map<PartitionId, List<KeyRange>>> cut : cuts.entrySet()) {
+      Partition folio = now.folio(cut.getKey()).orElseThrow();
       if (cut.getValue().size() == 1) {
-        FolioId target = cut.getValue().keySet().iterator().next();
+        PartitionId target = cut.getValue().keySet().iterator().next();
         if (!target.equals(folio.id()) && pieces.get(target) == 1) {
-          throw new Refused(folio.id() + " would only change its number, to " + target.number());
+          throw new LayoutException(folio.id() + " would only change its number, to " + target.number());
         }
         targets.put(folio.id(), target);
         continue;
       }
-      List<Folio> into = new ArrayList<>();
-      for (Map.Entry<FolioId, List<Slice>> part : cut.getValue().entrySet()) {
-        FolioId target = part.getKey();
+      List<Partition> into = new ArrayList<>();
+      for (Map.Entry<PartitionId, List<KeyRange>> part : cut.getValue().entrySet()) {
+        PartitionId target = part.getKey();
         // what stays keeps its number; what is alone in its target has that one's at once
-        FolioId id =
-            target.equals(folio.id()) || pieces.get(target) == 1 ? target : new FolioId(numbers++);
-        into.add(new Folio(id, part.getValue(), folio.holders()));
+        PartitionId id =
+            target.equals(folio.id()) || pieces.get(target) == 1 ? target : new PartitionId(numbers++);
+        into.add(new Partition(id, part.getValue(), folio.holders()));
         targets.put(id, target);
       }
       step(new Step.Split(now.version() + 1, folio.id(), into));
@@ -120,16 +120,16 @@
   }
 
   /** Moves holders in waves, each box copied to by so many at a time. */
-  private void move() throws Refused {
-    Map<FolioId, Deque<BoxId[]>> moves = new TreeMap<>();
-    for (Folio folio : sorted(now)) {
-      Folio target = to.folio(targets.get(folio.id())).orElseThrow();
+  private void move() throws LayoutException {
+    Map<PartitionId, Deque<BoxId[]>> moves = new TreeMap<>();
+    for (Partition folio : sorted(now)) {
+      Partition target = to.folio(targets.get(folio.id())).orElseThrow();
       List<BoxId> sources = new ArrayList<>(folio.holders());
       sources.removeAll(target.holders());
       List<BoxId> successors = new ArrayList<>(target.holders());
       successors.removeAll(folio.holders());
       if (sources.size() != successors.size()) {
-        throw new Refused(
+        throw new LayoutException(
             target.id()
                 + " would have "
                 + target.holders().size()
@@ -146,15 +146,15 @@
     }
     while (!moves.isEmpty()) {
       Map<BoxId, Integer> copying = new HashMap<>();
-      List<FolioId> begun = new ArrayList<>();
-      for (Map.Entry<FolioId, Deque<BoxId[]>> each : moves.entrySet()) {
+      List<PartitionId> begun = new ArrayList<>();
+      for (Map.Entry<PartitionId, Deque<BoxId[]>> each : moves.entrySet()) {
         BoxId[] move = each.getValue().peek();
         if (copying.merge(move[1], 1, Integer::sum) <= atOnce) {
           step(new Step.MoveBegins(now.version() + 1, each.getKey(), move[0], move[1]));
           begun.add(each.getKey());
         }
       }
-      for (FolioId id : begun) {
+      for (PartitionId id : begun) {
         step(new Step.MoveEnds(now.version() + 1, id));
         moves.get(id).poll();
         if (moves.get(id).isEmpty()) {
@@ -164,13 +164,13 @@
     }
   }
 
-  private void merge() throws Refused {
-    Map<FolioId, List<FolioId>> parts = new TreeMap<>();
+  private void merge() throws LayoutException {
+    Map<PartitionId, List<PartitionId>> parts = new TreeMap<>();
     targets.forEach((id, target) -> parts.computeIfAbsent(target, t -> new ArrayList<>()).add(id));
-    for (Map.Entry<FolioId, List<FolioId>> each : parts.entrySet()) {
+    for (Map.Entry<PartitionId, List<PartitionId>> each : parts.entrySet()) {
       if (each.getValue().size() > 1) {
         Set<BoxId> holders = new HashSet<>(to.folio(each.getKey()).orElseThrow().holders());
-        for (FolioId part : each.getValue()) {
+        for (PartitionId part : each.getValue()) {
           assert holders.equals(new HashSet<>(now.folio(part).orElseThrow().holders())) : part;
         }
         step(
--- a/layout/src/main/java/gingerring/layout/Step.java
+++ b/layout/src/main/java/gingerring/layout/Step.java
@@ -7,14 +7,14 @@
   long version();
 
   /** One folio becomes several, which together have its keys. */
-  record Split(long version, FolioId from, List<Folio> into) implements Step {
+  record Split(long version, PartitionId from, List<Partition> into) implements Step {
     public Split {
       into = List.copyOf(into);
     }
   }
 
   /** Several folios become one, which has their keys and these holders. */
-  record Merge(long version, List<FolioId> from, FolioId into, List<BoxId> holders)
+  record Merge(long version, List<PartitionId> from, PartitionId into, List<BoxId> holders)
       implements Step {
     public Merge {
       from = List.copyOf(from);
@@ -23,11 +23,11 @@
   }
 
   /** A holder's copy begins to move to a box that is none: until it has, the holder goes on. */
-  record MoveBegins(long version, FolioId folio, BoxId source, BoxId successor) implements Step {}
+  record MoveBegins(long version, PartitionId folio, BoxId source, BoxId successor) implements Step {}
 
   /** The successor holds the folio now, and the source does not. */
-  record MoveEnds(long version, FolioId folio) implements Step {}
+  record MoveEnds(long version, PartitionId folio) implements Step {}
 
   /** A move was given up: the holders stay as they are. */
-  record MoveFails(long version, FolioId folio) implements Step {}
+  record MoveFails(long version, PartitionId folio) implements Step {}
 }
--- a/layout/src/test/java/gingerring/layout/ExplorationTest.java
+++ b/layout/src/test/java/gingerring/layout/ExplorationTest.java
@@ -66,7 +66,7 @@
     final Ledger ledger = new Ledger();
     final Hints hints = new Hints();
     final Attempts attempts;
-    final Map<FolioId, Attempts> byFolio = new HashMap<>();
+    final Map<PartitionId, Attempts> byFolio = new HashMap<>();
     final int[] trips = new int[KEYS];
     final int[] ran = new int[KEYS];
     LayoutLog log;
@@ -84,7 +84,7 @@
       this.fault = fault;
       log = new LayoutLog(versions.get(0));
       attempts = new Attempts(TRIPS, repeats, Duration.ofHours(1));
-      for (Folio folio : versions.get(0).folios()) {
+      for (Partition folio : versions.get(0).folios()) {
         ledger.ask(folio, 1.0 / versions.get(0).size());
       }
       send();
@@ -184,14 +184,14 @@
       if (layout.size() > older.size()) {
         return new Step.Split(
             version,
-            new FolioId(0),
+            new PartitionId(0),
             layout.folios().stream()
                 .sorted((one, other) -> one.id().compareTo(other.id()))
                 .toList());
       }
-      return layout.folio(new FolioId(2)).orElseThrow().moving()
-          ? new Step.MoveBegins(version, new FolioId(2), A, B)
-          : new Step.MoveEnds(version, new FolioId(2));
+      return layout.folio(new PartitionId(2)).orElseThrow().moving()
+          ? new Step.MoveBegins(version, new PartitionId(2), A, B)
+          : new Step.MoveEnds(version, new PartitionId(2));
     }
 
     private void carry(Message message) {
@@ -202,8 +202,8 @@
         for (Range<Long> range : message.asked) {
           long from = range.lowerEndpoint();
           long to = range.upperEndpoint();
-          for (Map.Entry<Slice, FolioId> each : versions.get(view[box]).over(from, to)) {
-            Slice slice = each.getKey();
+          for (Map.Entry<KeyRange, PartitionId> each : versions.get(view[box]).over(from, to)) {
+            KeyRange slice = each.getKey();
             boolean holds =
                 versions
                     .get(view[box])
@@ -266,7 +266,7 @@
           .missing(log.inForce())
           .forEach(
               (id, ranges) -> {
-                Folio folio = log.inForce().folio(id).orElseThrow();
+                Partition folio = log.inForce().folio(id).orElseThrow();
                 List<Range<Long>> ask = new ArrayList<>();
                 for (Range<Long> range : ranges) {
                   boolean isOut =
@@ -352,17 +352,17 @@
     }
   }
 
-  private static List<Layout> layouts(boolean split) throws Refused {
+  private static List<Layout> layouts(boolean split) throws LayoutException {
     List<Layout> versions = new ArrayList<>();
-    Folio low = new Folio(new FolioId(0), List.of(new Slice(0, 2, 1)), List.of(A));
-    Folio high = new Folio(new FolioId(2), List.of(new Slice(2, 4, 1)), List.of(A));
+    Partition low = new Partition(new PartitionId(0), List.of(new KeyRange(0, 2, 1)), List.of(A));
+    Partition high = new Partition(new PartitionId(2), List.of(new KeyRange(2, 4, 1)), List.of(A));
     if (split) {
       versions.add(
           Layout.of(
               0,
               KEYS,
-              List.of(new Folio(new FolioId(0), List.of(new Slice(0, 4, 2)), List.of(A)))));
-      versions.add(versions.get(0).apply(new Step.Split(1, new FolioId(0), List.of(low, high))));
+              List.of(new Partition(new PartitionId(0), List.of(new KeyRange(0, 4, 2)), List.of(A)))));
+      versions.add(versions.get(0).apply(new Step.Split(1, new PartitionId(0), List.of(low, high))));
     } else {
       versions.add(Layout.of(0, KEYS, List.of(low, high)));
     }
@@ -375,7 +375,7 @@
   private record Found(int states, int ends, int whole, String foul, List<String> path) {}
 
   private static Found explore(boolean split, Repeats repeats, boolean apart, Fault fault)
-      throws Refused {
+      throws LayoutException {
     List<Layout> versions = layouts(split);
     Set<String> seen = new HashSet<>();
     Deque<List<String>> paths = new ArrayDeque<>(List.of(List.of()));
--- a/layout/src/test/java/gingerring/layout/Histories.java
+++ b/layout/src/test/java/gingerring/layout/Histories.java
@@ -89,7 +89,7 @@
       holders.remove(from);
       Set<Integer> given = new HashSet<>();
       double after = 0;
-      for (Folio folio : split.into()) {
+      for (Partition folio : split.into()) {
         int id = folio.id().number();
         if (holders.containsKey(id)
             || folio.holders().isEmpty()
@@ -98,7 +98,7 @@
           return false;
         }
         holders.put(id, new HashSet<>(folio.holders()));
-        for (Slice slice : folio.slices()) {
+        for (KeyRange slice : folio.slices()) {
           for (long key = slice.from(); key < slice.to(); key++) {
             if (key >= KEYS || owner[(int) key] != from || !given.add((int) key)) {
               return false;
@@ -106,8 +106,8 @@
           }
         }
       }
-      for (Folio folio : split.into()) {
-        for (Slice slice : folio.slices()) {
+      for (Partition folio : split.into()) {
+        for (KeyRange slice : folio.slices()) {
           after += slice.weight();
           for (long key = slice.from(); key < slice.to(); key++) {
             owner[(int) key] = folio.id().number();
@@ -124,14 +124,14 @@
     }
 
     private boolean merge(Step.Merge merge) {
-      Set<FolioId> from = new HashSet<>(merge.from());
+      Set<PartitionId> from = new HashSet<>(merge.from());
       if (from.size() < 2
           || from.size() != merge.from().size()
           || merge.holders().isEmpty()
           || new HashSet<>(merge.holders()).size() != merge.holders().size()) {
         return false;
       }
-      for (FolioId id : from) {
+      for (PartitionId id : from) {
         if (holders.remove(id.number()) == null || moves.containsKey(id.number())) {
           return false;
         }
@@ -141,7 +141,7 @@
       }
       holders.put(merge.into().number(), new HashSet<>(merge.holders()));
       for (int key = 0; key < KEYS; key++) {
-        if (from.contains(new FolioId(owner[key]))) {
+        if (from.contains(new PartitionId(owner[key]))) {
           owner[key] = merge.into().number();
         }
       }
@@ -165,12 +165,12 @@
 
   /** Four folios that share the keys, and the model of that. */
   static Layout first(Model model) {
-    List<Folio> folios = new ArrayList<>();
+    List<Partition> folios = new ArrayList<>();
     for (int i = 0; i < 4; i++) {
       int from = i * KEYS / 4;
       int to = (i + 1) * KEYS / 4;
       List<BoxId> holders = List.of(box(i), box(i + 1), box(i + 2));
-      folios.add(new Folio(new FolioId(i), List.of(new Slice(from, to, 1 + i)), holders));
+      folios.add(new Partition(new PartitionId(i), List.of(new KeyRange(from, to, 1 + i)), holders));
       for (int key = from; key < to; key++) {
         model.owner[key] = i;
         model.weight[key] = (1.0 + i) / (to - from);
@@ -179,16 +179,16 @@
     }
     try {
       return Layout.of(0, KEYS, folios);
-    } catch (Refused e) {
+    } catch (LayoutException e) {
       throw new IllegalStateException(e);
     }
   }
 
   /** A step that may or may not fit; about one in three is spoilt in some way. */
   static Step step(Layout layout, int[] numbers, SplittableRandom random) {
-    List<Folio> folios = new ArrayList<>(layout.folios());
-    folios.sort(Comparator.comparing(Folio::id));
-    Folio one = folios.get(random.nextInt(folios.size()));
+    List<Partition> folios = new ArrayList<>(layout.folios());
+    folios.sort(Comparator.comparing(Partition::id));
+    Partition one = folios.get(random.nextInt(folios.size()));
     long version = layout.version() + (random.nextInt(20) == 0 ? random.nextInt(4) : 1);
     switch (random.nextInt(5)) {
       case 0:
@@ -204,11 +204,11 @@
             ? new Step.MoveEnds(version, one.id())
             : new Step.MoveFails(version, one.id());
       case 2:
-        List<FolioId> from = new ArrayList<>();
+        List<PartitionId> from = new ArrayList<>();
         for (int i = 0; i < 2; i++) {
           from.add(folios.get(random.nextInt(folios.size())).id());
         }
-        FolioId into = new FolioId(random.nextInt(4) == 0 ? one.id().number() : numbers[0]++);
+        PartitionId into = new PartitionId(random.nextInt(4) == 0 ? one.id().number() : numbers[0]++);
         return new Step.Merge(
             version, from, into, random.nextInt(10) == 0 ? List.of() : boxes(random));
       default:
@@ -216,14 +216,14 @@
     }
   }
 
-  private static Step split(long version, Folio one, int[] numbers, SplittableRandom random) {
+  private static Step split(long version, Partition one, int[] numbers, SplittableRandom random) {
     // each key goes to one of the new folios, in runs
     int count = 2 + random.nextInt(2);
-    List<List<Slice>> slices = new ArrayList<>();
+    List<List<KeyRange>> slices = new ArrayList<>();
     for (int i = 0; i < count; i++) {
       slices.add(new ArrayList<>());
     }
-    for (Slice slice : one.slices()) {
+    for (KeyRange slice : one.slices()) {
       long at = slice.from();
       while (at < slice.to()) {
         long end = Math.min(slice.to(), at + 1 + random.nextInt(8));
@@ -233,7 +233,7 @@
     }
     if (random.nextInt(6) == 0
         && !slices.get(0).isEmpty()) { // spoilt: a slice lost, doubled, or made longer
-      Slice last = slices.get(0).get(slices.get(0).size() - 1);
+      KeyRange last = slices.get(0).get(slices.get(0).size() - 1);
       switch (random.nextInt(3)) {
         case 0 -> slices.get(0).remove(last);
         case 1 -> slices.get(1).add(last);
@@ -241,15 +241,15 @@
             slices
                 .get(0)
                 .set(
-                    slices.get(0).size() - 1, new Slice(last.from(), last.to() + 1, last.weight()));
+                    slices.get(0).size() - 1, new KeyRange(last.from(), last.to() + 1, last.weight()));
       }
     }
-    List<Folio> into = new ArrayList<>();
+    List<Partition> into = new ArrayList<>();
     for (int i = 0; i < count; i++) {
-      List<Slice> mine = new ArrayList<>(slices.get(i));
-      mine.sort(Comparator.comparingLong(Slice::from));
-      FolioId id = i == 0 && random.nextBoolean() ? one.id() : new FolioId(numbers[0]++);
-      into.add(new Folio(id, mine, boxes(random)));
+      List<KeyRange> mine = new ArrayList<>(slices.get(i));
+      mine.sort(Comparator.comparingLong(KeyRange::from));
+      PartitionId id = i == 0 && random.nextBoolean() ? one.id() : new PartitionId(numbers[0]++);
+      into.add(new Partition(id, mine, boxes(random)));
     }
     return new Step.Split(version, one.id(), into);
   }
--- a/layout/src/test/java/gingerring/layout/LayoutTest.java
+++ b/layout/src/test/java/gingerring/layout/LayoutTest.java
@@ -36,7 +36,7 @@
         String why = "";
         try {
           next = layout.apply(step);
-        } catch (Refused e) {
+        } catch (LayoutException e) {
           why = e.getMessage();
         }
         assertEquals(after != null, next != null, history + ": " + step + ": " + why);
@@ -50,7 +50,7 @@
         assertArrayEquals(model.owner, Histories.owners(next), history + ": " + step);
         assertArrayEquals(before, Histories.owners(layout), "the version before has changed");
         layout = next;
-        for (Folio folio : layout.folios()) {
+        for (Partition folio : layout.folios()) {
           assertEquals(model.holders.get(folio.id().number()), new HashSet<>(folio.holders()));
           assertEquals(model.moves.containsKey(folio.id().number()), folio.moving());
         }
@@ -58,7 +58,7 @@
         int to = from + random.nextInt(Histories.KEYS - from + 1);
         int key = from;
         double weight = 0;
-        for (Map.Entry<Slice, FolioId> each : layout.over(from, to)) {
+        for (Map.Entry<KeyRange, PartitionId> each : layout.over(from, to)) {
           assertEquals(key, each.getKey().from());
           weight += each.getKey().weight();
           for (; key < each.getKey().to(); key++) {
@@ -88,7 +88,7 @@
         try {
           versions.add(last.apply(step));
           steps.add(step);
-        } catch (Refused e) {
+        } catch (LayoutException e) {
           // another
         }
       }
@@ -126,11 +126,11 @@
   void anOlderListChangesNothingAndARefusedStepWaitsForOne() throws Exception {
     Layout zero = Histories.first(new Model());
     Step.MoveBegins one =
-        new Step.MoveBegins(1, new FolioId(0), Histories.box(0), Histories.box(7));
-    Step.MoveEnds two = new Step.MoveEnds(2, new FolioId(1)); // it does not move
-    Step.MoveEnds right = new Step.MoveEnds(2, new FolioId(0));
+        new Step.MoveBegins(1, new PartitionId(0), Histories.box(0), Histories.box(7));
+    Step.MoveEnds two = new Step.MoveEnds(2, new PartitionId(1)); // it does not move
+    Step.MoveEnds right = new Step.MoveEnds(2, new PartitionId(0));
     Step.MoveBegins three =
-        new Step.MoveBegins(3, new FolioId(0), Histories.box(7), Histories.box(0));
+        new Step.MoveBegins(3, new PartitionId(0), Histories.box(7), Histories.box(0));
     LayoutLog log = new LayoutLog(zero);
     assertEquals(Heard.WAITS, log.step(three));
     assertEquals(Heard.TAKEN, log.step(one));
@@ -149,7 +149,7 @@
   void stepsWaitInBoundedNumber() {
     LayoutLog log = new LayoutLog(Histories.first(new Model()));
     for (int i = 0; i < 3 * LayoutLog.WAITING_MOST; i++) {
-      log.step(new Step.MoveEnds(2 + i, new FolioId(0)));
+      log.step(new Step.MoveEnds(2 + i, new PartitionId(0)));
     }
     assertEquals(LayoutLog.WAITING_MOST, log.waiting());
   }
@@ -157,7 +157,7 @@
   @Test
   void badListsAreRefusedByTheirEntry() {
     List<BoxId> holders = List.of(Histories.box(1));
-    Map<List<Folio>, String> wrong =
+    Map<List<Partition>, String> wrong =
         Map.of(
             List.of(folio(0, 0, 10), folio(1, 12, 20)),
                 "keys 10 to 12 have no owner, before folio 1",
@@ -165,27 +165,27 @@
             List.of(folio(0, 0, 10)), "keys 10 to 20 have no owner",
             List.of(folio(0, 0, 10), folio(0, 10, 20)), "folio 0 stands there twice",
             List.of(folio(0, 0, 25)), "keys 20 to 25 are beyond the last",
-            List.of(new Folio(new FolioId(3), List.of(), holders)), "folio 3 has no keys",
-            List.of(new Folio(new FolioId(3), List.of(new Slice(0, 20, 1)), List.of())),
+            List.of(new Partition(new PartitionId(3), List.of(), holders)), "folio 3 has no keys",
+            List.of(new Partition(new PartitionId(3), List.of(new KeyRange(0, 20, 1)), List.of())),
                 "folio 3 has no holder",
             List.of(
-                    new Folio(
-                        new FolioId(3),
-                        List.of(new Slice(0, 20, 1)),
+                    new Partition(
+                        new PartitionId(3),
+                        List.of(new KeyRange(0, 20, 1)),
                         holders,
                         Histories.box(2),
                         Histories.box(4))),
                 "folio 3 moves from no holder, or to one");
     wrong.forEach(
         (list, why) -> {
-          Refused refused = assertThrows(Refused.class, () -> Layout.of(1, 20, list));
+          LayoutException refused = assertThrows(LayoutException.class, () -> Layout.of(1, 20, list));
           assertTrue(refused.getMessage().startsWith(why), refused.getMessage());
         });
   }
 
-  private static Folio folio(int number, long from, long to) {
-    return new Folio(
-        new FolioId(number), List.of(new Slice(from, to, 1)), List.of(Histories.box(1)));
+  private static Partition folio(int number, long from, long to) {
+    return new Partition(
+        new PartitionId(number), List.of(new KeyRange(from, to, 1)), List.of(Histories.box(1)));
   }
 
   /**
@@ -202,7 +202,7 @@
       Layout layout = versions.inForce();
       try {
         versions.inForce(layout.apply(Histories.step(layout, numbers, random)));
-      } catch (Refused e) {
+      } catch (LayoutException e) {
         continue;
       }
       scans.add(versions.hold().version());
--- a/layout/src/test/java/gingerring/layout/LedgerTest.java
+++ b/layout/src/test/java/gingerring/layout/LedgerTest.java
@@ -42,10 +42,10 @@
       Ledger ledger = new Ledger();
       boolean[] asked = new boolean[Histories.KEYS];
       boolean[] in = new boolean[Histories.KEYS];
-      List<Folio> folios = new ArrayList<>(began.folios());
-      folios.sort(Comparator.comparing(Folio::id));
+      List<Partition> folios = new ArrayList<>(began.folios());
+      folios.sort(Comparator.comparing(Partition::id));
       double total = 0;
-      for (Folio folio : folios) {
+      for (Partition folio : folios) {
         if (random.nextInt(3) > 0 || total == 0) {
           ledger.ask(folio, 0.25);
           total += 0.25;
@@ -61,9 +61,9 @@
         // scan asked there
         Layout believed =
             versions.get(versions.size() - 1 - random.nextInt(Math.min(3, versions.size())));
-        Map<FolioId, List<Range<Long>>> missing = ledger.missing(believed);
+        Map<PartitionId, List<Range<Long>>> missing = ledger.missing(believed);
         List<Entry> entries = new ArrayList<>();
-        FolioId folio = believed.owner(random.nextInt(Histories.KEYS));
+        PartitionId folio = believed.owner(random.nextInt(Histories.KEYS));
         boolean asks = random.nextBoolean() && missing.containsKey(folio);
         List<Range<Long>> ranges = asks ? missing.get(folio) : asked(believed, folio, asked);
         boolean fine = random.nextBoolean(); // it tells its providers apart, or not
@@ -121,15 +121,15 @@
       try {
         versions.add(last.apply(Histories.step(last, numbers, random)));
         i++;
-      } catch (Refused e) {
+      } catch (LayoutException e) {
         // another
       }
     }
   }
 
-  private static List<Range<Long>> asked(Layout layout, FolioId folio, boolean[] asked) {
+  private static List<Range<Long>> asked(Layout layout, PartitionId folio, boolean[] asked) {
     List<Range<Long>> ranges = new ArrayList<>();
-    for (Slice slice : layout.folio(folio).orElseThrow().slices()) {
+    for (KeyRange slice : layout.folio(folio).orElseThrow().slices()) {
       long from = -1;
       for (long key = slice.from(); key <= slice.to(); key++) {
         boolean mine = key < slice.to() && asked[(int) key];
@@ -175,8 +175,8 @@
   @Test
   void aLateAnswerThatOverlapsAHalfIsCutOrSetAside() throws Exception {
     Layout before = Histories.first(new Model());
-    Folio old = before.folio(new FolioId(0)).orElseThrow();
-    Slice all = old.slices().get(0);
+    Partition old = before.folio(new PartitionId(0)).orElseThrow();
+    KeyRange all = old.slices().get(0);
     long middle = (all.from() + all.to()) / 2;
     List<BoxId> holders = old.holders();
     Layout after =
@@ -185,16 +185,16 @@
                 1,
                 old.id(),
                 List.of(
-                    new Folio(
-                        new FolioId(10), List.of(new Slice(all.from(), middle, 0.25)), holders),
-                    new Folio(
-                        new FolioId(11), List.of(new Slice(middle, all.to(), 0.75)), holders))));
+                    new Partition(
+                        new PartitionId(10), List.of(new KeyRange(all.from(), middle, 0.25)), holders),
+                    new Partition(
+                        new PartitionId(11), List.of(new KeyRange(middle, all.to(), 0.75)), holders))));
     for (boolean apart : new boolean[] {true, false}) {
       Ledger ledger = new Ledger();
       ledger.ask(old, 1);
       ledger.refine(after);
       assertEquals(
-          List.of(new FolioId(10), new FolioId(11)), List.copyOf(ledger.missing(after).keySet()));
+          List.of(new PartitionId(10), new PartitionId(11)), List.copyOf(ledger.missing(after).keySet()));
       assertEquals(
           Taken.ALL,
           ledger.answer(List.of(new Entry(middle, all.to(), hours(middle, all.to()))), true));
@@ -214,7 +214,7 @@
   @Test
   void whatWasNotAskedOrStandsTwiceIsStrange() {
     Ledger ledger = new Ledger();
-    ledger.ask(Histories.first(new Model()).folio(new FolioId(0)).orElseThrow(), 1);
+    ledger.ask(Histories.first(new Model()).folio(new PartitionId(0)).orElseThrow(), 1);
     assertEquals(Taken.STRANGE, ledger.answer(List.of(new Entry(11, 13, 1)), true));
     assertEquals(
         Taken.STRANGE, ledger.answer(List.of(new Entry(0, 5, 1), new Entry(4, 6, 1)), true));
--- a/layout/src/test/java/gingerring/layout/PlannerTest.java
+++ b/layout/src/test/java/gingerring/layout/PlannerTest.java
@@ -34,7 +34,7 @@
           if (!(step instanceof Step.MoveBegins)) {
             to = to.apply(step);
           }
-        } catch (Refused e) {
+        } catch (LayoutException e) {
           // another
         }
       }
@@ -42,7 +42,7 @@
       List<Step> steps;
       try {
         steps = Planner.plan(from, to, atOnce);
-      } catch (Refused e) {
+      } catch (LayoutException e) {
         refusals.add(e.getMessage().replaceAll("[0-9]+", "N"));
         continue;
       }
@@ -61,7 +61,7 @@
       }
       assertArrayEquals(Histories.owners(to), Histories.owners(now), "history " + history);
       assertEquals(to.size(), now.size());
-      for (Folio folio : to.folios()) {
+      for (Partition folio : to.folios()) {
         assertEquals(
             new HashSet<>(folio.holders()),
             new HashSet<>(now.folio(folio.id()).orElseThrow().holders()));
@@ -73,22 +73,22 @@
   @Test
   void whatNoStepsCanDoIsRefused() throws Exception {
     Layout from = Histories.first(new Model());
-    List<Folio> swapped = new ArrayList<>();
-    for (Folio folio : from.folios()) {
-      swapped.add(new Folio(new FolioId(3 - folio.id().number()), folio.slices(), folio.holders()));
+    List<Partition> swapped = new ArrayList<>();
+    for (Partition folio : from.folios()) {
+      swapped.add(new Partition(new PartitionId(3 - folio.id().number()), folio.slices(), folio.holders()));
     }
     Layout to = Layout.of(9, Histories.KEYS, swapped);
     assertEquals(
         "folio 0 would name other keys",
-        assertThrows(Refused.class, () -> Planner.plan(from, to, 1)).getMessage());
-    List<Folio> renamed = new ArrayList<>();
-    for (Folio folio : from.folios()) {
+        assertThrows(LayoutException.class, () -> Planner.plan(from, to, 1)).getMessage());
+    List<Partition> renamed = new ArrayList<>();
+    for (Partition folio : from.folios()) {
       renamed.add(
-          new Folio(new FolioId(10 + folio.id().number()), folio.slices(), folio.holders()));
+          new Partition(new PartitionId(10 + folio.id().number()), folio.slices(), folio.holders()));
     }
     Layout other = Layout.of(9, Histories.KEYS, renamed);
     assertTrue(
-        assertThrows(Refused.class, () -> Planner.plan(from, other, 1))
+        assertThrows(LayoutException.class, () -> Planner.plan(from, other, 1))
             .getMessage()
             .startsWith("folio 0 would only change its number"));
     assertEquals(List.of(), Planner.plan(from, from, 1));
