--- a/bench/src/main/java/gingerring/bench/ReadingBench.java
+++ b/bench/src/main/java/gingerring/bench/ReadingBench.java
@@ -6,7 +6,7 @@
 import gingerring.traffic.pcap.Packet;
 import gingerring.traffic.pcap.Segment;
 import gingerring.traffic.scan.Recording;
-import gingerring.traffic.scan.Seen;
+import gingerring.traffic.scan.ObservedScan;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.DataOutputStream;
@@ -101,7 +101,7 @@
         reader(),
         Bounds.USUAL,
         segment -> true,
-        exchange -> whole[0] += exchange.fate() == Seen.Fate.WHOLE ? 1 : 0);
+        exchange -> whole[0] += exchange.fate() == ObservedScan.ScanOutcome.WHOLE ? 1 : 0);
     return whole[0];
   }
 
--- a/bench/src/main/java/gingerring/bench/ReadingSpeed.java
+++ b/bench/src/main/java/gingerring/bench/ReadingSpeed.java
@@ -3,9 +3,9 @@
 import gingerring.traffic.flow.Bounds;
 import gingerring.traffic.pcap.CaptureReader;
 import gingerring.traffic.pcap.CaptureWriter;
-import gingerring.traffic.record.Forge;
+import gingerring.traffic.record.PacketSynthesizer;
 import gingerring.traffic.scan.Recording;
-import gingerring.traffic.scan.Seen;
+import gingerring.traffic.scan.ObservedScan;
 import java.io.IOException;
 import java.io.InputStream;
 import java.lang.management.ManagementFactory;
@@ -32,7 +32,7 @@
     for (long bytes : new long[] {most / 8, most / 2, most}) {
       Path file = folder.resolve("speed.pcap");
       long scans;
-      try (CaptureWriter out = new CaptureWriter(file, Forge.LINK)) {
+      try (CaptureWriter out = new CaptureWriter(file, PacketSynthesizer.LINK)) {
         scans =
             new Traffic()
                 .write(
@@ -61,7 +61,7 @@
                 capture,
                 Bounds.USUAL,
                 s -> true,
-                exchange -> whole[0] += exchange.fate() == Seen.Fate.WHOLE ? 1 : 0);
+                exchange -> whole[0] += exchange.fate() == ObservedScan.ScanOutcome.WHOLE ? 1 : 0);
       }
       double took = (System.nanoTime() - start) / 1e9;
       cpu = ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime() - cpu;
--- a/bench/src/main/java/gingerring/bench/Traffic.java
+++ b/bench/src/main/java/gingerring/bench/Traffic.java
@@ -1,6 +1,6 @@
 package gingerring.bench;
 
-import gingerring.traffic.record.Forge;
+import gingerring.traffic.record.PacketSynthesizer;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
@@ -54,10 +54,10 @@
    * Scans on connections by turns until {@code bytes} have been put out; returns how many scans.
    */
   long write(int connections, long bytes, Out out) throws IOException {
-    Forge[] forges = new Forge[connections];
+    PacketSynthesizer[] forges = new PacketSynthesizer[connections];
     long[] written = {0};
     IOException[] failed = {null};
-    Forge.Out counted =
+    PacketSynthesizer.Out counted =
         (nanos, packet, length) -> {
           try {
             out.packet(nanos, packet, length);
@@ -72,7 +72,7 @@
       int which = (int) (scans % connections);
       if (forges[which] == null) {
         forges[which] =
-            new Forge(
+            new PacketSynthesizer(
                 new InetSocketAddress("127.0.0." + (1 + which / 50_000), 10_000 + which % 50_000),
                 new InetSocketAddress("127.1.0.1", 8081),
                 which * 77_777_777L);
--- a/cli/src/main/java/gingerring/cli/PcapCommand.java
+++ b/cli/src/main/java/gingerring/cli/PcapCommand.java
@@ -2,11 +2,11 @@
 
 import gingerring.traffic.flow.Bounds;
 import gingerring.traffic.pcap.CaptureReader;
-import gingerring.traffic.pcap.Edits;
-import gingerring.traffic.pcap.Nets;
+import gingerring.traffic.pcap.CaptureEditor;
+import gingerring.traffic.pcap.NetworkFilter;
 import gingerring.traffic.record.Anonymiser;
 import gingerring.traffic.scan.Recording;
-import gingerring.traffic.scan.Seen;
+import gingerring.traffic.scan.ObservedScan;
 import gingerring.traffic.scan.Trips;
 import java.io.IOException;
 import java.io.PrintWriter;
@@ -55,8 +55,8 @@
         description = "only connections with this port; may be repeated")
     private List<Integer> ports = new ArrayList<>();
 
-    Nets nets() {
-      return new Nets(networks, ports);
+    NetworkFilter nets() {
+      return new NetworkFilter(networks, ports);
     }
 
     boolean all() {
@@ -78,7 +78,7 @@
       mixinStandardHelpOptions = true,
       description = "What is in a file, and what could not be read.")
   int info(@Parameters(paramLabel = "FILE") Path file, @Mixin Wanted wanted) throws IOException {
-    Map<Seen.Fate, Long> fates = new EnumMap<>(Seen.Fate.class);
+    Map<ObservedScan.ScanOutcome, Long> fates = new EnumMap<>(ObservedScan.ScanOutcome.class);
     Recording.Summary it;
     try (CaptureReader capture = CaptureReader.open(file)) {
       it =
@@ -155,7 +155,7 @@
                     seen.remainingMs(),
                     seen.resent(),
                     seen.targets().size(),
-                    seen.fate(),
+                    seen.outcome(),
                     seen.status(),
                     seen.weight(),
                     seen.answeredAt() == 0
@@ -196,7 +196,7 @@
     long first = Recording.read(file, Bounds.USUAL, segment -> false, seen -> {}).firstNanos();
     long since = when(from, first);
     long before = until == null ? Long.MAX_VALUE : when(until, first);
-    return done(Edits.cut(file, to, since, before, wanted.nets(), wanted.all()), to);
+    return done(CaptureEditor.cut(file, to, since, before, wanted.nets(), wanted.all()), to);
   }
 
   private static long when(String text, long first) {
@@ -220,7 +220,7 @@
       @Parameters(index = "1..*", arity = "1..*", paramLabel = "FILE") List<Path> files)
       throws IOException {
     different(files, to);
-    return done(Edits.merge(files, to), to);
+    return done(CaptureEditor.merge(files, to), to);
   }
 
   @Command(
@@ -254,7 +254,7 @@
     }
   }
 
-  private int done(Edits.Done done, Path to) {
+  private int done(CaptureEditor.Done done, Path to) {
     out().println(to + ": " + done.taken() + " of " + done.of() + " packets");
     done.notes().forEach(note -> spec.commandLine().getErr().println("gingerring pcap: " + note));
     return done.notes().isEmpty() ? 0 : Gingerring.VERDICT;
--- a/cli/src/main/java/gingerring/cli/ReplayCommand.java
+++ b/cli/src/main/java/gingerring/cli/ReplayCommand.java
@@ -5,13 +5,13 @@
 import gingerring.traffic.pcap.CaptureReader;
 import gingerring.traffic.replay.Comparison;
 import gingerring.traffic.replay.Pacer;
-import gingerring.traffic.replay.Plan;
+import gingerring.traffic.replay.ReplayPlan;
 import gingerring.traffic.replay.Replayer;
 import gingerring.traffic.replay.Retries;
 import gingerring.traffic.replay.Timeline;
 import gingerring.traffic.scan.Recording;
-import gingerring.traffic.scan.Seen;
-import gingerring.traffic.scan.Seen.Fate;
+import gingerring.traffic.scan.ObservedScan;
+import gingerring.traffic.scan.ObservedScan.ScanOutcome;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.net.InetAddress;
@@ -104,14 +104,14 @@
   public Integer call() throws Exception {
     InetSocketAddress mixer = address(to);
     double times = paceOf(pace);
-    List<Seen> scans = new ArrayList<>();
+    List<ObservedScan> scans = new ArrayList<>();
     Recording.Summary read =
         Recording.read(
             file,
             Bounds.USUAL,
             wanted.nets(),
             seen -> {
-              if (scans.size() <= Plan.MOST) {
+              if (scans.size() <= ReplayPlan.MOST) {
                 scans.add(seen);
               }
             });
@@ -119,7 +119,7 @@
       throw new IOException(file + ": no scans in it");
     }
     boolean anew = retries == RetryMode.ANEW;
-    Plan plan = new Plan(scans, times, anew);
+    ReplayPlan plan = new ReplayPlan(scans, times, anew);
     Replayer.Result result =
         Replayer.run(
             plan,
@@ -142,7 +142,7 @@
 
   private static double paceOf(String text) {
     if (text.equals("max")) {
-      return Plan.AT_ONCE;
+      return ReplayPlan.AT_ONCE;
     }
     try {
       double pace = Double.parseDouble(text);
@@ -202,7 +202,7 @@
         compared.agreement(),
         compared.notCompared());
     print.printf("%-12s", "recorded");
-    for (Fate fate : Fate.values()) {
+    for (ScanOutcome fate : ScanOutcome.values()) {
       print.printf(" %10s", fate.name().toLowerCase(Locale.ROOT));
     }
     print.println("   <- replayed");
@@ -211,7 +211,7 @@
         .forEach(
             (recorded, replayed) -> {
               print.printf("%-12s", recorded.name().toLowerCase(Locale.ROOT));
-              for (Fate fate : Fate.values()) {
+              for (ScanOutcome fate : ScanOutcome.values()) {
                 print.printf(" %10d", replayed.getOrDefault(fate, 0L));
               }
               print.println();
@@ -247,7 +247,7 @@
     }
     Files.writeString(out.resolve("differences.csv"), differences);
     StringBuilder seconds = new StringBuilder("second,run");
-    for (Fate fate : Fate.values()) {
+    for (ScanOutcome fate : ScanOutcome.values()) {
       seconds.append(',').append(fate.name().toLowerCase(Locale.ROOT));
     }
     seconds.append('\n');
@@ -264,7 +264,7 @@
   private static void append(StringBuilder text, String run, Timeline timeline) {
     for (int second = 0; second < timeline.length(); second++) {
       text.append(second).append(',').append(run);
-      for (Fate fate : Fate.values()) {
+      for (ScanOutcome fate : ScanOutcome.values()) {
         text.append(',').append(timeline.count(second, fate));
       }
       text.append('\n');
@@ -275,7 +275,7 @@
     Map<Integer, Double> points = new TreeMap<>();
     for (int second = 0; second < timeline.length(); second++) {
       points.put(
-          second, (double) timeline.count(second, Fate.WHOLE) + timeline.count(second, Fate.PART));
+          second, (double) timeline.count(second, ScanOutcome.WHOLE) + timeline.count(second, ScanOutcome.PART));
     }
     return points;
   }
--- a/emulator/src/main/java/gingerring/emulator/experiment/Clients.java
+++ b/emulator/src/main/java/gingerring/emulator/experiment/Clients.java
@@ -8,10 +8,10 @@
 import gingerring.http.Malformed;
 import gingerring.traffic.replay.Retries;
 import gingerring.traffic.scan.Answer;
-import gingerring.traffic.scan.Seen;
-import gingerring.traffic.wire.HttpOwner;
+import gingerring.traffic.scan.ObservedScan;
+import gingerring.traffic.wire.HttpHandler;
 import gingerring.traffic.wire.Reactor;
-import gingerring.traffic.wire.Wire;
+import gingerring.traffic.wire.ReactorConnection;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
@@ -157,7 +157,7 @@
   private void ended(Try which, Answer answer) {
     Duration took = reactor.now().minus(which.first);
     Optional<Duration> again =
-        answer.fate() == Seen.Fate.WHOLE || answer.fate() == Seen.Fate.PART
+        answer.fate() == ObservedScan.ScanOutcome.WHOLE || answer.fate() == ObservedScan.ScanOutcome.PART
             ? Optional.empty()
             : retries.next(which.number, answer.comeBack());
     tally.ended(which.wish, answer, took, reactor.now());
@@ -201,10 +201,10 @@
   }
 
   /** One connection, a request at a time. */
-  private final class Client extends HttpOwner {
+  private final class Client extends HttpHandler {
     private final int who;
     private final int mixer;
-    private final Wire wire;
+    private final ReactorConnection wire;
     private Try now;
     private String mark;
     private boolean gone;
@@ -274,11 +274,11 @@
       now = null;
       asking.remove(this);
       Answer answer = Answer.read(head, json);
-      boolean served = answer.fate() == Seen.Fate.WHOLE || answer.fate() == Seen.Fate.PART;
+      boolean served = answer.fate() == ObservedScan.ScanOutcome.WHOLE || answer.fate() == ObservedScan.ScanOutcome.PART;
       referee.answered(
           mark,
           reactor.now(),
-          answer.fate() == Seen.Fate.NACKED,
+          answer.fate() == ObservedScan.ScanOutcome.NACKED,
           answer.whole(),
           served ? answer.values() : null);
       if (head.says("connection", "close")) {
@@ -319,7 +319,7 @@
         referee.left(mark, reactor.now());
         ended(
             ended,
-            new Answer(Seen.Fate.LEFT, 0, false, Map.of(), Duration.ZERO, "its connection ended"));
+            new Answer(ObservedScan.ScanOutcome.LEFT, 0, false, Map.of(), Duration.ZERO, "its connection ended"));
       }
     }
 
--- a/emulator/src/main/java/gingerring/emulator/experiment/RandomRouter.java
+++ b/emulator/src/main/java/gingerring/emulator/experiment/RandomRouter.java
@@ -7,9 +7,9 @@
 import gingerring.http.Malformed;
 import gingerring.json.Fields;
 import gingerring.json.Json;
-import gingerring.traffic.wire.HttpOwner;
+import gingerring.traffic.wire.HttpHandler;
 import gingerring.traffic.wire.Reactor;
-import gingerring.traffic.wire.Wire;
+import gingerring.traffic.wire.ReactorConnection;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -114,10 +114,10 @@
   }
 
   /** A client's connection. */
-  private final class Asker extends HttpOwner {
-    private final Wire wire;
+  private final class Asker extends HttpHandler {
+    private final ReactorConnection wire;
 
-    Asker(Wire wire) {
+    Asker(ReactorConnection wire) {
       super(true, 1 << 16);
       this.wire = wire;
     }
@@ -177,8 +177,8 @@
   }
 
   /** A connection to a box. */
-  private final class Box implements Wire.Owner {
-    private final Wire wire;
+  private final class Box implements ReactorConnection.Handler {
+    private final ReactorConnection wire;
     private final Map<String, Integer> out = new LinkedHashMap<>();
     private final ByteArrayOutputStream kept = new ByteArrayOutputStream();
 
--- a/emulator/src/main/java/gingerring/emulator/experiment/Store.java
+++ b/emulator/src/main/java/gingerring/emulator/experiment/Store.java
@@ -6,7 +6,7 @@
 import gingerring.emulator.core.World;
 import gingerring.emulator.core.World.Trouble;
 import gingerring.traffic.wire.Reactor;
-import gingerring.traffic.wire.Wire;
+import gingerring.traffic.wire.ReactorConnection;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -188,7 +188,7 @@
   }
 
   /** A link tells what it knows of a connection that it makes. */
-  public void passes(Wire made, Passage passage) {
+  public void passes(ReactorConnection made, Passage passage) {
     passages.put(ends(made.local(), made.remote()), passage);
   }
 
@@ -468,9 +468,9 @@
 
   // ---- a connection to a box ----
 
-  private final class Line implements Wire.Owner {
+  private final class Line implements ReactorConnection.Handler {
     private final Seat seat;
-    private final Wire wire;
+    private final ReactorConnection wire;
     private final ByteArrayOutputStream kept = new ByteArrayOutputStream();
 
     /** Parts that are out on it, and when it last carried anything. */
@@ -484,7 +484,7 @@
 
     private long read;
 
-    Line(Seat seat, Wire wire) {
+    Line(Seat seat, ReactorConnection wire) {
       this.seat = seat;
       this.wire = wire;
       if (seat.lines.size() >= world.linesMost()) {
@@ -647,12 +647,12 @@
 
   // ---- discovery ----
 
-  private final class Discovery implements Wire.Owner {
+  private final class Discovery implements ReactorConnection.Handler {
     private final View view;
-    private final Wire wire;
+    private final ReactorConnection wire;
     private final StringBuilder request = new StringBuilder();
 
-    Discovery(View view, Wire wire) {
+    Discovery(View view, ReactorConnection wire) {
       this.view = view;
       this.wire = wire;
     }
--- a/emulator/src/main/java/gingerring/emulator/experiment/Tables.java
+++ b/emulator/src/main/java/gingerring/emulator/experiment/Tables.java
@@ -1,6 +1,6 @@
 package gingerring.emulator.experiment;
 
-import gingerring.traffic.scan.Seen.Fate;
+import gingerring.traffic.scan.ObservedScan.ScanOutcome;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -45,11 +45,11 @@
               "%-16s %8.3f %7d %6d %7d %8d %6d %9.1f %9.1f%n",
               each.getKey(),
               grade.asked == 0 ? 1 : grade.earned / grade.asked,
-              of(grade.tries, Fate.WHOLE),
-              of(grade.tries, Fate.PART),
-              of(grade.tries, Fate.NACKED),
-              of(grade.tries, Fate.SCRAPPED),
-              of(grade.tries, Fate.LEFT),
+              of(grade.tries, ScanOutcome.WHOLE),
+              of(grade.tries, ScanOutcome.PART),
+              of(grade.tries, ScanOutcome.NACKED),
+              of(grade.tries, ScanOutcome.SCRAPPED),
+              of(grade.tries, ScanOutcome.LEFT),
               grade.micros.getValueAtPercentile(50) / 1e3,
               grade.micros.getValueAtPercentile(99) / 1e3));
     }
@@ -71,7 +71,7 @@
     return text.toString();
   }
 
-  private static long of(Map<Fate, Long> counts, Fate fate) {
+  private static long of(Map<ScanOutcome, Long> counts, ScanOutcome fate) {
     return counts.getOrDefault(fate, 0L);
   }
 
@@ -92,11 +92,11 @@
                         result.router(),
                         grade,
                         its.asked == 0 ? 1 : its.earned / its.asked,
-                        of(its.tries, Fate.WHOLE),
-                        of(its.tries, Fate.PART),
-                        of(its.tries, Fate.NACKED),
-                        of(its.tries, Fate.SCRAPPED),
-                        of(its.tries, Fate.LEFT),
+                        of(its.tries, ScanOutcome.WHOLE),
+                        of(its.tries, ScanOutcome.PART),
+                        of(its.tries, ScanOutcome.NACKED),
+                        of(its.tries, ScanOutcome.SCRAPPED),
+                        of(its.tries, ScanOutcome.LEFT),
                         its.micros.getValueAtPercentile(50) / 1e3,
                         its.micros.getValueAtPercentile(99) / 1e3)));
     Files.writeString(folder.resolve(name + "-grades.csv"), grades);
--- a/emulator/src/main/java/gingerring/emulator/experiment/Tally.java
+++ b/emulator/src/main/java/gingerring/emulator/experiment/Tally.java
@@ -3,7 +3,7 @@
 import gingerring.emulator.core.Script.Wish;
 import gingerring.emulator.core.World.Grade;
 import gingerring.traffic.scan.Answer;
-import gingerring.traffic.scan.Seen.Fate;
+import gingerring.traffic.scan.ObservedScan.ScanOutcome;
 import java.time.Duration;
 import java.util.EnumMap;
 import java.util.Map;
@@ -21,8 +21,8 @@
     public double asked;
     public double earned;
     public final Histogram micros = new Histogram(600_000_000L, 3);
-    public final Map<Fate, Long> tries = new EnumMap<>(Fate.class);
-    public final Map<Fate, Long> wishes = new EnumMap<>(Fate.class);
+    public final Map<ScanOutcome, Long> tries = new EnumMap<>(ScanOutcome.class);
+    public final Map<ScanOutcome, Long> wishes = new EnumMap<>(ScanOutcome.class);
   }
 
   public final Map<String, ByGrade> grades = new TreeMap<>();
@@ -45,10 +45,10 @@
     ByGrade mine = grade(grade);
     mine.wishes.merge(answer.fate(), 1L, Long::sum);
     double share = 0;
-    if (answer.fate() == Fate.WHOLE || answer.fate() == Fate.PART) {
+    if (answer.fate() == ScanOutcome.WHOLE || answer.fate() == ScanOutcome.PART) {
       mine.micros.recordValue(Math.min(600_000_000L, took.toNanos() / 1000));
       share =
-          answer.fate() == Fate.WHOLE
+          answer.fate() == ScanOutcome.WHOLE
               ? 1
               : answer.values().keySet().stream()
                   .mapToDouble(folio -> wish.shares().getOrDefault(folio, 0.0))
@@ -72,7 +72,7 @@
   }
 
   /** Of tries, how many ended so. */
-  public long tries(Fate fate) {
+  public long tries(ScanOutcome fate) {
     return grades.values().stream().mapToLong(grade -> grade.tries.getOrDefault(fate, 0L)).sum();
   }
 }
--- a/emulator/src/main/java/gingerring/emulator/harness/Relay.java
+++ b/emulator/src/main/java/gingerring/emulator/harness/Relay.java
@@ -3,7 +3,7 @@
 import gingerring.emulator.experiment.Passage;
 import gingerring.emulator.experiment.Store;
 import gingerring.traffic.wire.Reactor;
-import gingerring.traffic.wire.Wire;
+import gingerring.traffic.wire.ReactorConnection;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.time.Duration;
@@ -60,7 +60,7 @@
   private final Faults faults;
   private final DoubleSupplier draw;
   private final int mixer;
-  private final BiConsumer<Wire, Passage> passages;
+  private final BiConsumer<ReactorConnection, Passage> passages;
   private final Reactor.Listening listening;
   private final Set<Pair> pairs = new LinkedHashSet<>();
 
@@ -71,7 +71,7 @@
       Faults faults,
       DoubleSupplier draw,
       int mixer,
-      BiConsumer<Wire, Passage> passages)
+      BiConsumer<ReactorConnection, Passage> passages)
       throws IOException {
     this.reactor = reactor;
     this.mixer = mixer;
@@ -116,21 +116,21 @@
   }
 
   /** One connection, near and far. */
-  private final class Pair implements Wire.Owner {
-    private final Wire near;
-    private final Wire far;
+  private final class Pair implements ReactorConnection.Handler {
+    private final ReactorConnection near;
+    private final ReactorConnection far;
     private final Flow forth;
     private final Flow back;
     private final Passage passage = new Passage(mixer);
 
-    Pair(Wire near) {
+    Pair(ReactorConnection near) {
       this.near = near;
       pairs.add(this);
       back = new Flow(near, false);
       far =
           reactor.dial(
               target,
-              new Wire.Owner() {
+              new ReactorConnection.Handler() {
                 @Override
                 public void opened() {
                   known();
@@ -186,7 +186,7 @@
 
     /** One direction: in order, each piece at its time. */
     private final class Flow {
-      private final Wire to;
+      private final ReactorConnection to;
       private final boolean forward;
       private final Deque<byte[]> held = new ArrayDeque<>();
       private int size;
@@ -194,7 +194,7 @@
       private boolean waiting;
       private boolean ends;
 
-      Flow(Wire to, boolean forward) {
+      Flow(ReactorConnection to, boolean forward) {
         this.to = to;
         this.forward = forward;
       }
--- a/emulator/src/main/java/gingerring/emulator/interleaving/Scene.java
+++ b/emulator/src/main/java/gingerring/emulator/interleaving/Scene.java
@@ -7,10 +7,10 @@
 import gingerring.http.Head;
 import gingerring.http.Malformed;
 import gingerring.traffic.scan.Answer;
-import gingerring.traffic.scan.Seen;
-import gingerring.traffic.wire.HttpOwner;
+import gingerring.traffic.scan.ObservedScan;
+import gingerring.traffic.wire.HttpHandler;
 import gingerring.traffic.wire.Reactor;
-import gingerring.traffic.wire.Wire;
+import gingerring.traffic.wire.ReactorConnection;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -661,14 +661,14 @@
     }
   }
 
-  private final class Call implements Wire.Owner {
+  private final class Call implements ReactorConnection.Handler {
     private final Agent of;
-    private final Wire wire;
+    private final ReactorConnection wire;
     private final StringBuilder request = new StringBuilder();
     private boolean streams;
     private boolean muted;
 
-    Call(Agent of, Wire wire) {
+    Call(Agent of, ReactorConnection wire) {
       this.of = of;
       this.wire = wire;
     }
@@ -1007,14 +1007,14 @@
   }
 
   /** A connection to a box. */
-  private final class Line implements Wire.Owner {
+  private final class Line implements ReactorConnection.Handler {
     private final Seat seat;
-    private final Wire wire;
+    private final ReactorConnection wire;
     private final ByteArrayOutputStream kept = new ByteArrayOutputStream();
     private int out;
     private String lastId;
 
-    Line(Seat seat, Wire wire) {
+    Line(Seat seat, ReactorConnection wire) {
       this.seat = seat;
       this.wire = wire;
       seat.lines.add(this);
@@ -1144,8 +1144,8 @@
   // ---- clients ----
 
   /** One client's connection, a request at a time. */
-  private final class Asker extends HttpOwner {
-    final Wire wire;
+  private final class Asker extends HttpHandler {
+    final ReactorConnection wire;
     private final int mine = generation;
     String mark;
     Duration asked;
@@ -1293,14 +1293,14 @@
         return;
       }
       Answer answer = Answer.read(head, json);
-      boolean served = answer.fate() == Seen.Fate.WHOLE || answer.fate() == Seen.Fate.PART;
+      boolean served = answer.fate() == ObservedScan.ScanOutcome.WHOLE || answer.fate() == ObservedScan.ScanOutcome.PART;
       note("answered " + mark + ' ' + answer.status() + (served ? " " + answer.fate() : ""));
-      warm |= answer.fate() == Seen.Fate.WHOLE;
+      warm |= answer.fate() == ObservedScan.ScanOutcome.WHOLE;
       if (mine == generation && !left) {
         judge.answered(
             mark,
             now(),
-            answer.fate() == Seen.Fate.NACKED,
+            answer.fate() == ObservedScan.ScanOutcome.NACKED,
             answer.whole(),
             served ? answer.values() : null);
       }
--- a/emulator/src/test/java/gingerring/emulator/harness/PlantedFoulsTest.java
+++ b/emulator/src/test/java/gingerring/emulator/harness/PlantedFoulsTest.java
@@ -8,7 +8,7 @@
 import gingerring.emulator.core.World;
 import gingerring.emulator.experiment.Store;
 import gingerring.traffic.wire.Reactor;
-import gingerring.traffic.wire.Wire;
+import gingerring.traffic.wire.ReactorConnection;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.nio.ByteBuffer;
@@ -39,7 +39,7 @@
   private final Relay.Faults[] links = {new Relay.Faults(), new Relay.Faults(), new Relay.Faults()};
   private final Relay[][] relays = new Relay[3][3];
   private final Map<String, Relay> made = new HashMap<>();
-  private final Wire[][] wires = new Wire[3][3];
+  private final ReactorConnection[][] wires = new ReactorConnection[3][3];
   private Referee referee;
   private Store store;
   private int parts;
@@ -136,7 +136,7 @@
                 wires[mixer][box] =
                     reactor.dial(
                         Store.loopback(relays[mixer][box].port()),
-                        new Wire.Owner() {
+                        new ReactorConnection.Handler() {
                           @Override
                           public void bytes(byte[] bytes, int length) {}
 
--- a/traffic/src/main/java/gingerring/traffic/pcap/Edits.java
+++ b/traffic/src/main/java/gingerring/traffic/pcap/CaptureEditor.java
@@ -8,14 +8,14 @@
 import java.util.function.Predicate;
 
 /** Capture files made from others, packet by packet; the new one has its name once it is whole. */
-public final class Edits {
+public final class CaptureEditor {
   /** How many packets were taken, of how many; {@code notes} tell of files that ended early. */
   public record Done(long taken, long of, List<String> notes) {}
 
   /** Files open at a time. */
   public static final int FILES_MOST = 256;
 
-  private Edits() {}
+  private CaptureEditor() {}
 
   /**
    * The packets of {@code from} that are wanted; times in Unix nanoseconds, {@code before} not
--- a/traffic/src/main/java/gingerring/traffic/pcap/Nets.java
+++ b/traffic/src/main/java/gingerring/traffic/pcap/NetworkFilter.java
@@ -15,7 +15,7 @@
  * Which segments are wanted: by networks that an end of theirs is in, and by ports. Empty lists
  * want all.
  */
-public final class Nets implements Predicate<Segment> {
+public final class NetworkFilter implements Predicate<Segment> {
   private static final long MAPPED = 0xFFFF00000000L;
 
   private final IPv4AddressTrie four = new IPv4AddressTrie();
@@ -27,7 +27,7 @@
    * Networks such as {@code 10.0.0.0/8}, {@code 2001:db8::/32} or one address; others are refused
    * by name.
    */
-  public Nets(List<String> networks, List<Integer> ports) {
+  public NetworkFilter(List<String> networks, List<Integer> ports) {
     any = networks.isEmpty();
     this.ports = List.copyOf(ports);
     for (String network : networks) {
--- a/traffic/src/main/java/gingerring/traffic/record/Anonymiser.java
+++ b/traffic/src/main/java/gingerring/traffic/record/Anonymiser.java
@@ -36,12 +36,12 @@
 
   /** A flow being written anew. */
   private final class Anew {
-    final Forge forge;
+    final PacketSynthesizer forge;
     final Side[] sides = new Side[2];
     boolean open;
 
     Anew(Flow flow) {
-      forge = new Forge(end(flow, 0), end(flow, 1), flow.number * 0x9e3779b97f4a7c15L);
+      forge = new PacketSynthesizer(end(flow, 0), end(flow, 1), flow.number * 0x9e3779b97f4a7c15L);
       sides[0] = new Side(this, 0);
       sides[1] = new Side(this, 1);
     }
@@ -261,7 +261,7 @@
   public static Map<String, Long> run(Path from, Path to, String secret) throws IOException {
     CaptureWriter out = null;
     try (CaptureReader capture = CaptureReader.open(from)) {
-      out = new CaptureWriter(to, Forge.LINK);
+      out = new CaptureWriter(to, PacketSynthesizer.LINK);
       Anonymiser anonymiser = new Anonymiser(new Blanks(secret), out);
       FlowTable table = new FlowTable(Bounds.USUAL, anonymiser);
       Layers layers = new Layers();
--- a/traffic/src/main/java/gingerring/traffic/record/Forge.java
+++ b/traffic/src/main/java/gingerring/traffic/record/PacketSynthesizer.java
@@ -9,7 +9,7 @@
  * handshake, data in segments of {@link #SEGMENT} bytes with what each side has taken, an end;
  * checksums and sequence numbers as other tools expect them.
  */
-public final class Forge {
+public final class PacketSynthesizer {
   /** Who takes the packets; {@code bytes} are used again. */
   public interface Out {
     void packet(long nanos, byte[] bytes, int length);
@@ -34,7 +34,7 @@
   private int ids;
 
   /** Side 0 opens the connection; {@code seed} gives the first sequence numbers. */
-  public Forge(InetSocketAddress opener, InetSocketAddress listener, long seed) {
+  public PacketSynthesizer(InetSocketAddress opener, InetSocketAddress listener, long seed) {
     place(0, opener, (int) seed);
     place(1, listener, (int) (seed >>> 32));
     if (addresses[0].length != addresses[1].length) {
--- a/traffic/src/main/java/gingerring/traffic/record/Recorder.java
+++ b/traffic/src/main/java/gingerring/traffic/record/Recorder.java
@@ -68,7 +68,7 @@
   /** Connections whose end was dropped; under the holes' lock. */
   private final Set<Long> gone = new HashSet<>();
 
-  private final Map<Long, Forge> forges = new HashMap<>();
+  private final Map<Long, PacketSynthesizer> forges = new HashMap<>();
   private final Deque<Path> files = new ArrayDeque<>();
   private final Thread writer;
   private CaptureWriter out;
@@ -217,14 +217,14 @@
       out.drops(event.nanos, many - marked);
       marked = many;
     }
-    Forge.Out into = (nanos, bytes, length) -> write(nanos, bytes, length);
+    PacketSynthesizer.Out into = (nanos, bytes, length) -> write(nanos, bytes, length);
     if (event.what == What.OPENED) {
-      Forge forge = new Forge(event.opener, event.listener, mix(seed + event.connection));
+      PacketSynthesizer forge = new PacketSynthesizer(event.opener, event.listener, mix(seed + event.connection));
       forges.put(event.connection, forge);
       forge.open(event.nanos, into);
       return;
     }
-    Forge forge = forges.get(event.connection);
+    PacketSynthesizer forge = forges.get(event.connection);
     if (forge == null) {
       return;
     }
@@ -271,7 +271,7 @@
                   + (dot < 0 ? "" : name.substring(dot)));
     }
     number++;
-    out = new CaptureWriter(next, Forge.LINK);
+    out = new CaptureWriter(next, PacketSynthesizer.LINK);
     files.add(next);
     began = nanos;
   }
--- a/traffic/src/main/java/gingerring/traffic/replay/Comparison.java
+++ b/traffic/src/main/java/gingerring/traffic/replay/Comparison.java
@@ -1,7 +1,7 @@
 package gingerring.traffic.replay;
 
-import gingerring.traffic.scan.Seen;
-import gingerring.traffic.scan.Seen.Fate;
+import gingerring.traffic.scan.ObservedScan;
+import gingerring.traffic.scan.ObservedScan.ScanOutcome;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.EnumMap;
@@ -28,7 +28,7 @@
   private static final double CLOSE = 0.9;
 
   private final Duration lateMost;
-  private final Map<Fate, Map<Fate, Long>> table = new EnumMap<>(Fate.class);
+  private final Map<ScanOutcome, Map<ScanOutcome, Long>> table = new EnumMap<>(ScanOutcome.class);
   private final Map<String, Long> causes = new TreeMap<>();
   private final List<Difference> shown = new ArrayList<>();
   private long compared;
@@ -40,14 +40,14 @@
     this.lateMost = lateMost;
   }
 
-  public void add(Seen scan, Outcome recorded, Outcome replayed) {
-    if (recorded.fate() == Fate.INCOMPLETE) {
+  public void add(ObservedScan scan, Outcome recorded, Outcome replayed) {
+    if (recorded.fate() == ScanOutcome.INCOMPLETE) {
       notCompared++;
       return;
     }
     compared++;
     table
-        .computeIfAbsent(recorded.fate(), f -> new EnumMap<>(Fate.class))
+        .computeIfAbsent(recorded.fate(), f -> new EnumMap<>(ScanOutcome.class))
         .merge(replayed.fate(), 1L, Long::sum);
     if (agree(recorded, replayed)) {
       agreed++;
@@ -79,11 +79,11 @@
     return shards;
   }
 
-  private String cause(Seen scan, Outcome recorded, Outcome replayed) {
+  private String cause(ObservedScan scan, Outcome recorded, Outcome replayed) {
     if (!differing(recorded, replayed).isEmpty()) {
       return "a value differs: the store is not in the recorded state";
     }
-    if (replayed.fate() == Fate.INCOMPLETE) {
+    if (replayed.fate() == ScanOutcome.INCOMPLETE) {
       return "the replay ended before its answer";
     }
     if (replayed.late().compareTo(lateMost) > 0) {
@@ -96,19 +96,19 @@
     if (replayed.held().compareTo(lateMost) > 0) {
       return "held back by the answer before it on its connection";
     }
-    if (replayed.fate() == Fate.NACKED) {
+    if (replayed.fate() == ScanOutcome.NACKED) {
       return "turned away in the replay: more load or less trust than recorded";
     }
-    if (recorded.fate() == Fate.NACKED) {
+    if (recorded.fate() == ScanOutcome.NACKED) {
       return "turned away when recorded, and taken in the replay";
     }
-    if (replayed.fate() == Fate.SCRAPPED) {
+    if (replayed.fate() == ScanOutcome.SCRAPPED) {
       return "given up in the replay: its parts or their holders failed";
     }
-    if (recorded.fate() == Fate.SCRAPPED) {
+    if (recorded.fate() == ScanOutcome.SCRAPPED) {
       return "given up when recorded, and answered in the replay";
     }
-    if (recorded.fate() == Fate.LEFT || replayed.fate() == Fate.LEFT) {
+    if (recorded.fate() == ScanOutcome.LEFT || replayed.fate() == ScanOutcome.LEFT) {
       return "its client left in one of the two";
     }
     return "answered from other parts: some came or were sent in one run alone";
@@ -137,7 +137,7 @@
   }
 
   /** Recorded fates, and for each the fates of the replay with how many. */
-  public Map<Fate, Map<Fate, Long>> table() {
+  public Map<ScanOutcome, Map<ScanOutcome, Long>> table() {
     return table;
   }
 
--- a/traffic/src/main/java/gingerring/traffic/replay/Outcome.java
+++ b/traffic/src/main/java/gingerring/traffic/replay/Outcome.java
@@ -1,7 +1,7 @@
 package gingerring.traffic.replay;
 
-import gingerring.traffic.scan.Seen;
-import gingerring.traffic.scan.Seen.Fate;
+import gingerring.traffic.scan.ObservedScan;
+import gingerring.traffic.scan.ObservedScan.ScanOutcome;
 import java.time.Duration;
 import java.util.Map;
 import java.util.Set;
@@ -11,7 +11,7 @@
  * sending.
  */
 public record Outcome(
-    Fate fate,
+    ScanOutcome fate,
     int status,
     Map<Integer, String> values,
     double weight,
@@ -20,9 +20,9 @@
     Duration late,
     Duration held) {
   /** As the recording shows it; times from the recording's start. */
-  public static Outcome of(Seen seen, long start) {
+  public static Outcome of(ObservedScan seen, long start) {
     return new Outcome(
-        seen.fate(),
+        seen.outcome(),
         seen.status(),
         seen.values(),
         seen.weight(),
--- a/traffic/src/main/java/gingerring/traffic/replay/Plan.java
+++ b/traffic/src/main/java/gingerring/traffic/replay/ReplayPlan.java
@@ -1,6 +1,6 @@
 package gingerring.traffic.replay;
 
-import gingerring.traffic.scan.Seen;
+import gingerring.traffic.scan.ObservedScan;
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
 import java.util.ArrayList;
@@ -15,7 +15,7 @@
  * What a replay sends: every scan whose request the recording holds whole, on a connection for each
  * recorded one, at recorded times divided by the pace. Holds {@link #MOST} scans at most.
  */
-public final class Plan {
+public final class ReplayPlan {
   public static final int MOST = 1_000_000;
 
   /** How long after an end a retry may follow and still be taken for one. */
@@ -31,7 +31,7 @@
   private final boolean marked;
 
   /** {@code anew}: only first tries are planned, since a replay makes its retries itself. */
-  public Plan(List<Seen> scans, double pace, boolean anew) {
+  public ReplayPlan(List<ObservedScan> scans, double pace, boolean anew) {
     if (!(pace > 0)) {
       throw new IllegalArgumentException("the pace has to be above 0: " + pace);
     }
@@ -39,9 +39,9 @@
       throw new IllegalArgumentException("more than " + MOST + " scans: cut the recording");
     }
     chains = Retries.chains(scans, RETRY_WINDOW);
-    marked = scans.stream().anyMatch(Seen::resent);
-    List<Seen> wanted = new ArrayList<>();
-    Map<Seen, Chain> of = new IdentityHashMap<>();
+    marked = scans.stream().anyMatch(ObservedScan::resent);
+    List<ObservedScan> wanted = new ArrayList<>();
+    Map<ObservedScan, Chain> of = new IdentityHashMap<>();
     int all = 0;
     for (Chain chain : chains) {
       all += chain.tries().size();
@@ -49,10 +49,10 @@
       chain.tries().forEach(seen -> of.put(seen, chain));
     }
     leftOut = scans.size() - all;
-    wanted.sort(Comparator.comparingLong(Seen::askedAt).thenComparingLong(Seen::number));
+    wanted.sort(Comparator.comparingLong(ObservedScan::askedAt).thenComparingLong(ObservedScan::number));
     long start = wanted.isEmpty() ? 0 : wanted.get(0).askedAt();
     Map<Long, Integer> laneOf = new HashMap<>();
-    for (Seen seen : wanted) {
+    for (ObservedScan seen : wanted) {
       int lane = laneOf.computeIfAbsent(seen.connection(), c -> laneOf.size());
       long due = pace == AT_ONCE ? 0 : Math.round((seen.askedAt() - start) / pace);
       Chain chain = of.get(seen);
--- a/traffic/src/main/java/gingerring/traffic/replay/Replayer.java
+++ b/traffic/src/main/java/gingerring/traffic/replay/Replayer.java
@@ -3,11 +3,11 @@
 import gingerring.http.Head;
 import gingerring.http.Malformed;
 import gingerring.traffic.scan.Answer;
-import gingerring.traffic.scan.Seen;
-import gingerring.traffic.scan.Seen.Fate;
-import gingerring.traffic.wire.HttpOwner;
+import gingerring.traffic.scan.ObservedScan;
+import gingerring.traffic.scan.ObservedScan.ScanOutcome;
+import gingerring.traffic.wire.HttpHandler;
 import gingerring.traffic.wire.Reactor;
-import gingerring.traffic.wire.Wire;
+import gingerring.traffic.wire.ReactorConnection;
 import java.net.InetSocketAddress;
 import java.time.Duration;
 import java.util.HashMap;
@@ -41,7 +41,7 @@
   private static final int ANSWER_MOST = 1 << 20;
 
   private final Wish wish;
-  private final Plan plan;
+  private final ReplayPlan plan;
   private final Reactor reactor = new Reactor();
   private final Map<Integer, Lane> lanes = new HashMap<>();
   private final Comparison comparison;
@@ -55,7 +55,7 @@
   private int numbers;
   private long retriesMade;
 
-  private Replayer(Plan plan, Wish wish) {
+  private Replayer(ReplayPlan plan, Wish wish) {
     this.plan = plan;
     this.wish = wish;
     comparison = new Comparison(wish.lateMost);
@@ -64,15 +64,15 @@
   }
 
   /** Runs on the calling thread until the last answer. */
-  public static Result run(Plan plan, Wish wish) {
+  public static Result run(ReplayPlan plan, Wish wish) {
     return new Replayer(plan, wish).run();
   }
 
   private Result run() {
     pacer =
-        new Pacer(plan.steps(), plan.lanes(), wish.lateMost, wish.pace != Plan.AT_ONCE, this::send);
+        new Pacer(plan.steps(), plan.lanes(), wish.lateMost, wish.pace != ReplayPlan.AT_ONCE, this::send);
     for (Step step : plan.steps()) {
-      recorded.add(Duration.ofNanos(step.scan().askedAt() - start), step.scan().fate());
+      recorded.add(Duration.ofNanos(step.scan().askedAt() - start), step.scan().outcome());
     }
     zero = reactor.now().plus(LEAD);
     reactor.after(LEAD, this::turn);
@@ -124,9 +124,9 @@
     Duration now = now();
     pacer.ended(step.lane(), now);
     boolean unmet =
-        outcome.fate() == Fate.NACKED
-            || outcome.fate() == Fate.SCRAPPED
-            || outcome.fate() == Fate.LEFT;
+        outcome.fate() == ScanOutcome.NACKED
+            || outcome.fate() == ScanOutcome.SCRAPPED
+            || outcome.fate() == ScanOutcome.LEFT;
     Optional<Duration> again =
         wish.retries == null || !unmet
             ? Optional.empty()
@@ -136,7 +136,7 @@
       pacer.add(plan.again(step, numbers++, now.plus(again.get())));
     } else {
       // of retries made anew the last counts, against the last that was recorded
-      Seen scan = wish.retries == null ? step.scan() : step.chain().last();
+      ObservedScan scan = wish.retries == null ? step.scan() : step.chain().last();
       comparison.add(scan, Outcome.of(scan, start), outcome);
       replayed.add(Duration.ofNanos(step.scan().askedAt() - start), outcome.fate());
     }
@@ -163,7 +163,7 @@
           () -> {
             if (step == next) {
               drop();
-              end(new Answer(Fate.LEFT, 0, false, Map.of(), Duration.ZERO, ""));
+              end(new Answer(ScanOutcome.LEFT, 0, false, Map.of(), Duration.ZERO, ""));
             }
           });
     }
@@ -204,7 +204,7 @@
         retried = true;
         put();
       } else {
-        end(new Answer(Fate.SCRAPPED, 0, false, Map.of(), Duration.ZERO, "its connection ended"));
+        end(new Answer(ScanOutcome.SCRAPPED, 0, false, Map.of(), Duration.ZERO, "its connection ended"));
       }
     }
 
@@ -218,7 +218,7 @@
       double weight =
           ended.scan().targets().stream()
               .filter(target -> answer.values().containsKey(target.shard()))
-              .mapToDouble(Seen.Target::share)
+              .mapToDouble(ObservedScan.Target::share)
               .sum();
       ended(
           ended,
@@ -236,9 +236,9 @@
   }
 
   /** A connection of a lane, as long as it lasts. */
-  private final class Call extends HttpOwner {
+  private final class Call extends HttpHandler {
     private final Lane lane;
-    private final Wire wire;
+    private final ReactorConnection wire;
     private boolean asked;
 
     Call(Lane lane) {
@@ -260,7 +260,7 @@
     @Override
     protected void malformed(Malformed e) {
       lane.answered(
-          this, new Answer(Fate.SCRAPPED, 0, false, Map.of(), Duration.ZERO, e.getMessage()), true);
+          this, new Answer(ScanOutcome.SCRAPPED, 0, false, Map.of(), Duration.ZERO, e.getMessage()), true);
     }
 
     @Override
--- a/traffic/src/main/java/gingerring/traffic/replay/Retries.java
+++ b/traffic/src/main/java/gingerring/traffic/replay/Retries.java
@@ -1,6 +1,6 @@
 package gingerring.traffic.replay;
 
-import gingerring.traffic.scan.Seen;
+import gingerring.traffic.scan.ObservedScan;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -43,12 +43,12 @@
    * The recording's scans, in the order of their asking, as chains; a retry follows within {@code
    * window}.
    */
-  public static List<Chain> chains(List<Seen> scans, Duration window) {
+  public static List<Chain> chains(List<ObservedScan> scans, Duration window) {
     List<Chain> chains = new ArrayList<>();
     Map<String, List<Chain>> unmet = new HashMap<>();
-    List<Seen> ordered = new ArrayList<>(scans);
-    ordered.sort(Comparator.comparingLong(Seen::askedAt).thenComparingLong(Seen::number));
-    for (Seen seen : ordered) {
+    List<ObservedScan> ordered = new ArrayList<>(scans);
+    ordered.sort(Comparator.comparingLong(ObservedScan::askedAt).thenComparingLong(ObservedScan::number));
+    for (ObservedScan seen : ordered) {
       if (seen.request().length == 0) {
         continue; // it never came whole
       }
@@ -75,7 +75,7 @@
     return chains;
   }
 
-  private static String wish(Seen seen) {
+  private static String wish(ObservedScan seen) {
     return seen.grade()
         + '\n'
         + (seen.key() != null ? seen.key() : seen.text() + '\n' + seen.targets());
--- a/traffic/src/main/java/gingerring/traffic/replay/Step.java
+++ b/traffic/src/main/java/gingerring/traffic/replay/Step.java
@@ -1,6 +1,6 @@
 package gingerring.traffic.replay;
 
-import gingerring.traffic.scan.Seen;
+import gingerring.traffic.scan.ObservedScan;
 import java.time.Duration;
 
 /**
@@ -8,4 +8,4 @@
  * what.
  */
 public record Step(
-    int number, int lane, Duration due, Seen scan, Chain chain, int attempt, byte[] request) {}
+    int number, int lane, Duration due, ObservedScan scan, Chain chain, int attempt, byte[] request) {}
--- a/traffic/src/main/java/gingerring/traffic/replay/Timeline.java
+++ b/traffic/src/main/java/gingerring/traffic/replay/Timeline.java
@@ -1,6 +1,6 @@
 package gingerring.traffic.replay;
 
-import gingerring.traffic.scan.Seen.Fate;
+import gingerring.traffic.scan.ObservedScan.ScanOutcome;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.EnumMap;
@@ -14,12 +14,12 @@
 public final class Timeline {
   public static final int MOST = 100_000;
 
-  private final List<Map<Fate, Integer>> seconds = new ArrayList<>();
+  private final List<Map<ScanOutcome, Integer>> seconds = new ArrayList<>();
 
-  public void add(Duration at, Fate fate) {
+  public void add(Duration at, ScanOutcome fate) {
     int second = (int) Math.max(0, Math.min(MOST - 1, at.toSeconds()));
     while (seconds.size() <= second) {
-      seconds.add(new EnumMap<>(Fate.class));
+      seconds.add(new EnumMap<>(ScanOutcome.class));
     }
     seconds.get(second).merge(fate, 1, Integer::sum);
   }
@@ -28,7 +28,7 @@
     return seconds.size();
   }
 
-  public int count(int second, Fate fate) {
+  public int count(int second, ScanOutcome fate) {
     return second < seconds.size() ? seconds.get(second).getOrDefault(fate, 0) : 0;
   }
 }
--- a/traffic/src/main/java/gingerring/traffic/scan/Answer.java
+++ b/traffic/src/main/java/gingerring/traffic/scan/Answer.java
@@ -3,7 +3,7 @@
 import gingerring.http.Head;
 import gingerring.json.Fields;
 import gingerring.json.Json;
-import gingerring.traffic.scan.Seen.Fate;
+import gingerring.traffic.scan.ObservedScan.ScanOutcome;
 import java.time.Duration;
 import java.util.Map;
 import java.util.TreeMap;
@@ -13,7 +13,7 @@
  * all is well.
  */
 public record Answer(
-    Fate fate,
+    ScanOutcome fate,
     int status,
     boolean whole,
     Map<Integer, String> values,
@@ -28,7 +28,7 @@
             : Duration.ZERO;
     if (status != 200) {
       return new Answer(
-          status == 429 || status == 503 ? Fate.NACKED : Fate.SCRAPPED,
+          status == 429 || status == 503 ? ScanOutcome.NACKED : ScanOutcome.SCRAPPED,
           status,
           false,
           Map.of(),
@@ -43,10 +43,10 @@
         values.put((int) Fields.whole(result, "partition"), Fields.text(result, "value"));
       }
       boolean whole = Fields.flag(object, "whole");
-      return new Answer(whole ? Fate.WHOLE : Fate.PART, status, whole, values, comeBack, "");
+      return new Answer(whole ? ScanOutcome.WHOLE : ScanOutcome.PART, status, whole, values, comeBack, "");
     } catch (Json.Malformed e) {
       return new Answer(
-          Fate.SCRAPPED, status, false, Map.of(), comeBack, "an answer without results");
+          ScanOutcome.SCRAPPED, status, false, Map.of(), comeBack, "an answer without results");
     }
   }
 }
--- a/traffic/src/main/java/gingerring/traffic/scan/Exchange.java
+++ b/traffic/src/main/java/gingerring/traffic/scan/Exchange.java
@@ -3,8 +3,8 @@
 import gingerring.http.Head;
 import gingerring.json.Fields;
 import gingerring.json.Json;
-import gingerring.traffic.scan.Seen.Fate;
-import gingerring.traffic.scan.Seen.Target;
+import gingerring.traffic.scan.ObservedScan.ScanOutcome;
+import gingerring.traffic.scan.ObservedScan.Target;
 import java.io.ByteArrayOutputStream;
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
@@ -31,7 +31,7 @@
 
   private Message answer;
   private long answeredAt;
-  private Fate fate;
+  private ScanOutcome fate;
   private String missing = "";
 
   Exchange(
@@ -62,27 +62,27 @@
   }
 
   Exchange left(long at) {
-    fate = Fate.LEFT;
+    fate = ScanOutcome.LEFT;
     answeredAt = at;
     return this;
   }
 
   Exchange incomplete(String why) {
-    fate = Fate.INCOMPLETE;
+    fate = ScanOutcome.INCOMPLETE;
     missing = why;
     return this;
   }
 
-  public Fate fate() {
+  public ScanOutcome fate() {
     if (fate == null) {
       int status = answer.status();
       int whole = status == 200 ? answer.skimWhole() : 0;
       fate =
           status == 429 || status == 503
-              ? Fate.NACKED
+              ? ScanOutcome.NACKED
               : status != 200
-                  ? Fate.SCRAPPED
-                  : whole > 0 ? Fate.WHOLE : whole == 0 ? Fate.PART : read().fate();
+                  ? ScanOutcome.SCRAPPED
+                  : whole > 0 ? ScanOutcome.WHOLE : whole == 0 ? ScanOutcome.PART : read().fate();
     }
     return fate;
   }
@@ -92,9 +92,9 @@
   }
 
   /** Everything there is to know of it. */
-  public Seen seen() {
+  public ObservedScan seen() {
     if (request == null) {
-      return new Seen(
+      return new ObservedScan(
           number,
           connection,
           client,
@@ -109,7 +109,7 @@
           List.of(),
           "",
           new byte[0],
-          Fate.INCOMPLETE,
+          ScanOutcome.INCOMPLETE,
           0,
           false,
           Map.of(),
@@ -135,7 +135,7 @@
       wrong = wrong.isEmpty() ? "no scan's body: " + e.getMessage() : wrong;
     }
     String remaining = header(head, "X-Remaining-Ms");
-    return new Seen(
+    return new ObservedScan(
         number,
         connection,
         client,
--- a/traffic/src/main/java/gingerring/traffic/scan/Seen.java
+++ b/traffic/src/main/java/gingerring/traffic/scan/ObservedScan.java
@@ -9,7 +9,7 @@
  * 0 where there was none. {@code fate} says what the capture shows of its end, and {@code missing}
  * why it shows no more.
  */
-public record Seen(
+public record ObservedScan(
     long number,
     long connection,
     String client,
@@ -24,7 +24,7 @@
     List<Target> targets,
     String text,
     byte[] request,
-    Fate fate,
+    ScanOutcome outcome,
     int status,
     boolean whole,
     Map<Integer, String> values,
@@ -37,7 +37,7 @@
    * What became of a scan: answered whole or in part, sent back, given up; its client left before;
    * the capture does not tell.
    */
-  public enum Fate {
+  public enum ScanOutcome {
     WHOLE,
     PART,
     NACKED,
--- a/traffic/src/main/java/gingerring/traffic/scan/Recording.java
+++ b/traffic/src/main/java/gingerring/traffic/scan/Recording.java
@@ -38,7 +38,7 @@
 
   /** Tells each scan once it has ended; {@code wanted} picks the segments that are looked at. */
   public static Summary read(
-      Path file, Bounds bounds, Predicate<Segment> wanted, Consumer<Seen> scans)
+      Path file, Bounds bounds, Predicate<Segment> wanted, Consumer<ObservedScan> scans)
       throws IOException {
     try (CaptureReader capture = CaptureReader.open(file)) {
       return read(capture, bounds, wanted, scans);
@@ -46,7 +46,7 @@
   }
 
   public static Summary read(
-      CaptureReader capture, Bounds bounds, Predicate<Segment> wanted, Consumer<Seen> scans) {
+      CaptureReader capture, Bounds bounds, Predicate<Segment> wanted, Consumer<ObservedScan> scans) {
     return skim(capture, bounds, wanted, exchange -> scans.accept(exchange.seen()));
   }
 
--- a/traffic/src/main/java/gingerring/traffic/wire/HttpOwner.java
+++ b/traffic/src/main/java/gingerring/traffic/wire/HttpHandler.java
@@ -10,7 +10,7 @@
  * Who owns a wire that carries HTTP/1.1, requests or answers: told of each message once it is
  * whole.
  */
-public abstract class HttpOwner implements Wire.Owner {
+public abstract class HttpHandler implements ReactorConnection.Handler {
   private static final int PIECE = 1 << 13;
 
   private final ByteRing ring = new ByteRing(PIECE, 2 * PIECE);
@@ -18,7 +18,7 @@
   private Head head;
   private ByteArrayOutputStream body = new ByteArrayOutputStream();
 
-  protected HttpOwner(boolean requests, int bodyMost) {
+  protected HttpHandler(boolean requests, int bodyMost) {
     parser =
         new HttpParser(
             requests,
--- a/traffic/src/main/java/gingerring/traffic/wire/Reactor.java
+++ b/traffic/src/main/java/gingerring/traffic/wire/Reactor.java
@@ -43,7 +43,7 @@
   private final ConcurrentLinkedQueue<Runnable> posted = new ConcurrentLinkedQueue<>();
   private final ByteBuffer read = ByteBuffer.allocateDirect(READ);
   private final byte[] bytes = new byte[READ];
-  private List<Wire> dirty = new ArrayList<>();
+  private List<ReactorConnection> dirty = new ArrayList<>();
   private long timerNumber;
   private volatile boolean running = true;
   private int wires;
@@ -86,7 +86,7 @@
   }
 
   /** Takes connections at a loopback address; {@code owner} is asked for whom each is. */
-  public Listening listen(InetSocketAddress address, Function<Wire, Wire.Owner> owner)
+  public Listening listen(InetSocketAddress address, Function<ReactorConnection, ReactorConnection.Handler> owner)
       throws IOException {
     loopback(address);
     ServerSocketChannel channel = ServerSocketChannel.open();
@@ -136,10 +136,10 @@
     }
   }
 
-  private void accept(ServerSocketChannel server, Function<Wire, Wire.Owner> owner) {
+  private void accept(ServerSocketChannel server, Function<ReactorConnection, ReactorConnection.Handler> owner) {
     try {
       for (SocketChannel channel = server.accept(); channel != null; channel = server.accept()) {
-        Wire wire = new Wire(this, channel);
+        ReactorConnection wire = new ReactorConnection(this, channel);
         wires++;
         wire.begin(owner.apply(wire), true);
       }
@@ -149,11 +149,11 @@
   }
 
   /** Calls an address. The owner is told once it is up, or that it never came up. */
-  public Wire dial(InetSocketAddress to, Wire.Owner owner) {
+  public ReactorConnection dial(InetSocketAddress to, ReactorConnection.Handler owner) {
     loopback(to);
     try {
       SocketChannel channel = SocketChannel.open();
-      Wire wire = new Wire(this, channel);
+      ReactorConnection wire = new ReactorConnection(this, channel);
       wires++;
       try {
         channel.configureBlocking(false);
@@ -172,7 +172,7 @@
     wires--;
   }
 
-  void dirty(Wire wire) {
+  void dirty(ReactorConnection wire) {
     dirty.add(wire);
   }
 
@@ -196,7 +196,7 @@
       for (Iterator<SelectionKey> keys = selector.selectedKeys().iterator(); keys.hasNext(); ) {
         SelectionKey key = keys.next();
         keys.remove();
-        if (key.attachment() instanceof Wire wire) {
+        if (key.attachment() instanceof ReactorConnection wire) {
           guard(() -> wire.ready(key, read, bytes));
         } else if (key.isValid()) {
           guard((Runnable) key.attachment());
@@ -209,7 +209,7 @@
       while (!timers.isEmpty() && timers.peek().at <= now) {
         guard(timers.poll().task);
       }
-      List<Wire> flushed = dirty;
+      List<ReactorConnection> flushed = dirty;
       dirty = new ArrayList<>();
       flushed.forEach(wire -> guard(wire::flush));
     }
--- a/traffic/src/main/java/gingerring/traffic/wire/Wire.java
+++ b/traffic/src/main/java/gingerring/traffic/wire/ReactorConnection.java
@@ -13,11 +13,11 @@
  * #OUT_MOST} bytes unsent end the connection, as a peer that does not read would else take all
  * memory.
  */
-public final class Wire {
+public final class ReactorConnection {
   static final int OUT_MOST = 4 << 20;
 
   /** Who owns it; called on the reactor's thread. */
-  public interface Owner {
+  public interface Handler {
     default void opened() {}
 
     /** Bytes that came; the array is used again. */
@@ -34,7 +34,7 @@
 
   private final Reactor reactor;
   private final SocketChannel channel;
-  private Owner owner;
+  private Handler owner;
   private SelectionKey key;
   private byte[] out = new byte[1024];
   private int first;
@@ -45,12 +45,12 @@
   private boolean marked;
   private boolean deaf;
 
-  Wire(Reactor reactor, SocketChannel channel) {
+  ReactorConnection(Reactor reactor, SocketChannel channel) {
     this.reactor = reactor;
     this.channel = channel;
   }
 
-  void begin(Owner whose, boolean isUp) {
+  void begin(Handler whose, boolean isUp) {
     owner = whose;
     try {
       channel.configureBlocking(false);
@@ -67,7 +67,7 @@
     }
   }
 
-  void fail(Owner whose) {
+  void fail(Handler whose) {
     owner = whose;
     reactor.post(this::ended);
   }
--- a/traffic/src/test/java/gingerring/traffic/Talks.java
+++ b/traffic/src/test/java/gingerring/traffic/Talks.java
@@ -3,9 +3,9 @@
 import gingerring.traffic.flow.Bounds;
 import gingerring.traffic.pcap.CaptureReader;
 import gingerring.traffic.pcap.CaptureWriter;
-import gingerring.traffic.record.Forge;
+import gingerring.traffic.record.PacketSynthesizer;
 import gingerring.traffic.scan.Recording;
-import gingerring.traffic.scan.Seen;
+import gingerring.traffic.scan.ObservedScan;
 import java.io.ByteArrayInputStream;
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -79,8 +79,8 @@
   public static List<Piece> conversation(
       int port, long seed, String mark, int scans, boolean opens) {
     List<Piece> pieces = new ArrayList<>();
-    Forge forge = new Forge(client(port), mixer(), seed);
-    Forge.Out out =
+    PacketSynthesizer forge = new PacketSynthesizer(client(port), mixer(), seed);
+    PacketSynthesizer.Out out =
         (nanos, bytes, length) -> pieces.add(new Piece(nanos, Arrays.copyOf(bytes, length)));
     long now = START;
     forge.open(now, out);
@@ -107,7 +107,7 @@
         .putInt(0)
         .putInt(0)
         .putInt(1 << 18)
-        .putInt(Forge.LINK);
+        .putInt(PacketSynthesizer.LINK);
     for (Piece piece : pieces) {
       file.putInt((int) (piece.nanos / 1_000_000_000))
           .putInt((int) (piece.nanos % 1_000_000_000))
@@ -119,14 +119,14 @@
   }
 
   public static void write(Path file, List<Piece> pieces) throws IOException {
-    try (CaptureWriter out = new CaptureWriter(file, Forge.LINK)) {
+    try (CaptureWriter out = new CaptureWriter(file, PacketSynthesizer.LINK)) {
       for (Piece piece : pieces) {
         out.packet(piece.nanos, piece.bytes, 0, piece.bytes.length, piece.bytes.length);
       }
     }
   }
 
-  public static Recording.Summary read(byte[] file, List<Seen> scans) throws IOException {
+  public static Recording.Summary read(byte[] file, List<ObservedScan> scans) throws IOException {
     return Recording.read(
         CaptureReader.of("it", new ByteArrayInputStream(file)),
         Bounds.USUAL,
@@ -134,8 +134,8 @@
         scans::add);
   }
 
-  public static List<Seen> read(List<Piece> pieces) {
-    List<Seen> scans = new ArrayList<>();
+  public static List<ObservedScan> read(List<Piece> pieces) {
+    List<ObservedScan> scans = new ArrayList<>();
     try {
       read(pcap(pieces), scans);
     } catch (IOException e) {
--- a/traffic/src/test/java/gingerring/traffic/pcap/FormsTest.java
+++ b/traffic/src/test/java/gingerring/traffic/pcap/FormsTest.java
@@ -9,7 +9,7 @@
 import gingerring.traffic.Talks.Piece;
 import gingerring.traffic.flow.Bounds;
 import gingerring.traffic.scan.Recording;
-import gingerring.traffic.scan.Seen;
+import gingerring.traffic.scan.ObservedScan;
 import java.io.ByteArrayInputStream;
 import java.nio.ByteBuffer;
 import java.nio.ByteOrder;
@@ -32,7 +32,7 @@
       Path file = folder.resolve(name);
       Talks.write(file, pieces);
       assertFalse(Files.exists(folder.resolve(name + ".part")));
-      List<Seen> scans = new ArrayList<>();
+      List<ObservedScan> scans = new ArrayList<>();
       Recording.Summary summary = Recording.read(file, Bounds.USUAL, s -> true, scans::add);
       assertEquals(5, scans.size(), name);
       assertEquals(pieces.size(), summary.packets(), name);
--- a/traffic/src/test/java/gingerring/traffic/record/RecorderTest.java
+++ b/traffic/src/test/java/gingerring/traffic/record/RecorderTest.java
@@ -7,12 +7,12 @@
 import gingerring.traffic.Talks;
 import gingerring.traffic.flow.Bounds;
 import gingerring.traffic.pcap.CaptureReader;
-import gingerring.traffic.pcap.Edits;
-import gingerring.traffic.pcap.Nets;
+import gingerring.traffic.pcap.CaptureEditor;
+import gingerring.traffic.pcap.NetworkFilter;
 import gingerring.traffic.pcap.Packet;
 import gingerring.traffic.scan.Recording;
-import gingerring.traffic.scan.Seen;
-import gingerring.traffic.scan.Seen.Fate;
+import gingerring.traffic.scan.ObservedScan;
+import gingerring.traffic.scan.ObservedScan.ScanOutcome;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -59,17 +59,17 @@
     return file;
   }
 
-  private static List<Seen> scans(Path file) throws Exception {
-    List<Seen> scans = new ArrayList<>();
+  private static List<ObservedScan> scans(Path file) throws Exception {
+    List<ObservedScan> scans = new ArrayList<>();
     Recording.read(file, Bounds.USUAL, s -> true, scans::add);
     return scans;
   }
 
   @Test
   void whatIsRecordedIsReadBack() throws Exception {
-    List<Seen> scans = scans(recorded(20, 10));
+    List<ObservedScan> scans = scans(recorded(20, 10));
     assertEquals(200, scans.size());
-    assertTrue(scans.stream().allMatch(seen -> seen.fate() == Fate.WHOLE));
+    assertTrue(scans.stream().allMatch(seen -> seen.outcome() == ScanOutcome.WHOLE));
     assertEquals("hush-3", scans.get(3).key());
   }
 
@@ -118,11 +118,11 @@
     say(recorder, 1, 30);
     recorder.closed(1, 0);
     recorder.close();
-    List<Seen> scans = new ArrayList<>();
+    List<ObservedScan> scans = new ArrayList<>();
     Recording.Summary summary = Recording.read(file, Bounds.USUAL, s -> true, scans::add);
     assertEquals(21, summary.drops());
     List<String> whole =
-        scans.stream().filter(seen -> seen.fate() == Fate.WHOLE).map(Seen::mark).toList();
+        scans.stream().filter(seen -> seen.outcome() == ScanOutcome.WHOLE).map(ObservedScan::mark).toList();
     assertEquals(20, whole.size());
     assertEquals("m1.30", whole.get(19)); // what follows the hole is read again
     assertFalse(whole.contains("m1.25"));
@@ -174,12 +174,12 @@
     Path one = folder.resolve("one.pcap");
     Path rest = folder.resolve("rest.pcap");
     Path all = folder.resolve("all.pcap.gz");
-    Edits.cut(file, one, 0, Long.MAX_VALUE, new Nets(List.of("127.0.0.0/8"), List.of(4002)), false);
+    CaptureEditor.cut(file, one, 0, Long.MAX_VALUE, new NetworkFilter(List.of("127.0.0.0/8"), List.of(4002)), false);
     assertEquals(5, scans(one).size());
-    Edits.cut(file, rest, 0, Long.MAX_VALUE, new Nets(List.of(), List.of(4001, 4003, 4004)), false);
-    Edits.merge(List.of(rest, one), all);
+    CaptureEditor.cut(file, rest, 0, Long.MAX_VALUE, new NetworkFilter(List.of(), List.of(4001, 4003, 4004)), false);
+    CaptureEditor.merge(List.of(rest, one), all);
     assertEquals(20, scans(all).size());
-    Edits.cut(file, one, 0, Long.MAX_VALUE, new Nets(List.of("10.0.0.0/8"), List.of()), false);
+    CaptureEditor.cut(file, one, 0, Long.MAX_VALUE, new NetworkFilter(List.of("10.0.0.0/8"), List.of()), false);
     assertEquals(0, scans(one).size());
   }
 
@@ -192,12 +192,12 @@
     String bytes = new String(Files.readAllBytes(hidden), StandardCharsets.ISO_8859_1);
     assertFalse(
         bytes.contains("secret-") || bytes.contains("hush-") || bytes.contains("v-m"), "it shows");
-    List<Seen> before = scans(file);
-    List<Seen> after = scans(hidden);
+    List<ObservedScan> before = scans(file);
+    List<ObservedScan> after = scans(hidden);
     assertEquals(before.size(), after.size());
     for (int i = 0; i < after.size(); i++) {
       assertEquals(before.get(i).mark(), after.get(i).mark());
-      assertEquals(before.get(i).fate(), after.get(i).fate());
+      assertEquals(before.get(i).outcome(), after.get(i).outcome());
       for (int j = 0; j < after.size(); j++) {
         assertEquals(
             before.get(i).text().equals(before.get(j).text()),
--- a/traffic/src/test/java/gingerring/traffic/replay/ComparisonTest.java
+++ b/traffic/src/test/java/gingerring/traffic/replay/ComparisonTest.java
@@ -2,17 +2,17 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import gingerring.traffic.scan.Seen;
-import gingerring.traffic.scan.Seen.Fate;
+import gingerring.traffic.scan.ObservedScan;
+import gingerring.traffic.scan.ObservedScan.ScanOutcome;
 import java.time.Duration;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
 class ComparisonTest {
-  private static final Seen SCAN = RetriesTest.seen(0, 1, 0, 10, "a", null, Fate.WHOLE);
+  private static final ObservedScan SCAN = RetriesTest.seen(0, 1, 0, 10, "a", null, ScanOutcome.WHOLE);
 
   private static Outcome outcome(
-      Fate fate, Map<Integer, String> values, long tookMs, long lateMs, long heldMs) {
+      ScanOutcome fate, Map<Integer, String> values, long tookMs, long lateMs, long heldMs) {
     return new Outcome(
         fate,
         200,
@@ -32,43 +32,43 @@
 
   @Test
   void whatAgreesAndWhyNot() {
-    Outcome whole = outcome(Fate.WHOLE, Map.of(0, "v", 1, "w"), 10, 0, 0);
-    assertEquals("agree", cause(whole, outcome(Fate.WHOLE, Map.of(0, "v", 1, "w"), 900, 50, 50)));
+    Outcome whole = outcome(ScanOutcome.WHOLE, Map.of(0, "v", 1, "w"), 10, 0, 0);
+    assertEquals("agree", cause(whole, outcome(ScanOutcome.WHOLE, Map.of(0, "v", 1, "w"), 900, 50, 50)));
     assertEquals(
         "a value differs: the store is not in the recorded state",
-        cause(whole, outcome(Fate.WHOLE, Map.of(0, "v", 1, "x"), 10, 0, 0)));
-    Outcome part = outcome(Fate.PART, Map.of(0, "v"), 10, 0, 0);
+        cause(whole, outcome(ScanOutcome.WHOLE, Map.of(0, "v", 1, "x"), 10, 0, 0)));
+    Outcome part = outcome(ScanOutcome.PART, Map.of(0, "v"), 10, 0, 0);
     assertEquals("agree", cause(part, part));
     assertEquals(
         "answered from other parts: some came or were sent in one run alone", cause(part, whole));
     assertEquals(
         "answered from other parts: some came or were sent in one run alone",
-        cause(part, outcome(Fate.PART, Map.of(1, "w"), 10, 0, 0)));
+        cause(part, outcome(ScanOutcome.PART, Map.of(1, "w"), 10, 0, 0)));
     assertEquals(
-        "the tool sent it late", cause(whole, outcome(Fate.PART, Map.of(0, "v"), 10, 30, 0)));
+        "the tool sent it late", cause(whole, outcome(ScanOutcome.PART, Map.of(0, "v"), 10, 30, 0)));
     assertEquals(
         "held back by the answer before it on its connection",
-        cause(whole, outcome(Fate.PART, Map.of(0, "v"), 10, 0, 30)));
+        cause(whole, outcome(ScanOutcome.PART, Map.of(0, "v"), 10, 0, 30)));
     assertEquals(
         "an answer close to the end of its client's time: open by nature",
-        cause(whole, outcome(Fate.LEFT, Map.of(), 2050, 0, 0)));
+        cause(whole, outcome(ScanOutcome.LEFT, Map.of(), 2050, 0, 0)));
     assertEquals(
         "turned away in the replay: more load or less trust than recorded",
-        cause(whole, outcome(Fate.NACKED, Map.of(), 10, 0, 0)));
+        cause(whole, outcome(ScanOutcome.NACKED, Map.of(), 10, 0, 0)));
     assertEquals(
         "given up in the replay: its parts or their holders failed",
-        cause(whole, outcome(Fate.SCRAPPED, Map.of(), 10, 0, 0)));
+        cause(whole, outcome(ScanOutcome.SCRAPPED, Map.of(), 10, 0, 0)));
   }
 
   @Test
   void whatTheRecordingDoesNotShowIsNotCompared() {
     Comparison comparison = new Comparison(Duration.ofMillis(20));
     comparison.add(
-        SCAN, outcome(Fate.INCOMPLETE, Map.of(), 0, 0, 0), outcome(Fate.WHOLE, Map.of(), 1, 0, 0));
+        SCAN, outcome(ScanOutcome.INCOMPLETE, Map.of(), 0, 0, 0), outcome(ScanOutcome.WHOLE, Map.of(), 1, 0, 0));
     assertEquals(0, comparison.compared());
     assertEquals(1, comparison.notCompared());
     comparison.add(
-        SCAN, outcome(Fate.NACKED, Map.of(), 0, 0, 0), outcome(Fate.WHOLE, Map.of(), 1, 0, 0));
+        SCAN, outcome(ScanOutcome.NACKED, Map.of(), 0, 0, 0), outcome(ScanOutcome.WHOLE, Map.of(), 1, 0, 0));
     assertEquals(0, comparison.agreement());
     assertEquals(1, comparison.differences().size());
   }
--- a/traffic/src/test/java/gingerring/traffic/replay/RetriesTest.java
+++ b/traffic/src/test/java/gingerring/traffic/replay/RetriesTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gingerring.traffic.scan.Seen;
-import gingerring.traffic.scan.Seen.Fate;
+import gingerring.traffic.scan.ObservedScan;
+import gingerring.traffic.scan.ObservedScan.ScanOutcome;
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
 import java.util.ArrayList;
@@ -17,45 +17,45 @@
 
 /** Chains of retries, found and made. */
 class RetriesTest {
-  static Seen seen(
-      int number, long connection, long askedMs, long tookMs, String text, String key, Fate fate) {
+  static ObservedScan seen(
+      int number, long connection, long askedMs, long tookMs, String text, String key, ScanOutcome fate) {
     byte[] request =
         ("POST /api HTTP/1.1\r\nhost: x\r\nx-txn: m" + number + "\r\n\r\n{}")
             .getBytes(StandardCharsets.US_ASCII);
     long asked = askedMs * 1_000_000;
-    return new Seen(
+    return new ObservedScan(
         number,
         connection,
         "c",
         asked,
         asked,
-        fate == Fate.INCOMPLETE ? 0 : asked + tookMs * 1_000_000,
+        fate == ScanOutcome.INCOMPLETE ? 0 : asked + tookMs * 1_000_000,
         "m" + number,
         "search",
         2000,
         false,
         key,
-        List.of(new Seen.Target(0, 1)),
+        List.of(new ObservedScan.Target(0, 1)),
         text,
         request,
         fate,
         200,
-        fate == Fate.WHOLE,
-        fate == Fate.WHOLE ? Map.of(0, "v") : Map.of(),
+        fate == ScanOutcome.WHOLE,
+        fate == ScanOutcome.WHOLE ? Map.of(0, "v") : Map.of(),
         0,
         "");
   }
 
   /** The plain model looks through all chains for each scan. */
-  private static List<List<Long>> model(List<Seen> scans, long windowNanos) {
-    List<List<Seen>> chains = new ArrayList<>();
-    for (Seen seen : scans) {
-      List<Seen> best = null;
-      for (List<Seen> chain : chains) {
-        Seen last = chain.get(chain.size() - 1);
+  private static List<List<Long>> model(List<ObservedScan> scans, long windowNanos) {
+    List<List<ObservedScan>> chains = new ArrayList<>();
+    for (ObservedScan seen : scans) {
+      List<ObservedScan> best = null;
+      for (List<ObservedScan> chain : chains) {
+        ObservedScan last = chain.get(chain.size() - 1);
         long end = Math.max(last.answeredAt(), last.askedAt());
         boolean same = last.text().equals(seen.text());
-        boolean unmet = last.fate() != Fate.WHOLE && last.fate() != Fate.PART;
+        boolean unmet = last.outcome() != ScanOutcome.WHOLE && last.outcome() != ScanOutcome.PART;
         if (same
             && unmet
             && last.answeredAt() <= seen.askedAt()
@@ -70,15 +70,15 @@
       }
       best.add(seen);
     }
-    return chains.stream().map(chain -> chain.stream().map(Seen::number).toList()).toList();
+    return chains.stream().map(chain -> chain.stream().map(ObservedScan::number).toList()).toList();
   }
 
   @Property(tries = 500, seed = "7")
   void findsTheChainsThatThePlainModelFinds(@ForAll long seed) {
     SplittableRandom random = new SplittableRandom(seed);
-    List<Seen> scans = new ArrayList<>();
+    List<ObservedScan> scans = new ArrayList<>();
     long at = 0;
-    Fate[] fates = {Fate.WHOLE, Fate.NACKED, Fate.SCRAPPED, Fate.LEFT, Fate.INCOMPLETE};
+    ScanOutcome[] fates = {ScanOutcome.WHOLE, ScanOutcome.NACKED, ScanOutcome.SCRAPPED, ScanOutcome.LEFT, ScanOutcome.INCOMPLETE};
     for (int i = 0; i < 40; i++) {
       at += 1 + random.nextInt(400);
       scans.add(
@@ -94,7 +94,7 @@
     Duration window = Duration.ofMillis(900);
     List<List<Long>> found =
         Retries.chains(scans, window).stream()
-            .map(chain -> chain.tries().stream().map(Seen::number).toList())
+            .map(chain -> chain.tries().stream().map(ObservedScan::number).toList())
             .toList();
     assertEquals(model(scans, window.toNanos()), found);
   }
@@ -104,10 +104,10 @@
     List<Chain> chains =
         Retries.chains(
             List.of(
-                seen(0, 1, 0, 10, "a", "k1", Fate.NACKED),
-                seen(1, 2, 100, 10, "a", "k2", Fate.WHOLE),
-                seen(2, 3, 200, 10, "a", "k1", Fate.WHOLE),
-                seen(3, 4, 300, 10, "a", "k1", Fate.WHOLE)),
+                seen(0, 1, 0, 10, "a", "k1", ScanOutcome.NACKED),
+                seen(1, 2, 100, 10, "a", "k2", ScanOutcome.WHOLE),
+                seen(2, 3, 200, 10, "a", "k1", ScanOutcome.WHOLE),
+                seen(3, 4, 300, 10, "a", "k1", ScanOutcome.WHOLE)),
             Duration.ofSeconds(60));
     assertEquals(List.of(2, 1, 1), chains.stream().map(chain -> chain.tries().size()).toList());
   }
@@ -128,11 +128,11 @@
 
   @Test
   void aRetryHasAFreshMarkAndTheSameRest() {
-    Plan plan =
-        new Plan(
+    ReplayPlan plan =
+        new ReplayPlan(
             List.of(
-                seen(0, 1, 0, 10, "a", "k1", Fate.NACKED),
-                seen(1, 1, 100, 10, "a", "k1", Fate.WHOLE)),
+                seen(0, 1, 0, 10, "a", "k1", ScanOutcome.NACKED),
+                seen(1, 1, 100, 10, "a", "k1", ScanOutcome.WHOLE)),
             10,
             true);
     assertEquals(1, plan.steps().size());
@@ -145,11 +145,11 @@
 
   @Test
   void timesAreDividedByThePace() {
-    Plan plan =
-        new Plan(
+    ReplayPlan plan =
+        new ReplayPlan(
             List.of(
-                seen(0, 1, 1000, 10, "a", null, Fate.WHOLE),
-                seen(1, 2, 3000, 10, "b", null, Fate.WHOLE)),
+                seen(0, 1, 1000, 10, "a", null, ScanOutcome.WHOLE),
+                seen(1, 2, 3000, 10, "b", null, ScanOutcome.WHOLE)),
             10,
             false);
     assertEquals(
--- a/traffic/src/test/java/gingerring/traffic/scan/CutsTest.java
+++ b/traffic/src/test/java/gingerring/traffic/scan/CutsTest.java
@@ -8,7 +8,7 @@
 import gingerring.traffic.Talks.Piece;
 import gingerring.traffic.pcap.CaptureReader;
 import gingerring.traffic.pcap.NotReadable;
-import gingerring.traffic.scan.Seen.Fate;
+import gingerring.traffic.scan.ObservedScan.ScanOutcome;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
@@ -40,17 +40,17 @@
         assertThrows(NotReadable.class, () -> Talks.read(some, new ArrayList<>()));
         continue;
       }
-      List<Seen> scans = new ArrayList<>();
+      List<ObservedScan> scans = new ArrayList<>();
       Recording.Summary summary = Talks.read(some, scans);
       int here = cut;
       long expected = ends.stream().filter(end -> end <= here).count();
       assertEquals(
           expected,
-          scans.stream().filter(seen -> seen.fate() == Fate.WHOLE).count(),
+          scans.stream().filter(seen -> seen.outcome() == ScanOutcome.WHOLE).count(),
           "cut at " + cut);
       assertTrue(scans.size() <= expected + 1, "cut at " + cut);
-      for (Seen seen : scans.subList((int) expected, scans.size())) {
-        assertEquals(Fate.INCOMPLETE, seen.fate(), "cut at " + cut);
+      for (ObservedScan seen : scans.subList((int) expected, scans.size())) {
+        assertEquals(ScanOutcome.INCOMPLETE, seen.outcome(), "cut at " + cut);
       }
       boolean onEdge = summary.end() == CaptureReader.End.WHOLE;
       assertEquals(onEdge, summary.why().isEmpty());
@@ -69,8 +69,8 @@
         int where = 24 + random.nextInt(file.length - 24);
         mutated[where] = (byte) random.nextInt(256);
       }
-      List<Seen> once = new ArrayList<>();
-      List<Seen> twice = new ArrayList<>();
+      List<ObservedScan> once = new ArrayList<>();
+      List<ObservedScan> twice = new ArrayList<>();
       Recording.Summary summary = Talks.read(mutated, once);
       assertEquals(summary.packets(), Talks.read(mutated, twice).packets());
       assertEquals(once.size(), twice.size());
--- a/traffic/src/test/java/gingerring/traffic/scan/MessageTest.java
+++ b/traffic/src/test/java/gingerring/traffic/scan/MessageTest.java
@@ -9,7 +9,7 @@
 import gingerring.http.Malformed;
 import gingerring.net.ByteRing;
 import gingerring.traffic.Talks;
-import gingerring.traffic.scan.Seen.Fate;
+import gingerring.traffic.scan.ObservedScan.ScanOutcome;
 import java.io.ByteArrayOutputStream;
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
@@ -102,7 +102,7 @@
       if (!request && message.status() == 200 && message.skimWhole() >= 0) {
         Answer answer = Answer.read(message.head(), message.body());
         assertEquals(
-            message.skimWhole() == 1 ? Fate.WHOLE : Fate.PART, answer.fate(), text::toString);
+            message.skimWhole() == 1 ? ScanOutcome.WHOLE : ScanOutcome.PART, answer.fate(), text::toString);
       }
     }
     assertTrue(skimmed > 20_000, "skimmed: " + skimmed);
--- a/traffic/src/test/java/gingerring/traffic/scan/StreamsTest.java
+++ b/traffic/src/test/java/gingerring/traffic/scan/StreamsTest.java
@@ -5,7 +5,7 @@
 
 import gingerring.traffic.Talks;
 import gingerring.traffic.Talks.Piece;
-import gingerring.traffic.scan.Seen.Fate;
+import gingerring.traffic.scan.ObservedScan.ScanOutcome;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -86,12 +86,12 @@
     // the ends stay last: after both no more is taken, as on the wire
     List<Piece> body = disturbed(pieces.subList(0, pieces.size() - 3), random, window);
     body.addAll(pieces.subList(pieces.size() - 3, pieces.size()));
-    Map<String, Seen> read = new HashMap<>();
+    Map<String, ObservedScan> read = new HashMap<>();
     Talks.read(body).forEach(seen -> assertEquals(null, read.put(seen.mark(), seen)));
     assertEquals(scans, read.size());
     read.forEach(
         (mark, seen) -> {
-          assertEquals(Fate.WHOLE, seen.fate(), mark + seen.missing());
+          assertEquals(ScanOutcome.WHOLE, seen.outcome(), mark + seen.missing());
           assertEquals("v-" + mark, seen.values().get(0));
         });
   }
@@ -131,10 +131,10 @@
         left.add(pieces.get(i));
       }
     }
-    Map<String, Seen> whole = new HashMap<>();
-    for (Seen seen : Talks.read(left)) {
-      if (seen.fate() != Fate.INCOMPLETE) {
-        assertEquals(Fate.WHOLE, seen.fate());
+    Map<String, ObservedScan> whole = new HashMap<>();
+    for (ObservedScan seen : Talks.read(left)) {
+      if (seen.outcome() != ScanOutcome.INCOMPLETE) {
+        assertEquals(ScanOutcome.WHOLE, seen.outcome());
         assertEquals("v-" + seen.mark(), seen.values().get(0), "an answer of another scan");
         whole.put(seen.mark(), seen);
       }
@@ -151,14 +151,14 @@
       @ForAll @IntRange(min = 0, max = 40) int skipped) {
     List<Piece> pieces = Talks.conversation(4000, seed, "m", scans, true);
     List<Piece> rest = pieces.subList(Math.min(skipped, pieces.size() - 1), pieces.size());
-    for (Seen seen : Talks.read(rest)) {
-      if (seen.fate() == Fate.WHOLE) {
+    for (ObservedScan seen : Talks.read(rest)) {
+      if (seen.outcome() == ScanOutcome.WHOLE) {
         assertEquals("v-" + seen.mark(), seen.values().get(0));
       }
     }
     if (skipped <= 3) {
       assertEquals(
-          scans, Talks.read(rest).stream().filter(seen -> seen.fate() == Fate.WHOLE).count());
+          scans, Talks.read(rest).stream().filter(seen -> seen.outcome() == ScanOutcome.WHOLE).count());
     }
   }
 
@@ -167,8 +167,8 @@
     List<Piece> pieces = new ArrayList<>(Talks.conversation(4000, 5, "a", 2, true));
     pieces.subList(pieces.size() - 3, pieces.size()).clear(); // its end was not captured
     pieces.addAll(Talks.conversation(4000, 99L << 33 | 77777, "b", 2, true));
-    List<Seen> scans = Talks.read(pieces);
-    assertEquals(List.of("a0", "a1", "b0", "b1"), scans.stream().map(Seen::mark).toList());
+    List<ObservedScan> scans = Talks.read(pieces);
+    assertEquals(List.of("a0", "a1", "b0", "b1"), scans.stream().map(ObservedScan::mark).toList());
     assertTrue(scans.get(0).connection() != scans.get(2).connection());
   }
 }
--- a/traffic/src/test/java/gingerring/traffic/scan/TalkTest.java
+++ b/traffic/src/test/java/gingerring/traffic/scan/TalkTest.java
@@ -5,8 +5,8 @@
 
 import gingerring.traffic.Talks;
 import gingerring.traffic.Talks.Piece;
-import gingerring.traffic.record.Forge;
-import gingerring.traffic.scan.Seen.Fate;
+import gingerring.traffic.record.PacketSynthesizer;
+import gingerring.traffic.scan.ObservedScan.ScanOutcome;
 import java.nio.ByteBuffer;
 import java.nio.ByteOrder;
 import java.nio.charset.StandardCharsets;
@@ -19,9 +19,9 @@
 /** What clients, mixers and boxes may say on a connection. */
 class TalkTest {
   private final List<Piece> pieces = new ArrayList<>();
-  private final Forge.Out out =
+  private final PacketSynthesizer.Out out =
       (nanos, bytes, length) -> pieces.add(new Piece(nanos, Arrays.copyOf(bytes, length)));
-  private final Forge forge = new Forge(Talks.client(4000), Talks.mixer(), 3);
+  private final PacketSynthesizer forge = new PacketSynthesizer(Talks.client(4000), Talks.mixer(), 3);
   private long now = Talks.START;
 
   private void say(int side, String text) {
@@ -29,16 +29,16 @@
     forge.data(now += 1_000_000, side, bytes, 0, bytes.length, out);
   }
 
-  private List<Seen> read(boolean closes) {
+  private List<ObservedScan> read(boolean closes) {
     if (closes) {
       forge.close(now += 1_000_000, false, 0, out);
     }
     return Talks.read(pieces);
   }
 
-  private static List<String> marks(List<Seen> scans) {
+  private static List<String> marks(List<ObservedScan> scans) {
     return scans.stream()
-        .map(seen -> seen.mark() + ' ' + seen.fate() + ' ' + seen.values().get(0))
+        .map(seen -> seen.mark() + ' ' + seen.outcome() + ' ' + seen.values().get(0))
         .toList();
   }
 
@@ -51,7 +51,7 @@
     say(0, three.substring(300));
     say(1, Talks.answer("a") + Talks.answer("b").substring(0, 20));
     say(1, Talks.answer("b").substring(20) + Talks.answer(503, "Retry-After: 0.25\r\n", ""));
-    List<Seen> scans = read(true);
+    List<ObservedScan> scans = read(true);
     assertEquals(List.of("a WHOLE v-a", "b WHOLE v-b", "c NACKED null"), marks(scans));
     assertEquals(0.25, scans.get(2).comeBack());
   }
@@ -76,7 +76,7 @@
             + body.substring(5)
             + "\r\n0\r\n\r\n");
     say(1, Talks.answer("a"));
-    List<Seen> scans = read(true);
+    List<ObservedScan> scans = read(true);
     assertEquals(List.of("a WHOLE v-a"), marks(scans));
     String again = new String(scans.get(0).request(), StandardCharsets.ISO_8859_1);
     assertTrue(again.endsWith("content-length: " + body.length() + "\r\n\r\n" + body), again);
@@ -91,7 +91,7 @@
     Piece fin = pieces.get(before.size());
     pieces.subList(before.size(), pieces.size()).clear();
     pieces.add(fin);
-    Forge after = new Forge(Talks.client(4000), Talks.mixer(), 3);
+    PacketSynthesizer after = new PacketSynthesizer(Talks.client(4000), Talks.mixer(), 3);
     after.open(now, (nanos, bytes, length) -> {});
     byte[] answer = Talks.answer("a").getBytes(StandardCharsets.US_ASCII);
     after.data(now += 1_000_000, 1, answer, 0, answer.length, out);
@@ -102,8 +102,8 @@
   void aClientThatLeavesIsToldFromAFileThatEnds() {
     forge.open(now, out);
     say(0, Talks.request("a", "x", ""));
-    assertEquals(Fate.INCOMPLETE, read(false).get(0).fate());
-    assertEquals(Fate.LEFT, read(true).get(0).fate());
+    assertEquals(ScanOutcome.INCOMPLETE, read(false).get(0).outcome());
+    assertEquals(ScanOutcome.LEFT, read(true).get(0).outcome());
   }
 
   private static String frame(String text) {
