--- a/bench/src/main/java/gingerring/bench/RecordingCost.java
+++ b/bench/src/main/java/gingerring/bench/RecordingCost.java
@@ -1,6 +1,6 @@
 package gingerring.bench;
 
-import gingerring.emulator.core.World;
+import gingerring.emulator.core.Scenario;
 import gingerring.emulator.experiment.Run;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -16,8 +16,8 @@
 public final class RecordingCost {
   private RecordingCost() {}
 
-  public static void main(String[] args) throws IOException, World.Unfit {
-    World world = World.read(Files.readAllBytes(Path.of(args[0])));
+  public static void main(String[] args) throws IOException, Scenario.InvalidScenario {
+    Scenario world = Scenario.read(Files.readAllBytes(Path.of(args[0])));
     Path file = Path.of(args[1]).resolve("cost.pcapng");
     System.out.println("round,recording,scans,cpu_us_a_scan,p50_ms,p99_ms,service");
     double[] cpu = {0, 0};
--- a/cli/src/main/java/gingerring/cli/DemoCommand.java
+++ b/cli/src/main/java/gingerring/cli/DemoCommand.java
@@ -1,6 +1,6 @@
 package gingerring.cli;
 
-import gingerring.emulator.core.World;
+import gingerring.emulator.core.Scenario;
 import gingerring.emulator.experiment.Run;
 import gingerring.emulator.experiment.Tables;
 import java.io.InputStream;
@@ -20,9 +20,9 @@
 
   @Override
   public Integer call() throws Exception {
-    World world;
+    Scenario world;
     try (InputStream in = DemoCommand.class.getResourceAsStream("demo.json")) {
-      world = World.read(in.readAllBytes());
+      world = Scenario.read(in.readAllBytes());
     }
     PrintWriter print = spec.commandLine().getOut();
     print.println(
--- a/cli/src/main/java/gingerring/cli/EmulateCommand.java
+++ b/cli/src/main/java/gingerring/cli/EmulateCommand.java
@@ -1,8 +1,8 @@
 package gingerring.cli;
 
 import gingerring.emulator.core.Referee;
-import gingerring.emulator.core.Script;
-import gingerring.emulator.core.World;
+import gingerring.emulator.core.Workload;
+import gingerring.emulator.core.Scenario;
 import gingerring.emulator.experiment.MixerProcess;
 import gingerring.emulator.experiment.Store;
 import gingerring.traffic.wire.Reactor;
@@ -46,13 +46,13 @@
 
   @Override
   public Integer call() throws Exception {
-    World world = Worlds.read(file);
+    Scenario world = Worlds.read(file);
     Reactor reactor = new Reactor();
     Referee referee = new Referee(world);
     Store store = new Store(world, reactor, referee, Worlds.pace(pace));
     // a replay of a run's recording meets each trouble when the run did
     store.beginWithFirstPart(
-        Script.of(world).stream().findFirst().map(Script.Wish::at).orElse(Duration.ZERO));
+        Workload.of(world).stream().findFirst().map(Workload.ClientRequest::at).orElse(Duration.ZERO));
     Thread thread = new Thread(reactor::run, "emulator");
     thread.setDaemon(true);
     thread.start();
--- a/cli/src/main/java/gingerring/cli/ExperimentCommand.java
+++ b/cli/src/main/java/gingerring/cli/ExperimentCommand.java
@@ -1,6 +1,6 @@
 package gingerring.cli;
 
-import gingerring.emulator.core.World;
+import gingerring.emulator.core.Scenario;
 import gingerring.emulator.experiment.Charts;
 import gingerring.emulator.experiment.Run;
 import gingerring.emulator.experiment.Tables;
@@ -43,7 +43,7 @@
 
   @Override
   public Integer call() throws Exception {
-    World world = Worlds.read(file);
+    Scenario world = Worlds.read(file);
     String name = file.getFileName().toString().replaceAll("\\.json$", "");
     PrintWriter print = spec.commandLine().getOut();
     Run.Result mixer = Run.of(world, Run.Router.MIXER, Worlds.pace(pace), record);
--- a/cli/src/main/java/gingerring/cli/FleetCommand.java
+++ b/cli/src/main/java/gingerring/cli/FleetCommand.java
@@ -1,13 +1,13 @@
 package gingerring.cli;
 
-import gingerring.emulator.core.World;
+import gingerring.emulator.core.Scenario;
 import gingerring.emulator.simulation.Choices;
 import gingerring.emulator.simulation.Probes;
-import gingerring.emulator.simulation.Society;
+import gingerring.emulator.simulation.PeerSimulation;
 import gingerring.emulator.harness.Fleet;
-import gingerring.emulator.harness.Overlap;
-import gingerring.emulator.harness.Plan;
-import gingerring.emulator.harness.RigError;
+import gingerring.emulator.harness.OverlappingFaults;
+import gingerring.emulator.harness.FleetScenario;
+import gingerring.emulator.harness.HarnessError;
 import gingerring.emulator.experiment.Charts;
 import java.io.IOException;
 import java.io.PrintWriter;
@@ -269,14 +269,14 @@
             "sound doubted",
             "demand x");
     for (int size : sizes) {
-      for (Map.Entry<String, List<Society.Fault>> each : cases(size, seconds).entrySet()) {
+      for (Map.Entry<String, List<PeerSimulation.Fault>> each : cases(size, seconds).entrySet()) {
         if (only != null && !only.contains(each.getKey())) {
           continue;
         }
         double[] worst = new double[10];
         for (int seed = 1; seed <= seeds; seed++) {
-          Society.Result result =
-              Society.of(Society.Setup.usual(size, seconds, seed, each.getValue()));
+          PeerSimulation.Result result =
+              PeerSimulation.of(PeerSimulation.Setup.usual(size, seconds, seed, each.getValue()));
           double asks = 0;
           for (int second = 30; second < 50; second++) {
             asks += result.asks.getOrDefault(second, 0) / 20.0 / 2;
@@ -329,56 +329,56 @@
   }
 
   /** Cases by name: two boxes are dead from 20 to 60 s in all but the first. */
-  private static Map<String, List<Society.Fault>> cases(int size, double seconds) {
-    Society.Fault dead = fault(Society.Fault.Kind.BOXES_DEAD, 20_000, 40_000, Society.range(1, 2));
-    Map<String, List<Society.Fault>> cases = new LinkedHashMap<>();
+  private static Map<String, List<PeerSimulation.Fault>> cases(int size, double seconds) {
+    PeerSimulation.Fault dead = fault(PeerSimulation.Fault.Kind.BOXES_DEAD, 20_000, 40_000, PeerSimulation.range(1, 2));
+    Map<String, List<PeerSimulation.Fault>> cases = new LinkedHashMap<>();
     cases.put("calm", List.of());
     cases.put("boxes dead", List.of(dead));
     cases.put(
         "one gone",
-        List.of(dead, fault(Society.Fault.Kind.KILL, 25_000, 1e9, Society.range(3, 1))));
+        List.of(dead, fault(PeerSimulation.Fault.Kind.KILL, 25_000, 1e9, PeerSimulation.range(3, 1))));
     cases.put(
         "7/10 killed",
         List.of(
             dead,
             fault(
-                Society.Fault.Kind.KILL,
+                PeerSimulation.Fault.Kind.KILL,
                 30_000,
                 900,
-                Society.range(size - size * 7 / 10, size * 7 / 10))));
+                PeerSimulation.range(size - size * 7 / 10, size * 7 / 10))));
     cases.put(
         "halves",
         List.of(
             dead,
-            new Society.Fault(
-                Society.Fault.Kind.CUT,
+            new PeerSimulation.Fault(
+                PeerSimulation.Fault.Kind.CUT,
                 25_000,
                 20_000,
-                Society.range(0, size / 2),
-                Society.range(size / 2, size - size / 2),
+                PeerSimulation.range(0, size / 2),
+                PeerSimulation.range(size / 2, size - size / 2),
                 0)));
     cases.put(
         "stopped",
-        List.of(dead, fault(Society.Fault.Kind.STOP, 30_000, 10_000, Society.range(1, 2))));
+        List.of(dead, fault(PeerSimulation.Fault.Kind.STOP, 30_000, 10_000, PeerSimulation.range(1, 2))));
     cases.put(
-        "one lies", List.of(dead, fault(Society.Fault.Kind.LIE, 0, 1e9, Society.range(3, 1))));
+        "one lies", List.of(dead, fault(PeerSimulation.Fault.Kind.LIE, 0, 1e9, PeerSimulation.range(3, 1))));
     cases.put(
         "3/16 lie",
         List.of(
             dead,
-            fault(Society.Fault.Kind.LIE, 0, 1e9, Society.range(1, Math.max(1, size * 3 / 16)))));
-    cases.put("greed", List.of(dead, fault(Society.Fault.Kind.GREED, 0, 1e9, Society.range(3, 1))));
+            fault(PeerSimulation.Fault.Kind.LIE, 0, 1e9, PeerSimulation.range(1, Math.max(1, size * 3 / 16)))));
+    cases.put("greed", List.of(dead, fault(PeerSimulation.Fault.Kind.GREED, 0, 1e9, PeerSimulation.range(3, 1))));
     cases.put(
-        "repeats", List.of(dead, fault(Society.Fault.Kind.REPEAT, 0, 1e9, Society.range(3, 1))));
+        "repeats", List.of(dead, fault(PeerSimulation.Fault.Kind.REPEAT, 0, 1e9, PeerSimulation.range(3, 1))));
     cases.put(
         "false claims",
-        List.of(dead, fault(Society.Fault.Kind.CLAIM, 0, 1e9, Society.range(3, 1))));
+        List.of(dead, fault(PeerSimulation.Fault.Kind.CLAIM, 0, 1e9, PeerSimulation.range(3, 1))));
     return cases;
   }
 
-  private static Society.Fault fault(
-      Society.Fault.Kind kind, double at, double span, Set<Integer> some) {
-    return new Society.Fault(kind, at, span, some, Set.of(), 0);
+  private static PeerSimulation.Fault fault(
+      PeerSimulation.Fault.Kind kind, double at, double span, Set<Integer> some) {
+    return new PeerSimulation.Fault(kind, at, span, some, Set.of(), 0);
   }
 
   @Command(
@@ -416,9 +416,9 @@
     for (Path file : files) {
       String name = file.getFileName().toString().replaceAll("\\.json$", "");
       try {
-        codes.add(played(table, name, Plan.read(Files.readAllBytes(file))));
-      } catch (World.Unfit | NoSuchFileException e) {
-        told(name, new RigError.Unfit(file, e).getMessage());
+        codes.add(played(table, name, FleetScenario.read(Files.readAllBytes(file))));
+      } catch (Scenario.InvalidScenario | NoSuchFileException e) {
+        told(name, new HarnessError.Unfit(file, e).getMessage());
         codes.add(1);
       }
     }
@@ -440,12 +440,12 @@
     least("--mixers", mixers, 2);
     least("--boxes", boxes, 4);
     least("--seconds", seconds, 5);
-    spec.commandLine().getOut().print(Overlap.of(seed, mixers, boxes, seconds * 1000L));
+    spec.commandLine().getOut().print(OverlappingFaults.of(seed, mixers, boxes, seconds * 1000L));
     spec.commandLine().getOut().flush();
   }
 
   /** One run's row and all that is wrong with it; returns its exit code. */
-  private int played(Table table, String name, Plan plan) throws IOException {
+  private int played(Table table, String name, FleetScenario plan) throws IOException {
     Fleet.Result result = Fleet.of(plan);
     table.row(
         name,
--- a/cli/src/main/java/gingerring/cli/Worlds.java
+++ b/cli/src/main/java/gingerring/cli/Worlds.java
@@ -1,6 +1,6 @@
 package gingerring.cli;
 
-import gingerring.emulator.core.World;
+import gingerring.emulator.core.Scenario;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -9,10 +9,10 @@
 final class Worlds {
   private Worlds() {}
 
-  static World read(Path file) throws IOException {
+  static Scenario read(Path file) throws IOException {
     try {
-      return World.read(Files.readAllBytes(file));
-    } catch (World.Unfit e) {
+      return Scenario.read(Files.readAllBytes(file));
+    } catch (Scenario.InvalidScenario e) {
       throw new IOException(file + ": " + e.getMessage());
     }
   }
--- a/cli/src/test/java/gingerring/cli/GingerringTest.java
+++ b/cli/src/test/java/gingerring/cli/GingerringTest.java
@@ -5,8 +5,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import gingerring.emulator.core.Referee;
-import gingerring.emulator.core.Script;
-import gingerring.emulator.core.World;
+import gingerring.emulator.core.Workload;
+import gingerring.emulator.core.Scenario;
 import gingerring.emulator.experiment.MixerProcess;
 import gingerring.emulator.experiment.Run;
 import gingerring.emulator.experiment.Store;
@@ -46,11 +46,11 @@
     return code;
   }
 
-  private double agreement(Path recording, World world, double pace, String retries)
+  private double agreement(Path recording, Scenario world, double pace, String retries)
       throws Exception {
     Reactor reactor = new Reactor();
     Store store = new Store(world, reactor, new Referee(world), pace);
-    store.beginWithFirstPart(Script.of(world).get(0).at());
+    store.beginWithFirstPart(Workload.of(world).get(0).at());
     Thread thread = new Thread(reactor::run);
     thread.start();
     try (MixerProcess mixer = MixerProcess.start(world, store.discovery(), store.list(), null)) {
@@ -81,7 +81,7 @@
 
   @Test
   void aRecordedRunIsReplayedWithTheSameOutcomes() throws Exception {
-    World world = World.read(WORLD.getBytes());
+    Scenario world = Scenario.read(WORLD.getBytes());
     Path recording = folder.resolve("run.pcapng");
     Run.Result run = Run.of(world, Run.Router.MIXER, 1, recording);
     assertEquals(0, run.referee().fouls(), () -> run.referee().shown().toString());
@@ -114,8 +114,8 @@
 
   @Test
   void plainRandomChoiceIsFoundOut() throws Exception {
-    World world =
-        World.read(
+    Scenario world =
+        Scenario.read(
             ("{\"boxes\": 6, \"rate\": 60, \"lengthMs\": 5000, \"listLagMs\": 0, "
                     + "\"drainGraceMs\": 200, \"troubles\": [{\"kind\": \"drain\", \"atMs\": 500, \"forMs\": 20000}]}")
                 .getBytes());
--- a/emulator/src/main/java/gingerring/emulator/core/Box.java
+++ b/emulator/src/main/java/gingerring/emulator/core/Box.java
@@ -1,6 +1,6 @@
 package gingerring.emulator.core;
 
-import gingerring.emulator.core.World.Trouble;
+import gingerring.emulator.core.Scenario.BoxFault;
 import java.time.Duration;
 import java.util.ArrayDeque;
 import java.util.Deque;
@@ -39,12 +39,12 @@
   private static final Duration FAST = Duration.ofMillis(2);
 
   public final int number;
-  private final World world;
+  private final Scenario world;
   private final Host host;
   private final double speed;
   private final Deque<Part> queue = new ArrayDeque<>();
   private final Map<String, Part> waiting = new LinkedHashMap<>();
-  private final Set<Trouble> troubles = new HashSet<>();
+  private final Set<BoxFault> troubles = new HashSet<>();
   private int running;
   private int life;
   private boolean up;
@@ -57,14 +57,14 @@
   private long done;
   private double worked;
 
-  public Box(World world, int number, Host host) {
+  public Box(Scenario world, int number, Host host) {
     this.world = world;
     this.number = number;
     this.host = host;
-    boolean slow = Fate.draw(world.seed(), "slow", number) < world.slowShare();
-    double spread = Fate.draw(world.seed(), "speed", number);
+    boolean slow = SeededDraw.draw(world.seed(), "slow", number) < world.slowShare();
+    double spread = SeededDraw.draw(world.seed(), "speed", number);
     speed = slow ? 0.69 + 0.12 * spread : 0.92 + 0.18 * spread;
-    for (Trouble trouble : world.troubles()) {
+    for (BoxFault trouble : world.troubles()) {
       if (world.struck(trouble).contains(number)) {
         troubles.add(trouble);
       }
@@ -130,7 +130,7 @@
   }
 
   public void part(Part part) {
-    if (!up || active(Trouble.Kind.HANG) != null) {
+    if (!up || active(BoxFault.Kind.HANG) != null) {
       return;
     }
     if (draining || queue.size() >= world.queueMost()) {
@@ -141,11 +141,11 @@
     if (!up) {
       return;
     }
-    Trouble errors = active(Trouble.Kind.ERRORS);
-    boolean bad = Fate.draw(world.seed(), "bad " + part.text, part.folio) < world.badParts();
+    BoxFault errors = active(BoxFault.Kind.ERRORS);
+    boolean bad = SeededDraw.draw(world.seed(), "bad " + part.text, part.folio) < world.badParts();
     if (bad
         || errors != null
-            && Fate.draw(world.seed(), "error " + part.text, part.folio, number) < errors.size()) {
+            && SeededDraw.draw(world.seed(), "error " + part.text, part.folio, number) < errors.size()) {
       int mine = life;
       host.after(
           FAST,
@@ -170,9 +170,9 @@
   }
 
   private double work(Part part) {
-    World.Grade grade = world.grade(part.text.replaceAll(":.*", ""));
-    World.Range range = grade == null ? new World.Range(10, 20) : grade.work();
-    return range.at(Fate.draw(world.seed(), "work " + part.text, part.folio));
+    Scenario.ServiceClass grade = world.grade(part.text.replaceAll(":.*", ""));
+    Scenario.Range range = grade == null ? new Scenario.Range(10, 20) : grade.work();
+    return range.at(SeededDraw.draw(world.seed(), "work " + part.text, part.folio));
   }
 
   /** Takes note of work sent while cold; too much of it for too long brings the box down. */
@@ -207,7 +207,7 @@
       running++;
       boolean runs = host.runs(part);
       double millis = runs ? work(part) : 1;
-      Trouble slow = active(Trouble.Kind.SLOW);
+      BoxFault slow = active(BoxFault.Kind.SLOW);
       double takes = millis / (speed * warmth()) * (slow == null ? 1 : Math.max(1, slow.size()));
       Duration span = Duration.ofNanos((long) (takes * 1e6));
       int mine = life;
@@ -220,10 +220,10 @@
             running--;
             done++;
             worked += millis;
-            Trouble spoil = active(Trouble.Kind.SPOIL);
+            BoxFault spoil = active(BoxFault.Kind.SPOIL);
             boolean spoilt =
                 spoil != null
-                    && Fate.draw(world.seed(), "spoil " + part.text, part.folio, number)
+                    && SeededDraw.draw(world.seed(), "spoil " + part.text, part.folio, number)
                         < spoil.size();
             host.answer(part, spoilt ? "spoilt" : "done");
             next();
@@ -236,9 +236,9 @@
     if (world.pauseEvery().high() <= 0 || world.pause().high() <= 0) {
       return Duration.ZERO;
     }
-    double every = Math.max(100, world.pauseEvery().at(Fate.draw(world.seed(), "every", number)));
-    double length = Math.min(every / 2, world.pause().at(Fate.draw(world.seed(), "pause", number)));
-    double offset = Fate.draw(world.seed(), "offset", number) * every;
+    double every = Math.max(100, world.pauseEvery().at(SeededDraw.draw(world.seed(), "every", number)));
+    double length = Math.min(every / 2, world.pause().at(SeededDraw.draw(world.seed(), "pause", number)));
+    double offset = SeededDraw.draw(world.seed(), "offset", number) * every;
     double at = from.toNanos() / 1e6;
     double left = span.toNanos() / 1e6;
     double added = 0;
@@ -256,9 +256,9 @@
   }
 
   /** The trouble of a kind that is on at this box now, or null. */
-  public Trouble active(Trouble.Kind kind) {
+  public BoxFault active(BoxFault.Kind kind) {
     Duration now = host.now();
-    for (Trouble trouble : troubles) {
+    for (BoxFault trouble : troubles) {
       if (trouble.kind() == kind && trouble.active(now)) {
         return trouble;
       }
--- a/emulator/src/main/java/gingerring/emulator/core/Referee.java
+++ b/emulator/src/main/java/gingerring/emulator/core/Referee.java
@@ -1,7 +1,7 @@
 package gingerring.emulator.core;
 
-import gingerring.emulator.core.World.Grade;
-import gingerring.emulator.core.World.Repeats;
+import gingerring.emulator.core.Scenario.ServiceClass;
+import gingerring.emulator.core.Scenario.Repeats;
 import java.time.Duration;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -55,7 +55,7 @@
   private record Load(int mixer, Duration sent) {}
 
   private static final class Scan {
-    final Grade grade;
+    final ServiceClass grade;
     final Map<Integer, Double> shares;
     final String key;
     final Duration since;
@@ -67,7 +67,7 @@
     boolean nacked;
 
     Scan(
-        Grade grade,
+        ServiceClass grade,
         Map<Integer, Double> shares,
         String key,
         Duration since,
@@ -100,7 +100,7 @@
     }
   }
 
-  private final World world;
+  private final Scenario world;
   private final Map<String, Scan> scans = new HashMap<>();
 
   /** By mixer and box: since when that one has been told. */
@@ -127,7 +127,7 @@
   private long excused;
   private long held;
 
-  public Referee(World world) {
+  public Referee(Scenario world) {
     this.world = world;
   }
 
--- a/emulator/src/main/java/gingerring/emulator/core/World.java
+++ b/emulator/src/main/java/gingerring/emulator/core/Scenario.java
@@ -15,7 +15,7 @@
  * from JSON, where everything has a usual value; what is unknown, or out of its range, is refused
  * with its name. Times stand in milliseconds there, and a pair is a range that a seed draws from.
  */
-public record World(
+public record Scenario(
     long seed,
     int boxes,
     int folios,
@@ -40,8 +40,8 @@
     int clients,
     int retries,
     int trips,
-    List<Grade> grades,
-    List<Trouble> troubles) {
+    List<ServiceClass> grades,
+    List<BoxFault> troubles) {
   /** A range that is drawn from evenly. */
   public record Range(double low, double high) {
     double at(double share) {
@@ -60,7 +60,7 @@
    * A service grade; {@code folios} is the share of all folios that a scan asks for, {@code late}
    * what an answer after the quoted time still earns, {@code skewed} that a few parts weigh most.
    */
-  public record Grade(
+  public record ServiceClass(
       String name,
       double share,
       Duration quoted,
@@ -75,7 +75,7 @@
       boolean skewed) {}
 
   /** What goes wrong with so many boxes; {@code size} is a share or a factor, by kind. */
-  public record Trouble(Kind kind, Duration at, Duration span, int boxes, double size) {
+  public record BoxFault(Kind kind, Duration at, Duration span, int boxes, double size) {
     /** What goes wrong. */
     public enum Kind {
       /** The process dies and comes back cold. */
@@ -104,36 +104,36 @@
   }
 
   /** A description that cannot be; the message names the place. */
-  public static final class Unfit extends Exception {
+  public static final class InvalidScenario extends Exception {
     private static final long serialVersionUID = 1;
 
-    public Unfit(String message) {
+    public InvalidScenario(String message) {
       super(message);
     }
   }
 
-  public static World read(byte[] json) throws Unfit {
+  public static Scenario read(byte[] json) throws InvalidScenario {
     try {
       return read(Fields.object(Json.read(json), "the description"));
     } catch (Json.Malformed e) {
-      throw new Unfit(e.getMessage());
+      throw new InvalidScenario(e.getMessage());
     }
   }
 
   /** The same, of an object that has been read. */
-  public static World read(Map<String, Object> told) throws Unfit {
+  public static Scenario read(Map<String, Object> told) throws InvalidScenario {
     try {
       return new Reading(told, "").world();
     } catch (Json.Malformed e) {
-      throw new Unfit(e.getMessage());
+      throw new InvalidScenario(e.getMessage());
     }
   }
 
   /** The usual one, with nothing set. */
-  public static World usual() {
+  public static Scenario usual() {
     try {
       return read("{}".getBytes());
-    } catch (Unfit e) {
+    } catch (InvalidScenario e) {
       throw new IllegalStateException(e);
     }
   }
@@ -148,21 +148,21 @@
       this.place = place;
     }
 
-    World world() throws Unfit, Json.Malformed {
-      List<Grade> grades = new ArrayList<>();
+    Scenario world() throws InvalidScenario, Json.Malformed {
+      List<ServiceClass> grades = new ArrayList<>();
       for (Object each : list("grades")) {
         grades.add(
             new Reading(Fields.object(each, "a grade"), "grades." + grades.size() + ".").grade());
       }
       int boxes = (int) number("boxes", 12, 1, 2000);
-      List<Trouble> troubles = new ArrayList<>();
+      List<BoxFault> troubles = new ArrayList<>();
       for (Object each : list("troubles")) {
         troubles.add(
             new Reading(Fields.object(each, "a trouble"), "troubles." + troubles.size() + ".")
                 .trouble(boxes));
       }
-      World world =
-          new World(
+      Scenario world =
+          new Scenario(
               (long) number("seed", 1, 0, 1L << 53),
               boxes,
               (int) number("folios", boxes, 1, 1 << 16),
@@ -193,9 +193,9 @@
       return world;
     }
 
-    private static List<Grade> usualGrades() {
+    private static List<ServiceClass> usualGrades() {
       return List.of(
-          new Grade(
+          new ServiceClass(
               "skill-search",
               0.4,
               Duration.ofSeconds(2),
@@ -208,7 +208,7 @@
               5,
               0.3,
               true),
-          new Grade(
+          new ServiceClass(
               "hours-report",
               0.2,
               Duration.ofSeconds(3),
@@ -221,7 +221,7 @@
               3,
               0.1,
               false),
-          new Grade(
+          new ServiceClass(
               "signoff-post",
               0.4,
               Duration.ofSeconds(2),
@@ -236,17 +236,17 @@
               false));
     }
 
-    private Grade grade() throws Unfit, Json.Malformed {
+    private ServiceClass grade() throws InvalidScenario, Json.Malformed {
       String repeats = text("repeats", "reissuable");
       Repeats kind =
           switch (repeats) {
             case "reissuable" -> Repeats.REISSUABLE;
             case "numbered" -> Repeats.NUMBERED;
             case "at-most-once" -> Repeats.AT_MOST_ONCE;
-            default -> throw new Unfit(place + "repeats is unknown: " + repeats);
+            default -> throw new InvalidScenario(place + "repeats is unknown: " + repeats);
           };
-      Grade grade =
-          new Grade(
+      ServiceClass grade =
+          new ServiceClass(
               text("name", null),
               number("share", 1, 0, 1e6),
               span("quotedMs", 2000),
@@ -263,12 +263,12 @@
       return grade;
     }
 
-    private Trouble trouble(int boxes) throws Unfit, Json.Malformed {
+    private BoxFault trouble(int boxes) throws InvalidScenario, Json.Malformed {
       String kind = text("kind", null);
-      for (Trouble.Kind each : Trouble.Kind.values()) {
+      for (BoxFault.Kind each : BoxFault.Kind.values()) {
         if (each.name().equalsIgnoreCase(kind)) {
-          Trouble trouble =
-              new Trouble(
+          BoxFault trouble =
+              new BoxFault(
                   each,
                   span("atMs", 0),
                   span("forMs", 5000),
@@ -278,28 +278,28 @@
           return trouble;
         }
       }
-      throw new Unfit(place + "kind is unknown: " + kind);
+      throw new InvalidScenario(place + "kind is unknown: " + kind);
     }
 
     private double number(String name, double usual, double least, double most)
-        throws Unfit, Json.Malformed {
+        throws InvalidScenario, Json.Malformed {
       if (!from.containsKey(name)) {
         return usual;
       }
       double value = Fields.number(from, name);
       from.remove(name);
       if (value < least || value > most) {
-        throw new Unfit(
+        throw new InvalidScenario(
             place + name + " is out of range: " + value + " is not " + least + " to " + most);
       }
       return value;
     }
 
-    private Duration span(String name, double usual) throws Unfit, Json.Malformed {
+    private Duration span(String name, double usual) throws InvalidScenario, Json.Malformed {
       return Duration.ofNanos((long) (number(name, usual, 0, 1e9) * 1e6));
     }
 
-    private Range range(String name, double low, double high) throws Unfit, Json.Malformed {
+    private Range range(String name, double low, double high) throws InvalidScenario, Json.Malformed {
       if (!from.containsKey(name)) {
         return new Range(low, high);
       }
@@ -310,15 +310,15 @@
           || !(pair.get(1) instanceof Double other)
           || one < 0
           || other < one) {
-        throw new Unfit(place + name + " is no pair of numbers from low to high");
+        throw new InvalidScenario(place + name + " is no pair of numbers from low to high");
       }
       return new Range(one, other);
     }
 
-    private String text(String name, String usual) throws Unfit, Json.Malformed {
+    private String text(String name, String usual) throws InvalidScenario, Json.Malformed {
       if (!from.containsKey(name)) {
         if (usual == null) {
-          throw new Unfit(place + name + " is missing");
+          throw new InvalidScenario(place + name + " is missing");
         }
         return usual;
       }
@@ -339,9 +339,9 @@
       return value;
     }
 
-    private void nothingLeft() throws Unfit {
+    private void nothingLeft() throws InvalidScenario {
       if (!from.isEmpty()) {
-        throw new Unfit(place + from.keySet().iterator().next() + " is unknown");
+        throw new InvalidScenario(place + from.keySet().iterator().next() + " is unknown");
       }
     }
   }
@@ -356,16 +356,16 @@
   }
 
   /** Which boxes a trouble strikes; the same whatever the pace. */
-  public Set<Integer> struck(Trouble trouble) {
+  public Set<Integer> struck(BoxFault trouble) {
     Set<Integer> struck = new TreeSet<>();
     int number = troubles.indexOf(trouble);
     for (long i = 0; struck.size() < Math.min(boxes, trouble.boxes); i++) {
-      struck.add((int) (Fate.draw(seed, "struck", number, i) * boxes));
+      struck.add((int) (SeededDraw.draw(seed, "struck", number, i) * boxes));
     }
     return struck;
   }
 
-  public Grade grade(String name) {
+  public ServiceClass grade(String name) {
     return grades.stream().filter(grade -> grade.name.equals(name)).findFirst().orElse(null);
   }
 }
--- a/emulator/src/main/java/gingerring/emulator/core/Fate.java
+++ b/emulator/src/main/java/gingerring/emulator/core/SeededDraw.java
@@ -4,8 +4,8 @@
  * What is drawn once and for all for a thing, from the seed and what names it: the same part meets
  * the same at the same box in every run, in whatever order and at whatever pace things happen.
  */
-public final class Fate {
-  private Fate() {}
+public final class SeededDraw {
+  private SeededDraw() {}
 
   /** From 0 up to, but not, 1. */
   public static double draw(long seed, String what, long... more) {
--- a/emulator/src/main/java/gingerring/emulator/core/Script.java
+++ b/emulator/src/main/java/gingerring/emulator/core/Workload.java
@@ -1,6 +1,6 @@
 package gingerring.emulator.core;
 
-import gingerring.emulator.core.World.Grade;
+import gingerring.emulator.core.Scenario.ServiceClass;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -9,17 +9,17 @@
 import java.util.SplittableRandom;
 
 /** What clients ask, drawn from the seed: when, of which grade, which folios with which weights. */
-public final class Script {
+public final class Workload {
   /** A wish of a client; its tries share text and key. */
-  public record Wish(
-      int number, Duration at, Grade grade, Map<Integer, Double> shares, String key, String text) {
+  public record ClientRequest(
+      int number, Duration at, ServiceClass grade, Map<Integer, Double> shares, String key, String text) {
     /** The body of its request, with a rough guess at each part's work. */
-    public byte[] body(World world) {
+    public byte[] body(Scenario world) {
       StringBuilder json = new StringBuilder("{\"targets\":[");
       String between = "";
       for (Map.Entry<Integer, Double> share : shares.entrySet()) {
         double guess =
-            grade.work().at(0.5) * (0.7 + 0.6 * Fate.draw(world.seed(), text, share.getKey(), 7));
+            grade.work().at(0.5) * (0.7 + 0.6 * SeededDraw.draw(world.seed(), text, share.getKey(), 7));
         json.append(between)
             .append("{\"partition\":")
             .append(share.getKey())
@@ -34,13 +34,13 @@
     }
   }
 
-  private Script() {}
+  private Workload() {}
 
   /** All wishes of a run, in the order of their times: a Poisson stream. */
-  public static List<Wish> of(World world) {
+  public static List<ClientRequest> of(Scenario world) {
     SplittableRandom random = new SplittableRandom(world.seed());
-    List<Wish> wishes = new ArrayList<>();
-    double total = world.grades().stream().mapToDouble(Grade::share).sum();
+    List<ClientRequest> wishes = new ArrayList<>();
+    double total = world.grades().stream().mapToDouble(ServiceClass::share).sum();
     double at = 0;
     while (true) {
       at += -Math.log(1 - random.nextDouble()) / world.rate();
@@ -48,8 +48,8 @@
         return wishes;
       }
       double pick = random.nextDouble() * total;
-      Grade grade = world.grades().get(world.grades().size() - 1);
-      for (Grade each : world.grades()) {
+      ServiceClass grade = world.grades().get(world.grades().size() - 1);
+      for (ServiceClass each : world.grades()) {
         if (pick < each.share()) {
           grade = each;
           break;
@@ -58,10 +58,10 @@
       }
       int number = wishes.size();
       String text =
-          grade.name() + ':' + String.format("%08x", (int) Fate.bits(world.seed(), "text", number));
-      String key = String.format("%016x", Fate.bits(world.seed(), "key", number));
+          grade.name() + ':' + String.format("%08x", (int) SeededDraw.bits(world.seed(), "text", number));
+      String key = String.format("%016x", SeededDraw.bits(world.seed(), "key", number));
       wishes.add(
-          new Wish(
+          new ClientRequest(
               number,
               Duration.ofNanos((long) (at * 1e9)),
               grade,
@@ -71,7 +71,7 @@
     }
   }
 
-  private static Map<Integer, Double> shares(World world, Grade grade, SplittableRandom random) {
+  private static Map<Integer, Double> shares(Scenario world, ServiceClass grade, SplittableRandom random) {
     int count = Math.max(1, (int) Math.round(grade.folios() * world.folios()));
     int first = random.nextInt(world.folios());
     double[] weights = new double[count];
--- a/emulator/src/main/java/gingerring/emulator/experiment/Clients.java
+++ b/emulator/src/main/java/gingerring/emulator/experiment/Clients.java
@@ -1,9 +1,9 @@
 package gingerring.emulator.experiment;
 
-import gingerring.emulator.core.Fate;
+import gingerring.emulator.core.SeededDraw;
 import gingerring.emulator.core.Referee;
-import gingerring.emulator.core.Script.Wish;
-import gingerring.emulator.core.World;
+import gingerring.emulator.core.Workload.ClientRequest;
+import gingerring.emulator.core.Scenario;
 import gingerring.http.Head;
 import gingerring.http.Malformed;
 import gingerring.traffic.replay.Retries;
@@ -41,7 +41,7 @@
     InetSocketAddress address(int mixer);
   }
 
-  private final World world;
+  private final Scenario world;
   private final Reactor reactor;
   private final Referee referee;
   private final Way way;
@@ -61,10 +61,10 @@
   private int marks;
 
   /** One try of a wish. {@code first} is when its wish was first asked. */
-  private record Try(Wish wish, int number, Duration first) {}
+  private record Try(ClientRequest wish, int number, Duration first) {}
 
   Clients(
-      World world,
+      Scenario world,
       Reactor reactor,
       Referee referee,
       InetSocketAddress mixer,
@@ -93,7 +93,7 @@
 
   /** Clients of several mixers. */
   public Clients(
-      World world,
+      Scenario world,
       Reactor reactor,
       Referee referee,
       Way way,
@@ -113,12 +113,12 @@
             new SplittableRandom(world.seed() + 1));
   }
 
-  public void begin(List<Wish> wishes) {
+  public void begin(List<ClientRequest> wishes) {
     open = wishes.size();
     if (open == 0) {
       over.run();
     }
-    for (Wish wish : wishes) {
+    for (ClientRequest wish : wishes) {
       reactor.after(
           Duration.ofNanos((long) (wish.at().toNanos() / pace)),
           () -> ask(new Try(wish, 0, reactor.now())));
@@ -126,7 +126,7 @@
   }
 
   private void ask(Try next) {
-    int who = (int) (Fate.draw(world.seed(), "client", next.wish.number()) * world.clients());
+    int who = (int) (SeededDraw.draw(world.seed(), "client", next.wish.number()) * world.clients());
     Deque<Client> mine = idle.computeIfAbsent(who, w -> new ArrayDeque<>());
     Client client = mine.pollFirst();
     while (client != null && !client.wire.open()) {
@@ -223,7 +223,7 @@
       asking.add(this);
       String mine = String.format("%08x", marks++) + '-' + next.number;
       mark = mine;
-      World.Grade grade = next.wish.grade();
+      Scenario.ServiceClass grade = next.wish.grade();
       byte[] json = next.wish.body(world);
       String text =
           "POST /api HTTP/1.1\r\nHost: mixer\r\nX-Txn: "
@@ -233,7 +233,7 @@
               + "\r\nX-Remaining-Ms: "
               + grade.patience().toMillis()
               + (next.number > 0 ? "\r\nX-Resent: 1" : "")
-              + (grade.repeats() == World.Repeats.NUMBERED
+              + (grade.repeats() == Scenario.Repeats.NUMBERED
                   ? "\r\nIdempotency-Key: " + next.wish.key()
                   : "")
               + "\r\nContent-Length: "
@@ -247,7 +247,7 @@
           mark,
           grade.name(),
           next.wish.shares(),
-          grade.repeats() == World.Repeats.NUMBERED ? next.wish.key() : null,
+          grade.repeats() == Scenario.Repeats.NUMBERED ? next.wish.key() : null,
           reactor.now(),
           grade.patience());
       reactor.after(
--- a/emulator/src/main/java/gingerring/emulator/experiment/MixerProcess.java
+++ b/emulator/src/main/java/gingerring/emulator/experiment/MixerProcess.java
@@ -1,7 +1,7 @@
 package gingerring.emulator.experiment;
 
-import gingerring.emulator.core.World;
-import gingerring.emulator.core.World.Grade;
+import gingerring.emulator.core.Scenario;
+import gingerring.emulator.core.Scenario.ServiceClass;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
@@ -77,26 +77,26 @@
    * null.
    */
   public static MixerProcess start(
-      World world, InetSocketAddress discovery, String known, Path record) throws IOException {
+      Scenario world, InetSocketAddress discovery, String known, Path record) throws IOException {
     return start(world, discovery, known, record, Member.ALONE);
   }
 
   /** Starts one of a fleet. */
   public static MixerProcess start(
-      World world, InetSocketAddress discovery, String known, Path record, Member member)
+      Scenario world, InetSocketAddress discovery, String known, Path record, Member member)
       throws IOException {
     return start(world, discovery, known, record, member, UnaryOperator.identity());
   }
 
   /** Starts one alone, with its configuration edited: for settings that a world does not tell. */
   public static MixerProcess startEdited(
-      World world, InetSocketAddress discovery, String known, UnaryOperator<String> edit)
+      Scenario world, InetSocketAddress discovery, String known, UnaryOperator<String> edit)
       throws IOException {
     return start(world, discovery, known, null, Member.ALONE, edit);
   }
 
   private static MixerProcess start(
-      World world,
+      Scenario world,
       InetSocketAddress discovery,
       String known,
       Path record,
@@ -180,7 +180,7 @@
   /**
    * Has it read its configuration again (SIGHUP), which differs from before in where discovery is.
    */
-  public void reload(World world, InetSocketAddress discovery, String known) throws IOException {
+  public void reload(Scenario world, InetSocketAddress discovery, String known) throws IOException {
     Files.writeString(config, edit.apply(config(world, discovery, known, Member.ALONE)));
     signal("HUP");
   }
@@ -265,7 +265,7 @@
   }
 
   /** The configuration of a mixer before this world's store, in the deployment's form. */
-  static String config(World world, InetSocketAddress discovery, String known, Member member) {
+  static String config(Scenario world, InetSocketAddress discovery, String known, Member member) {
     String grades =
         world.grades().stream().map(MixerProcess::grade).collect(Collectors.joining(",\n      "));
     return String.format(
@@ -312,11 +312,11 @@
         String.join("\", \"", member.zones()));
   }
 
-  private static String list(World world, Function<Grade, String> value) {
+  private static String list(Scenario world, Function<ServiceClass, String> value) {
     return world.grades().stream().map(value).collect(Collectors.joining(", "));
   }
 
-  private static String grade(Grade grade) {
+  private static String grade(ServiceClass grade) {
     String repeats =
         switch (grade.repeats()) {
           case REISSUABLE -> "idempotent";
--- a/emulator/src/main/java/gingerring/emulator/experiment/RandomRouter.java
+++ b/emulator/src/main/java/gingerring/emulator/experiment/RandomRouter.java
@@ -1,7 +1,7 @@
 package gingerring.emulator.experiment;
 
-import gingerring.emulator.core.World;
-import gingerring.emulator.core.World.Grade;
+import gingerring.emulator.core.Scenario;
+import gingerring.emulator.core.Scenario.ServiceClass;
 import gingerring.http.Head;
 import gingerring.http.HttpWriter;
 import gingerring.http.Malformed;
@@ -31,7 +31,7 @@
  * the referee shows that.
  */
 final class RandomRouter {
-  private final World world;
+  private final Scenario world;
   private final Reactor reactor;
   private final SplittableRandom random;
   private final Map<Integer, InetSocketAddress> boxes = new HashMap<>();
@@ -40,7 +40,7 @@
   private final Reactor.Listening listening;
 
   /** {@code list}: the store's list, in discovery's form. */
-  RandomRouter(World world, Reactor reactor, String list) throws IOException {
+  RandomRouter(Scenario world, Reactor reactor, String list) throws IOException {
     this.world = world;
     this.reactor = reactor;
     random = new SplittableRandom(world.seed() + 2);
@@ -65,12 +65,12 @@
   private static final class Scan {
     final Asker asker;
     final String mark;
-    final Grade grade;
+    final ServiceClass grade;
     final Map<Integer, Double> shares = new LinkedHashMap<>();
     final Map<Integer, String> values = new TreeMap<>();
     int settled;
 
-    Scan(Asker asker, String mark, Grade grade) {
+    Scan(Asker asker, String mark, ServiceClass grade) {
       this.asker = asker;
       this.mark = mark;
       this.grade = grade;
@@ -90,7 +90,7 @@
       return;
     }
     boolean partial =
-        scan.grade.repeats() == World.Repeats.REISSUABLE
+        scan.grade.repeats() == Scenario.Repeats.REISSUABLE
             && !scan.values.isEmpty()
             && scan.weight() >= scan.grade.floor();
     if (!whole && !partial) {
--- a/emulator/src/main/java/gingerring/emulator/experiment/Run.java
+++ b/emulator/src/main/java/gingerring/emulator/experiment/Run.java
@@ -1,8 +1,8 @@
 package gingerring.emulator.experiment;
 
 import gingerring.emulator.core.Referee;
-import gingerring.emulator.core.Script;
-import gingerring.emulator.core.World;
+import gingerring.emulator.core.Workload;
+import gingerring.emulator.core.Scenario;
 import gingerring.traffic.wire.Reactor;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -45,7 +45,7 @@
    * Runs until every wish has had its end; {@code record} names a capture file for the mixer, or is
    * null.
    */
-  public static Result of(World world, Router router, double pace, Path record) throws IOException {
+  public static Result of(Scenario world, Router router, double pace, Path record) throws IOException {
     Reactor reactor = new Reactor();
     Referee referee = new Referee(world);
     Store store = new Store(world, reactor, referee, pace);
@@ -84,7 +84,7 @@
                             took.set(reactor.now().minus(start));
                             over.countDown();
                           })
-                      .begin(Script.of(world));
+                      .begin(Workload.of(world));
                 });
           });
       long most = (long) (world.length().toMillis() / pace) + SPARE.toMillis();
--- a/emulator/src/main/java/gingerring/emulator/experiment/Store.java
+++ b/emulator/src/main/java/gingerring/emulator/experiment/Store.java
@@ -1,10 +1,10 @@
 package gingerring.emulator.experiment;
 
 import gingerring.emulator.core.Box;
-import gingerring.emulator.core.Fate;
+import gingerring.emulator.core.SeededDraw;
 import gingerring.emulator.core.Referee;
-import gingerring.emulator.core.World;
-import gingerring.emulator.core.World.Trouble;
+import gingerring.emulator.core.Scenario;
+import gingerring.emulator.core.Scenario.BoxFault;
 import gingerring.traffic.wire.Reactor;
 import gingerring.traffic.wire.ReactorConnection;
 import java.io.ByteArrayOutputStream;
@@ -124,7 +124,7 @@
     }
   }
 
-  private final World world;
+  private final Scenario world;
   private final Reactor reactor;
   private final Referee referee;
   private final double pace;
@@ -152,12 +152,12 @@
   private Duration firstPartAt;
 
   /** Starts at once; {@code referee} is told of all that the boxes see. */
-  public Store(World world, Reactor reactor, Referee referee, double pace) throws IOException {
+  public Store(Scenario world, Reactor reactor, Referee referee, double pace) throws IOException {
     this(world, reactor, referee, pace, List.of("a"));
   }
 
   /** The same, with boxes in turn in these zones. */
-  public Store(World world, Reactor reactor, Referee referee, double pace, List<String> zones)
+  public Store(Scenario world, Reactor reactor, Referee referee, double pace, List<String> zones)
       throws IOException {
     this.zones = zones;
     this.world = world;
@@ -239,7 +239,7 @@
 
   private void begin(Duration at) {
     zero = reactor.now().minus(scaled(at));
-    for (Trouble trouble : world.troubles()) {
+    for (BoxFault trouble : world.troubles()) {
       for (int number : world.struck(trouble)) {
         Seat seat = seats.get(number);
         at(trouble.at(), () -> strike(trouble, seat));
@@ -276,8 +276,8 @@
 
   @Override
   public boolean runs(Box.Part part) {
-    World.Grade grade = world.grade(part.text().replaceAll(":.*", ""));
-    if (part.key() == null || grade == null || grade.repeats() != World.Repeats.NUMBERED) {
+    Scenario.ServiceClass grade = world.grade(part.text().replaceAll(":.*", ""));
+    if (part.key() == null || grade == null || grade.repeats() != Scenario.Repeats.NUMBERED) {
       return true;
     }
     Duration now = reactor.now();
@@ -300,7 +300,7 @@
 
   // ---- troubles ----
 
-  private void strike(Trouble trouble, Seat seat) {
+  private void strike(BoxFault trouble, Seat seat) {
     switch (trouble.kind()) {
       case CRASH -> {
         seat.box.stop();
@@ -329,10 +329,10 @@
     }
   }
 
-  private void breakSome(Trouble trouble, Seat seat) {
+  private void breakSome(BoxFault trouble, Seat seat) {
     if (trouble.active(now())) {
       for (Line line : List.copyOf(seat.lines)) {
-        if (Fate.draw(world.seed(), "break", seat.box.number, broken++) < trouble.size()) {
+        if (SeededDraw.draw(world.seed(), "break", seat.box.number, broken++) < trouble.size()) {
           line.wire.reset();
         }
       }
@@ -340,7 +340,7 @@
     }
   }
 
-  private void relieve(Trouble trouble, Seat seat) {
+  private void relieve(BoxFault trouble, Seat seat) {
     switch (trouble.kind()) {
       case CRASH, VANISH, DRAIN -> {
         crash(seat);
@@ -348,7 +348,7 @@
           seat.silent = false;
           seat.upSinceMs = System.currentTimeMillis();
           seat.box.start(true);
-          if (trouble.kind() == Trouble.Kind.DRAIN) {
+          if (trouble.kind() == BoxFault.Kind.DRAIN) {
             seat.successor++;
           }
           try {
@@ -382,8 +382,8 @@
     views.forEach(view -> before.put(view, seat.member(phase, view)));
     double lag =
         world.troubles().stream()
-            .filter(trouble -> trouble.kind() == Trouble.Kind.STALE && trouble.active(now()))
-            .mapToDouble(Trouble::size)
+            .filter(trouble -> trouble.kind() == BoxFault.Kind.STALE && trouble.active(now()))
+            .mapToDouble(BoxFault::size)
             .max()
             .orElse(0);
     Duration wait = scaled(world.listLag()).multipliedBy((long) (1 + lag));
@@ -533,7 +533,7 @@
             seat.box.cancel(new String(frame, 1, frame.length - 1, StandardCharsets.US_ASCII));
         case 'H' -> {
           probes.merge((int) reactor.now().toSeconds(), 1, Integer::sum);
-          if (seat.box.active(Trouble.Kind.HANG) == null) {
+          if (seat.box.active(BoxFault.Kind.HANG) == null) {
             put("Hdone");
           }
         }
@@ -607,7 +607,7 @@
       }
       out--;
       used = reactor.now();
-      String value = Fate.value(world.seed(), part.text(), part.folio());
+      String value = SeededDraw.value(world.seed(), part.text(), part.folio());
       boolean done = end.equals("done");
       referee.returned(
           mark(part.id()), part.folio(), seat.box.number, end, done ? value : null, used);
@@ -620,7 +620,7 @@
                 + ' '
                 + end
                 + ' '
-                + (done ? Fate.bits(0, value) >>> 33 : 0)
+                + (done ? SeededDraw.bits(0, value) >>> 33 : 0)
                 + ' '
                 + report()
                 + '\n'
--- a/emulator/src/main/java/gingerring/emulator/experiment/Tally.java
+++ b/emulator/src/main/java/gingerring/emulator/experiment/Tally.java
@@ -1,7 +1,7 @@
 package gingerring.emulator.experiment;
 
-import gingerring.emulator.core.Script.Wish;
-import gingerring.emulator.core.World.Grade;
+import gingerring.emulator.core.Workload.ClientRequest;
+import gingerring.emulator.core.Scenario.ServiceClass;
 import gingerring.traffic.scan.Answer;
 import gingerring.traffic.scan.ObservedScan.ScanOutcome;
 import java.time.Duration;
@@ -36,12 +36,12 @@
   /** Tries that found no connection idle. */
   public long waited;
 
-  void ended(Wish wish, Answer answer, Duration took, Duration now) {
+  void ended(ClientRequest wish, Answer answer, Duration took, Duration now) {
     grade(wish.grade()).tries.merge(answer.fate(), 1L, Long::sum);
   }
 
-  void met(Wish wish, Answer answer, Duration took) {
-    Grade grade = wish.grade();
+  void met(ClientRequest wish, Answer answer, Duration took) {
+    ServiceClass grade = wish.grade();
     ByGrade mine = grade(grade);
     mine.wishes.merge(answer.fate(), 1L, Long::sum);
     double share = 0;
@@ -62,7 +62,7 @@
     second[1] += grade.earnings() * share;
   }
 
-  private ByGrade grade(Grade grade) {
+  private ByGrade grade(ServiceClass grade) {
     return grades.computeIfAbsent(grade.name(), name -> new ByGrade());
   }
 
--- a/emulator/src/main/java/gingerring/emulator/harness/Fleet.java
+++ b/emulator/src/main/java/gingerring/emulator/harness/Fleet.java
@@ -1,10 +1,10 @@
 package gingerring.emulator.harness;
 
-import gingerring.emulator.core.Fate;
+import gingerring.emulator.core.SeededDraw;
 import gingerring.emulator.core.Referee;
-import gingerring.emulator.core.Script;
-import gingerring.emulator.core.World;
-import gingerring.emulator.harness.Plan.Fault;
+import gingerring.emulator.core.Workload;
+import gingerring.emulator.core.Scenario;
+import gingerring.emulator.harness.FleetScenario.Fault;
 import gingerring.emulator.experiment.Clients;
 import gingerring.emulator.experiment.MixerProcess;
 import gingerring.emulator.experiment.Store;
@@ -41,7 +41,7 @@
 import java.util.stream.Stream;
 
 /**
- * Plays a {@link Plan}: starts the mixers, the store, the links and the clients, lets things break
+ * Plays a {@link FleetScenario}: starts the mixers, the store, the links and the clients, lets things break
  * at their times, and says what came of it. Blocks until every wish has had its end, within bounds.
  */
 public final class Fleet implements AutoCloseable {
@@ -81,7 +81,7 @@
     public double seconds;
 
     /** Why there is no verdict on all of it; empty where there is. */
-    public final List<RigError> errors = Collections.synchronizedList(new ArrayList<>());
+    public final List<HarnessError> errors = Collections.synchronizedList(new ArrayList<>());
 
     /** A rule that was broken is that whatever else is missing. */
     public Verdict verdict() {
@@ -115,8 +115,8 @@
   private static final Duration FOREVER = Duration.ofDays(1);
   private static final Duration ROLL_END = Duration.ofMillis(4500);
 
-  private final Plan plan;
-  private final World world;
+  private final FleetScenario plan;
+  private final Scenario world;
   private final Reactor reactor = new Reactor();
   private final Referee referee;
   private final Store store;
@@ -158,7 +158,7 @@
     return thread;
   }
 
-  private Fleet(Plan plan) throws IOException {
+  private Fleet(FleetScenario plan) throws IOException {
     this.plan = plan;
     world = plan.world();
     chance = new SplittableRandom(world.seed());
@@ -178,7 +178,7 @@
               signals,
               () -> start(mixer),
               e -> {
-                result.errors.add(new RigError.NotStarted(mixer, e.getMessage(), e));
+                result.errors.add(new HarnessError.NotStarted(mixer, e.getMessage(), e));
                 up.countDown();
               }));
       Map<Integer, Relay> mine = new HashMap<>();
@@ -210,7 +210,7 @@
     }
   }
 
-  public static Result of(Plan plan) throws IOException {
+  public static Result of(FleetScenario plan) throws IOException {
     try (Fleet fleet = new Fleet(plan)) {
       return fleet.play();
     }
@@ -254,14 +254,14 @@
                 beat();
                 clients =
                     new Clients(world, reactor, referee, new Front(), 1, tally, over::countDown);
-                clients.begin(Script.of(world));
+                clients.begin(Workload.of(world));
               });
         });
     long most = SETTLE.plus(world.length()).plus(plan.spare()).toMillis();
     if (!over.await(most, TimeUnit.MILLISECONDS)) {
       reactor.post(
           () -> {
-            result.errors.add(new RigError.NotEnded(most, waits()));
+            result.errors.add(new HarnessError.NotEnded(most, waits()));
             for (int i = 0; i < plan.mixers(); i++) {
               excuse(i, zero, FOREVER); // what is lost from here on is the rig's end
             }
@@ -278,7 +278,7 @@
     for (int i = 0; i < plan.mixers(); i++) {
       String state = mixers.get(i).state();
       if (!state.isEmpty()) {
-        result.errors.add(new RigError.NotStarted(i, state + " after " + START_MS + " ms", null));
+        result.errors.add(new HarnessError.NotStarted(i, state + " after " + START_MS + " ms", null));
       }
     }
   }
@@ -389,7 +389,7 @@
     @Override
     public int mixer(int client) {
       double all = plan.mixers() - 1 + plan.uneven();
-      double draw = Fate.draw(world.seed(), "front", client) * all;
+      double draw = SeededDraw.draw(world.seed(), "front", client) * all;
       int mine = draw < plan.uneven() ? 0 : 1 + (int) (draw - plan.uneven());
       for (int i = 0; i < plan.mixers(); i++) {
         int mixer =
@@ -559,7 +559,7 @@
     try {
       left = there.get(END_MS, TimeUnit.MILLISECONDS);
     } catch (ExecutionException | TimeoutException e) {
-      result.errors.add(new RigError.Stumbled(reactor.failures()));
+      result.errors.add(new HarnessError.Stumbled(reactor.failures()));
       return;
     }
     signals.shutdown();
@@ -579,7 +579,7 @@
       }
     }
     if (result.failures > 0) {
-      result.errors.add(new RigError.Stumbled(result.failures));
+      result.errors.add(new HarnessError.Stumbled(result.failures));
     }
   }
 
@@ -599,7 +599,7 @@
       result.present.add(there.find() ? Integer.parseInt(there.group(1)) : -1);
     } catch (IOException | ExecutionException | TimeoutException e) {
       result.present.add(-1);
-      result.errors.add(new RigError.NotTold(mixer, e));
+      result.errors.add(new HarnessError.NotTold(mixer, e));
     }
   }
 
--- a/emulator/src/main/java/gingerring/emulator/harness/Plan.java
+++ b/emulator/src/main/java/gingerring/emulator/harness/FleetScenario.java
@@ -1,8 +1,8 @@
 package gingerring.emulator.harness;
 
-import gingerring.emulator.core.Fate;
-import gingerring.emulator.core.World;
-import gingerring.emulator.core.World.Unfit;
+import gingerring.emulator.core.SeededDraw;
+import gingerring.emulator.core.Scenario;
+import gingerring.emulator.core.Scenario.InvalidScenario;
 import gingerring.json.Fields;
 import gingerring.json.Json;
 import java.time.Duration;
@@ -23,8 +23,8 @@
  * @param spare how long after the run's time its last wishes may have their ends
  * @param liars so many further peers that hold the key and say what is false
  */
-public record Plan(
-    World world,
+public record FleetScenario(
+    Scenario world,
     int mixers,
     List<String> zones,
     boolean peers,
@@ -84,36 +84,36 @@
   private static final List<String> FAULT =
       List.of("kind", "atMs", "forMs", "mixers", "share", "boxes", "size");
 
-  public static Plan read(byte[] json) throws Unfit {
+  public static FleetScenario read(byte[] json) throws InvalidScenario {
     try {
       Map<String, Object> all =
           new LinkedHashMap<>(Fields.object(Json.read(json), "the description"));
       Object fleet = all.remove("fleet");
-      return read(World.read(all), fleet == null ? Map.of() : Fields.object(fleet, "fleet"));
+      return read(Scenario.read(all), fleet == null ? Map.of() : Fields.object(fleet, "fleet"));
     } catch (Json.Malformed e) {
-      throw new Unfit(e.getMessage());
+      throw new InvalidScenario(e.getMessage());
     }
   }
 
-  private static Plan read(World world, Map<String, Object> fleet) throws Unfit, Json.Malformed {
+  private static FleetScenario read(Scenario world, Map<String, Object> fleet) throws InvalidScenario, Json.Malformed {
     known(fleet, FLEET, "fleet.");
     int mixers = (int) number(fleet, "mixers", "fleet.", 8, 1, 1000);
     List<String> zones = new ArrayList<>();
     for (Object each : fleet.containsKey("zones") ? Fields.list(fleet, "zones") : List.of("a")) {
       if (!(each instanceof String zone) || !zone.matches("[a-z0-9-]{1,20}")) {
-        throw new Unfit("fleet.zones." + zones.size() + " is no name of a zone: " + each);
+        throw new InvalidScenario("fleet.zones." + zones.size() + " is no name of a zone: " + each);
       }
       zones.add(zone);
     }
     if (zones.isEmpty()) {
-      throw new Unfit("fleet.zones names none");
+      throw new InvalidScenario("fleet.zones names none");
     }
     List<Fault> faults = new ArrayList<>();
     for (Object each : fleet.containsKey("faults") ? Fields.list(fleet, "faults") : List.of()) {
       String place = "fleet.faults." + faults.size() + '.';
       faults.add(fault(world, mixers, Fields.object(each, place + " here"), place, faults.size()));
     }
-    return new Plan(
+    return new FleetScenario(
         world,
         mixers,
         List.copyOf(zones),
@@ -129,8 +129,8 @@
   }
 
   private static Fault fault(
-      World world, int mixers, Map<String, Object> told, String place, int number)
-      throws Unfit, Json.Malformed {
+      Scenario world, int mixers, Map<String, Object> told, String place, int number)
+      throws InvalidScenario, Json.Malformed {
     known(told, FAULT, place);
     String name = Fields.text(told, "kind");
     for (Fault.Kind kind : Fault.Kind.values()) {
@@ -139,7 +139,7 @@
         if (told.containsKey("share")) {
           int count = (int) Math.round(mixers * number(told, "share", place, 1, 0, 1));
           for (long i = 0; some.size() < count; i++) {
-            some.add((int) (Fate.draw(world.seed(), "mixers", number, i) * mixers));
+            some.add((int) (SeededDraw.draw(world.seed(), "mixers", number, i) * mixers));
           }
         } else if (!told.containsKey("mixers")) {
           for (int i = 0; i < mixers; i++) {
@@ -161,41 +161,41 @@
             number(told, "size", place, 0.5, 0, 1e6));
       }
     }
-    throw new Unfit(place + "kind is unknown: " + name);
+    throw new InvalidScenario(place + "kind is unknown: " + name);
   }
 
   private static void known(Map<String, Object> told, List<String> names, String place)
-      throws Unfit {
+      throws InvalidScenario {
     for (String name : told.keySet()) {
       if (!names.contains(name)) {
-        throw new Unfit(place + name + " is unknown; known are " + String.join(", ", names));
+        throw new InvalidScenario(place + name + " is unknown; known are " + String.join(", ", names));
       }
     }
   }
 
   private static double number(
       Map<String, Object> told, String name, String place, double usual, double least, double most)
-      throws Unfit, Json.Malformed {
+      throws InvalidScenario, Json.Malformed {
     if (!told.containsKey(name)) {
       return usual;
     }
     double value = Fields.number(told, name);
     if (value < least || value > most) {
-      throw new Unfit(
+      throw new InvalidScenario(
           place + name + " is out of range: " + value + " is not " + least + " to " + most);
     }
     return value;
   }
 
   private static Set<Integer> numbers(
-      Map<String, Object> told, String name, String place, int count) throws Unfit, Json.Malformed {
+      Map<String, Object> told, String name, String place, int count) throws InvalidScenario, Json.Malformed {
     Set<Integer> numbers = new TreeSet<>();
     for (Object each : told.containsKey(name) ? Fields.list(told, name) : List.of()) {
       if (!(each instanceof Double number)
           || number != Math.rint(number)
           || number < 0
           || number >= count) {
-        throw new Unfit(place + name + " has " + each + ", and there are " + count + " from 0 on");
+        throw new InvalidScenario(place + name + " has " + each + ", and there are " + count + " from 0 on");
       }
       numbers.add(number.intValue());
     }
--- a/emulator/src/main/java/gingerring/emulator/harness/RigError.java
+++ b/emulator/src/main/java/gingerring/emulator/harness/HarnessError.java
@@ -8,12 +8,12 @@
  * Why a run of the rig has no verdict: a stable code, the party it is about, and what an operator
  * can do. The message has all three.
  */
-public abstract sealed class RigError extends IOException {
+public abstract sealed class HarnessError extends IOException {
   private static final long serialVersionUID = 1;
   private final String place;
   private final String remedy;
 
-  RigError(String place, String what, String remedy, Throwable cause) {
+  HarnessError(String place, String what, String remedy, Throwable cause) {
     super(what, cause);
     this.place = place;
     this.remedy = remedy;
@@ -37,7 +37,7 @@
   }
 
   /** A file that describes no run. */
-  public static final class Unfit extends RigError {
+  public static final class Unfit extends HarnessError {
     private static final long serialVersionUID = 1;
 
     public Unfit(Object file, Exception cause) {
@@ -55,7 +55,7 @@
   }
 
   /** A process that did not come up. */
-  public static final class NotStarted extends RigError {
+  public static final class NotStarted extends HarnessError {
     private static final long serialVersionUID = 1;
 
     NotStarted(int mixer, String what, Throwable cause) {
@@ -73,7 +73,7 @@
   }
 
   /** Wishes that had no end within the run's time and a minute; the place is whom they wait for. */
-  public static final class NotEnded extends RigError {
+  public static final class NotEnded extends HarnessError {
     private static final long serialVersionUID = 1;
 
     NotEnded(long ms, List<String> waits) {
@@ -91,7 +91,7 @@
   }
 
   /** A mixer that does not say whom it takes for there. */
-  public static final class NotTold extends RigError {
+  public static final class NotTold extends HarnessError {
     private static final long serialVersionUID = 1;
 
     NotTold(int mixer, Throwable cause) {
@@ -109,7 +109,7 @@
   }
 
   /** The rig's own events failed, and what they would have done is missing. */
-  public static final class Stumbled extends RigError {
+  public static final class Stumbled extends HarnessError {
     private static final long serialVersionUID = 1;
 
     Stumbled(int failures) {
--- a/emulator/src/main/java/gingerring/emulator/harness/Overlap.java
+++ b/emulator/src/main/java/gingerring/emulator/harness/OverlappingFaults.java
@@ -1,6 +1,6 @@
 package gingerring.emulator.harness;
 
-import gingerring.emulator.harness.Plan.Fault.Kind;
+import gingerring.emulator.harness.FleetScenario.Fault.Kind;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
@@ -13,7 +13,7 @@
  * one before it lasts, and the first two strike one mixer both. It is a description as others are,
  * to be kept and played again.
  */
-public final class Overlap {
+public final class OverlappingFaults {
   /** What strikes a process, and what strikes the ways to and from it. */
   private static final List<Kind> PROCESS = List.of(Kind.KILL, Kind.STOP, Kind.ROLL);
 
@@ -21,7 +21,7 @@
       List.of(Kind.CUT_PEERS, Kind.CUT_PEERS_ONE_WAY, Kind.LOSE, Kind.DOUBLE, Kind.REORDER);
   private static final List<Kind> ALL = List.of(Kind.values());
 
-  private Overlap() {}
+  private OverlappingFaults() {}
 
   /**
    * The run's description in JSON; {@code ms} is its length, of which the faults take the middle.
--- a/emulator/src/main/java/gingerring/emulator/harness/Relay.java
+++ b/emulator/src/main/java/gingerring/emulator/harness/Relay.java
@@ -41,7 +41,7 @@
     }
 
     /** One fault more; of two of a kind the worse holds. */
-    void add(Plan.Fault fault) {
+    void add(FleetScenario.Fault fault) {
       switch (fault.kind()) {
         case CUT -> cut = true;
         case DELAY ->
--- a/emulator/src/main/java/gingerring/emulator/interleaving/Crossings.java
+++ b/emulator/src/main/java/gingerring/emulator/interleaving/Crossings.java
@@ -1,6 +1,6 @@
 package gingerring.emulator.interleaving;
 
-import gingerring.emulator.core.World;
+import gingerring.emulator.core.Scenario;
 import gingerring.emulator.experiment.MixerProcess;
 import gingerring.traffic.wire.Reactor;
 import java.io.IOException;
@@ -88,16 +88,16 @@
   /** After the drain grace, long enough for steady requests to show a box that is still sent to. */
   private static final Duration AFTER_GRACE = Duration.ofMillis(400);
 
-  private final World world;
+  private final Scenario world;
 
-  private Crossings(World world) {
+  private Crossings(Scenario world) {
     this.world = world;
   }
 
   private static Crossings usual() {
     try {
-      return new Crossings(World.read(WORLD.getBytes()));
-    } catch (World.Unfit e) {
+      return new Crossings(Scenario.read(WORLD.getBytes()));
+    } catch (Scenario.InvalidScenario e) {
       throw new IllegalStateException(e);
     }
   }
@@ -218,7 +218,7 @@
     private final Scene scene;
     private final MixerProcess mixer;
 
-    Rig(World world, int dialMs) throws IOException {
+    Rig(Scenario world, int dialMs) throws IOException {
       scene = new Scene(world, reactor);
       Thread thread = new Thread(reactor::run, "crossing");
       thread.setDaemon(true);
--- a/emulator/src/main/java/gingerring/emulator/interleaving/Draw.java
+++ b/emulator/src/main/java/gingerring/emulator/interleaving/Draw.java
@@ -1,6 +1,6 @@
 package gingerring.emulator.interleaving;
 
-import gingerring.emulator.core.Fate;
+import gingerring.emulator.core.SeededDraw;
 
 /** What a seed draws: two events in their order, and the small spans and choices about them. */
 public record Draw(long seed, Event first, Event second) {
@@ -11,8 +11,8 @@
   public static Draw of(long seed) {
     Event[] all = Event.values();
     for (long attempt = 0; ; attempt++) {
-      Event first = all[(int) (Fate.draw(seed, "first", attempt) * all.length)];
-      Event second = all[(int) (Fate.draw(seed, "second", attempt) * all.length)];
+      Event first = all[(int) (SeededDraw.draw(seed, "first", attempt) * all.length)];
+      Event second = all[(int) (SeededDraw.draw(seed, "second", attempt) * all.length)];
       if (first != second
           || first == Event.SIGTERM
           || first == Event.SIGHUP_MOVES
@@ -78,7 +78,7 @@
   }
 
   double chance(String what, long... more) {
-    return Fate.draw(seed, what, more);
+    return SeededDraw.draw(seed, what, more);
   }
 
   int between(String what, int least, int most) {
--- a/emulator/src/main/java/gingerring/emulator/interleaving/Judge.java
+++ b/emulator/src/main/java/gingerring/emulator/interleaving/Judge.java
@@ -1,7 +1,7 @@
 package gingerring.emulator.interleaving;
 
 import gingerring.emulator.core.Referee;
-import gingerring.emulator.core.World;
+import gingerring.emulator.core.Scenario;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -71,7 +71,7 @@
     }
   }
 
-  private final World world;
+  private final Scenario world;
   private final Referee referee;
   private final Map<String, Request> requests = new HashMap<>();
   private final List<Foul> own = new ArrayList<>();
@@ -79,7 +79,7 @@
   private Duration beat;
   private Duration terminated;
 
-  Judge(World world) {
+  Judge(Scenario world) {
     this.world = world;
     referee = new Referee(world);
   }
@@ -238,7 +238,7 @@
   /** The longest that a process may go on after SIGTERM, the machine's share in it. */
   Duration endsBy() {
     Duration patience =
-        world.grades().stream().map(World.Grade::patience).max(Duration::compareTo).get();
+        world.grades().stream().map(Scenario.ServiceClass::patience).max(Duration::compareTo).get();
     return terminated.plus(patience).plus(KILLED).plus(ENDING);
   }
 
--- a/emulator/src/main/java/gingerring/emulator/interleaving/Scene.java
+++ b/emulator/src/main/java/gingerring/emulator/interleaving/Scene.java
@@ -1,8 +1,8 @@
 package gingerring.emulator.interleaving;
 
 import gingerring.emulator.core.Box;
-import gingerring.emulator.core.Fate;
-import gingerring.emulator.core.World;
+import gingerring.emulator.core.SeededDraw;
+import gingerring.emulator.core.Scenario;
 import gingerring.emulator.experiment.MixerProcess;
 import gingerring.http.Head;
 import gingerring.http.Malformed;
@@ -72,7 +72,7 @@
 
   private static final AtomicInteger SCENES = new AtomicInteger();
 
-  private final World world;
+  private final Scenario world;
   private final Reactor reactor;
 
   /** Of this scene alone: a port that a box has left must not become another scene's. */
@@ -121,7 +121,7 @@
   private int revision = 1;
   private Duration zero = Duration.ZERO;
 
-  Scene(World world, Reactor reactor) throws IOException {
+  Scene(Scenario world, Reactor reactor) throws IOException {
     this.world = world;
     this.reactor = reactor;
     long pid = ProcessHandle.current().pid();
@@ -218,7 +218,7 @@
   void open(Runnable atFrame) {
     playing = true;
     seats.forEach(seat -> seat.mode = Mode.HOLDS);
-    World.Grade grade = world.grades().get(draw.grade(world.grades().size()));
+    Scenario.ServiceClass grade = world.grades().get(draw.grade(world.grades().size()));
     String mark = subject.ask(grade, draw.between("folio", 0, world.folios() - 1), 2);
     atFirstPart.put(
         mark,
@@ -303,7 +303,7 @@
     }
     for (Asker asker : steady) {
       if (asker.opened && asker.mark == null) {
-        World.Grade grade =
+        Scenario.ServiceClass grade =
             world.grades().get((int) (draw.chance("steady grade", number) * world.grades().size()));
         asker.ask(grade, (int) (draw.chance("steady folio", number) * world.folios()), 1);
         break;
@@ -1109,7 +1109,7 @@
         return;
       }
       out--;
-      String value = Fate.value(world.seed(), part.text(), part.folio());
+      String value = SeededDraw.value(world.seed(), part.text(), part.folio());
       boolean done = end.equals("done");
       judge.returned(mark(part.id()), part.folio(), seat.number, end, done ? value : null, now());
       put(
@@ -1118,7 +1118,7 @@
               + ' '
               + end
               + ' '
-              + (done ? Fate.bits(0, value) >>> 33 : 0)
+              + (done ? SeededDraw.bits(0, value) >>> 33 : 0)
               + ' '
               + report()
               + '\n'
@@ -1171,7 +1171,7 @@
       }
     }
 
-    private byte[] request(String as, World.Grade grade, Map<Integer, Double> shares) {
+    private byte[] request(String as, Scenario.ServiceClass grade, Map<Integer, Double> shares) {
       String text = grade.name() + ':' + as;
       String json =
           "{\"targets\":["
@@ -1201,9 +1201,9 @@
           .getBytes(StandardCharsets.US_ASCII);
     }
 
-    private static String key(String as, World.Grade grade) {
-      return grade.repeats() == World.Repeats.NUMBERED
-          ? String.format("%032x", Fate.bits(5, as) >>> 1)
+    private static String key(String as, Scenario.ServiceClass grade) {
+      return grade.repeats() == Scenario.Repeats.NUMBERED
+          ? String.format("%032x", SeededDraw.bits(5, as) >>> 1)
           : null;
     }
 
@@ -1216,7 +1216,7 @@
     }
 
     /** Asks for so many folios from a first one; returns the request's mark. */
-    String ask(World.Grade grade, int first, int count) {
+    String ask(Scenario.ServiceClass grade, int first, int count) {
       mark = String.format("%08x%08x", generation, marks++);
       Map<Integer, Double> shares = shares(first, count, world.folios());
       wire.put(request(mark, grade, shares));
@@ -1267,7 +1267,7 @@
         return false;
       }
       mark = String.format("%08x%08x", generation, marks++);
-      World.Grade grade = world.grades().get(0);
+      Scenario.ServiceClass grade = world.grades().get(0);
       Map<Integer, Double> shares = shares(0, 2, world.folios());
       judge.askedAfterEnd(mark, grade.name(), shares, null, now());
       wire.put(request(mark, grade, shares));
--- a/emulator/src/main/java/gingerring/emulator/simulation/Society.java
+++ b/emulator/src/main/java/gingerring/emulator/simulation/PeerSimulation.java
@@ -29,7 +29,7 @@
  * one that fails it twice in a row, and asks it when it is its turn. What the mixer's own module
  * does is left out: only what talk adds is played here.
  */
-public final class Society {
+public final class PeerSimulation {
   /** What goes wrong; {@code some} are those it befalls, {@code others} the far side of a cut. */
   public record Fault(
       Kind kind, double atMs, double forMs, Set<Integer> some, Set<Integer> others, double size) {
@@ -370,13 +370,13 @@
   private final Set<Integer> hostile = new HashSet<>();
   private final Result result = new Result();
 
-  private Society(Setup setup) {
+  private PeerSimulation(Setup setup) {
     this.setup = setup;
     chance = new SplittableRandom(setup.seed);
   }
 
   public static Result of(Setup setup) {
-    return new Society(setup).play();
+    return new PeerSimulation(setup).play();
   }
 
   /** So many numbers from one on, for a fault. */
--- a/emulator/src/test/java/gingerring/emulator/core/BoxTest.java
+++ b/emulator/src/test/java/gingerring/emulator/core/BoxTest.java
@@ -65,8 +65,8 @@
     }
   }
 
-  private static World world(String json) throws World.Unfit {
-    return World.read(json.getBytes());
+  private static Scenario world(String json) throws Scenario.InvalidScenario {
+    return Scenario.read(json.getBytes());
   }
 
   private static Box.Part part(int number) {
@@ -75,7 +75,7 @@
 
   @Test
   void workTakesItsTimeAndTheQueueHasAnEnd() throws Exception {
-    World world = world("{\"boxes\": 3, \"cores\": 1, \"queueMost\": 3, \"pauseMs\": [0, 0]}");
+    Scenario world = world("{\"boxes\": 3, \"cores\": 1, \"queueMost\": 3, \"pauseMs\": [0, 0]}");
     Time time = new Time();
     Box box = new Box(world, 0, time);
     box.start(false);
@@ -92,7 +92,7 @@
 
   @Test
   void aColdBoxSentTooMuchFallsAndOneSentLittleGetsWarm() throws Exception {
-    World world =
+    Scenario world =
         world(
             "{\"boxes\": 3, \"warmUpMs\": 10000, \"tipMultiple\": 3, \"tipAfterMs\": 1000, "
                 + "\"queueMost\": 100000, \"slowShare\": 0}");
@@ -117,7 +117,7 @@
    */
   @Test
   void fatesDoNotDependOnOrderOrTime() throws Exception {
-    World world =
+    Scenario world =
         world(
             "{\"boxes\": 3, \"seed\": 5, \"queueMost\": 100000, \"badParts\": 0.1, \"troubles\": ["
                 + "{\"kind\": \"errors\", \"atMs\": 0, \"forMs\": 1000000, \"boxes\": 3, \"size\": 0.2},"
@@ -170,18 +170,18 @@
             "it ends early");
     wrong.forEach(
         (json, why) -> {
-          World.Unfit unfit = assertThrows(World.Unfit.class, () -> world(json));
+          Scenario.InvalidScenario unfit = assertThrows(Scenario.InvalidScenario.class, () -> world(json));
           assertTrue(unfit.getMessage().contains(why), unfit.getMessage());
         });
   }
 
   @Test
   void theScriptIsTheSameEveryTimeAndItsWeightsSumToOne() {
-    World world = World.usual();
-    List<Script.Wish> wishes = Script.of(world);
-    assertEquals(wishes, Script.of(world));
+    Scenario world = Scenario.usual();
+    List<Workload.ClientRequest> wishes = Workload.of(world);
+    assertEquals(wishes, Workload.of(world));
     assertTrue(wishes.size() > 120 && wishes.size() < 280, "wishes: " + wishes.size());
-    for (Script.Wish wish : wishes) {
+    for (Workload.ClientRequest wish : wishes) {
       assertEquals(1, wish.shares().values().stream().mapToDouble(Double::doubleValue).sum(), 1e-3);
     }
   }
--- a/emulator/src/test/java/gingerring/emulator/core/RefereeTest.java
+++ b/emulator/src/test/java/gingerring/emulator/core/RefereeTest.java
@@ -18,7 +18,7 @@
   void world() throws Exception {
     referee =
         new Referee(
-            World.read(
+            Scenario.read(
                 """
         {"boxes": 4, "copies": 2, "trips": 2, "grades": [
           {"name": "search", "floor": 0.4},
--- a/emulator/src/test/java/gingerring/emulator/experiment/ClientsTest.java
+++ b/emulator/src/test/java/gingerring/emulator/experiment/ClientsTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gingerring.emulator.core.World;
+import gingerring.emulator.core.Scenario;
 import org.junit.jupiter.api.Test;
 
 class ClientsTest {
@@ -15,7 +15,7 @@
   void aClientThatWaitsGetsAnothersIdleConnection() throws Exception {
     Run.Result result =
         Run.of(
-            World.read(
+            Scenario.read(
                 """
         {"boxes": 4, "clients": 32, "rate": 200, "lengthMs": 1000, "retries": 0, "pauseMs": [0, 0],
          "queueMost": 1000, "grades": [{"name": "search", "folios": 0.25, "workMs": [100, 120],
--- a/emulator/src/test/java/gingerring/emulator/harness/FleetRigTest.java
+++ b/emulator/src/test/java/gingerring/emulator/harness/FleetRigTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gingerring.emulator.core.World;
+import gingerring.emulator.core.Scenario;
 import java.io.IOException;
 import java.util.Collections;
 import java.util.List;
@@ -20,7 +20,7 @@
       "\"settings\": {\"period_ms\": 200, \"ack_ms\": 60, \"say_ms\": 200, "
           + "\"reconnect_ms\": 500, \"round_ms\": 500, \"step_ms\": 100, \"witnesses\": 3}";
 
-  private static Fleet.Result play(String world, String fleet) throws IOException, World.Unfit {
+  private static Fleet.Result play(String world, String fleet) throws IOException, Scenario.InvalidScenario {
     String usual =
         (world.contains("rate") ? "" : "\"rate\": 30, ")
             + (world.contains("lengthMs") ? "" : "\"lengthMs\": 8000, ");
@@ -32,7 +32,7 @@
             + QUICK
             + fleet
             + "}}";
-    return Fleet.of(Plan.read(json.getBytes()));
+    return Fleet.of(FleetScenario.read(json.getBytes()));
   }
 
   private static void sound(Fleet.Result result) {
@@ -165,9 +165,9 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void faultsThatOverlapBreakNoRule(long seed) throws Exception {
-    String plan = Overlap.of(seed, 5, 9, 8000);
-    assertEquals(plan, Overlap.of(seed, 5, 9, 8000));
-    Fleet.Result result = Fleet.of(Plan.read(plan.getBytes()));
+    String plan = OverlappingFaults.of(seed, 5, 9, 8000);
+    assertEquals(plan, OverlappingFaults.of(seed, 5, 9, 8000));
+    Fleet.Result result = Fleet.of(FleetScenario.read(plan.getBytes()));
     sound(result);
     assertEquals(Fleet.Verdict.KEPT, result.verdict(), plan + result.errors);
   }
@@ -197,7 +197,7 @@
     assertEquals(List.of(), result.referee.shown());
     assertEquals(List.of(), result.crashes, "who was stopped on purpose has not crashed");
     assertEquals(Fleet.Verdict.UNDECIDED, result.verdict());
-    RigError error = result.errors.get(0);
+    HarnessError error = result.errors.get(0);
     assertEquals("RIG_NOT_ENDED", error.code());
     assertTrue(
         error.place().contains(" owes ") && error.place().contains("m0 is stopped by the schedule"),
@@ -221,7 +221,7 @@
           {"{\"boxen\": 3}", "boxen is unknown"}
         }) {
       assertTrue(
-          assertThrows(World.Unfit.class, () -> Plan.read(each[0].getBytes()))
+          assertThrows(Scenario.InvalidScenario.class, () -> FleetScenario.read(each[0].getBytes()))
               .getMessage()
               .startsWith(each[1]),
           each[1]);
--- a/emulator/src/test/java/gingerring/emulator/harness/PlantedFoulsTest.java
+++ b/emulator/src/test/java/gingerring/emulator/harness/PlantedFoulsTest.java
@@ -5,7 +5,7 @@
 
 import gingerring.emulator.core.Referee;
 import gingerring.emulator.core.Referee.Rule;
-import gingerring.emulator.core.World;
+import gingerring.emulator.core.Scenario;
 import gingerring.emulator.experiment.Store;
 import gingerring.traffic.wire.Reactor;
 import gingerring.traffic.wire.ReactorConnection;
@@ -46,8 +46,8 @@
 
   @BeforeEach
   void boxes() throws Exception {
-    World world =
-        World.read(
+    Scenario world =
+        Scenario.read(
             """
         {"boxes": 3, "copies": 2, "trips": 2, "drainGraceMs": 0, "listLagMs": 0, "tipAfterMs": 250,
          "tipMultiple": 1, "warmUpMs": 1e8, "queueMost": 5000, "pauseMs": [0, 0],
--- a/emulator/src/test/java/gingerring/emulator/interleaving/JudgeTest.java
+++ b/emulator/src/test/java/gingerring/emulator/interleaving/JudgeTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gingerring.emulator.core.World;
+import gingerring.emulator.core.Scenario;
 import java.time.Duration;
 import java.util.List;
 import java.util.Map;
@@ -21,8 +21,8 @@
   private Judge judge;
 
   @BeforeEach
-  void fresh() throws World.Unfit {
-    judge = new Judge(World.read(Crossings.WORLD.getBytes()));
+  void fresh() throws Scenario.InvalidScenario {
+    judge = new Judge(Scenario.read(Crossings.WORLD.getBytes()));
   }
 
   private static Duration ms(long ms) {
--- a/emulator/src/test/java/gingerring/emulator/simulation/SocietyTest.java
+++ b/emulator/src/test/java/gingerring/emulator/simulation/SocietyTest.java
@@ -3,10 +3,10 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gingerring.emulator.simulation.Society.Fault;
-import gingerring.emulator.simulation.Society.Fault.Kind;
-import gingerring.emulator.simulation.Society.Result;
-import gingerring.emulator.simulation.Society.Setup;
+import gingerring.emulator.simulation.PeerSimulation.Fault;
+import gingerring.emulator.simulation.PeerSimulation.Fault.Kind;
+import gingerring.emulator.simulation.PeerSimulation.Result;
+import gingerring.emulator.simulation.PeerSimulation.Setup;
 import gingerring.peers.PeerNode;
 import gingerring.peers.Membership;
 import java.util.List;
@@ -16,7 +16,7 @@
 /** Fleets that talk, in simulated time, with the hard cases of many mixers. */
 class SocietyTest {
   private static Result play(int mixers, double seconds, long seed, Fault... faults) {
-    return Society.of(Setup.usual(mixers, seconds, seed, List.of(faults)));
+    return PeerSimulation.of(Setup.usual(mixers, seconds, seed, List.of(faults)));
   }
 
   private static Fault fault(Kind kind, double atMs, double forMs, Set<Integer> some) {
@@ -53,7 +53,7 @@
   @Test
   void sevenInTenKilledAndBackWithinASecond() {
     for (long seed = 1; seed <= 3; seed++) {
-      Result result = play(30, 60, seed, fault(Kind.KILL, 20_000, 900, Society.range(9, 21)));
+      Result result = play(30, 60, seed, fault(Kind.KILL, 20_000, 900, PeerSimulation.range(9, 21)));
       assertEquals(0, result.wronglyGone);
       assertEquals(0, result.strangers);
     }
@@ -71,11 +71,11 @@
   @Test
   void halvesThatWereCutFindEachOtherAgain() {
     Fault even =
-        new Fault(Kind.CUT, 20_000, 40_000, Society.range(0, 15), Society.range(15, 15), 0);
+        new Fault(Kind.CUT, 20_000, 40_000, PeerSimulation.range(0, 15), PeerSimulation.range(15, 15), 0);
     Fault uneven =
-        new Fault(Kind.CUT, 20_000, 40_000, Society.range(3, 4), Society.range(7, 23), 0);
+        new Fault(Kind.CUT, 20_000, 40_000, PeerSimulation.range(3, 4), PeerSimulation.range(7, 23), 0);
     Fault oneWay =
-        new Fault(Kind.CUT_ONE_WAY, 20_000, 40_000, Society.range(0, 15), Society.range(15, 15), 0);
+        new Fault(Kind.CUT_ONE_WAY, 20_000, 40_000, PeerSimulation.range(0, 15), PeerSimulation.range(15, 15), 0);
     for (Fault each : List.of(even, uneven, oneWay)) {
       for (long seed = 3; seed <= 5; seed++) {
         Result result = play(30, 120, seed, each);
@@ -145,7 +145,7 @@
    */
   @Test
   void threeThatColludeStayBounded() {
-    Result result = play(16, 60, 8, fault(Kind.LIE, 10_000, 50_000, Society.range(3, 3)));
+    Result result = play(16, 60, 8, fault(Kind.LIE, 10_000, 50_000, PeerSimulation.range(3, 3)));
     assertTrue(result.doubtOfAlive <= 0.5, "doubt of a box alive: " + result.doubtOfAlive);
   }
 
@@ -181,7 +181,7 @@
     Setup usual =
         Setup.usual(100, 70, 3, List.of(fault(Kind.BOXES_DEAD, 15_000, 30_000, Set.of(2))));
     Setup lossy = new Setup(100, 3, 6, 0.35, 0, 20, 50, 8, 70, 3, usual.faults(), usual.rules());
-    Result result = Society.of(lossy);
+    Result result = PeerSimulation.of(lossy);
     assertTrue(
         result.found.get(0)[1] < 15_000, "the last one after " + result.found.get(0)[1] + " ms");
   }
