--- a/peering/src/main/java/gingerring/peering/Peering.java
+++ b/peering/src/main/java/gingerring/peering/Peering.java
@@ -123,7 +123,7 @@
         });
   }
 
-  // ---- Neighbours ----
+  // ---- PeerService ----
 
   @Override
   public void listed(Collection<MemberEntry> searchers) {
@@ -227,7 +227,7 @@
     socket.close();
   }
 
-  // ---- Company.Host ----
+  // ---- PeerNode.Host ----
 
   @Override
   public Duration now() {
