--- a/bench/src/main/java/gingerring/bench/MembershipCost.java
+++ b/bench/src/main/java/gingerring/bench/MembershipCost.java
@@ -165,7 +165,7 @@
     }
 
     @Override
-    public void answers(long box) {}
+    public void boxAnswered(long box) {}
 
     @Override
     public void changed(PeerRecord now) {}
--- a/emulator/src/main/java/gingerring/emulator/harness/Liar.java
+++ b/emulator/src/main/java/gingerring/emulator/harness/Liar.java
@@ -62,12 +62,12 @@
 
   private void tick() {
     for (long box : boxes) {
-      company.silent(box);
-      company.asks(box);
-      company.asked(box, true);
+      company.ejected(box);
+      company.probeStarted(box);
+      company.probeEnded(box, true);
     }
     for (int i = 0; i < GREED; i++) {
-      company.saw(boxes.get(i % boxes.size()), false);
+      company.attemptEnded(boxes.get(i % boxes.size()), false);
     }
     company.tick();
     reactor.after(TICK, this::tick);
@@ -86,7 +86,7 @@
   }
 
   @Override
-  public void answers(long box) {}
+  public void boxAnswered(long box) {}
 
   @Override
   public void changed(PeerRecord now) {}
--- a/emulator/src/main/java/gingerring/emulator/simulation/PeerSimulation.java
+++ b/emulator/src/main/java/gingerring/emulator/simulation/PeerSimulation.java
@@ -192,7 +192,7 @@
       company.tick();
       for (Map.Entry<Long, Double> each : List.copyOf(benched.entrySet())) {
         long box = each.getKey();
-        if (each.getValue() <= agenda.now() && !asking.contains(box) && company.turn(box)) {
+        if (each.getValue() <= agenda.now() && !asking.contains(box) && company.shouldProbe(box)) {
           ask(box);
         }
       }
@@ -205,8 +205,8 @@
       }
       if (active(Fault.Kind.CLAIM, number)) {
         for (long box = 0; box < setup.boxes; box++) {
-          company.asks(box);
-          company.asked(box, true);
+          company.probeStarted(box);
+          company.probeEnded(box, true);
         }
       }
       later(TICK_MS, company, this::tick);
@@ -214,7 +214,7 @@
 
     private void ask(long box) {
       asking.add(box);
-      company.asks(box);
+      company.probeStarted(box);
       boolean answers = !dead(box);
       if (!answers) {
         result.asks.merge((int) (agenda.now() / 1000), 1, Integer::sum);
@@ -231,7 +231,7 @@
           company,
           () -> {
             asking.remove(box);
-            company.asked(box, answers);
+            company.probeEnded(box, answers);
             if (answers) {
               benched.remove(box);
               failures.remove(box);
@@ -246,22 +246,22 @@
       if (!benched.containsKey(box)) {
         boolean answered = !dead(box);
         if (active(Fault.Kind.LIE, number)) {
-          company.saw(box, false);
-          company.silent(box);
+          company.attemptEnded(box, false);
+          company.ejected(box);
         } else if (answered) {
-          company.saw(box, true);
+          company.attemptEnded(box, true);
           failures.remove(box);
         } else {
-          company.saw(box, false);
+          company.attemptEnded(box, false);
           if (failures.merge(box, 1, Integer::sum) >= 2) {
-            company.silent(box);
+            company.ejected(box);
             benched.put(box, agenda.now() + BENCH_MS);
           }
         }
       }
       if (active(Fault.Kind.GREED, number)) {
         for (int i = 0; i < 1000; i++) {
-          company.saw(box, true);
+          company.attemptEnded(box, true);
         }
       }
       later(-1000 * Math.log(1 - chance.nextDouble()) / rate, company, this::part);
@@ -299,7 +299,7 @@
     }
 
     @Override
-    public void answers(long box) {
+    public void boxAnswered(long box) {
       benched.computeIfPresent(box, (each, until) -> agenda.now());
     }
 
@@ -310,7 +310,7 @@
       }
       int who = (int) now.peer().number() - 1;
       Node node = nodes.get(who);
-      if (node.alive && now.life() == node.company.membership().life(peer(who))) {
+      if (node.alive && now.incarnation() == node.company.membership().incarnation(peer(who))) {
         return;
       }
       for (Death death : deaths) {
@@ -456,7 +456,7 @@
     for (Node one : nodes) {
       for (Node other : nodes) {
         boolean both = one != other && one.alive && other.alive;
-        result.strangers += both && one.company.membership().life(peer(other.number)) == 0 ? 1 : 0;
+        result.strangers += both && one.company.membership().incarnation(peer(other.number)) == 0 ? 1 : 0;
       }
       if (one.alive) {
         one.company
@@ -521,7 +521,7 @@
     for (Node node : nodes) {
       if (node.alive && !hostile.contains(node.number)) {
         for (long box = 0; box < setup.boxes; box++) {
-          double doubt = node.company.doubt(box);
+          double doubt = node.company.failureShare(box);
           if (aliveFor(box, 15_000)) {
             result.doubtOfAlive = Math.max(result.doubtOfAlive, doubt);
           }
--- a/peering/src/main/java/gingerring/peering/Peering.java
+++ b/peering/src/main/java/gingerring/peering/Peering.java
@@ -151,15 +151,15 @@
   @Override
   public void ended(long searcher, Outcome outcome) {
     switch (outcome) {
-      case SUCCEEDED -> company.saw(searcher, true);
-      case ERROR, BROKEN, UNREACHABLE -> company.saw(searcher, false);
+      case SUCCEEDED -> company.attemptEnded(searcher, true);
+      case ERROR, BROKEN, UNREACHABLE -> company.attemptEnded(searcher, false);
       default -> {} // full or late tells of load, and not of the box
     }
   }
 
   @Override
   public void benched(long searcher) {
-    company.silent(searcher);
+    company.ejected(searcher);
     if (preference != null) {
       preference.distrusts(id(searcher));
     }
@@ -167,17 +167,17 @@
 
   @Override
   public boolean asksItself(long searcher) {
-    return company.turn(searcher);
+    return company.shouldProbe(searcher);
   }
 
   @Override
   public void asks(long searcher) {
-    company.asks(searcher);
+    company.probeStarted(searcher);
   }
 
   @Override
   public void asked(long searcher, boolean answered) {
-    company.asked(searcher, answered);
+    company.probeEnded(searcher, answered);
     if (answered && preference != null) {
       preference.trusts(id(searcher));
     }
@@ -185,7 +185,7 @@
 
   @Override
   public double doubt(long searcher) {
-    return company.doubt(searcher);
+    return company.failureShare(searcher);
   }
 
   @Override
@@ -240,7 +240,7 @@
   }
 
   @Override
-  public void answers(long box) {
+  public void boxAnswered(long box) {
     ground.othersHeard(box);
   }
 
@@ -249,7 +249,7 @@
     LOG.info(
         "peer {} at {}: {}",
         Long.toHexString(now.peer().number()),
-        now.place(),
+        now.address(),
         now.state().name().toLowerCase(Locale.ROOT));
   }
 
@@ -287,13 +287,13 @@
       lines.add(
           Long.toHexString(each.peer().number())
               + " "
-              + each.place()
+              + each.address()
               + " "
               + each.state().name().toLowerCase(Locale.ROOT)
               + " life "
-              + each.life()
+              + each.incarnation()
               + " rise "
-              + each.rise());
+              + each.refutations());
     }
     if (all.size() > LINES) {
       lines.add("and " + (all.size() - LINES) + " more");
@@ -308,19 +308,19 @@
             "own: %.0f answered, %.0f failed; others: doubt %.2f; preferred: %s",
             own.answered(),
             own.failed(),
-            company.doubt(box),
+            company.failureShare(box),
             prefers(box)));
-    String matter = company.matterOf(box);
+    String matter = company.describeTurn(box);
     lines.add(matter.isEmpty() ? "nobody asks about it" : matter);
-    for (PeerReports.Kept each : company.heard()) {
-      BoxObservation seen = each.word().boxes().get(box);
+    for (PeerReports.TimedReport each : company.reports()) {
+      BoxObservation seen = each.report().boxes().get(box);
       if (seen != null && lines.size() < LINES) {
         lines.add(
             String.format(
                 Locale.ROOT,
                 "%x (zone %d, %d ms ago): %.0f answered, %.0f failed",
-                each.word().author().number(),
-                each.word().zone(),
+                each.report().author().number(),
+                each.report().zone(),
                 now().minus(each.at()).toMillis(),
                 seen.answered(),
                 seen.failed()));
@@ -335,8 +335,8 @@
   private void shares(List<String> lines) {
     Map<Long, Double> demands = new TreeMap<>();
     company
-        .heard()
-        .forEach(each -> demands.put(each.word().author().number(), each.word().demand()));
+        .reports()
+        .forEach(each -> demands.put(each.report().author().number(), each.report().demand()));
     demands.put(PeerId.named(ground.name()).number(), company.ownDemand());
     double[] wanted = demands.values().stream().mapToDouble(Double::doubleValue).toArray();
     double[] even = new double[wanted.length];
--- a/peers/src/main/java/gingerring/peers/Hearsay.java
+++ b/peers/src/main/java/gingerring/peers/Hearsay.java
@@ -49,16 +49,16 @@
    * The share of parts that fail at a box, 0 to 1: own sight, and what others saw lent to it. NaN
    * where neither tells anything.
    */
-  public double failing(long box, BoxObservation own, Collection<PeerReports.Kept> words) {
+  public double failing(long box, BoxObservation own, Collection<PeerReports.TimedReport> words) {
     List<Double> told = new ArrayList<>();
     Set<Integer> zones = new HashSet<>();
     Set<Integer> allZones = new HashSet<>();
-    for (PeerReports.Kept each : words) {
-      BoxObservation seen = each.word().boxes().get(box);
-      allZones.add(each.word().zone());
+    for (PeerReports.TimedReport each : words) {
+      BoxObservation seen = each.report().boxes().get(box);
+      allZones.add(each.report().zone());
       if (seen != null && seen.parts() >= partsLeast) {
         told.add(seen.failed() / seen.parts());
-        zones.add(each.word().zone());
+        zones.add(each.report().zone());
       }
     }
     boolean believed =
@@ -71,12 +71,12 @@
   }
 
   /** The demand of the whole fleet in parts a second: the own, and each other's up to its bound. */
-  public double demand(double own, Collection<PeerReports.Kept> words) {
+  public double demand(double own, Collection<PeerReports.TimedReport> words) {
     List<Double> all = new ArrayList<>();
-    words.forEach(each -> all.add(each.word().demand()));
+    words.forEach(each -> all.add(each.report().demand()));
     all.add(own);
     double most = demandMost * median(all);
-    return own + words.stream().mapToDouble(each -> Math.min(most, each.word().demand())).sum();
+    return own + words.stream().mapToDouble(each -> Math.min(most, each.report().demand())).sum();
   }
 
   /** The middle one, or the mean of the two in the middle. */
--- a/peers/src/main/java/gingerring/peers/Membership.java
+++ b/peers/src/main/java/gingerring/peers/Membership.java
@@ -232,7 +232,7 @@
   /** All that one knows, page by page. */
   private void askWhole(PeerAddress place) {
     askedWhole = place;
-    host.send(place, new MessageBody.Ask(0));
+    host.send(place, new MessageBody.MembersRequest(0));
   }
 
   private Duration part(Duration span) {
@@ -280,7 +280,7 @@
     if (member.lastAsked == null) {
       member.lastAsked = now;
       spread.add(member.standing.peer(), member.standing);
-      host.send(member.standing.place(), new MessageBody.Ping(++numbers, member.standing.peer()));
+      host.send(member.standing.address(), new MessageBody.Ping(++numbers, member.standing.peer()));
     } else if (now.minus(member.lastAsked).compareTo(rules.period) >= 0) {
       count(Count.GONE);
       take(member.standing.as(State.GONE, self), now);
@@ -299,8 +299,8 @@
                 : members.get(asking.peer.number()).standing;
         if (target != null) {
           for (PeerRecord helper : some(rules.helpers, asking.peer)) {
-            asking.helpers.add(helper.place());
-            host.send(helper.place(), new MessageBody.Help(asking.number, target.peer(), target.place()));
+            asking.helpers.add(helper.address());
+            host.send(helper.address(), new MessageBody.PingRequest(asking.number, target.peer(), target.address()));
           }
         }
       }
@@ -321,7 +321,7 @@
         if (next.state() == State.SUSPECTED) {
           spread.add(next.peer(), next); // it is to hear of it first from whom it can answer
         }
-        host.send(next.place(), new MessageBody.Ping(asking.number, next.peer()));
+        host.send(next.address(), new MessageBody.Ping(asking.number, next.peer()));
       }
     }
   }
@@ -342,7 +342,7 @@
         return null;
       }
       Member member = members.get(order.remove(order.size() - 1).number());
-      if (member != null && member.standing.there()) {
+      if (member != null && member.standing.isPresent()) {
         return member.standing;
       }
     }
@@ -374,7 +374,7 @@
 
   private void suspect(PeerId peer, Duration now) {
     Member member = members.get(peer.number());
-    if (member != null && member.standing.there()) {
+    if (member != null && member.standing.isPresent()) {
       if (member.standing.state() == State.HERE) {
         count(Count.SUSPECTED);
       }
@@ -408,24 +408,24 @@
     members
         .values()
         .removeIf(
-            each -> !each.standing.there() && now.minus(each.since).compareTo(rules.forget) > 0);
+            each -> !each.standing.isPresent() && now.minus(each.since).compareTo(rules.forget) > 0);
     List<PeerAddress> gone = new ArrayList<>();
     members
         .values()
         .forEach(
             each -> {
               if (each.standing.state() == State.GONE) {
-                gone.add(each.standing.place());
+                gone.add(each.standing.address());
               }
             });
     // one that nobody known stands at may be the heart of another island of this fleet
     Set<PeerAddress> known = new HashSet<>();
-    members.values().forEach(each -> known.add(each.standing.place()));
+    members.values().forEach(each -> known.add(each.standing.address()));
     seeds.stream().filter(seed -> !known.contains(seed)).forEach(gone::add);
     if (!gone.isEmpty()) {
       askWhole(gone.get(chance.nextInt(gone.size())));
     } else {
-      some(1, self).forEach(each -> host.send(each.place(), new MessageBody.Ask(chance.nextLong())));
+      some(1, self).forEach(each -> host.send(each.address(), new MessageBody.MembersRequest(chance.nextLong())));
     }
   }
 
@@ -451,15 +451,15 @@
         && (sender.lastTold == null || now.minus(sender.lastTold).compareTo(rules.period) >= 0)) {
       // it lives, and does not know what is believed of it: told, it speaks against that
       sender.lastTold = now;
-      host.send(from, new MessageBody.Page(List.of(sender.standing), 0));
+      host.send(from, new MessageBody.MembersPage(List.of(sender.standing), 0));
     }
-    if ((sender == null || authorLife > sender.standing.life())
-        && !(body instanceof MessageBody.Ask)
-        && !(body instanceof MessageBody.Page)
+    if ((sender == null || authorLife > sender.standing.incarnation())
+        && !(body instanceof MessageBody.MembersRequest)
+        && !(body instanceof MessageBody.MembersPage)
         && !(body instanceof MessageBody.Query)) {
       // whose own word was lost, or has been forgotten, or was of an earlier life: it is to say who
       // it is
-      host.send(from, new MessageBody.Ask(STRANGER));
+      host.send(from, new MessageBody.MembersRequest(STRANGER));
     }
     if (body instanceof MessageBody.Ping ping) {
       if (ping.peer().equals(self)) {
@@ -473,14 +473,14 @@
       if (asking != null && nack.number() == asking.number && asking.helpers.remove(from)) {
         asking.nacked++;
       }
-    } else if (body instanceof MessageBody.Help help) {
+    } else if (body instanceof MessageBody.PingRequest help) {
       help(from, help, now);
-    } else if (body instanceof MessageBody.Ask question) {
+    } else if (body instanceof MessageBody.MembersRequest question) {
       host.send(from, page(question.from()));
-    } else if (body instanceof MessageBody.Page page) {
-      page.standings().forEach(each -> take(each, now));
+    } else if (body instanceof MessageBody.MembersPage page) {
+      page.records().forEach(each -> take(each, now));
       if (page.next() != 0 && from.equals(askedWhole)) {
-        host.send(from, new MessageBody.Ask(page.next()));
+        host.send(from, new MessageBody.MembersRequest(page.next()));
       }
     }
   }
@@ -500,17 +500,17 @@
     }
   }
 
-  private void help(PeerAddress from, MessageBody.Help help, Duration now) {
+  private void help(PeerAddress from, MessageBody.PingRequest help, Duration now) {
     long his = errands.values().stream().filter(errand -> errand.back.equals(from)).count();
     if (errands.size() >= ERRANDS_MOST || his >= ERRANDS_EACH) {
       count(Count.TOO_BUSY);
       return;
     }
     errands.put(++numbers, new Errand(from, help.number(), now));
-    host.send(help.place(), new MessageBody.Ping(numbers, help.peer()));
+    host.send(help.address(), new MessageBody.Ping(numbers, help.peer()));
   }
 
-  private MessageBody.Page page(long from) {
+  private MessageBody.MembersPage page(long from) {
     List<PeerRecord> page = new ArrayList<>();
     page.add(own());
     long next = 0;
@@ -521,7 +521,7 @@
       }
       page.add(each.standing);
     }
-    return new MessageBody.Page(page, next);
+    return new MessageBody.MembersPage(page, next);
   }
 
   /** Takes in what is believed of one peer, if it holds over what was. */
@@ -545,13 +545,13 @@
     boolean sameSuspicion =
         told.state() == State.SUSPECTED
             && before.state() == State.SUSPECTED
-            && told.life() == before.life()
-            && told.rise() == before.rise();
+            && told.incarnation() == before.incarnation()
+            && told.refutations() == before.refutations();
     if (sameSuspicion) {
-      if (member.accusers.size() <= CONFIRMERS && member.accusers.add(told.by())) {
+      if (member.accusers.size() <= CONFIRMERS && member.accusers.add(told.source())) {
         spread.add(told.peer(), told); // a further accuser is news
       }
-    } else if (told.over(before)) {
+    } else if (told.supersedes(before)) {
       member.standing = told;
       moved(member, before, now);
     } else if (!told.equals(before)) {
@@ -563,7 +563,7 @@
   private boolean makeRoom() {
     Member oldest = null;
     for (Member each : members.values()) {
-      if (!each.standing.there() && (oldest == null || each.since.compareTo(oldest.since) < 0)) {
+      if (!each.standing.isPresent() && (oldest == null || each.since.compareTo(oldest.since) < 0)) {
         oldest = each;
       }
     }
@@ -578,25 +578,25 @@
     member.accusers.clear();
     if (standing.state() == State.SUSPECTED) {
       suspects.add(member);
-      member.accusers.add(standing.by());
+      member.accusers.add(standing.source());
     } else {
       suspects.remove(member);
     }
-    there += (standing.there() ? 1 : 0) - (before != null && before.there() ? 1 : 0);
-    if (before == null && standing.there()) {
+    there += (standing.isPresent() ? 1 : 0) - (before != null && before.isPresent() ? 1 : 0);
+    if (before == null && standing.isPresent()) {
       order.add(order.isEmpty() ? 0 : chance.nextInt(order.size()), standing.peer());
     }
     spread.add(standing.peer(), standing);
-    if (before == null || before.state() != standing.state() || before.life() != standing.life()) {
+    if (before == null || before.state() != standing.state() || before.incarnation() != standing.incarnation()) {
       host.changed(standing);
     }
   }
 
   private void aboutSelf(PeerRecord told) {
-    if (told.life() > life) {
+    if (told.incarnation() > life) {
       superseded = true;
-    } else if (told.life() == life && told.state() != State.HERE && told.rise() >= rise) {
-      rise = told.rise() + 1;
+    } else if (told.incarnation() == life && told.state() != State.HERE && told.refutations() >= rise) {
+      rise = told.refutations() + 1;
       count(Count.REFUTED);
       worse(1); // suspected though it lives: it may hear late
       spread.add(self, own());
@@ -608,7 +608,7 @@
     left = true;
     spread.add(self, own());
     for (PeerRecord each : some(rules.helpers + 1, self)) {
-      host.send(each.place(), new MessageBody.Page(List.of(own()), 0));
+      host.send(each.address(), new MessageBody.MembersPage(List.of(own()), 0));
     }
   }
 
@@ -626,15 +626,15 @@
   public List<PeerId> present() {
     return members.values().stream()
         .map(each -> each.standing)
-        .filter(PeerRecord::there)
+        .filter(PeerRecord::isPresent)
         .map(PeerRecord::peer)
         .toList();
   }
 
   /** The life that is believed of one who is there; 0 for others. */
-  public long life(PeerId peer) {
+  public long incarnation(PeerId peer) {
     Member member = members.get(peer.number());
-    return member != null && member.standing.there() ? member.standing.life() : 0;
+    return member != null && member.standing.isPresent() ? member.standing.incarnation() : 0;
   }
 
   /** Whether a later life under the own name is about. */
--- a/peers/src/main/java/gingerring/peers/MessageBody.java
+++ b/peers/src/main/java/gingerring/peers/MessageBody.java
@@ -16,25 +16,25 @@
   record Nack(int number) implements MessageBody {}
 
   /** Ask that one for me. */
-  record Help(int number, PeerId peer, PeerAddress place) implements MessageBody {}
+  record PingRequest(int number, PeerId peer, PeerAddress address) implements MessageBody {}
 
   /** Tell me whom you know, from this number on (as unsigned). */
-  record Ask(long from) implements MessageBody {}
+  record MembersRequest(long from) implements MessageBody {}
 
   /**
    * Whom I know, in the order of their numbers; {@code next} is where the rest begins, 0 for none.
    */
-  record Page(List<PeerRecord> standings, long next) implements MessageBody {
-    public Page {
-      standings = List.copyOf(standings);
+  record MembersPage(List<PeerRecord> records, long next) implements MessageBody {
+    public MembersPage {
+      records = List.copyOf(records);
     }
   }
 
   /** What I have seen. */
-  record Say(PeerReport word) implements MessageBody {}
+  record Report(PeerReport report) implements MessageBody {}
 
   /** Nothing but what goes beside it. */
-  record Pass() implements MessageBody {}
+  record Empty() implements MessageBody {}
 
   /** An operator asks: what of ({@code about}, a letter), and of which box where it is of one. */
   record Query(char about, long box) implements MessageBody {}
--- a/peers/src/main/java/gingerring/peers/MessageCodec.java
+++ b/peers/src/main/java/gingerring/peers/MessageCodec.java
@@ -64,29 +64,29 @@
   }
 
   private static int size(MessageBody body) {
-    if (body instanceof MessageBody.Page page) {
-      return 9 + page.standings().size() * STANDING;
+    if (body instanceof MessageBody.MembersPage page) {
+      return 9 + page.records().size() * STANDING;
     }
     if (body instanceof MessageBody.Reply reply) {
       return 3 + text(reply).length;
     }
-    return body instanceof MessageBody.Say say ? WORD + BOX * say.word().boxes().size() : 18;
+    return body instanceof MessageBody.Report say ? WORD + BOX * say.report().boxes().size() : 18;
   }
 
   /** The bytes of a letter; one that is too large is a fault of its writer. */
   public byte[] write(PeerMessage letter) {
     ByteBuffer to = ByteBuffer.wrap(bytes, 0, MOST - MessageAuthenticator.PROOF);
-    to.put(FORM).putLong(letter.author().number()).putLong(letter.life()).putLong(letter.number());
+    to.put(FORM).putLong(letter.author().number()).putLong(letter.incarnation()).putLong(letter.number());
     body(to, letter.body());
-    to.put((byte) letter.news().size());
-    letter.news().forEach(each -> standing(to, each));
+    to.put((byte) letter.updates().size());
+    letter.updates().forEach(each -> standing(to, each));
     to.put((byte) letter.notes().size());
     letter
         .notes()
         .forEach(
             each ->
                 to.putLong(each.author().number())
-                    .putLong(each.life())
+                    .putLong(each.incarnation())
                     .putLong(each.box())
                     .putLong(each.round())
                     .put((byte) (each.answered() ? 1 : 0)));
@@ -102,16 +102,16 @@
       to.put((byte) 'a').putInt(ack.number());
     } else if (body instanceof MessageBody.Nack nack) {
       to.put((byte) 'n').putInt(nack.number());
-    } else if (body instanceof MessageBody.Help help) {
+    } else if (body instanceof MessageBody.PingRequest help) {
       to.put((byte) 'h').putInt(help.number()).putLong(help.peer().number());
-      place(to, help.place());
-    } else if (body instanceof MessageBody.Ask ask) {
+      place(to, help.address());
+    } else if (body instanceof MessageBody.MembersRequest ask) {
       to.put((byte) 'q').putLong(ask.from());
-    } else if (body instanceof MessageBody.Page page) {
-      to.put((byte) 'r').putLong(page.next()).put((byte) page.standings().size());
-      page.standings().forEach(each -> standing(to, each));
-    } else if (body instanceof MessageBody.Say say) {
-      PeerReport word = say.word();
+    } else if (body instanceof MessageBody.MembersPage page) {
+      to.put((byte) 'r').putLong(page.next()).put((byte) page.records().size());
+      page.records().forEach(each -> standing(to, each));
+    } else if (body instanceof MessageBody.Report say) {
+      PeerReport word = say.report();
       to.put((byte) 's')
           .putInt(word.zone())
           .putFloat((float) Math.min(Float.MAX_VALUE, word.demand()))
@@ -145,11 +145,11 @@
 
   private static void standing(ByteBuffer to, PeerRecord standing) {
     to.putLong(standing.peer().number());
-    place(to, standing.place());
-    to.putLong(standing.life())
-        .putInt(standing.rise())
+    place(to, standing.address());
+    to.putLong(standing.incarnation())
+        .putInt(standing.refutations())
         .put((byte) standing.state().ordinal())
-        .putLong(standing.by().number());
+        .putLong(standing.source().number());
   }
 
   /** Proves bytes first, and only then reads them. */
@@ -195,14 +195,14 @@
       case 'p' -> new MessageBody.Ping(in.getInt(), new PeerId(in.getLong()));
       case 'a' -> new MessageBody.Ack(in.getInt());
       case 'n' -> new MessageBody.Nack(in.getInt());
-      case 'h' -> new MessageBody.Help(in.getInt(), new PeerId(in.getLong()), place(in));
-      case 'q' -> new MessageBody.Ask(in.getLong());
+      case 'h' -> new MessageBody.PingRequest(in.getInt(), new PeerId(in.getLong()), place(in));
+      case 'q' -> new MessageBody.MembersRequest(in.getLong());
       case 'r' -> {
         long next = in.getLong();
-        yield new MessageBody.Page(standings(in), next);
+        yield new MessageBody.MembersPage(standings(in), next);
       }
-      case 's' -> new MessageBody.Say(word(in, author, life, number));
-      case 'v' -> new MessageBody.Pass();
+      case 's' -> new MessageBody.Report(word(in, author, life, number));
+      case 'v' -> new MessageBody.Empty();
       case 'w' -> new MessageBody.Query((char) Byte.toUnsignedInt(in.get()), in.getLong());
       case 'x' -> {
         byte[] text = new byte[Math.min(TEXT_MOST, Short.toUnsignedInt(in.getShort()))];
--- a/peers/src/main/java/gingerring/peers/PeerNode.java
+++ b/peers/src/main/java/gingerring/peers/PeerNode.java
@@ -19,8 +19,8 @@
  * One mixer among its peers: who they are ({@link Membership}), what they say and how much it
  * weighs ({@link PeerReports}, {@link Hearsay}), and whose turn it is to ask a benched box for all
  * ({@link TurnSchedule}). Its owner calls {@link #begin} once, {@link #tick} ten times a second, {@link
- * #received} for each datagram, {@link #saw}, {@link #silent}, {@link #asks} and {@link #asked} for
- * what the mixer meets, and asks {@link #turn} and {@link #doubt} when the mixer wants to know; it
+ * #received} for each datagram, {@link #attemptEnded}, {@link #ejected}, {@link #probeStarted} and {@link #probeEnded} for
+ * what the mixer meets, and asks {@link #shouldProbe} and {@link #failureShare} when the mixer wants to know; it
  * acts by {@link Host}.
  *
  * <p>Nothing that others say is an order. A note that a box has answered lets this mixer ask it
@@ -41,7 +41,7 @@
     void send(PeerAddress to, byte[] letter);
 
     /** Another mixer had an answer of a benched box: it may be asked. */
-    void answers(long box);
+    void boxAnswered(long box);
 
     /** A peer came, went or is in doubt. */
     void changed(PeerRecord now);
@@ -261,7 +261,7 @@
                 if (now.state()
                     == PeerRecord.State
                         .LEFT) { // what one who is gone said ages by itself: it may be back
-                  words.left(now.peer(), now.life(), host.now());
+                  words.left(now.peer(), now.incarnation(), host.now());
                 }
                 host.changed(now);
               }
@@ -286,7 +286,7 @@
               rules.zone,
               sight.demand(now),
               sight.worth(MessageCodec.boxes(NEWS, NOTES), now));
-      membership.some(rules.sayTo).forEach(each -> send(each.place(), new MessageBody.Say(word), true));
+      membership.some(rules.sayTo).forEach(each -> send(each.address(), new MessageBody.Report(word), true));
     }
   }
 
@@ -317,16 +317,16 @@
       count(Count.REFUSED);
       return;
     }
-    if (letter.author().equals(self) && letter.life() == life
-        || !numbers.take(letter.author(), letter.life(), letter.number())) {
+    if (letter.author().equals(self) && letter.incarnation() == life
+        || !numbers.take(letter.author(), letter.incarnation(), letter.number())) {
       count(Count.REPEATED);
       return;
     }
     count(Count.TAKEN);
-    membership.heard(letter.author(), letter.life(), from, letter.body(), letter.news());
-    if (letter.body() instanceof MessageBody.Say say) {
+    membership.heard(letter.author(), letter.incarnation(), from, letter.body(), letter.updates());
+    if (letter.body() instanceof MessageBody.Report say) {
       count(
-          words.heard(say.word(), host.now()) == PeerReports.Verdict.TAKEN
+          words.heard(say.report(), host.now()) == PeerReports.Verdict.TAKEN
               ? Count.WORDS
               : Count.WORDS_DROPPED);
     } else if (letter.body() instanceof MessageBody.Query query) {
@@ -353,7 +353,7 @@
             && !matter.last.answered()
             && matter.last.author().equals(note.author())
             && matter.last.round() == note.round();
-    boolean itsLife = note.life() == membership.life(note.author());
+    boolean itsLife = note.incarnation() == membership.incarnation(note.author());
     if (!itsLife
         || !more && !matter.rota.heard(id(note.author()), note.round(), mixers(), common())) {
       if (!itsLife || matter.rota.disbelieved() > before) {
@@ -370,7 +370,7 @@
       Duration wait =
           new Turns(id(self), AFTER_ANSWER).spread(note.box(), note.round(), mixers().size());
       matter.answered = host.now().plus(wait);
-      host.answers(note.box());
+      host.boxAnswered(note.box());
     }
     pass(note);
   }
@@ -381,7 +381,7 @@
    */
   private void pass(Note note) {
     notes.add(note.box(), note);
-    membership.some(PASS_TO).forEach(each -> send(each.place(), new MessageBody.Pass(), false));
+    membership.some(PASS_TO).forEach(each -> send(each.address(), new MessageBody.Empty(), false));
   }
 
   private Matter matter(long box) {
@@ -420,12 +420,12 @@
   }
 
   /** A trip ended: answered, or failed in a way that tells against the box. */
-  public void saw(long box, boolean answered) {
+  public void attemptEnded(long box, boolean answered) {
     sight.add(box, answered ? 1 : 0, answered ? 0 : 1, host.now());
   }
 
   /** This mixer has benched a box, as it is silent. */
-  public void silent(long box) {
+  public void ejected(long box) {
     sight.add(box, 0, SILENCE_PARTS, host.now());
   }
 
@@ -433,7 +433,7 @@
    * Whether this mixer may ask a benched box now: where its turn has come and nobody was heard to
    * have asked in this round, or another had an answer. Alone, always.
    */
-  public boolean turn(long box) {
+  public boolean shouldProbe(long box) {
     List<PeerId> present = membership.present();
     if (present.isEmpty() || membership.superseded()) {
       return true;
@@ -454,7 +454,7 @@
   }
 
   /** This mixer asks a benched box now. */
-  public void asks(long box) {
+  public void probeStarted(long box) {
     Matter matter = matter(box);
     if (matter.answered == null) {
       matter.onWordOf = null;
@@ -467,7 +467,7 @@
   }
 
   /** What came of it. */
-  public void asked(long box, boolean answered) {
+  public void probeEnded(long box, boolean answered) {
     Matter matter = matters.get(box);
     if (matter != null && matter.round != null) {
       if (answered) {
@@ -496,7 +496,7 @@
   /**
    * The share of a box's parts that fail as others see it: 0 where too few tell, or nothing does.
    */
-  public double doubt(long box) {
+  public double failureShare(long box) {
     double failing = hearsay.failing(box, new BoxObservation(0, 0), words.fresh(host.now()));
     return Double.isNaN(failing) ? 0 : failing;
   }
@@ -517,7 +517,7 @@
   }
 
   /** The words that count now. */
-  public List<PeerReports.Kept> heard() {
+  public List<PeerReports.TimedReport> reports() {
     return words.fresh(host.now());
   }
 
@@ -530,7 +530,7 @@
    * Which asks of a box are told, and by whom last: a line for operators; empty where none is in
    * hand.
    */
-  public String matterOf(long box) {
+  public String describeTurn(long box) {
     Matter matter = matters.get(box);
     if (matter == null) {
       return "";
--- a/peers/src/main/java/gingerring/peers/PeerReports.java
+++ b/peers/src/main/java/gingerring/peers/PeerReports.java
@@ -33,7 +33,7 @@
   }
 
   /** A word and when it came. */
-  public record Kept(PeerReport word, Duration at) {}
+  public record TimedReport(PeerReport report, Duration at) {}
 
   private final PeerId self;
   private final int peersMost;
@@ -42,7 +42,7 @@
   private final Duration age;
 
   /** The one heard longest ago first. */
-  private final Map<PeerId, Kept> kept = new LinkedHashMap<>();
+  private final Map<PeerId, TimedReport> kept = new LinkedHashMap<>();
 
   private final Map<Verdict, Long> counts = new EnumMap<>(Verdict.class);
 
@@ -75,18 +75,18 @@
       if (kept.size() >= peersMost) {
         kept.remove(kept.keySet().iterator().next());
       }
-      kept.put(word.author(), new Kept(word, now));
+      kept.put(word.author(), new TimedReport(word, now));
     }
     return verdict;
   }
 
   private Verdict judge(PeerReport word, Duration now) {
-    Kept last = kept.get(word.author());
-    if (word.author().equals(self) || last != null && word.life() < last.word.life()) {
+    TimedReport last = kept.get(word.author());
+    if (word.author().equals(self) || last != null && word.incarnation() < last.report.incarnation()) {
       return Verdict.OLD_LIFE;
     }
-    boolean sameLife = last != null && word.life() == last.word.life();
-    if (sameLife && word.number() <= last.word.number()) {
+    boolean sameLife = last != null && word.incarnation() == last.report.incarnation();
+    if (sameLife && word.number() <= last.report.number()) {
       return Verdict.OLD_NUMBER;
     }
     // of a new life too: who claims one life after the other is not heard more often than others
@@ -108,19 +108,19 @@
    * is forgotten.
    */
   public void left(PeerId peer, long life, Duration now) {
-    Kept last = kept.get(peer);
-    if (last != null && last.word.life() <= life) {
+    TimedReport last = kept.get(peer);
+    if (last != null && last.report.incarnation() <= life) {
       kept.put(
           peer,
-          new Kept(new PeerReport(peer, life, Long.MAX_VALUE, last.word.zone(), 0, Map.of()), last.at));
+          new TimedReport(new PeerReport(peer, life, Long.MAX_VALUE, last.report.zone(), 0, Map.of()), last.at));
     }
   }
 
   /** The words that still count, the oldest first. */
-  public List<Kept> fresh(Duration now) {
-    List<Kept> fresh = new ArrayList<>();
-    for (Kept each : kept.values()) {
-      if (now.minus(each.at).compareTo(age) < 0 && each.word.number() != Long.MAX_VALUE) {
+  public List<TimedReport> fresh(Duration now) {
+    List<TimedReport> fresh = new ArrayList<>();
+    for (TimedReport each : kept.values()) {
+      if (now.minus(each.at).compareTo(age) < 0 && each.report.number() != Long.MAX_VALUE) {
         fresh.add(each);
       }
     }
--- a/peers/src/test/java/gingerring/peers/HearsayTest.java
+++ b/peers/src/test/java/gingerring/peers/HearsayTest.java
@@ -16,9 +16,9 @@
 class HearsayTest {
   private static final BoxObservation NOTHING = new BoxObservation(0, 0);
 
-  private static PeerReports.Kept kept(
+  private static PeerReports.TimedReport kept(
       int author, int zone, double demand, double answered, double failed) {
-    return new PeerReports.Kept(
+    return new PeerReports.TimedReport(
         new PeerReport(new PeerId(author), 1, 1, zone, demand, Map.of(5L, new BoxObservation(answered, failed))),
         Duration.ZERO);
   }
@@ -28,7 +28,7 @@
   void liarsInTheMinorityMoveNothingOutOfRange(@ForAll long seed) {
     SplittableRandom chance = new SplittableRandom(seed);
     int f = 1 + chance.nextInt(7);
-    List<PeerReports.Kept> words = new ArrayList<>();
+    List<PeerReports.TimedReport> words = new ArrayList<>();
     double low = 1;
     double high = 0;
     for (int i = 0; i < f + 1; i++) {
@@ -52,14 +52,14 @@
   @Test
   void fewWitnessesOrOneZoneAreNotEnough() {
     Hearsay hearsay = new Hearsay(3, 5, 4, 3);
-    List<PeerReports.Kept> words = new ArrayList<>(List.of(kept(1, 0, 1, 0, 10), kept(2, 1, 1, 0, 10)));
+    List<PeerReports.TimedReport> words = new ArrayList<>(List.of(kept(1, 0, 1, 0, 10), kept(2, 1, 1, 0, 10)));
     assertEquals(Double.NaN, hearsay.failing(5, NOTHING, words));
     words.add(kept(3, 1, 1, 0, 4)); // it saw too little
     assertEquals(0, hearsay.failing(5, new BoxObservation(2, 0), words));
     words.add(kept(4, 1, 1, 0, 10));
     assertEquals(1, hearsay.failing(5, NOTHING, words), 1e-12);
     assertEquals(Double.NaN, hearsay.failing(6, NOTHING, words), "nobody told of that one");
-    List<PeerReports.Kept> near =
+    List<PeerReports.TimedReport> near =
         new ArrayList<>(List.of(kept(1, 0, 1, 0, 10), kept(2, 0, 1, 0, 10), kept(3, 0, 1, 0, 10)));
     assertEquals(1, hearsay.failing(5, NOTHING, near), 1e-12, "all there are stand in one zone");
     near.add(kept(4, 1, 1, 1, 0)); // there is another zone, and nobody there saw enough
@@ -70,7 +70,7 @@
   @Test
   void noDemandIsEndless() {
     Hearsay hearsay = new Hearsay(3, 1, 4, 3);
-    List<PeerReports.Kept> words = new ArrayList<>();
+    List<PeerReports.TimedReport> words = new ArrayList<>();
     for (int i = 0; i < 15; i++) {
       words.add(kept(i, 0, i == 0 ? 1e12 : 10, 1, 0));
     }
--- a/peers/src/test/java/gingerring/peers/LettersTest.java
+++ b/peers/src/test/java/gingerring/peers/LettersTest.java
@@ -53,21 +53,21 @@
           case 0 -> new MessageBody.Ping(asked, new PeerId(chance.nextLong()));
           case 1 -> new MessageBody.Ack(asked);
           case 2 -> new MessageBody.Nack(asked);
-          case 3 -> new MessageBody.Help(asked, new PeerId(chance.nextLong()), standing(chance).place());
-          case 4 -> new MessageBody.Ask(chance.nextLong());
-          case 5 -> new MessageBody.Page(standings(chance, 20), chance.nextLong());
+          case 3 -> new MessageBody.PingRequest(asked, new PeerId(chance.nextLong()), standing(chance).address());
+          case 4 -> new MessageBody.MembersRequest(chance.nextLong());
+          case 5 -> new MessageBody.MembersPage(standings(chance, 20), chance.nextLong());
           case 6 -> {
             Map<Long, BoxObservation> boxes = new HashMap<>();
             for (int i = chance.nextInt(MessageCodec.boxes(6, 4) + 1); i > 0; i--) {
               boxes.put(
                   chance.nextLong(), new BoxObservation(chance.nextInt(65_536), chance.nextInt(65_536)));
             }
-            yield new MessageBody.Say(
+            yield new MessageBody.Report(
                 new PeerReport(author, life, number, chance.nextInt(-1, 9), chance.nextInt(1000), boxes));
           }
           case 7 -> new MessageBody.Query((char) chance.nextInt(256), chance.nextLong());
           case 8 -> new MessageBody.Reply("x\u00e9".repeat(chance.nextInt(200)));
-          default -> new MessageBody.Pass();
+          default -> new MessageBody.Empty();
         };
     List<Note> notes = new ArrayList<>();
     for (int i = chance.nextInt(5); i > 0; i--) {
@@ -150,8 +150,8 @@
         with(KEY)
             .read(
                 with(KEY)
-                    .write(new PeerMessage(author, 1, 1, new MessageBody.Say(much), List.of(), List.of())));
-    PeerReport word = ((MessageBody.Say) read.body()).word();
+                    .write(new PeerMessage(author, 1, 1, new MessageBody.Report(much), List.of(), List.of())));
+    PeerReport word = ((MessageBody.Report) read.body()).report();
     assertEquals(new BoxObservation(65_535, 65_535), word.boxes().get(1L));
     assertTrue(word.demand() <= Float.MAX_VALUE);
   }
--- a/peers/src/test/java/gingerring/peers/LivesExplorationTest.java
+++ b/peers/src/test/java/gingerring/peers/LivesExplorationTest.java
@@ -84,9 +84,9 @@
                 public void changed(PeerRecord standing) {
                   int other = (int) standing.peer().number() - 1;
                   assertTrue(
-                      standing.life() >= seen[who][other],
+                      standing.incarnation() >= seen[who][other],
                       "an earlier life of " + other + " at " + who);
-                  seen[who][other] = standing.life();
+                  seen[who][other] = standing.incarnation();
                 }
               });
       mixers[who] = mine[0];
@@ -169,12 +169,12 @@
       }
       for (int one = 0; one < 3; one++) {
         for (int other = 0; other < 3; other++) {
-          if (one != other && mixers[one].life(new PeerId(1 + other)) != lives[other]) {
+          if (one != other && mixers[one].incarnation(new PeerId(1 + other)) != lives[other]) {
             return one
                 + " takes "
                 + other
                 + " for life "
-                + mixers[one].life(new PeerId(1 + other))
+                + mixers[one].incarnation(new PeerId(1 + other))
                 + " of "
                 + lives[other];
           }
--- a/peers/src/test/java/gingerring/peers/MembershipTest.java
+++ b/peers/src/test/java/gingerring/peers/MembershipTest.java
@@ -61,7 +61,7 @@
   }
 
   private void told(PeerRecord... standings) {
-    membership.heard(new PeerId(1), 1, place(1), new MessageBody.Pass(), List.of(standings));
+    membership.heard(new PeerId(1), 1, place(1), new MessageBody.Empty(), List.of(standings));
   }
 
   private void pass(long ms) {
@@ -93,7 +93,7 @@
     MessageBody.Ping ping = sent(MessageBody.Ping.class).get(0);
     int asked = (int) ping.peer().number();
     pass(300);
-    List<MessageBody.Help> helps = sent(MessageBody.Help.class);
+    List<MessageBody.PingRequest> helps = sent(MessageBody.PingRequest.class);
     assertEquals(2, helps.size()); // all others
     assertTrue(
         helps.stream()
@@ -120,7 +120,7 @@
     // it is not forgotten: now and then it is asked whom it knows
     sent.clear();
     pass(15_000);
-    assertFalse(sent(MessageBody.Ask.class).isEmpty());
+    assertFalse(sent(MessageBody.MembersRequest.class).isEmpty());
     // it says that it lives: with a higher rise of the same life, and with a new life
     told(here(1, 1, 0, State.HERE));
     assertEquals(State.GONE, state(1), "an old word");
@@ -146,7 +146,7 @@
       int before = sent(MessageBody.Ping.class).size();
       pass(50);
       if (sent(MessageBody.Ping.class).size() > before) {
-        membership.heard(new PeerId(1), 1, place(1), new MessageBody.Pass(), List.of());
+        membership.heard(new PeerId(1), 1, place(1), new MessageBody.Empty(), List.of());
       }
     }
     assertEquals(State.SUSPECTED, state(1));
@@ -159,11 +159,11 @@
   void whoIsTakenForGoneAndSpeaksIsToldSo() {
     membership.begin(List.of());
     told(here(1, 1, 0, State.GONE), here(2, 1, 0, State.HERE));
-    membership.heard(new PeerId(1), 1, place(1), new MessageBody.Pass(), List.of());
-    membership.heard(new PeerId(1), 1, place(1), new MessageBody.Pass(), List.of());
-    List<MessageBody.Page> told = sent(MessageBody.Page.class);
+    membership.heard(new PeerId(1), 1, place(1), new MessageBody.Empty(), List.of());
+    membership.heard(new PeerId(1), 1, place(1), new MessageBody.Empty(), List.of());
+    List<MessageBody.MembersPage> told = sent(MessageBody.MembersPage.class);
     assertEquals(1, told.size(), "once a period");
-    assertEquals(State.GONE, told.get(0).standings().get(0).state());
+    assertEquals(State.GONE, told.get(0).records().get(0).state());
     assertEquals(place(1), to.get(sent.indexOf(told.get(0))));
   }
 
@@ -179,7 +179,7 @@
             .findFirst()
             .orElseThrow();
     assertEquals(State.HERE, own.state());
-    assertEquals(1, own.rise());
+    assertEquals(1, own.refutations());
     assertEquals(1, membership.health());
     told(new PeerRecord(SELF, HERE, LIFE, 0, State.GONE, new PeerId(1)));
     assertEquals(1, membership.count(Membership.Count.REFUTED), "that was answered before");
@@ -193,9 +193,9 @@
       told(here(i, 1, 0, State.HERE));
     }
     PeerRecord suspected = here(5, 1, 0, State.SUSPECTED);
-    told(new PeerRecord(suspected.peer(), suspected.place(), 1, 0, State.SUSPECTED, new PeerId(2)));
+    told(new PeerRecord(suspected.peer(), suspected.address(), 1, 0, State.SUSPECTED, new PeerId(2)));
     for (int i = 0; i < 5; i++) {
-      told(new PeerRecord(suspected.peer(), suspected.place(), 1, 0, State.SUSPECTED, new PeerId(2)));
+      told(new PeerRecord(suspected.peer(), suspected.address(), 1, 0, State.SUSPECTED, new PeerId(2)));
     }
     now = now.plusMillis(5000);
     membership.tick();
@@ -204,8 +204,8 @@
         sent(MessageBody.Ping.class).stream()
             .noneMatch(ping -> ping.peer().equals(new PeerId(5)) && ping.number() > 1),
         "nothing has run out");
-    told(new PeerRecord(suspected.peer(), suspected.place(), 1, 0, State.SUSPECTED, new PeerId(3)));
-    told(new PeerRecord(suspected.peer(), suspected.place(), 1, 0, State.SUSPECTED, new PeerId(4)));
+    told(new PeerRecord(suspected.peer(), suspected.address(), 1, 0, State.SUSPECTED, new PeerId(3)));
+    told(new PeerRecord(suspected.peer(), suspected.address(), 1, 0, State.SUSPECTED, new PeerId(4)));
     membership.tick();
     now = now.plusMillis(1000);
     membership.tick();
@@ -227,20 +227,20 @@
   @Test
   void whoIsUnknownIsAskedWhoItIs() {
     membership.begin(List.of());
-    membership.heard(new PeerId(9), 1, place(9), new MessageBody.Pass(), List.of());
+    membership.heard(new PeerId(9), 1, place(9), new MessageBody.Empty(), List.of());
     assertEquals(List.of(place(9)), to);
-    assertEquals(1, sent(MessageBody.Ask.class).size());
+    assertEquals(1, sent(MessageBody.MembersRequest.class).size());
     membership.heard(
         new PeerId(9),
         3,
         place(9),
-        new MessageBody.Page(List.of(here(9, 3, 0, State.HERE)), 0),
+        new MessageBody.MembersPage(List.of(here(9, 3, 0, State.HERE)), 0),
         List.of());
-    assertEquals(3, membership.life(new PeerId(9)));
+    assertEquals(3, membership.incarnation(new PeerId(9)));
     // and again where it speaks in a life that it was not known in
     sent.clear();
-    membership.heard(new PeerId(9), 4, place(9), new MessageBody.Pass(), List.of());
-    assertEquals(1, sent(MessageBody.Ask.class).size());
+    membership.heard(new PeerId(9), 4, place(9), new MessageBody.Empty(), List.of());
+    assertEquals(1, sent(MessageBody.MembersRequest.class).size());
   }
 
   /** An address that is another's by now does not answer for whom it was before. */
@@ -257,18 +257,18 @@
   void helpsAndSaysWhereItCannot() {
     membership.begin(List.of());
     membership.heard(
-        new PeerId(1), 1, place(1), new MessageBody.Help(7, new PeerId(2), place(2)), List.of());
+        new PeerId(1), 1, place(1), new MessageBody.PingRequest(7, new PeerId(2), place(2)), List.of());
     MessageBody.Ping ping = sent(MessageBody.Ping.class).get(0);
     membership.heard(new PeerId(2), 1, place(2), new MessageBody.Ack(ping.number()), List.of());
     assertEquals(new MessageBody.Ack(7), sent.get(sent.size() - 1));
     membership.heard(
-        new PeerId(1), 1, place(1), new MessageBody.Help(8, new PeerId(2), place(2)), List.of());
+        new PeerId(1), 1, place(1), new MessageBody.PingRequest(8, new PeerId(2), place(2)), List.of());
     pass(300);
     assertTrue(sent.contains(new MessageBody.Nack(8)));
     // one peer has so many errands open at once, and no more
     for (int i = 0; i < 20; i++) {
       membership.heard(
-          new PeerId(1), 1, place(1), new MessageBody.Help(100 + i, new PeerId(2), place(2)), List.of());
+          new PeerId(1), 1, place(1), new MessageBody.PingRequest(100 + i, new PeerId(2), place(2)), List.of());
     }
     assertEquals(16, membership.count(Membership.Count.TOO_BUSY));
   }
@@ -281,10 +281,10 @@
     long from = 0;
     Set<PeerId> told = new HashSet<>();
     do {
-      membership.heard(new PeerId(1), 1, place(1), new MessageBody.Ask(from), List.of());
-      MessageBody.Page page = (MessageBody.Page) sent.get(sent.size() - 1);
-      assertEquals(SELF, page.standings().get(0).peer(), "each page begins with who sends it");
-      page.standings().forEach(each -> told.add(each.peer()));
+      membership.heard(new PeerId(1), 1, place(1), new MessageBody.MembersRequest(from), List.of());
+      MessageBody.MembersPage page = (MessageBody.MembersPage) sent.get(sent.size() - 1);
+      assertEquals(SELF, page.records().get(0).peer(), "each page begins with who sends it");
+      page.records().forEach(each -> told.add(each.peer()));
       from = page.next();
     } while (from != 0);
     assertEquals(51, told.size());
@@ -314,7 +314,7 @@
               public void changed(PeerRecord standing) {}
             });
     for (int i = 1; i <= 4; i++) {
-      small.heard(new PeerId(1), 1, place(1), new MessageBody.Pass(), List.of(here(i, 1, 0, State.HERE)));
+      small.heard(new PeerId(1), 1, place(1), new MessageBody.Empty(), List.of(here(i, 1, 0, State.HERE)));
     }
     assertEquals(3, small.all().size());
     assertEquals(1, small.count(Membership.Count.NO_ROOM));
@@ -322,7 +322,7 @@
         new PeerId(1),
         1,
         place(1),
-        new MessageBody.Pass(),
+        new MessageBody.Empty(),
         List.of(here(2, 1, 0, State.GONE), here(4, 1, 0, State.HERE)));
     assertEquals(List.of(new PeerId(1), new PeerId(3), new PeerId(4)), small.present());
   }
@@ -335,7 +335,7 @@
     to.clear();
     sent.clear();
     pass(20_000);
-    assertTrue(to.contains(place(2)) && sent.get(to.indexOf(place(2))) instanceof MessageBody.Ask);
+    assertTrue(to.contains(place(2)) && sent.get(to.indexOf(place(2))) instanceof MessageBody.MembersRequest);
     told(here(2, 1, 0, State.HERE));
     told(here(1, 1, 1, State.HERE));
     sent.clear();
@@ -345,7 +345,7 @@
         i < sent.size();
         i++) { // all are known: one page from somewhere, and no whole list
       assertTrue(
-          !(sent.get(i) instanceof MessageBody.Ask ask) || ask.from() != 0, "asked anew at " + to.get(i));
+          !(sent.get(i) instanceof MessageBody.MembersRequest ask) || ask.from() != 0, "asked anew at " + to.get(i));
     }
   }
 
@@ -354,9 +354,9 @@
     membership.begin(List.of());
     told(here(1, 1, 0, State.HERE), here(2, 1, 0, State.HERE));
     membership.leave();
-    List<MessageBody.Page> words = sent(MessageBody.Page.class);
+    List<MessageBody.MembersPage> words = sent(MessageBody.MembersPage.class);
     assertEquals(2, words.size());
-    assertEquals(State.LEFT, words.get(0).standings().get(0).state());
+    assertEquals(State.LEFT, words.get(0).records().get(0).state());
     sent.clear();
     pass(5000);
     assertEquals(List.of(), sent);
--- a/peers/src/test/java/gingerring/peers/StandingTest.java
+++ b/peers/src/test/java/gingerring/peers/StandingTest.java
@@ -27,7 +27,7 @@
   private static PeerRecord fold(List<PeerRecord> words) {
     PeerRecord believed = words.get(0);
     for (PeerRecord each : words) {
-      believed = each.over(believed) ? each : believed;
+      believed = each.supersedes(believed) ? each : believed;
     }
     return believed;
   }
@@ -44,10 +44,10 @@
     words.addAll(words.subList(0, chance.nextInt(words.size() + 1)));
     Collections.shuffle(words, new Random(seed));
     PeerRecord again = fold(words);
-    assertEquals(believed.life(), again.life());
+    assertEquals(believed.incarnation(), again.incarnation());
     assertEquals(believed.state(), again.state());
     if (believed.state() != PeerRecord.State.LEFT) {
-      assertEquals(believed.rise(), again.rise());
+      assertEquals(believed.refutations(), again.refutations());
     }
   }
 
@@ -56,10 +56,10 @@
     SplittableRandom chance = new SplittableRandom(seed);
     PeerRecord one = draw(chance);
     PeerRecord other = draw(chance);
-    if (one.life() < other.life()) {
-      assertFalse(one.over(other));
+    if (one.incarnation() < other.incarnation()) {
+      assertFalse(one.supersedes(other));
     }
-    assertFalse(one.over(one));
-    assertFalse(one.over(other) && other.over(one));
+    assertFalse(one.supersedes(one));
+    assertFalse(one.supersedes(other) && other.supersedes(one));
   }
 }
--- a/peers/src/test/java/gingerring/peers/WordsTest.java
+++ b/peers/src/test/java/gingerring/peers/WordsTest.java
@@ -33,34 +33,34 @@
   void keepsWhatPlainSearchingWould(@ForAll long seed) {
     SplittableRandom chance = new SplittableRandom(seed);
     PeerReports words = new PeerReports(SELF, 100, 4, APART, AGE);
-    List<PeerReports.Kept> taken = new ArrayList<>();
+    List<PeerReports.TimedReport> taken = new ArrayList<>();
     long now = 0;
     for (int i = 0; i < 200; i++) {
       now += chance.nextInt(400);
       PeerReport word = word(chance.nextInt(8), chance.nextInt(3), chance.nextInt(40));
       boolean newest = true;
-      for (PeerReports.Kept each : taken) {
-        if (each.word().author().equals(word.author())) {
+      for (PeerReports.TimedReport each : taken) {
+        if (each.report().author().equals(word.author())) {
           newest &=
-              word.life() > each.word().life()
-                  || word.life() == each.word().life() && word.number() > each.word().number();
+              word.incarnation() > each.report().incarnation()
+                  || word.incarnation() == each.report().incarnation() && word.number() > each.report().number();
           newest &= now - each.at().toMillis() >= APART.toMillis();
         }
       }
       assertEquals(newest, words.heard(word, ms(now)) == Verdict.TAKEN);
       if (newest) {
-        taken.add(new PeerReports.Kept(word, ms(now)));
+        taken.add(new PeerReports.TimedReport(word, ms(now)));
       }
     }
     Map<PeerId, PeerReport> last = new HashMap<>();
-    for (PeerReports.Kept each : taken) {
-      last.remove(each.word().author());
+    for (PeerReports.TimedReport each : taken) {
+      last.remove(each.report().author());
       if (now - each.at().toMillis() < AGE.toMillis()) {
-        last.put(each.word().author(), each.word());
+        last.put(each.report().author(), each.report());
       }
     }
     Map<PeerId, PeerReport> fresh = new HashMap<>();
-    words.fresh(ms(now)).forEach(each -> fresh.put(each.word().author(), each.word()));
+    words.fresh(ms(now)).forEach(each -> fresh.put(each.report().author(), each.report()));
     assertEquals(last, fresh);
   }
 
@@ -77,7 +77,7 @@
     assertEquals(Verdict.OLD_NUMBER, words.heard(word(1, 200, 1), ms(3000)));
     assertEquals(
         Verdict.OLD_LIFE, words.heard(word(99, 300, 1), ms(3000)), "an own word that came back");
-    assertEquals(200, words.fresh(ms(3000)).get(0).word().life());
+    assertEquals(200, words.fresh(ms(3000)).get(0).report().incarnation());
     assertEquals(2, words.count(Verdict.OLD_LIFE));
   }
 
@@ -111,7 +111,7 @@
     assertEquals(Verdict.TAKEN, words.heard(word(3, 1, 1), ms(5002)));
     assertEquals(Verdict.OLD_NUMBER, words.heard(word(0, 1, 2), ms(5002)));
     assertTrue(
-        words.fresh(ms(5003)).stream().noneMatch(each -> each.word().author().number() == 1));
+        words.fresh(ms(5003)).stream().noneMatch(each -> each.report().author().number() == 1));
   }
 
   @Test
