--- a/cli/src/main/java/gingerring/cli/FleetCommand.java
+++ b/cli/src/main/java/gingerring/cli/FleetCommand.java
@@ -418,7 +418,7 @@
       try {
         codes.add(played(table, name, FleetScenario.read(Files.readAllBytes(file))));
       } catch (Scenario.InvalidScenario | NoSuchFileException e) {
-        told(name, new HarnessError.Unfit(file, e).getMessage());
+        told(name, new HarnessError.InvalidScenarioFile(file, e).getMessage());
         codes.add(1);
       }
     }
--- a/cli/src/main/java/gingerring/cli/LayoutCommand.java
+++ b/cli/src/main/java/gingerring/cli/LayoutCommand.java
@@ -41,7 +41,7 @@
   }
 
   private static List<Partition> sorted(Layout layout) {
-    List<Partition> folios = new ArrayList<>(layout.folios());
+    List<Partition> folios = new ArrayList<>(layout.partitions());
     folios.sort(Comparator.comparing(Partition::id));
     return folios;
   }
@@ -49,7 +49,7 @@
   private static String text(Partition folio) {
     return folio.id()
         + " holds "
-        + folio.slices()
+        + folio.ranges()
         + " at "
         + folio.holders()
         + (folio.moving() ? ", moving from " + folio.source() + " to " + folio.successor() : "")
@@ -115,7 +115,7 @@
     Layout other = LayoutFile.read(to);
     int differ = 0;
     for (Partition folio : sorted(one)) {
-      Optional<Partition> its = other.folio(folio.id());
+      Optional<Partition> its = other.partition(folio.id());
       if (!its.equals(Optional.of(folio))) {
         differ++;
         out().println("- " + text(folio));
@@ -123,7 +123,7 @@
       }
     }
     for (Partition folio : sorted(other)) {
-      if (one.folio(folio.id()).isEmpty()) {
+      if (one.partition(folio.id()).isEmpty()) {
         differ++;
         out().println("+ " + text(folio));
       }
@@ -166,7 +166,7 @@
                 + split.from()
                 + " into "
                 + split.into().stream()
-                    .map(folio -> folio.id() + " " + folio.slices())
+                    .map(folio -> folio.id() + " " + folio.ranges())
                     .collect(Collectors.joining(", "))
             : step instanceof Step.Merge merge
                 ? "merge " + merge.from() + " into " + merge.into() + " at " + merge.holders()
--- a/emulator/src/main/java/gingerring/emulator/experiment/Store.java
+++ b/emulator/src/main/java/gingerring/emulator/experiment/Store.java
@@ -310,7 +310,7 @@
       case VANISH -> {
         seat.box.stop();
         seat.silent = true;
-        seat.lines.forEach(line -> line.wire.deaf(true));
+        seat.lines.forEach(line -> line.wire.pauseReading(true));
         told(seat, "DELETED");
       }
       case DRAIN -> {
@@ -494,7 +494,7 @@
       linesMade++;
       linesMost = Math.max(linesMost, seat.lines.size());
       if (seat.silent) {
-        wire.deaf(true);
+        wire.pauseReading(true);
       }
     }
 
--- a/emulator/src/main/java/gingerring/emulator/harness/HarnessError.java
+++ b/emulator/src/main/java/gingerring/emulator/harness/HarnessError.java
@@ -37,10 +37,10 @@
   }
 
   /** A file that describes no run. */
-  public static final class Unfit extends HarnessError {
+  public static final class InvalidScenarioFile extends HarnessError {
     private static final long serialVersionUID = 1;
 
-    public Unfit(Object file, Exception cause) {
+    public InvalidScenarioFile(Object file, Exception cause) {
       super(
           file.toString(),
           cause instanceof NoSuchFileException ? "no such file" : cause.getMessage(),
--- a/emulator/src/main/java/gingerring/emulator/simulation/Portions.java
+++ b/emulator/src/main/java/gingerring/emulator/simulation/Portions.java
@@ -84,7 +84,7 @@
             answered += report.answered;
             refused += report.refused;
           }
-          beliefs[i].told(answered, refused, Duration.ofMillis(at));
+          beliefs[i].update(answered, refused, Duration.ofMillis(at));
           double[] even = new double[n];
           Arrays.fill(even, 1);
           sent[i] = Math.min(demand[i], beliefs[i].portion(heard, even, i));
--- a/emulator/src/main/java/gingerring/emulator/simulation/Probes.java
+++ b/emulator/src/main/java/gingerring/emulator/simulation/Probes.java
@@ -112,14 +112,14 @@
         () -> {
           TurnSchedule rota = rotas.get(mixer);
           if (rota.due(members, time()).compareTo(time()) <= 0) {
-            long round = rota.acts(time());
+            long round = rota.claimRound(time());
             probe();
             for (int other = 0; other < setup.mixers; other++) {
               int told = other;
               if (other != mixer && chance.nextDouble() >= setup.lost) {
                 agenda.at(
                     agenda.now() + HEARD_AFTER_MS,
-                    () -> rotas.get(told).heard(members.get(mixer), round, members, time()));
+                    () -> rotas.get(told).receiveClaim(members.get(mixer), round, members, time()));
               }
             }
           }
--- a/layout/src/main/java/gingerring/layout/Layout.java
+++ b/layout/src/main/java/gingerring/layout/Layout.java
@@ -55,7 +55,7 @@
       }
       check(folio);
       folios = folios.plus(folio.id(), folio);
-      folio.slices().forEach(slice -> all.add(new Place(slice, folio.id())));
+      folio.ranges().forEach(slice -> all.add(new Place(slice, folio.id())));
     }
     all.sort(Comparator.comparingLong(place -> place.slice.from()));
     TreePMap<Long, Place> places = TreePMap.empty();
@@ -87,17 +87,17 @@
   }
 
   private static void check(Partition folio) throws LayoutException {
-    if (folio.slices().isEmpty()) {
+    if (folio.ranges().isEmpty()) {
       throw new LayoutException(folio.id() + " has no keys");
     }
-    for (int i = 1; i < folio.slices().size(); i++) {
-      if (folio.slices().get(i).from() < folio.slices().get(i - 1).to()) {
+    for (int i = 1; i < folio.ranges().size(); i++) {
+      if (folio.ranges().get(i).from() < folio.ranges().get(i - 1).to()) {
         throw new LayoutException(
             folio.id()
                 + ": its slices "
-                + folio.slices().get(i - 1)
+                + folio.ranges().get(i - 1)
                 + " and "
-                + folio.slices().get(i)
+                + folio.ranges().get(i)
                 + " are out of order or overlap");
       }
     }
@@ -127,15 +127,15 @@
       return with(
           step,
           new Partition(
-              folio.id(), folio.slices(), folio.holders(), begins.source(), begins.successor()));
+              folio.id(), folio.ranges(), folio.holders(), begins.source(), begins.successor()));
     } else if (step instanceof Step.MoveEnds ends) {
       Partition folio = moving(step, ends.folio());
       List<BoxId> holders = new ArrayList<>(folio.holders());
       holders.set(holders.indexOf(folio.source()), folio.successor());
-      return with(step, new Partition(folio.id(), folio.slices(), holders));
+      return with(step, new Partition(folio.id(), folio.ranges(), holders));
     }
     Partition folio = moving(step, ((Step.MoveFails) step).folio());
-    return with(step, new Partition(folio.id(), folio.slices(), folio.holders()));
+    return with(step, new Partition(folio.id(), folio.ranges(), folio.holders()));
   }
 
   private Layout split(Step.Split split) throws LayoutException {
@@ -146,7 +146,7 @@
     }
     HashPMap<PartitionId, Partition> next = folios.minus(from.id());
     TreePMap<Long, Place> nextPlaces = places;
-    for (KeyRange slice : from.slices()) {
+    for (KeyRange slice : from.ranges()) {
       nextPlaces = nextPlaces.minus(slice.from());
     }
     List<KeyRange> all = new ArrayList<>();
@@ -161,7 +161,7 @@
         throw new LayoutException("step " + split.version() + ": " + folio.id() + " is there already");
       }
       next = next.plus(folio.id(), folio);
-      for (KeyRange slice : folio.slices()) {
+      for (KeyRange slice : folio.ranges()) {
         nextPlaces = nextPlaces.plus(slice.from(), new Place(slice, folio.id()));
         all.add(slice);
       }
@@ -175,7 +175,7 @@
     List<KeyRange> sorted = new ArrayList<>(into);
     sorted.sort(Comparator.comparingLong(KeyRange::from));
     int at = 0;
-    for (KeyRange old : from.slices()) {
+    for (KeyRange old : from.ranges()) {
       long key = old.from();
       while (key < old.to()) {
         if (at == sorted.size() || sorted.get(at).from() != key) {
@@ -231,7 +231,7 @@
     HashPMap<PartitionId, Partition> next = folios;
     List<KeyRange> slices = new ArrayList<>();
     for (PartitionId id : merge.from()) {
-      slices.addAll(still(merge, id).slices());
+      slices.addAll(still(merge, id).ranges());
       next = next.minus(id);
     }
     slices.sort(Comparator.comparingLong(KeyRange::from));
@@ -289,11 +289,11 @@
     return folios.size();
   }
 
-  public Optional<Partition> folio(PartitionId id) {
+  public Optional<Partition> partition(PartitionId id) {
     return Optional.ofNullable(folios.get(id));
   }
 
-  public Collection<Partition> folios() {
+  public Collection<Partition> partitions() {
     return folios.values();
   }
 
--- a/layout/src/main/java/gingerring/layout/Ledger.java
+++ b/layout/src/main/java/gingerring/layout/Ledger.java
@@ -50,7 +50,7 @@
    */
   public void ask(Partition folio, double share) {
     double all = folio.weight();
-    for (KeyRange slice : folio.slices()) {
+    for (KeyRange slice : folio.ranges()) {
       Range<Long> keys = range(slice.from(), slice.to());
       if (asked.intersects(keys)) {
         throw new IllegalArgumentException("keys " + slice + " asked twice");
--- a/layout/src/main/java/gingerring/layout/Partition.java
+++ b/layout/src/main/java/gingerring/layout/Partition.java
@@ -8,9 +8,9 @@
  * it takes it from; both are null unless it moves.
  */
 public record Partition(
-    PartitionId id, List<KeyRange> slices, List<BoxId> holders, BoxId source, BoxId successor) {
+    PartitionId id, List<KeyRange> ranges, List<BoxId> holders, BoxId source, BoxId successor) {
   public Partition {
-    slices = List.copyOf(slices);
+    ranges = List.copyOf(ranges);
     holders = List.copyOf(holders);
   }
 
@@ -23,6 +23,6 @@
   }
 
   public double weight() {
-    return slices.stream().mapToDouble(KeyRange::weight).sum();
+    return ranges.stream().mapToDouble(KeyRange::weight).sum();
   }
 }
--- a/layout/src/main/java/gingerring/layout/Planner.java
+++ b/layout/src/main/java/gingerring/layout/Planner.java
@@ -37,7 +37,7 @@
     this.to = to;
     this.atOnce = atOnce;
     for (Layout layout : List.of(from, to)) {
-      for (Partition folio : layout.folios()) {
+      for (Partition folio : layout.partitions()) {
         numbers = Math.max(numbers, folio.id().number() + 1);
       }
     }
@@ -52,7 +52,7 @@
       throw new LayoutException("one layout has " + from.keys() + " keys, the other " + to.keys());
     }
     for (Layout layout : List.of(from, to)) {
-      for (Partition folio : layout.folios()) {
+      for (Partition folio : layout.partitions()) {
         if (folio.moving()) {
           throw new LayoutException(
               folio.id() + " of version " + layout.version() + " is moving: that has to end first");
@@ -72,7 +72,7 @@
   }
 
   private static List<Partition> sorted(Layout layout) {
-    List<Partition> folios = new ArrayList<>(layout.folios());
+    List<Partition> folios = new ArrayList<>(layout.partitions());
     folios.sort(Comparator.comparing(Partition::id));
     return folios;
   }
@@ -83,7 +83,7 @@
     Map<PartitionId, Map<PartitionId, List<KeyRange>>> cuts = new TreeMap<>();
     for (Partition folio : sorted(now)) {
       Map<PartitionId, List<KeyRange>> parts = new TreeMap<>();
-      for (KeyRange slice : folio.slices()) {
+      for (KeyRange slice : folio.ranges()) {
         for (Map.Entry<KeyRange, PartitionId> each : to.over(slice.from(), slice.to())) {
           parts
               .computeIfAbsent(each.getValue(), id -> new ArrayList<>())
@@ -92,12 +92,12 @@
       }
       parts.keySet().forEach(id -> pieces.merge(id, 1, Integer::sum));
       cuts.put(folio.id(), parts);
-      if (to.folio(folio.id()).isPresent() && !parts.containsKey(folio.id())) {
+      if (to.partition(folio.id()).isPresent() && !parts.containsKey(folio.id())) {
         throw new LayoutException(folio.id() + " would name other keys");
       }
     }
     for (Map.Entry<PartitionId, Map<PartitionId, List<KeyRange>>> cut : cuts.entrySet()) {
-      Partition folio = now.folio(cut.getKey()).orElseThrow();
+      Partition folio = now.partition(cut.getKey()).orElseThrow();
       if (cut.getValue().size() == 1) {
         PartitionId target = cut.getValue().keySet().iterator().next();
         if (!target.equals(folio.id()) && pieces.get(target) == 1) {
@@ -123,7 +123,7 @@
   private void move() throws LayoutException {
     Map<PartitionId, Deque<BoxId[]>> moves = new TreeMap<>();
     for (Partition folio : sorted(now)) {
-      Partition target = to.folio(targets.get(folio.id())).orElseThrow();
+      Partition target = to.partition(targets.get(folio.id())).orElseThrow();
       List<BoxId> sources = new ArrayList<>(folio.holders());
       sources.removeAll(target.holders());
       List<BoxId> successors = new ArrayList<>(target.holders());
@@ -169,16 +169,16 @@
     targets.forEach((id, target) -> parts.computeIfAbsent(target, t -> new ArrayList<>()).add(id));
     for (Map.Entry<PartitionId, List<PartitionId>> each : parts.entrySet()) {
       if (each.getValue().size() > 1) {
-        Set<BoxId> holders = new HashSet<>(to.folio(each.getKey()).orElseThrow().holders());
+        Set<BoxId> holders = new HashSet<>(to.partition(each.getKey()).orElseThrow().holders());
         for (PartitionId part : each.getValue()) {
-          assert holders.equals(new HashSet<>(now.folio(part).orElseThrow().holders())) : part;
+          assert holders.equals(new HashSet<>(now.partition(part).orElseThrow().holders())) : part;
         }
         step(
             new Step.Merge(
                 now.version() + 1,
                 each.getValue(),
                 each.getKey(),
-                to.folio(each.getKey()).orElseThrow().holders()));
+                to.partition(each.getKey()).orElseThrow().holders()));
       }
     }
   }
--- a/layout/src/test/java/gingerring/layout/ExplorationTest.java
+++ b/layout/src/test/java/gingerring/layout/ExplorationTest.java
@@ -84,7 +84,7 @@
       this.fault = fault;
       log = new LayoutLog(versions.get(0));
       attempts = new Attempts(TRIPS, repeats, Duration.ofHours(1));
-      for (Partition folio : versions.get(0).folios()) {
+      for (Partition folio : versions.get(0).partitions()) {
         ledger.ask(folio, 1.0 / versions.get(0).size());
       }
       send();
@@ -185,11 +185,11 @@
         return new Step.Split(
             version,
             new PartitionId(0),
-            layout.folios().stream()
+            layout.partitions().stream()
                 .sorted((one, other) -> one.id().compareTo(other.id()))
                 .toList());
       }
-      return layout.folio(new PartitionId(2)).orElseThrow().moving()
+      return layout.partition(new PartitionId(2)).orElseThrow().moving()
           ? new Step.MoveBegins(version, new PartitionId(2), A, B)
           : new Step.MoveEnds(version, new PartitionId(2));
     }
@@ -207,7 +207,7 @@
             boolean holds =
                 versions
                     .get(view[box])
-                    .folio(each.getValue())
+                    .partition(each.getValue())
                     .orElseThrow()
                     .holders()
                     .contains(message.box);
@@ -266,7 +266,7 @@
           .missing(log.inForce())
           .forEach(
               (id, ranges) -> {
-                Partition folio = log.inForce().folio(id).orElseThrow();
+                Partition folio = log.inForce().partition(id).orElseThrow();
                 List<Range<Long>> ask = new ArrayList<>();
                 for (Range<Long> range : ranges) {
                   boolean isOut =
--- a/layout/src/test/java/gingerring/layout/Histories.java
+++ b/layout/src/test/java/gingerring/layout/Histories.java
@@ -94,11 +94,11 @@
         if (holders.containsKey(id)
             || folio.holders().isEmpty()
             || new HashSet<>(folio.holders()).size() < folio.holders().size()
-            || folio.slices().isEmpty()) {
+            || folio.ranges().isEmpty()) {
           return false;
         }
         holders.put(id, new HashSet<>(folio.holders()));
-        for (KeyRange slice : folio.slices()) {
+        for (KeyRange slice : folio.ranges()) {
           for (long key = slice.from(); key < slice.to(); key++) {
             if (key >= KEYS || owner[(int) key] != from || !given.add((int) key)) {
               return false;
@@ -107,7 +107,7 @@
         }
       }
       for (Partition folio : split.into()) {
-        for (KeyRange slice : folio.slices()) {
+        for (KeyRange slice : folio.ranges()) {
           after += slice.weight();
           for (long key = slice.from(); key < slice.to(); key++) {
             owner[(int) key] = folio.id().number();
@@ -186,7 +186,7 @@
 
   /** A step that may or may not fit; about one in three is spoilt in some way. */
   static Step step(Layout layout, int[] numbers, SplittableRandom random) {
-    List<Partition> folios = new ArrayList<>(layout.folios());
+    List<Partition> folios = new ArrayList<>(layout.partitions());
     folios.sort(Comparator.comparing(Partition::id));
     Partition one = folios.get(random.nextInt(folios.size()));
     long version = layout.version() + (random.nextInt(20) == 0 ? random.nextInt(4) : 1);
@@ -223,7 +223,7 @@
     for (int i = 0; i < count; i++) {
       slices.add(new ArrayList<>());
     }
-    for (KeyRange slice : one.slices()) {
+    for (KeyRange slice : one.ranges()) {
       long at = slice.from();
       while (at < slice.to()) {
         long end = Math.min(slice.to(), at + 1 + random.nextInt(8));
--- a/layout/src/test/java/gingerring/layout/LayoutTest.java
+++ b/layout/src/test/java/gingerring/layout/LayoutTest.java
@@ -50,7 +50,7 @@
         assertArrayEquals(model.owner, Histories.owners(next), history + ": " + step);
         assertArrayEquals(before, Histories.owners(layout), "the version before has changed");
         layout = next;
-        for (Partition folio : layout.folios()) {
+        for (Partition folio : layout.partitions()) {
           assertEquals(model.holders.get(folio.id().number()), new HashSet<>(folio.holders()));
           assertEquals(model.moves.containsKey(folio.id().number()), folio.moving());
         }
--- a/layout/src/test/java/gingerring/layout/LedgerTest.java
+++ b/layout/src/test/java/gingerring/layout/LedgerTest.java
@@ -42,14 +42,14 @@
       Ledger ledger = new Ledger();
       boolean[] asked = new boolean[Histories.KEYS];
       boolean[] in = new boolean[Histories.KEYS];
-      List<Partition> folios = new ArrayList<>(began.folios());
+      List<Partition> folios = new ArrayList<>(began.partitions());
       folios.sort(Comparator.comparing(Partition::id));
       double total = 0;
       for (Partition folio : folios) {
         if (random.nextInt(3) > 0 || total == 0) {
           ledger.ask(folio, 0.25);
           total += 0.25;
-          folio.slices().forEach(slice -> mark(asked, slice.from(), slice.to()));
+          folio.ranges().forEach(slice -> mark(asked, slice.from(), slice.to()));
         }
       }
       for (int i = 0; i < 40 && !ledger.whole(); i++) {
@@ -129,7 +129,7 @@
 
   private static List<Range<Long>> asked(Layout layout, PartitionId folio, boolean[] asked) {
     List<Range<Long>> ranges = new ArrayList<>();
-    for (KeyRange slice : layout.folio(folio).orElseThrow().slices()) {
+    for (KeyRange slice : layout.partition(folio).orElseThrow().ranges()) {
       long from = -1;
       for (long key = slice.from(); key <= slice.to(); key++) {
         boolean mine = key < slice.to() && asked[(int) key];
@@ -175,8 +175,8 @@
   @Test
   void aLateAnswerThatOverlapsAHalfIsCutOrSetAside() throws Exception {
     Layout before = Histories.first(new Model());
-    Partition old = before.folio(new PartitionId(0)).orElseThrow();
-    KeyRange all = old.slices().get(0);
+    Partition old = before.partition(new PartitionId(0)).orElseThrow();
+    KeyRange all = old.ranges().get(0);
     long middle = (all.from() + all.to()) / 2;
     List<BoxId> holders = old.holders();
     Layout after =
@@ -214,7 +214,7 @@
   @Test
   void whatWasNotAskedOrStandsTwiceIsStrange() {
     Ledger ledger = new Ledger();
-    ledger.ask(Histories.first(new Model()).folio(new PartitionId(0)).orElseThrow(), 1);
+    ledger.ask(Histories.first(new Model()).partition(new PartitionId(0)).orElseThrow(), 1);
     assertEquals(Taken.STRANGE, ledger.answer(List.of(new Entry(11, 13, 1)), true));
     assertEquals(
         Taken.STRANGE, ledger.answer(List.of(new Entry(0, 5, 1), new Entry(4, 6, 1)), true));
--- a/layout/src/test/java/gingerring/layout/PlannerTest.java
+++ b/layout/src/test/java/gingerring/layout/PlannerTest.java
@@ -51,7 +51,7 @@
       Map<BoxId, Integer> copying = new HashMap<>();
       for (Step step : steps) {
         if (step instanceof Step.MoveEnds ends) {
-          copying.merge(now.folio(ends.folio()).orElseThrow().successor(), -1, Integer::sum);
+          copying.merge(now.partition(ends.folio()).orElseThrow().successor(), -1, Integer::sum);
         }
         now = now.apply(step); // refuses whatever would leave a key unowned
         if (step instanceof Step.MoveBegins begins) {
@@ -61,10 +61,10 @@
       }
       assertArrayEquals(Histories.owners(to), Histories.owners(now), "history " + history);
       assertEquals(to.size(), now.size());
-      for (Partition folio : to.folios()) {
+      for (Partition folio : to.partitions()) {
         assertEquals(
             new HashSet<>(folio.holders()),
-            new HashSet<>(now.folio(folio.id()).orElseThrow().holders()));
+            new HashSet<>(now.partition(folio.id()).orElseThrow().holders()));
       }
     }
     assertTrue(planned > 2000, planned + " planned; " + refusals);
@@ -74,17 +74,17 @@
   void whatNoStepsCanDoIsRefused() throws Exception {
     Layout from = Histories.first(new Model());
     List<Partition> swapped = new ArrayList<>();
-    for (Partition folio : from.folios()) {
-      swapped.add(new Partition(new PartitionId(3 - folio.id().number()), folio.slices(), folio.holders()));
+    for (Partition folio : from.partitions()) {
+      swapped.add(new Partition(new PartitionId(3 - folio.id().number()), folio.ranges(), folio.holders()));
     }
     Layout to = Layout.of(9, Histories.KEYS, swapped);
     assertEquals(
         "folio 0 would name other keys",
         assertThrows(LayoutException.class, () -> Planner.plan(from, to, 1)).getMessage());
     List<Partition> renamed = new ArrayList<>();
-    for (Partition folio : from.folios()) {
+    for (Partition folio : from.partitions()) {
       renamed.add(
-          new Partition(new PartitionId(10 + folio.id().number()), folio.slices(), folio.holders()));
+          new Partition(new PartitionId(10 + folio.id().number()), folio.ranges(), folio.holders()));
     }
     Layout other = Layout.of(9, Histories.KEYS, renamed);
     assertTrue(
--- a/mixer/src/main/java/gingerring/server/MixerHost.java
+++ b/mixer/src/main/java/gingerring/server/MixerHost.java
@@ -305,7 +305,7 @@
           }
           mixer.tripEnded(errand.part, errand.trip, outcome, over, load);
           if (neighbours != null) {
-            neighbours.ended(errand.searcher.address(), outcome);
+            neighbours.attemptEnded(errand.searcher.address(), outcome);
           }
           if (piece != null) {
             drop(piece);
@@ -319,7 +319,7 @@
         () -> {
           mixer.probed(searcher, outcome, taken, load);
           if (neighbours != null) {
-            neighbours.asked(searcher.address(), outcome == Outcome.SUCCEEDED);
+            neighbours.probeEnded(searcher.address(), outcome == Outcome.SUCCEEDED);
           }
         });
   }
@@ -380,7 +380,7 @@
             .toList());
     leaving.forEach(back::withhold);
     if (neighbours != null) {
-      neighbours.listed(listed.values());
+      neighbours.membersChanged(listed.values());
     }
   }
 
@@ -548,19 +548,19 @@
   @Override
   public void probe(SearcherId searcher) {
     if (neighbours != null) {
-      neighbours.asks(searcher.address());
+      neighbours.probeStarted(searcher.address());
     }
     back.probe(searcher);
   }
 
   @Override
   public boolean asksItself(SearcherId searcher) {
-    return neighbours == null || neighbours.asksItself(searcher.address());
+    return neighbours == null || neighbours.shouldProbe(searcher.address());
   }
 
   @Override
   public double doubt(SearcherId searcher) {
-    return neighbours == null ? 0 : neighbours.doubt(searcher.address());
+    return neighbours == null ? 0 : neighbours.failureShare(searcher.address());
   }
 
   @Override
@@ -571,7 +571,7 @@
   @Override
   public void benched(SearcherId searcher) {
     if (neighbours != null) {
-      neighbours.benched(searcher.address());
+      neighbours.ejected(searcher.address());
     }
   }
 
--- a/mixer/src/main/java/gingerring/server/MixerServer.java
+++ b/mixer/src/main/java/gingerring/server/MixerServer.java
@@ -318,7 +318,7 @@
     }
 
     @Override
-    public void othersHeard(long searcher) {
+    public void answeredElsewhere(long searcher) {
       desk.othersHeard(searcher);
     }
 
--- a/mixer/src/main/java/gingerring/server/PeerService.java
+++ b/mixer/src/main/java/gingerring/server/PeerService.java
@@ -30,29 +30,29 @@
     long startMs();
 
     /** Another mixer had an answer of that searcher. */
-    void othersHeard(long searcher);
+    void answeredElsewhere(long searcher);
   }
 
   /** The process is about to take scans. */
   void begin(Context ground);
 
-  void listed(Collection<MemberEntry> searchers);
+  void membersChanged(Collection<MemberEntry> searchers);
 
   /** A trip there has ended. */
-  void ended(long searcher, Outcome outcome);
+  void attemptEnded(long searcher, Outcome outcome);
 
-  void benched(long searcher);
+  void ejected(long searcher);
 
   /** Whether this mixer is to ask a benched searcher itself now. */
-  boolean asksItself(long searcher);
+  boolean shouldProbe(long searcher);
 
   /** It does. */
-  void asks(long searcher);
+  void probeStarted(long searcher);
 
-  void asked(long searcher, boolean answered);
+  void probeEnded(long searcher, boolean answered);
 
   /** The share of its parts that fail as others see it, 0 to 1; 0 where nobody tells. */
-  double doubt(long searcher);
+  double failureShare(long searcher);
 
   boolean prefers(long searcher);
 
--- a/peering/src/main/java/gingerring/peering/Peering.java
+++ b/peering/src/main/java/gingerring/peering/Peering.java
@@ -126,10 +126,10 @@
   // ---- PeerService ----
 
   @Override
-  public void listed(Collection<MemberEntry> searchers) {
+  public void membersChanged(Collection<MemberEntry> searchers) {
     company.listed(searchers.stream().map(each -> each.searcher().address()).toList());
     if (preference != null) {
-      preference.listed(
+      preference.update(
           searchers.stream()
               .filter(each -> each.standing() == MemberEntry.Standing.READY)
               .map(
@@ -149,7 +149,7 @@
   }
 
   @Override
-  public void ended(long searcher, Outcome outcome) {
+  public void attemptEnded(long searcher, Outcome outcome) {
     switch (outcome) {
       case SUCCEEDED -> company.attemptEnded(searcher, true);
       case ERROR, BROKEN, UNREACHABLE -> company.attemptEnded(searcher, false);
@@ -158,33 +158,33 @@
   }
 
   @Override
-  public void benched(long searcher) {
+  public void ejected(long searcher) {
     company.ejected(searcher);
     if (preference != null) {
-      preference.distrusts(id(searcher));
+      preference.exclude(id(searcher));
     }
   }
 
   @Override
-  public boolean asksItself(long searcher) {
+  public boolean shouldProbe(long searcher) {
     return company.shouldProbe(searcher);
   }
 
   @Override
-  public void asks(long searcher) {
+  public void probeStarted(long searcher) {
     company.probeStarted(searcher);
   }
 
   @Override
-  public void asked(long searcher, boolean answered) {
+  public void probeEnded(long searcher, boolean answered) {
     company.probeEnded(searcher, answered);
     if (answered && preference != null) {
-      preference.trusts(id(searcher));
+      preference.include(id(searcher));
     }
   }
 
   @Override
-  public double doubt(long searcher) {
+  public double failureShare(long searcher) {
     return company.failureShare(searcher);
   }
 
@@ -241,7 +241,7 @@
 
   @Override
   public void boxAnswered(long box) {
-    ground.othersHeard(box);
+    ground.answeredElsewhere(box);
   }
 
   @Override
--- a/peering/src/test/java/gingerring/peering/PeeringTest.java
+++ b/peering/src/test/java/gingerring/peering/PeeringTest.java
@@ -80,7 +80,7 @@
       call(
           () -> {
             peering.begin(this);
-            peering.listed(
+            peering.membersChanged(
                 List.of(
                     new MemberEntry(new SearcherId(BOX), 0, 0, 0, MemberEntry.Standing.READY, 1, null)));
           });
@@ -138,7 +138,7 @@
     }
 
     @Override
-    public void othersHeard(long searcher) {
+    public void answeredElsewhere(long searcher) {
       heard.add(searcher);
     }
 
@@ -214,14 +214,14 @@
   @Test
   void whatOneFindsBackOthersHearOf() throws IOException {
     fleet(3);
-    members.forEach(each -> each.call(() -> each.peering.benched(BOX)));
+    members.forEach(each -> each.call(() -> each.peering.ejected(BOX)));
     until(
         () ->
             members.stream()
                 .allMatch(
                     each -> {
                       CompletableFuture<Double> doubt = new CompletableFuture<>();
-                      each.loop.execute(() -> doubt.complete(each.peering.doubt(BOX)));
+                      each.loop.execute(() -> doubt.complete(each.peering.failureShare(BOX)));
                       return doubt.join() == 1;
                     }),
         "each hears of two others that it fails");
@@ -231,9 +231,9 @@
           for (Member each : members) {
             each.call(
                 () -> {
-                  if (asker[0] == null && each.peering.asksItself(BOX)) {
-                    each.peering.asks(BOX);
-                    each.peering.asked(BOX, true);
+                  if (asker[0] == null && each.peering.shouldProbe(BOX)) {
+                    each.peering.probeStarted(BOX);
+                    each.peering.probeEnded(BOX, true);
                     asker[0] = each;
                   }
                 });
@@ -287,7 +287,7 @@
         .call(
             () -> {
               for (int i = 0; i < 50; i++) {
-                members.get(0).peering.ended(BOX, Outcome.SUCCEEDED);
+                members.get(0).peering.attemptEnded(BOX, Outcome.SUCCEEDED);
               }
             });
     until(() -> members.get(1).ask('s').contains("asks 10.0, due 9.0"), "its demand is told");
--- a/peers/src/main/java/gingerring/peers/PeerNode.java
+++ b/peers/src/main/java/gingerring/peers/PeerNode.java
@@ -345,7 +345,7 @@
       return;
     }
     Matter matter = matter(note.box());
-    long before = matter.rota.disbelieved();
+    long before = matter.rota.rejectedClaims();
     // who had asked in this round has had its answer
     boolean more =
         note.answered()
@@ -355,8 +355,8 @@
             && matter.last.round() == note.round();
     boolean itsLife = note.incarnation() == membership.incarnation(note.author());
     if (!itsLife
-        || !more && !matter.rota.heard(id(note.author()), note.round(), mixers(), common())) {
-      if (!itsLife || matter.rota.disbelieved() > before) {
+        || !more && !matter.rota.receiveClaim(id(note.author()), note.round(), mixers(), common())) {
+      if (!itsLife || matter.rota.rejectedClaims() > before) {
         count(Count.NOTES_DISBELIEVED);
       }
       return;
@@ -461,7 +461,7 @@
     }
     matter.answered = null;
     matter.byWords = host.now().plus(BY_WORDS);
-    matter.round = matter.rota.acts(common());
+    matter.round = matter.rota.claimRound(common());
     count(Count.ASKED);
     pass(new Note(self, life, box, matter.round, false));
   }
--- a/share/src/main/java/gingerring/share/CapacityEstimator.java
+++ b/share/src/main/java/gingerring/share/CapacityEstimator.java
@@ -7,7 +7,7 @@
 /**
  * How much a box is believed to bear, in parts a second, by what the whole fleet is told to have
  * had answered and refused there; each mixer keeps its own belief, and its portion is its due of
- * that ({@link FairShares}). Call {@link #told} with the fleet's sums each time that reports are
+ * that ({@link FairShares}). Call {@link #update} with the fleet's sums each time that reports are
  * looked at, then {@link #portion}.
  *
  * <p>Where parts are refused the room is what was answered: measured, not searched for, so that
@@ -59,7 +59,7 @@
   }
 
   /** What the fleet is told to have had of this box, in parts a second, over one span. */
-  public void told(double answered, double refused, Duration now) {
+  public void update(double answered, double refused, Duration now) {
     if (!(answered >= 0) || !(refused >= 0)) {
       throw new IllegalArgumentException(answered + " answered, " + refused + " refused");
     }
@@ -92,7 +92,7 @@
   }
 
   /** Parts a second that it is believed to bear; infinite while nothing was ever refused. */
-  public double room() {
+  public double capacity() {
     return room;
   }
 
--- a/share/src/main/java/gingerring/share/Preference.java
+++ b/share/src/main/java/gingerring/share/Preference.java
@@ -9,7 +9,7 @@
 
 /**
  * The boxes that one mixer prefers, as its list and its trust move: a {@link SubsetSelector} of all that it
- * trusts. Call {@link #listed} for each list, {@link #distrusts} and {@link #trusts} when a box is
+ * trusts. Call {@link #update} for each list, {@link #exclude} and {@link #include} when a box is
  * benched and back, and ask {@link #prefers}. Where a box that it preferred fails, others of that
  * box's folios stand in at once; when it is back, so is the old choice. Before the first list, and
  * with nothing trusted, all are preferred.
@@ -42,19 +42,19 @@
     this.reach = reach;
   }
 
-  public void listed(Collection<Listed> boxes) {
+  public void update(Collection<Listed> boxes) {
     listed = List.copyOf(boxes);
     distrusted.retainAll(listed.stream().map(each -> each.box().id()).toList());
     chooseAnew();
   }
 
-  public void distrusts(BoxId box) {
+  public void exclude(BoxId box) {
     if (distrusted.add(box)) {
       chooseAnew();
     }
   }
 
-  public void trusts(BoxId box) {
+  public void include(BoxId box) {
     if (distrusted.remove(box)) {
       chooseAnew();
     }
--- a/share/src/main/java/gingerring/share/TurnSchedule.java
+++ b/share/src/main/java/gingerring/share/TurnSchedule.java
@@ -6,8 +6,8 @@
 /**
  * One matter that is done once in each span by one mixer for all, as one mixer knows it. All times
  * are of the common clock: since a moment that all know. Ask {@link #due} when this mixer acts if
- * it hears of nobody who has; call {@link #acts} when it does, and tell the others the round that
- * it returns; {@link #heard} when another tells so. Rounds are numbered by the clock, so that one
+ * it hears of nobody who has; call {@link #claimRound} when it does, and tell the others the round that
+ * it returns; {@link #receiveClaim} when another tells so. Rounds are numbered by the clock, so that one
  * who starts anew, or wakes after a stop, knows the round at once and needs nobody's word for it.
  *
  * <p>Two act in a round: one more for each mixer that a word did not reach within its step, and one
@@ -67,13 +67,13 @@
   }
 
   /** This mixer acts; returns the round to tell. */
-  public long acts(Duration now) {
+  public long claimRound(Duration now) {
     done = Math.max(done, round(now));
     return done;
   }
 
   /** Another says that it has done a round; returns whether that is believed and new. */
-  public boolean heard(MixerId author, long told, Collection<MixerId> members, Duration now) {
+  public boolean receiveClaim(MixerId author, long told, Collection<MixerId> members, Duration now) {
     if (told <= done) {
       return false;
     }
@@ -94,7 +94,7 @@
   }
 
   /** Claims that were not believed. */
-  public long disbelieved() {
+  public long rejectedClaims() {
     return disbelieved;
   }
 }
--- a/share/src/test/java/gingerring/share/PreferenceTest.java
+++ b/share/src/test/java/gingerring/share/PreferenceTest.java
@@ -27,16 +27,16 @@
     SplittableRandom chance = new SplittableRandom(seed);
     Preference preference = new Preference(new MixerId(chance.nextLong()), 2, 12, 4);
     assertTrue(preference.prefers(new BoxId(1000)), "before any list");
-    preference.listed(ring(12));
+    preference.update(ring(12));
     Set<BoxId> out = new HashSet<>();
     for (int step = 0; step < 40; step++) {
       BoxId box = new BoxId(1000 + chance.nextInt(12));
       if (chance.nextBoolean()) {
         out.add(box);
-        preference.distrusts(box);
+        preference.exclude(box);
       } else {
         out.remove(box);
-        preference.trusts(box);
+        preference.include(box);
       }
       for (int folio = 0; folio < 12; folio++) {
         int sound = 0;
@@ -56,7 +56,7 @@
   @Test
   void aBoxThatIsBackBringsTheOldChoiceBack() {
     Preference preference = new Preference(new MixerId(5), 2, 12, 4);
-    preference.listed(ring(12));
+    preference.update(ring(12));
     List<Boolean> before =
         ring(12).stream().map(each -> preference.prefers(each.box().id())).toList();
     BoxId first =
@@ -65,9 +65,9 @@
             .filter(preference::prefers)
             .findFirst()
             .orElseThrow();
-    preference.distrusts(first);
+    preference.exclude(first);
     assertTrue(!preference.prefers(first));
-    preference.trusts(first);
+    preference.include(first);
     assertEquals(
         before, ring(12).stream().map(each -> preference.prefers(each.box().id())).toList());
     assertTrue(preference.size() < 12);
@@ -76,8 +76,8 @@
   @Test
   void withNothingTrustedAllArePreferred() {
     Preference preference = new Preference(new MixerId(5), 1, 3, 1);
-    preference.listed(ring(3));
-    ring(3).forEach(each -> preference.distrusts(each.box().id()));
+    preference.update(ring(3));
+    ring(3).forEach(each -> preference.exclude(each.box().id()));
     assertTrue(ring(3).stream().allMatch(each -> preference.prefers(each.box().id())));
     assertEquals(-1, preference.size());
   }
--- a/share/src/test/java/gingerring/share/RoomBeliefTest.java
+++ b/share/src/test/java/gingerring/share/RoomBeliefTest.java
@@ -20,45 +20,45 @@
   @Test
   void whileNothingIsRefusedAllIsOnesOwnDemand() {
     CapacityEstimator belief = new CapacityEstimator(1, 0.02, ms(2000));
-    belief.told(1000, 0, ms(0));
+    belief.update(1000, 0, ms(0));
     assertEquals(70, belief.portion(new double[] {70, 900}, new double[] {1, 1}, 0));
-    belief.told(1000, 5, ms(250)); // by chance
-    assertEquals(Double.POSITIVE_INFINITY, belief.room());
+    belief.update(1000, 5, ms(250)); // by chance
+    assertEquals(Double.POSITIVE_INFINITY, belief.capacity());
   }
 
   @Test
   void theRoomIsWhatWasAnsweredWhereSomeWereRefused() {
     CapacityEstimator belief = new CapacityEstimator(1, 0.02, ms(2000));
-    belief.told(800, 200, ms(0));
-    assertEquals(800, belief.room());
+    belief.update(800, 200, ms(0));
+    assertEquals(800, belief.capacity());
     assertEquals(700, belief.portion(new double[] {900, 100}, new double[] {1, 1}, 0));
     // reports of unlike age sum up to less for a moment: no reason to believe in less room
-    belief.told(500, 50, ms(250));
-    assertEquals(800, belief.room());
+    belief.update(500, 50, ms(250));
+    assertEquals(800, belief.capacity());
     // but there is, where no better is seen for the window
-    belief.told(500, 50, ms(2400));
-    assertEquals(500, belief.room());
+    belief.update(500, 50, ms(2400));
+    assertEquals(500, belief.capacity());
   }
 
   @Test
   void isTriedLargerFasterAndFasterAndNotAgainAfterARefusal() {
     CapacityEstimator belief = new CapacityEstimator(1, 0.02, ms(2000));
-    belief.told(800, 200, ms(0));
-    belief.told(800, 0, ms(1000));
-    assertEquals(800, belief.room(), "the last refusal is too new");
-    double before = belief.room();
+    belief.update(800, 200, ms(0));
+    belief.update(800, 0, ms(1000));
+    assertEquals(800, belief.capacity(), "the last refusal is too new");
+    double before = belief.capacity();
     double step = 0;
     for (long at = 2000; at < 8000; at += 250) {
-      belief.told(belief.room(), 0, ms(at));
-      double now = belief.room() / before - 1;
+      belief.update(belief.capacity(), 0, ms(at));
+      double now = belief.capacity() / before - 1;
       assertTrue(now >= step - 1e-12 && now <= 0.02 + 1e-12);
       step = now;
-      before = belief.room();
+      before = belief.capacity();
     }
     assertEquals(0.02, step, 1e-9);
-    double room = belief.room();
-    belief.told(0.5 * room, 0, ms(8000)); // it does not bind: nothing is learnt
-    assertEquals(room, belief.room());
+    double room = belief.capacity();
+    belief.update(0.5 * room, 0, ms(8000)); // it does not bind: nothing is learnt
+    assertEquals(room, belief.capacity());
   }
 
   /** The most of a window, against a list of all. */
@@ -71,7 +71,7 @@
     for (int i = 0; i < 100; i++) {
       at += chance.nextInt(400);
       double answered = 1 + chance.nextInt(1000);
-      belief.told(answered, answered, ms(at));
+      belief.update(answered, answered, ms(at));
       told.add(new double[] {at, answered});
       long now = at;
       double most =
@@ -80,7 +80,7 @@
               .mapToDouble(each -> each[1])
               .max()
               .orElseThrow();
-      assertEquals(most, belief.room());
+      assertEquals(most, belief.capacity());
     }
   }
 
@@ -89,6 +89,6 @@
     assertThrows(IllegalArgumentException.class, () -> new CapacityEstimator(0, 0.02, ms(1)));
     assertThrows(IllegalArgumentException.class, () -> new CapacityEstimator(1, 2, ms(1)));
     assertThrows(
-        IllegalArgumentException.class, () -> new CapacityEstimator(1, 0.02, ms(1)).told(-1, 0, ms(0)));
+        IllegalArgumentException.class, () -> new CapacityEstimator(1, 0.02, ms(1)).update(-1, 0, ms(0)));
   }
 }
--- a/share/src/test/java/gingerring/share/RotaTest.java
+++ b/share/src/test/java/gingerring/share/RotaTest.java
@@ -84,7 +84,7 @@
     static TurnSchedule at(int mixer, long done, List<MixerId> members) {
       TurnSchedule rota = rota(mixer);
       if (done >= 0) {
-        rota.acts(EVERY.multipliedBy(done)); // the same state, reached by itself
+        rota.claimRound(EVERY.multipliedBy(done)); // the same state, reached by itself
       }
       return rota;
     }
@@ -148,7 +148,7 @@
       List<Long> done = new ArrayList<>(state.done);
       TurnSchedule rota = at(to, state.done.get(to), members(3));
       if (listens
-          && rota.heard(
+          && rota.receiveClaim(
               new MixerId(word[0] + 1), word[2], members(3), STEP.multipliedBy(state.tick))) {
         done.set(to, word[2]);
       }
@@ -206,7 +206,7 @@
         TurnSchedule rota = at(m, state.done.get(m), members(3));
         if (state.stoppedUntil.get(m) <= state.tick
             && rota.due(members(3), now).compareTo(now) <= 0) {
-          long round = rota.acts(now);
+          long round = rota.claimRound(now);
           done.set(m, round);
           acted++;
           for (int to = 0; to < 3; to++) {
@@ -269,7 +269,7 @@
       Duration begun = EVERY.multipliedBy(round);
       boolean believed = false;
       for (int liar = 5; liar < 8; liar++) { // three together
-        believed |= honest.heard(members.get(liar), round, members, begun);
+        believed |= honest.receiveClaim(members.get(liar), round, members, begun);
       }
       boolean theirs = false;
       for (int liar = 5; liar < 8; liar++) {
@@ -280,12 +280,12 @@
       heldUp += believed ? 1 : 0;
     }
     assertTrue(
-        honest.disbelieved() > 200 && heldUp < 160, () -> "disbelieved " + honest.disbelieved());
+        honest.rejectedClaims() > 200 && heldUp < 160, () -> "disbelieved " + honest.rejectedClaims());
     assertFalse(
-        honest.heard(new MixerId(77), start + 200L, members, EVERY.multipliedBy(start + 200L)),
+        honest.receiveClaim(new MixerId(77), start + 200L, members, EVERY.multipliedBy(start + 200L)),
         "a stranger");
     assertFalse(
-        honest.heard(members.get(5), Long.MAX_VALUE, members, EVERY.multipliedBy(start + 200L)));
+        honest.receiveClaim(members.get(5), Long.MAX_VALUE, members, EVERY.multipliedBy(start + 200L)));
   }
 
   /** Guards against one that wakes after a stop and does what others have long done. */
@@ -293,11 +293,11 @@
   void whoWakesKnowsTheRoundByTheClock() {
     List<MixerId> members = members(3);
     TurnSchedule rota = rota(0);
-    rota.acts(Duration.ZERO);
+    rota.claimRound(Duration.ZERO);
     Duration woken = EVERY.multipliedBy(25).plus(STEP);
     Duration due = rota.due(members, woken);
     assertEquals(25, rota.round(due), "no round is made up for");
-    rota.acts(due);
+    rota.claimRound(due);
     assertTrue(rota.round(rota.due(members, due)) > 25);
   }
 
--- a/traffic/src/main/java/gingerring/traffic/wire/Reactor.java
+++ b/traffic/src/main/java/gingerring/traffic/wire/Reactor.java
@@ -62,7 +62,7 @@
   }
 
   /** How many connections there are. */
-  public int wires() {
+  public int connections() {
     return wires;
   }
 
--- a/traffic/src/main/java/gingerring/traffic/wire/ReactorConnection.java
+++ b/traffic/src/main/java/gingerring/traffic/wire/ReactorConnection.java
@@ -152,7 +152,7 @@
   }
 
   /** Nothing more is read, as of a machine that has gone silent; or reading goes on. */
-  public void deaf(boolean on) {
+  public void pauseReading(boolean on) {
     deaf = on;
     interest();
   }
