--- a/bench/src/main/java/gingerring/bench/LayoutBench.java
+++ b/bench/src/main/java/gingerring/bench/LayoutBench.java
@@ -1,11 +1,11 @@
 package gingerring.bench;
 
 import gingerring.layout.BoxId;
-import gingerring.layout.Partition;
-import gingerring.layout.PartitionId;
+import gingerring.layout.KeyRange;
 import gingerring.layout.Layout;
 import gingerring.layout.LayoutException;
-import gingerring.layout.KeyRange;
+import gingerring.layout.Partition;
+import gingerring.layout.PartitionId;
 import gingerring.layout.Step;
 import java.util.ArrayList;
 import java.util.List;
@@ -49,7 +49,9 @@
     holders = List.of(new BoxId("a"), new BoxId("b"), new BoxId("c"));
     List<Partition> list = new ArrayList<>();
     for (int i = 0; i < folios; i++) {
-      list.add(new Partition(new PartitionId(i), List.of(new KeyRange(i * EACH, (i + 1) * EACH, 1)), holders));
+      list.add(
+          new Partition(
+              new PartitionId(i), List.of(new KeyRange(i * EACH, (i + 1) * EACH, 1)), holders));
     }
     layout = Layout.of(0, folios * EACH, list);
   }
@@ -69,7 +71,8 @@
             1,
             new PartitionId(which),
             List.of(
-                new Partition(new PartitionId(which), List.of(new KeyRange(from, from + 400, 0.4)), holders),
+                new Partition(
+                    new PartitionId(which), List.of(new KeyRange(from, from + 400, 0.4)), holders),
                 new Partition(
                     new PartitionId(folios),
                     List.of(new KeyRange(from + 400, from + EACH, 0.6)),
--- a/bench/src/main/java/gingerring/bench/MembershipCost.java
+++ b/bench/src/main/java/gingerring/bench/MembershipCost.java
@@ -1,9 +1,9 @@
 package gingerring.bench;
 
-import gingerring.peers.PeerNode;
-import gingerring.peers.PeerId;
-import gingerring.peers.PeerAddress;
 import gingerring.peers.MessageAuthenticator;
+import gingerring.peers.PeerAddress;
+import gingerring.peers.PeerId;
+import gingerring.peers.PeerNode;
 import gingerring.peers.PeerRecord;
 import io.scalecube.cluster.Cluster;
 import io.scalecube.cluster.ClusterConfig;
@@ -134,7 +134,8 @@
           DatagramPacket packet = new DatagramPacket(bytes, bytes.length);
           socket.receive(packet);
           company.received(
-              new PeerAddress(0x7F000001, packet.getPort()), Arrays.copyOf(bytes, packet.getLength()));
+              new PeerAddress(0x7F000001, packet.getPort()),
+              Arrays.copyOf(bytes, packet.getLength()));
         } catch (SocketTimeoutException e) {
           // time for a tick
         } catch (IOException e) {
--- a/cli/src/main/java/gingerring/cli/EmulateCommand.java
+++ b/cli/src/main/java/gingerring/cli/EmulateCommand.java
@@ -1,8 +1,8 @@
 package gingerring.cli;
 
 import gingerring.emulator.core.Referee;
-import gingerring.emulator.core.Workload;
 import gingerring.emulator.core.Scenario;
+import gingerring.emulator.core.Workload;
 import gingerring.emulator.experiment.MixerProcess;
 import gingerring.emulator.experiment.Store;
 import gingerring.traffic.wire.Reactor;
@@ -52,7 +52,10 @@
     Store store = new Store(world, reactor, referee, Worlds.pace(pace));
     // a replay of a run's recording meets each trouble when the run did
     store.beginWithFirstPart(
-        Workload.of(world).stream().findFirst().map(Workload.ClientRequest::at).orElse(Duration.ZERO));
+        Workload.of(world).stream()
+            .findFirst()
+            .map(Workload.ClientRequest::at)
+            .orElse(Duration.ZERO));
     Thread thread = new Thread(reactor::run, "emulator");
     thread.setDaemon(true);
     thread.start();
--- a/cli/src/main/java/gingerring/cli/FleetCommand.java
+++ b/cli/src/main/java/gingerring/cli/FleetCommand.java
@@ -1,14 +1,14 @@
 package gingerring.cli;
 
 import gingerring.emulator.core.Scenario;
-import gingerring.emulator.simulation.Choices;
-import gingerring.emulator.simulation.Probes;
-import gingerring.emulator.simulation.PeerSimulation;
+import gingerring.emulator.experiment.Charts;
 import gingerring.emulator.harness.Fleet;
-import gingerring.emulator.harness.OverlappingFaults;
 import gingerring.emulator.harness.FleetScenario;
 import gingerring.emulator.harness.HarnessError;
-import gingerring.emulator.experiment.Charts;
+import gingerring.emulator.harness.OverlappingFaults;
+import gingerring.emulator.simulation.Choices;
+import gingerring.emulator.simulation.PeerSimulation;
+import gingerring.emulator.simulation.Probes;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.nio.file.Files;
@@ -330,13 +330,15 @@
 
   /** Cases by name: two boxes are dead from 20 to 60 s in all but the first. */
   private static Map<String, List<PeerSimulation.Fault>> cases(int size, double seconds) {
-    PeerSimulation.Fault dead = fault(PeerSimulation.Fault.Kind.BOXES_DEAD, 20_000, 40_000, PeerSimulation.range(1, 2));
+    PeerSimulation.Fault dead =
+        fault(PeerSimulation.Fault.Kind.BOXES_DEAD, 20_000, 40_000, PeerSimulation.range(1, 2));
     Map<String, List<PeerSimulation.Fault>> cases = new LinkedHashMap<>();
     cases.put("calm", List.of());
     cases.put("boxes dead", List.of(dead));
     cases.put(
         "one gone",
-        List.of(dead, fault(PeerSimulation.Fault.Kind.KILL, 25_000, 1e9, PeerSimulation.range(3, 1))));
+        List.of(
+            dead, fault(PeerSimulation.Fault.Kind.KILL, 25_000, 1e9, PeerSimulation.range(3, 1))));
     cases.put(
         "7/10 killed",
         List.of(
@@ -359,17 +361,27 @@
                 0)));
     cases.put(
         "stopped",
-        List.of(dead, fault(PeerSimulation.Fault.Kind.STOP, 30_000, 10_000, PeerSimulation.range(1, 2))));
+        List.of(
+            dead,
+            fault(PeerSimulation.Fault.Kind.STOP, 30_000, 10_000, PeerSimulation.range(1, 2))));
     cases.put(
-        "one lies", List.of(dead, fault(PeerSimulation.Fault.Kind.LIE, 0, 1e9, PeerSimulation.range(3, 1))));
+        "one lies",
+        List.of(dead, fault(PeerSimulation.Fault.Kind.LIE, 0, 1e9, PeerSimulation.range(3, 1))));
     cases.put(
         "3/16 lie",
         List.of(
             dead,
-            fault(PeerSimulation.Fault.Kind.LIE, 0, 1e9, PeerSimulation.range(1, Math.max(1, size * 3 / 16)))));
-    cases.put("greed", List.of(dead, fault(PeerSimulation.Fault.Kind.GREED, 0, 1e9, PeerSimulation.range(3, 1))));
+            fault(
+                PeerSimulation.Fault.Kind.LIE,
+                0,
+                1e9,
+                PeerSimulation.range(1, Math.max(1, size * 3 / 16)))));
+    cases.put(
+        "greed",
+        List.of(dead, fault(PeerSimulation.Fault.Kind.GREED, 0, 1e9, PeerSimulation.range(3, 1))));
     cases.put(
-        "repeats", List.of(dead, fault(PeerSimulation.Fault.Kind.REPEAT, 0, 1e9, PeerSimulation.range(3, 1))));
+        "repeats",
+        List.of(dead, fault(PeerSimulation.Fault.Kind.REPEAT, 0, 1e9, PeerSimulation.range(3, 1))));
     cases.put(
         "false claims",
         List.of(dead, fault(PeerSimulation.Fault.Kind.CLAIM, 0, 1e9, PeerSimulation.range(3, 1))));
--- a/cli/src/main/java/gingerring/cli/LayoutCommand.java
+++ b/cli/src/main/java/gingerring/cli/LayoutCommand.java
@@ -1,10 +1,10 @@
 package gingerring.cli;
 
 import gingerring.layout.BoxId;
-import gingerring.layout.Partition;
 import gingerring.layout.Layout;
-import gingerring.layout.Planner;
 import gingerring.layout.LayoutException;
+import gingerring.layout.Partition;
+import gingerring.layout.Planner;
 import gingerring.layout.Step;
 import java.io.IOException;
 import java.io.PrintWriter;
--- a/cli/src/main/java/gingerring/cli/PcapCommand.java
+++ b/cli/src/main/java/gingerring/cli/PcapCommand.java
@@ -1,12 +1,12 @@
 package gingerring.cli;
 
 import gingerring.traffic.flow.Bounds;
-import gingerring.traffic.pcap.CaptureReader;
 import gingerring.traffic.pcap.CaptureEditor;
+import gingerring.traffic.pcap.CaptureReader;
 import gingerring.traffic.pcap.NetworkFilter;
 import gingerring.traffic.record.Anonymiser;
-import gingerring.traffic.scan.Recording;
 import gingerring.traffic.scan.ObservedScan;
+import gingerring.traffic.scan.Recording;
 import gingerring.traffic.scan.Trips;
 import java.io.IOException;
 import java.io.PrintWriter;
--- a/cli/src/main/java/gingerring/cli/ReplayCommand.java
+++ b/cli/src/main/java/gingerring/cli/ReplayCommand.java
@@ -9,9 +9,9 @@
 import gingerring.traffic.replay.Replayer;
 import gingerring.traffic.replay.Retries;
 import gingerring.traffic.replay.Timeline;
-import gingerring.traffic.scan.Recording;
 import gingerring.traffic.scan.ObservedScan;
 import gingerring.traffic.scan.ObservedScan.ScanOutcome;
+import gingerring.traffic.scan.Recording;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.net.InetAddress;
@@ -275,7 +275,9 @@
     Map<Integer, Double> points = new TreeMap<>();
     for (int second = 0; second < timeline.length(); second++) {
       points.put(
-          second, (double) timeline.count(second, ScanOutcome.WHOLE) + timeline.count(second, ScanOutcome.PART));
+          second,
+          (double) timeline.count(second, ScanOutcome.WHOLE)
+              + timeline.count(second, ScanOutcome.PART));
     }
     return points;
   }
--- a/cli/src/main/java/gingerring/cli/ServeCommand.java
+++ b/cli/src/main/java/gingerring/cli/ServeCommand.java
@@ -2,8 +2,8 @@
 
 import gingerring.peering.PeerSettings;
 import gingerring.peering.Peering;
-import gingerring.server.PeerService;
 import gingerring.server.MixerServer;
+import gingerring.server.PeerService;
 import gingerring.traffic.record.Recorder;
 import java.nio.file.Path;
 import java.time.Duration;
--- a/cli/src/test/java/gingerring/cli/GingerringTest.java
+++ b/cli/src/test/java/gingerring/cli/GingerringTest.java
@@ -5,8 +5,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import gingerring.emulator.core.Referee;
-import gingerring.emulator.core.Workload;
 import gingerring.emulator.core.Scenario;
+import gingerring.emulator.core.Workload;
 import gingerring.emulator.experiment.MixerProcess;
 import gingerring.emulator.experiment.Run;
 import gingerring.emulator.experiment.Store;
--- a/emulator/src/main/java/gingerring/emulator/core/Box.java
+++ b/emulator/src/main/java/gingerring/emulator/core/Box.java
@@ -145,7 +145,8 @@
     boolean bad = SeededDraw.draw(world.seed(), "bad " + part.text, part.folio) < world.badParts();
     if (bad
         || errors != null
-            && SeededDraw.draw(world.seed(), "error " + part.text, part.folio, number) < errors.size()) {
+            && SeededDraw.draw(world.seed(), "error " + part.text, part.folio, number)
+                < errors.size()) {
       int mine = life;
       host.after(
           FAST,
@@ -236,8 +237,10 @@
     if (world.pauseEvery().high() <= 0 || world.pause().high() <= 0) {
       return Duration.ZERO;
     }
-    double every = Math.max(100, world.pauseEvery().at(SeededDraw.draw(world.seed(), "every", number)));
-    double length = Math.min(every / 2, world.pause().at(SeededDraw.draw(world.seed(), "pause", number)));
+    double every =
+        Math.max(100, world.pauseEvery().at(SeededDraw.draw(world.seed(), "every", number)));
+    double length =
+        Math.min(every / 2, world.pause().at(SeededDraw.draw(world.seed(), "pause", number)));
     double offset = SeededDraw.draw(world.seed(), "offset", number) * every;
     double at = from.toNanos() / 1e6;
     double left = span.toNanos() / 1e6;
--- a/emulator/src/main/java/gingerring/emulator/core/Referee.java
+++ b/emulator/src/main/java/gingerring/emulator/core/Referee.java
@@ -1,7 +1,7 @@
 package gingerring.emulator.core;
 
-import gingerring.emulator.core.Scenario.ServiceClass;
 import gingerring.emulator.core.Scenario.Repeats;
+import gingerring.emulator.core.Scenario.ServiceClass;
 import java.time.Duration;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
--- a/emulator/src/main/java/gingerring/emulator/core/Scenario.java
+++ b/emulator/src/main/java/gingerring/emulator/core/Scenario.java
@@ -299,7 +299,8 @@
       return Duration.ofNanos((long) (number(name, usual, 0, 1e9) * 1e6));
     }
 
-    private Range range(String name, double low, double high) throws InvalidScenario, Json.Malformed {
+    private Range range(String name, double low, double high)
+        throws InvalidScenario, Json.Malformed {
       if (!from.containsKey(name)) {
         return new Range(low, high);
       }
--- a/emulator/src/main/java/gingerring/emulator/core/Workload.java
+++ b/emulator/src/main/java/gingerring/emulator/core/Workload.java
@@ -12,14 +12,20 @@
 public final class Workload {
   /** A wish of a client; its tries share text and key. */
   public record ClientRequest(
-      int number, Duration at, ServiceClass grade, Map<Integer, Double> shares, String key, String text) {
+      int number,
+      Duration at,
+      ServiceClass grade,
+      Map<Integer, Double> shares,
+      String key,
+      String text) {
     /** The body of its request, with a rough guess at each part's work. */
     public byte[] body(Scenario world) {
       StringBuilder json = new StringBuilder("{\"targets\":[");
       String between = "";
       for (Map.Entry<Integer, Double> share : shares.entrySet()) {
         double guess =
-            grade.work().at(0.5) * (0.7 + 0.6 * SeededDraw.draw(world.seed(), text, share.getKey(), 7));
+            grade.work().at(0.5)
+                * (0.7 + 0.6 * SeededDraw.draw(world.seed(), text, share.getKey(), 7));
         json.append(between)
             .append("{\"partition\":")
             .append(share.getKey())
@@ -58,7 +64,9 @@
       }
       int number = wishes.size();
       String text =
-          grade.name() + ':' + String.format("%08x", (int) SeededDraw.bits(world.seed(), "text", number));
+          grade.name()
+              + ':'
+              + String.format("%08x", (int) SeededDraw.bits(world.seed(), "text", number));
       String key = String.format("%016x", SeededDraw.bits(world.seed(), "key", number));
       wishes.add(
           new ClientRequest(
@@ -71,7 +79,8 @@
     }
   }
 
-  private static Map<Integer, Double> shares(Scenario world, ServiceClass grade, SplittableRandom random) {
+  private static Map<Integer, Double> shares(
+      Scenario world, ServiceClass grade, SplittableRandom random) {
     int count = Math.max(1, (int) Math.round(grade.folios() * world.folios()));
     int first = random.nextInt(world.folios());
     double[] weights = new double[count];
--- a/emulator/src/main/java/gingerring/emulator/experiment/Clients.java
+++ b/emulator/src/main/java/gingerring/emulator/experiment/Clients.java
@@ -1,9 +1,9 @@
 package gingerring.emulator.experiment;
 
-import gingerring.emulator.core.SeededDraw;
 import gingerring.emulator.core.Referee;
-import gingerring.emulator.core.Workload.ClientRequest;
 import gingerring.emulator.core.Scenario;
+import gingerring.emulator.core.SeededDraw;
+import gingerring.emulator.core.Workload.ClientRequest;
 import gingerring.http.Head;
 import gingerring.http.Malformed;
 import gingerring.traffic.replay.Retries;
@@ -157,7 +157,8 @@
   private void ended(Try which, Answer answer) {
     Duration took = reactor.now().minus(which.first);
     Optional<Duration> again =
-        answer.fate() == ObservedScan.ScanOutcome.WHOLE || answer.fate() == ObservedScan.ScanOutcome.PART
+        answer.fate() == ObservedScan.ScanOutcome.WHOLE
+                || answer.fate() == ObservedScan.ScanOutcome.PART
             ? Optional.empty()
             : retries.next(which.number, answer.comeBack());
     tally.ended(which.wish, answer, took, reactor.now());
@@ -274,7 +275,9 @@
       now = null;
       asking.remove(this);
       Answer answer = Answer.read(head, json);
-      boolean served = answer.fate() == ObservedScan.ScanOutcome.WHOLE || answer.fate() == ObservedScan.ScanOutcome.PART;
+      boolean served =
+          answer.fate() == ObservedScan.ScanOutcome.WHOLE
+              || answer.fate() == ObservedScan.ScanOutcome.PART;
       referee.answered(
           mark,
           reactor.now(),
@@ -319,7 +322,13 @@
         referee.left(mark, reactor.now());
         ended(
             ended,
-            new Answer(ObservedScan.ScanOutcome.LEFT, 0, false, Map.of(), Duration.ZERO, "its connection ended"));
+            new Answer(
+                ObservedScan.ScanOutcome.LEFT,
+                0,
+                false,
+                Map.of(),
+                Duration.ZERO,
+                "its connection ended"));
       }
     }
 
--- a/emulator/src/main/java/gingerring/emulator/experiment/Run.java
+++ b/emulator/src/main/java/gingerring/emulator/experiment/Run.java
@@ -1,8 +1,8 @@
 package gingerring.emulator.experiment;
 
 import gingerring.emulator.core.Referee;
-import gingerring.emulator.core.Workload;
 import gingerring.emulator.core.Scenario;
+import gingerring.emulator.core.Workload;
 import gingerring.traffic.wire.Reactor;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -45,7 +45,8 @@
    * Runs until every wish has had its end; {@code record} names a capture file for the mixer, or is
    * null.
    */
-  public static Result of(Scenario world, Router router, double pace, Path record) throws IOException {
+  public static Result of(Scenario world, Router router, double pace, Path record)
+      throws IOException {
     Reactor reactor = new Reactor();
     Referee referee = new Referee(world);
     Store store = new Store(world, reactor, referee, pace);
--- a/emulator/src/main/java/gingerring/emulator/experiment/Store.java
+++ b/emulator/src/main/java/gingerring/emulator/experiment/Store.java
@@ -1,10 +1,10 @@
 package gingerring.emulator.experiment;
 
 import gingerring.emulator.core.Box;
-import gingerring.emulator.core.SeededDraw;
 import gingerring.emulator.core.Referee;
 import gingerring.emulator.core.Scenario;
 import gingerring.emulator.core.Scenario.BoxFault;
+import gingerring.emulator.core.SeededDraw;
 import gingerring.traffic.wire.Reactor;
 import gingerring.traffic.wire.ReactorConnection;
 import java.io.ByteArrayOutputStream;
--- a/emulator/src/main/java/gingerring/emulator/experiment/Tally.java
+++ b/emulator/src/main/java/gingerring/emulator/experiment/Tally.java
@@ -1,7 +1,7 @@
 package gingerring.emulator.experiment;
 
-import gingerring.emulator.core.Workload.ClientRequest;
 import gingerring.emulator.core.Scenario.ServiceClass;
+import gingerring.emulator.core.Workload.ClientRequest;
 import gingerring.traffic.scan.Answer;
 import gingerring.traffic.scan.ObservedScan.ScanOutcome;
 import java.time.Duration;
--- a/emulator/src/main/java/gingerring/emulator/harness/Fleet.java
+++ b/emulator/src/main/java/gingerring/emulator/harness/Fleet.java
@@ -1,17 +1,17 @@
 package gingerring.emulator.harness;
 
-import gingerring.emulator.core.SeededDraw;
 import gingerring.emulator.core.Referee;
-import gingerring.emulator.core.Workload;
 import gingerring.emulator.core.Scenario;
-import gingerring.emulator.harness.FleetScenario.Fault;
+import gingerring.emulator.core.SeededDraw;
+import gingerring.emulator.core.Workload;
 import gingerring.emulator.experiment.Clients;
 import gingerring.emulator.experiment.MixerProcess;
 import gingerring.emulator.experiment.Store;
 import gingerring.emulator.experiment.Tally;
+import gingerring.emulator.harness.FleetScenario.Fault;
 import gingerring.peering.PeerQueryClient;
-import gingerring.peers.PeerId;
 import gingerring.peers.PeerAddress;
+import gingerring.peers.PeerId;
 import gingerring.traffic.wire.Datagrams;
 import gingerring.traffic.wire.Reactor;
 import java.io.IOException;
@@ -41,8 +41,9 @@
 import java.util.stream.Stream;
 
 /**
- * Plays a {@link FleetScenario}: starts the mixers, the store, the links and the clients, lets things break
- * at their times, and says what came of it. Blocks until every wish has had its end, within bounds.
+ * Plays a {@link FleetScenario}: starts the mixers, the store, the links and the clients, lets
+ * things break at their times, and says what came of it. Blocks until every wish has had its end,
+ * within bounds.
  */
 public final class Fleet implements AutoCloseable {
   /** What a run says of the rules; undecided where some of it is missing. */
@@ -278,7 +279,8 @@
     for (int i = 0; i < plan.mixers(); i++) {
       String state = mixers.get(i).state();
       if (!state.isEmpty()) {
-        result.errors.add(new HarnessError.NotStarted(i, state + " after " + START_MS + " ms", null));
+        result.errors.add(
+            new HarnessError.NotStarted(i, state + " after " + START_MS + " ms", null));
       }
     }
   }
@@ -368,7 +370,8 @@
         Datagrams socket =
             reactor.datagrams(
                 Store.loopback(0),
-                (from, letter) -> liar.received(new PeerAddress(0x7F000001, from.getPort()), letter));
+                (from, letter) ->
+                    liar.received(new PeerAddress(0x7F000001, from.getPort()), letter));
         hub.bound(number, socket.address().getPort());
         liar.begin(socket);
       } catch (IOException e) {
@@ -595,7 +598,8 @@
     reactor.post(() -> address.complete(hub.boundAt(mixer)));
     try {
       Matcher there =
-          THERE.matcher(PeerQueryClient.ask(address.get(END_MS, TimeUnit.MILLISECONDS), keys, 'p', 0));
+          THERE.matcher(
+              PeerQueryClient.ask(address.get(END_MS, TimeUnit.MILLISECONDS), keys, 'p', 0));
       result.present.add(there.find() ? Integer.parseInt(there.group(1)) : -1);
     } catch (IOException | ExecutionException | TimeoutException e) {
       result.present.add(-1);
--- a/emulator/src/main/java/gingerring/emulator/harness/FleetScenario.java
+++ b/emulator/src/main/java/gingerring/emulator/harness/FleetScenario.java
@@ -1,8 +1,8 @@
 package gingerring.emulator.harness;
 
-import gingerring.emulator.core.SeededDraw;
 import gingerring.emulator.core.Scenario;
 import gingerring.emulator.core.Scenario.InvalidScenario;
+import gingerring.emulator.core.SeededDraw;
 import gingerring.json.Fields;
 import gingerring.json.Json;
 import java.time.Duration;
@@ -95,7 +95,8 @@
     }
   }
 
-  private static FleetScenario read(Scenario world, Map<String, Object> fleet) throws InvalidScenario, Json.Malformed {
+  private static FleetScenario read(Scenario world, Map<String, Object> fleet)
+      throws InvalidScenario, Json.Malformed {
     known(fleet, FLEET, "fleet.");
     int mixers = (int) number(fleet, "mixers", "fleet.", 8, 1, 1000);
     List<String> zones = new ArrayList<>();
@@ -168,7 +169,8 @@
       throws InvalidScenario {
     for (String name : told.keySet()) {
       if (!names.contains(name)) {
-        throw new InvalidScenario(place + name + " is unknown; known are " + String.join(", ", names));
+        throw new InvalidScenario(
+            place + name + " is unknown; known are " + String.join(", ", names));
       }
     }
   }
@@ -188,14 +190,16 @@
   }
 
   private static Set<Integer> numbers(
-      Map<String, Object> told, String name, String place, int count) throws InvalidScenario, Json.Malformed {
+      Map<String, Object> told, String name, String place, int count)
+      throws InvalidScenario, Json.Malformed {
     Set<Integer> numbers = new TreeSet<>();
     for (Object each : told.containsKey(name) ? Fields.list(told, name) : List.of()) {
       if (!(each instanceof Double number)
           || number != Math.rint(number)
           || number < 0
           || number >= count) {
-        throw new InvalidScenario(place + name + " has " + each + ", and there are " + count + " from 0 on");
+        throw new InvalidScenario(
+            place + name + " has " + each + ", and there are " + count + " from 0 on");
       }
       numbers.add(number.intValue());
     }
--- a/emulator/src/main/java/gingerring/emulator/harness/Liar.java
+++ b/emulator/src/main/java/gingerring/emulator/harness/Liar.java
@@ -1,9 +1,9 @@
 package gingerring.emulator.harness;
 
-import gingerring.peers.PeerNode;
-import gingerring.peers.PeerId;
-import gingerring.peers.PeerAddress;
 import gingerring.peers.MessageAuthenticator;
+import gingerring.peers.PeerAddress;
+import gingerring.peers.PeerId;
+import gingerring.peers.PeerNode;
 import gingerring.peers.PeerRecord;
 import gingerring.traffic.wire.Datagrams;
 import gingerring.traffic.wire.Reactor;
--- a/emulator/src/main/java/gingerring/emulator/interleaving/Scene.java
+++ b/emulator/src/main/java/gingerring/emulator/interleaving/Scene.java
@@ -1,8 +1,8 @@
 package gingerring.emulator.interleaving;
 
 import gingerring.emulator.core.Box;
-import gingerring.emulator.core.SeededDraw;
 import gingerring.emulator.core.Scenario;
+import gingerring.emulator.core.SeededDraw;
 import gingerring.emulator.experiment.MixerProcess;
 import gingerring.http.Head;
 import gingerring.http.Malformed;
@@ -1293,7 +1293,9 @@
         return;
       }
       Answer answer = Answer.read(head, json);
-      boolean served = answer.fate() == ObservedScan.ScanOutcome.WHOLE || answer.fate() == ObservedScan.ScanOutcome.PART;
+      boolean served =
+          answer.fate() == ObservedScan.ScanOutcome.WHOLE
+              || answer.fate() == ObservedScan.ScanOutcome.PART;
       note("answered " + mark + ' ' + answer.status() + (served ? " " + answer.fate() : ""));
       warm |= answer.fate() == ObservedScan.ScanOutcome.WHOLE;
       if (mine == generation && !left) {
--- a/emulator/src/main/java/gingerring/emulator/simulation/Choices.java
+++ b/emulator/src/main/java/gingerring/emulator/simulation/Choices.java
@@ -2,8 +2,8 @@
 
 import gingerring.share.Box;
 import gingerring.share.BoxId;
-import gingerring.share.SubsetSelector;
 import gingerring.share.MixerId;
+import gingerring.share.SubsetSelector;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Arrays;
--- a/emulator/src/main/java/gingerring/emulator/simulation/PeerSimulation.java
+++ b/emulator/src/main/java/gingerring/emulator/simulation/PeerSimulation.java
@@ -1,10 +1,10 @@
 package gingerring.emulator.simulation;
 
-import gingerring.peers.PeerNode;
 import gingerring.peers.Membership;
-import gingerring.peers.PeerId;
-import gingerring.peers.PeerAddress;
 import gingerring.peers.MessageAuthenticator;
+import gingerring.peers.PeerAddress;
+import gingerring.peers.PeerId;
+import gingerring.peers.PeerNode;
 import gingerring.peers.PeerRecord;
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
@@ -456,7 +456,8 @@
     for (Node one : nodes) {
       for (Node other : nodes) {
         boolean both = one != other && one.alive && other.alive;
-        result.strangers += both && one.company.membership().incarnation(peer(other.number)) == 0 ? 1 : 0;
+        result.strangers +=
+            both && one.company.membership().incarnation(peer(other.number)) == 0 ? 1 : 0;
       }
       if (one.alive) {
         one.company
--- a/emulator/src/main/java/gingerring/emulator/simulation/Portions.java
+++ b/emulator/src/main/java/gingerring/emulator/simulation/Portions.java
@@ -1,7 +1,7 @@
 package gingerring.emulator.simulation;
 
-import gingerring.share.FairShares;
 import gingerring.share.CapacityEstimator;
+import gingerring.share.FairShares;
 import java.time.Duration;
 import java.util.ArrayDeque;
 import java.util.Arrays;
--- a/emulator/src/test/java/gingerring/emulator/core/BoxTest.java
+++ b/emulator/src/test/java/gingerring/emulator/core/BoxTest.java
@@ -170,7 +170,8 @@
             "it ends early");
     wrong.forEach(
         (json, why) -> {
-          Scenario.InvalidScenario unfit = assertThrows(Scenario.InvalidScenario.class, () -> world(json));
+          Scenario.InvalidScenario unfit =
+              assertThrows(Scenario.InvalidScenario.class, () -> world(json));
           assertTrue(unfit.getMessage().contains(why), unfit.getMessage());
         });
   }
--- a/emulator/src/test/java/gingerring/emulator/harness/FleetRigTest.java
+++ b/emulator/src/test/java/gingerring/emulator/harness/FleetRigTest.java
@@ -20,7 +20,8 @@
       "\"settings\": {\"period_ms\": 200, \"ack_ms\": 60, \"say_ms\": 200, "
           + "\"reconnect_ms\": 500, \"round_ms\": 500, \"step_ms\": 100, \"witnesses\": 3}";
 
-  private static Fleet.Result play(String world, String fleet) throws IOException, Scenario.InvalidScenario {
+  private static Fleet.Result play(String world, String fleet)
+      throws IOException, Scenario.InvalidScenario {
     String usual =
         (world.contains("rate") ? "" : "\"rate\": 30, ")
             + (world.contains("lengthMs") ? "" : "\"lengthMs\": 8000, ");
--- a/emulator/src/test/java/gingerring/emulator/simulation/SocietyTest.java
+++ b/emulator/src/test/java/gingerring/emulator/simulation/SocietyTest.java
@@ -7,8 +7,8 @@
 import gingerring.emulator.simulation.PeerSimulation.Fault.Kind;
 import gingerring.emulator.simulation.PeerSimulation.Result;
 import gingerring.emulator.simulation.PeerSimulation.Setup;
-import gingerring.peers.PeerNode;
 import gingerring.peers.Membership;
+import gingerring.peers.PeerNode;
 import java.util.List;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
@@ -53,7 +53,8 @@
   @Test
   void sevenInTenKilledAndBackWithinASecond() {
     for (long seed = 1; seed <= 3; seed++) {
-      Result result = play(30, 60, seed, fault(Kind.KILL, 20_000, 900, PeerSimulation.range(9, 21)));
+      Result result =
+          play(30, 60, seed, fault(Kind.KILL, 20_000, 900, PeerSimulation.range(9, 21)));
       assertEquals(0, result.wronglyGone);
       assertEquals(0, result.strangers);
     }
@@ -71,11 +72,19 @@
   @Test
   void halvesThatWereCutFindEachOtherAgain() {
     Fault even =
-        new Fault(Kind.CUT, 20_000, 40_000, PeerSimulation.range(0, 15), PeerSimulation.range(15, 15), 0);
+        new Fault(
+            Kind.CUT, 20_000, 40_000, PeerSimulation.range(0, 15), PeerSimulation.range(15, 15), 0);
     Fault uneven =
-        new Fault(Kind.CUT, 20_000, 40_000, PeerSimulation.range(3, 4), PeerSimulation.range(7, 23), 0);
+        new Fault(
+            Kind.CUT, 20_000, 40_000, PeerSimulation.range(3, 4), PeerSimulation.range(7, 23), 0);
     Fault oneWay =
-        new Fault(Kind.CUT_ONE_WAY, 20_000, 40_000, PeerSimulation.range(0, 15), PeerSimulation.range(15, 15), 0);
+        new Fault(
+            Kind.CUT_ONE_WAY,
+            20_000,
+            40_000,
+            PeerSimulation.range(0, 15),
+            PeerSimulation.range(15, 15),
+            0);
     for (Fault each : List.of(even, uneven, oneWay)) {
       for (long seed = 3; seed <= 5; seed++) {
         Result result = play(30, 120, seed, each);
--- a/layout/src/main/java/gingerring/layout/Layout.java
+++ b/layout/src/main/java/gingerring/layout/Layout.java
@@ -32,7 +32,10 @@
   private final HashPMap<PartitionId, Partition> folios;
 
   private Layout(
-      long version, long keys, TreePMap<Long, Place> places, HashPMap<PartitionId, Partition> folios) {
+      long version,
+      long keys,
+      TreePMap<Long, Place> places,
+      HashPMap<PartitionId, Partition> folios) {
     this.version = version;
     this.keys = keys;
     this.places = places;
@@ -40,7 +43,8 @@
   }
 
   /** A whole list; refused unless every key from 0 up to {@code keys} has one owner. */
-  public static Layout of(long version, long keys, Collection<Partition> list) throws LayoutException {
+  public static Layout of(long version, long keys, Collection<Partition> list)
+      throws LayoutException {
     if (version < 0 || keys <= 0) {
       throw new LayoutException("version " + version + " of " + keys + " keys cannot be");
     }
@@ -158,7 +162,8 @@
       }
       // the old folio's number may go on with one of the new
       if (next.containsKey(folio.id())) {
-        throw new LayoutException("step " + split.version() + ": " + folio.id() + " is there already");
+        throw new LayoutException(
+            "step " + split.version() + ": " + folio.id() + " is there already");
       }
       next = next.plus(folio.id(), folio);
       for (KeyRange slice : folio.ranges()) {
@@ -236,7 +241,8 @@
     }
     slices.sort(Comparator.comparingLong(KeyRange::from));
     if (next.containsKey(merge.into())) {
-      throw new LayoutException("step " + merge.version() + ": " + merge.into() + " is there already");
+      throw new LayoutException(
+          "step " + merge.version() + ": " + merge.into() + " is there already");
     }
     Partition folio = new Partition(merge.into(), slices, merge.holders());
     check(folio);
--- a/layout/src/main/java/gingerring/layout/Planner.java
+++ b/layout/src/main/java/gingerring/layout/Planner.java
@@ -101,7 +101,8 @@
       if (cut.getValue().size() == 1) {
         PartitionId target = cut.getValue().keySet().iterator().next();
         if (!target.equals(folio.id()) && pieces.get(target) == 1) {
-          throw new LayoutException(folio.id() + " would only change its number, to " + target.number());
+          throw new LayoutException(
+              folio.id() + " would only change its number, to " + target.number());
         }
         targets.put(folio.id(), target);
         continue;
@@ -111,7 +112,9 @@
         PartitionId target = part.getKey();
         // what stays keeps its number; what is alone in its target has that one's at once
         PartitionId id =
-            target.equals(folio.id()) || pieces.get(target) == 1 ? target : new PartitionId(numbers++);
+            target.equals(folio.id()) || pieces.get(target) == 1
+                ? target
+                : new PartitionId(numbers++);
         into.add(new Partition(id, part.getValue(), folio.holders()));
         targets.put(id, target);
       }
--- a/layout/src/main/java/gingerring/layout/Step.java
+++ b/layout/src/main/java/gingerring/layout/Step.java
@@ -23,7 +23,8 @@
   }
 
   /** A holder's copy begins to move to a box that is none: until it has, the holder goes on. */
-  record MoveBegins(long version, PartitionId folio, BoxId source, BoxId successor) implements Step {}
+  record MoveBegins(long version, PartitionId folio, BoxId source, BoxId successor)
+      implements Step {}
 
   /** The successor holds the folio now, and the source does not. */
   record MoveEnds(long version, PartitionId folio) implements Step {}
--- a/layout/src/test/java/gingerring/layout/AttemptsTest.java
+++ b/layout/src/test/java/gingerring/layout/AttemptsTest.java
@@ -95,7 +95,8 @@
     assertTrue(hints.holds(Histories.box(2), 0, 12, layout, ms(1)));
     assertTrue(hints.behind(layout, ms(1)));
     Layout next =
-        layout.apply(new Step.MoveBegins(1, new PartitionId(0), Histories.box(0), Histories.box(7)));
+        layout.apply(
+            new Step.MoveBegins(1, new PartitionId(0), Histories.box(0), Histories.box(7)));
     assertTrue(hints.holds(Histories.box(1), 0, 12, next, ms(2)));
     hints.disowned(Histories.box(1), 0, 12, Long.MAX_VALUE, ms(0)); // a version that never comes
     assertFalse(hints.holds(Histories.box(1), 0, 12, next, ms(10_000)));
--- a/layout/src/test/java/gingerring/layout/ExplorationTest.java
+++ b/layout/src/test/java/gingerring/layout/ExplorationTest.java
@@ -361,8 +361,10 @@
           Layout.of(
               0,
               KEYS,
-              List.of(new Partition(new PartitionId(0), List.of(new KeyRange(0, 4, 2)), List.of(A)))));
-      versions.add(versions.get(0).apply(new Step.Split(1, new PartitionId(0), List.of(low, high))));
+              List.of(
+                  new Partition(new PartitionId(0), List.of(new KeyRange(0, 4, 2)), List.of(A)))));
+      versions.add(
+          versions.get(0).apply(new Step.Split(1, new PartitionId(0), List.of(low, high))));
     } else {
       versions.add(Layout.of(0, KEYS, List.of(low, high)));
     }
--- a/layout/src/test/java/gingerring/layout/Histories.java
+++ b/layout/src/test/java/gingerring/layout/Histories.java
@@ -170,7 +170,8 @@
       int from = i * KEYS / 4;
       int to = (i + 1) * KEYS / 4;
       List<BoxId> holders = List.of(box(i), box(i + 1), box(i + 2));
-      folios.add(new Partition(new PartitionId(i), List.of(new KeyRange(from, to, 1 + i)), holders));
+      folios.add(
+          new Partition(new PartitionId(i), List.of(new KeyRange(from, to, 1 + i)), holders));
       for (int key = from; key < to; key++) {
         model.owner[key] = i;
         model.weight[key] = (1.0 + i) / (to - from);
@@ -208,7 +209,8 @@
         for (int i = 0; i < 2; i++) {
           from.add(folios.get(random.nextInt(folios.size())).id());
         }
-        PartitionId into = new PartitionId(random.nextInt(4) == 0 ? one.id().number() : numbers[0]++);
+        PartitionId into =
+            new PartitionId(random.nextInt(4) == 0 ? one.id().number() : numbers[0]++);
         return new Step.Merge(
             version, from, into, random.nextInt(10) == 0 ? List.of() : boxes(random));
       default:
@@ -241,7 +243,8 @@
             slices
                 .get(0)
                 .set(
-                    slices.get(0).size() - 1, new KeyRange(last.from(), last.to() + 1, last.weight()));
+                    slices.get(0).size() - 1,
+                    new KeyRange(last.from(), last.to() + 1, last.weight()));
       }
     }
     List<Partition> into = new ArrayList<>();
--- a/layout/src/test/java/gingerring/layout/LayoutTest.java
+++ b/layout/src/test/java/gingerring/layout/LayoutTest.java
@@ -178,7 +178,8 @@
                 "folio 3 moves from no holder, or to one");
     wrong.forEach(
         (list, why) -> {
-          LayoutException refused = assertThrows(LayoutException.class, () -> Layout.of(1, 20, list));
+          LayoutException refused =
+              assertThrows(LayoutException.class, () -> Layout.of(1, 20, list));
           assertTrue(refused.getMessage().startsWith(why), refused.getMessage());
         });
   }
--- a/layout/src/test/java/gingerring/layout/LedgerTest.java
+++ b/layout/src/test/java/gingerring/layout/LedgerTest.java
@@ -186,15 +186,20 @@
                 old.id(),
                 List.of(
                     new Partition(
-                        new PartitionId(10), List.of(new KeyRange(all.from(), middle, 0.25)), holders),
+                        new PartitionId(10),
+                        List.of(new KeyRange(all.from(), middle, 0.25)),
+                        holders),
                     new Partition(
-                        new PartitionId(11), List.of(new KeyRange(middle, all.to(), 0.75)), holders))));
+                        new PartitionId(11),
+                        List.of(new KeyRange(middle, all.to(), 0.75)),
+                        holders))));
     for (boolean apart : new boolean[] {true, false}) {
       Ledger ledger = new Ledger();
       ledger.ask(old, 1);
       ledger.refine(after);
       assertEquals(
-          List.of(new PartitionId(10), new PartitionId(11)), List.copyOf(ledger.missing(after).keySet()));
+          List.of(new PartitionId(10), new PartitionId(11)),
+          List.copyOf(ledger.missing(after).keySet()));
       assertEquals(
           Taken.ALL,
           ledger.answer(List.of(new Entry(middle, all.to(), hours(middle, all.to()))), true));
--- a/layout/src/test/java/gingerring/layout/PlannerTest.java
+++ b/layout/src/test/java/gingerring/layout/PlannerTest.java
@@ -75,7 +75,8 @@
     Layout from = Histories.first(new Model());
     List<Partition> swapped = new ArrayList<>();
     for (Partition folio : from.partitions()) {
-      swapped.add(new Partition(new PartitionId(3 - folio.id().number()), folio.ranges(), folio.holders()));
+      swapped.add(
+          new Partition(new PartitionId(3 - folio.id().number()), folio.ranges(), folio.holders()));
     }
     Layout to = Layout.of(9, Histories.KEYS, swapped);
     assertEquals(
@@ -84,7 +85,8 @@
     List<Partition> renamed = new ArrayList<>();
     for (Partition folio : from.partitions()) {
       renamed.add(
-          new Partition(new PartitionId(10 + folio.id().number()), folio.ranges(), folio.holders()));
+          new Partition(
+              new PartitionId(10 + folio.id().number()), folio.ranges(), folio.holders()));
     }
     Layout other = Layout.of(9, Histories.KEYS, renamed);
     assertTrue(
--- a/mixer/src/main/java/gingerring/Main.java
+++ b/mixer/src/main/java/gingerring/Main.java
@@ -1,7 +1,7 @@
 package gingerring;
 
-import gingerring.simulator.Drill;
 import gingerring.server.MixerServer;
+import gingerring.simulator.Drill;
 import java.io.IOException;
 
 /** The command line: one subcommand for each way to run the router. */
--- a/mixer/src/main/java/gingerring/server/MixerConfig.java
+++ b/mixer/src/main/java/gingerring/server/MixerConfig.java
@@ -115,7 +115,8 @@
     return value == null ? "" : value.toString().replace(' ', '_').replace(',', '_');
   }
 
-  private static String text(Map<String, Object> told, String name, String otherwise) throws InvalidConfig {
+  private static String text(Map<String, Object> told, String name, String otherwise)
+      throws InvalidConfig {
     Object value = told.getOrDefault(name, otherwise);
     if (value instanceof String text && !text.isEmpty()) {
       return text;
@@ -148,7 +149,8 @@
         sockets = Fields.number(limits, "sockets");
       }
     } catch (Json.Malformed e) {
-      throw new InvalidConfig("limits.sockets cannot be read (" + e.getMessage() + "): give a number");
+      throw new InvalidConfig(
+          "limits.sockets cannot be read (" + e.getMessage() + "): give a number");
     }
     if (sockets < SOCKETS_LEAST) {
       throw new InvalidConfig(
--- a/mixer/src/main/java/gingerring/server/PeerService.java
+++ b/mixer/src/main/java/gingerring/server/PeerService.java
@@ -10,8 +10,8 @@
 /**
  * The other mixers, as a mixer's process meets them: told what this one sees, and asked what others
  * tell. All calls come on the loop's thread; searchers go by the number that every mixer makes of
- * their names. Given to {@link MixerServer}, or not: without one, nothing of it is loaded, opened or
- * started.
+ * their names. Given to {@link MixerServer}, or not: without one, nothing of it is loaded, opened
+ * or started.
  */
 public interface PeerService {
   /** What the process lends: its loop's clock and inbox, and a way to its mixer. */
--- a/mixer/src/test/java/gingerring/decide/LeavingTest.java
+++ b/mixer/src/test/java/gingerring/decide/LeavingTest.java
@@ -30,7 +30,8 @@
     EVENTS.put(
         "its searchers go",
         stage ->
-            stage.mixer.rosterTold(List.of(Stage.line(3, 3, MemberEntry.Standing.READY, null)), true));
+            stage.mixer.rosterTold(
+                List.of(Stage.line(3, 3, MemberEntry.Standing.READY, null)), true));
     EVENTS.put(
         "its searchers drain",
         stage ->
--- a/mixer/src/test/java/gingerring/decide/MixerTest.java
+++ b/mixer/src/test/java/gingerring/decide/MixerTest.java
@@ -59,7 +59,8 @@
     Searcher busy = null;
     for (int i = 0; i < 2000; i++) {
       Duration now = ms(100 * i);
-      List<MemberEntry> lines = new ArrayList<>(List.of(line(i, i % 4, MemberEntry.Standing.READY, null)));
+      List<MemberEntry> lines =
+          new ArrayList<>(List.of(line(i, i % 4, MemberEntry.Standing.READY, null)));
       if (i >= 4) {
         lines.add(line(i - 4, i % 4, MemberEntry.Standing.GONE, null));
       }
@@ -475,7 +476,8 @@
     Map<SearcherId, Integer> zones = new HashMap<>();
     for (int i = 0; i < 8; i++) {
       zones.put(new SearcherId(i), i % 2);
-      lines.add(new MemberEntry(new SearcherId(i), i % 2, 0, i, MemberEntry.Standing.READY, 1, null));
+      lines.add(
+          new MemberEntry(new SearcherId(i), i % 2, 0, i, MemberEntry.Standing.READY, 1, null));
     }
     stage.mixer.rosterTold(lines, true);
     for (int i = 0; i < 4; i++) {
@@ -636,7 +638,8 @@
     Stage stage = new Stage("Domain.Reach", "1").fleet(4);
     for (int i = 0; i < 120; i++) {
       stage.scan(1000 + i, 0.25, 0.25, 0.25, 0.25);
-      for (MemberEntry.Standing now : List.of(MemberEntry.Standing.DRAINING, MemberEntry.Standing.READY)) {
+      for (MemberEntry.Standing now :
+          List.of(MemberEntry.Standing.DRAINING, MemberEntry.Standing.READY)) {
         for (int j = 1; j < 4; j++) {
           stage.mixer.rosterTold(List.of(line(j, j, now, null)), false);
         }
@@ -648,7 +651,8 @@
     }
     stage.mixer.rosterTold(
         List.of(
-            line(0, 0, MemberEntry.Standing.GONE, null), line(5, 0, MemberEntry.Standing.READY, stage.now)),
+            line(0, 0, MemberEntry.Standing.GONE, null),
+            line(5, 0, MemberEntry.Standing.READY, stage.now)),
         false);
     int first = stage.sent.size();
     for (int i = 0; i < 30; i++) {
--- a/mixer/src/test/java/gingerring/decide/Stage.java
+++ b/mixer/src/test/java/gingerring/decide/Stage.java
@@ -73,7 +73,9 @@
   /** One warm searcher in each of so many cells, numbered as the cells. */
   Stage fleet(int cells) {
     mixer.rosterTold(
-        IntStream.range(0, cells).mapToObj(i -> line(i, i, MemberEntry.Standing.READY, null)).toList(),
+        IntStream.range(0, cells)
+            .mapToObj(i -> line(i, i, MemberEntry.Standing.READY, null))
+            .toList(),
         true);
     return this;
   }
--- a/mixer/src/test/java/gingerring/server/FrontCrossingTest.java
+++ b/mixer/src/test/java/gingerring/server/FrontCrossingTest.java
@@ -488,7 +488,9 @@
       Map<String, String> env = Map.of("LB_CONFIG", file.toString());
       MixerServer serve = new MixerServer(env, null, null);
       assertEquals(
-          0, serve.serve(MixerConfig.read(env), System.err, at -> serve.loop.post(serve::announceEnd)));
+          0,
+          serve.serve(
+              MixerConfig.read(env), System.err, at -> serve.loop.post(serve::announceEnd)));
       serve.dispose();
       assertEquals(1, serve.counts.get("ends announced"));
       assertEquals(0, serve.counts.get("failures in an event"));
--- a/mixer/src/test/java/gingerring/server/OrdersTest.java
+++ b/mixer/src/test/java/gingerring/server/OrdersTest.java
@@ -67,7 +67,8 @@
         other.put(pair[0], pair[1]);
       }
       String told =
-          assertThrows(IllegalArgumentException.class, () -> Bounds.check(new Settings(other)), unfit)
+          assertThrows(
+                  IllegalArgumentException.class, () -> Bounds.check(new Settings(other)), unfit)
               .getMessage();
       assertTrue(told.startsWith("setting " + pair[0] + " ") && !told.contains("\n"), told);
     }
--- a/peering/src/main/java/gingerring/peering/PeerQueryClient.java
+++ b/peering/src/main/java/gingerring/peering/PeerQueryClient.java
@@ -1,11 +1,11 @@
 package gingerring.peering;
 
+import gingerring.peers.MessageAuthenticator;
 import gingerring.peers.MessageBody;
-import gingerring.peers.PeerMessage;
 import gingerring.peers.MessageCodec;
-import gingerring.peers.PeerId;
 import gingerring.peers.PeerAddress;
-import gingerring.peers.MessageAuthenticator;
+import gingerring.peers.PeerId;
+import gingerring.peers.PeerMessage;
 import java.io.IOException;
 import java.net.DatagramPacket;
 import java.net.DatagramSocket;
@@ -37,7 +37,9 @@
       byte[] bytes = new byte[MessageCodec.MOST + 1];
       for (int i = 1; i <= TRIES; i++) {
         byte[] letter =
-            letters.write(new PeerMessage(self, 1, i, new MessageBody.Query(about, box), List.of(), List.of()));
+            letters.write(
+                new PeerMessage(
+                    self, 1, i, new MessageBody.Query(about, box), List.of(), List.of()));
         socket.send(new DatagramPacket(letter, letter.length, PeerSettings.address(place)));
         try {
           long until = System.nanoTime() + TRY_MS * 1_000_000L;
--- a/peering/src/main/java/gingerring/peering/PeerSettings.java
+++ b/peering/src/main/java/gingerring/peering/PeerSettings.java
@@ -2,10 +2,10 @@
 
 import gingerring.json.Fields;
 import gingerring.json.Json;
-import gingerring.peers.PeerNode;
 import gingerring.peers.Membership;
-import gingerring.peers.PeerAddress;
 import gingerring.peers.MessageAuthenticator;
+import gingerring.peers.PeerAddress;
+import gingerring.peers.PeerNode;
 import java.io.IOException;
 import java.net.Inet4Address;
 import java.net.InetAddress;
--- a/peering/src/main/java/gingerring/peering/PeerSocket.java
+++ b/peering/src/main/java/gingerring/peering/PeerSocket.java
@@ -33,7 +33,8 @@
   private long unsent;
 
   /** {@code received} is called by what is posted to the inbox. */
-  PeerSocket(InetSocketAddress listen, Consumer<Runnable> inbox, BiConsumer<PeerAddress, byte[]> received)
+  PeerSocket(
+      InetSocketAddress listen, Consumer<Runnable> inbox, BiConsumer<PeerAddress, byte[]> received)
       throws IOException {
     this.inbox = inbox;
     this.received = received;
@@ -57,7 +58,8 @@
   }
 
   private void run() {
-    ByteBuffer buffer = ByteBuffer.allocateDirect(MessageCodec.MOST + 1); // what is longer is no letter
+    ByteBuffer buffer =
+        ByteBuffer.allocateDirect(MessageCodec.MOST + 1); // what is longer is no letter
     while (channel.isOpen()) {
       try {
         buffer.clear();
--- a/peering/src/main/java/gingerring/peering/Peering.java
+++ b/peering/src/main/java/gingerring/peering/Peering.java
@@ -2,12 +2,12 @@
 
 import gingerring.decide.MemberEntry;
 import gingerring.decide.Outcome;
+import gingerring.peers.BoxObservation;
+import gingerring.peers.MessageAuthenticator;
 import gingerring.peers.MessageBody;
-import gingerring.peers.PeerNode;
-import gingerring.peers.PeerId;
 import gingerring.peers.PeerAddress;
-import gingerring.peers.MessageAuthenticator;
-import gingerring.peers.BoxObservation;
+import gingerring.peers.PeerId;
+import gingerring.peers.PeerNode;
 import gingerring.peers.PeerRecord;
 import gingerring.peers.PeerReports;
 import gingerring.server.PeerService;
--- a/peering/src/test/java/gingerring/peering/PeerSettingsTest.java
+++ b/peering/src/test/java/gingerring/peering/PeerSettingsTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gingerring.peers.PeerNode;
 import gingerring.peers.PeerAddress;
+import gingerring.peers.PeerNode;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/peering/src/test/java/gingerring/peering/PeeringTest.java
+++ b/peering/src/test/java/gingerring/peering/PeeringTest.java
@@ -8,9 +8,9 @@
 import gingerring.decide.MemberEntry;
 import gingerring.decide.Outcome;
 import gingerring.decide.SearcherId;
-import gingerring.peers.PeerNode;
 import gingerring.peers.Membership;
 import gingerring.peers.PeerId;
+import gingerring.peers.PeerNode;
 import gingerring.server.PeerService;
 import java.io.IOException;
 import java.net.DatagramPacket;
@@ -82,7 +82,8 @@
             peering.begin(this);
             peering.membersChanged(
                 List.of(
-                    new MemberEntry(new SearcherId(BOX), 0, 0, 0, MemberEntry.Standing.READY, 1, null)));
+                    new MemberEntry(
+                        new SearcherId(BOX), 0, 0, 0, MemberEntry.Standing.READY, 1, null)));
           });
       String shown = PeerQueryClient.ask(address(), keys, 'p', 0);
       assertTrue(shown.startsWith(name + " life " + startMs), shown);
@@ -255,7 +256,9 @@
     Member mixer = members.get(0);
     assertThrows(
         IOException.class,
-        () -> PeerQueryClient.ask(mixer.address(), List.of("another fleet's key".getBytes()), 'p', 0));
+        () ->
+            PeerQueryClient.ask(
+                mixer.address(), List.of("another fleet's key".getBytes()), 'p', 0));
     try (DatagramSocket noise = new DatagramSocket()) {
       byte[] bytes = new byte[1500];
       for (int i = 0; i < 2000; i++) {
--- a/peers/src/main/java/gingerring/peers/Membership.java
+++ b/peers/src/main/java/gingerring/peers/Membership.java
@@ -300,7 +300,9 @@
         if (target != null) {
           for (PeerRecord helper : some(rules.helpers, asking.peer)) {
             asking.helpers.add(helper.address());
-            host.send(helper.address(), new MessageBody.PingRequest(asking.number, target.peer(), target.address()));
+            host.send(
+                helper.address(),
+                new MessageBody.PingRequest(asking.number, target.peer(), target.address()));
           }
         }
       }
@@ -408,7 +410,8 @@
     members
         .values()
         .removeIf(
-            each -> !each.standing.isPresent() && now.minus(each.since).compareTo(rules.forget) > 0);
+            each ->
+                !each.standing.isPresent() && now.minus(each.since).compareTo(rules.forget) > 0);
     List<PeerAddress> gone = new ArrayList<>();
     members
         .values()
@@ -425,7 +428,9 @@
     if (!gone.isEmpty()) {
       askWhole(gone.get(chance.nextInt(gone.size())));
     } else {
-      some(1, self).forEach(each -> host.send(each.address(), new MessageBody.MembersRequest(chance.nextLong())));
+      some(1, self)
+          .forEach(
+              each -> host.send(each.address(), new MessageBody.MembersRequest(chance.nextLong())));
     }
   }
 
@@ -435,7 +440,11 @@
 
   /** A letter of a mixer in that life has come that was proved to be of the fleet. */
   public void heard(
-      PeerId author, long authorLife, PeerAddress from, MessageBody body, Collection<PeerRecord> news) {
+      PeerId author,
+      long authorLife,
+      PeerAddress from,
+      MessageBody body,
+      Collection<PeerRecord> news) {
     if (superseded || left) {
       return;
     }
@@ -563,7 +572,8 @@
   private boolean makeRoom() {
     Member oldest = null;
     for (Member each : members.values()) {
-      if (!each.standing.isPresent() && (oldest == null || each.since.compareTo(oldest.since) < 0)) {
+      if (!each.standing.isPresent()
+          && (oldest == null || each.since.compareTo(oldest.since) < 0)) {
         oldest = each;
       }
     }
@@ -587,7 +597,9 @@
       order.add(order.isEmpty() ? 0 : chance.nextInt(order.size()), standing.peer());
     }
     spread.add(standing.peer(), standing);
-    if (before == null || before.state() != standing.state() || before.incarnation() != standing.incarnation()) {
+    if (before == null
+        || before.state() != standing.state()
+        || before.incarnation() != standing.incarnation()) {
       host.changed(standing);
     }
   }
@@ -595,7 +607,9 @@
   private void aboutSelf(PeerRecord told) {
     if (told.incarnation() > life) {
       superseded = true;
-    } else if (told.incarnation() == life && told.state() != State.HERE && told.refutations() >= rise) {
+    } else if (told.incarnation() == life
+        && told.state() != State.HERE
+        && told.refutations() >= rise) {
       rise = told.refutations() + 1;
       count(Count.REFUTED);
       worse(1); // suspected though it lives: it may hear late
--- a/peers/src/main/java/gingerring/peers/MessageCodec.java
+++ b/peers/src/main/java/gingerring/peers/MessageCodec.java
@@ -13,8 +13,8 @@
 /**
  * Letters as bytes, most significant byte first: form 2 (1 byte), author, life, number (8 each),
  * kind (1), the body, a count of news (1) with 35 bytes each, a count of notes (1) with 33 each,
- * and the proof ({@link MessageAuthenticator}). At most {@value #MOST} bytes, so that a letter is one packet on any
- * usual way.
+ * and the proof ({@link MessageAuthenticator}). At most {@value #MOST} bytes, so that a letter is
+ * one packet on any usual way.
  *
  * <p>Bodies: ping number (4), peer (8); ack and nack number (4); help number (4), peer (8), place
  * (6); ask from (8); page next (8), count (1), standings; say zone (4), demand (4, a float), count
@@ -54,7 +54,8 @@
 
   /** How many boxes a word may tell of so that so many news and notes still fit beside it. */
   static int boxes(int news, int notes) {
-    return (MOST - HEAD - WORD - 2 - news * STANDING - notes * NOTE - MessageAuthenticator.PROOF) / BOX;
+    return (MOST - HEAD - WORD - 2 - news * STANDING - notes * NOTE - MessageAuthenticator.PROOF)
+        / BOX;
   }
 
   /** How much fits beside a body of that kind: room in standings, where no notes go along. */
@@ -76,7 +77,10 @@
   /** The bytes of a letter; one that is too large is a fault of its writer. */
   public byte[] write(PeerMessage letter) {
     ByteBuffer to = ByteBuffer.wrap(bytes, 0, MOST - MessageAuthenticator.PROOF);
-    to.put(FORM).putLong(letter.author().number()).putLong(letter.incarnation()).putLong(letter.number());
+    to.put(FORM)
+        .putLong(letter.author().number())
+        .putLong(letter.incarnation())
+        .putLong(letter.number());
     body(to, letter.body());
     to.put((byte) letter.updates().size());
     letter.updates().forEach(each -> standing(to, each));
@@ -189,7 +193,8 @@
     }
   }
 
-  private static MessageBody body(ByteBuffer in, PeerId author, long life, long number) throws InvalidMessage {
+  private static MessageBody body(ByteBuffer in, PeerId author, long life, long number)
+      throws InvalidMessage {
     byte kind = in.get();
     return switch (kind) {
       case 'p' -> new MessageBody.Ping(in.getInt(), new PeerId(in.getLong()));
@@ -228,12 +233,14 @@
       if (state >= STATES.length) {
         throw new IllegalArgumentException("a standing of " + state);
       }
-      standings.add(new PeerRecord(peer, place, life, rise, STATES[state], new PeerId(in.getLong())));
+      standings.add(
+          new PeerRecord(peer, place, life, rise, STATES[state], new PeerId(in.getLong())));
     }
     return standings;
   }
 
-  private static PeerReport word(ByteBuffer in, PeerId author, long life, long number) throws InvalidMessage {
+  private static PeerReport word(ByteBuffer in, PeerId author, long life, long number)
+      throws InvalidMessage {
     int zone = in.getInt();
     double demand = in.getFloat();
     int count = Short.toUnsignedInt(in.getShort());
@@ -241,7 +248,8 @@
     for (int i = 0; i < count; i++) {
       boxes.put(
           in.getLong(),
-          new BoxObservation(Short.toUnsignedInt(in.getShort()), Short.toUnsignedInt(in.getShort())));
+          new BoxObservation(
+              Short.toUnsignedInt(in.getShort()), Short.toUnsignedInt(in.getShort())));
     }
     if (boxes.size() != count) {
       throw new InvalidMessage("proved, and no letter: a box stands there twice");
--- a/peers/src/main/java/gingerring/peers/PeerMessage.java
+++ b/peers/src/main/java/gingerring/peers/PeerMessage.java
@@ -10,7 +10,12 @@
  * @param notes what was asked of benched boxes for all, passed on
  */
 public record PeerMessage(
-    PeerId author, long incarnation, long number, MessageBody body, List<PeerRecord> updates, List<Note> notes) {
+    PeerId author,
+    long incarnation,
+    long number,
+    MessageBody body,
+    List<PeerRecord> updates,
+    List<Note> notes) {
   public PeerMessage {
     updates = List.copyOf(updates);
     notes = List.copyOf(notes);
--- a/peers/src/main/java/gingerring/peers/PeerNode.java
+++ b/peers/src/main/java/gingerring/peers/PeerNode.java
@@ -18,10 +18,10 @@
 /**
  * One mixer among its peers: who they are ({@link Membership}), what they say and how much it
  * weighs ({@link PeerReports}, {@link Hearsay}), and whose turn it is to ask a benched box for all
- * ({@link TurnSchedule}). Its owner calls {@link #begin} once, {@link #tick} ten times a second, {@link
- * #received} for each datagram, {@link #attemptEnded}, {@link #ejected}, {@link #probeStarted} and {@link #probeEnded} for
- * what the mixer meets, and asks {@link #shouldProbe} and {@link #failureShare} when the mixer wants to know; it
- * acts by {@link Host}.
+ * ({@link TurnSchedule}). Its owner calls {@link #begin} once, {@link #tick} ten times a second,
+ * {@link #received} for each datagram, {@link #attemptEnded}, {@link #ejected}, {@link
+ * #probeStarted} and {@link #probeEnded} for what the mixer meets, and asks {@link #shouldProbe}
+ * and {@link #failureShare} when the mixer wants to know; it acts by {@link Host}.
  *
  * <p>Nothing that others say is an order. A note that a box has answered lets this mixer ask it
  * too, sooner than it would have; a word that a box fails shortens how long its silence is borne.
@@ -286,7 +286,9 @@
               rules.zone,
               sight.demand(now),
               sight.worth(MessageCodec.boxes(NEWS, NOTES), now));
-      membership.some(rules.sayTo).forEach(each -> send(each.address(), new MessageBody.Report(word), true));
+      membership
+          .some(rules.sayTo)
+          .forEach(each -> send(each.address(), new MessageBody.Report(word), true));
     }
   }
 
@@ -355,7 +357,8 @@
             && matter.last.round() == note.round();
     boolean itsLife = note.incarnation() == membership.incarnation(note.author());
     if (!itsLife
-        || !more && !matter.rota.receiveClaim(id(note.author()), note.round(), mixers(), common())) {
+        || !more
+            && !matter.rota.receiveClaim(id(note.author()), note.round(), mixers(), common())) {
       if (!itsLife || matter.rota.rejectedClaims() > before) {
         count(Count.NOTES_DISBELIEVED);
       }
--- a/peers/src/main/java/gingerring/peers/PeerRecord.java
+++ b/peers/src/main/java/gingerring/peers/PeerRecord.java
@@ -6,10 +6,17 @@
  * that all who hear the same words, in whatever order and however often, believe the same.
  *
  * @param incarnation when its process started, as Unix time in milliseconds
- * @param refutations counts up each time it speaks against being suspected; only it itself raises it
+ * @param refutations counts up each time it speaks against being suspected; only it itself raises
+ *     it
  * @param source who says so first of a suspicion; else the mixer itself
  */
-public record PeerRecord(PeerId peer, PeerAddress address, long incarnation, int refutations, State state, PeerId source) {
+public record PeerRecord(
+    PeerId peer,
+    PeerAddress address,
+    long incarnation,
+    int refutations,
+    State state,
+    PeerId source) {
   /** From good news to bad. */
   public enum State {
     HERE,
@@ -26,7 +33,9 @@
     if (state == State.LEFT || before.state == State.LEFT) {
       return before.state != State.LEFT;
     }
-    return refutations != before.refutations ? refutations > before.refutations : state.compareTo(before.state) > 0;
+    return refutations != before.refutations
+        ? refutations > before.refutations
+        : state.compareTo(before.state) > 0;
   }
 
   PeerRecord as(State other, PeerId says) {
--- a/peers/src/main/java/gingerring/peers/PeerReports.java
+++ b/peers/src/main/java/gingerring/peers/PeerReports.java
@@ -82,7 +82,8 @@
 
   private Verdict judge(PeerReport word, Duration now) {
     TimedReport last = kept.get(word.author());
-    if (word.author().equals(self) || last != null && word.incarnation() < last.report.incarnation()) {
+    if (word.author().equals(self)
+        || last != null && word.incarnation() < last.report.incarnation()) {
       return Verdict.OLD_LIFE;
     }
     boolean sameLife = last != null && word.incarnation() == last.report.incarnation();
@@ -112,7 +113,9 @@
     if (last != null && last.report.incarnation() <= life) {
       kept.put(
           peer,
-          new TimedReport(new PeerReport(peer, life, Long.MAX_VALUE, last.report.zone(), 0, Map.of()), last.at));
+          new TimedReport(
+              new PeerReport(peer, life, Long.MAX_VALUE, last.report.zone(), 0, Map.of()),
+              last.at));
     }
   }
 
--- a/peers/src/main/java/gingerring/peers/Sight.java
+++ b/peers/src/main/java/gingerring/peers/Sight.java
@@ -91,7 +91,8 @@
     }
     List<Map.Entry<Long, BoxObservation>> order = new ArrayList<>(all.entrySet());
     order.sort(
-        Comparator.<Map.Entry<Long, BoxObservation>>comparingDouble(each -> -each.getValue().failed())
+        Comparator.<Map.Entry<Long, BoxObservation>>comparingDouble(
+                each -> -each.getValue().failed())
             .thenComparingDouble(each -> -each.getValue().answered())
             .thenComparing(Map.Entry::getKey));
     Map<Long, BoxObservation> first = new HashMap<>();
--- a/peers/src/test/java/gingerring/peers/BoundsTest.java
+++ b/peers/src/test/java/gingerring/peers/BoundsTest.java
@@ -94,7 +94,15 @@
       sight.add(box, box, box == 3 ? 1 : 0, Duration.ZERO);
     }
     Map<Long, BoxObservation> told = sight.worth(3, Duration.ZERO);
-    assertEquals(Map.of(3L, new BoxObservation(3, 1), 49L, new BoxObservation(49, 0), 48L, new BoxObservation(48, 0)), told);
+    assertEquals(
+        Map.of(
+            3L,
+            new BoxObservation(3, 1),
+            49L,
+            new BoxObservation(49, 0),
+            48L,
+            new BoxObservation(48, 0)),
+        told);
   }
 
   /**
--- a/peers/src/test/java/gingerring/peers/HearsayTest.java
+++ b/peers/src/test/java/gingerring/peers/HearsayTest.java
@@ -19,7 +19,13 @@
   private static PeerReports.TimedReport kept(
       int author, int zone, double demand, double answered, double failed) {
     return new PeerReports.TimedReport(
-        new PeerReport(new PeerId(author), 1, 1, zone, demand, Map.of(5L, new BoxObservation(answered, failed))),
+        new PeerReport(
+            new PeerId(author),
+            1,
+            1,
+            zone,
+            demand,
+            Map.of(5L, new BoxObservation(answered, failed))),
         Duration.ZERO);
   }
 
@@ -52,7 +58,8 @@
   @Test
   void fewWitnessesOrOneZoneAreNotEnough() {
     Hearsay hearsay = new Hearsay(3, 5, 4, 3);
-    List<PeerReports.TimedReport> words = new ArrayList<>(List.of(kept(1, 0, 1, 0, 10), kept(2, 1, 1, 0, 10)));
+    List<PeerReports.TimedReport> words =
+        new ArrayList<>(List.of(kept(1, 0, 1, 0, 10), kept(2, 1, 1, 0, 10)));
     assertEquals(Double.NaN, hearsay.failing(5, NOTHING, words));
     words.add(kept(3, 1, 1, 0, 4)); // it saw too little
     assertEquals(0, hearsay.failing(5, new BoxObservation(2, 0), words));
--- a/peers/src/test/java/gingerring/peers/LettersTest.java
+++ b/peers/src/test/java/gingerring/peers/LettersTest.java
@@ -53,17 +53,21 @@
           case 0 -> new MessageBody.Ping(asked, new PeerId(chance.nextLong()));
           case 1 -> new MessageBody.Ack(asked);
           case 2 -> new MessageBody.Nack(asked);
-          case 3 -> new MessageBody.PingRequest(asked, new PeerId(chance.nextLong()), standing(chance).address());
+          case 3 ->
+              new MessageBody.PingRequest(
+                  asked, new PeerId(chance.nextLong()), standing(chance).address());
           case 4 -> new MessageBody.MembersRequest(chance.nextLong());
           case 5 -> new MessageBody.MembersPage(standings(chance, 20), chance.nextLong());
           case 6 -> {
             Map<Long, BoxObservation> boxes = new HashMap<>();
             for (int i = chance.nextInt(MessageCodec.boxes(6, 4) + 1); i > 0; i--) {
               boxes.put(
-                  chance.nextLong(), new BoxObservation(chance.nextInt(65_536), chance.nextInt(65_536)));
+                  chance.nextLong(),
+                  new BoxObservation(chance.nextInt(65_536), chance.nextInt(65_536)));
             }
             yield new MessageBody.Report(
-                new PeerReport(author, life, number, chance.nextInt(-1, 9), chance.nextInt(1000), boxes));
+                new PeerReport(
+                    author, life, number, chance.nextInt(-1, 9), chance.nextInt(1000), boxes));
           }
           case 7 -> new MessageBody.Query((char) chance.nextInt(256), chance.nextLong());
           case 8 -> new MessageBody.Reply("x\u00e9".repeat(chance.nextInt(200)));
@@ -96,7 +100,9 @@
     assertThrows(
         MessageCodec.InvalidMessage.class,
         () -> letters.read(Arrays.copyOf(bytes, chance.nextInt(bytes.length))));
-    assertThrows(MessageCodec.InvalidMessage.class, () -> letters.read(Arrays.copyOf(bytes, bytes.length + 1)));
+    assertThrows(
+        MessageCodec.InvalidMessage.class,
+        () -> letters.read(Arrays.copyOf(bytes, bytes.length + 1)));
     assertThrows(MessageCodec.InvalidMessage.class, () -> with(NEXT).read(bytes));
   }
 
@@ -109,7 +115,8 @@
       assertEquals(letter, steps.get(i).read(steps.get(i + 1).write(letter)));
       assertEquals(letter, steps.get(i + 1).read(steps.get(i).write(letter)));
     }
-    assertThrows(MessageCodec.InvalidMessage.class, () -> steps.get(0).read(steps.get(3).write(letter)));
+    assertThrows(
+        MessageCodec.InvalidMessage.class, () -> steps.get(0).read(steps.get(3).write(letter)));
   }
 
   /** Who holds the key and writes nonsense is refused with a reason, whatever the nonsense. */
@@ -126,7 +133,11 @@
     Mac mac = Mac.getInstance("HmacSHA256");
     mac.init(new SecretKeySpec(KEY, "HmacSHA256"));
     byte[] proof = Arrays.copyOf(mac.doFinal(plain), MessageAuthenticator.PROOF);
-    byte[] sealed = ByteBuffer.allocate(plain.length + MessageAuthenticator.PROOF).put(plain).put(proof).array();
+    byte[] sealed =
+        ByteBuffer.allocate(plain.length + MessageAuthenticator.PROOF)
+            .put(plain)
+            .put(proof)
+            .array();
     try {
       with(KEY).read(sealed); // some changes make another letter
     } catch (MessageCodec.InvalidMessage e) {
@@ -138,19 +149,23 @@
 
   @Test
   void shortKeysAreRefused() {
-    assertThrows(IllegalArgumentException.class, () -> MessageAuthenticator.of(List.of(new byte[15])));
+    assertThrows(
+        IllegalArgumentException.class, () -> MessageAuthenticator.of(List.of(new byte[15])));
     assertThrows(IllegalArgumentException.class, () -> MessageAuthenticator.of(List.of()));
   }
 
   @Test
   void whatDoesNotFitIsCut() throws MessageCodec.InvalidMessage {
     PeerId author = new PeerId(1);
-    PeerReport much = new PeerReport(author, 1, 1, 0, 1e300, Map.of(1L, new BoxObservation(1e9, 70_000)));
+    PeerReport much =
+        new PeerReport(author, 1, 1, 0, 1e300, Map.of(1L, new BoxObservation(1e9, 70_000)));
     PeerMessage read =
         with(KEY)
             .read(
                 with(KEY)
-                    .write(new PeerMessage(author, 1, 1, new MessageBody.Report(much), List.of(), List.of())));
+                    .write(
+                        new PeerMessage(
+                            author, 1, 1, new MessageBody.Report(much), List.of(), List.of())));
     PeerReport word = ((MessageBody.Report) read.body()).report();
     assertEquals(new BoxObservation(65_535, 65_535), word.boxes().get(1L));
     assertTrue(word.demand() <= Float.MAX_VALUE);
--- a/peers/src/test/java/gingerring/peers/MembershipTest.java
+++ b/peers/src/test/java/gingerring/peers/MembershipTest.java
@@ -101,7 +101,8 @@
     assertEquals(State.HERE, state(asked));
     // a helper had its answer: nothing is suspected
     int helper = asked == 1 ? 2 : 1;
-    membership.heard(new PeerId(helper), 1, place(helper), new MessageBody.Ack(ping.number()), List.of());
+    membership.heard(
+        new PeerId(helper), 1, place(helper), new MessageBody.Ack(ping.number()), List.of());
     pass(700);
     assertEquals(State.HERE, state(asked));
     assertEquals(0, membership.count(Membership.Count.SUSPECTED));
@@ -193,9 +194,13 @@
       told(here(i, 1, 0, State.HERE));
     }
     PeerRecord suspected = here(5, 1, 0, State.SUSPECTED);
-    told(new PeerRecord(suspected.peer(), suspected.address(), 1, 0, State.SUSPECTED, new PeerId(2)));
+    told(
+        new PeerRecord(
+            suspected.peer(), suspected.address(), 1, 0, State.SUSPECTED, new PeerId(2)));
     for (int i = 0; i < 5; i++) {
-      told(new PeerRecord(suspected.peer(), suspected.address(), 1, 0, State.SUSPECTED, new PeerId(2)));
+      told(
+          new PeerRecord(
+              suspected.peer(), suspected.address(), 1, 0, State.SUSPECTED, new PeerId(2)));
     }
     now = now.plusMillis(5000);
     membership.tick();
@@ -204,8 +209,12 @@
         sent(MessageBody.Ping.class).stream()
             .noneMatch(ping -> ping.peer().equals(new PeerId(5)) && ping.number() > 1),
         "nothing has run out");
-    told(new PeerRecord(suspected.peer(), suspected.address(), 1, 0, State.SUSPECTED, new PeerId(3)));
-    told(new PeerRecord(suspected.peer(), suspected.address(), 1, 0, State.SUSPECTED, new PeerId(4)));
+    told(
+        new PeerRecord(
+            suspected.peer(), suspected.address(), 1, 0, State.SUSPECTED, new PeerId(3)));
+    told(
+        new PeerRecord(
+            suspected.peer(), suspected.address(), 1, 0, State.SUSPECTED, new PeerId(4)));
     membership.tick();
     now = now.plusMillis(1000);
     membership.tick();
@@ -246,7 +255,8 @@
   /** An address that is another's by now does not answer for whom it was before. */
   @Test
   void answersForItselfAlone() {
-    membership.heard(new PeerId(1), 1, place(1), new MessageBody.Ping(1, new PeerId(99)), List.of());
+    membership.heard(
+        new PeerId(1), 1, place(1), new MessageBody.Ping(1, new PeerId(99)), List.of());
     assertEquals(List.of(), sent(MessageBody.Ack.class));
     assertEquals(1, membership.count(Membership.Count.NOT_ME));
     membership.heard(new PeerId(1), 1, place(1), new MessageBody.Ping(2, SELF), List.of());
@@ -257,18 +267,30 @@
   void helpsAndSaysWhereItCannot() {
     membership.begin(List.of());
     membership.heard(
-        new PeerId(1), 1, place(1), new MessageBody.PingRequest(7, new PeerId(2), place(2)), List.of());
+        new PeerId(1),
+        1,
+        place(1),
+        new MessageBody.PingRequest(7, new PeerId(2), place(2)),
+        List.of());
     MessageBody.Ping ping = sent(MessageBody.Ping.class).get(0);
     membership.heard(new PeerId(2), 1, place(2), new MessageBody.Ack(ping.number()), List.of());
     assertEquals(new MessageBody.Ack(7), sent.get(sent.size() - 1));
     membership.heard(
-        new PeerId(1), 1, place(1), new MessageBody.PingRequest(8, new PeerId(2), place(2)), List.of());
+        new PeerId(1),
+        1,
+        place(1),
+        new MessageBody.PingRequest(8, new PeerId(2), place(2)),
+        List.of());
     pass(300);
     assertTrue(sent.contains(new MessageBody.Nack(8)));
     // one peer has so many errands open at once, and no more
     for (int i = 0; i < 20; i++) {
       membership.heard(
-          new PeerId(1), 1, place(1), new MessageBody.PingRequest(100 + i, new PeerId(2), place(2)), List.of());
+          new PeerId(1),
+          1,
+          place(1),
+          new MessageBody.PingRequest(100 + i, new PeerId(2), place(2)),
+          List.of());
     }
     assertEquals(16, membership.count(Membership.Count.TOO_BUSY));
   }
@@ -314,7 +336,8 @@
               public void changed(PeerRecord standing) {}
             });
     for (int i = 1; i <= 4; i++) {
-      small.heard(new PeerId(1), 1, place(1), new MessageBody.Empty(), List.of(here(i, 1, 0, State.HERE)));
+      small.heard(
+          new PeerId(1), 1, place(1), new MessageBody.Empty(), List.of(here(i, 1, 0, State.HERE)));
     }
     assertEquals(3, small.all().size());
     assertEquals(1, small.count(Membership.Count.NO_ROOM));
@@ -335,7 +358,9 @@
     to.clear();
     sent.clear();
     pass(20_000);
-    assertTrue(to.contains(place(2)) && sent.get(to.indexOf(place(2))) instanceof MessageBody.MembersRequest);
+    assertTrue(
+        to.contains(place(2))
+            && sent.get(to.indexOf(place(2))) instanceof MessageBody.MembersRequest);
     told(here(2, 1, 0, State.HERE));
     told(here(1, 1, 1, State.HERE));
     sent.clear();
@@ -345,7 +370,8 @@
         i < sent.size();
         i++) { // all are known: one page from somewhere, and no whole list
       assertTrue(
-          !(sent.get(i) instanceof MessageBody.MembersRequest ask) || ask.from() != 0, "asked anew at " + to.get(i));
+          !(sent.get(i) instanceof MessageBody.MembersRequest ask) || ask.from() != 0,
+          "asked anew at " + to.get(i));
     }
   }
 
--- a/peers/src/test/java/gingerring/peers/WordsTest.java
+++ b/peers/src/test/java/gingerring/peers/WordsTest.java
@@ -21,7 +21,8 @@
   private static final Duration AGE = Duration.ofSeconds(5);
 
   private static PeerReport word(long author, long life, long number) {
-    return new PeerReport(new PeerId(author), life, number, 0, 1, Map.of(7L, new BoxObservation(number, life)));
+    return new PeerReport(
+        new PeerId(author), life, number, 0, 1, Map.of(7L, new BoxObservation(number, life)));
   }
 
   private static Duration ms(long millis) {
@@ -43,7 +44,8 @@
         if (each.report().author().equals(word.author())) {
           newest &=
               word.incarnation() > each.report().incarnation()
-                  || word.incarnation() == each.report().incarnation() && word.number() > each.report().number();
+                  || word.incarnation() == each.report().incarnation()
+                      && word.number() > each.report().number();
           newest &= now - each.at().toMillis() >= APART.toMillis();
         }
       }
@@ -103,7 +105,14 @@
       assertEquals(Verdict.TAKEN, words.heard(word(i, 1, 1), ms(i)));
     }
     assertEquals(Verdict.NO_ROOM, words.heard(word(3, 1, 1), ms(100)));
-    Map<Long, BoxObservation> many = Map.of(1L, new BoxObservation(1, 0), 2L, new BoxObservation(1, 0), 3L, new BoxObservation(1, 0));
+    Map<Long, BoxObservation> many =
+        Map.of(
+            1L,
+            new BoxObservation(1, 0),
+            2L,
+            new BoxObservation(1, 0),
+            3L,
+            new BoxObservation(1, 0));
     assertEquals(
         Verdict.TOO_LARGE, words.heard(new PeerReport(new PeerId(1), 1, 2, 0, 0, many), ms(1000)));
     assertEquals(
--- a/share/src/main/java/gingerring/share/Preference.java
+++ b/share/src/main/java/gingerring/share/Preference.java
@@ -8,11 +8,11 @@
 import java.util.TreeMap;
 
 /**
- * The boxes that one mixer prefers, as its list and its trust move: a {@link SubsetSelector} of all that it
- * trusts. Call {@link #update} for each list, {@link #exclude} and {@link #include} when a box is
- * benched and back, and ask {@link #prefers}. Where a box that it preferred fails, others of that
- * box's folios stand in at once; when it is back, so is the old choice. Before the first list, and
- * with nothing trusted, all are preferred.
+ * The boxes that one mixer prefers, as its list and its trust move: a {@link SubsetSelector} of all
+ * that it trusts. Call {@link #update} for each list, {@link #exclude} and {@link #include} when a
+ * box is benched and back, and ask {@link #prefers}. Where a box that it preferred fails, others of
+ * that box's folios stand in at once; when it is back, so is the old choice. Before the first list,
+ * and with nothing trusted, all are preferred.
  */
 public final class Preference {
   /** A box, and the cell of the ring that it stands in. */
--- a/share/src/main/java/gingerring/share/SubsetSelector.java
+++ b/share/src/main/java/gingerring/share/SubsetSelector.java
@@ -36,7 +36,8 @@
    * over. {@code keep}: so many holders of each folio are preferred, or all where it has fewer; at
    * least one.
    */
-  public SubsetSelector(Collection<Box> boxes, Collection<? extends Collection<BoxId>> folios, int keep) {
+  public SubsetSelector(
+      Collection<Box> boxes, Collection<? extends Collection<BoxId>> folios, int keep) {
     if (keep < 1) {
       throw new IllegalArgumentException("keep is " + keep + ", and has to be 1 or more");
     }
@@ -60,7 +61,9 @@
     List<BoxId> order = new ArrayList<>(held.keySet());
     Map<BoxId, Double> draws = new HashMap<>();
     order.forEach(
-        id -> draws.put(id, RendezvousHash.weighted(mixer.number(), id.number(), boxes.get(id).size())));
+        id ->
+            draws.put(
+                id, RendezvousHash.weighted(mixer.number(), id.number(), boxes.get(id).size())));
     order.sort(Comparator.<BoxId>comparingDouble(draws::get).thenComparingLong(BoxId::number));
     Set<BoxId> chosen = new LinkedHashSet<>();
     for (BoxId id : order) {
--- a/share/src/main/java/gingerring/share/TurnSchedule.java
+++ b/share/src/main/java/gingerring/share/TurnSchedule.java
@@ -6,9 +6,10 @@
 /**
  * One matter that is done once in each span by one mixer for all, as one mixer knows it. All times
  * are of the common clock: since a moment that all know. Ask {@link #due} when this mixer acts if
- * it hears of nobody who has; call {@link #claimRound} when it does, and tell the others the round that
- * it returns; {@link #receiveClaim} when another tells so. Rounds are numbered by the clock, so that one
- * who starts anew, or wakes after a stop, knows the round at once and needs nobody's word for it.
+ * it hears of nobody who has; call {@link #claimRound} when it does, and tell the others the round
+ * that it returns; {@link #receiveClaim} when another tells so. Rounds are numbered by the clock,
+ * so that one who starts anew, or wakes after a stop, knows the round at once and needs nobody's
+ * word for it.
  *
  * <p>Two act in a round: one more for each mixer that a word did not reach within its step, and one
  * more for each whose clock is off by more than a step. Nobody acts: those who come first and are
@@ -73,7 +74,8 @@
   }
 
   /** Another says that it has done a round; returns whether that is believed and new. */
-  public boolean receiveClaim(MixerId author, long told, Collection<MixerId> members, Duration now) {
+  public boolean receiveClaim(
+      MixerId author, long told, Collection<MixerId> members, Duration now) {
     if (told <= done) {
       return false;
     }
--- a/share/src/test/java/gingerring/share/CoverTest.java
+++ b/share/src/test/java/gingerring/share/CoverTest.java
@@ -126,7 +126,9 @@
     List<List<BoxId>> one = List.of(boxes.stream().map(Box::id).toList()); // a folio that all hold
     double[] mixers = new double[30];
     for (int m = 0; m < 9000; m++) {
-      new SubsetSelector(boxes, one, 1).of(new MixerId(m)).forEach(id -> mixers[(int) id.number()]++);
+      new SubsetSelector(boxes, one, 1)
+          .of(new MixerId(m))
+          .forEach(id -> mixers[(int) id.number()]++);
     }
     for (int i = 0; i < 30; i++) {
       assertEquals(i < 15 ? 200 : 400, mixers[i], 5 * Math.sqrt(400));
@@ -135,7 +137,8 @@
 
   @Test
   void refusesWhatCannotBe() {
-    assertThrows(IllegalArgumentException.class, () -> new SubsetSelector(ring(3, 1), List.of(), 0));
+    assertThrows(
+        IllegalArgumentException.class, () -> new SubsetSelector(ring(3, 1), List.of(), 0));
     assertThrows(IllegalArgumentException.class, () -> new Box(new BoxId(1), 0, 0));
     List<Box> twice = List.of(new Box(new BoxId(1), 0, 1), new Box(new BoxId(1), 1, 1));
     assertThrows(IllegalArgumentException.class, () -> new SubsetSelector(twice, List.of(), 1));
--- a/share/src/test/java/gingerring/share/RoomBeliefTest.java
+++ b/share/src/test/java/gingerring/share/RoomBeliefTest.java
@@ -89,6 +89,7 @@
     assertThrows(IllegalArgumentException.class, () -> new CapacityEstimator(0, 0.02, ms(1)));
     assertThrows(IllegalArgumentException.class, () -> new CapacityEstimator(1, 2, ms(1)));
     assertThrows(
-        IllegalArgumentException.class, () -> new CapacityEstimator(1, 0.02, ms(1)).update(-1, 0, ms(0)));
+        IllegalArgumentException.class,
+        () -> new CapacityEstimator(1, 0.02, ms(1)).update(-1, 0, ms(0)));
   }
 }
--- a/share/src/test/java/gingerring/share/RotaTest.java
+++ b/share/src/test/java/gingerring/share/RotaTest.java
@@ -280,12 +280,15 @@
       heldUp += believed ? 1 : 0;
     }
     assertTrue(
-        honest.rejectedClaims() > 200 && heldUp < 160, () -> "disbelieved " + honest.rejectedClaims());
+        honest.rejectedClaims() > 200 && heldUp < 160,
+        () -> "disbelieved " + honest.rejectedClaims());
     assertFalse(
-        honest.receiveClaim(new MixerId(77), start + 200L, members, EVERY.multipliedBy(start + 200L)),
+        honest.receiveClaim(
+            new MixerId(77), start + 200L, members, EVERY.multipliedBy(start + 200L)),
         "a stranger");
     assertFalse(
-        honest.receiveClaim(members.get(5), Long.MAX_VALUE, members, EVERY.multipliedBy(start + 200L)));
+        honest.receiveClaim(
+            members.get(5), Long.MAX_VALUE, members, EVERY.multipliedBy(start + 200L)));
   }
 
   /** Guards against one that wakes after a stop and does what others have long done. */
@@ -303,6 +306,7 @@
 
   @Test
   void refusesARoundShorterThanAStep() {
-    assertThrows(IllegalArgumentException.class, () -> new TurnSchedule(new MixerId(1), 1, STEP, EVERY));
+    assertThrows(
+        IllegalArgumentException.class, () -> new TurnSchedule(new MixerId(1), 1, STEP, EVERY));
   }
 }
--- a/traffic/src/main/java/gingerring/traffic/record/Recorder.java
+++ b/traffic/src/main/java/gingerring/traffic/record/Recorder.java
@@ -219,7 +219,8 @@
     }
     PacketSynthesizer.Out into = (nanos, bytes, length) -> write(nanos, bytes, length);
     if (event.what == What.OPENED) {
-      PacketSynthesizer forge = new PacketSynthesizer(event.opener, event.listener, mix(seed + event.connection));
+      PacketSynthesizer forge =
+          new PacketSynthesizer(event.opener, event.listener, mix(seed + event.connection));
       forges.put(event.connection, forge);
       forge.open(event.nanos, into);
       return;
--- a/traffic/src/main/java/gingerring/traffic/replay/ReplayPlan.java
+++ b/traffic/src/main/java/gingerring/traffic/replay/ReplayPlan.java
@@ -49,7 +49,8 @@
       chain.tries().forEach(seen -> of.put(seen, chain));
     }
     leftOut = scans.size() - all;
-    wanted.sort(Comparator.comparingLong(ObservedScan::askedAt).thenComparingLong(ObservedScan::number));
+    wanted.sort(
+        Comparator.comparingLong(ObservedScan::askedAt).thenComparingLong(ObservedScan::number));
     long start = wanted.isEmpty() ? 0 : wanted.get(0).askedAt();
     Map<Long, Integer> laneOf = new HashMap<>();
     for (ObservedScan seen : wanted) {
--- a/traffic/src/main/java/gingerring/traffic/replay/Replayer.java
+++ b/traffic/src/main/java/gingerring/traffic/replay/Replayer.java
@@ -70,7 +70,8 @@
 
   private Result run() {
     pacer =
-        new Pacer(plan.steps(), plan.lanes(), wish.lateMost, wish.pace != ReplayPlan.AT_ONCE, this::send);
+        new Pacer(
+            plan.steps(), plan.lanes(), wish.lateMost, wish.pace != ReplayPlan.AT_ONCE, this::send);
     for (Step step : plan.steps()) {
       recorded.add(Duration.ofNanos(step.scan().askedAt() - start), step.scan().outcome());
     }
@@ -204,7 +205,9 @@
         retried = true;
         put();
       } else {
-        end(new Answer(ScanOutcome.SCRAPPED, 0, false, Map.of(), Duration.ZERO, "its connection ended"));
+        end(
+            new Answer(
+                ScanOutcome.SCRAPPED, 0, false, Map.of(), Duration.ZERO, "its connection ended"));
       }
     }
 
@@ -260,7 +263,9 @@
     @Override
     protected void malformed(Malformed e) {
       lane.answered(
-          this, new Answer(ScanOutcome.SCRAPPED, 0, false, Map.of(), Duration.ZERO, e.getMessage()), true);
+          this,
+          new Answer(ScanOutcome.SCRAPPED, 0, false, Map.of(), Duration.ZERO, e.getMessage()),
+          true);
     }
 
     @Override
--- a/traffic/src/main/java/gingerring/traffic/replay/Retries.java
+++ b/traffic/src/main/java/gingerring/traffic/replay/Retries.java
@@ -47,7 +47,8 @@
     List<Chain> chains = new ArrayList<>();
     Map<String, List<Chain>> unmet = new HashMap<>();
     List<ObservedScan> ordered = new ArrayList<>(scans);
-    ordered.sort(Comparator.comparingLong(ObservedScan::askedAt).thenComparingLong(ObservedScan::number));
+    ordered.sort(
+        Comparator.comparingLong(ObservedScan::askedAt).thenComparingLong(ObservedScan::number));
     for (ObservedScan seen : ordered) {
       if (seen.request().length == 0) {
         continue; // it never came whole
--- a/traffic/src/main/java/gingerring/traffic/replay/Step.java
+++ b/traffic/src/main/java/gingerring/traffic/replay/Step.java
@@ -8,4 +8,10 @@
  * what.
  */
 public record Step(
-    int number, int lane, Duration due, ObservedScan scan, Chain chain, int attempt, byte[] request) {}
+    int number,
+    int lane,
+    Duration due,
+    ObservedScan scan,
+    Chain chain,
+    int attempt,
+    byte[] request) {}
--- a/traffic/src/main/java/gingerring/traffic/scan/Answer.java
+++ b/traffic/src/main/java/gingerring/traffic/scan/Answer.java
@@ -43,7 +43,8 @@
         values.put((int) Fields.whole(result, "partition"), Fields.text(result, "value"));
       }
       boolean whole = Fields.flag(object, "whole");
-      return new Answer(whole ? ScanOutcome.WHOLE : ScanOutcome.PART, status, whole, values, comeBack, "");
+      return new Answer(
+          whole ? ScanOutcome.WHOLE : ScanOutcome.PART, status, whole, values, comeBack, "");
     } catch (Json.Malformed e) {
       return new Answer(
           ScanOutcome.SCRAPPED, status, false, Map.of(), comeBack, "an answer without results");
--- a/traffic/src/main/java/gingerring/traffic/scan/Recording.java
+++ b/traffic/src/main/java/gingerring/traffic/scan/Recording.java
@@ -46,7 +46,10 @@
   }
 
   public static Summary read(
-      CaptureReader capture, Bounds bounds, Predicate<Segment> wanted, Consumer<ObservedScan> scans) {
+      CaptureReader capture,
+      Bounds bounds,
+      Predicate<Segment> wanted,
+      Consumer<ObservedScan> scans) {
     return skim(capture, bounds, wanted, exchange -> scans.accept(exchange.seen()));
   }
 
--- a/traffic/src/main/java/gingerring/traffic/scan/ScanReader.java
+++ b/traffic/src/main/java/gingerring/traffic/scan/ScanReader.java
@@ -11,8 +11,8 @@
 /**
  * Tells what each flow speaks by its first bytes, and reads it: HTTP/1.1 with scans, the searchers'
  * frames, or something foreign, which is counted and left. Scans come out when they have ended,
- * which is not always the order in which they were asked: {@link ObservedScan#number} counts by their
- * asking.
+ * which is not always the order in which they were asked: {@link ObservedScan#number} counts by
+ * their asking.
  */
 public final class ScanReader implements FlowTable.Sink {
   /** What a flow's owner is until enough of it was seen to tell. */
--- a/traffic/src/main/java/gingerring/traffic/wire/Reactor.java
+++ b/traffic/src/main/java/gingerring/traffic/wire/Reactor.java
@@ -86,7 +86,8 @@
   }
 
   /** Takes connections at a loopback address; {@code owner} is asked for whom each is. */
-  public Listening listen(InetSocketAddress address, Function<ReactorConnection, ReactorConnection.Handler> owner)
+  public Listening listen(
+      InetSocketAddress address, Function<ReactorConnection, ReactorConnection.Handler> owner)
       throws IOException {
     loopback(address);
     ServerSocketChannel channel = ServerSocketChannel.open();
@@ -136,7 +137,8 @@
     }
   }
 
-  private void accept(ServerSocketChannel server, Function<ReactorConnection, ReactorConnection.Handler> owner) {
+  private void accept(
+      ServerSocketChannel server, Function<ReactorConnection, ReactorConnection.Handler> owner) {
     try {
       for (SocketChannel channel = server.accept(); channel != null; channel = server.accept()) {
         ReactorConnection wire = new ReactorConnection(this, channel);
--- a/traffic/src/test/java/gingerring/traffic/record/RecorderTest.java
+++ b/traffic/src/test/java/gingerring/traffic/record/RecorderTest.java
@@ -6,13 +6,13 @@
 
 import gingerring.traffic.Talks;
 import gingerring.traffic.flow.Bounds;
-import gingerring.traffic.pcap.CaptureReader;
 import gingerring.traffic.pcap.CaptureEditor;
+import gingerring.traffic.pcap.CaptureReader;
 import gingerring.traffic.pcap.NetworkFilter;
 import gingerring.traffic.pcap.Packet;
-import gingerring.traffic.scan.Recording;
 import gingerring.traffic.scan.ObservedScan;
 import gingerring.traffic.scan.ObservedScan.ScanOutcome;
+import gingerring.traffic.scan.Recording;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -122,7 +122,10 @@
     Recording.Summary summary = Recording.read(file, Bounds.USUAL, s -> true, scans::add);
     assertEquals(21, summary.drops());
     List<String> whole =
-        scans.stream().filter(seen -> seen.outcome() == ScanOutcome.WHOLE).map(ObservedScan::mark).toList();
+        scans.stream()
+            .filter(seen -> seen.outcome() == ScanOutcome.WHOLE)
+            .map(ObservedScan::mark)
+            .toList();
     assertEquals(20, whole.size());
     assertEquals("m1.30", whole.get(19)); // what follows the hole is read again
     assertFalse(whole.contains("m1.25"));
@@ -174,12 +177,25 @@
     Path one = folder.resolve("one.pcap");
     Path rest = folder.resolve("rest.pcap");
     Path all = folder.resolve("all.pcap.gz");
-    CaptureEditor.cut(file, one, 0, Long.MAX_VALUE, new NetworkFilter(List.of("127.0.0.0/8"), List.of(4002)), false);
+    CaptureEditor.cut(
+        file,
+        one,
+        0,
+        Long.MAX_VALUE,
+        new NetworkFilter(List.of("127.0.0.0/8"), List.of(4002)),
+        false);
     assertEquals(5, scans(one).size());
-    CaptureEditor.cut(file, rest, 0, Long.MAX_VALUE, new NetworkFilter(List.of(), List.of(4001, 4003, 4004)), false);
+    CaptureEditor.cut(
+        file,
+        rest,
+        0,
+        Long.MAX_VALUE,
+        new NetworkFilter(List.of(), List.of(4001, 4003, 4004)),
+        false);
     CaptureEditor.merge(List.of(rest, one), all);
     assertEquals(20, scans(all).size());
-    CaptureEditor.cut(file, one, 0, Long.MAX_VALUE, new NetworkFilter(List.of("10.0.0.0/8"), List.of()), false);
+    CaptureEditor.cut(
+        file, one, 0, Long.MAX_VALUE, new NetworkFilter(List.of("10.0.0.0/8"), List.of()), false);
     assertEquals(0, scans(one).size());
   }
 
--- a/traffic/src/test/java/gingerring/traffic/replay/ComparisonTest.java
+++ b/traffic/src/test/java/gingerring/traffic/replay/ComparisonTest.java
@@ -9,7 +9,8 @@
 import org.junit.jupiter.api.Test;
 
 class ComparisonTest {
-  private static final ObservedScan SCAN = RetriesTest.seen(0, 1, 0, 10, "a", null, ScanOutcome.WHOLE);
+  private static final ObservedScan SCAN =
+      RetriesTest.seen(0, 1, 0, 10, "a", null, ScanOutcome.WHOLE);
 
   private static Outcome outcome(
       ScanOutcome fate, Map<Integer, String> values, long tookMs, long lateMs, long heldMs) {
@@ -33,7 +34,8 @@
   @Test
   void whatAgreesAndWhyNot() {
     Outcome whole = outcome(ScanOutcome.WHOLE, Map.of(0, "v", 1, "w"), 10, 0, 0);
-    assertEquals("agree", cause(whole, outcome(ScanOutcome.WHOLE, Map.of(0, "v", 1, "w"), 900, 50, 50)));
+    assertEquals(
+        "agree", cause(whole, outcome(ScanOutcome.WHOLE, Map.of(0, "v", 1, "w"), 900, 50, 50)));
     assertEquals(
         "a value differs: the store is not in the recorded state",
         cause(whole, outcome(ScanOutcome.WHOLE, Map.of(0, "v", 1, "x"), 10, 0, 0)));
@@ -45,7 +47,8 @@
         "answered from other parts: some came or were sent in one run alone",
         cause(part, outcome(ScanOutcome.PART, Map.of(1, "w"), 10, 0, 0)));
     assertEquals(
-        "the tool sent it late", cause(whole, outcome(ScanOutcome.PART, Map.of(0, "v"), 10, 30, 0)));
+        "the tool sent it late",
+        cause(whole, outcome(ScanOutcome.PART, Map.of(0, "v"), 10, 30, 0)));
     assertEquals(
         "held back by the answer before it on its connection",
         cause(whole, outcome(ScanOutcome.PART, Map.of(0, "v"), 10, 0, 30)));
@@ -64,11 +67,15 @@
   void whatTheRecordingDoesNotShowIsNotCompared() {
     Comparison comparison = new Comparison(Duration.ofMillis(20));
     comparison.add(
-        SCAN, outcome(ScanOutcome.INCOMPLETE, Map.of(), 0, 0, 0), outcome(ScanOutcome.WHOLE, Map.of(), 1, 0, 0));
+        SCAN,
+        outcome(ScanOutcome.INCOMPLETE, Map.of(), 0, 0, 0),
+        outcome(ScanOutcome.WHOLE, Map.of(), 1, 0, 0));
     assertEquals(0, comparison.compared());
     assertEquals(1, comparison.notCompared());
     comparison.add(
-        SCAN, outcome(ScanOutcome.NACKED, Map.of(), 0, 0, 0), outcome(ScanOutcome.WHOLE, Map.of(), 1, 0, 0));
+        SCAN,
+        outcome(ScanOutcome.NACKED, Map.of(), 0, 0, 0),
+        outcome(ScanOutcome.WHOLE, Map.of(), 1, 0, 0));
     assertEquals(0, comparison.agreement());
     assertEquals(1, comparison.differences().size());
   }
--- a/traffic/src/test/java/gingerring/traffic/replay/RetriesTest.java
+++ b/traffic/src/test/java/gingerring/traffic/replay/RetriesTest.java
@@ -18,7 +18,13 @@
 /** Chains of retries, found and made. */
 class RetriesTest {
   static ObservedScan seen(
-      int number, long connection, long askedMs, long tookMs, String text, String key, ScanOutcome fate) {
+      int number,
+      long connection,
+      long askedMs,
+      long tookMs,
+      String text,
+      String key,
+      ScanOutcome fate) {
     byte[] request =
         ("POST /api HTTP/1.1\r\nhost: x\r\nx-txn: m" + number + "\r\n\r\n{}")
             .getBytes(StandardCharsets.US_ASCII);
@@ -78,7 +84,13 @@
     SplittableRandom random = new SplittableRandom(seed);
     List<ObservedScan> scans = new ArrayList<>();
     long at = 0;
-    ScanOutcome[] fates = {ScanOutcome.WHOLE, ScanOutcome.NACKED, ScanOutcome.SCRAPPED, ScanOutcome.LEFT, ScanOutcome.INCOMPLETE};
+    ScanOutcome[] fates = {
+      ScanOutcome.WHOLE,
+      ScanOutcome.NACKED,
+      ScanOutcome.SCRAPPED,
+      ScanOutcome.LEFT,
+      ScanOutcome.INCOMPLETE
+    };
     for (int i = 0; i < 40; i++) {
       at += 1 + random.nextInt(400);
       scans.add(
--- a/traffic/src/test/java/gingerring/traffic/scan/MessageTest.java
+++ b/traffic/src/test/java/gingerring/traffic/scan/MessageTest.java
@@ -102,7 +102,9 @@
       if (!request && message.status() == 200 && message.skimWhole() >= 0) {
         Answer answer = Answer.read(message.head(), message.body());
         assertEquals(
-            message.skimWhole() == 1 ? ScanOutcome.WHOLE : ScanOutcome.PART, answer.fate(), text::toString);
+            message.skimWhole() == 1 ? ScanOutcome.WHOLE : ScanOutcome.PART,
+            answer.fate(),
+            text::toString);
       }
     }
     assertTrue(skimmed > 20_000, "skimmed: " + skimmed);
--- a/traffic/src/test/java/gingerring/traffic/scan/StreamsTest.java
+++ b/traffic/src/test/java/gingerring/traffic/scan/StreamsTest.java
@@ -158,7 +158,8 @@
     }
     if (skipped <= 3) {
       assertEquals(
-          scans, Talks.read(rest).stream().filter(seen -> seen.outcome() == ScanOutcome.WHOLE).count());
+          scans,
+          Talks.read(rest).stream().filter(seen -> seen.outcome() == ScanOutcome.WHOLE).count());
     }
   }
 
--- a/traffic/src/test/java/gingerring/traffic/scan/TalkTest.java
+++ b/traffic/src/test/java/gingerring/traffic/scan/TalkTest.java
@@ -21,7 +21,8 @@
   private final List<Piece> pieces = new ArrayList<>();
   private final PacketSynthesizer.Out out =
       (nanos, bytes, length) -> pieces.add(new Piece(nanos, Arrays.copyOf(bytes, length)));
-  private final PacketSynthesizer forge = new PacketSynthesizer(Talks.client(4000), Talks.mixer(), 3);
+  private final PacketSynthesizer forge =
+      new PacketSynthesizer(Talks.client(4000), Talks.mixer(), 3);
   private long now = Talks.START;
 
   private void say(int side, String text) {
