--- a/emulator/src/main/java/gingerring/emulator/core/Referee.java
+++ b/emulator/src/main/java/gingerring/emulator/core/Referee.java
@@ -1,6 +1,6 @@
 package gingerring.emulator.core;
 
-import gingerring.emulator.core.Scenario.Repeats;
+import gingerring.emulator.core.Scenario.RetrySafety;
 import gingerring.emulator.core.Scenario.ServiceClass;
 import java.time.Duration;
 import java.util.ArrayDeque;
@@ -248,7 +248,7 @@
     }
     scan.nacked = nacked;
     if (nacked
-        && scan.grade.repeats() == Repeats.AT_MOST_ONCE
+        && scan.grade.repeats() == RetrySafety.AT_MOST_ONCE
         && scan.trips.values().stream()
             .flatMap(List::stream)
             .anyMatch(trip -> trip.mayHaveRun(at))) {
@@ -322,7 +322,7 @@
           sent,
           what + " was sent to box " + box + ", which does not hold it");
     }
-    if (scan.key != null && scan.grade.repeats() == Repeats.NUMBERED && !scan.key.equals(key)) {
+    if (scan.key != null && scan.grade.repeats() == RetrySafety.KEYED && !scan.key.equals(key)) {
       foul(Rule.STRANGE_PART, mixer, sent, what + " was sent without its key");
     }
     if (scan.ended != null && sent.compareTo(scan.ended.plus(SLACK)) > 0 && !excused(scan, sent)) {
@@ -330,7 +330,7 @@
     }
     if (scan.nacked
         && sent.compareTo(scan.ended) <= 0
-        && scan.grade.repeats() == Repeats.AT_MOST_ONCE) {
+        && scan.grade.repeats() == RetrySafety.AT_MOST_ONCE) {
       foul(Rule.EFFECT_TWICE, mixer, sent, mark + " was nacked though a part was on its way");
     }
     Duration since = drained.get(place(mixer, box));
@@ -356,7 +356,7 @@
             mixer,
             sent,
             what
-                + (scan.grade.repeats() == Repeats.AT_MOST_ONCE
+                + (scan.grade.repeats() == RetrySafety.AT_MOST_ONCE
                     ? " was sent again though it may have run"
                     : " was sent again after its mark was forgotten"));
         break;
@@ -368,8 +368,8 @@
   /** Whether a later trip may have done what an earlier one had done. */
   private boolean twice(Scan scan, Trip earlier, Trip later) {
     return earlier.mayHaveRun(later.sent)
-        && (scan.grade.repeats() == Repeats.AT_MOST_ONCE
-            || scan.grade.repeats() == Repeats.NUMBERED
+        && (scan.grade.repeats() == RetrySafety.AT_MOST_ONCE
+            || scan.grade.repeats() == RetrySafety.KEYED
                 && forgotten(scan, earlier.sent, later.sent));
   }
 
--- a/emulator/src/main/java/gingerring/emulator/core/Scenario.java
+++ b/emulator/src/main/java/gingerring/emulator/core/Scenario.java
@@ -50,9 +50,9 @@
   }
 
   /** What a repeat does: nothing, nothing while its mark is known, or harm. */
-  public enum Repeats {
-    REISSUABLE,
-    NUMBERED,
+  public enum RetrySafety {
+    IDEMPOTENT,
+    KEYED,
     AT_MOST_ONCE
   }
 
@@ -65,7 +65,7 @@
       double share,
       Duration quoted,
       Duration patience,
-      Repeats repeats,
+      RetrySafety repeats,
       Duration window,
       double floor,
       double folios,
@@ -200,7 +200,7 @@
               0.4,
               Duration.ofSeconds(2),
               Duration.ofSeconds(4),
-              Repeats.REISSUABLE,
+              RetrySafety.IDEMPOTENT,
               Duration.ZERO,
               0.4,
               1,
@@ -213,7 +213,7 @@
               0.2,
               Duration.ofSeconds(3),
               Duration.ofSeconds(10),
-              Repeats.REISSUABLE,
+              RetrySafety.IDEMPOTENT,
               Duration.ZERO,
               1,
               0.5,
@@ -226,7 +226,7 @@
               0.4,
               Duration.ofSeconds(2),
               Duration.ofSeconds(5),
-              Repeats.NUMBERED,
+              RetrySafety.KEYED,
               Duration.ofSeconds(5),
               1,
               0.1,
@@ -238,11 +238,11 @@
 
     private ServiceClass grade() throws InvalidScenario, Json.Malformed {
       String repeats = text("repeats", "reissuable");
-      Repeats kind =
+      RetrySafety kind =
           switch (repeats) {
-            case "reissuable" -> Repeats.REISSUABLE;
-            case "numbered" -> Repeats.NUMBERED;
-            case "at-most-once" -> Repeats.AT_MOST_ONCE;
+            case "reissuable" -> RetrySafety.IDEMPOTENT;
+            case "numbered" -> RetrySafety.KEYED;
+            case "at-most-once" -> RetrySafety.AT_MOST_ONCE;
             default -> throw new InvalidScenario(place + "repeats is unknown: " + repeats);
           };
       ServiceClass grade =
--- a/emulator/src/main/java/gingerring/emulator/experiment/Clients.java
+++ b/emulator/src/main/java/gingerring/emulator/experiment/Clients.java
@@ -234,7 +234,7 @@
               + "\r\nX-Remaining-Ms: "
               + grade.patience().toMillis()
               + (next.number > 0 ? "\r\nX-Resent: 1" : "")
-              + (grade.repeats() == Scenario.Repeats.NUMBERED
+              + (grade.repeats() == Scenario.RetrySafety.KEYED
                   ? "\r\nIdempotency-Key: " + next.wish.key()
                   : "")
               + "\r\nContent-Length: "
@@ -248,7 +248,7 @@
           mark,
           grade.name(),
           next.wish.shares(),
-          grade.repeats() == Scenario.Repeats.NUMBERED ? next.wish.key() : null,
+          grade.repeats() == Scenario.RetrySafety.KEYED ? next.wish.key() : null,
           reactor.now(),
           grade.patience());
       reactor.after(
--- a/emulator/src/main/java/gingerring/emulator/experiment/MixerProcess.java
+++ b/emulator/src/main/java/gingerring/emulator/experiment/MixerProcess.java
@@ -319,8 +319,8 @@
   private static String grade(ServiceClass grade) {
     String repeats =
         switch (grade.repeats()) {
-          case REISSUABLE -> "idempotent";
-          case NUMBERED -> "deduplicated";
+          case IDEMPOTENT -> "idempotent";
+          case KEYED -> "deduplicated";
           case AT_MOST_ONCE -> "at_most_once";
         };
     return String.format(
--- a/emulator/src/main/java/gingerring/emulator/experiment/RandomRouter.java
+++ b/emulator/src/main/java/gingerring/emulator/experiment/RandomRouter.java
@@ -90,7 +90,7 @@
       return;
     }
     boolean partial =
-        scan.grade.repeats() == Scenario.Repeats.REISSUABLE
+        scan.grade.repeats() == Scenario.RetrySafety.IDEMPOTENT
             && !scan.values.isEmpty()
             && scan.weight() >= scan.grade.floor();
     if (!whole && !partial) {
--- a/emulator/src/main/java/gingerring/emulator/experiment/Store.java
+++ b/emulator/src/main/java/gingerring/emulator/experiment/Store.java
@@ -277,7 +277,7 @@
   @Override
   public boolean runs(Box.Part part) {
     Scenario.ServiceClass grade = world.grade(part.text().replaceAll(":.*", ""));
-    if (part.key() == null || grade == null || grade.repeats() != Scenario.Repeats.NUMBERED) {
+    if (part.key() == null || grade == null || grade.repeats() != Scenario.RetrySafety.KEYED) {
       return true;
     }
     Duration now = reactor.now();
--- a/emulator/src/main/java/gingerring/emulator/interleaving/Scene.java
+++ b/emulator/src/main/java/gingerring/emulator/interleaving/Scene.java
@@ -1202,7 +1202,7 @@
     }
 
     private static String key(String as, Scenario.ServiceClass grade) {
-      return grade.repeats() == Scenario.Repeats.NUMBERED
+      return grade.repeats() == Scenario.RetrySafety.KEYED
           ? String.format("%032x", SeededDraw.bits(5, as) >>> 1)
           : null;
     }
--- a/layout/src/main/java/gingerring/layout/Attempts.java
+++ b/layout/src/main/java/gingerring/layout/Attempts.java
@@ -16,9 +16,9 @@
  */
 public final class Attempts {
   /** What a repeat does: nothing, nothing while its mark is known, or harm. */
-  public enum Repeats {
-    REISSUABLE,
-    NUMBERED,
+  public enum RetrySafety {
+    IDEMPOTENT,
+    KEYED,
     AT_MOST_ONCE
   }
 
@@ -29,12 +29,12 @@
   private record Tried(int trips, int mayHaveRun, Duration since) {}
 
   private final int most;
-  private final Repeats repeats;
+  private final RetrySafety repeats;
   private final Duration window;
   private final TreeRangeMap<Long, Tried> tried = TreeRangeMap.create();
 
   /** {@code most} trips for a key; {@code window}: how long a numbered one's mark is known. */
-  public Attempts(int most, Repeats repeats, Duration window) {
+  public Attempts(int most, RetrySafety repeats, Duration window) {
     this.most = most;
     this.repeats = repeats;
     this.window = window;
@@ -48,8 +48,8 @@
       }
       boolean repeat = each.mayHaveRun > 0;
       if (repeat
-          && (repeats == Repeats.AT_MOST_ONCE
-              || repeats == Repeats.NUMBERED && now.minus(each.since).compareTo(window) > 0)) {
+          && (repeats == RetrySafety.AT_MOST_ONCE
+              || repeats == RetrySafety.KEYED && now.minus(each.since).compareTo(window) > 0)) {
         return false;
       }
     }
--- a/layout/src/test/java/gingerring/layout/AttemptsTest.java
+++ b/layout/src/test/java/gingerring/layout/AttemptsTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gingerring.layout.Attempts.Repeats;
+import gingerring.layout.Attempts.RetrySafety;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
@@ -24,7 +24,7 @@
     int[] answers = new int[2];
     for (int history = 0; history < 30_000; history++) {
       SplittableRandom random = new SplittableRandom(history);
-      Repeats repeats = Repeats.values()[random.nextInt(3)];
+      RetrySafety repeats = RetrySafety.values()[random.nextInt(3)];
       Attempts attempts = new Attempts(3, repeats, ms(100));
       int[] trips = new int[KEYS];
       int[] mayHaveRun = new int[KEYS];
@@ -40,8 +40,8 @@
           expected &=
               trips[key] < 3
                   && (mayHaveRun[key] == 0
-                      || repeats == Repeats.REISSUABLE
-                      || repeats == Repeats.NUMBERED && now - since[key] <= 100);
+                      || repeats == RetrySafety.IDEMPOTENT
+                      || repeats == RetrySafety.KEYED && now - since[key] <= 100);
         }
         assertEquals(expected, attempts.may(from, to, ms(now)), "history " + history);
         answers[expected ? 1 : 0]++;
@@ -73,12 +73,12 @@
   /** Guards against two halves that each begin anew what their whole has had already. */
   @Test
   void halvesHaveHadTheTripsOfTheirWhole() {
-    Attempts attempts = new Attempts(2, Repeats.REISSUABLE, ms(0));
+    Attempts attempts = new Attempts(2, RetrySafety.IDEMPOTENT, ms(0));
     attempts.sent(0, 10, ms(0));
     attempts.sent(0, 5, ms(1));
     assertFalse(attempts.may(0, 5, ms(2)));
     assertTrue(attempts.may(5, 10, ms(2)));
-    Attempts once = new Attempts(9, Repeats.AT_MOST_ONCE, ms(0));
+    Attempts once = new Attempts(9, RetrySafety.AT_MOST_ONCE, ms(0));
     once.sent(0, 10, ms(0));
     assertFalse(once.may(4, 6, ms(1)));
     once.neverRan(0, 10);
--- a/layout/src/test/java/gingerring/layout/ExplorationTest.java
+++ b/layout/src/test/java/gingerring/layout/ExplorationTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import com.google.common.collect.Range;
-import gingerring.layout.Attempts.Repeats;
+import gingerring.layout.Attempts.RetrySafety;
 import gingerring.layout.Ledger.Entry;
 import java.time.Duration;
 import java.util.ArrayDeque;
@@ -56,7 +56,7 @@
   /** One run along a path of choices. */
   private static final class World {
     final List<Layout> versions;
-    final Repeats repeats;
+    final RetrySafety repeats;
     final boolean apart;
     final Fault fault;
     final int[] view = new int[2];
@@ -77,7 +77,7 @@
     boolean oldList;
     String foul = "";
 
-    World(List<Layout> versions, Repeats repeats, boolean apart, Fault fault) {
+    World(List<Layout> versions, RetrySafety repeats, boolean apart, Fault fault) {
       this.versions = versions;
       this.repeats = repeats;
       this.apart = apart;
@@ -320,7 +320,7 @@
       for (int key = 0; key < KEYS; key++) {
         if (trips[key] > TRIPS) {
           foul = "key " + key + " had " + trips[key] + " trips";
-        } else if (repeats == Repeats.AT_MOST_ONCE && ran[key] > 1) {
+        } else if (repeats == RetrySafety.AT_MOST_ONCE && ran[key] > 1) {
           foul = "key " + key + " ran " + ran[key] + " times";
         }
       }
@@ -376,7 +376,7 @@
 
   private record Found(int states, int ends, int whole, String foul, List<String> path) {}
 
-  private static Found explore(boolean split, Repeats repeats, boolean apart, Fault fault)
+  private static Found explore(boolean split, RetrySafety repeats, boolean apart, Fault fault)
       throws LayoutException {
     List<Layout> versions = layouts(split);
     Set<String> seen = new HashSet<>();
@@ -398,7 +398,7 @@
         ends++;
         whole += world.ledger.whole() ? 1 : 0;
         // whoever may try again and is not yet whole must not stand still
-        if (!world.ledger.whole() && repeats == Repeats.REISSUABLE) {
+        if (!world.ledger.whole() && repeats == RetrySafety.IDEMPOTENT) {
           for (int key = 0; key < KEYS; key++) {
             boolean missing = !world.ledger.missing(versions.get(0)).isEmpty();
             assertTrue(
@@ -419,7 +419,7 @@
   @Test
   void everyOrderKeepsTheRules() throws Exception {
     for (boolean split : new boolean[] {false, true}) {
-      for (Repeats repeats : new Repeats[] {Repeats.REISSUABLE, Repeats.AT_MOST_ONCE}) {
+      for (RetrySafety repeats : new RetrySafety[] {RetrySafety.IDEMPOTENT, RetrySafety.AT_MOST_ONCE}) {
         Found found = explore(split, repeats, true, Fault.NONE);
         System.out.println(
             "split "
@@ -455,7 +455,7 @@
       Found found =
           explore(
               true,
-              fault.getKey() == Fault.RAN_AND_SAYS_NOT ? Repeats.AT_MOST_ONCE : Repeats.REISSUABLE,
+              fault.getKey() == Fault.RAN_AND_SAYS_NOT ? RetrySafety.AT_MOST_ONCE : RetrySafety.IDEMPOTENT,
               true,
               fault.getKey());
       assertTrue(found.foul.contains(fault.getValue()), fault.getKey() + ": " + found.foul);
--- a/mixer/src/main/java/gingerring/decide/Mixer.java
+++ b/mixer/src/main/java/gingerring/decide/Mixer.java
@@ -597,7 +597,7 @@
     // was decided
     Duration since = part.mayHaveRunSince();
     Duration startWithin =
-        part.scan.grade.repeats != ServiceClass.Repeats.NUMBERED || since == null
+        part.scan.grade.repeats != ServiceClass.RetrySafety.KEYED || since == null
             ? null
             : since.plus(part.scan.grade.window).minus(now);
     part.trips.add(searcher.send(part, now, callParts()));
@@ -704,8 +704,8 @@
     Duration since = part.mayHaveRunSince();
     boolean harmless =
         switch (scan.grade.repeats) {
-          case REISSUABLE -> true;
-          case NUMBERED -> since == null || now.minus(since).compareTo(scan.grade.window) < 0;
+          case IDEMPOTENT -> true;
+          case KEYED -> since == null || now.minus(since).compareTo(scan.grade.window) < 0;
           case AT_MOST_ONCE -> since == null;
         };
     boolean open =
@@ -774,7 +774,7 @@
   /** Closes a scan at once: sent back where to ask again does no harm, else scrapped. */
   private void giveUp(Scan scan) {
     boolean harmless =
-        scan.grade.repeats == ServiceClass.Repeats.REISSUABLE
+        scan.grade.repeats == ServiceClass.RetrySafety.IDEMPOTENT
             || scan.parts.stream().allMatch(part -> part.mayHaveRunSince() == null);
     if (harmless) {
       host.nack(
--- a/mixer/src/main/java/gingerring/decide/ServiceClass.java
+++ b/mixer/src/main/java/gingerring/decide/ServiceClass.java
@@ -5,13 +5,13 @@
 /** A service grade. */
 public final class ServiceClass {
   /** What a repeat does: nothing, nothing while its mark is known, or harm. */
-  public enum Repeats {
-    REISSUABLE,
-    NUMBERED,
+  public enum RetrySafety {
+    IDEMPOTENT,
+    KEYED,
     AT_MOST_ONCE
   }
 
-  public Repeats repeats;
+  public RetrySafety repeats;
   public Duration quoted;
   public double quotedStretch;
   public Duration patience;
@@ -28,9 +28,9 @@
     String repeats = terms.text(at + "Idempotency");
     grade.repeats =
         switch (repeats) {
-          case "idempotent" -> Repeats.REISSUABLE;
-          case "deduplicated" -> Repeats.NUMBERED;
-          case "at_most_once" -> Repeats.AT_MOST_ONCE;
+          case "idempotent" -> RetrySafety.IDEMPOTENT;
+          case "deduplicated" -> RetrySafety.KEYED;
+          case "at_most_once" -> RetrySafety.AT_MOST_ONCE;
           default ->
               throw new IllegalArgumentException(
                   "setting " + at + "Idempotency is unknown: " + repeats);
@@ -38,7 +38,7 @@
     grade.quoted = terms.span(at + "AimMs");
     grade.quotedStretch = terms.number(at + "AimStretch", 0);
     grade.patience = terms.span(at + "HardLimitMs");
-    grade.window = grade.repeats == Repeats.NUMBERED ? terms.span(at + "WindowMs") : Duration.ZERO;
+    grade.window = grade.repeats == RetrySafety.KEYED ? terms.span(at + "WindowMs") : Duration.ZERO;
     grade.lateShare = terms.number(at + "LateWorth", 0);
     grade.need = terms.item("Domain.NeedByClass", i, 1);
     grade.floor = terms.item("Domain.ClassFloor", i, grade.need);
@@ -51,6 +51,6 @@
    * behind.
    */
   public boolean partial() {
-    return floor < need && repeats == Repeats.REISSUABLE;
+    return floor < need && repeats == RetrySafety.IDEMPOTENT;
   }
 }
