--- a/layout/src/test/java/gingerring/layout/ExplorationTest.java
+++ b/layout/src/test/java/gingerring/layout/ExplorationTest.java
@@ -419,7 +419,8 @@
   @Test
   void everyOrderKeepsTheRules() throws Exception {
     for (boolean split : new boolean[] {false, true}) {
-      for (RetrySafety repeats : new RetrySafety[] {RetrySafety.IDEMPOTENT, RetrySafety.AT_MOST_ONCE}) {
+      for (RetrySafety repeats :
+          new RetrySafety[] {RetrySafety.IDEMPOTENT, RetrySafety.AT_MOST_ONCE}) {
         Found found = explore(split, repeats, true, Fault.NONE);
         System.out.println(
             "split "
@@ -455,7 +456,9 @@
       Found found =
           explore(
               true,
-              fault.getKey() == Fault.RAN_AND_SAYS_NOT ? RetrySafety.AT_MOST_ONCE : RetrySafety.IDEMPOTENT,
+              fault.getKey() == Fault.RAN_AND_SAYS_NOT
+                  ? RetrySafety.AT_MOST_ONCE
+                  : RetrySafety.IDEMPOTENT,
               true,
               fault.getKey());
       assertTrue(found.foul.contains(fault.getValue()), fault.getKey() + ": " + found.foul);
