--- a/mixer/src/main/java/gingerring/backend/Back.java
+++ b/mixer/src/main/java/gingerring/backend/Back.java
@@ -20,7 +20,7 @@
 /** The searchers' side: carries errands and probes out, and tells how each ended, once. */
 public final class Back {
   static final int OUT_MOST = 1 << 18;
-  private static final Logger LOG = LoggerFactory.getLogger("gingerring.backend");
+  private static final Logger LOG = LoggerFactory.getLogger("gingerring.back");
   private static final Duration SWEEP = Duration.ofSeconds(1);
   private static final Duration COMPLAINTS_APART = Duration.ofSeconds(5);
   private static final float[] NONE = {};
--- a/mixer/src/main/java/gingerring/server/MixerServer.java
+++ b/mixer/src/main/java/gingerring/server/MixerServer.java
@@ -21,7 +21,7 @@
 
 /** Starts a real mixer, runs it in the foreground, and ends it at SIGTERM. */
 public final class MixerServer {
-  private static final Logger LOG = LoggerFactory.getLogger("gingerring.server");
+  private static final Logger LOG = LoggerFactory.getLogger("gingerring.serve");
 
   /** How long after SIGTERM clients may still come: what comes later may go unanswered. */
   private static final Duration STILL_COMING = Duration.ofMillis(700);
