--- a/mixer/src/main/java/gingerring/backend/Returns.java
+++ b/mixer/src/main/java/gingerring/backend/BackendListener.java
@@ -5,12 +5,12 @@
 import java.time.Duration;
 
 /** Where the ends of errands and probes are told. */
-public interface Returns {
+public interface BackendListener {
   /**
    * {@code value} is null but for a part that succeeded; {@code load} is empty where no report
    * came.
    */
-  void ended(Errand errand, Outcome outcome, float[] load, byte[] value);
+  void tripEnded(OutboundTrip errand, Outcome outcome, float[] load, byte[] value);
 
-  void probed(SearcherId searcher, Outcome outcome, Duration taken, float[] load);
+  void probeEnded(SearcherId searcher, Outcome outcome, Duration taken, float[] load);
 }
--- a/mixer/src/main/java/gingerring/backend/Frames.java
+++ b/mixer/src/main/java/gingerring/backend/FrameCodec.java
@@ -12,30 +12,30 @@
 /**
  * The searchers' frames: a length of four bytes, least first, that covers a letter and the rest.
  */
-final class Frames {
+final class FrameCodec {
   /** A frame that is not of the protocol. */
-  static final class Malformed extends Exception {
+  static final class MalformedFrameException extends Exception {
     private static final long serialVersionUID = 1;
 
-    Malformed(String message) {
+    MalformedFrameException(String message) {
       super(message, null, false, false);
     }
   }
 
   /** Who is told of each frame read. */
   interface Sink {
-    void frame(char letter, byte[] rest) throws Malformed;
+    void frame(char letter, byte[] rest) throws MalformedFrameException;
   }
 
-  private static final int HEAD = 4;
+  private static final int LENGTH_BYTES = 4;
 
   /** A value goes on in an answer of 64 KiB at most. */
-  static final int FRAME_MOST = (1 << 16) + 1024;
+  static final int MAX_FRAME_BYTES = (1 << 16) + 1024;
 
-  private final byte[] head = new byte[HEAD];
-  private int headRead;
+  private final byte[] lengthField = new byte[LENGTH_BYTES];
+  private int lengthFieldRead;
   private byte[] frame;
-  private int read;
+  private int frameRead;
   private long framesRead;
 
   /** How many whole frames were read. */
@@ -44,39 +44,40 @@
   }
 
   /** Whether a frame has begun to come and has not come whole. */
-  boolean midway() {
-    return headRead > 0;
+  boolean midFrame() {
+    return lengthFieldRead > 0;
   }
 
   /** Reads all whole frames there are; the rest of one that is cut waits for its next bytes. */
-  void read(ByteRing in, Sink sink) throws Malformed {
+  void read(ByteRing in, Sink sink) throws MalformedFrameException {
     while (in.size() > 0) {
       if (frame == null) {
-        headRead += in.take(head, headRead, HEAD - headRead);
-        if (headRead < HEAD) {
+        lengthFieldRead += in.take(lengthField, lengthFieldRead, LENGTH_BYTES - lengthFieldRead);
+        if (lengthFieldRead < LENGTH_BYTES) {
           return;
         }
         long length =
-            Integer.toUnsignedLong(ByteBuffer.wrap(head).order(ByteOrder.LITTLE_ENDIAN).getInt());
-        if (length < 1 || length > FRAME_MOST) {
-          throw new Malformed("a frame of " + length + " bytes");
+            Integer.toUnsignedLong(
+                ByteBuffer.wrap(lengthField).order(ByteOrder.LITTLE_ENDIAN).getInt());
+        if (length < 1 || length > MAX_FRAME_BYTES) {
+          throw new MalformedFrameException("a frame of " + length + " bytes");
         }
         frame = new byte[(int) length];
-        read = 0;
+        frameRead = 0;
       }
-      read += in.take(frame, read, frame.length - read);
-      if (read == frame.length) {
+      frameRead += in.take(frame, frameRead, frame.length - frameRead);
+      if (frameRead == frame.length) {
         byte[] whole = frame;
         frame = null;
-        headRead = 0;
+        lengthFieldRead = 0;
         framesRead++;
         sink.frame((char) whole[0], Arrays.copyOfRange(whole, 1, whole.length));
       }
     }
   }
 
-  static byte[] frame(char letter, byte[] rest) {
-    return ByteBuffer.allocate(HEAD + 1 + rest.length)
+  static byte[] encode(char letter, byte[] rest) {
+    return ByteBuffer.allocate(LENGTH_BYTES + 1 + rest.length)
         .order(ByteOrder.LITTLE_ENDIAN)
         .putInt(1 + rest.length)
         .put((byte) letter)
@@ -85,27 +86,27 @@
   }
 
   /** One call: a line and the text for each part. */
-  static byte[] call(List<Errand> errands, Duration now) {
+  static byte[] encodeCall(List<OutboundTrip> errands, Duration now) {
     ByteArrayOutputStream rest = new ByteArrayOutputStream();
-    for (Errand errand : errands) {
-      long wait = Math.max(1, errand.until.minus(now).toMillis());
+    for (OutboundTrip errand : errands) {
+      long wait = Math.max(1, errand.deadline.minus(now).toMillis());
       String line =
-          errand.mark
+          errand.wireId
               + ' '
               + errand.shard
               + " d="
               + wait
-              + (errand.key == null ? "" : ",k=" + errand.key)
+              + (errand.idempotencyKey == null ? "" : ",k=" + errand.idempotencyKey)
               + ' '
-              + errand.text.length
+              + errand.queryText.length
               + '\n';
       rest.writeBytes(line.getBytes(StandardCharsets.US_ASCII));
-      rest.writeBytes(errand.text);
+      rest.writeBytes(errand.queryText);
     }
-    return frame('S', rest.toByteArray());
+    return encode('S', rest.toByteArray());
   }
 
-  static byte[] recall(Errand errand) {
-    return frame('C', errand.mark.getBytes(StandardCharsets.US_ASCII));
+  static byte[] encodeCancel(OutboundTrip errand) {
+    return encode('C', errand.wireId.getBytes(StandardCharsets.US_ASCII));
   }
 }
--- a/mixer/src/main/java/gingerring/backend/Errand.java
+++ b/mixer/src/main/java/gingerring/backend/OutboundTrip.java
@@ -5,34 +5,34 @@
 import java.time.Duration;
 
 /** One trip on the network side: a part on its way to a searcher and back. */
-public final class Errand {
+public final class OutboundTrip {
   public final PartId part;
-  public final int trip;
+  public final int tripNumber;
   public final SearcherId searcher;
 
   /** What the frames call the part. */
-  final String mark;
+  final String wireId;
 
   final int shard;
-  final String key;
-  final byte[] text;
-  final Duration until;
+  final String idempotencyKey;
+  final byte[] queryText;
+  final Duration deadline;
 
   /** By when it has to begin, or null: a repeat that begins later is taken for another request. */
-  private Duration startBy;
+  private Duration startDeadline;
 
   /** When it was sent. */
-  Duration since;
+  Duration queuedAt;
 
-  Station station;
+  ConnectionPool pool;
 
   /** Where its frame ends in all that was put into its link's ring; -1 before it was put. */
-  long frameEnd = -1;
+  long frameEndPosition = -1;
 
-  Link link;
-  boolean done;
+  SearcherConnection connection;
+  boolean ended;
 
-  public Errand(
+  public OutboundTrip(
       PartId part,
       int trip,
       SearcherId searcher,
@@ -47,7 +47,7 @@
   /**
    * {@code until}: when its end is no longer waited for; {@code startBy}: null where that is all.
    */
-  public Errand(
+  public OutboundTrip(
       PartId part,
       int trip,
       SearcherId searcher,
@@ -58,32 +58,34 @@
       Duration until,
       Duration startBy) {
     this.part = part;
-    this.trip = trip;
+    this.tripNumber = trip;
     this.searcher = searcher;
-    this.mark = mark;
+    this.wireId = mark;
     this.shard = shard;
-    this.key = key;
-    this.text = text;
-    this.until = until;
-    this.startBy = startBy;
+    this.idempotencyKey = key;
+    this.queryText = text;
+    this.deadline = until;
+    this.startDeadline = startBy;
   }
 
   /** Whether its frame has been put into its link's ring: it may run from then on. */
-  boolean begun() {
-    return frameEnd >= 0;
+  boolean written() {
+    return frameEndPosition >= 0;
   }
 
   /** It is not to begin later than this either, as a copy of its part may begin meanwhile. */
-  public void beginBy(Duration by) {
-    startBy = startBy == null || by.compareTo(startBy) < 0 ? by : startBy;
+  public void limitStart(Duration by) {
+    startDeadline = startDeadline == null || by.compareTo(startDeadline) < 0 ? by : startDeadline;
   }
 
   /** Whether its first byte may still leave now. */
-  boolean mayBegin(Duration now) {
-    return !done && now.compareTo(until) < 0 && (startBy == null || now.compareTo(startBy) < 0);
+  boolean mayStart(Duration now) {
+    return !ended
+        && now.compareTo(deadline) < 0
+        && (startDeadline == null || now.compareTo(startDeadline) < 0);
   }
 
-  public boolean done() {
-    return done;
+  public boolean ended() {
+    return ended;
   }
 }
--- a/mixer/src/main/java/gingerring/frontend/Client.java
+++ b/mixer/src/main/java/gingerring/frontend/ClientConnection.java
@@ -16,134 +16,139 @@
  * One client's connection: a request at a time, the next left in the ring until the answer has been
  * put.
  */
-final class Client implements Party, Reply {
-  private final Front front;
+final class ClientConnection implements Party, ScanResponder {
+  private final Frontend frontend;
   private final Connection connection;
   private final HttpParser parser;
   private ByteArrayOutputStream body = new ByteArrayOutputStream();
-  private final boolean crowded;
+  private final boolean overConnectionLimit;
   private Head head;
-  private Duration since;
+  private Duration requestStartedAt;
   private Duration idleSince;
 
   /** A scan of this client is in hand. */
-  private boolean waiting;
+  private boolean scanOpen;
 
   /** The answer to the request in hand is the last on this connection. */
-  private boolean last;
+  private boolean closeAfterResponse;
 
   /** The last answer has been put: what still comes is dropped until the client has gone. */
-  private boolean over;
+  private boolean finalResponseWritten;
 
   /** Is being ended for another. */
-  private boolean gaveWay;
+  private boolean evicted;
 
   /** Has had an answer to a whole request. */
-  private boolean asked;
+  private boolean requestCompleted;
 
-  Client(Front front, Connection connection, boolean crowded) {
-    this.front = front;
-    this.crowded = crowded;
+  ClientConnection(Frontend front, Connection connection, boolean crowded) {
+    this.frontend = front;
+    this.overConnectionLimit = crowded;
     this.connection = connection;
     idleSince = front.now();
     parser =
         new HttpParser(
             true,
-            Front.BODY_MOST,
+            Frontend.MAX_BODY_BYTES,
             new HttpParser.Sink() {
               @Override
               public void head(Head read) {
                 head = read;
                 if (read.says("expect", "100-continue")) {
-                  put(HttpWriter.CONTINUE);
+                  write(HttpWriter.CONTINUE);
                 }
               }
 
               @Override
               public void body(byte[] bytes, int length) throws Malformed {
-                front.holdBody(length);
+                front.reserveBodyBytes(length);
                 body.write(bytes, 0, length);
               }
 
               @Override
               public void end() throws Malformed {
-                asked();
+                handleRequest();
               }
             });
   }
 
   /** Between requests, with nothing read of the next. */
   boolean idle() {
-    return !waiting
-        && !over
-        && !gaveWay
+    return !scanOpen
+        && !finalResponseWritten
+        && !evicted
         && !parser.midway()
         && connection.in.size() == 0
         && connection.out.size() == 0;
   }
 
   /** A request has begun to come, and is not there after longer than whole ones take. */
-  private boolean half() {
-    return !waiting
-        && !over
-        && !gaveWay
-        && since != null
+  private boolean requestStalled() {
+    return !scanOpen
+        && !finalResponseWritten
+        && !evicted
+        && requestStartedAt != null
         && parser.midway()
-        && front.now().minus(since).compareTo(Front.SWEEP) > 0;
+        && frontend.now().minus(requestStartedAt).compareTo(Frontend.SWEEP_INTERVAL) > 0;
   }
 
   /**
    * Whether it may be ended where room is wanted: idle, its last answer gone, or with half a
    * request come.
    */
-  boolean spare() {
-    return over ? connection.unsentFree() && !gaveWay : idle() || half();
+  boolean evictable() {
+    return finalResponseWritten ? connection.unsentFree() && !evicted : idle() || requestStalled();
   }
 
   /** Those that are spare, in the order in which they are ended. */
-  static final Comparator<Client> SPARE_FIRST =
-      Comparator.<Client, Boolean>comparing(client -> !client.over)
-          .thenComparing(Client::half)
-          .thenComparing(client -> client.asked)
-          .thenComparing(client -> client.since != null ? client.since : client.idleSince);
+  static final Comparator<ClientConnection> EVICTION_ORDER =
+      Comparator.<ClientConnection, Boolean>comparing(client -> !client.finalResponseWritten)
+          .thenComparing(ClientConnection::requestStalled)
+          .thenComparing(client -> client.requestCompleted)
+          .thenComparing(
+              client ->
+                  client.requestStartedAt != null ? client.requestStartedAt : client.idleSince);
 
   /** Ends it for another, unless a request has just come; half a request is refused first. */
-  boolean giveWay() {
-    if (half()) {
-      front.counts().add("half requests shed", 1);
-      last = true;
-      nack(Duration.ZERO);
-      gaveWay = true;
+  boolean evict() {
+    if (requestStalled()) {
+      frontend.counts().add("half requests shed", 1);
+      closeAfterResponse = true;
+      reject(Duration.ZERO);
+      evicted = true;
       return true;
     }
-    if (over) {
-      front.counts().add("ends cut short", 1);
+    if (finalResponseWritten) {
+      frontend.counts().add("ends cut short", 1);
       connection.close();
-      gaveWay = true;
+      evicted = true;
       return true;
     }
-    if (leave()) {
-      gaveWay = true;
-      front.counts().add("idle connections shed", 1);
+    if (closeIfIdle()) {
+      evicted = true;
+      frontend.counts().add("idle connections shed", 1);
       return true;
     }
     return false;
   }
 
   /** Called now and then: ends what takes too long. */
-  void sweep() {
-    Duration idle = front.now().minus(idleSince);
-    if (waiting || over) {
+  void enforceTimeouts() {
+    Duration idle = frontend.now().minus(idleSince);
+    if (scanOpen || finalResponseWritten) {
       return;
     }
     if (connection.out.size() > 0) {
-      if (idle.compareTo(Front.LEAVING) > 0) {
+      if (idle.compareTo(Frontend.RESPONSE_TIMEOUT) > 0) {
         connection.close();
       }
-    } else if (since != null && front.now().minus(since).compareTo(Front.COMING) > 0) {
-      refuse(408);
-    } else if (since == null && idle.compareTo(asked ? Front.IDLE : Front.COMING) > 0) {
-      leave();
+    } else if (requestStartedAt != null
+        && frontend.now().minus(requestStartedAt).compareTo(Frontend.REQUEST_TIMEOUT) > 0) {
+      refuseAndClose(408);
+    } else if (requestStartedAt == null
+        && idle.compareTo(requestCompleted ? Frontend.IDLE_TIMEOUT : Frontend.REQUEST_TIMEOUT)
+            > 0) {
+      closeIfIdle();
     }
   }
 
@@ -152,33 +157,36 @@
     try {
       // the next request waits until the last answer has left: a slow reader holds up no one but
       // itself
-      while (!waiting && !over && connection.out.size() == 0 && connection.in.size() > 0) {
-        if (since == null) {
-          since = connection.heard();
+      while (!scanOpen
+          && !finalResponseWritten
+          && connection.out.size() == 0
+          && connection.in.size() > 0) {
+        if (requestStartedAt == null) {
+          requestStartedAt = connection.heard();
         }
         parser.read(connection.in);
       }
     } catch (Malformed e) {
-      refuse(e.status);
+      refuseAndClose(e.status);
     }
-    if (waiting && connection.crowded()) {
+    if (scanOpen && connection.crowded()) {
       // much came behind the request in hand: unread, it would hide that the client goes. Where the
       // next
       // request begins is lost by it, so that the answer will be the last
-      front.counts().add("clients that sent too much", 1);
-      last = true;
+      frontend.counts().add("clients that sent too much", 1);
+      closeAfterResponse = true;
       connection.dropRest();
     }
-    if (over) {
+    if (finalResponseWritten) {
       connection.in.clear();
     }
     connection.resume();
   }
 
   /** Nothing that follows can be told from what was wrong: an error, and the end. */
-  private void refuse(int status) {
-    front.counts().add("bad requests", 1);
-    last = true;
+  private void refuseAndClose(int status) {
+    frontend.counts().add("bad requests", 1);
+    closeAfterResponse = true;
     respond(status, "", new byte[0]);
   }
 
@@ -186,17 +194,17 @@
    * The process ends now: nothing more is read, and whatever has come of a request is refused,
    * which promises that nothing was sent on.
    */
-  void endNow() {
-    if (waiting || over || leave()) {
+  void closeForShutdown() {
+    if (scanOpen || finalResponseWritten || closeIfIdle()) {
       return;
     }
-    last = true;
+    closeAfterResponse = true;
     // an answer is on its way, and the client sends no request before it has it
     if (connection.out.size() > 0) {
-      over = true;
+      finalResponseWritten = true;
       connection.endAfterFlush();
     } else {
-      nack(Duration.ZERO);
+      reject(Duration.ZERO);
     }
   }
 
@@ -205,8 +213,8 @@
     readable();
   }
 
-  private void asked() throws Malformed {
-    last = head.says("connection", "close") || head.third().equals("HTTP/1.0");
+  private void handleRequest() throws Malformed {
+    closeAfterResponse = head.says("connection", "close") || head.third().equals("HTTP/1.0");
     if (head.third().equals("HTTP/1.1") && head.header("host") == null) {
       throw new Malformed(400, "no Host");
     }
@@ -214,37 +222,38 @@
     String path = query < 0 ? head.second() : head.second().substring(0, query);
     switch (path) {
       case "/ready" ->
-          respond(!head.first().equals("GET") ? 405 : front.ready() ? 200 : 503, "", new byte[0]);
+          respond(
+              !head.first().equals("GET") ? 405 : frontend.ready() ? 200 : 503, "", new byte[0]);
       case "/api" -> {
         if (!head.first().equals("POST")) {
           respond(405, "", new byte[0]);
         } else {
-          scan();
+          handleScan();
         }
       }
       default -> respond(404, "", new byte[0]);
     }
   }
 
-  private void scan() throws Malformed {
-    Ask ask;
+  private void handleScan() throws Malformed {
+    ScanRequest ask;
     try {
-      ask = front.asks().read(head, body.toByteArray());
+      ask = frontend.requestParser().parse(head, body.toByteArray());
     } catch (Malformed e) {
       // the framing holds, so that the connection can go on
-      front.counts().add("bad requests", 1);
+      frontend.counts().add("bad requests", 1);
       respond(e.status, "", new byte[0]);
       return;
     }
-    if (crowded) {
-      front.counts().add("nacks for want of connections", 1);
-      last = true;
-      nack(Duration.ZERO);
+    if (overConnectionLimit) {
+      frontend.counts().add("nacks for want of connections", 1);
+      closeAfterResponse = true;
+      reject(Duration.ZERO);
       return;
     }
-    waiting = true;
-    if (!front.take(ask, since, this)) {
-      front.counts().add("bad requests", 1);
+    scanOpen = true;
+    if (!frontend.accept(ask, requestStartedAt, this)) {
+      frontend.counts().add("bad requests", 1);
       respond(400, "", new byte[0]);
     }
   }
@@ -258,7 +267,7 @@
       json.writeBytes(
           ((first ? "" : ",") + "{\"partition\":" + value.getKey() + ",\"value\":\"")
               .getBytes(StandardCharsets.US_ASCII));
-      escape(value.getValue(), json);
+      writeJsonEscaped(value.getValue(), json);
       json.writeBytes("\"}".getBytes(StandardCharsets.US_ASCII));
       first = false;
     }
@@ -266,7 +275,7 @@
     respond(200, "", json.toByteArray());
   }
 
-  private static void escape(byte[] value, ByteArrayOutputStream json) {
+  private static void writeJsonEscaped(byte[] value, ByteArrayOutputStream json) {
     for (byte b : value) {
       if (b == '"' || b == '\\') {
         json.write('\\');
@@ -280,7 +289,7 @@
   }
 
   @Override
-  public void nack(Duration comeBack) {
+  public void reject(Duration comeBack) {
     respond(
         503,
         comeBack.isZero() ? "" : "Retry-After: " + comeBack.toMillis() / 1000.0 + "\r\n",
@@ -288,50 +297,50 @@
   }
 
   @Override
-  public void scrap() {
+  public void fail() {
     respond(500, "", new byte[0]);
   }
 
   private void respond(int status, String extra, byte[] json) {
-    waiting = false;
-    since = null;
-    asked |= status == 200 || status == 503;
-    idleSince = front.now();
-    front.dropBody(body.size());
+    scanOpen = false;
+    requestStartedAt = null;
+    requestCompleted |= status == 200 || status == 503;
+    idleSince = frontend.now();
+    frontend.releaseBodyBytes(body.size());
     body = new ByteArrayOutputStream();
-    last |= front.ending();
-    if (!put(HttpWriter.answer(status, last, extra, json))) {
-      front.counts().add("answers too large", 1);
-      last = true;
-      put(HttpWriter.answer(500, true, "", new byte[0]));
+    closeAfterResponse |= frontend.closeAfterResponse();
+    if (!write(HttpWriter.answer(status, closeAfterResponse, extra, json))) {
+      frontend.counts().add("answers too large", 1);
+      closeAfterResponse = true;
+      write(HttpWriter.answer(500, true, "", new byte[0]));
     }
-    if (last) {
-      over = true;
+    if (closeAfterResponse) {
+      finalResponseWritten = true;
       // to close on unread bytes, a next request say, would reset the answer away
       connection.endAfterFlush();
     } else {
-      front.again(this::readable);
+      frontend.runNextTurn(this::readable);
     }
   }
 
-  private boolean put(byte[] bytes) {
+  private boolean write(byte[] bytes) {
     connection.touch();
     return connection.closed() || connection.out.put(bytes);
   }
 
   /** Ends it, unless a request has just come. */
-  boolean leave() {
+  boolean closeIfIdle() {
     return idle() && connection.closeIfUnread();
   }
 
   @Override
   public void closed() {
-    front.gone(this, gaveWay);
-    front.dropBody(body.size());
+    frontend.clientClosed(this, evicted);
+    frontend.releaseBodyBytes(body.size());
     body = new ByteArrayOutputStream();
-    if (waiting) {
-      waiting = false;
-      front.left(this);
+    if (scanOpen) {
+      scanOpen = false;
+      frontend.clientDisconnected(this);
     }
   }
 }
--- a/mixer/src/main/java/gingerring/frontend/Asks.java
+++ b/mixer/src/main/java/gingerring/frontend/ScanRequestParser.java
@@ -20,33 +20,34 @@
 import java.util.regex.Pattern;
 
 /** Reads a scan out of a request's headers and body; whatever is off is a 400. */
-final class Asks {
-  private static final int MARK_MOST = 128;
+final class ScanRequestParser {
+  private static final int MAX_ID_LENGTH = 128;
   private static final Pattern MILLIS = Pattern.compile("[0-9]{1,9}");
   private static final Pattern ROUTE = Pattern.compile("[0-9a-fA-F]{16}");
-  private static final long MICROS_MOST = 86_400_000_000L;
+  private static final long MAX_WORK_MICROS = 86_400_000_000L;
 
   /** How far from 1 shares may sum up for their rounding. An answer is whole by their sum. */
-  private static final double ROUNDING = 0.01;
+  private static final double SHARE_SUM_TOLERANCE = 0.01;
 
-  private final Map<String, Integer> lanes = new HashMap<>();
-  private final List<Boolean> numbered = new ArrayList<>();
-  private final List<Duration> patience = new ArrayList<>();
-  private final int shards;
+  private final Map<String, Integer> serviceClasses = new HashMap<>();
+  private final List<Boolean> keyed = new ArrayList<>();
+  private final List<Duration> maxDeadlines = new ArrayList<>();
+  private final int shardCount;
 
-  Asks(Settings terms) {
+  ScanRequestParser(Settings terms) {
     for (int i = 0; i < terms.count("Classes.count"); i++) {
-      lanes.put(terms.text("Classes." + i + ".Name"), i);
-      patience.add(terms.span("Classes." + i + ".HardLimitMs"));
-      numbered.add(terms.text("Classes." + i + ".Idempotency").equals("deduplicated"));
+      serviceClasses.put(terms.text("Classes." + i + ".Name"), i);
+      maxDeadlines.add(terms.span("Classes." + i + ".HardLimitMs"));
+      keyed.add(terms.text("Classes." + i + ".Idempotency").equals("deduplicated"));
     }
-    shards = terms.count("Domain.Slices");
+    shardCount = terms.count("Domain.Slices");
   }
 
-  Ask read(Head head, byte[] body) throws Malformed {
-    String mark = mark(head, "X-Txn");
+  ScanRequest parse(Head head, byte[] body) throws Malformed {
+    String mark = idHeader(head, "X-Txn");
     Integer grade =
-        lanes.get(String.valueOf(head.header("X-Lane")).replace(' ', '_').replace(',', '_'));
+        serviceClasses.get(
+            String.valueOf(head.header("X-Lane")).replace(' ', '_').replace(',', '_'));
     if (grade == null) {
       throw new Malformed(400, "no known X-Lane");
     }
@@ -54,17 +55,17 @@
     if (remaining == null || !MILLIS.matcher(remaining).matches()) {
       throw new Malformed(400, "no X-Remaining-Ms");
     }
-    String key = numbered.get(grade) ? mark(head, "Idempotency-Key") : null;
+    String key = keyed.get(grade) ? idHeader(head, "Idempotency-Key") : null;
     try {
       Map<String, Object> object = Fields.object(Json.read(body), "the body");
-      return new Ask(
+      return new ScanRequest(
           mark,
           grade,
           "1".equals(head.header("X-Resent")),
           key,
-          patience(grade, Long.parseLong(remaining)),
-          pieces(Fields.list(object, "targets")),
-          bytes(Fields.text(object, "query")));
+          deadline(grade, Long.parseLong(remaining)),
+          parseTargets(Fields.list(object, "targets")),
+          encodeUtf8(Fields.text(object, "query")));
     } catch (Json.Malformed e) {
       throw new Malformed(400, e.getMessage());
     }
@@ -74,13 +75,13 @@
    * No client of a grade waits longer than the settings say. Guards against a figure that keeps it
    * here.
    */
-  private Duration patience(int grade, long millis) {
-    Duration most = patience.get(grade);
+  private Duration deadline(int grade, long millis) {
+    Duration most = maxDeadlines.get(grade);
     return Duration.ofMillis(millis).compareTo(most) < 0 ? Duration.ofMillis(millis) : most;
   }
 
   /** A searcher is to get the text unchanged: half of a surrogate pair has no bytes. */
-  private static byte[] bytes(String text) throws Json.Malformed {
+  private static byte[] encodeUtf8(String text) throws Json.Malformed {
     try {
       ByteBuffer bytes = StandardCharsets.UTF_8.newEncoder().encode(CharBuffer.wrap(text));
       return Arrays.copyOf(bytes.array(), bytes.limit());
@@ -93,26 +94,26 @@
    * A mark goes into the searchers' frames as it is, so nothing that frames are cut by may stand in
    * it.
    */
-  private static String mark(Head head, String name) throws Malformed {
+  private static String idHeader(Head head, String name) throws Malformed {
     String mark = head.header(name);
     if (mark == null
         || mark.isEmpty()
-        || mark.length() > MARK_MOST
+        || mark.length() > MAX_ID_LENGTH
         || !mark.chars().allMatch(c -> c > ' ' && c < 127 && c != ',')) {
       throw new Malformed(400, "no " + name);
     }
     return mark;
   }
 
-  private List<Ask.Piece> pieces(List<Object> targets) throws Json.Malformed {
+  private List<ScanRequest.Target> parseTargets(List<Object> targets) throws Json.Malformed {
     double sum = 0;
-    List<Ask.Piece> pieces = new ArrayList<>();
+    List<ScanRequest.Target> pieces = new ArrayList<>();
     Set<Integer> seen = new HashSet<>();
     for (Object each : targets) {
       Map<String, Object> target = Fields.object(each, "a target");
       long shard = Fields.whole(target, "partition");
       double share = Fields.number(target, "share");
-      if (shard >= shards || !seen.add((int) shard)) {
+      if (shard >= shardCount || !seen.add((int) shard)) {
         throw new Json.Malformed("partition " + shard + " is out of range, or there twice");
       }
       if (share <= 0) {
@@ -121,19 +122,19 @@
       sum += share;
       long micros = target.containsKey("est_us") ? Fields.whole(target, "est_us") : 0;
       pieces.add(
-          new Ask.Piece(
+          new ScanRequest.Target(
               (int) shard,
               share,
-              Duration.ofNanos(Math.min(micros, MICROS_MOST) * 1000),
-              target.containsKey("route") ? route(Fields.text(target, "route")) : 0));
+              Duration.ofNanos(Math.min(micros, MAX_WORK_MICROS) * 1000),
+              target.containsKey("route") ? parseRoute(Fields.text(target, "route")) : 0));
     }
-    if (Math.abs(sum - 1) > ROUNDING) {
+    if (Math.abs(sum - 1) > SHARE_SUM_TOLERANCE) {
       throw new Json.Malformed("the shares do not sum to 1");
     }
     return pieces;
   }
 
-  private static long route(String text) throws Json.Malformed {
+  private static long parseRoute(String text) throws Json.Malformed {
     if (!ROUTE.matcher(text).matches()) {
       throw new Json.Malformed("route is no 16 hex digits");
     }
--- a/mixer/src/main/java/gingerring/frontend/Reply.java
+++ b/mixer/src/main/java/gingerring/frontend/ScanResponder.java
@@ -4,12 +4,12 @@
 import java.util.Map;
 
 /** Where the one final answer of a scan goes. */
-public interface Reply {
+public interface ScanResponder {
   /** {@code values}: of each shard that is in, as its searcher gave it. */
   void answer(boolean whole, Map<Integer, byte[]> values);
 
   /** {@code comeBack} is advice; zero for none. */
-  void nack(Duration comeBack);
+  void reject(Duration comeBack);
 
-  void scrap();
+  void fail();
 }
--- a/mixer/src/main/java/gingerring/server/Loop.java
+++ b/mixer/src/main/java/gingerring/server/EventLoop.java
@@ -18,17 +18,17 @@
  * The one thread that owns the mixer and all state. Each turn gathers all that is ready, hands it
  * to the mixer in one go, and then carries out what came back.
  */
-final class Loop implements Inbox, TurnClock {
-  private record Wake(Duration at, long number, Runnable task) implements Comparable<Wake> {
+final class EventLoop implements Inbox, TurnClock {
+  private record Timer(Duration dueAt, long sequence, Runnable task) implements Comparable<Timer> {
     @Override
-    public int compareTo(Wake other) {
-      int byTime = at.compareTo(other.at);
-      return byTime != 0 ? byTime : Long.compare(number, other.number);
+    public int compareTo(Timer other) {
+      int byTime = dueAt.compareTo(other.dueAt);
+      return byTime != 0 ? byTime : Long.compare(sequence, other.sequence);
     }
   }
 
   private static final Logger LOG = LoggerFactory.getLogger("gingerring.loop");
-  private static final int FAILURES_LOGGED = 20;
+  private static final int MAX_LOGGED_FAILURES = 20;
 
   private final Counts counts;
   private final long startNanos = System.nanoTime();
@@ -40,41 +40,41 @@
    * java.util.concurrent, whose timed waiters turn without a pause (Condition.awaitNanos) while the
    * one that signals them is not run.
    */
-  private final Queue<Runnable> inbox = new ConcurrentLinkedQueue<>();
+  private final Queue<Runnable> eventQueue = new ConcurrentLinkedQueue<>();
 
   /** The loop's thread while it waits, or is about to. */
-  private volatile Thread sleeper;
+  private volatile Thread parkedThread;
 
-  private final PriorityQueue<Wake> wakes = new PriorityQueue<>();
-  private List<Runnable> tellings = new ArrayList<>();
-  private List<Runnable> lastTellings = new ArrayList<>();
-  private Duration now = Duration.ZERO;
-  private long wakeCount;
+  private final PriorityQueue<Timer> timers = new PriorityQueue<>();
+  private List<Runnable> notifications = new ArrayList<>();
+  private List<Runnable> lastNotifications = new ArrayList<>();
+  private Duration turnTime = Duration.ZERO;
+  private long timerCount;
   private int failures;
   private boolean running = true;
   private Thread owner;
 
-  Loop(Counts counts) {
+  EventLoop(Counts counts) {
     this.counts = counts;
   }
 
   @Override
   public Duration now() {
-    return owner == null ? clock() : now; // before the first turn
+    return owner == null ? clock() : turnTime; // before the first turn
   }
 
   @Override
   public void post(Runnable event) {
-    inbox.add(event);
-    Thread waiting = sleeper;
+    eventQueue.add(event);
+    Thread waiting = parkedThread;
     if (waiting != null) {
       LockSupport.unpark(waiting);
     }
   }
 
   /** How many events wait for the next turn. */
-  int posted() {
-    return inbox.size();
+  int queuedEvents() {
+    return eventQueue.size();
   }
 
   @Override
@@ -82,24 +82,24 @@
     counts.must(
         owner == null || owner == Thread.currentThread(),
         "wakes are asked for on the loop's thread");
-    wakes.add(new Wake(now().plus(span), wakeCount++, task));
+    timers.add(new Timer(now().plus(span), timerCount++, task));
   }
 
   /**
    * Something to tell the mixer once all that is ready has been gathered; from the mixer, next
    * turn.
    */
-  void tell(Runnable telling) {
+  void notifyMixer(Runnable telling) {
     counts.must(
         owner == null || owner == Thread.currentThread(), "the mixer is told on the loop's thread");
-    tellings.add(telling);
+    notifications.add(telling);
   }
 
   /** The same, after all else of the turn: what is new is decided by all that is known. */
-  void tellLast(Runnable telling) {
+  void notifyMixerLast(Runnable telling) {
     counts.must(
         owner == null || owner == Thread.currentThread(), "the mixer is told on the loop's thread");
-    lastTellings.add(telling);
+    lastNotifications.add(telling);
   }
 
   void stop() {
@@ -111,20 +111,20 @@
     owner = Thread.currentThread();
     List<Runnable> ready = new ArrayList<>();
     while (running) {
-      await(ready);
-      now = clock();
-      ready.forEach(event -> guard("an event", event));
+      awaitEvents(ready);
+      turnTime = clock();
+      ready.forEach(event -> runGuarded("an event", event));
       ready.clear();
-      while (!wakes.isEmpty() && wakes.peek().at.compareTo(now) <= 0) {
-        guard("a wake", wakes.poll().task);
+      while (!timers.isEmpty() && timers.peek().dueAt.compareTo(turnTime) <= 0) {
+        runGuarded("a wake", timers.poll().task);
       }
-      List<Runnable> turn = tellings;
-      tellings = new ArrayList<>();
-      turn.addAll(lastTellings);
-      lastTellings.clear();
-      turn.forEach(telling -> guard("the mixer", telling));
-      guard("making calls", calls);
-      guard("flushing", flush);
+      List<Runnable> turn = notifications;
+      notifications = new ArrayList<>();
+      turn.addAll(lastNotifications);
+      lastNotifications.clear();
+      turn.forEach(telling -> runGuarded("the mixer", telling));
+      runGuarded("making calls", calls);
+      runGuarded("flushing", flush);
     }
   }
 
@@ -133,37 +133,40 @@
     return Duration.ofNanos(System.nanoTime() - startNanos);
   }
 
-  private void await(List<Runnable> ready) {
+  private void awaitEvents(List<Runnable> ready) {
     long nanos =
-        !tellings.isEmpty() || !lastTellings.isEmpty()
+        !notifications.isEmpty() || !lastNotifications.isEmpty()
             ? 0
-            : wakes.isEmpty()
+            : timers.isEmpty()
                 ? TimeUnit.SECONDS.toNanos(1)
-                : wakes.peek().at.minus(clock()).toNanos();
+                : timers.peek().dueAt.minus(clock()).toNanos();
     if (nanos > 0) {
-      sleeper = owner;
-      if (inbox.isEmpty()) { // looked at after the sleeper is named: what is posted later finds it
+      parkedThread = owner;
+      if (eventQueue
+          .isEmpty()) { // looked at after the sleeper is named: what is posted later finds it
         LockSupport.parkNanos(this, nanos); // may return early: then a turn has nothing to do
       }
-      sleeper = null;
+      parkedThread = null;
     }
     if (Thread.interrupted()) { // an interrupt that stays would let no later wait last
       running = false;
     }
-    for (int most = inbox.size(); most > 0; most--) { // what is posted meanwhile is the next turn's
-      ready.add(inbox.poll());
+    for (int most = eventQueue.size();
+        most > 0;
+        most--) { // what is posted meanwhile is the next turn's
+      ready.add(eventQueue.poll());
     }
   }
 
   /**
    * Runs one thing of a turn. Guards the process and all other scans against whatever fails in it.
    */
-  void guard(String what, Runnable task) {
+  void runGuarded(String what, Runnable task) {
     try {
       task.run();
     } catch (RuntimeException | Error e) {
       counts.add("failures in " + what, 1);
-      if (failures++ < FAILURES_LOGGED) {
+      if (failures++ < MAX_LOGGED_FAILURES) {
         LOG.error("{} failed", what, e);
       }
     }
--- a/mixer/src/main/java/gingerring/server/MixerConfig.java
+++ b/mixer/src/main/java/gingerring/server/MixerConfig.java
@@ -16,12 +16,12 @@
 /** All that a mixer is told at its start. */
 record MixerConfig(
     String name,
-    InetSocketAddress listen,
-    InetSocketAddress discovery,
+    InetSocketAddress listenAddress,
+    InetSocketAddress discoveryAddress,
     long seed,
-    int sockets,
-    Members known,
-    Settings terms) {
+    int socketLimit,
+    Members knownMembers,
+    Settings settings) {
   /** Something needed is missing or cannot be read; the message names it, in one line. */
   static final class InvalidConfig extends Exception {
     private static final long serialVersionUID = 1;
@@ -32,10 +32,10 @@
     }
   }
 
-  private static final int SOCKETS_USUAL = 1024;
+  private static final int DEFAULT_SOCKET_LIMIT = 1024;
 
   /** What the process holds by itself, discovery, a few searchers and a few clients. */
-  private static final int SOCKETS_LEAST = 64;
+  private static final int MIN_SOCKET_LIMIT = 64;
 
   static MixerConfig read(Map<String, String> env) throws InvalidConfig {
     String file = env.get("LB_CONFIG");
@@ -57,7 +57,7 @@
     flatten("", settings, flat);
     Settings terms = new Settings(flat);
     try {
-      Bounds.check(terms);
+      SettingsValidator.check(terms);
     } catch (IllegalArgumentException e) {
       throw new InvalidConfig(e.getMessage());
     }
@@ -70,8 +70,8 @@
         address(told, "listen", env.get("LB_LISTEN")),
         discovery,
         seed(told),
-        sockets(told),
-        known(told),
+        socketLimit(told),
+        knownMembers(told),
         terms);
   }
 
@@ -81,9 +81,9 @@
    */
   boolean differsOnlyInDiscovery(MixerConfig other) {
     return name.equals(other.name)
-        && listen.equals(other.listen)
-        && sockets == other.sockets
-        && terms.map().equals(other.terms.map());
+        && listenAddress.equals(other.listenAddress)
+        && socketLimit == other.socketLimit
+        && settings.map().equals(other.settings.map());
   }
 
   /**
@@ -100,13 +100,13 @@
         flatten(path + '.' + i, list.get(i), flat);
       }
     } else if (value instanceof List<?> list) {
-      flat.put(path, String.join(",", list.stream().map(MixerConfig::plain).toList()));
+      flat.put(path, String.join(",", list.stream().map(MixerConfig::scalarText).toList()));
     } else {
-      flat.put(path, plain(value));
+      flat.put(path, scalarText(value));
     }
   }
 
-  private static String plain(Object value) {
+  private static String scalarText(Object value) {
     if (value instanceof Double number) {
       return number == Math.rint(number) && Math.abs(number) < Long.MAX_VALUE
           ? String.valueOf(number.longValue())
@@ -141,8 +141,8 @@
     }
   }
 
-  private static int sockets(Map<String, Object> told) throws InvalidConfig {
-    double sockets = SOCKETS_USUAL;
+  private static int socketLimit(Map<String, Object> told) throws InvalidConfig {
+    double sockets = DEFAULT_SOCKET_LIMIT;
     try {
       Map<String, Object> limits = Fields.object(told.getOrDefault("limits", Map.of()), "limits");
       if (limits.containsKey("sockets")) {
@@ -152,18 +152,18 @@
       throw new InvalidConfig(
           "limits.sockets cannot be read (" + e.getMessage() + "): give a number");
     }
-    if (sockets < SOCKETS_LEAST) {
+    if (sockets < MIN_SOCKET_LIMIT) {
       throw new InvalidConfig(
           "limits.sockets is out of its range, "
               + sockets
               + ": give a number from "
-              + SOCKETS_LEAST
+              + MIN_SOCKET_LIMIT
               + " on, and three for each searcher if there are so many");
     }
     return (int) sockets;
   }
 
-  private static Members known(Map<String, Object> told) throws InvalidConfig {
+  private static Members knownMembers(Map<String, Object> told) throws InvalidConfig {
     try {
       return told.containsKey("known")
           ? Members.read(told.get("known"))
--- a/mixer/src/main/java/gingerring/server/MixerHost.java
+++ b/mixer/src/main/java/gingerring/server/MixerHost.java
@@ -1,8 +1,8 @@
 package gingerring.server;
 
-import gingerring.backend.Back;
-import gingerring.backend.Errand;
-import gingerring.backend.Returns;
+import gingerring.backend.Backend;
+import gingerring.backend.BackendListener;
+import gingerring.backend.OutboundTrip;
 import gingerring.decide.Host;
 import gingerring.decide.MemberEntry;
 import gingerring.decide.Mixer;
@@ -15,9 +15,9 @@
 import gingerring.decide.WakeId;
 import gingerring.discovery.Members;
 import gingerring.discovery.Watch;
-import gingerring.frontend.Ask;
-import gingerring.frontend.Intake;
-import gingerring.frontend.Reply;
+import gingerring.frontend.ScanHandler;
+import gingerring.frontend.ScanRequest;
+import gingerring.frontend.ScanResponder;
 import gingerring.net.Counts;
 import java.time.Duration;
 import java.util.ArrayList;
@@ -38,33 +38,33 @@
  * become frames and answers. Does for the mixer what the simulator's world does, and decides
  * nothing.
  */
-final class MixerHost implements Host, Intake, Returns, Watch.Told {
+final class MixerHost implements Host, ScanHandler, BackendListener, Watch.Told {
   /** A scan in hand, until its one final answer. */
-  private static final class Open {
+  private static final class OpenScan {
     final ScanId id;
-    final Ask ask;
-    final Duration end;
-    final Reply reply;
-    final List<Piece> pieces = new ArrayList<>();
+    final ScanRequest request;
+    final Duration deadline;
+    final ScanResponder responder;
+    final List<OpenPart> parts = new ArrayList<>();
     boolean answered;
 
-    Open(ScanId id, Ask ask, Duration end, Reply reply) {
+    OpenScan(ScanId id, ScanRequest ask, Duration end, ScanResponder reply) {
       this.id = id;
-      this.ask = ask;
-      this.end = end;
-      this.reply = reply;
+      this.request = ask;
+      this.deadline = end;
+      this.responder = reply;
     }
   }
 
   /** A part of it, kept until its scan has been answered and all its trips have ended. */
-  private static final class Piece {
+  private static final class OpenPart {
     final PartId id;
-    final Open scan;
+    final OpenScan scan;
     final int shard;
-    final List<Errand> trips = new ArrayList<>();
+    final List<OutboundTrip> trips = new ArrayList<>();
     byte[] value;
 
-    Piece(PartId id, Open scan, int shard) {
+    OpenPart(PartId id, OpenScan scan, int shard) {
       this.id = id;
       this.scan = scan;
       this.shard = shard;
@@ -74,19 +74,19 @@
   private static final Logger LOG = LoggerFactory.getLogger("gingerring.mixer");
 
   /** How many marks of the latest scans are remembered. */
-  private static final int PAST_MOST = 8192;
+  private static final int MAX_RECENT_TRANSACTIONS = 8192;
 
-  private final Loop loop;
-  private final Settings terms;
+  private final EventLoop loop;
+  private final Settings settings;
   private final Counts counts;
-  private final double startMs;
-  private final int heldMost;
-  private final int tripsMost;
+  private final double startEpochMs;
+  private final int maxHeld;
+  private final int maxTripsPerPart;
   private final List<String> zones;
-  private final List<String> machines;
-  private final Map<ScanId, Open> scans = new LinkedHashMap<>();
-  private final Map<PartId, Piece> pieces = new HashMap<>();
-  private final Map<String, Open> marks = new HashMap<>();
+  private final List<String> machineTypes;
+  private final Map<ScanId, OpenScan> openScans = new LinkedHashMap<>();
+  private final Map<PartId, OpenPart> openParts = new HashMap<>();
+  private final Map<String, OpenScan> scansByTransaction = new HashMap<>();
 
   /**
    * The marks of the latest scans that were taken and have ended. Guards against a client that
@@ -94,60 +94,60 @@
    * from what the next one asks for, so that each would need a connection of its own to every
    * searcher, until no descriptor is left.
    */
-  private final Set<String> past = new LinkedHashSet<>();
+  private final Set<String> recentTransactions = new LinkedHashSet<>();
 
-  private final Map<Reply, Open> replies = new IdentityHashMap<>();
-  private final Map<String, SearcherId> searchers = new HashMap<>();
-  private final Map<SearcherId, MemberEntry> listed = new HashMap<>();
-  private long ids;
+  private final Map<ScanResponder, OpenScan> scansByResponder = new IdentityHashMap<>();
+  private final Map<String, SearcherId> searcherIds = new HashMap<>();
+  private final Map<SearcherId, MemberEntry> listedMembers = new HashMap<>();
+  private long nextId;
   private int held;
   private Mixer mixer;
-  private Back back;
+  private Backend backend;
   private Watch watch;
 
   /** What others tell; null where this mixer knows of none. */
-  private PeerService neighbours;
+  private PeerService peers;
 
-  private boolean ready;
+  private boolean started;
 
   /**
    * Discovery has said something since the start, or could not be asked; and scans that came
    * before.
    */
-  private boolean heard;
+  private boolean discoveryReported;
 
-  private boolean practising;
-  private final List<Runnable> early = new ArrayList<>();
+  private boolean warmingUp;
+  private final List<Runnable> pendingArrivals = new ArrayList<>();
 
   /** Once the end is announced: by when all must be answered. */
-  private Duration endBy;
+  private Duration shutdownDeadline;
 
-  private boolean lastCall;
+  private boolean closingConnections;
 
   /** {@code startMs}: Unix time at the loop's zero. */
-  MixerHost(Loop loop, Settings terms, Counts counts, double startMs) {
+  MixerHost(EventLoop loop, Settings terms, Counts counts, double startMs) {
     this.loop = loop;
-    this.terms = terms;
+    this.settings = terms;
     this.counts = counts;
-    this.startMs = startMs;
-    heldMost = terms.count("PolicyLimits.MostHeld");
-    tripsMost = (int) terms.number("PolicyLimits.MaxAttempts", 1);
+    this.startEpochMs = startMs;
+    maxHeld = terms.count("PolicyLimits.MostHeld");
+    maxTripsPerPart = (int) terms.number("PolicyLimits.MaxAttempts", 1);
     zones = List.of(terms.text("Zones").split(","));
-    machines = List.of(terms.text("Skus").split(","));
+    machineTypes = List.of(terms.text("Skus").split(","));
   }
 
   /** Before the start: with others to hear from. */
-  void among(PeerService others) {
-    neighbours = others;
+  void setPeers(PeerService others) {
+    peers = others;
   }
 
   /** From now on it is not ready until it has practised. */
-  void practises() {
-    practising = true;
+  void startWarmUp() {
+    warmingUp = true;
   }
 
-  void practised() {
-    practising = false;
+  void finishWarmUp() {
+    warmingUp = false;
   }
 
   /**
@@ -156,170 +156,171 @@
    * sending to searchers that left while this process was down: from its first moment on, what
    * discovery's agent has counts as told.
    */
-  void start(Back back, Watch watch, long seed, Members known) {
-    this.back = back;
+  void start(Backend back, Watch watch, long seed, Members known) {
+    this.backend = back;
     this.watch = watch;
-    mixer = new Mixer(terms.map(), new SplittableRandom(seed), this);
+    mixer = new Mixer(settings.map(), new SplittableRandom(seed), this);
     list(known);
-    String way = terms.text("Discovery");
+    String way = settings.text("Discovery");
     if (way.equals("automatic")) {
       watch.open();
     }
-    heard = !way.equals("automatic") && !way.equals("subscribe");
-    ready = true;
+    discoveryReported = !way.equals("automatic") && !way.equals("subscribe");
+    started = true;
   }
 
   // ---- what happens ----
 
   @Override
   public boolean ready() {
-    return ready && heard && !practising && endBy == null;
+    return started && discoveryReported && !warmingUp && shutdownDeadline == null;
   }
 
   @Override
-  public boolean ending() {
-    return lastCall;
+  public boolean closeAfterResponse() {
+    return closingConnections;
   }
 
   @Override
-  public boolean take(Ask ask, Duration since, Reply reply) {
-    if (marks.containsKey(ask.mark()) || past.contains(ask.mark())) {
+  public boolean accept(ScanRequest ask, Duration since, ScanResponder reply) {
+    if (scansByTransaction.containsKey(ask.transactionId())
+        || recentTransactions.contains(ask.transactionId())) {
       counts.add("marks sent again", 1);
       return false;
     }
     // with so many open, more are sent back: as in the simulator, the last one taken may go over it
-    if (held >= heldMost) {
+    if (held >= maxHeld) {
       counts.add("nacks for a full house", 1);
-      reply.nack(Duration.ZERO);
+      reply.reject(Duration.ZERO);
       return true;
     }
-    Duration end = since.plus(ask.patience());
-    end = endBy != null && endBy.compareTo(end) < 0 ? endBy : end;
-    Open scan = new Open(new ScanId(ids++), ask, end, reply);
+    Duration end = since.plus(ask.deadline());
+    end = shutdownDeadline != null && shutdownDeadline.compareTo(end) < 0 ? shutdownDeadline : end;
+    OpenScan scan = new OpenScan(new ScanId(nextId++), ask, end, reply);
     List<Part> parts = new ArrayList<>();
-    for (Ask.Piece each : ask.pieces()) {
-      Piece piece = new Piece(new PartId(ids++), scan, each.shard());
-      scan.pieces.add(piece);
-      pieces.put(piece.id, piece);
+    for (ScanRequest.Target each : ask.targets()) {
+      OpenPart piece = new OpenPart(new PartId(nextId++), scan, each.shard());
+      scan.parts.add(piece);
+      openParts.put(piece.id, piece);
       parts.add(new Part(piece.id, each.shard(), each.share(), each.route()));
     }
     held += 1 + parts.size();
-    scans.put(scan.id, scan);
-    marks.put(ask.mark(), scan);
-    replies.put(reply, scan);
+    openScans.put(scan.id, scan);
+    scansByTransaction.put(ask.transactionId(), scan);
+    scansByResponder.put(reply, scan);
     counts.add("scans taken", 1);
     // whatever becomes of it in the mixer, it is answered by the end of its client's patience
-    loop.wakeAfter(scan.end.minus(now()), () -> loop.tell(() -> overdue(scan)));
+    loop.wakeAfter(scan.deadline.minus(now()), () -> loop.notifyMixer(() -> failOverdue(scan)));
     Runnable arrival =
         () -> {
           if (!scan.answered) {
             arrive(scan, parts);
           }
         };
-    if (heard) {
-      loop.tellLast(arrival);
+    if (discoveryReported) {
+      loop.notifyMixerLast(arrival);
     } else {
-      early.add(arrival);
+      pendingArrivals.add(arrival);
     }
     return true;
   }
 
-  private void arrive(Open scan, List<Part> parts) {
+  private void arrive(OpenScan scan, List<Part> parts) {
     try {
       mixer.scanArrived(
           scan.id,
           scan.id.number(),
-          scan.ask.grade(),
+          scan.request.serviceClass(),
           0,
-          scan.ask.repeat(),
-          scan.ask.work(),
-          scan.end,
+          scan.request.retry(),
+          scan.request.estimatedWork(),
+          scan.deadline,
           parts);
     } catch (RuntimeException | Error e) {
-      overdue(scan);
+      failOverdue(scan);
       throw e;
     }
   }
 
   /** Guards against a scan that the mixer lost sight of: it is scrapped, which promises nothing. */
-  private void overdue(Open scan) {
+  private void failOverdue(OpenScan scan) {
     if (!scan.answered) {
       counts.add("scans the mixer left open", 1);
-      scan.reply.scrap();
+      scan.responder.fail();
       finish(scan);
-      loop.tell(() -> mixer.clientLeft(scan.id));
+      loop.notifyMixer(() -> mixer.clientLeft(scan.id));
     }
   }
 
   @Override
-  public void left(Reply reply) {
-    Open scan = replies.get(reply);
+  public void clientDisconnected(ScanResponder reply) {
+    OpenScan scan = scansByResponder.get(reply);
     if (scan != null) {
       counts.add("clients that left", 1);
       finish(scan);
-      loop.tell(() -> mixer.clientLeft(scan.id));
+      loop.notifyMixer(() -> mixer.clientLeft(scan.id));
     }
   }
 
-  private void finish(Open scan) {
+  private void finish(OpenScan scan) {
     counts.must(!scan.answered, "a scan is answered once");
     scan.answered = true;
-    scans.remove(scan.id);
-    marks.remove(scan.ask.mark());
-    past.add(scan.ask.mark());
-    if (past.size() > PAST_MOST) {
-      past.remove(past.iterator().next());
+    openScans.remove(scan.id);
+    scansByTransaction.remove(scan.request.transactionId());
+    recentTransactions.add(scan.request.transactionId());
+    if (recentTransactions.size() > MAX_RECENT_TRANSACTIONS) {
+      recentTransactions.remove(recentTransactions.iterator().next());
     }
-    replies.remove(scan.reply);
+    scansByResponder.remove(scan.responder);
     // a part that is in is held no longer, as in the simulator
-    held -= 1 + (int) scan.pieces.stream().filter(piece -> piece.value == null).count();
-    counts.must(held >= 0 && scans.isEmpty() == (held == 0), "what is held is what is open");
-    scan.pieces.forEach(this::withdraw);
-    scan.pieces.forEach(this::drop);
+    held -= 1 + (int) scan.parts.stream().filter(piece -> piece.value == null).count();
+    counts.must(held >= 0 && openScans.isEmpty() == (held == 0), "what is held is what is open");
+    scan.parts.forEach(this::cancelUnsentTrips);
+    scan.parts.forEach(this::removeIfFinished);
   }
 
   /**
    * What has not begun for a part that is over never does, whatever becomes of what is under way.
    */
-  private void withdraw(Piece piece) {
-    piece.trips.forEach(back::withdraw);
+  private void cancelUnsentTrips(OpenPart piece) {
+    piece.trips.forEach(backend::cancelIfUnsent);
   }
 
-  private void drop(Piece piece) {
-    if (piece.scan.answered && piece.trips.stream().allMatch(Errand::done)) {
-      pieces.remove(piece.id);
+  private void removeIfFinished(OpenPart piece) {
+    if (piece.scan.answered && piece.trips.stream().allMatch(OutboundTrip::ended)) {
+      openParts.remove(piece.id);
     }
   }
 
   @Override
-  public void ended(Errand errand, Outcome outcome, float[] load, byte[] value) {
-    loop.tell(
+  public void tripEnded(OutboundTrip errand, Outcome outcome, float[] load, byte[] value) {
+    loop.notifyMixer(
         () -> {
-          Piece piece = pieces.get(errand.part);
+          OpenPart piece = openParts.get(errand.part);
           boolean over = piece == null || piece.scan.answered || piece.value != null;
           if (piece != null && !over && outcome == Outcome.SUCCEEDED) {
             piece.value = value;
             held--;
             over = true;
-            withdraw(piece);
+            cancelUnsentTrips(piece);
           }
-          mixer.tripEnded(errand.part, errand.trip, outcome, over, load);
-          if (neighbours != null) {
-            neighbours.attemptEnded(errand.searcher.address(), outcome);
+          mixer.tripEnded(errand.part, errand.tripNumber, outcome, over, load);
+          if (peers != null) {
+            peers.attemptEnded(errand.searcher.address(), outcome);
           }
           if (piece != null) {
-            drop(piece);
+            removeIfFinished(piece);
           }
         });
   }
 
   @Override
-  public void probed(SearcherId searcher, Outcome outcome, Duration taken, float[] load) {
-    loop.tell(
+  public void probeEnded(SearcherId searcher, Outcome outcome, Duration taken, float[] load) {
+    loop.notifyMixer(
         () -> {
           mixer.probed(searcher, outcome, taken, load);
-          if (neighbours != null) {
-            neighbours.probeEnded(searcher.address(), outcome == Outcome.SUCCEEDED);
+          if (peers != null) {
+            peers.probeEnded(searcher.address(), outcome == Outcome.SUCCEEDED);
           }
         });
   }
@@ -329,12 +330,12 @@
     List<MemberEntry> lines = new ArrayList<>();
     List<SearcherId> leaving = new ArrayList<>();
     for (Members.Member member : members.members()) {
-      SearcherId id = searchers.computeIfAbsent(member.id(), this::newId);
-      MemberEntry last = listed.get(id);
+      SearcherId id = searcherIds.computeIfAbsent(member.id(), this::newId);
+      MemberEntry last = listedMembers.get(id);
       Duration started =
           member.upSinceMs() == 0
               ? null
-              : Duration.ofNanos(Math.round((member.upSinceMs() - startMs) * 1e6));
+              : Duration.ofNanos(Math.round((member.upSinceMs() - startEpochMs) * 1e6));
       MemberEntry line =
           member.address() == null && last != null
               ? new MemberEntry(
@@ -348,57 +349,57 @@
               : new MemberEntry(
                   id,
                   zones.indexOf(member.locality()),
-                  machines.indexOf(member.flavor()),
+                  machineTypes.indexOf(member.flavor()),
                   member.cell(),
                   member.standing(),
                   member.size(),
                   started);
       lines.add(line);
-      listed.put(id, line);
+      listedMembers.put(id, line);
       if (member.address() == null || member.standing() == MemberEntry.Standing.GONE) {
-        back.gone(id);
+        backend.remove(id);
       } else {
-        back.listed(id, member.address(), line.startedAt());
+        backend.addOrUpdate(id, member.address(), line.startedAt());
       }
     }
     if (members.complete()) {
       Set<SearcherId> told = new HashSet<>();
       lines.forEach(line -> told.add(line.searcher()));
-      leaving.addAll(listed.keySet().stream().filter(id -> !told.contains(id)).toList());
-      leaving.forEach(this::forget);
+      leaving.addAll(listedMembers.keySet().stream().filter(id -> !told.contains(id)).toList());
+      leaving.forEach(this::removeSearcher);
     }
     lines.stream()
         .filter(line -> line.standing() == MemberEntry.Standing.GONE)
         .map(MemberEntry::searcher)
-        .forEach(this::forget);
-    loop.tell(() -> mixer.rosterTold(lines, members.complete()));
+        .forEach(this::removeSearcher);
+    loop.notifyMixer(() -> mixer.rosterTold(lines, members.complete()));
     // told after the list, so that what has not left yet goes elsewhere by it
     leaving.addAll(
         lines.stream()
             .filter(line -> line.standing() != MemberEntry.Standing.READY)
             .map(MemberEntry::searcher)
             .toList());
-    leaving.forEach(back::withhold);
-    if (neighbours != null) {
-      neighbours.membersChanged(listed.values());
+    leaving.forEach(backend::stopSending);
+    if (peers != null) {
+      peers.membersChanged(listedMembers.values());
     }
   }
 
   /** A searcher that has gone gets the same number again if it is listed again. */
-  private void forget(SearcherId id) {
-    back.gone(id);
-    listed.remove(id);
-    searchers.values().remove(id);
+  private void removeSearcher(SearcherId id) {
+    backend.remove(id);
+    listedMembers.remove(id);
+    searcherIds.values().remove(id);
   }
 
   /** How many scans, parts and searchers something is kept for. */
-  int kept() {
-    return scans.size()
-        + pieces.size()
-        + marks.size()
-        + replies.size()
-        + searchers.size()
-        + listed.size();
+  int retainedCount() {
+    return openScans.size()
+        + openParts.size()
+        + scansByTransaction.size()
+        + scansByResponder.size()
+        + searcherIds.size()
+        + listedMembers.size();
   }
 
   /**
@@ -409,7 +410,7 @@
     for (int i = 0; i < name.length(); i++) {
       hash = (hash ^ name.charAt(i)) * 0x100000001b3L;
     }
-    while (searchers.containsValue(new SearcherId(hash))) {
+    while (searcherIds.containsValue(new SearcherId(hash))) {
       hash++;
     }
     return new SearcherId(hash);
@@ -417,36 +418,36 @@
 
   @Override
   public void failed() {
-    loop.tell(() -> mixer.rosterFailed());
+    loop.notifyMixer(() -> mixer.rosterFailed());
     word();
   }
 
   @Override
   public void word() {
-    heard = true;
-    early.forEach(loop::tellLast);
-    early.clear();
+    discoveryReported = true;
+    pendingArrivals.forEach(loop::notifyMixerLast);
+    pendingArrivals.clear();
   }
 
   /** The end is announced: no longer ready, and no answer later than {@code by}. */
-  void announceEnd(Duration by) {
-    endBy = by;
+  void beginShutdown(Duration by) {
+    shutdownDeadline = by;
   }
 
   /** The end is near: each answer is its connection's last. */
-  void lastCall() {
-    lastCall = true;
+  void closeConnectionsAfterResponses() {
+    closingConnections = true;
   }
 
-  int open() {
-    return scans.size();
+  int openScanCount() {
+    return openScans.size();
   }
 
   /** Scraps what is still open, since the process ends before the mixer would close it. */
-  void scrapAll() {
-    for (Open scan : List.copyOf(scans.values())) {
+  void failOpenScans() {
+    for (OpenScan scan : List.copyOf(openScans.values())) {
       counts.add("scans scrapped at the end", 1);
-      scan.reply.scrap();
+      scan.responder.fail();
       finish(scan);
     }
   }
@@ -460,134 +461,134 @@
 
   @Override
   public void send(PartId part, SearcherId searcher, Duration timeOut, Duration startWithin) {
-    Piece piece = pieces.get(part);
+    OpenPart piece = openParts.get(part);
     int number = piece == null ? 0 : piece.trips.size();
     Duration until = piece == null ? now() : now().plus(timeOut);
-    if (piece != null && until.compareTo(piece.scan.end) > 0) {
-      until = piece.scan.end;
+    if (piece != null && until.compareTo(piece.scan.deadline) > 0) {
+      until = piece.scan.deadline;
     }
-    Ask ask = piece == null ? null : piece.scan.ask;
-    Errand errand =
-        new Errand(
+    ScanRequest ask = piece == null ? null : piece.scan.request;
+    OutboundTrip errand =
+        new OutboundTrip(
             part,
             number,
             searcher,
-            piece == null ? "" : ask.mark() + '.' + piece.shard,
+            piece == null ? "" : ask.transactionId() + '.' + piece.shard,
             piece == null ? 0 : piece.shard,
-            piece == null ? null : ask.key(),
-            piece == null ? null : ask.text(),
+            piece == null ? null : ask.idempotencyKey(),
+            piece == null ? null : ask.queryText(),
             until,
             startWithin == null ? null : now().plus(startWithin));
     boolean over =
         piece == null
             || piece.scan.answered
             || piece.value != null
-            || piece.trips.size() >= tripsMost
+            || piece.trips.size() >= maxTripsPerPart
             || until.compareTo(now()) <= 0;
     counts.must(!over, "a trip is for a part that is not over");
     if (piece != null) {
       if (startWithin != null) {
         // whichever of them begins first, the others are repeats of it
-        piece.trips.forEach(earlier -> earlier.beginBy(now().plus(startWithin)));
+        piece.trips.forEach(earlier -> earlier.limitStart(now().plus(startWithin)));
       }
       piece.trips.add(errand);
     }
     if (over) {
-      back.withdraw(errand);
+      backend.cancelIfUnsent(errand);
     } else {
-      back.send(errand);
+      backend.send(errand);
     }
   }
 
   @Override
   public void recall(PartId part, int trip) {
-    Piece piece = pieces.get(part);
+    OpenPart piece = openParts.get(part);
     if (piece != null && trip < piece.trips.size()) {
-      back.recall(piece.trips.get(trip));
+      backend.cancel(piece.trips.get(trip));
     }
   }
 
   @Override
   public void answer(ScanId id, boolean whole) {
-    Open scan = scans.get(id);
+    OpenScan scan = openScans.get(id);
     if (scan == null) {
       return;
     }
     Map<Integer, byte[]> values = new LinkedHashMap<>();
-    for (Piece piece : scan.pieces) {
+    for (OpenPart piece : scan.parts) {
       if (piece.value != null) {
         values.put(piece.shard, piece.value);
       }
     }
     counts.must(!values.isEmpty(), "an answer has values");
     counts.add(whole ? "whole answers" : "partial answers", 1);
-    scan.reply.answer(whole, values);
+    scan.responder.answer(whole, values);
     finish(scan);
   }
 
   @Override
   public void nack(ScanId id, Duration comeBack) {
-    Open scan = scans.get(id);
+    OpenScan scan = openScans.get(id);
     if (scan != null) {
       counts.add("nacks", 1);
-      scan.reply.nack(comeBack);
+      scan.responder.reject(comeBack);
       finish(scan);
     }
   }
 
   @Override
   public void scrap(ScanId id) {
-    Open scan = scans.get(id);
+    OpenScan scan = openScans.get(id);
     if (scan != null) {
       counts.add("scraps", 1);
-      scan.reply.scrap();
+      scan.responder.fail();
       finish(scan);
     }
   }
 
   @Override
   public void probe(SearcherId searcher) {
-    if (neighbours != null) {
-      neighbours.probeStarted(searcher.address());
+    if (peers != null) {
+      peers.probeStarted(searcher.address());
     }
-    back.probe(searcher);
+    backend.probe(searcher);
   }
 
   @Override
   public boolean asksItself(SearcherId searcher) {
-    return neighbours == null || neighbours.shouldProbe(searcher.address());
+    return peers == null || peers.shouldProbe(searcher.address());
   }
 
   @Override
   public double doubt(SearcherId searcher) {
-    return neighbours == null ? 0 : neighbours.failureShare(searcher.address());
+    return peers == null ? 0 : peers.failureShare(searcher.address());
   }
 
   @Override
   public boolean prefers(SearcherId searcher) {
-    return neighbours == null || neighbours.prefers(searcher.address());
+    return peers == null || peers.isPreferred(searcher.address());
   }
 
   @Override
   public void benched(SearcherId searcher) {
-    if (neighbours != null) {
-      neighbours.ejected(searcher.address());
+    if (peers != null) {
+      peers.ejected(searcher.address());
     }
   }
 
   /** Another mixer had an answer of a searcher that this one may have benched. */
-  void othersHeard(long searcher) {
-    loop.tell(() -> mixer.othersHeard(new SearcherId(searcher)));
+  void answeredElsewhere(long searcher) {
+    loop.notifyMixer(() -> mixer.othersHeard(new SearcherId(searcher)));
   }
 
   @Override
   public void closeIdle(SearcherId searcher) {
-    back.closeIdle(searcher);
+    backend.closeIdle(searcher);
   }
 
   @Override
   public void watchRoster(boolean on) {
-    loop.tell(on ? watch::open : watch::close);
+    loop.notifyMixer(on ? watch::open : watch::close);
   }
 
   @Override
@@ -602,7 +603,7 @@
 
   @Override
   public void wakeAfter(Duration span, WakeId wake) {
-    loop.wakeAfter(span, () -> loop.tell(() -> mixer.woken(wake)));
+    loop.wakeAfter(span, () -> loop.notifyMixer(() -> mixer.woken(wake)));
   }
 
   @Override
--- a/mixer/src/main/java/gingerring/server/MixerServer.java
+++ b/mixer/src/main/java/gingerring/server/MixerServer.java
@@ -1,9 +1,9 @@
 package gingerring.server;
 
-import gingerring.backend.Back;
+import gingerring.backend.Backend;
 import gingerring.decide.Settings;
 import gingerring.discovery.Watch;
-import gingerring.frontend.Front;
+import gingerring.frontend.Frontend;
 import gingerring.net.Counts;
 import gingerring.net.Network;
 import gingerring.net.Tap;
@@ -24,13 +24,13 @@
   private static final Logger LOG = LoggerFactory.getLogger("gingerring.serve");
 
   /** How long after SIGTERM clients may still come: what comes later may go unanswered. */
-  private static final Duration STILL_COMING = Duration.ofMillis(700);
+  private static final Duration ACCEPT_AFTER_SIGTERM = Duration.ofMillis(700);
 
   /**
    * The longest patience that a restart waits for, and how long before the end the last scans are
    * closed.
    */
-  private static final Duration PATIENCE_MOST = Duration.ofSeconds(3);
+  private static final Duration MAX_DRAIN_TIME = Duration.ofSeconds(3);
 
   private static final Duration END_MARGIN = Duration.ofMillis(300);
 
@@ -38,46 +38,46 @@
    * How long before that each answer becomes its connection's last, and how long the idle ones stay
    * on.
    */
-  private static final Duration LAST_CALL = Duration.ofMillis(600);
+  private static final Duration CLOSE_AFTER_RESPONSE_PERIOD = Duration.ofMillis(600);
 
-  private static final Duration CLOSING = Duration.ofMillis(200);
+  private static final Duration CLOSE_IDLE_PERIOD = Duration.ofMillis(200);
 
   /** Answers need a moment to leave. */
-  private static final Duration FLUSH = Duration.ofMillis(100);
+  private static final Duration FLUSH_INTERVAL = Duration.ofMillis(100);
 
   /**
    * Whatever holds practice up, and however long a dial may take, it is no longer in the way then.
    */
-  private static final Duration PRACTICE_MOST = Duration.ofSeconds(1);
+  private static final Duration MAX_WARM_UP_TIME = Duration.ofSeconds(1);
 
-  private static final Duration STATUS_EVERY = Duration.ofSeconds(60);
+  private static final Duration STATUS_INTERVAL = Duration.ofSeconds(60);
 
   /** Descriptors for the process itself, and for connections at least. */
-  private static final int SOCKETS_OWN = 40;
+  private static final int RESERVED_SOCKETS = 40;
 
-  private static final int SOCKETS_LEAST = 16;
+  private static final int MIN_CONNECTION_SOCKETS = 16;
 
   private final Map<String, String> env;
   private final Tap tap;
-  private final PeerService neighbours;
+  private final PeerService peers;
   final Counts counts = new Counts();
-  final Loop loop = new Loop(counts);
+  final EventLoop loop = new EventLoop(counts);
   private final CountDownLatch ended = new CountDownLatch(1);
   private Network network;
-  Front front;
-  private MixerHost desk;
-  private Back back;
+  Frontend frontend;
+  private MixerHost host;
+  private Backend backend;
   private Watch watch;
 
   /** What holds for this process; of later configurations, only where discovery is. */
-  private MixerConfig atStart;
+  private MixerConfig startConfig;
 
-  private Duration endBy;
+  private Duration shutdownDeadline;
 
   MixerServer(Map<String, String> env, Tap tap, PeerService neighbours) {
     this.env = env;
     this.tap = tap;
-    this.neighbours = neighbours;
+    this.peers = neighbours;
   }
 
   /** Returns the exit code. */
@@ -105,7 +105,8 @@
       return serve.serve(
           MixerConfig.read(env),
           complaints,
-          listening -> Runtime.getRuntime().addShutdownHook(new Thread(serve::terminate, "end")));
+          listening ->
+              Runtime.getRuntime().addShutdownHook(new Thread(serve::shutDownAndHalt, "end")));
     } catch (MixerConfig.InvalidConfig | IllegalArgumentException e) {
       complaints.println("gingerring serve: " + e.getMessage());
       return 2;
@@ -117,38 +118,44 @@
    * code.
    */
   int serve(MixerConfig orders, PrintStream complaints, Consumer<InetSocketAddress> up) {
-    Settings terms = orders.terms();
-    int rehearsed = new Rehearsal(terms).run();
+    Settings terms = orders.settings();
+    int rehearsed = new ScanWarmUp(terms).run();
     // one reading of both clocks
     double startMs = System.currentTimeMillis() - loop.clock().toNanos() / 1e6;
     network = new Network(loop, counts, false, tap);
-    desk = new MixerHost(loop, terms, counts, startMs);
-    back = new Back(network, desk, terms, counts, loop);
-    atStart = orders;
+    host = new MixerHost(loop, terms, counts, startMs);
+    backend = new Backend(network, host, terms, counts, loop);
+    startConfig = orders;
     watch =
         new Watch(
-            network, orders.discovery(), orders.known().revision(), desk, counts, loop, terms);
-    front =
-        new Front(
             network,
-            desk,
+            orders.discoveryAddress(),
+            orders.knownMembers().revision(),
+            host,
+            counts,
+            loop,
+            terms);
+    frontend =
+        new Frontend(
+            network,
+            host,
             terms,
             counts,
             loop,
             loop::post,
-            Math.max(SOCKETS_LEAST, orders.sockets() - SOCKETS_OWN));
-    if (neighbours != null) {
-      desk.among(neighbours);
-      neighbours.begin(new Lent(orders, startMs));
+            Math.max(MIN_CONNECTION_SOCKETS, orders.socketLimit() - RESERVED_SOCKETS));
+    if (peers != null) {
+      host.setPeers(peers);
+      peers.start(new PeerContext(orders, startMs));
     }
-    desk.practises();
-    desk.start(back, watch, orders.seed(), orders.known());
+    host.startWarmUp();
+    host.start(backend, watch, orders.seed(), orders.knownMembers());
     InetSocketAddress listening;
     try {
-      listening = front.listen(orders.listen());
+      listening = frontend.listen(orders.listenAddress());
     } catch (IOException e) {
       complaints.println(
-          "gingerring serve: cannot listen at " + orders.listen() + ": " + e.getMessage());
+          "gingerring serve: cannot listen at " + orders.listenAddress() + ": " + e.getMessage());
       return 1;
     }
     up.accept(listening);
@@ -156,16 +163,18 @@
         "{} listens at {}, {} searchers known, {} scans rehearsed",
         orders.name(),
         listening,
-        orders.known().members().size(),
+        orders.knownMembers().members().size(),
         rehearsed);
-    status();
-    Practice practice = new Practice(network, listening, orders.sockets(), counts, desk::practised);
-    practice.begin();
+    scheduleStatusLog();
+    SocketWarmUp practice =
+        new SocketWarmUp(network, listening, orders.socketLimit(), counts, host::finishWarmUp);
+    practice.start();
     Duration dial = terms.span("PolicyLimits.DialTimeoutMs");
     loop.wakeAfter(
-        dial.compareTo(PRACTICE_MOST) < 0 ? dial : PRACTICE_MOST, desk::practised); // may go on
-    loop.wakeAfter(PRACTICE_MOST, practice::end);
-    loop.run(back::dispatch, network::flush);
+        dial.compareTo(MAX_WARM_UP_TIME) < 0 ? dial : MAX_WARM_UP_TIME,
+        host::finishWarmUp); // may go on
+    loop.wakeAfter(MAX_WARM_UP_TIME, practice::closeAll);
+    loop.run(backend::dispatch, network::flush);
     LOG.info("ended; counts: {}", counts);
     if (tap != null) {
       tap.end();
@@ -182,40 +191,40 @@
   synchronized void reload() {
     try {
       MixerConfig orders = MixerConfig.read(env);
-      loop.post(() -> takeOver(orders));
+      loop.post(() -> applyReload(orders));
     } catch (MixerConfig.InvalidConfig e) {
       LOG.warn("reload: the configuration in force stays: {}", e.getMessage());
     }
   }
 
-  private void takeOver(MixerConfig orders) {
+  private void applyReload(MixerConfig orders) {
     LOG.info(
         "reload: discovery at {}{}",
-        orders.discovery(),
-        orders.differsOnlyInDiscovery(atStart) ? "" : "; what else is new waits for a restart");
-    watch.move(orders.discovery());
+        orders.discoveryAddress(),
+        orders.differsOnlyInDiscovery(startConfig) ? "" : "; what else is new waits for a restart");
+    watch.move(orders.discoveryAddress());
   }
 
-  private void status() {
+  private void scheduleStatusLog() {
     loop.wakeAfter(
-        STATUS_EVERY,
+        STATUS_INTERVAL,
         () -> {
           LOG.info(
               "{} scans open, {} clients, {} connections; counts: {}",
-              desk.open(),
-              front.clients(),
+              host.openScanCount(),
+              frontend.clientCount(),
               network.connections(),
               counts);
-          if (neighbours != null) {
-            LOG.info("{}", neighbours.status());
+          if (peers != null) {
+            LOG.info("{}", peers.statusLine());
           }
-          status();
+          scheduleStatusLog();
         });
   }
 
   /** SIGTERM: the loop ends in its own time, and the process with code 0. */
-  private void terminate() {
-    loop.post(this::announceEnd);
+  private void shutDownAndHalt() {
+    loop.post(this::beginShutdown);
     try {
       ended.await();
     } catch (InterruptedException e) {
@@ -229,30 +238,31 @@
    * restart too: they are served on as ever for most of the time that is left, and then moved over
    * answer by answer.
    */
-  void announceEnd() {
-    if (endBy != null) {
+  void beginShutdown() {
+    if (shutdownDeadline != null) {
       return;
     }
     counts.add("ends announced", 1);
-    LOG.info("ending: {} scans open", desk.open());
-    if (neighbours != null) {
-      neighbours.end(STILL_COMING);
+    LOG.info("ending: {} scans open", host.openScanCount());
+    if (peers != null) {
+      peers.shutDown(ACCEPT_AFTER_SIGTERM);
     }
-    Settings terms = atStart.terms();
+    Settings terms = startConfig.settings();
     Duration patience = Duration.ZERO;
     for (int i = 0; i < terms.count("Classes.count"); i++) {
       Duration its = terms.span("Classes." + i + ".HardLimitMs");
       patience = its.compareTo(patience) > 0 ? its : patience;
     }
-    patience = patience.compareTo(PATIENCE_MOST) < 0 ? patience : PATIENCE_MOST;
-    endBy = loop.now().plus(patience).plus(STILL_COMING).minus(END_MARGIN);
-    desk.announceEnd(endBy);
-    loop.wakeAfter(STILL_COMING, network::stopListening);
+    patience = patience.compareTo(MAX_DRAIN_TIME) < 0 ? patience : MAX_DRAIN_TIME;
+    shutdownDeadline = loop.now().plus(patience).plus(ACCEPT_AFTER_SIGTERM).minus(END_MARGIN);
+    host.beginShutdown(shutdownDeadline);
+    loop.wakeAfter(ACCEPT_AFTER_SIGTERM, network::stopListening);
     loop.wakeAfter(
-        endBy.minus(LAST_CALL).minus(loop.now()),
+        shutdownDeadline.minus(CLOSE_AFTER_RESPONSE_PERIOD).minus(loop.now()),
         () -> {
-          desk.lastCall();
-          loop.wakeAfter(LAST_CALL.minus(CLOSING), this::watchEnd);
+          host.closeConnectionsAfterResponses();
+          loop.wakeAfter(
+              CLOSE_AFTER_RESPONSE_PERIOD.minus(CLOSE_IDLE_PERIOD), this::finishShutdown);
         });
   }
 
@@ -261,16 +271,16 @@
    * and the process ends once none is left, or at its time. Guards against a request that is read
    * after the last look at what is open, and goes unanswered.
    */
-  private void watchEnd() {
+  private void finishShutdown() {
     network.stopListening();
-    boolean late = loop.now().compareTo(endBy) >= 0;
+    boolean late = loop.now().compareTo(shutdownDeadline) >= 0;
     if (late) {
-      desk.scrapAll();
-      front.endNow();
+      host.failOpenScans();
+      frontend.closeAllClients();
     }
-    front.end();
-    boolean over = late || desk.open() == 0 && front.clients() == 0;
-    loop.wakeAfter(FLUSH, over ? loop::stop : this::watchEnd);
+    frontend.closeIdleClients();
+    boolean over = late || host.openScanCount() == 0 && frontend.clientCount() == 0;
+    loop.wakeAfter(FLUSH_INTERVAL, over ? loop::stop : this::finishShutdown);
   }
 
   Network network() {
@@ -283,43 +293,43 @@
   }
 
   /** What neighbours are lent of this process. */
-  private final class Lent implements PeerService.Context {
-    private final MixerConfig orders;
-    private final long startMs;
+  private final class PeerContext implements PeerService.Context {
+    private final MixerConfig config;
+    private final long startEpochMs;
 
-    Lent(MixerConfig orders, double startMs) {
-      this.orders = orders;
-      this.startMs = Math.round(startMs);
+    PeerContext(MixerConfig orders, double startMs) {
+      this.config = orders;
+      this.startEpochMs = Math.round(startMs);
     }
 
     @Override
     public String name() {
-      return orders.name();
+      return config.name();
     }
 
     @Override
     public int zone() {
-      return orders.terms().has("Zone") ? orders.terms().count("Zone") : -1;
+      return config.settings().has("Zone") ? config.settings().count("Zone") : -1;
     }
 
     @Override
-    public int places() {
-      return orders.terms().count("Domain.Places");
+    public int cellCount() {
+      return config.settings().count("Domain.Places");
     }
 
     @Override
-    public int reach() {
-      return orders.terms().count("Domain.Reach");
+    public int cellsPerShard() {
+      return config.settings().count("Domain.Reach");
     }
 
     @Override
-    public long startMs() {
-      return startMs;
+    public long startEpochMs() {
+      return startEpochMs;
     }
 
     @Override
     public void answeredElsewhere(long searcher) {
-      desk.othersHeard(searcher);
+      host.answeredElsewhere(searcher);
     }
 
     @Override
--- a/mixer/src/main/java/gingerring/server/PeerService.java
+++ b/mixer/src/main/java/gingerring/server/PeerService.java
@@ -22,19 +22,19 @@
     int zone();
 
     /** Cells of the ring, and how many from a shard's own on hold it. */
-    int places();
+    int cellCount();
 
-    int reach();
+    int cellsPerShard();
 
     /** Unix time in milliseconds at the clock's zero. */
-    long startMs();
+    long startEpochMs();
 
     /** Another mixer had an answer of that searcher. */
     void answeredElsewhere(long searcher);
   }
 
   /** The process is about to take scans. */
-  void begin(Context ground);
+  void start(Context ground);
 
   void membersChanged(Collection<MemberEntry> searchers);
 
@@ -54,11 +54,11 @@
   /** The share of its parts that fail as others see it, 0 to 1; 0 where nobody tells. */
   double failureShare(long searcher);
 
-  boolean prefers(long searcher);
+  boolean isPreferred(long searcher);
 
   /** A line for the log each minute. */
-  String status();
+  String statusLine();
 
   /** The process ends on purpose; {@code within} it may still say so. */
-  void end(Duration within);
+  void shutDown(Duration within);
 }
--- a/mixer/src/main/java/gingerring/server/Rehearsal.java
+++ b/mixer/src/main/java/gingerring/server/ScanWarmUp.java
@@ -1,11 +1,11 @@
 package gingerring.server;
 
-import gingerring.backend.Back;
+import gingerring.backend.Backend;
 import gingerring.decide.MemberEntry.Standing;
 import gingerring.decide.Settings;
 import gingerring.discovery.Members;
 import gingerring.discovery.Watch;
-import gingerring.frontend.Front;
+import gingerring.frontend.Frontend;
 import gingerring.net.Connection;
 import gingerring.net.Counts;
 import gingerring.net.Network;
@@ -28,58 +28,60 @@
  * and mixer of its own that are dropped after it. Guards against a first second of answers that are
  * late because the JVM has yet to load and compile all that they need, on part of a core.
  */
-final class Rehearsal {
-  private static final int SCANS = 60;
-  private static final Duration LONGEST = Duration.ofMillis(1500);
-  private static final int CALLERS = 4;
-  private static final int PARTS = 6;
-  private static final int OUT_MOST = 1 << 16;
-
-  private final Settings terms;
+final class ScanWarmUp {
+  private static final int SAMPLE_SCANS = 60;
+  private static final Duration TIME_LIMIT = Duration.ofMillis(1500);
+  private static final int CLIENT_COUNT = 4;
+  private static final int MAX_PARTS_PER_SCAN = 6;
+  private static final int BUFFER_BYTES = 1 << 16;
+
+  private final Settings settings;
   private final Counts counts = new Counts();
-  private final Loop loop = new Loop(counts);
+  private final EventLoop loop = new EventLoop(counts);
   private final Network network = new Network(loop, counts, true);
-  private final InetSocketAddress front = place(1);
-  private final InetSocketAddress searchers = place(2);
-  private int asked;
-  private int answered;
+  private final InetSocketAddress frontendAddress = loopbackAddress(1);
+  private final InetSocketAddress searcherAddress = loopbackAddress(2);
+  private int scansSent;
+  private int scansAnswered;
 
-  Rehearsal(Settings told) {
+  ScanWarmUp(Settings told) {
     Map<String, String> map = new HashMap<>(told.map());
     map.put("Discovery", "none here");
-    terms = new Settings(map);
+    settings = new Settings(map);
   }
 
-  private static InetSocketAddress place(int port) {
+  private static InetSocketAddress loopbackAddress(int port) {
     return new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
   }
 
   /** Returns how many sample scans were answered, the less the less of a core there is. */
   int run() {
     Network store = new Network(loop, counts, true);
-    MixerHost desk = new MixerHost(loop, terms, counts, 0);
-    Back back = new Back(network, desk, terms, counts, loop);
+    MixerHost desk = new MixerHost(loop, settings, counts, 0);
+    Backend back = new Backend(network, desk, settings, counts, loop);
     List<Members.Member> members = new ArrayList<>();
-    for (int cell = 0; cell < terms.count("Domain.Places"); cell++) {
+    for (int cell = 0; cell < settings.count("Domain.Places"); cell++) {
       members.add(
-          new Members.Member("sample-" + cell, searchers, "", "", cell, Standing.READY, 1, 0));
+          new Members.Member(
+              "sample-" + cell, searcherAddress, "", "", cell, Standing.READY, 1, 0));
     }
-    Watch watch = new Watch(network, place(3), 0, desk, counts, loop);
+    Watch watch = new Watch(network, loopbackAddress(3), 0, desk, counts, loop);
     desk.start(back, watch, 0, new Members(0, true, members));
     try {
       store.listen(
-          searchers,
+          searcherAddress,
           Integer.MAX_VALUE,
-          OUT_MOST,
-          connection -> connection.party(new Sample(connection)));
-      new Front(network, desk, terms, counts, loop, loop::post, Integer.MAX_VALUE).listen(front);
+          BUFFER_BYTES,
+          connection -> connection.party(new SampleSearcher(connection)));
+      new Frontend(network, desk, settings, counts, loop, loop::post, Integer.MAX_VALUE)
+          .listen(frontendAddress);
     } catch (IOException e) {
       return 0; // without it the mixer starts all the same, and slowly
     }
-    for (int i = 0; i < CALLERS; i++) {
-      new Caller();
+    for (int i = 0; i < CLIENT_COUNT; i++) {
+      new SampleClient();
     }
-    loop.wakeAfter(LONGEST, loop::stop);
+    loop.wakeAfter(TIME_LIMIT, loop::stop);
     loop.run(
         back::dispatch,
         () -> {
@@ -88,28 +90,28 @@
         });
     network.dispose();
     store.dispose();
-    return answered;
+    return scansAnswered;
   }
 
   /** Asks for one scan after the other on one connection. */
-  private final class Caller implements Party {
-    private final Connection connection = network.dial(front, OUT_MOST, this);
+  private final class SampleClient implements Party {
+    private final Connection connection = network.dial(frontendAddress, BUFFER_BYTES, this);
 
     @Override
     public void opened() {
-      ask();
+      sendScan();
     }
 
-    private void ask() {
-      int number = asked++;
-      int grade = number % terms.count("Classes.count");
-      int parts = Math.min(PARTS, terms.count("Domain.Slices"));
+    private void sendScan() {
+      int number = scansSent++;
+      int grade = number % settings.count("Classes.count");
+      int parts = Math.min(MAX_PARTS_PER_SCAN, settings.count("Domain.Slices"));
       StringBuilder targets = new StringBuilder();
       for (int i = 0; i < parts; i++) {
         targets
             .append(i == 0 ? "" : ",")
             .append("{\"partition\":")
-            .append((number + i) % terms.count("Domain.Slices"))
+            .append((number + i) % settings.count("Domain.Slices"))
             .append(",\"share\":")
             .append(1.0 / parts)
             .append(",\"est_us\":1000}");
@@ -119,7 +121,7 @@
           ("POST /api HTTP/1.1\r\nHost: sample\r\nX-Txn: sample-"
                   + number
                   + "\r\nX-Lane: "
-                  + terms.text("Classes." + grade + ".Name")
+                  + settings.text("Classes." + grade + ".Name")
                   + "\r\nX-Remaining-Ms: 60000\r\nIdempotency-Key: "
                   + number
                   + "\r\nContent-Length: "
@@ -134,10 +136,10 @@
     public void readable() {
       // an answer is put whole, and leaves whole
       connection.in.clear();
-      if (++answered >= SCANS) {
+      if (++scansAnswered >= SAMPLE_SCANS) {
         loop.stop();
       } else {
-        ask();
+        sendScan();
       }
     }
 
@@ -146,33 +148,35 @@
   }
 
   /** A searcher that has every part at once. */
-  private static final class Sample implements Party {
+  private static final class SampleSearcher implements Party {
     private final Connection connection;
-    private final byte[] bytes = new byte[OUT_MOST];
-    private int held;
+    private final byte[] buffered = new byte[BUFFER_BYTES];
+    private int bufferedLength;
 
-    Sample(Connection connection) {
+    SampleSearcher(Connection connection) {
       this.connection = connection;
     }
 
     @Override
     public void readable() {
-      held += connection.in.take(bytes, held, bytes.length - held);
-      ByteBuffer buffer = ByteBuffer.wrap(bytes, 0, held).order(ByteOrder.LITTLE_ENDIAN);
+      bufferedLength +=
+          connection.in.take(buffered, bufferedLength, buffered.length - bufferedLength);
+      ByteBuffer buffer =
+          ByteBuffer.wrap(buffered, 0, bufferedLength).order(ByteOrder.LITTLE_ENDIAN);
       while (buffer.remaining() >= 4
           && buffer.remaining() >= 4 + buffer.getInt(buffer.position())) {
         byte[] frame = new byte[buffer.getInt()];
         buffer.get(frame);
         if (frame[0] == 'S') {
-          answer(new String(frame, 1, frame.length - 1, StandardCharsets.US_ASCII));
+          answerParts(new String(frame, 1, frame.length - 1, StandardCharsets.US_ASCII));
         }
       }
       buffer.compact();
-      held = buffer.position();
+      bufferedLength = buffer.position();
       connection.resume();
     }
 
-    private void answer(String parts) {
+    private void answerParts(String parts) {
       for (String part : parts.split("\n")) { // their text is empty
         String rest = "R" + part.split(" ", 2)[0] + " done 1 -\nvalue";
         connection.out.put(
--- a/mixer/src/main/java/gingerring/server/Bounds.java
+++ b/mixer/src/main/java/gingerring/server/SettingsValidator.java
@@ -21,22 +21,22 @@
  * is answered or counts, none of what there must be one of, a need of nothing, two grades of one
  * name.
  */
-final class Bounds {
+final class SettingsValidator {
   /** A setting that cannot be used. */
-  static final class Refused extends IllegalArgumentException {
+  static final class InvalidSettingException extends IllegalArgumentException {
     private static final long serialVersionUID = 1;
-    private final String entry;
+    private final String settingPath;
     private final String remedy;
 
-    Refused(String entry, String fault, String remedy) {
+    InvalidSettingException(String entry, String fault, String remedy) {
       super("setting " + entry + " " + fault + ": " + remedy);
-      this.entry = entry;
+      this.settingPath = entry;
       this.remedy = remedy;
     }
 
     /** The path of the setting, as on the wire. */
-    String entry() {
-      return entry;
+    String settingPath() {
+      return settingPath;
     }
 
     /** What an operator can do. */
@@ -46,7 +46,7 @@
   }
 
   /** The largest time that still counts exactly in nanoseconds, as on the wire. */
-  private static final double MOST = 9e12;
+  private static final double MAX_VALUE = 9e12;
 
   /**
    * Each with the least that it may be and the most, if there is one; {@code *} for each service
@@ -54,7 +54,7 @@
    * by one. A scan is closed 10 ms before its client's patience ends, so that no shorter one could
    * be served; and a wait from ten million seconds on has no plain decimals in Retry-After.
    */
-  private static final List<String> NUMBERS =
+  private static final List<String> NUMBER_RANGES =
       List.of(
           "FleetSize 1",
           "Domain.Batch 1 1e9",
@@ -85,7 +85,7 @@
    * Lists with an item for each service grade. Second steps have no form on sockets; and a grade
    * that needs nothing would be answered with nothing.
    */
-  private static final List<String> BY_GRADE =
+  private static final List<String> PER_CLASS_RANGES =
       List.of("Domain.ClassFetch 0 0", "Domain.ClassFloor 0 1", "Domain.NeedByClass 0.0001 1");
 
   private static final List<String> FLAGS =
@@ -99,36 +99,36 @@
           "!Discovery automatic subscribe",
           "LoadReport.Source answers probe none",
           "!Classes.*.Idempotency idempotent deduplicated at_most_once");
-  private static final List<String> THERE = List.of("Zones", "Skus");
-  private static final List<String> BUDGET =
+  private static final List<String> REQUIRED_LISTS = List.of("Zones", "Skus");
+  private static final List<String> RETRY_BUDGET =
       List.of("Safety.ExtraFree", "Safety.ResendRatio", "Safety.ResendSpanMs");
 
-  private Bounds() {}
+  private SettingsValidator() {}
 
   /** Throws {@link Refused} for the first setting that cannot be used. */
   static void check(Settings terms) {
-    must(
+    require(
         terms.has("Classes.count") && number(terms, "Classes.count", "a list") >= 1,
         "Classes",
         "is no list of grades",
         "give one object for each service grade, one at least");
     int grades = terms.count("Classes.count");
-    for (String line : NUMBERS) {
+    for (String line : NUMBER_RANGES) {
       String[] bound = line.split(" ");
-      for (String key : keys(bound[0], grades)) {
-        if (there(terms, bound[0], key, "give " + range(bound))) {
-          within(key, number(terms, key, range(bound)), bound);
+      for (String key : expand(bound[0], grades)) {
+        if (isPresent(terms, bound[0], key, "give " + describeRange(bound))) {
+          requireInRange(key, number(terms, key, describeRange(bound)), bound);
         }
       }
     }
-    for (String line : BY_GRADE) {
+    for (String line : PER_CLASS_RANGES) {
       String[] bound = line.split(" ");
       for (int i = 0; i < grades; i++) {
-        within(bound[0], item(terms, bound[0], i, range(bound)), bound);
+        requireInRange(bound[0], item(terms, bound[0], i, describeRange(bound)), bound);
       }
     }
     for (String key : FLAGS) {
-      must(
+      require(
           !terms.has(key) || terms.text(key).equals("true") || terms.text(key).equals("false"),
           key,
           "is neither true nor false",
@@ -137,46 +137,47 @@
     for (String line : CHOICES) {
       List<String> choice = List.of(line.split(" "));
       List<String> known = choice.subList(1, choice.size());
-      for (String key : keys(choice.get(0), grades)) {
+      for (String key : expand(choice.get(0), grades)) {
         String remedy = "give one of " + String.join(", ", known);
-        if (there(terms, choice.get(0), key, remedy)) {
-          must(known.contains(terms.text(key)), key, "is unknown", remedy);
+        if (isPresent(terms, choice.get(0), key, remedy)) {
+          require(known.contains(terms.text(key)), key, "is unknown", remedy);
         }
       }
     }
-    for (String key : THERE) {
-      there(terms, "!" + key, key, "give the list of their names, an empty one if there is none");
+    for (String key : REQUIRED_LISTS) {
+      isPresent(
+          terms, "!" + key, key, "give the list of their names, an empty one if there is none");
     }
-    long told = BUDGET.stream().filter(terms::has).count();
-    for (String key : BUDGET) {
-      must(
+    long told = RETRY_BUDGET.stream().filter(terms::has).count();
+    for (String key : RETRY_BUDGET) {
+      require(
           told == 0 || terms.has(key),
           key,
           "is missing beside the others of a budget",
-          "give " + String.join(", ", BUDGET) + ", or none of them");
+          "give " + String.join(", ", RETRY_BUDGET) + ", or none of them");
     }
-    grades(terms, grades);
+    checkServiceClasses(terms, grades);
   }
 
   /** What grades must have that others need not, and must have for themselves. */
-  private static void grades(Settings terms, int grades) {
+  private static void checkServiceClasses(Settings terms, int grades) {
     Map<String, Integer> names = new HashMap<>();
     for (int i = 0; i < grades; i++) {
       String at = "Classes." + i + ".";
-      there(terms, "!", at + "Name", "give the name that clients send in X-Lane");
+      isPresent(terms, "!", at + "Name", "give the name that clients send in X-Lane");
       String name = terms.text(at + "Name");
-      must(
+      require(
           !name.isEmpty() && name.chars().allMatch(c -> c > ' ' && c < 127),
           at + "Name",
           "is nothing that a header carries",
           "give a name of plain ASCII text");
       Integer other = names.putIfAbsent(name, i);
-      must(
+      require(
           other == null,
           at + "Name",
           "is that of Classes." + other + " too",
           "give each a name of its own");
-      must(
+      require(
           !terms.text(at + "Idempotency").equals("deduplicated") || terms.has(at + "WindowMs"),
           at + "WindowMs",
           "is missing",
@@ -184,15 +185,15 @@
     }
   }
 
-  private static List<String> keys(String entry, int grades) {
+  private static List<String> expand(String entry, int grades) {
     String key = entry.replace("!", "");
     return !key.contains("*")
         ? List.of(key)
         : IntStream.range(0, grades).mapToObj(i -> key.replace("*", String.valueOf(i))).toList();
   }
 
-  private static boolean there(Settings terms, String entry, String key, String remedy) {
-    must(!entry.startsWith("!") || terms.has(key), key, "is missing", remedy);
+  private static boolean isPresent(Settings terms, String entry, String key, String remedy) {
+    require(!entry.startsWith("!") || terms.has(key), key, "is missing", remedy);
     return terms.has(key);
   }
 
@@ -200,7 +201,8 @@
     try {
       return terms.number(key);
     } catch (IllegalArgumentException e) {
-      throw new Refused(key, "is no number", "give " + range + " in place of " + terms.text(key));
+      throw new InvalidSettingException(
+          key, "is no number", "give " + range + " in place of " + terms.text(key));
     }
   }
 
@@ -208,27 +210,27 @@
     try {
       return terms.item(key, place, 1);
     } catch (IllegalArgumentException e) {
-      throw new Refused(
+      throw new InvalidSettingException(
           key, "has no number at place " + place, "give " + range + " for each grade");
     }
   }
 
-  private static String range(String[] bound) {
+  private static String describeRange(String[] bound) {
     return "a number from " + bound[1] + (bound.length > 2 ? " to " + bound[2] : " on");
   }
 
-  private static void within(String key, double value, String[] bound) {
-    double most = bound.length > 2 ? Double.parseDouble(bound[2]) : MOST;
-    must(
+  private static void requireInRange(String key, double value, String[] bound) {
+    double most = bound.length > 2 ? Double.parseDouble(bound[2]) : MAX_VALUE;
+    require(
         value >= Double.parseDouble(bound[1]) && value <= most,
         key,
         "is out of its range, " + value,
-        "give " + range(bound));
+        "give " + describeRange(bound));
   }
 
-  private static void must(boolean kept, String key, String fault, String remedy) {
+  private static void require(boolean kept, String key, String fault, String remedy) {
     if (!kept) {
-      throw new Refused(key, fault, remedy);
+      throw new InvalidSettingException(key, fault, remedy);
     }
   }
 }
--- a/mixer/src/main/java/gingerring/server/Practice.java
+++ b/mixer/src/main/java/gingerring/server/SocketWarmUp.java
@@ -15,60 +15,61 @@
  * sockets nobody has used yet: the rehearsal passes MINA's pipes, and what sockets need beside them
  * would be compiled while a client waits.
  */
-final class Practice {
+final class SocketWarmUp {
   /** Asked for and given here, each passes the same way twice: enough that it is compiled. */
-  private static final int ANSWERS = 192;
+  private static final int TOTAL_ANSWERS = 192;
 
-  private static final int CALLS_MOST = 24;
+  private static final int MAX_CONNECTIONS = 24;
 
   /** Each call holds two descriptors: this keeps them to a sixteenth of those there are. */
-  private static final int SOCKETS_EACH = 32;
+  private static final int SOCKETS_PER_CONNECTION = 32;
 
-  private static final int OUT_MOST = 1024;
+  private static final int OUTPUT_BUFFER_BYTES = 1024;
 
   private final Network network;
-  private final InetSocketAddress front;
+  private final InetSocketAddress frontendAddress;
   private final Counts counts;
   private final byte[] request;
-  private final int calls;
-  private final Runnable done;
-  private final List<Call> under = new ArrayList<>();
-  private int open;
+  private final int connectionCount;
+  private final Runnable onFinished;
+  private final List<WarmUpConnection> connections = new ArrayList<>();
+  private int openConnections;
 
   /** {@code done} is called once, when all calls have ended, however they did. */
-  Practice(Network network, InetSocketAddress front, int sockets, Counts counts, Runnable done) {
-    calls = Math.max(1, Math.min(CALLS_MOST, sockets / SOCKETS_EACH));
+  SocketWarmUp(
+      Network network, InetSocketAddress front, int sockets, Counts counts, Runnable done) {
+    connectionCount = Math.max(1, Math.min(MAX_CONNECTIONS, sockets / SOCKETS_PER_CONNECTION));
     this.network = network;
-    this.front = front;
+    this.frontendAddress = front;
     this.counts = counts;
-    this.done = done;
+    this.onFinished = done;
     request =
         ("GET /ready HTTP/1.1\r\nHost: " + front.getAddress().getHostAddress() + "\r\n\r\n")
             .getBytes(StandardCharsets.US_ASCII);
   }
 
-  void begin() {
-    open = calls;
-    for (int i = 0; i < calls; i++) {
-      under.add(new Call());
+  void start() {
+    openConnections = connectionCount;
+    for (int i = 0; i < connectionCount; i++) {
+      connections.add(new WarmUpConnection());
     }
   }
 
   /** Whatever holds it up, it is over: its connections end. */
-  void end() {
-    under.forEach(call -> call.connection.close());
+  void closeAll() {
+    connections.forEach(call -> call.connection.close());
   }
 
-  private final class Call implements Party {
-    private final Connection connection = network.dial(front, OUT_MOST, this);
-    private int rounds;
+  private final class WarmUpConnection implements Party {
+    private final Connection connection = network.dial(frontendAddress, OUTPUT_BUFFER_BYTES, this);
+    private int answersRead;
 
     @Override
     public void opened() {
-      ask();
+      sendRequest();
     }
 
-    private void ask() {
+    private void sendRequest() {
       connection.out.put(request);
       connection.touch();
     }
@@ -77,8 +78,8 @@
     public void readable() {
       connection.in.clear(); // an answer is put whole, and leaves whole
       counts.add("answers practised", 1);
-      if (++rounds * calls < ANSWERS) {
-        ask();
+      if (++answersRead * connectionCount < TOTAL_ANSWERS) {
+        sendRequest();
       } else {
         connection.close();
       }
@@ -86,8 +87,8 @@
 
     @Override
     public void closed() {
-      if (--open == 0) {
-        done.run();
+      if (--openConnections == 0) {
+        onFinished.run();
       }
     }
   }
--- a/mixer/src/test/java/gingerring/backend/FramesTest.java
+++ b/mixer/src/test/java/gingerring/backend/FramesTest.java
@@ -19,9 +19,9 @@
 class FramesTest {
   private static String read(byte[] bytes, int cut) {
     StringBuilder text = new StringBuilder();
-    Frames frames = new Frames();
+    FrameCodec frames = new FrameCodec();
     ByteRing ring = new ByteRing(4096, 4096);
-    Frames.Sink sink =
+    FrameCodec.Sink sink =
         (letter, rest) ->
             text.append(letter).append(new String(rest, StandardCharsets.ISO_8859_1)).append('|');
     try {
@@ -29,7 +29,7 @@
       frames.read(ring, sink);
       ring.put(bytes, cut, bytes.length - cut);
       frames.read(ring, sink);
-    } catch (Frames.Malformed e) {
+    } catch (FrameCodec.MalformedFrameException e) {
       text.append("malformed");
     }
     return text.toString();
@@ -38,8 +38,9 @@
   @Test
   void readsTheSameOnEverySplit() {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-    bytes.writeBytes(Frames.frame('R', "a.1 done 5 -\nvalue".getBytes(StandardCharsets.US_ASCII)));
-    bytes.writeBytes(Frames.frame('H', new byte[0]));
+    bytes.writeBytes(
+        FrameCodec.encode('R', "a.1 done 5 -\nvalue".getBytes(StandardCharsets.US_ASCII)));
+    bytes.writeBytes(FrameCodec.encode('H', new byte[0]));
     bytes.writeBytes(new byte[] {0, 0, 0, 0});
     for (int cut = 0; cut <= bytes.size(); cut++) {
       assertEquals("Ra.1 done 5 -\nvalue|H|malformed", read(bytes.toByteArray(), cut));
@@ -61,8 +62,8 @@
 
   @Test
   void writesACallAsTheProtocolHasIt() {
-    Errand errand =
-        new Errand(
+    OutboundTrip errand =
+        new OutboundTrip(
             new PartId(1),
             0,
             new SearcherId(1),
@@ -72,7 +73,7 @@
             "c41e77d0".getBytes(StandardCharsets.US_ASCII),
             Duration.ofMillis(1240));
     String line = "S9b1f03aa5c7e2d41 3 d=240,k=5c0f6e1a2b3d4c59a8b7c6d5e4f30211 8\nc41e77d0";
-    byte[] call = Frames.call(List.of(errand), Duration.ofSeconds(1));
+    byte[] call = FrameCodec.encodeCall(List.of(errand), Duration.ofSeconds(1));
     assertEquals("\0\0\0" + line, new String(call, 1, call.length - 1, StandardCharsets.US_ASCII));
     assertEquals(line.length(), call[0]);
   }
@@ -81,12 +82,13 @@
   @Test
   void readsLoadReportsByTheColumnsTold() {
     Counts counts = new Counts();
-    LoadReports reports =
-        new LoadReports(new Settings(Map.of("LoadReport.Columns", "depth,load_share")), counts);
-    assertArrayEquals(new float[] {7, 0.5f}, reports.read("inflight=3,util=0.5,queue=7"));
-    assertEquals(0, reports.read("-").length);
+    LoadReportParser reports =
+        new LoadReportParser(
+            new Settings(Map.of("LoadReport.Columns", "depth,load_share")), counts);
+    assertArrayEquals(new float[] {7, 0.5f}, reports.parse("inflight=3,util=0.5,queue=7"));
+    assertEquals(0, reports.parse("-").length);
     for (String unreadable : List.of("queue", "queue=NaN", "", ",", "=3", "queue=7,util")) {
-      assertEquals(0, reports.read(unreadable).length, unreadable);
+      assertEquals(0, reports.parse(unreadable).length, unreadable);
     }
     assertEquals(6, counts.get("unreadable load reports"));
   }
--- a/mixer/src/test/java/gingerring/server/DeskTest.java
+++ b/mixer/src/test/java/gingerring/server/DeskTest.java
@@ -4,13 +4,13 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gingerring.backend.Back;
+import gingerring.backend.Backend;
 import gingerring.decide.MemberEntry.Standing;
 import gingerring.decide.Settings;
 import gingerring.discovery.Members;
 import gingerring.discovery.Watch;
-import gingerring.frontend.Ask;
-import gingerring.frontend.Reply;
+import gingerring.frontend.ScanRequest;
+import gingerring.frontend.ScanResponder;
 import gingerring.json.Json;
 import gingerring.net.Counts;
 import gingerring.net.Network;
@@ -31,31 +31,31 @@
 
 class DeskTest {
   /** Writes down the answers of one scan. */
-  private record Notes(String name, List<String> all) implements Reply {
+  private record Notes(String name, List<String> all) implements ScanResponder {
     @Override
     public void answer(boolean whole, Map<Integer, byte[]> values) {
       all.add(name + " answered");
     }
 
     @Override
-    public void nack(Duration comeBack) {
+    public void reject(Duration comeBack) {
       all.add(name + " nacked");
     }
 
     @Override
-    public void scrap() {
+    public void fail() {
       all.add(name + " scrapped");
     }
   }
 
-  private static Ask ask(String mark, int grade) {
-    return new Ask(
+  private static ScanRequest ask(String mark, int grade) {
+    return new ScanRequest(
         mark,
         grade,
         false,
         null,
         Duration.ofMillis(2000),
-        List.of(new Ask.Piece(0, 1, Duration.ZERO, 0)),
+        List.of(new ScanRequest.Target(0, 1, Duration.ZERO, 0)),
         new byte[0]);
   }
 
@@ -69,17 +69,17 @@
   /** Guards against a mixer that compiles what scans need while its first clients wait. */
   @Test
   void rehearsesSampleScansThroughAllButTheSockets() throws IOException, Json.Malformed {
-    assertTrue(new Rehearsal(terms()).run() >= 50);
+    assertTrue(new ScanWarmUp(terms()).run() >= 50);
   }
 
   /** Guards against a mixer that keeps something of every searcher and scan there ever was. */
   @Test
   void keepsNothingOfSearchersAndScansThatHaveGone() throws IOException, Json.Malformed {
     Counts counts = new Counts();
-    Loop loop = new Loop(counts);
+    EventLoop loop = new EventLoop(counts);
     Network network = new Network(loop, counts, true);
     MixerHost desk = new MixerHost(loop, terms(), counts, 0);
-    Back back = new Back(network, desk, terms(), counts, loop);
+    Backend back = new Backend(network, desk, terms(), counts, loop);
     InetSocketAddress nobody = new InetSocketAddress("127.0.0.1", 9);
     desk.start(
         back,
@@ -108,7 +108,7 @@
                             Standing.GONE,
                             1,
                             0))));
-            desk.take(ask("m" + number, 0), loop.now(), new Notes("scan", answers));
+            desk.accept(ask("m" + number, 0), loop.now(), new Notes("scan", answers));
           });
     }
     loop.post(
@@ -121,8 +121,8 @@
                 }));
     loop.run(back::dispatch, network::flush);
     assertEquals(rounds, answers.size());
-    assertEquals(0, desk.kept());
-    assertEquals(0, back.stations());
+    assertEquals(0, desk.retainedCount());
+    assertEquals(0, back.searcherCount());
     assertEquals(0, network.connections());
   }
 
@@ -165,16 +165,16 @@
    */
   private static final class Bare {
     final Counts counts = new Counts();
-    final Loop loop = new Loop(counts);
+    final EventLoop loop = new EventLoop(counts);
     final Network network = new Network(loop, counts, false);
     final MixerHost desk;
-    final Back back;
+    final Backend back;
     final InetSocketAddress place;
 
     Bare(InetSocketAddress place) throws IOException, Json.Malformed {
       this.place = place;
       desk = new MixerHost(loop, terms(), counts, 0);
-      back = new Back(network, desk, terms(), counts, loop);
+      back = new Backend(network, desk, terms(), counts, loop);
       desk.start(
           back, new Watch(network, place, 0, desk, counts, loop), 1, list(true, Standing.READY));
     }
@@ -206,7 +206,7 @@
           () -> {
             assertFalse(bare.desk.ready());
             assertTrue(
-                bare.desk.take(ask("early", 0), bare.loop.now(), new Notes("early", answers)));
+                bare.desk.accept(ask("early", 0), bare.loop.now(), new Notes("early", answers)));
             bare.loop.post(
                 () ->
                     bare.loop.post(
@@ -232,7 +232,7 @@
       bare.run(
           () -> {
             bare.desk.word();
-            bare.desk.take(ask("a", 0), bare.loop.now(), new Notes("scan", answers));
+            bare.desk.accept(ask("a", 0), bare.loop.now(), new Notes("scan", answers));
             bare.desk.list(bare.list(false, Standing.DRAINING));
           },
           Duration.ofMillis(300));
@@ -254,7 +254,7 @@
         bare.run(
             () -> {
               bare.desk.word();
-              bare.desk.take(ask("a", 0), bare.loop.now(), new Notes("scan", answers));
+              bare.desk.accept(ask("a", 0), bare.loop.now(), new Notes("scan", answers));
               bare.loop.post(
                   () -> bare.loop.post(() -> bare.desk.list(bare.list(false, standing))));
             },
@@ -274,19 +274,19 @@
   void aFailureOfTheMixerScrapsTheScanAtHandAndNoOther() throws IOException, Json.Malformed {
     Settings terms = terms();
     Counts counts = new Counts();
-    Loop loop = new Loop(counts);
+    EventLoop loop = new EventLoop(counts);
     Network network = new Network(loop, counts, true);
     MixerHost desk = new MixerHost(loop, terms, counts, 0);
     Watch watch = new Watch(network, new InetSocketAddress("127.0.0.1", 1), 0, desk, counts, loop);
     desk.start(
-        new Back(network, desk, terms, counts, loop), watch, 1, new Members(0, true, List.of()));
+        new Backend(network, desk, terms, counts, loop), watch, 1, new Members(0, true, List.of()));
     List<String> answers = new ArrayList<>();
-    desk.take(ask("a", 7), Duration.ZERO, new Notes("unknown grade", answers));
-    desk.take(ask("b", 0), Duration.ZERO, new Notes("good", answers));
+    desk.accept(ask("a", 7), Duration.ZERO, new Notes("unknown grade", answers));
+    desk.accept(ask("b", 0), Duration.ZERO, new Notes("good", answers));
     loop.post(() -> loop.wakeAfter(Duration.ofMillis(50), loop::stop));
     loop.run(() -> {}, () -> {});
     assertEquals(List.of("unknown grade scrapped", "good nacked"), answers);
     assertEquals(1, counts.get("failures in the mixer"));
-    assertEquals(0, desk.open());
+    assertEquals(0, desk.openScanCount());
   }
 }
--- a/mixer/src/test/java/gingerring/server/DialCrossingTest.java
+++ b/mixer/src/test/java/gingerring/server/DialCrossingTest.java
@@ -64,7 +64,7 @@
   /** Gives a dial to one address up in the turn after its own, and dials another in that turn. */
   private static void cross(InetSocketAddress one, InetSocketAddress other) throws Exception {
     Counts counts = new Counts();
-    Loop loop = new Loop(counts);
+    EventLoop loop = new EventLoop(counts);
     Network network = new Network(loop, counts, false);
     Thread thread = new Thread(() -> loop.run(() -> {}, network::flush));
     thread.start();
--- a/mixer/src/test/java/gingerring/server/FrontCrossingTest.java
+++ b/mixer/src/test/java/gingerring/server/FrontCrossingTest.java
@@ -141,7 +141,7 @@
         String scan = rig.scan("search", 2000, 0);
         if (requestFirst) {
           try (Rig.Gate gate = rig.hold()) {
-            rig.serve.loop.post(rig.serve.front::end);
+            rig.serve.loop.post(rig.serve.frontend::closeIdleClients);
             client.write(scan);
             gate.posted(2);
           }
@@ -151,7 +151,7 @@
         } else {
           try (Rig.Gate gate =
               rig.hold()) { // the answer before is known to have left: the connection rests
-            rig.serve.loop.post(rig.serve.front::end);
+            rig.serve.loop.post(rig.serve.frontend::closeIdleClients);
             gate.posted(1);
           }
           rig.turns(1);
@@ -172,7 +172,7 @@
       rig.begin(box);
       Rig.Client client = rig.client();
       assertTrue(client.ready());
-      rig.inLoop(rig.serve::announceEnd);
+      rig.inLoop(rig.serve::beginShutdown);
       String scan = rig.scan("search", 500, 0);
       client.write(scan.substring(0, scan.length() - 1));
       assertTrue(client.answer().startsWith("503"));
@@ -198,9 +198,9 @@
         if (scanFirst) {
           client.write(rig.scan("search", 500, 0));
           rig.awaitCount("scans taken", 1);
-          rig.inLoop(rig.serve::announceEnd);
+          rig.inLoop(rig.serve::beginShutdown);
         } else {
-          rig.inLoop(rig.serve::announceEnd);
+          rig.inLoop(rig.serve::beginShutdown);
           client.write(rig.scan("search", 500, 0));
           rig.awaitCount("scans taken", 1);
         }
@@ -221,7 +221,7 @@
       Rig.Client client = rig.client();
       client.write(rig.scan("search", 2000, 0));
       rig.awaitCount("scans taken", 1);
-      rig.inLoop(rig.serve::announceEnd);
+      rig.inLoop(rig.serve::beginShutdown);
       watch.say(Rig.list(1, true, box.member("SERVING")));
       Rig.Link link = box.link();
       link.answer(link.call(), "done");
@@ -238,10 +238,10 @@
     try (Rig rig = shortRig()) {
       rig.begin(rig.box("b0", 0));
       Rig.Client client = rig.client();
-      rig.inLoop(rig.serve::announceEnd);
+      rig.inLoop(rig.serve::beginShutdown);
       client.write("GET /rea"); // keeps the end waiting for its time
       Thread.sleep(600);
-      rig.inLoop(rig.serve::announceEnd);
+      rig.inLoop(rig.serve::beginShutdown);
       assertTrue(client.answer().startsWith("503"));
       assertEquals(0, rig.ended());
       assertEquals(1, rig.count("ends announced"));
@@ -284,7 +284,7 @@
       Rig.Link link = box.link();
       Rig.Frame call = link.call();
       try (Rig.Agent next = new Rig.Agent(true)) {
-        rig.inLoop(rig.serve::announceEnd);
+        rig.inLoop(rig.serve::beginShutdown);
         rig.configure(next.address());
         rig.serve.reload();
         Rig.Call watch = next.watch();
@@ -490,7 +490,7 @@
       assertEquals(
           0,
           serve.serve(
-              MixerConfig.read(env), System.err, at -> serve.loop.post(serve::announceEnd)));
+              MixerConfig.read(env), System.err, at -> serve.loop.post(serve::beginShutdown)));
       serve.dispose();
       assertEquals(1, serve.counts.get("ends announced"));
       assertEquals(0, serve.counts.get("failures in an event"));
--- a/mixer/src/test/java/gingerring/server/LoopTest.java
+++ b/mixer/src/test/java/gingerring/server/LoopTest.java
@@ -34,12 +34,12 @@
    */
   static final class Child {
     static volatile int wakes;
-    private static Loop loop;
+    private static EventLoop loop;
 
     private Child() {}
 
     public static void main(String[] args) {
-      loop = new Loop(new Counts());
+      loop = new EventLoop(new Counts());
       Thread poster =
           new Thread(
               () -> {
--- a/mixer/src/test/java/gingerring/server/NarrowSettingsTest.java
+++ b/mixer/src/test/java/gingerring/server/NarrowSettingsTest.java
@@ -151,7 +151,7 @@
       client.write(rig.scan("search", 2000, 0));
       Rig.Link link = box.link();
       link.call();
-      rig.serve.loop.post(rig.serve::announceEnd);
+      rig.serve.loop.post(rig.serve::beginShutdown);
       assertTrue(client.answer().startsWith("50"));
       assertEquals(0, rig.ended());
     }
--- a/mixer/src/test/java/gingerring/server/OneTurnTest.java
+++ b/mixer/src/test/java/gingerring/server/OneTurnTest.java
@@ -217,7 +217,7 @@
         rig.configure(rig.keep(new Rig.Agent(true)).address());
         rig.serve.reload();
       }
-      case END -> rig.serve.loop.post(rig.serve::announceEnd);
+      case END -> rig.serve.loop.post(rig.serve::beginShutdown);
     }
   }
 
--- a/mixer/src/test/java/gingerring/server/OrdersTest.java
+++ b/mixer/src/test/java/gingerring/server/OrdersTest.java
@@ -52,7 +52,7 @@
             "false",
             "Weights",
             "rough"));
-    Bounds.check(new Settings(house));
+    SettingsValidator.check(new Settings(house));
     String all =
         "Safety.ResendSpanMs=-1 Safety.ResendSpanMs=0 Safety.ResendSpanMs= Safety.ExtraFree=NaN "
             + "Safety.ExtraFree=-5 Safety.ResendRatio=a Safety.ResendRatio Safety.ExtraFree Safety.ResendSpanMs "
@@ -68,7 +68,9 @@
       }
       String told =
           assertThrows(
-                  IllegalArgumentException.class, () -> Bounds.check(new Settings(other)), unfit)
+                  IllegalArgumentException.class,
+                  () -> SettingsValidator.check(new Settings(other)),
+                  unfit)
               .getMessage();
       assertTrue(told.startsWith("setting " + pair[0] + " ") && !told.contains("\n"), told);
     }
--- a/mixer/src/test/java/gingerring/server/PracticeTest.java
+++ b/mixer/src/test/java/gingerring/server/PracticeTest.java
@@ -19,12 +19,12 @@
 @Timeout(60)
 class PracticeTest {
   private final Counts counts = new Counts();
-  private final Loop loop = new Loop(counts);
+  private final EventLoop loop = new EventLoop(counts);
   private final Network network = new Network(loop, counts, false);
   private final List<String> done = new ArrayList<>();
 
   private void practise(InetSocketAddress front) {
-    new Practice(
+    new SocketWarmUp(
             network,
             front,
             1024,
@@ -33,7 +33,7 @@
               done.add("done");
               loop.wakeAfter(Duration.ofMillis(100), loop::stop);
             })
-        .begin();
+        .start();
     loop.run(() -> {}, network::flush);
     network.dispose();
     assertEquals(List.of("done"), done);
@@ -73,8 +73,8 @@
             100,
             1024,
             connection -> connection.party(Party.NONE));
-    Practice practice =
-        new Practice(
+    SocketWarmUp practice =
+        new SocketWarmUp(
             network,
             front,
             1024,
@@ -83,8 +83,8 @@
               done.add("done");
               loop.wakeAfter(Duration.ofMillis(100), loop::stop);
             });
-    practice.begin();
-    loop.wakeAfter(Duration.ofMillis(100), practice::end);
+    practice.start();
+    loop.wakeAfter(Duration.ofMillis(100), practice::closeAll);
     loop.run(() -> {}, network::flush);
     network.dispose();
     assertEquals(List.of("done"), done);
--- a/mixer/src/test/java/gingerring/server/Rig.java
+++ b/mixer/src/test/java/gingerring/server/Rig.java
@@ -182,12 +182,12 @@
 
     /** Waits until so many events stand behind the gate. */
     void posted(int events) throws InterruptedException {
-      await("events behind the gate", () -> serve.loop.posted() >= events);
+      await("events behind the gate", () -> serve.loop.queuedEvents() >= events);
     }
 
     /** How many events stand behind the gate. */
     int posted() {
-      return serve.loop.posted();
+      return serve.loop.queuedEvents();
     }
 
     @Override
--- a/mixer/src/test/java/gingerring/server/SearcherCloseCrossingTest.java
+++ b/mixer/src/test/java/gingerring/server/SearcherCloseCrossingTest.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gingerring.backend.Back;
-import gingerring.backend.Errand;
-import gingerring.backend.Returns;
+import gingerring.backend.Backend;
+import gingerring.backend.BackendListener;
+import gingerring.backend.OutboundTrip;
 import gingerring.decide.Outcome;
 import gingerring.decide.SearcherId;
 import gingerring.decide.Settings;
@@ -279,7 +279,7 @@
       }
       await(inTurn); // the scan is in this turn, and what is posted from now on is not
       play.how.act(stage.link);
-      Rig.await("the word of the close", () -> stage.rig.serve.loop.posted() >= 1);
+      Rig.await("the word of the close", () -> stage.rig.serve.loop.queuedEvents() >= 1);
       goOn.countDown();
       stage.goesElsewhere(0);
       assertTrue(stage.onlyAnswer().startsWith("200 {\"whole\":true"));
@@ -452,13 +452,13 @@
    * A searcher's side of the mixer by itself, and the searcher: its dials come up, and are heard of
    * when told.
    */
-  private static final class Dials implements Returns, Closeable {
+  private static final class Dials implements BackendListener, Closeable {
     private static final SearcherId ID = new SearcherId(1);
 
     final Turns turns = new Turns();
     final Counts counts = new Counts();
     final Network network = new Network(turns, counts, false);
-    final Back back;
+    final Backend back;
     final Duration dialTimeOut;
     ServerSocket door = new ServerSocket(0, 8, InetAddress.getLoopbackAddress());
     final List<Rig.Link> links = new ArrayList<>();
@@ -477,10 +477,10 @@
               .get("settings"),
           flat);
       Settings terms = new Settings(flat);
-      back = new Back(network, this, terms, counts, turns);
+      back = new Backend(network, this, terms, counts, turns);
       dialTimeOut = terms.span("PolicyLimits.DialTimeoutMs");
       door.setSoTimeout(Rig.WAIT_MS);
-      back.listed(ID, (InetSocketAddress) door.getLocalSocketAddress(), null);
+      back.addOrUpdate(ID, (InetSocketAddress) door.getLocalSocketAddress(), null);
     }
 
     /** The first dial is late and a second under way for a probe, neither heard of. */
@@ -571,10 +571,10 @@
     }
 
     @Override
-    public void ended(Errand errand, Outcome outcome, float[] load, byte[] value) {}
+    public void tripEnded(OutboundTrip errand, Outcome outcome, float[] load, byte[] value) {}
 
     @Override
-    public void probed(SearcherId searcher, Outcome outcome, Duration taken, float[] load) {
+    public void probeEnded(SearcherId searcher, Outcome outcome, Duration taken, float[] load) {
       told.add(outcome);
     }
 
--- a/mixer/src/test/java/gingerring/server/SettingsTest.java
+++ b/mixer/src/test/java/gingerring/server/SettingsTest.java
@@ -271,7 +271,7 @@
       assertTrue(client.ready());
       client.write(rig.scan("search", 2000, 0));
       box.link().call(); // and nothing comes back
-      rig.serve.loop.post(rig.serve::announceEnd);
+      rig.serve.loop.post(rig.serve::beginShutdown);
       String answer = client.answer();
       assertTrue(answer.startsWith("50"), answer);
       assertEquals(0, rig.ended());
--- a/mixer/src/test/java/gingerring/server/WatchDialCrossingTest.java
+++ b/mixer/src/test/java/gingerring/server/WatchDialCrossingTest.java
@@ -160,7 +160,7 @@
           stage.posted(++events);
         }
       }
-      assertEquals(events, stage.loop.posted());
+      assertEquals(events, stage.loop.queuedEvents());
     } finally {
       goes.countDown();
       released.countDown();
@@ -528,7 +528,7 @@
               CountDownLatch reached = new CountDownLatch(1);
               CountDownLatch goes = new CountDownLatch(1);
               CountDownLatch released = new CountDownLatch(1);
-              Runnable end = atOnce ? rig.serve.loop::stop : rig.serve::announceEnd;
+              Runnable end = atOnce ? rig.serve.loop::stop : rig.serve::beginShutdown;
               Socket there = null;
               try (Rig.Gate gate = rig.hold()) { // what is posted behind it is one turn
                 rig.serve.loop.post(
@@ -544,7 +544,7 @@
                     });
               }
               stand(reached);
-              int events = rig.serve.loop.posted();
+              int events = rig.serve.loop.queuedEvents();
               for (int i = 0; i <= steps.size(); i++) {
                 if (i == at) {
                   rig.serve.loop.post(end);
@@ -563,7 +563,7 @@
                     }
                   }
                   int least = ++events;
-                  Rig.await("events before the loop", () -> rig.serve.loop.posted() >= least);
+                  Rig.await("events before the loop", () -> rig.serve.loop.queuedEvents() >= least);
                 }
               }
               released.countDown();
--- a/mixer/src/test/java/gingerring/server/WatchStage.java
+++ b/mixer/src/test/java/gingerring/server/WatchStage.java
@@ -60,7 +60,7 @@
 
   final Rig.Agent agent;
   final Counts counts = new Counts();
-  final Loop loop = new Loop(counts);
+  final EventLoop loop = new EventLoop(counts);
   final Network network = new Network(loop, counts, false);
   final BlockingQueue<String> told = new LinkedBlockingQueue<>();
   final Watch watch;
@@ -182,7 +182,7 @@
 
   /** Waits until so many events stand before the loop. */
   void posted(int events) throws InterruptedException {
-    Rig.await(events + " events before the loop", () -> loop.posted() >= events);
+    Rig.await(events + " events before the loop", () -> loop.queuedEvents() >= events);
   }
 
   /** The next that was told; null after a while. */
--- a/mixer/src/test/java/gingerring/server/WatchTest.java
+++ b/mixer/src/test/java/gingerring/server/WatchTest.java
@@ -37,7 +37,7 @@
   private static final int FASTER = 10;
 
   private final Counts counts = new Counts();
-  private final Loop loop = new Loop(counts);
+  private final EventLoop loop = new EventLoop(counts);
   private final Network network = new Network(loop, counts, false);
   private final BlockingQueue<String> told = new LinkedBlockingQueue<>();
   private ServerSocket agent;
--- a/peering/src/main/java/gingerring/peering/Peering.java
+++ b/peering/src/main/java/gingerring/peering/Peering.java
@@ -54,7 +54,7 @@
   }
 
   @Override
-  public void begin(Context lent) {
+  public void start(Context lent) {
     ground = lent;
     try {
       socket =
@@ -86,15 +86,18 @@
         new PeerNode(
             self,
             here,
-            lent.startMs(),
+            lent.startEpochMs(),
             rules,
             MessageAuthenticator.of(settings.keys()),
-            new SplittableRandom(self.number() ^ lent.startMs()),
+            new SplittableRandom(self.number() ^ lent.startEpochMs()),
             this);
     if (settings.prefer() > 0) {
       preference =
           new Preference(
-              new MixerId(self.number()), settings.prefer(), lent.places(), lent.reach());
+              new MixerId(self.number()),
+              settings.prefer(),
+              lent.cellCount(),
+              lent.cellsPerShard());
     }
     LOG.info(
         "peers at {}, bound to port {}, as {}",
@@ -189,12 +192,12 @@
   }
 
   @Override
-  public boolean prefers(long searcher) {
+  public boolean isPreferred(long searcher) {
     return preference == null || preference.prefers(id(searcher));
   }
 
   @Override
-  public String status() {
+  public String statusLine() {
     return "peers: "
         + company.membership().present().size()
         + " there, health "
@@ -208,10 +211,10 @@
   }
 
   @Override
-  public void end(Duration within) {
+  public void shutDown(Duration within) {
     company.leave();
     ended = true;
-    LOG.info("{}", status());
+    LOG.info("{}", statusLine());
   }
 
   /** Where datagrams come in. */
@@ -264,7 +267,7 @@
       case 'p' -> peers(lines);
       case 'w' -> why(query.box(), lines);
       case 's' -> shares(lines);
-      case 'c' -> lines.add(status());
+      case 'c' -> lines.add(statusLine());
       default -> lines.add("asked about " + query.about() + ", which this mixer does not know");
     }
     return String.join("\n", lines);
@@ -275,7 +278,7 @@
     lines.add(
         ground.name()
             + " life "
-            + ground.startMs()
+            + ground.startEpochMs()
             + " health "
             + company.membership().health()
             + ", "
@@ -309,7 +312,7 @@
             own.answered(),
             own.failed(),
             company.failureShare(box),
-            prefers(box)));
+            isPreferred(box)));
     String matter = company.describeTurn(box);
     lines.add(matter.isEmpty() ? "nobody asks about it" : matter);
     for (PeerReports.TimedReport each : company.reports()) {
--- a/peering/src/test/java/gingerring/peering/PeeringTest.java
+++ b/peering/src/test/java/gingerring/peering/PeeringTest.java
@@ -79,7 +79,7 @@
                   quick));
       call(
           () -> {
-            peering.begin(this);
+            peering.start(this);
             peering.membersChanged(
                 List.of(
                     new MemberEntry(
@@ -124,17 +124,17 @@
     }
 
     @Override
-    public int places() {
+    public int cellCount() {
       return 1;
     }
 
     @Override
-    public int reach() {
+    public int cellsPerShard() {
       return 1;
     }
 
     @Override
-    public long startMs() {
+    public long startEpochMs() {
       return startMs;
     }
 
@@ -208,7 +208,7 @@
     until(
         () -> members.stream().allMatch(each -> each.ask('p').contains("3 of 3 there")),
         "it is back");
-    back.call(() -> back.peering.end(Duration.ofMillis(100)));
+    back.call(() -> back.peering.shutDown(Duration.ofMillis(100)));
     until(() -> members.get(0).ask('p').contains(" left "), "it has left");
   }
 
