--- a/mixer/src/main/java/gingerring/Main.java
+++ b/mixer/src/main/java/gingerring/Main.java
@@ -1,7 +1,7 @@
 package gingerring;
 
 import gingerring.server.MixerServer;
-import gingerring.simulator.Drill;
+import gingerring.simulator.SimulatorAdapter;
 import java.io.IOException;
 
 /** The command line: one subcommand for each way to run the router. */
@@ -10,7 +10,7 @@
 
   public static void main(String[] args) throws IOException {
     if (args.length == 1 && args[0].equals("drill")) {
-      System.exit(new Drill(System.in, System.out).run(System.err));
+      System.exit(new SimulatorAdapter(System.in, System.out).run(System.err));
     }
     if (args.length == 1 && args[0].equals("serve")) {
       System.exit(MixerServer.run(System.getenv(), System.err));
--- a/mixer/src/main/java/gingerring/backend/Back.java
+++ b/mixer/src/main/java/gingerring/backend/Back.java
@@ -48,11 +48,11 @@
     reports = new LoadReports(terms, counts);
     batch = Math.max(1, (int) terms.number("Domain.Batch", 1));
     streams = Math.max(1, terms.count("PolicyLimits.StreamsPerConn"));
-    dialTimeOut = terms.span("PolicyLimits.DialTimeoutMs");
+    dialTimeOut = terms.duration("PolicyLimits.DialTimeoutMs");
     // the searcher may close as early as its time for idle ones, and its word of that takes a
     // moment: the
     // time in which a connection has to come up, but never so much that none could be used twice
-    Duration idle = terms.span("PolicyLimits.ConnIdleMs");
+    Duration idle = terms.duration("PolicyLimits.ConnIdleMs");
     Duration half = idle.dividedBy(2);
     idleMost = dialTimeOut.compareTo(half) < 0 ? idle.minus(dialTimeOut) : half;
     cancels = terms.flag("PolicyLimits.Cancel");
--- a/mixer/src/main/java/gingerring/decide/Spans.java
+++ b/mixer/src/main/java/gingerring/decide/Durations.java
@@ -3,8 +3,8 @@
 import java.time.Duration;
 
 /** Arithmetic on spans of time. */
-final class Spans {
-  private Spans() {}
+final class Durations {
+  private Durations() {}
 
   static Duration millis(double ms) {
     return Duration.ofNanos(Math.round(ms * 1e6));
--- a/mixer/src/main/java/gingerring/decide/Host.java
+++ b/mixer/src/main/java/gingerring/decide/Host.java
@@ -16,31 +16,31 @@
   void send(PartId part, SearcherId searcher, Duration timeOut, Duration startWithin);
 
   /** Stops waiting for a trip. */
-  void recall(PartId part, int trip);
+  void cancel(PartId part, int trip);
 
   /** Answers a scan from the parts that are in. */
   void answer(ScanId scan, boolean whole);
 
   /** Sends a scan back: to ask again does no harm. {@code comeBack} is advice; zero for none. */
-  void nack(ScanId scan, Duration comeBack);
+  void reject(ScanId scan, Duration comeBack);
 
   /** Gives a scan up, and promises nothing of its effect. */
-  void scrap(ScanId scan);
+  void fail(ScanId scan);
 
   void probe(SearcherId searcher);
 
-  void closeIdle(SearcherId searcher);
+  void closeIdleConnections(SearcherId searcher);
 
   /** Subscribes to changes of the roster, or ends that. */
-  void watchRoster(boolean on);
+  void watchMemberList(boolean on);
 
   /** Asks for the whole roster once. */
-  void fetchRoster();
+  void fetchMemberList();
 
   /** Sends bytes to one peer, or to all of them where {@code peer} is -1. */
-  void tell(int peer, byte[] bytes);
+  void sendToPeer(int peer, byte[] bytes);
 
-  void wakeAfter(Duration span, WakeId wake);
+  void startTimer(Duration span, TimerId wake);
 
   void log(String line);
 
@@ -48,14 +48,14 @@
    * Whether this mixer is to ask a benched searcher itself now, or leaves that to others who tell
    * it.
    */
-  default boolean asksItself(SearcherId searcher) {
+  default boolean shouldProbe(SearcherId searcher) {
     return true;
   }
 
   /**
    * The share of a searcher's parts that fail as other mixers see it, 0 to 1; 0 where nobody tells.
    */
-  default double doubt(SearcherId searcher) {
+  default double reportedFailureShare(SearcherId searcher) {
     return 0;
   }
 
@@ -63,10 +63,10 @@
    * Whether a searcher is one of those that this mixer is to prefer; all are where it knows of no
    * others.
    */
-  default boolean prefers(SearcherId searcher) {
+  default boolean isPreferred(SearcherId searcher) {
     return true;
   }
 
   /** A searcher has been benched: what this mixer may tell others. */
-  default void benched(SearcherId searcher) {}
+  default void searcherEjected(SearcherId searcher) {}
 }
--- a/mixer/src/main/java/gingerring/decide/MemberEntry.java
+++ b/mixer/src/main/java/gingerring/decide/MemberEntry.java
@@ -8,11 +8,11 @@
     int zone,
     int machine,
     int cell,
-    Standing standing,
-    float size,
+    Status status,
+    float capacity,
     Duration startedAt) {
   /** What the roster knows of a searcher's process. */
-  public enum Standing {
+  public enum Status {
     READY,
     DRAINING,
     GONE
--- a/mixer/src/main/java/gingerring/decide/MemberList.java
+++ b/mixer/src/main/java/gingerring/decide/MemberList.java
@@ -11,17 +11,17 @@
 
 /** The searchers that a mixer has been told of, and which of them hold a shard. */
 public final class MemberList {
-  private final int places;
-  private final int reach;
+  private final int cellCount;
+  private final int cellsPerShard;
   private final Map<SearcherId, Searcher> searchers = new TreeMap<>();
-  private final Map<Integer, List<Searcher>> cells = new HashMap<>();
+  private final Map<Integer, List<Searcher>> readyByCell = new HashMap<>();
 
   public MemberList(int places, int reach) {
     if (places < 1) {
       throw new IllegalArgumentException("setting Domain.Places is no number of cells: " + places);
     }
-    this.places = places;
-    this.reach = reach;
+    this.cellCount = places;
+    this.cellsPerShard = reach;
   }
 
   public Searcher get(SearcherId id) {
@@ -29,15 +29,15 @@
   }
 
   /** All that were told of and have not gone for good, in the order of their ids. */
-  public Collection<Searcher> all() {
+  public Collection<Searcher> searchers() {
     return searchers.values();
   }
 
   /** Those ready that hold a shard, in the order of their cells and ids. */
   public List<Searcher> holders(int shard) {
     List<Searcher> holders = new ArrayList<>();
-    for (int j = 0; j < reach; j++) {
-      holders.addAll(cells.getOrDefault(Math.floorMod(shard + j, places), List.of()));
+    for (int j = 0; j < cellsPerShard; j++) {
+      holders.addAll(readyByCell.getOrDefault(Math.floorMod(shard + j, cellCount), List.of()));
     }
     return holders;
   }
@@ -46,7 +46,7 @@
    * Takes in a whole list or a change to it; returns those that have gone or have started anew.
    * Those spent are forgotten first: a mixer outlives thousands of searchers.
    */
-  public List<Searcher> told(
+  public List<Searcher> update(
       List<MemberEntry> lines,
       boolean all,
       Predicate<Searcher> spent,
@@ -55,7 +55,7 @@
     Map<SearcherId, MemberEntry> told = new TreeMap<>();
     for (Searcher searcher : searchers.values()) {
       if (all) {
-        MemberEntry old = searcher.listing;
+        MemberEntry old = searcher.entry;
         told.put(
             searcher.id,
             new MemberEntry(
@@ -63,8 +63,8 @@
                 old.zone(),
                 old.machine(),
                 old.cell(),
-                MemberEntry.Standing.GONE,
-                old.size(),
+                MemberEntry.Status.GONE,
+                old.capacity(),
                 old.startedAt()));
       }
     }
@@ -73,19 +73,19 @@
     for (MemberEntry line : told.values()) {
       Searcher searcher = searchers.computeIfAbsent(line.searcher(), newcomer);
       boolean restarted =
-          searcher.listing != null
+          searcher.entry != null
               && line.startedAt() != null
               && !line.startedAt().equals(searcher.startedAt);
-      searcher.listing = line;
+      searcher.entry = line;
       searcher.startedAt = line.startedAt() != null ? line.startedAt() : searcher.startedAt;
-      if (restarted || line.standing() == MemberEntry.Standing.GONE) {
+      if (restarted || line.status() == MemberEntry.Status.GONE) {
         lost.add(searcher);
       }
     }
-    cells.clear();
+    readyByCell.clear();
     for (Searcher searcher : searchers.values()) {
-      if (searcher.ready()) {
-        cells.computeIfAbsent(searcher.listing.cell(), cell -> new ArrayList<>()).add(searcher);
+      if (searcher.isReady()) {
+        readyByCell.computeIfAbsent(searcher.entry.cell(), cell -> new ArrayList<>()).add(searcher);
       }
     }
     return lost;
--- a/mixer/src/main/java/gingerring/decide/Mixer.java
+++ b/mixer/src/main/java/gingerring/decide/Mixer.java
@@ -1,8 +1,8 @@
 package gingerring.decide;
 
-import static gingerring.decide.Spans.max;
-import static gingerring.decide.Spans.min;
-import static gingerring.decide.Spans.scale;
+import static gingerring.decide.Durations.max;
+import static gingerring.decide.Durations.min;
+import static gingerring.decide.Durations.scale;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -149,7 +149,7 @@
   private final Map<ScanId, Scan> scans = new HashMap<>();
   private final Map<Long, Scan> scansByNumber = new HashMap<>();
   private final Map<PartId, Part> parts = new HashMap<>();
-  private final Map<WakeId, Runnable> wakes = new HashMap<>();
+  private final Map<TimerId, Runnable> wakes = new HashMap<>();
   private final Predicate<Searcher> preferred;
   private int wakeCount;
   private int logged;
@@ -161,18 +161,18 @@
    * Parts that came within the memory and within the cold guard's window, scans; parts let take
    * turns.
    */
-  private final TimeRing came = new TimeRing(WARM_MEMORY, BUCKETS);
+  private final RollingSum came = new RollingSum(WARM_MEMORY, BUCKETS);
 
-  private final TimeRing cameNow;
-  private final TimeRing scansCame = new TimeRing(WARM_MEMORY, BUCKETS);
-  private final TimeRing coldShares;
-  private final TimeRing rationExtras;
-  private final TimeRing rationTaken;
+  private final RollingSum cameNow;
+  private final RollingSum scansCame = new RollingSum(WARM_MEMORY, BUCKETS);
+  private final RollingSum coldShares;
+  private final RollingSum rationExtras;
+  private final RollingSum rationTaken;
 
-  private final TimeRing firsts = new TimeRing(EXTRA_WINDOW, BUCKETS);
-  private final TimeRing extras = new TimeRing(EXTRA_WINDOW, BUCKETS);
-  private final TimeRing settled = new TimeRing(PRESSURE_WINDOW, BUCKETS);
-  private final TimeRing pressed = new TimeRing(PRESSURE_WINDOW, BUCKETS);
+  private final RollingSum firsts = new RollingSum(EXTRA_WINDOW, BUCKETS);
+  private final RollingSum extras = new RollingSum(EXTRA_WINDOW, BUCKETS);
+  private final RollingSum settled = new RollingSum(PRESSURE_WINDOW, BUCKETS);
+  private final RollingSum pressed = new RollingSum(PRESSURE_WINDOW, BUCKETS);
 
   /**
    * Searchers with own parts out, recent evidence or a bench: a large roster is mostly none of
@@ -188,10 +188,10 @@
   /** Trips recalled to send their parts elsewhere, whose ends have not been told. */
   private int moving;
 
-  private final TimeRing warmAnswers = new TimeRing(WARM_MEMORY, BUCKETS);
-  private final TimeRing warmTime = new TimeRing(WARM_MEMORY, BUCKETS);
-  private final TimeRing stays = new TimeRing(STAY_MEMORY, STAY_BUCKETS);
-  private final TimeRing stayed = new TimeRing(STAY_MEMORY, STAY_BUCKETS);
+  private final RollingSum warmAnswers = new RollingSum(WARM_MEMORY, BUCKETS);
+  private final RollingSum warmTime = new RollingSum(WARM_MEMORY, BUCKETS);
+  private final RollingSum stays = new RollingSum(STAY_MEMORY, STAY_BUCKETS);
+  private final RollingSum stayed = new RollingSum(STAY_MEMORY, STAY_BUCKETS);
   private Duration stayNoted = Duration.ZERO;
   private double coverage = 1;
   private Duration coverageMoved = Duration.ZERO;
@@ -203,20 +203,20 @@
   public Mixer(Map<String, String> map, RandomGenerator chance, Host host) {
     this.host = host;
     this.chance = chance;
-    preferred = each -> usable(each) && host.prefers(each.id);
+    preferred = each -> usable(each) && host.isPreferred(each.id);
     terms = new Settings(map);
     roster = new MemberList(terms.count("Domain.Places"), terms.count("Domain.Reach"));
     for (int i = 0; i < terms.count("Classes.count"); i++) {
       grades.add(ServiceClass.read(terms, i));
     }
-    tipAfter = max(Duration.ofMillis(1), terms.span("Safety.TipAfterMs", HEALTH_WINDOW));
-    cameNow = new TimeRing(tipAfter, BUCKETS);
-    coldShares = new TimeRing(tipAfter, BUCKETS);
-    Duration rationSpan = terms.span("Safety.ResendSpanMs", HEALTH_WINDOW);
-    rationExtras = new TimeRing(rationSpan, BUCKETS);
-    rationTaken = new TimeRing(rationSpan, BUCKETS);
+    tipAfter = max(Duration.ofMillis(1), terms.duration("Safety.TipAfterMs", HEALTH_WINDOW));
+    cameNow = new RollingSum(tipAfter, BUCKETS);
+    coldShares = new RollingSum(tipAfter, BUCKETS);
+    Duration rationSpan = terms.duration("Safety.ResendSpanMs", HEALTH_WINDOW);
+    rationExtras = new RollingSum(rationSpan, BUCKETS);
+    rationTaken = new RollingSum(rationSpan, BUCKETS);
     if (terms.text("Discovery").equals("subscribe")) {
-      host.watchRoster(true);
+      host.watchMemberList(true);
     }
     wakeAfter(LOOK_ROUND, this::lookRound);
   }
@@ -233,9 +233,11 @@
       List<Part> arrived) {
     Duration now = arriving();
     Scan scan = new Scan(id, number, grades.get(gradeNumber), key, work, end);
-    scan.fullQuoted = now.plus(scan.grade.quoted).plus(scale(work, scan.grade.quotedStretch));
-    scan.quoted = min(scan.fullQuoted, end.minus(CLOSE_MARGIN));
-    scan.due = due(scan, now);
+    scan.fullLatencyTarget =
+        now.plus(scan.serviceClass.latencyTarget)
+            .plus(scale(work, scan.serviceClass.latencyTargetPerWork));
+    scan.latencyTarget = min(scan.fullLatencyTarget, end.minus(CLOSE_MARGIN));
+    scan.stepDeadline = due(scan, now);
     hold(scan, arrived, now);
     // all parts while coverage is full; under pressure the heaviest up to the coverage, never under
     // the floor
@@ -246,14 +248,14 @@
     // least choice first, so that others go around the last holders of a shard
     selected.forEach(
         part ->
-            part.choices =
+            part.healthyHolders =
                 (int) roster.holders(part.shard).stream().filter(Mixer::trusted).count());
-    Comparator<Part> leastChoice = Comparator.comparingInt(part -> part.choices);
+    Comparator<Part> leastChoice = Comparator.comparingInt(part -> part.healthyHolders);
     for (Part part : selected.stream().sorted(leastChoice).toList()) {
       if (plan(part, now)) {
         placed += part.weight;
       } else if (roster.holders(part.shard).stream()
-          .anyMatch(each -> trusted(each) && !inTime(each, scan.grade.quoted, now))) {
+          .anyMatch(each -> trusted(each) && !inTime(each, scan.serviceClass.latencyTarget, now))) {
         late++;
       }
     }
@@ -261,9 +263,9 @@
     // judgement
     settled.add(now, late);
     pressed.add(now, late);
-    boolean enough = placed >= least(scan) - WEIGHT_SLACK && scan.quoted.compareTo(now) > 0;
+    boolean enough = placed >= least(scan) - WEIGHT_SLACK && scan.latencyTarget.compareTo(now) > 0;
     for (Part part : selected) {
-      if (enough && part.planned != null) {
+      if (enough && part.assignedSearcher != null) {
         firsts.add(now, 1);
         send(part, now);
       }
@@ -274,9 +276,9 @@
       return;
     }
     // it ends when its trips have, near its quoted time if it can be partial, or with its patience
-    wakeAt(scan.due.minus(ANSWER_MARGIN), () -> settle(scan));
-    wakeAt(scan.quoted, () -> quotedPassed(scan));
-    wakeAt(scan.end.minus(CLOSE_MARGIN), () -> patienceEnds(scan));
+    wakeAt(scan.stepDeadline.minus(ANSWER_MARGIN), () -> settle(scan));
+    wakeAt(scan.latencyTarget, () -> quotedPassed(scan));
+    wakeAt(scan.deadline.minus(CLOSE_MARGIN), () -> patienceEnds(scan));
   }
 
   /** The parts of the second step have come: all are needed, so all are sent. */
@@ -286,16 +288,16 @@
     if (scan == null) {
       return;
     }
-    scan.due = scan.quoted;
+    scan.stepDeadline = scan.latencyTarget;
     hold(scan, arrived, now);
     for (Part part : arrived) {
       firsts.add(now, 1);
       // the first step's work is done and lost without it: a holder that may be late is better than
       // none
       if (!plan(part, now) && plan(part, now, each -> true, Duration.ofNanos(Long.MAX_VALUE))) {
-        part.planned.plannedParts++;
+        part.assignedSearcher.assignedParts++;
       }
-      if (part.planned != null) {
+      if (part.assignedSearcher != null) {
         send(part, now);
       }
       unplan(part);
@@ -310,12 +312,13 @@
    * its work is lost.
    */
   private Duration due(Scan scan, Duration now) {
-    if (scan.grade.fetch == 0) {
-      return scan.quoted;
+    if (scan.serviceClass.secondStepParts == 0) {
+      return scan.latencyTarget;
     }
-    double half = Math.max(0, scan.quoted.minus(now).toNanos() / 2.0);
+    double half = Math.max(0, scan.latencyTarget.minus(now).toNanos() / 2.0);
     double stay = usualStay(now);
-    return scan.quoted.minusNanos((long) (stay == 0 ? half : Math.min(half, LATE_STAYS * stay)));
+    return scan.latencyTarget.minusNanos(
+        (long) (stay == 0 ? half : Math.min(half, LATE_STAYS * stay)));
   }
 
   private void hold(Scan scan, List<Part> arrived, Duration now) {
@@ -330,8 +333,8 @@
     cameNow.add(now, arrived.size());
     scansCame.add(now, 1);
     double room = turnsMost(now) - coldShares.sum(now) / 1000;
-    scan.coldShare = Math.max(0, Math.min(1, room / Math.max(1, arrived.size())));
-    coldShares.add(now, Math.ceil(1000 * scan.coldShare * arrived.size()));
+    scan.coldTurnShare = Math.max(0, Math.min(1, room / Math.max(1, arrived.size())));
+    coldShares.add(now, Math.ceil(1000 * scan.coldTurnShare * arrived.size()));
     rationTaken.add(now, arrived.size() + (scan.parts.size() == arrived.size() ? 1 : 0));
   }
 
@@ -344,7 +347,7 @@
    * behind for nothing.
    */
   private List<Part> select(Scan scan, List<Part> arrived, Duration now) {
-    Duration left = scan.quoted.minus(now);
+    Duration left = scan.latencyTarget.minus(now);
     double stood =
         settled.sum(now) >= ANSWERS_TELLING
             ? 0
@@ -370,7 +373,9 @@
   }
 
   private static double least(Scan scan) {
-    return scan.grade.partial() ? scan.grade.floor : scan.grade.need;
+    return scan.serviceClass.allowsPartial()
+        ? scan.serviceClass.minCoverage
+        : scan.serviceClass.fullCoverage;
   }
 
   /**
@@ -381,15 +386,18 @@
     if (!plan(part, now, preferred) && !plan(part, now, Mixer::usable)) {
       plan(part, now, each -> true);
     }
-    if (part.planned != null) {
-      part.planned.plannedParts++;
+    if (part.assignedSearcher != null) {
+      part.assignedSearcher.assignedParts++;
     }
-    return part.planned != null;
+    return part.assignedSearcher != null;
   }
 
   private boolean plan(Part part, Duration now, Predicate<Searcher> choice) {
     Scan scan = part.scan;
-    Duration by = now.compareTo(scan.quoted) < 0 && !scan.secondStep ? scan.quoted : scan.end;
+    Duration by =
+        now.compareTo(scan.latencyTarget) < 0 && !scan.secondStep
+            ? scan.latencyTarget
+            : scan.deadline;
     return plan(part, now, choice, by.minus(now));
   }
 
@@ -401,34 +409,35 @@
     // It spends work on what is often late, and that may feed a jam no longer than the gate takes
     // to see it
     Duration fit = scale(left, 1 / STAY_SHARE);
-    Duration room = max(left, min(fit, part.scan.fullQuoted.minus(now)));
+    Duration room = max(left, min(fit, part.scan.fullLatencyTarget.minus(now)));
     // a part whose trip has failed: without another the work of the scan's other parts is lost.
     // Guards
     // against searchers that refuse or fail while the other holder is busy or far; may carry a jam
     // on, in the
     // ration
-    boolean last = !part.trips.isEmpty() && !part.out();
+    boolean last = !part.trips.isEmpty() && !part.hasOpenTrip();
     for (int i = 0; i < holders.size(); i++) {
       Searcher searcher = holders.get((home + i) % holders.size());
       boolean tried =
           part.trips.stream().anyMatch(trip -> trip.searcher == searcher)
-              || part.scan.failedAt(part.shard, searcher);
+              || part.scan.failedInFirstStep(part.shard, searcher);
       if (!tried
           && choice.test(searcher)
           && coldRoom(searcher, part, now)
           && inTime(searcher, last ? fit : room, now)
-          && (part.planned == null || load(searcher, now) < load(part.planned, now))) {
-        part.planned = searcher;
+          && (part.assignedSearcher == null
+              || load(searcher, now) < load(part.assignedSearcher, now))) {
+        part.assignedSearcher = searcher;
       }
     }
-    return part.planned != null;
+    return part.assignedSearcher != null;
   }
 
   private void unplan(Part part) {
-    if (part.planned != null) {
-      part.planned.plannedParts--;
-      assert part.planned.plannedParts >= 0 : "a part was planned and not counted";
-      part.planned = null;
+    if (part.assignedSearcher != null) {
+      part.assignedSearcher.assignedParts--;
+      assert part.assignedSearcher.assignedParts >= 0 : "a part was planned and not counted";
+      part.assignedSearcher = null;
     }
   }
 
@@ -456,7 +465,7 @@
 
   /** How long trips of late were out for each answer; 0 where too few were answered. */
   private double usualStay(Duration now) {
-    int back = stayed.back(now, STAYS_TELLING);
+    int back = stayed.bucketsHolding(now, STAYS_TELLING);
     double answers = stayed.sum(now, back);
     return answers < ANSWERS_TELLING ? 0 : stays.sum(now, back) / answers;
   }
@@ -468,10 +477,12 @@
    */
   private Duration stay(Searcher searcher, Duration now) {
     Duration pace = pace(searcher, now);
-    double out = searcher.out.size() + searcher.plannedParts + 1;
-    int back = Math.max(RECENT, searcher.answers.back(now, OWN_TELLING));
+    double out = searcher.openTrips.size() + searcher.assignedParts + 1;
+    int back = Math.max(RECENT, searcher.answers.bucketsHolding(now, OWN_TELLING));
     double usual =
-        Math.max(1, searcher.held.sum(now, back) / Math.max(1, searcher.busy.sum(now, back)));
+        Math.max(
+            1,
+            searcher.openTripTime.sum(now, back) / Math.max(1, searcher.busyTime.sum(now, back)));
     return Duration.ofNanos((long) (pace.toNanos() * (usual + OWN_SHARE * (out - usual))));
   }
 
@@ -481,21 +492,21 @@
    * for slowness.
    */
   private Duration pace(Searcher searcher, Duration now) {
-    searcher.noteBusy(now);
+    searcher.recordBusyTime(now);
     survey(now);
     if (fleetPace == 0) {
       return Duration.ZERO;
     }
-    double usual = zonePaces.getOrDefault(searcher.listing.zone(), fleetPace);
-    int back = Math.max(RECENT, searcher.answers.back(now, OWN_TELLING));
+    double usual = zonePaces.getOrDefault(searcher.entry.zone(), fleetPace);
+    int back = Math.max(RECENT, searcher.answers.bucketsHolding(now, OWN_TELLING));
     return Duration.ofNanos(
         (long)
-            ((searcher.busy.sum(now, back) + ANSWERS_LENT * usual)
+            ((searcher.busyTime.sum(now, back) + ANSWERS_LENT * usual)
                 / (searcher.answers.sum(now, back) + ANSWERS_LENT)));
   }
 
   private int load(Searcher searcher, Duration now) {
-    return searcher.load(now, callParts());
+    return searcher.projectedCalls(now, callParts());
   }
 
   private int callParts() {
@@ -503,16 +514,16 @@
   }
 
   private static boolean trusted(Searcher searcher) {
-    return searcher.ready() && searcher.benchedUntil == null;
+    return searcher.isReady() && searcher.ejectedUntil == null;
   }
 
   private static boolean usable(Searcher searcher) {
-    boolean free = searcher.out.isEmpty() && searcher.plannedParts == 0;
-    return trusted(searcher) && (searcher.trialsLeft == 0 || free);
+    boolean free = searcher.openTrips.isEmpty() && searcher.assignedParts == 0;
+    return trusted(searcher) && (searcher.trialPartsLeft == 0 || free);
   }
 
   private boolean cold(Searcher searcher, Duration now) {
-    Duration warmUp = terms.span("Safety.WarmUpMs", Duration.ZERO);
+    Duration warmUp = terms.duration("Safety.WarmUpMs", Duration.ZERO);
     return searcher.startedAt != null
         && now.minus(searcher.startedAt).compareTo(warmUp.plus(tipAfter)) < 0;
   }
@@ -531,7 +542,8 @@
       return true;
     }
     // a mixer that has not yet seen a full window of its searchers does not overrate them
-    double seen = Math.max(warmTime.sum(now), (double) tipAfter.toNanos() * roster.all().size());
+    double seen =
+        Math.max(warmTime.sum(now), (double) tipAfter.toNanos() * roster.searchers().size());
     double usual = warmAnswers.sum(now) * tipAfter.toNanos() / seen;
     double allowed =
         COLD_SHARE * terms.number("Safety.TipMultiple", 1) * warmth(searcher, now) * usual;
@@ -541,15 +553,15 @@
     Duration turn = scale(tipAfter, allowed > 0 ? Math.min(alike, 1 / allowed) : alike);
     // the first turn at a moment of chance: all mixers hear of a start together, and they may be
     // too many
-    if (!searcher.startedAt.equals(searcher.turnsSince)) {
-      searcher.turnsSince = searcher.startedAt;
+    if (!searcher.startedAt.equals(searcher.turnsStartedAt)) {
+      searcher.turnsStartedAt = searcher.startedAt;
       double waited = alike == 1 ? 1 : chance.nextDouble();
-      searcher.lastSent = searcher.startedAt.minus(scale(turn, waited));
+      searcher.lastSentAt = searcher.startedAt.minus(scale(turn, waited));
     }
     boolean itsTurn =
-        now.minus(searcher.lastSent).compareTo(turn) > 0
-            && (part.scan.coldShare == 1 || part.luck(chance) < part.scan.coldShare);
-    return searcher.sends.sum(now) + searcher.plannedParts + 1
+        now.minus(searcher.lastSentAt).compareTo(turn) > 0
+            && (part.scan.coldTurnShare == 1 || part.drawOnce(chance) < part.scan.coldTurnShare);
+    return searcher.sentParts.sum(now) + searcher.assignedParts + 1
         <= Math.max(itsTurn ? 1 : 0, allowed);
   }
 
@@ -569,19 +581,19 @@
     double sure = 1 - SURE_ERRORS / Math.sqrt(Math.max(1, scansEarlier));
     return Math.max(
         usual * Math.max(1, terms.number("Safety.TipMultiple", 1) * sure),
-        roster.all().size() * COLD_MIXERS / fleetSize());
+        roster.searchers().size() * COLD_MIXERS / fleetSize());
   }
 
   /** How many mixers there are: where no setting tells, as many as there are searchers. */
   private double fleetSize() {
-    return Math.max(1, terms.number("FleetSize", roster.all().size()));
+    return Math.max(1, terms.number("FleetSize", roster.searchers().size()));
   }
 
   /**
    * The least share of its capacity that a searcher may have had a window ago: 1 once it is warm.
    */
   private double warmth(Searcher searcher, Duration now) {
-    Duration warmUp = terms.span("Safety.WarmUpMs", Duration.ZERO);
+    Duration warmUp = terms.duration("Safety.WarmUpMs", Duration.ZERO);
     if (!cold(searcher, now) || warmUp.isZero()) {
       return 1;
     }
@@ -591,17 +603,17 @@
   }
 
   private void send(Part part, Duration now) {
-    Searcher searcher = part.planned;
+    Searcher searcher = part.assignedSearcher;
     active.add(searcher);
     // a repeat is dropped up to the window's end only, and a host may begin a trip later than it
     // was decided
-    Duration since = part.mayHaveRunSince();
+    Duration since = part.firstPossibleRun();
     Duration startWithin =
-        part.scan.grade.repeats != ServiceClass.RetrySafety.KEYED || since == null
+        part.scan.serviceClass.retrySafety != ServiceClass.RetrySafety.KEYED || since == null
             ? null
-            : since.plus(part.scan.grade.window).minus(now);
-    part.trips.add(searcher.send(part, now, callParts()));
-    host.send(part.id, searcher.id, part.scan.end.minus(now), startWithin);
+            : since.plus(part.scan.serviceClass.idempotencyWindow).minus(now);
+    part.trips.add(searcher.recordSend(part, now, callParts()));
+    host.send(part.id, searcher.id, part.scan.deadline.minus(now), startWithin);
   }
 
   /** A trip has ended. {@code over}: the host takes no more trips for this part. */
@@ -611,23 +623,23 @@
       return;
     }
     Duration now = arriving();
-    moving -= part.moving ? 1 : 0;
-    part.moving = false;
+    moving -= part.moveRequested ? 1 : 0;
+    part.moveRequested = false;
     Trip trip = part.trips.get(number);
     trip.outcome = outcome;
-    trip.ended = now;
-    part.over |= over;
+    trip.endedAt = now;
+    part.noMoreTrips |= over;
     note(trip, now);
     if (part.scan.closed) {
-      if (!part.out()) {
+      if (!part.hasOpenTrip()) {
         parts.remove(id);
       }
       return;
     }
     if (outcome == Outcome.SUCCEEDED) {
-      part.in = true;
+      part.answered = true;
       recallTrips(part);
-    } else if (!part.out()) {
+    } else if (!part.hasOpenTrip()) {
       sendAgain(part, now);
     }
     settle(part.scan);
@@ -636,26 +648,26 @@
   /** Books an ended trip to its searcher: its load, its pace, its errors. */
   private void note(Trip trip, Duration now) {
     Searcher searcher = trip.searcher;
-    searcher.end(trip, now);
+    searcher.recordEnd(trip, now);
     switch (trip.outcome) {
       case SUCCEEDED -> {
         searcher.answers.add(now, 1);
         warmAnswers.add(now, trusted(searcher) && !cold(searcher, now) ? 1 : 0);
-        searcher.unheard = Duration.ZERO;
+        searcher.silentTime = Duration.ZERO;
         settle(trip, now, false);
-        if (searcher.trialsLeft > 0) {
-          searcher.trialsLeft--;
+        if (searcher.trialPartsLeft > 0) {
+          searcher.trialPartsLeft--;
         }
       }
       case FULL -> {
-        searcher.unheard = Duration.ZERO;
+        searcher.silentTime = Duration.ZERO;
         settle(trip, now, true);
       }
       case TIMED_OUT -> settle(trip, now, true);
       case ERROR, BROKEN, UNREACHABLE -> {
         searcher.errors.add(now, 1);
         settle(trip, now, false);
-        searcher.unheard = Duration.ZERO;
+        searcher.silentTime = Duration.ZERO;
         judge(searcher, now);
       }
       default -> {}
@@ -667,8 +679,8 @@
    * scan.
    */
   private void settle(Trip trip, Duration now, boolean refusedOrLate) {
-    if (!trip.settled && trip.searcher.benchedUntil == null) {
-      trip.settled = true;
+    if (!trip.countedInPressure && trip.searcher.ejectedUntil == null) {
+      trip.countedInPressure = true;
       settled.add(now, 1);
       pressed.add(now, refusedOrLate ? 1 : 0);
     }
@@ -682,7 +694,7 @@
    * that are left.
    */
   private void sendAgain(Part part, Duration now) {
-    boolean instead = part.mayHaveRunSince() == null;
+    boolean instead = part.firstPossibleRun() == null;
     if (mayGoAgain(part, now) && (instead || withinRation(now)) && plan(part, now)) {
       extras.add(now, instead ? 0 : 1);
       rationExtras.add(now, 1);
@@ -701,15 +713,19 @@
   /** What the rules say of another trip once no more are out than may be. */
   private boolean mayFollow(Part part, Duration now) {
     Scan scan = part.scan;
-    Duration since = part.mayHaveRunSince();
+    Duration since = part.firstPossibleRun();
     boolean harmless =
-        switch (scan.grade.repeats) {
+        switch (scan.serviceClass.retrySafety) {
           case IDEMPOTENT -> true;
-          case KEYED -> since == null || now.minus(since).compareTo(scan.grade.window) < 0;
+          case KEYED ->
+              since == null || now.minus(since).compareTo(scan.serviceClass.idempotencyWindow) < 0;
           case AT_MOST_ONCE -> since == null;
         };
     boolean open =
-        !scan.closed && !part.in && !part.over && now.compareTo(scan.end.minus(CLOSE_MARGIN)) < 0;
+        !scan.closed
+            && !part.answered
+            && !part.noMoreTrips
+            && now.compareTo(scan.deadline.minus(CLOSE_MARGIN)) < 0;
     double allowed =
         terms.number("Safety.ExtraFree", 0)
             + terms.number("Safety.ResendRatio", 0) * rationTaken.sumWithin(now);
@@ -732,30 +748,31 @@
 
   /** Answers a scan if it can be, gives it up if it can no longer be, or leaves it to wait. */
   private void settle(Scan scan) {
-    List<Part> step = scan.step();
+    List<Part> step = scan.currentStepParts();
     if (scan.closed || step.isEmpty()) {
       return;
     }
     Duration now = host.now();
-    double need = scan.secondStep ? 1 : scan.grade.need;
-    double least = scan.grade.partial() ? scan.grade.floor : need;
+    double need = scan.secondStep ? 1 : scan.serviceClass.fullCoverage;
+    double least = scan.serviceClass.allowsPartial() ? scan.serviceClass.minCoverage : need;
     double in = 0;
     double possible = 0;
     boolean out = false;
     for (Part part : step) {
-      boolean partOut = !part.in && part.out();
+      boolean partOut = !part.answered && part.hasOpenTrip();
       out |= partOut;
-      in += part.in ? part.weight : 0;
-      possible += part.in || partOut ? part.weight : 0;
+      in += part.answered ? part.weight : 0;
+      possible += part.answered || partOut ? part.weight : 0;
     }
-    boolean some = step.stream().anyMatch(part -> part.in); // also where the least share is none
+    boolean some =
+        step.stream().anyMatch(part -> part.answered); // also where the least share is none
     boolean all = some && in >= need - WEIGHT_SLACK;
-    boolean near = now.compareTo(scan.due.minus(ANSWER_MARGIN)) >= 0;
+    boolean near = now.compareTo(scan.stepDeadline.minus(ANSWER_MARGIN)) >= 0;
     if (all || some && in >= least - WEIGHT_SLACK && (!out || near)) {
       if (!all) {
         timeOut(scan, now);
       }
-      answer(scan, all && scan.wholeSoFar);
+      answer(scan, all && scan.firstStepWhole);
     } else if (!out || possible < least - WEIGHT_SLACK) {
       giveUp(scan);
     }
@@ -763,7 +780,7 @@
 
   private void answer(Scan scan, boolean whole) {
     host.answer(scan.id, whole);
-    if (scan.grade.fetch > 0 && !scan.secondStep) {
+    if (scan.serviceClass.secondStepParts > 0 && !scan.secondStep) {
       scan.beginSecondStep(whole);
       scan.parts.forEach(this::recallTrips);
     } else {
@@ -774,16 +791,16 @@
   /** Closes a scan at once: sent back where to ask again does no harm, else scrapped. */
   private void giveUp(Scan scan) {
     boolean harmless =
-        scan.grade.repeats == ServiceClass.RetrySafety.IDEMPOTENT
-            || scan.parts.stream().allMatch(part -> part.mayHaveRunSince() == null);
+        scan.serviceClass.retrySafety == ServiceClass.RetrySafety.IDEMPOTENT
+            || scan.parts.stream().allMatch(part -> part.firstPossibleRun() == null);
     if (harmless) {
-      host.nack(
+      host.reject(
           scan.id,
           terms.flag("PolicyLimits.RetryAfter")
-              ? terms.span("PolicyLimits.MaxRetryAfterMs", Duration.ZERO)
+              ? terms.duration("PolicyLimits.MaxRetryAfterMs", Duration.ZERO)
               : Duration.ZERO);
     } else {
-      host.scrap(scan.id);
+      host.fail(scan.id);
     }
     close(scan);
   }
@@ -795,7 +812,7 @@
     for (Part part : scan.parts) {
       part.trips.forEach(trip -> noteStay(trip, host.now()));
       recallTrips(part);
-      if (!part.out()) {
+      if (!part.hasOpenTrip()) {
         parts.remove(part.id);
       }
     }
@@ -808,11 +825,12 @@
    * tells nothing of others.
    */
   private void noteStay(Trip trip, Duration now) {
-    if ((trip.outcome == null || !trip.outcome.neverRan) && trip.searcher.benchedUntil == null) {
-      Duration end = trip.outcome == null ? now : trip.ended;
-      boolean late = end.compareTo(trip.part.scan.quoted) > 0;
+    if ((trip.outcome == null || !trip.outcome.neverRan) && trip.searcher.ejectedUntil == null) {
+      Duration end = trip.outcome == null ? now : trip.endedAt;
+      boolean late = end.compareTo(trip.part.scan.latencyTarget) > 0;
       stays.add(
-          now, max(Duration.ZERO, min(end, trip.part.scan.quoted).minus(trip.sent)).toNanos());
+          now,
+          max(Duration.ZERO, min(end, trip.part.scan.latencyTarget).minus(trip.sentAt)).toNanos());
       stayed.add(now, trip.outcome == Outcome.SUCCEEDED && !late ? 1 : 0);
       stayNoted = now;
     }
@@ -821,7 +839,7 @@
   private void recallTrips(Part part) {
     for (int i = 0; terms.flag("PolicyLimits.Cancel") && i < part.trips.size(); i++) {
       if (part.trips.get(i).outcome == null) {
-        host.recall(part.id, i);
+        host.cancel(part.id, i);
       }
     }
   }
@@ -831,7 +849,7 @@
       return;
     }
     timeOut(scan, host.now());
-    if (scan.grade.lateShare == 0) {
+    if (scan.serviceClass.lateValueShare == 0) {
       giveUp(scan);
     }
   }
@@ -877,7 +895,7 @@
   private Duration arriving() {
     Duration now = host.now();
     if (now.minus(lastEvent).compareTo(scale(LOOK_ROUND, STOOD_STILL)) > 0) {
-      active.forEach(searcher -> searcher.skipTo(now));
+      active.forEach(searcher -> searcher.excludeTimeUntil(now));
     }
     lastEvent = now;
     return now;
@@ -902,14 +920,14 @@
     double answers = 0;
     Map<Integer, double[]> zones = new HashMap<>();
     for (Searcher searcher : active) {
-      double its = searcher.busy.sum(now, RECENT);
+      double its = searcher.busyTime.sum(now, RECENT);
       double answered = searcher.answers.sum(now, RECENT);
       busy += its;
-      gaps += Math.max(0, its - searcher.unheard.toNanos());
+      gaps += Math.max(0, its - searcher.silentTime.toNanos());
       answers += answered;
-      double[] zone = zones.computeIfAbsent(searcher.listing.zone(), each -> new double[2]);
-      zone[0] += searcher.benchedUntil == null ? its : 0;
-      zone[1] += searcher.benchedUntil == null ? answered : 0;
+      double[] zone = zones.computeIfAbsent(searcher.entry.zone(), each -> new double[2]);
+      zone[0] += searcher.ejectedUntil == null ? its : 0;
+      zone[1] += searcher.ejectedUntil == null ? answered : 0;
     }
     // too few answers tell of the start, not of the fleet: nothing is kept back on them
     fleetPace = answers < ANSWERS_TELLING ? 0 : busy / answers;
@@ -937,21 +955,23 @@
       }
       coverage = moved;
     }
-    active.removeIf(searcher -> searcher.quiet(now));
+    active.removeIf(searcher -> searcher.isInactive(now));
     // a benched searcher bears nothing: its time is not time of a warm one
     warmTime.add(
         now,
         LOOK_ROUND.toNanos()
-            * roster.all().stream().filter(each -> trusted(each) && !cold(each, now)).count());
+            * roster.searchers().stream()
+                .filter(each -> trusted(each) && !cold(each, now))
+                .count());
     // a copy, since a bench may send copies to searchers that were not active
     for (Searcher searcher : List.copyOf(active)) {
       judge(searcher, now);
       copyLate(searcher, now);
-      if (searcher.benchedUntil != null
-          && searcher.benchedUntil.compareTo(now) <= 0
+      if (searcher.ejectedUntil != null
+          && searcher.ejectedUntil.compareTo(now) <= 0
           && !searcher.probing
-          && host.asksItself(searcher.id)) {
-        if (terms.flag("PolicyLimits.Probing") && searcher.ready()) {
+          && host.shouldProbe(searcher.id)) {
+        if (terms.flag("PolicyLimits.Probing") && searcher.isReady()) {
           searcher.probing = true;
           host.probe(searcher.id);
         } else {
@@ -962,15 +982,15 @@
   }
 
   /** A probe has come back. */
-  public void probed(SearcherId id, Outcome outcome, Duration taken, float[] load) {
+  public void probeEnded(SearcherId id, Outcome outcome, Duration taken, float[] load) {
     Searcher searcher = roster.get(id);
     if (searcher == null || !searcher.probing) {
       return;
     }
     searcher.probing = false;
-    if (searcher.benchedUntil != null && outcome == Outcome.SUCCEEDED) {
+    if (searcher.ejectedUntil != null && outcome == Outcome.SUCCEEDED) {
       tryAgain(searcher);
-    } else if (searcher.benchedUntil != null) {
+    } else if (searcher.ejectedUntil != null) {
       bench(searcher, "no answer to a probe");
     }
   }
@@ -978,10 +998,10 @@
   /**
    * Another mixer had an answer of it: this one may ask it too, and goes by its own answer alone.
    */
-  public void othersHeard(SearcherId id) {
+  public void peerReceivedAnswer(SearcherId id) {
     Searcher searcher = roster.get(id);
-    if (searcher != null && searcher.benchedUntil != null) {
-      searcher.benchedUntil = min(searcher.benchedUntil, host.now());
+    if (searcher != null && searcher.ejectedUntil != null) {
+      searcher.ejectedUntil = min(searcher.ejectedUntil, host.now());
     }
   }
 
@@ -989,9 +1009,9 @@
    * Re-entry: one part at a time, until a few have been answered, and judged by new evidence alone.
    */
   private void tryAgain(Searcher searcher) {
-    searcher.benchedUntil = null;
-    searcher.forget();
-    searcher.trialsLeft = TRIALS;
+    searcher.ejectedUntil = null;
+    searcher.resetStats();
+    searcher.trialPartsLeft = TRIALS;
   }
 
   /**
@@ -999,22 +1019,22 @@
    * meets.
    */
   private void judge(Searcher searcher, Duration now) {
-    if (searcher.benchedUntil != null || !searcher.ready()) {
+    if (searcher.ejectedUntil != null || !searcher.isReady()) {
       return;
     }
     survey(now);
     double errors = searcher.errors.sum(now, RECENT);
     double ended = errors + searcher.answers.sum(now, RECENT);
-    boolean doubted = host.doubt(searcher.id) >= DOUBT;
+    boolean doubted = host.reportedFailureShare(searcher.id) >= DOUBT;
     // what others are late by as well is no silence, also where too few answers came lately to tell
     // their gap
     double usual = Math.max(LATE_STAYS * usualStay(now), SILENCE_PACES * usualGap);
     double silence = Math.max(SILENCE.toNanos(), usual) * (doubted ? DOUBTED_SHARE : 1);
-    searcher.noteBusy(now);
+    searcher.recordBusyTime(now);
     // only time with own parts out counts, and only from the last word on: a busy searcher still
     // answers
     // now and then; and a cold one takes its time
-    if (searcher.unheard.toNanos() > silence / warmth(searcher, now)) {
+    if (searcher.silentTime.toNanos() > silence / warmth(searcher, now)) {
       bench(searcher, "silent");
     } else if (errors >= (doubted ? 1 : ERRORS_LEAST) && errors >= ERROR_SHARE * ended) {
       bench(searcher, "errors");
@@ -1024,12 +1044,14 @@
   private void bench(Searcher searcher, String why) {
     Duration now = host.now();
     boolean again =
-        searcher.benchSpan != null && (searcher.benchedUntil != null || searcher.trialsLeft > 0);
-    searcher.benchSpan = again ? min(BENCH_MOST, searcher.benchSpan.multipliedBy(2)) : BENCH_LEAST;
-    searcher.benchedUntil = now.plus(searcher.benchSpan);
-    searcher.trialsLeft = 0;
-    host.benched(searcher.id);
-    log("searcher in cell " + searcher.listing.cell() + " benched: " + why);
+        searcher.ejectionTime != null
+            && (searcher.ejectedUntil != null || searcher.trialPartsLeft > 0);
+    searcher.ejectionTime =
+        again ? min(BENCH_MOST, searcher.ejectionTime.multipliedBy(2)) : BENCH_LEAST;
+    searcher.ejectedUntil = now.plus(searcher.ejectionTime);
+    searcher.trialPartsLeft = 0;
+    host.searcherEjected(searcher.id);
+    log("searcher in cell " + searcher.entry.cell() + " benched: " + why);
   }
 
   /**
@@ -1043,15 +1065,18 @@
   private void copyLate(Searcher searcher, Duration now) {
     double stay = usualStay(now);
     boolean copies = terms.flag("PolicyLimits.SecondCopies");
-    for (Trip trip : List.copyOf(searcher.out)) {
+    for (Trip trip : List.copyOf(searcher.openTrips)) {
       Part part = trip.part;
       Scan scan = part.scan;
-      boolean twoSteps = scan.grade.fetch > 0;
-      double half = scan.due.minus(trip.sent).toNanos() / 2.0;
+      boolean twoSteps = scan.serviceClass.secondStepParts > 0;
+      double half = scan.stepDeadline.minus(trip.sentAt).toNanos() / 2.0;
       double late =
           stay == 0 ? half : Math.min(twoSteps ? half : Long.MAX_VALUE, LATE_STAYS * stay);
-      Duration by = now.compareTo(scan.due) < 0 || scan.grade.lateShare == 0 ? scan.due : scan.end;
-      double out = now.minus(trip.sent).toNanos();
+      Duration by =
+          now.compareTo(scan.stepDeadline) < 0 || scan.serviceClass.lateValueShare == 0
+              ? scan.stepDeadline
+              : scan.deadline;
+      double out = now.minus(trip.sentAt).toNanos();
       double left = by.minus(now).toNanos();
       if (part.trips.get(part.trips.size() - 1) != trip || out <= late || left <= stay) {
         continue;
@@ -1060,7 +1085,7 @@
         sendAgain(part, now);
       } else if (!copies
           && left <= stay / STAY_SHARE + LOOK_ROUND.toNanos()
-          && searcher.unheard.toNanos() >= out) {
+          && searcher.silentTime.toNanos() >= out) {
         move(part, now);
       }
     }
@@ -1076,30 +1101,30 @@
    */
   private void move(Part part, Duration now) {
     if (terms.flag("PolicyLimits.Cancel")
-        && !part.moving
+        && !part.moveRequested
         && mayFollow(part, now)
         && withinRation(now)
         && plan(part, now)) {
-      part.moving = true;
+      part.moveRequested = true;
       moving++;
-      host.recall(part.id, part.trips.size() - 1);
+      host.cancel(part.id, part.trips.size() - 1);
     }
     unplan(part);
   }
 
   /** The roster has been told: all of it, or what changed. */
-  public void rosterTold(List<MemberEntry> lines, boolean all) {
+  public void memberListUpdated(List<MemberEntry> lines, boolean all) {
     Duration now = arriving();
     // a searcher that has gone, or has started anew, is judged anew; what was out there will be
     // late
     for (Searcher searcher :
-        roster.told(
+        roster.update(
             lines,
             all,
-            each -> each.spent(now) && !cold(each, now),
+            each -> each.isRemovable(now) && !cold(each, now),
             id -> new Searcher(id, HEALTH_MEMORY, HEALTH_BUCKETS, tipAfter, BUCKETS))) {
-      searcher.benchedUntil = null;
-      searcher.forget();
+      searcher.ejectedUntil = null;
+      searcher.resetStats();
     }
   }
 
@@ -1107,23 +1132,23 @@
    * A call for the roster failed, or the subscription broke: ask again soon, not all mixers at one
    * moment.
    */
-  public void rosterFailed() {
+  public void memberListFailed() {
     if (!rosterRetry) {
       rosterRetry = true;
       wakeAfter(
           ROSTER_RETRY.plusNanos(chance.nextLong(ROSTER_RETRY.toNanos())),
           () -> {
             rosterRetry = false;
-            host.watchRoster(true);
+            host.watchMemberList(true);
           });
     }
   }
 
-  public void peerTold(int peer, byte[] bytes) {
+  public void peerMessageReceived(int peer, byte[] bytes) {
     // mixers need no word of each other: each decides by its own evidence
   }
 
-  public void woken(WakeId id) {
+  public void timerFired(TimerId id) {
     arriving();
     Runnable wake = wakes.remove(id);
     if (wake != null) {
@@ -1136,9 +1161,9 @@
   }
 
   private void wakeAfter(Duration span, Runnable wake) {
-    WakeId id = new WakeId(wakeCount++);
+    TimerId id = new TimerId(wakeCount++);
     wakes.put(id, wake);
-    host.wakeAfter(span, id);
+    host.startTimer(span, id);
   }
 
   private void log(String line) {
--- a/mixer/src/main/java/gingerring/decide/Part.java
+++ b/mixer/src/main/java/gingerring/decide/Part.java
@@ -13,23 +13,23 @@
   public final long key;
   public Scan scan;
   public final List<Trip> trips = new ArrayList<>();
-  public boolean in;
+  public boolean answered;
 
   /**
    * Its step has been answered, or the host told the end of its patience: nothing may be sent for
    * it.
    */
-  public boolean over;
+  public boolean noMoreTrips;
 
   /** Its trip out was recalled for another to follow. */
-  public boolean moving;
+  public boolean moveRequested;
 
-  public Searcher planned;
+  public Searcher assignedSearcher;
 
   /** How many trusted searchers hold its shard. */
-  public int choices;
+  public int healthyHolders;
 
-  private double luck = -1;
+  private double randomDraw = -1;
 
   public Part(PartId id, int shard, double weight, long key) {
     this.id = id;
@@ -41,12 +41,12 @@
   /**
    * One draw for all searchers and moments, so that trying them again does not make it likelier.
    */
-  public double luck(RandomGenerator chance) {
-    luck = luck < 0 ? chance.nextDouble() : luck;
-    return luck;
+  public double drawOnce(RandomGenerator chance) {
+    randomDraw = randomDraw < 0 ? chance.nextDouble() : randomDraw;
+    return randomDraw;
   }
 
-  public boolean out() {
+  public boolean hasOpenTrip() {
     for (Trip trip : trips) {
       if (trip.outcome == null) {
         return true;
@@ -56,10 +56,10 @@
   }
 
   /** When the first trip that may have run was sent, or null where none may have. */
-  public Duration mayHaveRunSince() {
+  public Duration firstPossibleRun() {
     for (Trip trip : trips) {
       if (trip.outcome == null || !trip.outcome.neverRan) {
-        return trip.sent;
+        return trip.sentAt;
       }
     }
     return null;
--- /dev/null
+++ b/mixer/src/main/java/gingerring/decide/RollingSum.java
@@ -0,0 +1,78 @@
+package gingerring.decide;
+
+import java.time.Duration;
+import java.util.Arrays;
+
+/**
+ * Sums over the recent past, in fixed bucketSums of time that are used again in a ring. Amounts are
+ * whole numbers, so that the running total stays exact.
+ */
+public final class RollingSum {
+  private final long spanNanos;
+  private final long bucketNanos;
+  private final double[] bucketSums;
+  private double total;
+  private long newestBucket = Long.MIN_VALUE;
+
+  public RollingSum(Duration span, int bucketCount) {
+    this.spanNanos = span.toNanos();
+    bucketNanos = Math.max(1, (this.spanNanos + bucketCount - 1) / bucketCount);
+    bucketSums = new double[bucketCount + 1];
+  }
+
+  public void add(Duration now, double amount) {
+    advance(now);
+    bucketSums[(int) Math.floorMod(newestBucket, (long) bucketSums.length)] += amount;
+    total += amount;
+  }
+
+  /** The sum over at least the ring's span: the bucket that the span begins in counts whole. */
+  public double sum(Duration now) {
+    advance(now);
+    return total;
+  }
+
+  /** The sum over less than the ring's span: the bucket that the span begins in is left out. */
+  public double sumWithin(Duration now) {
+    advance(now);
+    return sum(now, (int) (newestBucket - Math.floorDiv(now.toNanos() - spanNanos, bucketNanos)));
+  }
+
+  /** How many of the newest bucketSums hold at least so much; all of them where they hold less. */
+  public int bucketsHolding(Duration now, double least) {
+    advance(now);
+    int back = 0;
+    for (double held = 0; back < bucketSums.length && held < least; back++) {
+      held += bucketSums[(int) Math.floorMod(newestBucket - back, (long) bucketSums.length)];
+    }
+    return back;
+  }
+
+  /** The sum over so many of the newest bucketSums. */
+  public double sum(Duration now, int back) {
+    advance(now);
+    double part = 0;
+    for (int i = 0; i < back; i++) {
+      part += bucketSums[(int) Math.floorMod(newestBucket - i, (long) bucketSums.length)];
+    }
+    return part;
+  }
+
+  public void clear() {
+    Arrays.fill(bucketSums, 0);
+    total = 0;
+  }
+
+  private void advance(Duration now) {
+    long bucket = Math.floorDiv(now.toNanos(), bucketNanos);
+    if (newestBucket == Long.MIN_VALUE) {
+      newestBucket = bucket;
+    }
+    for (long i = Math.max(newestBucket + 1, bucket - bucketSums.length + 1); i <= bucket; i++) {
+      int at = (int) Math.floorMod(i, (long) bucketSums.length);
+      total -= bucketSums[at];
+      bucketSums[at] = 0;
+    }
+    newestBucket = Math.max(newestBucket, bucket);
+  }
+}
--- a/mixer/src/main/java/gingerring/decide/Scan.java
+++ b/mixer/src/main/java/gingerring/decide/Scan.java
@@ -8,51 +8,51 @@
 public final class Scan {
   public final ScanId id;
   public final long number;
-  public final ServiceClass grade;
+  public final ServiceClass serviceClass;
   public final long key;
   public final Duration work;
 
   /** When its client gives this try up. */
-  public final Duration end;
+  public final Duration deadline;
 
   public final List<Part> parts = new ArrayList<>();
 
   /** By when its client is to have its answer. */
-  public Duration quoted;
+  public Duration latencyTarget;
 
   /** The same for a client that waits so long. */
-  public Duration fullQuoted;
+  public Duration fullLatencyTarget;
 
   /** By when the step in hand is to be answered. */
-  public Duration due;
+  public Duration stepDeadline;
 
   /** The first step has been answered from, and its parts are {@code firstParts}. */
   public boolean secondStep;
 
-  public int firstParts;
-  public boolean wholeSoFar = true;
+  public int firstStepPartCount;
+  public boolean firstStepWhole = true;
   public boolean closed;
 
   /** The share of its parts that may take a turn at a cold searcher. */
-  public double coldShare;
+  public double coldTurnShare;
 
   public Scan(ScanId id, long number, ServiceClass grade, long key, Duration work, Duration end) {
     this.id = id;
     this.number = number;
-    this.grade = grade;
+    this.serviceClass = grade;
     this.key = key;
     this.work = work;
-    this.end = end;
+    this.deadline = end;
   }
 
   /** The parts of the step in hand; none while the second step's have not come. */
-  public List<Part> step() {
-    return secondStep ? parts.subList(firstParts, parts.size()) : parts;
+  public List<Part> currentStepParts() {
+    return secondStep ? parts.subList(firstStepPartCount, parts.size()) : parts;
   }
 
   /** Whether the first step had no answer for a shard from a searcher that it was sent to. */
-  public boolean failedAt(int shard, Searcher searcher) {
-    for (int i = 0; secondStep && i < firstParts; i++) {
+  public boolean failedInFirstStep(int shard, Searcher searcher) {
+    for (int i = 0; secondStep && i < firstStepPartCount; i++) {
       Part part = parts.get(i);
       if (part.shard == shard) {
         for (Trip trip : part.trips) {
@@ -67,8 +67,8 @@
 
   public void beginSecondStep(boolean whole) {
     secondStep = true;
-    firstParts = parts.size();
-    parts.forEach(part -> part.over = true);
-    wholeSoFar = whole;
+    firstStepPartCount = parts.size();
+    parts.forEach(part -> part.noMoreTrips = true);
+    firstStepWhole = whole;
   }
 }
--- a/mixer/src/main/java/gingerring/decide/Searcher.java
+++ b/mixer/src/main/java/gingerring/decide/Searcher.java
@@ -8,129 +8,134 @@
 /** A searcher as one mixer sees it: the roster's line, its own trips, and what came of them. */
 public final class Searcher {
   public final SearcherId id;
-  public MemberEntry listing;
+  public MemberEntry entry;
   public Duration startedAt;
 
   /** Own trips out, oldest first, and the calls that they share. */
-  public final Set<Trip> out = new LinkedHashSet<>();
+  public final Set<Trip> openTrips = new LinkedHashSet<>();
 
-  public int callsOut;
-  public Trip.Call call;
+  public int openCalls;
+  public Trip.Call lastCall;
 
   /** When it was last sent a part, or from when its first turn counts while it is cold. */
-  public Duration lastSent;
+  public Duration lastSentAt;
 
   /** The start that its turns go by. */
-  public Duration turnsSince;
+  public Duration turnsStartedAt;
 
-  public int plannedParts;
+  public int assignedParts;
   public Duration busySince;
 
   /** Time with own parts out since the last word from it. */
-  public Duration unheard = Duration.ZERO;
+  public Duration silentTime = Duration.ZERO;
 
   /** Time with own parts out, and the same times their number. */
-  public final TimeRing busy;
+  public final RollingSum busyTime;
 
-  public final TimeRing held;
-  public final TimeRing answers;
-  public final TimeRing errors;
-  public final TimeRing sends;
+  public final RollingSum openTripTime;
+  public final RollingSum answers;
+  public final RollingSum errors;
+  public final RollingSum sentParts;
 
   /** Null while it is trusted; else when it may next be tried. */
-  public Duration benchedUntil;
+  public Duration ejectedUntil;
 
-  public Duration benchSpan;
+  public Duration ejectionTime;
   public boolean probing;
-  public int trialsLeft;
+  public int trialPartsLeft;
 
   public Searcher(
       SearcherId id, Duration window, int buckets, Duration coldWindow, int coldBuckets) {
     this.id = id;
-    busy = new TimeRing(window, buckets);
-    held = new TimeRing(window, buckets);
-    answers = new TimeRing(window, buckets);
-    errors = new TimeRing(window, buckets);
-    sends = new TimeRing(coldWindow, coldBuckets);
+    busyTime = new RollingSum(window, buckets);
+    openTripTime = new RollingSum(window, buckets);
+    answers = new RollingSum(window, buckets);
+    errors = new RollingSum(window, buckets);
+    sentParts = new RollingSum(coldWindow, coldBuckets);
   }
 
-  public boolean ready() {
-    return listing.standing() == MemberEntry.Standing.READY;
+  public boolean isReady() {
+    return entry.status() == MemberEntry.Status.READY;
   }
 
   /** Nothing of it is out, recent or benched. */
-  public boolean quiet(Duration now) {
-    return out.isEmpty()
-        && benchedUntil == null
-        && busy.sum(now) == 0
+  public boolean isInactive(Duration now) {
+    return openTrips.isEmpty()
+        && ejectedUntil == null
+        && busyTime.sum(now) == 0
         && answers.sum(now) == 0
         && errors.sum(now) == 0;
   }
 
   /** Gone, and nothing is out there or counts in the cold guard's window. */
-  public boolean spent(Duration now) {
-    return listing.standing() == MemberEntry.Standing.GONE && out.isEmpty() && sends.sum(now) == 0;
+  public boolean isRemovable(Duration now) {
+    return entry.status() == MemberEntry.Status.GONE
+        && openTrips.isEmpty()
+        && sentParts.sum(now) == 0;
   }
 
   /** Drops what was measured of it: it is to be judged anew. */
-  public void forget() {
-    unheard = Duration.ZERO;
-    List.of(busy, held, answers, errors).forEach(TimeRing::clear);
+  public void resetStats() {
+    silentTime = Duration.ZERO;
+    List.of(busyTime, openTripTime, answers, errors).forEach(RollingSum::clear);
   }
 
   /** Leaves the time up to now out of what is measured. */
-  public void skipTo(Duration now) {
-    busySince = out.isEmpty() ? null : now;
+  public void excludeTimeUntil(Duration now) {
+    busySince = openTrips.isEmpty() ? null : now;
   }
 
   /** Books the time that own parts have been out. */
-  public void noteBusy(Duration now) {
+  public void recordBusyTime(Duration now) {
     if (busySince != null) {
       Duration span = now.minus(busySince);
-      busy.add(now, span.toNanos());
-      held.add(now, (double) span.toNanos() * out.size());
-      unheard = unheard.plus(span);
+      busyTime.add(now, span.toNanos());
+      openTripTime.add(now, (double) span.toNanos() * openTrips.size());
+      silentTime = silentTime.plus(span);
     }
-    busySince = out.isEmpty() ? null : now;
+    busySince = openTrips.isEmpty() ? null : now;
   }
 
   /** Books a part that is sent now; {@code callParts} parts of one moment share a call. */
-  public Trip send(Part part, Duration now, int callParts) {
-    noteBusy(now);
-    if (!callOpen(now, callParts)) {
-      call = new Trip.Call(now);
-      callsOut++;
+  public Trip recordSend(Part part, Duration now, int callParts) {
+    recordBusyTime(now);
+    if (!canJoinLastCall(now, callParts)) {
+      lastCall = new Trip.Call(now);
+      openCalls++;
     }
-    call.parts++;
-    call.out++;
-    Trip trip = new Trip(part, this, now, call);
-    out.add(trip);
+    lastCall.partCount++;
+    lastCall.openTrips++;
+    Trip trip = new Trip(part, this, now, lastCall);
+    openTrips.add(trip);
     busySince = now;
-    lastSent = now;
-    sends.add(now, 1);
+    lastSentAt = now;
+    sentParts.add(now, 1);
     return trip;
   }
 
   /** Books a trip that has ended. */
-  public void end(Trip trip, Duration now) {
-    noteBusy(now);
-    out.remove(trip);
-    trip.call.out--;
-    if (trip.call.out == 0) {
-      callsOut--;
+  public void recordEnd(Trip trip, Duration now) {
+    recordBusyTime(now);
+    openTrips.remove(trip);
+    trip.call.openTrips--;
+    if (trip.call.openTrips == 0) {
+      openCalls--;
     }
-    if (out.isEmpty()) {
+    if (openTrips.isEmpty()) {
       busySince = null;
     }
   }
 
   /** Own calls out, with those that planned parts would open. */
-  public int load(Duration now, int callParts) {
-    int joining = callOpen(now, callParts) ? Math.min(plannedParts, callParts - call.parts) : 0;
-    return callsOut + (plannedParts - joining + callParts - 1) / callParts;
+  public int projectedCalls(Duration now, int callParts) {
+    int joining =
+        canJoinLastCall(now, callParts)
+            ? Math.min(assignedParts, callParts - lastCall.partCount)
+            : 0;
+    return openCalls + (assignedParts - joining + callParts - 1) / callParts;
   }
 
-  private boolean callOpen(Duration now, int callParts) {
-    return call != null && call.made.equals(now) && call.parts < callParts;
+  private boolean canJoinLastCall(Duration now, int callParts) {
+    return lastCall != null && lastCall.sentAt.equals(now) && lastCall.partCount < callParts;
   }
 }
--- a/mixer/src/main/java/gingerring/decide/ServiceClass.java
+++ b/mixer/src/main/java/gingerring/decide/ServiceClass.java
@@ -11,22 +11,22 @@
     AT_MOST_ONCE
   }
 
-  public RetrySafety repeats;
-  public Duration quoted;
-  public double quotedStretch;
-  public Duration patience;
-  public Duration window;
-  public double lateShare;
-  public double floor;
-  public double need;
-  public int fetch;
+  public RetrySafety retrySafety;
+  public Duration latencyTarget;
+  public double latencyTargetPerWork;
+  public Duration deadline;
+  public Duration idempotencyWindow;
+  public double lateValueShare;
+  public double minCoverage;
+  public double fullCoverage;
+  public int secondStepParts;
 
   /** Reads the grade of a number. */
   static ServiceClass read(Settings terms, int i) {
     String at = "Classes." + i + ".";
     ServiceClass grade = new ServiceClass();
     String repeats = terms.text(at + "Idempotency");
-    grade.repeats =
+    grade.retrySafety =
         switch (repeats) {
           case "idempotent" -> RetrySafety.IDEMPOTENT;
           case "deduplicated" -> RetrySafety.KEYED;
@@ -35,14 +35,15 @@
               throw new IllegalArgumentException(
                   "setting " + at + "Idempotency is unknown: " + repeats);
         };
-    grade.quoted = terms.span(at + "AimMs");
-    grade.quotedStretch = terms.number(at + "AimStretch", 0);
-    grade.patience = terms.span(at + "HardLimitMs");
-    grade.window = grade.repeats == RetrySafety.KEYED ? terms.span(at + "WindowMs") : Duration.ZERO;
-    grade.lateShare = terms.number(at + "LateWorth", 0);
-    grade.need = terms.item("Domain.NeedByClass", i, 1);
-    grade.floor = terms.item("Domain.ClassFloor", i, grade.need);
-    grade.fetch = (int) terms.item("Domain.ClassFetch", i, 0);
+    grade.latencyTarget = terms.duration(at + "AimMs");
+    grade.latencyTargetPerWork = terms.number(at + "AimStretch", 0);
+    grade.deadline = terms.duration(at + "HardLimitMs");
+    grade.idempotencyWindow =
+        grade.retrySafety == RetrySafety.KEYED ? terms.duration(at + "WindowMs") : Duration.ZERO;
+    grade.lateValueShare = terms.number(at + "LateWorth", 0);
+    grade.fullCoverage = terms.item("Domain.NeedByClass", i, 1);
+    grade.minCoverage = terms.item("Domain.ClassFloor", i, grade.fullCoverage);
+    grade.secondStepParts = (int) terms.item("Domain.ClassFetch", i, 0);
     return grade;
   }
 
@@ -50,7 +51,7 @@
    * May be answered from some of its parts: only a grade that may run again can leave the others
    * behind.
    */
-  public boolean partial() {
-    return floor < need && repeats == RetrySafety.IDEMPOTENT;
+  public boolean allowsPartial() {
+    return minCoverage < fullCoverage && retrySafety == RetrySafety.IDEMPOTENT;
   }
 }
--- a/mixer/src/main/java/gingerring/decide/Settings.java
+++ b/mixer/src/main/java/gingerring/decide/Settings.java
@@ -9,19 +9,19 @@
  * are read once, since scans ask for them over and over.
  */
 public final class Settings {
-  private final Map<String, String> map;
+  private final Map<String, String> values;
   private final Map<String, Double> numbers = new HashMap<>();
 
   public Settings(Map<String, String> map) {
-    this.map = map;
+    this.values = map;
   }
 
-  public Map<String, String> map() {
-    return map;
+  public Map<String, String> values() {
+    return values;
   }
 
   public String text(String key) {
-    String value = map.get(key);
+    String value = values.get(key);
     if (value == null) {
       throw new IllegalArgumentException("setting " + key + " is missing");
     }
@@ -38,7 +38,7 @@
   }
 
   public double number(String key, double otherwise) {
-    return map.containsKey(key) ? number(key) : otherwise;
+    return values.containsKey(key) ? number(key) : otherwise;
   }
 
   public int count(String key) {
@@ -46,25 +46,25 @@
   }
 
   /** A time given in milliseconds. */
-  public Duration span(String key) {
-    return Spans.millis(number(key));
+  public Duration duration(String key) {
+    return Durations.millis(number(key));
   }
 
-  public Duration span(String key, Duration otherwise) {
-    return map.containsKey(key) ? span(key) : otherwise;
+  public Duration duration(String key, Duration otherwise) {
+    return values.containsKey(key) ? duration(key) : otherwise;
   }
 
   public boolean has(String key) {
-    return map.containsKey(key);
+    return values.containsKey(key);
   }
 
   public boolean flag(String key) {
-    return Boolean.parseBoolean(map.get(key));
+    return Boolean.parseBoolean(values.get(key));
   }
 
   /** The value at a place of a list, or {@code otherwise} where there is no such list. */
   public double item(String key, int place, double otherwise) {
-    if (!map.containsKey(key)) {
+    if (!values.containsKey(key)) {
       return otherwise;
     }
     String[] items = text(key).split(",");
--- a/mixer/src/main/java/gingerring/decide/Trip.java
+++ b/mixer/src/main/java/gingerring/decide/Trip.java
@@ -6,27 +6,27 @@
 public final class Trip {
   public final Part part;
   public final Searcher searcher;
-  public final Duration sent;
+  public final Duration sentAt;
   public final Call call;
   public Outcome outcome;
-  public Duration ended;
-  public boolean settled;
+  public Duration endedAt;
+  public boolean countedInPressure;
 
   public Trip(Part part, Searcher searcher, Duration sent, Call call) {
     this.part = part;
     this.searcher = searcher;
-    this.sent = sent;
+    this.sentAt = sent;
     this.call = call;
   }
 
   /** Parts sent to one searcher at one moment, which share a place. */
   public static final class Call {
-    public final Duration made;
-    public int parts;
-    public int out;
+    public final Duration sentAt;
+    public int partCount;
+    public int openTrips;
 
     public Call(Duration made) {
-      this.made = made;
+      this.sentAt = made;
     }
   }
 }
--- a/mixer/src/main/java/gingerring/discovery/Members.java
+++ b/mixer/src/main/java/gingerring/discovery/Members.java
@@ -1,6 +1,6 @@
 package gingerring.discovery;
 
-import gingerring.decide.MemberEntry.Standing;
+import gingerring.decide.MemberEntry.Status;
 import gingerring.json.Fields;
 import gingerring.json.Json;
 import java.net.InetAddress;
@@ -26,7 +26,7 @@
       String locality,
       String flavor,
       int cell,
-      Standing standing,
+      Status standing,
       float size,
       double upSinceMs) {}
 
@@ -51,17 +51,17 @@
 
   private static Member member(Map<String, Object> from) throws Json.Malformed {
     String id = Fields.text(from, "id");
-    Standing standing =
+    Status standing =
         switch (Fields.text(from, "phase")) {
-          case "SERVING" -> Standing.READY;
-          case "DRAINING" -> Standing.DRAINING;
-          case "DELETED" -> Standing.GONE;
+          case "SERVING" -> Status.READY;
+          case "DRAINING" -> Status.DRAINING;
+          case "DELETED" -> Status.GONE;
           default -> throw new Json.Malformed("phase is unknown");
         };
     if (id.isEmpty()) {
       throw new Json.Malformed("id is empty");
     }
-    if (standing == Standing.GONE) {
+    if (standing == Status.GONE) {
       return new Member(
           id, null, "", "", 0, standing, 1, 0); // whatever else it says, nobody calls it
     }
--- a/mixer/src/main/java/gingerring/discovery/Watch.java
+++ b/mixer/src/main/java/gingerring/discovery/Watch.java
@@ -177,7 +177,7 @@
     if (!terms.text("Discovery").equals("automatic") || !terms.has("Safety.DrainGraceMs")) {
       return slowest();
     }
-    Duration half = terms.span("Safety.DrainGraceMs").dividedBy(2);
+    Duration half = terms.duration("Safety.DrainGraceMs").dividedBy(2);
     return least(
         slowest(),
         half.compareTo(LINE.dividedBy(CALLS_MOST)) > 0 ? half : LINE.dividedBy(CALLS_MOST));
--- a/mixer/src/main/java/gingerring/frontend/Asks.java
+++ b/mixer/src/main/java/gingerring/frontend/Asks.java
@@ -37,7 +37,7 @@
   Asks(Settings terms) {
     for (int i = 0; i < terms.count("Classes.count"); i++) {
       lanes.put(terms.text("Classes." + i + ".Name"), i);
-      patience.add(terms.span("Classes." + i + ".HardLimitMs"));
+      patience.add(terms.duration("Classes." + i + ".HardLimitMs"));
       numbered.add(terms.text("Classes." + i + ".Idempotency").equals("deduplicated"));
     }
     shards = terms.count("Domain.Slices");
--- a/mixer/src/main/java/gingerring/server/MixerConfig.java
+++ b/mixer/src/main/java/gingerring/server/MixerConfig.java
@@ -83,7 +83,7 @@
     return name.equals(other.name)
         && listen.equals(other.listen)
         && sockets == other.sockets
-        && terms.map().equals(other.terms.map());
+        && terms.values().equals(other.terms.values());
   }
 
   /**
--- a/mixer/src/main/java/gingerring/server/MixerHost.java
+++ b/mixer/src/main/java/gingerring/server/MixerHost.java
@@ -12,7 +12,7 @@
 import gingerring.decide.ScanId;
 import gingerring.decide.SearcherId;
 import gingerring.decide.Settings;
-import gingerring.decide.WakeId;
+import gingerring.decide.TimerId;
 import gingerring.discovery.Members;
 import gingerring.discovery.Watch;
 import gingerring.frontend.Ask;
@@ -159,7 +159,7 @@
   void start(Back back, Watch watch, long seed, Members known) {
     this.back = back;
     this.watch = watch;
-    mixer = new Mixer(terms.map(), new SplittableRandom(seed), this);
+    mixer = new Mixer(terms.values(), new SplittableRandom(seed), this);
     list(known);
     String way = terms.text("Discovery");
     if (way.equals("automatic")) {
@@ -317,7 +317,7 @@
   public void probed(SearcherId searcher, Outcome outcome, Duration taken, float[] load) {
     loop.tell(
         () -> {
-          mixer.probed(searcher, outcome, taken, load);
+          mixer.probeEnded(searcher, outcome, taken, load);
           if (neighbours != null) {
             neighbours.probeEnded(searcher.address(), outcome == Outcome.SUCCEEDED);
           }
@@ -343,7 +343,7 @@
                   last.machine(),
                   last.cell(),
                   member.standing(),
-                  last.size(),
+                  last.capacity(),
                   last.startedAt())
               : new MemberEntry(
                   id,
@@ -355,7 +355,7 @@
                   started);
       lines.add(line);
       listed.put(id, line);
-      if (member.address() == null || member.standing() == MemberEntry.Standing.GONE) {
+      if (member.address() == null || member.standing() == MemberEntry.Status.GONE) {
         back.gone(id);
       } else {
         back.listed(id, member.address(), line.startedAt());
@@ -368,14 +368,14 @@
       leaving.forEach(this::forget);
     }
     lines.stream()
-        .filter(line -> line.standing() == MemberEntry.Standing.GONE)
+        .filter(line -> line.status() == MemberEntry.Status.GONE)
         .map(MemberEntry::searcher)
         .forEach(this::forget);
-    loop.tell(() -> mixer.rosterTold(lines, members.complete()));
+    loop.tell(() -> mixer.memberListUpdated(lines, members.complete()));
     // told after the list, so that what has not left yet goes elsewhere by it
     leaving.addAll(
         lines.stream()
-            .filter(line -> line.standing() != MemberEntry.Standing.READY)
+            .filter(line -> line.status() != MemberEntry.Status.READY)
             .map(MemberEntry::searcher)
             .toList());
     leaving.forEach(back::withhold);
@@ -417,7 +417,7 @@
 
   @Override
   public void failed() {
-    loop.tell(() -> mixer.rosterFailed());
+    loop.tell(() -> mixer.memberListFailed());
     word();
   }
 
@@ -500,7 +500,7 @@
   }
 
   @Override
-  public void recall(PartId part, int trip) {
+  public void cancel(PartId part, int trip) {
     Piece piece = pieces.get(part);
     if (piece != null && trip < piece.trips.size()) {
       back.recall(piece.trips.get(trip));
@@ -526,7 +526,7 @@
   }
 
   @Override
-  public void nack(ScanId id, Duration comeBack) {
+  public void reject(ScanId id, Duration comeBack) {
     Open scan = scans.get(id);
     if (scan != null) {
       counts.add("nacks", 1);
@@ -536,7 +536,7 @@
   }
 
   @Override
-  public void scrap(ScanId id) {
+  public void fail(ScanId id) {
     Open scan = scans.get(id);
     if (scan != null) {
       counts.add("scraps", 1);
@@ -554,22 +554,22 @@
   }
 
   @Override
-  public boolean asksItself(SearcherId searcher) {
+  public boolean shouldProbe(SearcherId searcher) {
     return neighbours == null || neighbours.shouldProbe(searcher.address());
   }
 
   @Override
-  public double doubt(SearcherId searcher) {
+  public double reportedFailureShare(SearcherId searcher) {
     return neighbours == null ? 0 : neighbours.failureShare(searcher.address());
   }
 
   @Override
-  public boolean prefers(SearcherId searcher) {
+  public boolean isPreferred(SearcherId searcher) {
     return neighbours == null || neighbours.prefers(searcher.address());
   }
 
   @Override
-  public void benched(SearcherId searcher) {
+  public void searcherEjected(SearcherId searcher) {
     if (neighbours != null) {
       neighbours.ejected(searcher.address());
     }
@@ -577,32 +577,32 @@
 
   /** Another mixer had an answer of a searcher that this one may have benched. */
   void othersHeard(long searcher) {
-    loop.tell(() -> mixer.othersHeard(new SearcherId(searcher)));
+    loop.tell(() -> mixer.peerReceivedAnswer(new SearcherId(searcher)));
   }
 
   @Override
-  public void closeIdle(SearcherId searcher) {
+  public void closeIdleConnections(SearcherId searcher) {
     back.closeIdle(searcher);
   }
 
   @Override
-  public void watchRoster(boolean on) {
+  public void watchMemberList(boolean on) {
     loop.tell(on ? watch::open : watch::close);
   }
 
   @Override
-  public void fetchRoster() {
+  public void fetchMemberList() {
     watch.fetch();
   }
 
   @Override
-  public void tell(int peer, byte[] bytes) {
+  public void sendToPeer(int peer, byte[] bytes) {
     counts.add("words to peers dropped", 1);
   }
 
   @Override
-  public void wakeAfter(Duration span, WakeId wake) {
-    loop.wakeAfter(span, () -> loop.tell(() -> mixer.woken(wake)));
+  public void startTimer(Duration span, TimerId wake) {
+    loop.wakeAfter(span, () -> loop.tell(() -> mixer.timerFired(wake)));
   }
 
   @Override
--- a/mixer/src/main/java/gingerring/server/MixerServer.java
+++ b/mixer/src/main/java/gingerring/server/MixerServer.java
@@ -161,7 +161,7 @@
     status();
     Practice practice = new Practice(network, listening, orders.sockets(), counts, desk::practised);
     practice.begin();
-    Duration dial = terms.span("PolicyLimits.DialTimeoutMs");
+    Duration dial = terms.duration("PolicyLimits.DialTimeoutMs");
     loop.wakeAfter(
         dial.compareTo(PRACTICE_MOST) < 0 ? dial : PRACTICE_MOST, desk::practised); // may go on
     loop.wakeAfter(PRACTICE_MOST, practice::end);
@@ -241,7 +241,7 @@
     Settings terms = atStart.terms();
     Duration patience = Duration.ZERO;
     for (int i = 0; i < terms.count("Classes.count"); i++) {
-      Duration its = terms.span("Classes." + i + ".HardLimitMs");
+      Duration its = terms.duration("Classes." + i + ".HardLimitMs");
       patience = its.compareTo(patience) > 0 ? its : patience;
     }
     patience = patience.compareTo(PATIENCE_MOST) < 0 ? patience : PATIENCE_MOST;
--- a/mixer/src/main/java/gingerring/server/Rehearsal.java
+++ b/mixer/src/main/java/gingerring/server/Rehearsal.java
@@ -1,7 +1,7 @@
 package gingerring.server;
 
 import gingerring.backend.Back;
-import gingerring.decide.MemberEntry.Standing;
+import gingerring.decide.MemberEntry.Status;
 import gingerring.decide.Settings;
 import gingerring.discovery.Members;
 import gingerring.discovery.Watch;
@@ -45,7 +45,7 @@
   private int answered;
 
   Rehearsal(Settings told) {
-    Map<String, String> map = new HashMap<>(told.map());
+    Map<String, String> map = new HashMap<>(told.values());
     map.put("Discovery", "none here");
     terms = new Settings(map);
   }
@@ -62,7 +62,7 @@
     List<Members.Member> members = new ArrayList<>();
     for (int cell = 0; cell < terms.count("Domain.Places"); cell++) {
       members.add(
-          new Members.Member("sample-" + cell, searchers, "", "", cell, Standing.READY, 1, 0));
+          new Members.Member("sample-" + cell, searchers, "", "", cell, Status.READY, 1, 0));
     }
     Watch watch = new Watch(network, place(3), 0, desk, counts, loop);
     desk.start(back, watch, 0, new Members(0, true, members));
--- a/mixer/src/main/java/gingerring/simulator/Seat.java
+++ b/mixer/src/main/java/gingerring/simulator/MixerInstance.java
@@ -7,7 +7,7 @@
 import gingerring.decide.PartId;
 import gingerring.decide.ScanId;
 import gingerring.decide.SearcherId;
-import gingerring.decide.WakeId;
+import gingerring.decide.TimerId;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -20,12 +20,12 @@
  * The place of one instance: its events become calls of its mixer, and the mixer's calls become
  * actions.
  */
-final class Seat implements Host {
+final class MixerInstance implements Host {
   private static final int COST_KNOWN = 1;
   private static final int REPEAT = 2;
 
   private final int who;
-  private final Replies replies;
+  private final ReplyWriter replies;
   private Mixer mixer;
   private double startMs;
   private double clockMs;
@@ -36,29 +36,29 @@
   private long arriving;
   private List<Part> parts = new ArrayList<>();
 
-  Seat(int who, Replies replies) {
+  MixerInstance(int who, ReplyWriter replies) {
     this.who = who;
     this.replies = replies;
   }
 
-  void event(Records records, double clock, Map<Integer, Records.Page> pages)
-      throws Drill.Malformed {
+  void event(RecordReader records, double clock, Map<Integer, RecordReader.MemberPage> pages)
+      throws SimulatorAdapter.MalformedInput {
     clockMs = clock;
-    if (records.code() == Records.INGRESS) {
+    if (records.code() == RecordReader.INGRESS) {
       ingress(records);
       return;
     }
     finish();
     switch (records.code()) {
-      case Records.CREATE -> create(records.u64(), records.text());
-      case Records.POWER_OFF -> mixer = null;
-      case Records.DISCOVERY -> discovery(records, pages);
-      case Records.STREAMING,
-          Records.FINISHED,
-          Records.VANISHED,
-          Records.TIMER,
-          Records.HEALTH,
-          Records.INBOX ->
+      case RecordReader.CREATE -> create(records.u64(), records.text());
+      case RecordReader.POWER_OFF -> mixer = null;
+      case RecordReader.DISCOVERY -> discovery(records, pages);
+      case RecordReader.STREAMING,
+          RecordReader.FINISHED,
+          RecordReader.VANISHED,
+          RecordReader.TIMER,
+          RecordReader.HEALTH,
+          RecordReader.INBOX ->
           tell(records);
       default -> {}
     }
@@ -79,14 +79,14 @@
                 new Mixer(map, RandomGeneratorFactory.of("L64X128MixRandom").create(seed), this));
   }
 
-  private void tell(Records records) throws Drill.Malformed {
+  private void tell(RecordReader records) throws SimulatorAdapter.MalformedInput {
     switch (records.code()) {
-      case Records.STREAMING -> {
+      case RecordReader.STREAMING -> {
         PartId part = new PartId(records.u32());
         int trip = records.u16();
         decide(mixer -> mixer.answerStarted(part, trip));
       }
-      case Records.FINISHED -> {
+      case RecordReader.FINISHED -> {
         PartId part = new PartId(records.u32());
         var outcome = records.outcome();
         records.ms();
@@ -96,44 +96,45 @@
         float[] load = records.load();
         decide(mixer -> mixer.tripEnded(part, trip, outcome, last, load));
       }
-      case Records.VANISHED -> {
+      case RecordReader.VANISHED -> {
         ScanId scan = new ScanId(records.u32());
         decide(mixer -> mixer.clientLeft(scan));
       }
-      case Records.TIMER -> {
-        WakeId wake = new WakeId((int) records.u32());
-        decide(mixer -> mixer.woken(wake));
+      case RecordReader.TIMER -> {
+        TimerId wake = new TimerId((int) records.u32());
+        decide(mixer -> mixer.timerFired(wake));
       }
-      case Records.HEALTH -> {
+      case RecordReader.HEALTH -> {
         var outcome = records.outcome();
         Duration taken = span(records.ms());
         SearcherId searcher = records.searcher();
         float[] load = records.load();
-        decide(mixer -> mixer.probed(searcher, outcome, taken, load));
+        decide(mixer -> mixer.probeEnded(searcher, outcome, taken, load));
       }
       default -> {
         int peer = records.u16();
         byte[] bytes = records.rest(records.u16());
-        decide(mixer -> mixer.peerTold(peer, bytes));
+        decide(mixer -> mixer.peerMessageReceived(peer, bytes));
       }
     }
   }
 
-  private void discovery(Records records, Map<Integer, Records.Page> pages) throws Drill.Malformed {
+  private void discovery(RecordReader records, Map<Integer, RecordReader.MemberPage> pages)
+      throws SimulatorAdapter.MalformedInput {
     int mode = records.u8();
     records.u64();
     int number = records.u8();
     if (mode == 3) {
-      decide(mixer -> mixer.rosterFailed());
+      decide(mixer -> mixer.memberListFailed());
       return;
     }
-    Records.Page page = pages.get(number);
+    RecordReader.MemberPage page = pages.get(number);
     if (mode > 3 || page == null) {
-      throw new Drill.Malformed(
+      throw new SimulatorAdapter.MalformedInput(
           records.where() + ": no list of kind " + mode + " and page " + number);
     }
     List<MemberEntry> lines = new ArrayList<>();
-    for (Records.Line line : page.lines()) {
+    for (RecordReader.MemberLine line : page.lines()) {
       Duration started = line.startedMs() == 0 ? null : span(line.startedMs() - startMs);
       lines.add(
           new MemberEntry(
@@ -141,14 +142,14 @@
               line.zone(),
               line.machine(),
               line.cell(),
-              line.standing(),
-              line.size(),
+              line.status(),
+              line.capacity(),
               started));
     }
-    decide(mixer -> mixer.rosterTold(lines, mode != 0));
+    decide(mixer -> mixer.memberListUpdated(lines, mode != 0));
   }
 
-  private void ingress(Records records) throws Drill.Malformed {
+  private void ingress(RecordReader records) throws SimulatorAdapter.MalformedInput {
     long handle = records.u32();
     long number = Float.floatToIntBits(records.f32());
     int opts = records.u16();
@@ -232,7 +233,7 @@
   }
 
   @Override
-  public void recall(PartId part, int trip) {
+  public void cancel(PartId part, int trip) {
     replies.recall(part.number(), trip);
   }
 
@@ -242,12 +243,12 @@
   }
 
   @Override
-  public void nack(ScanId scan, Duration comeBack) {
+  public void reject(ScanId scan, Duration comeBack) {
     replies.refuse(scan.number(), ms(comeBack));
   }
 
   @Override
-  public void scrap(ScanId scan) {
+  public void fail(ScanId scan) {
     replies.respondError(scan.number());
   }
 
@@ -257,27 +258,27 @@
   }
 
   @Override
-  public void closeIdle(SearcherId searcher) {
+  public void closeIdleConnections(SearcherId searcher) {
     replies.closeIdle(searcher);
   }
 
   @Override
-  public void watchRoster(boolean on) {
+  public void watchMemberList(boolean on) {
     replies.keepInformed(on);
   }
 
   @Override
-  public void fetchRoster() {
+  public void fetchMemberList() {
     replies.resolve();
   }
 
   @Override
-  public void tell(int peer, byte[] bytes) {
+  public void sendToPeer(int peer, byte[] bytes) {
     replies.share(peer, bytes);
   }
 
   @Override
-  public void wakeAfter(Duration span, WakeId wake) {
+  public void startTimer(Duration span, TimerId wake) {
     replies.defer(ms(span), wake.number());
   }
 
--- a/mixer/src/main/java/gingerring/simulator/Records.java
+++ b/mixer/src/main/java/gingerring/simulator/RecordReader.java
@@ -10,7 +10,7 @@
 import java.util.List;
 
 /** Reads the records of one batch, field by field, never past the end of the record in hand. */
-final class Records {
+final class RecordReader {
   static final int CREATE = 0;
   static final int DISCOVERY = 1;
   static final int INGRESS = 2;
@@ -31,15 +31,15 @@
   private static final int ENTRY = 23;
 
   /** A numbered list of searchers; times of start are on the batches' clock, 0 for long ago. */
-  record Page(List<Line> lines) {}
+  record MemberPage(List<MemberLine> lines) {}
 
-  record Line(
+  record MemberLine(
       SearcherId searcher,
       int zone,
       int machine,
       int cell,
-      MemberEntry.Standing standing,
-      float size,
+      MemberEntry.Status status,
+      float capacity,
       double startedMs) {}
 
   private final ByteBuffer bytes;
@@ -48,7 +48,7 @@
   private int code;
   private int count;
 
-  Records(byte[] body, String batch) {
+  RecordReader(byte[] body, String batch) {
     bytes = ByteBuffer.wrap(body).order(ByteOrder.LITTLE_ENDIAN);
     this.batch = batch;
   }
@@ -58,17 +58,17 @@
   }
 
   /** Moves to the next record, over whatever the last one still held. */
-  void next() throws Drill.Malformed {
+  void next() throws SimulatorAdapter.MalformedInput {
     bytes.position(end);
     count++;
     code = -1;
     if (bytes.remaining() < HEAD) {
-      throw new Drill.Malformed(where() + ": the batch ends before its header");
+      throw new SimulatorAdapter.MalformedInput(where() + ": the batch ends before its header");
     }
     code = Byte.toUnsignedInt(bytes.get());
     long length = Integer.toUnsignedLong(bytes.getInt());
     if (length > bytes.remaining()) {
-      throw new Drill.Malformed(
+      throw new SimulatorAdapter.MalformedInput(
           where() + ": " + length + " bytes claimed, " + bytes.remaining() + " left");
     }
     end = bytes.position() + (int) length;
@@ -86,51 +86,51 @@
     return batch + ", record " + count + (code < 0 ? "" : " (code " + code + ")");
   }
 
-  private void need(int length) throws Drill.Malformed {
+  private void need(int length) throws SimulatorAdapter.MalformedInput {
     if (end - bytes.position() < length) {
-      throw new Drill.Malformed(where() + ": its fields end early");
+      throw new SimulatorAdapter.MalformedInput(where() + ": its fields end early");
     }
   }
 
-  int u8() throws Drill.Malformed {
+  int u8() throws SimulatorAdapter.MalformedInput {
     need(1);
     return Byte.toUnsignedInt(bytes.get());
   }
 
-  int u16() throws Drill.Malformed {
+  int u16() throws SimulatorAdapter.MalformedInput {
     need(2);
     return Short.toUnsignedInt(bytes.getShort());
   }
 
-  long u32() throws Drill.Malformed {
+  long u32() throws SimulatorAdapter.MalformedInput {
     need(4);
     return Integer.toUnsignedLong(bytes.getInt());
   }
 
-  long u64() throws Drill.Malformed {
+  long u64() throws SimulatorAdapter.MalformedInput {
     need(8);
     return bytes.getLong();
   }
 
-  float f32() throws Drill.Malformed {
+  float f32() throws SimulatorAdapter.MalformedInput {
     need(4);
     float value = bytes.getFloat();
     if (!Float.isFinite(value)) {
-      throw new Drill.Malformed(where() + ": a number reads " + value);
+      throw new SimulatorAdapter.MalformedInput(where() + ": a number reads " + value);
     }
     return value;
   }
 
-  double ms() throws Drill.Malformed {
+  double ms() throws SimulatorAdapter.MalformedInput {
     need(8);
     double value = bytes.getDouble();
     if (!Double.isFinite(value) || Math.abs(value) > MOST_MS) {
-      throw new Drill.Malformed(where() + ": a time reads " + value);
+      throw new SimulatorAdapter.MalformedInput(where() + ": a time reads " + value);
     }
     return value;
   }
 
-  SearcherId searcher() throws Drill.Malformed {
+  SearcherId searcher() throws SimulatorAdapter.MalformedInput {
     need(6);
     long address = 0;
     for (int i = 0; i < 4; i++) {
@@ -139,7 +139,7 @@
     return new SearcherId(address << 16 | u16());
   }
 
-  Outcome outcome() throws Drill.Malformed {
+  Outcome outcome() throws SimulatorAdapter.MalformedInput {
     int status = u16();
     return switch (status) {
       case 10 -> Outcome.SUCCEEDED;
@@ -150,11 +150,13 @@
       case 60 -> Outcome.BROKEN;
       case 70 -> Outcome.CALLED_OFF;
       case 80 -> Outcome.NOT_SENT;
-      default -> throw new Drill.Malformed(where() + ": no outcome has the code " + status);
+      default ->
+          throw new SimulatorAdapter.MalformedInput(
+              where() + ": no outcome has the code " + status);
     };
   }
 
-  float[] load() throws Drill.Malformed {
+  float[] load() throws SimulatorAdapter.MalformedInput {
     int n = u8();
     need(4 * n);
     float[] load = new float[n];
@@ -164,9 +166,9 @@
     return load;
   }
 
-  byte[] rest(long length) throws Drill.Malformed {
+  byte[] rest(long length) throws SimulatorAdapter.MalformedInput {
     if (length > end - bytes.position()) {
-      throw new Drill.Malformed(
+      throw new SimulatorAdapter.MalformedInput(
           where() + ": " + length + " bytes claimed, " + (end - bytes.position()) + " left");
     }
     byte[] rest = new byte[(int) length];
@@ -174,30 +176,31 @@
     return rest;
   }
 
-  String text() throws Drill.Malformed {
+  String text() throws SimulatorAdapter.MalformedInput {
     return new String(rest(u32()), StandardCharsets.UTF_8);
   }
 
-  Page page() throws Drill.Malformed {
+  MemberPage page() throws SimulatorAdapter.MalformedInput {
     long n = u32();
     if (n > (end - bytes.position()) / ENTRY) {
-      throw new Drill.Malformed(
+      throw new SimulatorAdapter.MalformedInput(
           where() + ": " + n + " lines do not fit in " + (end - bytes.position()) + " bytes");
     }
-    List<Line> lines = new ArrayList<>();
+    List<MemberLine> lines = new ArrayList<>();
     for (long i = 0; i < n; i++) {
-      lines.add(new Line(searcher(), u8(), u8(), u16(), standing(), f32(), ms()));
+      lines.add(new MemberLine(searcher(), u8(), u8(), u16(), standing(), f32(), ms()));
     }
-    return new Page(lines);
+    return new MemberPage(lines);
   }
 
-  private MemberEntry.Standing standing() throws Drill.Malformed {
+  private MemberEntry.Status standing() throws SimulatorAdapter.MalformedInput {
     int mode = u8();
     return switch (mode) {
-      case 0 -> MemberEntry.Standing.GONE;
-      case 1 -> MemberEntry.Standing.READY;
-      case 2 -> MemberEntry.Standing.DRAINING;
-      default -> throw new Drill.Malformed(where() + ": no searcher stands at " + mode);
+      case 0 -> MemberEntry.Status.GONE;
+      case 1 -> MemberEntry.Status.READY;
+      case 2 -> MemberEntry.Status.DRAINING;
+      default ->
+          throw new SimulatorAdapter.MalformedInput(where() + ": no searcher stands at " + mode);
     };
   }
 }
--- a/mixer/src/main/java/gingerring/simulator/Replies.java
+++ b/mixer/src/main/java/gingerring/simulator/ReplyWriter.java
@@ -9,7 +9,7 @@
 import java.util.Arrays;
 
 /** Builds the reply to one batch. */
-final class Replies {
+final class ReplyWriter {
   private ByteBuffer bytes = ByteBuffer.allocate(1 << 12).order(ByteOrder.LITTLE_ENDIAN);
   private int number;
   private int count;
--- a/mixer/src/main/java/gingerring/simulator/Drill.java
+++ b/mixer/src/main/java/gingerring/simulator/SimulatorAdapter.java
@@ -11,18 +11,21 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Answers the bench's batches: one reply for each, from one {@link Seat} for each instance. */
-public final class Drill {
+/**
+ * Answers the bench's batches: one reply for each, from one {@link MixerInstance} for each
+ * instance.
+ */
+public final class SimulatorAdapter {
   private static final int HEADER = 20;
   private static final int CHUNK = 1 << 16;
 
   private final InputStream in;
   private final OutputStream out;
-  private final Map<Integer, Seat> seats = new HashMap<>();
-  private final Map<Integer, Records.Page> pages = new HashMap<>();
-  private final Replies replies = new Replies();
+  private final Map<Integer, MixerInstance> seats = new HashMap<>();
+  private final Map<Integer, RecordReader.MemberPage> pages = new HashMap<>();
+  private final ReplyWriter replies = new ReplyWriter();
 
-  public Drill(InputStream in, OutputStream out) {
+  public SimulatorAdapter(InputStream in, OutputStream out) {
     this.in = new BufferedInputStream(in, CHUNK);
     this.out = out;
   }
@@ -37,7 +40,7 @@
         out.flush();
       }
       return 0;
-    } catch (Malformed e) {
+    } catch (MalformedInput e) {
       complaints.println("gingerring drill: " + e.getMessage());
       return 1;
     }
@@ -49,7 +52,7 @@
       return false;
     }
     if (head.length < HEADER) {
-      throw new Malformed(
+      throw new MalformedInput(
           "input ended after " + head.length + " of " + HEADER + " bytes of a header");
     }
     ByteBuffer header = ByteBuffer.wrap(head).order(ByteOrder.LITTLE_ENDIAN);
@@ -59,32 +62,32 @@
     long count = Integer.toUnsignedLong(header.getInt());
     String where = "batch " + Integer.toUnsignedString(number);
     if (length < HEADER - 8) {
-      throw new Malformed(where + ": length " + length + " is less than its header needs");
+      throw new MalformedInput(where + ": length " + length + " is less than its header needs");
     }
-    if (!Double.isFinite(clock) || Math.abs(clock) > Records.MOST_MS) {
-      throw new Malformed(where + ": the clock reads " + clock);
+    if (!Double.isFinite(clock) || Math.abs(clock) > RecordReader.MOST_MS) {
+      throw new MalformedInput(where + ": the clock reads " + clock);
     }
     byte[] body = read(length - (HEADER - 8), where);
-    if (count > body.length / Records.HEAD) {
-      throw new Malformed(
+    if (count > body.length / RecordReader.HEAD) {
+      throw new MalformedInput(
           where + ": " + count + " records do not fit in " + body.length + " bytes");
     }
     replies.begin(number);
-    Records records = new Records(body, where);
-    Seat seat = null;
+    RecordReader records = new RecordReader(body, where);
+    MixerInstance seat = null;
     for (long i = 0; i < count; i++) {
       records.next();
       switch (records.code()) {
-        case Records.AT -> {
+        case RecordReader.AT -> {
           seat = finish(seat);
           int who = records.u16();
-          seat = seats.computeIfAbsent(who, w -> new Seat(w, replies));
+          seat = seats.computeIfAbsent(who, w -> new MixerInstance(w, replies));
           replies.instance(who);
         }
-        case Records.ROSTER -> pages.put(records.u8(), records.page());
+        case RecordReader.ROSTER -> pages.put(records.u8(), records.page());
         default -> {
-          if (seat == null && Records.known(records.code())) {
-            throw new Malformed(records.where() + ": an event before any AT");
+          if (seat == null && RecordReader.known(records.code())) {
+            throw new MalformedInput(records.where() + ": an event before any AT");
           }
           if (seat != null) {
             seat.event(records, clock, pages);
@@ -94,13 +97,13 @@
     }
     finish(seat);
     if (records.left() > 0) {
-      throw new Malformed(where + ": " + records.left() + " bytes after its last record");
+      throw new MalformedInput(where + ": " + records.left() + " bytes after its last record");
     }
     replies.writeTo(out);
     return true;
   }
 
-  private static Seat finish(Seat seat) {
+  private static MixerInstance finish(MixerInstance seat) {
     if (seat != null) {
       seat.finish();
     }
@@ -113,7 +116,7 @@
     while (body.size() < length) {
       byte[] chunk = in.readNBytes((int) Math.min(CHUNK, length - body.size()));
       if (chunk.length == 0) {
-        throw new Malformed(
+        throw new MalformedInput(
             where + ": input ended after " + body.size() + " of " + length + " bytes");
       }
       body.write(chunk);
@@ -122,10 +125,10 @@
   }
 
   /** Input that is not of the wire. */
-  static final class Malformed extends IOException {
+  static final class MalformedInput extends IOException {
     private static final long serialVersionUID = 1;
 
-    Malformed(String message) {
+    MalformedInput(String message) {
       super(message);
     }
   }
--- a/mixer/src/test/java/gingerring/decide/LeavingTest.java
+++ b/mixer/src/test/java/gingerring/decide/ClientDisconnectTest.java
@@ -13,8 +13,8 @@
  * A client that leaves, crossed with all else that a mixer is told in the same moment: by a table,
  * in both orders.
  */
-class LeavingTest {
-  private static final Map<String, Consumer<Stage>> EVENTS = new LinkedHashMap<>();
+class ClientDisconnectTest {
+  private static final Map<String, Consumer<FakeHost>> EVENTS = new LinkedHashMap<>();
 
   static {
     for (Outcome outcome : Outcome.values()) {
@@ -30,25 +30,25 @@
     EVENTS.put(
         "its searchers go",
         stage ->
-            stage.mixer.rosterTold(
-                List.of(Stage.line(3, 3, MemberEntry.Standing.READY, null)), true));
+            stage.mixer.memberListUpdated(
+                List.of(FakeHost.line(3, 3, MemberEntry.Status.READY, null)), true));
     EVENTS.put(
         "its searchers drain",
         stage ->
-            stage.mixer.rosterTold(
+            stage.mixer.memberListUpdated(
                 List.of(
-                    Stage.line(0, 0, MemberEntry.Standing.DRAINING, null),
-                    Stage.line(1, 1, MemberEntry.Standing.DRAINING, null)),
+                    FakeHost.line(0, 0, MemberEntry.Status.DRAINING, null),
+                    FakeHost.line(1, 1, MemberEntry.Status.DRAINING, null)),
                 false));
     EVENTS.put(
         "its searchers start anew",
         stage ->
-            stage.mixer.rosterTold(
+            stage.mixer.memberListUpdated(
                 List.of(
-                    Stage.line(0, 0, MemberEntry.Standing.READY, stage.now),
-                    Stage.line(1, 1, MemberEntry.Standing.READY, stage.now)),
+                    FakeHost.line(0, 0, MemberEntry.Status.READY, stage.now),
+                    FakeHost.line(1, 1, MemberEntry.Status.READY, stage.now)),
                 false));
-    EVENTS.put("the roster fails", stage -> stage.mixer.rosterFailed());
+    EVENTS.put("the roster fails", stage -> stage.mixer.memberListFailed());
     EVENTS.put("a copy is due", stage -> stage.pass(600));
     EVENTS.put("the quoted time passes", stage -> stage.pass(1000));
     EVENTS.put("its patience ends", stage -> stage.pass(4000));
@@ -66,8 +66,8 @@
         EVENTS.forEach(
             (name, event) -> {
               for (boolean leftFirst : new boolean[] {true, false}) {
-                Stage stage =
-                    new Stage(
+                FakeHost stage =
+                    new FakeHost(
                             "Classes.0.Idempotency",
                             repeats,
                             "Classes.0.WindowMs",
--- a/mixer/src/test/java/gingerring/decide/ColdFleetTest.java
+++ b/mixer/src/test/java/gingerring/decide/ColdFleetTest.java
@@ -1,7 +1,7 @@
 package gingerring.decide;
 
-import static gingerring.decide.Stage.line;
-import static gingerring.decide.Stage.ms;
+import static gingerring.decide.FakeHost.line;
+import static gingerring.decide.FakeHost.ms;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -33,7 +33,7 @@
   private static final int WIDE_LEAST = 85;
 
   /** One mixer, and the answers on their way to it. */
-  private static final class Process extends Stage {
+  private static final class Process extends FakeHost {
     record Answer(long at, int number) {}
 
     final PriorityQueue<Answer> answers = new PriorityQueue<>(Comparator.comparingLong(Answer::at));
@@ -140,7 +140,7 @@
     double rate = calls * LOAD * shape.searchers / shape.parts / size * STEP / WINDOW;
     List<MemberEntry> lost =
         IntStream.of(last ? new int[] {0, 1, 2, 10, 11} : new int[] {0})
-            .mapToObj(i -> line(i, i, MemberEntry.Standing.GONE, null))
+            .mapToObj(i -> line(i, i, MemberEntry.Status.GONE, null))
             .toList();
     for (long at = STEP; at <= start + RAMP; at += STEP) {
       long since = at - start;
@@ -148,9 +148,10 @@
       for (Process each : fleet) {
         each.until(at);
         if (since == -DOWN + STEP) {
-          each.mixer.rosterTold(lost, false);
+          each.mixer.memberListUpdated(lost, false);
         } else if (since == 0) {
-          each.mixer.rosterTold(List.of(line(0, 0, MemberEntry.Standing.READY, each.now)), false);
+          each.mixer.memberListUpdated(
+              List.of(line(0, 0, MemberEntry.Status.READY, each.now)), false);
         }
         int come =
             since == traffic.from && traffic != Traffic.THIN
--- a/mixer/src/test/java/gingerring/decide/Stage.java
+++ b/mixer/src/test/java/gingerring/decide/FakeHost.java
@@ -14,10 +14,10 @@
 import java.util.stream.Stream;
 
 /** A host that keeps its own clock and writes down what its mixer does. */
-class Stage implements Host {
+class FakeHost implements Host {
   record Sent(PartId part, SearcherId searcher, Duration at, int number, Duration startWithin) {}
 
-  record Wake(Duration at, int order, WakeId id) {}
+  record Wake(Duration at, int order, TimerId id) {}
 
   static final Map<String, String> HOUSE =
       ("Classes.count=1 Classes.0.AimMs=1000 Classes.0.HardLimitMs=4000 "
@@ -48,7 +48,7 @@
   int watches;
   private int order;
 
-  Stage(String... changes) {
+  FakeHost(String... changes) {
     Map<String, String> house = new HashMap<>(HOUSE);
     for (int i = 0; i < changes.length; i += 2) {
       house.put(changes[i], changes[i + 1]);
@@ -66,15 +66,15 @@
     return Duration.ofMillis(ms);
   }
 
-  static MemberEntry line(int number, int cell, MemberEntry.Standing standing, Duration startedAt) {
+  static MemberEntry line(int number, int cell, MemberEntry.Status standing, Duration startedAt) {
     return new MemberEntry(new SearcherId(number), 0, 0, cell, standing, 1, startedAt);
   }
 
   /** One warm searcher in each of so many cells, numbered as the cells. */
-  Stage fleet(int cells) {
-    mixer.rosterTold(
+  FakeHost fleet(int cells) {
+    mixer.memberListUpdated(
         IntStream.range(0, cells)
-            .mapToObj(i -> line(i, i, MemberEntry.Standing.READY, null))
+            .mapToObj(i -> line(i, i, MemberEntry.Status.READY, null))
             .toList(),
         true);
     return this;
@@ -122,7 +122,7 @@
     while (!wakes.isEmpty() && wakes.peek().at.compareTo(until) <= 0) {
       Wake wake = wakes.poll();
       now = wake.at.compareTo(now) > 0 ? wake.at : now;
-      mixer.woken(wake.id);
+      mixer.timerFired(wake.id);
     }
     now = until;
   }
@@ -139,7 +139,7 @@
   }
 
   @Override
-  public void recall(PartId part, int trip) {
+  public void cancel(PartId part, int trip) {
     recalled.add(part);
   }
 
@@ -149,12 +149,12 @@
   }
 
   @Override
-  public void nack(ScanId scan, Duration comeBack) {
+  public void reject(ScanId scan, Duration comeBack) {
     finals.merge(scan, "nack", (a, b) -> a + "+" + b);
   }
 
   @Override
-  public void scrap(ScanId scan) {
+  public void fail(ScanId scan) {
     finals.merge(scan, "scrap", (a, b) -> a + "+" + b);
   }
 
@@ -164,21 +164,21 @@
   }
 
   @Override
-  public void closeIdle(SearcherId searcher) {}
+  public void closeIdleConnections(SearcherId searcher) {}
 
   @Override
-  public void watchRoster(boolean on) {
+  public void watchMemberList(boolean on) {
     watches++;
   }
 
   @Override
-  public void fetchRoster() {}
+  public void fetchMemberList() {}
 
   @Override
-  public void tell(int peer, byte[] bytes) {}
+  public void sendToPeer(int peer, byte[] bytes) {}
 
   @Override
-  public void wakeAfter(Duration span, WakeId wake) {
+  public void startTimer(Duration span, TimerId wake) {
     wakes.add(new Wake(now.plus(span), order++, wake));
   }
 
@@ -188,22 +188,22 @@
   }
 
   @Override
-  public boolean asksItself(SearcherId searcher) {
+  public boolean shouldProbe(SearcherId searcher) {
     return !leftToOthers;
   }
 
   @Override
-  public double doubt(SearcherId searcher) {
+  public double reportedFailureShare(SearcherId searcher) {
     return doubt;
   }
 
   @Override
-  public boolean prefers(SearcherId searcher) {
+  public boolean isPreferred(SearcherId searcher) {
     return !searcher.equals(shunned);
   }
 
   @Override
-  public void benched(SearcherId searcher) {
+  public void searcherEjected(SearcherId searcher) {
     benched.add(searcher);
   }
 }
--- a/mixer/src/test/java/gingerring/decide/MixerTest.java
+++ b/mixer/src/test/java/gingerring/decide/MixerTest.java
@@ -1,7 +1,7 @@
 package gingerring.decide;
 
-import static gingerring.decide.Stage.line;
-import static gingerring.decide.Stage.ms;
+import static gingerring.decide.FakeHost.line;
+import static gingerring.decide.FakeHost.ms;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -33,12 +33,12 @@
   /**
    * Fills the windows with quick answers, so that paces and the cold guard have something to go by.
    */
-  private static void warm(Stage stage, int scans) {
+  private static void warm(FakeHost stage, int scans) {
     warm(stage, scans, 50);
   }
 
   /** The same with answers that stayed so long, in ms. */
-  private static void warm(Stage stage, int scans, int stay) {
+  private static void warm(FakeHost stage, int scans, int stay) {
     for (int i = 0; i < scans; i++) {
       int first = stage.sent.size();
       stage.scan(1000 + i, 0.25, 0.25, 0.25, 0.25);
@@ -60,28 +60,28 @@
     for (int i = 0; i < 2000; i++) {
       Duration now = ms(100 * i);
       List<MemberEntry> lines =
-          new ArrayList<>(List.of(line(i, i % 4, MemberEntry.Standing.READY, null)));
+          new ArrayList<>(List.of(line(i, i % 4, MemberEntry.Status.READY, null)));
       if (i >= 4) {
-        lines.add(line(i - 4, i % 4, MemberEntry.Standing.GONE, null));
+        lines.add(line(i - 4, i % 4, MemberEntry.Status.GONE, null));
       }
-      roster.told(
+      roster.update(
           lines,
           false,
-          each -> each.spent(now),
+          each -> each.isRemovable(now),
           id -> new Searcher(id, ms(1000), 10, ms(1000), 10));
       if (i == 5) {
         busy = roster.get(new SearcherId(5));
         Part part = new Part(new PartId(1), 1, 1, 0);
-        part.trips.add(busy.send(part, now, 1));
+        part.trips.add(busy.recordSend(part, now, 1));
       }
-      assertTrue(roster.all().size() <= 6, () -> roster.all().size() + " at " + now);
-      assertEquals(i >= 5, roster.all().contains(busy), "" + i);
+      assertTrue(roster.searchers().size() <= 6, () -> roster.searchers().size() + " at " + now);
+      assertEquals(i >= 5, roster.searchers().contains(busy), "" + i);
     }
   }
 
   @Test
   void underPressureSendsTheHeaviestPartsDownToTheFloorAndClimbsBack() {
-    Stage stage = new Stage(PARTIAL).fleet(4);
+    FakeHost stage = new FakeHost(PARTIAL).fleet(4);
     for (int second = 0; second < 8; second++) {
       int first = stage.sent.size();
       stage.scan(second, 0.1, 0.2, 0.5, 0.2);
@@ -94,7 +94,7 @@
     stage.scan(50, 0.1, 0.2, 0.5, 0.2);
     assertEquals(
         List.of(new PartId(5002)),
-        stage.sent.subList(first, stage.sent.size()).stream().map(Stage.Sent::part).toList());
+        stage.sent.subList(first, stage.sent.size()).stream().map(FakeHost.Sent::part).toList());
     stage.end(first, Outcome.SUCCEEDED);
     assertEquals("partial", stage.finals.get(new ScanId(50)));
     stage.pass(13_000);
@@ -109,7 +109,7 @@
 
   @Test
   void choosesTheReplicaWithFewestOwnPartsOutAndTheSameHomeOnTies() {
-    Stage stage = new Stage().fleet(4);
+    FakeHost stage = new FakeHost().fleet(4);
     stage.scan(1, 1);
     stage.scan(2, 1);
     assertNotEquals(stage.sent.get(0).searcher(), stage.sent.get(1).searcher());
@@ -121,7 +121,7 @@
 
   @Test
   void leavesRoomAboveTheFloorUnderPressure() {
-    Stage stage = new Stage(PARTIAL).fleet(4);
+    FakeHost stage = new FakeHost(PARTIAL).fleet(4);
     for (int second = 0; second < 12; second++) {
       int first = stage.sent.size();
       stage.scan(second, 0.1, 0.2, 0.5, 0.2);
@@ -141,7 +141,7 @@
    */
   @Test
   void aQuietMixerLeavesLightPartsBehindWhereStaysWereLong() {
-    Stage stage = new Stage(PARTIAL).fleet(4);
+    FakeHost stage = new FakeHost(PARTIAL).fleet(4);
     for (int scan = 0; scan < 5; scan++) {
       int first = stage.sent.size();
       stage.scan(scan, 0.1, 0.2, 0.5, 0.2);
@@ -154,12 +154,13 @@
     int first = stage.sent.size();
     stage.scan(50, 0.1, 0.2, 0.5, 0.2);
     assertEquals(
-        List.of(new PartId(5002)), stage.sent.stream().skip(first).map(Stage.Sent::part).toList());
+        List.of(new PartId(5002)),
+        stage.sent.stream().skip(first).map(FakeHost.Sent::part).toList());
   }
 
   @Test
   void amongManyMixersAColdSearcherGetsPartsInTurnsOfTheMixersOwnRate() {
-    Stage stage = new Stage("FleetSize", "100").fleet(4);
+    FakeHost stage = new FakeHost("FleetSize", "100").fleet(4);
     for (int i = 0; i < 8; i++) {
       stage.scan(100 + i, 0.25, 0.25, 0.25, 0.25);
       for (int j = 4 * i; j < 4 * i + 4; j++) {
@@ -167,18 +168,18 @@
       }
       stage.pass(4000);
     }
-    stage.mixer.rosterTold(
+    stage.mixer.memberListUpdated(
         List.of(
-            line(0, 0, MemberEntry.Standing.GONE, null),
-            line(1, 1, MemberEntry.Standing.GONE, null),
-            line(5, 1, MemberEntry.Standing.READY, stage.now)),
+            line(0, 0, MemberEntry.Status.GONE, null),
+            line(1, 1, MemberEntry.Status.GONE, null),
+            line(5, 1, MemberEntry.Status.READY, stage.now)),
         false);
     int first = stage.sent.size();
     for (int i = 0; i < 36; i++) {
       stage.scan(i, 1);
       stage.pass(250);
     }
-    List<Duration> turns = stage.sent.stream().skip(first).map(Stage.Sent::at).toList();
+    List<Duration> turns = stage.sent.stream().skip(first).map(FakeHost.Sent::at).toList();
     for (int i = 1; i < turns.size(); i++) {
       assertTrue(turns.get(i).minus(turns.get(i - 1)).compareTo(ms(2000)) > 0, "" + turns);
     }
@@ -188,15 +189,15 @@
 
   @Test
   void partsWithAChoiceGoAroundTheLastHolderOfAShard() {
-    Stage stage = new Stage("Domain.Places", "8").fleet(8);
-    stage.mixer.rosterTold(List.of(line(1, 1, MemberEntry.Standing.GONE, null)), false);
+    FakeHost stage = new FakeHost("Domain.Places", "8").fleet(8);
+    stage.mixer.memberListUpdated(List.of(line(1, 1, MemberEntry.Status.GONE, null)), false);
     stage.scan(1, 0.25, 0.25, 0.25, 0.25);
-    assertEquals(4, stage.sent.stream().map(Stage.Sent::searcher).distinct().count());
+    assertEquals(4, stage.sent.stream().map(FakeHost.Sent::searcher).distinct().count());
   }
 
   @Test
   void answersPartiallyNearTheQuotedTimeAndNeverUnderTheFloor() {
-    Stage stage = new Stage(PARTIAL).fleet(4);
+    FakeHost stage = new FakeHost(PARTIAL).fleet(4);
     stage.scan(1, 0.5, 0.5);
     stage.scan(2, 0.3, 0.7);
     stage.end(0, Outcome.SUCCEEDED);
@@ -213,7 +214,7 @@
    */
   @Test
   void aFirstStepIsAnsweredInTimeForTheSecond() {
-    Stage stage = new Stage(TWO_STEPS).fleet(4);
+    FakeHost stage = new FakeHost(TWO_STEPS).fleet(4);
     stage.scan(1, 0.5, 0.5);
     stage.end(0, Outcome.SUCCEEDED);
     stage.pass(510);
@@ -226,7 +227,7 @@
    */
   @Test
   void aSecondStepGoesAroundThoseThatFailedTheFirstAndIsAlwaysSent() {
-    Stage stage = new Stage(TWO_STEPS).fleet(4);
+    FakeHost stage = new FakeHost(TWO_STEPS).fleet(4);
     warm(stage, 10);
     int first = stage.sent.size();
     stage.scan(1, 0.5, 0.5);
@@ -243,7 +244,7 @@
 
   @Test
   void aLatePartOfASecondStepGetsACopyByHalfOfItsTime() {
-    Stage stage = new Stage(TWO_STEPS).fleet(4);
+    FakeHost stage = new FakeHost(TWO_STEPS).fleet(4);
     stage.scan(1, 0.5, 0.5);
     stage.pass(50);
     stage.end(0, Outcome.SUCCEEDED);
@@ -257,7 +258,7 @@
   /** Guards against copies of every part where too few answers tell what is late. */
   @Test
   void copiesNothingAtOnceOnAnUnknownStay() {
-    Stage stage = new Stage().fleet(4);
+    FakeHost stage = new FakeHost().fleet(4);
     stage.scan(1, 0.5, 0.5);
     stage.pass(400);
     assertEquals(2, stage.sent.size());
@@ -265,8 +266,8 @@
 
   @Test
   void aBudgetOfTheRulesStandsInForTheOwnRation() {
-    Stage stage =
-        new Stage(
+    FakeHost stage =
+        new FakeHost(
                 "Safety.ResendSpanMs",
                 "10000",
                 "Safety.ExtraFree",
@@ -287,7 +288,7 @@
 
   @Test
   void closesAScanAtOnceWhenItCanNoLongerBeAnswered() {
-    Stage stage = new Stage("PolicyLimits.MaxAttempts", "1").fleet(4);
+    FakeHost stage = new FakeHost("PolicyLimits.MaxAttempts", "1").fleet(4);
     stage.scan(1, 0.5, 0.5);
     stage.end(0, Outcome.ERROR);
     assertEquals("nack", stage.finals.get(new ScanId(1)));
@@ -296,7 +297,7 @@
 
   @Test
   void scrapsWhatMayHaveRunAndMayNotRunAgain() {
-    Stage stage = new Stage("Classes.0.Idempotency", "at_most_once").fleet(4);
+    FakeHost stage = new FakeHost("Classes.0.Idempotency", "at_most_once").fleet(4);
     stage.scan(1, 1);
     stage.end(0, Outcome.UNREACHABLE);
     assertEquals(2, stage.sent.size());
@@ -313,8 +314,8 @@
   void aTripOfANumberedPartTellsHowLongItMayStillBegin() {
     for (String repeats : List.of("deduplicated", "idempotent")) {
       for (Outcome first : List.of(Outcome.ERROR, Outcome.UNREACHABLE)) {
-        Stage stage =
-            new Stage("Classes.0.Idempotency", repeats, "Classes.0.WindowMs", "500").fleet(4);
+        FakeHost stage =
+            new FakeHost("Classes.0.Idempotency", repeats, "Classes.0.WindowMs", "500").fleet(4);
         stage.scan(1, 1);
         stage.pass(200);
         stage.end(0, first);
@@ -324,14 +325,14 @@
                 null,
                 repeats.equals("idempotent") || first == Outcome.UNREACHABLE ? null : ms(300));
         assertEquals(
-            bounds, stage.sent.stream().map(Stage.Sent::startWithin).toList(), repeats + first);
+            bounds, stage.sent.stream().map(FakeHost.Sent::startWithin).toList(), repeats + first);
       }
     }
   }
 
   @Test
   void silenceCountsOnlyTimeWithOwnPartsOutSinceTheLastWord() {
-    Stage stage = new Stage().fleet(4);
+    FakeHost stage = new FakeHost().fleet(4);
     warm(stage, 10);
     stage.pass(5000);
     stage.scan(1, 1);
@@ -350,7 +351,7 @@
    */
   @Test
   void whatIsLateByTheUsualStaysIsNoSilence() {
-    Stage stage = new Stage().fleet(4);
+    FakeHost stage = new FakeHost().fleet(4);
     warm(stage, 4, 400);
     stage.pass(5000);
     stage.scan(50, 1);
@@ -362,7 +363,7 @@
 
   @Test
   void timeInWhichTheMixerStoodStillIsNoSilence() {
-    Stage stage = new Stage().fleet(4);
+    FakeHost stage = new FakeHost().fleet(4);
     warm(stage, 10);
     stage.scan(1, 1);
     stage.now = stage.now.plus(ms(900));
@@ -372,7 +373,7 @@
 
   @Test
   void aPartOutAtASilentSearcherGetsACopyElsewhere() {
-    Stage stage = new Stage().fleet(4);
+    FakeHost stage = new FakeHost().fleet(4);
     warm(stage, 10);
     int first = stage.sent.size();
     stage.scan(1, 1);
@@ -385,7 +386,7 @@
 
   @Test
   void aLatePartGetsACopyJustInTimeAlsoFromASearcherLongUnused() {
-    Stage stage = new Stage().fleet(4);
+    FakeHost stage = new FakeHost().fleet(4);
     warm(stage, 10);
     stage.pass(3600);
     int first = stage.sent.size();
@@ -401,7 +402,7 @@
    */
   @Test
   void aClientOfLittlePatienceIsNotKeptFromSearchersThatAreNoJam() {
-    Stage stage = new Stage().fleet(4);
+    FakeHost stage = new FakeHost().fleet(4);
     warm(stage, 4, 190);
     stage.scanFor(1, 330, 1);
     assertEquals(17, stage.sent.size());
@@ -412,7 +413,7 @@
 
   @Test
   void aPartWhoseTripHasFailedGoesWhereItsStayFitsAtAll() {
-    Stage stage = new Stage().fleet(4);
+    FakeHost stage = new FakeHost().fleet(4);
     warm(stage, 4, 400);
     stage.scan(1, 1);
     stage.pass(300);
@@ -422,7 +423,7 @@
 
   @Test
   void aLatePartIsMovedWhereNoSecondTripMayFlyBesideTheFirst() {
-    Stage stage = new Stage("PolicyLimits.SecondCopies", "false").fleet(4);
+    FakeHost stage = new FakeHost("PolicyLimits.SecondCopies", "false").fleet(4);
     warm(stage, 10);
     int first = stage.sent.size();
     stage.scan(1, 1);
@@ -441,8 +442,8 @@
   /** A recall that no trip may follow would only lose the answer. */
   @Test
   void movesNoMorePartsThanTheBudgetLetsFollow() {
-    Stage stage =
-        new Stage(
+    FakeHost stage =
+        new FakeHost(
                 "PolicyLimits.SecondCopies",
                 "false",
                 "Safety.ExtraFree",
@@ -464,8 +465,8 @@
    */
   @Test
   void aZoneWhosePartsComeLateIsPassedOverAlsoAtItsSearchersUnknown() {
-    Stage stage =
-        new Stage(
+    FakeHost stage =
+        new FakeHost(
             "Domain.Places",
             "8",
             "PolicyLimits.SecondCopies",
@@ -476,10 +477,9 @@
     Map<SearcherId, Integer> zones = new HashMap<>();
     for (int i = 0; i < 8; i++) {
       zones.put(new SearcherId(i), i % 2);
-      lines.add(
-          new MemberEntry(new SearcherId(i), i % 2, 0, i, MemberEntry.Standing.READY, 1, null));
+      lines.add(new MemberEntry(new SearcherId(i), i % 2, 0, i, MemberEntry.Status.READY, 1, null));
     }
-    stage.mixer.rosterTold(lines, true);
+    stage.mixer.memberListUpdated(lines, true);
     for (int i = 0; i < 4; i++) {
       int first = stage.sent.size();
       stage.scan(100 + i, 0.2, 0.2, 0.2, 0.2, 0.2);
@@ -502,12 +502,12 @@
     }
     assertEquals(
         List.of(new SearcherId(6)),
-        stage.sent.stream().skip(first).map(Stage.Sent::searcher).distinct().toList());
+        stage.sent.stream().skip(first).map(FakeHost.Sent::searcher).distinct().toList());
   }
 
   @Test
   void fastErrorsDoNotAttractParts() {
-    Stage stage = new Stage("PolicyLimits.MaxAttempts", "1").fleet(4);
+    FakeHost stage = new FakeHost("PolicyLimits.MaxAttempts", "1").fleet(4);
     int toBad = 0;
     for (int i = 0; i < 20; i++) {
       stage.scan(i, 1);
@@ -521,7 +521,7 @@
 
   @Test
   void asksABenchedHolderWhereThereIsNoOther() {
-    Stage stage = new Stage("Domain.Reach", "1", "PolicyLimits.MaxAttempts", "1").fleet(4);
+    FakeHost stage = new FakeHost("Domain.Reach", "1", "PolicyLimits.MaxAttempts", "1").fleet(4);
     for (int i = 0; i < 4; i++) {
       stage.scan(i, 1);
       stage.end(i, Outcome.ERROR);
@@ -531,21 +531,21 @@
 
   @Test
   void aSearcherTriedAgainIsJudgedByNewEvidence() {
-    Stage stage = new Stage("PolicyLimits.MaxAttempts", "1").fleet(2);
+    FakeHost stage = new FakeHost("PolicyLimits.MaxAttempts", "1").fleet(2);
     for (int i = 0; stage.logs.isEmpty(); i++) {
       stage.scan(i, 1);
       stage.end(i, Outcome.ERROR);
     }
     stage.pass(2100);
     assertEquals(1, stage.probes.size());
-    stage.mixer.probed(stage.probes.get(0), Outcome.SUCCEEDED, ms(1), new float[0]);
+    stage.mixer.probeEnded(stage.probes.get(0), Outcome.SUCCEEDED, ms(1), new float[0]);
     stage.pass(200);
     assertEquals(1, stage.logs.size());
   }
 
   @Test
   void leavesABenchedSearcherToOthersUntilItsTurnOrTheirWord() {
-    Stage stage = new Stage("PolicyLimits.MaxAttempts", "1").fleet(2);
+    FakeHost stage = new FakeHost("PolicyLimits.MaxAttempts", "1").fleet(2);
     stage.leftToOthers = true;
     for (int i = 0; stage.benched.isEmpty(); i++) {
       stage.scan(i, 1);
@@ -556,26 +556,26 @@
     stage.leftToOthers = false;
     stage.pass(150);
     assertEquals(stage.benched, stage.probes);
-    stage.mixer.probed(stage.probes.get(0), Outcome.UNREACHABLE, ms(1), new float[0]);
+    stage.mixer.probeEnded(stage.probes.get(0), Outcome.UNREACHABLE, ms(1), new float[0]);
     stage.pass(500);
     assertEquals(1, stage.probes.size()); // benched for longer
-    stage.mixer.othersHeard(stage.benched.get(0));
+    stage.mixer.peerReceivedAnswer(stage.benched.get(0));
     stage.pass(150);
     assertEquals(2, stage.probes.size());
-    stage.mixer.probed(stage.probes.get(0), Outcome.SUCCEEDED, ms(1), new float[0]);
-    stage.mixer.othersHeard(new SearcherId(99)); // of one that it does not know
+    stage.mixer.probeEnded(stage.probes.get(0), Outcome.SUCCEEDED, ms(1), new float[0]);
+    stage.mixer.peerReceivedAnswer(new SearcherId(99)); // of one that it does not know
   }
 
   @Test
   void whatOthersSeeShortensASilenceAndItsOwnAnswersStillCount() {
     for (double doubt : new double[] {0, 0.7, 1}) {
-      Stage stage = new Stage().fleet(4);
+      FakeHost stage = new FakeHost().fleet(4);
       warm(stage, 10);
       stage.doubt = doubt;
       stage.scan(1, 1);
       stage.pass(550);
       assertEquals(doubt == 1 ? 1 : 0, stage.benched.size(), "at a doubt of " + doubt);
-      Stage answered = new Stage().fleet(4);
+      FakeHost answered = new FakeHost().fleet(4);
       answered.doubt = 1; // all others lie
       warm(answered, 50);
       assertEquals(List.of(), answered.benched);
@@ -584,7 +584,7 @@
 
   @Test
   void prefersThoseItIsToPreferAndWidensWhereTheyFail() {
-    Stage stage = new Stage("PolicyLimits.MaxAttempts", "1").fleet(2);
+    FakeHost stage = new FakeHost("PolicyLimits.MaxAttempts", "1").fleet(2);
     stage.shunned = new SearcherId(1);
     int shunned = 0;
     for (int i = 0; i < 10; i++) {
@@ -603,7 +603,7 @@
 
   @Test
   void keepsNothingBackOnTheFirstFewAnswers() {
-    Stage stage = new Stage().fleet(4);
+    FakeHost stage = new FakeHost().fleet(4);
     stage.scan(1, 0.5, 0.5);
     stage.pass(400);
     stage.end(0, Outcome.SUCCEEDED);
@@ -613,7 +613,7 @@
 
   @Test
   void nacksAScanWhoseSearchersAreTooBusyToMakeIt() {
-    Stage stage = new Stage().fleet(4);
+    FakeHost stage = new FakeHost().fleet(4);
     warm(stage, 10);
     int scans = 0;
     while (stage.finals.values().stream().noneMatch("nack"::equals) && scans < 200) {
@@ -624,7 +624,7 @@
 
   @Test
   void aRefusedPartGoesToTheOtherHolderWhateverTheRation() {
-    Stage stage = new Stage().fleet(4);
+    FakeHost stage = new FakeHost().fleet(4);
     for (int i = 0; i < 20; i++) {
       stage.scan(i, 1);
       stage.end(2 * i, Outcome.FULL);
@@ -635,24 +635,24 @@
 
   @Test
   void aColdSearcherGetsWorkByWhatOneSearcherBoreThoughOthersComeAndGo() {
-    Stage stage = new Stage("Domain.Reach", "1").fleet(4);
+    FakeHost stage = new FakeHost("Domain.Reach", "1").fleet(4);
     for (int i = 0; i < 120; i++) {
       stage.scan(1000 + i, 0.25, 0.25, 0.25, 0.25);
-      for (MemberEntry.Standing now :
-          List.of(MemberEntry.Standing.DRAINING, MemberEntry.Standing.READY)) {
+      for (MemberEntry.Status now :
+          List.of(MemberEntry.Status.DRAINING, MemberEntry.Status.READY)) {
         for (int j = 1; j < 4; j++) {
-          stage.mixer.rosterTold(List.of(line(j, j, now, null)), false);
+          stage.mixer.memberListUpdated(List.of(line(j, j, now, null)), false);
         }
-        stage.pass(now == MemberEntry.Standing.DRAINING ? 250 : 0);
+        stage.pass(now == MemberEntry.Status.DRAINING ? 250 : 0);
         for (int j = stage.sent.size() - 4; j < stage.sent.size(); j++) {
           stage.end(j, Outcome.SUCCEEDED);
         }
       }
     }
-    stage.mixer.rosterTold(
+    stage.mixer.memberListUpdated(
         List.of(
-            line(0, 0, MemberEntry.Standing.GONE, null),
-            line(5, 0, MemberEntry.Standing.READY, stage.now)),
+            line(0, 0, MemberEntry.Status.GONE, null),
+            line(5, 0, MemberEntry.Status.READY, stage.now)),
         false);
     int first = stage.sent.size();
     for (int i = 0; i < 30; i++) {
@@ -664,11 +664,12 @@
 
   @Test
   void aWholeFleetThatStartsColdGetsWorkByWhatItBoreBefore() {
-    Stage stage = new Stage().fleet(4);
+    FakeHost stage = new FakeHost().fleet(4);
     warm(stage, 200);
     stage.pass(4000);
     for (int i = 0; i < 4; i++) {
-      stage.mixer.rosterTold(List.of(line(i, i, MemberEntry.Standing.READY, stage.now)), false);
+      stage.mixer.memberListUpdated(
+          List.of(line(i, i, MemberEntry.Status.READY, stage.now)), false);
     }
     int first = stage.sent.size();
     for (int i = 0; i < 200; i++) {
@@ -680,8 +681,8 @@
 
   @Test
   void asksForTheRosterAgainAfterAFailure() {
-    Stage stage = new Stage("Discovery", "subscribe");
-    stage.mixer.rosterFailed();
+    FakeHost stage = new FakeHost("Discovery", "subscribe");
+    stage.mixer.memberListFailed();
     assertEquals(1, stage.watches);
     stage.pass(1001);
     assertEquals(2, stage.watches);
@@ -690,13 +691,13 @@
   /** Guards against calls that pile up, each failing and asking for the next. */
   @Test
   void failuresOfTheRosterAddNoCallsWhileOneIsPending() {
-    Stage stage = new Stage("Discovery", "subscribe");
+    FakeHost stage = new FakeHost("Discovery", "subscribe");
     for (int i = 0; i < 20; i++) {
-      stage.mixer.rosterFailed();
+      stage.mixer.memberListFailed();
     }
     stage.pass(1001);
     assertEquals(2, stage.watches);
-    stage.mixer.rosterFailed();
+    stage.mixer.memberListFailed();
     stage.pass(1001);
     assertEquals(3, stage.watches);
   }
@@ -719,14 +720,15 @@
           {"Domain.Batch", "1"},
           {"Classes.0.Idempotency", "deduplicated", "Classes.0.WindowMs", "1"}
         }) {
-      Stage stage = new Stage(odd);
-      stage.mixer.rosterTold(
+      FakeHost stage = new FakeHost(odd);
+      stage.mixer.memberListUpdated(
           List.of(
-              line(0, 0, MemberEntry.Standing.READY, ms(-1)),
-              line(1, 1, MemberEntry.Standing.READY, ms(-1))),
+              line(0, 0, MemberEntry.Status.READY, ms(-1)),
+              line(1, 1, MemberEntry.Status.READY, ms(-1))),
           true);
       stage.pass(20_000);
-      stage.mixer.rosterTold(List.of(line(0, 0, MemberEntry.Standing.READY, stage.now)), false);
+      stage.mixer.memberListUpdated(
+          List.of(line(0, 0, MemberEntry.Status.READY, stage.now)), false);
       stage.scan(1, 1);
       assertEquals(1, stage.sent.size(), Arrays.toString(odd));
       stage.end(0, Outcome.SUCCEEDED);
@@ -747,7 +749,7 @@
   /** A least share of nothing is no answer of nothing. */
   @Test
   void answersFromOnePartAtLeastWhereTheLeastShareIsNone() {
-    Stage stage = new Stage("Domain.ClassFloor", "0", "Domain.NeedByClass", "1").fleet(4);
+    FakeHost stage = new FakeHost("Domain.ClassFloor", "0", "Domain.NeedByClass", "1").fleet(4);
     stage.scan(1, 1);
     stage.end(0, Outcome.ERROR);
     stage.end(1, Outcome.ERROR);
@@ -756,20 +758,21 @@
 
   @Test
   void namesASettingThatIsMissingOrUnreadable() {
-    Map<String, String> house = new HashMap<>(Stage.HOUSE);
+    Map<String, String> house = new HashMap<>(FakeHost.HOUSE);
     for (String value : Arrays.asList(null, "two")) {
       house.put("Domain.Reach", value);
       Exception e =
           assertThrows(
               IllegalArgumentException.class,
-              () -> new Mixer(house, RandomGeneratorFactory.getDefault().create(1), new Stage()));
+              () ->
+                  new Mixer(house, RandomGeneratorFactory.getDefault().create(1), new FakeHost()));
       assertTrue(e.getMessage().contains("Domain.Reach"), e.getMessage());
     }
   }
 
   @Test
   void aRingForgetsWhatIsOlderThanItsSpan() {
-    TimeRing ring = new TimeRing(ms(1000), 10);
+    RollingSum ring = new RollingSum(ms(1000), 10);
     ring.add(ms(50), 1);
     ring.add(ms(950), 2);
     assertEquals(3, ring.sum(ms(1000)));
@@ -786,7 +789,7 @@
     SplittableRandom random = new SplittableRandom(5);
     for (int day = 0; day < 300; day++) {
       int span = random.nextInt(1, 80);
-      TimeRing ring = new TimeRing(Duration.ofNanos(span), 12);
+      RollingSum ring = new RollingSum(Duration.ofNanos(span), 12);
       List<Long> added = new ArrayList<>();
       long now = random.nextInt(99);
       for (int i = 0; i < 60; i++, now += random.nextInt(12)) {
@@ -812,8 +815,9 @@
     int first = 0;
     int later = 0;
     for (int i = 0; i < 38; i++) {
-      Stage stage = new Stage("FleetSize", "38", "Seed", "" + i, "Domain.Reach", "1").fleet(4);
-      stage.mixer.rosterTold(List.of(line(0, 0, MemberEntry.Standing.READY, ms(0))), false);
+      FakeHost stage =
+          new FakeHost("FleetSize", "38", "Seed", "" + i, "Domain.Reach", "1").fleet(4);
+      stage.mixer.memberListUpdated(List.of(line(0, 0, MemberEntry.Status.READY, ms(0))), false);
       for (int scan = 0; scan < 55; scan++) {
         int sent = stage.sent.size();
         stage.scan(scan, 1);
@@ -831,8 +835,8 @@
   @Test
   void afterAFirstAnswerOnlyPartsOfTheSecondStepAreSentAndItIsWholeOnlyIfBothAre() {
     for (int late = 0; late < 2; late++) {
-      Stage stage =
-          new Stage(
+      FakeHost stage =
+          new FakeHost(
                   "Domain.ClassFloor",
                   "0.6",
                   "Domain.NeedByClass",
--- a/mixer/src/test/java/gingerring/decide/RulesTest.java
+++ b/mixer/src/test/java/gingerring/decide/RulesTest.java
@@ -1,6 +1,6 @@
 package gingerring.decide;
 
-import static gingerring.decide.Stage.ms;
+import static gingerring.decide.FakeHost.ms;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
@@ -20,7 +20,7 @@
   private static final double FLOOR = 0.5;
 
   /** What the rules say, from the whole history, in the plainest way. */
-  private static final class Model extends Stage {
+  private static final class Model extends FakeHost {
     record Asked(ScanId scan, int grade, Duration end) {}
 
     record Trip(PartId part, int number, int searcher, Duration at, Outcome outcome) {}
@@ -98,7 +98,7 @@
       check(out == 0 || copies && out == 1, "duplicate: copies");
       check(before.size() < 3, "too many trips");
       MemberEntry line = told.get(searcher);
-      check(line.standing() == MemberEntry.Standing.READY, "drain");
+      check(line.status() == MemberEntry.Status.READY, "drain");
       cold(line, searcher);
       if (budget != null && !before.isEmpty()) {
         Duration from = now.minus(ms(budget[0]));
@@ -165,18 +165,18 @@
     }
 
     @Override
-    public void nack(ScanId scan, Duration comeBack) {
+    public void reject(ScanId scan, Duration comeBack) {
       boolean ran =
           trips.stream().anyMatch(trip -> scanOf.get(trip.part).equals(scan) && mayHaveRun(trip));
       check(asked.get(scan).grade != 2 || !ran, "nack of what may have run");
       over(scan);
-      super.nack(scan, comeBack);
+      super.reject(scan, comeBack);
     }
 
     @Override
-    public void scrap(ScanId scan) {
+    public void fail(ScanId scan) {
       over(scan);
-      super.scrap(scan);
+      super.fail(scan);
     }
 
     private void over(ScanId scan) {
@@ -243,9 +243,9 @@
     day.window = ms(window);
     for (int i = 0; i < 6; i++) {
       Duration started = random.nextInt(4) == 0 ? ms(-500) : null;
-      day.told.put(i, Stage.line(i, i % 4, MemberEntry.Standing.READY, started));
+      day.told.put(i, FakeHost.line(i, i % 4, MemberEntry.Status.READY, started));
     }
-    day.mixer.rosterTold(List.copyOf(day.told.values()), true);
+    day.mixer.memberListUpdated(List.copyOf(day.told.values()), true);
     for (int step = 0; step < 250; step++) {
       act(day, random, step);
       bringSecondSteps(day);
@@ -260,12 +260,12 @@
       case 0, 1 -> arrive(day, random, step);
       case 2 -> {
         int searcher = random.nextInt(6);
-        MemberEntry.Standing standing = MemberEntry.Standing.values()[random.nextInt(3)];
+        MemberEntry.Status standing = MemberEntry.Status.values()[random.nextInt(3)];
         Duration started = random.nextBoolean() ? day.now.minus(ms(random.nextInt(300))) : null;
         Duration known = started != null ? started : day.told.get(searcher).startedAt();
-        MemberEntry line = Stage.line(searcher, searcher % 4, standing, started);
-        day.told.put(searcher, Stage.line(searcher, searcher % 4, standing, known));
-        day.mixer.rosterTold(List.of(line), false);
+        MemberEntry line = FakeHost.line(searcher, searcher % 4, standing, started);
+        day.told.put(searcher, FakeHost.line(searcher, searcher % 4, standing, known));
+        day.mixer.memberListUpdated(List.of(line), false);
       }
       default -> {
         for (int n = random.nextInt(6); n > 0; n--) {
@@ -346,7 +346,7 @@
   void theModelCatchesEachRuleBrokenOnPurpose() {
     Model day = day(3);
     ScanId closed = day.finals.keySet().iterator().next();
-    day.nack(closed, Duration.ZERO);
+    day.reject(closed, Duration.ZERO);
     assertCaught(day, "two final answers");
     assertCaught(day, "answered late");
     day = day(3);
@@ -361,13 +361,13 @@
     add(day, scan, parts, 100, 0, 1);
     day.asked.put(scan, new Model.Asked(scan, 2, ms(9000)));
     day.firstStep.put(scan, List.of(new PartId(100)));
-    day.told.put(1, Stage.line(1, 0, MemberEntry.Standing.READY, ms(0)));
-    day.told.put(2, Stage.line(2, 0, MemberEntry.Standing.DRAINING, null));
+    day.told.put(1, FakeHost.line(1, 0, MemberEntry.Status.READY, ms(0)));
+    day.told.put(2, FakeHost.line(2, 0, MemberEntry.Status.DRAINING, null));
     for (int i = 0; i < 4; i++) {
       day.send(new PartId(100), new SearcherId(1 + i % 2), ms(1), null);
     }
     day.answer(scan, true);
-    day.nack(scan, Duration.ZERO);
+    day.reject(scan, Duration.ZERO);
     ScanId numbered = new ScanId(2);
     add(day, numbered, new ArrayList<>(), 200, 0, 1);
     day.asked.put(numbered, new Model.Asked(numbered, 1, ms(9000)));
--- a/mixer/src/test/java/gingerring/discovery/MembersTest.java
+++ b/mixer/src/test/java/gingerring/discovery/MembersTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
-import gingerring.decide.MemberEntry.Standing;
+import gingerring.decide.MemberEntry.Status;
 import gingerring.json.Json;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
@@ -74,7 +74,7 @@
           GOOD.replace("SERVING", "DELETED")
         }) {
       Members.Member member = read(gone).members().get(0);
-      assertEquals(Standing.GONE, member.standing());
+      assertEquals(Status.GONE, member.standing());
       assertNull(member.address());
     }
     assertThrows(Json.Malformed.class, () -> read("{\"id\":\"\",\"phase\":\"DELETED\"}"));
@@ -89,7 +89,7 @@
               .members()
               .get(0);
       assertEquals("s-1", member.id());
-      assertEquals(drains ? Standing.DRAINING : Standing.READY, member.standing());
+      assertEquals(drains ? Status.DRAINING : Status.READY, member.standing());
       assertEquals(drains ? 82 : 81, member.address().getPort());
       assertEquals(2, read(GOOD, other, GOOD.replace("s-1", "s-2")).members().size());
     }
--- a/mixer/src/test/java/gingerring/server/DeskTest.java
+++ b/mixer/src/test/java/gingerring/server/DeskTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import gingerring.backend.Back;
-import gingerring.decide.MemberEntry.Standing;
+import gingerring.decide.MemberEntry.Status;
 import gingerring.decide.Settings;
 import gingerring.discovery.Members;
 import gingerring.discovery.Watch;
@@ -98,14 +98,14 @@
                     false,
                     List.of(
                         new Members.Member(
-                            "s-" + number, nobody, "a", "toy", number % 4, Standing.READY, 1, 0),
+                            "s-" + number, nobody, "a", "toy", number % 4, Status.READY, 1, 0),
                         new Members.Member(
                             "s-" + (number - 4),
                             nobody,
                             "a",
                             "toy",
                             number % 4,
-                            Standing.GONE,
+                            Status.GONE,
                             1,
                             0))));
             desk.take(ask("m" + number, 0), loop.now(), new Notes("scan", answers));
@@ -176,10 +176,10 @@
       desk = new MixerHost(loop, terms(), counts, 0);
       back = new Back(network, desk, terms(), counts, loop);
       desk.start(
-          back, new Watch(network, place, 0, desk, counts, loop), 1, list(true, Standing.READY));
+          back, new Watch(network, place, 0, desk, counts, loop), 1, list(true, Status.READY));
     }
 
-    Members list(boolean all, Standing standing) {
+    Members list(boolean all, Status standing) {
       return new Members(
           1, all, List.of(new Members.Member("s-0", place, "a", "toy", 0, standing, 1, 0)));
     }
@@ -212,7 +212,7 @@
                     bare.loop.post(
                         () -> { // two turns later
                           assertEquals(List.of(), answers);
-                          bare.desk.list(bare.list(true, Standing.DRAINING));
+                          bare.desk.list(bare.list(true, Status.DRAINING));
                           bare.desk.word();
                           assertTrue(bare.desk.ready());
                         }));
@@ -233,7 +233,7 @@
           () -> {
             bare.desk.word();
             bare.desk.take(ask("a", 0), bare.loop.now(), new Notes("scan", answers));
-            bare.desk.list(bare.list(false, Standing.DRAINING));
+            bare.desk.list(bare.list(false, Status.DRAINING));
           },
           Duration.ofMillis(300));
       assertEquals(List.of("scan nacked"), answers);
@@ -247,7 +247,7 @@
    */
   @Test
   void withholdsWhatWaitsForAConnectionToWhomDrainsOrHasGone() throws IOException, Json.Malformed {
-    for (Standing standing : List.of(Standing.DRAINING, Standing.GONE)) {
+    for (Status standing : List.of(Status.DRAINING, Status.GONE)) {
       try (Deaf deaf = new Deaf()) {
         Bare bare = new Bare(deaf.address());
         List<String> answers = new ArrayList<>();
--- a/mixer/src/test/java/gingerring/server/SearcherCloseCrossingTest.java
+++ b/mixer/src/test/java/gingerring/server/SearcherCloseCrossingTest.java
@@ -478,7 +478,7 @@
           flat);
       Settings terms = new Settings(flat);
       back = new Back(network, this, terms, counts, turns);
-      dialTimeOut = terms.span("PolicyLimits.DialTimeoutMs");
+      dialTimeOut = terms.duration("PolicyLimits.DialTimeoutMs");
       door.setSoTimeout(Rig.WAIT_MS);
       back.listed(ID, (InetSocketAddress) door.getLocalSocketAddress(), null);
     }
--- a/mixer/src/test/java/gingerring/simulator/DrillTest.java
+++ b/mixer/src/test/java/gingerring/simulator/SimulatorAdapterTest.java
@@ -13,7 +13,7 @@
 import java.util.HexFormat;
 import org.junit.jupiter.api.Test;
 
-class DrillTest {
+class SimulatorAdapterTest {
   private static final String HOUSE =
       "Classes.count=1\nClasses.0.AimMs=1000\nClasses.0.HardLimitMs=4000\n"
           + "Classes.0.Idempotency=idempotent\nDiscovery=automatic\nDomain.Places=1\nDomain.Reach=1\n"
@@ -52,7 +52,8 @@
   private String run(String... frames) throws IOException {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     byte[] input = HexFormat.of().parseHex(String.join("", frames).replace(" ", ""));
-    exit = new Drill(new ByteArrayInputStream(input), out).run(new PrintStream(complaints));
+    exit =
+        new SimulatorAdapter(new ByteArrayInputStream(input), out).run(new PrintStream(complaints));
     return HexFormat.of().formatHex(out.toByteArray());
   }
 
--- a/peering/src/main/java/gingerring/peering/Peering.java
+++ b/peering/src/main/java/gingerring/peering/Peering.java
@@ -131,14 +131,14 @@
     if (preference != null) {
       preference.update(
           searchers.stream()
-              .filter(each -> each.standing() == MemberEntry.Standing.READY)
+              .filter(each -> each.status() == MemberEntry.Status.READY)
               .map(
                   each ->
                       new Preference.Listed(
                           new Box(
                               id(each.searcher().address()),
                               each.zone(),
-                              each.size() > 0 ? each.size() : 1),
+                              each.capacity() > 0 ? each.capacity() : 1),
                           each.cell()))
               .toList());
     }
--- a/peering/src/test/java/gingerring/peering/PeeringTest.java
+++ b/peering/src/test/java/gingerring/peering/PeeringTest.java
@@ -83,7 +83,7 @@
             peering.membersChanged(
                 List.of(
                     new MemberEntry(
-                        new SearcherId(BOX), 0, 0, 0, MemberEntry.Standing.READY, 1, null)));
+                        new SearcherId(BOX), 0, 0, 0, MemberEntry.Status.READY, 1, null)));
           });
       String shown = PeerQueryClient.ask(address(), keys, 'p', 0);
       assertTrue(shown.startsWith(name + " life " + startMs), shown);
