--- a/mixer/src/test/java/gingerring/server/AddressCrossingTest.java
+++ b/mixer/src/test/java/gingerring/server/AddressCrossingTest.java
@@ -24,34 +24,34 @@
   @Test
   void aPartThatWaitsForADialGoesToTheAddressThatItsSearcherMovedTo() throws Exception {
     for (boolean upFirst : new boolean[] {false, true}) {
-      try (Rig rig = new Rig(PATIENT_DIALS)) {
-        Late before = rig.keep(new Late("b0", 0));
-        Rig.Call watch = rig.agent.watch();
-        watch.say(Rig.list(1, true, before.member("SERVING")));
-        rig.ready();
-        Rig.Client client = rig.client();
-        client.write(rig.scan("search", 2000, 0));
+      try (MixerTestHarness rig = new MixerTestHarness(PATIENT_DIALS)) {
+        Late before = rig.closeAtEnd(new Late("b0", 0));
+        MixerTestHarness.DiscoveryConnection watch = rig.agent.acceptWatch();
+        watch.sendLine(MixerTestHarness.memberListLine(1, true, before.member("SERVING")));
+        rig.awaitReady();
+        MixerTestHarness.Client client = rig.connectClient();
+        client.write(rig.scanRequest("search", 2000, 0));
         rig.awaitCount("links dialled", 1);
-        Rig.Box after = rig.box("b0", 0);
+        MixerTestHarness.Box after = rig.box("b0", 0);
         if (upFirst) {
           before.letGo();
-          Rig.Link link = before.link();
-          Rig.Frame call = link.call();
-          watch.say(Rig.list(2, false, after.member("SERVING")));
+          MixerTestHarness.BoxConnection link = before.link();
+          MixerTestHarness.Frame call = link.readCall();
+          watch.sendLine(MixerTestHarness.memberListLine(2, false, after.memberJson("SERVING")));
           rig.awaitCount("lists told", 2);
           link.answer(call, "done"); // what has begun ends where it did
         } else {
-          watch.say(Rig.list(2, false, after.member("SERVING")));
-          Rig.Link link = after.link();
-          link.answer(link.call(), "done");
+          watch.sendLine(MixerTestHarness.memberListLine(2, false, after.memberJson("SERVING")));
+          MixerTestHarness.BoxConnection link = after.acceptConnection();
+          link.answer(link.readCall(), "done");
         }
-        assertTrue(client.answer().startsWith("200 {\"whole\":true"));
+        assertTrue(client.readAnswer().startsWith("200 {\"whole\":true"));
         assertEquals(1, rig.count("trips SUCCEEDED"));
         if (upFirst) {
-          client.write(rig.scan("search", 2000, 0));
-          Rig.Link link = after.link();
-          link.answer(link.call(), "done");
-          assertTrue(client.answer().startsWith("200 {\"whole\":true"));
+          client.write(rig.scanRequest("search", 2000, 0));
+          MixerTestHarness.BoxConnection link = after.acceptConnection();
+          link.answer(link.readCall(), "done");
+          assertTrue(client.readAnswer().startsWith("200 {\"whole\":true"));
         }
         assertEquals(2, rig.count("links dialled"));
         assertEquals(0, rig.count("failures in an event") + rig.count("failures in the mixer"));
@@ -63,26 +63,30 @@
   @Test
   void theLaterOfTwoListsOfOneTurnHolds() throws Exception {
     for (boolean servesLast : new boolean[] {true, false}) {
-      try (Rig rig = new Rig()) {
-        Rig.Box box = rig.box("b0", 0);
-        Rig.Call watch = rig.begin(box);
-        Rig.Client client = rig.client();
-        try (Rig.Gate gate = rig.hold()) {
+      try (MixerTestHarness rig = new MixerTestHarness()) {
+        MixerTestHarness.Box box = rig.box("b0", 0);
+        MixerTestHarness.DiscoveryConnection watch = rig.announceAndAwaitReady(box);
+        MixerTestHarness.Client client = rig.connectClient();
+        try (MixerTestHarness.LoopGate gate = rig.pauseLoop()) {
           watch.write(
-              chunk(Rig.list(2, false, box.member(servesLast ? "DRAINING" : "SERVING")))
-                  + chunk(Rig.list(3, false, box.member(servesLast ? "SERVING" : "DRAINING"))));
-          gate.posted(1);
-          client.write(rig.scan("search", 500, 0));
-          gate.posted(2);
+              chunk(
+                      MixerTestHarness.memberListLine(
+                          2, false, box.memberJson(servesLast ? "DRAINING" : "SERVING")))
+                  + chunk(
+                      MixerTestHarness.memberListLine(
+                          3, false, box.memberJson(servesLast ? "SERVING" : "DRAINING"))));
+          gate.awaitPosted(1);
+          client.write(rig.scanRequest("search", 500, 0));
+          gate.awaitPosted(2);
         }
         rig.awaitCount("lists told", 3);
         if (servesLast) {
-          Rig.Link link = box.link();
-          link.answer(link.call(), "done");
-          assertTrue(client.answer().startsWith("200"));
+          MixerTestHarness.BoxConnection link = box.acceptConnection();
+          link.answer(link.readCall(), "done");
+          assertTrue(client.readAnswer().startsWith("200"));
         } else {
-          assertTrue(client.answer().startsWith("503"));
-          assertTrue(box.quiet(Duration.ofMillis(300)));
+          assertTrue(client.readAnswer().startsWith("503"));
+          assertTrue(box.noConnectionWithin(Duration.ofMillis(300)));
         }
       }
     }
--- a/mixer/src/test/java/gingerring/server/CrossingTest.java
+++ b/mixer/src/test/java/gingerring/server/CrossingTest.java
@@ -15,46 +15,46 @@
 
   @Test
   void aScanIsAnsweredByItsBox() throws Exception {
-    try (Rig rig = new Rig()) {
-      Rig.Box box = rig.box("b0", 0);
-      rig.begin(box);
-      Rig.Client client = rig.client();
-      client.write(rig.scan("search", 2000, 0));
-      Rig.Link link = box.link();
-      Rig.Frame call = link.call();
+    try (MixerTestHarness rig = new MixerTestHarness()) {
+      MixerTestHarness.Box box = rig.box("b0", 0);
+      rig.announceAndAwaitReady(box);
+      MixerTestHarness.Client client = rig.connectClient();
+      client.write(rig.scanRequest("search", 2000, 0));
+      MixerTestHarness.BoxConnection link = box.acceptConnection();
+      MixerTestHarness.Frame call = link.readCall();
       link.answer(call, "done");
       assertEquals(
           "200 {\"whole\":true,\"results\":[{\"partition\":0,\"value\":\"v"
-              + rig.lastMark()
+              + rig.lastTransactionId()
               + ".0\"}]}",
-          client.answer());
+          client.readAnswer());
     }
   }
 
   @Test
   void aListAndAScanOfOneTurnAreDecidedByTheList() throws Exception {
     for (boolean listFirst : new boolean[] {true, false}) {
-      try (Rig rig = new Rig()) {
-        Rig.Box box = rig.box("b0", 0);
-        Rig.Call watch = rig.begin(box);
-        Rig.Client client = rig.client();
-        assertTrue(client.ready());
-        String drains = Rig.list(2, false, box.member("DRAINING"));
-        String scan = rig.scan("search", 2000, 0);
-        try (Rig.Gate gate = rig.hold()) {
+      try (MixerTestHarness rig = new MixerTestHarness()) {
+        MixerTestHarness.Box box = rig.box("b0", 0);
+        MixerTestHarness.DiscoveryConnection watch = rig.announceAndAwaitReady(box);
+        MixerTestHarness.Client client = rig.connectClient();
+        assertTrue(client.isReady());
+        String drains = MixerTestHarness.memberListLine(2, false, box.memberJson("DRAINING"));
+        String scan = rig.scanRequest("search", 2000, 0);
+        try (MixerTestHarness.LoopGate gate = rig.pauseLoop()) {
           if (listFirst) {
-            watch.say(drains);
-            gate.posted(1);
+            watch.sendLine(drains);
+            gate.awaitPosted(1);
             client.write(scan);
           } else {
             client.write(scan);
-            gate.posted(1);
-            watch.say(drains);
+            gate.awaitPosted(1);
+            watch.sendLine(drains);
           }
-          gate.posted(2);
+          gate.awaitPosted(2);
         }
-        assertTrue(client.answer().startsWith("503"), "list first: " + listFirst);
-        assertTrue(box.quiet(SOON), "list first: " + listFirst);
+        assertTrue(client.readAnswer().startsWith("503"), "list first: " + listFirst);
+        assertTrue(box.noConnectionWithin(SOON), "list first: " + listFirst);
       }
     }
   }
@@ -65,22 +65,22 @@
    */
   @Test
   void aMarkSentAgainNeedsNoConnectionOfItsOwn() throws Exception {
-    try (Rig rig = new Rig()) {
-      Rig.Box box = rig.box("b0", 0);
-      rig.begin(box);
-      String scan = rig.scan("search", 2000, 0);
-      Rig.Client client = rig.client();
+    try (MixerTestHarness rig = new MixerTestHarness()) {
+      MixerTestHarness.Box box = rig.box("b0", 0);
+      rig.announceAndAwaitReady(box);
+      String scan = rig.scanRequest("search", 2000, 0);
+      MixerTestHarness.Client client = rig.connectClient();
       client.write(scan);
-      Rig.Link link = box.link();
-      link.answer(link.call(), "done");
-      assertTrue(client.answer().startsWith("200"));
+      MixerTestHarness.BoxConnection link = box.acceptConnection();
+      link.answer(link.readCall(), "done");
+      assertTrue(client.readAnswer().startsWith("200"));
       for (int i = 0; i < 5; i++) {
         client.write(scan);
-        assertTrue(client.answer().startsWith("400"), "a mark has to be fresh");
+        assertTrue(client.readAnswer().startsWith("400"), "a mark has to be fresh");
       }
-      client.write(rig.scan("search", 2000, 0));
-      link.answer(link.call(), "done");
-      assertTrue(client.answer().startsWith("200"), "the connection goes on");
+      client.write(rig.scanRequest("search", 2000, 0));
+      link.answer(link.readCall(), "done");
+      assertTrue(client.readAnswer().startsWith("200"), "the connection goes on");
       assertEquals(1, rig.count("links dialled"));
     }
   }
@@ -103,34 +103,34 @@
   void aTimerIsDueInTheTurnOfWhatItRacesWith() throws Exception {
     for (Late event : Late.values()) {
       for (String grade : new String[] {"search", "post"}) {
-        try (Rig rig = new Rig()) {
-          Rig.Box box = rig.box("b0", 0);
-          Rig.Call watch = rig.begin(box);
-          Rig.Client client = rig.client();
-          client.write(rig.scan(grade, PATIENCE_MS, 0));
-          Rig.Link link = box.link();
-          Rig.Frame call = link.call();
-          try (Rig.Gate gate = rig.hold()) {
+        try (MixerTestHarness rig = new MixerTestHarness()) {
+          MixerTestHarness.Box box = rig.box("b0", 0);
+          MixerTestHarness.DiscoveryConnection watch = rig.announceAndAwaitReady(box);
+          MixerTestHarness.Client client = rig.connectClient();
+          client.write(rig.scanRequest(grade, PATIENCE_MS, 0));
+          MixerTestHarness.BoxConnection link = box.acceptConnection();
+          MixerTestHarness.Frame call = link.readCall();
+          try (MixerTestHarness.LoopGate gate = rig.pauseLoop()) {
             switch (event) {
               case ANSWER -> link.answer(call, "done");
               case FAILED -> link.answer(call, "failed");
               case CLOSED -> link.close();
               case CLIENT_CLOSES -> client.close();
               case CLIENT_RESETS -> client.reset();
-              case IT_GOES -> watch.say(Rig.list(2, true));
+              case IT_GOES -> watch.sendLine(MixerTestHarness.memberListLine(2, true));
               case NOTHING -> {}
             }
-            gate.posted(event == Late.NOTHING ? 0 : 1);
+            gate.awaitPosted(event == Late.NOTHING ? 0 : 1);
             Thread.sleep(PATIENCE_MS + 50); // both timers are due, however the machine went
           }
           if (event == Late.CLIENT_CLOSES || event == Late.CLIENT_RESETS) {
             rig.awaitCount("clients that left", 1);
           } else {
             String wanted = event == Late.ANSWER ? "200" : grade.equals("post") ? "500" : "503";
-            assertEquals(wanted, client.answer().substring(0, 3), event + " " + grade);
-            assertTrue(client.ready(), "one answer, and the connection goes on");
+            assertEquals(wanted, client.readAnswer().substring(0, 3), event + " " + grade);
+            assertTrue(client.isReady(), "one answer, and the connection goes on");
           }
-          assertTrue(box.quiet(SOON), event + " " + grade + ": nothing more is sent");
+          assertTrue(box.noConnectionWithin(SOON), event + " " + grade + ": nothing more is sent");
           assertEquals(0, rig.count("scans the mixer left open"), event + " " + grade);
         }
       }
--- a/mixer/src/test/java/gingerring/server/FrontCrossingTest.java
+++ b/mixer/src/test/java/gingerring/server/FrontCrossingTest.java
@@ -18,7 +18,7 @@
 class FrontCrossingTest {
   private static final Duration SOON = Duration.ofMillis(300);
 
-  private static void leave(Rig.Client client, boolean reset) throws IOException {
+  private static void leave(MixerTestHarness.Client client, boolean reset) throws IOException {
     if (reset) {
       client.reset();
     } else {
@@ -34,19 +34,20 @@
   void aClientThatSendsMuchBehindItsRequestAndGoesHasGone() throws Exception {
     for (boolean reset : new boolean[] {false, true}) {
       for (int much : new int[] {20_000, 400_000}) {
-        try (Rig rig = new Rig()) {
-          Rig.Box box = rig.box("b0", 0);
-          rig.begin(box);
-          Rig.Client client = rig.client();
-          client.write(rig.scan("search", 2000, 0));
-          Rig.Link link = box.link();
-          Rig.Frame call = link.call();
+        try (MixerTestHarness rig = new MixerTestHarness()) {
+          MixerTestHarness.Box box = rig.box("b0", 0);
+          rig.announceAndAwaitReady(box);
+          MixerTestHarness.Client client = rig.connectClient();
+          client.write(rig.scanRequest("search", 2000, 0));
+          MixerTestHarness.BoxConnection link = box.acceptConnection();
+          MixerTestHarness.Frame call = link.readCall();
           client.write(new byte[much]);
           leave(client, reset);
           rig.awaitCount("clients that left", 1);
           assertEquals(
-              "C" + rig.lastMark() + ".0", "C" + link.frame().text()); // its only part is given up
-          assertEquals(1, call.parts().size());
+              "C" + rig.lastTransactionId() + ".0",
+              "C" + link.readFrame().payloadText()); // its only part is given up
+          assertEquals(1, call.partIds().size());
         }
       }
     }
@@ -55,18 +56,18 @@
   /** It stays: it has its answer, and the connection ends with it, in order. */
   @Test
   void aClientThatSendsMuchBehindItsRequestAndStaysIsAnswered() throws Exception {
-    try (Rig rig = new Rig()) {
-      Rig.Box box = rig.box("b0", 0);
-      rig.begin(box);
-      Rig.Client client = rig.client();
-      client.write(rig.scan("search", 2000, 0));
-      Rig.Link link = box.link();
-      Rig.Frame call = link.call();
+    try (MixerTestHarness rig = new MixerTestHarness()) {
+      MixerTestHarness.Box box = rig.box("b0", 0);
+      rig.announceAndAwaitReady(box);
+      MixerTestHarness.Client client = rig.connectClient();
+      client.write(rig.scanRequest("search", 2000, 0));
+      MixerTestHarness.BoxConnection link = box.acceptConnection();
+      MixerTestHarness.Frame call = link.readCall();
       client.write(new byte[400_000]);
       rig.awaitCount("bytes dropped", 300_000);
       link.answer(call, "done");
-      assertTrue(client.answer().startsWith("200"));
-      assertEquals("closed", client.end());
+      assertTrue(client.readAnswer().startsWith("200"));
+      assertEquals("closed", client.awaitEnd());
     }
   }
 
@@ -77,19 +78,19 @@
   @Test
   void aScanWhoseClientLeavesInTheSameTurnIsNotSentOn() throws Exception {
     for (boolean reset : new boolean[] {false, true}) {
-      try (Rig rig = new Rig()) {
-        Rig.Box box = rig.box("b0", 0);
-        rig.begin(box);
-        Rig.Client client = rig.client();
-        assertTrue(client.ready());
-        try (Rig.Gate gate = rig.hold()) {
-          client.write(rig.scan("search", 2000, 0));
-          gate.posted(1);
+      try (MixerTestHarness rig = new MixerTestHarness()) {
+        MixerTestHarness.Box box = rig.box("b0", 0);
+        rig.announceAndAwaitReady(box);
+        MixerTestHarness.Client client = rig.connectClient();
+        assertTrue(client.isReady());
+        try (MixerTestHarness.LoopGate gate = rig.pauseLoop()) {
+          client.write(rig.scanRequest("search", 2000, 0));
+          gate.awaitPosted(1);
           leave(client, reset);
-          gate.posted(2);
+          gate.awaitPosted(2);
         }
         rig.awaitCount("clients that left", 1);
-        assertTrue(box.quiet(SOON), "reset: " + reset);
+        assertTrue(box.noConnectionWithin(SOON), "reset: " + reset);
       }
     }
   }
@@ -99,27 +100,28 @@
    */
   @Test
   void aLastAnswerOutlivesItsConnectionOverUnreadBytes() throws Exception {
-    try (Rig rig = new Rig()) {
-      rig.begin(rig.box("b0", 0));
-      Rig.Client client = rig.client();
-      try (Rig.Gate gate = rig.hold()) {
+    try (MixerTestHarness rig = new MixerTestHarness()) {
+      rig.announceAndAwaitReady(rig.box("b0", 0));
+      MixerTestHarness.Client client = rig.connectClient();
+      try (MixerTestHarness.LoopGate gate = rig.pauseLoop()) {
         // MINA's thread stops at half a ring, and leaves the rest in the system's buffer
         client.write(
             "GET /ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n" + "x".repeat(100_000));
-        gate.posted(1);
+        gate.awaitPosted(1);
       }
-      assertTrue(client.answer().startsWith("200"));
-      assertEquals("closed", client.end());
-      client.write(rig.scan("search", 2000, 0)); // it may come once more, and nothing resets it
+      assertTrue(client.readAnswer().startsWith("200"));
+      assertEquals("closed", client.awaitEnd());
+      client.write(
+          rig.scanRequest("search", 2000, 0)); // it may come once more, and nothing resets it
       client.halfClose();
-      assertEquals("closed", client.end());
-      rig.turns(2);
+      assertEquals("closed", client.awaitEnd());
+      rig.runIterations(2);
       assertEquals(0, rig.count("scans taken"));
     }
   }
 
-  private static Rig shortRig() throws Exception {
-    return new Rig(
+  private static MixerTestHarness shortRig() throws Exception {
+    return new MixerTestHarness(
         "\"HardLimitMs\": 2000.0",
         "\"HardLimitMs\": 500.0",
         "\"AimMs\": 600.0",
@@ -133,31 +135,31 @@
   @Test
   void aRequestThatCrossesTheEndOfItsRestingConnectionIsAnsweredOrNeverRead() throws Exception {
     for (boolean requestFirst : new boolean[] {true, false}) {
-      try (Rig rig = new Rig()) {
-        Rig.Box box = rig.box("b0", 0);
-        rig.begin(box);
-        Rig.Client client = rig.client();
-        assertTrue(client.ready());
-        String scan = rig.scan("search", 2000, 0);
+      try (MixerTestHarness rig = new MixerTestHarness()) {
+        MixerTestHarness.Box box = rig.box("b0", 0);
+        rig.announceAndAwaitReady(box);
+        MixerTestHarness.Client client = rig.connectClient();
+        assertTrue(client.isReady());
+        String scan = rig.scanRequest("search", 2000, 0);
         if (requestFirst) {
-          try (Rig.Gate gate = rig.hold()) {
-            rig.serve.loop.post(rig.serve.front::end);
+          try (MixerTestHarness.LoopGate gate = rig.pauseLoop()) {
+            rig.server.loop.post(rig.server.front::end);
             client.write(scan);
-            gate.posted(2);
+            gate.awaitPosted(2);
           }
-          Rig.Link link = box.link();
-          link.answer(link.call(), "done");
-          assertTrue(client.answer().startsWith("200"));
+          MixerTestHarness.BoxConnection link = box.acceptConnection();
+          link.answer(link.readCall(), "done");
+          assertTrue(client.readAnswer().startsWith("200"));
         } else {
-          try (Rig.Gate gate =
-              rig.hold()) { // the answer before is known to have left: the connection rests
-            rig.serve.loop.post(rig.serve.front::end);
-            gate.posted(1);
+          try (MixerTestHarness.LoopGate gate =
+              rig.pauseLoop()) { // the answer before is known to have left: the connection rests
+            rig.server.loop.post(rig.server.front::end);
+            gate.awaitPosted(1);
           }
-          rig.turns(1);
+          rig.runIterations(1);
           client.write(scan);
-          client.end();
-          assertTrue(box.quiet(SOON));
+          client.awaitEnd();
+          assertTrue(box.noConnectionWithin(SOON));
           assertEquals(0, rig.count("scans taken"));
         }
       }
@@ -167,19 +169,19 @@
   /** Guards against half a request that the end of the process finds, and leaves without a word. */
   @Test
   void halfARequestIsRefusedAtTheVeryEnd() throws Exception {
-    try (Rig rig = shortRig()) {
-      Rig.Box box = rig.box("b0", 0);
-      rig.begin(box);
-      Rig.Client client = rig.client();
-      assertTrue(client.ready());
-      rig.inLoop(rig.serve::announceEnd);
-      String scan = rig.scan("search", 500, 0);
+    try (MixerTestHarness rig = shortRig()) {
+      MixerTestHarness.Box box = rig.box("b0", 0);
+      rig.announceAndAwaitReady(box);
+      MixerTestHarness.Client client = rig.connectClient();
+      assertTrue(client.isReady());
+      rig.runInLoop(rig.server::announceEnd);
+      String scan = rig.scanRequest("search", 500, 0);
       client.write(scan.substring(0, scan.length() - 1));
-      assertTrue(client.answer().startsWith("503"));
-      assertEquals("closed", client.end());
+      assertTrue(client.readAnswer().startsWith("503"));
+      assertEquals("closed", client.awaitEnd());
       client.write(scan.substring(scan.length() - 1));
-      assertEquals(0, rig.ended());
-      assertTrue(box.quiet(SOON));
+      assertEquals(0, rig.awaitExitCode());
+      assertTrue(box.noConnectionWithin(SOON));
       assertEquals(0, rig.count("scans taken"));
     }
   }
@@ -191,23 +193,23 @@
   @Test
   void sigtermBeforeDiscoverysFirstWordLeavesNoScanOpen() throws Exception {
     for (boolean scanFirst : new boolean[] {true, false}) {
-      try (Rig rig = new Rig()) {
-        Rig.Box box = rig.box("b0", 0);
-        Rig.Call watch = rig.agent.watch();
-        Rig.Client client = rig.client();
+      try (MixerTestHarness rig = new MixerTestHarness()) {
+        MixerTestHarness.Box box = rig.box("b0", 0);
+        MixerTestHarness.DiscoveryConnection watch = rig.agent.acceptWatch();
+        MixerTestHarness.Client client = rig.connectClient();
         if (scanFirst) {
-          client.write(rig.scan("search", 500, 0));
+          client.write(rig.scanRequest("search", 500, 0));
           rig.awaitCount("scans taken", 1);
-          rig.inLoop(rig.serve::announceEnd);
+          rig.runInLoop(rig.server::announceEnd);
         } else {
-          rig.inLoop(rig.serve::announceEnd);
-          client.write(rig.scan("search", 500, 0));
+          rig.runInLoop(rig.server::announceEnd);
+          client.write(rig.scanRequest("search", 500, 0));
           rig.awaitCount("scans taken", 1);
         }
-        assertTrue(client.answer().startsWith("5"));
-        assertEquals(0, rig.ended());
+        assertTrue(client.readAnswer().startsWith("5"));
+        assertEquals(0, rig.awaitExitCode());
         watch.reset();
-        assertTrue(box.quiet(SOON));
+        assertTrue(box.noConnectionWithin(SOON));
       }
     }
   }
@@ -215,18 +217,18 @@
   /** The first word comes after SIGTERM: what waited goes on. */
   @Test
   void sigtermAndThenDiscoverysFirstWordServesWhatWaits() throws Exception {
-    try (Rig rig = new Rig()) {
-      Rig.Box box = rig.box("b0", 0);
-      Rig.Call watch = rig.agent.watch();
-      Rig.Client client = rig.client();
-      client.write(rig.scan("search", 2000, 0));
+    try (MixerTestHarness rig = new MixerTestHarness()) {
+      MixerTestHarness.Box box = rig.box("b0", 0);
+      MixerTestHarness.DiscoveryConnection watch = rig.agent.acceptWatch();
+      MixerTestHarness.Client client = rig.connectClient();
+      client.write(rig.scanRequest("search", 2000, 0));
       rig.awaitCount("scans taken", 1);
-      rig.inLoop(rig.serve::announceEnd);
-      watch.say(Rig.list(1, true, box.member("SERVING")));
-      Rig.Link link = box.link();
-      link.answer(link.call(), "done");
-      assertTrue(client.answer().startsWith("200"));
-      assertEquals(0, rig.ended());
+      rig.runInLoop(rig.server::announceEnd);
+      watch.sendLine(MixerTestHarness.memberListLine(1, true, box.memberJson("SERVING")));
+      MixerTestHarness.BoxConnection link = box.acceptConnection();
+      link.answer(link.readCall(), "done");
+      assertTrue(client.readAnswer().startsWith("200"));
+      assertEquals(0, rig.awaitExitCode());
     }
   }
 
@@ -235,15 +237,15 @@
    */
   @Test
   void sigtermTwiceEndsAsOnce() throws Exception {
-    try (Rig rig = shortRig()) {
-      rig.begin(rig.box("b0", 0));
-      Rig.Client client = rig.client();
-      rig.inLoop(rig.serve::announceEnd);
+    try (MixerTestHarness rig = shortRig()) {
+      rig.announceAndAwaitReady(rig.box("b0", 0));
+      MixerTestHarness.Client client = rig.connectClient();
+      rig.runInLoop(rig.server::announceEnd);
       client.write("GET /rea"); // keeps the end waiting for its time
       Thread.sleep(600);
-      rig.inLoop(rig.serve::announceEnd);
-      assertTrue(client.answer().startsWith("503"));
-      assertEquals(0, rig.ended());
+      rig.runInLoop(rig.server::announceEnd);
+      assertTrue(client.readAnswer().startsWith("503"));
+      assertEquals(0, rig.awaitExitCode());
       assertEquals(1, rig.count("ends announced"));
     }
   }
@@ -251,8 +253,8 @@
   /** SIGHUP before the loop runs, or even reads its configuration, is taken once it does. */
   @Test
   void sighupInStartUpIsTaken() throws Exception {
-    try (Rig.Agent first = new Rig.Agent(true);
-        Rig.Agent next = new Rig.Agent(true)) {
+    try (MixerTestHarness.DiscoveryAgent first = new MixerTestHarness.DiscoveryAgent(true);
+        MixerTestHarness.DiscoveryAgent next = new MixerTestHarness.DiscoveryAgent(true)) {
       Path file = Files.createTempFile("hup", ".json");
       String config = example();
       Map<String, String> env = Map.of("LB_CONFIG", file.toString());
@@ -263,10 +265,10 @@
       serve.reload();
       Thread thread = new Thread(() -> serve.serve(orders, System.err, at -> {}));
       thread.start();
-      next.watch().say(Rig.list(1, true));
-      Rig.await("a list", () -> serve.counts.get("lists told") == 1);
+      next.acceptWatch().sendLine(MixerTestHarness.memberListLine(1, true));
+      MixerTestHarness.await("a list", () -> serve.counts.get("lists told") == 1);
       serve.loop.post(serve.loop::stop);
-      thread.join(Rig.WAIT_MS);
+      thread.join(MixerTestHarness.TIMEOUT_MS);
       serve.dispose();
       assertEquals(0, serve.counts.get("failures in an event"));
       file.toFile().delete();
@@ -276,23 +278,23 @@
   /** SIGHUP while the process ends, and after its loop has ended. */
   @Test
   void sighupInShutdownCostsNothing() throws Exception {
-    try (Rig rig = new Rig()) {
-      Rig.Box box = rig.box("b0", 0);
-      rig.begin(box);
-      Rig.Client client = rig.client();
-      client.write(rig.scan("search", 2000, 0));
-      Rig.Link link = box.link();
-      Rig.Frame call = link.call();
-      try (Rig.Agent next = new Rig.Agent(true)) {
-        rig.inLoop(rig.serve::announceEnd);
-        rig.configure(next.address());
-        rig.serve.reload();
-        Rig.Call watch = next.watch();
-        watch.say(Rig.list(7, true, box.member("SERVING")));
+    try (MixerTestHarness rig = new MixerTestHarness()) {
+      MixerTestHarness.Box box = rig.box("b0", 0);
+      rig.announceAndAwaitReady(box);
+      MixerTestHarness.Client client = rig.connectClient();
+      client.write(rig.scanRequest("search", 2000, 0));
+      MixerTestHarness.BoxConnection link = box.acceptConnection();
+      MixerTestHarness.Frame call = link.readCall();
+      try (MixerTestHarness.DiscoveryAgent next = new MixerTestHarness.DiscoveryAgent(true)) {
+        rig.runInLoop(rig.server::announceEnd);
+        rig.writeConfig(next.address());
+        rig.server.reload();
+        MixerTestHarness.DiscoveryConnection watch = next.acceptWatch();
+        watch.sendLine(MixerTestHarness.memberListLine(7, true, box.memberJson("SERVING")));
         link.answer(call, "done");
-        assertTrue(client.answer().startsWith("200"));
-        assertEquals(0, rig.ended());
-        rig.serve.reload();
+        assertTrue(client.readAnswer().startsWith("200"));
+        assertEquals(0, rig.awaitExitCode());
+        rig.server.reload();
       }
     }
   }
@@ -305,8 +307,8 @@
   @Test
   void idleClientsLeaveRoomForDiscoverySearchersAndWorkingClients() throws Exception {
     int most = 256 - 40;
-    try (Rig rig =
-        new Rig(
+    try (MixerTestHarness rig =
+        new MixerTestHarness(
             false,
             "\"sockets\": 1024",
             "\"sockets\": 256",
@@ -314,26 +316,26 @@
             "\"MostHeld\": 9000",
             "\"ClassFloor\": [0.4, 1.0]",
             "\"ClassFloor\": [0.1, 1.0]")) {
-      Rig.Box[] boxes = new Rig.Box[200];
+      MixerTestHarness.Box[] boxes = new MixerTestHarness.Box[200];
       for (int i = 0; i < boxes.length; i++) {
         boxes[i] = rig.box("b" + i, i % 4);
       }
-      List<Rig.Client> idle = new ArrayList<>();
+      List<MixerTestHarness.Client> idle = new ArrayList<>();
       for (int i = 0; i < 2 * most; i++) {
-        idle.add(rig.client());
+        idle.add(rig.connectClient());
       }
-      rig.agent.admit();
-      rig.begin(boxes);
+      rig.agent.resumeListening();
+      rig.announceAndAwaitReady(boxes);
       int peak = 0;
       for (int i = 0; i < 300; i++) {
-        Rig.Client client = rig.client();
-        client.write(rig.scan("search", 1000, i % 8));
-        rig.turns(2);
-        peak = Math.max(peak, rig.serve.network().connections());
+        MixerTestHarness.Client client = rig.connectClient();
+        client.write(rig.scanRequest("search", 1000, i % 8));
+        rig.runIterations(2);
+        peak = Math.max(peak, rig.server.network().connections());
       }
       // the last of them may still stand in the backlog, and a link is dialled at the end of its
       // scan's turn
-      Rig.await(
+      MixerTestHarness.await(
           "what becomes of each client",
           () ->
               rig.count("idle connections shed")
@@ -341,14 +343,14 @@
                       + rig.count("nacks for want of connections")
                       + rig.count("scans taken")
                   >= 2 * most + 300);
-      rig.turns(2);
+      rig.runIterations(2);
       // each that works has its own searcher dialled, until the descriptors are full of those that
       // work
       long taken = rig.count("scans taken");
-      rig.turns(2);
-      assertTrue(taken >= 90, rig.serve.counts.toString());
-      assertTrue(rig.count("links dialled") >= taken, rig.serve.counts.toString());
-      assertTrue(peak <= most, peak + " connections at one time, " + rig.serve.counts);
+      rig.runIterations(2);
+      assertTrue(taken >= 90, rig.server.counts.toString());
+      assertTrue(rig.count("links dialled") >= taken, rig.server.counts.toString());
+      assertTrue(peak <= most, peak + " connections at one time, " + rig.server.counts);
     }
   }
 
@@ -359,11 +361,11 @@
   @Test
   void halfRequestsGiveWayOnceNoIdleConnectionIsLeft() throws Exception {
     for (int idle : new int[] {0, 100}) {
-      try (Rig rig = new Rig("\"sockets\": 1024", "\"sockets\": 256")) {
-        rig.begin(answering(rig, 4));
-        List<Rig.Client> halves = new ArrayList<>();
+      try (MixerTestHarness rig = new MixerTestHarness("\"sockets\": 1024", "\"sockets\": 256")) {
+        rig.announceAndAwaitReady(answering(rig, 4));
+        List<MixerTestHarness.Client> halves = new ArrayList<>();
         for (int i = 0; i < 201; i++) { // with one more, newcomers are turned away
-          Rig.Client client = rig.client();
+          MixerTestHarness.Client client = rig.connectClient();
           if (i >= idle) {
             client.write("POST /api HTTP/1.1\r\nHost: x\r\n");
             halves.add(client);
@@ -371,16 +373,16 @@
         }
         if (idle > 0) { // they alone are as many as have to go
           rig.awaitCount("idle connections shed", 1);
-          rig.turns(2);
-          assertEquals(0, rig.count("half requests shed"), rig.serve.counts.toString());
+          rig.runIterations(2);
+          assertEquals(0, rig.count("half requests shed"), rig.server.counts.toString());
         } else {
           rig.awaitCount("half requests shed", 1);
-          assertTrue(halves.get(0).answer().startsWith("503"));
-          assertEquals("closed", halves.get(0).end());
-          Rig.await("room for a newcomer", () -> rig.serve.network().room() > 40);
-          Rig.Client client = rig.client();
-          client.write(rig.scan("search", 2000, 0));
-          assertTrue(client.answer().startsWith("200"));
+          assertTrue(halves.get(0).readAnswer().startsWith("503"));
+          assertEquals("closed", halves.get(0).awaitEnd());
+          MixerTestHarness.await("room for a newcomer", () -> rig.server.network().room() > 40);
+          MixerTestHarness.Client client = rig.connectClient();
+          client.write(rig.scanRequest("search", 2000, 0));
+          assertTrue(client.readAnswer().startsWith("200"));
         }
       }
     }
@@ -392,28 +394,28 @@
    */
   @Test
   void newcomersOfOneTurnAreServedOnceIdleOnesGiveWay() throws Exception {
-    try (Rig rig =
-        new Rig(
+    try (MixerTestHarness rig =
+        new MixerTestHarness(
             "\"sockets\": 1024", "\"sockets\": 256", "\"MostHeld\": 60", "\"MostHeld\": 9000")) {
-      rig.begin(answering(rig, 4));
+      rig.announceAndAwaitReady(answering(rig, 4));
       for (int i = 0; i < 150; i++) { // so many are not too many, and with the newcomers they are
-        rig.client();
+        rig.connectClient();
       }
       rig.awaitConnections(151);
-      List<Rig.Client> newcomers = new ArrayList<>();
-      try (Rig.Gate gate = rig.hold()) {
+      List<MixerTestHarness.Client> newcomers = new ArrayList<>();
+      try (MixerTestHarness.LoopGate gate = rig.pauseLoop()) {
         for (int i = 0; i < 40; i++) {
-          Rig.Client client = rig.client();
-          client.write(rig.scan("search", 2000, i % 8));
+          MixerTestHarness.Client client = rig.connectClient();
+          client.write(rig.scanRequest("search", 2000, i % 8));
           newcomers.add(client);
         }
-        gate.posted(3 * newcomers.size()); // each has come, is open, and has said something
+        gate.awaitPosted(3 * newcomers.size()); // each has come, is open, and has said something
       }
-      for (Rig.Client client : newcomers) {
-        String answer = client.answer();
-        assertTrue(answer.startsWith("200"), answer + ", " + rig.serve.counts);
+      for (MixerTestHarness.Client client : newcomers) {
+        String answer = client.readAnswer();
+        assertTrue(answer.startsWith("200"), answer + ", " + rig.server.counts);
       }
-      assertTrue(rig.count("idle connections shed") > 0, rig.serve.counts.toString());
+      assertTrue(rig.count("idle connections shed") > 0, rig.server.counts.toString());
     }
   }
 
@@ -425,33 +427,34 @@
   @Test
   void aRestingLinkMakesRoomForTheNextSearcher() throws Exception {
     int most = 128 - 40;
-    try (Rig rig = new Rig("\"sockets\": 1024", "\"sockets\": 128")) {
-      rig.begin(answering(rig, 80));
-      Rig.Client client = rig.client();
+    try (MixerTestHarness rig = new MixerTestHarness("\"sockets\": 1024", "\"sockets\": 128")) {
+      rig.announceAndAwaitReady(answering(rig, 80));
+      MixerTestHarness.Client client = rig.connectClient();
       for (int i = 0; i < 1000 && rig.count("resting links shed") == 0; i++) {
-        client.write(rig.scan("search", 2000, i % 8));
-        String answer = client.answer();
-        assertTrue(answer.startsWith("200"), answer + " after " + i + ", " + rig.serve.counts);
+        client.write(rig.scanRequest("search", 2000, i % 8));
+        String answer = client.readAnswer();
+        assertTrue(answer.startsWith("200"), answer + " after " + i + ", " + rig.server.counts);
       }
-      assertTrue(rig.count("resting links shed") > 0, rig.serve.counts.toString());
-      assertTrue(rig.count("links dialled") >= 0.75 * most, rig.serve.counts.toString());
+      assertTrue(rig.count("resting links shed") > 0, rig.server.counts.toString());
+      assertTrue(rig.count("links dialled") >= 0.75 * most, rig.server.counts.toString());
       assertEquals(
           0,
           rig.count("trips UNREACHABLE") + rig.count("trips BROKEN"),
-          rig.serve.counts.toString());
+          rig.server.counts.toString());
     }
   }
 
   /** So many searchers that answer whatever comes. */
-  private static Rig.Box[] answering(Rig rig, int many) throws IOException {
-    Rig.Box[] boxes = new Rig.Box[many];
+  private static MixerTestHarness.Box[] answering(MixerTestHarness rig, int many)
+      throws IOException {
+    MixerTestHarness.Box[] boxes = new MixerTestHarness.Box[many];
     for (int i = 0; i < many; i++) {
-      Rig.Box box = rig.box("b" + i, i % 4);
+      MixerTestHarness.Box box = rig.box("b" + i, i % 4);
       boxes[i] = box;
-      Rig.aside(
+      MixerTestHarness.runInBackground(
           () -> {
             while (true) {
-              Rig.answers(box.link());
+              MixerTestHarness.answerAllCalls(box.acceptConnection());
             }
           });
     }
@@ -466,8 +469,10 @@
   void readyWithDiscoveryRefusingOrSilentAndDialsThatMayTakeLong() throws Exception {
     for (boolean refusing : new boolean[] {true, false}) {
       long start = System.nanoTime();
-      try (Rig rig = new Rig(!refusing, "\"DialTimeoutMs\": 250.0", "\"DialTimeoutMs\": 20000.0")) {
-        rig.ready(); // nobody accepts at the agent, or nobody listens there
+      try (MixerTestHarness rig =
+          new MixerTestHarness(
+              !refusing, "\"DialTimeoutMs\": 250.0", "\"DialTimeoutMs\": 20000.0")) {
+        rig.awaitReady(); // nobody accepts at the agent, or nobody listens there
         assertTrue(System.nanoTime() - start < 10_000_000_000L, "refusing: " + refusing);
         rig.awaitCount("answers practised", 1);
       }
@@ -477,7 +482,7 @@
   /** SIGTERM in the very first turn, with practice under way and nothing heard of discovery. */
   @Test
   void sigtermDuringPracticeEndsAsEver() throws Exception {
-    try (Rig.Agent agent = new Rig.Agent(true)) {
+    try (MixerTestHarness.DiscoveryAgent agent = new MixerTestHarness.DiscoveryAgent(true)) {
       Path file = Files.createTempFile("term", ".json");
       Files.writeString(
           file,
--- a/mixer/src/test/java/gingerring/server/Late.java
+++ b/mixer/src/test/java/gingerring/server/Late.java
@@ -19,7 +19,7 @@
   private final int cell;
   private final ServerSocket door = new ServerSocket();
   private final List<Socket> queue = new ArrayList<>();
-  private final List<Rig.Link> links = new ArrayList<>();
+  private final List<MixerTestHarness.BoxConnection> links = new ArrayList<>();
   private int queued;
 
   Late(String name, int cell) throws IOException {
@@ -30,7 +30,7 @@
   private Late(String name, int cell, int backlog) throws IOException {
     this.name = name;
     this.cell = cell;
-    door.setSoTimeout(Rig.WAIT_MS);
+    door.setSoTimeout(MixerTestHarness.TIMEOUT_MS);
     door.setReceiveBufferSize(4096);
     door.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), backlog);
   }
@@ -67,8 +67,8 @@
   }
 
   /** The next connection of the mixer's. */
-  Rig.Link link() throws IOException {
-    Rig.Link link = new Rig.Link(door.accept());
+  MixerTestHarness.BoxConnection link() throws IOException {
+    MixerTestHarness.BoxConnection link = new MixerTestHarness.BoxConnection(door.accept());
     links.add(link);
     return link;
   }
@@ -82,7 +82,7 @@
     } catch (SocketTimeoutException e) {
       return true;
     } finally {
-      door.setSoTimeout(Rig.WAIT_MS);
+      door.setSoTimeout(MixerTestHarness.TIMEOUT_MS);
     }
   }
 
@@ -103,7 +103,7 @@
     for (Socket socket : queue) {
       socket.close();
     }
-    for (Rig.Link link : links) {
+    for (MixerTestHarness.BoxConnection link : links) {
       link.close();
     }
     door.close();
--- a/mixer/src/test/java/gingerring/server/LateStartTest.java
+++ b/mixer/src/test/java/gingerring/server/LateStartTest.java
@@ -63,10 +63,10 @@
         if (gate == Gate.BEFORE_UP) {
           each.letGo();
         }
-        Rig.aside(
+        MixerTestHarness.runInBackground(
             () -> {
               while (true) {
-                Rig.answers(each.link());
+                MixerTestHarness.answerAllCalls(each.link());
               }
             });
       }
@@ -81,7 +81,7 @@
   }
 
   /** A mixer that starts with these known. */
-  private static Rig start(Discovery discovery, String[] swaps, String... members)
+  private static MixerTestHarness start(Discovery discovery, String[] swaps, String... members)
       throws Exception {
     List<String> all =
         new ArrayList<>(
@@ -89,12 +89,13 @@
                 "\"complete\": true, \"members\": []",
                 "\"complete\": true, \"members\": [" + String.join(",", members) + "]"));
     all.addAll(Arrays.asList(swaps));
-    Rig rig = new Rig(discovery != Discovery.REFUSES, all.toArray(String[]::new));
+    MixerTestHarness rig =
+        new MixerTestHarness(discovery != Discovery.REFUSES, all.toArray(String[]::new));
     if (discovery == Discovery.ACCEPTS || discovery == Discovery.SAYS_A_HEAD) {
-      Rig.aside(
+      MixerTestHarness.runInBackground(
           () -> {
             while (true) {
-              Rig.Call call = rig.agent.call();
+              MixerTestHarness.DiscoveryConnection call = rig.agent.acceptRequest();
               if (discovery == Discovery.SAYS_A_HEAD) {
                 call.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
               }
@@ -109,25 +110,25 @@
   }
 
   /** It is ready by its time, which began with the start. */
-  private static void ready(Rig rig, long startNanos) throws Exception {
-    Rig.Client asks = rig.client();
-    while (!asks.ready()) {
+  private static void ready(MixerTestHarness rig, long startNanos) throws Exception {
+    MixerTestHarness.Client asks = rig.connectClient();
+    while (!asks.isReady()) {
       assertTrue(
           System.nanoTime() - startNanos < READY_MS * 1_000_000,
-          "not ready in time: " + rig.serve.counts);
+          "not ready in time: " + rig.server.counts);
       Thread.sleep(5);
     }
     asks.close();
   }
 
   /** Scans are answered without a value by the mixer itself, within their clients' time. */
-  private static void refused(Rig rig, String what) throws Exception {
+  private static void refused(MixerTestHarness rig, String what) throws Exception {
     for (String grade : new String[] {"search", "post"}) {
-      Rig.Client client = rig.client();
+      MixerTestHarness.Client client = rig.connectClient();
       client.socket.setSoTimeout(2 * PATIENCE_MS); // a bound, and no figure
-      client.write(rig.scan(grade, PATIENCE_MS, 0, 1, 2, 3));
-      String answer = client.answer();
-      assertTrue(answer.startsWith("50"), what + ": " + answer + ", " + rig.serve.counts);
+      client.write(rig.scanRequest(grade, PATIENCE_MS, 0, 1, 2, 3));
+      String answer = client.readAnswer();
+      assertTrue(answer.startsWith("50"), what + ": " + answer + ", " + rig.server.counts);
       client.close();
     }
   }
@@ -137,18 +138,18 @@
    * system asks a full queue again after a second, or two, and a mixer keeps some back for
    * searchers that were silent.
    */
-  private static void servedWhole(Rig rig, String what) throws Exception {
+  private static void servedWhole(MixerTestHarness rig, String what) throws Exception {
     List<String> answers = new ArrayList<>();
-    try (Rig.Client client = rig.client()) {
+    try (MixerTestHarness.Client client = rig.connectClient()) {
       int[] inRow = new int[1];
-      Rig.await(
+      MixerTestHarness.await(
           "whole answers",
           () -> {
             try {
               client.write(
-                  rig.scan(
+                  rig.scanRequest(
                       inRow[0] % 2 == 0 ? "search" : "post", PATIENCE_MS, inRow[0], 7 - inRow[0]));
-              answers.add(client.answer());
+              answers.add(client.readAnswer());
             } catch (IOException e) {
               throw new AssertionError(e);
             }
@@ -164,7 +165,7 @@
               + ": "
               + answers.stream().distinct().collect(Collectors.joining("; "))
               + ", "
-              + rig.serve.counts,
+              + rig.server.counts,
           e);
     }
   }
@@ -180,7 +181,7 @@
         String what = discovery + ", " + gate;
         try (Searchers searchers = new Searchers(gate, 0, 1, 2, 3)) {
           long start = System.nanoTime();
-          try (Rig rig = start(discovery, new String[0], members(searchers))) {
+          try (MixerTestHarness rig = start(discovery, new String[0], members(searchers))) {
             ready(rig, start);
             refused(rig, what);
             assertEquals(0, rig.count("whole answers") + rig.count("partial answers"), what);
@@ -205,26 +206,26 @@
         String what = discovery + ", " + gate;
         try (Searchers searchers = new Searchers(gate, 0, 1, 2, 3)) {
           long start = System.nanoTime();
-          try (Rig rig = start(discovery, LONG_DIALS, members(searchers))) {
-            Rig.Client early = rig.client();
-            early.write(rig.scan("search", PATIENCE_MS, 0, 1, 2, 3));
+          try (MixerTestHarness rig = start(discovery, LONG_DIALS, members(searchers))) {
+            MixerTestHarness.Client early = rig.connectClient();
+            early.write(rig.scanRequest("search", PATIENCE_MS, 0, 1, 2, 3));
             rig.awaitCount("scans taken", 1);
             boolean waits = discovery != Discovery.REFUSES;
             if (!waits) { // it had its word at once: its parts wait for connections, and not for
               // discovery
               rig.awaitCount("links dialled", 1);
             }
-            try (Rig.Gate turn =
-                rig.hold()) { // it cannot say that it is ready before the other gate is open
+            try (MixerTestHarness.LoopGate turn =
+                rig.pauseLoop()) { // it cannot say that it is ready before the other gate is open
               searchers.open();
             }
             ready(rig, start);
-            String answer = early.answer();
+            String answer = early.readAnswer();
             boolean late =
                 !waits && gate == Gate.BEFORE_UP; // what was dialled comes up in a second or two
             assertTrue(
                 answer.matches(late ? "(?s)(200|50\\d).*" : "(?s)200.*"),
-                what + ": " + answer + ", " + rig.serve.counts);
+                what + ": " + answer + ", " + rig.server.counts);
             servedWhole(rig, what);
             assertEquals(0, rig.count("scans the mixer left open"), what);
             assertEquals(0, rig.count("lists told"), what);
@@ -242,24 +243,24 @@
       try (Searchers searchers = new Searchers(Gate.BEFORE_UP, 3);
           Prompt prompt = new Prompt("prompt", 1)) {
         long start = System.nanoTime();
-        try (Rig rig =
+        try (MixerTestHarness rig =
             start(
                 discovery, LONG_DIALS, searchers.late.get(0).member("SERVING"), prompt.member())) {
           ready(rig, start);
-          Rig.Client client = rig.client();
+          MixerTestHarness.Client client = rig.connectClient();
           client.socket.setSoTimeout(2 * PATIENCE_MS);
-          client.write(rig.scan("search", PATIENCE_MS, 0, 2));
-          String answer = client.answer();
+          client.write(rig.scanRequest("search", PATIENCE_MS, 0, 2));
+          String answer = client.readAnswer();
           assertTrue(
               answer.startsWith("200 {\"whole\":false"),
-              what + ": " + answer + ", " + rig.serve.counts);
+              what + ": " + answer + ", " + rig.server.counts);
           searchers.open();
-          Rig.await(
+          MixerTestHarness.await(
               "whole answers",
               () -> {
                 try {
-                  client.write(rig.scan("search", PATIENCE_MS, 0, 2));
-                  return client.answer().startsWith("200 {\"whole\":true");
+                  client.write(rig.scanRequest("search", PATIENCE_MS, 0, 2));
+                  return client.readAnswer().startsWith("200 {\"whole\":true");
                 } catch (IOException e) {
                   throw new AssertionError(what, e);
                 }
@@ -279,10 +280,10 @@
     Prompt(String name, int cell) throws IOException {
       this.name = name;
       this.cell = cell;
-      Rig.aside(
+      MixerTestHarness.runInBackground(
           () -> {
             while (true) {
-              Rig.answers(new Rig.Link(door.accept()));
+              MixerTestHarness.answerAllCalls(new MixerTestHarness.BoxConnection(door.accept()));
             }
           });
     }
--- a/mixer/src/test/java/gingerring/server/Rig.java
+++ b/mixer/src/test/java/gingerring/server/MixerTestHarness.java
@@ -36,107 +36,109 @@
  * order in which events reach it: what arrives behind a gate is taken in one turn, in the order in
  * which it arrived.
  */
-final class Rig implements Closeable {
+final class MixerTestHarness implements Closeable {
   /** No wait of a party is longer. */
-  static final int WAIT_MS = 15_000;
+  static final int TIMEOUT_MS = 15_000;
 
-  private static final int NAP_MS = 2;
+  private static final int POLL_INTERVAL_MS = 2;
 
-  final Agent agent;
-  final MixerServer serve;
-  private final Path file;
-  private final String config;
-  private final Thread thread;
-  private final CompletableFuture<InetSocketAddress> listening = new CompletableFuture<>();
-  private final CompletableFuture<Integer> code = new CompletableFuture<>();
-  private final List<Closeable> parties = new ArrayList<>();
-  private int marks;
+  final DiscoveryAgent agent;
+  final MixerServer server;
+  private final Path configFile;
+  private final String configTemplate;
+  private final Thread mixerThread;
+  private final CompletableFuture<InetSocketAddress> listenAddress = new CompletableFuture<>();
+  private final CompletableFuture<Integer> exitCode = new CompletableFuture<>();
+  private final List<Closeable> resources = new ArrayList<>();
+  private int scanCount;
 
   /** {@code swaps}: pairs of a text in the example's configuration and what stands in its place. */
-  Rig(String... swaps) throws Exception {
-    this(true, swaps);
+  MixerTestHarness(String... replacements) throws Exception {
+    this(true, replacements);
   }
 
   /** {@code discovery}: whether it can be called from the start. */
-  Rig(boolean discovery, String... swaps) throws Exception {
-    this(null, discovery, swaps);
+  MixerTestHarness(boolean discoveryListens, String... replacements) throws Exception {
+    this(null, discoveryListens, replacements);
   }
 
   /**
    * {@code tap} is told of all that the mixer's connections carry, on the threads that do; null for
    * none.
    */
-  Rig(Tap tap, boolean discovery, String... swaps) throws Exception {
-    agent = keep(new Agent(discovery));
+  MixerTestHarness(Tap tap, boolean discoveryListens, String... replacements) throws Exception {
+    agent = closeAtEnd(new DiscoveryAgent(discoveryListens));
     Path example = Files.exists(Path.of("example")) ? Path.of("example") : Path.of("../example");
-    config =
-        swap(
+    configTemplate =
+        replaceTexts(
             Files.readString(example.resolve("config.json"))
                 .replace("127.0.0.1:8081", "127.0.0.1:0"),
-            swaps);
-    file = Files.createTempFile("rig", ".json");
-    configure(agent.address());
-    Map<String, String> env = Map.of("LB_CONFIG", file.toString());
-    serve = new MixerServer(env, tap, null);
-    MixerConfig orders = MixerConfig.read(env);
-    thread =
+            replacements);
+    configFile = Files.createTempFile("rig", ".json");
+    writeConfig(agent.address());
+    Map<String, String> environment = Map.of("LB_CONFIG", configFile.toString());
+    server = new MixerServer(environment, tap, null);
+    MixerConfig mixerConfig = MixerConfig.read(environment);
+    mixerThread =
         new Thread(
             () -> {
               try {
-                code.complete(serve.serve(orders, System.err, listening::complete));
+                exitCode.complete(server.serve(mixerConfig, System.err, listenAddress::complete));
               } catch (Throwable e) {
-                listening.completeExceptionally(e);
-                code.completeExceptionally(e);
+                listenAddress.completeExceptionally(e);
+                exitCode.completeExceptionally(e);
               }
             },
             "rig");
-    thread.start();
-    listening.get(WAIT_MS, TimeUnit.MILLISECONDS);
+    mixerThread.start();
+    listenAddress.get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
   }
 
-  private static String swap(String text, String... swaps) {
-    for (int i = 0; i < swaps.length; i += 2) {
-      if (!text.contains(swaps[i])) {
-        throw new IllegalArgumentException("the example has no " + swaps[i]);
+  private static String replaceTexts(String text, String... replacements) {
+    for (int i = 0; i < replacements.length; i += 2) {
+      if (!text.contains(replacements[i])) {
+        throw new IllegalArgumentException("the example has no " + replacements[i]);
       }
-      text = text.replace(swaps[i], swaps[i + 1]);
+      text = text.replace(replacements[i], replacements[i + 1]);
     }
     return text;
   }
 
   /** Writes the configuration anew; it counts from the next {@link MixerServer#reload}. */
-  void configure(InetSocketAddress discovery, String... swaps) throws IOException {
+  void writeConfig(InetSocketAddress discoveryAddress, String... replacements) throws IOException {
     Files.writeString(
-        file, swap(config, swaps).replace("127.0.0.1:8500", "127.0.0.1:" + discovery.getPort()));
+        configFile,
+        replaceTexts(configTemplate, replacements)
+            .replace("127.0.0.1:8500", "127.0.0.1:" + discoveryAddress.getPort()));
   }
 
-  <T extends Closeable> T keep(T party) {
-    parties.add(party);
-    return party;
+  <T extends Closeable> T closeAtEnd(T resource) {
+    resources.add(resource);
+    return resource;
   }
 
   @Override
   public void close() {
-    if (!code.isDone()) {
-      serve.loop.post(serve.loop::stop);
+    if (!exitCode.isDone()) {
+      server.loop.post(server.loop::stop);
     }
     try {
-      thread.join(WAIT_MS);
+      mixerThread.join(TIMEOUT_MS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
-    serve.dispose();
-    parties.forEach(Rig::end);
-    file.toFile().delete();
-    String counts = serve.counts.toString();
+    server.dispose();
+    resources.forEach(MixerTestHarness::closeQuietly);
+    configFile.toFile().delete();
+    String counts = server.counts.toString();
     if (counts.contains("failures in ") || counts.contains("broken: ")) {
       throw new AssertionError("what must hold did not: " + counts);
     }
   }
 
-  private static void end(Closeable party) {
+  private static void closeQuietly(Closeable resource) {
     try {
-      party.close();
+      resource.close();
     } catch (IOException e) {
       // it had ended
     }
@@ -149,45 +151,45 @@
    * into connections has left, and it has heard so: else the word of an earlier answer's leaving
    * could come behind the gate, and stand for the event that the test waits for.
    */
-  Gate hold() throws InterruptedException {
-    AtomicBoolean settled = new AtomicBoolean();
-    for (int i = 0; !settled.get(); i++) {
-      if (i * NAP_MS > WAIT_MS) {
+  LoopGate pauseLoop() throws InterruptedException {
+    AtomicBoolean allSent = new AtomicBoolean();
+    for (int i = 0; !allSent.get(); i++) {
+      if (i * POLL_INTERVAL_MS > TIMEOUT_MS) {
         throw new AssertionError("something put into a connection does not leave");
       }
-      inLoop(() -> settled.set(serve.network().unsentFree()));
-      Thread.sleep(settled.get() ? 0 : NAP_MS);
+      runInLoop(() -> allSent.set(server.network().unsentFree()));
+      Thread.sleep(allSent.get() ? 0 : POLL_INTERVAL_MS);
     }
-    Gate gate = new Gate();
-    serve.loop.post(gate::stand);
-    if (!gate.reached.await(WAIT_MS, TimeUnit.MILLISECONDS)) {
+    LoopGate gate = new LoopGate();
+    server.loop.post(gate::block);
+    if (!gate.reached.await(TIMEOUT_MS, TimeUnit.MILLISECONDS)) {
       throw new AssertionError("the loop did not come to the gate");
     }
     return gate;
   }
 
   /** What is posted behind it waits, in its order, for the one turn after it is closed. */
-  final class Gate implements AutoCloseable {
+  final class LoopGate implements AutoCloseable {
     private final CountDownLatch reached = new CountDownLatch(1);
     private final CountDownLatch released = new CountDownLatch(1);
 
-    private void stand() {
+    private void block() {
       reached.countDown();
       try {
-        released.await(WAIT_MS, TimeUnit.MILLISECONDS);
+        released.await(TIMEOUT_MS, TimeUnit.MILLISECONDS);
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
       }
     }
 
     /** Waits until so many events stand behind the gate. */
-    void posted(int events) throws InterruptedException {
-      await("events behind the gate", () -> serve.loop.posted() >= events);
+    void awaitPosted(int events) throws InterruptedException {
+      await("events behind the gate", () -> server.loop.posted() >= events);
     }
 
     /** How many events stand behind the gate. */
-    int posted() {
-      return serve.loop.posted();
+    int postedCount() {
+      return server.loop.posted();
     }
 
     @Override
@@ -197,9 +199,9 @@
   }
 
   /** Runs a task in a turn of the loop, and waits for its end. */
-  void inLoop(Runnable task) throws InterruptedException {
+  void runInLoop(Runnable task) throws InterruptedException {
     CountDownLatch done = new CountDownLatch(1);
-    serve.loop.post(
+    server.loop.post(
         () -> {
           try {
             task.run();
@@ -207,29 +209,29 @@
             done.countDown();
           }
         });
-    if (!done.await(WAIT_MS, TimeUnit.MILLISECONDS)) {
+    if (!done.await(TIMEOUT_MS, TimeUnit.MILLISECONDS)) {
       throw new AssertionError("the loop did not run a task");
     }
   }
 
   /** So many whole turns have been since. */
-  void turns(int count) throws InterruptedException {
+  void runIterations(int count) throws InterruptedException {
     for (int i = 0; i < count; i++) {
-      inLoop(() -> {});
+      runInLoop(() -> {});
     }
   }
 
-  interface Play {
+  interface IoTask {
     void run() throws IOException;
   }
 
   /** Plays a party until its connection or its door is closed. */
-  static void aside(Play play) {
+  static void runInBackground(IoTask task) {
     Thread thread =
         new Thread(
             () -> {
               try {
-                play.run();
+                task.run();
               } catch (IOException e) {
                 // the test is over, or the connection is
               }
@@ -240,69 +242,69 @@
   }
 
   /** Its searcher does whatever comes by it, until it is closed. */
-  static void answers(Link link) {
-    aside(
+  static void answerAllCalls(BoxConnection connection) {
+    runInBackground(
         () -> {
           while (true) {
-            link.answer(link.call(), "done");
+            connection.answer(connection.readCall(), "done");
           }
         });
   }
 
-  static void await(String what, BooleanSupplier is) throws InterruptedException {
-    long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(WAIT_MS);
-    while (!is.getAsBoolean()) {
-      if (System.nanoTime() > end) {
-        throw new AssertionError("not within " + WAIT_MS + " ms: " + what);
+  static void await(String description, BooleanSupplier condition) throws InterruptedException {
+    long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TIMEOUT_MS);
+    while (!condition.getAsBoolean()) {
+      if (System.nanoTime() > deadlineNanos) {
+        throw new AssertionError("not within " + TIMEOUT_MS + " ms: " + description);
       }
-      Thread.sleep(NAP_MS);
+      Thread.sleep(POLL_INTERVAL_MS);
     }
   }
 
   /** Waits until the mixer holds so many connections. */
-  void awaitConnections(int many) throws InterruptedException {
-    AtomicInteger open = new AtomicInteger();
+  void awaitConnections(int expected) throws InterruptedException {
+    AtomicInteger openConnections = new AtomicInteger();
     await(
-        many + " connections",
+        expected + " connections",
         () -> {
           try {
-            inLoop(() -> open.set(serve.network().connections()));
+            runInLoop(() -> openConnections.set(server.network().connections()));
           } catch (InterruptedException e) {
             throw new AssertionError(e);
           }
-          return open.get() == many;
+          return openConnections.get() == expected;
         });
   }
 
   long count(String name) {
-    return serve.counts.get(name);
+    return server.counts.get(name);
   }
 
-  void awaitCount(String name, long least) throws InterruptedException {
-    await(name + " at " + least, () -> count(name) >= least);
+  void awaitCount(String name, long minimum) throws InterruptedException {
+    await(name + " at " + minimum, () -> count(name) >= minimum);
   }
 
   /** Waits for the end of the mixer, and returns its exit code. */
-  int ended() throws Exception {
-    return code.get(WAIT_MS, TimeUnit.MILLISECONDS);
+  int awaitExitCode() throws Exception {
+    return exitCode.get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
   }
 
-  boolean isOver() {
-    return code.isDone();
+  boolean hasExited() {
+    return exitCode.isDone();
   }
 
   // ---- connections ----
 
   /** One connection as a party has it. */
-  static class Talk implements Closeable {
+  static class TestConnection implements Closeable {
     final Socket socket;
-    private final InputStream in;
+    private final InputStream input;
 
-    Talk(Socket socket) throws IOException {
+    TestConnection(Socket socket) throws IOException {
       this.socket = socket;
       socket.setTcpNoDelay(true);
-      socket.setSoTimeout(WAIT_MS);
-      in = socket.getInputStream();
+      socket.setSoTimeout(TIMEOUT_MS);
+      input = socket.getInputStream();
     }
 
     void write(byte[] bytes) throws IOException {
@@ -315,7 +317,7 @@
 
     /** Exactly so many bytes. */
     byte[] read(int length) throws IOException {
-      byte[] bytes = in.readNBytes(length);
+      byte[] bytes = input.readNBytes(length);
       if (bytes.length < length) {
         throw new EOFException(
             "the connection ended after " + bytes.length + " bytes of " + length);
@@ -324,7 +326,7 @@
     }
 
     /** A head, as far as its empty line. */
-    String head() throws IOException {
+    String readHead() throws IOException {
       ByteArrayOutputStream head = new ByteArrayOutputStream();
       while (!head.toString(StandardCharsets.ISO_8859_1).endsWith("\r\n\r\n")) {
         head.writeBytes(read(1));
@@ -333,9 +335,9 @@
     }
 
     /** How the other side ended it, after whatever it still sent: "closed" in order, or "reset". */
-    String end() throws IOException {
+    String awaitEnd() throws IOException {
       try {
-        while (in.read() >= 0) {
+        while (input.read() >= 0) {
           // what it still says is not asked for
         }
         return "closed";
@@ -364,107 +366,107 @@
   /**
    * A party that listens; connections come up in the kernel, and are taken when they are asked for.
    */
-  private static class Door implements Closeable {
-    private ServerSocket door;
-    private final List<Talk> talks = new ArrayList<>();
-
-    Door(boolean open) throws IOException {
-      door = new ServerSocket(0, 64, InetAddress.getLoopbackAddress());
-      door.setSoTimeout(WAIT_MS);
-      if (!open) {
-        door.close();
+  private static class TestListener implements Closeable {
+    private ServerSocket serverSocket;
+    private final List<TestConnection> connections = new ArrayList<>();
+
+    TestListener(boolean listens) throws IOException {
+      serverSocket = new ServerSocket(0, 64, InetAddress.getLoopbackAddress());
+      serverSocket.setSoTimeout(TIMEOUT_MS);
+      if (!listens) {
+        serverSocket.close();
       }
     }
 
     InetSocketAddress address() {
-      return new InetSocketAddress(InetAddress.getLoopbackAddress(), door.getLocalPort());
+      return new InetSocketAddress(InetAddress.getLoopbackAddress(), serverSocket.getLocalPort());
     }
 
     Socket accept() throws IOException {
-      return door.accept();
+      return serverSocket.accept();
     }
 
     /** Whether somebody has come, and been let in. */
-    boolean talked() {
-      return !talks.isEmpty();
+    boolean hasAccepted() {
+      return !connections.isEmpty();
     }
 
     /** Whether nobody comes for so long. */
-    boolean quiet(Duration span) throws IOException {
-      door.setSoTimeout((int) span.toMillis());
+    boolean noConnectionWithin(Duration duration) throws IOException {
+      serverSocket.setSoTimeout((int) duration.toMillis());
       try {
-        talks.add(new Talk(door.accept()));
+        connections.add(new TestConnection(serverSocket.accept()));
         return false;
       } catch (java.net.SocketTimeoutException e) {
         return true;
       } finally {
-        door.setSoTimeout(WAIT_MS);
+        serverSocket.setSoTimeout(TIMEOUT_MS);
       }
     }
 
-    <T extends Talk> T keep(T talk) {
-      talks.add(talk);
-      return talk;
+    <T extends TestConnection> T closeAtEnd(T connection) {
+      connections.add(connection);
+      return connection;
     }
 
     /** From now on nobody can connect. */
-    void refuse() throws IOException {
-      door.close();
+    void stopListening() throws IOException {
+      serverSocket.close();
     }
 
     /** It can be connected to again, at the same address. */
-    void admit() throws IOException {
-      int port = door.getLocalPort();
-      door = new ServerSocket();
-      door.setReuseAddress(true);
-      door.setSoTimeout(WAIT_MS);
-      door.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), 64);
+    void resumeListening() throws IOException {
+      int port = serverSocket.getLocalPort();
+      serverSocket = new ServerSocket();
+      serverSocket.setReuseAddress(true);
+      serverSocket.setSoTimeout(TIMEOUT_MS);
+      serverSocket.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), 64);
     }
 
     @Override
     public void close() throws IOException {
-      door.close();
-      talks.forEach(Rig::end);
+      serverSocket.close();
+      connections.forEach(MixerTestHarness::closeQuietly);
     }
   }
 
   // ---- discovery ----
 
   /** Discovery's agent: it answers nothing by itself. */
-  static final class Agent extends Door {
-    Agent(boolean up) throws IOException {
-      super(up);
+  static final class DiscoveryAgent extends TestListener {
+    DiscoveryAgent(boolean listens) throws IOException {
+      super(listens);
     }
 
     /** The next call, its request read. */
-    Call call() throws IOException {
-      return keep(new Call(accept()));
+    DiscoveryConnection acceptRequest() throws IOException {
+      return closeAtEnd(new DiscoveryConnection(accept()));
     }
 
     /** The same, with the head of an answer in chunks. */
-    Call watch() throws IOException {
-      Call call = call();
-      call.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-      return call;
+    DiscoveryConnection acceptWatch() throws IOException {
+      DiscoveryConnection connection = acceptRequest();
+      connection.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+      return connection;
     }
   }
 
-  static final class Call extends Talk {
+  static final class DiscoveryConnection extends TestConnection {
     /** The request's head. */
-    final String request;
+    final String requestHead;
 
-    Call(Socket socket) throws IOException {
+    DiscoveryConnection(Socket socket) throws IOException {
       super(socket);
-      request = head();
+      requestHead = readHead();
     }
 
     /** One line as a chunk of its own. */
-    void say(String line) throws IOException {
+    void sendLine(String line) throws IOException {
       write(Integer.toHexString(line.length() + 1) + "\r\n" + line + "\n\r\n");
     }
   }
 
-  static String list(int revision, boolean complete, String... members) {
+  static String memberListLine(int revision, boolean complete, String... members) {
     return "{\"revision\":"
         + revision
         + ",\"complete\":"
@@ -477,7 +479,7 @@
   // ---- boxes ----
 
   /** A searcher; what comes to it waits until the test takes it. */
-  final class Box extends Door {
+  final class Box extends TestListener {
     final String name;
     final int cell;
     long upSinceMs;
@@ -489,11 +491,11 @@
     }
 
     /** The next connection of the mixer. */
-    Link link() throws IOException {
-      return keep(new Link(accept()));
+    BoxConnection acceptConnection() throws IOException {
+      return closeAtEnd(new BoxConnection(accept()));
     }
 
-    String member(String phase) {
+    String memberJson(String phase) {
       return "{\"id\":\""
           + name
           + "\",\"host_port\":\"127.0.0.1:"
@@ -509,75 +511,77 @@
   }
 
   Box box(String name, int cell) throws IOException {
-    return keep(new Box(name, cell));
+    return closeAtEnd(new Box(name, cell));
   }
 
   /** A frame's letter and what follows it. */
-  record Frame(char letter, byte[] rest) {
-    String text() {
-      return new String(rest, StandardCharsets.ISO_8859_1);
+  record Frame(char type, byte[] payload) {
+    String payloadText() {
+      return new String(payload, StandardCharsets.ISO_8859_1);
     }
 
     /** The parts that a call asks for, by their ids. */
-    List<String> parts() {
-      List<String> parts = new ArrayList<>();
-      int at = 0;
-      while (letter == 'S' && at < rest.length) {
-        int end = at;
-        while (rest[end] != '\n') {
+    List<String> partIds() {
+      List<String> partIds = new ArrayList<>();
+      int start = 0;
+      while (type == 'S' && start < payload.length) {
+        int end = start;
+        while (payload[end] != '\n') {
           end++;
         }
-        String[] words = new String(rest, at, end - at, StandardCharsets.ISO_8859_1).split(" ");
-        parts.add(words[0]);
-        at = end + 1 + Integer.parseInt(words[3]);
+        String[] headerFields =
+            new String(payload, start, end - start, StandardCharsets.ISO_8859_1).split(" ");
+        partIds.add(headerFields[0]);
+        start = end + 1 + Integer.parseInt(headerFields[3]);
       }
-      return parts;
+      return partIds;
     }
   }
 
   /** One connection of the mixer's to a box. */
-  static final class Link extends Talk {
-    Link(Socket socket) throws IOException {
+  static final class BoxConnection extends TestConnection {
+    BoxConnection(Socket socket) throws IOException {
       super(socket);
     }
 
-    Frame frame() throws IOException {
+    Frame readFrame() throws IOException {
       int length = ByteBuffer.wrap(read(4)).order(ByteOrder.LITTLE_ENDIAN).getInt();
       byte[] bytes = read(length);
       return new Frame((char) bytes[0], Arrays.copyOfRange(bytes, 1, length));
     }
 
     /** The next call, with probes before it answered and other frames passed over. */
-    Frame call() throws IOException {
-      Frame frame = frame();
-      while (frame.letter != 'S') {
-        if (frame.letter == 'H') {
-          write(framed('H', "done"));
-        } else if (frame.letter == 'M') {
-          write(framed('M', "depth=1,concurrent=1"));
+    Frame readCall() throws IOException {
+      Frame frame = readFrame();
+      while (frame.type != 'S') {
+        if (frame.type == 'H') {
+          write(encodeFrame('H', "done"));
+        } else if (frame.type == 'M') {
+          write(encodeFrame('M', "depth=1,concurrent=1"));
         }
-        frame = frame();
+        frame = readFrame();
       }
       return frame;
     }
 
     /** Answers every part of a call: "done" with a value, "failed" or "full". */
-    void answer(Frame call, String end) throws IOException {
-      for (String part : call.parts()) {
-        write(result(part, end));
+    void answer(Frame call, String outcome) throws IOException {
+      for (String partId : call.partIds()) {
+        write(resultFrame(partId, outcome));
       }
     }
 
-    static byte[] result(String part, String end) {
-      return framed('R', part + ' ' + end + " 7 -\n" + (end.equals("done") ? "v" + part : ""));
+    static byte[] resultFrame(String partId, String outcome) {
+      return encodeFrame(
+          'R', partId + ' ' + outcome + " 7 -\n" + (outcome.equals("done") ? "v" + partId : ""));
     }
 
-    static byte[] framed(char letter, String rest) {
-      byte[] bytes = rest.getBytes(StandardCharsets.ISO_8859_1);
+    static byte[] encodeFrame(char type, String payload) {
+      byte[] bytes = payload.getBytes(StandardCharsets.ISO_8859_1);
       return ByteBuffer.allocate(5 + bytes.length)
           .order(ByteOrder.LITTLE_ENDIAN)
           .putInt(1 + bytes.length)
-          .put((byte) letter)
+          .put((byte) type)
           .put(bytes)
           .array();
     }
@@ -586,14 +590,14 @@
   // ---- clients ----
 
   /** A client's connection. */
-  final class Client extends Talk {
+  final class Client extends TestConnection {
     private Client(Socket socket) throws IOException {
       super(socket);
     }
 
     /** The next answer: its status and, after a blank, its body. */
-    String answer() throws IOException {
-      String head = head();
+    String readAnswer() throws IOException {
+      String head = readHead();
       String length =
           Arrays.stream(head.split("\r\n"))
               .filter(line -> line.toLowerCase().startsWith("content-length:"))
@@ -607,23 +611,23 @@
     }
 
     /** Asks whether the mixer is ready. */
-    boolean ready() throws IOException {
+    boolean isReady() throws IOException {
       write("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n");
-      return answer().startsWith("200");
+      return readAnswer().startsWith("200");
     }
   }
 
-  Client client() throws Exception {
-    InetSocketAddress at = listening.get(WAIT_MS, TimeUnit.MILLISECONDS);
-    return keep(new Client(new Socket(at.getAddress(), at.getPort())));
+  Client connectClient() throws Exception {
+    InetSocketAddress address = listenAddress.get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
+    return closeAtEnd(new Client(new Socket(address.getAddress(), address.getPort())));
   }
 
   /**
-   * A request for some shards, of equal shares, with a mark of its own; {@link #lastMark} tells
-   * which.
+   * A request for some shards, of equal shares, with a mark of its own; {@link #lastTransactionId}
+   * tells which.
    */
-  String scan(String grade, int patienceMs, int... shards) {
-    marks++;
+  String scanRequest(String serviceClass, int deadlineMs, int... shards) {
+    scanCount++;
     String targets =
         Arrays.stream(shards)
             .mapToObj(
@@ -631,21 +635,23 @@
             .collect(Collectors.joining(","));
     String body = "{\"targets\":[" + targets + "],\"query\":\"q\"}";
     return "POST /api HTTP/1.1\r\nHost: x\r\nX-Txn: "
-        + lastMark()
+        + lastTransactionId()
         + "\r\nX-Lane: "
-        + grade
+        + serviceClass
         + "\r\nX-Remaining-Ms: "
-        + patienceMs
+        + deadlineMs
         + "\r\n"
-        + (grade.equals("post") ? "Idempotency-Key: " + String.format("%032x", marks) + "\r\n" : "")
+        + (serviceClass.equals("post")
+            ? "Idempotency-Key: " + String.format("%032x", scanCount) + "\r\n"
+            : "")
         + "Content-Length: "
         + body.length()
         + "\r\n\r\n"
         + body;
   }
 
-  String lastMark() {
-    return String.format("%016x", marks);
+  String lastTransactionId() {
+    return String.format("%016x", scanCount);
   }
 
   // ---- a usual beginning ----
@@ -654,45 +660,47 @@
    * Waits until the mixer says that it is ready, and has no connection left but those to discovery
    * and to the parties: what it practised on has ended.
    */
-  void ready() throws Exception {
-    Client asks = client();
+  void awaitReady() throws Exception {
+    Client client = connectClient();
     await(
         "ready",
         () -> {
           try {
-            return asks.ready();
+            return client.isReady();
           } catch (IOException e) {
             throw new AssertionError(e);
           }
         });
-    asks.close();
-    AtomicInteger open = new AtomicInteger(Integer.MAX_VALUE);
+    client.close();
+    AtomicInteger openConnections = new AtomicInteger(Integer.MAX_VALUE);
     // a watch, or as many calls for one as may be under way while discovery does not speak
-    long most =
-        (agent.talked() ? 1 : 8)
-            + parties.stream()
-                .filter(each -> each instanceof Client && !((Client) each).socket.isClosed())
+    long expectedConnections =
+        (agent.hasAccepted() ? 1 : 8)
+            + resources.stream()
+                .filter(
+                    resource ->
+                        resource instanceof Client && !((Client) resource).socket.isClosed())
                 .count();
-    for (int i = 0; open.get() > most; i++) {
-      if (i * NAP_MS > WAIT_MS) {
-        throw new AssertionError(open + " connections are left after practice");
+    for (int i = 0; openConnections.get() > expectedConnections; i++) {
+      if (i * POLL_INTERVAL_MS > TIMEOUT_MS) {
+        throw new AssertionError(openConnections + " connections are left after practice");
       }
-      Thread.sleep(NAP_MS);
-      inLoop(() -> open.set(serve.network().connections()));
+      Thread.sleep(POLL_INTERVAL_MS);
+      runInLoop(() -> openConnections.set(server.network().connections()));
     }
   }
 
   /**
    * Discovery tells of these boxes by its first line, and the mixer is ready. Returns the watch.
    */
-  Call begin(Box... boxes) throws Exception {
-    Call watch = agent.watch();
-    watch.say(
-        list(
+  DiscoveryConnection announceAndAwaitReady(Box... boxes) throws Exception {
+    DiscoveryConnection watch = agent.acceptWatch();
+    watch.sendLine(
+        memberListLine(
             1,
             true,
-            Arrays.stream(boxes).map(box -> box.member("SERVING")).toArray(String[]::new)));
-    ready();
+            Arrays.stream(boxes).map(box -> box.memberJson("SERVING")).toArray(String[]::new)));
+    awaitReady();
     return watch;
   }
 }
--- a/mixer/src/test/java/gingerring/server/OneTurnTest.java
+++ b/mixer/src/test/java/gingerring/server/OneTurnTest.java
@@ -95,21 +95,21 @@
     return pairs.stream();
   }
 
-  private Rig rig;
-  private Rig.Box b0;
-  private Rig.Box b1;
-  private Rig.Call watch;
-  private Rig.Client client;
-  private Rig.Link link;
-  private Rig.Frame call;
+  private MixerTestHarness rig;
+  private MixerTestHarness.Box b0;
+  private MixerTestHarness.Box b1;
+  private MixerTestHarness.DiscoveryConnection watch;
+  private MixerTestHarness.Client client;
+  private MixerTestHarness.BoxConnection link;
+  private MixerTestHarness.Frame call;
   private int revision = 2;
   private final AtomicInteger atOther = new AtomicInteger();
 
   @ParameterizedTest
   @MethodSource("pairs")
   void holdsTheRules(Pair pair) throws Exception {
-    try (Rig rig =
-        new Rig(
+    try (MixerTestHarness rig =
+        new MixerTestHarness(
             "{\"Name\": \"post\"",
             "{\"Name\": \"once\", \"AimMs\": 600.0, \"HardLimitMs\": 2000.0, "
                 + "\"Idempotency\": \"at_most_once\", \"LateWorth\": 0.0, \"WindowMs\": 5000.0, \"Worth\": 1.0}, "
@@ -132,16 +132,16 @@
             "\"HardLimitMs\": 40000.0")) {
       this.rig = rig;
       begin(pair.grade);
-      try (Rig.Gate gate = rig.hold()) {
+      try (MixerTestHarness.LoopGate gate = rig.pauseLoop()) {
         act(pair.first);
-        gate.posted(1);
-        int before = gate.posted();
+        gate.awaitPosted(1);
+        int before = gate.postedCount();
         act(pair.then);
         if (!pair.sameWay()) {
-          gate.posted(before + 1);
+          gate.awaitPosted(before + 1);
         }
       }
-      rig.turns(2);
+      rig.runIterations(2);
       if (pair.hasAny(LEAVES)) {
         nothingBegins(pair);
       } else {
@@ -154,12 +154,12 @@
   private void begin(String grade) throws Exception {
     b0 = rig.box("b0", 0);
     b1 = rig.box("b1", 1);
-    watch = rig.begin(b0);
-    client = rig.client();
-    client.write(rig.scan(grade, 40_000, 0));
-    link = b0.link();
-    call = link.call();
-    watch.say(Rig.list(revision, false, b1.member("SERVING")));
+    watch = rig.announceAndAwaitReady(b0);
+    client = rig.connectClient();
+    client.write(rig.scanRequest(grade, 40_000, 0));
+    link = b0.acceptConnection();
+    call = link.readCall();
+    watch.sendLine(MixerTestHarness.memberListLine(revision, false, b1.memberJson("SERVING")));
     rig.awaitCount("lists told", 2);
     Thread other = new Thread(this::serveOther, "b1");
     other.setDaemon(true);
@@ -170,14 +170,14 @@
   private void serveOther() {
     try {
       while (true) {
-        Rig.Link its = b1.link();
+        MixerTestHarness.BoxConnection its = b1.acceptConnection();
         Thread each =
             new Thread(
                 () -> {
                   try {
                     while (true) {
-                      Rig.Frame frame = its.call();
-                      atOther.addAndGet(frame.parts().size());
+                      MixerTestHarness.Frame frame = its.readCall();
+                      atOther.addAndGet(frame.partIds().size());
                       its.answer(frame, "done");
                     }
                   } catch (IOException e) {
@@ -199,25 +199,31 @@
       case ANSWER -> link.answer(call, "done");
       case FAILED -> link.answer(call, "failed");
       case FULL -> link.answer(call, "full");
-      case SPOILT -> link.write(Rig.Link.framed('R', "nonsense"));
+      case SPOILT -> link.write(MixerTestHarness.BoxConnection.encodeFrame('R', "nonsense"));
       case RESET -> link.reset();
       case CLOSE -> link.close();
       case CLIENT_RESETS -> client.reset();
       case CLIENT_CLOSES -> client.close();
       case CLIENT_FLOODS -> client.write(new byte[3000]);
-      case OTHER_DRAINS -> watch.say(Rig.list(revision, false, b1.member("DRAINING")));
-      case IT_DRAINS -> watch.say(Rig.list(revision, false, b0.member("DRAINING")));
-      case IT_GOES -> watch.say(Rig.list(revision, false, b0.member("DELETED")));
+      case OTHER_DRAINS ->
+          watch.sendLine(
+              MixerTestHarness.memberListLine(revision, false, b1.memberJson("DRAINING")));
+      case IT_DRAINS ->
+          watch.sendLine(
+              MixerTestHarness.memberListLine(revision, false, b0.memberJson("DRAINING")));
+      case IT_GOES ->
+          watch.sendLine(
+              MixerTestHarness.memberListLine(revision, false, b0.memberJson("DELETED")));
       case IT_STARTED_ANEW -> {
         b0.upSinceMs = System.currentTimeMillis() + 1;
-        watch.say(Rig.list(revision, false, b0.member("SERVING")));
+        watch.sendLine(MixerTestHarness.memberListLine(revision, false, b0.memberJson("SERVING")));
       }
       case WATCH_RESET -> watch.reset();
       case DISCOVERY_MOVES -> {
-        rig.configure(rig.keep(new Rig.Agent(true)).address());
-        rig.serve.reload();
+        rig.writeConfig(rig.closeAtEnd(new MixerTestHarness.DiscoveryAgent(true)).address());
+        rig.server.reload();
       }
-      case END -> rig.serve.loop.post(rig.serve::announceEnd);
+      case END -> rig.server.loop.post(rig.server::announceEnd);
     }
   }
 
@@ -225,13 +231,13 @@
   private void nothingBegins(Pair pair) throws Exception {
     rig.awaitCount("clients that left", pair.has(Event.ANSWER) || pair.hasAny(BY_THE_LINK) ? 0 : 1);
     int sent = atOther.get();
-    assertTrue(b0.quiet(QUIET), pair + ": nothing is sent on");
+    assertTrue(b0.noConnectionWithin(QUIET), pair + ": nothing is sent on");
     assertEquals(sent, atOther.get(), pair + ": nothing is sent on");
     // by the time its leaving was read nothing had begun, unless the end of its part was read
     // before it
     boolean mayHaveBegun = BY_THE_LINK.contains(pair.first) || pair.first == Event.IT_STARTED_ANEW;
     assertTrue(mayHaveBegun || sent == 0, pair + ": nothing had begun");
-    client = rig.client();
+    client = rig.connectClient();
   }
 
   /** The one final answer that the rules allow, and no effect twice. */
@@ -244,7 +250,7 @@
     if (!pair.hasAny(BY_THE_LINK) && !pair.has(Event.IT_STARTED_ANEW)) {
       link.answer(call, "done"); // none of the two ended the part: it ends well
     }
-    String answer = client.answer();
+    String answer = client.readAnswer();
     // the end of a process may be told before what it said last, which then is not heard
     boolean neverRan =
         pair.first == Event.FULL
@@ -276,15 +282,15 @@
     } catch (SocketTimeoutException e) {
       // it stays open, and says nothing more
     }
-    client.socket.setSoTimeout(Rig.WAIT_MS);
+    client.socket.setSoTimeout(MixerTestHarness.TIMEOUT_MS);
   }
 
   /** Whatever crossed, the mixer goes on. */
   private void stillServes(Pair pair) throws Exception {
     if (!pair.has(Event.END)) {
-      Rig.Client next = rig.client();
+      MixerTestHarness.Client next = rig.connectClient();
       next.write("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n");
-      assertTrue(next.answer().startsWith("200"), pair + ": still ready");
+      assertTrue(next.readAnswer().startsWith("200"), pair + ": still ready");
     }
   }
 }
--- a/mixer/src/test/java/gingerring/server/SearcherCloseCrossingTest.java
+++ b/mixer/src/test/java/gingerring/server/SearcherCloseCrossingTest.java
@@ -56,7 +56,7 @@
     CLOSE,
     RESET;
 
-    void act(Rig.Link link) throws IOException {
+    void act(MixerTestHarness.BoxConnection link) throws IOException {
       switch (this) {
         case HALF_CLOSE -> link.halfClose();
         case CLOSE -> link.close();
@@ -108,7 +108,7 @@
 
   private static void await(CountDownLatch latch) {
     try {
-      assertTrue(latch.await(Rig.WAIT_MS, TimeUnit.MILLISECONDS));
+      assertTrue(latch.await(MixerTestHarness.TIMEOUT_MS, TimeUnit.MILLISECONDS));
     } catch (InterruptedException e) {
       throw new AssertionError(e);
     }
@@ -121,16 +121,16 @@
    */
   private static final class Stage implements Closeable {
     final Brake brake = new Brake();
-    final Rig rig;
-    final Rig.Box b0;
-    final Rig.Link link;
-    final Rig.Link[] others = new Rig.Link[2];
-    final Rig.Client client;
+    final MixerTestHarness rig;
+    final MixerTestHarness.Box b0;
+    final MixerTestHarness.BoxConnection link;
+    final MixerTestHarness.BoxConnection[] others = new MixerTestHarness.BoxConnection[2];
+    final MixerTestHarness.Client client;
 
     /** {@code windowMs}: of the class that may run again in it. */
     Stage(int windowMs) throws Exception {
       rig =
-          new Rig(
+          new MixerTestHarness(
               brake,
               true,
               "{\"Name\": \"post\"",
@@ -157,33 +157,33 @@
               "\"WindowMs\": 5000.0",
               "\"WindowMs\": " + windowMs + ".0");
       b0 = rig.box("b0", 0);
-      Rig.Box b1 = rig.box("b1", 1);
-      Rig.Box b2 = rig.box("b2", 3);
-      rig.begin(b0, b1, b2);
-      Rig.Box[] boxes = {b1, b2};
+      MixerTestHarness.Box b1 = rig.box("b1", 1);
+      MixerTestHarness.Box b2 = rig.box("b2", 3);
+      rig.announceAndAwaitReady(b0, b1, b2);
+      MixerTestHarness.Box[] boxes = {b1, b2};
       for (int i = 0; i < 2; i++) {
         for (int calls = 0; calls < 2; calls++) {
-          rig.client().write(scan("search", i + 1));
-          others[i] = calls == 0 ? boxes[i].link() : others[i];
-          others[i].call();
+          rig.connectClient().write(scan("search", i + 1));
+          others[i] = calls == 0 ? boxes[i].acceptConnection() : others[i];
+          others[i].readCall();
         }
       }
-      client = rig.client();
+      client = rig.connectClient();
       client.write(scan("search", 0));
-      link = b0.link();
-      link.answer(link.call(), "done");
-      assertTrue(client.answer().startsWith("200"));
+      link = b0.acceptConnection();
+      link.answer(link.readCall(), "done");
+      assertTrue(client.readAnswer().startsWith("200"));
     }
 
     String scan(String grade, int... shards) {
-      return rig.scan(grade, 40_000, shards);
+      return rig.scanRequest(grade, 40_000, shards);
     }
 
     /** The part comes to another box, by itself, and is done there. */
     void goesElsewhere(int shard) throws IOException {
-      Rig.Link other = others[shard == 0 ? 0 : 1];
-      Rig.Frame call = other.call();
-      assertEquals(List.of(rig.lastMark() + '.' + shard), call.parts());
+      MixerTestHarness.BoxConnection other = others[shard == 0 ? 0 : 1];
+      MixerTestHarness.Frame call = other.readCall();
+      assertEquals(List.of(rig.lastTransactionId() + '.' + shard), call.partIds());
       other.answer(call, "done");
     }
 
@@ -193,14 +193,15 @@
     void nothingElseIsSent() throws Exception {
       for (int i = 0; i < others.length; i++) {
         int shard = i + 1;
-        rig.client().write(scan("search", shard));
-        assertEquals(List.of(rig.lastMark() + '.' + shard), others[i].call().parts());
+        rig.connectClient().write(scan("search", shard));
+        assertEquals(
+            List.of(rig.lastTransactionId() + '.' + shard), others[i].readCall().partIds());
       }
     }
 
     /** The client's answer, after which it is told nothing more. */
     String onlyAnswer() throws IOException {
-      String answer = client.answer();
+      String answer = client.readAnswer();
       client.halfClose();
       assertEquals(0, rest(client), "one answer");
       return answer;
@@ -219,7 +220,7 @@
   }
 
   /** How many bytes come until the mixer ends the connection in order. */
-  private static int rest(Rig.Talk talk) throws IOException {
+  private static int rest(MixerTestHarness.TestConnection talk) throws IOException {
     return talk.socket.getInputStream().readAllBytes().length;
   }
 
@@ -232,22 +233,22 @@
   void aCloseHeardInTheTurnOfAScanCostsItNothing(Play play) throws Exception {
     try (Stage stage = new Stage(5000)) {
       boolean closeFirst = play.flag;
-      try (Rig.Gate gate = stage.rig.hold()) {
+      try (MixerTestHarness.LoopGate gate = stage.rig.pauseLoop()) {
         if (closeFirst) {
           play.how.act(stage.link);
-          gate.posted(1);
+          gate.awaitPosted(1);
         }
-        int before = gate.posted();
+        int before = gate.postedCount();
         stage.client.write(stage.scan(play.grade, 0));
-        gate.posted(before + 1);
+        gate.awaitPosted(before + 1);
         if (!closeFirst) {
           play.how.act(stage.link);
-          gate.posted(before + 2);
+          gate.awaitPosted(before + 2);
         }
       }
-      Rig.Link next = stage.b0.link();
-      Rig.Frame call = next.call();
-      assertEquals(List.of(stage.rig.lastMark() + ".0"), call.parts());
+      MixerTestHarness.BoxConnection next = stage.b0.acceptConnection();
+      MixerTestHarness.Frame call = next.readCall();
+      assertEquals(List.of(stage.rig.lastTransactionId() + ".0"), call.partIds());
       next.answer(call, "done");
       assertTrue(stage.onlyAnswer().startsWith("200 {\"whole\":true"));
       if (play.how == How.HALF_CLOSE) {
@@ -268,10 +269,10 @@
     try (Stage stage = new Stage(5000)) {
       CountDownLatch inTurn = new CountDownLatch(1);
       CountDownLatch goOn = new CountDownLatch(1);
-      try (Rig.Gate gate = stage.rig.hold()) {
+      try (MixerTestHarness.LoopGate gate = stage.rig.pauseLoop()) {
         stage.client.write(stage.scan(play.grade, 0));
-        gate.posted(1);
-        stage.rig.serve.loop.post(
+        gate.awaitPosted(1);
+        stage.rig.server.loop.post(
             () -> {
               inTurn.countDown();
               await(goOn);
@@ -279,7 +280,7 @@
       }
       await(inTurn); // the scan is in this turn, and what is posted from now on is not
       play.how.act(stage.link);
-      Rig.await("the word of the close", () -> stage.rig.serve.loop.posted() >= 1);
+      MixerTestHarness.await("the word of the close", () -> stage.rig.server.loop.posted() >= 1);
       goOn.countDown();
       stage.goesElsewhere(0);
       assertTrue(stage.onlyAnswer().startsWith("200 {\"whole\":true"));
@@ -301,21 +302,22 @@
   @MethodSource("playsOnce")
   void aPartWrittenOverAnUnreadCloseMayHaveRun(Play play) throws Exception {
     try (Stage stage = new Stage(5000)) {
-      Rig.Client braking = stage.rig.client();
+      MixerTestHarness.Client braking = stage.rig.connectClient();
       braking.write("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n");
-      assertTrue(braking.answer().startsWith("200"));
-      try (Rig.Gate gate = stage.rig.hold()) {
+      assertTrue(braking.readAnswer().startsWith("200"));
+      try (MixerTestHarness.LoopGate gate = stage.rig.pauseLoop()) {
         stage.client.write(stage.scan(play.grade, 0));
-        gate.posted(1);
+        gate.awaitPosted(1);
         braking.write("GET /ready HTTP/1.1\r\nHost: x\r\n" + Brake.MARK + ": 1\r\n\r\n");
         await(stage.brake.reached);
         play.how.act(stage.link);
       }
-      stage.rig.turns(2); // the part is MINA's, which writes before it reads again
+      stage.rig.runIterations(2); // the part is MINA's, which writes before it reads again
       stage.brake.released.countDown();
       boolean mayHaveRun = play.how != How.RESET;
       if (play.how == How.HALF_CLOSE) {
-        assertEquals(List.of(stage.rig.lastMark() + ".0"), stage.link.call().parts());
+        assertEquals(
+            List.of(stage.rig.lastTransactionId() + ".0"), stage.link.readCall().partIds());
         assertEquals(0, rest(stage.link));
       }
       endsByClass(stage, play, mayHaveRun);
@@ -343,10 +345,10 @@
   void aPartThatWasReadIsSentAgainWhereItsClassAllowsIt(Play play) throws Exception {
     try (Stage stage = new Stage(5000)) {
       stage.client.write(stage.scan(play.grade, 0));
-      assertEquals(List.of(stage.rig.lastMark() + ".0"), stage.link.call().parts());
-      try (Rig.Gate gate = stage.rig.hold()) {
+      assertEquals(List.of(stage.rig.lastTransactionId() + ".0"), stage.link.readCall().partIds());
+      try (MixerTestHarness.LoopGate gate = stage.rig.pauseLoop()) {
         play.how.act(stage.link);
-        gate.posted(1);
+        gate.awaitPosted(1);
       }
       endsByClass(stage, play, true);
       stage.counted(1, 0);
@@ -360,12 +362,13 @@
     int windowMs = 100;
     try (Stage stage = new Stage(windowMs)) {
       stage.client.write(stage.scan("post", 0));
-      assertEquals(List.of(stage.rig.lastMark() + ".0"), stage.link.call().parts());
+      assertEquals(List.of(stage.rig.lastTransactionId() + ".0"), stage.link.readCall().partIds());
       long read = System.nanoTime();
-      try (Rig.Gate gate = stage.rig.hold()) {
-        Rig.await("the end of the window", () -> System.nanoTime() - read > windowMs * 1_000_000L);
+      try (MixerTestHarness.LoopGate gate = stage.rig.pauseLoop()) {
+        MixerTestHarness.await(
+            "the end of the window", () -> System.nanoTime() - read > windowMs * 1_000_000L);
         how.act(stage.link);
-        gate.posted(1);
+        gate.awaitPosted(1);
       }
       assertTrue(stage.onlyAnswer().startsWith("500"));
       stage.nothingElseIsSent();
@@ -385,15 +388,16 @@
       try (Stage stage = new Stage(5000)) {
         int open = 3 - answered;
         stage.client.write(stage.scan(play.grade, 0, 3));
-        String mark = stage.rig.lastMark();
-        assertEquals(2, stage.link.call().parts().size());
-        try (Rig.Gate gate = stage.rig.hold()) {
-          byte[] half = Rig.Link.result(mark + '.' + open, "done");
-          stage.link.write(Rig.Link.result(mark + '.' + answered, "done"));
+        String mark = stage.rig.lastTransactionId();
+        assertEquals(2, stage.link.readCall().partIds().size());
+        try (MixerTestHarness.LoopGate gate = stage.rig.pauseLoop()) {
+          byte[] half = MixerTestHarness.BoxConnection.resultFrame(mark + '.' + open, "done");
+          stage.link.write(
+              MixerTestHarness.BoxConnection.resultFrame(mark + '.' + answered, "done"));
           stage.link.write(play.flag ? Arrays.copyOf(half, half.length - 1) : new byte[0]);
-          gate.posted(1);
+          gate.awaitPosted(1);
           play.how.act(stage.link);
-          gate.posted(2);
+          gate.awaitPosted(2);
         }
         if (play.repeats()) {
           stage.goesElsewhere(open);
@@ -461,7 +465,7 @@
     final Back back;
     final Duration dialTimeOut;
     ServerSocket door = new ServerSocket(0, 8, InetAddress.getLoopbackAddress());
-    final List<Rig.Link> links = new ArrayList<>();
+    final List<MixerTestHarness.BoxConnection> links = new ArrayList<>();
 
     /** The words that the dials are up, or refused. */
     final List<Runnable> words = new ArrayList<>();
@@ -479,7 +483,7 @@
       Settings terms = new Settings(flat);
       back = new Back(network, this, terms, counts, turns);
       dialTimeOut = terms.span("PolicyLimits.DialTimeoutMs");
-      door.setSoTimeout(Rig.WAIT_MS);
+      door.setSoTimeout(MixerTestHarness.TIMEOUT_MS);
       back.listed(ID, (InetSocketAddress) door.getLocalSocketAddress(), null);
     }
 
@@ -498,7 +502,7 @@
       back.probe(ID);
       turn();
       assertEquals(words.size() + 1, counts.get("links dialled"));
-      links.add(new Rig.Link(door.accept()));
+      links.add(new MixerTestHarness.BoxConnection(door.accept()));
       words.add(next());
     }
 
@@ -512,7 +516,7 @@
       int port = door.getLocalPort();
       door = new ServerSocket();
       door.setReuseAddress(true);
-      door.setSoTimeout(Rig.WAIT_MS);
+      door.setSoTimeout(MixerTestHarness.TIMEOUT_MS);
       door.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), 8);
     }
 
@@ -522,8 +526,9 @@
     }
 
     Runnable next() throws InterruptedException {
-      Runnable event = turns.posted.poll(Rig.WAIT_MS, TimeUnit.MILLISECONDS);
-      assertTrue(event != null, "nothing is heard of within " + Rig.WAIT_MS + " ms");
+      Runnable event = turns.posted.poll(MixerTestHarness.TIMEOUT_MS, TimeUnit.MILLISECONDS);
+      assertTrue(
+          event != null, "nothing is heard of within " + MixerTestHarness.TIMEOUT_MS + " ms");
       return event;
     }
 
@@ -545,11 +550,11 @@
     }
 
     void probeComesBy(int link) throws IOException {
-      assertEquals('H', links.get(link).frame().letter());
+      assertEquals('H', links.get(link).readFrame().type());
     }
 
     void answer(int link) throws Exception {
-      links.get(link).write(Rig.Link.framed('H', "done"));
+      links.get(link).write(MixerTestHarness.BoxConnection.encodeFrame('H', "done"));
       until(() -> told.size() == 1);
       assertEquals(List.of(Outcome.SUCCEEDED), told);
     }
@@ -562,7 +567,7 @@
       dialsTimePasses();
       back.closeIdle(ID);
       until(() -> network.connections() == 0);
-      for (Rig.Link link : links) {
+      for (MixerTestHarness.BoxConnection link : links) {
         if (!link.socket.isClosed()) {
           assertEquals(0, rest(link));
         }
@@ -581,7 +586,7 @@
     @Override
     public void close() throws IOException {
       network.dispose();
-      for (Rig.Link link : links) {
+      for (MixerTestHarness.BoxConnection link : links) {
         link.close();
       }
       door.close();
@@ -694,7 +699,7 @@
       dials.dialsTimePasses();
       assertEquals(List.of(Outcome.TIMED_OUT), dials.told);
       dials.told.clear();
-      dials.links.get(first).write(Rig.Link.framed('H', "failed"));
+      dials.links.get(first).write(MixerTestHarness.BoxConnection.encodeFrame('H', "failed"));
       dials.back.probe(Dials.ID);
       dials.turn();
       dials.probeComesBy(1 - first);
@@ -714,7 +719,7 @@
       dials.turn(dials.words.get(first), dials.words.get(1 - first));
       dials.probeComesBy(first);
       dials.until(dials.network::unsentFree);
-      dials.links.get(first).write(Rig.Link.framed('H', "done"));
+      dials.links.get(first).write(MixerTestHarness.BoxConnection.encodeFrame('H', "done"));
       dials.turns.now = dials.turns.now.plus(dials.dialTimeOut);
       dials.turn(dials.next());
       dials.overWith(Outcome.SUCCEEDED);
@@ -809,7 +814,7 @@
       dials.back.probe(Dials.ID);
       dials.turn();
       assertEquals(2, dials.counts.get("links dialled"));
-      dials.links.add(new Rig.Link(dials.door.accept()));
+      dials.links.add(new MixerTestHarness.BoxConnection(dials.door.accept()));
       Runnable up = dials.next();
       switch (order) {
         case REFUSED_FIRST -> {
@@ -843,7 +848,7 @@
       dials.back.probe(Dials.ID);
       dials.turn();
       assertEquals(3, dials.counts.get("links dialled"));
-      dials.links.add(new Rig.Link(dials.door.accept()));
+      dials.links.add(new MixerTestHarness.BoxConnection(dials.door.accept()));
       if (secondUpFirst) {
         dials.turn(dials.words.get(0), dials.words.get(1));
       } else {
--- a/mixer/src/test/java/gingerring/server/SearcherCrossingTest.java
+++ b/mixer/src/test/java/gingerring/server/SearcherCrossingTest.java
@@ -24,23 +24,24 @@
     return Arrays.stream(all).flatMap(Arrays::stream).toArray(String[]::new);
   }
 
-  private static Rig.Call begin(Rig rig, String... members) throws Exception {
-    Rig.Call watch = rig.agent.watch();
-    watch.say(Rig.list(1, true, members));
-    rig.ready();
+  private static MixerTestHarness.DiscoveryConnection begin(MixerTestHarness rig, String... members)
+      throws Exception {
+    MixerTestHarness.DiscoveryConnection watch = rig.agent.acceptWatch();
+    watch.sendLine(MixerTestHarness.memberListLine(1, true, members));
+    rig.awaitReady();
     return watch;
   }
 
   /** Nothing but probes comes for a while. */
-  private static boolean noCall(Rig.Link link) throws IOException {
+  private static boolean noCall(MixerTestHarness.BoxConnection link) throws IOException {
     link.socket.setSoTimeout(SOON_MS);
     try {
-      link.call();
+      link.readCall();
       return false;
     } catch (SocketTimeoutException e) {
       return true;
     } finally {
-      link.socket.setSoTimeout(Rig.WAIT_MS);
+      link.socket.setSoTimeout(MixerTestHarness.TIMEOUT_MS);
     }
   }
 
@@ -50,11 +51,11 @@
   @Test
   void aPartThatWaitsForADialIsNotSentOnceItsClientHasLeft() throws Exception {
     for (String[] cancel : new String[][] {NO_CANCEL, {}}) {
-      try (Rig rig = new Rig(swaps(cancel, PATIENT_DIALS))) {
-        Late late = rig.keep(new Late("late", 0));
+      try (MixerTestHarness rig = new MixerTestHarness(swaps(cancel, PATIENT_DIALS))) {
+        Late late = rig.closeAtEnd(new Late("late", 0));
         begin(rig, late.member("SERVING"));
-        Rig.Client client = rig.client();
-        client.write(rig.scan("search", 2000, 0));
+        MixerTestHarness.Client client = rig.connectClient();
+        client.write(rig.scanRequest("search", 2000, 0));
         rig.awaitCount("links dialled", 1);
         client.close();
         rig.awaitCount("clients that left", 1);
@@ -69,15 +70,15 @@
   @Test
   void aPartThatWaitsForADialIsNotSentOnceItsScanIsAnswered() throws Exception {
     for (String[] cancel : new String[][] {NO_CANCEL, {}}) {
-      try (Rig rig = new Rig(swaps(cancel, PATIENT_DIALS))) {
-        Late late = rig.keep(new Late("late", 3));
-        Rig.Box box = rig.box("box", 1);
-        begin(rig, late.member("SERVING"), box.member("SERVING"));
-        Rig.Client client = rig.client();
-        client.write(rig.scan("search", 2000, 0, 2));
-        Rig.Link link = box.link();
-        link.answer(link.call(), "done");
-        assertTrue(client.answer().startsWith("200 {\"whole\":false"));
+      try (MixerTestHarness rig = new MixerTestHarness(swaps(cancel, PATIENT_DIALS))) {
+        Late late = rig.closeAtEnd(new Late("late", 3));
+        MixerTestHarness.Box box = rig.box("box", 1);
+        begin(rig, late.member("SERVING"), box.memberJson("SERVING"));
+        MixerTestHarness.Client client = rig.connectClient();
+        client.write(rig.scanRequest("search", 2000, 0, 2));
+        MixerTestHarness.BoxConnection link = box.acceptConnection();
+        link.answer(link.readCall(), "done");
+        assertTrue(client.readAnswer().startsWith("200 {\"whole\":false"));
         late.letGo();
         assertTrue(noCall(late.link()));
         assertEquals(1, rig.count("trips NOT_SENT"));
@@ -91,12 +92,12 @@
   @Test
   void aPartThatWaitsForADialIsNotSentOnceItsScanIsGivenUp() throws Exception {
     for (String[] cancel : new String[][] {NO_CANCEL, {}}) {
-      try (Rig rig = new Rig(swaps(cancel, PATIENT_DIALS))) {
-        Late late = rig.keep(new Late("late", 0));
+      try (MixerTestHarness rig = new MixerTestHarness(swaps(cancel, PATIENT_DIALS))) {
+        Late late = rig.closeAtEnd(new Late("late", 0));
         begin(rig, late.member("SERVING"));
-        Rig.Client client = rig.client();
-        client.write(rig.scan("post", 2000, 0));
-        assertTrue(client.answer().startsWith("50"));
+        MixerTestHarness.Client client = rig.connectClient();
+        client.write(rig.scanRequest("post", 2000, 0));
+        assertTrue(client.readAnswer().startsWith("50"));
         late.letGo();
         assertTrue(noCall(late.link()));
         assertEquals(1, rig.count("trips NOT_SENT"));
@@ -123,26 +124,26 @@
   @Test
   void aPartThatWaitsForADialIsNotSentPastItsCopysWindow() throws Exception {
     for (boolean copied : new boolean[] {true, false}) {
-      try (Rig rig = new Rig(swaps(SHORT_WINDOW, PATIENT_DIALS))) {
-        Late late = rig.keep(new Late("late", 0));
-        Rig.Call watch = begin(rig, late.member("SERVING"));
-        Rig.Client client = rig.client();
-        client.write(rig.scan("post", 2000, 0));
+      try (MixerTestHarness rig = new MixerTestHarness(swaps(SHORT_WINDOW, PATIENT_DIALS))) {
+        Late late = rig.closeAtEnd(new Late("late", 0));
+        MixerTestHarness.DiscoveryConnection watch = begin(rig, late.member("SERVING"));
+        MixerTestHarness.Client client = rig.connectClient();
+        client.write(rig.scanRequest("post", 2000, 0));
         rig.awaitCount("links dialled", 1);
-        Rig.Box other = rig.box("other", 1);
+        MixerTestHarness.Box other = rig.box("other", 1);
         if (copied) {
           // what is late by half of its time is copied, and its window is as long as that
-          watch.say(Rig.list(2, false, other.member("SERVING")));
-          assertEquals(1, other.link().call().parts().size());
+          watch.sendLine(MixerTestHarness.memberListLine(2, false, other.memberJson("SERVING")));
+          assertEquals(1, other.acceptConnection().readCall().partIds().size());
         }
         late.letGo(); // it comes up a second after it was dialled, or two
-        Rig.Link link = late.link();
+        MixerTestHarness.BoxConnection link = late.link();
         if (copied) {
           assertTrue(noCall(link));
           rig.awaitCount("trips NOT_SENT", 1);
         } else {
-          link.answer(link.call(), "done");
-          assertTrue(client.answer().startsWith("200"));
+          link.answer(link.readCall(), "done");
+          assertTrue(client.readAnswer().startsWith("200"));
         }
       }
     }
@@ -154,21 +155,21 @@
    */
   @Test
   void aPartIsNotSentOnceItsTimeHasPassedWithinTheTurnThatTookIt() throws Exception {
-    try (Rig rig = new Rig()) {
-      Rig.Box box = rig.box("b0", 0);
-      rig.begin(box);
-      Rig.Client client = rig.client();
-      client.write(rig.scan("search", 2000, 0));
-      Rig.Link link = box.link();
-      link.answer(link.call(), "done");
-      assertTrue(client.answer().startsWith("200"));
-      try (Rig.Gate gate = rig.hold()) {
-        client.write(rig.scan("search", 2000, 0));
-        gate.posted(1);
-        Duration over = rig.serve.loop.clock().plusMillis(2100);
-        rig.serve.loop.post(
+    try (MixerTestHarness rig = new MixerTestHarness()) {
+      MixerTestHarness.Box box = rig.box("b0", 0);
+      rig.announceAndAwaitReady(box);
+      MixerTestHarness.Client client = rig.connectClient();
+      client.write(rig.scanRequest("search", 2000, 0));
+      MixerTestHarness.BoxConnection link = box.acceptConnection();
+      link.answer(link.readCall(), "done");
+      assertTrue(client.readAnswer().startsWith("200"));
+      try (MixerTestHarness.LoopGate gate = rig.pauseLoop()) {
+        client.write(rig.scanRequest("search", 2000, 0));
+        gate.awaitPosted(1);
+        Duration over = rig.server.loop.clock().plusMillis(2100);
+        rig.server.loop.post(
             () -> { // the process stands still within the turn
-              while (rig.serve.loop.clock().compareTo(over) < 0) {
+              while (rig.server.loop.clock().compareTo(over) < 0) {
                 Thread.onSpinWait();
               }
             });
@@ -193,26 +194,28 @@
   void aPartIsNotSentByAConnectionThatComesUpInTheTurnThatEndsIt() throws Exception {
     for (While event : While.values()) {
       for (boolean upFirst : new boolean[] {true, false}) {
-        try (Rig rig = new Rig(swaps(LONG_AIM, PATIENT_DIALS))) {
-          Late late = rig.keep(new Late("late", 0));
-          Rig.Call watch = begin(rig, late.member("SERVING"));
-          Rig.Client client = rig.client();
-          client.write(rig.scan("search", 2900, 0));
+        try (MixerTestHarness rig = new MixerTestHarness(swaps(LONG_AIM, PATIENT_DIALS))) {
+          Late late = rig.closeAtEnd(new Late("late", 0));
+          MixerTestHarness.DiscoveryConnection watch = begin(rig, late.member("SERVING"));
+          MixerTestHarness.Client client = rig.connectClient();
+          client.write(rig.scanRequest("search", 2900, 0));
           rig.awaitCount("links dialled", 1);
-          rig.turns(3);
-          try (Rig.Gate gate = rig.hold()) {
-            int before = gate.posted();
+          rig.runIterations(3);
+          try (MixerTestHarness.LoopGate gate = rig.pauseLoop()) {
+            int before = gate.postedCount();
             if (upFirst) {
               late.letGo();
-              gate.posted(before + 1);
+              gate.awaitPosted(before + 1);
             }
             switch (event) {
               case LEAVES -> client.close();
-              case DRAINS -> watch.say(Rig.list(2, false, late.member("DRAINING")));
-              case GOES -> watch.say(Rig.list(2, true));
+              case DRAINS ->
+                  watch.sendLine(
+                      MixerTestHarness.memberListLine(2, false, late.member("DRAINING")));
+              case GOES -> watch.sendLine(MixerTestHarness.memberListLine(2, true));
               case STARTED_ANEW ->
-                  watch.say(
-                      Rig.list(
+                  watch.sendLine(
+                      MixerTestHarness.memberListLine(
                           2,
                           false,
                           late.member("SERVING")
@@ -220,16 +223,16 @@
                                   "\"up_since_ms\":0",
                                   "\"up_since_ms\":" + System.currentTimeMillis())));
             }
-            gate.posted(before + (upFirst ? 2 : 1));
+            gate.awaitPosted(before + (upFirst ? 2 : 1));
             if (!upFirst) {
               late.letGo();
-              gate.posted(before + 2);
+              gate.awaitPosted(before + 2);
             }
           }
           String what = event + ", up first: " + upFirst;
-          Rig.Link link = late.link();
+          MixerTestHarness.BoxConnection link = late.link();
           if (event == While.GOES || event == While.STARTED_ANEW) {
-            link.end(); // the mixer closes its end too
+            link.awaitEnd(); // the mixer closes its end too
           } else {
             assertTrue(noCall(link), what);
           }
@@ -237,21 +240,21 @@
           assertEquals(0, rig.count("trips UNREACHABLE"), what);
           assertEquals(0, rig.count("trips BROKEN"), what);
           if (event != While.LEAVES) {
-            assertTrue(client.answer().startsWith("503"), what);
+            assertTrue(client.readAnswer().startsWith("503"), what);
           }
         }
       }
     }
   }
 
-  private static String scan(Rig rig, int patienceMs, int queryLength, int shard) {
+  private static String scan(MixerTestHarness rig, int patienceMs, int queryLength, int shard) {
     String body =
         "{\"targets\":[{\"partition\":"
             + shard
             + ",\"share\":1}],\"query\":\""
             + "x".repeat(queryLength)
             + "\"}";
-    String head = rig.scan("search", patienceMs, shard);
+    String head = rig.scanRequest("search", patienceMs, shard);
     return head.substring(0, head.indexOf("Content-Length"))
         + "Content-Length: "
         + body.length()
@@ -265,8 +268,8 @@
    */
   @Test
   void whatASearcherDoesNotReadIsKeptBackOnceItDrains() throws Exception {
-    try (Rig rig =
-        new Rig(
+    try (MixerTestHarness rig =
+        new MixerTestHarness(
             swaps(
                 LONG_AIM,
                 PATIENT_DIALS,
@@ -280,29 +283,29 @@
                   "\"Cancel\": true",
                   "\"Cancel\": false"
                 }))) {
-      Late box = rig.keep(Late.narrow("box", 0));
-      Rig.Call watch = begin(rig, box.member("SERVING"));
+      Late box = rig.closeAtEnd(Late.narrow("box", 0));
+      MixerTestHarness.DiscoveryConnection watch = begin(rig, box.member("SERVING"));
       int large = 80; // more than the kernel takes for it
       int small = 10; // room for so few bytes there would be
       for (int i = 0; i < large + small; i++) {
-        rig.client().write(scan(rig, 2900, i < large ? 60_000 : 100, 0));
+        rig.connectClient().write(scan(rig, 2900, i < large ? 60_000 : 100, 0));
         if (i == large - 1) {
           rig.awaitCount("scans taken", large);
-          rig.turns(3);
+          rig.runIterations(3);
         }
       }
       rig.awaitCount("scans taken", large + small);
-      rig.turns(3);
+      rig.runIterations(3);
       long refused = rig.count("nacks"); // on a machine that is too busy
-      watch.say(Rig.list(2, false, box.member("DRAINING")));
+      watch.sendLine(MixerTestHarness.memberListLine(2, false, box.member("DRAINING")));
       rig.awaitCount("trips NOT_SENT", 1);
-      rig.turns(3);
+      rig.runIterations(3);
       long kept = rig.count("trips NOT_SENT");
-      Rig.Link link = box.link();
+      MixerTestHarness.BoxConnection link = box.link();
       for (int parts = 0; parts < large + small - kept - refused; ) {
-        Rig.Frame call = link.call();
-        parts += call.parts().size();
-        assertTrue(call.rest().length > 60_000, "the small ones came last");
+        MixerTestHarness.Frame call = link.readCall();
+        parts += call.partIds().size();
+        assertTrue(call.payload().length > 60_000, "the small ones came last");
       }
       assertTrue(noCall(link), kept + " were kept back");
     }
@@ -311,24 +314,24 @@
   /** Guards against settings by which every connection counts as idle for too long. */
   @Test
   void aConnectionIsUsedAgainWhereItsIdleTimeIsUnderADialsTime() throws Exception {
-    try (Rig rig =
-        new Rig(
+    try (MixerTestHarness rig =
+        new MixerTestHarness(
             "\"DialTimeoutMs\": 250.0",
             "\"DialTimeoutMs\": 8000.0",
             "\"ConnIdleMs\": 30000.0",
             "\"ConnIdleMs\": 6000.0")) {
-      Rig.Box box = rig.box("box", 0);
-      begin(rig, box.member("SERVING"));
-      Rig.Client client = rig.client();
-      client.write(rig.scan("search", 2000, 0));
-      Rig.Link link = box.link();
+      MixerTestHarness.Box box = rig.box("box", 0);
+      begin(rig, box.memberJson("SERVING"));
+      MixerTestHarness.Client client = rig.connectClient();
+      client.write(rig.scanRequest("search", 2000, 0));
+      MixerTestHarness.BoxConnection link = box.acceptConnection();
       for (int i = 0; i < 3; i++) {
-        link.answer(link.call(), "done");
-        assertTrue(client.answer().startsWith("200"));
-        client.write(rig.scan("search", 2000, 0));
+        link.answer(link.readCall(), "done");
+        assertTrue(client.readAnswer().startsWith("200"));
+        client.write(rig.scanRequest("search", 2000, 0));
       }
-      link.answer(link.call(), "done");
-      assertTrue(client.answer().startsWith("200"));
+      link.answer(link.readCall(), "done");
+      assertTrue(client.readAnswer().startsWith("200"));
       assertEquals(1, rig.count("links dialled"));
     }
   }
@@ -339,19 +342,19 @@
    */
   @Test
   void aConnectionThatComesUpAfterItsTimeIsUsedByTheNextPart() throws Exception {
-    try (Rig rig = new Rig()) {
-      Late late = rig.keep(new Late("late", 0));
+    try (MixerTestHarness rig = new MixerTestHarness()) {
+      Late late = rig.closeAtEnd(new Late("late", 0));
       begin(rig, late.member("SERVING"));
-      Rig.Client client = rig.client();
-      client.write(rig.scan("search", 2000, 0));
-      assertTrue(client.answer().startsWith("503"));
+      MixerTestHarness.Client client = rig.connectClient();
+      client.write(rig.scanRequest("search", 2000, 0));
+      assertTrue(client.readAnswer().startsWith("503"));
       assertEquals(1, rig.count("trips UNREACHABLE"));
       late.letGo();
-      Rig.Link link = late.link();
+      MixerTestHarness.BoxConnection link = late.link();
       assertTrue(noCall(link)); // the part that waited for it has gone elsewhere
-      client.write(rig.scan("search", 2000, 0));
-      link.answer(link.call(), "done");
-      assertTrue(client.answer().startsWith("200"));
+      client.write(rig.scanRequest("search", 2000, 0));
+      link.answer(link.readCall(), "done");
+      assertTrue(client.readAnswer().startsWith("200"));
       assertEquals(1, rig.count("links dialled"));
     }
   }
@@ -363,27 +366,27 @@
    */
   @Test
   void theOldestOfTwoLateDialsMakesRoomForTheNext() throws Exception {
-    try (Rig rig = new Rig()) {
-      Late late = rig.keep(new Late("late", 0));
+    try (MixerTestHarness rig = new MixerTestHarness()) {
+      Late late = rig.closeAtEnd(new Late("late", 0));
       begin(rig, late.member("SERVING"));
-      Rig.Client client = rig.client();
+      MixerTestHarness.Client client = rig.connectClient();
       for (int dials = 1; dials <= 2; dials++) {
-        client.write(rig.scan("search", 2000, 0));
-        assertTrue(client.answer().startsWith("50"));
+        client.write(rig.scanRequest("search", 2000, 0));
+        assertTrue(client.readAnswer().startsWith("50"));
         assertEquals(dials, rig.count("links dialled"));
       }
       rig.awaitCount("links dialled", 3); // by the probe that ends a bench
       AtomicInteger open = new AtomicInteger();
-      rig.inLoop(() -> open.set(rig.serve.network().connections()));
+      rig.runInLoop(() -> open.set(rig.server.network().connections()));
       assertEquals(4, open.get()); // discovery, the client, and two dials
       late.letGo();
-      Rig.Link link = late.link();
+      MixerTestHarness.BoxConnection link = late.link();
       Thread answers =
           new Thread(
               () -> {
                 try {
                   while (true) {
-                    link.answer(link.call(), "done");
+                    link.answer(link.readCall(), "done");
                   }
                 } catch (IOException e) {
                   // the test is over
@@ -392,12 +395,12 @@
               "searcher");
       answers.setDaemon(true);
       answers.start();
-      Rig.await(
+      MixerTestHarness.await(
           "a scan that is served",
           () -> {
             try {
-              client.write(rig.scan("search", 2000, 0));
-              return client.answer().startsWith("200");
+              client.write(rig.scanRequest("search", 2000, 0));
+              return client.readAnswer().startsWith("200");
             } catch (IOException e) {
               throw new AssertionError(e);
             }
--- a/mixer/src/test/java/gingerring/server/SettingsTest.java
+++ b/mixer/src/test/java/gingerring/server/SettingsTest.java
@@ -219,43 +219,43 @@
   @ParameterizedTest
   @MethodSource("served")
   void isServed(Served settings) throws Exception {
-    try (Rig rig = new Rig(settings.swaps)) {
-      Rig.Box box = rig.box("b0", 0);
+    try (MixerTestHarness rig = new MixerTestHarness(settings.swaps)) {
+      MixerTestHarness.Box box = rig.box("b0", 0);
       answerAll(box);
-      rig.begin(box);
-      Rig.Client client = rig.client();
+      rig.announceAndAwaitReady(box);
+      MixerTestHarness.Client client = rig.connectClient();
       for (int i = 0; i < 3; i++) {
-        client.write(rig.scan("search", 2000, 0, 3));
+        client.write(rig.scanRequest("search", 2000, 0, 3));
         assertEquals(
             "200 {\"whole\":true,\"results\":[{\"partition\":0,\"value\":\"v"
-                + rig.lastMark()
+                + rig.lastTransactionId()
                 + ".0\"},{\"partition\":3,\"value\":\"v"
-                + rig.lastMark()
+                + rig.lastTransactionId()
                 + ".3\"}]}",
-            client.answer());
-        client.write(rig.scan("post", 2000, 0));
+            client.readAnswer());
+        client.write(rig.scanRequest("post", 2000, 0));
         assertEquals(
             "200 {\"whole\":true,\"results\":[{\"partition\":0,\"value\":\"v"
-                + rig.lastMark()
+                + rig.lastTransactionId()
                 + ".0\"}]}",
-            client.answer());
+            client.readAnswer());
       }
       assertTrue(
-          rig.serve.counts.toString().contains("whole answers 6"), rig.serve.counts.toString());
+          rig.server.counts.toString().contains("whole answers 6"), rig.server.counts.toString());
     }
   }
 
   /** A searcher that has just started is sent something: it is warm later. */
   @Test
   void aColdSearcherAloneIsAsked() throws Exception {
-    try (Rig rig = new Rig()) {
-      Rig.Box box = rig.box("b0", 0);
+    try (MixerTestHarness rig = new MixerTestHarness()) {
+      MixerTestHarness.Box box = rig.box("b0", 0);
       box.upSinceMs = System.currentTimeMillis();
       answerAll(box);
-      rig.begin(box);
-      Rig.Client client = rig.client();
-      client.write(rig.scan("search", 2000, 0));
-      assertTrue(client.answer().startsWith("200"));
+      rig.announceAndAwaitReady(box);
+      MixerTestHarness.Client client = rig.connectClient();
+      client.write(rig.scanRequest("search", 2000, 0));
+      assertTrue(client.readAnswer().startsWith("200"));
     }
   }
 
@@ -264,30 +264,31 @@
    */
   @Test
   void endsInOrderWhereTheLongestPatienceIsUnderTheLastCall() throws Exception {
-    try (Rig rig = new Rig("\"HardLimitMs\": 2000.0", "\"HardLimitMs\": 190.0")) {
-      Rig.Box box = rig.box("b0", 0);
-      rig.begin(box);
-      Rig.Client client = rig.client();
-      assertTrue(client.ready());
-      client.write(rig.scan("search", 2000, 0));
-      box.link().call(); // and nothing comes back
-      rig.serve.loop.post(rig.serve::announceEnd);
-      String answer = client.answer();
+    try (MixerTestHarness rig =
+        new MixerTestHarness("\"HardLimitMs\": 2000.0", "\"HardLimitMs\": 190.0")) {
+      MixerTestHarness.Box box = rig.box("b0", 0);
+      rig.announceAndAwaitReady(box);
+      MixerTestHarness.Client client = rig.connectClient();
+      assertTrue(client.isReady());
+      client.write(rig.scanRequest("search", 2000, 0));
+      box.acceptConnection().readCall(); // and nothing comes back
+      rig.server.loop.post(rig.server::announceEnd);
+      String answer = client.readAnswer();
       assertTrue(answer.startsWith("50"), answer);
-      assertEquals(0, rig.ended());
+      assertEquals(0, rig.awaitExitCode());
     }
   }
 
   /** The box has all that it is asked for, on whatever connection, until the rig ends it. */
-  static void answerAll(Rig.Box box) {
+  static void answerAll(MixerTestHarness.Box box) {
     daemon(
         () -> {
           while (true) {
-            Rig.Link link = box.link();
+            MixerTestHarness.BoxConnection link = box.acceptConnection();
             daemon(
                 () -> {
                   while (true) {
-                    link.answer(link.call(), "done");
+                    link.answer(link.readCall(), "done");
                   }
                 });
           }
--- a/mixer/src/test/java/gingerring/server/WatchAnswerTest.java
+++ b/mixer/src/test/java/gingerring/server/WatchAnswerTest.java
@@ -31,7 +31,8 @@
   /**
    * Writes, and waits until the watch has read it: the loop is idle while the agent says nothing.
    */
-  private static void trickle(WatchStage stage, Rig.Call call, String text) throws Exception {
+  private static void trickle(
+      WatchStage stage, MixerTestHarness.DiscoveryConnection call, String text) throws Exception {
     stage.hold(
         () -> {
           call.write(text);
@@ -49,8 +50,8 @@
     for (boolean orderly : new boolean[] {true, false}) {
       try (WatchStage stage = stage()) {
         stage.inLoop(stage.watch::fetch);
-        Rig.Call fetch = stage.agent.call();
-        trickle(stage, fetch, BARE + Rig.list(42, true));
+        MixerTestHarness.DiscoveryConnection fetch = stage.agent.acceptRequest();
+        trickle(stage, fetch, BARE + MixerTestHarness.memberListLine(42, true));
         if (orderly) {
           fetch.halfClose();
           assertEquals("list 42", stage.next());
@@ -75,10 +76,10 @@
       for (boolean orderly : new boolean[] {true, false}) {
         try (WatchStage stage = stage()) {
           stage.open();
-          Rig.Call watch = stage.agent.call();
-          String last = Rig.list(43, false);
+          MixerTestHarness.DiscoveryConnection watch = stage.agent.acceptRequest();
+          String last = MixerTestHarness.memberListLine(43, false);
           boolean chunks = head.equals(CHUNKS);
-          String line = Rig.list(42, true) + "\n";
+          String line = MixerTestHarness.memberListLine(42, true) + "\n";
           trickle(
               stage,
               watch,
@@ -111,8 +112,8 @@
     for (boolean orderly : new boolean[] {true, false}) {
       try (WatchStage stage = stage()) {
         stage.inLoop(stage.watch::fetch);
-        Rig.Call fetch = stage.agent.call();
-        String list = Rig.list(42, true);
+        MixerTestHarness.DiscoveryConnection fetch = stage.agent.acceptRequest();
+        String list = MixerTestHarness.memberListLine(42, true);
         trickle(stage, fetch, BARE + list.substring(0, list.length() - 1));
         if (orderly) {
           fetch.close();
@@ -129,7 +130,7 @@
   /** With a length, or in chunks, an orderly close before the end is none. */
   @Test
   void anAnswerWithALengthDoesNotEndByAClose() throws Exception {
-    String list = Rig.list(42, true);
+    String list = MixerTestHarness.memberListLine(42, true);
     for (String head :
         new String[] {
           "HTTP/1.1 200 OK\r\nContent-Length: " + (list.length() + 1) + "\r\n\r\n",
@@ -137,7 +138,7 @@
         }) {
       try (WatchStage stage = stage()) {
         stage.inLoop(stage.watch::fetch);
-        Rig.Call fetch = stage.agent.call();
+        MixerTestHarness.DiscoveryConnection fetch = stage.agent.acceptRequest();
         trickle(stage, fetch, head + list);
         fetch.close();
         assertEquals("failed", stage.next());
@@ -149,7 +150,7 @@
   /** Guards against an answer that never ends: each byte came in time, and no line ever did. */
   @Test
   void anAnswerThatTricklesIsGivenUpInTime() throws Exception {
-    String list = Rig.list(42, true);
+    String list = MixerTestHarness.memberListLine(42, true);
     String line = Integer.toHexString(list.length() + 1) + "\r\n" + list + "\n\r\n";
     for (String[] parts :
         new String[][] {
@@ -165,7 +166,7 @@
         }) {
       try (WatchStage stage = stage()) {
         stage.open();
-        Rig.Call call = stage.agent.call();
+        MixerTestHarness.DiscoveryConnection call = stage.agent.acceptRequest();
         if (!parts[0].isEmpty()) {
           trickle(stage, call, parts[0]);
         }
@@ -180,7 +181,7 @@
         }
         assertEquals("failed", stage.next());
         assertTrue(passed > LINE_MS, parts[0] + " was given up after " + passed);
-        assertTrue(call.end().matches("closed|reset"));
+        assertTrue(call.awaitEnd().matches("closed|reset"));
       }
     }
   }
@@ -199,7 +200,7 @@
         }) {
       try (WatchStage stage = stage()) {
         stage.open();
-        Rig.Call call = stage.agent.call();
+        MixerTestHarness.DiscoveryConnection call = stage.agent.acceptRequest();
         Thread bound = endAfterAWhile(call); // a write that nobody reads has no time-out of its own
         call.write(parts[0]);
         int pieces = 0;
@@ -220,12 +221,12 @@
     }
   }
 
-  private static Thread endAfterAWhile(Rig.Call call) {
+  private static Thread endAfterAWhile(MixerTestHarness.DiscoveryConnection call) {
     Thread thread =
         new Thread(
             () -> {
               try {
-                Thread.sleep(Rig.WAIT_MS);
+                Thread.sleep(MixerTestHarness.TIMEOUT_MS);
                 call.reset();
               } catch (InterruptedException | java.io.IOException e) {
                 // it was not needed, or had ended
@@ -244,15 +245,16 @@
   void aListThatCannotBeUsedIsAskedForAgainFromTheSameRevision() throws Exception {
     try (WatchStage stage = stage()) {
       stage.open();
-      Rig.Call watch = stage.agent.watch();
-      watch.say(Rig.list(42, true));
+      MixerTestHarness.DiscoveryConnection watch = stage.agent.acceptWatch();
+      watch.sendLine(MixerTestHarness.memberListLine(42, true));
       assertEquals("list 42", stage.next());
       stage.pass(2000);
-      watch.say(Rig.list(43, false, "{\"id\":\"s-1\",\"phase\":\"PAUSED\"}"));
+      watch.sendLine(
+          MixerTestHarness.memberListLine(43, false, "{\"id\":\"s-1\",\"phase\":\"PAUSED\"}"));
       assertEquals("failed", stage.next());
-      Rig.Call again = stage.agent.watch();
-      assertTrue(again.request.contains("index=42 "), again.request);
-      again.say(Rig.list(43, false));
+      MixerTestHarness.DiscoveryConnection again = stage.agent.acceptWatch();
+      assertTrue(again.requestHead.contains("index=42 "), again.requestHead);
+      again.sendLine(MixerTestHarness.memberListLine(43, false));
       assertEquals("list 43", stage.next());
     }
   }
@@ -265,13 +267,13 @@
   void revisionsThatJumpAreTakenAndThoseThatGoBackAreNot() throws Exception {
     try (WatchStage stage = stage()) {
       stage.open();
-      Rig.Call watch = stage.agent.watch();
-      watch.say(Rig.list(9_000_000, false));
+      MixerTestHarness.DiscoveryConnection watch = stage.agent.acceptWatch();
+      watch.sendLine(MixerTestHarness.memberListLine(9_000_000, false));
       assertEquals("list 9000000", stage.next());
-      watch.say(Rig.list(9_000_000, false));
-      watch.say(Rig.list(8, false));
-      watch.say(Rig.list(8, true));
-      watch.say(Rig.list(9_000_000, true));
+      watch.sendLine(MixerTestHarness.memberListLine(9_000_000, false));
+      watch.sendLine(MixerTestHarness.memberListLine(8, false));
+      watch.sendLine(MixerTestHarness.memberListLine(8, true));
+      watch.sendLine(MixerTestHarness.memberListLine(9_000_000, true));
       assertEquals("list 9000000", stage.next());
       assertNull(stage.told.poll());
       assertEquals(1, stage.counts.get("lists older than the one held"));
--- a/mixer/src/test/java/gingerring/server/WatchCrossingTest.java
+++ b/mixer/src/test/java/gingerring/server/WatchCrossingTest.java
@@ -28,9 +28,10 @@
 
   private static final int SILENCE_MS = 2500;
 
-  private static Rig.Call speaking(WatchStage stage, int revision) throws Exception {
-    Rig.Call watch = stage.agent.watch();
-    watch.say(Rig.list(revision, true));
+  private static MixerTestHarness.DiscoveryConnection speaking(WatchStage stage, int revision)
+      throws Exception {
+    MixerTestHarness.DiscoveryConnection watch = stage.agent.acceptWatch();
+    watch.sendLine(MixerTestHarness.memberListLine(revision, true));
     assertEquals("list " + revision, stage.next());
     return watch;
   }
@@ -39,7 +40,8 @@
   private static void passRefused(WatchStage stage, int ms, int step) throws InterruptedException {
     for (int i = 0; i <= ms; i += step) {
       // refusals come in their own time, from the network
-      Rig.await("refusals", () -> stage.counts.get("discovery failures") >= stage.calls());
+      MixerTestHarness.await(
+          "refusals", () -> stage.counts.get("discovery failures") >= stage.calls());
       if (i < ms) {
         stage.pass(step);
       }
@@ -54,9 +56,9 @@
   void whileRefusedItCallsTwiceWithinTheGraceAndIsToldAtTheReturn() throws Exception {
     try (WatchStage stage = new WatchStage(true, PUSHED, GRACE_MS)) {
       stage.open();
-      Rig.Call watch = speaking(stage, 42);
+      MixerTestHarness.DiscoveryConnection watch = speaking(stage, 42);
       stage.pass(SILENCE_MS - 100);
-      stage.agent.refuse();
+      stage.agent.stopListening();
       watch.reset();
       assertEquals(
           "failed", stage.next()); // of the watch, and of the call that followed it at once
@@ -64,9 +66,14 @@
       passRefused(stage, 3000, 50);
       assertEquals(2 + 3000 / PACE_MS, stage.calls());
       assertNull(stage.told.poll(), "what it calls by itself is not told as failed");
-      stage.agent.admit();
+      stage.agent.resumeListening();
       stage.pass(PACE_MS);
-      assertTrue(stage.agent.call().request.startsWith("GET /v1/endpoints?stream=1&index=42 "));
+      assertTrue(
+          stage
+              .agent
+              .acceptRequest()
+              .requestHead
+              .startsWith("GET /v1/endpoints?stream=1&index=42 "));
     }
   }
 
@@ -79,26 +86,26 @@
     for (boolean oldest : new boolean[] {true, false}) {
       try (WatchStage stage = new WatchStage(true, PUSHED, GRACE_MS)) {
         stage.open();
-        Rig.Call watch = speaking(stage, 42);
+        MixerTestHarness.DiscoveryConnection watch = speaking(stage, 42);
         stage.pass(SILENCE_MS);
         assertEquals("failed", stage.next());
-        assertEquals("closed", watch.end());
-        List<Rig.Call> calls = new ArrayList<>();
+        assertEquals("closed", watch.awaitEnd());
+        List<MixerTestHarness.DiscoveryConnection> calls = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-          calls.add(stage.agent.call());
+          calls.add(stage.agent.acceptRequest());
           stage.pass(i < 3 ? PACE_MS : PACE_MS - 1);
         }
         assertEquals(1 + 4, stage.calls());
-        Rig.Call first = calls.remove(oldest ? 0 : 3);
+        MixerTestHarness.DiscoveryConnection first = calls.remove(oldest ? 0 : 3);
         first.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-        first.say(Rig.list(43, false));
+        first.sendLine(MixerTestHarness.memberListLine(43, false));
         assertEquals("list 43", stage.next());
-        for (Rig.Call other : calls) {
-          assertEquals("closed", other.end());
+        for (MixerTestHarness.DiscoveryConnection other : calls) {
+          assertEquals("closed", other.awaitEnd());
         }
         stage.pass(2 * PACE_MS);
-        first.say("");
-        first.say(Rig.list(44, false));
+        first.sendLine("");
+        first.sendLine(MixerTestHarness.memberListLine(44, false));
         assertEquals("list 44", stage.next());
         stage.pass(SILENCE_MS - 1);
         assertEquals(1 + 4, stage.calls());
@@ -115,20 +122,20 @@
   void ofTwoThatSpeakInOneTurnTheFirstIsTheWatch() throws Exception {
     try (WatchStage stage = new WatchStage(true, PUSHED, GRACE_MS)) {
       stage.open();
-      Rig.Call one = stage.agent.watch();
+      MixerTestHarness.DiscoveryConnection one = stage.agent.acceptWatch();
       stage.pass(PACE_MS);
-      Rig.Call two = stage.agent.watch();
+      MixerTestHarness.DiscoveryConnection two = stage.agent.acceptWatch();
       stage.inLoop(() -> {}); // both heads are read
       stage.hold(
           () -> {
-            two.say(Rig.list(43, false));
+            two.sendLine(MixerTestHarness.memberListLine(43, false));
             stage.posted(1);
-            one.say(Rig.list(44, false));
+            one.sendLine(MixerTestHarness.memberListLine(44, false));
             stage.posted(2);
           });
       assertEquals("list 43", stage.next());
-      assertEquals("closed", one.end());
-      two.say(Rig.list(44, false));
+      assertEquals("closed", one.awaitEnd());
+      two.sendLine(MixerTestHarness.memberListLine(44, false));
       assertEquals("list 44", stage.next());
       assertEquals(0, stage.counts.get("discovery failures"));
     }
@@ -148,16 +155,16 @@
           stage.pass(SILENCE_MS - 1);
           assertEquals(1, stage.calls());
           if (refused) {
-            stage.agent.refuse();
+            stage.agent.stopListening();
           }
           stage.pass(1);
           assertEquals("failed", stage.next());
           assertEquals(2, stage.calls());
           if (refused) {
             assertEquals("failed", stage.next());
-            stage.agent.admit();
+            stage.agent.resumeListening();
           } else {
-            stage.agent.call();
+            stage.agent.acceptRequest();
           }
           // nobody asks: by itself it calls again, twice before its time is over; the first of them
           // is silent too
@@ -165,14 +172,14 @@
           stage.pass(SLOWEST_MS);
           assertTrue(stage.calls() > calls);
           for (long i = calls; i < stage.calls(); i++) {
-            stage.agent.call();
+            stage.agent.acceptRequest();
           }
           calls = stage.calls();
           stage.pass(way.equals(PUSHED) ? 500 : SLOWEST_MS);
           assertEquals(calls + 1, stage.calls());
           assertTrue(SILENCE_MS + 2 * SLOWEST_MS < 6000);
-          Rig.Call next = stage.agent.watch();
-          next.say(Rig.list(43, false));
+          MixerTestHarness.DiscoveryConnection next = stage.agent.acceptWatch();
+          next.sendLine(MixerTestHarness.memberListLine(43, false));
           String told = stage.next();
           assertEquals("list 43", "failed".equals(told) ? stage.next() : told);
         }
@@ -187,8 +194,8 @@
       stage.open();
       for (int i = 0; i < 8; i++) {
         assertEquals(1 + i, stage.calls());
-        Rig.Call watch = stage.agent.watch();
-        watch.say(Rig.list(42 + i, false));
+        MixerTestHarness.DiscoveryConnection watch = stage.agent.acceptWatch();
+        watch.sendLine(MixerTestHarness.memberListLine(42 + i, false));
         assertEquals("list " + (42 + i), stage.next());
         watch.close();
         stage.awaitCount("discovery failures", i + 1);
@@ -240,11 +247,11 @@
     try (WatchStage stage = new WatchStage(true, PUSHED, 0)) {
       stage.open();
       for (int i = 0; i < 32; i++) {
-        Rig.Call trickle = stage.agent.call();
+        MixerTestHarness.DiscoveryConnection trickle = stage.agent.acceptRequest();
         trickle.write("HTTP/1.1 200 OK\r\n");
         stage.pass(125);
         assertEquals(2 + i, stage.calls());
-        Rig.await("eight connections at most", () -> stage.network.connections() <= 8);
+        MixerTestHarness.await("eight connections at most", () -> stage.network.connections() <= 8);
       }
     }
   }
@@ -270,11 +277,11 @@
     try (WatchStage stage = new WatchStage(true, PUSHED, graceMs)) {
       stage.asksAgainAfter(750);
       stage.open();
-      Rig.Call watch = speaking(stage, 42);
+      MixerTestHarness.DiscoveryConnection watch = speaking(stage, 42);
       stage.pass(2000);
       long before = stage.calls();
       if (refused) {
-        stage.agent.refuse();
+        stage.agent.stopListening();
         watch.reset();
         stage.awaitCount("discovery failures", 2);
         passRefused(stage, 10_000, 1);
--- a/mixer/src/test/java/gingerring/server/WatchDialCrossingTest.java
+++ b/mixer/src/test/java/gingerring/server/WatchDialCrossingTest.java
@@ -113,7 +113,7 @@
       throws Exception {
     boolean[] settled =
         new boolean[1]; // else an earlier request's leaving would stand for another event
-    Rig.await(
+    MixerTestHarness.await(
         "all that was put leaves",
         () -> {
           try {
@@ -148,7 +148,7 @@
             case UP -> {
               goes.countDown();
               there = stage.agent.accept();
-              there.setSoTimeout(Rig.WAIT_MS);
+              there.setSoTimeout(MixerTestHarness.TIMEOUT_MS);
             }
             case SPEAKS -> there.getOutputStream().write(words.getBytes());
             case CLOSES -> there.close();
@@ -171,7 +171,7 @@
 
   private static void stand(CountDownLatch until) {
     try {
-      if (!until.await(Rig.WAIT_MS, TimeUnit.MILLISECONDS)) {
+      if (!until.await(MixerTestHarness.TIMEOUT_MS, TimeUnit.MILLISECONDS)) {
         throw new AssertionError("nothing lets it go on");
       }
     } catch (InterruptedException e) {
@@ -182,7 +182,7 @@
   /** So many connections are in hand, each counts once against the bound, and no other. */
   private static void held(WatchStage stage, int many) throws Exception {
     int[] held = new int[2];
-    Rig.await(
+    MixerTestHarness.await(
         many + " connections in hand",
         () -> {
           try {
@@ -206,10 +206,11 @@
 
   /** What a call for a watch is answered, as far as its first line. */
   private static String line(int revision) {
-    return "HTTP/1.1 200 OK\r\n\r\n" + Rig.list(revision, true) + "\n";
+    return "HTTP/1.1 200 OK\r\n\r\n" + MixerTestHarness.memberListLine(revision, true) + "\n";
   }
 
-  private static void speak(WatchStage stage, Rig.Call call, int revision) throws Exception {
+  private static void speak(
+      WatchStage stage, MixerTestHarness.DiscoveryConnection call, int revision) throws Exception {
     call.write(line(revision));
     assertEquals("list " + revision, stage.next());
   }
@@ -221,7 +222,7 @@
   }
 
   private static String answer(int revision) {
-    String list = Rig.list(revision, true);
+    String list = MixerTestHarness.memberListLine(revision, true);
     return "HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list;
   }
 
@@ -243,7 +244,7 @@
           assertEquals(1, stage.calls(), steps.toString());
           stage.pass(1);
           assertEquals(2, stage.calls(), steps.toString());
-          speak(stage, stage.agent.call(), 43);
+          speak(stage, stage.agent.acceptRequest(), 43);
           told(stage, List.of());
           held(stage, 1);
         }
@@ -308,7 +309,7 @@
         PLAYS,
         (steps, at, what) -> {
           try (WatchStage stage = stage("automatic");
-              Rig.Agent there = new Rig.Agent(true)) {
+              MixerTestHarness.DiscoveryAgent there = new MixerTestHarness.DiscoveryAgent(true)) {
             Socket former =
                 cross(
                     stage,
@@ -323,7 +324,7 @@
               expected.add("failed");
             }
             told(stage, expected);
-            Rig.Call watch = there.call();
+            MixerTestHarness.DiscoveryConnection watch = there.acceptRequest();
             assertEquals(2, stage.calls());
             if (!spoke && !ends(steps) && !steps.contains(Step.SPEAKS)) {
               endsUnasked(former);
@@ -353,9 +354,9 @@
         PLAYS,
         (steps, at, what) -> {
           try (WatchStage stage = stage("automatic");
-              Rig.Agent there = new Rig.Agent(true)) {
+              MixerTestHarness.DiscoveryAgent there = new MixerTestHarness.DiscoveryAgent(true)) {
             stage.open();
-            Rig.Call former = stage.agent.call();
+            MixerTestHarness.DiscoveryConnection former = stage.agent.acceptRequest();
             speak(stage, former, 42);
             Socket fetch =
                 cross(
@@ -374,13 +375,13 @@
               endsUnasked(fetch);
             }
             held(stage, 2 + anew); // the former watch, the new one, and the list asked for anew
-            Rig.Call watch = null;
+            MixerTestHarness.DiscoveryConnection watch = null;
             for (int i = 0; i <= anew; i++) {
-              Rig.Call call = there.call();
-              watch = call.request.contains("stream=1") ? call : watch;
+              MixerTestHarness.DiscoveryConnection call = there.acceptRequest();
+              watch = call.requestHead.contains("stream=1") ? call : watch;
             }
             speak(stage, watch, 7);
-            assertEquals("closed", former.end());
+            assertEquals("closed", former.awaitEnd());
             held(stage, 1 + anew);
             told(stage, List.of());
             assertEquals(3 + anew, stage.calls());
@@ -413,7 +414,7 @@
             assertEquals(1, stage.calls());
             stage.pass(1);
             assertEquals(2, stage.calls());
-            speak(stage, stage.agent.call(), 43);
+            speak(stage, stage.agent.acceptRequest(), 43);
             held(stage, 1);
             told(stage, List.of());
           }
@@ -449,7 +450,7 @@
             assertEquals(1, stage.calls());
             told(stage, List.of());
             stage.open(); // and it is opened again as ever
-            speak(stage, stage.agent.call(), 43);
+            speak(stage, stage.agent.acceptRequest(), 43);
             held(stage, 1);
           }
         });
@@ -466,7 +467,7 @@
         (steps, at, what) -> {
           try (WatchStage stage = stage("automatic")) {
             stage.open();
-            Rig.Call one = stage.agent.call();
+            MixerTestHarness.DiscoveryConnection one = stage.agent.acceptRequest();
             Socket two =
                 cross(
                     stage,
@@ -479,7 +480,7 @@
             told(stage, List.of(second ? "list 43" : "list 42"));
             assertEquals(2, stage.calls());
             if (second) {
-              one.end();
+              one.awaitEnd();
             } else if (!ends(steps) && !steps.contains(Step.SPEAKS)) {
               endsUnasked(two);
             }
@@ -492,12 +493,13 @@
             stage.pass(1);
             assertEquals(none ? 3 : 2, stage.calls());
             if (none) {
-              speak(stage, stage.agent.call(), 44);
+              speak(stage, stage.agent.acceptRequest(), 44);
             } else if (!second) {
-              one.write(Rig.list(44, false) + "\n");
+              one.write(MixerTestHarness.memberListLine(44, false) + "\n");
               assertEquals("list 44", stage.next());
             } else {
-              two.getOutputStream().write((Rig.list(44, false) + "\n").getBytes());
+              two.getOutputStream()
+                  .write((MixerTestHarness.memberListLine(44, false) + "\n").getBytes());
               assertEquals("list 44", stage.next());
             }
             held(stage, 1);
@@ -516,38 +518,40 @@
       each(
           SILENT_PLAYS,
           (steps, at, what) -> {
-            try (Rig rig =
-                    new Rig(
+            try (MixerTestHarness rig =
+                    new MixerTestHarness(
                         "\"HardLimitMs\": 2000.0",
                         "\"HardLimitMs\": 100.0",
                         "\"AimMs\": 600.0",
                         "\"AimMs\": 60.0");
-                Rig.Agent next = new Rig.Agent(true)) {
-              Rig.Call former = rig.begin(rig.box("b0", 0));
-              rig.configure(next.address());
+                MixerTestHarness.DiscoveryAgent next = new MixerTestHarness.DiscoveryAgent(true)) {
+              MixerTestHarness.DiscoveryConnection former =
+                  rig.announceAndAwaitReady(rig.box("b0", 0));
+              rig.writeConfig(next.address());
               CountDownLatch reached = new CountDownLatch(1);
               CountDownLatch goes = new CountDownLatch(1);
               CountDownLatch released = new CountDownLatch(1);
-              Runnable end = atOnce ? rig.serve.loop::stop : rig.serve::announceEnd;
+              Runnable end = atOnce ? rig.server.loop::stop : rig.server::announceEnd;
               Socket there = null;
-              try (Rig.Gate gate = rig.hold()) { // what is posted behind it is one turn
-                rig.serve.loop.post(
+              try (MixerTestHarness.LoopGate gate =
+                  rig.pauseLoop()) { // what is posted behind it is one turn
+                rig.server.loop.post(
                     () -> {
                       reached.countDown();
                       stand(goes);
                     });
-                rig.serve.reload();
-                rig.serve.loop.post(
+                rig.server.reload();
+                rig.server.loop.post(
                     () -> {
-                      rig.serve.network().flush(); // what the move dialled goes on
+                      rig.server.network().flush(); // what the move dialled goes on
                       stand(released);
                     });
               }
               stand(reached);
-              int events = rig.serve.loop.posted();
+              int events = rig.server.loop.posted();
               for (int i = 0; i <= steps.size(); i++) {
                 if (i == at) {
-                  rig.serve.loop.post(end);
+                  rig.server.loop.post(end);
                   events++;
                 }
                 if (i < steps.size()) {
@@ -563,11 +567,12 @@
                     }
                   }
                   int least = ++events;
-                  Rig.await("events before the loop", () -> rig.serve.loop.posted() >= least);
+                  MixerTestHarness.await(
+                      "events before the loop", () -> rig.server.loop.posted() >= least);
                 }
               }
               released.countDown();
-              assertEquals(0, rig.ended(), what);
+              assertEquals(0, rig.awaitExitCode(), what);
               there.close();
               former.close();
               assertEquals(atOnce ? 0 : 1, rig.count("ends announced"));
--- a/mixer/src/test/java/gingerring/server/WatchMoveTest.java
+++ b/mixer/src/test/java/gingerring/server/WatchMoveTest.java
@@ -19,11 +19,12 @@
     return new WatchStage(true, "automatic", GRACE_MS);
   }
 
-  private static Rig.Call speaking(WatchStage stage, Rig.Agent agent, int index, int revision)
+  private static MixerTestHarness.DiscoveryConnection speaking(
+      WatchStage stage, MixerTestHarness.DiscoveryAgent agent, int index, int revision)
       throws Exception {
-    Rig.Call watch = agent.watch();
-    assertTrue(watch.request.contains("?stream=1&index=" + index + ' '), watch.request);
-    watch.say(Rig.list(revision, true));
+    MixerTestHarness.DiscoveryConnection watch = agent.acceptWatch();
+    assertTrue(watch.requestHead.contains("?stream=1&index=" + index + ' '), watch.requestHead);
+    watch.sendLine(MixerTestHarness.memberListLine(revision, true));
     assertEquals("list " + revision, stage.next());
     return watch;
   }
@@ -43,21 +44,21 @@
   @Test
   void theFormerWatchIsHeardUntilTheFirstListFromTheNewAddress() throws Exception {
     try (WatchStage stage = stage();
-        Rig.Agent there = new Rig.Agent(true)) {
+        MixerTestHarness.DiscoveryAgent there = new MixerTestHarness.DiscoveryAgent(true)) {
       stage.open();
-      Rig.Call former = speaking(stage, stage.agent, 41, 42);
+      MixerTestHarness.DiscoveryConnection former = speaking(stage, stage.agent, 41, 42);
       stage.move(there.address());
-      Rig.Call watch = there.watch();
-      assertTrue(watch.request.contains("index=0 "), watch.request);
-      former.say(Rig.list(43, false));
+      MixerTestHarness.DiscoveryConnection watch = there.acceptWatch();
+      assertTrue(watch.requestHead.contains("index=0 "), watch.requestHead);
+      former.sendLine(MixerTestHarness.memberListLine(43, false));
       assertEquals("list 43", stage.next());
-      watch.say("");
-      former.say(Rig.list(44, false));
+      watch.sendLine("");
+      former.sendLine(MixerTestHarness.memberListLine(44, false));
       assertEquals("list 44", stage.next());
-      watch.say(Rig.list(7, true));
+      watch.sendLine(MixerTestHarness.memberListLine(7, true));
       assertEquals("list 7", stage.next());
-      assertEquals("closed", former.end());
-      watch.say(Rig.list(8, false));
+      assertEquals("closed", former.awaitEnd());
+      watch.sendLine(MixerTestHarness.memberListLine(8, false));
       assertEquals("list 8", stage.next());
       assertNull(stage.told.poll());
     }
@@ -67,17 +68,17 @@
   @Test
   void aListThatCannotBeReadDoesNotEndTheFormerWatch() throws Exception {
     try (WatchStage stage = stage();
-        Rig.Agent there = new Rig.Agent(true)) {
+        MixerTestHarness.DiscoveryAgent there = new MixerTestHarness.DiscoveryAgent(true)) {
       stage.open();
-      Rig.Call former = speaking(stage, stage.agent, 41, 42);
+      MixerTestHarness.DiscoveryConnection former = speaking(stage, stage.agent, 41, 42);
       stage.move(there.address());
-      there.watch().say("{\"revision\":7}");
+      there.acceptWatch().sendLine("{\"revision\":7}");
       assertEquals("failed", stage.next());
-      former.say(Rig.list(43, false));
+      former.sendLine(MixerTestHarness.memberListLine(43, false));
       assertEquals("list 43", stage.next());
       stage.pass(PACE_MS);
       speaking(stage, there, 0, 8);
-      assertEquals("closed", former.end());
+      assertEquals("closed", former.awaitEnd());
     }
   }
 
@@ -86,21 +87,27 @@
   void whatTheFormerSaysAfterTheNewListIsNotTold() throws Exception {
     for (boolean formerFirst : new boolean[] {true, false}) {
       try (WatchStage stage = stage();
-          Rig.Agent there = new Rig.Agent(true)) {
+          MixerTestHarness.DiscoveryAgent there = new MixerTestHarness.DiscoveryAgent(true)) {
         stage.open();
-        Rig.Call former = speaking(stage, stage.agent, 41, 42);
+        MixerTestHarness.DiscoveryConnection former = speaking(stage, stage.agent, 41, 42);
         stage.move(there.address());
-        Rig.Call watch = there.watch();
+        MixerTestHarness.DiscoveryConnection watch = there.acceptWatch();
         stage.saysOn(watch);
         stage.awaitCount("discovery calls", 2);
         nothingTold(stage);
         stage.hold(
             () -> {
               (formerFirst ? former : watch)
-                  .say(formerFirst ? Rig.list(43, false) : Rig.list(7, true));
+                  .sendLine(
+                      formerFirst
+                          ? MixerTestHarness.memberListLine(43, false)
+                          : MixerTestHarness.memberListLine(7, true));
               stage.posted(1);
               (formerFirst ? watch : former)
-                  .say(formerFirst ? Rig.list(7, true) : Rig.list(43, false));
+                  .sendLine(
+                      formerFirst
+                          ? MixerTestHarness.memberListLine(7, true)
+                          : MixerTestHarness.memberListLine(43, false));
               stage.posted(2);
             });
         if (formerFirst) {
@@ -116,27 +123,27 @@
   @Test
   void theLastWatchThatSpokeStaysOverTwoMoves() throws Exception {
     try (WatchStage stage = stage();
-        Rig.Agent second = new Rig.Agent(true);
-        Rig.Agent third = new Rig.Agent(true)) {
+        MixerTestHarness.DiscoveryAgent second = new MixerTestHarness.DiscoveryAgent(true);
+        MixerTestHarness.DiscoveryAgent third = new MixerTestHarness.DiscoveryAgent(true)) {
       stage.open();
-      Rig.Call former = speaking(stage, stage.agent, 41, 42);
+      MixerTestHarness.DiscoveryConnection former = speaking(stage, stage.agent, 41, 42);
       stage.move(second.address());
-      Rig.Call unheard = second.watch();
+      MixerTestHarness.DiscoveryConnection unheard = second.acceptWatch();
       stage.move(third.address());
-      assertEquals("closed", unheard.end());
-      former.say(Rig.list(43, false));
+      assertEquals("closed", unheard.awaitEnd());
+      former.sendLine(MixerTestHarness.memberListLine(43, false));
       assertEquals("list 43", stage.next());
-      Rig.Call watch = speaking(stage, third, 0, 5);
-      assertEquals("closed", former.end());
+      MixerTestHarness.DiscoveryConnection watch = speaking(stage, third, 0, 5);
+      assertEquals("closed", former.awaitEnd());
       // and where the second has spoken, it is the one that stays
       stage.move(second.address());
-      Rig.Call back = speaking(stage, second, 0, 9);
-      assertEquals("closed", watch.end());
+      MixerTestHarness.DiscoveryConnection back = speaking(stage, second, 0, 9);
+      assertEquals("closed", watch.awaitEnd());
       stage.move(third.address());
-      back.say(Rig.list(10, false));
+      back.sendLine(MixerTestHarness.memberListLine(10, false));
       assertEquals("list 10", stage.next());
       speaking(stage, third, 0, 6);
-      assertEquals("closed", back.end());
+      assertEquals("closed", back.awaitEnd());
       assertEquals(0, stage.counts.get("discovery failures"));
     }
   }
@@ -144,19 +151,19 @@
   @Test
   void backAtTheFirstAddressItsWholeListIsAskedForAnew() throws Exception {
     try (WatchStage stage = stage();
-        Rig.Agent there = new Rig.Agent(true)) {
+        MixerTestHarness.DiscoveryAgent there = new MixerTestHarness.DiscoveryAgent(true)) {
       stage.open();
-      Rig.Call former = speaking(stage, stage.agent, 41, 42);
+      MixerTestHarness.DiscoveryConnection former = speaking(stage, stage.agent, 41, 42);
       stage.move(there.address());
-      Rig.Call unheard = there.watch();
+      MixerTestHarness.DiscoveryConnection unheard = there.acceptWatch();
       stage.move(stage.agent.address());
-      assertEquals("closed", unheard.end());
-      former.say(Rig.list(43, false));
+      assertEquals("closed", unheard.awaitEnd());
+      former.sendLine(MixerTestHarness.memberListLine(43, false));
       assertEquals("list 43", stage.next());
-      Rig.Call watch = speaking(stage, stage.agent, 0, 43);
-      assertEquals("closed", former.end());
+      MixerTestHarness.DiscoveryConnection watch = speaking(stage, stage.agent, 0, 43);
+      assertEquals("closed", former.awaitEnd());
       stage.move(stage.agent.address()); // it is there already
-      watch.say(Rig.list(44, false));
+      watch.sendLine(MixerTestHarness.memberListLine(44, false));
       assertEquals("list 44", stage.next());
       assertEquals(3, stage.calls());
     }
@@ -167,9 +174,9 @@
   void aFormerWatchThatEndsIsNotOpenedAgain() throws Exception {
     for (boolean silent : new boolean[] {true, false}) {
       try (WatchStage stage = stage();
-          Rig.Agent there = new Rig.Agent(false)) {
+          MixerTestHarness.DiscoveryAgent there = new MixerTestHarness.DiscoveryAgent(false)) {
         stage.open();
-        Rig.Call former = speaking(stage, stage.agent, 41, 42);
+        MixerTestHarness.DiscoveryConnection former = speaking(stage, stage.agent, 41, 42);
         stage.move(there.address());
         assertEquals("failed", stage.next());
         if (silent) {
@@ -178,16 +185,16 @@
             stage.pass(PACE_MS);
             stage.awaitCount("discovery failures", failures + 1);
           }
-          assertEquals("closed", former.end());
+          assertEquals("closed", former.awaitEnd());
         } else {
           former.reset();
           stage.awaitCount("discovery failures", 2);
         }
         nothingTold(stage);
-        there.admit();
+        there.resumeListening();
         stage.pass(PACE_MS);
         speaking(stage, there, 0, 5);
-        assertTrue(stage.agent.quiet(java.time.Duration.ofMillis(50)));
+        assertTrue(stage.agent.noConnectionWithin(java.time.Duration.ofMillis(50)));
       }
     }
   }
@@ -200,12 +207,12 @@
   void theTimerForOlderListsDoesNotOutliveAMove() throws Exception {
     for (boolean moved : new boolean[] {true, false}) {
       try (WatchStage stage = stage();
-          Rig.Agent there = new Rig.Agent(true)) {
+          MixerTestHarness.DiscoveryAgent there = new MixerTestHarness.DiscoveryAgent(true)) {
         stage.open();
-        Rig.Call late = stage.agent.watch();
-        late.say(Rig.list(39, true));
+        MixerTestHarness.DiscoveryConnection late = stage.agent.acceptWatch();
+        late.sendLine(MixerTestHarness.memberListLine(39, true));
         stage.awaitCount("lists older than the one held", 1);
-        Rig.Call watch = late;
+        MixerTestHarness.DiscoveryConnection watch = late;
         if (moved) {
           stage.move(there.address());
           watch = speaking(stage, there, 0, 3);
@@ -229,22 +236,23 @@
   void aFetchInFlightIsAskedAnewAtTheNewAddress() throws Exception {
     for (boolean answered : new boolean[] {true, false}) {
       try (WatchStage stage = stage();
-          Rig.Agent there = new Rig.Agent(true)) {
+          MixerTestHarness.DiscoveryAgent there = new MixerTestHarness.DiscoveryAgent(true)) {
         stage.inLoop(stage.watch::fetch);
-        Rig.Call fetch = stage.agent.call();
-        assertTrue(fetch.request.startsWith("GET /v1/endpoints HTTP/1.1\r\n"), fetch.request);
-        String old = Rig.list(42, true);
+        MixerTestHarness.DiscoveryConnection fetch = stage.agent.acceptRequest();
+        assertTrue(
+            fetch.requestHead.startsWith("GET /v1/endpoints HTTP/1.1\r\n"), fetch.requestHead);
+        String old = MixerTestHarness.memberListLine(42, true);
         String answer = "HTTP/1.1 200 OK\r\nContent-Length: " + old.length() + "\r\n\r\n" + old;
         if (answered) {
           fetch.write(answer);
           assertEquals("list 42", stage.next());
         }
         stage.move(there.address());
-        assertEquals("closed", fetch.end());
+        assertEquals("closed", fetch.awaitEnd());
         if (!answered) {
-          String list = Rig.list(7, true);
+          String list = MixerTestHarness.memberListLine(7, true);
           there
-              .call()
+              .acceptRequest()
               .write("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list);
           assertEquals("list 7", stage.next());
         }
@@ -259,14 +267,14 @@
   void aFetchThatIsOlderThanWhatTheWatchToldTellsNothing() throws Exception {
     try (WatchStage stage = stage()) {
       stage.open();
-      Rig.Call watch = speaking(stage, stage.agent, 41, 42);
+      MixerTestHarness.DiscoveryConnection watch = speaking(stage, stage.agent, 41, 42);
       stage.inLoop(stage.watch::fetch);
-      Rig.Call fetch = stage.agent.call();
-      watch.say(Rig.list(43, false));
+      MixerTestHarness.DiscoveryConnection fetch = stage.agent.acceptRequest();
+      watch.sendLine(MixerTestHarness.memberListLine(43, false));
       assertEquals("list 43", stage.next());
-      String old = Rig.list(42, true);
+      String old = MixerTestHarness.memberListLine(42, true);
       fetch.write("HTTP/1.1 200 OK\r\nContent-Length: " + old.length() + "\r\n\r\n" + old);
-      assertEquals("closed", fetch.end());
+      assertEquals("closed", fetch.awaitEnd());
       nothingTold(stage);
     }
   }
@@ -279,7 +287,7 @@
   void theNewAddressIsCalledThriceWithinTheTermOfAMove() throws Exception {
     for (boolean refused : new boolean[] {true, false}) {
       try (WatchStage stage = new WatchStage(true, "subscribe", GRACE_MS);
-          Rig.Agent there = new Rig.Agent(!refused)) {
+          MixerTestHarness.DiscoveryAgent there = new MixerTestHarness.DiscoveryAgent(!refused)) {
         stage.open();
         speaking(stage, stage.agent, 41, 42);
         stage.pass(1000);
@@ -288,16 +296,16 @@
           if (refused) {
             stage.awaitCount("discovery failures", i);
           } else {
-            there.call();
+            there.acceptRequest();
           }
           if (i == 2 && refused) {
-            there.admit();
+            there.resumeListening();
           }
           stage.pass(SLOWEST_MS);
         }
         assertTrue(3 * SLOWEST_MS < 4000);
-        Rig.Call watch = there.watch();
-        watch.say(Rig.list(7, true));
+        MixerTestHarness.DiscoveryConnection watch = there.acceptWatch();
+        watch.sendLine(MixerTestHarness.memberListLine(7, true));
         String told = stage.next();
         assertEquals("list 7", "failed".equals(told) ? stage.next() : told);
       }
@@ -308,13 +316,13 @@
   @Test
   void aMoveOpensNoWatchThatNobodyAskedFor() throws Exception {
     try (WatchStage stage = stage();
-        Rig.Agent there = new Rig.Agent(true)) {
+        MixerTestHarness.DiscoveryAgent there = new MixerTestHarness.DiscoveryAgent(true)) {
       stage.move(there.address());
       assertEquals(0, stage.calls());
       stage.open();
-      Rig.Call watch = speaking(stage, there, 0, 7);
+      MixerTestHarness.DiscoveryConnection watch = speaking(stage, there, 0, 7);
       stage.inLoop(stage.watch::close);
-      assertEquals("closed", watch.end());
+      assertEquals("closed", watch.awaitEnd());
       stage.move(stage.agent.address());
       stage.pass(10_000);
       assertEquals(1, stage.calls());
--- a/mixer/src/test/java/gingerring/server/WatchStage.java
+++ b/mixer/src/test/java/gingerring/server/WatchStage.java
@@ -58,7 +58,7 @@
     }
   }
 
-  final Rig.Agent agent;
+  final MixerTestHarness.DiscoveryAgent agent;
   final Counts counts = new Counts();
   final Loop loop = new Loop(counts);
   final Network network = new Network(loop, counts, false);
@@ -72,7 +72,7 @@
 
   /** {@code way} and {@code graceMs}: the settings Discovery and Safety.DrainGraceMs. */
   WatchStage(boolean up, String way, int graceMs) throws Exception {
-    agent = new Rig.Agent(up);
+    agent = new MixerTestHarness.DiscoveryAgent(up);
     watch =
         new Watch(
             network,
@@ -105,9 +105,9 @@
   }
 
   /** An empty line, which has been heard by the end: the clock must not pass by it. */
-  void saysOn(Rig.Call call) throws Exception {
+  void saysOn(MixerTestHarness.DiscoveryConnection call) throws Exception {
     long words = counts.get("words");
-    call.say("");
+    call.sendLine("");
     awaitCount("words", words + 1);
   }
 
@@ -146,7 +146,7 @@
           task.run();
           loop.post(done::countDown);
         });
-    if (!done.await(Rig.WAIT_MS, TimeUnit.MILLISECONDS)) {
+    if (!done.await(MixerTestHarness.TIMEOUT_MS, TimeUnit.MILLISECONDS)) {
       throw new AssertionError("the loop did not run a task");
     }
   }
@@ -162,12 +162,12 @@
         () -> {
           reached.countDown();
           try {
-            released.await(Rig.WAIT_MS, TimeUnit.MILLISECONDS);
+            released.await(MixerTestHarness.TIMEOUT_MS, TimeUnit.MILLISECONDS);
           } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
           }
         });
-    reached.await(Rig.WAIT_MS, TimeUnit.MILLISECONDS);
+    reached.await(MixerTestHarness.TIMEOUT_MS, TimeUnit.MILLISECONDS);
     try {
       behind.run();
     } finally {
@@ -182,16 +182,17 @@
 
   /** Waits until so many events stand before the loop. */
   void posted(int events) throws InterruptedException {
-    Rig.await(events + " events before the loop", () -> loop.posted() >= events);
+    MixerTestHarness.await(events + " events before the loop", () -> loop.posted() >= events);
   }
 
   /** The next that was told; null after a while. */
   String next() throws InterruptedException {
-    return told.poll(Rig.WAIT_MS, TimeUnit.MILLISECONDS);
+    return told.poll(MixerTestHarness.TIMEOUT_MS, TimeUnit.MILLISECONDS);
   }
 
   void awaitCount(String what, long least) throws InterruptedException {
-    Rig.await(what + " at " + least + " in " + counts, () -> counts.get(what) >= least);
+    MixerTestHarness.await(
+        what + " at " + least + " in " + counts, () -> counts.get(what) >= least);
   }
 
   long calls() {
@@ -202,7 +203,7 @@
   public void close() throws IOException {
     loop.post(loop::stop);
     try {
-      thread.join(Rig.WAIT_MS);
+      thread.join(MixerTestHarness.TIMEOUT_MS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
