--- a/mixer/src/main/java/gingerring/backend/Backend.java
+++ b/mixer/src/main/java/gingerring/backend/Backend.java
@@ -49,11 +49,11 @@
     loadReportParser = new LoadReportParser(terms, counts);
     maxPartsPerCall = Math.max(1, (int) terms.number("Domain.Batch", 1));
     maxTripsPerConnection = Math.max(1, terms.count("PolicyLimits.StreamsPerConn"));
-    dialTimeout = terms.span("PolicyLimits.DialTimeoutMs");
+    dialTimeout = terms.duration("PolicyLimits.DialTimeoutMs");
     // the searcher may close as early as its time for idle ones, and its word of that takes a
     // moment: the
     // time in which a connection has to come up, but never so much that none could be used twice
-    Duration idle = terms.span("PolicyLimits.ConnIdleMs");
+    Duration idle = terms.duration("PolicyLimits.ConnIdleMs");
     Duration half = idle.dividedBy(2);
     maxIdleTime = dialTimeout.compareTo(half) < 0 ? idle.minus(dialTimeout) : half;
     cancelSupported = terms.flag("PolicyLimits.Cancel");
--- a/mixer/src/main/java/gingerring/frontend/ScanRequestParser.java
+++ b/mixer/src/main/java/gingerring/frontend/ScanRequestParser.java
@@ -37,7 +37,7 @@
   ScanRequestParser(Settings terms) {
     for (int i = 0; i < terms.count("Classes.count"); i++) {
       serviceClasses.put(terms.text("Classes." + i + ".Name"), i);
-      maxDeadlines.add(terms.span("Classes." + i + ".HardLimitMs"));
+      maxDeadlines.add(terms.duration("Classes." + i + ".HardLimitMs"));
       keyed.add(terms.text("Classes." + i + ".Idempotency").equals("deduplicated"));
     }
     shardCount = terms.count("Domain.Slices");
--- a/mixer/src/main/java/gingerring/server/MixerConfig.java
+++ b/mixer/src/main/java/gingerring/server/MixerConfig.java
@@ -83,7 +83,7 @@
     return name.equals(other.name)
         && listenAddress.equals(other.listenAddress)
         && socketLimit == other.socketLimit
-        && settings.map().equals(other.settings.map());
+        && settings.values().equals(other.settings.values());
   }
 
   /**
--- a/mixer/src/main/java/gingerring/server/MixerHost.java
+++ b/mixer/src/main/java/gingerring/server/MixerHost.java
@@ -12,7 +12,7 @@
 import gingerring.decide.ScanId;
 import gingerring.decide.SearcherId;
 import gingerring.decide.Settings;
-import gingerring.decide.WakeId;
+import gingerring.decide.TimerId;
 import gingerring.discovery.Members;
 import gingerring.discovery.Watch;
 import gingerring.frontend.ScanHandler;
@@ -159,7 +159,7 @@
   void start(Backend back, Watch watch, long seed, Members known) {
     this.backend = back;
     this.watch = watch;
-    mixer = new Mixer(settings.map(), new SplittableRandom(seed), this);
+    mixer = new Mixer(settings.values(), new SplittableRandom(seed), this);
     list(known);
     String way = settings.text("Discovery");
     if (way.equals("automatic")) {
@@ -318,7 +318,7 @@
   public void probeEnded(SearcherId searcher, Outcome outcome, Duration taken, float[] load) {
     loop.notifyMixer(
         () -> {
-          mixer.probed(searcher, outcome, taken, load);
+          mixer.probeEnded(searcher, outcome, taken, load);
           if (peers != null) {
             peers.probeEnded(searcher.address(), outcome == Outcome.SUCCEEDED);
           }
@@ -344,7 +344,7 @@
                   last.machine(),
                   last.cell(),
                   member.standing(),
-                  last.size(),
+                  last.capacity(),
                   last.startedAt())
               : new MemberEntry(
                   id,
@@ -356,7 +356,7 @@
                   started);
       lines.add(line);
       listedMembers.put(id, line);
-      if (member.address() == null || member.standing() == MemberEntry.Standing.GONE) {
+      if (member.address() == null || member.standing() == MemberEntry.Status.GONE) {
         backend.remove(id);
       } else {
         backend.addOrUpdate(id, member.address(), line.startedAt());
@@ -369,14 +369,14 @@
       leaving.forEach(this::removeSearcher);
     }
     lines.stream()
-        .filter(line -> line.standing() == MemberEntry.Standing.GONE)
+        .filter(line -> line.status() == MemberEntry.Status.GONE)
         .map(MemberEntry::searcher)
         .forEach(this::removeSearcher);
-    loop.notifyMixer(() -> mixer.rosterTold(lines, members.complete()));
+    loop.notifyMixer(() -> mixer.memberListUpdated(lines, members.complete()));
     // told after the list, so that what has not left yet goes elsewhere by it
     leaving.addAll(
         lines.stream()
-            .filter(line -> line.standing() != MemberEntry.Standing.READY)
+            .filter(line -> line.status() != MemberEntry.Status.READY)
             .map(MemberEntry::searcher)
             .toList());
     leaving.forEach(backend::stopSending);
@@ -418,7 +418,7 @@
 
   @Override
   public void failed() {
-    loop.notifyMixer(() -> mixer.rosterFailed());
+    loop.notifyMixer(() -> mixer.memberListFailed());
     word();
   }
 
@@ -501,7 +501,7 @@
   }
 
   @Override
-  public void recall(PartId part, int trip) {
+  public void cancel(PartId part, int trip) {
     OpenPart piece = openParts.get(part);
     if (piece != null && trip < piece.trips.size()) {
       backend.cancel(piece.trips.get(trip));
@@ -527,7 +527,7 @@
   }
 
   @Override
-  public void nack(ScanId id, Duration comeBack) {
+  public void reject(ScanId id, Duration comeBack) {
     OpenScan scan = openScans.get(id);
     if (scan != null) {
       counts.add("nacks", 1);
@@ -537,7 +537,7 @@
   }
 
   @Override
-  public void scrap(ScanId id) {
+  public void fail(ScanId id) {
     OpenScan scan = openScans.get(id);
     if (scan != null) {
       counts.add("scraps", 1);
@@ -555,22 +555,22 @@
   }
 
   @Override
-  public boolean asksItself(SearcherId searcher) {
+  public boolean shouldProbe(SearcherId searcher) {
     return peers == null || peers.shouldProbe(searcher.address());
   }
 
   @Override
-  public double doubt(SearcherId searcher) {
+  public double reportedFailureShare(SearcherId searcher) {
     return peers == null ? 0 : peers.failureShare(searcher.address());
   }
 
   @Override
-  public boolean prefers(SearcherId searcher) {
+  public boolean isPreferred(SearcherId searcher) {
     return peers == null || peers.isPreferred(searcher.address());
   }
 
   @Override
-  public void benched(SearcherId searcher) {
+  public void searcherEjected(SearcherId searcher) {
     if (peers != null) {
       peers.ejected(searcher.address());
     }
@@ -578,32 +578,32 @@
 
   /** Another mixer had an answer of a searcher that this one may have benched. */
   void answeredElsewhere(long searcher) {
-    loop.notifyMixer(() -> mixer.othersHeard(new SearcherId(searcher)));
+    loop.notifyMixer(() -> mixer.peerReceivedAnswer(new SearcherId(searcher)));
   }
 
   @Override
-  public void closeIdle(SearcherId searcher) {
+  public void closeIdleConnections(SearcherId searcher) {
     backend.closeIdle(searcher);
   }
 
   @Override
-  public void watchRoster(boolean on) {
+  public void watchMemberList(boolean on) {
     loop.notifyMixer(on ? watch::open : watch::close);
   }
 
   @Override
-  public void fetchRoster() {
+  public void fetchMemberList() {
     watch.fetch();
   }
 
   @Override
-  public void tell(int peer, byte[] bytes) {
+  public void sendToPeer(int peer, byte[] bytes) {
     counts.add("words to peers dropped", 1);
   }
 
   @Override
-  public void wakeAfter(Duration span, WakeId wake) {
-    loop.wakeAfter(span, () -> loop.notifyMixer(() -> mixer.woken(wake)));
+  public void startTimer(Duration span, TimerId wake) {
+    loop.wakeAfter(span, () -> loop.notifyMixer(() -> mixer.timerFired(wake)));
   }
 
   @Override
--- a/mixer/src/main/java/gingerring/server/MixerServer.java
+++ b/mixer/src/main/java/gingerring/server/MixerServer.java
@@ -169,7 +169,7 @@
     SocketWarmUp practice =
         new SocketWarmUp(network, listening, orders.socketLimit(), counts, host::finishWarmUp);
     practice.start();
-    Duration dial = terms.span("PolicyLimits.DialTimeoutMs");
+    Duration dial = terms.duration("PolicyLimits.DialTimeoutMs");
     loop.wakeAfter(
         dial.compareTo(MAX_WARM_UP_TIME) < 0 ? dial : MAX_WARM_UP_TIME,
         host::finishWarmUp); // may go on
@@ -250,7 +250,7 @@
     Settings terms = startConfig.settings();
     Duration patience = Duration.ZERO;
     for (int i = 0; i < terms.count("Classes.count"); i++) {
-      Duration its = terms.span("Classes." + i + ".HardLimitMs");
+      Duration its = terms.duration("Classes." + i + ".HardLimitMs");
       patience = its.compareTo(patience) > 0 ? its : patience;
     }
     patience = patience.compareTo(MAX_DRAIN_TIME) < 0 ? patience : MAX_DRAIN_TIME;
