--- a/cli/src/main/java/gingerring/cli/LayoutFile.java
+++ b/cli/src/main/java/gingerring/cli/LayoutFile.java
@@ -1,7 +1,7 @@
 package gingerring.cli;
 
-import gingerring.json.Fields;
 import gingerring.json.Json;
+import gingerring.json.JsonFields;
 import gingerring.layout.BoxId;
 import gingerring.layout.KeyRange;
 import gingerring.layout.Layout;
@@ -27,22 +27,25 @@
     byte[] json = Files.readAllBytes(file);
     String place = "";
     try {
-      Map<String, Object> object = Fields.object(Json.read(json), "the layout");
+      Map<String, Object> object = JsonFields.object(Json.parse(json), "the layout");
       List<Partition> folios = new ArrayList<>();
-      for (Object each : Fields.list(object, "folios")) {
+      for (Object each : JsonFields.list(object, "folios")) {
         place = "folios." + folios.size() + ": ";
-        folios.add(folio(Fields.object(each, "it")));
+        folios.add(folio(JsonFields.object(each, "it")));
       }
       place = "";
-      return Layout.of(Fields.whole(object, "version"), Fields.whole(object, "keys"), folios);
-    } catch (Json.Malformed | LayoutException | IllegalArgumentException e) {
+      return Layout.of(
+          JsonFields.nonNegativeInteger(object, "version"),
+          JsonFields.nonNegativeInteger(object, "keys"),
+          folios);
+    } catch (Json.JsonException | LayoutException | IllegalArgumentException e) {
       throw new IOException(file + ": " + place + e.getMessage());
     }
   }
 
-  private static Partition folio(Map<String, Object> from) throws Json.Malformed {
+  private static Partition folio(Map<String, Object> from) throws Json.JsonException {
     List<KeyRange> slices = new ArrayList<>();
-    for (Object each : Fields.list(from, "slices")) {
+    for (Object each : JsonFields.list(from, "slices")) {
       if (!(each instanceof List<?> slice)
           || slice.size() != 3
           || !(slice.get(0) instanceof Double low)
@@ -50,27 +53,27 @@
           || !(slice.get(2) instanceof Double weight)
           || low != Math.rint(low)
           || high != Math.rint(high)) {
-        throw new Json.Malformed(
+        throw new Json.JsonException(
             "a slice is its first key, the key after its last, and its weight");
       }
       slices.add(new KeyRange(low.longValue(), high.longValue(), weight));
     }
     List<BoxId> holders = new ArrayList<>();
-    for (Object each : Fields.list(from, "holders")) {
+    for (Object each : JsonFields.list(from, "holders")) {
       if (!(each instanceof String name) || name.isEmpty()) {
-        throw new Json.Malformed("a holder is a name");
+        throw new Json.JsonException("a holder is a name");
       }
       holders.add(new BoxId(name));
     }
     return new Partition(
-        new PartitionId((int) Fields.whole(from, "id")),
+        new PartitionId((int) JsonFields.nonNegativeInteger(from, "id")),
         slices,
         holders,
         box(from, "source"),
         box(from, "successor"));
   }
 
-  private static BoxId box(Map<String, Object> from, String name) throws Json.Malformed {
-    return from.containsKey(name) ? new BoxId(Fields.text(from, name)) : null;
+  private static BoxId box(Map<String, Object> from, String name) throws Json.JsonException {
+    return from.containsKey(name) ? new BoxId(JsonFields.string(from, name)) : null;
   }
 }
--- a/emulator/src/main/java/gingerring/emulator/core/Scenario.java
+++ b/emulator/src/main/java/gingerring/emulator/core/Scenario.java
@@ -1,7 +1,7 @@
 package gingerring.emulator.core;
 
-import gingerring.json.Fields;
 import gingerring.json.Json;
+import gingerring.json.JsonFields;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -114,8 +114,8 @@
 
   public static Scenario read(byte[] json) throws InvalidScenario {
     try {
-      return read(Fields.object(Json.read(json), "the description"));
-    } catch (Json.Malformed e) {
+      return read(JsonFields.object(Json.parse(json), "the description"));
+    } catch (Json.JsonException e) {
       throw new InvalidScenario(e.getMessage());
     }
   }
@@ -124,7 +124,7 @@
   public static Scenario read(Map<String, Object> told) throws InvalidScenario {
     try {
       return new Reading(told, "").world();
-    } catch (Json.Malformed e) {
+    } catch (Json.JsonException e) {
       throw new InvalidScenario(e.getMessage());
     }
   }
@@ -148,17 +148,18 @@
       this.place = place;
     }
 
-    Scenario world() throws InvalidScenario, Json.Malformed {
+    Scenario world() throws InvalidScenario, Json.JsonException {
       List<ServiceClass> grades = new ArrayList<>();
       for (Object each : list("grades")) {
         grades.add(
-            new Reading(Fields.object(each, "a grade"), "grades." + grades.size() + ".").grade());
+            new Reading(JsonFields.object(each, "a grade"), "grades." + grades.size() + ".")
+                .grade());
       }
       int boxes = (int) number("boxes", 12, 1, 2000);
       List<BoxFault> troubles = new ArrayList<>();
       for (Object each : list("troubles")) {
         troubles.add(
-            new Reading(Fields.object(each, "a trouble"), "troubles." + troubles.size() + ".")
+            new Reading(JsonFields.object(each, "a trouble"), "troubles." + troubles.size() + ".")
                 .trouble(boxes));
       }
       Scenario world =
@@ -236,7 +237,7 @@
               false));
     }
 
-    private ServiceClass grade() throws InvalidScenario, Json.Malformed {
+    private ServiceClass grade() throws InvalidScenario, Json.JsonException {
       String repeats = text("repeats", "reissuable");
       RetrySafety kind =
           switch (repeats) {
@@ -263,7 +264,7 @@
       return grade;
     }
 
-    private BoxFault trouble(int boxes) throws InvalidScenario, Json.Malformed {
+    private BoxFault trouble(int boxes) throws InvalidScenario, Json.JsonException {
       String kind = text("kind", null);
       for (BoxFault.Kind each : BoxFault.Kind.values()) {
         if (each.name().equalsIgnoreCase(kind)) {
@@ -282,11 +283,11 @@
     }
 
     private double number(String name, double usual, double least, double most)
-        throws InvalidScenario, Json.Malformed {
+        throws InvalidScenario, Json.JsonException {
       if (!from.containsKey(name)) {
         return usual;
       }
-      double value = Fields.number(from, name);
+      double value = JsonFields.number(from, name);
       from.remove(name);
       if (value < least || value > most) {
         throw new InvalidScenario(
@@ -295,16 +296,16 @@
       return value;
     }
 
-    private Duration span(String name, double usual) throws InvalidScenario, Json.Malformed {
+    private Duration span(String name, double usual) throws InvalidScenario, Json.JsonException {
       return Duration.ofNanos((long) (number(name, usual, 0, 1e9) * 1e6));
     }
 
     private Range range(String name, double low, double high)
-        throws InvalidScenario, Json.Malformed {
+        throws InvalidScenario, Json.JsonException {
       if (!from.containsKey(name)) {
         return new Range(low, high);
       }
-      List<Object> pair = Fields.list(from, name);
+      List<Object> pair = JsonFields.list(from, name);
       from.remove(name);
       if (pair.size() != 2
           || !(pair.get(0) instanceof Double one)
@@ -316,26 +317,26 @@
       return new Range(one, other);
     }
 
-    private String text(String name, String usual) throws InvalidScenario, Json.Malformed {
+    private String text(String name, String usual) throws InvalidScenario, Json.JsonException {
       if (!from.containsKey(name)) {
         if (usual == null) {
           throw new InvalidScenario(place + name + " is missing");
         }
         return usual;
       }
-      String value = Fields.text(from, name);
+      String value = JsonFields.string(from, name);
       from.remove(name);
       return value;
     }
 
-    private boolean flag(String name) throws Json.Malformed {
-      boolean value = from.containsKey(name) && Fields.flag(from, name);
+    private boolean flag(String name) throws Json.JsonException {
+      boolean value = from.containsKey(name) && JsonFields.booleanValue(from, name);
       from.remove(name);
       return value;
     }
 
-    private List<Object> list(String name) throws Json.Malformed {
-      List<Object> value = from.containsKey(name) ? Fields.list(from, name) : List.of();
+    private List<Object> list(String name) throws Json.JsonException {
+      List<Object> value = from.containsKey(name) ? JsonFields.list(from, name) : List.of();
       from.remove(name);
       return value;
     }
--- a/emulator/src/main/java/gingerring/emulator/experiment/Clients.java
+++ b/emulator/src/main/java/gingerring/emulator/experiment/Clients.java
@@ -4,8 +4,8 @@
 import gingerring.emulator.core.Scenario;
 import gingerring.emulator.core.SeededDraw;
 import gingerring.emulator.core.Workload.ClientRequest;
-import gingerring.http.Head;
-import gingerring.http.Malformed;
+import gingerring.http.HttpException;
+import gingerring.http.MessageHead;
 import gingerring.traffic.replay.Retries;
 import gingerring.traffic.scan.Answer;
 import gingerring.traffic.scan.ObservedScan;
@@ -262,12 +262,12 @@
     }
 
     @Override
-    protected void malformed(Malformed e) {
+    protected void malformed(HttpException e) {
       wire.reset();
     }
 
     @Override
-    protected void message(Head head, byte[] json) {
+    protected void message(MessageHead head, byte[] json) {
       Try ended = now;
       if (ended == null) {
         return;
@@ -284,7 +284,7 @@
           answer.fate() == ObservedScan.ScanOutcome.NACKED,
           answer.whole(),
           served ? answer.values() : null);
-      if (head.says("connection", "close")) {
+      if (head.hasToken("connection", "close")) {
         end();
       } else {
         idle.get(who).addFirst(this);
--- a/emulator/src/main/java/gingerring/emulator/experiment/RandomRouter.java
+++ b/emulator/src/main/java/gingerring/emulator/experiment/RandomRouter.java
@@ -2,11 +2,11 @@
 
 import gingerring.emulator.core.Scenario;
 import gingerring.emulator.core.Scenario.ServiceClass;
-import gingerring.http.Head;
+import gingerring.http.HttpException;
 import gingerring.http.HttpWriter;
-import gingerring.http.Malformed;
-import gingerring.json.Fields;
+import gingerring.http.MessageHead;
 import gingerring.json.Json;
+import gingerring.json.JsonFields;
 import gingerring.traffic.wire.HttpHandler;
 import gingerring.traffic.wire.Reactor;
 import gingerring.traffic.wire.ReactorConnection;
@@ -45,14 +45,14 @@
     this.reactor = reactor;
     random = new SplittableRandom(world.seed() + 2);
     try {
-      for (Object each : Fields.list(Fields.object(Json.read(list), "list"), "members")) {
-        Map<String, Object> member = Fields.object(each, "member");
-        String address = Fields.text(member, "host_port");
+      for (Object each : JsonFields.list(JsonFields.object(Json.parse(list), "list"), "members")) {
+        Map<String, Object> member = JsonFields.object(each, "member");
+        String address = JsonFields.string(member, "host_port");
         boxes.put(
-            (int) Fields.whole(member, "cell"),
+            (int) JsonFields.nonNegativeInteger(member, "cell"),
             Store.loopback(Integer.parseInt(address.substring(address.indexOf(':') + 1))));
       }
-    } catch (Json.Malformed e) {
+    } catch (Json.JsonException e) {
       throw new IOException(e);
     }
     listening = reactor.listen(Store.loopback(0), Asker::new);
@@ -94,7 +94,7 @@
             && !scan.values.isEmpty()
             && scan.weight() >= scan.grade.floor();
     if (!whole && !partial) {
-      scan.asker.put(HttpWriter.answer(500, false, "", new byte[0]));
+      scan.asker.put(HttpWriter.response(500, false, "", new byte[0]));
       return;
     }
     StringBuilder json = new StringBuilder("{\"whole\":" + whole + ",\"results\":[");
@@ -109,7 +109,7 @@
       between = ",";
     }
     scan.asker.put(
-        HttpWriter.answer(
+        HttpWriter.response(
             200, false, "", json.append("]}").toString().getBytes(StandardCharsets.US_ASCII)));
   }
 
@@ -127,25 +127,27 @@
     }
 
     @Override
-    protected void malformed(Malformed e) {
+    protected void malformed(HttpException e) {
       wire.reset();
     }
 
     @Override
-    protected void message(Head head, byte[] json) throws Malformed {
+    protected void message(MessageHead head, byte[] json) throws HttpException {
       try {
-        Map<String, Object> asked = Fields.object(Json.read(json), "the body");
+        Map<String, Object> asked = JsonFields.object(Json.parse(json), "the body");
         Scan scan = new Scan(this, head.header("X-Txn"), world.grade(head.header("X-Lane")));
-        for (Object each : Fields.list(asked, "targets")) {
-          Map<String, Object> target = Fields.object(each, "a target");
-          scan.shares.put((int) Fields.whole(target, "partition"), Fields.number(target, "share"));
+        for (Object each : JsonFields.list(asked, "targets")) {
+          Map<String, Object> target = JsonFields.object(each, "a target");
+          scan.shares.put(
+              (int) JsonFields.nonNegativeInteger(target, "partition"),
+              JsonFields.number(target, "share"));
         }
         scans.put(scan.mark, scan);
         String key = head.header("Idempotency-Key");
         for (int folio : scan.shares.keySet()) {
           List<Integer> holders = world.holders(folio);
           line(holders.get(random.nextInt(holders.size())))
-              .send(scan, folio, key, Fields.text(asked, "query"));
+              .send(scan, folio, key, JsonFields.string(asked, "query"));
         }
         reactor.after(
             scan.grade.quoted(),
@@ -156,8 +158,8 @@
             });
         Duration end = scan.grade.patience().minusMillis(20);
         reactor.after(end, () -> settle(scan, true));
-      } catch (Json.Malformed e) {
-        throw new Malformed(400, e.getMessage());
+      } catch (Json.JsonException e) {
+        throw new HttpException(400, e.getMessage());
       }
     }
 
--- a/emulator/src/main/java/gingerring/emulator/harness/FleetScenario.java
+++ b/emulator/src/main/java/gingerring/emulator/harness/FleetScenario.java
@@ -3,8 +3,8 @@
 import gingerring.emulator.core.Scenario;
 import gingerring.emulator.core.Scenario.InvalidScenario;
 import gingerring.emulator.core.SeededDraw;
-import gingerring.json.Fields;
 import gingerring.json.Json;
+import gingerring.json.JsonFields;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -87,20 +87,21 @@
   public static FleetScenario read(byte[] json) throws InvalidScenario {
     try {
       Map<String, Object> all =
-          new LinkedHashMap<>(Fields.object(Json.read(json), "the description"));
+          new LinkedHashMap<>(JsonFields.object(Json.parse(json), "the description"));
       Object fleet = all.remove("fleet");
-      return read(Scenario.read(all), fleet == null ? Map.of() : Fields.object(fleet, "fleet"));
-    } catch (Json.Malformed e) {
+      return read(Scenario.read(all), fleet == null ? Map.of() : JsonFields.object(fleet, "fleet"));
+    } catch (Json.JsonException e) {
       throw new InvalidScenario(e.getMessage());
     }
   }
 
   private static FleetScenario read(Scenario world, Map<String, Object> fleet)
-      throws InvalidScenario, Json.Malformed {
+      throws InvalidScenario, Json.JsonException {
     known(fleet, FLEET, "fleet.");
     int mixers = (int) number(fleet, "mixers", "fleet.", 8, 1, 1000);
     List<String> zones = new ArrayList<>();
-    for (Object each : fleet.containsKey("zones") ? Fields.list(fleet, "zones") : List.of("a")) {
+    for (Object each :
+        fleet.containsKey("zones") ? JsonFields.list(fleet, "zones") : List.of("a")) {
       if (!(each instanceof String zone) || !zone.matches("[a-z0-9-]{1,20}")) {
         throw new InvalidScenario("fleet.zones." + zones.size() + " is no name of a zone: " + each);
       }
@@ -110,17 +111,18 @@
       throw new InvalidScenario("fleet.zones names none");
     }
     List<Fault> faults = new ArrayList<>();
-    for (Object each : fleet.containsKey("faults") ? Fields.list(fleet, "faults") : List.of()) {
+    for (Object each : fleet.containsKey("faults") ? JsonFields.list(fleet, "faults") : List.of()) {
       String place = "fleet.faults." + faults.size() + '.';
-      faults.add(fault(world, mixers, Fields.object(each, place + " here"), place, faults.size()));
+      faults.add(
+          fault(world, mixers, JsonFields.object(each, place + " here"), place, faults.size()));
     }
     return new FleetScenario(
         world,
         mixers,
         List.copyOf(zones),
-        fleet.containsKey("peers") && Fields.flag(fleet, "peers"),
+        fleet.containsKey("peers") && JsonFields.booleanValue(fleet, "peers"),
         fleet.containsKey("settings")
-            ? Fields.object(fleet.get("settings"), "fleet.settings")
+            ? JsonFields.object(fleet.get("settings"), "fleet.settings")
             : Map.of(),
         number(fleet, "uneven", "fleet.", 1, 0.01, 1000),
         (int) number(fleet, "liars", "fleet.", 0, 0, 100),
@@ -131,9 +133,9 @@
 
   private static Fault fault(
       Scenario world, int mixers, Map<String, Object> told, String place, int number)
-      throws InvalidScenario, Json.Malformed {
+      throws InvalidScenario, Json.JsonException {
     known(told, FAULT, place);
-    String name = Fields.text(told, "kind");
+    String name = JsonFields.string(told, "kind");
     for (Fault.Kind kind : Fault.Kind.values()) {
       if (kind.name().equalsIgnoreCase(name)) {
         Set<Integer> some = numbers(told, "mixers", place, mixers);
@@ -177,11 +179,11 @@
 
   private static double number(
       Map<String, Object> told, String name, String place, double usual, double least, double most)
-      throws InvalidScenario, Json.Malformed {
+      throws InvalidScenario, Json.JsonException {
     if (!told.containsKey(name)) {
       return usual;
     }
-    double value = Fields.number(told, name);
+    double value = JsonFields.number(told, name);
     if (value < least || value > most) {
       throw new InvalidScenario(
           place + name + " is out of range: " + value + " is not " + least + " to " + most);
@@ -191,9 +193,9 @@
 
   private static Set<Integer> numbers(
       Map<String, Object> told, String name, String place, int count)
-      throws InvalidScenario, Json.Malformed {
+      throws InvalidScenario, Json.JsonException {
     Set<Integer> numbers = new TreeSet<>();
-    for (Object each : told.containsKey(name) ? Fields.list(told, name) : List.of()) {
+    for (Object each : told.containsKey(name) ? JsonFields.list(told, name) : List.of()) {
       if (!(each instanceof Double number)
           || number != Math.rint(number)
           || number < 0
--- a/emulator/src/main/java/gingerring/emulator/interleaving/Scene.java
+++ b/emulator/src/main/java/gingerring/emulator/interleaving/Scene.java
@@ -4,8 +4,8 @@
 import gingerring.emulator.core.Scenario;
 import gingerring.emulator.core.SeededDraw;
 import gingerring.emulator.experiment.MixerProcess;
-import gingerring.http.Head;
-import gingerring.http.Malformed;
+import gingerring.http.HttpException;
+import gingerring.http.MessageHead;
 import gingerring.traffic.scan.Answer;
 import gingerring.traffic.scan.ObservedScan;
 import gingerring.traffic.wire.HttpHandler;
@@ -1277,13 +1277,13 @@
     }
 
     @Override
-    protected void malformed(Malformed e) {
+    protected void malformed(HttpException e) {
       note("the answer to " + mark + " is no HTTP: " + e.getMessage());
       wire.reset();
     }
 
     @Override
-    protected void message(Head head, byte[] json) {
+    protected void message(MessageHead head, byte[] json) {
       if (atByte != null) {
         Runnable due = atByte;
         atByte = null;
@@ -1307,7 +1307,7 @@
             served ? answer.values() : null);
       }
       mark = null;
-      if (head.says("connection", "close")) {
+      if (head.hasToken("connection", "close")) {
         wire.close();
       } else if (terminatedAt != null && steady.contains(this) && !left) {
         // until the connection ends, so that its end crosses a request
--- a/mixer/src/main/java/gingerring/backend/Back.java
+++ b/mixer/src/main/java/gingerring/backend/Back.java
@@ -3,9 +3,9 @@
 import gingerring.decide.Outcome;
 import gingerring.decide.SearcherId;
 import gingerring.decide.Settings;
-import gingerring.net.Counts;
+import gingerring.net.Counters;
+import gingerring.net.LoopTimer;
 import gingerring.net.Network;
-import gingerring.net.TurnClock;
 import java.net.InetSocketAddress;
 import java.time.Duration;
 import java.util.LinkedHashSet;
@@ -27,8 +27,8 @@
 
   private final Network network;
   private final Returns returns;
-  private final Counts counts;
-  private final TurnClock clock;
+  private final Counters counts;
+  private final LoopTimer clock;
   private final LoadReports reports;
   private final int batch;
   private final int streams;
@@ -40,7 +40,7 @@
   private final Set<Station> busy = new LinkedHashSet<>();
   private Duration complained;
 
-  public Back(Network network, Returns returns, Settings terms, Counts counts, TurnClock clock) {
+  public Back(Network network, Returns returns, Settings terms, Counters counts, LoopTimer clock) {
     this.network = network;
     this.returns = returns;
     this.counts = counts;
@@ -60,7 +60,7 @@
     boolean byProbe =
         terms.has("LoadReport.Source") && terms.text("LoadReport.Source").equals("probe");
     probeLetter = byProbe ? 'M' : 'H';
-    clock.wakeAfter(SWEEP, this::sweep);
+    clock.schedule(SWEEP, this::sweep);
   }
 
   /** The list has this searcher, at an address, up since a moment (null: long ago). */
@@ -97,7 +97,7 @@
     }
     errand.since = now();
     station.send(errand);
-    clock.wakeAfter(
+    clock.schedule(
         errand.until.minus(now()),
         () -> {
           if (!withdraw(errand) && !errand.done) {
@@ -162,7 +162,7 @@
   private void sweep() {
     stations.values().removeIf(Station::over);
     stations.values().forEach(Station::sweep);
-    clock.wakeAfter(SWEEP, this::sweep);
+    clock.schedule(SWEEP, this::sweep);
   }
 
   /** How many searchers something is kept for. */
@@ -204,13 +204,13 @@
     return network;
   }
 
-  Counts counts() {
+  Counters counts() {
     return counts;
   }
 
   /** The time since the start, read now. */
   Duration clock() {
-    return network.clock();
+    return network.currentTime();
   }
 
   Duration now() {
@@ -218,7 +218,7 @@
   }
 
   void wakeAfter(Duration span, Runnable task) {
-    clock.wakeAfter(span, task);
+    clock.schedule(span, task);
   }
 
   LoadReports reports() {
--- a/mixer/src/main/java/gingerring/backend/Link.java
+++ b/mixer/src/main/java/gingerring/backend/Link.java
@@ -2,7 +2,7 @@
 
 import gingerring.decide.Outcome;
 import gingerring.net.Connection;
-import gingerring.net.Party;
+import gingerring.net.ConnectionHandler;
 import java.nio.ByteBuffer;
 import java.nio.charset.CharacterCodingException;
 import java.nio.charset.StandardCharsets;
@@ -19,7 +19,7 @@
 import java.util.Set;
 
 /** One connection to a searcher, with the calls and probes that are out on it. */
-final class Link implements Party {
+final class Link implements ConnectionHandler {
   /** A probe on its way, in the order in which its kind is answered. */
   static final class Probe {
     final Duration sent;
@@ -83,7 +83,7 @@
   }
 
   boolean up() {
-    return up && !retired && connection.usable();
+    return up && !retired && connection.isUsable();
   }
 
   /** Its dial was turned away, and not given up from here. */
@@ -93,7 +93,7 @@
 
   /** Its dial is under way. */
   boolean coming() {
-    return !up && !retired && connection.usable();
+    return !up && !retired && connection.isUsable();
   }
 
   /** Up or coming up in its time, and open to what is new. */
@@ -103,7 +103,7 @@
 
   /** Whether it takes frames now. */
   boolean usableNow() {
-    return up() && connection.open() && !stale();
+    return up() && connection.isOpen() && !stale();
   }
 
   /** What was put a dial's time ago has not left: the searcher does not read. */
@@ -113,7 +113,7 @@
 
   /** All that was put before has left. */
   private boolean free() {
-    return connection.unsentFree();
+    return connection.isFlushed();
   }
 
   /** How many more parts it takes. */
@@ -143,7 +143,7 @@
    * few descriptors.
    */
   @Override
-  public Duration restsSince() {
+  public Duration idleSince() {
     return up && idle() ? used : null;
   }
 
@@ -167,7 +167,7 @@
     if (usableNow() && free()) {
       List<Errand> call = new ArrayList<>();
       for (Errand errand : List.copyOf(waiting)) {
-        if (out.size() < back.streams() && connection.out.size() < PUT_MOST && mayTake(errand)) {
+        if (out.size() < back.streams() && connection.output.size() < PUT_MOST && mayTake(errand)) {
           errand.link = this;
           out.put(errand.mark, errand);
           call.add(errand);
@@ -179,7 +179,7 @@
       }
       write(call);
     }
-    if (connection.open()) {
+    if (connection.isOpen()) {
       notes.forEach(this::put);
     }
     notes.clear();
@@ -191,8 +191,8 @@
     }
     if (put(Frames.call(call, back.now()))) {
       for (Errand errand : call) {
-        back.counts().must(!errand.begun(), "a trip begins once");
-        errand.frameEnd = connection.out.position();
+        back.counts().checkInvariant(!errand.begun(), "a trip begins once");
+        errand.frameEnd = connection.output.totalBytesPut();
         station.forget(errand);
       }
     } else if (call.size() > 1) {
@@ -212,8 +212,8 @@
   private boolean put(byte[] frame) {
     used = back.now();
     freeAt = free() ? used : freeAt;
-    connection.touch();
-    return connection.out.put(frame);
+    connection.requestFlush();
+    return connection.output.put(frame);
   }
 
   /** Gives up a trip whose frame has been put: the searcher is told. */
@@ -262,39 +262,39 @@
   }
 
   @Override
-  public void opened() {
+  public void onOpened() {
     up = true;
     used = back.now();
     station.opened(this);
   }
 
   @Override
-  public void drained() {
+  public void onFlushed() {
     freeAt = back.now();
     back.busy(station);
   }
 
   @Override
-  public void readable() {
+  public void onReadable() {
     heard = back.now();
     used = heard;
-    if (!connection.usable()) {
-      connection.in.clear();
+    if (!connection.isUsable()) {
+      connection.input.clear();
       return;
     }
     try {
-      frames.read(connection.in, this::frame);
+      frames.read(connection.input, this::frame);
     } catch (Frames.Malformed e) {
       spoilt(e.getMessage());
     }
-    if (frames.midway() && connection.usable()) {
+    if (frames.midway() && connection.isUsable()) {
       // answers are written whole: guards against one that stops short, or whose length is not its
       // own
       long read = frames.framesRead();
       back.wakeAfter(
           back.dialTimeOut(),
           () -> {
-            if (frames.framesRead() == read && connection.usable()) {
+            if (frames.framesRead() == read && connection.isUsable()) {
               spoilt("a frame stopped short");
             }
           });
@@ -309,7 +309,7 @@
    */
   private void spoilt(String what) {
     back.complain("a searcher's frame could not be used: " + what);
-    connection.in.clear();
+    connection.input.clear();
     connection.close();
   }
 
@@ -409,8 +409,8 @@
   }
 
   @Override
-  public void closed() {
-    end(connection.written());
+  public void onClosed() {
+    end(connection.bytesSent());
   }
 
   /** Ends with what is out on it: what had left whole may have run. */
--- a/mixer/src/main/java/gingerring/backend/LoadReports.java
+++ b/mixer/src/main/java/gingerring/backend/LoadReports.java
@@ -1,7 +1,7 @@
 package gingerring.backend;
 
 import gingerring.decide.Settings;
-import gingerring.net.Counts;
+import gingerring.net.Counters;
 import java.util.Map;
 
 /**
@@ -27,9 +27,9 @@
           "eps");
 
   private final String[] columns;
-  private final Counts counts;
+  private final Counters counts;
 
-  LoadReports(Settings terms, Counts counts) {
+  LoadReports(Settings terms, Counters counts) {
     this.counts = counts;
     String told = terms.has("LoadReport.Columns") ? terms.text("LoadReport.Columns") : "";
     columns = told.isEmpty() ? new String[0] : told.split(",");
--- a/mixer/src/main/java/gingerring/discovery/Watch.java
+++ b/mixer/src/main/java/gingerring/discovery/DiscoveryWatch.java
@@ -1,16 +1,16 @@
 package gingerring.discovery;
 
 import gingerring.decide.Settings;
-import gingerring.http.Head;
+import gingerring.http.HttpException;
 import gingerring.http.HttpParser;
 import gingerring.http.HttpWriter;
-import gingerring.http.Malformed;
+import gingerring.http.MessageHead;
 import gingerring.json.Json;
 import gingerring.net.Connection;
-import gingerring.net.Counts;
+import gingerring.net.ConnectionHandler;
+import gingerring.net.Counters;
+import gingerring.net.LoopTimer;
 import gingerring.net.Network;
-import gingerring.net.Party;
-import gingerring.net.TurnClock;
 import java.io.ByteArrayOutputStream;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
@@ -25,23 +25,23 @@
  * watch works it calls again by itself, at a pace that the settings allow, and does not wait for
  * the end of a call that says nothing: the first that speaks is the watch, and the others end.
  */
-public final class Watch {
+public final class DiscoveryWatch {
   /** Who is told. */
-  public interface Told {
-    void list(Members members);
+  public interface Listener {
+    void onUpdate(MemberListUpdate members);
 
     /**
      * The watch has ended, or a call failed that was asked for; the list held stays. Not told of
      * calls that the watch makes by itself: who is told may ask again for each that is told, and
      * there is one answer to one ask.
      */
-    void failed();
+    void onFailure();
 
     /**
      * There was word from discovery, be it that nothing is new; told after the list that it
      * brought.
      */
-    default void word() {}
+    default void onContact() {}
   }
 
   private static final Logger LOG = LoggerFactory.getLogger("gingerring.discovery");
@@ -96,9 +96,9 @@
   }
 
   private final Network network;
-  private final Told told;
-  private final Counts counts;
-  private final TurnClock clock;
+  private final Listener told;
+  private final Counters counts;
+  private final LoopTimer clock;
 
   /** How long after its last call it calls again while no watch works. */
   private final Duration pace;
@@ -129,35 +129,35 @@
   private Duration complained;
 
   /** Follows at the pace that is in time wherever the agent need not have its say at once. */
-  public Watch(
+  public DiscoveryWatch(
       Network network,
       InetSocketAddress address,
       long revision,
-      Told told,
-      Counts counts,
-      TurnClock clock) {
+      Listener told,
+      Counters counts,
+      LoopTimer clock) {
     this(network, address, revision, told, counts, clock, slowest());
   }
 
   /** Follows at the pace that the settings allow. */
-  public Watch(
+  public DiscoveryWatch(
       Network network,
       InetSocketAddress address,
       long revision,
-      Told told,
-      Counts counts,
-      TurnClock clock,
+      Listener told,
+      Counters counts,
+      LoopTimer clock,
       Settings terms) {
     this(network, address, revision, told, counts, clock, pace(terms));
   }
 
-  private Watch(
+  private DiscoveryWatch(
       Network network,
       InetSocketAddress address,
       long revision,
-      Told told,
-      Counts counts,
-      TurnClock clock,
+      Listener told,
+      Counters counts,
+      LoopTimer clock,
       Duration pace) {
     this.network = network;
     this.told = told;
@@ -213,7 +213,7 @@
    * its whole list is asked for; until that has come the last list stays, and the watch that last
    * worked elsewhere.
    */
-  public void move(InetSocketAddress to) {
+  public void changeAddress(InetSocketAddress to) {
     if (!to.equals(place.address)) {
       if (watch != null) {
         endFormer();
@@ -229,13 +229,13 @@
         endQuietly(
             call); // what it brings is the former place's, and the list from here may have come
         // before
-        fetch();
+        fetchFullList();
       }
     }
   }
 
   /** Asks for the whole list once. */
-  public void fetch() {
+  public void fetchFullList() {
     fetches.add(new Call(false, true));
   }
 
@@ -255,7 +255,7 @@
   private void plan() {
     if (!planned) {
       planned = true;
-      clock.wakeAfter(
+      clock.schedule(
           called.plus(pace).minus(clock.now()),
           () -> {
             planned = false;
@@ -271,7 +271,7 @@
   }
 
   private void endTries() {
-    List.copyOf(tries).forEach(Watch::endQuietly);
+    List.copyOf(tries).forEach(DiscoveryWatch::endQuietly);
   }
 
   private void endFormer() {
@@ -293,7 +293,7 @@
   }
 
   /** One GET on a connection of its own. */
-  private final class Call implements Party, HttpParser.Sink {
+  private final class Call implements ConnectionHandler, HttpParser.Handler {
     private final boolean streams;
 
     /** Whether its failure is told. */
@@ -344,7 +344,7 @@
       if (left.isNegative() || left.isZero()) {
         fail("silent");
       } else {
-        clock.wakeAfter(
+        clock.schedule(
             least(LISTEN, left),
             () -> {
               if (!ended) {
@@ -367,37 +367,37 @@
     }
 
     @Override
-    public void opened() {
+    public void onOpened() {
       String target = streams ? PATH + "?stream=1&index=" + from.revision : PATH;
-      connection.out.put(HttpWriter.get(target, host, !streams));
-      connection.touch();
+      connection.output.put(HttpWriter.getRequest(target, host, !streams));
+      connection.requestFlush();
     }
 
     @Override
-    public void readable() {
+    public void onReadable() {
       heard = clock.now();
       try {
-        while (!ended && connection.in.size() > 0) {
-          parser.read(connection.in);
+        while (!ended && connection.input.size() > 0) {
+          parser.parse(connection.input);
         }
-      } catch (Malformed e) {
+      } catch (HttpException e) {
         fail(e.getMessage());
       }
       if (ended) {
-        connection.in.clear();
+        connection.input.clear();
       }
     }
 
     @Override
-    public void head(Head head) throws Malformed {
-      if (!head.second().equals("200")) {
-        throw new Malformed(400, "it answered " + head.second());
+    public void onHead(MessageHead head) throws HttpException {
+      if (!head.targetOrStatus().equals("200")) {
+        throw new HttpException(400, "it answered " + head.targetOrStatus());
       }
       toEnd = head.header("content-length") == null && head.header("transfer-encoding") == null;
     }
 
     @Override
-    public void body(byte[] bytes, int length) throws Malformed {
+    public void onBody(byte[] bytes, int length) throws HttpException {
       for (int i = 0; i < length && !ended; i++) {
         if (streams && bytes[i] == '\n' && (depth == 0 || quoted)) {
           line();
@@ -410,7 +410,7 @@
         }
       }
       if (text.size() > LINE_MOST) {
-        throw new Malformed(413, "a line is too long");
+        throw new HttpException(413, "a line is too long");
       }
     }
 
@@ -432,14 +432,14 @@
       }
     }
 
-    private void line() throws Malformed {
+    private void line() throws HttpException {
       byte[] line = text.toByteArray();
       text.reset();
       depth = 0;
       quoted = false;
       escaped = false;
       boolean list = !streams || !new String(line, StandardCharsets.ISO_8859_1).isBlank();
-      Members members = list ? read(line) : null;
+      MemberListUpdate members = list ? read(line) : null;
       lines++;
       lineEnd = heard;
       if (streams && tries.remove(this)) {
@@ -453,19 +453,19 @@
         if (list) {
           endFormer();
         }
-        told.word();
+        told.onContact();
       }
     }
 
-    private Members read(byte[] line) throws Malformed {
+    private MemberListUpdate read(byte[] line) throws HttpException {
       try {
-        return Members.read(Json.read(line));
-      } catch (Json.Malformed e) {
-        throw new Malformed(400, "a list could not be used: " + e.getMessage());
+        return MemberListUpdate.parse(Json.parse(line));
+      } catch (Json.JsonException e) {
+        throw new HttpException(400, "a list could not be used: " + e.getMessage());
       }
     }
 
-    private void take(Members members) {
+    private void take(MemberListUpdate members) {
       if (members.complete() && members.revision() < from.revision) {
         if (from == place) {
           older();
@@ -477,7 +477,7 @@
         from.revision = members.revision();
         from.olderSince = null;
         counts.add("lists told", 1);
-        told.list(members);
+        told.onUpdate(members);
       }
     }
 
@@ -492,7 +492,7 @@
       if (from.olderSince == null) {
         Duration since = clock.now();
         from.olderSince = since;
-        clock.wakeAfter(
+        clock.schedule(
             LATE_MOST,
             () -> {
               if (since.equals(from.olderSince) && from == place) {
@@ -509,7 +509,7 @@
 
     /** The answer is whole: of a watch, its last line too, if it has no end of its own. */
     @Override
-    public void end() throws Malformed {
+    public void onMessageEnd() throws HttpException {
       if (!streams || text.size() > 0) {
         line();
       }
@@ -525,12 +525,12 @@
      * tells nothing.
      */
     @Override
-    public void closed() {
+    public void onClosed() {
       try {
-        if (!ended && toEnd && connection.endedOrderly()) {
-          end();
+        if (!ended && toEnd && connection.closedGracefully()) {
+          onMessageEnd();
         }
-      } catch (Malformed e) {
+      } catch (HttpException e) {
         fail(e.getMessage());
       }
       fail("the connection ended");
@@ -552,7 +552,7 @@
           plan();
         }
         if (here && asked) {
-          told.failed();
+          told.onFailure();
         }
       }
     }
--- a/mixer/src/main/java/gingerring/discovery/Members.java
+++ b/mixer/src/main/java/gingerring/discovery/MemberListUpdate.java
@@ -1,8 +1,8 @@
 package gingerring.discovery;
 
 import gingerring.decide.MemberEntry.Standing;
-import gingerring.json.Fields;
 import gingerring.json.Json;
+import gingerring.json.JsonFields;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
@@ -15,7 +15,7 @@
  * that cannot be is refused whole. Of a member that is named twice the last entry counts, as if it
  * had changed in between.
  */
-public record Members(long revision, boolean complete, List<Member> members) {
+public record MemberListUpdate(long revision, boolean complete, List<Member> members) {
   /**
    * {@code upSinceMs} is Unix time, 0 for long ago; {@code address} is null where one is gone
    * without.
@@ -36,54 +36,54 @@
   /** Times up to then count exactly in nanoseconds from any other. */
   private static final double UP_SINCE_MOST_MS = 9e12;
 
-  public static Members read(Object value) throws Json.Malformed {
-    Map<String, Object> list = Fields.object(value, "the list");
+  public static MemberListUpdate parse(Object value) throws Json.JsonException {
+    Map<String, Object> list = JsonFields.object(value, "the list");
     Map<String, Member> members = new LinkedHashMap<>();
-    for (Object each : Fields.list(list, "members")) {
-      Member member = member(Fields.object(each, "a member"));
+    for (Object each : JsonFields.list(list, "members")) {
+      Member member = member(JsonFields.object(each, "a member"));
       members.put(member.id(), member);
     }
-    return new Members(
-        Fields.whole(list, "revision"),
-        Fields.flag(list, "complete"),
+    return new MemberListUpdate(
+        JsonFields.nonNegativeInteger(list, "revision"),
+        JsonFields.booleanValue(list, "complete"),
         List.copyOf(members.values()));
   }
 
-  private static Member member(Map<String, Object> from) throws Json.Malformed {
-    String id = Fields.text(from, "id");
+  private static Member member(Map<String, Object> from) throws Json.JsonException {
+    String id = JsonFields.string(from, "id");
     Standing standing =
-        switch (Fields.text(from, "phase")) {
+        switch (JsonFields.string(from, "phase")) {
           case "SERVING" -> Standing.READY;
           case "DRAINING" -> Standing.DRAINING;
           case "DELETED" -> Standing.GONE;
-          default -> throw new Json.Malformed("phase is unknown");
+          default -> throw new Json.JsonException("phase is unknown");
         };
     if (id.isEmpty()) {
-      throw new Json.Malformed("id is empty");
+      throw new Json.JsonException("id is empty");
     }
     if (standing == Standing.GONE) {
       return new Member(
           id, null, "", "", 0, standing, 1, 0); // whatever else it says, nobody calls it
     }
-    long cell = Fields.whole(from, "cell");
-    float size = (float) Fields.number(from, "size");
-    double upSinceMs = Fields.number(from, "up_since_ms");
+    long cell = JsonFields.nonNegativeInteger(from, "cell");
+    float size = (float) JsonFields.number(from, "size");
+    double upSinceMs = JsonFields.number(from, "up_since_ms");
     if (cell > CELL_MOST
         || !(size > 0)
         || Float.isInfinite(size)
         || upSinceMs < 0
         || upSinceMs > UP_SINCE_MOST_MS) {
-      throw new Json.Malformed("cell, size or up_since_ms cannot be");
+      throw new Json.JsonException("cell, size or up_since_ms cannot be");
     }
-    InetSocketAddress address = address(Fields.text(from, "host_port"));
+    InetSocketAddress address = parseAddress(JsonFields.string(from, "host_port"));
     if (address.getPort() == 0) {
-      throw new Json.Malformed("nobody listens at port 0");
+      throw new Json.JsonException("nobody listens at port 0");
     }
     return new Member(
         id,
         address,
-        Fields.text(from, "locality"),
-        Fields.text(from, "flavor"),
+        JsonFields.string(from, "locality"),
+        JsonFields.string(from, "flavor"),
         (int) cell,
         standing,
         size,
@@ -91,28 +91,28 @@
   }
 
   /** An address in figures; names are not looked up. */
-  public static InetSocketAddress address(String text) throws Json.Malformed {
+  public static InetSocketAddress parseAddress(String text) throws Json.JsonException {
     if (!text.matches("[0-9]{1,3}(\\.[0-9]{1,3}){3}:[0-9]{1,5}")) {
-      throw new Json.Malformed("no address: " + text);
+      throw new Json.JsonException("no address: " + text);
     }
     int colon = text.indexOf(':');
     int port = Integer.parseInt(text.substring(colon + 1));
     if (port > PORT_MOST) {
-      throw new Json.Malformed("no port: " + text);
+      throw new Json.JsonException("no port: " + text);
     }
     byte[] bytes = new byte[4];
     String[] figures = text.substring(0, colon).split("\\.");
     for (int i = 0; i < bytes.length; i++) {
       int figure = Integer.parseInt(figures[i]);
       if (figure > 255) {
-        throw new Json.Malformed("no address: " + text);
+        throw new Json.JsonException("no address: " + text);
       }
       bytes[i] = (byte) figure;
     }
     try {
       return new InetSocketAddress(InetAddress.getByAddress(bytes), port);
     } catch (UnknownHostException e) {
-      throw new Json.Malformed("no address: " + text);
+      throw new Json.JsonException("no address: " + text);
     }
   }
 }
--- a/mixer/src/main/java/gingerring/frontend/Asks.java
+++ b/mixer/src/main/java/gingerring/frontend/Asks.java
@@ -1,10 +1,10 @@
 package gingerring.frontend;
 
 import gingerring.decide.Settings;
-import gingerring.http.Head;
-import gingerring.http.Malformed;
-import gingerring.json.Fields;
+import gingerring.http.HttpException;
+import gingerring.http.MessageHead;
 import gingerring.json.Json;
+import gingerring.json.JsonFields;
 import java.nio.ByteBuffer;
 import java.nio.CharBuffer;
 import java.nio.charset.CharacterCodingException;
@@ -43,30 +43,30 @@
     shards = terms.count("Domain.Slices");
   }
 
-  Ask read(Head head, byte[] body) throws Malformed {
+  Ask read(MessageHead head, byte[] body) throws HttpException {
     String mark = mark(head, "X-Txn");
     Integer grade =
         lanes.get(String.valueOf(head.header("X-Lane")).replace(' ', '_').replace(',', '_'));
     if (grade == null) {
-      throw new Malformed(400, "no known X-Lane");
+      throw new HttpException(400, "no known X-Lane");
     }
     String remaining = head.header("X-Remaining-Ms");
     if (remaining == null || !MILLIS.matcher(remaining).matches()) {
-      throw new Malformed(400, "no X-Remaining-Ms");
+      throw new HttpException(400, "no X-Remaining-Ms");
     }
     String key = numbered.get(grade) ? mark(head, "Idempotency-Key") : null;
     try {
-      Map<String, Object> object = Fields.object(Json.read(body), "the body");
+      Map<String, Object> object = JsonFields.object(Json.parse(body), "the body");
       return new Ask(
           mark,
           grade,
           "1".equals(head.header("X-Resent")),
           key,
           patience(grade, Long.parseLong(remaining)),
-          pieces(Fields.list(object, "targets")),
-          bytes(Fields.text(object, "query")));
-    } catch (Json.Malformed e) {
-      throw new Malformed(400, e.getMessage());
+          pieces(JsonFields.list(object, "targets")),
+          bytes(JsonFields.string(object, "query")));
+    } catch (Json.JsonException e) {
+      throw new HttpException(400, e.getMessage());
     }
   }
 
@@ -80,12 +80,12 @@
   }
 
   /** A searcher is to get the text unchanged: half of a surrogate pair has no bytes. */
-  private static byte[] bytes(String text) throws Json.Malformed {
+  private static byte[] bytes(String text) throws Json.JsonException {
     try {
       ByteBuffer bytes = StandardCharsets.UTF_8.newEncoder().encode(CharBuffer.wrap(text));
       return Arrays.copyOf(bytes.array(), bytes.limit());
     } catch (CharacterCodingException e) {
-      throw new Json.Malformed("query is no text");
+      throw new Json.JsonException("query is no text");
     }
   }
 
@@ -93,49 +93,50 @@
    * A mark goes into the searchers' frames as it is, so nothing that frames are cut by may stand in
    * it.
    */
-  private static String mark(Head head, String name) throws Malformed {
+  private static String mark(MessageHead head, String name) throws HttpException {
     String mark = head.header(name);
     if (mark == null
         || mark.isEmpty()
         || mark.length() > MARK_MOST
         || !mark.chars().allMatch(c -> c > ' ' && c < 127 && c != ',')) {
-      throw new Malformed(400, "no " + name);
+      throw new HttpException(400, "no " + name);
     }
     return mark;
   }
 
-  private List<Ask.Piece> pieces(List<Object> targets) throws Json.Malformed {
+  private List<Ask.Piece> pieces(List<Object> targets) throws Json.JsonException {
     double sum = 0;
     List<Ask.Piece> pieces = new ArrayList<>();
     Set<Integer> seen = new HashSet<>();
     for (Object each : targets) {
-      Map<String, Object> target = Fields.object(each, "a target");
-      long shard = Fields.whole(target, "partition");
-      double share = Fields.number(target, "share");
+      Map<String, Object> target = JsonFields.object(each, "a target");
+      long shard = JsonFields.nonNegativeInteger(target, "partition");
+      double share = JsonFields.number(target, "share");
       if (shard >= shards || !seen.add((int) shard)) {
-        throw new Json.Malformed("partition " + shard + " is out of range, or there twice");
+        throw new Json.JsonException("partition " + shard + " is out of range, or there twice");
       }
       if (share <= 0) {
-        throw new Json.Malformed("share is not positive");
+        throw new Json.JsonException("share is not positive");
       }
       sum += share;
-      long micros = target.containsKey("est_us") ? Fields.whole(target, "est_us") : 0;
+      long micros =
+          target.containsKey("est_us") ? JsonFields.nonNegativeInteger(target, "est_us") : 0;
       pieces.add(
           new Ask.Piece(
               (int) shard,
               share,
               Duration.ofNanos(Math.min(micros, MICROS_MOST) * 1000),
-              target.containsKey("route") ? route(Fields.text(target, "route")) : 0));
+              target.containsKey("route") ? route(JsonFields.string(target, "route")) : 0));
     }
     if (Math.abs(sum - 1) > ROUNDING) {
-      throw new Json.Malformed("the shares do not sum to 1");
+      throw new Json.JsonException("the shares do not sum to 1");
     }
     return pieces;
   }
 
-  private static long route(String text) throws Json.Malformed {
+  private static long route(String text) throws Json.JsonException {
     if (!ROUTE.matcher(text).matches()) {
-      throw new Json.Malformed("route is no 16 hex digits");
+      throw new Json.JsonException("route is no 16 hex digits");
     }
     return Long.parseUnsignedLong(text, 16);
   }
--- a/mixer/src/main/java/gingerring/frontend/Client.java
+++ b/mixer/src/main/java/gingerring/frontend/Client.java
@@ -1,11 +1,11 @@
 package gingerring.frontend;
 
-import gingerring.http.Head;
+import gingerring.http.HttpException;
 import gingerring.http.HttpParser;
 import gingerring.http.HttpWriter;
-import gingerring.http.Malformed;
+import gingerring.http.MessageHead;
 import gingerring.net.Connection;
-import gingerring.net.Party;
+import gingerring.net.ConnectionHandler;
 import java.io.ByteArrayOutputStream;
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
@@ -16,13 +16,13 @@
  * One client's connection: a request at a time, the next left in the ring until the answer has been
  * put.
  */
-final class Client implements Party, Reply {
+final class Client implements ConnectionHandler, Reply {
   private final Front front;
   private final Connection connection;
   private final HttpParser parser;
   private ByteArrayOutputStream body = new ByteArrayOutputStream();
   private final boolean crowded;
-  private Head head;
+  private MessageHead head;
   private Duration since;
   private Duration idleSince;
 
@@ -50,23 +50,23 @@
         new HttpParser(
             true,
             Front.BODY_MOST,
-            new HttpParser.Sink() {
+            new HttpParser.Handler() {
               @Override
-              public void head(Head read) {
+              public void onHead(MessageHead read) {
                 head = read;
-                if (read.says("expect", "100-continue")) {
+                if (read.hasToken("expect", "100-continue")) {
                   put(HttpWriter.CONTINUE);
                 }
               }
 
               @Override
-              public void body(byte[] bytes, int length) throws Malformed {
+              public void onBody(byte[] bytes, int length) throws HttpException {
                 front.holdBody(length);
                 body.write(bytes, 0, length);
               }
 
               @Override
-              public void end() throws Malformed {
+              public void onMessageEnd() throws HttpException {
                 asked();
               }
             });
@@ -77,9 +77,9 @@
     return !waiting
         && !over
         && !gaveWay
-        && !parser.midway()
-        && connection.in.size() == 0
-        && connection.out.size() == 0;
+        && !parser.isMidMessage()
+        && connection.input.size() == 0
+        && connection.output.size() == 0;
   }
 
   /** A request has begun to come, and is not there after longer than whole ones take. */
@@ -88,7 +88,7 @@
         && !over
         && !gaveWay
         && since != null
-        && parser.midway()
+        && parser.isMidMessage()
         && front.now().minus(since).compareTo(Front.SWEEP) > 0;
   }
 
@@ -97,7 +97,7 @@
    * request come.
    */
   boolean spare() {
-    return over ? connection.unsentFree() && !gaveWay : idle() || half();
+    return over ? connection.isFlushed() && !gaveWay : idle() || half();
   }
 
   /** Those that are spare, in the order in which they are ended. */
@@ -136,7 +136,7 @@
     if (waiting || over) {
       return;
     }
-    if (connection.out.size() > 0) {
+    if (connection.output.size() > 0) {
       if (idle.compareTo(Front.LEAVING) > 0) {
         connection.close();
       }
@@ -148,31 +148,31 @@
   }
 
   @Override
-  public void readable() {
+  public void onReadable() {
     try {
       // the next request waits until the last answer has left: a slow reader holds up no one but
       // itself
-      while (!waiting && !over && connection.out.size() == 0 && connection.in.size() > 0) {
+      while (!waiting && !over && connection.output.size() == 0 && connection.input.size() > 0) {
         if (since == null) {
-          since = connection.heard();
+          since = connection.inputArrivedAt();
         }
-        parser.read(connection.in);
+        parser.parse(connection.input);
       }
-    } catch (Malformed e) {
+    } catch (HttpException e) {
       refuse(e.status);
     }
-    if (waiting && connection.crowded()) {
+    if (waiting && connection.isInputFull()) {
       // much came behind the request in hand: unread, it would hide that the client goes. Where the
       // next
       // request begins is lost by it, so that the answer will be the last
       front.counts().add("clients that sent too much", 1);
       last = true;
-      connection.dropRest();
+      connection.discardInput();
     }
     if (over) {
-      connection.in.clear();
+      connection.input.clear();
     }
-    connection.resume();
+    connection.resumeReading();
   }
 
   /** Nothing that follows can be told from what was wrong: an error, and the end. */
@@ -192,31 +192,34 @@
     }
     last = true;
     // an answer is on its way, and the client sends no request before it has it
-    if (connection.out.size() > 0) {
+    if (connection.output.size() > 0) {
       over = true;
-      connection.endAfterFlush();
+      connection.closeGracefully();
     } else {
       nack(Duration.ZERO);
     }
   }
 
   @Override
-  public void drained() {
-    readable();
+  public void onFlushed() {
+    onReadable();
   }
 
-  private void asked() throws Malformed {
-    last = head.says("connection", "close") || head.third().equals("HTTP/1.0");
-    if (head.third().equals("HTTP/1.1") && head.header("host") == null) {
-      throw new Malformed(400, "no Host");
+  private void asked() throws HttpException {
+    last = head.hasToken("connection", "close") || head.versionOrReason().equals("HTTP/1.0");
+    if (head.versionOrReason().equals("HTTP/1.1") && head.header("host") == null) {
+      throw new HttpException(400, "no Host");
     }
-    int query = head.second().indexOf('?');
-    String path = query < 0 ? head.second() : head.second().substring(0, query);
+    int query = head.targetOrStatus().indexOf('?');
+    String path = query < 0 ? head.targetOrStatus() : head.targetOrStatus().substring(0, query);
     switch (path) {
       case "/ready" ->
-          respond(!head.first().equals("GET") ? 405 : front.ready() ? 200 : 503, "", new byte[0]);
+          respond(
+              !head.methodOrVersion().equals("GET") ? 405 : front.ready() ? 200 : 503,
+              "",
+              new byte[0]);
       case "/api" -> {
-        if (!head.first().equals("POST")) {
+        if (!head.methodOrVersion().equals("POST")) {
           respond(405, "", new byte[0]);
         } else {
           scan();
@@ -226,11 +229,11 @@
     }
   }
 
-  private void scan() throws Malformed {
+  private void scan() throws HttpException {
     Ask ask;
     try {
       ask = front.asks().read(head, body.toByteArray());
-    } catch (Malformed e) {
+    } catch (HttpException e) {
       // the framing holds, so that the connection can go on
       front.counts().add("bad requests", 1);
       respond(e.status, "", new byte[0]);
@@ -300,23 +303,23 @@
     front.dropBody(body.size());
     body = new ByteArrayOutputStream();
     last |= front.ending();
-    if (!put(HttpWriter.answer(status, last, extra, json))) {
+    if (!put(HttpWriter.response(status, last, extra, json))) {
       front.counts().add("answers too large", 1);
       last = true;
-      put(HttpWriter.answer(500, true, "", new byte[0]));
+      put(HttpWriter.response(500, true, "", new byte[0]));
     }
     if (last) {
       over = true;
       // to close on unread bytes, a next request say, would reset the answer away
-      connection.endAfterFlush();
+      connection.closeGracefully();
     } else {
-      front.again(this::readable);
+      front.again(this::onReadable);
     }
   }
 
   private boolean put(byte[] bytes) {
-    connection.touch();
-    return connection.closed() || connection.out.put(bytes);
+    connection.requestFlush();
+    return connection.isClosed() || connection.output.put(bytes);
   }
 
   /** Ends it, unless a request has just come. */
@@ -325,7 +328,7 @@
   }
 
   @Override
-  public void closed() {
+  public void onClosed() {
     front.gone(this, gaveWay);
     front.dropBody(body.size());
     body = new ByteArrayOutputStream();
--- a/mixer/src/main/java/gingerring/frontend/Front.java
+++ b/mixer/src/main/java/gingerring/frontend/Front.java
@@ -1,12 +1,12 @@
 package gingerring.frontend;
 
 import gingerring.decide.Settings;
-import gingerring.http.Malformed;
+import gingerring.http.HttpException;
 import gingerring.net.Connection;
-import gingerring.net.Counts;
+import gingerring.net.ConnectionHandler;
+import gingerring.net.Counters;
+import gingerring.net.LoopTimer;
 import gingerring.net.Network;
-import gingerring.net.Party;
-import gingerring.net.TurnClock;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.time.Duration;
@@ -34,8 +34,8 @@
   private final Network network;
   private final Intake intake;
   private final Asks asks;
-  private final Counts counts;
-  private final TurnClock clock;
+  private final Counters counts;
+  private final LoopTimer clock;
   private final Consumer<Runnable> again;
   private final int connectionsMost;
   private int bodies;
@@ -54,8 +54,8 @@
       Network network,
       Intake intake,
       Settings terms,
-      Counts counts,
-      TurnClock clock,
+      Counters counts,
+      LoopTimer clock,
       Consumer<Runnable> again,
       int connectionsMost) {
     this.network = network;
@@ -65,25 +65,25 @@
     this.again = again;
     this.connectionsMost = connectionsMost;
     asks = new Asks(terms);
-    clock.wakeAfter(SWEEP, this::sweep);
+    clock.schedule(SWEEP, this::sweep);
   }
 
   public InetSocketAddress listen(InetSocketAddress address) throws IOException {
-    network.whenShort(this::shed);
+    network.setShortageHandler(this::shed);
     return network.listen(address, connectionsMost, OUT_MOST, this::accepted);
   }
 
   private void accepted(Connection connection) {
     if (ended) {
-      connection.party(Party.NONE);
+      connection.setHandler(ConnectionHandler.NO_OP);
       connection.close(); // never read: its client may come again
       return;
     }
     // guards against newcomers of one turn that are sent away while enough others are being ended
     // for them
-    boolean crowded = !shed() && network.full(givingWay);
+    boolean crowded = !shed() && network.isFull(givingWay);
     Client client = new Client(this, connection, crowded);
-    connection.party(client);
+    connection.setHandler(client);
     clients.add(client);
   }
 
@@ -94,7 +94,7 @@
    * is over. Where all are busy a newcomer's scan is nacked. Returns whether any went.
    */
   private boolean shed() {
-    int shortBy = network.shortBy() - givingWay;
+    int shortBy = network.connectionShortfall() - givingWay;
     if (shortBy <= 0) {
       return false;
     }
@@ -115,7 +115,7 @@
   private void sweep() {
     List.copyOf(clients).forEach(Client::sweep);
     shed();
-    clock.wakeAfter(SWEEP, this::sweep);
+    clock.schedule(SWEEP, this::sweep);
   }
 
   /**
@@ -151,7 +151,7 @@
     return asks;
   }
 
-  Counts counts() {
+  Counters counts() {
     return counts;
   }
 
@@ -176,9 +176,9 @@
   }
 
   /** Guards against many slow senders that together hold more than the memory there is. */
-  void holdBody(int length) throws Malformed {
+  void holdBody(int length) throws HttpException {
     if (bodies + length > BODIES_MOST) {
-      throw new Malformed(503, "too many bodies half sent");
+      throw new HttpException(503, "too many bodies half sent");
     }
     bodies += length;
   }
--- a/mixer/src/main/java/gingerring/http/Malformed.java
+++ b/mixer/src/main/java/gingerring/http/HttpException.java
@@ -4,11 +4,11 @@
  * Input that is not HTTP, or more of it than is taken; {@code status} is what its sender is
  * answered.
  */
-public final class Malformed extends Exception {
+public final class HttpException extends Exception {
   private static final long serialVersionUID = 1;
   public final int status;
 
-  public Malformed(int status, String message) {
+  public HttpException(int status, String message) {
     super(message, null, false, false);
     this.status = status;
   }
--- a/mixer/src/main/java/gingerring/http/HttpParser.java
+++ b/mixer/src/main/java/gingerring/http/HttpParser.java
@@ -14,12 +14,12 @@
  */
 public final class HttpParser {
   /** What is read is told here as it comes. */
-  public interface Sink {
-    void head(Head head) throws Malformed;
+  public interface Handler {
+    void onHead(MessageHead head) throws HttpException;
 
-    void body(byte[] bytes, int length) throws Malformed;
+    void onBody(byte[] bytes, int length) throws HttpException;
 
-    void end() throws Malformed;
+    void onMessageEnd() throws HttpException;
   }
 
   private static final int HEAD_MOST = 8192;
@@ -42,7 +42,7 @@
 
   private final boolean requests;
   private final long bodyMost;
-  private final Sink sink;
+  private final Handler sink;
   private final ByteArrayOutputStream line = new ByteArrayOutputStream();
   private final byte[] piece = new byte[PIECE];
   private At at = At.FIRST_LINE;
@@ -52,19 +52,19 @@
   private long bodyLength;
   private long left;
 
-  public HttpParser(boolean requests, long bodyMost, Sink sink) {
+  public HttpParser(boolean requests, long bodyMost, Handler sink) {
     this.requests = requests;
     this.bodyMost = bodyMost;
     this.sink = sink;
   }
 
   /** Whether part of a message has been read and the rest has not. */
-  public boolean midway() {
+  public boolean isMidMessage() {
     return at != At.FIRST_LINE || line.size() > 0;
   }
 
   /** Reads on to the end of a message, or of the bytes there are; true once a message has ended. */
-  public boolean read(ByteRing in) throws Malformed {
+  public boolean parse(ByteRing in) throws HttpException {
     while (in.size() > 0) {
       boolean ended =
           switch (at) {
@@ -76,42 +76,42 @@
       if (ended) {
         at = At.FIRST_LINE;
         headLength = 0;
-        sink.end();
+        sink.onMessageEnd();
         return true;
       }
     }
     return false;
   }
 
-  private boolean lineRead(ByteRing in) throws Malformed {
+  private boolean lineRead(ByteRing in) throws HttpException {
     int next;
     while ((next = in.take()) >= 0) {
       if (next == '\n') {
         byte[] bytes = line.toByteArray();
         if (bytes.length == 0 || bytes[bytes.length - 1] != '\r') {
-          throw new Malformed(400, "a line ends without CR");
+          throw new HttpException(400, "a line ends without CR");
         }
         return true;
       }
       line.write(next);
       boolean head = at != At.CHUNK_SIZE && at != At.CHUNK_END;
       if (head && ++headLength > HEAD_MOST) {
-        throw new Malformed(431, "headers too large");
+        throw new HttpException(431, "headers too large");
       }
       if (!head && line.size() > SIZE_LINE_MOST) {
-        throw new Malformed(400, "a chunk's line is too long");
+        throw new HttpException(400, "a chunk's line is too long");
       }
     }
     return false;
   }
 
-  private boolean lineEnded() throws Malformed {
+  private boolean lineEnded() throws HttpException {
     String text = line.toString(StandardCharsets.ISO_8859_1);
     line.reset();
     text = text.substring(0, text.length() - 1);
     for (int i = 0; i < text.length(); i++) {
       if (text.charAt(i) < ' ' && text.charAt(i) != '\t' || text.charAt(i) == 127) {
-        throw new Malformed(400, "a control character in a line");
+        throw new HttpException(400, "a control character in a line");
       }
     }
     return switch (at) {
@@ -123,7 +123,7 @@
     };
   }
 
-  private boolean firstLine(String text) throws Malformed {
+  private boolean firstLine(String text) throws HttpException {
     if (text.isEmpty() && requests) {
       return false; // an empty line before a request is left out, as RFC 9112 2.2 asks
     }
@@ -134,17 +134,17 @@
         || !VERSION.matcher(version).matches()
         || words[0].isEmpty()
         || words[1].isEmpty()) {
-      throw new Malformed(400, "no first line of HTTP/1");
+      throw new HttpException(400, "no first line of HTTP/1");
     }
     headers = new LinkedHashMap<>();
     at = At.HEADERS;
     return false;
   }
 
-  private boolean header(String text) throws Malformed {
+  private boolean header(String text) throws HttpException {
     int colon = text.indexOf(':');
     if (colon < 1 || !token(text, colon)) {
-      throw new Malformed(400, "no header line");
+      throw new HttpException(400, "no header line");
     }
     headers.merge(
         text.substring(0, colon).toLowerCase(Locale.ROOT),
@@ -166,19 +166,20 @@
     return true;
   }
 
-  private boolean headEnded() throws Malformed {
-    Head head = new Head(words[0], words[1], words.length > 2 ? words[2] : "", headers);
+  private boolean headEnded() throws HttpException {
+    MessageHead head =
+        new MessageHead(words[0], words[1], words.length > 2 ? words[2] : "", headers);
     String length = head.header("content-length");
     String coding = head.header("transfer-encoding");
     bodyLength = 0;
     if (coding != null && (length != null || !coding.equalsIgnoreCase("chunked"))) {
-      throw new Malformed(400, "a body framed in two ways, or in one that is not known");
+      throw new HttpException(400, "a body framed in two ways, or in one that is not known");
     }
     if (coding != null) {
       at = At.CHUNK_SIZE;
     } else if (length != null) {
       if (!LENGTH.matcher(length).matches()) {
-        throw new Malformed(400, "no content length");
+        throw new HttpException(400, "no content length");
       }
       left = Long.parseLong(length);
       grow(left);
@@ -190,22 +191,22 @@
           requests || words[1].startsWith("1") || words[1].equals("204") || words[1].equals("304");
       at = bare ? At.BODY : At.TO_END;
     }
-    sink.head(head);
+    sink.onHead(head);
     return at == At.BODY && left == 0;
   }
 
-  private void grow(long length) throws Malformed {
+  private void grow(long length) throws HttpException {
     bodyLength += length;
     if (bodyLength > bodyMost) {
-      throw new Malformed(413, "body too large");
+      throw new HttpException(413, "body too large");
     }
   }
 
-  private boolean chunkSize(String text) throws Malformed {
+  private boolean chunkSize(String text) throws HttpException {
     int end = text.indexOf(';');
     String size = (end < 0 ? text : text.substring(0, end)).strip();
     if (!CHUNK_SIZE.matcher(size).matches()) {
-      throw new Malformed(400, "no chunk size");
+      throw new HttpException(400, "no chunk size");
     }
     left = Long.parseLong(size, 16);
     grow(left);
@@ -213,28 +214,28 @@
     return false;
   }
 
-  private boolean chunkEnded(String text) throws Malformed {
+  private boolean chunkEnded(String text) throws HttpException {
     if (!text.isEmpty()) {
-      throw new Malformed(400, "a chunk is longer than its size");
+      throw new HttpException(400, "a chunk is longer than its size");
     }
     at = At.CHUNK_SIZE;
     return false;
   }
 
-  private boolean piece(ByteRing in) throws Malformed {
+  private boolean piece(ByteRing in) throws HttpException {
     int count = in.take(piece, 0, (int) Math.min(left, piece.length));
     left -= count;
-    sink.body(piece, count);
+    sink.onBody(piece, count);
     if (left == 0 && at == At.CHUNK) {
       at = At.CHUNK_END;
     }
     return left == 0 && at == At.BODY;
   }
 
-  private boolean rest(ByteRing in) throws Malformed {
+  private boolean rest(ByteRing in) throws HttpException {
     int count = in.take(piece, 0, piece.length);
     grow(count);
-    sink.body(piece, count);
+    sink.onBody(piece, count);
     return false;
   }
 }
--- a/mixer/src/main/java/gingerring/http/HttpWriter.java
+++ b/mixer/src/main/java/gingerring/http/HttpWriter.java
@@ -30,7 +30,7 @@
 
   private HttpWriter() {}
 
-  public static byte[] answer(int status, boolean last, String extra, byte[] body) {
+  public static byte[] response(int status, boolean last, String extra, byte[] body) {
     ByteArrayOutputStream out = new ByteArrayOutputStream(body.length + 128);
     out.writeBytes(
         ascii(
@@ -49,7 +49,7 @@
     return out.toByteArray();
   }
 
-  public static byte[] get(String target, String host, boolean last) {
+  public static byte[] getRequest(String target, String host, boolean last) {
     return ascii(
         "GET "
             + target
--- a/mixer/src/main/java/gingerring/http/Head.java
+++ b/mixer/src/main/java/gingerring/http/MessageHead.java
@@ -4,13 +4,17 @@
 import java.util.Map;
 
 /** The first line of a message in its three words, and its headers by names in small letters. */
-public record Head(String first, String second, String third, Map<String, String> headers) {
+public record MessageHead(
+    String methodOrVersion,
+    String targetOrStatus,
+    String versionOrReason,
+    Map<String, String> headers) {
   public String header(String name) {
     return headers.get(name.toLowerCase(Locale.ROOT));
   }
 
   /** Whether a header that lists words has this one. */
-  public boolean says(String name, String word) {
+  public boolean hasToken(String name, String word) {
     String value = header(name);
     for (String part : value == null ? new String[0] : value.split(",")) {
       if (part.strip().equalsIgnoreCase(word)) {
--- a/mixer/src/main/java/gingerring/json/Json.java
+++ b/mixer/src/main/java/gingerring/json/Json.java
@@ -10,21 +10,21 @@
 import java.util.regex.Pattern;
 
 /**
- * Reads JSON (RFC 8259) strictly: one value, UTF-8, no name twice, no deeper than {@link #DEEPEST}.
- * Values come as {@code Map}, {@code List}, {@code String}, {@code Double}, {@code Boolean} and
- * null.
+ * Reads JSON (RFC 8259) strictly: one value, UTF-8, no name twice, no deeper than {@link
+ * #MAX_DEPTH}. Values come as {@code Map}, {@code List}, {@code String}, {@code Double}, {@code
+ * Boolean} and null.
  */
 public final class Json {
   /** Input that is not JSON. */
-  public static final class Malformed extends Exception {
+  public static final class JsonException extends Exception {
     private static final long serialVersionUID = 1;
 
-    public Malformed(String message) {
+    public JsonException(String message) {
       super(message, null, false, false);
     }
   }
 
-  static final int DEEPEST = 16;
+  static final int MAX_DEPTH = 16;
   private static final Pattern NUMBER =
       Pattern.compile("-?(0|[1-9][0-9]*)(\\.[0-9]+)?([eE][+-]?[0-9]+)?");
 
@@ -35,15 +35,15 @@
     this.text = text;
   }
 
-  public static Object read(byte[] bytes) throws Malformed {
+  public static Object parse(byte[] bytes) throws JsonException {
     try {
-      return read(StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(bytes)).toString());
+      return parse(StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(bytes)).toString());
     } catch (CharacterCodingException e) {
-      throw new Malformed("not UTF-8");
+      throw new JsonException("not UTF-8");
     }
   }
 
-  public static Object read(String text) throws Malformed {
+  public static Object parse(String text) throws JsonException {
     Json json = new Json(text);
     Object value = json.value(0);
     json.space();
@@ -53,8 +53,8 @@
     return value;
   }
 
-  private Malformed wrong(String what) {
-    return new Malformed(what + " at character " + at);
+  private JsonException wrong(String what) {
+    return new JsonException(what + " at character " + at);
   }
 
   private void space() {
@@ -63,7 +63,7 @@
     }
   }
 
-  private char peek() throws Malformed {
+  private char peek() throws JsonException {
     space();
     if (at >= text.length()) {
       throw wrong("it ends early");
@@ -71,15 +71,15 @@
     return text.charAt(at);
   }
 
-  private void expect(char c) throws Malformed {
+  private void expect(char c) throws JsonException {
     if (peek() != c) {
       throw wrong("no '" + c + "'");
     }
     at++;
   }
 
-  private Object value(int depth) throws Malformed {
-    if (depth > DEEPEST) {
+  private Object value(int depth) throws JsonException {
+    if (depth > MAX_DEPTH) {
       throw wrong("too deep");
     }
     return switch (peek()) {
@@ -93,7 +93,7 @@
     };
   }
 
-  private Object word(String word, Object value) throws Malformed {
+  private Object word(String word, Object value) throws JsonException {
     if (!text.startsWith(word, at)) {
       throw wrong("no value");
     }
@@ -101,7 +101,7 @@
     return value;
   }
 
-  private Map<String, Object> object(int depth) throws Malformed {
+  private Map<String, Object> object(int depth) throws JsonException {
     Map<String, Object> object = new LinkedHashMap<>();
     at++;
     if (peek() == '}') {
@@ -127,7 +127,7 @@
     }
   }
 
-  private List<Object> list(int depth) throws Malformed {
+  private List<Object> list(int depth) throws JsonException {
     List<Object> list = new ArrayList<>();
     at++;
     if (peek() == ']') {
@@ -144,7 +144,7 @@
     }
   }
 
-  private String string() throws Malformed {
+  private String string() throws JsonException {
     StringBuilder string = new StringBuilder();
     for (at++; at < text.length(); at++) {
       char c = text.charAt(at);
@@ -160,7 +160,7 @@
     throw wrong("it ends early");
   }
 
-  private char escape() throws Malformed {
+  private char escape() throws JsonException {
     if (++at >= text.length()) {
       throw wrong("it ends early");
     }
@@ -177,7 +177,7 @@
     return (char) Integer.parseInt(hex, 16);
   }
 
-  private Double number() throws Malformed {
+  private Double number() throws JsonException {
     int start = at;
     while (at < text.length() && "+-.0123456789eE".indexOf(text.charAt(at)) >= 0) {
       at++;
--- a/mixer/src/main/java/gingerring/json/Fields.java
+++ b/mixer/src/main/java/gingerring/json/JsonFields.java
@@ -4,54 +4,56 @@
 import java.util.Map;
 
 /** Takes values of a kind out of what was read; what is missing or of another kind is named. */
-public final class Fields {
+public final class JsonFields {
   private static final double WHOLE_MOST = 9007199254740992.0;
 
-  private Fields() {}
+  private JsonFields() {}
 
   @SuppressWarnings("unchecked") // Json makes maps with strings for names only
-  public static Map<String, Object> object(Object value, String name) throws Json.Malformed {
+  public static Map<String, Object> object(Object value, String name) throws Json.JsonException {
     if (value instanceof Map<?, ?> map) {
       return (Map<String, Object>) map;
     }
-    throw new Json.Malformed(name + " is no object");
+    throw new Json.JsonException(name + " is no object");
   }
 
   @SuppressWarnings("unchecked")
-  public static List<Object> list(Map<String, Object> from, String name) throws Json.Malformed {
+  public static List<Object> list(Map<String, Object> from, String name) throws Json.JsonException {
     if (from.get(name) instanceof List<?> list) {
       return (List<Object>) list;
     }
-    throw new Json.Malformed(name + " is no list");
+    throw new Json.JsonException(name + " is no list");
   }
 
-  public static String text(Map<String, Object> from, String name) throws Json.Malformed {
+  public static String string(Map<String, Object> from, String name) throws Json.JsonException {
     if (from.get(name) instanceof String text) {
       return text;
     }
-    throw new Json.Malformed(name + " is no text");
+    throw new Json.JsonException(name + " is no text");
   }
 
-  public static double number(Map<String, Object> from, String name) throws Json.Malformed {
+  public static double number(Map<String, Object> from, String name) throws Json.JsonException {
     if (from.get(name) instanceof Double number && Double.isFinite(number)) {
       return number;
     }
-    throw new Json.Malformed(name + " is no number");
+    throw new Json.JsonException(name + " is no number");
   }
 
   /** A whole number from 0 on. */
-  public static long whole(Map<String, Object> from, String name) throws Json.Malformed {
+  public static long nonNegativeInteger(Map<String, Object> from, String name)
+      throws Json.JsonException {
     double number = number(from, name);
     if (number < 0 || number != Math.rint(number) || number > WHOLE_MOST) {
-      throw new Json.Malformed(name + " is no whole number");
+      throw new Json.JsonException(name + " is no whole number");
     }
     return (long) number;
   }
 
-  public static boolean flag(Map<String, Object> from, String name) throws Json.Malformed {
+  public static boolean booleanValue(Map<String, Object> from, String name)
+      throws Json.JsonException {
     if (from.get(name) instanceof Boolean flag) {
       return flag;
     }
-    throw new Json.Malformed(name + " is neither true nor false");
+    throw new Json.JsonException(name + " is neither true nor false");
   }
 }
--- a/mixer/src/main/java/gingerring/net/ByteRing.java
+++ b/mixer/src/main/java/gingerring/net/ByteRing.java
@@ -22,18 +22,18 @@
     return (int) (put - taken);
   }
 
-  public int room() {
+  public int remainingCapacity() {
     return most - size();
   }
 
   /** How many bytes were ever put. */
-  public long position() {
+  public long totalBytesPut() {
     return put;
   }
 
   /** Puts all the bytes, or none where there is no room for all. */
   public boolean put(byte[] from, int at, int length) {
-    if (length > room()) {
+    if (length > remainingCapacity()) {
       return false;
     }
     grow(length);
@@ -84,7 +84,7 @@
   }
 
   /** The bytes next in turn that lie side by side; they stay until skipped. */
-  public ByteBuffer peek() {
+  public ByteBuffer peekContiguous() {
     int start = (int) (taken % bytes.length);
     return ByteBuffer.wrap(bytes, start, Math.min(size(), bytes.length - start)).slice();
   }
--- a/mixer/src/main/java/gingerring/net/Connection.java
+++ b/mixer/src/main/java/gingerring/net/Connection.java
@@ -14,9 +14,9 @@
  */
 public final class Connection {
   /** What one read brings at most; reading stops while the ring has no room for that. */
-  static final int READ = 4096;
+  static final int MAX_READ_BYTES = 4096;
 
-  private static final int IN = 2 * READ;
+  private static final int IN = 2 * MAX_READ_BYTES;
   private static final int OUT_FIRST = 1024;
 
   /** How long a connection's last bytes may take to leave. */
@@ -25,14 +25,14 @@
   /** How much is read and dropped before what is read is paced. */
   private static final long DROPPED_AT_ONCE = 1 << 20;
 
-  public final ByteRing in = new ByteRing(IN, IN);
-  public final ByteRing out;
+  public final ByteRing input = new ByteRing(IN, IN);
+  public final ByteRing output;
 
   /** The other side opened it. */
-  final boolean came;
+  final boolean inbound;
 
   private final Network network;
-  private Party party;
+  private ConnectionHandler party;
   private ConnectFuture dialled;
   private volatile IoSession session;
   private boolean opened;
@@ -76,38 +76,38 @@
 
   Connection(Network network, int outMost, boolean came) {
     this.network = network;
-    this.came = came;
-    out = new ByteRing(OUT_FIRST, outMost);
+    this.inbound = came;
+    output = new ByteRing(OUT_FIRST, outMost);
   }
 
-  public void party(Party owner) {
+  public void setHandler(ConnectionHandler owner) {
     party = owner;
   }
 
-  public boolean open() {
+  public boolean isOpen() {
     return opened && !closed && !closing;
   }
 
   /** Up or coming up, and not to be closed. */
-  public boolean usable() {
+  public boolean isUsable() {
     return !closed && !closing;
   }
 
-  public boolean closed() {
+  public boolean isClosed() {
     return closed;
   }
 
-  Duration restsSince() {
-    return party.restsSince();
+  Duration idleSince() {
+    return party.idleSince();
   }
 
   /** When bytes last came into an empty ring. */
-  public Duration heard() {
+  public Duration inputArrivedAt() {
     return heard;
   }
 
   /** How many bytes really left by this connection. */
-  public long written() {
+  public long bytesSent() {
     return session == null ? 0 : session.getWrittenBytes();
   }
 
@@ -142,21 +142,21 @@
       return;
     }
     if (network.tap != null) {
-      network.tap.data(session.getId(), 1 - mine, bytes);
+      network.tap.onData(session.getId(), 1 - mine, bytes);
     }
-    if (in.size() == 0) {
-      heard = network.inbox.clock();
+    if (input.size() == 0) {
+      heard = network.inbox.currentTime();
     }
-    boolean fits = in.put(bytes);
+    boolean fits = input.put(bytes);
     synchronized (this) {
       unput = false;
     }
-    network.counts.must(fits, "a read fits the ring");
+    network.counts.checkInvariant(fits, "a read fits the ring");
     if (!fits) {
       session.closeNow();
       return;
     }
-    if (crowded()) {
+    if (isInputFull()) {
       paused = true;
       session.suspendRead();
     }
@@ -172,7 +172,7 @@
   /** Returns whether so much has been dropped that reading is to be paced. */
   boolean drop(byte[] bytes) {
     if (network.tap != null) {
-      network.tap.data(session.getId(), 1 - mine, bytes.clone());
+      network.tap.onData(session.getId(), 1 - mine, bytes.clone());
     }
     dropped += bytes.length;
     network.counts.add("bytes dropped", bytes.length);
@@ -186,7 +186,7 @@
       mine = came ? 1 : 0;
       InetSocketAddress here = (InetSocketAddress) session.getLocalAddress();
       InetSocketAddress there = (InetSocketAddress) session.getRemoteAddress();
-      network.tap.opened(session.getId(), came ? there : here, came ? here : there);
+      network.tap.onOpened(session.getId(), came ? there : here, came ? here : there);
     }
   }
 
@@ -202,7 +202,7 @@
       session.closeNow();
       return;
     }
-    party.opened();
+    party.onOpened();
     network.dirty(this);
   }
 
@@ -212,11 +212,11 @@
       return;
     }
     if (dropping) {
-      in.clear();
+      input.clear();
     } else {
-      party.readable();
+      party.onReadable();
     }
-    resume();
+    resumeReading();
   }
 
   /**
@@ -224,15 +224,15 @@
    * comes between the two steps of a pause ({@link #received}): it would go unheard, and nothing
    * would ever be read again.
    */
-  public void resume() {
-    if (paused && !crowded() && !closed) {
+  public void resumeReading() {
+    if (paused && !isInputFull() && !closed) {
       paused = false;
       network.resumeRead(session);
     }
   }
 
   /** Marks that there is something to flush at the end of the turn. */
-  public void touch() {
+  public void requestFlush() {
     network.dirty(this);
   }
 
@@ -241,13 +241,13 @@
     if (!opened || closed || writing > 0) {
       return;
     }
-    if (out.size() > 0) {
-      ByteBuffer slice = out.peek();
+    if (output.size() > 0) {
+      ByteBuffer slice = output.peekContiguous();
       writing = slice.remaining();
       if (network.tap != null) {
         byte[] copy = new byte[writing];
         slice.duplicate().get(copy);
-        network.tap.data(session.getId(), mine, copy);
+        network.tap.onData(session.getId(), mine, copy);
       }
       session.write(IoBuffer.wrap(slice));
     } else if (endsOrderly) {
@@ -261,11 +261,11 @@
   }
 
   private void left() {
-    out.skip(writing);
+    output.skip(writing);
     writing = 0;
     flush();
-    if (out.size() == 0 && !closed) {
-      party.drained();
+    if (output.size() == 0 && !closed) {
+      party.onFlushed();
     }
   }
 
@@ -273,16 +273,16 @@
    * Nothing that was put waits to leave: what is put now is written at the end of this turn, as
    * one.
    */
-  public boolean unsentFree() {
-    return out.size() == 0 && writing == 0;
+  public boolean isFlushed() {
+    return output.size() == 0 && writing == 0;
   }
 
   /**
    * Whether the other side ended the connection by an orderly close, all that it had sent having
    * been read; not by a reset, and not before this side had ended it at once. Told by the time of
-   * {@link Party#closed}.
+   * {@link ConnectionHandler#onClosed}.
    */
-  public boolean endedOrderly() {
+  public boolean closedGracefully() {
     return finRead;
   }
 
@@ -292,7 +292,7 @@
    * closed too. Guards against a close over unread bytes, which resets the connection and takes the
    * last answer with it. The party is told of no more bytes, and of the end.
    */
-  public void endAfterFlush() {
+  public void closeGracefully() {
     if (!opened || network.within()) {
       closeAfterFlush();
       return;
@@ -302,14 +302,14 @@
     }
     closing = true;
     endsOrderly = true;
-    dropRest();
+    discardInput();
     network.endBy(this, FLUSH_MOST);
     network.dirty(this);
   }
 
   /** Whether the ring is so full that reading stops. */
-  public boolean crowded() {
-    return in.room() < READ;
+  public boolean isInputFull() {
+    return input.remainingCapacity() < MAX_READ_BYTES;
   }
 
   /**
@@ -317,10 +317,10 @@
    * much, and the party is told of no more bytes. Guards against the end of the other side that is
    * not seen behind them.
    */
-  public void dropRest() {
+  public void discardInput() {
     dropping = true;
-    in.clear();
-    resume();
+    input.clear();
+    resumeReading();
   }
 
   /** Ends the connection once what was put has left. */
@@ -336,7 +336,7 @@
    */
   public boolean closeIfUnread() {
     synchronized (this) {
-      if (unput || in.size() > 0) {
+      if (unput || input.size() > 0) {
         return false;
       }
       unheeded = true;
@@ -363,9 +363,9 @@
       closed = true;
       network.forget(this);
       if (network.tap != null && session != null) {
-        network.tap.closed(session.getId(), closing ? mine : 1 - mine);
+        network.tap.onClosed(session.getId(), closing ? mine : 1 - mine);
       }
-      party.closed();
+      party.onClosed();
     }
   }
 }
--- a/mixer/src/main/java/gingerring/net/Counts.java
+++ b/mixer/src/main/java/gingerring/net/Counters.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.atomic.LongAdder;
 
 /** What is counted rather than logged each time; safe from any thread. */
-public final class Counts {
+public final class Counters {
   private final Map<String, LongAdder> counts = new ConcurrentSkipListMap<>();
 
   public void add(String what, long many) {
@@ -13,7 +13,7 @@
   }
 
   /** What must hold: asserted in debug builds, counted in release builds. */
-  public void must(boolean holds, String what) {
+  public void checkInvariant(boolean holds, String what) {
     assert holds : what;
     if (!holds) {
       add("broken: " + what, 1);
--- a/mixer/src/main/java/gingerring/net/Inbox.java
+++ b/mixer/src/main/java/gingerring/net/EventQueue.java
@@ -3,9 +3,9 @@
 import java.time.Duration;
 
 /** Where the input and output threads leave word for the loop; safe from any thread. */
-public interface Inbox {
+public interface EventQueue {
   void post(Runnable event);
 
   /** The time since the start, read now. */
-  Duration clock();
+  Duration currentTime();
 }
--- a/mixer/src/main/java/gingerring/net/TurnClock.java
+++ b/mixer/src/main/java/gingerring/net/LoopTimer.java
@@ -3,9 +3,9 @@
 import java.time.Duration;
 
 /** The loop's time and wakes, for those who live on its thread. */
-public interface TurnClock {
+public interface LoopTimer {
   /** The time of this turn, since the start. */
   Duration now();
 
-  void wakeAfter(Duration span, Runnable task);
+  void schedule(Duration delay, Runnable task);
 }
--- a/mixer/src/main/java/gingerring/net/Network.java
+++ b/mixer/src/main/java/gingerring/net/Network.java
@@ -69,11 +69,11 @@
   private static final double KEPT_FREE = 0.25;
   private static final double SPARE = 1 / 16.0;
 
-  final Inbox inbox;
-  final Counts counts;
+  final EventQueue inbox;
+  final Counters counts;
 
   /** Null where nothing is recorded. */
-  final Tap tap;
+  final TrafficListener tap;
 
   private final ExecutorService threads =
       Executors.newCachedThreadPool(
@@ -115,12 +115,12 @@
    * {@code within}: without sockets, to addresses that this same network listens at, by MINA's
    * pipes.
    */
-  public Network(Inbox inbox, Counts counts, boolean within) {
+  public Network(EventQueue inbox, Counters counts, boolean within) {
     this(inbox, counts, within, null);
   }
 
   /** {@code tap} is told of all that connections carry; null for none. */
-  public Network(Inbox inbox, Counts counts, boolean within, Tap tap) {
+  public Network(EventQueue inbox, Counters counts, boolean within, TrafficListener tap) {
     this.inbox = inbox;
     this.counts = counts;
     this.within = within;
@@ -140,7 +140,7 @@
 
   private static void prepare(SocketSessionConfig session) {
     session.setTcpNoDelay(true);
-    session.setMaxReadBufferSize(Connection.READ);
+    session.setMaxReadBufferSize(Connection.MAX_READ_BYTES);
   }
 
   /**
@@ -217,17 +217,17 @@
    * Calls an address; its party is told once the connection is up, or that it never came up. Where
    * there is no descriptor for it, it waits for one.
    */
-  public Connection dial(InetSocketAddress address, int outMost, Party party) {
+  public Connection dial(InetSocketAddress address, int outMost, ConnectionHandler party) {
     Connection connection = new Connection(this, outMost, false);
-    connection.party(party);
+    connection.setHandler(party);
     all.add(connection);
     if (dialledOpen() > DIALLED_MOST * most) {
       closeLongestResting();
     }
-    if (shortBy() > 0) {
+    if (connectionShortfall() > 0) {
       whenShort.run();
     }
-    if (room() > 0) {
+    if (availableConnections() > 0) {
       connect(connection, address);
     } else {
       counts.add("dials that waited for a descriptor", 1);
@@ -276,7 +276,7 @@
   private long dialledOpen() {
     return dialled < DIALLED_MOST * most
         ? dialled
-        : all.stream().filter(each -> !each.came && each.usable()).count();
+        : all.stream().filter(each -> !each.inbound && each.isUsable()).count();
   }
 
   /**
@@ -284,8 +284,8 @@
    */
   private void closeLongestResting() {
     all.stream()
-        .filter(each -> !each.came && each.usable() && each.restsSince() != null)
-        .min(Comparator.comparing(Connection::restsSince))
+        .filter(each -> !each.inbound && each.isUsable() && each.idleSince() != null)
+        .min(Comparator.comparing(Connection::idleSince))
         .ifPresent(
             each -> {
               counts.add("resting links shed", 1);
@@ -294,7 +294,7 @@
   }
 
   /** So many connections more there may be. */
-  public int room() {
+  public int availableConnections() {
     return most == Integer.MAX_VALUE ? most : most - dialled - taken.get();
   }
 
@@ -307,21 +307,22 @@
    * Whether there is so little room that one who comes is to be sent away, once so many more have
    * ended.
    */
-  public boolean full(int ending) {
-    return most != Integer.MAX_VALUE && room() + ending < 2 * spare();
+  public boolean isFull(int ending) {
+    return most != Integer.MAX_VALUE && availableConnections() + ending < 2 * spare();
   }
 
   /** So many connections should end, if they can, for dials to find room at once. */
-  public int shortBy() {
+  public int connectionShortfall() {
     if (most == Integer.MAX_VALUE) {
       return 0;
     }
     double yetToDial = Math.max(0, DIALLED_MOST * most - dialled);
-    return (int) Math.max(0, Math.min(KEPT_FREE * most, 2 * spare() + yetToDial) - room());
+    return (int)
+        Math.max(0, Math.min(KEPT_FREE * most, 2 * spare() + yetToDial) - availableConnections());
   }
 
   /** {@code task} is run on the loop's thread when something is dialled while room is short. */
-  public void whenShort(Runnable task) {
+  public void setShortageHandler(Runnable task) {
     whenShort = task;
   }
 
@@ -343,18 +344,18 @@
   }
 
   /** The time since the start, read now: a turn may have stood still since it began. */
-  public Duration clock() {
-    return inbox.clock();
+  public Duration currentTime() {
+    return inbox.currentTime();
   }
 
   /** Connections in hand, those being opened too. */
-  public int connections() {
+  public int connectionCount() {
     return all.size();
   }
 
   /** Whether all that was put into connections has left, and the loop has heard so. */
-  public boolean unsentFree() {
-    return all.stream().allMatch(Connection::unsentFree);
+  public boolean isFlushed() {
+    return all.stream().allMatch(Connection::isFlushed);
   }
 
   void dirty(Connection connection) {
@@ -364,7 +365,7 @@
   void forget(Connection connection) {
     all.remove(connection);
     dirty.remove(connection);
-    if (!connection.came && waiting.remove(connection) == null) {
+    if (!connection.inbound && waiting.remove(connection) == null) {
       dialled--;
       roomMade();
     }
@@ -384,7 +385,7 @@
 
   /** Whatever becomes of it, a connection that is to end does so within this span. */
   void endBy(Connection connection, Duration span) {
-    Duration by = inbox.clock().plus(span);
+    Duration by = inbox.currentTime().plus(span);
     processor.run(() -> processor.ends.put(connection, by));
   }
 
@@ -402,7 +403,7 @@
 
   /** One flush for each connection that something was put into; and what was dialled goes on. */
   public void flush() {
-    while (!waiting.isEmpty() && room() > 0) {
+    while (!waiting.isEmpty() && availableConnections() > 0) {
       waiting.remove(waiting.keySet().iterator().next()).run();
     }
     finishDials();
@@ -459,7 +460,7 @@
         task.run();
       }
       if (!ends.isEmpty() || !floods.isEmpty()) {
-        Duration now = inbox.clock();
+        Duration now = inbox.currentTime();
         floods
             .entrySet()
             .removeIf(
@@ -509,7 +510,7 @@
       }
       if (connection.drop(Arrays.copyOf(scrap.array(), count))) {
         connection.session().suspendRead();
-        floods.put(connection, inbox.clock().plus(DROP_EVERY));
+        floods.put(connection, inbox.currentTime().plus(DROP_EVERY));
       }
       return 0;
     }
@@ -557,11 +558,11 @@
         throws Exception {
       long until = System.nanoTime() + ROOM_WAIT.toNanos();
       for (long left = 1;
-          room() <= spare() && !stayedFull && left > 0;
+          availableConnections() <= spare() && !stayedFull && left > 0;
           left = until - System.nanoTime()) {
         TimeUnit.NANOSECONDS.timedWait(accepting, Math.max(1_000_000, left));
       }
-      stayedFull = room() <= spare();
+      stayedFull = availableConnections() <= spare();
       if (stayedFull) {
         SocketChannel channel = handle.accept();
         if (channel != null) {
--- a/mixer/src/main/java/gingerring/server/Loop.java
+++ b/mixer/src/main/java/gingerring/server/Loop.java
@@ -1,8 +1,8 @@
 package gingerring.server;
 
-import gingerring.net.Counts;
-import gingerring.net.Inbox;
-import gingerring.net.TurnClock;
+import gingerring.net.Counters;
+import gingerring.net.EventQueue;
+import gingerring.net.LoopTimer;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
@@ -18,7 +18,7 @@
  * The one thread that owns the mixer and all state. Each turn gathers all that is ready, hands it
  * to the mixer in one go, and then carries out what came back.
  */
-final class Loop implements Inbox, TurnClock {
+final class Loop implements EventQueue, LoopTimer {
   private record Wake(Duration at, long number, Runnable task) implements Comparable<Wake> {
     @Override
     public int compareTo(Wake other) {
@@ -30,7 +30,7 @@
   private static final Logger LOG = LoggerFactory.getLogger("gingerring.loop");
   private static final int FAILURES_LOGGED = 20;
 
-  private final Counts counts;
+  private final Counters counts;
   private final long startNanos = System.nanoTime();
 
   /**
@@ -54,13 +54,13 @@
   private boolean running = true;
   private Thread owner;
 
-  Loop(Counts counts) {
+  Loop(Counters counts) {
     this.counts = counts;
   }
 
   @Override
   public Duration now() {
-    return owner == null ? clock() : now; // before the first turn
+    return owner == null ? currentTime() : now; // before the first turn
   }
 
   @Override
@@ -78,8 +78,8 @@
   }
 
   @Override
-  public void wakeAfter(Duration span, Runnable task) {
-    counts.must(
+  public void schedule(Duration span, Runnable task) {
+    counts.checkInvariant(
         owner == null || owner == Thread.currentThread(),
         "wakes are asked for on the loop's thread");
     wakes.add(new Wake(now().plus(span), wakeCount++, task));
@@ -90,14 +90,14 @@
    * turn.
    */
   void tell(Runnable telling) {
-    counts.must(
+    counts.checkInvariant(
         owner == null || owner == Thread.currentThread(), "the mixer is told on the loop's thread");
     tellings.add(telling);
   }
 
   /** The same, after all else of the turn: what is new is decided by all that is known. */
   void tellLast(Runnable telling) {
-    counts.must(
+    counts.checkInvariant(
         owner == null || owner == Thread.currentThread(), "the mixer is told on the loop's thread");
     lastTellings.add(telling);
   }
@@ -112,7 +112,7 @@
     List<Runnable> ready = new ArrayList<>();
     while (running) {
       await(ready);
-      now = clock();
+      now = currentTime();
       ready.forEach(event -> guard("an event", event));
       ready.clear();
       while (!wakes.isEmpty() && wakes.peek().at.compareTo(now) <= 0) {
@@ -129,7 +129,7 @@
   }
 
   @Override
-  public Duration clock() {
+  public Duration currentTime() {
     return Duration.ofNanos(System.nanoTime() - startNanos);
   }
 
@@ -139,7 +139,7 @@
             ? 0
             : wakes.isEmpty()
                 ? TimeUnit.SECONDS.toNanos(1)
-                : wakes.peek().at.minus(clock()).toNanos();
+                : wakes.peek().at.minus(currentTime()).toNanos();
     if (nanos > 0) {
       sleeper = owner;
       if (inbox.isEmpty()) { // looked at after the sleeper is named: what is posted later finds it
--- a/mixer/src/main/java/gingerring/server/MixerConfig.java
+++ b/mixer/src/main/java/gingerring/server/MixerConfig.java
@@ -1,9 +1,9 @@
 package gingerring.server;
 
 import gingerring.decide.Settings;
-import gingerring.discovery.Members;
-import gingerring.json.Fields;
+import gingerring.discovery.MemberListUpdate;
 import gingerring.json.Json;
+import gingerring.json.JsonFields;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
@@ -20,7 +20,7 @@
     InetSocketAddress discovery,
     long seed,
     int sockets,
-    Members known,
+    MemberListUpdate known,
     Settings terms) {
   /** Something needed is missing or cannot be read; the message names it, in one line. */
   static final class InvalidConfig extends Exception {
@@ -44,10 +44,10 @@
     }
     Map<String, Object> told;
     try {
-      told = Fields.object(Json.read(Files.readAllBytes(Path.of(file))), "it");
+      told = JsonFields.object(Json.parse(Files.readAllBytes(Path.of(file))), "it");
     } catch (IOException | InvalidPathException e) {
       throw new InvalidConfig("LB_CONFIG names a file that cannot be read: " + file);
-    } catch (Json.Malformed e) {
+    } catch (Json.JsonException e) {
       throw new InvalidConfig("LB_CONFIG: " + e.getMessage());
     }
     Map<String, String> flat = new HashMap<>();
@@ -127,8 +127,8 @@
   private static InetSocketAddress address(Map<String, Object> told, String name, String otherwise)
       throws InvalidConfig {
     try {
-      return Members.address(text(told, name, otherwise));
-    } catch (Json.Malformed e) {
+      return MemberListUpdate.parseAddress(text(told, name, otherwise));
+    } catch (Json.JsonException e) {
       throw new InvalidConfig(name + ": " + e.getMessage());
     }
   }
@@ -144,11 +144,12 @@
   private static int sockets(Map<String, Object> told) throws InvalidConfig {
     double sockets = SOCKETS_USUAL;
     try {
-      Map<String, Object> limits = Fields.object(told.getOrDefault("limits", Map.of()), "limits");
+      Map<String, Object> limits =
+          JsonFields.object(told.getOrDefault("limits", Map.of()), "limits");
       if (limits.containsKey("sockets")) {
-        sockets = Fields.number(limits, "sockets");
+        sockets = JsonFields.number(limits, "sockets");
       }
-    } catch (Json.Malformed e) {
+    } catch (Json.JsonException e) {
       throw new InvalidConfig(
           "limits.sockets cannot be read (" + e.getMessage() + "): give a number");
     }
@@ -163,12 +164,12 @@
     return (int) sockets;
   }
 
-  private static Members known(Map<String, Object> told) throws InvalidConfig {
+  private static MemberListUpdate known(Map<String, Object> told) throws InvalidConfig {
     try {
       return told.containsKey("known")
-          ? Members.read(told.get("known"))
-          : new Members(0, true, List.of());
-    } catch (Json.Malformed e) {
+          ? MemberListUpdate.parse(told.get("known"))
+          : new MemberListUpdate(0, true, List.of());
+    } catch (Json.JsonException e) {
       throw new InvalidConfig("known: " + e.getMessage());
     }
   }
--- a/mixer/src/main/java/gingerring/server/MixerHost.java
+++ b/mixer/src/main/java/gingerring/server/MixerHost.java
@@ -13,12 +13,12 @@
 import gingerring.decide.SearcherId;
 import gingerring.decide.Settings;
 import gingerring.decide.WakeId;
-import gingerring.discovery.Members;
-import gingerring.discovery.Watch;
+import gingerring.discovery.DiscoveryWatch;
+import gingerring.discovery.MemberListUpdate;
 import gingerring.frontend.Ask;
 import gingerring.frontend.Intake;
 import gingerring.frontend.Reply;
-import gingerring.net.Counts;
+import gingerring.net.Counters;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -38,7 +38,7 @@
  * become frames and answers. Does for the mixer what the simulator's world does, and decides
  * nothing.
  */
-final class MixerHost implements Host, Intake, Returns, Watch.Told {
+final class MixerHost implements Host, Intake, Returns, DiscoveryWatch.Listener {
   /** A scan in hand, until its one final answer. */
   private static final class Open {
     final ScanId id;
@@ -78,7 +78,7 @@
 
   private final Loop loop;
   private final Settings terms;
-  private final Counts counts;
+  private final Counters counts;
   private final double startMs;
   private final int heldMost;
   private final int tripsMost;
@@ -103,7 +103,7 @@
   private int held;
   private Mixer mixer;
   private Back back;
-  private Watch watch;
+  private DiscoveryWatch watch;
 
   /** What others tell; null where this mixer knows of none. */
   private PeerService neighbours;
@@ -125,7 +125,7 @@
   private boolean lastCall;
 
   /** {@code startMs}: Unix time at the loop's zero. */
-  MixerHost(Loop loop, Settings terms, Counts counts, double startMs) {
+  MixerHost(Loop loop, Settings terms, Counters counts, double startMs) {
     this.loop = loop;
     this.terms = terms;
     this.counts = counts;
@@ -156,11 +156,11 @@
    * sending to searchers that left while this process was down: from its first moment on, what
    * discovery's agent has counts as told.
    */
-  void start(Back back, Watch watch, long seed, Members known) {
+  void start(Back back, DiscoveryWatch watch, long seed, MemberListUpdate known) {
     this.back = back;
     this.watch = watch;
     mixer = new Mixer(terms.map(), new SplittableRandom(seed), this);
-    list(known);
+    onUpdate(known);
     String way = terms.text("Discovery");
     if (way.equals("automatic")) {
       watch.open();
@@ -209,7 +209,7 @@
     replies.put(reply, scan);
     counts.add("scans taken", 1);
     // whatever becomes of it in the mixer, it is answered by the end of its client's patience
-    loop.wakeAfter(scan.end.minus(now()), () -> loop.tell(() -> overdue(scan)));
+    loop.schedule(scan.end.minus(now()), () -> loop.tell(() -> overdue(scan)));
     Runnable arrival =
         () -> {
           if (!scan.answered) {
@@ -262,7 +262,7 @@
   }
 
   private void finish(Open scan) {
-    counts.must(!scan.answered, "a scan is answered once");
+    counts.checkInvariant(!scan.answered, "a scan is answered once");
     scan.answered = true;
     scans.remove(scan.id);
     marks.remove(scan.ask.mark());
@@ -273,7 +273,8 @@
     replies.remove(scan.reply);
     // a part that is in is held no longer, as in the simulator
     held -= 1 + (int) scan.pieces.stream().filter(piece -> piece.value == null).count();
-    counts.must(held >= 0 && scans.isEmpty() == (held == 0), "what is held is what is open");
+    counts.checkInvariant(
+        held >= 0 && scans.isEmpty() == (held == 0), "what is held is what is open");
     scan.pieces.forEach(this::withdraw);
     scan.pieces.forEach(this::drop);
   }
@@ -325,10 +326,10 @@
   }
 
   @Override
-  public void list(Members members) {
+  public void onUpdate(MemberListUpdate members) {
     List<MemberEntry> lines = new ArrayList<>();
     List<SearcherId> leaving = new ArrayList<>();
-    for (Members.Member member : members.members()) {
+    for (MemberListUpdate.Member member : members.members()) {
       SearcherId id = searchers.computeIfAbsent(member.id(), this::newId);
       MemberEntry last = listed.get(id);
       Duration started =
@@ -416,13 +417,13 @@
   }
 
   @Override
-  public void failed() {
+  public void onFailure() {
     loop.tell(() -> mixer.rosterFailed());
-    word();
+    onContact();
   }
 
   @Override
-  public void word() {
+  public void onContact() {
     heard = true;
     early.forEach(loop::tellLast);
     early.clear();
@@ -484,7 +485,7 @@
             || piece.value != null
             || piece.trips.size() >= tripsMost
             || until.compareTo(now()) <= 0;
-    counts.must(!over, "a trip is for a part that is not over");
+    counts.checkInvariant(!over, "a trip is for a part that is not over");
     if (piece != null) {
       if (startWithin != null) {
         // whichever of them begins first, the others are repeats of it
@@ -519,7 +520,7 @@
         values.put(piece.shard, piece.value);
       }
     }
-    counts.must(!values.isEmpty(), "an answer has values");
+    counts.checkInvariant(!values.isEmpty(), "an answer has values");
     counts.add(whole ? "whole answers" : "partial answers", 1);
     scan.reply.answer(whole, values);
     finish(scan);
@@ -592,7 +593,7 @@
 
   @Override
   public void fetchRoster() {
-    watch.fetch();
+    watch.fetchFullList();
   }
 
   @Override
@@ -602,7 +603,7 @@
 
   @Override
   public void wakeAfter(Duration span, WakeId wake) {
-    loop.wakeAfter(span, () -> loop.tell(() -> mixer.woken(wake)));
+    loop.schedule(span, () -> loop.tell(() -> mixer.woken(wake)));
   }
 
   @Override
--- a/mixer/src/main/java/gingerring/server/MixerServer.java
+++ b/mixer/src/main/java/gingerring/server/MixerServer.java
@@ -2,11 +2,11 @@
 
 import gingerring.backend.Back;
 import gingerring.decide.Settings;
-import gingerring.discovery.Watch;
+import gingerring.discovery.DiscoveryWatch;
 import gingerring.frontend.Front;
-import gingerring.net.Counts;
+import gingerring.net.Counters;
 import gingerring.net.Network;
-import gingerring.net.Tap;
+import gingerring.net.TrafficListener;
 import java.io.IOException;
 import java.io.PrintStream;
 import java.net.InetSocketAddress;
@@ -58,23 +58,23 @@
   private static final int SOCKETS_LEAST = 16;
 
   private final Map<String, String> env;
-  private final Tap tap;
+  private final TrafficListener tap;
   private final PeerService neighbours;
-  final Counts counts = new Counts();
+  final Counters counts = new Counters();
   final Loop loop = new Loop(counts);
   private final CountDownLatch ended = new CountDownLatch(1);
   private Network network;
   Front front;
   private MixerHost desk;
   private Back back;
-  private Watch watch;
+  private DiscoveryWatch watch;
 
   /** What holds for this process; of later configurations, only where discovery is. */
   private MixerConfig atStart;
 
   private Duration endBy;
 
-  MixerServer(Map<String, String> env, Tap tap, PeerService neighbours) {
+  MixerServer(Map<String, String> env, TrafficListener tap, PeerService neighbours) {
     this.env = env;
     this.tap = tap;
     this.neighbours = neighbours;
@@ -90,7 +90,10 @@
    * none of either.
    */
   public static int run(
-      Map<String, String> env, PrintStream complaints, Tap tap, PeerService neighbours) {
+      Map<String, String> env,
+      PrintStream complaints,
+      TrafficListener tap,
+      PeerService neighbours) {
     MixerServer serve = new MixerServer(env, tap, neighbours);
     // before anything is read: untended, SIGHUP ends a process, and one that comes early is not to
     // be lost
@@ -120,13 +123,13 @@
     Settings terms = orders.terms();
     int rehearsed = new Rehearsal(terms).run();
     // one reading of both clocks
-    double startMs = System.currentTimeMillis() - loop.clock().toNanos() / 1e6;
+    double startMs = System.currentTimeMillis() - loop.currentTime().toNanos() / 1e6;
     network = new Network(loop, counts, false, tap);
     desk = new MixerHost(loop, terms, counts, startMs);
     back = new Back(network, desk, terms, counts, loop);
     atStart = orders;
     watch =
-        new Watch(
+        new DiscoveryWatch(
             network, orders.discovery(), orders.known().revision(), desk, counts, loop, terms);
     front =
         new Front(
@@ -162,13 +165,13 @@
     Practice practice = new Practice(network, listening, orders.sockets(), counts, desk::practised);
     practice.begin();
     Duration dial = terms.span("PolicyLimits.DialTimeoutMs");
-    loop.wakeAfter(
+    loop.schedule(
         dial.compareTo(PRACTICE_MOST) < 0 ? dial : PRACTICE_MOST, desk::practised); // may go on
-    loop.wakeAfter(PRACTICE_MOST, practice::end);
+    loop.schedule(PRACTICE_MOST, practice::end);
     loop.run(back::dispatch, network::flush);
     LOG.info("ended; counts: {}", counts);
     if (tap != null) {
-      tap.end();
+      tap.onShutdown();
     }
     ended.countDown();
     return 0;
@@ -193,18 +196,18 @@
         "reload: discovery at {}{}",
         orders.discovery(),
         orders.differsOnlyInDiscovery(atStart) ? "" : "; what else is new waits for a restart");
-    watch.move(orders.discovery());
+    watch.changeAddress(orders.discovery());
   }
 
   private void status() {
-    loop.wakeAfter(
+    loop.schedule(
         STATUS_EVERY,
         () -> {
           LOG.info(
               "{} scans open, {} clients, {} connections; counts: {}",
               desk.open(),
               front.clients(),
-              network.connections(),
+              network.connectionCount(),
               counts);
           if (neighbours != null) {
             LOG.info("{}", neighbours.status());
@@ -247,12 +250,12 @@
     patience = patience.compareTo(PATIENCE_MOST) < 0 ? patience : PATIENCE_MOST;
     endBy = loop.now().plus(patience).plus(STILL_COMING).minus(END_MARGIN);
     desk.announceEnd(endBy);
-    loop.wakeAfter(STILL_COMING, network::stopListening);
-    loop.wakeAfter(
+    loop.schedule(STILL_COMING, network::stopListening);
+    loop.schedule(
         endBy.minus(LAST_CALL).minus(loop.now()),
         () -> {
           desk.lastCall();
-          loop.wakeAfter(LAST_CALL.minus(CLOSING), this::watchEnd);
+          loop.schedule(LAST_CALL.minus(CLOSING), this::watchEnd);
         });
   }
 
@@ -270,7 +273,7 @@
     }
     front.end();
     boolean over = late || desk.open() == 0 && front.clients() == 0;
-    loop.wakeAfter(FLUSH, over ? loop::stop : this::watchEnd);
+    loop.schedule(FLUSH, over ? loop::stop : this::watchEnd);
   }
 
   Network network() {
@@ -328,8 +331,8 @@
     }
 
     @Override
-    public void wakeAfter(Duration span, Runnable task) {
-      loop.wakeAfter(span, task);
+    public void schedule(Duration span, Runnable task) {
+      loop.schedule(span, task);
     }
 
     @Override
@@ -338,8 +341,8 @@
     }
 
     @Override
-    public Duration clock() {
-      return loop.clock();
+    public Duration currentTime() {
+      return loop.currentTime();
     }
   }
 }
--- a/mixer/src/main/java/gingerring/server/PeerService.java
+++ b/mixer/src/main/java/gingerring/server/PeerService.java
@@ -2,8 +2,8 @@
 
 import gingerring.decide.MemberEntry;
 import gingerring.decide.Outcome;
-import gingerring.net.Inbox;
-import gingerring.net.TurnClock;
+import gingerring.net.EventQueue;
+import gingerring.net.LoopTimer;
 import java.time.Duration;
 import java.util.Collection;
 
@@ -15,7 +15,7 @@
  */
 public interface PeerService {
   /** What the process lends: its loop's clock and inbox, and a way to its mixer. */
-  interface Context extends TurnClock, Inbox {
+  interface Context extends LoopTimer, EventQueue {
     String name();
 
     /** The number of this mixer's zone in its settings; -1 where there is none. */
--- a/mixer/src/main/java/gingerring/server/Practice.java
+++ b/mixer/src/main/java/gingerring/server/Practice.java
@@ -1,9 +1,9 @@
 package gingerring.server;
 
 import gingerring.net.Connection;
-import gingerring.net.Counts;
+import gingerring.net.ConnectionHandler;
+import gingerring.net.Counters;
 import gingerring.net.Network;
-import gingerring.net.Party;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -28,7 +28,7 @@
 
   private final Network network;
   private final InetSocketAddress front;
-  private final Counts counts;
+  private final Counters counts;
   private final byte[] request;
   private final int calls;
   private final Runnable done;
@@ -36,7 +36,7 @@
   private int open;
 
   /** {@code done} is called once, when all calls have ended, however they did. */
-  Practice(Network network, InetSocketAddress front, int sockets, Counts counts, Runnable done) {
+  Practice(Network network, InetSocketAddress front, int sockets, Counters counts, Runnable done) {
     calls = Math.max(1, Math.min(CALLS_MOST, sockets / SOCKETS_EACH));
     this.network = network;
     this.front = front;
@@ -59,23 +59,23 @@
     under.forEach(call -> call.connection.close());
   }
 
-  private final class Call implements Party {
+  private final class Call implements ConnectionHandler {
     private final Connection connection = network.dial(front, OUT_MOST, this);
     private int rounds;
 
     @Override
-    public void opened() {
+    public void onOpened() {
       ask();
     }
 
     private void ask() {
-      connection.out.put(request);
-      connection.touch();
+      connection.output.put(request);
+      connection.requestFlush();
     }
 
     @Override
-    public void readable() {
-      connection.in.clear(); // an answer is put whole, and leaves whole
+    public void onReadable() {
+      connection.input.clear(); // an answer is put whole, and leaves whole
       counts.add("answers practised", 1);
       if (++rounds * calls < ANSWERS) {
         ask();
@@ -85,7 +85,7 @@
     }
 
     @Override
-    public void closed() {
+    public void onClosed() {
       if (--open == 0) {
         done.run();
       }
--- a/mixer/src/main/java/gingerring/server/Rehearsal.java
+++ b/mixer/src/main/java/gingerring/server/Rehearsal.java
@@ -3,13 +3,13 @@
 import gingerring.backend.Back;
 import gingerring.decide.MemberEntry.Standing;
 import gingerring.decide.Settings;
-import gingerring.discovery.Members;
-import gingerring.discovery.Watch;
+import gingerring.discovery.DiscoveryWatch;
+import gingerring.discovery.MemberListUpdate;
 import gingerring.frontend.Front;
 import gingerring.net.Connection;
-import gingerring.net.Counts;
+import gingerring.net.ConnectionHandler;
+import gingerring.net.Counters;
 import gingerring.net.Network;
-import gingerring.net.Party;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -36,7 +36,7 @@
   private static final int OUT_MOST = 1 << 16;
 
   private final Settings terms;
-  private final Counts counts = new Counts();
+  private final Counters counts = new Counters();
   private final Loop loop = new Loop(counts);
   private final Network network = new Network(loop, counts, true);
   private final InetSocketAddress front = place(1);
@@ -59,19 +59,20 @@
     Network store = new Network(loop, counts, true);
     MixerHost desk = new MixerHost(loop, terms, counts, 0);
     Back back = new Back(network, desk, terms, counts, loop);
-    List<Members.Member> members = new ArrayList<>();
+    List<MemberListUpdate.Member> members = new ArrayList<>();
     for (int cell = 0; cell < terms.count("Domain.Places"); cell++) {
       members.add(
-          new Members.Member("sample-" + cell, searchers, "", "", cell, Standing.READY, 1, 0));
+          new MemberListUpdate.Member(
+              "sample-" + cell, searchers, "", "", cell, Standing.READY, 1, 0));
     }
-    Watch watch = new Watch(network, place(3), 0, desk, counts, loop);
-    desk.start(back, watch, 0, new Members(0, true, members));
+    DiscoveryWatch watch = new DiscoveryWatch(network, place(3), 0, desk, counts, loop);
+    desk.start(back, watch, 0, new MemberListUpdate(0, true, members));
     try {
       store.listen(
           searchers,
           Integer.MAX_VALUE,
           OUT_MOST,
-          connection -> connection.party(new Sample(connection)));
+          connection -> connection.setHandler(new Sample(connection)));
       new Front(network, desk, terms, counts, loop, loop::post, Integer.MAX_VALUE).listen(front);
     } catch (IOException e) {
       return 0; // without it the mixer starts all the same, and slowly
@@ -79,7 +80,7 @@
     for (int i = 0; i < CALLERS; i++) {
       new Caller();
     }
-    loop.wakeAfter(LONGEST, loop::stop);
+    loop.schedule(LONGEST, loop::stop);
     loop.run(
         back::dispatch,
         () -> {
@@ -92,11 +93,11 @@
   }
 
   /** Asks for one scan after the other on one connection. */
-  private final class Caller implements Party {
+  private final class Caller implements ConnectionHandler {
     private final Connection connection = network.dial(front, OUT_MOST, this);
 
     @Override
-    public void opened() {
+    public void onOpened() {
       ask();
     }
 
@@ -115,7 +116,7 @@
             .append(",\"est_us\":1000}");
       }
       String body = "{\"targets\":[" + targets + "],\"query\":\"\"}";
-      connection.out.put(
+      connection.output.put(
           ("POST /api HTTP/1.1\r\nHost: sample\r\nX-Txn: sample-"
                   + number
                   + "\r\nX-Lane: "
@@ -127,13 +128,13 @@
                   + "\r\n\r\n"
                   + body)
               .getBytes(StandardCharsets.US_ASCII));
-      connection.touch();
+      connection.requestFlush();
     }
 
     @Override
-    public void readable() {
+    public void onReadable() {
       // an answer is put whole, and leaves whole
-      connection.in.clear();
+      connection.input.clear();
       if (++answered >= SCANS) {
         loop.stop();
       } else {
@@ -142,11 +143,11 @@
     }
 
     @Override
-    public void closed() {}
+    public void onClosed() {}
   }
 
   /** A searcher that has every part at once. */
-  private static final class Sample implements Party {
+  private static final class Sample implements ConnectionHandler {
     private final Connection connection;
     private final byte[] bytes = new byte[OUT_MOST];
     private int held;
@@ -156,8 +157,8 @@
     }
 
     @Override
-    public void readable() {
-      held += connection.in.take(bytes, held, bytes.length - held);
+    public void onReadable() {
+      held += connection.input.take(bytes, held, bytes.length - held);
       ByteBuffer buffer = ByteBuffer.wrap(bytes, 0, held).order(ByteOrder.LITTLE_ENDIAN);
       while (buffer.remaining() >= 4
           && buffer.remaining() >= 4 + buffer.getInt(buffer.position())) {
@@ -169,23 +170,23 @@
       }
       buffer.compact();
       held = buffer.position();
-      connection.resume();
+      connection.resumeReading();
     }
 
     private void answer(String parts) {
       for (String part : parts.split("\n")) { // their text is empty
         String rest = "R" + part.split(" ", 2)[0] + " done 1 -\nvalue";
-        connection.out.put(
+        connection.output.put(
             ByteBuffer.allocate(4 + rest.length())
                 .order(ByteOrder.LITTLE_ENDIAN)
                 .putInt(rest.length())
                 .put(rest.getBytes(StandardCharsets.US_ASCII))
                 .array());
       }
-      connection.touch();
+      connection.requestFlush();
     }
 
     @Override
-    public void closed() {}
+    public void onClosed() {}
   }
 }
--- a/mixer/src/test/java/gingerring/backend/FramesTest.java
+++ b/mixer/src/test/java/gingerring/backend/FramesTest.java
@@ -7,7 +7,7 @@
 import gingerring.decide.SearcherId;
 import gingerring.decide.Settings;
 import gingerring.net.ByteRing;
-import gingerring.net.Counts;
+import gingerring.net.Counters;
 import java.io.ByteArrayOutputStream;
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
@@ -80,7 +80,7 @@
   /** An unreadable report says nothing, and nothing against the answer that it came with. */
   @Test
   void readsLoadReportsByTheColumnsTold() {
-    Counts counts = new Counts();
+    Counters counts = new Counters();
     LoadReports reports =
         new LoadReports(new Settings(Map.of("LoadReport.Columns", "depth,load_share")), counts);
     assertArrayEquals(new float[] {7, 0.5f}, reports.read("inflight=3,util=0.5,queue=7"));
--- a/mixer/src/test/java/gingerring/discovery/MembersTest.java
+++ b/mixer/src/test/java/gingerring/discovery/MemberListUpdateTest.java
@@ -11,14 +11,14 @@
 import org.junit.jupiter.api.Test;
 
 /** Lists with members that are odd, or cannot be. */
-class MembersTest {
+class MemberListUpdateTest {
   private static final String GOOD =
       "{\"id\":\"s-1\",\"host_port\":\"10.0.0.1:81\",\"locality\":\"a\","
           + "\"flavor\":\"m\",\"cell\":3,\"phase\":\"SERVING\",\"size\":1.5,\"up_since_ms\":7}";
 
-  private static Members read(String... members) throws Json.Malformed {
-    return Members.read(
-        Json.read(
+  private static MemberListUpdate read(String... members) throws Json.JsonException {
+    return MemberListUpdate.parse(
+        Json.parse(
             ("{\"revision\":41,\"complete\":false,\"members\":[" + String.join(",", members) + "]}")
                 .getBytes(StandardCharsets.UTF_8)));
   }
@@ -28,8 +28,9 @@
    * can.
    */
   @Test
-  void refusesAListWithAMemberThatCannotBe() throws Json.Malformed {
-    assertEquals(List.of(1.5f), read(GOOD).members().stream().map(Members.Member::size).toList());
+  void refusesAListWithAMemberThatCannotBe() throws Json.JsonException {
+    assertEquals(
+        List.of(1.5f), read(GOOD).members().stream().map(MemberListUpdate.Member::size).toList());
     for (String[] swap :
         new String[][] {
           {"\"s-1\"", "\"\""},
@@ -59,13 +60,13 @@
           {"\"phase\":\"SERVING\",", ""}
         }) {
       String bad = GOOD.replace(swap[0], swap[1]);
-      assertThrows(Json.Malformed.class, () -> read(GOOD.replace("s-1", "s-0"), bad), bad);
+      assertThrows(Json.JsonException.class, () -> read(GOOD.replace("s-1", "s-0"), bad), bad);
     }
   }
 
   /** Guards against a whole list refused for what one that has gone no longer has. */
   @Test
-  void ofOneThatHasGoneTheIdIsEnough() throws Json.Malformed {
+  void ofOneThatHasGoneTheIdIsEnough() throws Json.JsonException {
     for (String gone :
         new String[] {
           "{\"id\":\"s-1\",\"phase\":\"DELETED\"}",
@@ -73,18 +74,18 @@
           "{\"id\":\"s-1\",\"phase\":\"DELETED\",\"host_port\":\"\",\"size\":0}",
           GOOD.replace("SERVING", "DELETED")
         }) {
-      Members.Member member = read(gone).members().get(0);
+      MemberListUpdate.Member member = read(gone).members().get(0);
       assertEquals(Standing.GONE, member.standing());
       assertNull(member.address());
     }
-    assertThrows(Json.Malformed.class, () -> read("{\"id\":\"\",\"phase\":\"DELETED\"}"));
+    assertThrows(Json.JsonException.class, () -> read("{\"id\":\"\",\"phase\":\"DELETED\"}"));
   }
 
   @Test
-  void ofAMemberNamedTwiceTheLastEntryCounts() throws Json.Malformed {
+  void ofAMemberNamedTwiceTheLastEntryCounts() throws Json.JsonException {
     for (boolean drains : new boolean[] {true, false}) {
       String other = GOOD.replace("SERVING", "DRAINING").replace(":81", ":82");
-      Members.Member member =
+      MemberListUpdate.Member member =
           read(drains ? GOOD : other, GOOD.replace("s-1", "s-2"), drains ? other : GOOD)
               .members()
               .get(0);
--- a/mixer/src/test/java/gingerring/http/HttpParserTest.java
+++ b/mixer/src/test/java/gingerring/http/HttpParserTest.java
@@ -10,21 +10,21 @@
 
 class HttpParserTest {
   /** Writes down what is read. */
-  private static final class Notes implements HttpParser.Sink {
+  private static final class Notes implements HttpParser.Handler {
     final StringBuilder text = new StringBuilder();
 
     @Override
-    public void head(Head head) {
+    public void onHead(MessageHead head) {
       text.append(head);
     }
 
     @Override
-    public void body(byte[] bytes, int length) {
+    public void onBody(byte[] bytes, int length) {
       text.append(new String(bytes, 0, length, StandardCharsets.ISO_8859_1));
     }
 
     @Override
-    public void end() {
+    public void onMessageEnd() {
       text.append("|end|");
     }
   }
@@ -39,11 +39,11 @@
         int to = i < cuts.length ? cuts[i] : bytes.length;
         assertTrue(ring.put(bytes, from, to - from));
         while (ring.size() > 0) {
-          parser.read(ring);
+          parser.parse(ring);
         }
         from = to;
       }
-    } catch (Malformed e) {
+    } catch (HttpException e) {
       notes.text.append(e.status);
     }
     return notes.text.toString();
@@ -59,7 +59,7 @@
       "POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabcd\r\n"
     };
     String[] ends = {
-      "abc|end|Head[first=GET, second=/, third=HTTP/1.0, headers={}]|end|",
+      "abc|end|MessageHead[methodOrVersion=GET, targetOrStatus=/, versionOrReason=HTTP/1.0, headers={}]|end|",
       "abc0123456789|end|",
       "abc400"
     };
@@ -73,7 +73,7 @@
       }
     }
     assertEquals(
-        "Head[first=HTTP/1.1, second=200, third=OK x, headers={}]rest",
+        "MessageHead[methodOrVersion=HTTP/1.1, targetOrStatus=200, versionOrReason=OK x, headers={}]rest",
         read(false, "HTTP/1.1 200 OK x\r\n\r\nrest".getBytes(StandardCharsets.ISO_8859_1)));
   }
 
--- a/mixer/src/test/java/gingerring/json/JsonTest.java
+++ b/mixer/src/test/java/gingerring/json/JsonTest.java
@@ -9,12 +9,12 @@
 
 class JsonTest {
   @Test
-  void readsWhatIsJson() throws Json.Malformed {
+  void readsWhatIsJson() throws Json.JsonException {
     assertEquals(
         "{a=[1.0, -250.0, true, null], b={c=x\"\u00e9\n/}}",
-        Json.read(" {\"a\":[1,-2.5e2,true,null] ,\"b\":{\"c\":\"x\\\"\\u00e9\\n\\/\"}} ")
+        Json.parse(" {\"a\":[1,-2.5e2,true,null] ,\"b\":{\"c\":\"x\\\"\\u00e9\\n\\/\"}} ")
             .toString());
-    assertEquals("[]", Json.read("[]".getBytes(StandardCharsets.UTF_8)).toString());
+    assertEquals("[]", Json.parse("[]".getBytes(StandardCharsets.UTF_8)).toString());
   }
 
   @Test
@@ -44,9 +44,9 @@
           "{1:2}",
           deep
         }) {
-      assertThrows(Json.Malformed.class, () -> Json.read(text), text);
+      assertThrows(Json.JsonException.class, () -> Json.parse(text), text);
     }
-    assertThrows(Json.Malformed.class, () -> Json.read(new byte[] {'"', (byte) 0xC3, '"'}));
+    assertThrows(Json.JsonException.class, () -> Json.parse(new byte[] {'"', (byte) 0xC3, '"'}));
   }
 
   @Test
@@ -59,8 +59,8 @@
         text.append(letters.charAt(random.nextInt(letters.length())));
       }
       try {
-        Json.read(text.toString());
-      } catch (Json.Malformed e) {
+        Json.parse(text.toString());
+      } catch (Json.JsonException e) {
         // the one way out
       }
     }
--- a/mixer/src/test/java/gingerring/net/BacklogTest.java
+++ b/mixer/src/test/java/gingerring/net/BacklogDrainTest.java
@@ -14,23 +14,23 @@
 import org.junit.jupiter.api.Timeout;
 
 @Timeout(30)
-class BacklogTest {
+class BacklogDrainTest {
   private static final int COME = 5;
   private final LinkedBlockingQueue<Runnable> events = new LinkedBlockingQueue<>();
   private final Network network =
       new Network(
-          new Inbox() {
+          new EventQueue() {
             @Override
             public void post(Runnable event) {
               events.add(event);
             }
 
             @Override
-            public Duration clock() {
+            public Duration currentTime() {
               return Duration.ofNanos(System.nanoTime());
             }
           },
-          new Counts(),
+          new Counters(),
           false);
   private final List<Connection> accepted = new ArrayList<>();
 
@@ -43,7 +43,7 @@
             10,
             1000,
             connection -> {
-              connection.party(Party.NONE);
+              connection.setHandler(ConnectionHandler.NO_OP);
               accepted.add(connection);
             });
     List<Socket> sockets = new ArrayList<>();
--- a/mixer/src/test/java/gingerring/net/ByteRingTest.java
+++ b/mixer/src/test/java/gingerring/net/ByteRingTest.java
@@ -29,7 +29,7 @@
           assertEquals(plain.remove(), bytes[i]);
         }
       } else {
-        var slice = ring.peek();
+        var slice = ring.peekContiguous();
         int count = Math.min(slice.remaining(), bytes.length);
         for (int i = 0; i < count; i++) {
           assertEquals(plain.remove(), slice.get(i));
--- a/mixer/src/test/java/gingerring/net/ConnectionTest.java
+++ b/mixer/src/test/java/gingerring/net/CloseIfUnreadTest.java
@@ -14,22 +14,22 @@
 import org.junit.jupiter.api.Timeout;
 
 @Timeout(30)
-class ConnectionTest {
+class CloseIfUnreadTest {
   private final LinkedBlockingQueue<Runnable> events = new LinkedBlockingQueue<>();
   private final Network network =
       new Network(
-          new Inbox() {
+          new EventQueue() {
             @Override
             public void post(Runnable event) {
               events.add(event);
             }
 
             @Override
-            public Duration clock() {
+            public Duration currentTime() {
               return Duration.ofNanos(System.nanoTime());
             }
           },
-          new Counts(),
+          new Counters(),
           false);
   private Connection accepted;
 
@@ -40,7 +40,7 @@
             10,
             1000,
             connection -> {
-              connection.party(Party.NONE);
+              connection.setHandler(ConnectionHandler.NO_OP);
               accepted = connection;
             });
     Socket socket = new Socket(at.getAddress(), at.getPort());
@@ -59,7 +59,7 @@
       Runnable told = events.poll(10, TimeUnit.SECONDS);
       assertFalse(accepted.closeIfUnread());
       told.run();
-      assertTrue(accepted.open());
+      assertTrue(accepted.isOpen());
     }
     network.dispose();
   }
@@ -73,7 +73,7 @@
         assertTrue(accepted.closeIfUnread());
       }
       assertEquals(-1, read(socket));
-      assertEquals(0, accepted.in.size());
+      assertEquals(0, accepted.input.size());
     }
     network.dispose();
   }
--- a/mixer/src/test/java/gingerring/net/EndTest.java
+++ b/mixer/src/test/java/gingerring/net/ConnectionCloseTest.java
@@ -20,19 +20,19 @@
 
 /** How connections end, from either side: in order, or by a reset. */
 @Timeout(30)
-class EndTest {
+class ConnectionCloseTest {
   private final LinkedBlockingQueue<Runnable> events = new LinkedBlockingQueue<>();
-  private final Counts counts = new Counts();
+  private final Counters counts = new Counters();
   private final Network network =
       new Network(
-          new Inbox() {
+          new EventQueue() {
             @Override
             public void post(Runnable event) {
               events.add(event);
             }
 
             @Override
-            public Duration clock() {
+            public Duration currentTime() {
               return Duration.ofNanos(System.nanoTime());
             }
           },
@@ -43,27 +43,27 @@
   private Socket socket;
 
   /** What the connection's party was told. */
-  private final class Heard implements Party {
+  private final class Heard implements ConnectionHandler {
     private int read;
     private int drained;
     private boolean closed;
     private boolean orderly;
 
     @Override
-    public void readable() {
+    public void onReadable() {
       read++;
     }
 
     @Override
-    public void drained() {
+    public void onFlushed() {
       drained++;
-      assertTrue(accepted.unsentFree());
+      assertTrue(accepted.isFlushed());
     }
 
     @Override
-    public void closed() {
+    public void onClosed() {
       closed = true;
-      orderly = accepted.endedOrderly();
+      orderly = accepted.closedGracefully();
     }
   }
 
@@ -74,12 +74,12 @@
             10,
             1 << 22,
             connection -> {
-              connection.party(heard);
+              connection.setHandler(heard);
               accepted = connection;
             });
     socket = new Socket(at.getAddress(), at.getPort());
     socket.setSoTimeout(10_000);
-    until(() -> accepted != null && accepted.open());
+    until(() -> accepted != null && accepted.isOpen());
   }
 
   /** Runs what is posted, on this thread as on the loop's, until something holds. */
@@ -108,14 +108,14 @@
     socket.close();
     until(() -> heard.closed);
     assertTrue(heard.orderly);
-    assertEquals(2, accepted.in.size());
+    assertEquals(2, accepted.input.size());
   }
 
   @Test
   void aResetByTheOtherSideIsNot() throws Exception {
     connect();
     socket.getOutputStream().write(new byte[] {1, 2});
-    until(() -> accepted.in.size() == 2);
+    until(() -> accepted.input.size() == 2);
     socket.setSoLinger(true, 0);
     socket.close();
     until(() -> heard.closed);
@@ -134,11 +134,11 @@
   @Test
   void whatWaitsToLeaveIsToldUntilItHasLeft() throws Exception {
     connect();
-    assertTrue(accepted.unsentFree());
-    accepted.out.put(new byte[1 << 21]); // more than the system takes at once
-    accepted.touch();
+    assertTrue(accepted.isFlushed());
+    accepted.output.put(new byte[1 << 21]); // more than the system takes at once
+    accepted.requestFlush();
     network.flush();
-    assertFalse(accepted.unsentFree());
+    assertFalse(accepted.isFlushed());
     Thread reader =
         new Thread(
             () -> {
@@ -150,7 +150,7 @@
             });
     reader.start();
     until(() -> heard.drained > 0);
-    assertTrue(accepted.unsentFree());
+    assertTrue(accepted.isFlushed());
     reader.join(10_000);
   }
 
@@ -162,9 +162,9 @@
     connect();
     byte[] answer = new byte[50_000];
     Arrays.fill(answer, (byte) 'a');
-    accepted.out.put(answer);
-    accepted.endAfterFlush();
-    until(accepted::unsentFree);
+    accepted.output.put(answer);
+    accepted.closeGracefully();
+    until(accepted::isFlushed);
     socket.getOutputStream().write(new byte[20_000]); // more than one read, and than the ring
     assertArrayEquals(answer, socket.getInputStream().readNBytes(answer.length));
     assertEquals(-1, socket.getInputStream().read()); // an orderly end
@@ -182,15 +182,15 @@
   void anEndIsOrderlyWhereReadingWasSuspended() throws Exception {
     connect();
     socket.getOutputStream().write(new byte[30_000]);
-    until(() -> accepted.in.room() < Connection.READ);
-    accepted.out.put(new byte[] {7});
-    accepted.endAfterFlush();
-    until(accepted::unsentFree);
+    until(() -> accepted.input.remainingCapacity() < Connection.MAX_READ_BYTES);
+    accepted.output.put(new byte[] {7});
+    accepted.closeGracefully();
+    until(accepted::isFlushed);
     assertEquals(7, socket.getInputStream().read());
     assertEquals(-1, socket.getInputStream().read());
     socket.close();
     until(() -> heard.closed);
-    assertEquals(0, accepted.in.size());
+    assertEquals(0, accepted.input.size());
   }
 
   /**
@@ -200,9 +200,9 @@
   @Test
   void anEndThatTheOtherSideDoesNotShareIsBounded() throws Exception {
     connect();
-    accepted.out.put(new byte[] {7});
-    accepted.endAfterFlush();
-    until(accepted::unsentFree);
+    accepted.output.put(new byte[] {7});
+    accepted.closeGracefully();
+    until(accepted::isFlushed);
     assertEquals(7, socket.getInputStream().read());
     Thread flood =
         new Thread(
@@ -223,6 +223,6 @@
     assertFalse(flood.isAlive());
     assertEquals(1, counts.get("ends cut short"));
     assertTrue(counts.get("bytes dropped") < 10_000 * 4096L / 2); // of a flood, a part
-    assertEquals(0, network.connections());
+    assertEquals(0, network.connectionCount());
   }
 }
--- a/mixer/src/test/java/gingerring/net/RoomTest.java
+++ b/mixer/src/test/java/gingerring/net/ConnectionLimitTest.java
@@ -17,7 +17,7 @@
 
 /** What room there is for connections, by the count that newcomers are taken by. */
 @Timeout(120)
-class RoomTest {
+class ConnectionLimitTest {
   private static final int MOST = 8;
   private static final int WAIT_S = 60;
 
@@ -32,8 +32,8 @@
     CountDownLatch came = new CountDownLatch(1);
     CountDownLatch ended = new CountDownLatch(1);
     Semaphore gate = new Semaphore(0);
-    Inbox inbox =
-        new Inbox() {
+    EventQueue inbox =
+        new EventQueue() {
           /**
            * Of a connection's events its end is the one that is posted once it is up and nothing
            * was read.
@@ -50,18 +50,18 @@
           }
 
           @Override
-          public Duration clock() {
+          public Duration currentTime() {
             return Duration.ofNanos(System.nanoTime());
           }
         };
-    Network network = new Network(inbox, new Counts(), false);
+    Network network = new Network(inbox, new Counters(), false);
     InetSocketAddress at =
         network.listen(
             new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
             MOST,
             1024,
             connection -> {
-              connection.party(Party.NONE);
+              connection.setHandler(ConnectionHandler.NO_OP);
               came.countDown();
             });
     Socket socket = new Socket(at.getAddress(), at.getPort());
@@ -69,12 +69,12 @@
       events.take().run();
     }
     assertTrue(came.await(WAIT_S, TimeUnit.SECONDS));
-    assertEquals(MOST - 1, network.room());
+    assertEquals(MOST - 1, network.availableConnections());
     socket.close();
     assertTrue(ended.await(WAIT_S, TimeUnit.SECONDS));
-    assertEquals(MOST - 1, network.room());
+    assertEquals(MOST - 1, network.availableConnections());
     gate.release();
-    while (network.room() < MOST) { // bounded by the test's time
+    while (network.availableConnections() < MOST) { // bounded by the test's time
       TimeUnit.MILLISECONDS.sleep(1);
     }
     events.take().run();
--- a/mixer/src/test/java/gingerring/net/ReadPauseTest.java
+++ b/mixer/src/test/java/gingerring/net/ReadPauseTest.java
@@ -26,19 +26,19 @@
   @Test
   void aConnectionWhoseReaderKeepsUpIsReadToItsEnd() throws Exception {
     BlockingQueue<Runnable> events = new LinkedBlockingQueue<>();
-    Inbox inbox =
-        new Inbox() {
+    EventQueue inbox =
+        new EventQueue() {
           @Override
           public void post(Runnable event) {
             events.add(event);
           }
 
           @Override
-          public Duration clock() {
+          public Duration currentTime() {
             return Duration.ofNanos(System.nanoTime());
           }
         };
-    Network network = new Network(inbox, new Counts(), false);
+    Network network = new Network(inbox, new Counters(), false);
     Thread loop =
         new Thread(
             () -> {
@@ -62,16 +62,16 @@
             8,
             1024,
             connection ->
-                connection.party(
-                    new Party() {
+                connection.setHandler(
+                    new ConnectionHandler() {
                       @Override
-                      public void opened() {}
+                      public void onOpened() {}
 
                       @Override
-                      public void readable() {
-                        byte[] some = new byte[Connection.READ];
+                      public void onReadable() {
+                        byte[] some = new byte[Connection.MAX_READ_BYTES];
                         for (int n = 1; n > 0; ) {
-                          n = connection.in.take(some, 0, some.length);
+                          n = connection.input.take(some, 0, some.length);
                           if (read.addAndGet(n) == (long) BLOCK * BLOCKS) {
                             whole.countDown();
                           }
@@ -79,7 +79,7 @@
                       }
 
                       @Override
-                      public void closed() {}
+                      public void onClosed() {}
                     }));
     Socket socket = new Socket(at.getAddress(), at.getPort());
     Thread writer =
--- a/mixer/src/test/java/gingerring/server/DeskTest.java
+++ b/mixer/src/test/java/gingerring/server/DeskTest.java
@@ -7,12 +7,12 @@
 import gingerring.backend.Back;
 import gingerring.decide.MemberEntry.Standing;
 import gingerring.decide.Settings;
-import gingerring.discovery.Members;
-import gingerring.discovery.Watch;
+import gingerring.discovery.DiscoveryWatch;
+import gingerring.discovery.MemberListUpdate;
 import gingerring.frontend.Ask;
 import gingerring.frontend.Reply;
 import gingerring.json.Json;
-import gingerring.net.Counts;
+import gingerring.net.Counters;
 import gingerring.net.Network;
 import java.io.IOException;
 import java.net.InetAddress;
@@ -59,23 +59,23 @@
         new byte[0]);
   }
 
-  private static Settings terms() throws IOException, Json.Malformed {
+  private static Settings terms() throws IOException, Json.JsonException {
     Map<String, String> flat = new HashMap<>();
-    Map<?, ?> example = (Map<?, ?>) Json.read(Files.readAllBytes(Path.of("example/config.json")));
+    Map<?, ?> example = (Map<?, ?>) Json.parse(Files.readAllBytes(Path.of("example/config.json")));
     MixerConfig.flatten("", example.get("settings"), flat);
     return new Settings(flat);
   }
 
   /** Guards against a mixer that compiles what scans need while its first clients wait. */
   @Test
-  void rehearsesSampleScansThroughAllButTheSockets() throws IOException, Json.Malformed {
+  void rehearsesSampleScansThroughAllButTheSockets() throws IOException, Json.JsonException {
     assertTrue(new Rehearsal(terms()).run() >= 50);
   }
 
   /** Guards against a mixer that keeps something of every searcher and scan there ever was. */
   @Test
-  void keepsNothingOfSearchersAndScansThatHaveGone() throws IOException, Json.Malformed {
-    Counts counts = new Counts();
+  void keepsNothingOfSearchersAndScansThatHaveGone() throws IOException, Json.JsonException {
+    Counters counts = new Counters();
     Loop loop = new Loop(counts);
     Network network = new Network(loop, counts, true);
     MixerHost desk = new MixerHost(loop, terms(), counts, 0);
@@ -83,23 +83,23 @@
     InetSocketAddress nobody = new InetSocketAddress("127.0.0.1", 9);
     desk.start(
         back,
-        new Watch(network, nobody, 0, desk, counts, loop),
+        new DiscoveryWatch(network, nobody, 0, desk, counts, loop),
         1,
-        new Members(0, true, List.of()));
+        new MemberListUpdate(0, true, List.of()));
     List<String> answers = new ArrayList<>();
     int rounds = 3000;
     for (int i = 0; i < rounds; i++) {
       int number = i;
       loop.post(
           () -> {
-            desk.list(
-                new Members(
+            desk.onUpdate(
+                new MemberListUpdate(
                     number + 1,
                     false,
                     List.of(
-                        new Members.Member(
+                        new MemberListUpdate.Member(
                             "s-" + number, nobody, "a", "toy", number % 4, Standing.READY, 1, 0),
-                        new Members.Member(
+                        new MemberListUpdate.Member(
                             "s-" + (number - 4),
                             nobody,
                             "a",
@@ -113,17 +113,17 @@
     }
     loop.post(
         () ->
-            loop.wakeAfter(
+            loop.schedule(
                 Duration.ofMillis(4500),
                 () -> {
-                  desk.list(new Members(rounds + 1, true, List.of()));
-                  loop.wakeAfter(Duration.ofMillis(1500), loop::stop);
+                  desk.onUpdate(new MemberListUpdate(rounds + 1, true, List.of()));
+                  loop.schedule(Duration.ofMillis(1500), loop::stop);
                 }));
     loop.run(back::dispatch, network::flush);
     assertEquals(rounds, answers.size());
     assertEquals(0, desk.kept());
     assertEquals(0, back.stations());
-    assertEquals(0, network.connections());
+    assertEquals(0, network.connectionCount());
   }
 
   /**
@@ -164,28 +164,33 @@
    * addresses.
    */
   private static final class Bare {
-    final Counts counts = new Counts();
+    final Counters counts = new Counters();
     final Loop loop = new Loop(counts);
     final Network network = new Network(loop, counts, false);
     final MixerHost desk;
     final Back back;
     final InetSocketAddress place;
 
-    Bare(InetSocketAddress place) throws IOException, Json.Malformed {
+    Bare(InetSocketAddress place) throws IOException, Json.JsonException {
       this.place = place;
       desk = new MixerHost(loop, terms(), counts, 0);
       back = new Back(network, desk, terms(), counts, loop);
       desk.start(
-          back, new Watch(network, place, 0, desk, counts, loop), 1, list(true, Standing.READY));
+          back,
+          new DiscoveryWatch(network, place, 0, desk, counts, loop),
+          1,
+          list(true, Standing.READY));
     }
 
-    Members list(boolean all, Standing standing) {
-      return new Members(
-          1, all, List.of(new Members.Member("s-0", place, "a", "toy", 0, standing, 1, 0)));
+    MemberListUpdate list(boolean all, Standing standing) {
+      return new MemberListUpdate(
+          1,
+          all,
+          List.of(new MemberListUpdate.Member("s-0", place, "a", "toy", 0, standing, 1, 0)));
     }
 
     void run(Runnable event, Duration span) {
-      loop.post(() -> loop.wakeAfter(span, loop::stop));
+      loop.post(() -> loop.schedule(span, loop::stop));
       loop.post(event);
       loop.run(back::dispatch, network::flush);
       network.dispose();
@@ -198,7 +203,7 @@
    * down.
    */
   @Test
-  void goesByDiscoverysWordFromItsFirstMomentOn() throws IOException, Json.Malformed {
+  void goesByDiscoverysWordFromItsFirstMomentOn() throws IOException, Json.JsonException {
     try (Deaf deaf = new Deaf()) {
       Bare bare = new Bare(deaf.address());
       List<String> answers = new ArrayList<>();
@@ -212,8 +217,8 @@
                     bare.loop.post(
                         () -> { // two turns later
                           assertEquals(List.of(), answers);
-                          bare.desk.list(bare.list(true, Standing.DRAINING));
-                          bare.desk.word();
+                          bare.desk.onUpdate(bare.list(true, Standing.DRAINING));
+                          bare.desk.onContact();
                           assertTrue(bare.desk.ready());
                         }));
           },
@@ -225,15 +230,15 @@
 
   /** Guards against a scan that is sent by the list before the one that came with it. */
   @Test
-  void decidesOnNewScansLastInATurn() throws IOException, Json.Malformed {
+  void decidesOnNewScansLastInATurn() throws IOException, Json.JsonException {
     try (Deaf deaf = new Deaf()) {
       Bare bare = new Bare(deaf.address());
       List<String> answers = new ArrayList<>();
       bare.run(
           () -> {
-            bare.desk.word();
+            bare.desk.onContact();
             bare.desk.take(ask("a", 0), bare.loop.now(), new Notes("scan", answers));
-            bare.desk.list(bare.list(false, Standing.DRAINING));
+            bare.desk.onUpdate(bare.list(false, Standing.DRAINING));
           },
           Duration.ofMillis(300));
       assertEquals(List.of("scan nacked"), answers);
@@ -246,17 +251,18 @@
    * dial later.
    */
   @Test
-  void withholdsWhatWaitsForAConnectionToWhomDrainsOrHasGone() throws IOException, Json.Malformed {
+  void withholdsWhatWaitsForAConnectionToWhomDrainsOrHasGone()
+      throws IOException, Json.JsonException {
     for (Standing standing : List.of(Standing.DRAINING, Standing.GONE)) {
       try (Deaf deaf = new Deaf()) {
         Bare bare = new Bare(deaf.address());
         List<String> answers = new ArrayList<>();
         bare.run(
             () -> {
-              bare.desk.word();
+              bare.desk.onContact();
               bare.desk.take(ask("a", 0), bare.loop.now(), new Notes("scan", answers));
               bare.loop.post(
-                  () -> bare.loop.post(() -> bare.desk.list(bare.list(false, standing))));
+                  () -> bare.loop.post(() -> bare.desk.onUpdate(bare.list(false, standing))));
             },
             Duration.ofMillis(300));
         assertEquals(List.of("scan nacked"), answers);
@@ -271,19 +277,23 @@
    * counted.
    */
   @Test
-  void aFailureOfTheMixerScrapsTheScanAtHandAndNoOther() throws IOException, Json.Malformed {
+  void aFailureOfTheMixerScrapsTheScanAtHandAndNoOther() throws IOException, Json.JsonException {
     Settings terms = terms();
-    Counts counts = new Counts();
+    Counters counts = new Counters();
     Loop loop = new Loop(counts);
     Network network = new Network(loop, counts, true);
     MixerHost desk = new MixerHost(loop, terms, counts, 0);
-    Watch watch = new Watch(network, new InetSocketAddress("127.0.0.1", 1), 0, desk, counts, loop);
+    DiscoveryWatch watch =
+        new DiscoveryWatch(network, new InetSocketAddress("127.0.0.1", 1), 0, desk, counts, loop);
     desk.start(
-        new Back(network, desk, terms, counts, loop), watch, 1, new Members(0, true, List.of()));
+        new Back(network, desk, terms, counts, loop),
+        watch,
+        1,
+        new MemberListUpdate(0, true, List.of()));
     List<String> answers = new ArrayList<>();
     desk.take(ask("a", 7), Duration.ZERO, new Notes("unknown grade", answers));
     desk.take(ask("b", 0), Duration.ZERO, new Notes("good", answers));
-    loop.post(() -> loop.wakeAfter(Duration.ofMillis(50), loop::stop));
+    loop.post(() -> loop.schedule(Duration.ofMillis(50), loop::stop));
     loop.run(() -> {}, () -> {});
     assertEquals(List.of("unknown grade scrapped", "good nacked"), answers);
     assertEquals(1, counts.get("failures in the mixer"));
--- a/mixer/src/test/java/gingerring/server/DialCrossingTest.java
+++ b/mixer/src/test/java/gingerring/server/DialCrossingTest.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import gingerring.net.Connection;
-import gingerring.net.Counts;
+import gingerring.net.ConnectionHandler;
+import gingerring.net.Counters;
 import gingerring.net.Network;
-import gingerring.net.Party;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
@@ -21,17 +21,17 @@
 class DialCrossingTest {
   private static final int ROUNDS = 300;
 
-  private static final class End implements Party {
+  private static final class End implements ConnectionHandler {
     final CountDownLatch closed = new CountDownLatch(1);
 
     @Override
-    public void opened() {}
+    public void onOpened() {}
 
     @Override
-    public void readable() {}
+    public void onReadable() {}
 
     @Override
-    public void closed() {
+    public void onClosed() {
       closed.countDown();
     }
   }
@@ -63,7 +63,7 @@
 
   /** Gives a dial to one address up in the turn after its own, and dials another in that turn. */
   private static void cross(InetSocketAddress one, InetSocketAddress other) throws Exception {
-    Counts counts = new Counts();
+    Counters counts = new Counters();
     Loop loop = new Loop(counts);
     Network network = new Network(loop, counts, false);
     Thread thread = new Thread(() -> loop.run(() -> {}, network::flush));
--- a/mixer/src/test/java/gingerring/server/FrontCrossingTest.java
+++ b/mixer/src/test/java/gingerring/server/FrontCrossingTest.java
@@ -329,7 +329,7 @@
         Rig.Client client = rig.client();
         client.write(rig.scan("search", 1000, i % 8));
         rig.turns(2);
-        peak = Math.max(peak, rig.serve.network().connections());
+        peak = Math.max(peak, rig.serve.network().connectionCount());
       }
       // the last of them may still stand in the backlog, and a link is dialled at the end of its
       // scan's turn
@@ -377,7 +377,7 @@
           rig.awaitCount("half requests shed", 1);
           assertTrue(halves.get(0).answer().startsWith("503"));
           assertEquals("closed", halves.get(0).end());
-          Rig.await("room for a newcomer", () -> rig.serve.network().room() > 40);
+          Rig.await("room for a newcomer", () -> rig.serve.network().availableConnections() > 40);
           Rig.Client client = rig.client();
           client.write(rig.scan("search", 2000, 0));
           assertTrue(client.answer().startsWith("200"));
--- a/mixer/src/test/java/gingerring/server/LoopTest.java
+++ b/mixer/src/test/java/gingerring/server/LoopTest.java
@@ -19,7 +19,7 @@
 import com.sun.jdi.request.ClassPrepareRequest;
 import com.sun.jdi.request.EventRequest;
 import com.sun.jdi.request.MethodEntryRequest;
-import gingerring.net.Counts;
+import gingerring.net.Counters;
 import java.time.Duration;
 import java.util.LinkedHashSet;
 import java.util.Map;
@@ -39,7 +39,7 @@
     private Child() {}
 
     public static void main(String[] args) {
-      loop = new Loop(new Counts());
+      loop = new Loop(new Counters());
       Thread poster =
           new Thread(
               () -> {
@@ -64,7 +64,7 @@
     }
 
     private static void again() {
-      loop.wakeAfter(
+      loop.schedule(
           Duration.ofMillis(5),
           () -> {
             wakes++;
--- a/mixer/src/test/java/gingerring/server/OrdersTest.java
+++ b/mixer/src/test/java/gingerring/server/OrdersTest.java
@@ -5,8 +5,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import gingerring.decide.Settings;
-import gingerring.json.Fields;
 import gingerring.json.Json;
+import gingerring.json.JsonFields;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Map;
@@ -15,11 +15,11 @@
 
 class OrdersTest {
   @Test
-  void flattensSettingsAsTheFirstMessageOfTheWireHasThem() throws Json.Malformed {
+  void flattensSettingsAsTheFirstMessageOfTheWireHasThem() throws Json.JsonException {
     Map<String, String> flat = new TreeMap<>();
     MixerConfig.flatten(
         "",
-        Json.read(
+        Json.parse(
             "{\"Classes\":[{\"AimMs\":1500.5,\"Name\":\"cohort report\"},"
                 + "{\"AimMs\":1200.0}],\"Discovery\":\"subscribe\","
                 + "\"Domain\":{\"ClassFloor\":[0.4,1.0],\"WarmKeys\":false},"
@@ -35,9 +35,9 @@
   /** Also what no scan needs before the first cold searcher or the first further trip. */
   @Test
   void namesEachSettingThatCannotBeUsed() throws Exception {
-    Object example = Json.read(Files.readAllBytes(Path.of("example/config.json")));
+    Object example = Json.parse(Files.readAllBytes(Path.of("example/config.json")));
     Map<String, String> house = new TreeMap<>();
-    MixerConfig.flatten("", Fields.object(example, "it").get("settings"), house);
+    MixerConfig.flatten("", JsonFields.object(example, "it").get("settings"), house);
     house.putAll(
         Map.of(
             "Safety.ExtraFree",
--- a/mixer/src/test/java/gingerring/server/PracticeTest.java
+++ b/mixer/src/test/java/gingerring/server/PracticeTest.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import gingerring.net.Connection;
-import gingerring.net.Counts;
+import gingerring.net.ConnectionHandler;
+import gingerring.net.Counters;
 import gingerring.net.Network;
-import gingerring.net.Party;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -18,7 +18,7 @@
 
 @Timeout(60)
 class PracticeTest {
-  private final Counts counts = new Counts();
+  private final Counters counts = new Counters();
   private final Loop loop = new Loop(counts);
   private final Network network = new Network(loop, counts, false);
   private final List<String> done = new ArrayList<>();
@@ -31,7 +31,7 @@
             counts,
             () -> {
               done.add("done");
-              loop.wakeAfter(Duration.ofMillis(100), loop::stop);
+              loop.schedule(Duration.ofMillis(100), loop::stop);
             })
         .begin();
     loop.run(() -> {}, network::flush);
@@ -47,10 +47,10 @@
             new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
             100,
             1024,
-            connection -> connection.party(new Echo(connection)));
+            connection -> connection.setHandler(new Echo(connection)));
     practise(front);
     assertEquals(192, counts.get("answers practised"));
-    assertEquals(0, network.connections());
+    assertEquals(0, network.connectionCount());
   }
 
   /** Guards against a mixer that is never ready where it cannot call itself. */
@@ -72,7 +72,7 @@
             new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
             100,
             1024,
-            connection -> connection.party(Party.NONE));
+            connection -> connection.setHandler(ConnectionHandler.NO_OP));
     Practice practice =
         new Practice(
             network,
@@ -81,26 +81,26 @@
             counts,
             () -> {
               done.add("done");
-              loop.wakeAfter(Duration.ofMillis(100), loop::stop);
+              loop.schedule(Duration.ofMillis(100), loop::stop);
             });
     practice.begin();
-    loop.wakeAfter(Duration.ofMillis(100), practice::end);
+    loop.schedule(Duration.ofMillis(100), practice::end);
     loop.run(() -> {}, network::flush);
     network.dispose();
     assertEquals(List.of("done"), done);
-    assertEquals(0, network.connections());
+    assertEquals(0, network.connectionCount());
   }
 
   /** Answers a request, which comes whole here. */
-  private record Echo(Connection connection) implements Party {
+  private record Echo(Connection connection) implements ConnectionHandler {
     @Override
-    public void readable() {
-      connection.in.clear();
-      connection.out.put(new byte[] {'x'});
-      connection.touch();
+    public void onReadable() {
+      connection.input.clear();
+      connection.output.put(new byte[] {'x'});
+      connection.requestFlush();
     }
 
     @Override
-    public void closed() {}
+    public void onClosed() {}
   }
 }
--- a/mixer/src/test/java/gingerring/server/Rig.java
+++ b/mixer/src/test/java/gingerring/server/Rig.java
@@ -1,6 +1,6 @@
 package gingerring.server;
 
-import gingerring.net.Tap;
+import gingerring.net.TrafficListener;
 import java.io.ByteArrayOutputStream;
 import java.io.Closeable;
 import java.io.EOFException;
@@ -66,7 +66,7 @@
    * {@code tap} is told of all that the mixer's connections carry, on the threads that do; null for
    * none.
    */
-  Rig(Tap tap, boolean discovery, String... swaps) throws Exception {
+  Rig(TrafficListener tap, boolean discovery, String... swaps) throws Exception {
     agent = keep(new Agent(discovery));
     Path example = Files.exists(Path.of("example")) ? Path.of("example") : Path.of("../example");
     config =
@@ -155,7 +155,7 @@
       if (i * NAP_MS > WAIT_MS) {
         throw new AssertionError("something put into a connection does not leave");
       }
-      inLoop(() -> settled.set(serve.network().unsentFree()));
+      inLoop(() -> settled.set(serve.network().isFlushed()));
       Thread.sleep(settled.get() ? 0 : NAP_MS);
     }
     Gate gate = new Gate();
@@ -266,7 +266,7 @@
         many + " connections",
         () -> {
           try {
-            inLoop(() -> open.set(serve.network().connections()));
+            inLoop(() -> open.set(serve.network().connectionCount()));
           } catch (InterruptedException e) {
             throw new AssertionError(e);
           }
@@ -678,7 +678,7 @@
         throw new AssertionError(open + " connections are left after practice");
       }
       Thread.sleep(NAP_MS);
-      inLoop(() -> open.set(serve.network().connections()));
+      inLoop(() -> open.set(serve.network().connectionCount()));
     }
   }
 
--- a/mixer/src/test/java/gingerring/server/SearcherCloseCrossingTest.java
+++ b/mixer/src/test/java/gingerring/server/SearcherCloseCrossingTest.java
@@ -10,11 +10,11 @@
 import gingerring.decide.SearcherId;
 import gingerring.decide.Settings;
 import gingerring.json.Json;
-import gingerring.net.Counts;
-import gingerring.net.Inbox;
+import gingerring.net.Counters;
+import gingerring.net.EventQueue;
+import gingerring.net.LoopTimer;
 import gingerring.net.Network;
-import gingerring.net.Tap;
-import gingerring.net.TurnClock;
+import gingerring.net.TrafficListener;
 import java.io.Closeable;
 import java.io.IOException;
 import java.net.InetAddress;
@@ -86,16 +86,16 @@
   }
 
   /** Holds MINA's thread where it reads a request that is marked for it. */
-  private static final class Brake implements Tap {
+  private static final class Brake implements TrafficListener {
     private static final String MARK = "X-Brake";
     final CountDownLatch reached = new CountDownLatch(1);
     final CountDownLatch released = new CountDownLatch(1);
 
     @Override
-    public void opened(long connection, InetSocketAddress opener, InetSocketAddress listener) {}
+    public void onOpened(long connection, InetSocketAddress opener, InetSocketAddress listener) {}
 
     @Override
-    public void data(long connection, int side, byte[] bytes) {
+    public void onData(long connection, int side, byte[] bytes) {
       if (new String(bytes, StandardCharsets.ISO_8859_1).contains(MARK)) {
         reached.countDown();
         await(released);
@@ -103,7 +103,7 @@
     }
 
     @Override
-    public void closed(long connection, int side) {}
+    public void onClosed(long connection, int side) {}
   }
 
   private static void await(CountDownLatch latch) {
@@ -418,7 +418,7 @@
    * Turns that the test makes one by one, at its own time: an event is heard when the test hands it
    * on.
    */
-  private static final class Turns implements Inbox, TurnClock {
+  private static final class Turns implements EventQueue, LoopTimer {
     private record Wake(Duration at, int number, Runnable task) {}
 
     private final BlockingQueue<Runnable> posted = new LinkedBlockingQueue<>();
@@ -433,7 +433,7 @@
     }
 
     @Override
-    public Duration clock() {
+    public Duration currentTime() {
       return now;
     }
 
@@ -443,7 +443,7 @@
     }
 
     @Override
-    public void wakeAfter(Duration span, Runnable task) {
+    public void schedule(Duration span, Runnable task) {
       wakes.add(new Wake(now.plus(span), wakeCount++, task));
     }
   }
@@ -456,7 +456,7 @@
     private static final SearcherId ID = new SearcherId(1);
 
     final Turns turns = new Turns();
-    final Counts counts = new Counts();
+    final Counters counts = new Counters();
     final Network network = new Network(turns, counts, false);
     final Back back;
     final Duration dialTimeOut;
@@ -468,12 +468,12 @@
 
     final List<Outcome> told = new ArrayList<>();
 
-    Dials() throws IOException, Json.Malformed {
+    Dials() throws IOException, Json.JsonException {
       Map<String, String> flat = new HashMap<>();
       Path example = Files.exists(Path.of("example")) ? Path.of("example") : Path.of("../example");
       MixerConfig.flatten(
           "",
-          ((Map<?, ?>) Json.read(Files.readAllBytes(example.resolve("config.json"))))
+          ((Map<?, ?>) Json.parse(Files.readAllBytes(example.resolve("config.json"))))
               .get("settings"),
           flat);
       Settings terms = new Settings(flat);
@@ -561,7 +561,7 @@
       turn();
       dialsTimePasses();
       back.closeIdle(ID);
-      until(() -> network.connections() == 0);
+      until(() -> network.connectionCount() == 0);
       for (Rig.Link link : links) {
         if (!link.socket.isClosed()) {
           assertEquals(0, rest(link));
@@ -713,7 +713,7 @@
     try (Dials dials = Dials.two()) {
       dials.turn(dials.words.get(first), dials.words.get(1 - first));
       dials.probeComesBy(first);
-      dials.until(dials.network::unsentFree);
+      dials.until(dials.network::isFlushed);
       dials.links.get(first).write(Rig.Link.framed('H', "done"));
       dials.turns.now = dials.turns.now.plus(dials.dialTimeOut);
       dials.turn(dials.next());
@@ -734,7 +734,7 @@
           Runnable otherUp = dials.words.get(1 - first);
           dials.turn(dials.words.get(first));
           dials.probeComesBy(first);
-          dials.until(dials.network::unsentFree);
+          dials.until(dials.network::isFlushed);
           how.act(dials.links.get(first));
           Runnable end = dials.next();
           dials.turn(otherUpBefore ? otherUp : end, otherUpBefore ? end : otherUp);
@@ -848,7 +848,7 @@
         dials.turn(dials.words.get(0), dials.words.get(1));
       } else {
         dials.turn(dials.words.get(0));
-        dials.until(() -> !dials.network.unsentFree()); // the third is up, and the probe on its way
+        dials.until(() -> !dials.network.isFlushed()); // the third is up, and the probe on its way
         dials.turn(dials.words.get(1));
       }
       int by = secondUpFirst ? 1 : 2;
--- a/mixer/src/test/java/gingerring/server/SearcherCrossingTest.java
+++ b/mixer/src/test/java/gingerring/server/SearcherCrossingTest.java
@@ -165,10 +165,10 @@
       try (Rig.Gate gate = rig.hold()) {
         client.write(rig.scan("search", 2000, 0));
         gate.posted(1);
-        Duration over = rig.serve.loop.clock().plusMillis(2100);
+        Duration over = rig.serve.loop.currentTime().plusMillis(2100);
         rig.serve.loop.post(
             () -> { // the process stands still within the turn
-              while (rig.serve.loop.clock().compareTo(over) < 0) {
+              while (rig.serve.loop.currentTime().compareTo(over) < 0) {
                 Thread.onSpinWait();
               }
             });
@@ -374,7 +374,7 @@
       }
       rig.awaitCount("links dialled", 3); // by the probe that ends a bench
       AtomicInteger open = new AtomicInteger();
-      rig.inLoop(() -> open.set(rig.serve.network().connections()));
+      rig.inLoop(() -> open.set(rig.serve.network().connectionCount()));
       assertEquals(4, open.get()); // discovery, the client, and two dials
       late.letGo();
       Rig.Link link = late.link();
--- a/mixer/src/test/java/gingerring/server/WatchAnswerTest.java
+++ b/mixer/src/test/java/gingerring/server/WatchAnswerTest.java
@@ -48,7 +48,7 @@
   void anAnswerWithoutALengthEndsByAnOrderlyCloseAlone() throws Exception {
     for (boolean orderly : new boolean[] {true, false}) {
       try (WatchStage stage = stage()) {
-        stage.inLoop(stage.watch::fetch);
+        stage.inLoop(stage.watch::fetchFullList);
         Rig.Call fetch = stage.agent.call();
         trickle(stage, fetch, BARE + Rig.list(42, true));
         if (orderly) {
@@ -110,7 +110,7 @@
   void halfAListIsNoListHoweverItEnds() throws Exception {
     for (boolean orderly : new boolean[] {true, false}) {
       try (WatchStage stage = stage()) {
-        stage.inLoop(stage.watch::fetch);
+        stage.inLoop(stage.watch::fetchFullList);
         Rig.Call fetch = stage.agent.call();
         String list = Rig.list(42, true);
         trickle(stage, fetch, BARE + list.substring(0, list.length() - 1));
@@ -136,7 +136,7 @@
           CHUNKS + Integer.toHexString(list.length() + 1) + "\r\n"
         }) {
       try (WatchStage stage = stage()) {
-        stage.inLoop(stage.watch::fetch);
+        stage.inLoop(stage.watch::fetchFullList);
         Rig.Call fetch = stage.agent.call();
         trickle(stage, fetch, head + list);
         fetch.close();
--- a/mixer/src/test/java/gingerring/server/WatchCrossingTest.java
+++ b/mixer/src/test/java/gingerring/server/WatchCrossingTest.java
@@ -244,7 +244,7 @@
         trickle.write("HTTP/1.1 200 OK\r\n");
         stage.pass(125);
         assertEquals(2 + i, stage.calls());
-        Rig.await("eight connections at most", () -> stage.network.connections() <= 8);
+        Rig.await("eight connections at most", () -> stage.network.connectionCount() <= 8);
       }
     }
   }
--- a/mixer/src/test/java/gingerring/server/WatchDialCrossingTest.java
+++ b/mixer/src/test/java/gingerring/server/WatchDialCrossingTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import gingerring.net.Connection;
-import gingerring.net.Party;
+import gingerring.net.ConnectionHandler;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -117,7 +117,7 @@
         "all that was put leaves",
         () -> {
           try {
-            stage.inLoop(() -> settled[0] = stage.network.unsentFree());
+            stage.inLoop(() -> settled[0] = stage.network.isFlushed());
           } catch (InterruptedException e) {
             throw new AssertionError(e);
           }
@@ -186,13 +186,13 @@
         many + " connections in hand",
         () -> {
           try {
-            stage.inLoop(() -> held[0] = stage.network.connections());
+            stage.inLoop(() -> held[0] = stage.network.connectionCount());
           } catch (InterruptedException e) {
             throw new AssertionError(e);
           }
           return held[0] == many;
         });
-    stage.inLoop(() -> held[1] = stage.network.room());
+    stage.inLoop(() -> held[1] = stage.network.availableConnections());
     assertEquals(MOST - many, held[1], "room");
   }
 
@@ -263,21 +263,21 @@
           try (WatchStage stage = stage("automatic")) {
             List<String> heard = new CopyOnWriteArrayList<>();
             Connection[] dialled = new Connection[1];
-            Party party =
-                new Party() {
+            ConnectionHandler party =
+                new ConnectionHandler() {
                   @Override
-                  public void opened() {
+                  public void onOpened() {
                     heard.add("opened");
                   }
 
                   @Override
-                  public void readable() {
+                  public void onReadable() {
                     heard.add("readable");
-                    dialled[0].in.clear();
+                    dialled[0].input.clear();
                   }
 
                   @Override
-                  public void closed() {
+                  public void onClosed() {
                     heard.add("closed");
                   }
                 };
@@ -316,7 +316,7 @@
                     steps,
                     line(42),
                     at,
-                    () -> stage.loop.post(() -> stage.watch.move(there.address())));
+                    () -> stage.loop.post(() -> stage.watch.changeAddress(there.address())));
             boolean spoke = heard(steps, at, Step.SPEAKS);
             List<String> expected = new ArrayList<>(spoke ? List.of("list 42") : List.of());
             if (endHeard(steps, at)) {
@@ -360,11 +360,11 @@
             Socket fetch =
                 cross(
                     stage,
-                    stage.watch::fetch,
+                    stage.watch::fetchFullList,
                     steps,
                     answer(43),
                     at,
-                    () -> stage.loop.post(() -> stage.watch.move(there.address())));
+                    () -> stage.loop.post(() -> stage.watch.changeAddress(there.address())));
             boolean answered = heard(steps, at, Step.SPEAKS);
             boolean failed = !answered && endHeard(steps, at);
             told(stage, answered ? List.of("list 43") : failed ? List.of("failed") : List.of());
--- a/mixer/src/test/java/gingerring/server/WatchMoveTest.java
+++ b/mixer/src/test/java/gingerring/server/WatchMoveTest.java
@@ -230,7 +230,7 @@
     for (boolean answered : new boolean[] {true, false}) {
       try (WatchStage stage = stage();
           Rig.Agent there = new Rig.Agent(true)) {
-        stage.inLoop(stage.watch::fetch);
+        stage.inLoop(stage.watch::fetchFullList);
         Rig.Call fetch = stage.agent.call();
         assertTrue(fetch.request.startsWith("GET /v1/endpoints HTTP/1.1\r\n"), fetch.request);
         String old = Rig.list(42, true);
@@ -260,7 +260,7 @@
     try (WatchStage stage = stage()) {
       stage.open();
       Rig.Call watch = speaking(stage, stage.agent, 41, 42);
-      stage.inLoop(stage.watch::fetch);
+      stage.inLoop(stage.watch::fetchFullList);
       Rig.Call fetch = stage.agent.call();
       watch.say(Rig.list(43, false));
       assertEquals("list 43", stage.next());
--- a/mixer/src/test/java/gingerring/server/WatchStage.java
+++ b/mixer/src/test/java/gingerring/server/WatchStage.java
@@ -1,11 +1,11 @@
 package gingerring.server;
 
 import gingerring.decide.Settings;
-import gingerring.discovery.Members;
-import gingerring.discovery.Watch;
-import gingerring.net.Counts;
+import gingerring.discovery.DiscoveryWatch;
+import gingerring.discovery.MemberListUpdate;
+import gingerring.net.Counters;
+import gingerring.net.LoopTimer;
 import gingerring.net.Network;
-import gingerring.net.TurnClock;
 import java.io.Closeable;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -32,7 +32,7 @@
   }
 
   /** All on the loop's thread. */
-  private final class Hand implements TurnClock {
+  private final class Hand implements LoopTimer {
     private final PriorityQueue<Wake> wakes = new PriorityQueue<>();
     private long count;
     private Duration now = Duration.ZERO;
@@ -43,7 +43,7 @@
     }
 
     @Override
-    public void wakeAfter(Duration span, Runnable task) {
+    public void schedule(Duration span, Runnable task) {
       wakes.add(new Wake(now.plus(span), count++, task));
     }
 
@@ -59,11 +59,11 @@
   }
 
   final Rig.Agent agent;
-  final Counts counts = new Counts();
+  final Counters counts = new Counters();
   final Loop loop = new Loop(counts);
   final Network network = new Network(loop, counts, false);
   final BlockingQueue<String> told = new LinkedBlockingQueue<>();
-  final Watch watch;
+  final DiscoveryWatch watch;
   private final Hand clock = new Hand();
   private final Thread thread;
 
@@ -74,26 +74,26 @@
   WatchStage(boolean up, String way, int graceMs) throws Exception {
     agent = new Rig.Agent(up);
     watch =
-        new Watch(
+        new DiscoveryWatch(
             network,
             agent.address(),
             41,
-            new Watch.Told() {
+            new DiscoveryWatch.Listener() {
               @Override
-              public void list(Members members) {
+              public void onUpdate(MemberListUpdate members) {
                 told.add("list " + members.revision());
               }
 
               @Override
-              public void failed() {
+              public void onFailure() {
                 told.add("failed");
                 if (asksAfter != null) {
-                  clock.wakeAfter(asksAfter, watch()::open);
+                  clock.schedule(asksAfter, watch()::open);
                 }
               }
 
               @Override
-              public void word() {
+              public void onContact() {
                 counts.add("words", 1);
               }
             },
@@ -111,7 +111,7 @@
     awaitCount("words", words + 1);
   }
 
-  private Watch watch() {
+  private DiscoveryWatch watch() {
     return watch;
   }
 
@@ -125,7 +125,7 @@
   }
 
   void move(InetSocketAddress to) throws InterruptedException {
-    inLoop(() -> watch.move(to));
+    inLoop(() -> watch.changeAddress(to));
   }
 
   /** Lets the clock move on, wake by wake; those of connections come in their own time. */
--- a/mixer/src/test/java/gingerring/server/WatchTest.java
+++ b/mixer/src/test/java/gingerring/server/WatchTest.java
@@ -4,11 +4,11 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gingerring.discovery.Members;
-import gingerring.discovery.Watch;
-import gingerring.net.Counts;
+import gingerring.discovery.DiscoveryWatch;
+import gingerring.discovery.MemberListUpdate;
+import gingerring.net.Counters;
+import gingerring.net.LoopTimer;
 import gingerring.net.Network;
-import gingerring.net.TurnClock;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
@@ -36,7 +36,7 @@
   private static final int WAIT_MS = 20_000;
   private static final int FASTER = 10;
 
-  private final Counts counts = new Counts();
+  private final Counters counts = new Counters();
   private final Loop loop = new Loop(counts);
   private final Network network = new Network(loop, counts, false);
   private final BlockingQueue<String> told = new LinkedBlockingQueue<>();
@@ -44,32 +44,32 @@
   private Thread thread;
 
   /** Its seconds are tenths of a second, so that nobody waits for the longest of them. */
-  private final class Fast implements TurnClock {
+  private final class Fast implements LoopTimer {
     @Override
     public Duration now() {
       return loop.now().multipliedBy(FASTER);
     }
 
     @Override
-    public void wakeAfter(Duration span, Runnable task) {
-      loop.wakeAfter(span.dividedBy(FASTER), task);
+    public void schedule(Duration span, Runnable task) {
+      loop.schedule(span.dividedBy(FASTER), task);
     }
   }
 
-  private void follow(long revision, TurnClock clock) {
-    Watch watch =
-        new Watch(
+  private void follow(long revision, LoopTimer clock) {
+    DiscoveryWatch watch =
+        new DiscoveryWatch(
             network,
             (InetSocketAddress) agent.getLocalSocketAddress(),
             revision,
-            new Watch.Told() {
+            new DiscoveryWatch.Listener() {
               @Override
-              public void list(Members members) {
+              public void onUpdate(MemberListUpdate members) {
                 told.add("list " + members.revision());
               }
 
               @Override
-              public void failed() {
+              public void onFailure() {
                 told.add("failed");
               }
             },
--- a/peering/src/main/java/gingerring/peering/PeerSettings.java
+++ b/peering/src/main/java/gingerring/peering/PeerSettings.java
@@ -1,7 +1,7 @@
 package gingerring.peering;
 
-import gingerring.json.Fields;
 import gingerring.json.Json;
+import gingerring.json.JsonFields;
 import gingerring.peers.Membership;
 import gingerring.peers.MessageAuthenticator;
 import gingerring.peers.PeerAddress;
@@ -169,8 +169,8 @@
   public static PeerSettings read(Path file) throws IOException {
     Map<String, Object> told;
     try {
-      told = new LinkedHashMap<>(Fields.object(Json.read(Files.readAllBytes(file)), "it"));
-    } catch (Json.Malformed e) {
+      told = new LinkedHashMap<>(JsonFields.object(Json.parse(Files.readAllBytes(file)), "it"));
+    } catch (Json.JsonException e) {
       throw new Unfit(file, List.of(e.getMessage()));
     }
     Reading reading = new Reading(file, told);
--- a/peering/src/main/java/gingerring/peering/Peering.java
+++ b/peering/src/main/java/gingerring/peering/Peering.java
@@ -107,7 +107,7 @@
   }
 
   private void tick() {
-    ground.wakeAfter(
+    ground.schedule(
         TICK,
         () -> {
           if (!ended) {
--- a/peering/src/test/java/gingerring/peering/PeeringTest.java
+++ b/peering/src/test/java/gingerring/peering/PeeringTest.java
@@ -145,16 +145,16 @@
 
     @Override
     public Duration now() {
-      return clock();
+      return currentTime();
     }
 
     @Override
-    public Duration clock() {
+    public Duration currentTime() {
       return Duration.ofNanos(System.nanoTime() - start);
     }
 
     @Override
-    public void wakeAfter(Duration span, Runnable task) {
+    public void schedule(Duration span, Runnable task) {
       if (!loop.isShutdown()) {
         loop.schedule(task, span.toNanos(), TimeUnit.NANOSECONDS);
       }
--- a/traffic/src/main/java/gingerring/traffic/record/Anonymiser.java
+++ b/traffic/src/main/java/gingerring/traffic/record/Anonymiser.java
@@ -1,8 +1,8 @@
 package gingerring.traffic.record;
 
-import gingerring.http.Head;
+import gingerring.http.HttpException;
 import gingerring.http.HttpParser;
-import gingerring.http.Malformed;
+import gingerring.http.MessageHead;
 import gingerring.net.ByteRing;
 import gingerring.traffic.flow.Bounds;
 import gingerring.traffic.flow.Flow;
@@ -56,12 +56,12 @@
   }
 
   /** One direction: HTTP messages, frames, or neither. */
-  private final class Side implements HttpParser.Sink {
+  private final class Side implements HttpParser.Handler {
     private final Anew flow;
     private final int number;
     private final ByteRing ring = new ByteRing(PIECE, 2 * PIECE);
     private HttpParser parser;
-    private Head head;
+    private MessageHead head;
     private ByteArrayOutputStream kept = new ByteArrayOutputStream();
     private boolean frames;
     private boolean lost;
@@ -101,11 +101,11 @@
           int count = Math.min(PIECE, length - done);
           ring.put(bytes, from + done, count);
           done += count;
-          while (ring.size() > 0 && parser.read(ring)) {
+          while (ring.size() > 0 && parser.parse(ring)) {
             // another message may follow
           }
         }
-      } catch (Malformed e) {
+      } catch (HttpException e) {
         lose("directions that are not HTTP/1.1");
       }
     }
@@ -118,22 +118,28 @@
     }
 
     @Override
-    public void head(Head read) {
+    public void onHead(MessageHead read) {
       head = read;
     }
 
     @Override
-    public void body(byte[] bytes, int length) {
+    public void onBody(byte[] bytes, int length) {
       kept.write(bytes, 0, length);
     }
 
     @Override
-    public void end() {
+    public void onMessageEnd() {
       String body = kept.size() == 0 ? "" : blanks.body(kept.toString(StandardCharsets.UTF_8));
       kept = new ByteArrayOutputStream();
       byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
       StringBuilder text =
-          new StringBuilder(head.first() + ' ' + head.second() + ' ' + head.third() + "\r\n");
+          new StringBuilder(
+              head.methodOrVersion()
+                  + ' '
+                  + head.targetOrStatus()
+                  + ' '
+                  + head.versionOrReason()
+                  + "\r\n");
       head.headers()
           .forEach(
               (name, value) -> {
@@ -141,7 +147,7 @@
                   text.append(name).append(": ").append(value).append("\r\n");
                 }
               });
-      if (!head.second().startsWith("1")) {
+      if (!head.targetOrStatus().startsWith("1")) {
         text.append("content-length: ").append(bytes.length).append("\r\n");
       }
       ByteArrayOutputStream out = new ByteArrayOutputStream();
--- a/traffic/src/main/java/gingerring/traffic/record/Blanks.java
+++ b/traffic/src/main/java/gingerring/traffic/record/Blanks.java
@@ -1,7 +1,7 @@
 package gingerring.traffic.record;
 
-import gingerring.json.Fields;
 import gingerring.json.Json;
+import gingerring.json.JsonFields;
 import java.nio.charset.StandardCharsets;
 import java.security.GeneralSecurityException;
 import java.util.HexFormat;
@@ -55,7 +55,7 @@
   /** The body of a request or of an answer; what is no such body is hidden whole. */
   public String body(String json) {
     try {
-      Map<String, Object> object = Fields.object(Json.read(json), "it");
+      Map<String, Object> object = JsonFields.object(Json.parse(json), "it");
       if (object.get("query") instanceof String) {
         return replaced(json, "query", this::hidden);
       }
@@ -63,7 +63,7 @@
         return replaced(json, "value", this::hidden);
       }
       return json;
-    } catch (Json.Malformed e) {
+    } catch (Json.JsonException e) {
       return hidden(json);
     }
   }
--- a/traffic/src/main/java/gingerring/traffic/record/Recorder.java
+++ b/traffic/src/main/java/gingerring/traffic/record/Recorder.java
@@ -1,6 +1,6 @@
 package gingerring.traffic.record;
 
-import gingerring.net.Tap;
+import gingerring.net.TrafficListener;
 import gingerring.traffic.pcap.CaptureWriter;
 import java.io.Closeable;
 import java.io.IOException;
@@ -28,7 +28,7 @@
  * dropped, and the hole stands in the connection's stream and as a mark in the file. A disk that
  * fails ends the recording and nothing else.
  */
-public final class Recorder implements Tap, Closeable {
+public final class Recorder implements TrafficListener, Closeable {
   /** When a file is ended and the next begun, and how many are kept; the eldest goes. */
   public record Rotation(long bytes, Duration age, int files) {
     public static final Rotation USUAL = new Rotation(256L << 20, Duration.ofHours(1), 24);
@@ -119,17 +119,17 @@
   // ---- the mixer's threads ----
 
   @Override
-  public void opened(long connection, InetSocketAddress opener, InetSocketAddress listener) {
+  public void onOpened(long connection, InetSocketAddress opener, InetSocketAddress listener) {
     offer(new Event(What.OPENED, connection, now(), opener, listener, 0, null, hole(connection)));
   }
 
   @Override
-  public void data(long connection, int side, byte[] bytes) {
+  public void onData(long connection, int side, byte[] bytes) {
     offer(new Event(What.DATA, connection, now(), null, null, side, bytes, hole(connection)));
   }
 
   @Override
-  public void closed(long connection, int side) {
+  public void onClosed(long connection, int side) {
     offer(new Event(What.CLOSED, connection, now(), null, null, side, null, hole(connection)));
   }
 
@@ -284,7 +284,7 @@
   }
 
   @Override
-  public void end() {
+  public void onShutdown() {
     close();
   }
 
--- a/traffic/src/main/java/gingerring/traffic/replay/Replayer.java
+++ b/traffic/src/main/java/gingerring/traffic/replay/Replayer.java
@@ -1,7 +1,7 @@
 package gingerring.traffic.replay;
 
-import gingerring.http.Head;
-import gingerring.http.Malformed;
+import gingerring.http.HttpException;
+import gingerring.http.MessageHead;
 import gingerring.traffic.scan.Answer;
 import gingerring.traffic.scan.ObservedScan;
 import gingerring.traffic.scan.ObservedScan.ScanOutcome;
@@ -256,12 +256,12 @@
     }
 
     @Override
-    protected void message(Head head, byte[] body) {
-      lane.answered(this, Answer.read(head, body), head.says("connection", "close"));
+    protected void message(MessageHead head, byte[] body) {
+      lane.answered(this, Answer.read(head, body), head.hasToken("connection", "close"));
     }
 
     @Override
-    protected void malformed(Malformed e) {
+    protected void malformed(HttpException e) {
       lane.answered(
           this,
           new Answer(ScanOutcome.SCRAPPED, 0, false, Map.of(), Duration.ZERO, e.getMessage()),
--- a/traffic/src/main/java/gingerring/traffic/scan/Answer.java
+++ b/traffic/src/main/java/gingerring/traffic/scan/Answer.java
@@ -1,8 +1,8 @@
 package gingerring.traffic.scan;
 
-import gingerring.http.Head;
-import gingerring.json.Fields;
+import gingerring.http.MessageHead;
 import gingerring.json.Json;
+import gingerring.json.JsonFields;
 import gingerring.traffic.scan.ObservedScan.ScanOutcome;
 import java.time.Duration;
 import java.util.Map;
@@ -19,8 +19,9 @@
     Map<Integer, String> values,
     Duration comeBack,
     String wrong) {
-  public static Answer read(Head head, byte[] body) {
-    int status = head.second().matches("[0-9]{3}") ? Integer.parseInt(head.second()) : 0;
+  public static Answer read(MessageHead head, byte[] body) {
+    int status =
+        head.targetOrStatus().matches("[0-9]{3}") ? Integer.parseInt(head.targetOrStatus()) : 0;
     String told = head.header("retry-after");
     Duration comeBack =
         told != null && told.matches("[0-9]{1,6}(\\.[0-9]{1,6})?")
@@ -36,16 +37,18 @@
           "");
     }
     try {
-      Map<String, Object> object = Fields.object(Json.read(body), "the answer");
+      Map<String, Object> object = JsonFields.object(Json.parse(body), "the answer");
       Map<Integer, String> values = new TreeMap<>();
-      for (Object each : Fields.list(object, "results")) {
-        Map<String, Object> result = Fields.object(each, "a result");
-        values.put((int) Fields.whole(result, "partition"), Fields.text(result, "value"));
+      for (Object each : JsonFields.list(object, "results")) {
+        Map<String, Object> result = JsonFields.object(each, "a result");
+        values.put(
+            (int) JsonFields.nonNegativeInteger(result, "partition"),
+            JsonFields.string(result, "value"));
       }
-      boolean whole = Fields.flag(object, "whole");
+      boolean whole = JsonFields.booleanValue(object, "whole");
       return new Answer(
           whole ? ScanOutcome.WHOLE : ScanOutcome.PART, status, whole, values, comeBack, "");
-    } catch (Json.Malformed e) {
+    } catch (Json.JsonException e) {
       return new Answer(
           ScanOutcome.SCRAPPED, status, false, Map.of(), comeBack, "an answer without results");
     }
--- a/traffic/src/main/java/gingerring/traffic/scan/Exchange.java
+++ b/traffic/src/main/java/gingerring/traffic/scan/Exchange.java
@@ -1,8 +1,8 @@
 package gingerring.traffic.scan;
 
-import gingerring.http.Head;
-import gingerring.json.Fields;
+import gingerring.http.MessageHead;
 import gingerring.json.Json;
+import gingerring.json.JsonFields;
 import gingerring.traffic.scan.ObservedScan.ScanOutcome;
 import gingerring.traffic.scan.ObservedScan.Target;
 import java.io.ByteArrayOutputStream;
@@ -118,20 +118,22 @@
     }
     Answer read =
         answer == null ? new Answer(fate, 0, false, Map.of(), Duration.ZERO, missing) : read();
-    Head head = request.head();
+    MessageHead head = request.head();
     byte[] body = request.body();
     List<Target> targets = new ArrayList<>();
     String text = "";
     String wrong = read.wrong();
     try {
-      Map<String, Object> object = Fields.object(Json.read(body), "the body");
-      text = Fields.text(object, "query");
-      for (Object each : Fields.list(object, "targets")) {
-        Map<String, Object> target = Fields.object(each, "a target");
+      Map<String, Object> object = JsonFields.object(Json.parse(body), "the body");
+      text = JsonFields.string(object, "query");
+      for (Object each : JsonFields.list(object, "targets")) {
+        Map<String, Object> target = JsonFields.object(each, "a target");
         targets.add(
-            new Target((int) Fields.whole(target, "partition"), Fields.number(target, "share")));
+            new Target(
+                (int) JsonFields.nonNegativeInteger(target, "partition"),
+                JsonFields.number(target, "share")));
       }
-    } catch (Json.Malformed e) {
+    } catch (Json.JsonException e) {
       wrong = wrong.isEmpty() ? "no scan's body: " + e.getMessage() : wrong;
     }
     String remaining = header(head, "X-Remaining-Ms");
@@ -158,15 +160,18 @@
         wrong);
   }
 
-  private static String header(Head head, String name) {
+  private static String header(MessageHead head, String name) {
     String value = head.header(name);
     return value == null ? "" : value;
   }
 
   /** The request anew, its body framed by its length. */
-  private static byte[] again(Head head, byte[] body) {
+  private static byte[] again(MessageHead head, byte[] body) {
     StringBuilder text =
-        new StringBuilder(head.first()).append(' ').append(head.second()).append(" HTTP/1.1\r\n");
+        new StringBuilder(head.methodOrVersion())
+            .append(' ')
+            .append(head.targetOrStatus())
+            .append(" HTTP/1.1\r\n");
     head.headers()
         .forEach(
             (name, value) -> {
--- a/traffic/src/main/java/gingerring/traffic/scan/HttpTalk.java
+++ b/traffic/src/main/java/gingerring/traffic/scan/HttpTalk.java
@@ -1,8 +1,8 @@
 package gingerring.traffic.scan;
 
-import gingerring.http.Head;
+import gingerring.http.HttpException;
 import gingerring.http.HttpParser;
-import gingerring.http.Malformed;
+import gingerring.http.MessageHead;
 import gingerring.net.ByteRing;
 import gingerring.traffic.flow.Flow;
 import java.io.ByteArrayOutputStream;
@@ -69,7 +69,7 @@
    * One direction. Plain messages are told by a look over the bytes; what is unusual goes through
    * the parser, a message at a time.
    */
-  private final class Half implements HttpParser.Sink {
+  private final class Half implements HttpParser.Handler {
     final boolean requests;
     final int bodyMost;
 
@@ -107,7 +107,7 @@
 
     ByteRing ring;
     ByteArrayOutputStream body;
-    Head head;
+    MessageHead head;
 
     Half(boolean requests) {
       this.requests = requests;
@@ -236,7 +236,7 @@
           int count = Math.min(PIECE, end - first);
           ring.put(kept, first, count);
           first += count;
-          if (parser.read(ring)) {
+          if (parser.parse(ring)) {
             first -= ring.size(); // the next message is looked at anew
             ring.clear();
             parser = null;
@@ -245,7 +245,7 @@
           }
         }
         return false;
-      } catch (Malformed e) {
+      } catch (HttpException e) {
         reader.count(requests ? "requests that are not HTTP/1.1" : "answers that are not HTTP/1.1");
         if (!requests) {
           lost(begin, offset, "its answer is not HTTP/1.1");
@@ -256,18 +256,18 @@
     }
 
     @Override
-    public void head(Head read) {
+    public void onHead(MessageHead read) {
       head = read;
     }
 
     @Override
-    public void body(byte[] bytes, int length) {
+    public void onBody(byte[] bytes, int length) {
       body.write(bytes, 0, length);
     }
 
     @Override
-    public void end() {
-      Head whole = head;
+    public void onMessageEnd() {
+      MessageHead whole = head;
       head = null;
       tell(Message.of(whole, body.toByteArray()));
     }
@@ -366,7 +366,7 @@
         && half.head.header("content-length") == null
         && half.head.header("transfer-encoding") == null) {
       half.nanos = nanos;
-      half.end();
+      half.onMessageEnd();
       half.anew();
     }
   }
--- a/traffic/src/main/java/gingerring/traffic/scan/Message.java
+++ b/traffic/src/main/java/gingerring/traffic/scan/Message.java
@@ -1,6 +1,6 @@
 package gingerring.traffic.scan;
 
-import gingerring.http.Head;
+import gingerring.http.MessageHead;
 import java.io.ByteArrayOutputStream;
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
@@ -53,10 +53,12 @@
   }
 
   /** One that the parser read. */
-  static Message of(Head head, byte[] body) {
+  static Message of(MessageHead head, byte[] body) {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
-    StringBuilder text = new StringBuilder(head.first()).append(' ').append(head.second());
-    text.append(head.third().isEmpty() ? "" : " " + head.third()).append("\r\n");
+    StringBuilder text =
+        new StringBuilder(head.methodOrVersion()).append(' ').append(head.targetOrStatus());
+    text.append(head.versionOrReason().isEmpty() ? "" : " " + head.versionOrReason())
+        .append("\r\n");
     head.headers()
         .forEach((name, value) -> text.append(name).append(": ").append(value).append("\r\n"));
     out.writeBytes(text.append("\r\n").toString().getBytes(StandardCharsets.ISO_8859_1));
@@ -225,7 +227,7 @@
     return Arrays.copyOfRange(bytes, bodyAt, bytes.length);
   }
 
-  Head head() {
+  MessageHead head() {
     String[] lines =
         new String(bytes, 0, Math.max(0, bodyAt - 4), StandardCharsets.ISO_8859_1).split("\r\n");
     String[] words = lines[0].split(" ", 3);
@@ -237,7 +239,7 @@
           lines[i].substring(colon + 1).strip(),
           (one, other) -> one + ", " + other);
     }
-    return new Head(words[0], words[1], words.length > 2 ? words[2] : "", headers);
+    return new MessageHead(words[0], words[1], words.length > 2 ? words[2] : "", headers);
   }
 
   /**
