--- a/traffic/src/main/java/gingerring/traffic/wire/HttpHandler.java
+++ b/traffic/src/main/java/gingerring/traffic/wire/HttpHandler.java
@@ -1,8 +1,8 @@
 package gingerring.traffic.wire;
 
-import gingerring.http.Head;
+import gingerring.http.HttpException;
 import gingerring.http.HttpParser;
-import gingerring.http.Malformed;
+import gingerring.http.MessageHead;
 import gingerring.net.ByteRing;
 import java.io.ByteArrayOutputStream;
 
@@ -15,7 +15,7 @@
 
   private final ByteRing ring = new ByteRing(PIECE, 2 * PIECE);
   private final HttpParser parser;
-  private Head head;
+  private MessageHead head;
   private ByteArrayOutputStream body = new ByteArrayOutputStream();
 
   protected HttpHandler(boolean requests, int bodyMost) {
@@ -23,38 +23,39 @@
         new HttpParser(
             requests,
             bodyMost,
-            new HttpParser.Sink() {
+            new HttpParser.Handler() {
               @Override
-              public void head(Head read) {
+              public void onHead(MessageHead read) {
                 head = read;
               }
 
               @Override
-              public void body(byte[] bytes, int length) {
+              public void onBody(byte[] bytes, int length) {
                 body.write(bytes, 0, length);
               }
 
               @Override
-              public void end() throws Malformed {
-                Head whole = head;
+              public void onMessageEnd() throws HttpException {
+                MessageHead whole = head;
                 byte[] bytes = body.toByteArray();
                 head = null;
                 body = new ByteArrayOutputStream();
-                if (requests || !whole.second().startsWith("1")) { // 100 Continue is no answer yet
+                if (requests
+                    || !whole.targetOrStatus().startsWith("1")) { // 100 Continue is no answer yet
                   message(whole, bytes);
                 }
               }
             });
   }
 
-  protected abstract void message(Head head, byte[] body) throws Malformed;
+  protected abstract void message(MessageHead head, byte[] body) throws HttpException;
 
   /** What came is not HTTP/1.1, or the message was refused: nothing that follows can be read. */
-  protected abstract void malformed(Malformed e);
+  protected abstract void malformed(HttpException e);
 
   /** Whether some of a message has come, and not all of it. */
   protected final boolean midway() {
-    return parser.midway();
+    return parser.isMidMessage();
   }
 
   @Override
@@ -64,11 +65,11 @@
         int count = Math.min(length - at, PIECE);
         ring.put(bytes, at, count);
         at += count;
-        while (ring.size() > 0 && parser.read(ring)) {
+        while (ring.size() > 0 && parser.parse(ring)) {
           // another message may follow
         }
       }
-    } catch (Malformed e) {
+    } catch (HttpException e) {
       ring.clear();
       malformed(e);
     }
--- a/traffic/src/test/java/gingerring/traffic/record/RecorderTest.java
+++ b/traffic/src/test/java/gingerring/traffic/record/RecorderTest.java
@@ -31,7 +31,7 @@
   @TempDir Path folder;
 
   private static void say(Recorder recorder, long connection, int scan) {
-    recorder.data(
+    recorder.onData(
         connection,
         0,
         Talks.request(
@@ -39,7 +39,7 @@
                 "secret-" + scan,
                 "Idempotency-Key: hush-" + scan + "\r\n")
             .getBytes(StandardCharsets.US_ASCII));
-    recorder.data(
+    recorder.onData(
         connection,
         1,
         Talks.answer("m" + connection + '.' + scan).getBytes(StandardCharsets.US_ASCII));
@@ -49,11 +49,11 @@
     Path file = folder.resolve("r.pcapng");
     try (Recorder recorder = new Recorder(file, ONE, 1).start()) {
       for (long c = 1; c <= connections; c++) {
-        recorder.opened(c, Talks.client(4000 + (int) c), Talks.mixer());
+        recorder.onOpened(c, Talks.client(4000 + (int) c), Talks.mixer());
         for (int i = 0; i < scans; i++) {
           say(recorder, c, i);
         }
-        recorder.closed(c, 0);
+        recorder.onClosed(c, 0);
       }
     }
     return file;
@@ -106,7 +106,7 @@
   void aFullQueueDropsAndTheFileSaysSo() throws Exception {
     Path file = folder.resolve("full.pcapng");
     Recorder recorder = new Recorder(file, ONE, 1, 40);
-    recorder.opened(1, Talks.client(4001), Talks.mixer());
+    recorder.onOpened(1, Talks.client(4001), Talks.mixer());
     for (int i = 0; i < 30; i++) {
       say(recorder, 1, i); // nothing takes from the queue yet
     }
@@ -116,7 +116,7 @@
       Thread.sleep(10);
     }
     say(recorder, 1, 30);
-    recorder.closed(1, 0);
+    recorder.onClosed(1, 0);
     recorder.close();
     List<ObservedScan> scans = new ArrayList<>();
     Recording.Summary summary = Recording.read(file, Bounds.USUAL, s -> true, scans::add);
@@ -136,17 +136,17 @@
   void connectionsWhoseEndWasDroppedAreForgotten() throws Exception {
     Recorder recorder = new Recorder(folder.resolve("gone.pcapng"), ONE, 1, 40);
     for (int i = 0; i < 200; i++) {
-      recorder.opened(i, Talks.client(4001 + i), Talks.mixer());
+      recorder.onOpened(i, Talks.client(4001 + i), Talks.mixer());
     }
     for (int i = 0; i < 200; i++) {
-      recorder.closed(i, 0);
+      recorder.onClosed(i, 0);
     }
     recorder.start();
     for (int i = 0; i < 200 && recorder.queued() > 0; i++) {
       Thread.sleep(10);
     }
-    recorder.opened(1000, Talks.client(9000), Talks.mixer());
-    recorder.closed(1000, 0);
+    recorder.onOpened(1000, Talks.client(9000), Talks.mixer());
+    recorder.onClosed(1000, 0);
     recorder.close();
     assertEquals(0, recorder.kept());
   }
@@ -156,7 +156,7 @@
     Path file = folder.resolve("rot.pcap");
     try (Recorder recorder =
         new Recorder(file, new Recorder.Rotation(4000, Duration.ofHours(1), 3), 1).start()) {
-      recorder.opened(1, Talks.client(4001), Talks.mixer());
+      recorder.onOpened(1, Talks.client(4001), Talks.mixer());
       for (int i = 0; i < 100; i++) {
         say(recorder, 1, i);
       }
--- a/traffic/src/test/java/gingerring/traffic/scan/MessageTest.java
+++ b/traffic/src/test/java/gingerring/traffic/scan/MessageTest.java
@@ -4,9 +4,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gingerring.http.Head;
+import gingerring.http.HttpException;
 import gingerring.http.HttpParser;
-import gingerring.http.Malformed;
+import gingerring.http.MessageHead;
 import gingerring.net.ByteRing;
 import gingerring.traffic.Talks;
 import gingerring.traffic.scan.ObservedScan.ScanOutcome;
@@ -40,31 +40,31 @@
   private static Object[] parsed(byte[] bytes, boolean request) {
     ByteRing ring = new ByteRing(1 << 14, 1 << 14);
     ring.put(bytes);
-    Head[] head = {null};
+    MessageHead[] head = {null};
     ByteArrayOutputStream body = new ByteArrayOutputStream();
     HttpParser parser =
         new HttpParser(
             request,
             1 << 16,
-            new HttpParser.Sink() {
+            new HttpParser.Handler() {
               @Override
-              public void head(Head read) {
+              public void onHead(MessageHead read) {
                 head[0] = read;
               }
 
               @Override
-              public void body(byte[] some, int length) {
+              public void onBody(byte[] some, int length) {
                 body.write(some, 0, length);
               }
 
               @Override
-              public void end() {}
+              public void onMessageEnd() {}
             });
     try {
-      return parser.read(ring)
+      return parser.parse(ring)
           ? new Object[] {head[0], body.toByteArray(), bytes.length - ring.size()}
           : null;
-    } catch (Malformed e) {
+    } catch (HttpException e) {
       return null;
     }
   }
