--- a/mixer/src/main/java/gingerring/discovery/MemberListUpdate.java
+++ b/mixer/src/main/java/gingerring/discovery/MemberListUpdate.java
@@ -1,6 +1,6 @@
 package gingerring.discovery;
 
-import gingerring.decide.MemberEntry.Standing;
+import gingerring.decide.MemberEntry.Status;
 import gingerring.json.Json;
 import gingerring.json.JsonFields;
 import java.net.InetAddress;
@@ -26,7 +26,7 @@
       String locality,
       String flavor,
       int cell,
-      Standing standing,
+      Status standing,
       float size,
       double upSinceMs) {}
 
@@ -51,17 +51,17 @@
 
   private static Member member(Map<String, Object> from) throws Json.JsonException {
     String id = JsonFields.string(from, "id");
-    Standing standing =
+    Status standing =
         switch (JsonFields.string(from, "phase")) {
-          case "SERVING" -> Standing.READY;
-          case "DRAINING" -> Standing.DRAINING;
-          case "DELETED" -> Standing.GONE;
+          case "SERVING" -> Status.READY;
+          case "DRAINING" -> Status.DRAINING;
+          case "DELETED" -> Status.GONE;
           default -> throw new Json.JsonException("phase is unknown");
         };
     if (id.isEmpty()) {
       throw new Json.JsonException("id is empty");
     }
-    if (standing == Standing.GONE) {
+    if (standing == Status.GONE) {
       return new Member(
           id, null, "", "", 0, standing, 1, 0); // whatever else it says, nobody calls it
     }
--- a/mixer/src/main/java/gingerring/server/MixerServer.java
+++ b/mixer/src/main/java/gingerring/server/MixerServer.java
@@ -164,7 +164,7 @@
     status();
     Practice practice = new Practice(network, listening, orders.sockets(), counts, desk::practised);
     practice.begin();
-    Duration dial = terms.span("PolicyLimits.DialTimeoutMs");
+    Duration dial = terms.duration("PolicyLimits.DialTimeoutMs");
     loop.schedule(
         dial.compareTo(PRACTICE_MOST) < 0 ? dial : PRACTICE_MOST, desk::practised); // may go on
     loop.schedule(PRACTICE_MOST, practice::end);
@@ -244,7 +244,7 @@
     Settings terms = atStart.terms();
     Duration patience = Duration.ZERO;
     for (int i = 0; i < terms.count("Classes.count"); i++) {
-      Duration its = terms.span("Classes." + i + ".HardLimitMs");
+      Duration its = terms.duration("Classes." + i + ".HardLimitMs");
       patience = its.compareTo(patience) > 0 ? its : patience;
     }
     patience = patience.compareTo(PATIENCE_MOST) < 0 ? patience : PATIENCE_MOST;
--- a/mixer/src/main/java/gingerring/server/Rehearsal.java
+++ b/mixer/src/main/java/gingerring/server/Rehearsal.java
@@ -1,7 +1,7 @@
 package gingerring.server;
 
 import gingerring.backend.Back;
-import gingerring.decide.MemberEntry.Standing;
+import gingerring.decide.MemberEntry.Status;
 import gingerring.decide.Settings;
 import gingerring.discovery.DiscoveryWatch;
 import gingerring.discovery.MemberListUpdate;
@@ -45,7 +45,7 @@
   private int answered;
 
   Rehearsal(Settings told) {
-    Map<String, String> map = new HashMap<>(told.map());
+    Map<String, String> map = new HashMap<>(told.values());
     map.put("Discovery", "none here");
     terms = new Settings(map);
   }
@@ -63,7 +63,7 @@
     for (int cell = 0; cell < terms.count("Domain.Places"); cell++) {
       members.add(
           new MemberListUpdate.Member(
-              "sample-" + cell, searchers, "", "", cell, Standing.READY, 1, 0));
+              "sample-" + cell, searchers, "", "", cell, Status.READY, 1, 0));
     }
     DiscoveryWatch watch = new DiscoveryWatch(network, place(3), 0, desk, counts, loop);
     desk.start(back, watch, 0, new MemberListUpdate(0, true, members));
--- a/mixer/src/test/java/gingerring/server/DeskTest.java
+++ b/mixer/src/test/java/gingerring/server/DeskTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import gingerring.backend.Back;
-import gingerring.decide.MemberEntry.Standing;
+import gingerring.decide.MemberEntry.Status;
 import gingerring.decide.Settings;
 import gingerring.discovery.DiscoveryWatch;
 import gingerring.discovery.MemberListUpdate;
@@ -98,14 +98,14 @@
                     false,
                     List.of(
                         new MemberListUpdate.Member(
-                            "s-" + number, nobody, "a", "toy", number % 4, Standing.READY, 1, 0),
+                            "s-" + number, nobody, "a", "toy", number % 4, Status.READY, 1, 0),
                         new MemberListUpdate.Member(
                             "s-" + (number - 4),
                             nobody,
                             "a",
                             "toy",
                             number % 4,
-                            Standing.GONE,
+                            Status.GONE,
                             1,
                             0))));
             desk.take(ask("m" + number, 0), loop.now(), new Notes("scan", answers));
@@ -179,10 +179,10 @@
           back,
           new DiscoveryWatch(network, place, 0, desk, counts, loop),
           1,
-          list(true, Standing.READY));
+          list(true, Status.READY));
     }
 
-    MemberListUpdate list(boolean all, Standing standing) {
+    MemberListUpdate list(boolean all, Status standing) {
       return new MemberListUpdate(
           1,
           all,
@@ -217,7 +217,7 @@
                     bare.loop.post(
                         () -> { // two turns later
                           assertEquals(List.of(), answers);
-                          bare.desk.onUpdate(bare.list(true, Standing.DRAINING));
+                          bare.desk.onUpdate(bare.list(true, Status.DRAINING));
                           bare.desk.onContact();
                           assertTrue(bare.desk.ready());
                         }));
@@ -238,7 +238,7 @@
           () -> {
             bare.desk.onContact();
             bare.desk.take(ask("a", 0), bare.loop.now(), new Notes("scan", answers));
-            bare.desk.onUpdate(bare.list(false, Standing.DRAINING));
+            bare.desk.onUpdate(bare.list(false, Status.DRAINING));
           },
           Duration.ofMillis(300));
       assertEquals(List.of("scan nacked"), answers);
@@ -253,7 +253,7 @@
   @Test
   void withholdsWhatWaitsForAConnectionToWhomDrainsOrHasGone()
       throws IOException, Json.JsonException {
-    for (Standing standing : List.of(Standing.DRAINING, Standing.GONE)) {
+    for (Status standing : List.of(Status.DRAINING, Status.GONE)) {
       try (Deaf deaf = new Deaf()) {
         Bare bare = new Bare(deaf.address());
         List<String> answers = new ArrayList<>();
