--- a/mixer/src/test/java/gingerring/server/LoopTest.java
+++ b/mixer/src/test/java/gingerring/server/LoopTest.java
@@ -32,11 +32,11 @@
    * A loop that counts its wakes, and one thread that posts to it without end; run in a JVM of its
    * own.
    */
-  static final class Child {
-    static volatile int wakes;
+  static final class LoopProcess {
+    static volatile int timerWakes;
     private static Loop loop;
 
-    private Child() {}
+    private LoopProcess() {}
 
     public static void main(String[] args) {
       loop = new Loop(new Counts());
@@ -55,7 +55,7 @@
               "poster");
       poster.setDaemon(true);
       poster.start();
-      again();
+      scheduleNextWake();
       loop.run(() -> {}, () -> {});
     }
 
@@ -63,18 +63,18 @@
       loop.post(() -> {});
     }
 
-    private static void again() {
+    private static void scheduleNextWake() {
       loop.wakeAfter(
           Duration.ofMillis(5),
           () -> {
-            wakes++;
-            again();
+            timerWakes++;
+            scheduleNextWake();
           });
     }
   }
 
-  private static final int CALLS = 400;
-  private static final long PATIENCE_MS = 5000;
+  private static final int MIN_CALLS = 400;
+  private static final long TIMEOUT_MS = 5000;
 
   /**
    * One who posts is stopped at every method that posting calls, one after the other, and each time
@@ -83,76 +83,80 @@
    */
   @Test
   @Timeout(60)
-  void goesOnWhereverOneWhoPostsIsStopped() throws Exception {
+  void loopProgressesWhileAPostingThreadIsSuspended() throws Exception {
     LaunchingConnector launching = Bootstrap.virtualMachineManager().defaultConnector();
     Map<String, Connector.Argument> arguments = launching.defaultArguments();
-    arguments.get("main").setValue(Child.class.getName());
+    arguments.get("main").setValue(LoopProcess.class.getName());
     arguments.get("options").setValue("-cp " + System.getProperty("java.class.path"));
     VirtualMachine child = launching.launch(arguments);
     try {
-      Set<String> stopped = stopAtEachCall(child);
+      Set<String> suspendedIn = suspendAtEachCall(child);
       assertTrue(
-          stopped.stream().anyMatch(method -> method.endsWith("Loop.post")),
-          () -> "stopped at " + stopped);
-      assertTrue(stopped.size() >= 4, () -> "stopped at " + stopped);
+          suspendedIn.stream().anyMatch(method -> method.endsWith("Loop.post")),
+          () -> "stopped at " + suspendedIn);
+      assertTrue(suspendedIn.size() >= 4, () -> "stopped at " + suspendedIn);
     } finally {
       child.process().destroyForcibly();
     }
   }
 
-  private static Set<String> stopAtEachCall(VirtualMachine child) throws InterruptedException {
-    ClassPrepareRequest prepared = child.eventRequestManager().createClassPrepareRequest();
-    prepared.addClassFilter(Child.class.getName());
-    prepared.enable();
-    Set<String> stopped = new LinkedHashSet<>();
-    ReferenceType type = null;
+  private static Set<String> suspendAtEachCall(VirtualMachine child) throws InterruptedException {
+    ClassPrepareRequest prepareRequest = child.eventRequestManager().createClassPrepareRequest();
+    prepareRequest.addClassFilter(LoopProcess.class.getName());
+    prepareRequest.enable();
+    Set<String> suspendedIn = new LinkedHashSet<>();
+    ReferenceType loopProcessType = null;
     boolean posting = false;
-    for (int calls = 0; calls < CALLS; ) {
-      EventSet events = child.eventQueue().remove(PATIENCE_MS);
-      assertTrue(events != null, () -> "no more calls after " + stopped);
+    for (int calls = 0; calls < MIN_CALLS; ) {
+      EventSet events = child.eventQueue().remove(TIMEOUT_MS);
+      assertTrue(events != null, () -> "no more calls after " + suspendedIn);
       for (Event event : events) {
-        if (event instanceof ClassPrepareEvent ready) {
-          type = ready.referenceType();
+        if (event instanceof ClassPrepareEvent prepared) {
+          loopProcessType = prepared.referenceType();
           child.eventRequestManager().createThreadStartRequest().enable();
         } else if (event instanceof ThreadStartEvent start
             && start.thread().name().equals("poster")) {
-          watch(child, start.thread(), "java.util.concurrent.*");
-          watch(child, start.thread(), "gingerring.server.*");
+          reportMethodEntries(child, start.thread(), "java.util.concurrent.*");
+          reportMethodEntries(child, start.thread(), "gingerring.server.*");
         } else if (event instanceof MethodEntryEvent entry) {
           posting |= entry.method().name().equals("post");
           calls += posting ? 1 : 0;
-          if (posting && stopped.add(name(entry.method()))) {
-            mustGoOn(type, entry.thread(), entry.method());
+          if (posting && suspendedIn.add(qualifiedName(entry.method()))) {
+            assertLoopProgresses(loopProcessType, entry.thread(), entry.method());
           }
         }
       }
       events.resume();
     }
-    return stopped;
+    return suspendedIn;
   }
 
-  private static void watch(VirtualMachine child, ThreadReference thread, String classes) {
+  private static void reportMethodEntries(
+      VirtualMachine child, ThreadReference thread, String classPattern) {
     MethodEntryRequest entries = child.eventRequestManager().createMethodEntryRequest();
     entries.addThreadFilter(thread);
-    entries.addClassFilter(classes);
+    entries.addClassFilter(classPattern);
     entries.setSuspendPolicy(EventRequest.SUSPEND_EVENT_THREAD);
     entries.enable();
   }
 
-  private static String name(Method method) {
+  private static String qualifiedName(Method method) {
     return method.declaringType().name() + '.' + method.name();
   }
 
-  private static void mustGoOn(ReferenceType type, ThreadReference poster, Method at)
+  private static void assertLoopProgresses(
+      ReferenceType loopProcessType, ThreadReference poster, Method suspendedMethod)
       throws InterruptedException {
     assertTrue(poster.isSuspended());
-    Field field = type.fieldByName("wakes");
-    int before = ((IntegerValue) type.getValue(field)).value();
-    long until = System.nanoTime() + PATIENCE_MS * 1_000_000;
-    while (((IntegerValue) type.getValue(field)).value() < before + 3) {
+    Field field = loopProcessType.fieldByName("timerWakes");
+    int wakesBefore = ((IntegerValue) loopProcessType.getValue(field)).value();
+    long deadlineNanos = System.nanoTime() + TIMEOUT_MS * 1_000_000;
+    while (((IntegerValue) loopProcessType.getValue(field)).value() < wakesBefore + 3) {
       assertTrue(
-          System.nanoTime() < until,
-          () -> "the loop stands still while a poster is stopped in " + name(at));
+          System.nanoTime() < deadlineNanos,
+          () ->
+              "the loop stands still while a poster is stopped in "
+                  + qualifiedName(suspendedMethod));
       Thread.sleep(1);
     }
   }
--- a/mixer/src/test/java/gingerring/server/OrdersTest.java
+++ b/mixer/src/test/java/gingerring/server/MixerConfigTest.java
@@ -13,10 +13,10 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-class OrdersTest {
+class MixerConfigTest {
   @Test
-  void flattensSettingsAsTheFirstMessageOfTheWireHasThem() throws Json.Malformed {
-    Map<String, String> flat = new TreeMap<>();
+  void flattensSettingsAsInTheFirstWireMessage() throws Json.Malformed {
+    Map<String, String> flatSettings = new TreeMap<>();
     MixerConfig.flatten(
         "",
         Json.read(
@@ -24,21 +24,21 @@
                 + "{\"AimMs\":1200.0}],\"Discovery\":\"subscribe\","
                 + "\"Domain\":{\"ClassFloor\":[0.4,1.0],\"WarmKeys\":false},"
                 + "\"PolicyLimits\":{\"CpuUsPerS\":600000},\"Projects\":[]}"),
-        flat);
+        flatSettings);
     assertEquals(
         "{Classes.0.AimMs=1500.5, Classes.0.Name=cohort_report, Classes.1.AimMs=1200, "
             + "Classes.count=2, Discovery=subscribe, Domain.ClassFloor=0.4,1, Domain.WarmKeys=false, "
             + "PolicyLimits.CpuUsPerS=600000, Projects=}",
-        flat.toString());
+        flatSettings.toString());
   }
 
   /** Also what no scan needs before the first cold searcher or the first further trip. */
   @Test
-  void namesEachSettingThatCannotBeUsed() throws Exception {
+  void namesEachInvalidSetting() throws Exception {
     Object example = Json.read(Files.readAllBytes(Path.of("example/config.json")));
-    Map<String, String> house = new TreeMap<>();
-    MixerConfig.flatten("", Fields.object(example, "it").get("settings"), house);
-    house.putAll(
+    Map<String, String> validSettings = new TreeMap<>();
+    MixerConfig.flatten("", Fields.object(example, "it").get("settings"), validSettings);
+    validSettings.putAll(
         Map.of(
             "Safety.ExtraFree",
             "5",
@@ -52,25 +52,29 @@
             "false",
             "Weights",
             "rough"));
-    Bounds.check(new Settings(house));
-    String all =
+    Bounds.check(new Settings(validSettings));
+    String invalidEntries =
         "Safety.ResendSpanMs=-1 Safety.ResendSpanMs=0 Safety.ResendSpanMs= Safety.ExtraFree=NaN "
             + "Safety.ExtraFree=-5 Safety.ResendRatio=a Safety.ResendRatio Safety.ExtraFree Safety.ResendSpanMs "
             + "Safety.TipMultiple=-2 Safety.TipMultiple=two Safety.ColdFrom=24 Safety.WarmUpMs "
             + "Safety.WarmUpMs=1e300 PolicyLimits.SecondCopies=no LoadReport.Source=probes Domain.ClassFetch=2 "
             + "Domain.ClassFloor=0.4,x Classes.1.WindowMs=-1 PolicyLimits.MaxAttempts=0 Discovery=push";
-    for (String unfit : all.split(" ")) {
-      Map<String, String> other = new TreeMap<>(house);
-      String[] pair = unfit.split("=", 2);
-      other.remove(pair[0]);
-      if (pair.length > 1) {
-        other.put(pair[0], pair[1]);
+    for (String invalidEntry : invalidEntries.split(" ")) {
+      Map<String, String> settings = new TreeMap<>(validSettings);
+      String[] nameAndValue = invalidEntry.split("=", 2);
+      settings.remove(nameAndValue[0]);
+      if (nameAndValue.length > 1) {
+        settings.put(nameAndValue[0], nameAndValue[1]);
       }
-      String told =
+      String message =
           assertThrows(
-                  IllegalArgumentException.class, () -> Bounds.check(new Settings(other)), unfit)
+                  IllegalArgumentException.class,
+                  () -> Bounds.check(new Settings(settings)),
+                  invalidEntry)
               .getMessage();
-      assertTrue(told.startsWith("setting " + pair[0] + " ") && !told.contains("\n"), told);
+      assertTrue(
+          message.startsWith("setting " + nameAndValue[0] + " ") && !message.contains("\n"),
+          message);
     }
   }
 }
--- /dev/null
+++ b/mixer/src/test/java/gingerring/server/MixerHostTest.java
@@ -0,0 +1,311 @@
+package gingerring.server;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import gingerring.backend.Back;
+import gingerring.decide.MemberEntry.Standing;
+import gingerring.decide.Settings;
+import gingerring.discovery.Members;
+import gingerring.discovery.Watch;
+import gingerring.frontend.Ask;
+import gingerring.frontend.Reply;
+import gingerring.json.Json;
+import gingerring.net.Counts;
+import gingerring.net.Network;
+import java.io.IOException;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.net.ServerSocket;
+import java.net.Socket;
+import java.net.SocketTimeoutException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import org.junit.jupiter.api.Test;
+
+class MixerHostTest {
+  /** Writes down the answers of one scan. */
+  private record RecordingReply(String scanName, List<String> events) implements Reply {
+    @Override
+    public void answer(boolean whole, Map<Integer, byte[]> values) {
+      events.add(scanName + " answered");
+    }
+
+    @Override
+    public void nack(Duration comeBack) {
+      events.add(scanName + " nacked");
+    }
+
+    @Override
+    public void scrap() {
+      events.add(scanName + " scrapped");
+    }
+  }
+
+  private static Ask scanRequest(String transactionId, int serviceClass) {
+    return new Ask(
+        transactionId,
+        serviceClass,
+        false,
+        null,
+        Duration.ofMillis(2000),
+        List.of(new Ask.Piece(0, 1, Duration.ZERO, 0)),
+        new byte[0]);
+  }
+
+  private static Settings exampleSettings() throws IOException, Json.Malformed {
+    Map<String, String> flatSettings = new HashMap<>();
+    Map<?, ?> example = (Map<?, ?>) Json.read(Files.readAllBytes(Path.of("example/config.json")));
+    MixerConfig.flatten("", example.get("settings"), flatSettings);
+    return new Settings(flatSettings);
+  }
+
+  /** Guards against a mixer that compiles what scans need while its first clients wait. */
+  @Test
+  void rehearsalRunsSampleScansWithoutSockets() throws IOException, Json.Malformed {
+    assertTrue(new Rehearsal(exampleSettings()).run() >= 50);
+  }
+
+  /** Guards against a mixer that keeps something of every searcher and scan there ever was. */
+  @Test
+  void keepsNoStateOfGoneSearchersAndFinishedScans() throws IOException, Json.Malformed {
+    Counts counts = new Counts();
+    Loop loop = new Loop(counts);
+    Network network = new Network(loop, counts, true);
+    MixerHost host = new MixerHost(loop, exampleSettings(), counts, 0);
+    Back back = new Back(network, host, exampleSettings(), counts, loop);
+    InetSocketAddress unusedAddress = new InetSocketAddress("127.0.0.1", 9);
+    host.start(
+        back,
+        new Watch(network, unusedAddress, 0, host, counts, loop),
+        1,
+        new Members(0, true, List.of()));
+    List<String> outcomes = new ArrayList<>();
+    int rounds = 3000;
+    for (int i = 0; i < rounds; i++) {
+      int number = i;
+      loop.post(
+          () -> {
+            host.list(
+                new Members(
+                    number + 1,
+                    false,
+                    List.of(
+                        new Members.Member(
+                            "s-" + number,
+                            unusedAddress,
+                            "a",
+                            "toy",
+                            number % 4,
+                            Standing.READY,
+                            1,
+                            0),
+                        new Members.Member(
+                            "s-" + (number - 4),
+                            unusedAddress,
+                            "a",
+                            "toy",
+                            number % 4,
+                            Standing.GONE,
+                            1,
+                            0))));
+            host.take(
+                scanRequest("m" + number, 0), loop.now(), new RecordingReply("scan", outcomes));
+          });
+    }
+    loop.post(
+        () ->
+            loop.wakeAfter(
+                Duration.ofMillis(4500),
+                () -> {
+                  host.list(new Members(rounds + 1, true, List.of()));
+                  loop.wakeAfter(Duration.ofMillis(1500), loop::stop);
+                }));
+    loop.run(back::dispatch, network::flush);
+    assertEquals(rounds, outcomes.size());
+    assertEquals(0, host.kept());
+    assertEquals(0, back.stations());
+    assertEquals(0, network.connections());
+  }
+
+  /**
+   * A listener that lets no connection come up: its queue is full, so that those who dial it wait.
+   */
+  private static final class FullBacklogListener implements AutoCloseable {
+    private final ServerSocket serverSocket =
+        new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
+    private final List<Socket> queuedConnections = new ArrayList<>();
+
+    FullBacklogListener() throws IOException {
+      for (int i = 0; i < 8; i++) {
+        Socket socket = new Socket();
+        queuedConnections.add(socket);
+        try {
+          socket.connect(address(), 200);
+        } catch (SocketTimeoutException e) {
+          return;
+        }
+      }
+      throw new IOException("the queue of a listener is never full");
+    }
+
+    InetSocketAddress address() {
+      return (InetSocketAddress) serverSocket.getLocalSocketAddress();
+    }
+
+    @Override
+    public void close() throws IOException {
+      for (Socket socket : queuedConnections) {
+        socket.close();
+      }
+      serverSocket.close();
+    }
+  }
+
+  /**
+   * A desk on real sockets, before discovery's first word and with one searcher known; all at deaf
+   * addresses.
+   */
+  private static final class HostFixture {
+    final Counts counts = new Counts();
+    final Loop loop = new Loop(counts);
+    final Network network = new Network(loop, counts, false);
+    final MixerHost host;
+    final Back back;
+    final InetSocketAddress address;
+
+    HostFixture(InetSocketAddress address) throws IOException, Json.Malformed {
+      this.address = address;
+      host = new MixerHost(loop, exampleSettings(), counts, 0);
+      back = new Back(network, host, exampleSettings(), counts, loop);
+      host.start(
+          back,
+          new Watch(network, address, 0, host, counts, loop),
+          1,
+          memberList(true, Standing.READY));
+    }
+
+    Members memberList(boolean complete, Standing standing) {
+      return new Members(
+          1, complete, List.of(new Members.Member("s-0", address, "a", "toy", 0, standing, 1, 0)));
+    }
+
+    void run(Runnable event, Duration duration) {
+      loop.post(() -> loop.wakeAfter(duration, loop::stop));
+      loop.post(event);
+      loop.run(back::dispatch, network::flush);
+      network.dispose();
+      assertEquals(0, counts.get("failures in an event"));
+    }
+  }
+
+  /**
+   * Guards against a new process that sends by its old list to searchers that left while it was
+   * down.
+   */
+  @Test
+  void holdsScansUntilDiscoveryHasAnswered() throws IOException, Json.Malformed {
+    try (FullBacklogListener listener = new FullBacklogListener()) {
+      HostFixture fixture = new HostFixture(listener.address());
+      List<String> outcomes = new ArrayList<>();
+      fixture.run(
+          () -> {
+            assertFalse(fixture.host.ready());
+            assertTrue(
+                fixture.host.take(
+                    scanRequest("early", 0),
+                    fixture.loop.now(),
+                    new RecordingReply("early", outcomes)));
+            fixture.loop.post(
+                () ->
+                    fixture.loop.post(
+                        () -> { // two turns later
+                          assertEquals(List.of(), outcomes);
+                          fixture.host.list(fixture.memberList(true, Standing.DRAINING));
+                          fixture.host.word();
+                          assertTrue(fixture.host.ready());
+                        }));
+          },
+          Duration.ofMillis(300));
+      assertEquals(List.of("early nacked"), outcomes);
+      assertEquals(0, fixture.counts.get("links dialled"));
+    }
+  }
+
+  /** Guards against a scan that is sent by the list before the one that came with it. */
+  @Test
+  void appliesMemberListBeforeScansOfTheSameIteration() throws IOException, Json.Malformed {
+    try (FullBacklogListener listener = new FullBacklogListener()) {
+      HostFixture fixture = new HostFixture(listener.address());
+      List<String> outcomes = new ArrayList<>();
+      fixture.run(
+          () -> {
+            fixture.host.word();
+            fixture.host.take(
+                scanRequest("a", 0), fixture.loop.now(), new RecordingReply("scan", outcomes));
+            fixture.host.list(fixture.memberList(false, Standing.DRAINING));
+          },
+          Duration.ofMillis(300));
+      assertEquals(List.of("scan nacked"), outcomes);
+      assertEquals(0, fixture.counts.get("links dialled"));
+    }
+  }
+
+  /**
+   * Guards against parts that leave for a searcher that drains once their connection comes up, a
+   * dial later.
+   */
+  @Test
+  void dropsPartsWaitingToConnectToDrainingOrGoneSearcher() throws IOException, Json.Malformed {
+    for (Standing standing : List.of(Standing.DRAINING, Standing.GONE)) {
+      try (FullBacklogListener listener = new FullBacklogListener()) {
+        HostFixture fixture = new HostFixture(listener.address());
+        List<String> outcomes = new ArrayList<>();
+        fixture.run(
+            () -> {
+              fixture.host.word();
+              fixture.host.take(
+                  scanRequest("a", 0), fixture.loop.now(), new RecordingReply("scan", outcomes));
+              fixture.loop.post(
+                  () ->
+                      fixture.loop.post(
+                          () -> fixture.host.list(fixture.memberList(false, standing))));
+            },
+            Duration.ofMillis(300));
+        assertEquals(List.of("scan nacked"), outcomes);
+        assertEquals(1, fixture.counts.get("links dialled"));
+        assertEquals(1, fixture.counts.get("trips NOT_SENT"));
+      }
+    }
+  }
+
+  /**
+   * Guards against a failure of the decisions on one scan: it alone is scrapped, and that is
+   * counted.
+   */
+  @Test
+  void exceptionInTheMixerFailsOnlyTheScanItHandles() throws IOException, Json.Malformed {
+    Settings settings = exampleSettings();
+    Counts counts = new Counts();
+    Loop loop = new Loop(counts);
+    Network network = new Network(loop, counts, true);
+    MixerHost host = new MixerHost(loop, settings, counts, 0);
+    Watch watch = new Watch(network, new InetSocketAddress("127.0.0.1", 1), 0, host, counts, loop);
+    host.start(
+        new Back(network, host, settings, counts, loop), watch, 1, new Members(0, true, List.of()));
+    List<String> outcomes = new ArrayList<>();
+    host.take(scanRequest("a", 7), Duration.ZERO, new RecordingReply("unknown grade", outcomes));
+    host.take(scanRequest("b", 0), Duration.ZERO, new RecordingReply("good", outcomes));
+    loop.post(() -> loop.wakeAfter(Duration.ofMillis(50), loop::stop));
+    loop.run(() -> {}, () -> {});
+    assertEquals(List.of("unknown grade scrapped", "good nacked"), outcomes);
+    assertEquals(1, counts.get("failures in the mixer"));
+    assertEquals(0, host.open());
+  }
+}
--- a/mixer/src/test/java/gingerring/server/PracticeTest.java
+++ b/mixer/src/test/java/gingerring/server/PracticeTest.java
@@ -21,53 +21,53 @@
   private final Counts counts = new Counts();
   private final Loop loop = new Loop(counts);
   private final Network network = new Network(loop, counts, false);
-  private final List<String> done = new ArrayList<>();
+  private final List<String> completions = new ArrayList<>();
 
-  private void practise(InetSocketAddress front) {
+  private void runPractice(InetSocketAddress listenAddress) {
     new Practice(
             network,
-            front,
+            listenAddress,
             1024,
             counts,
             () -> {
-              done.add("done");
+              completions.add("done");
               loop.wakeAfter(Duration.ofMillis(100), loop::stop);
             })
         .begin();
     loop.run(() -> {}, network::flush);
     network.dispose();
-    assertEquals(List.of("done"), done);
+    assertEquals(List.of("done"), completions);
   }
 
   /** Guards against a practice that goes on for ever, or leaves connections behind. */
   @Test
-  void endsOnceAllItsCallsHaveHadTheirAnswers() throws IOException {
-    InetSocketAddress front =
+  void endsOnceEveryRequestIsAnswered() throws IOException {
+    InetSocketAddress listenAddress =
         network.listen(
             new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
             100,
             1024,
-            connection -> connection.party(new Echo(connection)));
-    practise(front);
+            connection -> connection.party(new AnsweringParty(connection)));
+    runPractice(listenAddress);
     assertEquals(192, counts.get("answers practised"));
     assertEquals(0, network.connections());
   }
 
   /** Guards against a mixer that is never ready where it cannot call itself. */
   @Test
-  void endsWhereNobodyListens() throws IOException {
-    InetSocketAddress nobody;
-    try (ServerSocket closed = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-      nobody = (InetSocketAddress) closed.getLocalSocketAddress();
+  void endsIfConnectionsAreRefused() throws IOException {
+    InetSocketAddress closedAddress;
+    try (ServerSocket closedSocket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+      closedAddress = (InetSocketAddress) closedSocket.getLocalSocketAddress();
     }
-    practise(nobody);
+    runPractice(closedAddress);
     assertEquals(0, counts.get("answers practised"));
   }
 
   /** Guards against a practice that nobody answers, and that holds its descriptors for ever. */
   @Test
-  void endsWhereNobodyAnswersOnceItIsTold() throws IOException {
-    InetSocketAddress front =
+  void endsWhenStoppedIfNothingIsAnswered() throws IOException {
+    InetSocketAddress listenAddress =
         network.listen(
             new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
             100,
@@ -76,23 +76,23 @@
     Practice practice =
         new Practice(
             network,
-            front,
+            listenAddress,
             1024,
             counts,
             () -> {
-              done.add("done");
+              completions.add("done");
               loop.wakeAfter(Duration.ofMillis(100), loop::stop);
             });
     practice.begin();
     loop.wakeAfter(Duration.ofMillis(100), practice::end);
     loop.run(() -> {}, network::flush);
     network.dispose();
-    assertEquals(List.of("done"), done);
+    assertEquals(List.of("done"), completions);
     assertEquals(0, network.connections());
   }
 
   /** Answers a request, which comes whole here. */
-  private record Echo(Connection connection) implements Party {
+  private record AnsweringParty(Connection connection) implements Party {
     @Override
     public void readable() {
       connection.in.clear();
--- a/mixer/src/test/java/gingerring/server/SettingsTest.java
+++ b/mixer/src/test/java/gingerring/server/SettingsTest.java
@@ -26,62 +26,65 @@
   /**
    * What is tried, and pairs of a text of the example's configuration and what stands in its place.
    */
-  record Served(String what, String... swaps) {
+  record AcceptedSettings(String description, String... replacements) {
     @Override
     public String toString() {
-      return what;
+      return description;
     }
   }
 
-  static List<Served> served() {
+  static List<AcceptedSettings> acceptedSettings() {
     return List.of(
-        new Served(
+        new AcceptedSettings(
             "a deadline under the dial time-out",
             "\"DialTimeoutMs\": 250.0",
             "\"DialTimeoutMs\": 5000"),
-        new Served("an aim over the deadline", "\"AimMs\": 600.0", "\"AimMs\": 9000.0"),
-        new Served("a window under one trip", "\"WindowMs\": 5000.0", "\"WindowMs\": 0.1"),
-        new Served("a window of nothing", "\"WindowMs\": 5000.0", "\"WindowMs\": 0"),
-        new Served("a class with no worth", "\"Worth\": 5.0", "\"Worth\": 0"),
-        new Served("a class that does not tell its worth", ", \"Worth\": 5.0", ""),
-        new Served("a least share of nothing", "[0.4, 1.0]", "[0, 1.0]"),
-        new Served("no zone", "[\"a\"]", "[]"),
-        new Served("no probes", "\"Probing\": true", "\"Probing\": false"),
-        new Served("no cancel", "\"Cancel\": true", "\"Cancel\": false"),
-        new Served(
+        new AcceptedSettings("an aim over the deadline", "\"AimMs\": 600.0", "\"AimMs\": 9000.0"),
+        new AcceptedSettings(
+            "a window under one trip", "\"WindowMs\": 5000.0", "\"WindowMs\": 0.1"),
+        new AcceptedSettings("a window of nothing", "\"WindowMs\": 5000.0", "\"WindowMs\": 0"),
+        new AcceptedSettings("a class with no worth", "\"Worth\": 5.0", "\"Worth\": 0"),
+        new AcceptedSettings("a class that does not tell its worth", ", \"Worth\": 5.0", ""),
+        new AcceptedSettings("a least share of nothing", "[0.4, 1.0]", "[0, 1.0]"),
+        new AcceptedSettings("no zone", "[\"a\"]", "[]"),
+        new AcceptedSettings("no probes", "\"Probing\": true", "\"Probing\": false"),
+        new AcceptedSettings("no cancel", "\"Cancel\": true", "\"Cancel\": false"),
+        new AcceptedSettings(
             "no second copies, no cancel",
             "\"SecondCopies\": true",
             "\"SecondCopies\": false",
             "\"Cancel\": true",
             "\"Cancel\": false"),
-        new Served("one attempt", "\"MaxAttempts\": 3", "\"MaxAttempts\": 1"),
-        new Served("a batch of one", "\"Batch\": 4", "\"Batch\": 1"),
-        new Served("a batch that nothing fills", "\"Batch\": 4", "\"Batch\": 1000000000"),
-        new Served("one stream", "\"StreamsPerConn\": 32", "\"StreamsPerConn\": 1"),
-        new Served(
+        new AcceptedSettings("one attempt", "\"MaxAttempts\": 3", "\"MaxAttempts\": 1"),
+        new AcceptedSettings("a batch of one", "\"Batch\": 4", "\"Batch\": 1"),
+        new AcceptedSettings("a batch that nothing fills", "\"Batch\": 4", "\"Batch\": 1000000000"),
+        new AcceptedSettings("one stream", "\"StreamsPerConn\": 32", "\"StreamsPerConn\": 1"),
+        new AcceptedSettings(
             "an idle time below the dial time-out",
             "\"ConnIdleMs\": 30000.0",
             "\"ConnIdleMs\": 100"),
-        new Served("a fleet that does not tell its size", "\"FleetSize\": 1,", ""),
-        new Served("no idle time", "\"ConnIdleMs\": 30000.0", "\"ConnIdleMs\": 0"),
-        new Served("a drain grace of 0.5 s", "\"DrainGraceMs\": 250.0", "\"DrainGraceMs\": 500"),
-        new Served("no drain grace", "\"DrainGraceMs\": 250.0", "\"DrainGraceMs\": 0"),
-        new Served("no warm-up", "\"WarmUpMs\": 5000.0", "\"WarmUpMs\": 0"),
-        new Served("no time after which cold ones fall", ", \"TipAfterMs\": 2000.0", ""),
-        new Served("one scan at a time", "\"MostHeld\": 60", "\"MostHeld\": 3"),
-        new Served("more copies than cells", "\"Reach\": 2", "\"Reach\": 9"),
-        new Served("one cell", "\"Places\": 4", "\"Places\": 1"),
-        new Served("no word of retry", "\"MaxRetryAfterMs\": 500.0", "\"MaxRetryAfterMs\": 0"),
-        new Served(
+        new AcceptedSettings("a fleet that does not tell its size", "\"FleetSize\": 1,", ""),
+        new AcceptedSettings("no idle time", "\"ConnIdleMs\": 30000.0", "\"ConnIdleMs\": 0"),
+        new AcceptedSettings(
+            "a drain grace of 0.5 s", "\"DrainGraceMs\": 250.0", "\"DrainGraceMs\": 500"),
+        new AcceptedSettings("no drain grace", "\"DrainGraceMs\": 250.0", "\"DrainGraceMs\": 0"),
+        new AcceptedSettings("no warm-up", "\"WarmUpMs\": 5000.0", "\"WarmUpMs\": 0"),
+        new AcceptedSettings("no time after which cold ones fall", ", \"TipAfterMs\": 2000.0", ""),
+        new AcceptedSettings("one scan at a time", "\"MostHeld\": 60", "\"MostHeld\": 3"),
+        new AcceptedSettings("more copies than cells", "\"Reach\": 2", "\"Reach\": 9"),
+        new AcceptedSettings("one cell", "\"Places\": 4", "\"Places\": 1"),
+        new AcceptedSettings(
+            "no word of retry", "\"MaxRetryAfterMs\": 500.0", "\"MaxRetryAfterMs\": 0"),
+        new AcceptedSettings(
             "no reports",
             "{\"Columns\": [\"depth\", \"concurrent\"], \"Source\": \"answers\"}",
             "{\"Columns\": [], \"Source\": \"none\"}"),
-        new Served(
+        new AcceptedSettings(
             "a budget of nothing",
             "\"Safety\": {",
             "\"Safety\": {\"ExtraFree\": 0, \"ResendRatio\": 0, \"ResendSpanMs\": 1000, "),
-        new Served("lists on request", "\"automatic\"", "\"subscribe\""),
-        new Served(
+        new AcceptedSettings("lists on request", "\"automatic\"", "\"subscribe\""),
+        new AcceptedSettings(
             "lists on request, nothing called off, short rests",
             "\"automatic\"",
             "\"subscribe\"",
@@ -99,7 +102,7 @@
             "\"at_most_once\"",
             "[0.4, 1.0]",
             "[1, 1]"),
-        new Served(
+        new AcceptedSettings(
             "calls of several parts on connections that carry few",
             "\"StreamsPerConn\": 32",
             "\"StreamsPerConn\": 5",
@@ -109,152 +112,160 @@
             "\"ConnIdleMs\": 800",
             "\"MaxAttempts\": 3",
             "\"MaxAttempts\": 2"),
-        new Served("256 descriptors", "\"sockets\": 1024", "\"sockets\": 256"),
-        new Served(
+        new AcceptedSettings("256 descriptors", "\"sockets\": 1024", "\"sockets\": 256"),
+        new AcceptedSettings(
             "no limit told",
             "\"limits\": {\"cores\": 1.0, \"memory_mb\": 192, \"sockets\": 1024},",
             ""),
-        new Served("limits without descriptors", ", \"sockets\": 1024", ""),
-        new Served("few descriptors", "\"sockets\": 1024", "\"sockets\": 64"));
+        new AcceptedSettings("limits without descriptors", ", \"sockets\": 1024", ""),
+        new AcceptedSettings("few descriptors", "\"sockets\": 1024", "\"sockets\": 64"));
   }
 
   /** What is refused: the entry that the line names, and a pair of texts as above. */
-  record Refused(String entry, String... swap) {
+  record RejectedSettings(String entry, String... replacement) {
     @Override
     public String toString() {
-      return entry + ": " + swap[1];
+      return entry + ": " + replacement[1];
     }
   }
 
-  static List<Refused> refused() {
+  static List<RejectedSettings> rejectedSettings() {
     return List.of(
-        new Refused("setting Classes", "\"Classes\": [", "\"Classes\": [], \"Others\": ["),
-        new Refused("setting Classes.0.Name", "\"Name\": \"search\", ", ""),
-        new Refused("setting Classes.1.Name", "\"post\"", "\"search\""),
-        new Refused("setting Classes.1.Name", "\"post\"", "\"lan\u00e7amento\""),
-        new Refused("setting Classes.0.AimMs", "\"AimMs\": 600.0, ", ""),
-        new Refused("setting Classes.0.AimMs", "\"AimMs\": 600.0", "\"AimMs\": 0"),
-        new Refused("setting Classes.0.AimMs", "\"AimMs\": 600.0", "\"AimMs\": \"a\\nb\""),
-        new Refused(
+        new RejectedSettings("setting Classes", "\"Classes\": [", "\"Classes\": [], \"Others\": ["),
+        new RejectedSettings("setting Classes.0.Name", "\"Name\": \"search\", ", ""),
+        new RejectedSettings("setting Classes.1.Name", "\"post\"", "\"search\""),
+        new RejectedSettings("setting Classes.1.Name", "\"post\"", "\"lan\u00e7amento\""),
+        new RejectedSettings("setting Classes.0.AimMs", "\"AimMs\": 600.0, ", ""),
+        new RejectedSettings("setting Classes.0.AimMs", "\"AimMs\": 600.0", "\"AimMs\": 0"),
+        new RejectedSettings("setting Classes.0.AimMs", "\"AimMs\": 600.0", "\"AimMs\": \"a\\nb\""),
+        new RejectedSettings(
             "setting Classes.0.HardLimitMs", "\"HardLimitMs\": 2000.0", "\"HardLimitMs\": 10"),
-        new Refused("setting Classes.0.Idempotency", "\"Idempotency\": \"idempotent\", ", ""),
-        new Refused("setting Classes.0.Idempotency", "\"idempotent\"", "\"safe\""),
-        new Refused(
+        new RejectedSettings(
+            "setting Classes.0.Idempotency", "\"Idempotency\": \"idempotent\", ", ""),
+        new RejectedSettings("setting Classes.0.Idempotency", "\"idempotent\"", "\"safe\""),
+        new RejectedSettings(
             "setting Classes.1.WindowMs",
             "\"LateWorth\": 0.0,\n       \"WindowMs\": 5000.0",
             "\"LateWorth\": 0.0"),
-        new Refused("setting Classes.0.LateWorth", "\"LateWorth\": 0.3", "\"LateWorth\": 30"),
-        new Refused("setting Discovery", "\"Discovery\": \"automatic\",", ""),
-        new Refused("setting Discovery", "\"automatic\"", "\"push\""),
-        new Refused("setting Domain.Batch", "\"Batch\": 4", "\"Batch\": 0"),
-        new Refused("setting Domain.ClassFloor", "[0.4, 1.0]", "[0.4]"),
-        new Refused("setting Domain.ClassFetch", "[0, 0]", "[0, 2]"),
-        new Refused(
+        new RejectedSettings(
+            "setting Classes.0.LateWorth", "\"LateWorth\": 0.3", "\"LateWorth\": 30"),
+        new RejectedSettings("setting Discovery", "\"Discovery\": \"automatic\",", ""),
+        new RejectedSettings("setting Discovery", "\"automatic\"", "\"push\""),
+        new RejectedSettings("setting Domain.Batch", "\"Batch\": 4", "\"Batch\": 0"),
+        new RejectedSettings("setting Domain.ClassFloor", "[0.4, 1.0]", "[0.4]"),
+        new RejectedSettings("setting Domain.ClassFetch", "[0, 0]", "[0, 2]"),
+        new RejectedSettings(
             "setting Domain.NeedByClass", "\"NeedByClass\": [1.0, 1.0]", "\"NeedByClass\": [0, 1]"),
-        new Refused("setting Domain.Places", "\"Places\": 4", "\"Places\": 0"),
-        new Refused("setting Domain.Reach", "\"Reach\": 2, ", ""),
-        new Refused("setting Domain.Slices", "\"Slices\": 8", "\"Slices\": 1e300"),
-        new Refused("setting FleetSize", "\"FleetSize\": 1,", "\"FleetSize\": 0,"),
-        new Refused("setting Zones", ",\n    \"Zones\": [\"a\"]", ""),
-        new Refused("setting Skus", "\"Skus\": [\"toy\"],", ""),
-        new Refused("setting PolicyLimits.ConnIdleMs", "\"ConnIdleMs\": 30000.0, ", ""),
-        new Refused(
+        new RejectedSettings("setting Domain.Places", "\"Places\": 4", "\"Places\": 0"),
+        new RejectedSettings("setting Domain.Reach", "\"Reach\": 2, ", ""),
+        new RejectedSettings("setting Domain.Slices", "\"Slices\": 8", "\"Slices\": 1e300"),
+        new RejectedSettings("setting FleetSize", "\"FleetSize\": 1,", "\"FleetSize\": 0,"),
+        new RejectedSettings("setting Zones", ",\n    \"Zones\": [\"a\"]", ""),
+        new RejectedSettings("setting Skus", "\"Skus\": [\"toy\"],", ""),
+        new RejectedSettings("setting PolicyLimits.ConnIdleMs", "\"ConnIdleMs\": 30000.0, ", ""),
+        new RejectedSettings(
             "setting PolicyLimits.ConnIdleMs", "\"ConnIdleMs\": 30000.0", "\"ConnIdleMs\": -1"),
-        new Refused(
+        new RejectedSettings(
             "setting PolicyLimits.DialTimeoutMs",
             "\"DialTimeoutMs\": 250.0",
             "\"DialTimeoutMs\": 0"),
-        new Refused("setting PolicyLimits.DialTimeoutMs", "\"DialTimeoutMs\": 250.0, ", ""),
-        new Refused("setting PolicyLimits.MaxAttempts", "\"MaxAttempts\": 3", "\"MaxAttempts\": 0"),
-        new Refused(
+        new RejectedSettings(
+            "setting PolicyLimits.DialTimeoutMs", "\"DialTimeoutMs\": 250.0, ", ""),
+        new RejectedSettings(
+            "setting PolicyLimits.MaxAttempts", "\"MaxAttempts\": 3", "\"MaxAttempts\": 0"),
+        new RejectedSettings(
             "setting PolicyLimits.MaxRetryAfterMs",
             "\"MaxRetryAfterMs\": 500.0",
             "\"MaxRetryAfterMs\": 1e11"),
-        new Refused("setting PolicyLimits.MostHeld", "\"MostHeld\": 60, ", ""),
-        new Refused("setting PolicyLimits.MostHeld", "\"MostHeld\": 60", "\"MostHeld\": 0"),
-        new Refused(
+        new RejectedSettings("setting PolicyLimits.MostHeld", "\"MostHeld\": 60, ", ""),
+        new RejectedSettings(
+            "setting PolicyLimits.MostHeld", "\"MostHeld\": 60", "\"MostHeld\": 0"),
+        new RejectedSettings(
             "setting PolicyLimits.StreamsPerConn",
             "\"StreamsPerConn\": 32",
             "\"StreamsPerConn\": 0"),
-        new Refused("setting PolicyLimits.Cancel", "\"Cancel\": true", "\"Cancel\": null"),
-        new Refused("setting Safety.TipAfterMs", "\"TipAfterMs\": 2000.0", "\"TipAfterMs\": 0"),
-        new Refused("setting Safety.WarmUpMs", ", \"WarmUpMs\": 5000.0", ""),
-        new Refused(
+        new RejectedSettings("setting PolicyLimits.Cancel", "\"Cancel\": true", "\"Cancel\": null"),
+        new RejectedSettings(
+            "setting Safety.TipAfterMs", "\"TipAfterMs\": 2000.0", "\"TipAfterMs\": 0"),
+        new RejectedSettings("setting Safety.WarmUpMs", ", \"WarmUpMs\": 5000.0", ""),
+        new RejectedSettings(
             "setting Safety.ResendRatio",
             "\"Safety\": {",
             "\"Safety\": {\"ExtraFree\": 0, \"ResendSpanMs\": 1000, "),
-        new Refused("settings", "\"settings\": {", "\"settings\": 5, \"others\": {"),
-        new Refused("limits.sockets", "\"sockets\": 1024", "\"sockets\": 24"),
-        new Refused("limits.sockets", "\"sockets\": 1024", "\"sockets\": \"many\""),
-        new Refused("limits.sockets", "\"limits\": {", "\"limits\": 5, \"others\": {"),
-        new Refused("discovery", "127.0.0.1:8500", "127.0.0.1:0"),
-        new Refused("discovery", "127.0.0.1:8500", "agent\\n:8500"),
-        new Refused("seed", "8c1f30d27a5be964", "x"));
+        new RejectedSettings("settings", "\"settings\": {", "\"settings\": 5, \"others\": {"),
+        new RejectedSettings("limits.sockets", "\"sockets\": 1024", "\"sockets\": 24"),
+        new RejectedSettings("limits.sockets", "\"sockets\": 1024", "\"sockets\": \"many\""),
+        new RejectedSettings("limits.sockets", "\"limits\": {", "\"limits\": 5, \"others\": {"),
+        new RejectedSettings("discovery", "127.0.0.1:8500", "127.0.0.1:0"),
+        new RejectedSettings("discovery", "127.0.0.1:8500", "agent\\n:8500"),
+        new RejectedSettings("seed", "8c1f30d27a5be964", "x"));
   }
 
-  @TempDir Path folder;
+  @TempDir Path directory;
 
   /** Whole, before anything is begun: one line that names the entry and what to do, and exit 2. */
   @ParameterizedTest
-  @MethodSource("refused")
-  void isRefusedAtTheStart(Refused settings) throws Exception {
+  @MethodSource("rejectedSettings")
+  void rejectsInvalidSettingsAtStart(RejectedSettings settings) throws Exception {
     String example = Files.readString(Path.of("example/config.json"));
-    assertTrue(example.contains(settings.swap[0]), settings.swap[0]);
-    Path file = folder.resolve("config.json");
+    assertTrue(example.contains(settings.replacement[0]), settings.replacement[0]);
+    Path file = directory.resolve("config.json");
     // an address that nobody has here: what is not refused ends at once all the same
     Files.writeString(
         file,
         example
-            .replace(settings.swap[0], settings.swap[1])
+            .replace(settings.replacement[0], settings.replacement[1])
             .replace("127.0.0.1:8081", "192.0.2.1:8081"));
-    ByteArrayOutputStream said = new ByteArrayOutputStream();
-    int code = MixerServer.run(Map.of("LB_CONFIG", file.toString()), new PrintStream(said, true));
-    String line = said.toString(StandardCharsets.UTF_8);
-    assertEquals(2, code, line);
+    ByteArrayOutputStream output = new ByteArrayOutputStream();
+    int exitCode =
+        MixerServer.run(Map.of("LB_CONFIG", file.toString()), new PrintStream(output, true));
+    String line = output.toString(StandardCharsets.UTF_8);
+    assertEquals(2, exitCode, line);
     assertTrue(line.matches("gingerring serve: " + settings.entry + "[ :].*\\R"), line);
     assertTrue(!settings.entry.startsWith("setting") || line.contains(": give "), line);
   }
 
   /** Both grades of the example; the box answers all at once. */
   @ParameterizedTest
-  @MethodSource("served")
-  void isServed(Served settings) throws Exception {
-    try (MixerTestHarness rig = new MixerTestHarness(settings.swaps)) {
-      MixerTestHarness.Box box = rig.box("b0", 0);
-      answerAll(box);
-      rig.announceAndAwaitReady(box);
-      MixerTestHarness.Client client = rig.connectClient();
+  @MethodSource("acceptedSettings")
+  void servesScansWithTheseSettings(AcceptedSettings settings) throws Exception {
+    try (MixerTestHarness harness = new MixerTestHarness(settings.replacements)) {
+      MixerTestHarness.Box box = harness.box("b0", 0);
+      answerAllCalls(box);
+      harness.announceAndAwaitReady(box);
+      MixerTestHarness.Client client = harness.connectClient();
       for (int i = 0; i < 3; i++) {
-        client.write(rig.scanRequest("search", 2000, 0, 3));
+        client.write(harness.scanRequest("search", 2000, 0, 3));
         assertEquals(
             "200 {\"whole\":true,\"results\":[{\"partition\":0,\"value\":\"v"
-                + rig.lastTransactionId()
+                + harness.lastTransactionId()
                 + ".0\"},{\"partition\":3,\"value\":\"v"
-                + rig.lastTransactionId()
+                + harness.lastTransactionId()
                 + ".3\"}]}",
             client.readAnswer());
-        client.write(rig.scanRequest("post", 2000, 0));
+        client.write(harness.scanRequest("post", 2000, 0));
         assertEquals(
             "200 {\"whole\":true,\"results\":[{\"partition\":0,\"value\":\"v"
-                + rig.lastTransactionId()
+                + harness.lastTransactionId()
                 + ".0\"}]}",
             client.readAnswer());
       }
       assertTrue(
-          rig.server.counts.toString().contains("whole answers 6"), rig.server.counts.toString());
+          harness.server.counts.toString().contains("whole answers 6"),
+          harness.server.counts.toString());
     }
   }
 
   /** A searcher that has just started is sent something: it is warm later. */
   @Test
-  void aColdSearcherAloneIsAsked() throws Exception {
-    try (MixerTestHarness rig = new MixerTestHarness()) {
-      MixerTestHarness.Box box = rig.box("b0", 0);
+  void coldSearcherGetsScansIfItIsTheOnlyOne() throws Exception {
+    try (MixerTestHarness harness = new MixerTestHarness()) {
+      MixerTestHarness.Box box = harness.box("b0", 0);
       box.upSinceMs = System.currentTimeMillis();
-      answerAll(box);
-      rig.announceAndAwaitReady(box);
-      MixerTestHarness.Client client = rig.connectClient();
-      client.write(rig.scanRequest("search", 2000, 0));
+      answerAllCalls(box);
+      harness.announceAndAwaitReady(box);
+      MixerTestHarness.Client client = harness.connectClient();
+      client.write(harness.scanRequest("search", 2000, 0));
       assertTrue(client.readAnswer().startsWith("200"));
     }
   }
@@ -263,48 +274,48 @@
    * By so short a patience the last call was due before the end was announced: it comes at once.
    */
   @Test
-  void endsInOrderWhereTheLongestPatienceIsUnderTheLastCall() throws Exception {
-    try (MixerTestHarness rig =
+  void shutsDownInOrderIfTheLongestDeadlineIsShort() throws Exception {
+    try (MixerTestHarness harness =
         new MixerTestHarness("\"HardLimitMs\": 2000.0", "\"HardLimitMs\": 190.0")) {
-      MixerTestHarness.Box box = rig.box("b0", 0);
-      rig.announceAndAwaitReady(box);
-      MixerTestHarness.Client client = rig.connectClient();
+      MixerTestHarness.Box box = harness.box("b0", 0);
+      harness.announceAndAwaitReady(box);
+      MixerTestHarness.Client client = harness.connectClient();
       assertTrue(client.isReady());
-      client.write(rig.scanRequest("search", 2000, 0));
+      client.write(harness.scanRequest("search", 2000, 0));
       box.acceptConnection().readCall(); // and nothing comes back
-      rig.server.loop.post(rig.server::announceEnd);
+      harness.server.loop.post(harness.server::announceEnd);
       String answer = client.readAnswer();
       assertTrue(answer.startsWith("50"), answer);
-      assertEquals(0, rig.awaitExitCode());
+      assertEquals(0, harness.awaitExitCode());
     }
   }
 
   /** The box has all that it is asked for, on whatever connection, until the rig ends it. */
-  static void answerAll(MixerTestHarness.Box box) {
-    daemon(
+  static void answerAllCalls(MixerTestHarness.Box box) {
+    runInBackground(
         () -> {
           while (true) {
-            MixerTestHarness.BoxConnection link = box.acceptConnection();
-            daemon(
+            MixerTestHarness.BoxConnection connection = box.acceptConnection();
+            runInBackground(
                 () -> {
                   while (true) {
-                    link.answer(link.readCall(), "done");
+                    connection.answer(connection.readCall(), "done");
                   }
                 });
           }
         });
   }
 
-  private interface Work {
+  private interface IoTask {
     void run() throws IOException;
   }
 
-  private static void daemon(Work work) {
+  private static void runInBackground(IoTask task) {
     Thread thread =
         new Thread(
             () -> {
               try {
-                work.run();
+                task.run();
               } catch (IOException e) {
                 // its connection has ended
               }
--- a/mixer/src/test/java/gingerring/server/WatchTest.java
+++ b/mixer/src/test/java/gingerring/server/WatchTest.java
@@ -33,30 +33,30 @@
  */
 @Timeout(60)
 class WatchTest {
-  private static final int WAIT_MS = 20_000;
-  private static final int FASTER = 10;
+  private static final int TIMEOUT_MS = 20_000;
+  private static final int CLOCK_SPEEDUP = 10;
 
   private final Counts counts = new Counts();
   private final Loop loop = new Loop(counts);
   private final Network network = new Network(loop, counts, false);
-  private final BlockingQueue<String> told = new LinkedBlockingQueue<>();
+  private final BlockingQueue<String> notifications = new LinkedBlockingQueue<>();
   private ServerSocket agent;
-  private Thread thread;
+  private Thread loopThread;
 
   /** Its seconds are tenths of a second, so that nobody waits for the longest of them. */
-  private final class Fast implements TurnClock {
+  private final class FastClock implements TurnClock {
     @Override
     public Duration now() {
-      return loop.now().multipliedBy(FASTER);
+      return loop.now().multipliedBy(CLOCK_SPEEDUP);
     }
 
     @Override
     public void wakeAfter(Duration span, Runnable task) {
-      loop.wakeAfter(span.dividedBy(FASTER), task);
+      loop.wakeAfter(span.dividedBy(CLOCK_SPEEDUP), task);
     }
   }
 
-  private void follow(long revision, TurnClock clock) {
+  private void startWatch(long revision, TurnClock clock) {
     Watch watch =
         new Watch(
             network,
@@ -65,34 +65,34 @@
             new Watch.Told() {
               @Override
               public void list(Members members) {
-                told.add("list " + members.revision());
+                notifications.add("list " + members.revision());
               }
 
               @Override
               public void failed() {
-                told.add("failed");
+                notifications.add("failed");
               }
             },
             counts,
             clock);
     loop.post(watch::open);
-    thread = new Thread(() -> loop.run(() -> {}, network::flush));
-    thread.start();
+    loopThread = new Thread(() -> loop.run(() -> {}, network::flush));
+    loopThread.start();
   }
 
   /** The agent's side of one watch. */
-  private Socket accept(String index) throws IOException {
+  private Socket acceptWatch(String index) throws IOException {
     Socket socket = agent.accept();
-    socket.setSoTimeout(WAIT_MS);
-    BufferedReader in = new BufferedReader(new InputStreamReader(socket.getInputStream()));
-    assertEquals("GET /v1/endpoints?stream=1&index=" + index + " HTTP/1.1", in.readLine());
+    socket.setSoTimeout(TIMEOUT_MS);
+    BufferedReader input = new BufferedReader(new InputStreamReader(socket.getInputStream()));
+    assertEquals("GET /v1/endpoints?stream=1&index=" + index + " HTTP/1.1", input.readLine());
     socket
         .getOutputStream()
         .write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".getBytes());
     return socket;
   }
 
-  private static void say(Socket socket, String line) throws IOException {
+  private static void sendLine(Socket socket, String line) throws IOException {
     socket
         .getOutputStream()
         .write(
@@ -100,52 +100,52 @@
                 .getBytes(StandardCharsets.US_ASCII));
   }
 
-  private static String list(int revision, boolean all) {
-    return "{\"revision\":" + revision + ",\"complete\":" + all + ",\"members\":[]}";
+  private static String memberListLine(int revision, boolean complete) {
+    return "{\"revision\":" + revision + ",\"complete\":" + complete + ",\"members\":[]}";
   }
 
-  private String next() throws InterruptedException {
-    return told.poll(WAIT_MS, TimeUnit.MILLISECONDS);
+  private String nextNotification() throws InterruptedException {
+    return notifications.poll(TIMEOUT_MS, TimeUnit.MILLISECONDS);
   }
 
   @BeforeEach
-  void listen() throws IOException {
+  void startAgent() throws IOException {
     agent = new ServerSocket(0, 8, InetAddress.getLoopbackAddress());
-    agent.setSoTimeout(WAIT_MS);
+    agent.setSoTimeout(TIMEOUT_MS);
   }
 
   @AfterEach
-  void end() throws Exception {
+  void stopAll() throws Exception {
     loop.post(loop::stop);
-    thread.join(WAIT_MS);
+    loopThread.join(TIMEOUT_MS);
     network.dispose();
     agent.close();
   }
 
   /** Guards against a mixer without a watch while its agent has news, which counts as told. */
   @Test
-  void opensAWatchAnewAtOnceThatEndsOrFallsSilent() throws Exception {
-    follow(0, loop);
-    Socket first = accept("0");
-    say(first, list(5, true));
-    assertEquals("list 5", next());
+  void reopensEndedOrSilentWatchAtOnce() throws Exception {
+    startWatch(0, loop);
+    Socket first = acceptWatch("0");
+    sendLine(first, memberListLine(5, true));
+    assertEquals("list 5", nextNotification());
     Thread.sleep(1500);
     first.close();
-    Socket second = accept("5");
-    say(second, list(6, false));
-    assertEquals("failed", next());
-    assertEquals("list 6", next());
+    Socket second = acceptWatch("5");
+    sendLine(second, memberListLine(6, false));
+    assertEquals("failed", nextNotification());
+    assertEquals("list 6", nextNotification());
     // and now it stays open and says nothing more
-    Socket third = accept("6");
-    assertEquals("failed", next());
+    Socket third = acceptWatch("6");
+    assertEquals("failed", nextNotification());
     // but an agent that ends each watch as it begins is not called without a pause, though nobody
     // has to ask
     third.close();
-    assertEquals("failed", next());
+    assertEquals("failed", nextNotification());
     agent.setSoTimeout(500);
     assertThrows(SocketTimeoutException.class, agent::accept);
-    agent.setSoTimeout(WAIT_MS);
-    accept("6").close();
+    agent.setSoTimeout(TIMEOUT_MS);
+    acceptWatch("6").close();
     second.close();
   }
 
@@ -154,37 +154,42 @@
    * have gone.
    */
   @Test
-  void takesNoWholeListThatIsOlderThanTheOneHeld() throws Exception {
-    follow(41, loop);
-    Socket late = accept("41");
-    say(late, list(39, true));
-    say(late, list(40, false));
-    say(late, list(42, false));
-    assertEquals("list 42", next());
+  void ignoresCompleteListOlderThanTheCurrentOne() throws Exception {
+    startWatch(41, loop);
+    Socket staleAgent = acceptWatch("41");
+    sendLine(staleAgent, memberListLine(39, true));
+    sendLine(staleAgent, memberListLine(40, false));
+    sendLine(staleAgent, memberListLine(42, false));
+    assertEquals("list 42", nextNotification());
     assertEquals(1, counts.get("lists older than the one held"));
-    late.close();
+    staleAgent.close();
   }
 
   /** Guards against a mixer that holds on to its list for good where versions are counted anew. */
   @Test
-  void takesAnOlderListOnceItCannotBeLateAnyMore() throws Exception {
-    follow(41, new Fast());
-    Socket late = accept("41");
-    say(late, list(3, true));
-    Socket anew = null;
-    for (String index = "41"; anew == null; ) {
+  void acceptsOlderListOnceRevisionsHaveRestarted() throws Exception {
+    startWatch(41, new FastClock());
+    Socket staleAgent = acceptWatch("41");
+    sendLine(staleAgent, memberListLine(3, true));
+    Socket restartedWatch = null;
+    for (String index = "41"; restartedWatch == null; ) {
       // it says nothing more, so that the watch is opened again and again
-      Socket next = agent.accept();
-      String line = new BufferedReader(new InputStreamReader(next.getInputStream())).readLine();
-      next.getOutputStream()
+      Socket socket = agent.accept();
+      String requestLine =
+          new BufferedReader(new InputStreamReader(socket.getInputStream())).readLine();
+      socket
+          .getOutputStream()
           .write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n".getBytes());
-      say(next, list(3, true));
-      anew = line.contains("index=0 ") ? next : null;
-      assertTrue(anew != null || line.contains("index=" + index + ' '), line);
+      sendLine(socket, memberListLine(3, true));
+      restartedWatch = requestLine.contains("index=0 ") ? socket : null;
+      assertTrue(
+          restartedWatch != null || requestLine.contains("index=" + index + ' '), requestLine);
     }
-    for (String line = next(); !line.equals("list 3"); line = next()) {
-      assertEquals("failed", line);
+    for (String requestLine = nextNotification();
+        !requestLine.equals("list 3");
+        requestLine = nextNotification()) {
+      assertEquals("failed", requestLine);
     }
-    anew.close();
+    restartedWatch.close();
   }
 }
