--- a/mixer/src/test/java/gingerring/server/MixerHostTest.java
+++ b/mixer/src/test/java/gingerring/server/MixerHostTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import gingerring.backend.Back;
-import gingerring.decide.MemberEntry.Standing;
+import gingerring.decide.MemberEntry.Status;
 import gingerring.decide.Settings;
 import gingerring.discovery.Members;
 import gingerring.discovery.Watch;
@@ -103,7 +103,7 @@
                             "a",
                             "toy",
                             number % 4,
-                            Standing.READY,
+                            Status.READY,
                             1,
                             0),
                         new Members.Member(
@@ -112,7 +112,7 @@
                             "a",
                             "toy",
                             number % 4,
-                            Standing.GONE,
+                            Status.GONE,
                             1,
                             0))));
             host.take(
@@ -188,12 +188,12 @@
           back,
           new Watch(network, address, 0, host, counts, loop),
           1,
-          memberList(true, Standing.READY));
+          memberList(true, Status.READY));
     }
 
-    Members memberList(boolean complete, Standing standing) {
+    Members memberList(boolean complete, Status status) {
       return new Members(
-          1, complete, List.of(new Members.Member("s-0", address, "a", "toy", 0, standing, 1, 0)));
+          1, complete, List.of(new Members.Member("s-0", address, "a", "toy", 0, status, 1, 0)));
     }
 
     void run(Runnable event, Duration duration) {
@@ -227,7 +227,7 @@
                     fixture.loop.post(
                         () -> { // two turns later
                           assertEquals(List.of(), outcomes);
-                          fixture.host.list(fixture.memberList(true, Standing.DRAINING));
+                          fixture.host.list(fixture.memberList(true, Status.DRAINING));
                           fixture.host.word();
                           assertTrue(fixture.host.ready());
                         }));
@@ -249,7 +249,7 @@
             fixture.host.word();
             fixture.host.take(
                 scanRequest("a", 0), fixture.loop.now(), new RecordingReply("scan", outcomes));
-            fixture.host.list(fixture.memberList(false, Standing.DRAINING));
+            fixture.host.list(fixture.memberList(false, Status.DRAINING));
           },
           Duration.ofMillis(300));
       assertEquals(List.of("scan nacked"), outcomes);
@@ -263,7 +263,7 @@
    */
   @Test
   void dropsPartsWaitingToConnectToDrainingOrGoneSearcher() throws IOException, Json.Malformed {
-    for (Standing standing : List.of(Standing.DRAINING, Standing.GONE)) {
+    for (Status status : List.of(Status.DRAINING, Status.GONE)) {
       try (FullBacklogListener listener = new FullBacklogListener()) {
         HostFixture fixture = new HostFixture(listener.address());
         List<String> outcomes = new ArrayList<>();
@@ -275,7 +275,7 @@
               fixture.loop.post(
                   () ->
                       fixture.loop.post(
-                          () -> fixture.host.list(fixture.memberList(false, standing))));
+                          () -> fixture.host.list(fixture.memberList(false, status))));
             },
             Duration.ofMillis(300));
         assertEquals(List.of("scan nacked"), outcomes);
