--- a/mixer/src/test/java/gingerring/discovery/MemberListUpdateTest.java
+++ b/mixer/src/test/java/gingerring/discovery/MemberListUpdateTest.java
@@ -29,8 +29,7 @@
    */
   @Test
   void refusesAListWithAMemberThatCannotBe() throws Json.JsonException {
-    assertEquals(
-        List.of(1.5f), read(GOOD).members().stream().map(MemberListUpdate.Member::size).toList());
+    assertEquals(List.of(1.5f), read(GOOD).members().stream().map(MemberListUpdate.Member::size).toList());
     for (String[] swap :
         new String[][] {
           {"\"s-1\"", "\"\""},
