--- a/cli/src/main/java/gingerring/cli/LayoutFile.java
+++ b/cli/src/main/java/gingerring/cli/LayoutFile.java
@@ -1,7 +1,7 @@
 package gingerring.cli;
 
-import gingerring.json.JsonFields;
 import gingerring.json.Json;
+import gingerring.json.JsonFields;
 import gingerring.layout.BoxId;
 import gingerring.layout.KeyRange;
 import gingerring.layout.Layout;
@@ -34,7 +34,10 @@
         folios.add(folio(JsonFields.object(each, "it")));
       }
       place = "";
-      return Layout.of(JsonFields.nonNegativeInteger(object, "version"), JsonFields.nonNegativeInteger(object, "keys"), folios);
+      return Layout.of(
+          JsonFields.nonNegativeInteger(object, "version"),
+          JsonFields.nonNegativeInteger(object, "keys"),
+          folios);
     } catch (Json.JsonException | LayoutException | IllegalArgumentException e) {
       throw new IOException(file + ": " + place + e.getMessage());
     }
--- a/emulator/src/main/java/gingerring/emulator/core/Scenario.java
+++ b/emulator/src/main/java/gingerring/emulator/core/Scenario.java
@@ -1,7 +1,7 @@
 package gingerring.emulator.core;
 
-import gingerring.json.JsonFields;
 import gingerring.json.Json;
+import gingerring.json.JsonFields;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -152,7 +152,8 @@
       List<ServiceClass> grades = new ArrayList<>();
       for (Object each : list("grades")) {
         grades.add(
-            new Reading(JsonFields.object(each, "a grade"), "grades." + grades.size() + ".").grade());
+            new Reading(JsonFields.object(each, "a grade"), "grades." + grades.size() + ".")
+                .grade());
       }
       int boxes = (int) number("boxes", 12, 1, 2000);
       List<BoxFault> troubles = new ArrayList<>();
--- a/emulator/src/main/java/gingerring/emulator/experiment/RandomRouter.java
+++ b/emulator/src/main/java/gingerring/emulator/experiment/RandomRouter.java
@@ -2,11 +2,11 @@
 
 import gingerring.emulator.core.Scenario;
 import gingerring.emulator.core.Scenario.ServiceClass;
-import gingerring.http.MessageHead;
-import gingerring.http.HttpWriter;
 import gingerring.http.HttpException;
-import gingerring.json.JsonFields;
+import gingerring.http.HttpWriter;
+import gingerring.http.MessageHead;
 import gingerring.json.Json;
+import gingerring.json.JsonFields;
 import gingerring.traffic.wire.HttpHandler;
 import gingerring.traffic.wire.Reactor;
 import gingerring.traffic.wire.ReactorConnection;
@@ -138,7 +138,9 @@
         Scan scan = new Scan(this, head.header("X-Txn"), world.grade(head.header("X-Lane")));
         for (Object each : JsonFields.list(asked, "targets")) {
           Map<String, Object> target = JsonFields.object(each, "a target");
-          scan.shares.put((int) JsonFields.nonNegativeInteger(target, "partition"), JsonFields.number(target, "share"));
+          scan.shares.put(
+              (int) JsonFields.nonNegativeInteger(target, "partition"),
+              JsonFields.number(target, "share"));
         }
         scans.put(scan.mark, scan);
         String key = head.header("Idempotency-Key");
--- a/emulator/src/main/java/gingerring/emulator/harness/FleetScenario.java
+++ b/emulator/src/main/java/gingerring/emulator/harness/FleetScenario.java
@@ -3,8 +3,8 @@
 import gingerring.emulator.core.Scenario;
 import gingerring.emulator.core.Scenario.InvalidScenario;
 import gingerring.emulator.core.SeededDraw;
-import gingerring.json.JsonFields;
 import gingerring.json.Json;
+import gingerring.json.JsonFields;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -100,7 +100,8 @@
     known(fleet, FLEET, "fleet.");
     int mixers = (int) number(fleet, "mixers", "fleet.", 8, 1, 1000);
     List<String> zones = new ArrayList<>();
-    for (Object each : fleet.containsKey("zones") ? JsonFields.list(fleet, "zones") : List.of("a")) {
+    for (Object each :
+        fleet.containsKey("zones") ? JsonFields.list(fleet, "zones") : List.of("a")) {
       if (!(each instanceof String zone) || !zone.matches("[a-z0-9-]{1,20}")) {
         throw new InvalidScenario("fleet.zones." + zones.size() + " is no name of a zone: " + each);
       }
@@ -112,7 +113,8 @@
     List<Fault> faults = new ArrayList<>();
     for (Object each : fleet.containsKey("faults") ? JsonFields.list(fleet, "faults") : List.of()) {
       String place = "fleet.faults." + faults.size() + '.';
-      faults.add(fault(world, mixers, JsonFields.object(each, place + " here"), place, faults.size()));
+      faults.add(
+          fault(world, mixers, JsonFields.object(each, place + " here"), place, faults.size()));
     }
     return new FleetScenario(
         world,
--- a/mixer/src/main/java/gingerring/discovery/DiscoveryWatch.java
+++ b/mixer/src/main/java/gingerring/discovery/DiscoveryWatch.java
@@ -1,16 +1,16 @@
 package gingerring.discovery;
 
 import gingerring.decide.Settings;
-import gingerring.http.MessageHead;
+import gingerring.http.HttpException;
 import gingerring.http.HttpParser;
 import gingerring.http.HttpWriter;
-import gingerring.http.HttpException;
+import gingerring.http.MessageHead;
 import gingerring.json.Json;
 import gingerring.net.Connection;
-import gingerring.net.Counters;
-import gingerring.net.Network;
 import gingerring.net.ConnectionHandler;
+import gingerring.net.Counters;
 import gingerring.net.LoopTimer;
+import gingerring.net.Network;
 import java.io.ByteArrayOutputStream;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
--- a/mixer/src/main/java/gingerring/discovery/MemberListUpdate.java
+++ b/mixer/src/main/java/gingerring/discovery/MemberListUpdate.java
@@ -1,8 +1,8 @@
 package gingerring.discovery;
 
 import gingerring.decide.MemberEntry.Status;
-import gingerring.json.JsonFields;
 import gingerring.json.Json;
+import gingerring.json.JsonFields;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.UnknownHostException;
--- a/mixer/src/main/java/gingerring/frontend/Asks.java
+++ b/mixer/src/main/java/gingerring/frontend/Asks.java
@@ -1,10 +1,10 @@
 package gingerring.frontend;
 
 import gingerring.decide.Settings;
-import gingerring.http.MessageHead;
 import gingerring.http.HttpException;
-import gingerring.json.JsonFields;
+import gingerring.http.MessageHead;
 import gingerring.json.Json;
+import gingerring.json.JsonFields;
 import java.nio.ByteBuffer;
 import java.nio.CharBuffer;
 import java.nio.charset.CharacterCodingException;
@@ -119,7 +119,8 @@
         throw new Json.JsonException("share is not positive");
       }
       sum += share;
-      long micros = target.containsKey("est_us") ? JsonFields.nonNegativeInteger(target, "est_us") : 0;
+      long micros =
+          target.containsKey("est_us") ? JsonFields.nonNegativeInteger(target, "est_us") : 0;
       pieces.add(
           new Ask.Piece(
               (int) shard,
--- a/mixer/src/main/java/gingerring/frontend/Client.java
+++ b/mixer/src/main/java/gingerring/frontend/Client.java
@@ -1,9 +1,9 @@
 package gingerring.frontend;
 
-import gingerring.http.MessageHead;
+import gingerring.http.HttpException;
 import gingerring.http.HttpParser;
 import gingerring.http.HttpWriter;
-import gingerring.http.HttpException;
+import gingerring.http.MessageHead;
 import gingerring.net.Connection;
 import gingerring.net.ConnectionHandler;
 import java.io.ByteArrayOutputStream;
@@ -214,7 +214,10 @@
     String path = query < 0 ? head.targetOrStatus() : head.targetOrStatus().substring(0, query);
     switch (path) {
       case "/ready" ->
-          respond(!head.methodOrVersion().equals("GET") ? 405 : front.ready() ? 200 : 503, "", new byte[0]);
+          respond(
+              !head.methodOrVersion().equals("GET") ? 405 : front.ready() ? 200 : 503,
+              "",
+              new byte[0]);
       case "/api" -> {
         if (!head.methodOrVersion().equals("POST")) {
           respond(405, "", new byte[0]);
--- a/mixer/src/main/java/gingerring/http/HttpParser.java
+++ b/mixer/src/main/java/gingerring/http/HttpParser.java
@@ -167,7 +167,8 @@
   }
 
   private boolean headEnded() throws HttpException {
-    MessageHead head = new MessageHead(words[0], words[1], words.length > 2 ? words[2] : "", headers);
+    MessageHead head =
+        new MessageHead(words[0], words[1], words.length > 2 ? words[2] : "", headers);
     String length = head.header("content-length");
     String coding = head.header("transfer-encoding");
     bodyLength = 0;
--- a/mixer/src/main/java/gingerring/http/MessageHead.java
+++ b/mixer/src/main/java/gingerring/http/MessageHead.java
@@ -4,7 +4,11 @@
 import java.util.Map;
 
 /** The first line of a message in its three words, and its headers by names in small letters. */
-public record MessageHead(String methodOrVersion, String targetOrStatus, String versionOrReason, Map<String, String> headers) {
+public record MessageHead(
+    String methodOrVersion,
+    String targetOrStatus,
+    String versionOrReason,
+    Map<String, String> headers) {
   public String header(String name) {
     return headers.get(name.toLowerCase(Locale.ROOT));
   }
--- a/mixer/src/main/java/gingerring/json/Json.java
+++ b/mixer/src/main/java/gingerring/json/Json.java
@@ -10,9 +10,9 @@
 import java.util.regex.Pattern;
 
 /**
- * Reads JSON (RFC 8259) strictly: one value, UTF-8, no name twice, no deeper than {@link #MAX_DEPTH}.
- * Values come as {@code Map}, {@code List}, {@code String}, {@code Double}, {@code Boolean} and
- * null.
+ * Reads JSON (RFC 8259) strictly: one value, UTF-8, no name twice, no deeper than {@link
+ * #MAX_DEPTH}. Values come as {@code Map}, {@code List}, {@code String}, {@code Double}, {@code
+ * Boolean} and null.
  */
 public final class Json {
   /** Input that is not JSON. */
--- a/mixer/src/main/java/gingerring/json/JsonFields.java
+++ b/mixer/src/main/java/gingerring/json/JsonFields.java
@@ -40,7 +40,8 @@
   }
 
   /** A whole number from 0 on. */
-  public static long nonNegativeInteger(Map<String, Object> from, String name) throws Json.JsonException {
+  public static long nonNegativeInteger(Map<String, Object> from, String name)
+      throws Json.JsonException {
     double number = number(from, name);
     if (number < 0 || number != Math.rint(number) || number > WHOLE_MOST) {
       throw new Json.JsonException(name + " is no whole number");
@@ -48,7 +49,8 @@
     return (long) number;
   }
 
-  public static boolean booleanValue(Map<String, Object> from, String name) throws Json.JsonException {
+  public static boolean booleanValue(Map<String, Object> from, String name)
+      throws Json.JsonException {
     if (from.get(name) instanceof Boolean flag) {
       return flag;
     }
--- a/mixer/src/main/java/gingerring/net/Network.java
+++ b/mixer/src/main/java/gingerring/net/Network.java
@@ -317,7 +317,8 @@
       return 0;
     }
     double yetToDial = Math.max(0, DIALLED_MOST * most - dialled);
-    return (int) Math.max(0, Math.min(KEPT_FREE * most, 2 * spare() + yetToDial) - availableConnections());
+    return (int)
+        Math.max(0, Math.min(KEPT_FREE * most, 2 * spare() + yetToDial) - availableConnections());
   }
 
   /** {@code task} is run on the loop's thread when something is dialled while room is short. */
--- a/mixer/src/main/java/gingerring/server/MixerConfig.java
+++ b/mixer/src/main/java/gingerring/server/MixerConfig.java
@@ -2,8 +2,8 @@
 
 import gingerring.decide.Settings;
 import gingerring.discovery.MemberListUpdate;
-import gingerring.json.JsonFields;
 import gingerring.json.Json;
+import gingerring.json.JsonFields;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
@@ -144,7 +144,8 @@
   private static int sockets(Map<String, Object> told) throws InvalidConfig {
     double sockets = SOCKETS_USUAL;
     try {
-      Map<String, Object> limits = JsonFields.object(told.getOrDefault("limits", Map.of()), "limits");
+      Map<String, Object> limits =
+          JsonFields.object(told.getOrDefault("limits", Map.of()), "limits");
       if (limits.containsKey("sockets")) {
         sockets = JsonFields.number(limits, "sockets");
       }
--- a/mixer/src/main/java/gingerring/server/MixerHost.java
+++ b/mixer/src/main/java/gingerring/server/MixerHost.java
@@ -13,8 +13,8 @@
 import gingerring.decide.SearcherId;
 import gingerring.decide.Settings;
 import gingerring.decide.TimerId;
-import gingerring.discovery.MemberListUpdate;
 import gingerring.discovery.DiscoveryWatch;
+import gingerring.discovery.MemberListUpdate;
 import gingerring.frontend.Ask;
 import gingerring.frontend.Intake;
 import gingerring.frontend.Reply;
@@ -273,7 +273,8 @@
     replies.remove(scan.reply);
     // a part that is in is held no longer, as in the simulator
     held -= 1 + (int) scan.pieces.stream().filter(piece -> piece.value == null).count();
-    counts.checkInvariant(held >= 0 && scans.isEmpty() == (held == 0), "what is held is what is open");
+    counts.checkInvariant(
+        held >= 0 && scans.isEmpty() == (held == 0), "what is held is what is open");
     scan.pieces.forEach(this::withdraw);
     scan.pieces.forEach(this::drop);
   }
--- a/mixer/src/main/java/gingerring/server/MixerServer.java
+++ b/mixer/src/main/java/gingerring/server/MixerServer.java
@@ -90,7 +90,10 @@
    * none of either.
    */
   public static int run(
-      Map<String, String> env, PrintStream complaints, TrafficListener tap, PeerService neighbours) {
+      Map<String, String> env,
+      PrintStream complaints,
+      TrafficListener tap,
+      PeerService neighbours) {
     MixerServer serve = new MixerServer(env, tap, neighbours);
     // before anything is read: untended, SIGHUP ends a process, and one that comes early is not to
     // be lost
--- a/mixer/src/main/java/gingerring/server/Practice.java
+++ b/mixer/src/main/java/gingerring/server/Practice.java
@@ -1,9 +1,9 @@
 package gingerring.server;
 
 import gingerring.net.Connection;
+import gingerring.net.ConnectionHandler;
 import gingerring.net.Counters;
 import gingerring.net.Network;
-import gingerring.net.ConnectionHandler;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
--- a/mixer/src/main/java/gingerring/server/Rehearsal.java
+++ b/mixer/src/main/java/gingerring/server/Rehearsal.java
@@ -3,13 +3,13 @@
 import gingerring.backend.Back;
 import gingerring.decide.MemberEntry.Status;
 import gingerring.decide.Settings;
-import gingerring.discovery.MemberListUpdate;
 import gingerring.discovery.DiscoveryWatch;
+import gingerring.discovery.MemberListUpdate;
 import gingerring.frontend.Front;
 import gingerring.net.Connection;
+import gingerring.net.ConnectionHandler;
 import gingerring.net.Counters;
 import gingerring.net.Network;
-import gingerring.net.ConnectionHandler;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -62,7 +62,8 @@
     List<MemberListUpdate.Member> members = new ArrayList<>();
     for (int cell = 0; cell < terms.count("Domain.Places"); cell++) {
       members.add(
-          new MemberListUpdate.Member("sample-" + cell, searchers, "", "", cell, Status.READY, 1, 0));
+          new MemberListUpdate.Member(
+              "sample-" + cell, searchers, "", "", cell, Status.READY, 1, 0));
     }
     DiscoveryWatch watch = new DiscoveryWatch(network, place(3), 0, desk, counts, loop);
     desk.start(back, watch, 0, new MemberListUpdate(0, true, members));
--- a/mixer/src/test/java/gingerring/discovery/MemberListUpdateTest.java
+++ b/mixer/src/test/java/gingerring/discovery/MemberListUpdateTest.java
@@ -29,7 +29,8 @@
    */
   @Test
   void refusesAListWithAMemberThatCannotBe() throws Json.JsonException {
-    assertEquals(List.of(1.5f), read(GOOD).members().stream().map(MemberListUpdate.Member::size).toList());
+    assertEquals(
+        List.of(1.5f), read(GOOD).members().stream().map(MemberListUpdate.Member::size).toList());
     for (String[] swap :
         new String[][] {
           {"\"s-1\"", "\"\""},
--- a/mixer/src/test/java/gingerring/server/DialCrossingTest.java
+++ b/mixer/src/test/java/gingerring/server/DialCrossingTest.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import gingerring.net.Connection;
+import gingerring.net.ConnectionHandler;
 import gingerring.net.Counters;
 import gingerring.net.Network;
-import gingerring.net.ConnectionHandler;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
--- a/mixer/src/test/java/gingerring/server/FrontCrossingTest.java
+++ b/mixer/src/test/java/gingerring/server/FrontCrossingTest.java
@@ -379,7 +379,8 @@
           rig.awaitCount("half requests shed", 1);
           assertTrue(halves.get(0).readAnswer().startsWith("503"));
           assertEquals("closed", halves.get(0).awaitEnd());
-          MixerTestHarness.await("room for a newcomer", () -> rig.server.network().availableConnections() > 40);
+          MixerTestHarness.await(
+              "room for a newcomer", () -> rig.server.network().availableConnections() > 40);
           MixerTestHarness.Client client = rig.connectClient();
           client.write(rig.scanRequest("search", 2000, 0));
           assertTrue(client.readAnswer().startsWith("200"));
--- a/mixer/src/test/java/gingerring/server/MixerConfigTest.java
+++ b/mixer/src/test/java/gingerring/server/MixerConfigTest.java
@@ -5,8 +5,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import gingerring.decide.Settings;
-import gingerring.json.JsonFields;
 import gingerring.json.Json;
+import gingerring.json.JsonFields;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Map;
--- a/mixer/src/test/java/gingerring/server/MixerHostTest.java
+++ b/mixer/src/test/java/gingerring/server/MixerHostTest.java
@@ -7,8 +7,8 @@
 import gingerring.backend.Back;
 import gingerring.decide.MemberEntry.Status;
 import gingerring.decide.Settings;
-import gingerring.discovery.MemberListUpdate;
 import gingerring.discovery.DiscoveryWatch;
+import gingerring.discovery.MemberListUpdate;
 import gingerring.frontend.Ask;
 import gingerring.frontend.Reply;
 import gingerring.json.Json;
@@ -193,7 +193,9 @@
 
     MemberListUpdate memberList(boolean complete, Status status) {
       return new MemberListUpdate(
-          1, complete, List.of(new MemberListUpdate.Member("s-0", address, "a", "toy", 0, status, 1, 0)));
+          1,
+          complete,
+          List.of(new MemberListUpdate.Member("s-0", address, "a", "toy", 0, status, 1, 0)));
     }
 
     void run(Runnable event, Duration duration) {
@@ -296,9 +298,13 @@
     Loop loop = new Loop(counts);
     Network network = new Network(loop, counts, true);
     MixerHost host = new MixerHost(loop, settings, counts, 0);
-    DiscoveryWatch watch = new DiscoveryWatch(network, new InetSocketAddress("127.0.0.1", 1), 0, host, counts, loop);
+    DiscoveryWatch watch =
+        new DiscoveryWatch(network, new InetSocketAddress("127.0.0.1", 1), 0, host, counts, loop);
     host.start(
-        new Back(network, host, settings, counts, loop), watch, 1, new MemberListUpdate(0, true, List.of()));
+        new Back(network, host, settings, counts, loop),
+        watch,
+        1,
+        new MemberListUpdate(0, true, List.of()));
     List<String> outcomes = new ArrayList<>();
     host.take(scanRequest("a", 7), Duration.ZERO, new RecordingReply("unknown grade", outcomes));
     host.take(scanRequest("b", 0), Duration.ZERO, new RecordingReply("good", outcomes));
--- a/mixer/src/test/java/gingerring/server/MixerTestHarness.java
+++ b/mixer/src/test/java/gingerring/server/MixerTestHarness.java
@@ -66,7 +66,8 @@
    * {@code tap} is told of all that the mixer's connections carry, on the threads that do; null for
    * none.
    */
-  MixerTestHarness(TrafficListener tap, boolean discoveryListens, String... replacements) throws Exception {
+  MixerTestHarness(TrafficListener tap, boolean discoveryListens, String... replacements)
+      throws Exception {
     agent = closeAtEnd(new DiscoveryAgent(discoveryListens));
     Path example = Files.exists(Path.of("example")) ? Path.of("example") : Path.of("../example");
     configTemplate =
--- a/mixer/src/test/java/gingerring/server/PracticeTest.java
+++ b/mixer/src/test/java/gingerring/server/PracticeTest.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import gingerring.net.Connection;
+import gingerring.net.ConnectionHandler;
 import gingerring.net.Counters;
 import gingerring.net.Network;
-import gingerring.net.ConnectionHandler;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
--- a/mixer/src/test/java/gingerring/server/WatchCrossingTest.java
+++ b/mixer/src/test/java/gingerring/server/WatchCrossingTest.java
@@ -251,7 +251,8 @@
         trickle.write("HTTP/1.1 200 OK\r\n");
         stage.pass(125);
         assertEquals(2 + i, stage.calls());
-        MixerTestHarness.await("eight connections at most", () -> stage.network.connectionCount() <= 8);
+        MixerTestHarness.await(
+            "eight connections at most", () -> stage.network.connectionCount() <= 8);
       }
     }
   }
--- a/mixer/src/test/java/gingerring/server/WatchStage.java
+++ b/mixer/src/test/java/gingerring/server/WatchStage.java
@@ -1,11 +1,11 @@
 package gingerring.server;
 
 import gingerring.decide.Settings;
-import gingerring.discovery.MemberListUpdate;
 import gingerring.discovery.DiscoveryWatch;
+import gingerring.discovery.MemberListUpdate;
 import gingerring.net.Counters;
-import gingerring.net.Network;
 import gingerring.net.LoopTimer;
+import gingerring.net.Network;
 import java.io.Closeable;
 import java.io.IOException;
 import java.net.InetSocketAddress;
--- a/mixer/src/test/java/gingerring/server/WatchTest.java
+++ b/mixer/src/test/java/gingerring/server/WatchTest.java
@@ -4,11 +4,11 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gingerring.discovery.MemberListUpdate;
 import gingerring.discovery.DiscoveryWatch;
+import gingerring.discovery.MemberListUpdate;
 import gingerring.net.Counters;
-import gingerring.net.Network;
 import gingerring.net.LoopTimer;
+import gingerring.net.Network;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
--- a/peering/src/main/java/gingerring/peering/PeerSettings.java
+++ b/peering/src/main/java/gingerring/peering/PeerSettings.java
@@ -1,7 +1,7 @@
 package gingerring.peering;
 
-import gingerring.json.JsonFields;
 import gingerring.json.Json;
+import gingerring.json.JsonFields;
 import gingerring.peers.Membership;
 import gingerring.peers.MessageAuthenticator;
 import gingerring.peers.PeerAddress;
--- a/traffic/src/main/java/gingerring/traffic/record/Anonymiser.java
+++ b/traffic/src/main/java/gingerring/traffic/record/Anonymiser.java
@@ -1,8 +1,8 @@
 package gingerring.traffic.record;
 
-import gingerring.http.MessageHead;
-import gingerring.http.HttpParser;
 import gingerring.http.HttpException;
+import gingerring.http.HttpParser;
+import gingerring.http.MessageHead;
 import gingerring.net.ByteRing;
 import gingerring.traffic.flow.Bounds;
 import gingerring.traffic.flow.Flow;
@@ -133,7 +133,13 @@
       kept = new ByteArrayOutputStream();
       byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
       StringBuilder text =
-          new StringBuilder(head.methodOrVersion() + ' ' + head.targetOrStatus() + ' ' + head.versionOrReason() + "\r\n");
+          new StringBuilder(
+              head.methodOrVersion()
+                  + ' '
+                  + head.targetOrStatus()
+                  + ' '
+                  + head.versionOrReason()
+                  + "\r\n");
       head.headers()
           .forEach(
               (name, value) -> {
--- a/traffic/src/main/java/gingerring/traffic/record/Blanks.java
+++ b/traffic/src/main/java/gingerring/traffic/record/Blanks.java
@@ -1,7 +1,7 @@
 package gingerring.traffic.record;
 
-import gingerring.json.JsonFields;
 import gingerring.json.Json;
+import gingerring.json.JsonFields;
 import java.nio.charset.StandardCharsets;
 import java.security.GeneralSecurityException;
 import java.util.HexFormat;
--- a/traffic/src/main/java/gingerring/traffic/replay/Replayer.java
+++ b/traffic/src/main/java/gingerring/traffic/replay/Replayer.java
@@ -1,7 +1,7 @@
 package gingerring.traffic.replay;
 
-import gingerring.http.MessageHead;
 import gingerring.http.HttpException;
+import gingerring.http.MessageHead;
 import gingerring.traffic.scan.Answer;
 import gingerring.traffic.scan.ObservedScan;
 import gingerring.traffic.scan.ObservedScan.ScanOutcome;
--- a/traffic/src/main/java/gingerring/traffic/scan/Answer.java
+++ b/traffic/src/main/java/gingerring/traffic/scan/Answer.java
@@ -1,8 +1,8 @@
 package gingerring.traffic.scan;
 
 import gingerring.http.MessageHead;
-import gingerring.json.JsonFields;
 import gingerring.json.Json;
+import gingerring.json.JsonFields;
 import gingerring.traffic.scan.ObservedScan.ScanOutcome;
 import java.time.Duration;
 import java.util.Map;
@@ -20,7 +20,8 @@
     Duration comeBack,
     String wrong) {
   public static Answer read(MessageHead head, byte[] body) {
-    int status = head.targetOrStatus().matches("[0-9]{3}") ? Integer.parseInt(head.targetOrStatus()) : 0;
+    int status =
+        head.targetOrStatus().matches("[0-9]{3}") ? Integer.parseInt(head.targetOrStatus()) : 0;
     String told = head.header("retry-after");
     Duration comeBack =
         told != null && told.matches("[0-9]{1,6}(\\.[0-9]{1,6})?")
@@ -40,7 +41,9 @@
       Map<Integer, String> values = new TreeMap<>();
       for (Object each : JsonFields.list(object, "results")) {
         Map<String, Object> result = JsonFields.object(each, "a result");
-        values.put((int) JsonFields.nonNegativeInteger(result, "partition"), JsonFields.string(result, "value"));
+        values.put(
+            (int) JsonFields.nonNegativeInteger(result, "partition"),
+            JsonFields.string(result, "value"));
       }
       boolean whole = JsonFields.booleanValue(object, "whole");
       return new Answer(
--- a/traffic/src/main/java/gingerring/traffic/scan/Exchange.java
+++ b/traffic/src/main/java/gingerring/traffic/scan/Exchange.java
@@ -1,8 +1,8 @@
 package gingerring.traffic.scan;
 
 import gingerring.http.MessageHead;
-import gingerring.json.JsonFields;
 import gingerring.json.Json;
+import gingerring.json.JsonFields;
 import gingerring.traffic.scan.ObservedScan.ScanOutcome;
 import gingerring.traffic.scan.ObservedScan.Target;
 import java.io.ByteArrayOutputStream;
@@ -129,7 +129,9 @@
       for (Object each : JsonFields.list(object, "targets")) {
         Map<String, Object> target = JsonFields.object(each, "a target");
         targets.add(
-            new Target((int) JsonFields.nonNegativeInteger(target, "partition"), JsonFields.number(target, "share")));
+            new Target(
+                (int) JsonFields.nonNegativeInteger(target, "partition"),
+                JsonFields.number(target, "share")));
       }
     } catch (Json.JsonException e) {
       wrong = wrong.isEmpty() ? "no scan's body: " + e.getMessage() : wrong;
@@ -166,7 +168,10 @@
   /** The request anew, its body framed by its length. */
   private static byte[] again(MessageHead head, byte[] body) {
     StringBuilder text =
-        new StringBuilder(head.methodOrVersion()).append(' ').append(head.targetOrStatus()).append(" HTTP/1.1\r\n");
+        new StringBuilder(head.methodOrVersion())
+            .append(' ')
+            .append(head.targetOrStatus())
+            .append(" HTTP/1.1\r\n");
     head.headers()
         .forEach(
             (name, value) -> {
--- a/traffic/src/main/java/gingerring/traffic/scan/HttpTalk.java
+++ b/traffic/src/main/java/gingerring/traffic/scan/HttpTalk.java
@@ -1,8 +1,8 @@
 package gingerring.traffic.scan;
 
-import gingerring.http.MessageHead;
-import gingerring.http.HttpParser;
 import gingerring.http.HttpException;
+import gingerring.http.HttpParser;
+import gingerring.http.MessageHead;
 import gingerring.net.ByteRing;
 import gingerring.traffic.flow.Flow;
 import java.io.ByteArrayOutputStream;
--- a/traffic/src/main/java/gingerring/traffic/scan/Message.java
+++ b/traffic/src/main/java/gingerring/traffic/scan/Message.java
@@ -55,8 +55,10 @@
   /** One that the parser read. */
   static Message of(MessageHead head, byte[] body) {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
-    StringBuilder text = new StringBuilder(head.methodOrVersion()).append(' ').append(head.targetOrStatus());
-    text.append(head.versionOrReason().isEmpty() ? "" : " " + head.versionOrReason()).append("\r\n");
+    StringBuilder text =
+        new StringBuilder(head.methodOrVersion()).append(' ').append(head.targetOrStatus());
+    text.append(head.versionOrReason().isEmpty() ? "" : " " + head.versionOrReason())
+        .append("\r\n");
     head.headers()
         .forEach((name, value) -> text.append(name).append(": ").append(value).append("\r\n"));
     out.writeBytes(text.append("\r\n").toString().getBytes(StandardCharsets.ISO_8859_1));
--- a/traffic/src/main/java/gingerring/traffic/wire/HttpHandler.java
+++ b/traffic/src/main/java/gingerring/traffic/wire/HttpHandler.java
@@ -1,8 +1,8 @@
 package gingerring.traffic.wire;
 
-import gingerring.http.MessageHead;
-import gingerring.http.HttpParser;
 import gingerring.http.HttpException;
+import gingerring.http.HttpParser;
+import gingerring.http.MessageHead;
 import gingerring.net.ByteRing;
 import java.io.ByteArrayOutputStream;
 
@@ -40,7 +40,8 @@
                 byte[] bytes = body.toByteArray();
                 head = null;
                 body = new ByteArrayOutputStream();
-                if (requests || !whole.targetOrStatus().startsWith("1")) { // 100 Continue is no answer yet
+                if (requests
+                    || !whole.targetOrStatus().startsWith("1")) { // 100 Continue is no answer yet
                   message(whole, bytes);
                 }
               }
--- a/traffic/src/test/java/gingerring/traffic/scan/MessageTest.java
+++ b/traffic/src/test/java/gingerring/traffic/scan/MessageTest.java
@@ -4,9 +4,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gingerring.http.MessageHead;
-import gingerring.http.HttpParser;
 import gingerring.http.HttpException;
+import gingerring.http.HttpParser;
+import gingerring.http.MessageHead;
 import gingerring.net.ByteRing;
 import gingerring.traffic.Talks;
 import gingerring.traffic.scan.ObservedScan.ScanOutcome;
