--- a/mixer/src/main/java/gingerring/backend/Backend.java
+++ b/mixer/src/main/java/gingerring/backend/Backend.java
@@ -3,9 +3,9 @@
 import gingerring.decide.Outcome;
 import gingerring.decide.SearcherId;
 import gingerring.decide.Settings;
-import gingerring.net.Counts;
+import gingerring.net.Counters;
+import gingerring.net.LoopTimer;
 import gingerring.net.Network;
-import gingerring.net.TurnClock;
 import java.net.InetSocketAddress;
 import java.time.Duration;
 import java.util.LinkedHashSet;
@@ -27,8 +27,8 @@
 
   private final Network network;
   private final BackendListener listener;
-  private final Counts counts;
-  private final TurnClock clock;
+  private final Counters counts;
+  private final LoopTimer clock;
   private final LoadReportParser loadReportParser;
   private final int maxPartsPerCall;
   private final int maxTripsPerConnection;
@@ -41,7 +41,7 @@
   private Duration lastBadFrameLog;
 
   public Backend(
-      Network network, BackendListener returns, Settings terms, Counts counts, TurnClock clock) {
+      Network network, BackendListener returns, Settings terms, Counters counts, LoopTimer clock) {
     this.network = network;
     this.listener = returns;
     this.counts = counts;
@@ -61,7 +61,7 @@
     boolean byProbe =
         terms.has("LoadReport.Source") && terms.text("LoadReport.Source").equals("probe");
     probeLetter = byProbe ? 'M' : 'H';
-    clock.wakeAfter(SWEEP_INTERVAL, this::closeIdleConnections);
+    clock.schedule(SWEEP_INTERVAL, this::closeIdleConnections);
   }
 
   /** The list has this searcher, at an address, up since a moment (null: long ago). */
@@ -98,7 +98,7 @@
     }
     errand.queuedAt = now();
     station.send(errand);
-    clock.wakeAfter(
+    clock.schedule(
         errand.deadline.minus(now()),
         () -> {
           if (!cancelIfUnsent(errand) && !errand.ended) {
@@ -163,7 +163,7 @@
   private void closeIdleConnections() {
     pools.values().removeIf(ConnectionPool::unused);
     pools.values().forEach(ConnectionPool::closeIdleTooLong);
-    clock.wakeAfter(SWEEP_INTERVAL, this::closeIdleConnections);
+    clock.schedule(SWEEP_INTERVAL, this::closeIdleConnections);
   }
 
   /** How many searchers something is kept for. */
@@ -206,13 +206,13 @@
     return network;
   }
 
-  Counts counts() {
+  Counters counts() {
     return counts;
   }
 
   /** The time since the start, read now. */
   Duration currentTime() {
-    return network.clock();
+    return network.currentTime();
   }
 
   Duration now() {
@@ -220,7 +220,7 @@
   }
 
   void wakeAfter(Duration span, Runnable task) {
-    clock.wakeAfter(span, task);
+    clock.schedule(span, task);
   }
 
   LoadReportParser loadReportParser() {
--- a/mixer/src/main/java/gingerring/backend/SearcherConnection.java
+++ b/mixer/src/main/java/gingerring/backend/SearcherConnection.java
@@ -2,7 +2,7 @@
 
 import gingerring.decide.Outcome;
 import gingerring.net.Connection;
-import gingerring.net.Party;
+import gingerring.net.ConnectionHandler;
 import java.nio.ByteBuffer;
 import java.nio.charset.CharacterCodingException;
 import java.nio.charset.StandardCharsets;
@@ -19,7 +19,7 @@
 import java.util.Set;
 
 /** One connection to a searcher, with the calls and probes that are out on it. */
-final class SearcherConnection implements Party {
+final class SearcherConnection implements ConnectionHandler {
   /** A probe on its way, in the order in which its kind is answered. */
   static final class PendingProbe {
     final Duration sentAt;
@@ -83,7 +83,7 @@
   }
 
   boolean connected() {
-    return opened && !retired && connection.usable();
+    return opened && !retired && connection.isUsable();
   }
 
   /** Its dial was turned away, and not given up from here. */
@@ -93,7 +93,7 @@
 
   /** Its dial is under way. */
   boolean dialing() {
-    return !opened && !retired && connection.usable();
+    return !opened && !retired && connection.isUsable();
   }
 
   /** Up or coming up in its time, and open to what is new. */
@@ -103,7 +103,7 @@
 
   /** Whether it takes frames now. */
   boolean usable() {
-    return connected() && connection.open() && !idleTooLong();
+    return connected() && connection.isOpen() && !idleTooLong();
   }
 
   /** What was put a dial's time ago has not left: the searcher does not read. */
@@ -115,7 +115,7 @@
 
   /** All that was put before has left. */
   private boolean outputEmpty() {
-    return connection.unsentFree();
+    return connection.isFlushed();
   }
 
   /** How many more parts it takes. */
@@ -147,7 +147,7 @@
    * few descriptors.
    */
   @Override
-  public Duration restsSince() {
+  public Duration idleSince() {
     return opened && idle() ? lastUsedAt : null;
   }
 
@@ -172,7 +172,7 @@
       List<OutboundTrip> call = new ArrayList<>();
       for (OutboundTrip errand : List.copyOf(waiting)) {
         if (tripsInFlight.size() < backend.maxTripsPerConnection()
-            && connection.out.size() < MAX_UNSENT_BYTES
+            && connection.output.size() < MAX_UNSENT_BYTES
             && accepts(errand)) {
           errand.connection = this;
           tripsInFlight.put(errand.wireId, errand);
@@ -185,7 +185,7 @@
       }
       writeCall(call);
     }
-    if (connection.open()) {
+    if (connection.isOpen()) {
       pendingCancels.forEach(this::writeFrame);
     }
     pendingCancels.clear();
@@ -197,8 +197,8 @@
     }
     if (writeFrame(FrameCodec.encodeCall(call, backend.now()))) {
       for (OutboundTrip errand : call) {
-        backend.counts().must(!errand.written(), "a trip begins once");
-        errand.frameEndPosition = connection.out.position();
+        backend.counts().checkInvariant(!errand.written(), "a trip begins once");
+        errand.frameEndPosition = connection.output.totalBytesPut();
         pool.removeWaiting(errand);
       }
     } else if (call.size() > 1) {
@@ -218,8 +218,8 @@
   private boolean writeFrame(byte[] frame) {
     lastUsedAt = backend.now();
     outputEmptyAt = outputEmpty() ? lastUsedAt : outputEmptyAt;
-    connection.touch();
-    return connection.out.put(frame);
+    connection.requestFlush();
+    return connection.output.put(frame);
   }
 
   /** Gives up a trip whose frame has been put: the searcher is told. */
@@ -268,39 +268,39 @@
   }
 
   @Override
-  public void opened() {
+  public void onOpened() {
     opened = true;
     lastUsedAt = backend.now();
     pool.connectionOpened(this);
   }
 
   @Override
-  public void drained() {
+  public void onFlushed() {
     outputEmptyAt = backend.now();
     backend.scheduleDispatch(pool);
   }
 
   @Override
-  public void readable() {
+  public void onReadable() {
     lastReadAt = backend.now();
     lastUsedAt = lastReadAt;
-    if (!connection.usable()) {
-      connection.in.clear();
+    if (!connection.isUsable()) {
+      connection.input.clear();
       return;
     }
     try {
-      frameCodec.read(connection.in, this::handleFrame);
+      frameCodec.read(connection.input, this::handleFrame);
     } catch (FrameCodec.MalformedFrameException e) {
       closeOnBadFrame(e.getMessage());
     }
-    if (frameCodec.midFrame() && connection.usable()) {
+    if (frameCodec.midFrame() && connection.isUsable()) {
       // answers are written whole: guards against one that stops short, or whose length is not its
       // own
       long read = frameCodec.framesRead();
       backend.wakeAfter(
           backend.dialTimeout(),
           () -> {
-            if (frameCodec.framesRead() == read && connection.usable()) {
+            if (frameCodec.framesRead() == read && connection.isUsable()) {
               closeOnBadFrame("a frame stopped short");
             }
           });
@@ -315,7 +315,7 @@
    */
   private void closeOnBadFrame(String what) {
     backend.reportBadFrame("a searcher's frame could not be used: " + what);
-    connection.in.clear();
+    connection.input.clear();
     connection.close();
   }
 
@@ -416,8 +416,8 @@
   }
 
   @Override
-  public void closed() {
-    endTripsAndProbes(connection.written());
+  public void onClosed() {
+    endTripsAndProbes(connection.bytesSent());
   }
 
   /** Ends with what is out on it: what had left whole may have run. */
--- a/mixer/src/main/java/gingerring/frontend/ClientConnection.java
+++ b/mixer/src/main/java/gingerring/frontend/ClientConnection.java
@@ -1,11 +1,11 @@
 package gingerring.frontend;
 
-import gingerring.http.Head;
+import gingerring.http.HttpException;
 import gingerring.http.HttpParser;
 import gingerring.http.HttpWriter;
-import gingerring.http.Malformed;
+import gingerring.http.MessageHead;
 import gingerring.net.Connection;
-import gingerring.net.Party;
+import gingerring.net.ConnectionHandler;
 import java.io.ByteArrayOutputStream;
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
@@ -16,13 +16,13 @@
  * One client's connection: a request at a time, the next left in the ring until the answer has been
  * put.
  */
-final class ClientConnection implements Party, ScanResponder {
+final class ClientConnection implements ConnectionHandler, ScanResponder {
   private final Frontend frontend;
   private final Connection connection;
   private final HttpParser parser;
   private ByteArrayOutputStream body = new ByteArrayOutputStream();
   private final boolean overConnectionLimit;
-  private Head head;
+  private MessageHead head;
   private Duration requestStartedAt;
   private Duration idleSince;
 
@@ -50,23 +50,23 @@
         new HttpParser(
             true,
             Frontend.MAX_BODY_BYTES,
-            new HttpParser.Sink() {
+            new HttpParser.Handler() {
               @Override
-              public void head(Head read) {
+              public void onHead(MessageHead read) {
                 head = read;
-                if (read.says("expect", "100-continue")) {
+                if (read.hasToken("expect", "100-continue")) {
                   write(HttpWriter.CONTINUE);
                 }
               }
 
               @Override
-              public void body(byte[] bytes, int length) throws Malformed {
+              public void onBody(byte[] bytes, int length) throws HttpException {
                 front.reserveBodyBytes(length);
                 body.write(bytes, 0, length);
               }
 
               @Override
-              public void end() throws Malformed {
+              public void onMessageEnd() throws HttpException {
                 handleRequest();
               }
             });
@@ -77,9 +77,9 @@
     return !scanOpen
         && !finalResponseWritten
         && !evicted
-        && !parser.midway()
-        && connection.in.size() == 0
-        && connection.out.size() == 0;
+        && !parser.isMidMessage()
+        && connection.input.size() == 0
+        && connection.output.size() == 0;
   }
 
   /** A request has begun to come, and is not there after longer than whole ones take. */
@@ -88,7 +88,7 @@
         && !finalResponseWritten
         && !evicted
         && requestStartedAt != null
-        && parser.midway()
+        && parser.isMidMessage()
         && frontend.now().minus(requestStartedAt).compareTo(Frontend.SWEEP_INTERVAL) > 0;
   }
 
@@ -97,7 +97,7 @@
    * request come.
    */
   boolean evictable() {
-    return finalResponseWritten ? connection.unsentFree() && !evicted : idle() || requestStalled();
+    return finalResponseWritten ? connection.isFlushed() && !evicted : idle() || requestStalled();
   }
 
   /** Those that are spare, in the order in which they are ended. */
@@ -138,7 +138,7 @@
     if (scanOpen || finalResponseWritten) {
       return;
     }
-    if (connection.out.size() > 0) {
+    if (connection.output.size() > 0) {
       if (idle.compareTo(Frontend.RESPONSE_TIMEOUT) > 0) {
         connection.close();
       }
@@ -153,34 +153,34 @@
   }
 
   @Override
-  public void readable() {
+  public void onReadable() {
     try {
       // the next request waits until the last answer has left: a slow reader holds up no one but
       // itself
       while (!scanOpen
           && !finalResponseWritten
-          && connection.out.size() == 0
-          && connection.in.size() > 0) {
+          && connection.output.size() == 0
+          && connection.input.size() > 0) {
         if (requestStartedAt == null) {
-          requestStartedAt = connection.heard();
+          requestStartedAt = connection.inputArrivedAt();
         }
-        parser.read(connection.in);
+        parser.parse(connection.input);
       }
-    } catch (Malformed e) {
+    } catch (HttpException e) {
       refuseAndClose(e.status);
     }
-    if (scanOpen && connection.crowded()) {
+    if (scanOpen && connection.isInputFull()) {
       // much came behind the request in hand: unread, it would hide that the client goes. Where the
       // next
       // request begins is lost by it, so that the answer will be the last
       frontend.counts().add("clients that sent too much", 1);
       closeAfterResponse = true;
-      connection.dropRest();
+      connection.discardInput();
     }
     if (finalResponseWritten) {
-      connection.in.clear();
+      connection.input.clear();
     }
-    connection.resume();
+    connection.resumeReading();
   }
 
   /** Nothing that follows can be told from what was wrong: an error, and the end. */
@@ -200,32 +200,35 @@
     }
     closeAfterResponse = true;
     // an answer is on its way, and the client sends no request before it has it
-    if (connection.out.size() > 0) {
+    if (connection.output.size() > 0) {
       finalResponseWritten = true;
-      connection.endAfterFlush();
+      connection.closeGracefully();
     } else {
       reject(Duration.ZERO);
     }
   }
 
   @Override
-  public void drained() {
-    readable();
+  public void onFlushed() {
+    onReadable();
   }
 
-  private void handleRequest() throws Malformed {
-    closeAfterResponse = head.says("connection", "close") || head.third().equals("HTTP/1.0");
-    if (head.third().equals("HTTP/1.1") && head.header("host") == null) {
-      throw new Malformed(400, "no Host");
+  private void handleRequest() throws HttpException {
+    closeAfterResponse =
+        head.hasToken("connection", "close") || head.versionOrReason().equals("HTTP/1.0");
+    if (head.versionOrReason().equals("HTTP/1.1") && head.header("host") == null) {
+      throw new HttpException(400, "no Host");
     }
-    int query = head.second().indexOf('?');
-    String path = query < 0 ? head.second() : head.second().substring(0, query);
+    int query = head.targetOrStatus().indexOf('?');
+    String path = query < 0 ? head.targetOrStatus() : head.targetOrStatus().substring(0, query);
     switch (path) {
       case "/ready" ->
           respond(
-              !head.first().equals("GET") ? 405 : frontend.ready() ? 200 : 503, "", new byte[0]);
+              !head.methodOrVersion().equals("GET") ? 405 : frontend.ready() ? 200 : 503,
+              "",
+              new byte[0]);
       case "/api" -> {
-        if (!head.first().equals("POST")) {
+        if (!head.methodOrVersion().equals("POST")) {
           respond(405, "", new byte[0]);
         } else {
           handleScan();
@@ -235,11 +238,11 @@
     }
   }
 
-  private void handleScan() throws Malformed {
+  private void handleScan() throws HttpException {
     ScanRequest ask;
     try {
       ask = frontend.requestParser().parse(head, body.toByteArray());
-    } catch (Malformed e) {
+    } catch (HttpException e) {
       // the framing holds, so that the connection can go on
       frontend.counts().add("bad requests", 1);
       respond(e.status, "", new byte[0]);
@@ -309,23 +312,23 @@
     frontend.releaseBodyBytes(body.size());
     body = new ByteArrayOutputStream();
     closeAfterResponse |= frontend.closeAfterResponse();
-    if (!write(HttpWriter.answer(status, closeAfterResponse, extra, json))) {
+    if (!write(HttpWriter.response(status, closeAfterResponse, extra, json))) {
       frontend.counts().add("answers too large", 1);
       closeAfterResponse = true;
-      write(HttpWriter.answer(500, true, "", new byte[0]));
+      write(HttpWriter.response(500, true, "", new byte[0]));
     }
     if (closeAfterResponse) {
       finalResponseWritten = true;
       // to close on unread bytes, a next request say, would reset the answer away
-      connection.endAfterFlush();
+      connection.closeGracefully();
     } else {
-      frontend.runNextTurn(this::readable);
+      frontend.runNextTurn(this::onReadable);
     }
   }
 
   private boolean write(byte[] bytes) {
-    connection.touch();
-    return connection.closed() || connection.out.put(bytes);
+    connection.requestFlush();
+    return connection.isClosed() || connection.output.put(bytes);
   }
 
   /** Ends it, unless a request has just come. */
@@ -334,7 +337,7 @@
   }
 
   @Override
-  public void closed() {
+  public void onClosed() {
     frontend.clientClosed(this, evicted);
     frontend.releaseBodyBytes(body.size());
     body = new ByteArrayOutputStream();
--- a/mixer/src/main/java/gingerring/frontend/Frontend.java
+++ b/mixer/src/main/java/gingerring/frontend/Frontend.java
@@ -1,12 +1,12 @@
 package gingerring.frontend;
 
 import gingerring.decide.Settings;
-import gingerring.http.Malformed;
+import gingerring.http.HttpException;
 import gingerring.net.Connection;
-import gingerring.net.Counts;
+import gingerring.net.ConnectionHandler;
+import gingerring.net.Counters;
+import gingerring.net.LoopTimer;
 import gingerring.net.Network;
-import gingerring.net.Party;
-import gingerring.net.TurnClock;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.time.Duration;
@@ -34,8 +34,8 @@
   private final Network network;
   private final ScanHandler handler;
   private final ScanRequestParser requestParser;
-  private final Counts counts;
-  private final TurnClock clock;
+  private final Counters counts;
+  private final LoopTimer clock;
   private final Consumer<Runnable> nextTurn;
   private final int maxConnections;
   private int bufferedBodyBytes;
@@ -54,8 +54,8 @@
       Network network,
       ScanHandler intake,
       Settings terms,
-      Counts counts,
-      TurnClock clock,
+      Counters counts,
+      LoopTimer clock,
       Consumer<Runnable> again,
       int connectionsMost) {
     this.network = network;
@@ -65,25 +65,25 @@
     this.nextTurn = again;
     this.maxConnections = connectionsMost;
     requestParser = new ScanRequestParser(terms);
-    clock.wakeAfter(SWEEP_INTERVAL, this::enforceTimeouts);
+    clock.schedule(SWEEP_INTERVAL, this::enforceTimeouts);
   }
 
   public InetSocketAddress listen(InetSocketAddress address) throws IOException {
-    network.whenShort(this::evictClients);
+    network.setShortageHandler(this::evictClients);
     return network.listen(address, maxConnections, OUTPUT_BUFFER_BYTES, this::clientConnected);
   }
 
   private void clientConnected(Connection connection) {
     if (closed) {
-      connection.party(Party.NONE);
+      connection.setHandler(ConnectionHandler.NO_OP);
       connection.close(); // never read: its client may come again
       return;
     }
     // guards against newcomers of one turn that are sent away while enough others are being ended
     // for them
-    boolean crowded = !evictClients() && network.full(evictionsPending);
+    boolean crowded = !evictClients() && network.isFull(evictionsPending);
     ClientConnection client = new ClientConnection(this, connection, crowded);
-    connection.party(client);
+    connection.setHandler(client);
     clients.add(client);
   }
 
@@ -94,7 +94,7 @@
    * is over. Where all are busy a newcomer's scan is nacked. Returns whether any went.
    */
   private boolean evictClients() {
-    int shortBy = network.shortBy() - evictionsPending;
+    int shortBy = network.connectionShortfall() - evictionsPending;
     if (shortBy <= 0) {
       return false;
     }
@@ -119,7 +119,7 @@
   private void enforceTimeouts() {
     List.copyOf(clients).forEach(ClientConnection::enforceTimeouts);
     evictClients();
-    clock.wakeAfter(SWEEP_INTERVAL, this::enforceTimeouts);
+    clock.schedule(SWEEP_INTERVAL, this::enforceTimeouts);
   }
 
   /**
@@ -157,7 +157,7 @@
     return requestParser;
   }
 
-  Counts counts() {
+  Counters counts() {
     return counts;
   }
 
@@ -182,9 +182,9 @@
   }
 
   /** Guards against many slow senders that together hold more than the memory there is. */
-  void reserveBodyBytes(int length) throws Malformed {
+  void reserveBodyBytes(int length) throws HttpException {
     if (bufferedBodyBytes + length > MAX_BUFFERED_BODY_BYTES) {
-      throw new Malformed(503, "too many bodies half sent");
+      throw new HttpException(503, "too many bodies half sent");
     }
     bufferedBodyBytes += length;
   }
--- a/mixer/src/main/java/gingerring/server/EventLoop.java
+++ b/mixer/src/main/java/gingerring/server/EventLoop.java
@@ -1,8 +1,8 @@
 package gingerring.server;
 
-import gingerring.net.Counts;
-import gingerring.net.Inbox;
-import gingerring.net.TurnClock;
+import gingerring.net.Counters;
+import gingerring.net.EventQueue;
+import gingerring.net.LoopTimer;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.List;
@@ -18,7 +18,7 @@
  * The one thread that owns the mixer and all state. Each turn gathers all that is ready, hands it
  * to the mixer in one go, and then carries out what came back.
  */
-final class EventLoop implements Inbox, TurnClock {
+final class EventLoop implements EventQueue, LoopTimer {
   private record Timer(Duration dueAt, long sequence, Runnable task) implements Comparable<Timer> {
     @Override
     public int compareTo(Timer other) {
@@ -30,7 +30,7 @@
   private static final Logger LOG = LoggerFactory.getLogger("gingerring.loop");
   private static final int MAX_LOGGED_FAILURES = 20;
 
-  private final Counts counts;
+  private final Counters counts;
   private final long startNanos = System.nanoTime();
 
   /**
@@ -54,13 +54,13 @@
   private boolean running = true;
   private Thread owner;
 
-  EventLoop(Counts counts) {
+  EventLoop(Counters counts) {
     this.counts = counts;
   }
 
   @Override
   public Duration now() {
-    return owner == null ? clock() : turnTime; // before the first turn
+    return owner == null ? currentTime() : turnTime; // before the first turn
   }
 
   @Override
@@ -78,8 +78,8 @@
   }
 
   @Override
-  public void wakeAfter(Duration span, Runnable task) {
-    counts.must(
+  public void schedule(Duration span, Runnable task) {
+    counts.checkInvariant(
         owner == null || owner == Thread.currentThread(),
         "wakes are asked for on the loop's thread");
     timers.add(new Timer(now().plus(span), timerCount++, task));
@@ -90,14 +90,14 @@
    * turn.
    */
   void notifyMixer(Runnable telling) {
-    counts.must(
+    counts.checkInvariant(
         owner == null || owner == Thread.currentThread(), "the mixer is told on the loop's thread");
     notifications.add(telling);
   }
 
   /** The same, after all else of the turn: what is new is decided by all that is known. */
   void notifyMixerLast(Runnable telling) {
-    counts.must(
+    counts.checkInvariant(
         owner == null || owner == Thread.currentThread(), "the mixer is told on the loop's thread");
     lastNotifications.add(telling);
   }
@@ -112,7 +112,7 @@
     List<Runnable> ready = new ArrayList<>();
     while (running) {
       awaitEvents(ready);
-      turnTime = clock();
+      turnTime = currentTime();
       ready.forEach(event -> runGuarded("an event", event));
       ready.clear();
       while (!timers.isEmpty() && timers.peek().dueAt.compareTo(turnTime) <= 0) {
@@ -129,7 +129,7 @@
   }
 
   @Override
-  public Duration clock() {
+  public Duration currentTime() {
     return Duration.ofNanos(System.nanoTime() - startNanos);
   }
 
@@ -139,7 +139,7 @@
             ? 0
             : timers.isEmpty()
                 ? TimeUnit.SECONDS.toNanos(1)
-                : timers.peek().dueAt.minus(clock()).toNanos();
+                : timers.peek().dueAt.minus(currentTime()).toNanos();
     if (nanos > 0) {
       parkedThread = owner;
       if (eventQueue
--- a/mixer/src/main/java/gingerring/server/MixerHost.java
+++ b/mixer/src/main/java/gingerring/server/MixerHost.java
@@ -13,12 +13,12 @@
 import gingerring.decide.SearcherId;
 import gingerring.decide.Settings;
 import gingerring.decide.TimerId;
-import gingerring.discovery.Members;
-import gingerring.discovery.Watch;
+import gingerring.discovery.DiscoveryWatch;
+import gingerring.discovery.MemberListUpdate;
 import gingerring.frontend.ScanHandler;
 import gingerring.frontend.ScanRequest;
 import gingerring.frontend.ScanResponder;
-import gingerring.net.Counts;
+import gingerring.net.Counters;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -38,7 +38,7 @@
  * become frames and answers. Does for the mixer what the simulator's world does, and decides
  * nothing.
  */
-final class MixerHost implements Host, ScanHandler, BackendListener, Watch.Told {
+final class MixerHost implements Host, ScanHandler, BackendListener, DiscoveryWatch.Listener {
   /** A scan in hand, until its one final answer. */
   private static final class OpenScan {
     final ScanId id;
@@ -78,7 +78,7 @@
 
   private final EventLoop loop;
   private final Settings settings;
-  private final Counts counts;
+  private final Counters counts;
   private final double startEpochMs;
   private final int maxHeld;
   private final int maxTripsPerPart;
@@ -103,7 +103,7 @@
   private int held;
   private Mixer mixer;
   private Backend backend;
-  private Watch watch;
+  private DiscoveryWatch watch;
 
   /** What others tell; null where this mixer knows of none. */
   private PeerService peers;
@@ -125,7 +125,7 @@
   private boolean closingConnections;
 
   /** {@code startMs}: Unix time at the loop's zero. */
-  MixerHost(EventLoop loop, Settings terms, Counts counts, double startMs) {
+  MixerHost(EventLoop loop, Settings terms, Counters counts, double startMs) {
     this.loop = loop;
     this.settings = terms;
     this.counts = counts;
@@ -156,11 +156,11 @@
    * sending to searchers that left while this process was down: from its first moment on, what
    * discovery's agent has counts as told.
    */
-  void start(Backend back, Watch watch, long seed, Members known) {
+  void start(Backend back, DiscoveryWatch watch, long seed, MemberListUpdate known) {
     this.backend = back;
     this.watch = watch;
     mixer = new Mixer(settings.values(), new SplittableRandom(seed), this);
-    list(known);
+    onUpdate(known);
     String way = settings.text("Discovery");
     if (way.equals("automatic")) {
       watch.open();
@@ -210,7 +210,7 @@
     scansByResponder.put(reply, scan);
     counts.add("scans taken", 1);
     // whatever becomes of it in the mixer, it is answered by the end of its client's patience
-    loop.wakeAfter(scan.deadline.minus(now()), () -> loop.notifyMixer(() -> failOverdue(scan)));
+    loop.schedule(scan.deadline.minus(now()), () -> loop.notifyMixer(() -> failOverdue(scan)));
     Runnable arrival =
         () -> {
           if (!scan.answered) {
@@ -263,7 +263,7 @@
   }
 
   private void finish(OpenScan scan) {
-    counts.must(!scan.answered, "a scan is answered once");
+    counts.checkInvariant(!scan.answered, "a scan is answered once");
     scan.answered = true;
     openScans.remove(scan.id);
     scansByTransaction.remove(scan.request.transactionId());
@@ -274,7 +274,8 @@
     scansByResponder.remove(scan.responder);
     // a part that is in is held no longer, as in the simulator
     held -= 1 + (int) scan.parts.stream().filter(piece -> piece.value == null).count();
-    counts.must(held >= 0 && openScans.isEmpty() == (held == 0), "what is held is what is open");
+    counts.checkInvariant(
+        held >= 0 && openScans.isEmpty() == (held == 0), "what is held is what is open");
     scan.parts.forEach(this::cancelUnsentTrips);
     scan.parts.forEach(this::removeIfFinished);
   }
@@ -326,10 +327,10 @@
   }
 
   @Override
-  public void list(Members members) {
+  public void onUpdate(MemberListUpdate members) {
     List<MemberEntry> lines = new ArrayList<>();
     List<SearcherId> leaving = new ArrayList<>();
-    for (Members.Member member : members.members()) {
+    for (MemberListUpdate.Member member : members.members()) {
       SearcherId id = searcherIds.computeIfAbsent(member.id(), this::newId);
       MemberEntry last = listedMembers.get(id);
       Duration started =
@@ -417,13 +418,13 @@
   }
 
   @Override
-  public void failed() {
+  public void onFailure() {
     loop.notifyMixer(() -> mixer.memberListFailed());
-    word();
+    onContact();
   }
 
   @Override
-  public void word() {
+  public void onContact() {
     discoveryReported = true;
     pendingArrivals.forEach(loop::notifyMixerLast);
     pendingArrivals.clear();
@@ -485,7 +486,7 @@
             || piece.value != null
             || piece.trips.size() >= maxTripsPerPart
             || until.compareTo(now()) <= 0;
-    counts.must(!over, "a trip is for a part that is not over");
+    counts.checkInvariant(!over, "a trip is for a part that is not over");
     if (piece != null) {
       if (startWithin != null) {
         // whichever of them begins first, the others are repeats of it
@@ -520,7 +521,7 @@
         values.put(piece.shard, piece.value);
       }
     }
-    counts.must(!values.isEmpty(), "an answer has values");
+    counts.checkInvariant(!values.isEmpty(), "an answer has values");
     counts.add(whole ? "whole answers" : "partial answers", 1);
     scan.responder.answer(whole, values);
     finish(scan);
@@ -593,7 +594,7 @@
 
   @Override
   public void fetchMemberList() {
-    watch.fetch();
+    watch.fetchFullList();
   }
 
   @Override
@@ -603,7 +604,7 @@
 
   @Override
   public void startTimer(Duration span, TimerId wake) {
-    loop.wakeAfter(span, () -> loop.notifyMixer(() -> mixer.timerFired(wake)));
+    loop.schedule(span, () -> loop.notifyMixer(() -> mixer.timerFired(wake)));
   }
 
   @Override
--- a/mixer/src/main/java/gingerring/server/MixerServer.java
+++ b/mixer/src/main/java/gingerring/server/MixerServer.java
@@ -2,11 +2,11 @@
 
 import gingerring.backend.Backend;
 import gingerring.decide.Settings;
-import gingerring.discovery.Watch;
+import gingerring.discovery.DiscoveryWatch;
 import gingerring.frontend.Frontend;
-import gingerring.net.Counts;
+import gingerring.net.Counters;
 import gingerring.net.Network;
-import gingerring.net.Tap;
+import gingerring.net.TrafficListener;
 import java.io.IOException;
 import java.io.PrintStream;
 import java.net.InetSocketAddress;
@@ -58,23 +58,23 @@
   private static final int MIN_CONNECTION_SOCKETS = 16;
 
   private final Map<String, String> env;
-  private final Tap tap;
+  private final TrafficListener tap;
   private final PeerService peers;
-  final Counts counts = new Counts();
+  final Counters counts = new Counters();
   final EventLoop loop = new EventLoop(counts);
   private final CountDownLatch ended = new CountDownLatch(1);
   private Network network;
   Frontend frontend;
   private MixerHost host;
   private Backend backend;
-  private Watch watch;
+  private DiscoveryWatch watch;
 
   /** What holds for this process; of later configurations, only where discovery is. */
   private MixerConfig startConfig;
 
   private Duration shutdownDeadline;
 
-  MixerServer(Map<String, String> env, Tap tap, PeerService neighbours) {
+  MixerServer(Map<String, String> env, TrafficListener tap, PeerService neighbours) {
     this.env = env;
     this.tap = tap;
     this.peers = neighbours;
@@ -90,7 +90,10 @@
    * none of either.
    */
   public static int run(
-      Map<String, String> env, PrintStream complaints, Tap tap, PeerService neighbours) {
+      Map<String, String> env,
+      PrintStream complaints,
+      TrafficListener tap,
+      PeerService neighbours) {
     MixerServer serve = new MixerServer(env, tap, neighbours);
     // before anything is read: untended, SIGHUP ends a process, and one that comes early is not to
     // be lost
@@ -121,13 +124,13 @@
     Settings terms = orders.settings();
     int rehearsed = new ScanWarmUp(terms).run();
     // one reading of both clocks
-    double startMs = System.currentTimeMillis() - loop.clock().toNanos() / 1e6;
+    double startMs = System.currentTimeMillis() - loop.currentTime().toNanos() / 1e6;
     network = new Network(loop, counts, false, tap);
     host = new MixerHost(loop, terms, counts, startMs);
     backend = new Backend(network, host, terms, counts, loop);
     startConfig = orders;
     watch =
-        new Watch(
+        new DiscoveryWatch(
             network,
             orders.discoveryAddress(),
             orders.knownMembers().revision(),
@@ -170,14 +173,14 @@
         new SocketWarmUp(network, listening, orders.socketLimit(), counts, host::finishWarmUp);
     practice.start();
     Duration dial = terms.duration("PolicyLimits.DialTimeoutMs");
-    loop.wakeAfter(
+    loop.schedule(
         dial.compareTo(MAX_WARM_UP_TIME) < 0 ? dial : MAX_WARM_UP_TIME,
         host::finishWarmUp); // may go on
-    loop.wakeAfter(MAX_WARM_UP_TIME, practice::closeAll);
+    loop.schedule(MAX_WARM_UP_TIME, practice::closeAll);
     loop.run(backend::dispatch, network::flush);
     LOG.info("ended; counts: {}", counts);
     if (tap != null) {
-      tap.end();
+      tap.onShutdown();
     }
     ended.countDown();
     return 0;
@@ -202,18 +205,18 @@
         "reload: discovery at {}{}",
         orders.discoveryAddress(),
         orders.differsOnlyInDiscovery(startConfig) ? "" : "; what else is new waits for a restart");
-    watch.move(orders.discoveryAddress());
+    watch.changeAddress(orders.discoveryAddress());
   }
 
   private void scheduleStatusLog() {
-    loop.wakeAfter(
+    loop.schedule(
         STATUS_INTERVAL,
         () -> {
           LOG.info(
               "{} scans open, {} clients, {} connections; counts: {}",
               host.openScanCount(),
               frontend.clientCount(),
-              network.connections(),
+              network.connectionCount(),
               counts);
           if (peers != null) {
             LOG.info("{}", peers.statusLine());
@@ -256,13 +259,12 @@
     patience = patience.compareTo(MAX_DRAIN_TIME) < 0 ? patience : MAX_DRAIN_TIME;
     shutdownDeadline = loop.now().plus(patience).plus(ACCEPT_AFTER_SIGTERM).minus(END_MARGIN);
     host.beginShutdown(shutdownDeadline);
-    loop.wakeAfter(ACCEPT_AFTER_SIGTERM, network::stopListening);
-    loop.wakeAfter(
+    loop.schedule(ACCEPT_AFTER_SIGTERM, network::stopListening);
+    loop.schedule(
         shutdownDeadline.minus(CLOSE_AFTER_RESPONSE_PERIOD).minus(loop.now()),
         () -> {
           host.closeConnectionsAfterResponses();
-          loop.wakeAfter(
-              CLOSE_AFTER_RESPONSE_PERIOD.minus(CLOSE_IDLE_PERIOD), this::finishShutdown);
+          loop.schedule(CLOSE_AFTER_RESPONSE_PERIOD.minus(CLOSE_IDLE_PERIOD), this::finishShutdown);
         });
   }
 
@@ -280,7 +282,7 @@
     }
     frontend.closeIdleClients();
     boolean over = late || host.openScanCount() == 0 && frontend.clientCount() == 0;
-    loop.wakeAfter(FLUSH_INTERVAL, over ? loop::stop : this::finishShutdown);
+    loop.schedule(FLUSH_INTERVAL, over ? loop::stop : this::finishShutdown);
   }
 
   Network network() {
@@ -338,8 +340,8 @@
     }
 
     @Override
-    public void wakeAfter(Duration span, Runnable task) {
-      loop.wakeAfter(span, task);
+    public void schedule(Duration span, Runnable task) {
+      loop.schedule(span, task);
     }
 
     @Override
@@ -348,8 +350,8 @@
     }
 
     @Override
-    public Duration clock() {
-      return loop.clock();
+    public Duration currentTime() {
+      return loop.currentTime();
     }
   }
 }
--- a/mixer/src/main/java/gingerring/server/ScanWarmUp.java
+++ b/mixer/src/main/java/gingerring/server/ScanWarmUp.java
@@ -3,13 +3,13 @@
 import gingerring.backend.Backend;
 import gingerring.decide.MemberEntry.Status;
 import gingerring.decide.Settings;
-import gingerring.discovery.Members;
-import gingerring.discovery.Watch;
+import gingerring.discovery.DiscoveryWatch;
+import gingerring.discovery.MemberListUpdate;
 import gingerring.frontend.Frontend;
 import gingerring.net.Connection;
-import gingerring.net.Counts;
+import gingerring.net.ConnectionHandler;
+import gingerring.net.Counters;
 import gingerring.net.Network;
-import gingerring.net.Party;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -36,7 +36,7 @@
   private static final int BUFFER_BYTES = 1 << 16;
 
   private final Settings settings;
-  private final Counts counts = new Counts();
+  private final Counters counts = new Counters();
   private final EventLoop loop = new EventLoop(counts);
   private final Network network = new Network(loop, counts, true);
   private final InetSocketAddress frontendAddress = loopbackAddress(1);
@@ -59,19 +59,20 @@
     Network store = new Network(loop, counts, true);
     MixerHost desk = new MixerHost(loop, settings, counts, 0);
     Backend back = new Backend(network, desk, settings, counts, loop);
-    List<Members.Member> members = new ArrayList<>();
+    List<MemberListUpdate.Member> members = new ArrayList<>();
     for (int cell = 0; cell < settings.count("Domain.Places"); cell++) {
       members.add(
-          new Members.Member("sample-" + cell, searcherAddress, "", "", cell, Status.READY, 1, 0));
+          new MemberListUpdate.Member(
+              "sample-" + cell, searcherAddress, "", "", cell, Status.READY, 1, 0));
     }
-    Watch watch = new Watch(network, loopbackAddress(3), 0, desk, counts, loop);
-    desk.start(back, watch, 0, new Members(0, true, members));
+    DiscoveryWatch watch = new DiscoveryWatch(network, loopbackAddress(3), 0, desk, counts, loop);
+    desk.start(back, watch, 0, new MemberListUpdate(0, true, members));
     try {
       store.listen(
           searcherAddress,
           Integer.MAX_VALUE,
           BUFFER_BYTES,
-          connection -> connection.party(new SampleSearcher(connection)));
+          connection -> connection.setHandler(new SampleSearcher(connection)));
       new Frontend(network, desk, settings, counts, loop, loop::post, Integer.MAX_VALUE)
           .listen(frontendAddress);
     } catch (IOException e) {
@@ -80,7 +81,7 @@
     for (int i = 0; i < CLIENT_COUNT; i++) {
       new SampleClient();
     }
-    loop.wakeAfter(TIME_LIMIT, loop::stop);
+    loop.schedule(TIME_LIMIT, loop::stop);
     loop.run(
         back::dispatch,
         () -> {
@@ -93,11 +94,11 @@
   }
 
   /** Asks for one scan after the other on one connection. */
-  private final class SampleClient implements Party {
+  private final class SampleClient implements ConnectionHandler {
     private final Connection connection = network.dial(frontendAddress, BUFFER_BYTES, this);
 
     @Override
-    public void opened() {
+    public void onOpened() {
       sendScan();
     }
 
@@ -116,7 +117,7 @@
             .append(",\"est_us\":1000}");
       }
       String body = "{\"targets\":[" + targets + "],\"query\":\"\"}";
-      connection.out.put(
+      connection.output.put(
           ("POST /api HTTP/1.1\r\nHost: sample\r\nX-Txn: sample-"
                   + number
                   + "\r\nX-Lane: "
@@ -128,13 +129,13 @@
                   + "\r\n\r\n"
                   + body)
               .getBytes(StandardCharsets.US_ASCII));
-      connection.touch();
+      connection.requestFlush();
     }
 
     @Override
-    public void readable() {
+    public void onReadable() {
       // an answer is put whole, and leaves whole
-      connection.in.clear();
+      connection.input.clear();
       if (++scansAnswered >= SAMPLE_SCANS) {
         loop.stop();
       } else {
@@ -143,11 +144,11 @@
     }
 
     @Override
-    public void closed() {}
+    public void onClosed() {}
   }
 
   /** A searcher that has every part at once. */
-  private static final class SampleSearcher implements Party {
+  private static final class SampleSearcher implements ConnectionHandler {
     private final Connection connection;
     private final byte[] buffered = new byte[BUFFER_BYTES];
     private int bufferedLength;
@@ -157,9 +158,9 @@
     }
 
     @Override
-    public void readable() {
+    public void onReadable() {
       bufferedLength +=
-          connection.in.take(buffered, bufferedLength, buffered.length - bufferedLength);
+          connection.input.take(buffered, bufferedLength, buffered.length - bufferedLength);
       ByteBuffer buffer =
           ByteBuffer.wrap(buffered, 0, bufferedLength).order(ByteOrder.LITTLE_ENDIAN);
       while (buffer.remaining() >= 4
@@ -172,23 +173,23 @@
       }
       buffer.compact();
       bufferedLength = buffer.position();
-      connection.resume();
+      connection.resumeReading();
     }
 
     private void answerParts(String parts) {
       for (String part : parts.split("\n")) { // their text is empty
         String rest = "R" + part.split(" ", 2)[0] + " done 1 -\nvalue";
-        connection.out.put(
+        connection.output.put(
             ByteBuffer.allocate(4 + rest.length())
                 .order(ByteOrder.LITTLE_ENDIAN)
                 .putInt(rest.length())
                 .put(rest.getBytes(StandardCharsets.US_ASCII))
                 .array());
       }
-      connection.touch();
+      connection.requestFlush();
     }
 
     @Override
-    public void closed() {}
+    public void onClosed() {}
   }
 }
--- a/mixer/src/main/java/gingerring/server/SocketWarmUp.java
+++ b/mixer/src/main/java/gingerring/server/SocketWarmUp.java
@@ -1,9 +1,9 @@
 package gingerring.server;
 
 import gingerring.net.Connection;
-import gingerring.net.Counts;
+import gingerring.net.ConnectionHandler;
+import gingerring.net.Counters;
 import gingerring.net.Network;
-import gingerring.net.Party;
 import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -28,7 +28,7 @@
 
   private final Network network;
   private final InetSocketAddress frontendAddress;
-  private final Counts counts;
+  private final Counters counts;
   private final byte[] request;
   private final int connectionCount;
   private final Runnable onFinished;
@@ -37,7 +37,7 @@
 
   /** {@code done} is called once, when all calls have ended, however they did. */
   SocketWarmUp(
-      Network network, InetSocketAddress front, int sockets, Counts counts, Runnable done) {
+      Network network, InetSocketAddress front, int sockets, Counters counts, Runnable done) {
     connectionCount = Math.max(1, Math.min(MAX_CONNECTIONS, sockets / SOCKETS_PER_CONNECTION));
     this.network = network;
     this.frontendAddress = front;
@@ -60,23 +60,23 @@
     connections.forEach(call -> call.connection.close());
   }
 
-  private final class WarmUpConnection implements Party {
+  private final class WarmUpConnection implements ConnectionHandler {
     private final Connection connection = network.dial(frontendAddress, OUTPUT_BUFFER_BYTES, this);
     private int answersRead;
 
     @Override
-    public void opened() {
+    public void onOpened() {
       sendRequest();
     }
 
     private void sendRequest() {
-      connection.out.put(request);
-      connection.touch();
+      connection.output.put(request);
+      connection.requestFlush();
     }
 
     @Override
-    public void readable() {
-      connection.in.clear(); // an answer is put whole, and leaves whole
+    public void onReadable() {
+      connection.input.clear(); // an answer is put whole, and leaves whole
       counts.add("answers practised", 1);
       if (++answersRead * connectionCount < TOTAL_ANSWERS) {
         sendRequest();
@@ -86,7 +86,7 @@
     }
 
     @Override
-    public void closed() {
+    public void onClosed() {
       if (--openConnections == 0) {
         onFinished.run();
       }
--- a/mixer/src/test/java/gingerring/backend/FramesTest.java
+++ b/mixer/src/test/java/gingerring/backend/FramesTest.java
@@ -7,7 +7,7 @@
 import gingerring.decide.SearcherId;
 import gingerring.decide.Settings;
 import gingerring.net.ByteRing;
-import gingerring.net.Counts;
+import gingerring.net.Counters;
 import java.io.ByteArrayOutputStream;
 import java.nio.charset.StandardCharsets;
 import java.time.Duration;
@@ -81,7 +81,7 @@
   /** An unreadable report says nothing, and nothing against the answer that it came with. */
   @Test
   void readsLoadReportsByTheColumnsTold() {
-    Counts counts = new Counts();
+    Counters counts = new Counters();
     LoadReportParser reports =
         new LoadReportParser(
             new Settings(Map.of("LoadReport.Columns", "depth,load_share")), counts);
--- /dev/null
+++ b/mixer/src/test/java/gingerring/server/MixerHostTest.java
@@ -0,0 +1,317 @@
+package gingerring.server;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import gingerring.backend.Backend;
+import gingerring.decide.MemberEntry.Status;
+import gingerring.decide.Settings;
+import gingerring.discovery.DiscoveryWatch;
+import gingerring.discovery.MemberListUpdate;
+import gingerring.frontend.ScanRequest;
+import gingerring.frontend.ScanResponder;
+import gingerring.json.Json;
+import gingerring.net.Counters;
+import gingerring.net.Network;
+import java.io.IOException;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.net.ServerSocket;
+import java.net.Socket;
+import java.net.SocketTimeoutException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import org.junit.jupiter.api.Test;
+
+class MixerHostTest {
+  /** Writes down the answers of one scan. */
+  private record RecordingReply(String scanName, List<String> events) implements ScanResponder {
+    @Override
+    public void answer(boolean whole, Map<Integer, byte[]> values) {
+      events.add(scanName + " answered");
+    }
+
+    @Override
+    public void reject(Duration comeBack) {
+      events.add(scanName + " nacked");
+    }
+
+    @Override
+    public void fail() {
+      events.add(scanName + " scrapped");
+    }
+  }
+
+  private static ScanRequest scanRequest(String transactionId, int serviceClass) {
+    return new ScanRequest(
+        transactionId,
+        serviceClass,
+        false,
+        null,
+        Duration.ofMillis(2000),
+        List.of(new ScanRequest.Target(0, 1, Duration.ZERO, 0)),
+        new byte[0]);
+  }
+
+  private static Settings exampleSettings() throws IOException, Json.JsonException {
+    Map<String, String> flatSettings = new HashMap<>();
+    Map<?, ?> example = (Map<?, ?>) Json.parse(Files.readAllBytes(Path.of("example/config.json")));
+    MixerConfig.flatten("", example.get("settings"), flatSettings);
+    return new Settings(flatSettings);
+  }
+
+  /** Guards against a mixer that compiles what scans need while its first clients wait. */
+  @Test
+  void rehearsalRunsSampleScansWithoutSockets() throws IOException, Json.JsonException {
+    assertTrue(new ScanWarmUp(exampleSettings()).run() >= 50);
+  }
+
+  /** Guards against a mixer that keeps something of every searcher and scan there ever was. */
+  @Test
+  void keepsNoStateOfGoneSearchersAndFinishedScans() throws IOException, Json.JsonException {
+    Counters counts = new Counters();
+    EventLoop loop = new EventLoop(counts);
+    Network network = new Network(loop, counts, true);
+    MixerHost host = new MixerHost(loop, exampleSettings(), counts, 0);
+    Backend back = new Backend(network, host, exampleSettings(), counts, loop);
+    InetSocketAddress unusedAddress = new InetSocketAddress("127.0.0.1", 9);
+    host.start(
+        back,
+        new DiscoveryWatch(network, unusedAddress, 0, host, counts, loop),
+        1,
+        new MemberListUpdate(0, true, List.of()));
+    List<String> outcomes = new ArrayList<>();
+    int rounds = 3000;
+    for (int i = 0; i < rounds; i++) {
+      int number = i;
+      loop.post(
+          () -> {
+            host.onUpdate(
+                new MemberListUpdate(
+                    number + 1,
+                    false,
+                    List.of(
+                        new MemberListUpdate.Member(
+                            "s-" + number,
+                            unusedAddress,
+                            "a",
+                            "toy",
+                            number % 4,
+                            Status.READY,
+                            1,
+                            0),
+                        new MemberListUpdate.Member(
+                            "s-" + (number - 4),
+                            unusedAddress,
+                            "a",
+                            "toy",
+                            number % 4,
+                            Status.GONE,
+                            1,
+                            0))));
+            host.accept(
+                scanRequest("m" + number, 0), loop.now(), new RecordingReply("scan", outcomes));
+          });
+    }
+    loop.post(
+        () ->
+            loop.schedule(
+                Duration.ofMillis(4500),
+                () -> {
+                  host.onUpdate(new MemberListUpdate(rounds + 1, true, List.of()));
+                  loop.schedule(Duration.ofMillis(1500), loop::stop);
+                }));
+    loop.run(back::dispatch, network::flush);
+    assertEquals(rounds, outcomes.size());
+    assertEquals(0, host.retainedCount());
+    assertEquals(0, back.searcherCount());
+    assertEquals(0, network.connectionCount());
+  }
+
+  /**
+   * A listener that lets no connection come up: its queue is full, so that those who dial it wait.
+   */
+  private static final class FullBacklogListener implements AutoCloseable {
+    private final ServerSocket serverSocket =
+        new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
+    private final List<Socket> queuedConnections = new ArrayList<>();
+
+    FullBacklogListener() throws IOException {
+      for (int i = 0; i < 8; i++) {
+        Socket socket = new Socket();
+        queuedConnections.add(socket);
+        try {
+          socket.connect(address(), 200);
+        } catch (SocketTimeoutException e) {
+          return;
+        }
+      }
+      throw new IOException("the queue of a listener is never full");
+    }
+
+    InetSocketAddress address() {
+      return (InetSocketAddress) serverSocket.getLocalSocketAddress();
+    }
+
+    @Override
+    public void close() throws IOException {
+      for (Socket socket : queuedConnections) {
+        socket.close();
+      }
+      serverSocket.close();
+    }
+  }
+
+  /**
+   * A desk on real sockets, before discovery's first word and with one searcher known; all at deaf
+   * addresses.
+   */
+  private static final class HostFixture {
+    final Counters counts = new Counters();
+    final EventLoop loop = new EventLoop(counts);
+    final Network network = new Network(loop, counts, false);
+    final MixerHost host;
+    final Backend back;
+    final InetSocketAddress address;
+
+    HostFixture(InetSocketAddress address) throws IOException, Json.JsonException {
+      this.address = address;
+      host = new MixerHost(loop, exampleSettings(), counts, 0);
+      back = new Backend(network, host, exampleSettings(), counts, loop);
+      host.start(
+          back,
+          new DiscoveryWatch(network, address, 0, host, counts, loop),
+          1,
+          memberList(true, Status.READY));
+    }
+
+    MemberListUpdate memberList(boolean complete, Status status) {
+      return new MemberListUpdate(
+          1,
+          complete,
+          List.of(new MemberListUpdate.Member("s-0", address, "a", "toy", 0, status, 1, 0)));
+    }
+
+    void run(Runnable event, Duration duration) {
+      loop.post(() -> loop.schedule(duration, loop::stop));
+      loop.post(event);
+      loop.run(back::dispatch, network::flush);
+      network.dispose();
+      assertEquals(0, counts.get("failures in an event"));
+    }
+  }
+
+  /**
+   * Guards against a new process that sends by its old list to searchers that left while it was
+   * down.
+   */
+  @Test
+  void holdsScansUntilDiscoveryHasAnswered() throws IOException, Json.JsonException {
+    try (FullBacklogListener listener = new FullBacklogListener()) {
+      HostFixture fixture = new HostFixture(listener.address());
+      List<String> outcomes = new ArrayList<>();
+      fixture.run(
+          () -> {
+            assertFalse(fixture.host.ready());
+            assertTrue(
+                fixture.host.accept(
+                    scanRequest("early", 0),
+                    fixture.loop.now(),
+                    new RecordingReply("early", outcomes)));
+            fixture.loop.post(
+                () ->
+                    fixture.loop.post(
+                        () -> { // two turns later
+                          assertEquals(List.of(), outcomes);
+                          fixture.host.onUpdate(fixture.memberList(true, Status.DRAINING));
+                          fixture.host.onContact();
+                          assertTrue(fixture.host.ready());
+                        }));
+          },
+          Duration.ofMillis(300));
+      assertEquals(List.of("early nacked"), outcomes);
+      assertEquals(0, fixture.counts.get("links dialled"));
+    }
+  }
+
+  /** Guards against a scan that is sent by the list before the one that came with it. */
+  @Test
+  void appliesMemberListBeforeScansOfTheSameIteration() throws IOException, Json.JsonException {
+    try (FullBacklogListener listener = new FullBacklogListener()) {
+      HostFixture fixture = new HostFixture(listener.address());
+      List<String> outcomes = new ArrayList<>();
+      fixture.run(
+          () -> {
+            fixture.host.onContact();
+            fixture.host.accept(
+                scanRequest("a", 0), fixture.loop.now(), new RecordingReply("scan", outcomes));
+            fixture.host.onUpdate(fixture.memberList(false, Status.DRAINING));
+          },
+          Duration.ofMillis(300));
+      assertEquals(List.of("scan nacked"), outcomes);
+      assertEquals(0, fixture.counts.get("links dialled"));
+    }
+  }
+
+  /**
+   * Guards against parts that leave for a searcher that drains once their connection comes up, a
+   * dial later.
+   */
+  @Test
+  void dropsPartsWaitingToConnectToDrainingOrGoneSearcher() throws IOException, Json.JsonException {
+    for (Status status : List.of(Status.DRAINING, Status.GONE)) {
+      try (FullBacklogListener listener = new FullBacklogListener()) {
+        HostFixture fixture = new HostFixture(listener.address());
+        List<String> outcomes = new ArrayList<>();
+        fixture.run(
+            () -> {
+              fixture.host.onContact();
+              fixture.host.accept(
+                  scanRequest("a", 0), fixture.loop.now(), new RecordingReply("scan", outcomes));
+              fixture.loop.post(
+                  () ->
+                      fixture.loop.post(
+                          () -> fixture.host.onUpdate(fixture.memberList(false, status))));
+            },
+            Duration.ofMillis(300));
+        assertEquals(List.of("scan nacked"), outcomes);
+        assertEquals(1, fixture.counts.get("links dialled"));
+        assertEquals(1, fixture.counts.get("trips NOT_SENT"));
+      }
+    }
+  }
+
+  /**
+   * Guards against a failure of the decisions on one scan: it alone is scrapped, and that is
+   * counted.
+   */
+  @Test
+  void exceptionInTheMixerFailsOnlyTheScanItHandles() throws IOException, Json.JsonException {
+    Settings settings = exampleSettings();
+    Counters counts = new Counters();
+    EventLoop loop = new EventLoop(counts);
+    Network network = new Network(loop, counts, true);
+    MixerHost host = new MixerHost(loop, settings, counts, 0);
+    DiscoveryWatch watch =
+        new DiscoveryWatch(network, new InetSocketAddress("127.0.0.1", 1), 0, host, counts, loop);
+    host.start(
+        new Backend(network, host, settings, counts, loop),
+        watch,
+        1,
+        new MemberListUpdate(0, true, List.of()));
+    List<String> outcomes = new ArrayList<>();
+    host.accept(scanRequest("a", 7), Duration.ZERO, new RecordingReply("unknown grade", outcomes));
+    host.accept(scanRequest("b", 0), Duration.ZERO, new RecordingReply("good", outcomes));
+    loop.post(() -> loop.schedule(Duration.ofMillis(50), loop::stop));
+    loop.run(() -> {}, () -> {});
+    assertEquals(List.of("unknown grade scrapped", "good nacked"), outcomes);
+    assertEquals(1, counts.get("failures in the mixer"));
+    assertEquals(0, host.openScanCount());
+  }
+}
--- a/mixer/src/test/java/gingerring/server/PracticeTest.java
+++ b/mixer/src/test/java/gingerring/server/PracticeTest.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import gingerring.net.Connection;
-import gingerring.net.Counts;
+import gingerring.net.ConnectionHandler;
+import gingerring.net.Counters;
 import gingerring.net.Network;
-import gingerring.net.Party;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -18,89 +18,89 @@
 
 @Timeout(60)
 class PracticeTest {
-  private final Counts counts = new Counts();
+  private final Counters counts = new Counters();
   private final EventLoop loop = new EventLoop(counts);
   private final Network network = new Network(loop, counts, false);
-  private final List<String> done = new ArrayList<>();
+  private final List<String> completions = new ArrayList<>();
 
-  private void practise(InetSocketAddress front) {
+  private void runPractice(InetSocketAddress listenAddress) {
     new SocketWarmUp(
             network,
-            front,
+            listenAddress,
             1024,
             counts,
             () -> {
-              done.add("done");
-              loop.wakeAfter(Duration.ofMillis(100), loop::stop);
+              completions.add("done");
+              loop.schedule(Duration.ofMillis(100), loop::stop);
             })
         .start();
     loop.run(() -> {}, network::flush);
     network.dispose();
-    assertEquals(List.of("done"), done);
+    assertEquals(List.of("done"), completions);
   }
 
   /** Guards against a practice that goes on for ever, or leaves connections behind. */
   @Test
-  void endsOnceAllItsCallsHaveHadTheirAnswers() throws IOException {
-    InetSocketAddress front =
+  void endsOnceEveryRequestIsAnswered() throws IOException {
+    InetSocketAddress listenAddress =
         network.listen(
             new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
             100,
             1024,
-            connection -> connection.party(new Echo(connection)));
-    practise(front);
+            connection -> connection.setHandler(new AnsweringParty(connection)));
+    runPractice(listenAddress);
     assertEquals(192, counts.get("answers practised"));
-    assertEquals(0, network.connections());
+    assertEquals(0, network.connectionCount());
   }
 
   /** Guards against a mixer that is never ready where it cannot call itself. */
   @Test
-  void endsWhereNobodyListens() throws IOException {
-    InetSocketAddress nobody;
-    try (ServerSocket closed = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-      nobody = (InetSocketAddress) closed.getLocalSocketAddress();
+  void endsIfConnectionsAreRefused() throws IOException {
+    InetSocketAddress closedAddress;
+    try (ServerSocket closedSocket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+      closedAddress = (InetSocketAddress) closedSocket.getLocalSocketAddress();
     }
-    practise(nobody);
+    runPractice(closedAddress);
     assertEquals(0, counts.get("answers practised"));
   }
 
   /** Guards against a practice that nobody answers, and that holds its descriptors for ever. */
   @Test
-  void endsWhereNobodyAnswersOnceItIsTold() throws IOException {
-    InetSocketAddress front =
+  void endsWhenStoppedIfNothingIsAnswered() throws IOException {
+    InetSocketAddress listenAddress =
         network.listen(
             new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
             100,
             1024,
-            connection -> connection.party(Party.NONE));
+            connection -> connection.setHandler(ConnectionHandler.NO_OP));
     SocketWarmUp practice =
         new SocketWarmUp(
             network,
-            front,
+            listenAddress,
             1024,
             counts,
             () -> {
-              done.add("done");
-              loop.wakeAfter(Duration.ofMillis(100), loop::stop);
+              completions.add("done");
+              loop.schedule(Duration.ofMillis(100), loop::stop);
             });
     practice.start();
-    loop.wakeAfter(Duration.ofMillis(100), practice::closeAll);
+    loop.schedule(Duration.ofMillis(100), practice::closeAll);
     loop.run(() -> {}, network::flush);
     network.dispose();
-    assertEquals(List.of("done"), done);
-    assertEquals(0, network.connections());
+    assertEquals(List.of("done"), completions);
+    assertEquals(0, network.connectionCount());
   }
 
   /** Answers a request, which comes whole here. */
-  private record Echo(Connection connection) implements Party {
+  private record AnsweringParty(Connection connection) implements ConnectionHandler {
     @Override
-    public void readable() {
-      connection.in.clear();
-      connection.out.put(new byte[] {'x'});
-      connection.touch();
+    public void onReadable() {
+      connection.input.clear();
+      connection.output.put(new byte[] {'x'});
+      connection.requestFlush();
     }
 
     @Override
-    public void closed() {}
+    public void onClosed() {}
   }
 }
--- a/mixer/src/test/java/gingerring/server/SearcherCrossingTest.java
+++ b/mixer/src/test/java/gingerring/server/SearcherCrossingTest.java
@@ -166,10 +166,10 @@
       try (MixerTestHarness.LoopGate gate = rig.pauseLoop()) {
         client.write(rig.scanRequest("search", 2000, 0));
         gate.awaitPosted(1);
-        Duration over = rig.server.loop.clock().plusMillis(2100);
+        Duration over = rig.server.loop.currentTime().plusMillis(2100);
         rig.server.loop.post(
             () -> { // the process stands still within the turn
-              while (rig.server.loop.clock().compareTo(over) < 0) {
+              while (rig.server.loop.currentTime().compareTo(over) < 0) {
                 Thread.onSpinWait();
               }
             });
@@ -377,7 +377,7 @@
       }
       rig.awaitCount("links dialled", 3); // by the probe that ends a bench
       AtomicInteger open = new AtomicInteger();
-      rig.runInLoop(() -> open.set(rig.server.network().connections()));
+      rig.runInLoop(() -> open.set(rig.server.network().connectionCount()));
       assertEquals(4, open.get()); // discovery, the client, and two dials
       late.letGo();
       MixerTestHarness.BoxConnection link = late.link();
--- a/mixer/src/test/java/gingerring/server/WatchAnswerTest.java
+++ b/mixer/src/test/java/gingerring/server/WatchAnswerTest.java
@@ -49,7 +49,7 @@
   void anAnswerWithoutALengthEndsByAnOrderlyCloseAlone() throws Exception {
     for (boolean orderly : new boolean[] {true, false}) {
       try (WatchStage stage = stage()) {
-        stage.inLoop(stage.watch::fetch);
+        stage.inLoop(stage.watch::fetchFullList);
         MixerTestHarness.DiscoveryConnection fetch = stage.agent.acceptRequest();
         trickle(stage, fetch, BARE + MixerTestHarness.memberListLine(42, true));
         if (orderly) {
@@ -111,7 +111,7 @@
   void halfAListIsNoListHoweverItEnds() throws Exception {
     for (boolean orderly : new boolean[] {true, false}) {
       try (WatchStage stage = stage()) {
-        stage.inLoop(stage.watch::fetch);
+        stage.inLoop(stage.watch::fetchFullList);
         MixerTestHarness.DiscoveryConnection fetch = stage.agent.acceptRequest();
         String list = MixerTestHarness.memberListLine(42, true);
         trickle(stage, fetch, BARE + list.substring(0, list.length() - 1));
@@ -137,7 +137,7 @@
           CHUNKS + Integer.toHexString(list.length() + 1) + "\r\n"
         }) {
       try (WatchStage stage = stage()) {
-        stage.inLoop(stage.watch::fetch);
+        stage.inLoop(stage.watch::fetchFullList);
         MixerTestHarness.DiscoveryConnection fetch = stage.agent.acceptRequest();
         trickle(stage, fetch, head + list);
         fetch.close();
--- a/mixer/src/test/java/gingerring/server/WatchMoveTest.java
+++ b/mixer/src/test/java/gingerring/server/WatchMoveTest.java
@@ -237,7 +237,7 @@
     for (boolean answered : new boolean[] {true, false}) {
       try (WatchStage stage = stage();
           MixerTestHarness.DiscoveryAgent there = new MixerTestHarness.DiscoveryAgent(true)) {
-        stage.inLoop(stage.watch::fetch);
+        stage.inLoop(stage.watch::fetchFullList);
         MixerTestHarness.DiscoveryConnection fetch = stage.agent.acceptRequest();
         assertTrue(
             fetch.requestHead.startsWith("GET /v1/endpoints HTTP/1.1\r\n"), fetch.requestHead);
@@ -268,7 +268,7 @@
     try (WatchStage stage = stage()) {
       stage.open();
       MixerTestHarness.DiscoveryConnection watch = speaking(stage, stage.agent, 41, 42);
-      stage.inLoop(stage.watch::fetch);
+      stage.inLoop(stage.watch::fetchFullList);
       MixerTestHarness.DiscoveryConnection fetch = stage.agent.acceptRequest();
       watch.sendLine(MixerTestHarness.memberListLine(43, false));
       assertEquals("list 43", stage.next());
