--- a/mixer/src/main/java/gingerring/backend/Backend.java
+++ b/mixer/src/main/java/gingerring/backend/Backend.java
@@ -41,32 +41,39 @@
   private Duration lastBadFrameLog;
 
   public Backend(
-      Network network, BackendListener returns, Settings terms, Counters counts, LoopTimer clock) {
+      Network network,
+      BackendListener listener,
+      Settings settings,
+      Counters counts,
+      LoopTimer clock) {
     this.network = network;
-    this.listener = returns;
+    this.listener = listener;
     this.counts = counts;
     this.clock = clock;
-    loadReportParser = new LoadReportParser(terms, counts);
-    maxPartsPerCall = Math.max(1, (int) terms.number("Domain.Batch", 1));
-    maxTripsPerConnection = Math.max(1, terms.count("PolicyLimits.StreamsPerConn"));
-    dialTimeout = terms.duration("PolicyLimits.DialTimeoutMs");
+    loadReportParser = new LoadReportParser(settings, counts);
+    maxPartsPerCall = Math.max(1, (int) settings.number("Domain.Batch", 1));
+    maxTripsPerConnection = Math.max(1, settings.count("PolicyLimits.StreamsPerConn"));
+    dialTimeout = settings.duration("PolicyLimits.DialTimeoutMs");
     // the searcher may close as early as its time for idle ones, and its word of that takes a
     // moment: the
     // time in which a connection has to come up, but never so much that none could be used twice
-    Duration idle = terms.duration("PolicyLimits.ConnIdleMs");
-    Duration half = idle.dividedBy(2);
-    maxIdleTime = dialTimeout.compareTo(half) < 0 ? idle.minus(dialTimeout) : half;
-    cancelSupported = terms.flag("PolicyLimits.Cancel");
+    Duration searcherIdleTimeout = settings.duration("PolicyLimits.ConnIdleMs");
+    Duration halfIdleTimeout = searcherIdleTimeout.dividedBy(2);
+    maxIdleTime =
+        dialTimeout.compareTo(halfIdleTimeout) < 0
+            ? searcherIdleTimeout.minus(dialTimeout)
+            : halfIdleTimeout;
+    cancelSupported = settings.flag("PolicyLimits.Cancel");
     // where reports come by probes alone, a probe asks for one
-    boolean byProbe =
-        terms.has("LoadReport.Source") && terms.text("LoadReport.Source").equals("probe");
-    probeLetter = byProbe ? 'M' : 'H';
+    boolean reportsByProbe =
+        settings.has("LoadReport.Source") && settings.text("LoadReport.Source").equals("probe");
+    probeLetter = reportsByProbe ? 'M' : 'H';
     clock.schedule(SWEEP_INTERVAL, this::closeIdleConnections);
   }
 
   /** The list has this searcher, at an address, up since a moment (null: long ago). */
   public void addOrUpdate(SearcherId id, InetSocketAddress address, Duration startedAt) {
-    pools.computeIfAbsent(id, each -> new ConnectionPool(this, each)).update(address, startedAt);
+    pools.computeIfAbsent(id, newId -> new ConnectionPool(this, newId)).update(address, startedAt);
   }
 
   /** The list no longer has it: its links go as soon as nothing is out on them. */
@@ -82,28 +89,28 @@
     withPool(id, ConnectionPool::stopSending);
   }
 
-  private void withPool(SearcherId id, Consumer<ConnectionPool> what) {
-    ConnectionPool station = pools.get(id);
-    if (station != null) {
-      what.accept(station);
+  private void withPool(SearcherId id, Consumer<ConnectionPool> action) {
+    ConnectionPool pool = pools.get(id);
+    if (pool != null) {
+      action.accept(pool);
     }
   }
 
   /** Takes a trip along; it leaves with the others of this turn. */
-  public void send(OutboundTrip errand) {
-    ConnectionPool station = pools.get(errand.searcher);
-    if (station == null) {
-      tripEnded(errand, Outcome.UNREACHABLE);
+  public void send(OutboundTrip trip) {
+    ConnectionPool pool = pools.get(trip.searcher);
+    if (pool == null) {
+      tripEnded(trip, Outcome.UNREACHABLE);
       return;
     }
-    errand.queuedAt = now();
-    station.send(errand);
+    trip.queuedAt = now();
+    pool.send(trip);
     clock.schedule(
-        errand.deadline.minus(now()),
+        trip.deadline.minus(now()),
         () -> {
-          if (!cancelIfUnsent(errand) && !errand.ended) {
-            errand.connection.tripTimedOut(errand);
-            tripEnded(errand, Outcome.TIMED_OUT);
+          if (!cancelIfUnsent(trip) && !trip.ended) {
+            trip.connection.tripTimedOut(trip);
+            tripEnded(trip, Outcome.TIMED_OUT);
           }
         });
   }
@@ -113,23 +120,23 @@
    * comes last in a turn, so that what leaves is looked at by all that is known when it does.
    */
   public void dispatch() {
-    List<ConnectionPool> turn = List.copyOf(poolsToDispatch);
+    List<ConnectionPool> scheduled = List.copyOf(poolsToDispatch);
     poolsToDispatch.clear();
-    turn.forEach(ConnectionPool::dispatch);
+    scheduled.forEach(ConnectionPool::dispatch);
   }
 
-  void scheduleDispatch(ConnectionPool station) {
-    poolsToDispatch.add(station);
+  void scheduleDispatch(ConnectionPool pool) {
+    poolsToDispatch.add(pool);
   }
 
   /**
    * Gives a trip up: one that has not begun never does, and the searcher is told of any other if it
    * may be.
    */
-  public void cancel(OutboundTrip errand) {
-    if (!cancelIfUnsent(errand) && !errand.ended && cancelSupported) {
-      errand.connection.cancel(errand);
-      tripEnded(errand, Outcome.CALLED_OFF);
+  public void cancel(OutboundTrip trip) {
+    if (!cancelIfUnsent(trip) && !trip.ended && cancelSupported) {
+      trip.connection.cancel(trip);
+      tripEnded(trip, Outcome.CALLED_OFF);
     }
   }
 
@@ -138,20 +145,20 @@
    * was. Returns whether it ended. Guards against work for nobody, and against an effect that
    * nobody knows of, also where trips under way cannot be called off.
    */
-  public boolean cancelIfUnsent(OutboundTrip errand) {
-    if (errand.ended || errand.written()) {
+  public boolean cancelIfUnsent(OutboundTrip trip) {
+    if (trip.ended || trip.written()) {
       return false;
     }
-    tripEnded(errand, Outcome.NOT_SENT);
+    tripEnded(trip, Outcome.NOT_SENT);
     return true;
   }
 
   public void probe(SearcherId id) {
-    ConnectionPool station = pools.get(id);
-    if (station == null) {
+    ConnectionPool pool = pools.get(id);
+    if (pool == null) {
       listener.probeEnded(id, Outcome.UNREACHABLE, Duration.ZERO, NO_LOAD);
     } else {
-      station.probe();
+      pool.probe();
     }
   }
 
@@ -172,33 +179,33 @@
   }
 
   /** Errands end once, whatever comes of them later. */
-  void tripEnded(OutboundTrip errand, Outcome outcome) {
-    tripEnded(errand, outcome, NO_LOAD, null);
+  void tripEnded(OutboundTrip trip, Outcome outcome) {
+    tripEnded(trip, outcome, NO_LOAD, null);
   }
 
-  void tripEnded(OutboundTrip errand, Outcome outcome, float[] load, byte[] value) {
-    if (!errand.ended) {
-      errand.ended = true;
-      if (errand.pool != null) {
-        errand.pool.removeWaiting(errand);
+  void tripEnded(OutboundTrip trip, Outcome outcome, float[] load, byte[] value) {
+    if (!trip.ended) {
+      trip.ended = true;
+      if (trip.pool != null) {
+        trip.pool.removeWaiting(trip);
       }
       counts.add("trips " + outcome, 1);
-      listener.tripEnded(errand, outcome, load, value);
+      listener.tripEnded(trip, outcome, load, value);
     }
   }
 
-  void probeEnded(ConnectionPool station, Outcome outcome, Duration taken, float[] load) {
+  void probeEnded(ConnectionPool pool, Outcome outcome, Duration responseTime, float[] load) {
     counts.add("probes " + outcome, 1);
-    listener.probeEnded(station.id, outcome, taken, load == null ? NO_LOAD : load);
+    listener.probeEnded(pool.id, outcome, responseTime, load == null ? NO_LOAD : load);
   }
 
   /** Counts what a searcher did wrong, and logs it once in a while. */
-  void reportBadFrame(String what) {
+  void reportBadFrame(String message) {
     counts.add("bad frames", 1);
     if (lastBadFrameLog == null
         || now().minus(lastBadFrameLog).compareTo(BAD_FRAME_LOG_INTERVAL) > 0) {
       lastBadFrameLog = now();
-      LOG.warn(what);
+      LOG.warn(message);
     }
   }
 
@@ -219,8 +226,8 @@
     return clock.now();
   }
 
-  void wakeAfter(Duration span, Runnable task) {
-    clock.schedule(span, task);
+  void wakeAfter(Duration delay, Runnable task) {
+    clock.schedule(delay, task);
   }
 
   LoadReportParser loadReportParser() {
--- a/mixer/src/main/java/gingerring/backend/BackendListener.java
+++ b/mixer/src/main/java/gingerring/backend/BackendListener.java
@@ -10,7 +10,7 @@
    * {@code value} is null but for a part that succeeded; {@code load} is empty where no report
    * came.
    */
-  void tripEnded(OutboundTrip errand, Outcome outcome, float[] load, byte[] value);
+  void tripEnded(OutboundTrip trip, Outcome outcome, float[] load, byte[] value);
 
-  void probeEnded(SearcherId searcher, Outcome outcome, Duration taken, float[] load);
+  void probeEnded(SearcherId searcher, Outcome outcome, Duration responseTime, float[] load);
 }
--- a/mixer/src/main/java/gingerring/backend/ConnectionPool.java
+++ b/mixer/src/main/java/gingerring/backend/ConnectionPool.java
@@ -38,8 +38,8 @@
   /** Probes that wait for a connection, by when they were asked for. */
   private final List<SearcherConnection.PendingProbe> waitingProbes = new ArrayList<>();
 
-  ConnectionPool(Backend back, SearcherId id) {
-    this.backend = back;
+  ConnectionPool(Backend backend, SearcherId id) {
+    this.backend = backend;
     this.id = id;
   }
 
@@ -47,24 +47,24 @@
     return address;
   }
 
-  void update(InetSocketAddress at, Duration startedAt) {
-    boolean moved = address != null && !address.equals(at);
-    address = at;
+  void update(InetSocketAddress newAddress, Duration startedAt) {
+    boolean moved = address != null && !address.equals(newAddress);
+    address = newAddress;
     removed = false;
     sendingStopped = false;
     if (startedAt != null) {
       // made for a process that is no more: the new one is cold, and is to get no more than is
       // decided for it
       List.copyOf(waiting).stream()
-          .filter(errand -> errand.queuedAt.compareTo(startedAt) < 0)
-          .forEach(errand -> backend.tripEnded(errand, Outcome.NOT_SENT));
+          .filter(trip -> trip.queuedAt.compareTo(startedAt) < 0)
+          .forEach(trip -> backend.tripEnded(trip, Outcome.NOT_SENT));
     }
-    for (SearcherConnection link : List.copyOf(connections)) {
-      if (startedAt != null && link.dialledAt.compareTo(startedAt) < 0) {
+    for (SearcherConnection connection : List.copyOf(connections)) {
+      if (startedAt != null && connection.dialledAt.compareTo(startedAt) < 0) {
         // it was made to a process that is no more: what was out there will not be answered
-        link.abandon();
+        connection.abandon();
       } else if (moved) {
-        link.retire();
+        connection.retire();
       }
     }
     backend.scheduleDispatch(this);
@@ -88,37 +88,37 @@
     return removed && connections.isEmpty() && waiting.isEmpty() && waitingProbes.isEmpty();
   }
 
-  void send(OutboundTrip errand) {
-    errand.pool = this;
-    waiting.add(errand);
+  void send(OutboundTrip trip) {
+    trip.pool = this;
+    waiting.add(trip);
     backend.scheduleDispatch(this);
-    failUnlessConnected(errand);
+    failUnlessConnected(trip);
   }
 
   /**
    * An errand that no connection comes up for in its time, or none that is read from, has found
    * nobody.
    */
-  private void failUnlessConnected(OutboundTrip errand) {
+  private void failUnlessConnected(OutboundTrip trip) {
     backend.wakeAfter(
         backend.dialTimeout(),
         () -> {
-          if (waiting.contains(errand)) {
+          if (waiting.contains(trip)) {
             List.copyOf(connections).stream()
                 .filter(SearcherConnection::writeStalled)
                 .forEach(SearcherConnection::retire);
             if (connections.stream().anyMatch(SearcherConnection::connected)) {
-              failUnlessConnected(errand);
+              failUnlessConnected(trip);
             } else {
-              backend.tripEnded(errand, Outcome.UNREACHABLE);
+              backend.tripEnded(trip, Outcome.UNREACHABLE);
             }
           }
         });
   }
 
   /** It has been put, or has ended without. */
-  void removeWaiting(OutboundTrip errand) {
-    waiting.remove(errand);
+  void removeWaiting(OutboundTrip trip) {
+    waiting.remove(trip);
   }
 
   /**
@@ -129,43 +129,45 @@
     // by the time it is, and not by the turn's: guards against a process that stands still within a
     // turn
     Duration now = backend.currentTime();
-    for (OutboundTrip errand : List.copyOf(waiting)) {
-      if (sendingStopped || !errand.mayStart(now)) {
-        backend.tripEnded(errand, Outcome.NOT_SENT);
+    for (OutboundTrip trip : List.copyOf(waiting)) {
+      if (sendingStopped || !trip.mayStart(now)) {
+        backend.tripEnded(trip, Outcome.NOT_SENT);
       }
     }
-    for (SearcherConnection link : List.copyOf(connections)) {
-      link.dispatch(waiting);
+    for (SearcherConnection connection : List.copyOf(connections)) {
+      connection.dispatch(waiting);
     }
-    for (int lacking = missingConnections(); lacking > 0 && dial(); lacking--) {
+    for (int missing = missingConnections(); missing > 0 && dial(); missing--) {
       // one for each that is lacking, as far as that goes
     }
   }
 
   /** How many more links are wanted for what waits, beside those up and those coming up in time. */
   private int missingConnections() {
-    Map<SearcherConnection, Integer> room = new HashMap<>();
+    Map<SearcherConnection, Integer> freeSlots = new HashMap<>();
     connections.stream()
         .filter(SearcherConnection::usableOrDialing)
-        .forEach(link -> room.put(link, link.freeSlots()));
-    int lacking = 0;
-    int further = 0;
-    for (OutboundTrip errand : waiting) {
-      SearcherConnection taker =
+        .forEach(connection -> freeSlots.put(connection, connection.freeSlots()));
+    int missing = 0;
+    int slotsOnMissing = 0;
+    for (OutboundTrip trip : waiting) {
+      SearcherConnection target =
           connections.stream()
-              .filter(link -> room.getOrDefault(link, 0) > 0 && link.accepts(errand))
+              .filter(
+                  connection ->
+                      freeSlots.getOrDefault(connection, 0) > 0 && connection.accepts(trip))
               .findFirst()
               .orElse(null);
-      if (taker != null) {
-        room.merge(taker, -1, Integer::sum);
-      } else if (further > 0) {
-        further--;
+      if (target != null) {
+        freeSlots.merge(target, -1, Integer::sum);
+      } else if (slotsOnMissing > 0) {
+        slotsOnMissing--;
       } else {
-        lacking++;
-        further = backend.maxTripsPerConnection() - 1;
+        missing++;
+        slotsOnMissing = backend.maxTripsPerConnection() - 1;
       }
     }
-    return lacking == 0 && !waitingProbes.isEmpty() && room.isEmpty() ? 1 : lacking;
+    return missing == 0 && !waitingProbes.isEmpty() && freeSlots.isEmpty() ? 1 : missing;
   }
 
   /**
@@ -174,15 +176,18 @@
    * handshakes at a searcher whose connections come up late, each closed before it is of use.
    */
   private boolean dial() {
-    List<SearcherConnection> coming =
+    List<SearcherConnection> dialing =
         connections.stream().filter(SearcherConnection::dialing).toList();
-    if (coming.size() >= MAX_CONCURRENT_DIALS) {
-      SearcherConnection late =
-          coming.stream().filter(link -> !link.usableOrDialing()).findFirst().orElse(null);
-      if (late == null) {
+    if (dialing.size() >= MAX_CONCURRENT_DIALS) {
+      SearcherConnection overdue =
+          dialing.stream()
+              .filter(connection -> !connection.usableOrDialing())
+              .findFirst()
+              .orElse(null);
+      if (overdue == null) {
         return false;
       }
-      late.close();
+      overdue.close();
     }
     backend.counts().add("links dialled", 1);
     connections.add(new SearcherConnection(backend, this));
@@ -194,10 +199,10 @@
       backend.probeEnded(this, Outcome.UNREACHABLE, Duration.ZERO, null);
       return;
     }
-    SearcherConnection link =
+    SearcherConnection connection =
         connections.stream().filter(SearcherConnection::usable).findFirst().orElse(null);
-    if (link != null) {
-      link.probe();
+    if (connection != null) {
+      connection.probe();
       return;
     }
     SearcherConnection.PendingProbe probe = new SearcherConnection.PendingProbe(backend.now());
@@ -213,20 +218,21 @@
   }
 
   /** A link is up: what waited for one goes by it. */
-  void connectionOpened(SearcherConnection link) {
+  void connectionOpened(SearcherConnection connection) {
     backend.scheduleDispatch(this);
-    if (link.usable()) {
-      waitingProbes.forEach(probe -> link.probe());
+    if (connection.usable()) {
+      waitingProbes.forEach(probe -> connection.probe());
       waitingProbes.clear();
     }
   }
 
   /** A link has ended, or never came up. */
-  void connectionClosed(SearcherConnection link) {
-    connections.remove(link);
+  void connectionClosed(SearcherConnection connection) {
+    connections.remove(connection);
     backend.scheduleDispatch(this);
-    if (link.dialFailed() && connections.stream().noneMatch(SearcherConnection::usableOrDialing)) {
-      List.copyOf(waiting).forEach(errand -> backend.tripEnded(errand, Outcome.UNREACHABLE));
+    if (connection.dialFailed()
+        && connections.stream().noneMatch(SearcherConnection::usableOrDialing)) {
+      List.copyOf(waiting).forEach(trip -> backend.tripEnded(trip, Outcome.UNREACHABLE));
       failWaitingProbes();
     }
   }
@@ -241,7 +247,7 @@
 
   void closeIdle() {
     connections.stream()
-        .filter(link -> link.connected() && link.idle())
+        .filter(connection -> connection.connected() && connection.idle())
         .toList()
         .forEach(SearcherConnection::close);
   }
--- a/mixer/src/main/java/gingerring/backend/FrameCodec.java
+++ b/mixer/src/main/java/gingerring/backend/FrameCodec.java
@@ -24,7 +24,7 @@
 
   /** Who is told of each frame read. */
   interface Sink {
-    void frame(char letter, byte[] rest) throws MalformedFrameException;
+    void frame(char letter, byte[] payload) throws MalformedFrameException;
   }
 
   private static final int LENGTH_BYTES = 4;
@@ -67,46 +67,46 @@
       }
       frameRead += in.take(frame, frameRead, frame.length - frameRead);
       if (frameRead == frame.length) {
-        byte[] whole = frame;
+        byte[] complete = frame;
         frame = null;
         lengthFieldRead = 0;
         framesRead++;
-        sink.frame((char) whole[0], Arrays.copyOfRange(whole, 1, whole.length));
+        sink.frame((char) complete[0], Arrays.copyOfRange(complete, 1, complete.length));
       }
     }
   }
 
-  static byte[] encode(char letter, byte[] rest) {
-    return ByteBuffer.allocate(LENGTH_BYTES + 1 + rest.length)
+  static byte[] encode(char letter, byte[] payload) {
+    return ByteBuffer.allocate(LENGTH_BYTES + 1 + payload.length)
         .order(ByteOrder.LITTLE_ENDIAN)
-        .putInt(1 + rest.length)
+        .putInt(1 + payload.length)
         .put((byte) letter)
-        .put(rest)
+        .put(payload)
         .array();
   }
 
   /** One call: a line and the text for each part. */
-  static byte[] encodeCall(List<OutboundTrip> errands, Duration now) {
-    ByteArrayOutputStream rest = new ByteArrayOutputStream();
-    for (OutboundTrip errand : errands) {
-      long wait = Math.max(1, errand.deadline.minus(now).toMillis());
+  static byte[] encodeCall(List<OutboundTrip> trips, Duration now) {
+    ByteArrayOutputStream payload = new ByteArrayOutputStream();
+    for (OutboundTrip trip : trips) {
+      long remainingMs = Math.max(1, trip.deadline.minus(now).toMillis());
       String line =
-          errand.wireId
+          trip.wireId
               + ' '
-              + errand.shard
+              + trip.shard
               + " d="
-              + wait
-              + (errand.idempotencyKey == null ? "" : ",k=" + errand.idempotencyKey)
+              + remainingMs
+              + (trip.idempotencyKey == null ? "" : ",k=" + trip.idempotencyKey)
               + ' '
-              + errand.queryText.length
+              + trip.queryText.length
               + '\n';
-      rest.writeBytes(line.getBytes(StandardCharsets.US_ASCII));
-      rest.writeBytes(errand.queryText);
+      payload.writeBytes(line.getBytes(StandardCharsets.US_ASCII));
+      payload.writeBytes(trip.queryText);
     }
-    return encode('S', rest.toByteArray());
+    return encode('S', payload.toByteArray());
   }
 
-  static byte[] encodeCancel(OutboundTrip errand) {
-    return encode('C', errand.wireId.getBytes(StandardCharsets.US_ASCII));
+  static byte[] encodeCancel(OutboundTrip trip) {
+    return encode('C', trip.wireId.getBytes(StandardCharsets.US_ASCII));
   }
 }
--- a/mixer/src/main/java/gingerring/backend/LoadReportParser.java
+++ b/mixer/src/main/java/gingerring/backend/LoadReportParser.java
@@ -29,10 +29,11 @@
   private final String[] columns;
   private final Counters counts;
 
-  LoadReportParser(Settings terms, Counters counts) {
+  LoadReportParser(Settings settings, Counters counts) {
     this.counts = counts;
-    String told = terms.has("LoadReport.Columns") ? terms.text("LoadReport.Columns") : "";
-    columns = told.isEmpty() ? new String[0] : told.split(",");
+    String columnList =
+        settings.has("LoadReport.Columns") ? settings.text("LoadReport.Columns") : "";
+    columns = columnList.isEmpty() ? new String[0] : columnList.split(",");
   }
 
   /** What cannot be read is no report: it says nothing of the answer that it came with. */
@@ -44,14 +45,14 @@
     for (String pair : text.split(",", -1)) {
       int equals = pair.indexOf('=');
       String name = pair.substring(0, Math.max(0, equals));
-      float figure = parseFigure(pair.substring(equals + 1));
-      if (equals < 1 || Float.isNaN(figure)) {
+      float value = parseFigure(pair.substring(equals + 1));
+      if (equals < 1 || Float.isNaN(value)) {
         counts.add("unreadable load reports", 1);
         return NO_LOAD;
       }
       for (int i = 0; i < columns.length; i++) {
         if (columns[i].equals(name) || name.equals(WIRE_NAMES.get(columns[i]))) {
-          load[i] = figure;
+          load[i] = value;
         }
       }
     }
@@ -60,8 +61,8 @@
 
   private static float parseFigure(String text) {
     try {
-      float figure = Float.parseFloat(text);
-      return Float.isFinite(figure) ? figure : Float.NaN;
+      float value = Float.parseFloat(text);
+      return Float.isFinite(value) ? value : Float.NaN;
     } catch (NumberFormatException e) {
       return Float.NaN;
     }
--- a/mixer/src/main/java/gingerring/backend/OutboundTrip.java
+++ b/mixer/src/main/java/gingerring/backend/OutboundTrip.java
@@ -34,14 +34,14 @@
 
   public OutboundTrip(
       PartId part,
-      int trip,
+      int tripNumber,
       SearcherId searcher,
-      String mark,
+      String wireId,
       int shard,
-      String key,
-      byte[] text,
-      Duration until) {
-    this(part, trip, searcher, mark, shard, key, text, until, null);
+      String idempotencyKey,
+      byte[] queryText,
+      Duration deadline) {
+    this(part, tripNumber, searcher, wireId, shard, idempotencyKey, queryText, deadline, null);
   }
 
   /**
@@ -49,23 +49,23 @@
    */
   public OutboundTrip(
       PartId part,
-      int trip,
+      int tripNumber,
       SearcherId searcher,
-      String mark,
+      String wireId,
       int shard,
-      String key,
-      byte[] text,
-      Duration until,
-      Duration startBy) {
+      String idempotencyKey,
+      byte[] queryText,
+      Duration deadline,
+      Duration startDeadline) {
     this.part = part;
-    this.tripNumber = trip;
+    this.tripNumber = tripNumber;
     this.searcher = searcher;
-    this.wireId = mark;
+    this.wireId = wireId;
     this.shard = shard;
-    this.idempotencyKey = key;
-    this.queryText = text;
-    this.deadline = until;
-    this.startDeadline = startBy;
+    this.idempotencyKey = idempotencyKey;
+    this.queryText = queryText;
+    this.deadline = deadline;
+    this.startDeadline = startDeadline;
   }
 
   /** Whether its frame has been put into its link's ring: it may run from then on. */
@@ -74,8 +74,11 @@
   }
 
   /** It is not to begin later than this either, as a copy of its part may begin meanwhile. */
-  public void limitStart(Duration by) {
-    startDeadline = startDeadline == null || by.compareTo(startDeadline) < 0 ? by : startDeadline;
+  public void limitStart(Duration latestStart) {
+    startDeadline =
+        startDeadline == null || latestStart.compareTo(startDeadline) < 0
+            ? latestStart
+            : startDeadline;
   }
 
   /** Whether its first byte may still leave now. */
--- a/mixer/src/main/java/gingerring/backend/SearcherConnection.java
+++ b/mixer/src/main/java/gingerring/backend/SearcherConnection.java
@@ -24,8 +24,8 @@
   static final class PendingProbe {
     final Duration sentAt;
 
-    PendingProbe(Duration sent) {
-      this.sentAt = sent;
+    PendingProbe(Duration sentAt) {
+      this.sentAt = sentAt;
     }
   }
 
@@ -67,18 +67,18 @@
 
   private Duration lastReadAt;
 
-  SearcherConnection(Backend back, ConnectionPool station) {
-    this.backend = back;
-    this.pool = station;
-    dialledAt = back.now();
+  SearcherConnection(Backend backend, ConnectionPool pool) {
+    this.backend = backend;
+    this.pool = pool;
+    dialledAt = backend.now();
     lastUsedAt = dialledAt;
     lastReadAt = dialledAt;
-    connection = back.network().dial(station.address(), Backend.OUTPUT_BUFFER_BYTES, this);
-    back.wakeAfter(
-        back.dialTimeout(),
+    connection = backend.network().dial(pool.address(), Backend.OUTPUT_BUFFER_BYTES, this);
+    backend.wakeAfter(
+        backend.dialTimeout(),
         () -> {
           dialOverdue = true;
-          back.scheduleDispatch(station);
+          backend.scheduleDispatch(pool);
         });
   }
 
@@ -124,8 +124,8 @@
   }
 
   /** A part that was out here before is not told from its repeat by its answers. */
-  boolean accepts(OutboundTrip errand) {
-    return !tripsInFlight.containsKey(errand.wireId) && !recentIds.contains(errand.wireId);
+  boolean accepts(OutboundTrip trip) {
+    return !tripsInFlight.containsKey(trip.wireId) && !recentIds.contains(trip.wireId);
   }
 
   /**
@@ -169,21 +169,21 @@
    */
   void dispatch(Collection<OutboundTrip> waiting) {
     if (usable() && outputEmpty()) {
-      List<OutboundTrip> call = new ArrayList<>();
-      for (OutboundTrip errand : List.copyOf(waiting)) {
+      List<OutboundTrip> batch = new ArrayList<>();
+      for (OutboundTrip trip : List.copyOf(waiting)) {
         if (tripsInFlight.size() < backend.maxTripsPerConnection()
             && connection.output.size() < MAX_UNSENT_BYTES
-            && accepts(errand)) {
-          errand.connection = this;
-          tripsInFlight.put(errand.wireId, errand);
-          call.add(errand);
-          if (call.size() == backend.maxPartsPerCall()) {
-            writeCall(call);
-            call.clear();
+            && accepts(trip)) {
+          trip.connection = this;
+          tripsInFlight.put(trip.wireId, trip);
+          batch.add(trip);
+          if (batch.size() == backend.maxPartsPerCall()) {
+            writeCall(batch);
+            batch.clear();
           }
         }
       }
-      writeCall(call);
+      writeCall(batch);
     }
     if (connection.isOpen()) {
       pendingCancels.forEach(this::writeFrame);
@@ -191,26 +191,26 @@
     pendingCancels.clear();
   }
 
-  private void writeCall(List<OutboundTrip> call) {
-    if (call.isEmpty()) {
+  private void writeCall(List<OutboundTrip> batch) {
+    if (batch.isEmpty()) {
       return;
     }
-    if (writeFrame(FrameCodec.encodeCall(call, backend.now()))) {
-      for (OutboundTrip errand : call) {
-        backend.counts().checkInvariant(!errand.written(), "a trip begins once");
-        errand.frameEndPosition = connection.output.totalBytesPut();
-        pool.removeWaiting(errand);
+    if (writeFrame(FrameCodec.encodeCall(batch, backend.now()))) {
+      for (OutboundTrip trip : batch) {
+        backend.counts().checkInvariant(!trip.written(), "a trip begins once");
+        trip.frameEndPosition = connection.output.totalBytesPut();
+        pool.removeWaiting(trip);
       }
-    } else if (call.size() > 1) {
+    } else if (batch.size() > 1) {
       // so much text at once does not fit the ring
-      writeCall(call.subList(0, call.size() / 2));
-      writeCall(call.subList(call.size() / 2, call.size()));
+      writeCall(batch.subList(0, batch.size() / 2));
+      writeCall(batch.subList(batch.size() / 2, batch.size()));
     } else {
       // it waits until the ring is empty again
-      call.forEach(
-          errand -> {
-            errand.connection = null;
-            tripsInFlight.remove(errand.wireId);
+      batch.forEach(
+          trip -> {
+            trip.connection = null;
+            tripsInFlight.remove(trip.wireId);
           });
     }
   }
@@ -223,9 +223,9 @@
   }
 
   /** Gives up a trip whose frame has been put: the searcher is told. */
-  void cancel(OutboundTrip errand) {
-    removeTrip(errand);
-    pendingCancels.add(FrameCodec.encodeCancel(errand));
+  void cancel(OutboundTrip trip) {
+    removeTrip(trip);
+    pendingCancels.add(FrameCodec.encodeCancel(trip));
     backend.scheduleDispatch(pool);
     closeIfRetiredAndIdle();
   }
@@ -234,8 +234,8 @@
    * A trip has timed out: nothing is sent, and a link that has told nothing since is not trusted
    * on.
    */
-  void tripTimedOut(OutboundTrip errand) {
-    removeTrip(errand);
+  void tripTimedOut(OutboundTrip trip) {
+    removeTrip(trip);
     if (lastReadAt.compareTo(dialledAt) <= 0
         || backend.now().minus(lastReadAt).compareTo(backend.dialTimeout()) > 0) {
       retired = true;
@@ -313,32 +313,32 @@
    * it was for may have run, and so may all others out on it: they end as on a connection that
    * breaks.
    */
-  private void closeOnBadFrame(String what) {
-    backend.reportBadFrame("a searcher's frame could not be used: " + what);
+  private void closeOnBadFrame(String fault) {
+    backend.reportBadFrame("a searcher's frame could not be used: " + fault);
     connection.input.clear();
     connection.close();
   }
 
-  private void handleFrame(char letter, byte[] rest) throws FrameCodec.MalformedFrameException {
+  private void handleFrame(char letter, byte[] payload) throws FrameCodec.MalformedFrameException {
     switch (letter) {
-      case 'R' -> handleResult(rest);
-      case 'H', 'M' -> handleProbeAnswer(letter, new String(rest, StandardCharsets.US_ASCII));
+      case 'R' -> handleResult(payload);
+      case 'H', 'M' -> handleProbeAnswer(letter, new String(payload, StandardCharsets.US_ASCII));
       case 'F' ->
           throw new FrameCodec.MalformedFrameException(
               "F: "
-                  + new String(rest, 0, Math.min(rest.length, 80), StandardCharsets.US_ASCII)
+                  + new String(payload, 0, Math.min(payload.length, 80), StandardCharsets.US_ASCII)
                       .replaceAll("[^ -~]", "?"));
       default -> throw new FrameCodec.MalformedFrameException("letter " + (int) letter);
     }
   }
 
-  private void handleResult(byte[] rest) throws FrameCodec.MalformedFrameException {
-    int end = 0;
-    while (end < rest.length && rest[end] != '\n') {
-      end++;
+  private void handleResult(byte[] payload) throws FrameCodec.MalformedFrameException {
+    int lineEnd = 0;
+    while (lineEnd < payload.length && payload[lineEnd] != '\n') {
+      lineEnd++;
     }
-    String[] words = new String(rest, 0, end, StandardCharsets.US_ASCII).split(" ", -1);
-    if (end == rest.length || words.length != 4) {
+    String[] words = new String(payload, 0, lineEnd, StandardCharsets.US_ASCII).split(" ", -1);
+    if (lineEnd == payload.length || words.length != 4) {
       throw new FrameCodec.MalformedFrameException("R without its line");
     }
     Outcome outcome =
@@ -348,21 +348,21 @@
           case "full" -> Outcome.FULL;
           default -> throw new FrameCodec.MalformedFrameException("R with an unknown end");
         };
-    OutboundTrip errand = tripsInFlight.get(words[0]);
-    if (errand == null) {
+    OutboundTrip trip = tripsInFlight.get(words[0]);
+    if (trip == null) {
       if (!recentIds.contains(words[0])) {
         throw new FrameCodec.MalformedFrameException("R for a part that is not known");
       }
       backend.counts().add("late answers", 1);
       return;
     }
-    byte[] value = Arrays.copyOfRange(rest, end + 1, rest.length);
+    byte[] value = Arrays.copyOfRange(payload, lineEnd + 1, payload.length);
     if (outcome == Outcome.SUCCEEDED && (value.length == 0 || !isUtf8(value))) {
       throw new FrameCodec.MalformedFrameException("R with a value that is no text");
     }
-    removeTrip(errand);
+    removeTrip(trip);
     backend.tripEnded(
-        errand,
+        trip,
         outcome,
         backend.loadReportParser().parse(words[3]),
         outcome == Outcome.SUCCEEDED ? value : null);
@@ -379,9 +379,9 @@
   }
 
   /** No longer out; an answer may still come, late or for a second time. */
-  private void removeTrip(OutboundTrip errand) {
-    tripsInFlight.remove(errand.wireId);
-    recentIds.add(errand.wireId);
+  private void removeTrip(OutboundTrip trip) {
+    tripsInFlight.remove(trip.wireId);
+    recentIds.add(trip.wireId);
     if (recentIds.size() > MAX_RECENT_IDS) {
       recentIds.remove(recentIds.iterator().next());
     }
@@ -421,11 +421,11 @@
   }
 
   /** Ends with what is out on it: what had left whole may have run. */
-  private void endTripsAndProbes(long written) {
+  private void endTripsAndProbes(long bytesWritten) {
     pool.connectionClosed(this);
-    for (OutboundTrip errand : new ArrayList<>(tripsInFlight.values())) {
+    for (OutboundTrip trip : new ArrayList<>(tripsInFlight.values())) {
       backend.tripEnded(
-          errand, errand.frameEndPosition <= written ? Outcome.BROKEN : Outcome.UNREACHABLE);
+          trip, trip.frameEndPosition <= bytesWritten ? Outcome.BROKEN : Outcome.UNREACHABLE);
     }
     tripsInFlight.clear();
     for (PendingProbe probe : probesInFlight) {
--- a/mixer/src/main/java/gingerring/frontend/ClientConnection.java
+++ b/mixer/src/main/java/gingerring/frontend/ClientConnection.java
@@ -41,27 +41,27 @@
   /** Has had an answer to a whole request. */
   private boolean requestCompleted;
 
-  ClientConnection(Frontend front, Connection connection, boolean crowded) {
-    this.frontend = front;
-    this.overConnectionLimit = crowded;
+  ClientConnection(Frontend frontend, Connection connection, boolean overConnectionLimit) {
+    this.frontend = frontend;
+    this.overConnectionLimit = overConnectionLimit;
     this.connection = connection;
-    idleSince = front.now();
+    idleSince = frontend.now();
     parser =
         new HttpParser(
             true,
             Frontend.MAX_BODY_BYTES,
             new HttpParser.Handler() {
               @Override
-              public void onHead(MessageHead read) {
-                head = read;
-                if (read.hasToken("expect", "100-continue")) {
+              public void onHead(MessageHead parsedHead) {
+                head = parsedHead;
+                if (parsedHead.hasToken("expect", "100-continue")) {
                   write(HttpWriter.CONTINUE);
                 }
               }
 
               @Override
               public void onBody(byte[] bytes, int length) throws HttpException {
-                front.reserveBodyBytes(length);
+                frontend.reserveBodyBytes(length);
                 body.write(bytes, 0, length);
               }
 
@@ -134,19 +134,19 @@
 
   /** Called now and then: ends what takes too long. */
   void enforceTimeouts() {
-    Duration idle = frontend.now().minus(idleSince);
+    Duration idleTime = frontend.now().minus(idleSince);
     if (scanOpen || finalResponseWritten) {
       return;
     }
     if (connection.output.size() > 0) {
-      if (idle.compareTo(Frontend.RESPONSE_TIMEOUT) > 0) {
+      if (idleTime.compareTo(Frontend.RESPONSE_TIMEOUT) > 0) {
         connection.close();
       }
     } else if (requestStartedAt != null
         && frontend.now().minus(requestStartedAt).compareTo(Frontend.REQUEST_TIMEOUT) > 0) {
       refuseAndClose(408);
     } else if (requestStartedAt == null
-        && idle.compareTo(requestCompleted ? Frontend.IDLE_TIMEOUT : Frontend.REQUEST_TIMEOUT)
+        && idleTime.compareTo(requestCompleted ? Frontend.IDLE_TIMEOUT : Frontend.REQUEST_TIMEOUT)
             > 0) {
       closeIfIdle();
     }
@@ -219,8 +219,9 @@
     if (head.versionOrReason().equals("HTTP/1.1") && head.header("host") == null) {
       throw new HttpException(400, "no Host");
     }
-    int query = head.targetOrStatus().indexOf('?');
-    String path = query < 0 ? head.targetOrStatus() : head.targetOrStatus().substring(0, query);
+    int queryStart = head.targetOrStatus().indexOf('?');
+    String path =
+        queryStart < 0 ? head.targetOrStatus() : head.targetOrStatus().substring(0, queryStart);
     switch (path) {
       case "/ready" ->
           respond(
@@ -239,9 +240,9 @@
   }
 
   private void handleScan() throws HttpException {
-    ScanRequest ask;
+    ScanRequest request;
     try {
-      ask = frontend.requestParser().parse(head, body.toByteArray());
+      request = frontend.requestParser().parse(head, body.toByteArray());
     } catch (HttpException e) {
       // the framing holds, so that the connection can go on
       frontend.counts().add("bad requests", 1);
@@ -255,16 +256,17 @@
       return;
     }
     scanOpen = true;
-    if (!frontend.accept(ask, requestStartedAt, this)) {
+    if (!frontend.accept(request, requestStartedAt, this)) {
       frontend.counts().add("bad requests", 1);
       respond(400, "", new byte[0]);
     }
   }
 
   @Override
-  public void answer(boolean whole, Map<Integer, byte[]> values) {
+  public void answer(boolean complete, Map<Integer, byte[]> values) {
     ByteArrayOutputStream json = new ByteArrayOutputStream();
-    json.writeBytes(("{\"whole\":" + whole + ",\"results\":[").getBytes(StandardCharsets.US_ASCII));
+    json.writeBytes(
+        ("{\"whole\":" + complete + ",\"results\":[").getBytes(StandardCharsets.US_ASCII));
     boolean first = true;
     for (Map.Entry<Integer, byte[]> value : values.entrySet()) {
       json.writeBytes(
@@ -292,10 +294,10 @@
   }
 
   @Override
-  public void reject(Duration comeBack) {
+  public void reject(Duration retryAfter) {
     respond(
         503,
-        comeBack.isZero() ? "" : "Retry-After: " + comeBack.toMillis() / 1000.0 + "\r\n",
+        retryAfter.isZero() ? "" : "Retry-After: " + retryAfter.toMillis() / 1000.0 + "\r\n",
         new byte[0]);
   }
 
@@ -304,7 +306,7 @@
     respond(500, "", new byte[0]);
   }
 
-  private void respond(int status, String extra, byte[] json) {
+  private void respond(int status, String extraHeaders, byte[] responseBody) {
     scanOpen = false;
     requestStartedAt = null;
     requestCompleted |= status == 200 || status == 503;
@@ -312,7 +314,7 @@
     frontend.releaseBodyBytes(body.size());
     body = new ByteArrayOutputStream();
     closeAfterResponse |= frontend.closeAfterResponse();
-    if (!write(HttpWriter.response(status, closeAfterResponse, extra, json))) {
+    if (!write(HttpWriter.response(status, closeAfterResponse, extraHeaders, responseBody))) {
       frontend.counts().add("answers too large", 1);
       closeAfterResponse = true;
       write(HttpWriter.response(500, true, "", new byte[0]));
--- a/mixer/src/main/java/gingerring/frontend/Frontend.java
+++ b/mixer/src/main/java/gingerring/frontend/Frontend.java
@@ -52,19 +52,19 @@
    */
   public Frontend(
       Network network,
-      ScanHandler intake,
-      Settings terms,
+      ScanHandler handler,
+      Settings settings,
       Counters counts,
       LoopTimer clock,
-      Consumer<Runnable> again,
-      int connectionsMost) {
+      Consumer<Runnable> nextTurn,
+      int maxConnections) {
     this.network = network;
-    this.handler = intake;
+    this.handler = handler;
     this.counts = counts;
     this.clock = clock;
-    this.nextTurn = again;
-    this.maxConnections = connectionsMost;
-    requestParser = new ScanRequestParser(terms);
+    this.nextTurn = nextTurn;
+    this.maxConnections = maxConnections;
+    requestParser = new ScanRequestParser(settings);
     clock.schedule(SWEEP_INTERVAL, this::enforceTimeouts);
   }
 
@@ -81,8 +81,8 @@
     }
     // guards against newcomers of one turn that are sent away while enough others are being ended
     // for them
-    boolean crowded = !evictClients() && network.isFull(evictionsPending);
-    ClientConnection client = new ClientConnection(this, connection, crowded);
+    boolean overConnectionLimit = !evictClients() && network.isFull(evictionsPending);
+    ClientConnection client = new ClientConnection(this, connection, overConnectionLimit);
     connection.setHandler(client);
     clients.add(client);
   }
@@ -94,21 +94,21 @@
    * is over. Where all are busy a newcomer's scan is nacked. Returns whether any went.
    */
   private boolean evictClients() {
-    int shortBy = network.connectionShortfall() - evictionsPending;
-    if (shortBy <= 0) {
+    int needed = network.connectionShortfall() - evictionsPending;
+    if (needed <= 0) {
       return false;
     }
-    int before = evictionsPending;
-    for (ClientConnection each :
+    int pendingBefore = evictionsPending;
+    for (ClientConnection client :
         clients.stream()
             .filter(ClientConnection::evictable)
             .sorted(ClientConnection.EVICTION_ORDER)
             .toList()) {
-      if (evictionsPending - before < shortBy && each.evict()) {
+      if (evictionsPending - pendingBefore < needed && client.evict()) {
         evictionsPending++;
       }
     }
-    return evictionsPending > before;
+    return evictionsPending > pendingBefore;
   }
 
   /**
@@ -144,9 +144,9 @@
     return clients.size();
   }
 
-  void clientClosed(ClientConnection client, boolean gaveWay) {
+  void clientClosed(ClientConnection client, boolean evicted) {
     clients.remove(client);
-    evictionsPending -= gaveWay ? 1 : 0;
+    evictionsPending -= evicted ? 1 : 0;
   }
 
   Duration now() {
@@ -169,12 +169,12 @@
     return handler.closeAfterResponse();
   }
 
-  boolean accept(ScanRequest ask, Duration since, ScanResponder reply) {
-    return handler.accept(ask, since, reply);
+  boolean accept(ScanRequest request, Duration requestStartedAt, ScanResponder responder) {
+    return handler.accept(request, requestStartedAt, responder);
   }
 
-  void clientDisconnected(ScanResponder reply) {
-    handler.clientDisconnected(reply);
+  void clientDisconnected(ScanResponder responder) {
+    handler.clientDisconnected(responder);
   }
 
   void runNextTurn(Runnable task) {
--- a/mixer/src/main/java/gingerring/frontend/ScanHandler.java
+++ b/mixer/src/main/java/gingerring/frontend/ScanHandler.java
@@ -14,8 +14,8 @@
    * Takes a scan whose first byte came at {@code since}; false where one of this mark is already in
    * hand.
    */
-  boolean accept(ScanRequest ask, Duration since, ScanResponder reply);
+  boolean accept(ScanRequest request, Duration requestStartedAt, ScanResponder responder);
 
   /** The client of a scan in hand has gone away. */
-  void clientDisconnected(ScanResponder reply);
+  void clientDisconnected(ScanResponder responder);
 }
--- a/mixer/src/main/java/gingerring/frontend/ScanRequestParser.java
+++ b/mixer/src/main/java/gingerring/frontend/ScanRequestParser.java
@@ -34,36 +34,36 @@
   private final List<Duration> maxDeadlines = new ArrayList<>();
   private final int shardCount;
 
-  ScanRequestParser(Settings terms) {
-    for (int i = 0; i < terms.count("Classes.count"); i++) {
-      serviceClasses.put(terms.text("Classes." + i + ".Name"), i);
-      maxDeadlines.add(terms.duration("Classes." + i + ".HardLimitMs"));
-      keyed.add(terms.text("Classes." + i + ".Idempotency").equals("deduplicated"));
+  ScanRequestParser(Settings settings) {
+    for (int i = 0; i < settings.count("Classes.count"); i++) {
+      serviceClasses.put(settings.text("Classes." + i + ".Name"), i);
+      maxDeadlines.add(settings.duration("Classes." + i + ".HardLimitMs"));
+      keyed.add(settings.text("Classes." + i + ".Idempotency").equals("deduplicated"));
     }
-    shardCount = terms.count("Domain.Slices");
+    shardCount = settings.count("Domain.Slices");
   }
 
   ScanRequest parse(MessageHead head, byte[] body) throws HttpException {
-    String mark = idHeader(head, "X-Txn");
-    Integer grade =
+    String transactionId = idHeader(head, "X-Txn");
+    Integer serviceClass =
         serviceClasses.get(
             String.valueOf(head.header("X-Lane")).replace(' ', '_').replace(',', '_'));
-    if (grade == null) {
+    if (serviceClass == null) {
       throw new HttpException(400, "no known X-Lane");
     }
     String remaining = head.header("X-Remaining-Ms");
     if (remaining == null || !MILLIS.matcher(remaining).matches()) {
       throw new HttpException(400, "no X-Remaining-Ms");
     }
-    String key = keyed.get(grade) ? idHeader(head, "Idempotency-Key") : null;
+    String idempotencyKey = keyed.get(serviceClass) ? idHeader(head, "Idempotency-Key") : null;
     try {
       Map<String, Object> object = JsonFields.object(Json.parse(body), "the body");
       return new ScanRequest(
-          mark,
-          grade,
+          transactionId,
+          serviceClass,
           "1".equals(head.header("X-Resent")),
-          key,
-          deadline(grade, Long.parseLong(remaining)),
+          idempotencyKey,
+          deadline(serviceClass, Long.parseLong(remaining)),
           parseTargets(JsonFields.list(object, "targets")),
           encodeUtf8(JsonFields.string(object, "query")));
     } catch (Json.JsonException e) {
@@ -75,9 +75,11 @@
    * No client of a grade waits longer than the settings say. Guards against a figure that keeps it
    * here.
    */
-  private Duration deadline(int grade, long millis) {
-    Duration most = maxDeadlines.get(grade);
-    return Duration.ofMillis(millis).compareTo(most) < 0 ? Duration.ofMillis(millis) : most;
+  private Duration deadline(int serviceClass, long millis) {
+    Duration maxDeadline = maxDeadlines.get(serviceClass);
+    return Duration.ofMillis(millis).compareTo(maxDeadline) < 0
+        ? Duration.ofMillis(millis)
+        : maxDeadline;
   }
 
   /** A searcher is to get the text unchanged: half of a surrogate pair has no bytes. */
@@ -95,44 +97,44 @@
    * it.
    */
   private static String idHeader(MessageHead head, String name) throws HttpException {
-    String mark = head.header(name);
-    if (mark == null
-        || mark.isEmpty()
-        || mark.length() > MAX_ID_LENGTH
-        || !mark.chars().allMatch(c -> c > ' ' && c < 127 && c != ',')) {
+    String value = head.header(name);
+    if (value == null
+        || value.isEmpty()
+        || value.length() > MAX_ID_LENGTH
+        || !value.chars().allMatch(c -> c > ' ' && c < 127 && c != ',')) {
       throw new HttpException(400, "no " + name);
     }
-    return mark;
+    return value;
   }
 
-  private List<ScanRequest.Target> parseTargets(List<Object> targets) throws Json.JsonException {
-    double sum = 0;
-    List<ScanRequest.Target> pieces = new ArrayList<>();
-    Set<Integer> seen = new HashSet<>();
-    for (Object each : targets) {
-      Map<String, Object> target = JsonFields.object(each, "a target");
+  private List<ScanRequest.Target> parseTargets(List<Object> items) throws Json.JsonException {
+    double shareSum = 0;
+    List<ScanRequest.Target> targets = new ArrayList<>();
+    Set<Integer> seenShards = new HashSet<>();
+    for (Object item : items) {
+      Map<String, Object> target = JsonFields.object(item, "a target");
       long shard = JsonFields.nonNegativeInteger(target, "partition");
       double share = JsonFields.number(target, "share");
-      if (shard >= shardCount || !seen.add((int) shard)) {
+      if (shard >= shardCount || !seenShards.add((int) shard)) {
         throw new Json.JsonException("partition " + shard + " is out of range, or there twice");
       }
       if (share <= 0) {
         throw new Json.JsonException("share is not positive");
       }
-      sum += share;
+      shareSum += share;
       long micros =
           target.containsKey("est_us") ? JsonFields.nonNegativeInteger(target, "est_us") : 0;
-      pieces.add(
+      targets.add(
           new ScanRequest.Target(
               (int) shard,
               share,
               Duration.ofNanos(Math.min(micros, MAX_WORK_MICROS) * 1000),
               target.containsKey("route") ? parseRoute(JsonFields.string(target, "route")) : 0));
     }
-    if (Math.abs(sum - 1) > SHARE_SUM_TOLERANCE) {
+    if (Math.abs(shareSum - 1) > SHARE_SUM_TOLERANCE) {
       throw new Json.JsonException("the shares do not sum to 1");
     }
-    return pieces;
+    return targets;
   }
 
   private static long parseRoute(String text) throws Json.JsonException {
--- a/mixer/src/main/java/gingerring/frontend/ScanResponder.java
+++ b/mixer/src/main/java/gingerring/frontend/ScanResponder.java
@@ -6,10 +6,10 @@
 /** Where the one final answer of a scan goes. */
 public interface ScanResponder {
   /** {@code values}: of each shard that is in, as its searcher gave it. */
-  void answer(boolean whole, Map<Integer, byte[]> values);
+  void answer(boolean complete, Map<Integer, byte[]> values);
 
   /** {@code comeBack} is advice; zero for none. */
-  void reject(Duration comeBack);
+  void reject(Duration retryAfter);
 
   void fail();
 }
--- a/mixer/src/main/java/gingerring/server/EventLoop.java
+++ b/mixer/src/main/java/gingerring/server/EventLoop.java
@@ -66,9 +66,9 @@
   @Override
   public void post(Runnable event) {
     eventQueue.add(event);
-    Thread waiting = parkedThread;
-    if (waiting != null) {
-      LockSupport.unpark(waiting);
+    Thread parked = parkedThread;
+    if (parked != null) {
+      LockSupport.unpark(parked);
     }
   }
 
@@ -89,17 +89,17 @@
    * Something to tell the mixer once all that is ready has been gathered; from the mixer, next
    * turn.
    */
-  void notifyMixer(Runnable telling) {
+  void notifyMixer(Runnable notification) {
     counts.checkInvariant(
         owner == null || owner == Thread.currentThread(), "the mixer is told on the loop's thread");
-    notifications.add(telling);
+    notifications.add(notification);
   }
 
   /** The same, after all else of the turn: what is new is decided by all that is known. */
-  void notifyMixerLast(Runnable telling) {
+  void notifyMixerLast(Runnable notification) {
     counts.checkInvariant(
         owner == null || owner == Thread.currentThread(), "the mixer is told on the loop's thread");
-    lastNotifications.add(telling);
+    lastNotifications.add(notification);
   }
 
   void stop() {
@@ -107,23 +107,23 @@
   }
 
   /** Turns until it is stopped; each turn ends in {@code calls}, then {@code flush}. */
-  void run(Runnable calls, Runnable flush) {
+  void run(Runnable dispatch, Runnable flush) {
     owner = Thread.currentThread();
-    List<Runnable> ready = new ArrayList<>();
+    List<Runnable> events = new ArrayList<>();
     while (running) {
-      awaitEvents(ready);
+      awaitEvents(events);
       turnTime = currentTime();
-      ready.forEach(event -> runGuarded("an event", event));
-      ready.clear();
+      events.forEach(event -> runGuarded("an event", event));
+      events.clear();
       while (!timers.isEmpty() && timers.peek().dueAt.compareTo(turnTime) <= 0) {
         runGuarded("a wake", timers.poll().task);
       }
-      List<Runnable> turn = notifications;
+      List<Runnable> turnNotifications = notifications;
       notifications = new ArrayList<>();
-      turn.addAll(lastNotifications);
+      turnNotifications.addAll(lastNotifications);
       lastNotifications.clear();
-      turn.forEach(telling -> runGuarded("the mixer", telling));
-      runGuarded("making calls", calls);
+      turnNotifications.forEach(notification -> runGuarded("the mixer", notification));
+      runGuarded("making calls", dispatch);
       runGuarded("flushing", flush);
     }
   }
@@ -133,41 +133,41 @@
     return Duration.ofNanos(System.nanoTime() - startNanos);
   }
 
-  private void awaitEvents(List<Runnable> ready) {
-    long nanos =
+  private void awaitEvents(List<Runnable> events) {
+    long waitNanos =
         !notifications.isEmpty() || !lastNotifications.isEmpty()
             ? 0
             : timers.isEmpty()
                 ? TimeUnit.SECONDS.toNanos(1)
                 : timers.peek().dueAt.minus(currentTime()).toNanos();
-    if (nanos > 0) {
+    if (waitNanos > 0) {
       parkedThread = owner;
       if (eventQueue
           .isEmpty()) { // looked at after the sleeper is named: what is posted later finds it
-        LockSupport.parkNanos(this, nanos); // may return early: then a turn has nothing to do
+        LockSupport.parkNanos(this, waitNanos); // may return early: then a turn has nothing to do
       }
       parkedThread = null;
     }
     if (Thread.interrupted()) { // an interrupt that stays would let no later wait last
       running = false;
     }
-    for (int most = eventQueue.size();
-        most > 0;
-        most--) { // what is posted meanwhile is the next turn's
-      ready.add(eventQueue.poll());
+    for (int remaining = eventQueue.size();
+        remaining > 0;
+        remaining--) { // what is posted meanwhile is the next turn's
+      events.add(eventQueue.poll());
     }
   }
 
   /**
    * Runs one thing of a turn. Guards the process and all other scans against whatever fails in it.
    */
-  void runGuarded(String what, Runnable task) {
+  void runGuarded(String step, Runnable task) {
     try {
       task.run();
     } catch (RuntimeException | Error e) {
-      counts.add("failures in " + what, 1);
+      counts.add("failures in " + step, 1);
       if (failures++ < MAX_LOGGED_FAILURES) {
-        LOG.error("{} failed", what, e);
+        LOG.error("{} failed", step, e);
       }
     }
   }
--- a/mixer/src/main/java/gingerring/server/MixerConfig.java
+++ b/mixer/src/main/java/gingerring/server/MixerConfig.java
@@ -42,37 +42,37 @@
     if (file == null) {
       throw new InvalidConfig("LB_CONFIG is missing");
     }
-    Map<String, Object> told;
+    Map<String, Object> config;
     try {
-      told = JsonFields.object(Json.parse(Files.readAllBytes(Path.of(file))), "it");
+      config = JsonFields.object(Json.parse(Files.readAllBytes(Path.of(file))), "it");
     } catch (IOException | InvalidPathException e) {
       throw new InvalidConfig("LB_CONFIG names a file that cannot be read: " + file);
     } catch (Json.JsonException e) {
       throw new InvalidConfig("LB_CONFIG: " + e.getMessage());
     }
     Map<String, String> flat = new HashMap<>();
-    if (!(told.get("settings") instanceof Map<?, ?> settings) || settings.isEmpty()) {
+    if (!(config.get("settings") instanceof Map<?, ?> settings) || settings.isEmpty()) {
       throw new InvalidConfig("settings is missing or no object: give the deployment's settings");
     }
     flatten("", settings, flat);
-    Settings terms = new Settings(flat);
+    Settings settingsRead = new Settings(flat);
     try {
-      SettingsValidator.check(terms);
+      SettingsValidator.check(settingsRead);
     } catch (IllegalArgumentException e) {
       throw new InvalidConfig(e.getMessage());
     }
-    InetSocketAddress discovery = address(told, "discovery", env.get("LB_DISCOVERY"));
-    if (discovery.getPort() == 0) {
+    InetSocketAddress discoveryRead = address(config, "discovery", env.get("LB_DISCOVERY"));
+    if (discoveryRead.getPort() == 0) {
       throw new InvalidConfig("discovery has no port: give the address of discovery's agent");
     }
     return new MixerConfig(
-        text(told, "name", env.get("LB_NAME")),
-        address(told, "listen", env.get("LB_LISTEN")),
-        discovery,
-        seed(told),
-        socketLimit(told),
-        knownMembers(told),
-        terms);
+        text(config, "name", env.get("LB_NAME")),
+        address(config, "listen", env.get("LB_LISTEN")),
+        discoveryRead,
+        seed(config),
+        socketLimit(config),
+        knownMembers(config),
+        settingsRead);
   }
 
   /**
@@ -92,8 +92,8 @@
   static void flatten(String path, Object value, Map<String, String> flat) {
     if (value instanceof Map<?, ?> map) {
       map.forEach(
-          (name, each) ->
-              flatten(path.isEmpty() ? name.toString() : path + '.' + name, each, flat));
+          (name, member) ->
+              flatten(path.isEmpty() ? name.toString() : path + '.' + name, member, flat));
     } else if (value instanceof List<?> list && !list.isEmpty() && list.get(0) instanceof Map) {
       flat.put(path + ".count", String.valueOf(list.size()));
       for (int i = 0; i < list.size(); i++) {
@@ -115,37 +115,37 @@
     return value == null ? "" : value.toString().replace(' ', '_').replace(',', '_');
   }
 
-  private static String text(Map<String, Object> told, String name, String otherwise)
+  private static String text(Map<String, Object> config, String name, String defaultValue)
       throws InvalidConfig {
-    Object value = told.getOrDefault(name, otherwise);
+    Object value = config.getOrDefault(name, defaultValue);
     if (value instanceof String text && !text.isEmpty()) {
       return text;
     }
     throw new InvalidConfig(name + " is missing");
   }
 
-  private static InetSocketAddress address(Map<String, Object> told, String name, String otherwise)
-      throws InvalidConfig {
+  private static InetSocketAddress address(
+      Map<String, Object> config, String name, String defaultValue) throws InvalidConfig {
     try {
-      return MemberListUpdate.parseAddress(text(told, name, otherwise));
+      return MemberListUpdate.parseAddress(text(config, name, defaultValue));
     } catch (Json.JsonException e) {
       throw new InvalidConfig(name + ": " + e.getMessage());
     }
   }
 
-  private static long seed(Map<String, Object> told) throws InvalidConfig {
+  private static long seed(Map<String, Object> config) throws InvalidConfig {
     try {
-      return Long.parseUnsignedLong(text(told, "seed", null), 16);
+      return Long.parseUnsignedLong(text(config, "seed", null), 16);
     } catch (NumberFormatException e) {
       throw new InvalidConfig("seed is no number in hex digits");
     }
   }
 
-  private static int socketLimit(Map<String, Object> told) throws InvalidConfig {
+  private static int socketLimit(Map<String, Object> config) throws InvalidConfig {
     double sockets = DEFAULT_SOCKET_LIMIT;
     try {
       Map<String, Object> limits =
-          JsonFields.object(told.getOrDefault("limits", Map.of()), "limits");
+          JsonFields.object(config.getOrDefault("limits", Map.of()), "limits");
       if (limits.containsKey("sockets")) {
         sockets = JsonFields.number(limits, "sockets");
       }
@@ -164,10 +164,10 @@
     return (int) sockets;
   }
 
-  private static MemberListUpdate knownMembers(Map<String, Object> told) throws InvalidConfig {
+  private static MemberListUpdate knownMembers(Map<String, Object> config) throws InvalidConfig {
     try {
-      return told.containsKey("known")
-          ? MemberListUpdate.parse(told.get("known"))
+      return config.containsKey("known")
+          ? MemberListUpdate.parse(config.get("known"))
           : new MemberListUpdate(0, true, List.of());
     } catch (Json.JsonException e) {
       throw new InvalidConfig("known: " + e.getMessage());
--- a/mixer/src/main/java/gingerring/server/MixerHost.java
+++ b/mixer/src/main/java/gingerring/server/MixerHost.java
@@ -48,11 +48,11 @@
     final List<OpenPart> parts = new ArrayList<>();
     boolean answered;
 
-    OpenScan(ScanId id, ScanRequest ask, Duration end, ScanResponder reply) {
+    OpenScan(ScanId id, ScanRequest request, Duration deadline, ScanResponder responder) {
       this.id = id;
-      this.request = ask;
-      this.deadline = end;
-      this.responder = reply;
+      this.request = request;
+      this.deadline = deadline;
+      this.responder = responder;
     }
   }
 
@@ -125,20 +125,20 @@
   private boolean closingConnections;
 
   /** {@code startMs}: Unix time at the loop's zero. */
-  MixerHost(EventLoop loop, Settings terms, Counters counts, double startMs) {
+  MixerHost(EventLoop loop, Settings settings, Counters counts, double startEpochMs) {
     this.loop = loop;
-    this.settings = terms;
+    this.settings = settings;
     this.counts = counts;
-    this.startEpochMs = startMs;
-    maxHeld = terms.count("PolicyLimits.MostHeld");
-    maxTripsPerPart = (int) terms.number("PolicyLimits.MaxAttempts", 1);
-    zones = List.of(terms.text("Zones").split(","));
-    machineTypes = List.of(terms.text("Skus").split(","));
+    this.startEpochMs = startEpochMs;
+    maxHeld = settings.count("PolicyLimits.MostHeld");
+    maxTripsPerPart = (int) settings.number("PolicyLimits.MaxAttempts", 1);
+    zones = List.of(settings.text("Zones").split(","));
+    machineTypes = List.of(settings.text("Skus").split(","));
   }
 
   /** Before the start: with others to hear from. */
-  void setPeers(PeerService others) {
-    peers = others;
+  void setPeers(PeerService peers) {
+    this.peers = peers;
   }
 
   /** From now on it is not ready until it has practised. */
@@ -156,16 +156,16 @@
    * sending to searchers that left while this process was down: from its first moment on, what
    * discovery's agent has counts as told.
    */
-  void start(Backend back, DiscoveryWatch watch, long seed, MemberListUpdate known) {
-    this.backend = back;
+  void start(Backend backend, DiscoveryWatch watch, long seed, MemberListUpdate knownMembers) {
+    this.backend = backend;
     this.watch = watch;
     mixer = new Mixer(settings.values(), new SplittableRandom(seed), this);
-    onUpdate(known);
-    String way = settings.text("Discovery");
-    if (way.equals("automatic")) {
+    onUpdate(knownMembers);
+    String discovery = settings.text("Discovery");
+    if (discovery.equals("automatic")) {
       watch.open();
     }
-    discoveryReported = !way.equals("automatic") && !way.equals("subscribe");
+    discoveryReported = !discovery.equals("automatic") && !discovery.equals("subscribe");
     started = true;
   }
 
@@ -182,32 +182,35 @@
   }
 
   @Override
-  public boolean accept(ScanRequest ask, Duration since, ScanResponder reply) {
-    if (scansByTransaction.containsKey(ask.transactionId())
-        || recentTransactions.contains(ask.transactionId())) {
+  public boolean accept(ScanRequest request, Duration requestStartedAt, ScanResponder responder) {
+    if (scansByTransaction.containsKey(request.transactionId())
+        || recentTransactions.contains(request.transactionId())) {
       counts.add("marks sent again", 1);
       return false;
     }
     // with so many open, more are sent back: as in the simulator, the last one taken may go over it
     if (held >= maxHeld) {
       counts.add("nacks for a full house", 1);
-      reply.reject(Duration.ZERO);
+      responder.reject(Duration.ZERO);
       return true;
     }
-    Duration end = since.plus(ask.deadline());
-    end = shutdownDeadline != null && shutdownDeadline.compareTo(end) < 0 ? shutdownDeadline : end;
-    OpenScan scan = new OpenScan(new ScanId(nextId++), ask, end, reply);
+    Duration deadline = requestStartedAt.plus(request.deadline());
+    deadline =
+        shutdownDeadline != null && shutdownDeadline.compareTo(deadline) < 0
+            ? shutdownDeadline
+            : deadline;
+    OpenScan scan = new OpenScan(new ScanId(nextId++), request, deadline, responder);
     List<Part> parts = new ArrayList<>();
-    for (ScanRequest.Target each : ask.targets()) {
-      OpenPart piece = new OpenPart(new PartId(nextId++), scan, each.shard());
-      scan.parts.add(piece);
-      openParts.put(piece.id, piece);
-      parts.add(new Part(piece.id, each.shard(), each.share(), each.route()));
+    for (ScanRequest.Target target : request.targets()) {
+      OpenPart part = new OpenPart(new PartId(nextId++), scan, target.shard());
+      scan.parts.add(part);
+      openParts.put(part.id, part);
+      parts.add(new Part(part.id, target.shard(), target.share(), target.route()));
     }
     held += 1 + parts.size();
     openScans.put(scan.id, scan);
-    scansByTransaction.put(ask.transactionId(), scan);
-    scansByResponder.put(reply, scan);
+    scansByTransaction.put(request.transactionId(), scan);
+    scansByResponder.put(responder, scan);
     counts.add("scans taken", 1);
     // whatever becomes of it in the mixer, it is answered by the end of its client's patience
     loop.schedule(scan.deadline.minus(now()), () -> loop.notifyMixer(() -> failOverdue(scan)));
@@ -253,8 +256,8 @@
   }
 
   @Override
-  public void clientDisconnected(ScanResponder reply) {
-    OpenScan scan = scansByResponder.get(reply);
+  public void clientDisconnected(ScanResponder responder) {
+    OpenScan scan = scansByResponder.get(responder);
     if (scan != null) {
       counts.add("clients that left", 1);
       finish(scan);
@@ -273,7 +276,7 @@
     }
     scansByResponder.remove(scan.responder);
     // a part that is in is held no longer, as in the simulator
-    held -= 1 + (int) scan.parts.stream().filter(piece -> piece.value == null).count();
+    held -= 1 + (int) scan.parts.stream().filter(part -> part.value == null).count();
     counts.checkInvariant(
         held >= 0 && openScans.isEmpty() == (held == 0), "what is held is what is open");
     scan.parts.forEach(this::cancelUnsentTrips);
@@ -283,43 +286,44 @@
   /**
    * What has not begun for a part that is over never does, whatever becomes of what is under way.
    */
-  private void cancelUnsentTrips(OpenPart piece) {
-    piece.trips.forEach(backend::cancelIfUnsent);
+  private void cancelUnsentTrips(OpenPart part) {
+    part.trips.forEach(backend::cancelIfUnsent);
   }
 
-  private void removeIfFinished(OpenPart piece) {
-    if (piece.scan.answered && piece.trips.stream().allMatch(OutboundTrip::ended)) {
-      openParts.remove(piece.id);
+  private void removeIfFinished(OpenPart part) {
+    if (part.scan.answered && part.trips.stream().allMatch(OutboundTrip::ended)) {
+      openParts.remove(part.id);
     }
   }
 
   @Override
-  public void tripEnded(OutboundTrip errand, Outcome outcome, float[] load, byte[] value) {
+  public void tripEnded(OutboundTrip trip, Outcome outcome, float[] load, byte[] value) {
     loop.notifyMixer(
         () -> {
-          OpenPart piece = openParts.get(errand.part);
-          boolean over = piece == null || piece.scan.answered || piece.value != null;
-          if (piece != null && !over && outcome == Outcome.SUCCEEDED) {
-            piece.value = value;
+          OpenPart part = openParts.get(trip.part);
+          boolean partOver = part == null || part.scan.answered || part.value != null;
+          if (part != null && !partOver && outcome == Outcome.SUCCEEDED) {
+            part.value = value;
             held--;
-            over = true;
-            cancelUnsentTrips(piece);
+            partOver = true;
+            cancelUnsentTrips(part);
           }
-          mixer.tripEnded(errand.part, errand.tripNumber, outcome, over, load);
+          mixer.tripEnded(trip.part, trip.tripNumber, outcome, partOver, load);
           if (peers != null) {
-            peers.attemptEnded(errand.searcher.address(), outcome);
+            peers.attemptEnded(trip.searcher.address(), outcome);
           }
-          if (piece != null) {
-            removeIfFinished(piece);
+          if (part != null) {
+            removeIfFinished(part);
           }
         });
   }
 
   @Override
-  public void probeEnded(SearcherId searcher, Outcome outcome, Duration taken, float[] load) {
+  public void probeEnded(
+      SearcherId searcher, Outcome outcome, Duration responseTime, float[] load) {
     loop.notifyMixer(
         () -> {
-          mixer.probeEnded(searcher, outcome, taken, load);
+          mixer.probeEnded(searcher, outcome, responseTime, load);
           if (peers != null) {
             peers.probeEnded(searcher.address(), outcome == Outcome.SUCCEEDED);
           }
@@ -328,25 +332,25 @@
 
   @Override
   public void onUpdate(MemberListUpdate members) {
-    List<MemberEntry> lines = new ArrayList<>();
+    List<MemberEntry> entries = new ArrayList<>();
     List<SearcherId> leaving = new ArrayList<>();
     for (MemberListUpdate.Member member : members.members()) {
       SearcherId id = searcherIds.computeIfAbsent(member.id(), this::newId);
-      MemberEntry last = listedMembers.get(id);
-      Duration started =
+      MemberEntry previous = listedMembers.get(id);
+      Duration startedAt =
           member.upSinceMs() == 0
               ? null
               : Duration.ofNanos(Math.round((member.upSinceMs() - startEpochMs) * 1e6));
-      MemberEntry line =
-          member.address() == null && last != null
+      MemberEntry entry =
+          member.address() == null && previous != null
               ? new MemberEntry(
                   id,
-                  last.zone(),
-                  last.machine(),
-                  last.cell(),
+                  previous.zone(),
+                  previous.machine(),
+                  previous.cell(),
                   member.standing(),
-                  last.capacity(),
-                  last.startedAt())
+                  previous.capacity(),
+                  previous.startedAt())
               : new MemberEntry(
                   id,
                   zones.indexOf(member.locality()),
@@ -354,30 +358,31 @@
                   member.cell(),
                   member.standing(),
                   member.size(),
-                  started);
-      lines.add(line);
-      listedMembers.put(id, line);
+                  startedAt);
+      entries.add(entry);
+      listedMembers.put(id, entry);
       if (member.address() == null || member.standing() == MemberEntry.Status.GONE) {
         backend.remove(id);
       } else {
-        backend.addOrUpdate(id, member.address(), line.startedAt());
+        backend.addOrUpdate(id, member.address(), entry.startedAt());
       }
     }
     if (members.complete()) {
-      Set<SearcherId> told = new HashSet<>();
-      lines.forEach(line -> told.add(line.searcher()));
-      leaving.addAll(listedMembers.keySet().stream().filter(id -> !told.contains(id)).toList());
+      Set<SearcherId> listedIds = new HashSet<>();
+      entries.forEach(entry -> listedIds.add(entry.searcher()));
+      leaving.addAll(
+          listedMembers.keySet().stream().filter(id -> !listedIds.contains(id)).toList());
       leaving.forEach(this::removeSearcher);
     }
-    lines.stream()
-        .filter(line -> line.status() == MemberEntry.Status.GONE)
+    entries.stream()
+        .filter(entry -> entry.status() == MemberEntry.Status.GONE)
         .map(MemberEntry::searcher)
         .forEach(this::removeSearcher);
-    loop.notifyMixer(() -> mixer.memberListUpdated(lines, members.complete()));
+    loop.notifyMixer(() -> mixer.memberListUpdated(entries, members.complete()));
     // told after the list, so that what has not left yet goes elsewhere by it
     leaving.addAll(
-        lines.stream()
-            .filter(line -> line.status() != MemberEntry.Status.READY)
+        entries.stream()
+            .filter(entry -> entry.status() != MemberEntry.Status.READY)
             .map(MemberEntry::searcher)
             .toList());
     leaving.forEach(backend::stopSending);
@@ -431,8 +436,8 @@
   }
 
   /** The end is announced: no longer ready, and no answer later than {@code by}. */
-  void beginShutdown(Duration by) {
-    shutdownDeadline = by;
+  void beginShutdown(Duration deadline) {
+    shutdownDeadline = deadline;
   }
 
   /** The end is near: each answer is its connection's last. */
@@ -461,78 +466,78 @@
   }
 
   @Override
-  public void send(PartId part, SearcherId searcher, Duration timeOut, Duration startWithin) {
-    OpenPart piece = openParts.get(part);
-    int number = piece == null ? 0 : piece.trips.size();
-    Duration until = piece == null ? now() : now().plus(timeOut);
-    if (piece != null && until.compareTo(piece.scan.deadline) > 0) {
-      until = piece.scan.deadline;
+  public void send(PartId partId, SearcherId searcher, Duration timeout, Duration startWithin) {
+    OpenPart part = openParts.get(partId);
+    int tripNumber = part == null ? 0 : part.trips.size();
+    Duration deadline = part == null ? now() : now().plus(timeout);
+    if (part != null && deadline.compareTo(part.scan.deadline) > 0) {
+      deadline = part.scan.deadline;
     }
-    ScanRequest ask = piece == null ? null : piece.scan.request;
-    OutboundTrip errand =
+    ScanRequest request = part == null ? null : part.scan.request;
+    OutboundTrip trip =
         new OutboundTrip(
-            part,
-            number,
+            partId,
+            tripNumber,
             searcher,
-            piece == null ? "" : ask.transactionId() + '.' + piece.shard,
-            piece == null ? 0 : piece.shard,
-            piece == null ? null : ask.idempotencyKey(),
-            piece == null ? null : ask.queryText(),
-            until,
+            part == null ? "" : request.transactionId() + '.' + part.shard,
+            part == null ? 0 : part.shard,
+            part == null ? null : request.idempotencyKey(),
+            part == null ? null : request.queryText(),
+            deadline,
             startWithin == null ? null : now().plus(startWithin));
-    boolean over =
-        piece == null
-            || piece.scan.answered
-            || piece.value != null
-            || piece.trips.size() >= maxTripsPerPart
-            || until.compareTo(now()) <= 0;
-    counts.checkInvariant(!over, "a trip is for a part that is not over");
-    if (piece != null) {
+    boolean partOver =
+        part == null
+            || part.scan.answered
+            || part.value != null
+            || part.trips.size() >= maxTripsPerPart
+            || deadline.compareTo(now()) <= 0;
+    counts.checkInvariant(!partOver, "a trip is for a part that is not over");
+    if (part != null) {
       if (startWithin != null) {
         // whichever of them begins first, the others are repeats of it
-        piece.trips.forEach(earlier -> earlier.limitStart(now().plus(startWithin)));
+        part.trips.forEach(earlier -> earlier.limitStart(now().plus(startWithin)));
       }
-      piece.trips.add(errand);
+      part.trips.add(trip);
     }
-    if (over) {
-      backend.cancelIfUnsent(errand);
+    if (partOver) {
+      backend.cancelIfUnsent(trip);
     } else {
-      backend.send(errand);
+      backend.send(trip);
     }
   }
 
   @Override
-  public void cancel(PartId part, int trip) {
-    OpenPart piece = openParts.get(part);
-    if (piece != null && trip < piece.trips.size()) {
-      backend.cancel(piece.trips.get(trip));
+  public void cancel(PartId partId, int trip) {
+    OpenPart part = openParts.get(partId);
+    if (part != null && trip < part.trips.size()) {
+      backend.cancel(part.trips.get(trip));
     }
   }
 
   @Override
-  public void answer(ScanId id, boolean whole) {
+  public void answer(ScanId id, boolean complete) {
     OpenScan scan = openScans.get(id);
     if (scan == null) {
       return;
     }
     Map<Integer, byte[]> values = new LinkedHashMap<>();
-    for (OpenPart piece : scan.parts) {
-      if (piece.value != null) {
-        values.put(piece.shard, piece.value);
+    for (OpenPart part : scan.parts) {
+      if (part.value != null) {
+        values.put(part.shard, part.value);
       }
     }
     counts.checkInvariant(!values.isEmpty(), "an answer has values");
-    counts.add(whole ? "whole answers" : "partial answers", 1);
-    scan.responder.answer(whole, values);
+    counts.add(complete ? "whole answers" : "partial answers", 1);
+    scan.responder.answer(complete, values);
     finish(scan);
   }
 
   @Override
-  public void reject(ScanId id, Duration comeBack) {
+  public void reject(ScanId id, Duration retryAfter) {
     OpenScan scan = openScans.get(id);
     if (scan != null) {
       counts.add("nacks", 1);
-      scan.responder.reject(comeBack);
+      scan.responder.reject(retryAfter);
       finish(scan);
     }
   }
@@ -608,7 +613,7 @@
   }
 
   @Override
-  public void log(String line) {
-    LOG.info(line);
+  public void log(String entry) {
+    LOG.info(entry);
   }
 }
--- a/mixer/src/main/java/gingerring/server/MixerServer.java
+++ b/mixer/src/main/java/gingerring/server/MixerServer.java
@@ -74,15 +74,15 @@
 
   private Duration shutdownDeadline;
 
-  MixerServer(Map<String, String> env, TrafficListener tap, PeerService neighbours) {
+  MixerServer(Map<String, String> env, TrafficListener tap, PeerService peers) {
     this.env = env;
     this.tap = tap;
-    this.peers = neighbours;
+    this.peers = peers;
   }
 
   /** Returns the exit code. */
-  public static int run(Map<String, String> env, PrintStream complaints) {
-    return run(env, complaints, null, null);
+  public static int run(Map<String, String> env, PrintStream errorOutput) {
+    return run(env, errorOutput, null, null);
   }
 
   /**
@@ -90,28 +90,25 @@
    * none of either.
    */
   public static int run(
-      Map<String, String> env,
-      PrintStream complaints,
-      TrafficListener tap,
-      PeerService neighbours) {
-    MixerServer serve = new MixerServer(env, tap, neighbours);
+      Map<String, String> env, PrintStream errorOutput, TrafficListener tap, PeerService peers) {
+    MixerServer server = new MixerServer(env, tap, peers);
     // before anything is read: untended, SIGHUP ends a process, and one that comes early is not to
     // be lost
-    SignalHandler before = Signal.handle(new Signal("HUP"), signal -> serve.reload());
-    if (before
+    SignalHandler previousHandler = Signal.handle(new Signal("HUP"), signal -> server.reload());
+    if (previousHandler
         == SignalHandler
             .SIG_IGN) { // the virtual machine leaves a signal that it was started without
       LOG.warn(
           "SIGHUP is ignored, as whoever started this process wanted (nohup?): there is no reload");
     }
     try {
-      return serve.serve(
+      return server.serve(
           MixerConfig.read(env),
-          complaints,
-          listening ->
-              Runtime.getRuntime().addShutdownHook(new Thread(serve::shutDownAndHalt, "end")));
+          errorOutput,
+          listenAddress ->
+              Runtime.getRuntime().addShutdownHook(new Thread(server::shutDownAndHalt, "end")));
     } catch (MixerConfig.InvalidConfig | IllegalArgumentException e) {
-      complaints.println("gingerring serve: " + e.getMessage());
+      errorOutput.println("gingerring serve: " + e.getMessage());
       return 2;
     }
   }
@@ -120,63 +117,63 @@
    * Runs it until it has ended; {@code up} is told the address it listens at. Returns the exit
    * code.
    */
-  int serve(MixerConfig orders, PrintStream complaints, Consumer<InetSocketAddress> up) {
-    Settings terms = orders.settings();
-    int rehearsed = new ScanWarmUp(terms).run();
+  int serve(MixerConfig config, PrintStream errorOutput, Consumer<InetSocketAddress> onListening) {
+    Settings settings = config.settings();
+    int warmUpScans = new ScanWarmUp(settings).run();
     // one reading of both clocks
-    double startMs = System.currentTimeMillis() - loop.currentTime().toNanos() / 1e6;
+    double startEpochMs = System.currentTimeMillis() - loop.currentTime().toNanos() / 1e6;
     network = new Network(loop, counts, false, tap);
-    host = new MixerHost(loop, terms, counts, startMs);
-    backend = new Backend(network, host, terms, counts, loop);
-    startConfig = orders;
+    host = new MixerHost(loop, settings, counts, startEpochMs);
+    backend = new Backend(network, host, settings, counts, loop);
+    startConfig = config;
     watch =
         new DiscoveryWatch(
             network,
-            orders.discoveryAddress(),
-            orders.knownMembers().revision(),
+            config.discoveryAddress(),
+            config.knownMembers().revision(),
             host,
             counts,
             loop,
-            terms);
+            settings);
     frontend =
         new Frontend(
             network,
             host,
-            terms,
+            settings,
             counts,
             loop,
             loop::post,
-            Math.max(MIN_CONNECTION_SOCKETS, orders.socketLimit() - RESERVED_SOCKETS));
+            Math.max(MIN_CONNECTION_SOCKETS, config.socketLimit() - RESERVED_SOCKETS));
     if (peers != null) {
       host.setPeers(peers);
-      peers.start(new PeerContext(orders, startMs));
+      peers.start(new PeerContext(config, startEpochMs));
     }
     host.startWarmUp();
-    host.start(backend, watch, orders.seed(), orders.knownMembers());
-    InetSocketAddress listening;
+    host.start(backend, watch, config.seed(), config.knownMembers());
+    InetSocketAddress listenAddress;
     try {
-      listening = frontend.listen(orders.listenAddress());
+      listenAddress = frontend.listen(config.listenAddress());
     } catch (IOException e) {
-      complaints.println(
-          "gingerring serve: cannot listen at " + orders.listenAddress() + ": " + e.getMessage());
+      errorOutput.println(
+          "gingerring serve: cannot listen at " + config.listenAddress() + ": " + e.getMessage());
       return 1;
     }
-    up.accept(listening);
+    onListening.accept(listenAddress);
     LOG.info(
         "{} listens at {}, {} searchers known, {} scans rehearsed",
-        orders.name(),
-        listening,
-        orders.knownMembers().members().size(),
-        rehearsed);
+        config.name(),
+        listenAddress,
+        config.knownMembers().members().size(),
+        warmUpScans);
     scheduleStatusLog();
-    SocketWarmUp practice =
-        new SocketWarmUp(network, listening, orders.socketLimit(), counts, host::finishWarmUp);
-    practice.start();
-    Duration dial = terms.duration("PolicyLimits.DialTimeoutMs");
+    SocketWarmUp socketWarmUp =
+        new SocketWarmUp(network, listenAddress, config.socketLimit(), counts, host::finishWarmUp);
+    socketWarmUp.start();
+    Duration dialTimeout = settings.duration("PolicyLimits.DialTimeoutMs");
     loop.schedule(
-        dial.compareTo(MAX_WARM_UP_TIME) < 0 ? dial : MAX_WARM_UP_TIME,
+        dialTimeout.compareTo(MAX_WARM_UP_TIME) < 0 ? dialTimeout : MAX_WARM_UP_TIME,
         host::finishWarmUp); // may go on
-    loop.schedule(MAX_WARM_UP_TIME, practice::closeAll);
+    loop.schedule(MAX_WARM_UP_TIME, socketWarmUp::closeAll);
     loop.run(backend::dispatch, network::flush);
     LOG.info("ended; counts: {}", counts);
     if (tap != null) {
@@ -193,19 +190,19 @@
    */
   synchronized void reload() {
     try {
-      MixerConfig orders = MixerConfig.read(env);
-      loop.post(() -> applyReload(orders));
+      MixerConfig config = MixerConfig.read(env);
+      loop.post(() -> applyReload(config));
     } catch (MixerConfig.InvalidConfig e) {
       LOG.warn("reload: the configuration in force stays: {}", e.getMessage());
     }
   }
 
-  private void applyReload(MixerConfig orders) {
+  private void applyReload(MixerConfig config) {
     LOG.info(
         "reload: discovery at {}{}",
-        orders.discoveryAddress(),
-        orders.differsOnlyInDiscovery(startConfig) ? "" : "; what else is new waits for a restart");
-    watch.changeAddress(orders.discoveryAddress());
+        config.discoveryAddress(),
+        config.differsOnlyInDiscovery(startConfig) ? "" : "; what else is new waits for a restart");
+    watch.changeAddress(config.discoveryAddress());
   }
 
   private void scheduleStatusLog() {
@@ -250,14 +247,14 @@
     if (peers != null) {
       peers.shutDown(ACCEPT_AFTER_SIGTERM);
     }
-    Settings terms = startConfig.settings();
-    Duration patience = Duration.ZERO;
-    for (int i = 0; i < terms.count("Classes.count"); i++) {
-      Duration its = terms.duration("Classes." + i + ".HardLimitMs");
-      patience = its.compareTo(patience) > 0 ? its : patience;
+    Settings settings = startConfig.settings();
+    Duration drainTime = Duration.ZERO;
+    for (int i = 0; i < settings.count("Classes.count"); i++) {
+      Duration maxDeadline = settings.duration("Classes." + i + ".HardLimitMs");
+      drainTime = maxDeadline.compareTo(drainTime) > 0 ? maxDeadline : drainTime;
     }
-    patience = patience.compareTo(MAX_DRAIN_TIME) < 0 ? patience : MAX_DRAIN_TIME;
-    shutdownDeadline = loop.now().plus(patience).plus(ACCEPT_AFTER_SIGTERM).minus(END_MARGIN);
+    drainTime = drainTime.compareTo(MAX_DRAIN_TIME) < 0 ? drainTime : MAX_DRAIN_TIME;
+    shutdownDeadline = loop.now().plus(drainTime).plus(ACCEPT_AFTER_SIGTERM).minus(END_MARGIN);
     host.beginShutdown(shutdownDeadline);
     loop.schedule(ACCEPT_AFTER_SIGTERM, network::stopListening);
     loop.schedule(
@@ -275,14 +272,14 @@
    */
   private void finishShutdown() {
     network.stopListening();
-    boolean late = loop.now().compareTo(shutdownDeadline) >= 0;
-    if (late) {
+    boolean timeUp = loop.now().compareTo(shutdownDeadline) >= 0;
+    if (timeUp) {
       host.failOpenScans();
       frontend.closeAllClients();
     }
     frontend.closeIdleClients();
-    boolean over = late || host.openScanCount() == 0 && frontend.clientCount() == 0;
-    loop.schedule(FLUSH_INTERVAL, over ? loop::stop : this::finishShutdown);
+    boolean finished = timeUp || host.openScanCount() == 0 && frontend.clientCount() == 0;
+    loop.schedule(FLUSH_INTERVAL, finished ? loop::stop : this::finishShutdown);
   }
 
   Network network() {
@@ -299,9 +296,9 @@
     private final MixerConfig config;
     private final long startEpochMs;
 
-    PeerContext(MixerConfig orders, double startMs) {
-      this.config = orders;
-      this.startEpochMs = Math.round(startMs);
+    PeerContext(MixerConfig config, double startEpochMs) {
+      this.config = config;
+      this.startEpochMs = Math.round(startEpochMs);
     }
 
     @Override
--- a/mixer/src/main/java/gingerring/server/PeerService.java
+++ b/mixer/src/main/java/gingerring/server/PeerService.java
@@ -34,7 +34,7 @@
   }
 
   /** The process is about to take scans. */
-  void start(Context ground);
+  void start(Context context);
 
   void membersChanged(Collection<MemberEntry> searchers);
 
@@ -60,5 +60,5 @@
   String statusLine();
 
   /** The process ends on purpose; {@code within} it may still say so. */
-  void shutDown(Duration within);
+  void shutDown(Duration timeLeft);
 }
--- a/mixer/src/main/java/gingerring/server/ScanWarmUp.java
+++ b/mixer/src/main/java/gingerring/server/ScanWarmUp.java
@@ -44,10 +44,10 @@
   private int scansSent;
   private int scansAnswered;
 
-  ScanWarmUp(Settings told) {
-    Map<String, String> map = new HashMap<>(told.values());
-    map.put("Discovery", "none here");
-    settings = new Settings(map);
+  ScanWarmUp(Settings deploymentSettings) {
+    Map<String, String> values = new HashMap<>(deploymentSettings.values());
+    values.put("Discovery", "none here");
+    settings = new Settings(values);
   }
 
   private static InetSocketAddress loopbackAddress(int port) {
@@ -56,24 +56,24 @@
 
   /** Returns how many sample scans were answered, the less the less of a core there is. */
   int run() {
-    Network store = new Network(loop, counts, true);
-    MixerHost desk = new MixerHost(loop, settings, counts, 0);
-    Backend back = new Backend(network, desk, settings, counts, loop);
+    Network searcherNetwork = new Network(loop, counts, true);
+    MixerHost host = new MixerHost(loop, settings, counts, 0);
+    Backend backend = new Backend(network, host, settings, counts, loop);
     List<MemberListUpdate.Member> members = new ArrayList<>();
     for (int cell = 0; cell < settings.count("Domain.Places"); cell++) {
       members.add(
           new MemberListUpdate.Member(
               "sample-" + cell, searcherAddress, "", "", cell, Status.READY, 1, 0));
     }
-    DiscoveryWatch watch = new DiscoveryWatch(network, loopbackAddress(3), 0, desk, counts, loop);
-    desk.start(back, watch, 0, new MemberListUpdate(0, true, members));
+    DiscoveryWatch watch = new DiscoveryWatch(network, loopbackAddress(3), 0, host, counts, loop);
+    host.start(backend, watch, 0, new MemberListUpdate(0, true, members));
     try {
-      store.listen(
+      searcherNetwork.listen(
           searcherAddress,
           Integer.MAX_VALUE,
           BUFFER_BYTES,
           connection -> connection.setHandler(new SampleSearcher(connection)));
-      new Frontend(network, desk, settings, counts, loop, loop::post, Integer.MAX_VALUE)
+      new Frontend(network, host, settings, counts, loop, loop::post, Integer.MAX_VALUE)
           .listen(frontendAddress);
     } catch (IOException e) {
       return 0; // without it the mixer starts all the same, and slowly
@@ -83,13 +83,13 @@
     }
     loop.schedule(TIME_LIMIT, loop::stop);
     loop.run(
-        back::dispatch,
+        backend::dispatch,
         () -> {
           network.flush();
-          store.flush();
+          searcherNetwork.flush();
         });
     network.dispose();
-    store.dispose();
+    searcherNetwork.dispose();
     return scansAnswered;
   }
 
@@ -104,16 +104,16 @@
 
     private void sendScan() {
       int number = scansSent++;
-      int grade = number % settings.count("Classes.count");
-      int parts = Math.min(MAX_PARTS_PER_SCAN, settings.count("Domain.Slices"));
+      int serviceClass = number % settings.count("Classes.count");
+      int partCount = Math.min(MAX_PARTS_PER_SCAN, settings.count("Domain.Slices"));
       StringBuilder targets = new StringBuilder();
-      for (int i = 0; i < parts; i++) {
+      for (int i = 0; i < partCount; i++) {
         targets
             .append(i == 0 ? "" : ",")
             .append("{\"partition\":")
             .append((number + i) % settings.count("Domain.Slices"))
             .append(",\"share\":")
-            .append(1.0 / parts)
+            .append(1.0 / partCount)
             .append(",\"est_us\":1000}");
       }
       String body = "{\"targets\":[" + targets + "],\"query\":\"\"}";
@@ -121,7 +121,7 @@
           ("POST /api HTTP/1.1\r\nHost: sample\r\nX-Txn: sample-"
                   + number
                   + "\r\nX-Lane: "
-                  + settings.text("Classes." + grade + ".Name")
+                  + settings.text("Classes." + serviceClass + ".Name")
                   + "\r\nX-Remaining-Ms: 60000\r\nIdempotency-Key: "
                   + number
                   + "\r\nContent-Length: "
@@ -178,12 +178,12 @@
 
     private void answerParts(String parts) {
       for (String part : parts.split("\n")) { // their text is empty
-        String rest = "R" + part.split(" ", 2)[0] + " done 1 -\nvalue";
+        String payload = "R" + part.split(" ", 2)[0] + " done 1 -\nvalue";
         connection.output.put(
-            ByteBuffer.allocate(4 + rest.length())
+            ByteBuffer.allocate(4 + payload.length())
                 .order(ByteOrder.LITTLE_ENDIAN)
-                .putInt(rest.length())
-                .put(rest.getBytes(StandardCharsets.US_ASCII))
+                .putInt(payload.length())
+                .put(payload.getBytes(StandardCharsets.US_ASCII))
                 .array());
       }
       connection.requestFlush();
--- a/mixer/src/main/java/gingerring/server/SettingsValidator.java
+++ b/mixer/src/main/java/gingerring/server/SettingsValidator.java
@@ -28,9 +28,9 @@
     private final String settingPath;
     private final String remedy;
 
-    InvalidSettingException(String entry, String fault, String remedy) {
-      super("setting " + entry + " " + fault + ": " + remedy);
-      this.settingPath = entry;
+    InvalidSettingException(String settingPath, String fault, String remedy) {
+      super("setting " + settingPath + " " + fault + ": " + remedy);
+      this.settingPath = settingPath;
       this.remedy = remedy;
     }
 
@@ -106,112 +106,117 @@
   private SettingsValidator() {}
 
   /** Throws {@link Refused} for the first setting that cannot be used. */
-  static void check(Settings terms) {
+  static void check(Settings settings) {
     require(
-        terms.has("Classes.count") && number(terms, "Classes.count", "a list") >= 1,
+        settings.has("Classes.count") && number(settings, "Classes.count", "a list") >= 1,
         "Classes",
         "is no list of grades",
         "give one object for each service grade, one at least");
-    int grades = terms.count("Classes.count");
-    for (String line : NUMBER_RANGES) {
-      String[] bound = line.split(" ");
-      for (String key : expand(bound[0], grades)) {
-        if (isPresent(terms, bound[0], key, "give " + describeRange(bound))) {
-          requireInRange(key, number(terms, key, describeRange(bound)), bound);
+    int classCount = settings.count("Classes.count");
+    for (String rule : NUMBER_RANGES) {
+      String[] bound = rule.split(" ");
+      for (String key : expand(bound[0], classCount)) {
+        if (isPresent(settings, bound[0], key, "give " + describeRange(bound))) {
+          requireInRange(key, number(settings, key, describeRange(bound)), bound);
         }
       }
     }
-    for (String line : PER_CLASS_RANGES) {
-      String[] bound = line.split(" ");
-      for (int i = 0; i < grades; i++) {
-        requireInRange(bound[0], item(terms, bound[0], i, describeRange(bound)), bound);
+    for (String rule : PER_CLASS_RANGES) {
+      String[] bound = rule.split(" ");
+      for (int i = 0; i < classCount; i++) {
+        requireInRange(bound[0], item(settings, bound[0], i, describeRange(bound)), bound);
       }
     }
     for (String key : FLAGS) {
       require(
-          !terms.has(key) || terms.text(key).equals("true") || terms.text(key).equals("false"),
+          !settings.has(key)
+              || settings.text(key).equals("true")
+              || settings.text(key).equals("false"),
           key,
           "is neither true nor false",
           "give one of them");
     }
-    for (String line : CHOICES) {
-      List<String> choice = List.of(line.split(" "));
-      List<String> known = choice.subList(1, choice.size());
-      for (String key : expand(choice.get(0), grades)) {
-        String remedy = "give one of " + String.join(", ", known);
-        if (isPresent(terms, choice.get(0), key, remedy)) {
-          require(known.contains(terms.text(key)), key, "is unknown", remedy);
+    for (String rule : CHOICES) {
+      List<String> choice = List.of(rule.split(" "));
+      List<String> allowed = choice.subList(1, choice.size());
+      for (String key : expand(choice.get(0), classCount)) {
+        String remedy = "give one of " + String.join(", ", allowed);
+        if (isPresent(settings, choice.get(0), key, remedy)) {
+          require(allowed.contains(settings.text(key)), key, "is unknown", remedy);
         }
       }
     }
     for (String key : REQUIRED_LISTS) {
       isPresent(
-          terms, "!" + key, key, "give the list of their names, an empty one if there is none");
+          settings, "!" + key, key, "give the list of their names, an empty one if there is none");
     }
-    long told = RETRY_BUDGET.stream().filter(terms::has).count();
+    long budgetSettings = RETRY_BUDGET.stream().filter(settings::has).count();
     for (String key : RETRY_BUDGET) {
       require(
-          told == 0 || terms.has(key),
+          budgetSettings == 0 || settings.has(key),
           key,
           "is missing beside the others of a budget",
           "give " + String.join(", ", RETRY_BUDGET) + ", or none of them");
     }
-    checkServiceClasses(terms, grades);
+    checkServiceClasses(settings, classCount);
   }
 
   /** What grades must have that others need not, and must have for themselves. */
-  private static void checkServiceClasses(Settings terms, int grades) {
+  private static void checkServiceClasses(Settings settings, int classCount) {
     Map<String, Integer> names = new HashMap<>();
-    for (int i = 0; i < grades; i++) {
-      String at = "Classes." + i + ".";
-      isPresent(terms, "!", at + "Name", "give the name that clients send in X-Lane");
-      String name = terms.text(at + "Name");
+    for (int i = 0; i < classCount; i++) {
+      String prefix = "Classes." + i + ".";
+      isPresent(settings, "!", prefix + "Name", "give the name that clients send in X-Lane");
+      String name = settings.text(prefix + "Name");
       require(
           !name.isEmpty() && name.chars().allMatch(c -> c > ' ' && c < 127),
-          at + "Name",
+          prefix + "Name",
           "is nothing that a header carries",
           "give a name of plain ASCII text");
-      Integer other = names.putIfAbsent(name, i);
+      Integer earlier = names.putIfAbsent(name, i);
       require(
-          other == null,
-          at + "Name",
-          "is that of Classes." + other + " too",
+          earlier == null,
+          prefix + "Name",
+          "is that of Classes." + earlier + " too",
           "give each a name of its own");
       require(
-          !terms.text(at + "Idempotency").equals("deduplicated") || terms.has(at + "WindowMs"),
-          at + "WindowMs",
+          !settings.text(prefix + "Idempotency").equals("deduplicated")
+              || settings.has(prefix + "WindowMs"),
+          prefix + "WindowMs",
           "is missing",
           "give the time for which repeats of the grade are dropped");
     }
   }
 
-  private static List<String> expand(String entry, int grades) {
-    String key = entry.replace("!", "");
+  private static List<String> expand(String pattern, int classCount) {
+    String key = pattern.replace("!", "");
     return !key.contains("*")
         ? List.of(key)
-        : IntStream.range(0, grades).mapToObj(i -> key.replace("*", String.valueOf(i))).toList();
+        : IntStream.range(0, classCount)
+            .mapToObj(i -> key.replace("*", String.valueOf(i)))
+            .toList();
   }
 
-  private static boolean isPresent(Settings terms, String entry, String key, String remedy) {
-    require(!entry.startsWith("!") || terms.has(key), key, "is missing", remedy);
-    return terms.has(key);
+  private static boolean isPresent(Settings settings, String pattern, String key, String remedy) {
+    require(!pattern.startsWith("!") || settings.has(key), key, "is missing", remedy);
+    return settings.has(key);
   }
 
-  private static double number(Settings terms, String key, String range) {
+  private static double number(Settings settings, String key, String range) {
     try {
-      return terms.number(key);
+      return settings.number(key);
     } catch (IllegalArgumentException e) {
       throw new InvalidSettingException(
-          key, "is no number", "give " + range + " in place of " + terms.text(key));
+          key, "is no number", "give " + range + " in place of " + settings.text(key));
     }
   }
 
-  private static double item(Settings terms, String key, int place, String range) {
+  private static double item(Settings settings, String key, int index, String range) {
     try {
-      return terms.item(key, place, 1);
+      return settings.item(key, index, 1);
     } catch (IllegalArgumentException e) {
       throw new InvalidSettingException(
-          key, "has no number at place " + place, "give " + range + " for each grade");
+          key, "has no number at place " + index, "give " + range + " for each grade");
     }
   }
 
@@ -220,16 +225,16 @@
   }
 
   private static void requireInRange(String key, double value, String[] bound) {
-    double most = bound.length > 2 ? Double.parseDouble(bound[2]) : MAX_VALUE;
+    double max = bound.length > 2 ? Double.parseDouble(bound[2]) : MAX_VALUE;
     require(
-        value >= Double.parseDouble(bound[1]) && value <= most,
+        value >= Double.parseDouble(bound[1]) && value <= max,
         key,
         "is out of its range, " + value,
         "give " + describeRange(bound));
   }
 
-  private static void require(boolean kept, String key, String fault, String remedy) {
-    if (!kept) {
+  private static void require(boolean satisfied, String key, String fault, String remedy) {
+    if (!satisfied) {
       throw new InvalidSettingException(key, fault, remedy);
     }
   }
--- a/mixer/src/main/java/gingerring/server/SocketWarmUp.java
+++ b/mixer/src/main/java/gingerring/server/SocketWarmUp.java
@@ -37,14 +37,20 @@
 
   /** {@code done} is called once, when all calls have ended, however they did. */
   SocketWarmUp(
-      Network network, InetSocketAddress front, int sockets, Counters counts, Runnable done) {
-    connectionCount = Math.max(1, Math.min(MAX_CONNECTIONS, sockets / SOCKETS_PER_CONNECTION));
+      Network network,
+      InetSocketAddress frontendAddress,
+      int socketLimit,
+      Counters counts,
+      Runnable onFinished) {
+    connectionCount = Math.max(1, Math.min(MAX_CONNECTIONS, socketLimit / SOCKETS_PER_CONNECTION));
     this.network = network;
-    this.frontendAddress = front;
+    this.frontendAddress = frontendAddress;
     this.counts = counts;
-    this.onFinished = done;
+    this.onFinished = onFinished;
     request =
-        ("GET /ready HTTP/1.1\r\nHost: " + front.getAddress().getHostAddress() + "\r\n\r\n")
+        ("GET /ready HTTP/1.1\r\nHost: "
+                + frontendAddress.getAddress().getHostAddress()
+                + "\r\n\r\n")
             .getBytes(StandardCharsets.US_ASCII);
   }
 
@@ -57,7 +63,7 @@
 
   /** Whatever holds it up, it is over: its connections end. */
   void closeAll() {
-    connections.forEach(call -> call.connection.close());
+    connections.forEach(connection -> connection.connection.close());
   }
 
   private final class WarmUpConnection implements ConnectionHandler {
