--- a/mixer/src/main/java/gingerring/backend/Backend.java
+++ b/mixer/src/main/java/gingerring/backend/Backend.java
@@ -17,7 +17,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The searchers' side: carries errands and probes out, and tells how each ended, once. */
+/** Sends trips and probes to searchers and reports the outcome of each exactly once. */
 public final class Backend {
   static final int OUTPUT_BUFFER_BYTES = 1 << 18;
   private static final Logger LOG = LoggerFactory.getLogger("gingerring.back");
@@ -54,9 +54,9 @@
     maxPartsPerCall = Math.max(1, (int) settings.number("Domain.Batch", 1));
     maxTripsPerConnection = Math.max(1, settings.count("PolicyLimits.StreamsPerConn"));
     dialTimeout = settings.duration("PolicyLimits.DialTimeoutMs");
-    // the searcher may close as early as its time for idle ones, and its word of that takes a
-    // moment: the
-    // time in which a connection has to come up, but never so much that none could be used twice
+    // The searcher may close an idle connection as soon as its own idle timeout has passed, and
+    // the close takes time to arrive. So close dialTimeout earlier, but after no less than half of
+    // the idle timeout, so that a connection can be used more than once.
     Duration searcherIdleTimeout = settings.duration("PolicyLimits.ConnIdleMs");
     Duration halfIdleTimeout = searcherIdleTimeout.dividedBy(2);
     maxIdleTime =
@@ -64,26 +64,34 @@
             ? searcherIdleTimeout.minus(dialTimeout)
             : halfIdleTimeout;
     cancelSupported = settings.flag("PolicyLimits.Cancel");
-    // where reports come by probes alone, a probe asks for one
+    // if load reports come only with probes, a probe asks for one (M); otherwise it is a health
+    // check (H)
     boolean reportsByProbe =
         settings.has("LoadReport.Source") && settings.text("LoadReport.Source").equals("probe");
     probeLetter = reportsByProbe ? 'M' : 'H';
     clock.schedule(SWEEP_INTERVAL, this::closeIdleConnections);
   }
 
-  /** The list has this searcher, at an address, up since a moment (null: long ago). */
+  /**
+   * Adds a searcher of the member list or updates its address. {@code startedAt} is the time at
+   * which its process started, null if long ago.
+   */
   public void addOrUpdate(SearcherId id, InetSocketAddress address, Duration startedAt) {
     pools.computeIfAbsent(id, newId -> new ConnectionPool(this, newId)).update(address, startedAt);
   }
 
-  /** The list no longer has it: its links go as soon as nothing is out on them. */
+  /**
+   * Removes a searcher that left the member list. Its connections are closed as soon as nothing is
+   * in flight on them.
+   */
   public void remove(SearcherId id) {
     withPool(id, ConnectionPool::remove);
   }
 
   /**
-   * The list says that it drains or has gone: what has not begun there does not, whatever keeps it.
-   * A send counts from its first byte, which may be a whole dial after the list was told.
+   * Stops new trips to a searcher that drains or has left. Trips that have not begun are not sent,
+   * whatever delayed them: a trip counts as sent from its first byte, which may leave a whole dial
+   * after the member list changed.
    */
   public void stopSending(SearcherId id) {
     withPool(id, ConnectionPool::stopSending);
@@ -96,7 +104,7 @@
     }
   }
 
-  /** Takes a trip along; it leaves with the others of this turn. */
+  /** Queues a trip; it is sent with the others of this turn. */
   public void send(OutboundTrip trip) {
     ConnectionPool pool = pools.get(trip.searcher);
     if (pool == null) {
@@ -116,8 +124,8 @@
   }
 
   /**
-   * Makes what waits into calls, and puts those into the rings of the links that have room. It
-   * comes last in a turn, so that what leaves is looked at by all that is known when it does.
+   * Batches queued trips into calls and writes them to the connections that have capacity. Runs at
+   * the end of a turn, so that each trip is checked against all that was learned in the turn.
    */
   public void dispatch() {
     List<ConnectionPool> scheduled = List.copyOf(poolsToDispatch);
@@ -130,8 +138,8 @@
   }
 
   /**
-   * Gives a trip up: one that has not begun never does, and the searcher is told of any other if it
-   * may be.
+   * Cancels a trip. A trip that has not begun is never sent; for a trip in flight the searcher is
+   * told to cancel, if the settings allow that.
    */
   public void cancel(OutboundTrip trip) {
     if (!cancelIfUnsent(trip) && !trip.ended && cancelSupported) {
@@ -141,9 +149,9 @@
   }
 
   /**
-   * Nobody wants the trip any more: it ends if nothing of it was put yet, and is left alone if it
-   * was. Returns whether it ended. Guards against work for nobody, and against an effect that
-   * nobody knows of, also where trips under way cannot be called off.
+   * Ends a trip that is no longer needed if none of it has been written; otherwise lets it
+   * continue. Returns whether the trip ended. Prevents needless work and effects that no client
+   * learns of, also where trips in flight cannot be cancelled.
    */
   public boolean cancelIfUnsent(OutboundTrip trip) {
     if (trip.ended || trip.written()) {
@@ -166,19 +174,19 @@
     withPool(id, ConnectionPool::closeIdle);
   }
 
-  /** Closes what has stood idle for its time, and forgets who has gone. */
+  /** Closes connections that were idle for too long and removes unused pools. */
   private void closeIdleConnections() {
     pools.values().removeIf(ConnectionPool::unused);
     pools.values().forEach(ConnectionPool::closeIdleTooLong);
     clock.schedule(SWEEP_INTERVAL, this::closeIdleConnections);
   }
 
-  /** How many searchers something is kept for. */
+  /** Returns the number of searchers with a connection pool. */
   public int searcherCount() {
     return pools.size();
   }
 
-  /** Errands end once, whatever comes of them later. */
+  /** Ends a trip; only the first outcome of a trip is reported. */
   void tripEnded(OutboundTrip trip, Outcome outcome) {
     tripEnded(trip, outcome, NO_LOAD, null);
   }
@@ -199,7 +207,7 @@
     listener.probeEnded(pool.id, outcome, responseTime, load == null ? NO_LOAD : load);
   }
 
-  /** Counts what a searcher did wrong, and logs it once in a while. */
+  /** Counts a bad frame and logs it at most once per {@link #BAD_FRAME_LOG_INTERVAL}. */
   void reportBadFrame(String message) {
     counts.add("bad frames", 1);
     if (lastBadFrameLog == null
@@ -217,7 +225,7 @@
     return counts;
   }
 
-  /** The time since the start, read now. */
+  /** Returns the time since the start, read now rather than at the start of the turn. */
   Duration currentTime() {
     return network.currentTime();
   }
--- a/mixer/src/main/java/gingerring/backend/BackendListener.java
+++ b/mixer/src/main/java/gingerring/backend/BackendListener.java
@@ -4,11 +4,11 @@
 import gingerring.decide.SearcherId;
 import java.time.Duration;
 
-/** Where the ends of errands and probes are told. */
+/** Receives the outcomes of trips and probes. */
 public interface BackendListener {
   /**
-   * {@code value} is null but for a part that succeeded; {@code load} is empty where no report
-   * came.
+   * Reports the end of a trip. {@code value} is null unless the trip succeeded; {@code load} is
+   * empty without a load report.
    */
   void tripEnded(OutboundTrip trip, Outcome outcome, float[] load, byte[] value);
 
--- a/mixer/src/main/java/gingerring/backend/ConnectionPool.java
+++ b/mixer/src/main/java/gingerring/backend/ConnectionPool.java
@@ -12,30 +12,31 @@
 import java.util.Set;
 
 /**
- * A searcher as the network has it: where it listens, the links to it, and the errands that wait
- * for one of them to take them. What waits here has not begun, and is looked at again at the moment
- * in which it would.
+ * The connections to one searcher and the trips waiting for one of them. A waiting trip has not
+ * begun; whether it still may begin is checked again at the moment of sending.
  */
 final class ConnectionPool {
-  /** Dials under way to one searcher: one that is late may still come up while another is tried. */
+  /** A second dial is allowed because an overdue dial may still succeed while another is tried. */
   private static final int MAX_CONCURRENT_DIALS = 2;
 
   final SearcherId id;
   private final Backend backend;
   private InetSocketAddress address;
 
-  /** The list no longer has it: forgotten once nothing is out there. */
+  /**
+   * Whether the searcher has left the member list; the pool is dropped once nothing is in flight.
+   */
   private boolean removed;
 
-  /** The list says that it drains or has gone: nothing begins there any more. */
+  /** Whether the searcher drains or has left, so that no new trip begins there. */
   private boolean sendingStopped;
 
   private final List<SearcherConnection> connections = new ArrayList<>();
 
-  /** In the order in which they came; none has been put into a link's ring. */
+  /** Trips in order of arrival; none of them has been written to a connection. */
   private final Set<OutboundTrip> waiting = new LinkedHashSet<>();
 
-  /** Probes that wait for a connection, by when they were asked for. */
+  /** Probes waiting for a connection, in order of arrival. */
   private final List<SearcherConnection.PendingProbe> waitingProbes = new ArrayList<>();
 
   ConnectionPool(Backend backend, SearcherId id) {
@@ -53,15 +54,15 @@
     removed = false;
     sendingStopped = false;
     if (startedAt != null) {
-      // made for a process that is no more: the new one is cold, and is to get no more than is
-      // decided for it
+      // These trips were meant for the previous process. The new process is cold and is to receive
+      // only what is decided for it.
       List.copyOf(waiting).stream()
           .filter(trip -> trip.queuedAt.compareTo(startedAt) < 0)
           .forEach(trip -> backend.tripEnded(trip, Outcome.NOT_SENT));
     }
     for (SearcherConnection connection : List.copyOf(connections)) {
       if (startedAt != null && connection.dialledAt.compareTo(startedAt) < 0) {
-        // it was made to a process that is no more: what was out there will not be answered
+        // this connection leads to the previous process, which will not answer what is in flight
         connection.abandon();
       } else if (moved) {
         connection.retire();
@@ -83,7 +84,7 @@
     backend.scheduleDispatch(this);
   }
 
-  /** Nothing is left of it that anybody could ask for. */
+  /** Returns whether the searcher has left and nothing is waiting or open here. */
   boolean unused() {
     return removed && connections.isEmpty() && waiting.isEmpty() && waitingProbes.isEmpty();
   }
@@ -96,8 +97,8 @@
   }
 
   /**
-   * An errand that no connection comes up for in its time, or none that is read from, has found
-   * nobody.
+   * Ends a trip as unreachable if no connection opens for it within the dial timeout, or if the
+   * searcher reads from none.
    */
   private void failUnlessConnected(OutboundTrip trip) {
     backend.wakeAfter(
@@ -116,18 +117,18 @@
         });
   }
 
-  /** It has been put, or has ended without. */
+  /** Removes a trip that has been written or has ended. */
   void removeWaiting(OutboundTrip trip) {
     waiting.remove(trip);
   }
 
   /**
-   * Puts what waits and may still begin into the links that have room, and dials where there are
-   * too few.
+   * Writes the waiting trips that may still begin to connections with capacity, and dials if more
+   * connections are needed.
    */
   void dispatch() {
-    // by the time it is, and not by the turn's: guards against a process that stands still within a
-    // turn
+    // Uses the current time instead of the turn's, in case the process was suspended during the
+    // turn.
     Duration now = backend.currentTime();
     for (OutboundTrip trip : List.copyOf(waiting)) {
       if (sendingStopped || !trip.mayStart(now)) {
@@ -138,11 +139,14 @@
       connection.dispatch(waiting);
     }
     for (int missing = missingConnections(); missing > 0 && dial(); missing--) {
-      // one for each that is lacking, as far as that goes
+      // dial once for each missing connection, as far as the limit allows
     }
   }
 
-  /** How many more links are wanted for what waits, beside those up and those coming up in time. */
+  /**
+   * Returns how many connections the waiting trips need in addition to those open or being dialled
+   * in time.
+   */
   private int missingConnections() {
     Map<SearcherConnection, Integer> freeSlots = new HashMap<>();
     connections.stream()
@@ -171,9 +175,10 @@
   }
 
   /**
-   * Dials, unless as many dials are under way as may be. Where one of them is late and may never
-   * come up, as after a machine vanished, the oldest makes room. Guards against a storm of
-   * handshakes at a searcher whose connections come up late, each closed before it is of use.
+   * Dials, unless the limit of concurrent dials is reached by dials that are not overdue. If one is
+   * overdue and may never succeed, as when a machine has vanished, the oldest overdue dial is
+   * closed to make room. The limit prevents a storm of handshakes at a searcher whose connections
+   * open late, each closed before it is used.
    */
   private boolean dial() {
     List<SearcherConnection> dialing =
@@ -217,7 +222,7 @@
         });
   }
 
-  /** A link is up: what waited for one goes by it. */
+  /** Called when a connection has opened: sends the probes that waited for one. */
   void connectionOpened(SearcherConnection connection) {
     backend.scheduleDispatch(this);
     if (connection.usable()) {
@@ -226,7 +231,7 @@
     }
   }
 
-  /** A link has ended, or never came up. */
+  /** Called when a connection has closed or a dial has failed. */
   void connectionClosed(SearcherConnection connection) {
     connections.remove(connection);
     backend.scheduleDispatch(this);
@@ -237,7 +242,7 @@
     }
   }
 
-  /** Probes that waited for a connection have found nobody. */
+  /** Ends the probes that waited for a connection as unreachable. */
   private void failWaitingProbes() {
     waitingProbes.forEach(
         probe ->
@@ -252,7 +257,7 @@
         .forEach(SearcherConnection::close);
   }
 
-  /** Closes what has stood idle for its time, and dials that nobody waited for as long. */
+  /** Closes connections, and overdue dials, that were idle for too long. */
   void closeIdleTooLong() {
     connections.stream()
         .filter(SearcherConnection::idleTooLong)
--- a/mixer/src/main/java/gingerring/backend/FrameCodec.java
+++ b/mixer/src/main/java/gingerring/backend/FrameCodec.java
@@ -10,10 +10,11 @@
 import java.util.List;
 
 /**
- * The searchers' frames: a length of four bytes, least first, that covers a letter and the rest.
+ * Reads and encodes the frames of the searcher protocol: a length of four bytes, little-endian,
+ * that counts a letter and the payload after it.
  */
 final class FrameCodec {
-  /** A frame that is not of the protocol. */
+  /** Thrown for a frame that violates the protocol. */
   static final class MalformedFrameException extends Exception {
     private static final long serialVersionUID = 1;
 
@@ -22,14 +23,14 @@
     }
   }
 
-  /** Who is told of each frame read. */
+  /** Receives each frame read. */
   interface Sink {
     void frame(char letter, byte[] payload) throws MalformedFrameException;
   }
 
   private static final int LENGTH_BYTES = 4;
 
-  /** A value goes on in an answer of 64 KiB at most. */
+  /** A searcher's value may have up to 64 KiB, plus the line before it. */
   static final int MAX_FRAME_BYTES = (1 << 16) + 1024;
 
   private final byte[] lengthField = new byte[LENGTH_BYTES];
@@ -38,17 +39,20 @@
   private int frameRead;
   private long framesRead;
 
-  /** How many whole frames were read. */
+  /** Returns the number of complete frames read. */
   long framesRead() {
     return framesRead;
   }
 
-  /** Whether a frame has begun to come and has not come whole. */
+  /** Returns whether a frame has been read in part. */
   boolean midFrame() {
     return lengthFieldRead > 0;
   }
 
-  /** Reads all whole frames there are; the rest of one that is cut waits for its next bytes. */
+  /**
+   * Reads all complete frames from {@code in}; the bytes of an incomplete frame are kept until the
+   * rest arrives.
+   */
   void read(ByteRing in, Sink sink) throws MalformedFrameException {
     while (in.size() > 0) {
       if (frame == null) {
@@ -85,7 +89,7 @@
         .array();
   }
 
-  /** One call: a line and the text for each part. */
+  /** Encodes one call: a line and the query text for each part. */
   static byte[] encodeCall(List<OutboundTrip> trips, Duration now) {
     ByteArrayOutputStream payload = new ByteArrayOutputStream();
     for (OutboundTrip trip : trips) {
--- a/mixer/src/main/java/gingerring/backend/LoadReportParser.java
+++ b/mixer/src/main/java/gingerring/backend/LoadReportParser.java
@@ -5,12 +5,12 @@
 import java.util.Map;
 
 /**
- * Puts the figures of a searcher's load report in the order of the columns that the mixer was told.
+ * Parses the load reports of searchers into an array, in the order of the columns in the settings.
  */
 final class LoadReportParser {
   private static final float[] NO_LOAD = {};
 
-  /** The protocol's names for the columns that WIRE names. */
+  /** Maps the column names in the settings (see WIRE) to those in the searcher protocol. */
   private static final Map<String, String> WIRE_NAMES =
       Map.of(
           "concurrent",
@@ -36,7 +36,10 @@
     columns = columnList.isEmpty() ? new String[0] : columnList.split(",");
   }
 
-  /** What cannot be read is no report: it says nothing of the answer that it came with. */
+  /**
+   * Parses a report. An unreadable one counts as no report and does not affect the answer that it
+   * came with.
+   */
   float[] parse(String text) {
     if (text.equals("-") || columns.length == 0) {
       return NO_LOAD;
--- a/mixer/src/main/java/gingerring/backend/OutboundTrip.java
+++ b/mixer/src/main/java/gingerring/backend/OutboundTrip.java
@@ -4,13 +4,13 @@
 import gingerring.decide.SearcherId;
 import java.time.Duration;
 
-/** One trip on the network side: a part on its way to a searcher and back. */
+/** A trip on the network side: one attempt to have a part answered by a searcher. */
 public final class OutboundTrip {
   public final PartId part;
   public final int tripNumber;
   public final SearcherId searcher;
 
-  /** What the frames call the part. */
+  /** The id of the part in frames. */
   final String wireId;
 
   final int shard;
@@ -18,15 +18,21 @@
   final byte[] queryText;
   final Duration deadline;
 
-  /** By when it has to begin, or null: a repeat that begins later is taken for another request. */
+  /**
+   * The latest time at which the trip may begin, or null: a retry that begins later would be taken
+   * for a new request.
+   */
   private Duration startDeadline;
 
-  /** When it was sent. */
+  /** When the trip was queued. */
   Duration queuedAt;
 
   ConnectionPool pool;
 
-  /** Where its frame ends in all that was put into its link's ring; -1 before it was put. */
+  /**
+   * End of the trip's frame, as a position in all output of its connection; -1 before the frame is
+   * written.
+   */
   long frameEndPosition = -1;
 
   SearcherConnection connection;
@@ -45,7 +51,8 @@
   }
 
   /**
-   * {@code until}: when its end is no longer waited for; {@code startBy}: null where that is all.
+   * Creates a trip that times out at {@code deadline}. {@code startDeadline} is the latest time to
+   * begin, null if only {@code deadline} limits it.
    */
   public OutboundTrip(
       PartId part,
@@ -68,12 +75,18 @@
     this.startDeadline = startDeadline;
   }
 
-  /** Whether its frame has been put into its link's ring: it may run from then on. */
+  /**
+   * Returns whether the frame has been written to the output of its connection; from then on the
+   * trip may run.
+   */
   boolean written() {
     return frameEndPosition >= 0;
   }
 
-  /** It is not to begin later than this either, as a copy of its part may begin meanwhile. */
+  /**
+   * Lowers the latest time to begin, since another trip for the same part may begin in the
+   * meantime.
+   */
   public void limitStart(Duration latestStart) {
     startDeadline =
         startDeadline == null || latestStart.compareTo(startDeadline) < 0
@@ -81,7 +94,7 @@
             : startDeadline;
   }
 
-  /** Whether its first byte may still leave now. */
+  /** Returns whether the trip may still begin at {@code now}. */
   boolean mayStart(Duration now) {
     return !ended
         && now.compareTo(deadline) < 0
--- a/mixer/src/main/java/gingerring/backend/SearcherConnection.java
+++ b/mixer/src/main/java/gingerring/backend/SearcherConnection.java
@@ -18,9 +18,9 @@
 import java.util.Map;
 import java.util.Set;
 
-/** One connection to a searcher, with the calls and probes that are out on it. */
+/** A connection to a searcher, with the trips and probes in flight on it. */
 final class SearcherConnection implements ConnectionHandler {
-  /** A probe on its way, in the order in which its kind is answered. */
+  /** A probe in flight. Probes of one kind are answered in the order in which they were sent. */
   static final class PendingProbe {
     final Duration sentAt;
 
@@ -32,8 +32,8 @@
   private static final int MAX_RECENT_IDS = 512;
 
   /**
-   * No further call is put behind so many bytes that have not left: they could not be kept back any
-   * more.
+   * No further call is written while this many bytes wait to be sent, since written calls can no
+   * longer be held back.
    */
   private static final int MAX_UNSENT_BYTES = 4096;
 
@@ -42,27 +42,30 @@
   private final Connection connection;
   private final FrameCodec frameCodec = new FrameCodec();
 
-  /** Small frames that leave behind the calls of their turn. */
+  /** Cancel frames, sent after the calls of the same turn. */
   private final List<byte[]> pendingCancels = new ArrayList<>();
 
   private final Map<String, OutboundTrip> tripsInFlight = new LinkedHashMap<>();
 
-  /** The latest parts that are out no more: an answer to any other is spoilt. */
+  /**
+   * Ids of the trips that ended most recently. An answer with any other unknown id is a protocol
+   * violation.
+   */
   private final Set<String> recentIds = new LinkedHashSet<>();
 
   private final Deque<PendingProbe> probesInFlight = new ArrayDeque<>();
   private boolean opened;
 
-  /** The dial has taken longer than its time: it may still come up, and is not counted on. */
+  /** Whether the dial has exceeded its timeout: it may still succeed but is not counted on. */
   private boolean dialOverdue;
 
-  /** Nothing new goes by it: it is closed once nothing is out on it. */
+  /** Whether no new frames are sent here; the connection is closed once nothing is in flight. */
   private boolean retired;
 
   final Duration dialledAt;
   private Duration lastUsedAt;
 
-  /** When all that was put before had last left. */
+  /** When all earlier output had last been sent. */
   private Duration outputEmptyAt;
 
   private Duration lastReadAt;
@@ -86,51 +89,58 @@
     return opened && !retired && connection.isUsable();
   }
 
-  /** Its dial was turned away, and not given up from here. */
+  /** Returns whether the dial failed without having been given up by the mixer. */
   boolean dialFailed() {
     return !opened && !retired;
   }
 
-  /** Its dial is under way. */
+  /** Returns whether the connection is being dialled. */
   boolean dialing() {
     return !opened && !retired && connection.isUsable();
   }
 
-  /** Up or coming up in its time, and open to what is new. */
+  /** Returns whether the connection is open or being dialled in time, and accepts new trips. */
   boolean usableOrDialing() {
     return connected() && !idleTooLong() || dialing() && !dialOverdue;
   }
 
-  /** Whether it takes frames now. */
+  /** Returns whether frames can be sent now. */
   boolean usable() {
     return connected() && connection.isOpen() && !idleTooLong();
   }
 
-  /** What was put a dial's time ago has not left: the searcher does not read. */
+  /**
+   * Returns whether output has waited for a dial timeout without being sent: the searcher does not
+   * read.
+   */
   boolean writeStalled() {
     return opened
         && !outputEmpty()
         && backend.now().minus(outputEmptyAt).compareTo(backend.dialTimeout()) >= 0;
   }
 
-  /** All that was put before has left. */
+  /** Returns whether all output has been sent. */
   private boolean outputEmpty() {
     return connection.isFlushed();
   }
 
-  /** How many more parts it takes. */
+  /** Returns how many more trips may be in flight here. */
   int freeSlots() {
     return Math.max(0, backend.maxTripsPerConnection() - tripsInFlight.size());
   }
 
-  /** A part that was out here before is not told from its repeat by its answers. */
+  /**
+   * Returns whether a trip may be sent here. A connection that has carried the same id before is
+   * excluded, since the answers to both trips could not be told apart.
+   */
   boolean accepts(OutboundTrip trip) {
     return !tripsInFlight.containsKey(trip.wireId) && !recentIds.contains(trip.wireId);
   }
 
   /**
-   * It has stood idle for so long that the searcher may be closing it. Not in the turn in which it
-   * comes up, also where no idle time is allowed: what waited for it goes by it.
+   * Returns whether the connection has been idle for so long that the searcher may be closing it.
+   * This is false in the turn in which the connection opens, even with an idle time of 0, since
+   * trips that waited for the connection are sent then.
    */
   boolean idleTooLong() {
     return idle()
@@ -143,8 +153,8 @@
   }
 
   /**
-   * Guards against links that nobody uses just now and that keep others from being dialled, with
-   * few descriptors.
+   * Lets the network close a connection that is idle, so that others can be dialled when
+   * descriptors are scarce.
    */
   @Override
   public Duration idleSince() {
@@ -163,9 +173,9 @@
   }
 
   /**
-   * Puts what waits into the ring, as far as there is room for parts, if all that was put before
-   * has left. Guards against a frame that leaves long after it was decided: what is kept here can
-   * still be kept back.
+   * Writes waiting trips, up to the limit of trips in flight, if all earlier output has been sent.
+   * A trip kept here can still be held back, while a written frame might leave long after it was
+   * decided.
    */
   void dispatch(Collection<OutboundTrip> waiting) {
     if (usable() && outputEmpty()) {
@@ -202,11 +212,11 @@
         pool.removeWaiting(trip);
       }
     } else if (batch.size() > 1) {
-      // so much text at once does not fit the ring
+      // the call does not fit the output ring: split it
       writeCall(batch.subList(0, batch.size() / 2));
       writeCall(batch.subList(batch.size() / 2, batch.size()));
     } else {
-      // it waits until the ring is empty again
+      // the trip waits until the output ring is empty
       batch.forEach(
           trip -> {
             trip.connection = null;
@@ -222,7 +232,7 @@
     return connection.output.put(frame);
   }
 
-  /** Gives up a trip whose frame has been put: the searcher is told. */
+  /** Cancels a trip whose frame has been written, and tells the searcher. */
   void cancel(OutboundTrip trip) {
     removeTrip(trip);
     pendingCancels.add(FrameCodec.encodeCancel(trip));
@@ -231,8 +241,8 @@
   }
 
   /**
-   * A trip has timed out: nothing is sent, and a link that has told nothing since is not trusted
-   * on.
+   * Handles the timeout of a trip. Nothing is sent. A connection on which nothing has been read
+   * since it was dialled, or for a dial timeout, is no longer used.
    */
   void tripTimedOut(OutboundTrip trip) {
     removeTrip(trip);
@@ -259,7 +269,7 @@
         backend.dialTimeout(),
         () -> {
           if (probesInFlight.remove(probe)) {
-            // answers are matched by their order, so nothing more is asked on this link
+            // probe answers are matched by order, so this connection can send no further probes
             retired = true;
             backend.probeEnded(pool, Outcome.TIMED_OUT, backend.now().minus(probe.sentAt), null);
             closeIfRetiredAndIdle();
@@ -294,8 +304,8 @@
       closeOnBadFrame(e.getMessage());
     }
     if (frameCodec.midFrame() && connection.isUsable()) {
-      // answers are written whole: guards against one that stops short, or whose length is not its
-      // own
+      // Searchers write each answer as a whole, so a frame that stays incomplete is truncated or
+      // has a wrong length.
       long read = frameCodec.framesRead();
       backend.wakeAfter(
           backend.dialTimeout(),
@@ -309,9 +319,8 @@
   }
 
   /**
-   * Where the next frame begins can no longer be told, so nothing more of it is believed. The part
-   * it was for may have run, and so may all others out on it: they end as on a connection that
-   * breaks.
+   * Closes the connection after a bad frame: the start of the next frame is unknown. The trip that
+   * the frame was for and all others in flight may have run; they end as on a broken connection.
    */
   private void closeOnBadFrame(String fault) {
     backend.reportBadFrame("a searcher's frame could not be used: " + fault);
@@ -368,7 +377,7 @@
         outcome == Outcome.SUCCEEDED ? value : null);
   }
 
-  /** Whether a value can stand in a client's answer as it is. */
+  /** Returns whether a value is valid UTF-8 and can be copied into a client's response. */
   private static boolean isUtf8(byte[] value) {
     try {
       StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(value));
@@ -378,7 +387,7 @@
     }
   }
 
-  /** No longer out; an answer may still come, late or for a second time. */
+  /** Removes a trip from those in flight; its answer may still arrive, late or repeated. */
   private void removeTrip(OutboundTrip trip) {
     tripsInFlight.remove(trip.wireId);
     recentIds.add(trip.wireId);
@@ -406,12 +415,13 @@
   }
 
   /**
-   * The searcher's process is known to be gone: what is out ends now, before anything else is told
-   * of it.
+   * Closes the connection to a process that is known to have ended. All trips and probes end at
+   * once, before any other event for them.
    */
   void abandon() {
     close();
-    // how far MINA has written is not known here: whatever was put may have left
+    // the number of bytes that MINA has written is unknown here, so anything written may have been
+    // sent
     endTripsAndProbes(Long.MAX_VALUE);
   }
 
@@ -420,7 +430,7 @@
     endTripsAndProbes(connection.bytesSent());
   }
 
-  /** Ends with what is out on it: what had left whole may have run. */
+  /** Ends all trips and probes in flight. A trip whose frame was sent in full may have run. */
   private void endTripsAndProbes(long bytesWritten) {
     pool.connectionClosed(this);
     for (OutboundTrip trip : new ArrayList<>(tripsInFlight.values())) {
@@ -434,7 +444,7 @@
     probesInFlight.clear();
   }
 
-  /** Ends it from here, also while its dial is under way. */
+  /** Closes the connection from this side, even while it is being dialled. */
   void close() {
     retired = true;
     connection.close();
--- a/mixer/src/main/java/gingerring/frontend/ClientConnection.java
+++ b/mixer/src/main/java/gingerring/frontend/ClientConnection.java
@@ -13,8 +13,8 @@
 import java.util.Map;
 
 /**
- * One client's connection: a request at a time, the next left in the ring until the answer has been
- * put.
+ * Connection to one client. It serves one request at a time; the next request stays in the input
+ * ring until the response has been written.
  */
 final class ClientConnection implements ConnectionHandler, ScanResponder {
   private final Frontend frontend;
@@ -26,19 +26,22 @@
   private Duration requestStartedAt;
   private Duration idleSince;
 
-  /** A scan of this client is in hand. */
+  /** Whether a scan of this client is open. */
   private boolean scanOpen;
 
-  /** The answer to the request in hand is the last on this connection. */
+  /** Whether the connection is closed after the response to the current request. */
   private boolean closeAfterResponse;
 
-  /** The last answer has been put: what still comes is dropped until the client has gone. */
+  /**
+   * Whether the final response has been written; further input is discarded until the client
+   * disconnects.
+   */
   private boolean finalResponseWritten;
 
-  /** Is being ended for another. */
+  /** Whether this connection is being closed to make room for another. */
   private boolean evicted;
 
-  /** Has had an answer to a whole request. */
+  /** Whether the client has received a response with status 200 or 503. */
   private boolean requestCompleted;
 
   ClientConnection(Frontend frontend, Connection connection, boolean overConnectionLimit) {
@@ -72,7 +75,10 @@
             });
   }
 
-  /** Between requests, with nothing read of the next. */
+  /**
+   * Returns whether the connection is between requests and nothing of the next request has been
+   * read.
+   */
   boolean idle() {
     return !scanOpen
         && !finalResponseWritten
@@ -82,7 +88,10 @@
         && connection.output.size() == 0;
   }
 
-  /** A request has begun to come, and is not there after longer than whole ones take. */
+  /**
+   * Returns whether a request has begun but has been incomplete for longer than a normal request
+   * takes.
+   */
   private boolean requestStalled() {
     return !scanOpen
         && !finalResponseWritten
@@ -93,14 +102,14 @@
   }
 
   /**
-   * Whether it may be ended where room is wanted: idle, its last answer gone, or with half a
-   * request come.
+   * Returns whether the connection may be closed to make room for another: it is idle, its final
+   * response has been sent, or its request is stalled.
    */
   boolean evictable() {
     return finalResponseWritten ? connection.isFlushed() && !evicted : idle() || requestStalled();
   }
 
-  /** Those that are spare, in the order in which they are ended. */
+  /** Orders evictable connections; the first is closed first. */
   static final Comparator<ClientConnection> EVICTION_ORDER =
       Comparator.<ClientConnection, Boolean>comparing(client -> !client.finalResponseWritten)
           .thenComparing(ClientConnection::requestStalled)
@@ -109,7 +118,10 @@
               client ->
                   client.requestStartedAt != null ? client.requestStartedAt : client.idleSince);
 
-  /** Ends it for another, unless a request has just come; half a request is refused first. */
+  /**
+   * Closes this connection to make room for another, unless a request has just arrived. A stalled
+   * request is rejected first. Returns whether the connection is being closed.
+   */
   boolean evict() {
     if (requestStalled()) {
       frontend.counts().add("half requests shed", 1);
@@ -132,7 +144,7 @@
     return false;
   }
 
-  /** Called now and then: ends what takes too long. */
+  /** Closes the connection if it has exceeded a timeout; called periodically. */
   void enforceTimeouts() {
     Duration idleTime = frontend.now().minus(idleSince);
     if (scanOpen || finalResponseWritten) {
@@ -155,8 +167,8 @@
   @Override
   public void onReadable() {
     try {
-      // the next request waits until the last answer has left: a slow reader holds up no one but
-      // itself
+      // The next request waits until the previous response has been sent, so that a slow reader
+      // delays only itself.
       while (!scanOpen
           && !finalResponseWritten
           && connection.output.size() == 0
@@ -170,9 +182,9 @@
       refuseAndClose(e.status);
     }
     if (scanOpen && connection.isInputFull()) {
-      // much came behind the request in hand: unread, it would hide that the client goes. Where the
-      // next
-      // request begins is lost by it, so that the answer will be the last
+      // The client sent much data behind the current request. Left unread, it would hide that the
+      // client disconnects. Dropping it loses the start of the next request, so the connection is
+      // closed after this response.
       frontend.counts().add("clients that sent too much", 1);
       closeAfterResponse = true;
       connection.discardInput();
@@ -183,7 +195,10 @@
     connection.resumeReading();
   }
 
-  /** Nothing that follows can be told from what was wrong: an error, and the end. */
+  /**
+   * Responds with an error and closes the connection: after malformed input, the start of the next
+   * request is unknown.
+   */
   private void refuseAndClose(int status) {
     frontend.counts().add("bad requests", 1);
     closeAfterResponse = true;
@@ -191,15 +206,15 @@
   }
 
   /**
-   * The process ends now: nothing more is read, and whatever has come of a request is refused,
-   * which promises that nothing was sent on.
+   * Stops reading because the process ends. A partly received request is rejected, which promises
+   * that nothing of it was sent to searchers.
    */
   void closeForShutdown() {
     if (scanOpen || finalResponseWritten || closeIfIdle()) {
       return;
     }
     closeAfterResponse = true;
-    // an answer is on its way, and the client sends no request before it has it
+    // a response is being sent, and the client sends no request before it has arrived
     if (connection.output.size() > 0) {
       finalResponseWritten = true;
       connection.closeGracefully();
@@ -244,7 +259,7 @@
     try {
       request = frontend.requestParser().parse(head, body.toByteArray());
     } catch (HttpException e) {
-      // the framing holds, so that the connection can go on
+      // the HTTP framing is intact, so the connection can serve further requests
       frontend.counts().add("bad requests", 1);
       respond(e.status, "", new byte[0]);
       return;
@@ -321,7 +336,8 @@
     }
     if (closeAfterResponse) {
       finalResponseWritten = true;
-      // to close on unread bytes, a next request say, would reset the answer away
+      // closing with unread bytes, such as a further request, would reset the connection and lose
+      // the response
       connection.closeGracefully();
     } else {
       frontend.runNextTurn(this::onReadable);
@@ -333,7 +349,10 @@
     return connection.isClosed() || connection.output.put(bytes);
   }
 
-  /** Ends it, unless a request has just come. */
+  /**
+   * Closes the connection if it is idle and no request has just arrived. Returns whether it was
+   * closed.
+   */
   boolean closeIfIdle() {
     return idle() && connection.closeIfUnread();
   }
--- a/mixer/src/main/java/gingerring/frontend/Frontend.java
+++ b/mixer/src/main/java/gingerring/frontend/Frontend.java
@@ -15,14 +15,14 @@
 import java.util.Set;
 import java.util.function.Consumer;
 
-/** The clients' side: takes their connections, reads their scans, hands them on. */
+/** Accepts client connections, reads scan requests and passes them to the {@link ScanHandler}. */
 public final class Frontend {
   static final int MAX_BODY_BYTES = 64 * 1024;
   private static final int OUTPUT_BUFFER_BYTES = 1 << 20;
 
   /**
-   * How long a request may take to come, and an answer to leave; and how long a client may say
-   * nothing.
+   * Longest time from the first byte of a request to its last. The constants below limit the time
+   * to send a response and the time that a client may stay idle.
    */
   static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(2);
 
@@ -41,14 +41,14 @@
   private int bufferedBodyBytes;
   private boolean closed;
 
-  /** Connections being ended for others. */
+  /** Number of connections that are being closed to make room for others. */
   private int evictionsPending;
 
   private final Set<ClientConnection> clients = new LinkedHashSet<>();
 
   /**
-   * {@code again} runs a task in the next turn; the network is to hold so many connections at one
-   * time, those dialled too.
+   * Creates the frontend. {@code nextTurn} runs a task in the next turn of the event loop; {@code
+   * maxConnections} limits the connections of the network, dialled ones included.
    */
   public Frontend(
       Network network,
@@ -76,11 +76,11 @@
   private void clientConnected(Connection connection) {
     if (closed) {
       connection.setHandler(ConnectionHandler.NO_OP);
-      connection.close(); // never read: its client may come again
+      connection.close(); // nothing was read from it, so the client can safely retry
       return;
     }
-    // guards against newcomers of one turn that are sent away while enough others are being ended
-    // for them
+    // Evicts first: connections being closed for new ones of the same turn count as free, so that
+    // these are not turned away.
     boolean overConnectionLimit = !evictClients() && network.isFull(evictionsPending);
     ClientConnection client = new ClientConnection(this, connection, overConnectionLimit);
     connection.setHandler(client);
@@ -88,10 +88,12 @@
   }
 
   /**
-   * Guards against running out of descriptors, where dials are to find some: first go those that
-   * have had their last answer, then who never asked for anything, then the longest idle, then who
-   * began a request and does not end it: a flood of such holds all room otherwise, until their time
-   * is over. Where all are busy a newcomer's scan is nacked. Returns whether any went.
+   * Closes connections when file descriptors run short, so that dials still find one. The order is:
+   * connections whose final response has been written, clients that never completed a request, the
+   * clients idle for longest, and clients that began a request and do not finish it. Without the
+   * last group, a flood of half-sent requests would occupy all connections until their timeout. If
+   * all clients are busy, the scan of a new client is rejected. Returns whether any connection was
+   * closed.
    */
   private boolean evictClients() {
     int needed = network.connectionShortfall() - evictionsPending;
@@ -112,9 +114,8 @@
   }
 
   /**
-   * Ends connections that a request or an answer has been on for too long, or nothing. Guards
-   * against clients that send half a request or none: they are owed an end, and hold descriptors
-   * and memory.
+   * Closes connections that exceed the time for a request, a response or idling. Such clients hold
+   * descriptors and memory.
    */
   private void enforceTimeouts() {
     List.copyOf(clients).forEach(ClientConnection::enforceTimeouts);
@@ -122,9 +123,7 @@
     clock.schedule(SWEEP_INTERVAL, this::enforceTimeouts);
   }
 
-  /**
-   * The end is near: connections between requests are closed, the others end with their answers.
-   */
+  /** Closes idle connections before the shutdown; the others are closed after their responses. */
   public void closeIdleClients() {
     List.copyOf(clients).stream()
         .filter(ClientConnection::idle)
@@ -132,8 +131,8 @@
   }
 
   /**
-   * The end is here, and no scan is in hand: every connection ends, and no request is read any
-   * more.
+   * Closes all connections at the end of the shutdown, when no scan is open. No further request is
+   * read.
    */
   public void closeAllClients() {
     closed = true;
@@ -181,7 +180,10 @@
     nextTurn.accept(task);
   }
 
-  /** Guards against many slow senders that together hold more than the memory there is. */
+  /**
+   * Reserves memory for part of a request body. The total is limited, so that many slow senders
+   * cannot exhaust the memory.
+   */
   void reserveBodyBytes(int length) throws HttpException {
     if (bufferedBodyBytes + length > MAX_BUFFERED_BODY_BYTES) {
       throw new HttpException(503, "too many bodies half sent");
--- a/mixer/src/main/java/gingerring/frontend/ScanHandler.java
+++ b/mixer/src/main/java/gingerring/frontend/ScanHandler.java
@@ -2,20 +2,23 @@
 
 import java.time.Duration;
 
-/** What fronts hand their scans to; every front goes through the same decisions. */
+/** Handles the scan requests that frontends have parsed; all frontends share one handler. */
 public interface ScanHandler {
-  /** Whether scans are taken: from the start until the end is announced. */
+  /** Returns whether new scans are accepted: from the start until the shutdown is announced. */
   boolean ready();
 
-  /** Whether the end is near, so that every connection is to end with its answer. */
+  /**
+   * Returns whether each connection is to be closed after its next response, as shortly before the
+   * process ends.
+   */
   boolean closeAfterResponse();
 
   /**
-   * Takes a scan whose first byte came at {@code since}; false where one of this mark is already in
-   * hand.
+   * Accepts a scan whose first byte arrived at {@code requestStartedAt}. Returns false if a scan
+   * with the same transaction id is open or was seen recently.
    */
   boolean accept(ScanRequest request, Duration requestStartedAt, ScanResponder responder);
 
-  /** The client of a scan in hand has gone away. */
+  /** Reports that the client of an open scan has disconnected. */
   void clientDisconnected(ScanResponder responder);
 }
--- a/mixer/src/main/java/gingerring/frontend/ScanRequest.java
+++ b/mixer/src/main/java/gingerring/frontend/ScanRequest.java
@@ -4,8 +4,9 @@
 import java.util.List;
 
 /**
- * A scan as a client asks for it, whatever protocol brought it. {@code patience} counts from its
- * sending; {@code key} marks repeats of a numbered one and is null elsewhere.
+ * A scan request from a client, independent of the protocol that carried it. {@code deadline}
+ * counts from the moment the client sent the request; {@code idempotencyKey} identifies retries of
+ * a request of a keyed service class and is null for other classes.
  */
 public record ScanRequest(
     String transactionId,
@@ -15,7 +16,7 @@
     Duration deadline,
     List<Target> targets,
     byte[] queryText) {
-  /** One shard's share of it; {@code route} is 0 where there is none. */
+  /** The part of the scan that one shard answers; {@code route} is 0 if the client gave none. */
   public record Target(int shard, double share, Duration estimatedWork, long route) {}
 
   public Duration estimatedWork() {
--- a/mixer/src/main/java/gingerring/frontend/ScanRequestParser.java
+++ b/mixer/src/main/java/gingerring/frontend/ScanRequestParser.java
@@ -19,14 +19,17 @@
 import java.util.Set;
 import java.util.regex.Pattern;
 
-/** Reads a scan out of a request's headers and body; whatever is off is a 400. */
+/** Parses a scan request from HTTP headers and body. Invalid input gets status 400. */
 final class ScanRequestParser {
   private static final int MAX_ID_LENGTH = 128;
   private static final Pattern MILLIS = Pattern.compile("[0-9]{1,9}");
   private static final Pattern ROUTE = Pattern.compile("[0-9a-fA-F]{16}");
   private static final long MAX_WORK_MICROS = 86_400_000_000L;
 
-  /** How far from 1 shares may sum up for their rounding. An answer is whole by their sum. */
+  /**
+   * How far the sum of the shares may differ from 1, since clients round them. An answer is
+   * complete by the sum of its shares.
+   */
   private static final double SHARE_SUM_TOLERANCE = 0.01;
 
   private final Map<String, Integer> serviceClasses = new HashMap<>();
@@ -72,8 +75,8 @@
   }
 
   /**
-   * No client of a grade waits longer than the settings say. Guards against a figure that keeps it
-   * here.
+   * Limits the deadline that a client asks for to that of its service class, so that a client
+   * cannot keep a scan open for longer than the settings allow.
    */
   private Duration deadline(int serviceClass, long millis) {
     Duration maxDeadline = maxDeadlines.get(serviceClass);
@@ -82,7 +85,10 @@
         : maxDeadline;
   }
 
-  /** A searcher is to get the text unchanged: half of a surrogate pair has no bytes. */
+  /**
+   * Encodes the query text. Searchers have to receive it unchanged, so a lone surrogate, which has
+   * no UTF-8 encoding, is rejected.
+   */
   private static byte[] encodeUtf8(String text) throws Json.JsonException {
     try {
       ByteBuffer bytes = StandardCharsets.UTF_8.newEncoder().encode(CharBuffer.wrap(text));
@@ -93,8 +99,8 @@
   }
 
   /**
-   * A mark goes into the searchers' frames as it is, so nothing that frames are cut by may stand in
-   * it.
+   * Reads a header with an id. The id is copied into the frames to searchers, so it may not contain
+   * the characters that separate fields there.
    */
   private static String idHeader(MessageHead head, String name) throws HttpException {
     String value = head.header(name);
--- a/mixer/src/main/java/gingerring/frontend/ScanResponder.java
+++ b/mixer/src/main/java/gingerring/frontend/ScanResponder.java
@@ -3,12 +3,18 @@
 import java.time.Duration;
 import java.util.Map;
 
-/** Where the one final answer of a scan goes. */
+/** Receives the single final response to a scan. */
 public interface ScanResponder {
-  /** {@code values}: of each shard that is in, as its searcher gave it. */
+  /**
+   * Responds with results; {@code values} has the value of each shard that succeeded, unchanged
+   * from its searcher.
+   */
   void answer(boolean complete, Map<Integer, byte[]> values);
 
-  /** {@code comeBack} is advice; zero for none. */
+  /**
+   * Rejects the scan; a retry does no harm. {@code retryAfter} is a hint to the client, zero for
+   * none.
+   */
   void reject(Duration retryAfter);
 
   void fail();
--- a/mixer/src/main/java/gingerring/server/EventLoop.java
+++ b/mixer/src/main/java/gingerring/server/EventLoop.java
@@ -15,8 +15,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The one thread that owns the mixer and all state. Each turn gathers all that is ready, hands it
- * to the mixer in one go, and then carries out what came back.
+ * The event loop: a single thread owns the mixer and all its state. Each turn collects all events
+ * that are ready, passes them to the mixer together, and then carries out what the mixer decided.
  */
 final class EventLoop implements EventQueue, LoopTimer {
   private record Timer(Duration dueAt, long sequence, Runnable task) implements Comparable<Timer> {
@@ -34,15 +34,15 @@
   private final long startNanos = System.nanoTime();
 
   /**
-   * Holds a few events a connection at most: each waits for its turn before it posts the next. No
-   * lock stands between those who post and the loop: a thread that is stopped anywhere in {@link
-   * #post} keeps neither the loop nor its wakes. Guards against the blocking queues of
-   * java.util.concurrent, whose timed waiters turn without a pause (Condition.awaitNanos) while the
-   * one that signals them is not run.
+   * Events from other threads, at most a few for each connection: each connection waits for its
+   * turn before it posts the next. The queue takes no lock, so a thread that is suspended anywhere
+   * in {@link #post} holds up neither the loop nor its timers. The blocking queues of
+   * java.util.concurrent were not usable: their timed waiters spin (Condition.awaitNanos) while the
+   * signalling thread is not scheduled.
    */
   private final Queue<Runnable> eventQueue = new ConcurrentLinkedQueue<>();
 
-  /** The loop's thread while it waits, or is about to. */
+  /** The thread of the loop while it is parked or about to park, else null. */
   private volatile Thread parkedThread;
 
   private final PriorityQueue<Timer> timers = new PriorityQueue<>();
@@ -72,7 +72,7 @@
     }
   }
 
-  /** How many events wait for the next turn. */
+  /** Returns the number of events queued for the next turn. */
   int queuedEvents() {
     return eventQueue.size();
   }
@@ -86,8 +86,8 @@
   }
 
   /**
-   * Something to tell the mixer once all that is ready has been gathered; from the mixer, next
-   * turn.
+   * Queues a notification to the mixer, delivered after all events of this turn have been
+   * collected. Notifications queued by the mixer itself are delivered in the next turn.
    */
   void notifyMixer(Runnable notification) {
     counts.checkInvariant(
@@ -95,7 +95,10 @@
     notifications.add(notification);
   }
 
-  /** The same, after all else of the turn: what is new is decided by all that is known. */
+  /**
+   * Like {@link #notifyMixer}, but delivered after all others of the turn, so that new scans are
+   * decided with all that is known.
+   */
   void notifyMixerLast(Runnable notification) {
     counts.checkInvariant(
         owner == null || owner == Thread.currentThread(), "the mixer is told on the loop's thread");
@@ -106,7 +109,7 @@
     running = false;
   }
 
-  /** Turns until it is stopped; each turn ends in {@code calls}, then {@code flush}. */
+  /** Runs turns until stopped; each turn ends with {@code dispatch}, then {@code flush}. */
   void run(Runnable dispatch, Runnable flush) {
     owner = Thread.currentThread();
     List<Runnable> events = new ArrayList<>();
@@ -143,23 +146,25 @@
     if (waitNanos > 0) {
       parkedThread = owner;
       if (eventQueue
-          .isEmpty()) { // looked at after the sleeper is named: what is posted later finds it
-        LockSupport.parkNanos(this, waitNanos); // may return early: then a turn has nothing to do
+          .isEmpty()) { // checked after parkedThread is set, so that a later post unparks this
+        // thread
+        LockSupport.parkNanos(this, waitNanos); // may return early; the turn then has nothing to do
       }
       parkedThread = null;
     }
-    if (Thread.interrupted()) { // an interrupt that stays would let no later wait last
+    if (Thread.interrupted()) { // a pending interrupt would end every later park at once
       running = false;
     }
     for (int remaining = eventQueue.size();
         remaining > 0;
-        remaining--) { // what is posted meanwhile is the next turn's
+        remaining--) { // events posted from here on belong to the next turn
       events.add(eventQueue.poll());
     }
   }
 
   /**
-   * Runs one thing of a turn. Guards the process and all other scans against whatever fails in it.
+   * Runs one task of a turn. A failure of the task is counted and logged; it stops neither the
+   * process nor other scans.
    */
   void runGuarded(String step, Runnable task) {
     try {
--- a/mixer/src/main/java/gingerring/server/MixerConfig.java
+++ b/mixer/src/main/java/gingerring/server/MixerConfig.java
@@ -13,7 +13,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** All that a mixer is told at its start. */
+/** The configuration that a mixer reads when it starts. */
 record MixerConfig(
     String name,
     InetSocketAddress listenAddress,
@@ -22,11 +22,11 @@
     int socketLimit,
     MemberListUpdate knownMembers,
     Settings settings) {
-  /** Something needed is missing or cannot be read; the message names it, in one line. */
+  /** Thrown if a required entry is missing or cannot be read; the one-line message names it. */
   static final class InvalidConfig extends Exception {
     private static final long serialVersionUID = 1;
 
-    /** What came from the file may hold anything. */
+    /** Replaces control characters, since text from the file may contain any. */
     InvalidConfig(String message) {
       super(message.replaceAll("\\p{Cntrl}", "?"));
     }
@@ -34,7 +34,7 @@
 
   private static final int DEFAULT_SOCKET_LIMIT = 1024;
 
-  /** What the process holds by itself, discovery, a few searchers and a few clients. */
+  /** Enough for the process itself, discovery, a few searchers and a few clients. */
   private static final int MIN_SOCKET_LIMIT = 64;
 
   static MixerConfig read(Map<String, String> env) throws InvalidConfig {
@@ -76,8 +76,8 @@
   }
 
   /**
-   * Whether what a running mixer cannot take over is the same; seed and known list are for a start
-   * alone.
+   * Returns whether all that a running mixer cannot change is the same. Seed and known members are
+   * used only at the start and are not compared.
    */
   boolean differsOnlyInDiscovery(MixerConfig other) {
     return name.equals(other.name)
@@ -87,7 +87,8 @@
   }
 
   /**
-   * Nested values as paths to plain ones, lists of objects counted and numbered, as WIRE has them.
+   * Flattens nested values to paths, as WIRE describes: a list of objects gets a count, and its
+   * items are numbered.
    */
   static void flatten(String path, Object value, Map<String, String> flat) {
     if (value instanceof Map<?, ?> map) {
--- a/mixer/src/main/java/gingerring/server/MixerHost.java
+++ b/mixer/src/main/java/gingerring/server/MixerHost.java
@@ -34,12 +34,12 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The mixer's place among the sockets: what happens becomes calls of the mixer, and its calls
- * become frames and answers. Does for the mixer what the simulator's world does, and decides
- * nothing.
+ * Connects the mixer to the sockets: events become calls of the mixer, and its calls become frames
+ * and responses. It does for the mixer what the simulator's environment does, and takes no
+ * decisions.
  */
 final class MixerHost implements Host, ScanHandler, BackendListener, DiscoveryWatch.Listener {
-  /** A scan in hand, until its one final answer. */
+  /** A scan that has not yet had its final response. */
   private static final class OpenScan {
     final ScanId id;
     final ScanRequest request;
@@ -56,7 +56,10 @@
     }
   }
 
-  /** A part of it, kept until its scan has been answered and all its trips have ended. */
+  /**
+   * A part of an open scan, kept until the scan has been answered and all trips of the part have
+   * ended.
+   */
   private static final class OpenPart {
     final PartId id;
     final OpenScan scan;
@@ -73,7 +76,7 @@
 
   private static final Logger LOG = LoggerFactory.getLogger("gingerring.mixer");
 
-  /** How many marks of the latest scans are remembered. */
+  /** Number of transaction ids of recent scans that are remembered. */
   private static final int MAX_RECENT_TRANSACTIONS = 8192;
 
   private final EventLoop loop;
@@ -89,10 +92,10 @@
   private final Map<String, OpenScan> scansByTransaction = new HashMap<>();
 
   /**
-   * The marks of the latest scans that were taken and have ended. Guards against a client that
-   * sends one mark again and again: what is still to come for the former scan could not be told
-   * from what the next one asks for, so that each would need a connection of its own to every
-   * searcher, until no descriptor is left.
+   * Transaction ids of the scans that were accepted and ended most recently; a scan with one of
+   * them is refused. If a client reused one id again and again, late answers to the former scan
+   * could not be told from answers to the next. Each scan would then need a new connection to every
+   * searcher, until descriptors run out.
    */
   private final Set<String> recentTransactions = new LinkedHashSet<>();
 
@@ -105,26 +108,29 @@
   private Backend backend;
   private DiscoveryWatch watch;
 
-  /** What others tell; null where this mixer knows of none. */
+  /** The service that exchanges reports with other mixers; null without peers. */
   private PeerService peers;
 
   private boolean started;
 
   /**
-   * Discovery has said something since the start, or could not be asked; and scans that came
-   * before.
+   * Whether discovery has reported since the start or could not be reached. Scans that arrive
+   * before that are kept in {@code pendingArrivals}.
    */
   private boolean discoveryReported;
 
   private boolean warmingUp;
   private final List<Runnable> pendingArrivals = new ArrayList<>();
 
-  /** Once the end is announced: by when all must be answered. */
+  /** During the shutdown, the time by which all scans must be answered; null before. */
   private Duration shutdownDeadline;
 
   private boolean closingConnections;
 
-  /** {@code startMs}: Unix time at the loop's zero. */
+  /**
+   * Creates the host; {@code startEpochMs} is the Unix time in milliseconds at the zero of the
+   * loop's clock.
+   */
   MixerHost(EventLoop loop, Settings settings, Counters counts, double startEpochMs) {
     this.loop = loop;
     this.settings = settings;
@@ -136,12 +142,12 @@
     machineTypes = List.of(settings.text("Skus").split(","));
   }
 
-  /** Before the start: with others to hear from. */
+  /** Sets the peer service; called before the start. */
   void setPeers(PeerService peers) {
     this.peers = peers;
   }
 
-  /** From now on it is not ready until it has practised. */
+  /** Keeps the mixer from being ready until {@link #finishWarmUp}. */
   void startWarmUp() {
     warmingUp = true;
   }
@@ -151,10 +157,10 @@
   }
 
   /**
-   * The mixer starts, and is told the list as it was known in the same turn. That list may be old,
-   * so that a mixer that is told changes is ready once discovery has had its word. Guards against
-   * sending to searchers that left while this process was down: from its first moment on, what
-   * discovery's agent has counts as told.
+   * Starts the mixer and passes it the known member list in the same turn. That list may be old, so
+   * if discovery sends changes the mixer is ready only after discovery has reported. This prevents
+   * sending to searchers that left while the process was down: from the first moment on, the state
+   * of discovery's agent counts as received.
    */
   void start(Backend backend, DiscoveryWatch watch, long seed, MemberListUpdate knownMembers) {
     this.backend = backend;
@@ -169,7 +175,7 @@
     started = true;
   }
 
-  // ---- what happens ----
+  // ---- events ----
 
   @Override
   public boolean ready() {
@@ -188,7 +194,8 @@
       counts.add("marks sent again", 1);
       return false;
     }
-    // with so many open, more are sent back: as in the simulator, the last one taken may go over it
+    // The limit is checked before the scan is added: as in the simulator, the last scan accepted
+    // may exceed it.
     if (held >= maxHeld) {
       counts.add("nacks for a full house", 1);
       responder.reject(Duration.ZERO);
@@ -212,7 +219,7 @@
     scansByTransaction.put(request.transactionId(), scan);
     scansByResponder.put(responder, scan);
     counts.add("scans taken", 1);
-    // whatever becomes of it in the mixer, it is answered by the end of its client's patience
+    // whatever the mixer does, the scan is answered by its client's deadline
     loop.schedule(scan.deadline.minus(now()), () -> loop.notifyMixer(() -> failOverdue(scan)));
     Runnable arrival =
         () -> {
@@ -245,7 +252,10 @@
     }
   }
 
-  /** Guards against a scan that the mixer lost sight of: it is scrapped, which promises nothing. */
+  /**
+   * Fails a scan that the mixer has left open past its deadline. A failure promises nothing about
+   * effects.
+   */
   private void failOverdue(OpenScan scan) {
     if (!scan.answered) {
       counts.add("scans the mixer left open", 1);
@@ -275,7 +285,7 @@
       recentTransactions.remove(recentTransactions.iterator().next());
     }
     scansByResponder.remove(scan.responder);
-    // a part that is in is held no longer, as in the simulator
+    // as in the simulator, a part that has succeeded no longer counts as held
     held -= 1 + (int) scan.parts.stream().filter(part -> part.value == null).count();
     counts.checkInvariant(
         held >= 0 && openScans.isEmpty() == (held == 0), "what is held is what is open");
@@ -284,7 +294,8 @@
   }
 
   /**
-   * What has not begun for a part that is over never does, whatever becomes of what is under way.
+   * Ends the trips of a finished part that have not begun. They will never be sent, whatever
+   * happens to the trips in flight.
    */
   private void cancelUnsentTrips(OpenPart part) {
     part.trips.forEach(backend::cancelIfUnsent);
@@ -379,7 +390,7 @@
         .map(MemberEntry::searcher)
         .forEach(this::removeSearcher);
     loop.notifyMixer(() -> mixer.memberListUpdated(entries, members.complete()));
-    // told after the list, so that what has not left yet goes elsewhere by it
+    // done after the mixer has the list, so that it can send unsent trips elsewhere
     leaving.addAll(
         entries.stream()
             .filter(entry -> entry.status() != MemberEntry.Status.READY)
@@ -391,14 +402,16 @@
     }
   }
 
-  /** A searcher that has gone gets the same number again if it is listed again. */
+  /** Removes a searcher that has left; it gets the same number if it is listed again. */
   private void removeSearcher(SearcherId id) {
     backend.remove(id);
     listedMembers.remove(id);
     searcherIds.values().remove(id);
   }
 
-  /** How many scans, parts and searchers something is kept for. */
+  /**
+   * Returns the number of entries held for scans, parts and searchers; tests check it for leaks.
+   */
   int retainedCount() {
     return openScans.size()
         + openParts.size()
@@ -409,7 +422,8 @@
   }
 
   /**
-   * The same number at every mixer, and of two names that hash alike the second the next one free.
+   * Derives a number from a searcher's name, the same at every mixer. If two names hash to the same
+   * number, the second gets the next free one.
    */
   private SearcherId newId(String name) {
     long hash = 0xcbf29ce484222325L;
@@ -435,12 +449,15 @@
     pendingArrivals.clear();
   }
 
-  /** The end is announced: no longer ready, and no answer later than {@code by}. */
+  /**
+   * Begins the shutdown: the mixer is no longer ready, and every scan is answered by {@code
+   * deadline}.
+   */
   void beginShutdown(Duration deadline) {
     shutdownDeadline = deadline;
   }
 
-  /** The end is near: each answer is its connection's last. */
+  /** Closes each connection after its next response. */
   void closeConnectionsAfterResponses() {
     closingConnections = true;
   }
@@ -449,7 +466,9 @@
     return openScans.size();
   }
 
-  /** Scraps what is still open, since the process ends before the mixer would close it. */
+  /**
+   * Fails the scans that are still open, since the process ends before the mixer would close them.
+   */
   void failOpenScans() {
     for (OpenScan scan : List.copyOf(openScans.values())) {
       counts.add("scans scrapped at the end", 1);
@@ -458,7 +477,7 @@
     }
   }
 
-  // ---- what the mixer does ----
+  // ---- calls of the mixer ----
 
   @Override
   public Duration now() {
@@ -494,7 +513,8 @@
     counts.checkInvariant(!partOver, "a trip is for a part that is not over");
     if (part != null) {
       if (startWithin != null) {
-        // whichever of them begins first, the others are repeats of it
+        // whichever trip begins first, the others are retries of it, so earlier ones may not begin
+        // later either
         part.trips.forEach(earlier -> earlier.limitStart(now().plus(startWithin)));
       }
       part.trips.add(trip);
@@ -582,7 +602,7 @@
     }
   }
 
-  /** Another mixer had an answer of a searcher that this one may have benched. */
+  /** Tells the mixer that another mixer had an answer from a searcher that may be ejected here. */
   void answeredElsewhere(long searcher) {
     loop.notifyMixer(() -> mixer.peerReceivedAnswer(new SearcherId(searcher)));
   }
--- a/mixer/src/main/java/gingerring/server/MixerServer.java
+++ b/mixer/src/main/java/gingerring/server/MixerServer.java
@@ -19,40 +19,41 @@
 import sun.misc.Signal;
 import sun.misc.SignalHandler;
 
-/** Starts a real mixer, runs it in the foreground, and ends it at SIGTERM. */
+/** Starts a mixer on real sockets, runs it in the foreground, and shuts it down on SIGTERM. */
 public final class MixerServer {
   private static final Logger LOG = LoggerFactory.getLogger("gingerring.serve");
 
-  /** How long after SIGTERM clients may still come: what comes later may go unanswered. */
+  /** How long new connections are accepted after SIGTERM; later ones may go unanswered. */
   private static final Duration ACCEPT_AFTER_SIGTERM = Duration.ofMillis(700);
 
   /**
-   * The longest patience that a restart waits for, and how long before the end the last scans are
-   * closed.
+   * The longest client deadline that a shutdown waits for. {@code END_MARGIN} is how long before
+   * the end the last scans are closed.
    */
   private static final Duration MAX_DRAIN_TIME = Duration.ofSeconds(3);
 
   private static final Duration END_MARGIN = Duration.ofMillis(300);
 
   /**
-   * How long before that each answer becomes its connection's last, and how long the idle ones stay
-   * on.
+   * How long before the end connections are closed after their next response. {@code
+   * CLOSE_IDLE_PERIOD} is how long before the end idle connections are closed.
    */
   private static final Duration CLOSE_AFTER_RESPONSE_PERIOD = Duration.ofMillis(600);
 
   private static final Duration CLOSE_IDLE_PERIOD = Duration.ofMillis(200);
 
-  /** Answers need a moment to leave. */
+  /** Time for responses to be sent. */
   private static final Duration FLUSH_INTERVAL = Duration.ofMillis(100);
 
-  /**
-   * Whatever holds practice up, and however long a dial may take, it is no longer in the way then.
-   */
+  /** The mixer becomes ready after this time even if the socket warm-up or a dial takes longer. */
   private static final Duration MAX_WARM_UP_TIME = Duration.ofSeconds(1);
 
   private static final Duration STATUS_INTERVAL = Duration.ofSeconds(60);
 
-  /** Descriptors for the process itself, and for connections at least. */
+  /**
+   * Descriptors reserved for the process itself; {@code MIN_CONNECTION_SOCKETS} are left for
+   * connections at least.
+   */
   private static final int RESERVED_SOCKETS = 40;
 
   private static final int MIN_CONNECTION_SOCKETS = 16;
@@ -69,7 +70,9 @@
   private Backend backend;
   private DiscoveryWatch watch;
 
-  /** What holds for this process; of later configurations, only where discovery is. */
+  /**
+   * The configuration in force. Of later configurations, only the address of discovery is applied.
+   */
   private MixerConfig startConfig;
 
   private Duration shutdownDeadline;
@@ -80,24 +83,24 @@
     this.peers = peers;
   }
 
-  /** Returns the exit code. */
+  /** Runs a mixer until it has ended; returns the exit code. */
   public static int run(Map<String, String> env, PrintStream errorOutput) {
     return run(env, errorOutput, null, null);
   }
 
   /**
-   * The same, with all that its connections carry told to a tap, and among other mixers; null for
-   * none of either.
+   * Runs a mixer with a tap that receives all traffic of its connections, and with peers; either
+   * may be null.
    */
   public static int run(
       Map<String, String> env, PrintStream errorOutput, TrafficListener tap, PeerService peers) {
     MixerServer server = new MixerServer(env, tap, peers);
-    // before anything is read: untended, SIGHUP ends a process, and one that comes early is not to
-    // be lost
+    // Install the handler before anything is read: SIGHUP ends a process without a handler, and an
+    // early one is not to be lost.
     SignalHandler previousHandler = Signal.handle(new Signal("HUP"), signal -> server.reload());
     if (previousHandler
         == SignalHandler
-            .SIG_IGN) { // the virtual machine leaves a signal that it was started without
+            .SIG_IGN) { // the JVM keeps ignoring a signal that was ignored when it started
       LOG.warn(
           "SIGHUP is ignored, as whoever started this process wanted (nohup?): there is no reload");
     }
@@ -114,13 +117,13 @@
   }
 
   /**
-   * Runs it until it has ended; {@code up} is told the address it listens at. Returns the exit
-   * code.
+   * Runs the mixer until it has ended and returns the exit code; {@code onListening} receives the
+   * address that it listens at.
    */
   int serve(MixerConfig config, PrintStream errorOutput, Consumer<InetSocketAddress> onListening) {
     Settings settings = config.settings();
     int warmUpScans = new ScanWarmUp(settings).run();
-    // one reading of both clocks
+    // both clocks are read at the same time
     double startEpochMs = System.currentTimeMillis() - loop.currentTime().toNanos() / 1e6;
     network = new Network(loop, counts, false, tap);
     host = new MixerHost(loop, settings, counts, startEpochMs);
@@ -172,7 +175,7 @@
     Duration dialTimeout = settings.duration("PolicyLimits.DialTimeoutMs");
     loop.schedule(
         dialTimeout.compareTo(MAX_WARM_UP_TIME) < 0 ? dialTimeout : MAX_WARM_UP_TIME,
-        host::finishWarmUp); // may go on
+        host::finishWarmUp); // the warm-up itself may go on
     loop.schedule(MAX_WARM_UP_TIME, socketWarmUp::closeAll);
     loop.run(backend::dispatch, network::flush);
     LOG.info("ended; counts: {}", counts);
@@ -184,9 +187,9 @@
   }
 
   /**
-   * SIGHUP: the file is read again, on the signal's own thread and one reading at a time, so that
-   * the newest is taken last. What cannot be used changes nothing; what holds for a process from
-   * its start waits for the next.
+   * Reads the configuration again on SIGHUP. This runs on the signal's thread, one reading at a
+   * time, so that the newest is applied last. An unusable file changes nothing; entries that only
+   * apply at the start wait for a restart.
    */
   synchronized void reload() {
     try {
@@ -222,7 +225,7 @@
         });
   }
 
-  /** SIGTERM: the loop ends in its own time, and the process with code 0. */
+  /** Handles SIGTERM: waits until the event loop has ended, then halts the process with code 0. */
   private void shutDownAndHalt() {
     loop.post(this::beginShutdown);
     try {
@@ -234,9 +237,9 @@
   }
 
   /**
-   * Clients stay while their connections do, and may have nowhere else to go while other mixers
-   * restart too: they are served on as ever for most of the time that is left, and then moved over
-   * answer by answer.
+   * Begins the shutdown. Clients stay as long as their connections are open, and may have no other
+   * mixer while others restart too. So they are served as usual for most of the time left, and then
+   * moved to other mixers by closing each connection after a response.
    */
   void beginShutdown() {
     if (shutdownDeadline != null) {
@@ -266,9 +269,9 @@
   }
 
   /**
-   * Clients send on for as long as their connections stay open: each is closed as it becomes idle,
-   * and the process ends once none is left, or at its time. Guards against a request that is read
-   * after the last look at what is open, and goes unanswered.
+   * Finishes the shutdown. Clients send requests as long as their connections are open, so each
+   * connection is closed when it becomes idle, and the process ends when none is left or its time
+   * is up. Otherwise a request read after the last check for open scans would go unanswered.
    */
   private void finishShutdown() {
     network.stopListening();
@@ -286,12 +289,15 @@
     return network;
   }
 
-  /** Closes what a process that has ended leaves to the system. */
+  /**
+   * Closes the sockets and threads of a mixer that runs inside another process; a mixer's own
+   * process leaves them to the system.
+   */
   void dispose() {
     network.dispose();
   }
 
-  /** What neighbours are lent of this process. */
+  /** What this process provides to its peer service. */
   private final class PeerContext implements PeerService.Context {
     private final MixerConfig config;
     private final long startEpochMs;
--- a/mixer/src/main/java/gingerring/server/PeerService.java
+++ b/mixer/src/main/java/gingerring/server/PeerService.java
@@ -8,57 +8,68 @@
 import java.util.Collection;
 
 /**
- * The other mixers, as a mixer's process meets them: told what this one sees, and asked what others
- * tell. All calls come on the loop's thread; searchers go by the number that every mixer makes of
- * their names. Given to {@link MixerServer}, or not: without one, nothing of it is loaded, opened
- * or started.
+ * The connection of a mixer to its peers, the other mixers: receives what this mixer observes and
+ * provides what the peers report. All calls come on the thread of the event loop. Searchers are
+ * identified by the number that every mixer derives from their names. Optional for {@link
+ * MixerServer}: without one, no code of it is loaded and no connection or thread is started.
  */
 public interface PeerService {
-  /** What the process lends: its loop's clock and inbox, and a way to its mixer. */
+  /**
+   * What the process provides to the service: the clock and queue of its event loop, and access to
+   * its mixer.
+   */
   interface Context extends LoopTimer, EventQueue {
     String name();
 
-    /** The number of this mixer's zone in its settings; -1 where there is none. */
+    /** Returns the index of this mixer's zone in its settings; -1 if there is none. */
     int zone();
 
-    /** Cells of the ring, and how many from a shard's own on hold it. */
+    /**
+     * Returns the number of cells in the ring of searchers; {@link #cellsPerShard} is how many
+     * consecutive cells, from the shard's own, hold a shard.
+     */
     int cellCount();
 
     int cellsPerShard();
 
-    /** Unix time in milliseconds at the clock's zero. */
+    /** Returns the Unix time in milliseconds at which the clock was zero. */
     long startEpochMs();
 
-    /** Another mixer had an answer of that searcher. */
+    /** Reports that a searcher has answered another mixer. */
     void answeredElsewhere(long searcher);
   }
 
-  /** The process is about to take scans. */
+  /** Starts the service, just before the process accepts scans. */
   void start(Context context);
 
   void membersChanged(Collection<MemberEntry> searchers);
 
-  /** A trip there has ended. */
+  /** Reports the outcome of a trip to a searcher. */
   void attemptEnded(long searcher, Outcome outcome);
 
   void ejected(long searcher);
 
-  /** Whether this mixer is to ask a benched searcher itself now. */
+  /** Returns whether this mixer is to probe an ejected searcher itself now. */
   boolean shouldProbe(long searcher);
 
-  /** It does. */
+  /** Reports that this mixer has sent a probe to a searcher. */
   void probeStarted(long searcher);
 
   void probeEnded(long searcher, boolean answered);
 
-  /** The share of its parts that fail as others see it, 0 to 1; 0 where nobody tells. */
+  /**
+   * Returns the share of a searcher's parts that fail according to other mixers, 0 to 1; 0 without
+   * reports.
+   */
   double failureShare(long searcher);
 
   boolean isPreferred(long searcher);
 
-  /** A line for the log each minute. */
+  /** Returns the line that is logged each minute. */
   String statusLine();
 
-  /** The process ends on purpose; {@code within} it may still say so. */
+  /**
+   * Reports that the process shuts down; the service may tell its peers so for {@code timeLeft}.
+   */
   void shutDown(Duration timeLeft);
 }
--- a/mixer/src/main/java/gingerring/server/ScanWarmUp.java
+++ b/mixer/src/main/java/gingerring/server/ScanWarmUp.java
@@ -23,10 +23,11 @@
 import java.util.Map;
 
 /**
- * Before the first client comes, sample scans go the whole way from a client's bytes to a
- * searcher's and back, through everything that real ones pass but the sockets: on a loop, network
- * and mixer of its own that are dropped after it. Guards against a first second of answers that are
- * late because the JVM has yet to load and compile all that they need, on part of a core.
+ * Warms up the JVM before the first client connects: sample scans pass through all code that real
+ * ones use, from a client's bytes to a searcher's and back, except the sockets. They run on a
+ * separate event loop, network and mixer that are dropped afterwards. Without the warm-up, answers
+ * of the first second are late, because the JVM still loads and compiles classes while it has only
+ * part of a core.
  */
 final class ScanWarmUp {
   private static final int SAMPLE_SCANS = 60;
@@ -54,7 +55,7 @@
     return new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
   }
 
-  /** Returns how many sample scans were answered, the less the less of a core there is. */
+  /** Returns the number of sample scans answered; the less CPU time is available, the fewer. */
   int run() {
     Network searcherNetwork = new Network(loop, counts, true);
     MixerHost host = new MixerHost(loop, settings, counts, 0);
@@ -76,7 +77,7 @@
       new Frontend(network, host, settings, counts, loop, loop::post, Integer.MAX_VALUE)
           .listen(frontendAddress);
     } catch (IOException e) {
-      return 0; // without it the mixer starts all the same, and slowly
+      return 0; // without the warm-up the mixer still starts, but its first answers are slow
     }
     for (int i = 0; i < CLIENT_COUNT; i++) {
       new SampleClient();
@@ -93,7 +94,7 @@
     return scansAnswered;
   }
 
-  /** Asks for one scan after the other on one connection. */
+  /** A client that sends one scan after the other on one connection. */
   private final class SampleClient implements ConnectionHandler {
     private final Connection connection = network.dial(frontendAddress, BUFFER_BYTES, this);
 
@@ -134,7 +135,7 @@
 
     @Override
     public void onReadable() {
-      // an answer is put whole, and leaves whole
+      // a response is written and sent as a whole
       connection.input.clear();
       if (++scansAnswered >= SAMPLE_SCANS) {
         loop.stop();
@@ -147,7 +148,7 @@
     public void onClosed() {}
   }
 
-  /** A searcher that has every part at once. */
+  /** A searcher that answers every part at once. */
   private static final class SampleSearcher implements ConnectionHandler {
     private final Connection connection;
     private final byte[] buffered = new byte[BUFFER_BYTES];
@@ -177,7 +178,7 @@
     }
 
     private void answerParts(String parts) {
-      for (String part : parts.split("\n")) { // their text is empty
+      for (String part : parts.split("\n")) { // the query text of each part is empty
         String payload = "R" + part.split(" ", 2)[0] + " done 1 -\nvalue";
         connection.output.put(
             ByteBuffer.allocate(4 + payload.length())
--- a/mixer/src/main/java/gingerring/server/SettingsValidator.java
+++ b/mixer/src/main/java/gingerring/server/SettingsValidator.java
@@ -7,22 +7,23 @@
 import java.util.stream.IntStream;
 
 /**
- * What the settings must keep to. The mixer reads some of them only when it first needs them, long
- * after its start: what it could not use then is named before it, with what an operator can do.
+ * Validates the settings at the start. The mixer reads some of them only when it first needs them,
+ * long after its start; a value that it could not use then is reported now, with what an operator
+ * can do.
  *
- * <p>Whatever the pages leave open is served, by these readings. A drain grace, a window, an idle
- * time, a warm-up or a worth of 0 is one: nothing is sent after it, no repeat is in it, no
- * connection is kept, a searcher is warm at once, a scan is served like any other. A quoted time
- * over the patience counts as the patience. A shard may have more holders than there are cells:
- * they begin again at the first. What is left out and has a neutral reading has that one; the
- * fleet's size too.
+ * <p>Values that the documentation leaves open are accepted and read as follows. A drain grace, a
+ * window, an idle time, a warm-up or a worth of 0 means: nothing is sent after the drain begins, no
+ * retry falls into the window, no connection is kept, a searcher is warm at once, and a scan whose
+ * late answer is worth nothing is served like any other. A latency target above the deadline counts
+ * as the deadline. If a shard has more holders than there are cells, they wrap around to the first
+ * cell. A missing setting with a neutral value has that value; so does the fleet's size.
  *
- * <p>Refused is what no scan could be served by, or no rule kept: times in which nothing comes up,
- * is answered or counts, none of what there must be one of, a need of nothing, two grades of one
- * name.
+ * <p>Rejected are settings with which no scan could be served or no rule could be kept: timeouts
+ * within which no connection could open, be answered or count, a count of zero where at least one
+ * is required, a required completeness of zero, and two service classes of one name.
  */
 final class SettingsValidator {
-  /** A setting that cannot be used. */
+  /** Thrown for a setting that cannot be used. */
   static final class InvalidSettingException extends IllegalArgumentException {
     private static final long serialVersionUID = 1;
     private final String settingPath;
@@ -34,25 +35,26 @@
       this.remedy = remedy;
     }
 
-    /** The path of the setting, as on the wire. */
+    /** Returns the path of the setting, as on the wire. */
     String settingPath() {
       return settingPath;
     }
 
-    /** What an operator can do. */
+    /** Returns what an operator can do. */
     String remedy() {
       return remedy;
     }
   }
 
-  /** The largest time that still counts exactly in nanoseconds, as on the wire. */
+  /** The largest time in milliseconds that is still exact in nanoseconds, as on the wire. */
   private static final double MAX_VALUE = 9e12;
 
   /**
-   * Each with the least that it may be and the most, if there is one; {@code *} for each service
-   * grade, {@code !} where it must be there. Numbers of parts, cells and searchers are counted one
-   * by one. A scan is closed 10 ms before its client's patience ends, so that no shorter one could
-   * be served; and a wait from ten million seconds on has no plain decimals in Retry-After.
+   * The minimum of each numeric setting and its maximum, if any; {@code *} stands for each service
+   * class, {@code !} marks a required setting. Numbers of parts, cells and searchers are limited
+   * because the code iterates over them. A scan is closed 10 ms before its client's deadline, so no
+   * shorter one could be served; and from ten million seconds on, a wait is printed in Retry-After
+   * with an exponent.
    */
   private static final List<String> NUMBER_RANGES =
       List.of(
@@ -82,8 +84,9 @@
           "Classes.*.WindowMs 0");
 
   /**
-   * Lists with an item for each service grade. Second steps have no form on sockets; and a grade
-   * that needs nothing would be answered with nothing.
+   * Lists with an item for each service class. Second steps are not supported over sockets, so
+   * their number is 0; and a class with a required completeness of 0 would be answered without
+   * results.
    */
   private static final List<String> PER_CLASS_RANGES =
       List.of("Domain.ClassFetch 0 0", "Domain.ClassFloor 0 1", "Domain.NeedByClass 0.0001 1");
@@ -105,7 +108,7 @@
 
   private SettingsValidator() {}
 
-  /** Throws {@link Refused} for the first setting that cannot be used. */
+  /** Throws {@link InvalidSettingException} for the first setting that cannot be used. */
   static void check(Settings settings) {
     require(
         settings.has("Classes.count") && number(settings, "Classes.count", "a list") >= 1,
@@ -161,7 +164,10 @@
     checkServiceClasses(settings, classCount);
   }
 
-  /** What grades must have that others need not, and must have for themselves. */
+  /**
+   * Checks the rules that service classes have beyond the ranges: a valid and unique name, and a
+   * window if keyed.
+   */
   private static void checkServiceClasses(Settings settings, int classCount) {
     Map<String, Integer> names = new HashMap<>();
     for (int i = 0; i < classCount; i++) {
--- a/mixer/src/main/java/gingerring/server/SocketWarmUp.java
+++ b/mixer/src/main/java/gingerring/server/SocketWarmUp.java
@@ -10,18 +10,24 @@
 import java.util.List;
 
 /**
- * Before it is ready, a mixer calls its own front by connections of its own and asks, some times on
- * each, whether it is ready. Guards against a first scan that dials all its searchers through
- * sockets nobody has used yet: the rehearsal passes MINA's pipes, and what sockets need beside them
- * would be compiled while a client waits.
+ * Warms up the socket code before the mixer reports ready: the mixer connects to its own frontend
+ * and sends several readiness requests on each connection. {@link ScanWarmUp} uses MINA's in-memory
+ * pipes, so the code for sockets would otherwise be compiled while the first scan dials all its
+ * searchers and a client waits.
  */
 final class SocketWarmUp {
-  /** Asked for and given here, each passes the same way twice: enough that it is compiled. */
+  /**
+   * Number of answers over all connections. Each passes the same code twice, as request and as
+   * response, which is enough for the JVM to compile it.
+   */
   private static final int TOTAL_ANSWERS = 192;
 
   private static final int MAX_CONNECTIONS = 24;
 
-  /** Each call holds two descriptors: this keeps them to a sixteenth of those there are. */
+  /**
+   * Each connection holds two descriptors, one at each end: this limits them to a sixteenth of all
+   * descriptors.
+   */
   private static final int SOCKETS_PER_CONNECTION = 32;
 
   private static final int OUTPUT_BUFFER_BYTES = 1024;
@@ -35,7 +41,10 @@
   private final List<WarmUpConnection> connections = new ArrayList<>();
   private int openConnections;
 
-  /** {@code done} is called once, when all calls have ended, however they did. */
+  /**
+   * Creates the warm-up. {@code onFinished} is called once, when all connections have ended for
+   * whatever reason.
+   */
   SocketWarmUp(
       Network network,
       InetSocketAddress frontendAddress,
@@ -61,7 +70,7 @@
     }
   }
 
-  /** Whatever holds it up, it is over: its connections end. */
+  /** Ends the warm-up, finished or not, by closing its connections. */
   void closeAll() {
     connections.forEach(connection -> connection.connection.close());
   }
@@ -82,7 +91,7 @@
 
     @Override
     public void onReadable() {
-      connection.input.clear(); // an answer is put whole, and leaves whole
+      connection.input.clear(); // a response is written and sent as a whole
       counts.add("answers practised", 1);
       if (++answersRead * connectionCount < TOTAL_ANSWERS) {
         sendRequest();
