--- a/mixer/src/test/java/gingerring/server/LoopTest.java
+++ b/mixer/src/test/java/gingerring/server/LoopTest.java
@@ -29,8 +29,8 @@
 
 class LoopTest {
   /**
-   * A loop that counts its wakes, and one thread that posts to it without end; run in a JVM of its
-   * own.
+   * Runs, in a JVM of its own, a loop that counts its timer wakes and a thread that posts to the
+   * loop for ever.
    */
   static final class LoopProcess {
     static volatile int timerWakes;
@@ -77,9 +77,9 @@
   private static final long TIMEOUT_MS = 5000;
 
   /**
-   * One who posts is stopped at every method that posting calls, one after the other, and each time
-   * the loop has to go on. Guards against a timed wait that turns without a pause until the one who
-   * signals it is run: where one thread of a process runs at a time, it never is.
+   * Suspends the posting thread once in every method that posting calls; the loop has to make
+   * progress each time. Guards against a timed wait that spins until the thread that signals it
+   * runs: where only one thread of a process runs at a time, that thread never does.
    */
   @Test
   @Timeout(60)
@@ -93,8 +93,8 @@
       Set<String> suspendedIn = suspendAtEachCall(child);
       assertTrue(
           suspendedIn.stream().anyMatch(method -> method.endsWith("Loop.post")),
-          () -> "stopped at " + suspendedIn);
-      assertTrue(suspendedIn.size() >= 4, () -> "stopped at " + suspendedIn);
+          () -> "suspended in " + suspendedIn);
+      assertTrue(suspendedIn.size() >= 4, () -> "suspended in " + suspendedIn);
     } finally {
       child.process().destroyForcibly();
     }
@@ -109,7 +109,7 @@
     boolean posting = false;
     for (int calls = 0; calls < MIN_CALLS; ) {
       EventSet events = child.eventQueue().remove(TIMEOUT_MS);
-      assertTrue(events != null, () -> "no more calls after " + suspendedIn);
+      assertTrue(events != null, () -> "no further calls after suspending in " + suspendedIn);
       for (Event event : events) {
         if (event instanceof ClassPrepareEvent prepared) {
           loopProcessType = prepared.referenceType();
@@ -155,7 +155,7 @@
       assertTrue(
           System.nanoTime() < deadlineNanos,
           () ->
-              "the loop stands still while a poster is stopped in "
+              "the loop makes no progress while a posting thread is suspended in "
                   + qualifiedName(suspendedMethod));
       Thread.sleep(1);
     }
--- a/mixer/src/test/java/gingerring/server/MixerConfigTest.java
+++ b/mixer/src/test/java/gingerring/server/MixerConfigTest.java
@@ -32,7 +32,7 @@
         flatSettings.toString());
   }
 
-  /** Also what no scan needs before the first cold searcher or the first further trip. */
+  /** Includes settings that are first read when a cold searcher or a retry occurs. */
   @Test
   void namesEachInvalidSetting() throws Exception {
     Object example = Json.read(Files.readAllBytes(Path.of("example/config.json")));
--- a/mixer/src/test/java/gingerring/server/MixerHostTest.java
+++ b/mixer/src/test/java/gingerring/server/MixerHostTest.java
@@ -30,7 +30,7 @@
 import org.junit.jupiter.api.Test;
 
 class MixerHostTest {
-  /** Writes down the answers of one scan. */
+  /** Records how a scan is answered. */
   private record RecordingReply(String scanName, List<String> events) implements Reply {
     @Override
     public void answer(boolean whole, Map<Integer, byte[]> values) {
@@ -39,12 +39,12 @@
 
     @Override
     public void nack(Duration comeBack) {
-      events.add(scanName + " nacked");
+      events.add(scanName + " rejected");
     }
 
     @Override
     public void scrap() {
-      events.add(scanName + " scrapped");
+      events.add(scanName + " failed");
     }
   }
 
@@ -66,13 +66,16 @@
     return new Settings(flatSettings);
   }
 
-  /** Guards against a mixer that compiles what scans need while its first clients wait. */
+  /**
+   * Guards against a mixer whose first clients wait while the JVM compiles the code that scans
+   * need.
+   */
   @Test
   void rehearsalRunsSampleScansWithoutSockets() throws IOException, Json.Malformed {
     assertTrue(new Rehearsal(exampleSettings()).run() >= 50);
   }
 
-  /** Guards against a mixer that keeps something of every searcher and scan there ever was. */
+  /** Guards against a leak: state kept for every searcher and scan that ever existed. */
   @Test
   void keepsNoStateOfGoneSearchersAndFinishedScans() throws IOException, Json.Malformed {
     Counts counts = new Counts();
@@ -134,9 +137,7 @@
     assertEquals(0, network.connections());
   }
 
-  /**
-   * A listener that lets no connection come up: its queue is full, so that those who dial it wait.
-   */
+  /** A listener whose backlog is full, so that connection attempts to it hang. */
   private static final class FullBacklogListener implements AutoCloseable {
     private final ServerSocket serverSocket =
         new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
@@ -152,7 +153,7 @@
           return;
         }
       }
-      throw new IOException("the queue of a listener is never full");
+      throw new IOException("the listener's backlog never fills up");
     }
 
     InetSocketAddress address() {
@@ -169,8 +170,9 @@
   }
 
   /**
-   * A desk on real sockets, before discovery's first word and with one searcher known; all at deaf
-   * addresses.
+   * A mixer host on real sockets that has no answer from discovery yet and starts with a list of
+   * one searcher; connection attempts to both hang if {@code address} is that of a {@link
+   * FullBacklogListener}.
    */
   private static final class HostFixture {
     final Counts counts = new Counts();
@@ -206,8 +208,8 @@
   }
 
   /**
-   * Guards against a new process that sends by its old list to searchers that left while it was
-   * down.
+   * Guards against a new process that sends scans by its stored member list to searchers that left
+   * while the process was down.
    */
   @Test
   void holdsScansUntilDiscoveryHasAnswered() throws IOException, Json.Malformed {
@@ -225,7 +227,7 @@
             fixture.loop.post(
                 () ->
                     fixture.loop.post(
-                        () -> { // two turns later
+                        () -> { // two iterations later
                           assertEquals(List.of(), outcomes);
                           fixture.host.list(fixture.memberList(true, Status.DRAINING));
                           fixture.host.word();
@@ -233,12 +235,15 @@
                         }));
           },
           Duration.ofMillis(300));
-      assertEquals(List.of("early nacked"), outcomes);
+      assertEquals(List.of("early rejected"), outcomes);
       assertEquals(0, fixture.counts.get("links dialled"));
     }
   }
 
-  /** Guards against a scan that is sent by the list before the one that came with it. */
+  /**
+   * Guards against a scan that is sent by the previous member list although a newer list arrived in
+   * the same loop iteration.
+   */
   @Test
   void appliesMemberListBeforeScansOfTheSameIteration() throws IOException, Json.Malformed {
     try (FullBacklogListener listener = new FullBacklogListener()) {
@@ -252,14 +257,14 @@
             fixture.host.list(fixture.memberList(false, Status.DRAINING));
           },
           Duration.ofMillis(300));
-      assertEquals(List.of("scan nacked"), outcomes);
+      assertEquals(List.of("scan rejected"), outcomes);
       assertEquals(0, fixture.counts.get("links dialled"));
     }
   }
 
   /**
-   * Guards against parts that leave for a searcher that drains once their connection comes up, a
-   * dial later.
+   * Guards against parts that are sent to a draining searcher because they were assigned to it
+   * earlier and waited for its connection.
    */
   @Test
   void dropsPartsWaitingToConnectToDrainingOrGoneSearcher() throws IOException, Json.Malformed {
@@ -278,7 +283,7 @@
                           () -> fixture.host.list(fixture.memberList(false, status))));
             },
             Duration.ofMillis(300));
-        assertEquals(List.of("scan nacked"), outcomes);
+        assertEquals(List.of("scan rejected"), outcomes);
         assertEquals(1, fixture.counts.get("links dialled"));
         assertEquals(1, fixture.counts.get("trips NOT_SENT"));
       }
@@ -286,8 +291,8 @@
   }
 
   /**
-   * Guards against a failure of the decisions on one scan: it alone is scrapped, and that is
-   * counted.
+   * Guards against an exception in the mixer's decision on one scan: that scan alone fails, and the
+   * exception is counted.
    */
   @Test
   void exceptionInTheMixerFailsOnlyTheScanItHandles() throws IOException, Json.Malformed {
@@ -300,11 +305,12 @@
     host.start(
         new Back(network, host, settings, counts, loop), watch, 1, new Members(0, true, List.of()));
     List<String> outcomes = new ArrayList<>();
-    host.take(scanRequest("a", 7), Duration.ZERO, new RecordingReply("unknown grade", outcomes));
+    host.take(
+        scanRequest("a", 7), Duration.ZERO, new RecordingReply("unknown service class", outcomes));
     host.take(scanRequest("b", 0), Duration.ZERO, new RecordingReply("good", outcomes));
     loop.post(() -> loop.wakeAfter(Duration.ofMillis(50), loop::stop));
     loop.run(() -> {}, () -> {});
-    assertEquals(List.of("unknown grade scrapped", "good nacked"), outcomes);
+    assertEquals(List.of("unknown service class failed", "good rejected"), outcomes);
     assertEquals(1, counts.get("failures in the mixer"));
     assertEquals(0, host.open());
   }
--- a/mixer/src/test/java/gingerring/server/MixerServerTest.java
+++ b/mixer/src/test/java/gingerring/server/MixerServerTest.java
@@ -27,8 +27,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Starts the program as a child, before the toy store of the examples, and speaks to it over
- * sockets.
+ * Starts the mixer as a child process with the toy store of the examples behind it and talks to it
+ * over sockets.
  */
 @Timeout(60)
 class MixerServerTest {
@@ -41,7 +41,7 @@
   private final List<Process> processes = new ArrayList<>();
   private int requestCount;
 
-  /** A child, the lines it writes, and its standard input. */
+  /** A child process, its output lines and its standard input. */
   private record ChildProcess(Process process, BlockingQueue<String> lines, PrintStream input) {
     String awaitLine(String text) throws InterruptedException {
       for (String line = ""; line != null; line = lines.poll(TIMEOUT_MS, TimeUnit.MILLISECONDS)) {
@@ -49,7 +49,7 @@
           return line;
         }
       }
-      throw new AssertionError("no line with: " + text);
+      throw new AssertionError("no output line contains: " + text);
     }
   }
 
@@ -68,7 +68,7 @@
                   new BufferedReader(new InputStreamReader(process.getInputStream()))) {
                 out.lines().forEach(lines::add);
               } catch (IOException | UncheckedIOException e) {
-                // the child has been ended
+                // The process has been destroyed.
               }
             });
     reader.setDaemon(true);
@@ -108,7 +108,7 @@
         .replace("127.0.0.1:8081", "127.0.0.1:0");
   }
 
-  /** Starts both, and waits until the mixer knows the searchers. */
+  /** Starts the mixer and waits until a scan is answered. */
   private void startAndAwaitFirstAnswer(String config) throws Exception {
     mixer = startMixer(config);
     port = awaitListenPort(mixer);
@@ -119,10 +119,10 @@
       }
       Thread.sleep(50);
     }
-    throw new AssertionError("no scan was answered");
+    throw new AssertionError("no scan was answered with status 200");
   }
 
-  /** Waits until the mixer says that it is ready, which it is after discovery's first word. */
+  /** Waits until the mixer reports that it is ready, which requires discovery's first answer. */
   private void awaitReady() throws Exception {
     int status = 0;
     for (int i = 0; i < 200 && status != 200; i++) {
@@ -163,7 +163,7 @@
     while (head.indexOf("\r\n\r\n") < 0) {
       int next = input.read();
       if (next < 0) {
-        throw new IOException("it ended after: " + head);
+        throw new IOException("the connection ended after: " + head);
       }
       head.append((char) next);
     }
@@ -216,17 +216,19 @@
     Answer rejected = sendScan("search", "0:full 1:full", THREE_TARGETS);
     assertEquals(503, rejected.status);
     assertTrue(rejected.head.contains("Retry-After: 0.5\r\n"), rejected.head);
-    // numbered: a searcher's failure may have run, and to all holders it is the same
+    // Keyed scan: the searcher may have executed the part before it failed, and all holders of the
+    // part fail it.
     assertEquals(500, sendScan("post", "1:failed", "{\"partition\":1,\"share\":1}").status);
-    // a part whose searcher breaks off, or talks nonsense, goes to the other holder
+    // A part whose searcher closes the connection or sends a malformed answer is sent to the other
+    // holder.
     for (int i = 0; i < 8; i++) {
-      sendScan("search", "", THREE_TARGETS); // the ration of further trips grows by them
+      sendScan("search", "", THREE_TARGETS); // adds to the retry budget
     }
     assertEquals(200, sendScan("search", "0:once-reset", THREE_TARGETS).status);
     Answer retried = sendScan("search", "1:once-junk", THREE_TARGETS);
     assertTrue(retried.body.startsWith("{\"whole\":true,"), retried.body);
     for (String malformedAnswer : List.of("noline", "words", "long")) {
-      // the ration of further trips may be spent: the other parts answer then
+      // The retry budget may be exhausted; the other parts are answered then.
       assertEquals(
           200,
           sendScan("search", "1:once-" + malformedAnswer, THREE_TARGETS).status,
@@ -235,8 +237,8 @@
   }
 
   /**
-   * Guards against waiting on a searcher that answers with what is not of the protocol, or
-   * believing it.
+   * Guards against waiting for a searcher after it has sent a malformed answer, or accepting such
+   * an answer.
    */
   @Test
   void malformedAnswersEndTripsAtOnceAndValidOnesCount() throws Exception {
@@ -244,7 +246,7 @@
     String target = "{\"partition\":1,\"share\":1}";
     for (String malformedAnswer : List.of("junk", "short", "stranger", "end", "bytes", "nothing")) {
       for (int i = 0; i < 8; i++) {
-        sendScan("search", "", THREE_TARGETS); // the ration of further trips grows by them
+        sendScan("search", "", THREE_TARGETS); // adds to the retry budget
       }
       long startNanos = System.nanoTime();
       Answer answer = sendScan("post", "1:once-" + malformedAnswer, target);
@@ -336,7 +338,7 @@
       assertEquals(requestAndStatus[1], String.valueOf(answer.status), requestAndStatus[0]);
       assertEquals("", answer.body);
     }
-    // a client that sends half a request and stays holds no one up, nor does one that leaves
+    // Clients that send half a request and stay, or leave during a scan, do not delay others.
     try (Socket slowSocket = connect()) {
       slowSocket.getOutputStream().write(validRequest.substring(0, 50).getBytes());
       try (Socket leavingSocket = connect()) {
@@ -355,7 +357,7 @@
     for (int i = 0; i < 16; i++) {
       Socket socket = connect();
       sockets.add(socket);
-      // of 60 scans and parts held at most, each of these holds four
+      // The mixer holds at most 60 scans and parts; each of these scans counts as four.
       socket
           .getOutputStream()
           .write(scanRequest("search", "0:900 1:900 2:900", THREE_TARGETS).getBytes());
@@ -367,7 +369,7 @@
       socket.close();
     }
     assertEquals(1, rejected);
-    // a part that is in is held no longer: a slow part a scan leaves room for more of them
+    // Answered parts no longer count, so scans with one slow part each leave room for more scans.
     for (int i = 0; i < 20; i++) {
       Socket socket = connect();
       socket.getOutputStream().write(scanRequest("search", "0:900", THREE_TARGETS).getBytes());
@@ -385,13 +387,13 @@
 
   @Test
   void closesIdleConnectionsFirstWhenDescriptorsRunShort() throws Exception {
-    // 24 connections for clients, idle ones closed beyond 18
+    // 24 connections for clients; idle ones are closed beyond 18.
     startAndAwaitFirstAnswer(
         startToyStore().replace("\"sockets\": 1024", "\"sockets\": 64").replace("600.0", "1800.0"));
     List<Socket> idleSockets = new ArrayList<>();
     try (Socket activeSocket = connect()) {
       for (int i = 0; i < 30; i++) {
-        // who has asked stays before those who say nothing
+        // Connections that have sent a request are kept longer than silent ones.
         activeSocket.getOutputStream().write(scanRequest("search", "", THREE_TARGETS).getBytes());
         assertEquals(200, readAnswer(activeSocket).status);
         idleSockets.add(connect());
@@ -403,7 +405,7 @@
     Socket newestIdleSocket = idleSockets.get(29);
     newestIdleSocket.getOutputStream().write("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n".getBytes());
     assertEquals(200, readAnswer(newestIdleSocket).status);
-    // all of them busy: a newcomer's scan is nacked, and it is told to come by another connection
+    // All connections are busy: a scan on a new one is rejected, and its connection is closed.
     List<Socket> busySockets = new ArrayList<>();
     Answer rejected = null;
     for (int i = 0; i < 28 && rejected == null; i++) {
@@ -416,7 +418,7 @@
       try {
         rejected = readAnswer(socket);
       } catch (SocketTimeoutException e) {
-        // taken
+        // The scan was accepted.
       }
     }
     assertTrue(
@@ -426,10 +428,7 @@
     }
   }
 
-  /**
-   * Guards against a crowd that takes every descriptor, and against clients that never finish a
-   * request.
-   */
+  /** Guards against clients that use up all descriptors and clients that never finish a request. */
   @Test
   void staysWithinDescriptorLimitAndClosesSilentConnections() throws Exception {
     String config = startToyStore().replace("\"sockets\": 1024", "\"sockets\": 120");
@@ -468,15 +467,15 @@
   @Test
   void followsMemberListThroughDrainsRestartsAndMalformedLines() throws Exception {
     startAndAwaitFirstAnswer(startToyStore());
-    String target = "{\"partition\":0,\"share\":1}"; // held by searchers 0 and 1
+    String target = "{\"partition\":0,\"share\":1}"; // searchers 0 and 1 hold it
     toyStore.input.println("drain 0");
     toyStore.input.println("say nonsense");
     Thread.sleep(300);
     for (int i = 0; i < 8; i++) {
       assertTrue(sendScan("search", "", target).body.contains("value-0-from-1"));
     }
-    // the watch is opened anew and its whole list is taken: 0 is back, and 1 dies before the list
-    // says so
+    // The malformed line makes the mixer reopen the watch and read a complete list. Searcher 0
+    // serves again; searcher 1 crashes before the list changes.
     toyStore.input.println("serve 0");
     awaitValue(target, "value-0-from-0");
     toyStore.input.println("crash 1");
@@ -484,7 +483,7 @@
     for (int i = 0; i < 8; i++) {
       assertTrue(sendScan("search", "", target).body.contains("value-0-from-0"));
     }
-    // it starts again at another address, and is the only one left
+    // Searcher 1 restarts at another address and is the only remaining holder.
     toyStore.input.println("revive 1");
     toyStore.input.println("gone 0");
     Thread.sleep(300);
@@ -492,8 +491,7 @@
   }
 
   /**
-   * Guards against a watch that takes one line for the whole of a list, and misses every list that
-   * is indented.
+   * Guards against a watch that parses each line as a complete list and so misses indented lists.
    */
   @Test
   void acceptsIndentedMemberList() throws Exception {
@@ -516,7 +514,7 @@
             "}")) {
       toyStore.input.println("say " + line);
     }
-    int consecutive = 0; // of two holders each would be asked for half of them
+    int consecutive = 0; // two holders would each get half of the scans
     for (int i = 0; i < 100 && consecutive < 16; i++) {
       Thread.sleep(20);
       String body = sendScan("search", "", "{\"partition\":0,\"share\":1}").body;
@@ -526,8 +524,8 @@
   }
 
   /**
-   * Guards against a mixer that holds on to searchers that are not listed any more, or takes none
-   * back.
+   * Guards against a mixer that keeps using searchers that are no longer listed, or never uses them
+   * again.
    */
   @Test
   void followsMemberListThatEmptiesAndRefillsWithTheSameNames() throws Exception {
@@ -565,7 +563,7 @@
     startAndAwaitFirstAnswer(startToyStore());
     toyStore.input.println("hush");
     toyStore.input.println("drain 0");
-    int consecutive = 0; // of two holders each would be asked for half of them
+    int consecutive = 0; // two holders would each get half of the scans
     long startNanos = System.nanoTime();
     while (System.nanoTime() - startNanos < 6_000_000_000L && consecutive < 16) {
       Thread.sleep(40);
@@ -575,7 +573,7 @@
     assertEquals(16, consecutive);
   }
 
-  /** Asks for a shard until this is the answer. */
+  /** Sends scans for a partition until an answer contains the value. */
   private void awaitValue(String target, String value) throws Exception {
     for (int i = 0; i < 100; i++) {
       if (sendScan("search", "", target).body.contains(value)) {
@@ -583,7 +581,7 @@
       }
       Thread.sleep(50);
     }
-    throw new AssertionError("never " + value);
+    throw new AssertionError("no answer contained " + value);
   }
 
   private void reloadWith(String config) throws Exception {
@@ -592,8 +590,8 @@
   }
 
   /**
-   * Guards against a fleet that misses a new configuration, and nobody knows why: started by nohup,
-   * say.
+   * Guards against a mixer that ignores SIGHUP unnoticed, for example because it was started by
+   * nohup, and so misses a new configuration.
    */
   @Test
   void warnsIfSighupIsIgnored() throws Exception {
@@ -603,9 +601,7 @@
     awaitReady();
   }
 
-  /**
-   * Guards against a SIGHUP that ends the process, and against one that costs the list or a scan.
-   */
+  /** Guards against a SIGHUP that ends the process or loses the member list or a scan. */
   @Test
   void sighupMovesToTheConfiguredDiscoveryAddress() throws Exception {
     String firstConfig = startToyStore().replace("600.0", "1800.0");
@@ -631,7 +627,7 @@
       reloadWith(thirdConfig);
       assertTrue(readAnswer(openScanSocket).body.startsWith("{\"whole\":true,"));
     }
-    // the newer of the two is followed: the others end, and their searchers with them
+    // The mixer follows the last configuration: the other two toy stores end with their searchers.
     String target = "{\"partition\":0,\"share\":1}";
     toyStore.input.println("gone 0");
     firstToyStore.process.destroyForcibly();
@@ -644,8 +640,8 @@
   }
 
   /**
-   * Guards against clients left with no mixer: those connected are served for most of the time
-   * left.
+   * Guards against a mixer that stops serving right after SIGTERM: connected clients are served for
+   * most of the remaining time.
    */
   @Test
   void servesAfterSigtermAndExitsWithAllScansAnswered() throws Exception {
@@ -653,10 +649,11 @@
     try (Socket openScanSocket = connect();
         Socket idleSocket = connect();
         Socket activeSocket = connect()) {
-      mixer.process.destroy(); // takes its output away too
+      mixer.process.destroy(); // also closes the stream of its output
       Thread.sleep(100);
       assertEquals(503, send("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").status);
-      assertEquals(200, sendScan("search", "", THREE_TARGETS).status); // still coming
+      assertEquals(
+          200, sendScan("search", "", THREE_TARGETS).status); // new connections are still accepted
       Thread.sleep(800);
       activeSocket.getOutputStream().write(scanRequest("search", "", THREE_TARGETS).getBytes());
       Answer lateAnswer = readAnswer(activeSocket);
@@ -678,7 +675,7 @@
     assertEquals(0, mixer.process.exitValue());
   }
 
-  /** Guards against an end that comes while a request is read that nobody looks for any more. */
+  /** Guards against a request that is read while the mixer shuts down and then never answered. */
   @Test
   void answersEveryRequestReadDuringShutdown() throws Exception {
     startAndAwaitFirstAnswer(startToyStore());
@@ -692,7 +689,7 @@
           0, new ProcessBuilder("kill", "-TERM", "" + mixer.process.pid()).start().waitFor());
       mixer.awaitLine("ending");
       Thread.sleep(
-          1200); // a request may take two seconds to come, and this one is to come as the end does
+          1200); // A request may take two seconds to arrive; this one arrives as the mixer exits.
       halfRequestSocket.getOutputStream().write(request.substring(0, 50).getBytes());
       assertEquals(-1, idleSocket.getInputStream().read());
       int answered = requestsSent - 1;
@@ -701,7 +698,7 @@
         readAnswer(halfRequestSocket);
         answered++;
       } catch (IOException e) {
-        // then it must not have been read
+        // In this case the mixer must not have read the request.
       }
       String scansTaken =
           mixer.awaitLine("ended; counts").replaceAll(".*scans taken ([0-9]+).*", "$1");
@@ -710,9 +707,7 @@
     assertTrue(mixer.process.waitFor(4, TimeUnit.SECONDS));
   }
 
-  /**
-   * Guards against a first scan whose client waits while what sockets need is loaded and compiled.
-   */
+  /** Guards against a first scan that waits while the JVM loads and compiles the socket code. */
   @Test
   void warmsUpOnItsOwnSocketsBeforeItIsReady() throws Exception {
     mixer = startMixer(startToyStore());
--- a/mixer/src/test/java/gingerring/server/MixerTestHarness.java
+++ b/mixer/src/test/java/gingerring/server/MixerTestHarness.java
@@ -30,14 +30,14 @@
 import java.util.stream.Collectors;
 
 /**
- * A mixer in this process on real sockets, among parties that the test plays: discovery's agent,
- * boxes (searchers) and clients, each of which holds, resets, half-closes and releases bytes as it
- * is told to. A {@link Gate} stops the mixer's loop between two turns, so that the test forces the
- * order in which events reach it: what arrives behind a gate is taken in one turn, in the order in
- * which it arrived.
+ * Runs a mixer in this process on real sockets. The test plays the discovery agent, the boxes
+ * (searchers) and the clients, and controls when each of them sends, half-closes, closes or resets
+ * a connection. A {@link LoopGate} blocks the mixer's event loop between two iterations, so that
+ * the test decides the order of events: all events posted while the gate is closed are handled in
+ * the next iteration, in the order in which they were posted.
  */
 final class MixerTestHarness implements Closeable {
-  /** No wait of a party is longer. */
+  /** Upper limit of every wait in the harness and in its connections. */
   static final int TIMEOUT_MS = 15_000;
 
   private static final int POLL_INTERVAL_MS = 2;
@@ -52,19 +52,25 @@
   private final List<Closeable> resources = new ArrayList<>();
   private int scanCount;
 
-  /** {@code swaps}: pairs of a text in the example's configuration and what stands in its place. */
+  /**
+   * Starts a mixer with the example configuration. {@code replacements} alternates texts of that
+   * configuration and their replacements.
+   */
   MixerTestHarness(String... replacements) throws Exception {
     this(true, replacements);
   }
 
-  /** {@code discovery}: whether it can be called from the start. */
+  /**
+   * Starts a mixer; {@code discoveryListens} is false if the discovery agent refuses connections
+   * from the start.
+   */
   MixerTestHarness(boolean discoveryListens, String... replacements) throws Exception {
     this(null, discoveryListens, replacements);
   }
 
   /**
-   * {@code tap} is told of all that the mixer's connections carry, on the threads that do; null for
-   * none.
+   * Starts a mixer whose connections report all bytes to {@code tap}, on the threads that carry
+   * them; a null {@code tap} reports nothing.
    */
   MixerTestHarness(Tap tap, boolean discoveryListens, String... replacements) throws Exception {
     agent = closeAtEnd(new DiscoveryAgent(discoveryListens));
@@ -74,7 +80,7 @@
             Files.readString(example.resolve("config.json"))
                 .replace("127.0.0.1:8081", "127.0.0.1:0"),
             replacements);
-    configFile = Files.createTempFile("rig", ".json");
+    configFile = Files.createTempFile("mixer-test", ".json");
     writeConfig(agent.address());
     Map<String, String> environment = Map.of("LB_CONFIG", configFile.toString());
     server = new MixerServer(environment, tap, null);
@@ -89,7 +95,7 @@
                 exitCode.completeExceptionally(e);
               }
             },
-            "rig");
+            "mixer");
     mixerThread.start();
     listenAddress.get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
   }
@@ -97,14 +103,15 @@
   private static String replaceTexts(String text, String... replacements) {
     for (int i = 0; i < replacements.length; i += 2) {
       if (!text.contains(replacements[i])) {
-        throw new IllegalArgumentException("the example has no " + replacements[i]);
+        throw new IllegalArgumentException(
+            "the text to replace is not in the example: " + replacements[i]);
       }
       text = text.replace(replacements[i], replacements[i + 1]);
     }
     return text;
   }
 
-  /** Writes the configuration anew; it counts from the next {@link MixerServer#reload}. */
+  /** Rewrites the configuration file; the mixer reads it at the next {@link MixerServer#reload}. */
   void writeConfig(InetSocketAddress discoveryAddress, String... replacements) throws IOException {
     Files.writeString(
         configFile,
@@ -132,7 +139,7 @@
     configFile.toFile().delete();
     String counts = server.counts.toString();
     if (counts.contains("failures in ") || counts.contains("broken: ")) {
-      throw new AssertionError("what must hold did not: " + counts);
+      throw new AssertionError("an invariant was violated: " + counts);
     }
   }
 
@@ -140,22 +147,23 @@
     try {
       resource.close();
     } catch (IOException e) {
-      // it had ended
+      // The resource may already be closed.
     }
   }
 
   // ---- the loop ----
 
   /**
-   * Stops the loop in a turn of its own, until it is closed. Before that all that the mixer put
-   * into connections has left, and it has heard so: else the word of an earlier answer's leaving
-   * could come behind the gate, and stand for the event that the test waits for.
+   * Blocks the loop in an iteration of its own until the returned gate is closed. First waits until
+   * the mixer has sent all buffered bytes and has processed the write completions: otherwise the
+   * completion of an earlier answer could be posted behind the gate and be mistaken for the event
+   * that the test waits for.
    */
   LoopGate pauseLoop() throws InterruptedException {
     AtomicBoolean allSent = new AtomicBoolean();
     for (int i = 0; !allSent.get(); i++) {
       if (i * POLL_INTERVAL_MS > TIMEOUT_MS) {
-        throw new AssertionError("something put into a connection does not leave");
+        throw new AssertionError("buffered bytes were not sent in time");
       }
       runInLoop(() -> allSent.set(server.network().unsentFree()));
       Thread.sleep(allSent.get() ? 0 : POLL_INTERVAL_MS);
@@ -163,12 +171,15 @@
     LoopGate gate = new LoopGate();
     server.loop.post(gate::block);
     if (!gate.reached.await(TIMEOUT_MS, TimeUnit.MILLISECONDS)) {
-      throw new AssertionError("the loop did not come to the gate");
+      throw new AssertionError("the loop did not reach the gate in time");
     }
     return gate;
   }
 
-  /** What is posted behind it waits, in its order, for the one turn after it is closed. */
+  /**
+   * Blocks the loop; events posted meanwhile are handled in order, in the one iteration after the
+   * gate is closed.
+   */
   final class LoopGate implements AutoCloseable {
     private final CountDownLatch reached = new CountDownLatch(1);
     private final CountDownLatch released = new CountDownLatch(1);
@@ -182,12 +193,12 @@
       }
     }
 
-    /** Waits until so many events stand behind the gate. */
+    /** Waits until at least {@code events} events are posted behind the gate. */
     void awaitPosted(int events) throws InterruptedException {
       await("events behind the gate", () -> server.loop.posted() >= events);
     }
 
-    /** How many events stand behind the gate. */
+    /** Returns the number of events posted behind the gate. */
     int postedCount() {
       return server.loop.posted();
     }
@@ -198,7 +209,7 @@
     }
   }
 
-  /** Runs a task in a turn of the loop, and waits for its end. */
+  /** Runs a task in an iteration of the loop and waits until it has finished. */
   void runInLoop(Runnable task) throws InterruptedException {
     CountDownLatch done = new CountDownLatch(1);
     server.loop.post(
@@ -210,11 +221,11 @@
           }
         });
     if (!done.await(TIMEOUT_MS, TimeUnit.MILLISECONDS)) {
-      throw new AssertionError("the loop did not run a task");
+      throw new AssertionError("the loop did not run a task in time");
     }
   }
 
-  /** So many whole turns have been since. */
+  /** Waits for {@code count} complete loop iterations. */
   void runIterations(int count) throws InterruptedException {
     for (int i = 0; i < count; i++) {
       runInLoop(() -> {});
@@ -225,7 +236,7 @@
     void run() throws IOException;
   }
 
-  /** Plays a party until its connection or its door is closed. */
+  /** Runs a task on a daemon thread until it ends or its connection or listener is closed. */
   static void runInBackground(IoTask task) {
     Thread thread =
         new Thread(
@@ -233,15 +244,15 @@
               try {
                 task.run();
               } catch (IOException e) {
-                // the test is over, or the connection is
+                // The connection has ended, or the test is over.
               }
             },
-            "party");
+            "test-peer");
     thread.setDaemon(true);
     thread.start();
   }
 
-  /** Its searcher does whatever comes by it, until it is closed. */
+  /** Answers every call on this connection with "done" until the connection is closed. */
   static void answerAllCalls(BoxConnection connection) {
     runInBackground(
         () -> {
@@ -261,7 +272,7 @@
     }
   }
 
-  /** Waits until the mixer holds so many connections. */
+  /** Waits until the mixer has exactly {@code expected} open connections. */
   void awaitConnections(int expected) throws InterruptedException {
     AtomicInteger openConnections = new AtomicInteger();
     await(
@@ -284,7 +295,7 @@
     await(name + " at " + minimum, () -> count(name) >= minimum);
   }
 
-  /** Waits for the end of the mixer, and returns its exit code. */
+  /** Waits until the mixer has stopped and returns its exit code. */
   int awaitExitCode() throws Exception {
     return exitCode.get(TIMEOUT_MS, TimeUnit.MILLISECONDS);
   }
@@ -295,7 +306,7 @@
 
   // ---- connections ----
 
-  /** One connection as a party has it. */
+  /** The test's side of one connection. */
   static class TestConnection implements Closeable {
     final Socket socket;
     private final InputStream input;
@@ -315,7 +326,7 @@
       write(text.getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    /** Exactly so many bytes. */
+    /** Reads exactly {@code length} bytes. */
     byte[] read(int length) throws IOException {
       byte[] bytes = input.readNBytes(length);
       if (bytes.length < length) {
@@ -325,7 +336,7 @@
       return bytes;
     }
 
-    /** A head, as far as its empty line. */
+    /** Reads an HTTP head up to and including its empty line. */
     String readHead() throws IOException {
       ByteArrayOutputStream head = new ByteArrayOutputStream();
       while (!head.toString(StandardCharsets.ISO_8859_1).endsWith("\r\n\r\n")) {
@@ -334,11 +345,14 @@
       return head.toString(StandardCharsets.ISO_8859_1);
     }
 
-    /** How the other side ended it, after whatever it still sent: "closed" in order, or "reset". */
+    /**
+     * Skips what the other side still sends and returns how it ended the connection: "closed" for
+     * an orderly close, else "reset".
+     */
     String awaitEnd() throws IOException {
       try {
         while (input.read() >= 0) {
-          // what it still says is not asked for
+          // The remaining bytes do not matter.
         }
         return "closed";
       } catch (SocketException e) {
@@ -346,12 +360,12 @@
       }
     }
 
-    /** Ends this side: the other reads an end and may still write. */
+    /** Closes the sending direction: the mixer reads the end of input and can still write. */
     void halfClose() throws IOException {
       socket.shutdownOutput();
     }
 
-    /** Ends it by a reset, whatever is under way. */
+    /** Resets the connection, discarding unsent bytes. */
     void reset() throws IOException {
       socket.setSoLinger(true, 0);
       socket.close();
@@ -363,9 +377,7 @@
     }
   }
 
-  /**
-   * A party that listens; connections come up in the kernel, and are taken when they are asked for.
-   */
+  /** A listening socket. The kernel completes connections before the test accepts them. */
   private static class TestListener implements Closeable {
     private ServerSocket serverSocket;
     private final List<TestConnection> connections = new ArrayList<>();
@@ -386,12 +398,12 @@
       return serverSocket.accept();
     }
 
-    /** Whether somebody has come, and been let in. */
+    /** Returns whether a connection has been accepted. */
     boolean hasAccepted() {
       return !connections.isEmpty();
     }
 
-    /** Whether nobody comes for so long. */
+    /** Returns whether no connection arrives for {@code duration}. */
     boolean noConnectionWithin(Duration duration) throws IOException {
       serverSocket.setSoTimeout((int) duration.toMillis());
       try {
@@ -409,12 +421,12 @@
       return connection;
     }
 
-    /** From now on nobody can connect. */
+    /** Closes the listening socket, so that connections are refused. */
     void stopListening() throws IOException {
       serverSocket.close();
     }
 
-    /** It can be connected to again, at the same address. */
+    /** Listens again at the same address. */
     void resumeListening() throws IOException {
       int port = serverSocket.getLocalPort();
       serverSocket = new ServerSocket();
@@ -432,18 +444,18 @@
 
   // ---- discovery ----
 
-  /** Discovery's agent: it answers nothing by itself. */
+  /** The discovery agent; answers only what the test makes it answer. */
   static final class DiscoveryAgent extends TestListener {
     DiscoveryAgent(boolean listens) throws IOException {
       super(listens);
     }
 
-    /** The next call, its request read. */
+    /** Accepts the next connection and reads its request head. */
     DiscoveryConnection acceptRequest() throws IOException {
       return closeAtEnd(new DiscoveryConnection(accept()));
     }
 
-    /** The same, with the head of an answer in chunks. */
+    /** Accepts the next connection and answers its request with the head of a chunked response. */
     DiscoveryConnection acceptWatch() throws IOException {
       DiscoveryConnection connection = acceptRequest();
       connection.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
@@ -451,8 +463,8 @@
     }
   }
 
+  /** A connection to the discovery agent whose request head has been read. */
   static final class DiscoveryConnection extends TestConnection {
-    /** The request's head. */
     final String requestHead;
 
     DiscoveryConnection(Socket socket) throws IOException {
@@ -460,7 +472,7 @@
       requestHead = readHead();
     }
 
-    /** One line as a chunk of its own. */
+    /** Sends a line as one chunk. */
     void sendLine(String line) throws IOException {
       write(Integer.toHexString(line.length() + 1) + "\r\n" + line + "\n\r\n");
     }
@@ -478,7 +490,7 @@
 
   // ---- boxes ----
 
-  /** A searcher; what comes to it waits until the test takes it. */
+  /** A searcher; its connections wait in the backlog until the test accepts them. */
   final class Box extends TestListener {
     final String name;
     final int cell;
@@ -490,7 +502,7 @@
       this.cell = cell;
     }
 
-    /** The next connection of the mixer. */
+    /** Accepts the mixer's next connection. */
     BoxConnection acceptConnection() throws IOException {
       return closeAtEnd(new BoxConnection(accept()));
     }
@@ -514,13 +526,13 @@
     return closeAtEnd(new Box(name, cell));
   }
 
-  /** A frame's letter and what follows it. */
+  /** A frame of the searcher protocol: its type letter and its payload. */
   record Frame(char type, byte[] payload) {
     String payloadText() {
       return new String(payload, StandardCharsets.ISO_8859_1);
     }
 
-    /** The parts that a call asks for, by their ids. */
+    /** Returns the ids of the parts that a call asks for; empty for other frames. */
     List<String> partIds() {
       List<String> partIds = new ArrayList<>();
       int start = 0;
@@ -538,7 +550,7 @@
     }
   }
 
-  /** One connection of the mixer's to a box. */
+  /** The box's side of one connection from the mixer. */
   static final class BoxConnection extends TestConnection {
     BoxConnection(Socket socket) throws IOException {
       super(socket);
@@ -550,7 +562,10 @@
       return new Frame((char) bytes[0], Arrays.copyOfRange(bytes, 1, length));
     }
 
-    /** The next call, with probes before it answered and other frames passed over. */
+    /**
+     * Reads frames up to the next call; answers health checks and load queries before it and skips
+     * other frames.
+     */
     Frame readCall() throws IOException {
       Frame frame = readFrame();
       while (frame.type != 'S') {
@@ -564,7 +579,10 @@
       return frame;
     }
 
-    /** Answers every part of a call: "done" with a value, "failed" or "full". */
+    /**
+     * Answers every part of a call with the same outcome: "done" (with a value), "failed" or
+     * "full".
+     */
     void answer(Frame call, String outcome) throws IOException {
       for (String partId : call.partIds()) {
         write(resultFrame(partId, outcome));
@@ -589,13 +607,12 @@
 
   // ---- clients ----
 
-  /** A client's connection. */
   final class Client extends TestConnection {
     private Client(Socket socket) throws IOException {
       super(socket);
     }
 
-    /** The next answer: its status and, after a blank, its body. */
+    /** Reads the next answer and returns its status and, after a blank, its body. */
     String readAnswer() throws IOException {
       String head = readHead();
       String length =
@@ -610,7 +627,7 @@
       return (head.substring(9, 12) + ' ' + body).strip();
     }
 
-    /** Asks whether the mixer is ready. */
+    /** Requests {@code /ready} and returns whether the mixer reports that it is ready. */
     boolean isReady() throws IOException {
       write("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n");
       return readAnswer().startsWith("200");
@@ -623,8 +640,8 @@
   }
 
   /**
-   * A request for some shards, of equal shares, with a mark of its own; {@link #lastTransactionId}
-   * tells which.
+   * Returns a scan request for the given shards, with equal shares and a new transaction id that
+   * {@link #lastTransactionId} returns.
    */
   String scanRequest(String serviceClass, int deadlineMs, int... shards) {
     scanCount++;
@@ -654,11 +671,11 @@
     return String.format("%016x", scanCount);
   }
 
-  // ---- a usual beginning ----
+  // ---- starting up ----
 
   /**
-   * Waits until the mixer says that it is ready, and has no connection left but those to discovery
-   * and to the parties: what it practised on has ended.
+   * Waits until the mixer reports that it is ready and only its connections to discovery and to the
+   * test's clients are open; the connections of its warm-up are closed by then.
    */
   void awaitReady() throws Exception {
     Client client = connectClient();
@@ -673,7 +690,7 @@
         });
     client.close();
     AtomicInteger openConnections = new AtomicInteger(Integer.MAX_VALUE);
-    // a watch, or as many calls for one as may be under way while discovery does not speak
+    // One watch, or up to 8 attempts to open one while discovery does not answer.
     long expectedConnections =
         (agent.hasAccepted() ? 1 : 8)
             + resources.stream()
@@ -683,7 +700,7 @@
                 .count();
     for (int i = 0; openConnections.get() > expectedConnections; i++) {
       if (i * POLL_INTERVAL_MS > TIMEOUT_MS) {
-        throw new AssertionError(openConnections + " connections are left after practice");
+        throw new AssertionError(openConnections + " connections are still open after the warm-up");
       }
       Thread.sleep(POLL_INTERVAL_MS);
       runInLoop(() -> openConnections.set(server.network().connections()));
@@ -691,7 +708,8 @@
   }
 
   /**
-   * Discovery tells of these boxes by its first line, and the mixer is ready. Returns the watch.
+   * Sends a complete member list with these boxes as the watch's first line, waits until the mixer
+   * is ready and returns the watch.
    */
   DiscoveryConnection announceAndAwaitReady(Box... boxes) throws Exception {
     DiscoveryConnection watch = agent.acceptWatch();
--- a/mixer/src/test/java/gingerring/server/PracticeTest.java
+++ b/mixer/src/test/java/gingerring/server/PracticeTest.java
@@ -39,7 +39,7 @@
     assertEquals(List.of("done"), completions);
   }
 
-  /** Guards against a practice that goes on for ever, or leaves connections behind. */
+  /** Guards against a warm-up that never ends or leaves connections open. */
   @Test
   void endsOnceEveryRequestIsAnswered() throws IOException {
     InetSocketAddress listenAddress =
@@ -53,7 +53,7 @@
     assertEquals(0, network.connections());
   }
 
-  /** Guards against a mixer that is never ready where it cannot call itself. */
+  /** Guards against a mixer that never becomes ready because it cannot connect to itself. */
   @Test
   void endsIfConnectionsAreRefused() throws IOException {
     InetSocketAddress closedAddress;
@@ -64,7 +64,7 @@
     assertEquals(0, counts.get("answers practised"));
   }
 
-  /** Guards against a practice that nobody answers, and that holds its descriptors for ever. */
+  /** Guards against a warm-up that gets no answers and keeps its descriptors for ever. */
   @Test
   void endsWhenStoppedIfNothingIsAnswered() throws IOException {
     InetSocketAddress listenAddress =
@@ -91,7 +91,7 @@
     assertEquals(0, network.connections());
   }
 
-  /** Answers a request, which comes whole here. */
+  /** Answers each read with one byte; a request arrives in one read here. */
   private record AnsweringParty(Connection connection) implements Party {
     @Override
     public void readable() {
--- a/mixer/src/test/java/gingerring/server/SameIterationTest.java
+++ b/mixer/src/test/java/gingerring/server/SameIterationTest.java
@@ -17,9 +17,10 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Every pair of events that can reach a mixer in one turn while a scan's part is out, in both
- * orders: the gate forces the order, and the rules of a scan say what may come of it. Box b0 has
- * the part; b1 holds the shard too, and answers whatever comes to it.
+ * Tests every pair of events that can reach a mixer in one loop iteration while a part of a scan is
+ * at a searcher, in both orders. A loop gate fixes the order, and the rules for scans determine the
+ * allowed answers. Box b0 has received the part; box b1 holds the same partition and answers every
+ * call.
  */
 @Timeout(300)
 class SameIterationTest {
@@ -63,13 +64,19 @@
       return events.contains(first) || events.contains(second);
     }
 
-    /** Bytes of one connection come in their order, and are told of once. */
+    /**
+     * Whether both events arrive over one connection, whose bytes may be posted to the loop as a
+     * single event.
+     */
     boolean arriveTogether() {
       return BOX_CONNECTION_EVENTS.contains(first) && second == Event.MALFORMED
           || LIST_UPDATES.contains(first) && LIST_UPDATES.contains(second);
     }
 
-    /** What comes by one connection cannot come after its end, and a part is answered once. */
+    /**
+     * Whether the second event can follow the first: nothing arrives over a connection that has
+     * ended, and a part is answered once.
+     */
     boolean isPossible() {
       boolean afterConnectionEnd =
           BOX_CONNECTION_ENDS.contains(first) && BOX_CONNECTION_EVENTS.contains(second);
@@ -93,7 +100,8 @@
     List<EventPair> pairs = new ArrayList<>();
     for (Event first : Event.values()) {
       for (Event second : Event.values()) {
-        // by turns of the three effects: each kind of event meets each
+        // The service classes rotate, so that events are tested with each of the three kinds of
+        // retry safety.
         String serviceClass =
             List.of("search", "post", "once").get((first.ordinal() + second.ordinal()) % 3);
         EventPair pair = new EventPair(first, second, serviceClass);
@@ -132,8 +140,8 @@
             "\"ClassPartial\": [0.9, 0.9, 0.9]",
             "\"NeedByClass\": [1.0, 1.0]",
             "\"NeedByClass\": [1.0, 1.0, 1.0]",
-            // or a machine that stands still for half a time before the turn has a late part
-            // copied, or given up
+            // Without these limits a pause of the test machine could let the mixer retry or give up
+            // a part that is late.
             "\"SecondCopies\": true",
             "\"SecondCopies\": false",
             "\"AimMs\": 600.0",
@@ -176,7 +184,7 @@
     otherBox.start();
   }
 
-  /** The other box answers all that comes, until it is closed. */
+  /** Answers every call to the other box until the box is closed. */
   private void serveOtherBox() {
     try {
       while (true) {
@@ -191,7 +199,7 @@
                       otherConnection.answer(frame, "done");
                     }
                   } catch (IOException e) {
-                    // the test is over, or the mixer ended it
+                    // The test is over, or the mixer has closed the connection.
                   }
                 },
                 "b1 link");
@@ -199,7 +207,7 @@
         connectionThread.start();
       }
     } catch (IOException e) {
-      // the test is over
+      // The test is over.
     }
   }
 
@@ -239,23 +247,26 @@
     }
   }
 
-  /** The client has gone: nothing more is sent on, and nobody is answered. */
+  /** Asserts that after the client has left no trip starts and nothing is answered. */
   private void assertNoNewTrips(EventPair pair) throws Exception {
     harness.awaitCount(
         "clients that left",
         pair.includes(Event.ANSWER) || pair.includesAny(BOX_CONNECTION_EVENTS) ? 0 : 1);
     int sentToOther = partsAtOtherBox.get();
-    assertTrue(b0.noConnectionWithin(QUIET_PERIOD), pair + ": nothing is sent on");
-    assertEquals(sentToOther, partsAtOtherBox.get(), pair + ": nothing is sent on");
-    // by the time its leaving was read nothing had begun, unless the end of its part was read
-    // before it
-    boolean mayHaveBegun =
+    assertTrue(b0.noConnectionWithin(QUIET_PERIOD), pair + ": no further trips");
+    assertEquals(sentToOther, partsAtOtherBox.get(), pair + ": no further trips");
+    // No trip may have started when the client's departure was read, unless the end of the first
+    // trip was read before it.
+    boolean mayHaveStarted =
         BOX_CONNECTION_EVENTS.contains(pair.first) || pair.first == Event.BOX_RESTARTED;
-    assertTrue(mayHaveBegun || sentToOther == 0, pair + ": nothing had begun");
+    assertTrue(mayHaveStarted || sentToOther == 0, pair + ": no trip started earlier");
     client = harness.connectClient();
   }
 
-  /** The one final answer that the rules allow, and no effect twice. */
+  /**
+   * Asserts that the client gets exactly the answer that the rules allow and that the other box
+   * gets the part at most once, and only if needed.
+   */
   private void assertAnsweredOnce(EventPair pair) throws Exception {
     boolean firstTripFailed =
         pair.includes(Event.FAILED)
@@ -263,17 +274,17 @@
             || pair.includesAny(BOX_CONNECTION_ENDS)
             || pair.includes(Event.BOX_RESTARTED);
     if (!pair.includesAny(BOX_CONNECTION_EVENTS) && !pair.includes(Event.BOX_RESTARTED)) {
-      connection.answer(call, "done"); // none of the two ended the part: it ends well
+      connection.answer(call, "done"); // Neither event has ended the trip, so it succeeds now.
     }
     String answer = client.readAnswer();
-    // the end of a process may be told before what it said last, which then is not heard
+    // If the list reports the box's restart before its last answer is read, that answer is ignored.
     boolean neverRan =
         pair.first == Event.FULL
             || pair.second == Event.FULL
                 && !BOX_CONNECTION_ENDS.contains(pair.first)
                 && pair.first != Event.BOX_RESTARTED;
-    // in either order: what was decided on the older list has not left by the end of the turn, and
-    // does not
+    // In either order, a trip assigned by the older list is still unsent at the end of the
+    // iteration and is dropped.
     boolean otherBoxUnavailable = pair.includes(Event.OTHER_DRAINS);
     String expectedStatus;
     if (!firstTripFailed
@@ -282,28 +293,30 @@
             && !BOX_CONNECTION_ENDS.contains(pair.first)) {
       expectedStatus = "200";
     } else if (pair.serviceClass.equals("once") && !neverRan) {
-      expectedStatus = "500"; // it may have run, and is not to run twice
+      expectedStatus = "500"; // The part may have been executed and must not be executed again.
     } else if (otherBoxUnavailable) {
       expectedStatus =
-          pair.serviceClass.equals("search") || neverRan ? "503" : "500"; // nobody else holds it
+          pair.serviceClass.equals("search") || neverRan
+              ? "503"
+              : "500"; // No other box holds the partition.
     } else {
-      expectedStatus = "200"; // by the other
+      expectedStatus = "200"; // The other box answers.
     }
     assertEquals(expectedStatus, answer.substring(0, 3), pair + ": " + answer);
     int maxPartsAtOther = expectedStatus.equals("200") && firstTripFailed ? 1 : 0;
     assertTrue(
         partsAtOtherBox.get() <= maxPartsAtOther,
-        pair + ": " + partsAtOtherBox.get() + " at the other");
+        pair + ": " + partsAtOtherBox.get() + " parts at the other box");
     client.socket.setSoTimeout(EXTRA_ANSWER_WAIT_MS);
     try {
-      assertEquals(-1, client.socket.getInputStream().read(), pair + ": one answer");
+      assertEquals(-1, client.socket.getInputStream().read(), pair + ": exactly one answer");
     } catch (SocketTimeoutException e) {
-      // it stays open, and says nothing more
+      // The connection stays open without a further answer.
     }
     client.socket.setSoTimeout(MixerTestHarness.TIMEOUT_MS);
   }
 
-  /** Whatever crossed, the mixer goes on. */
+  /** Asserts that the mixer is still ready, except after a shutdown. */
   private void assertStillReady(EventPair pair) throws Exception {
     if (!pair.includes(Event.SHUTDOWN)) {
       MixerTestHarness.Client newClient = harness.connectClient();
--- a/mixer/src/test/java/gingerring/server/SettingsRegressionTest.java
+++ b/mixer/src/test/java/gingerring/server/SettingsRegressionTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Settings of other customers that were served wrongly once: each over sockets. */
+/** Settings with which scans were once handled wrongly; each is tested over sockets. */
 @Timeout(60)
 class SettingsRegressionTest {
   @Test
@@ -58,7 +58,9 @@
         client.write(harness.scanRequest("search", 2000, 0, 1, 2, 3));
         assertTrue(client.readAnswer().startsWith("200"));
       }
-      assertTrue(harness.count("links dialled") <= 2, "dialled " + harness.count("links dialled"));
+      assertTrue(
+          harness.count("links dialled") <= 2,
+          "connections dialled: " + harness.count("links dialled"));
     }
   }
 
@@ -74,7 +76,9 @@
         client.write(harness.scanRequest("search", 2000, 0));
         assertTrue(client.readAnswer().startsWith("200"));
       }
-      assertTrue(harness.count("links dialled") <= 2, "dialled " + harness.count("links dialled"));
+      assertTrue(
+          harness.count("links dialled") <= 2,
+          "connections dialled: " + harness.count("links dialled"));
     }
   }
 
@@ -118,7 +122,7 @@
           backlogConnections.add(socket);
         }
       } catch (IOException e) {
-        // nobody comes up there any more
+        // The backlog is full: further connection attempts hang.
       }
       MixerTestHarness.DiscoveryConnection watch = harness.agent.acceptWatch();
       watch.sendLine(
@@ -135,7 +139,7 @@
         client.write(harness.scanRequest("search", 150, 0));
         String answer = client.readAnswer();
         assertTrue(answer.startsWith("503"), answer);
-        int expectedTrips = i + 1; // by whatever end, but it never left
+        int expectedTrips = i + 1; // Counted with either outcome; the trip was never sent.
         MixerTestHarness.await(
             "trips ended",
             () ->
--- a/mixer/src/test/java/gingerring/server/SettingsTest.java
+++ b/mixer/src/test/java/gingerring/server/SettingsTest.java
@@ -18,14 +18,12 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Settings that another customer may well have: each is served by a mixer in this process, end to
- * end.
+ * Tests settings that other deployments may use: a mixer in this process either serves scans with
+ * them or rejects them at start.
  */
 @Timeout(120)
 class SettingsTest {
-  /**
-   * What is tried, and pairs of a text of the example's configuration and what stands in its place.
-   */
+  /** A description, and alternating texts of the example's configuration and their replacements. */
   record AcceptedSettings(String description, String... replacements) {
     @Override
     public String toString() {
@@ -36,56 +34,61 @@
   static List<AcceptedSettings> acceptedSettings() {
     return List.of(
         new AcceptedSettings(
-            "a deadline under the dial time-out",
+            "a deadline below the dial timeout",
             "\"DialTimeoutMs\": 250.0",
             "\"DialTimeoutMs\": 5000"),
-        new AcceptedSettings("an aim over the deadline", "\"AimMs\": 600.0", "\"AimMs\": 9000.0"),
         new AcceptedSettings(
-            "a window under one trip", "\"WindowMs\": 5000.0", "\"WindowMs\": 0.1"),
-        new AcceptedSettings("a window of nothing", "\"WindowMs\": 5000.0", "\"WindowMs\": 0"),
-        new AcceptedSettings("a class with no worth", "\"Worth\": 5.0", "\"Worth\": 0"),
-        new AcceptedSettings("a class that does not tell its worth", ", \"Worth\": 5.0", ""),
-        new AcceptedSettings("a least share of nothing", "[0.4, 1.0]", "[0, 1.0]"),
+            "a latency target above the deadline", "\"AimMs\": 600.0", "\"AimMs\": 9000.0"),
+        new AcceptedSettings(
+            "a window shorter than one trip", "\"WindowMs\": 5000.0", "\"WindowMs\": 0.1"),
+        new AcceptedSettings("an empty window", "\"WindowMs\": 5000.0", "\"WindowMs\": 0"),
+        new AcceptedSettings("a service class of value 0", "\"Worth\": 5.0", "\"Worth\": 0"),
+        new AcceptedSettings("a service class without a value", ", \"Worth\": 5.0", ""),
+        new AcceptedSettings("a minimum share of 0", "[0.4, 1.0]", "[0, 1.0]"),
         new AcceptedSettings("no zone", "[\"a\"]", "[]"),
         new AcceptedSettings("no probes", "\"Probing\": true", "\"Probing\": false"),
-        new AcceptedSettings("no cancel", "\"Cancel\": true", "\"Cancel\": false"),
+        new AcceptedSettings("no cancellation", "\"Cancel\": true", "\"Cancel\": false"),
         new AcceptedSettings(
-            "no second copies, no cancel",
+            "no hedged trips, no cancellation",
             "\"SecondCopies\": true",
             "\"SecondCopies\": false",
             "\"Cancel\": true",
             "\"Cancel\": false"),
         new AcceptedSettings("one attempt", "\"MaxAttempts\": 3", "\"MaxAttempts\": 1"),
         new AcceptedSettings("a batch of one", "\"Batch\": 4", "\"Batch\": 1"),
-        new AcceptedSettings("a batch that nothing fills", "\"Batch\": 4", "\"Batch\": 1000000000"),
-        new AcceptedSettings("one stream", "\"StreamsPerConn\": 32", "\"StreamsPerConn\": 1"),
         new AcceptedSettings(
-            "an idle time below the dial time-out",
+            "a batch size that is never reached", "\"Batch\": 4", "\"Batch\": 1000000000"),
+        new AcceptedSettings(
+            "one stream per connection", "\"StreamsPerConn\": 32", "\"StreamsPerConn\": 1"),
+        new AcceptedSettings(
+            "an idle timeout below the dial timeout",
             "\"ConnIdleMs\": 30000.0",
             "\"ConnIdleMs\": 100"),
-        new AcceptedSettings("a fleet that does not tell its size", "\"FleetSize\": 1,", ""),
-        new AcceptedSettings("no idle time", "\"ConnIdleMs\": 30000.0", "\"ConnIdleMs\": 0"),
+        new AcceptedSettings("no fleet size", "\"FleetSize\": 1,", ""),
+        new AcceptedSettings(
+            "an idle timeout of 0", "\"ConnIdleMs\": 30000.0", "\"ConnIdleMs\": 0"),
         new AcceptedSettings(
             "a drain grace of 0.5 s", "\"DrainGraceMs\": 250.0", "\"DrainGraceMs\": 500"),
         new AcceptedSettings("no drain grace", "\"DrainGraceMs\": 250.0", "\"DrainGraceMs\": 0"),
         new AcceptedSettings("no warm-up", "\"WarmUpMs\": 5000.0", "\"WarmUpMs\": 0"),
-        new AcceptedSettings("no time after which cold ones fall", ", \"TipAfterMs\": 2000.0", ""),
-        new AcceptedSettings("one scan at a time", "\"MostHeld\": 60", "\"MostHeld\": 3"),
-        new AcceptedSettings("more copies than cells", "\"Reach\": 2", "\"Reach\": 9"),
+        new AcceptedSettings(
+            "no time after which a cold searcher is ejected", ", \"TipAfterMs\": 2000.0", ""),
+        new AcceptedSettings("a limit of one open scan", "\"MostHeld\": 60", "\"MostHeld\": 3"),
+        new AcceptedSettings("more replicas than cells", "\"Reach\": 2", "\"Reach\": 9"),
         new AcceptedSettings("one cell", "\"Places\": 4", "\"Places\": 1"),
         new AcceptedSettings(
-            "no word of retry", "\"MaxRetryAfterMs\": 500.0", "\"MaxRetryAfterMs\": 0"),
+            "no retry hint", "\"MaxRetryAfterMs\": 500.0", "\"MaxRetryAfterMs\": 0"),
         new AcceptedSettings(
-            "no reports",
+            "no load reports",
             "{\"Columns\": [\"depth\", \"concurrent\"], \"Source\": \"answers\"}",
             "{\"Columns\": [], \"Source\": \"none\"}"),
         new AcceptedSettings(
-            "a budget of nothing",
+            "a retry budget of 0",
             "\"Safety\": {",
             "\"Safety\": {\"ExtraFree\": 0, \"ResendRatio\": 0, \"ResendSpanMs\": 1000, "),
-        new AcceptedSettings("lists on request", "\"automatic\"", "\"subscribe\""),
+        new AcceptedSettings("member lists on request", "\"automatic\"", "\"subscribe\""),
         new AcceptedSettings(
-            "lists on request, nothing called off, short rests",
+            "member lists on request, no cancellation, short timeouts",
             "\"automatic\"",
             "\"subscribe\"",
             "\"Cancel\": true",
@@ -103,7 +106,7 @@
             "[0.4, 1.0]",
             "[1, 1]"),
         new AcceptedSettings(
-            "calls of several parts on connections that carry few",
+            "calls of several parts on connections with few streams",
             "\"StreamsPerConn\": 32",
             "\"StreamsPerConn\": 5",
             "\"Probing\": true",
@@ -114,14 +117,17 @@
             "\"MaxAttempts\": 2"),
         new AcceptedSettings("256 descriptors", "\"sockets\": 1024", "\"sockets\": 256"),
         new AcceptedSettings(
-            "no limit told",
+            "no resource limits",
             "\"limits\": {\"cores\": 1.0, \"memory_mb\": 192, \"sockets\": 1024},",
             ""),
-        new AcceptedSettings("limits without descriptors", ", \"sockets\": 1024", ""),
+        new AcceptedSettings("limits without a descriptor limit", ", \"sockets\": 1024", ""),
         new AcceptedSettings("few descriptors", "\"sockets\": 1024", "\"sockets\": 64"));
   }
 
-  /** What is refused: the entry that the line names, and a pair of texts as above. */
+  /**
+   * The entry that the error line names, and a text of the example's configuration and its
+   * replacement.
+   */
   record RejectedSettings(String entry, String... replacement) {
     @Override
     public String toString() {
@@ -203,14 +209,17 @@
 
   @TempDir Path directory;
 
-  /** Whole, before anything is begun: one line that names the entry and what to do, and exit 2. */
+  /**
+   * The whole configuration is checked before anything is started: one line names the entry and the
+   * remedy, and the exit code is 2.
+   */
   @ParameterizedTest
   @MethodSource("rejectedSettings")
   void rejectsInvalidSettingsAtStart(RejectedSettings settings) throws Exception {
     String example = Files.readString(Path.of("example/config.json"));
     assertTrue(example.contains(settings.replacement[0]), settings.replacement[0]);
     Path file = directory.resolve("config.json");
-    // an address that nobody has here: what is not refused ends at once all the same
+    // No local interface has this address, so a mixer that accepts the settings exits at once, too.
     Files.writeString(
         file,
         example
@@ -225,7 +234,7 @@
     assertTrue(!settings.entry.startsWith("setting") || line.contains(": give "), line);
   }
 
-  /** Both grades of the example; the box answers all at once. */
+  /** Sends scans of both service classes of the example; the box answers every call at once. */
   @ParameterizedTest
   @MethodSource("acceptedSettings")
   void servesScansWithTheseSettings(AcceptedSettings settings) throws Exception {
@@ -256,7 +265,7 @@
     }
   }
 
-  /** A searcher that has just started is sent something: it is warm later. */
+  /** Guards against a searcher that has just started, gets no scans and so never warms up. */
   @Test
   void coldSearcherGetsScansIfItIsTheOnlyOne() throws Exception {
     try (MixerTestHarness harness = new MixerTestHarness()) {
@@ -271,7 +280,8 @@
   }
 
   /**
-   * By so short a patience the last call was due before the end was announced: it comes at once.
+   * With so short a deadline the final phase of the shutdown would start before the shutdown is
+   * announced; it starts at once instead.
    */
   @Test
   void shutsDownInOrderIfTheLongestDeadlineIsShort() throws Exception {
@@ -282,7 +292,7 @@
       MixerTestHarness.Client client = harness.connectClient();
       assertTrue(client.isReady());
       client.write(harness.scanRequest("search", 2000, 0));
-      box.acceptConnection().readCall(); // and nothing comes back
+      box.acceptConnection().readCall(); // the box does not answer
       harness.server.loop.post(harness.server::announceEnd);
       String answer = client.readAnswer();
       assertTrue(answer.startsWith("50"), answer);
@@ -290,7 +300,7 @@
     }
   }
 
-  /** The box has all that it is asked for, on whatever connection, until the rig ends it. */
+  /** Accepts connections to the box and answers every call until the harness closes the box. */
   static void answerAllCalls(MixerTestHarness.Box box) {
     runInBackground(
         () -> {
@@ -317,7 +327,7 @@
               try {
                 task.run();
               } catch (IOException e) {
-                // its connection has ended
+                // The connection has ended.
               }
             },
             "box");
--- a/mixer/src/test/java/gingerring/server/StartWithLateSearchersTest.java
+++ b/mixer/src/test/java/gingerring/server/StartWithLateSearchersTest.java
@@ -15,13 +15,13 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * A start with a known list whose searchers' connections come up late, or come up and are not
- * served, while discovery is of no help: see docs/crossings.md. A gate stands before the searchers,
- * and opens before or after the mixer says that it is ready.
+ * Starts a mixer with a stored member list while its searchers are late (their connections are not
+ * established, or are established but not read) and discovery does not help; see docs/crossings.md.
+ * The searchers are released before or after the mixer reports that it is ready.
  */
 @Timeout(300)
 class StartWithLateSearchersTest {
-  /** By then a mixer is ready, whatever else is down. */
+  /** Time limit for the mixer to become ready, whatever else is down. */
   private static final long READY_DEADLINE_MS = 10_000;
 
   private static final int SCAN_DEADLINE_MS = 2000;
@@ -36,13 +36,15 @@
     SENDS_HEAD_ONLY
   }
 
-  /** Where the searchers' connections are held up: as they come up, or once they are up. */
+  /** Where the searchers' connections hang: while they are established, or once they are. */
   private enum HoldPoint {
     BEFORE_CONNECT,
     BEFORE_READ
   }
 
-  /** Searchers behind a gate; those of four cells hold each part twice. */
+  /**
+   * Searchers that do not answer before they are released. In four cells each part has two holders.
+   */
   private static final class HeldSearchers implements Closeable {
     final HoldPoint holdPoint;
     final List<Late> searchers = new ArrayList<>();
@@ -57,7 +59,7 @@
       }
     }
 
-    /** From now on they come up, and answer whatever comes. */
+    /** Lets connections be established and answers every call from now on. */
     void release() throws IOException {
       for (Late searcher : searchers) {
         if (holdPoint == HoldPoint.BEFORE_CONNECT) {
@@ -80,7 +82,7 @@
     }
   }
 
-  /** A mixer that starts with these known. */
+  /** Starts a mixer whose stored member list has these members. */
   private static MixerTestHarness startMixer(
       DiscoveryFault discovery, String[] replacements, String... members) throws Exception {
     List<String> allReplacements =
@@ -114,7 +116,7 @@
         .toArray(String[]::new);
   }
 
-  /** It is ready by its time, which began with the start. */
+  /** Asserts that the mixer is ready within {@link #READY_DEADLINE_MS} of its start. */
   private static void awaitReadyInTime(MixerTestHarness harness, long startNanos) throws Exception {
     MixerTestHarness.Client client = harness.connectClient();
     while (!client.isReady()) {
@@ -126,12 +128,12 @@
     client.close();
   }
 
-  /** Scans are answered without a value by the mixer itself, within their clients' time. */
+  /** Asserts that the mixer answers scans without a value, within their clients' deadline. */
   private static void assertScansFailInTime(MixerTestHarness harness, String description)
       throws Exception {
     for (String serviceClass : new String[] {"search", "post"}) {
       MixerTestHarness.Client client = harness.connectClient();
-      client.socket.setSoTimeout(2 * SCAN_DEADLINE_MS); // a bound, and no figure
+      client.socket.setSoTimeout(2 * SCAN_DEADLINE_MS); // an upper bound, not a measured time
       client.write(harness.scanRequest(serviceClass, SCAN_DEADLINE_MS, 0, 1, 2, 3));
       String answer = client.readAnswer();
       assertTrue(
@@ -141,9 +143,9 @@
   }
 
   /**
-   * Scans are served whole from some moment on, eight of them in a row, one after the other: the
-   * system asks a full queue again after a second, or two, and a mixer keeps some back for
-   * searchers that were silent.
+   * Sends scans one after the other until eight in a row are answered completely. This takes a
+   * while: the kernel repeats a connection attempt to a full backlog after one or two seconds, and
+   * the mixer sends less to searchers that did not answer.
    */
   private static void awaitCompleteAnswersInARow(MixerTestHarness harness, String description)
       throws Exception {
@@ -151,7 +153,7 @@
     try (MixerTestHarness.Client client = harness.connectClient()) {
       int[] consecutive = new int[1];
       MixerTestHarness.await(
-          "whole answers",
+          "complete answers",
           () -> {
             try {
               client.write(
@@ -165,7 +167,7 @@
               throw new AssertionError(e);
             }
             String lastAnswer = answers.get(answers.size() - 1);
-            // what cannot be served whole yet is answered all the same
+            // Scans that cannot be answered completely yet still get an answer.
             assertTrue(lastAnswer.matches("(?s)(200|50\\d).*"), lastAnswer);
             consecutive[0] = lastAnswer.startsWith("200 {\"whole\":true") ? consecutive[0] + 1 : 0;
             return consecutive[0] == 8;
@@ -182,8 +184,8 @@
   }
 
   /**
-   * Guards against a mixer that waits for its searchers before it is ready, or keeps scans for
-   * them.
+   * Guards against a mixer that waits for its searchers before it is ready, or holds scans until
+   * they connect.
    */
   @Test
   void becomesReadyBeforeSearchersConnectAndServesOnceTheyDo() throws Exception {
@@ -208,10 +210,7 @@
     }
   }
 
-  /**
-   * Guards against scans that are lost while they wait for discovery, or for connections that are
-   * late.
-   */
+  /** Guards against scans that are lost while they wait for discovery or for late connections. */
   @Test
   void servesOnceReadyIfSearchersConnectedBefore() throws Exception {
     for (DiscoveryFault discovery : DiscoveryFault.values()) {
@@ -225,14 +224,13 @@
             earlyClient.write(harness.scanRequest("search", SCAN_DEADLINE_MS, 0, 1, 2, 3));
             harness.awaitCount("scans taken", 1);
             boolean waitsForDiscovery = discovery != DiscoveryFault.REFUSES_CONNECTIONS;
-            if (!waitsForDiscovery) { // it had its word at once: its parts wait for connections,
-              // and not for
-              // discovery
+            if (!waitsForDiscovery) { // Discovery has failed at once, so the scan's parts wait for
+              // connections only.
               harness.awaitCount("links dialled", 1);
             }
             try (MixerTestHarness.LoopGate loopGate =
-                harness
-                    .pauseLoop()) { // it cannot say that it is ready before the other gate is open
+                harness.pauseLoop()) { // The mixer cannot become ready before the searchers are
+              // released.
               searchers.release();
             }
             awaitReadyInTime(harness, startNanos);
@@ -240,7 +238,9 @@
             boolean mayBeTooLate =
                 !waitsForDiscovery
                     && holdPoint
-                        == HoldPoint.BEFORE_CONNECT; // what was dialled comes up in a second or two
+                        == HoldPoint
+                            .BEFORE_CONNECT; // A pending connection attempt succeeds only after one
+            // or two seconds.
             assertTrue(
                 answer.matches(mayBeTooLate ? "(?s)(200|50\\d).*" : "(?s)200.*"),
                 description + ": " + answer + ", " + harness.server.counts);
@@ -253,7 +253,10 @@
     }
   }
 
-  /** One searcher is prompt and holds half: partial answers, in time, until the other comes up. */
+  /**
+   * One of two searchers answers at once: scans get partial answers in time until the other
+   * connects.
+   */
   @Test
   void answersPartiallyWhileHalfOfTheSearchersAreLate() throws Exception {
     for (DiscoveryFault discovery : DiscoveryFault.values()) {
@@ -277,7 +280,7 @@
               description + ": " + answer + ", " + harness.server.counts);
           searchers.release();
           MixerTestHarness.await(
-              "whole answers",
+              "complete answers",
               () -> {
                 try {
                   client.write(harness.scanRequest("search", SCAN_DEADLINE_MS, 0, 2));
@@ -292,7 +295,6 @@
     }
   }
 
-  /** A searcher that answers at once. */
   private static final class PromptSearcher implements Closeable {
     private final String name;
     private final int cell;
--- a/mixer/src/test/java/gingerring/server/WatchTest.java
+++ b/mixer/src/test/java/gingerring/server/WatchTest.java
@@ -28,8 +28,8 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * A watch on a real loop and real sockets, before an agent that is played by the test; nobody asks
- * for it again.
+ * Tests a watch on a real loop and real sockets; the test plays the discovery agent, and nothing
+ * requests the list apart from the watch itself.
  */
 @Timeout(60)
 class WatchTest {
@@ -43,7 +43,10 @@
   private ServerSocket agent;
   private Thread loopThread;
 
-  /** Its seconds are tenths of a second, so that nobody waits for the longest of them. */
+  /**
+   * Runs ten times as fast as the loop's clock, so that the test does not wait out the watch's
+   * longest periods.
+   */
   private final class FastClock implements TurnClock {
     @Override
     public Duration now() {
@@ -80,7 +83,9 @@
     loopThread.start();
   }
 
-  /** The agent's side of one watch. */
+  /**
+   * Accepts the next watch, checks the revision in its request and sends the head of the response.
+   */
   private Socket acceptWatch(String index) throws IOException {
     Socket socket = agent.accept();
     socket.setSoTimeout(TIMEOUT_MS);
@@ -122,7 +127,10 @@
     agent.close();
   }
 
-  /** Guards against a mixer without a watch while its agent has news, which counts as told. */
+  /**
+   * Guards against a mixer that has no open watch while its agent has a newer list, which counts as
+   * delivered.
+   */
   @Test
   void reopensEndedOrSilentWatchAtOnce() throws Exception {
     startWatch(0, loop);
@@ -135,11 +143,11 @@
     sendLine(second, memberListLine(6, false));
     assertEquals("failed", nextNotification());
     assertEquals("list 6", nextNotification());
-    // and now it stays open and says nothing more
+    // The second watch stays open without further lines.
     Socket third = acceptWatch("6");
     assertEquals("failed", nextNotification());
-    // but an agent that ends each watch as it begins is not called without a pause, though nobody
-    // has to ask
+    // An agent that ends each watch immediately is not reconnected to without a pause, although
+    // nothing requests the list.
     third.close();
     assertEquals("failed", nextNotification());
     agent.setSoTimeout(500);
@@ -150,8 +158,8 @@
   }
 
   /**
-   * Guards against an agent that is late, and brings searchers back that are known to drain or to
-   * have gone.
+   * Guards against an outdated agent whose list brings back searchers that are known to be draining
+   * or gone.
    */
   @Test
   void ignoresCompleteListOlderThanTheCurrentOne() throws Exception {
@@ -165,7 +173,10 @@
     staleAgent.close();
   }
 
-  /** Guards against a mixer that holds on to its list for good where versions are counted anew. */
+  /**
+   * Guards against a mixer that keeps its list for ever after the agent has restarted its revision
+   * numbers.
+   */
   @Test
   void acceptsOlderListOnceRevisionsHaveRestarted() throws Exception {
     startWatch(41, new FastClock());
@@ -173,7 +184,7 @@
     sendLine(staleAgent, memberListLine(3, true));
     Socket restartedWatch = null;
     for (String index = "41"; restartedWatch == null; ) {
-      // it says nothing more, so that the watch is opened again and again
+      // The agent sends no further lines, so the watch is reopened again and again.
       Socket socket = agent.accept();
       String requestLine =
           new BufferedReader(new InputStreamReader(socket.getInputStream())).readLine();
