--- /dev/null
+++ b/mixer/src/test/java/gingerring/server/DialRaceTest.java
@@ -0,0 +1,95 @@
+package gingerring.server;
+
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import gingerring.net.Connection;
+import gingerring.net.Counts;
+import gingerring.net.Network;
+import gingerring.net.Party;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.net.ServerSocket;
+import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+
+/**
+ * Dials that cross: one given up just as it is refused or comes up, and another that is under way.
+ */
+@Timeout(120)
+class DialRaceTest {
+  private static final int ROUNDS = 300;
+
+  private static final class CloseRecorder implements Party {
+    final CountDownLatch closed = new CountDownLatch(1);
+
+    @Override
+    public void opened() {}
+
+    @Override
+    public void readable() {}
+
+    @Override
+    public void closed() {
+      closed.countDown();
+    }
+  }
+
+  /**
+   * Guards against a dial that is told neither up nor failed since another was given up as it was
+   * refused.
+   */
+  @Test
+  void abandonedDialThatIsRefusedDoesNotAffectOthers() throws Exception {
+    InetSocketAddress refusingAddress;
+    try (ServerSocket refusingListener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+      refusingAddress = (InetSocketAddress) refusingListener.getLocalSocketAddress();
+    }
+    raceAbandonedDial(refusingAddress, refusingAddress);
+  }
+
+  /** The same where the one given up is just coming up. */
+  @Test
+  void abandonedDialThatIsEstablishedDoesNotAffectOthers() throws Exception {
+    InetSocketAddress refusingAddress;
+    try (ServerSocket refusingListener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
+        ServerSocket acceptingListener =
+            new ServerSocket(0, 1000, InetAddress.getLoopbackAddress())) {
+      refusingAddress = (InetSocketAddress) refusingListener.getLocalSocketAddress();
+      refusingListener.close();
+      raceAbandonedDial(
+          (InetSocketAddress) acceptingListener.getLocalSocketAddress(), refusingAddress);
+    }
+  }
+
+  /** Gives a dial to one address up in the turn after its own, and dials another in that turn. */
+  private static void raceAbandonedDial(
+      InetSocketAddress abandonedAddress, InetSocketAddress otherAddress) throws Exception {
+    Counts counts = new Counts();
+    Loop loop = new Loop(counts);
+    Network network = new Network(loop, counts, false);
+    Thread thread = new Thread(() -> loop.run(() -> {}, network::flush));
+    thread.start();
+    for (int round = 0; round < ROUNDS; round++) {
+      CloseRecorder abandoned = new CloseRecorder();
+      CloseRecorder other = new CloseRecorder();
+      Connection[] abandonedDial = new Connection[1];
+      loop.post(() -> abandonedDial[0] = network.dial(abandonedAddress, 1024, abandoned));
+      loop.post(
+          () ->
+              loop.post(
+                  () -> {
+                    abandonedDial[0].close();
+                    network.dial(otherAddress, 1024, other);
+                  }));
+      assertTrue(abandoned.closed.await(5, TimeUnit.SECONDS), "round " + round);
+      assertTrue(
+          other.closed.await(5, TimeUnit.SECONDS),
+          "round " + round + ": never told of its refusal");
+    }
+    loop.post(loop::stop);
+    thread.join(5000);
+    network.dispose();
+  }
+}
--- /dev/null
+++ b/mixer/src/test/java/gingerring/server/FrontendRaceTest.java
@@ -0,0 +1,511 @@
+package gingerring.server;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+
+/** What crosses at the clients' side: leaving, answers, ends of connections and of the process. */
+@Timeout(120)
+class FrontendRaceTest {
+  private static final Duration NO_TRAFFIC_WAIT = Duration.ofMillis(300);
+
+  private static void disconnect(Rig.Client client, boolean reset) throws IOException {
+    if (reset) {
+      client.reset();
+    } else {
+      client.close();
+    }
+  }
+
+  /**
+   * Guards against a client's end that is not seen behind what it sent, until its scan has been
+   * answered.
+   */
+  @Test
+  void disconnectBehindTrailingBytesIsDetected() throws Exception {
+    for (boolean reset : new boolean[] {false, true}) {
+      for (int trailingBytes : new int[] {20_000, 400_000}) {
+        try (Rig harness = new Rig()) {
+          Rig.Box box = harness.box("b0", 0);
+          harness.begin(box);
+          Rig.Client client = harness.client();
+          client.write(harness.scan("search", 2000, 0));
+          Rig.Link link = box.link();
+          Rig.Frame request = link.call();
+          client.write(new byte[trailingBytes]);
+          disconnect(client, reset);
+          harness.awaitCount("clients that left", 1);
+          assertEquals(
+              "C" + harness.lastMark() + ".0",
+              "C" + link.frame().text()); // its only part is given up
+          assertEquals(1, request.parts().size());
+        }
+      }
+    }
+  }
+
+  /** It stays: it has its answer, and the connection ends with it, in order. */
+  @Test
+  void clientThatSendsTrailingBytesAndStaysIsAnswered() throws Exception {
+    try (Rig harness = new Rig()) {
+      Rig.Box box = harness.box("b0", 0);
+      harness.begin(box);
+      Rig.Client client = harness.client();
+      client.write(harness.scan("search", 2000, 0));
+      Rig.Link link = box.link();
+      Rig.Frame request = link.call();
+      client.write(new byte[400_000]);
+      harness.awaitCount("bytes dropped", 300_000);
+      link.answer(request, "done");
+      assertTrue(client.answer().startsWith("200"));
+      assertEquals("closed", client.end());
+    }
+  }
+
+  /**
+   * Guards against a scan that is sent on in the very turn in which its client is seen to have
+   * gone.
+   */
+  @Test
+  void scanWhoseClientLeavesInSameTurnIsNotForwarded() throws Exception {
+    for (boolean reset : new boolean[] {false, true}) {
+      try (Rig harness = new Rig()) {
+        Rig.Box box = harness.box("b0", 0);
+        harness.begin(box);
+        Rig.Client client = harness.client();
+        assertTrue(client.ready());
+        try (Rig.Gate gate = harness.hold()) {
+          client.write(harness.scan("search", 2000, 0));
+          gate.posted(1);
+          disconnect(client, reset);
+          gate.posted(2);
+        }
+        harness.awaitCount("clients that left", 1);
+        assertTrue(box.quiet(NO_TRAFFIC_WAIT), "reset: " + reset);
+      }
+    }
+  }
+
+  /**
+   * Guards against a last answer that is reset away by what its client has sent behind its request.
+   */
+  @Test
+  void finalResponseIsNotLostToUnreadBytes() throws Exception {
+    try (Rig harness = new Rig()) {
+      harness.begin(harness.box("b0", 0));
+      Rig.Client client = harness.client();
+      try (Rig.Gate gate = harness.hold()) {
+        // MINA's thread stops at half a ring, and leaves the rest in the system's buffer
+        client.write(
+            "GET /ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n" + "x".repeat(100_000));
+        gate.posted(1);
+      }
+      assertTrue(client.answer().startsWith("200"));
+      assertEquals("closed", client.end());
+      client.write(harness.scan("search", 2000, 0)); // it may come once more, and nothing resets it
+      client.halfClose();
+      assertEquals("closed", client.end());
+      harness.turns(2);
+      assertEquals(0, harness.count("scans taken"));
+    }
+  }
+
+  private static Rig harnessWithShortTimeLimits() throws Exception {
+    return new Rig(
+        "\"HardLimitMs\": 2000.0",
+        "\"HardLimitMs\": 500.0",
+        "\"AimMs\": 600.0",
+        "\"AimMs\": 300.0");
+  }
+
+  /**
+   * A resting connection's request and its end: read before, it is answered; written after, never
+   * read.
+   */
+  @Test
+  void requestRacingCloseOfIdleConnectionIsAnsweredOrNeverRead() throws Exception {
+    for (boolean requestFirst : new boolean[] {true, false}) {
+      try (Rig harness = new Rig()) {
+        Rig.Box box = harness.box("b0", 0);
+        harness.begin(box);
+        Rig.Client client = harness.client();
+        assertTrue(client.ready());
+        String scan = harness.scan("search", 2000, 0);
+        if (requestFirst) {
+          try (Rig.Gate gate = harness.hold()) {
+            harness.serve.loop.post(harness.serve.front::end);
+            client.write(scan);
+            gate.posted(2);
+          }
+          Rig.Link link = box.link();
+          link.answer(link.call(), "done");
+          assertTrue(client.answer().startsWith("200"));
+        } else {
+          try (Rig.Gate gate =
+              harness.hold()) { // the answer before is known to have left: the connection rests
+            harness.serve.loop.post(harness.serve.front::end);
+            gate.posted(1);
+          }
+          harness.turns(1);
+          client.write(scan);
+          client.end();
+          assertTrue(box.quiet(NO_TRAFFIC_WAIT));
+          assertEquals(0, harness.count("scans taken"));
+        }
+      }
+    }
+  }
+
+  /** Guards against half a request that the end of the process finds, and leaves without a word. */
+  @Test
+  void partialRequestIsRejectedAtEndOfShutdown() throws Exception {
+    try (Rig harness = harnessWithShortTimeLimits()) {
+      Rig.Box box = harness.box("b0", 0);
+      harness.begin(box);
+      Rig.Client client = harness.client();
+      assertTrue(client.ready());
+      harness.inLoop(harness.serve::announceEnd);
+      String scan = harness.scan("search", 500, 0);
+      client.write(scan.substring(0, scan.length() - 1));
+      assertTrue(client.answer().startsWith("503"));
+      assertEquals("closed", client.end());
+      client.write(scan.substring(scan.length() - 1));
+      assertEquals(0, harness.ended());
+      assertTrue(box.quiet(NO_TRAFFIC_WAIT));
+      assertEquals(0, harness.count("scans taken"));
+    }
+  }
+
+  /**
+   * Discovery says nothing: a scan that waits for its first word is answered all the same, and the
+   * end comes.
+   */
+  @Test
+  void sigtermBeforeFirstMemberListLeavesNoScanOpen() throws Exception {
+    for (boolean scanFirst : new boolean[] {true, false}) {
+      try (Rig harness = new Rig()) {
+        Rig.Box box = harness.box("b0", 0);
+        Rig.Call watch = harness.agent.watch();
+        Rig.Client client = harness.client();
+        if (scanFirst) {
+          client.write(harness.scan("search", 500, 0));
+          harness.awaitCount("scans taken", 1);
+          harness.inLoop(harness.serve::announceEnd);
+        } else {
+          harness.inLoop(harness.serve::announceEnd);
+          client.write(harness.scan("search", 500, 0));
+          harness.awaitCount("scans taken", 1);
+        }
+        assertTrue(client.answer().startsWith("5"));
+        assertEquals(0, harness.ended());
+        watch.reset();
+        assertTrue(box.quiet(NO_TRAFFIC_WAIT));
+      }
+    }
+  }
+
+  /** The first word comes after SIGTERM: what waited goes on. */
+  @Test
+  void firstMemberListAfterSigtermServesWaitingScan() throws Exception {
+    try (Rig harness = new Rig()) {
+      Rig.Box box = harness.box("b0", 0);
+      Rig.Call watch = harness.agent.watch();
+      Rig.Client client = harness.client();
+      client.write(harness.scan("search", 2000, 0));
+      harness.awaitCount("scans taken", 1);
+      harness.inLoop(harness.serve::announceEnd);
+      watch.say(Rig.list(1, true, box.member("SERVING")));
+      Rig.Link link = box.link();
+      link.answer(link.call(), "done");
+      assertTrue(client.answer().startsWith("200"));
+      assertEquals(0, harness.ended());
+    }
+  }
+
+  /**
+   * Guards against a second SIGTERM that begins the end anew, and a process that is killed in it.
+   */
+  @Test
+  void secondSigtermDoesNotRestartShutdown() throws Exception {
+    try (Rig harness = harnessWithShortTimeLimits()) {
+      harness.begin(harness.box("b0", 0));
+      Rig.Client client = harness.client();
+      harness.inLoop(harness.serve::announceEnd);
+      client.write("GET /rea"); // keeps the end waiting for its time
+      Thread.sleep(600);
+      harness.inLoop(harness.serve::announceEnd);
+      assertTrue(client.answer().startsWith("503"));
+      assertEquals(0, harness.ended());
+      assertEquals(1, harness.count("ends announced"));
+    }
+  }
+
+  /** SIGHUP before the loop runs, or even reads its configuration, is taken once it does. */
+  @Test
+  void sighupDuringStartupReloadsConfig() throws Exception {
+    try (Rig.Agent oldAgent = new Rig.Agent(true);
+        Rig.Agent newAgent = new Rig.Agent(true)) {
+      Path file = Files.createTempFile("hup", ".json");
+      String config = exampleConfig();
+      Map<String, String> env = Map.of("LB_CONFIG", file.toString());
+      Files.writeString(file, config.replace("8500", "" + oldAgent.address().getPort()));
+      MixerConfig mixerConfig = MixerConfig.read(env);
+      Files.writeString(file, config.replace("8500", "" + newAgent.address().getPort()));
+      MixerServer server = new MixerServer(env, null, null);
+      server.reload();
+      Thread thread = new Thread(() -> server.serve(mixerConfig, System.err, address -> {}));
+      thread.start();
+      newAgent.watch().say(Rig.list(1, true));
+      Rig.await("a list", () -> server.counts.get("lists told") == 1);
+      server.loop.post(server.loop::stop);
+      thread.join(Rig.WAIT_MS);
+      server.dispose();
+      assertEquals(0, server.counts.get("failures in an event"));
+      file.toFile().delete();
+    }
+  }
+
+  /** SIGHUP while the process ends, and after its loop has ended. */
+  @Test
+  void sighupDuringShutdownIsHarmless() throws Exception {
+    try (Rig harness = new Rig()) {
+      Rig.Box box = harness.box("b0", 0);
+      harness.begin(box);
+      Rig.Client client = harness.client();
+      client.write(harness.scan("search", 2000, 0));
+      Rig.Link link = box.link();
+      Rig.Frame request = link.call();
+      try (Rig.Agent newAgent = new Rig.Agent(true)) {
+        harness.inLoop(harness.serve::announceEnd);
+        harness.configure(newAgent.address());
+        harness.serve.reload();
+        Rig.Call watch = newAgent.watch();
+        watch.say(Rig.list(7, true, box.member("SERVING")));
+        link.answer(request, "done");
+        assertTrue(client.answer().startsWith("200"));
+        assertEquals(0, harness.ended());
+        harness.serve.reload();
+      }
+    }
+  }
+
+  /**
+   * Guards against idle clients that fill the descriptors while discovery is down, and leave none
+   * for it, for searchers that it tells of at its return, and for the clients that have something
+   * to ask.
+   */
+  @Test
+  void idleClientsLeaveConnectionsForDiscoverySearchersAndActiveClients() throws Exception {
+    int maxConnections = 256 - 40;
+    try (Rig harness =
+        new Rig(
+            false,
+            "\"sockets\": 1024",
+            "\"sockets\": 256",
+            "\"MostHeld\": 60",
+            "\"MostHeld\": 9000",
+            "\"ClassFloor\": [0.4, 1.0]",
+            "\"ClassFloor\": [0.1, 1.0]")) {
+      Rig.Box[] boxes = new Rig.Box[200];
+      for (int i = 0; i < boxes.length; i++) {
+        boxes[i] = harness.box("b" + i, i % 4);
+      }
+      List<Rig.Client> idleClients = new ArrayList<>();
+      for (int i = 0; i < 2 * maxConnections; i++) {
+        idleClients.add(harness.client());
+      }
+      harness.agent.admit();
+      harness.begin(boxes);
+      int peakConnections = 0;
+      for (int i = 0; i < 300; i++) {
+        Rig.Client client = harness.client();
+        client.write(harness.scan("search", 1000, i % 8));
+        harness.turns(2);
+        peakConnections = Math.max(peakConnections, harness.serve.network().connections());
+      }
+      // the last of them may still stand in the backlog, and a link is dialled at the end of its
+      // scan's turn
+      Rig.await(
+          "what becomes of each client",
+          () ->
+              harness.count("idle connections shed")
+                      + harness.count("connections turned away")
+                      + harness.count("nacks for want of connections")
+                      + harness.count("scans taken")
+                  >= 2 * maxConnections + 300);
+      harness.turns(2);
+      // each that works has its own searcher dialled, until the descriptors are full of those that
+      // work
+      long scansTaken = harness.count("scans taken");
+      harness.turns(2);
+      assertTrue(scansTaken >= 90, harness.serve.counts.toString());
+      assertTrue(harness.count("links dialled") >= scansTaken, harness.serve.counts.toString());
+      assertTrue(
+          peakConnections <= maxConnections,
+          peakConnections + " connections at one time, " + harness.serve.counts);
+    }
+  }
+
+  /**
+   * Guards against a flood of half requests that holds all room until the time for whole ones is
+   * over.
+   */
+  @Test
+  void partialRequestsAreShedOnceNoIdleConnectionIsLeft() throws Exception {
+    for (int idleCount : new int[] {0, 100}) {
+      try (Rig harness = new Rig("\"sockets\": 1024", "\"sockets\": 256")) {
+        harness.begin(answeringBoxes(harness, 4));
+        List<Rig.Client> partialClients = new ArrayList<>();
+        for (int i = 0; i < 201; i++) { // with one more, newcomers are turned away
+          Rig.Client client = harness.client();
+          if (i >= idleCount) {
+            client.write("POST /api HTTP/1.1\r\nHost: x\r\n");
+            partialClients.add(client);
+          }
+        }
+        if (idleCount > 0) { // they alone are as many as have to go
+          harness.awaitCount("idle connections shed", 1);
+          harness.turns(2);
+          assertEquals(0, harness.count("half requests shed"), harness.serve.counts.toString());
+        } else {
+          harness.awaitCount("half requests shed", 1);
+          assertTrue(partialClients.get(0).answer().startsWith("503"));
+          assertEquals("closed", partialClients.get(0).end());
+          Rig.await("room for a newcomer", () -> harness.serve.network().room() > 40);
+          Rig.Client client = harness.client();
+          client.write(harness.scan("search", 2000, 0));
+          assertTrue(client.answer().startsWith("200"));
+        }
+      }
+    }
+  }
+
+  /**
+   * Guards against newcomers that are nacked for want of connections while enough idle ones are
+   * being ended for them: who comes in one turn comes before any of those has gone.
+   */
+  @Test
+  void newClientsOfOneTurnAreServedOnceIdleOnesAreShed() throws Exception {
+    try (Rig harness =
+        new Rig(
+            "\"sockets\": 1024", "\"sockets\": 256", "\"MostHeld\": 60", "\"MostHeld\": 9000")) {
+      harness.begin(answeringBoxes(harness, 4));
+      for (int i = 0; i < 150; i++) { // so many are not too many, and with the newcomers they are
+        harness.client();
+      }
+      harness.awaitConnections(151);
+      List<Rig.Client> newClients = new ArrayList<>();
+      try (Rig.Gate gate = harness.hold()) {
+        for (int i = 0; i < 40; i++) {
+          Rig.Client client = harness.client();
+          client.write(harness.scan("search", 2000, i % 8));
+          newClients.add(client);
+        }
+        gate.posted(3 * newClients.size()); // each has come, is open, and has said something
+      }
+      for (Rig.Client client : newClients) {
+        String answer = client.answer();
+        assertTrue(answer.startsWith("200"), answer + ", " + harness.serve.counts);
+      }
+      assertTrue(harness.count("idle connections shed") > 0, harness.serve.counts.toString());
+    }
+  }
+
+  /**
+   * Guards against links at rest that hold the descriptors of all others: with more searchers than
+   * may be dialled, the one that has rested longest makes room for the next, and every scan is
+   * answered.
+   */
+  @Test
+  void longestIdleSearcherConnectionMakesRoomForNextSearcher() throws Exception {
+    int maxConnections = 128 - 40;
+    try (Rig harness = new Rig("\"sockets\": 1024", "\"sockets\": 128")) {
+      harness.begin(answeringBoxes(harness, 80));
+      Rig.Client client = harness.client();
+      for (int i = 0; i < 1000 && harness.count("resting links shed") == 0; i++) {
+        client.write(harness.scan("search", 2000, i % 8));
+        String answer = client.answer();
+        assertTrue(answer.startsWith("200"), answer + " after " + i + ", " + harness.serve.counts);
+      }
+      assertTrue(harness.count("resting links shed") > 0, harness.serve.counts.toString());
+      assertTrue(
+          harness.count("links dialled") >= 0.75 * maxConnections, harness.serve.counts.toString());
+      assertEquals(
+          0,
+          harness.count("trips UNREACHABLE") + harness.count("trips BROKEN"),
+          harness.serve.counts.toString());
+    }
+  }
+
+  /** So many searchers that answer whatever comes. */
+  private static Rig.Box[] answeringBoxes(Rig harness, int count) throws IOException {
+    Rig.Box[] boxes = new Rig.Box[count];
+    for (int i = 0; i < count; i++) {
+      Rig.Box box = harness.box("b" + i, i % 4);
+      boxes[i] = box;
+      Rig.aside(
+          () -> {
+            while (true) {
+              Rig.answers(box.link());
+            }
+          });
+    }
+    return boxes;
+  }
+
+  /**
+   * Guards against a mixer that waits for discovery's word where none comes, or for its own
+   * practice.
+   */
+  @Test
+  void readyWhileDiscoveryRefusesOrIsSilentWithLongDialTimeout() throws Exception {
+    for (boolean refusing : new boolean[] {true, false}) {
+      long startNanos = System.nanoTime();
+      try (Rig harness =
+          new Rig(!refusing, "\"DialTimeoutMs\": 250.0", "\"DialTimeoutMs\": 20000.0")) {
+        harness.ready(); // nobody accepts at the agent, or nobody listens there
+        assertTrue(System.nanoTime() - startNanos < 10_000_000_000L, "refusing: " + refusing);
+        harness.awaitCount("answers practised", 1);
+      }
+    }
+  }
+
+  /** SIGTERM in the very first turn, with practice under way and nothing heard of discovery. */
+  @Test
+  void sigtermDuringWarmUpShutsDownNormally() throws Exception {
+    try (Rig.Agent agent = new Rig.Agent(true)) {
+      Path file = Files.createTempFile("term", ".json");
+      Files.writeString(
+          file,
+          exampleConfig()
+              .replace("8500", "" + agent.address().getPort())
+              .replace("\"HardLimitMs\": 2000.0", "\"HardLimitMs\": 500.0")
+              .replace("600.0", "300.0"));
+      Map<String, String> env = Map.of("LB_CONFIG", file.toString());
+      MixerServer server = new MixerServer(env, null, null);
+      assertEquals(
+          0,
+          server.serve(
+              MixerConfig.read(env), System.err, address -> server.loop.post(server::announceEnd)));
+      server.dispose();
+      assertEquals(1, server.counts.get("ends announced"));
+      assertEquals(0, server.counts.get("failures in an event"));
+      file.toFile().delete();
+    }
+  }
+
+  private static String exampleConfig() throws IOException {
+    return Files.readString(
+            Path.of(Files.exists(Path.of("example")) ? "example" : "../example", "config.json"))
+        .replace("127.0.0.1:8081", "127.0.0.1:0");
+  }
+}
--- a/mixer/src/test/java/gingerring/server/LateStartTest.java
+++ b/mixer/src/test/java/gingerring/server/LateStartTest.java
@@ -45,23 +45,23 @@
   /** Searchers behind a gate; those of four cells hold each part twice. */
   private static final class Searchers implements Closeable {
     final Gate gate;
-    final List<Late> late = new ArrayList<>();
+    final List<SlowAcceptSearcher> late = new ArrayList<>();
 
     Searchers(Gate gate, int... cells) throws IOException {
       this.gate = gate;
       for (int cell : cells) {
         late.add(
             gate == Gate.BEFORE_UP
-                ? new Late("late" + cell, cell)
-                : Late.narrow("late" + cell, cell));
+                ? new SlowAcceptSearcher("late" + cell, cell)
+                : SlowAcceptSearcher.withSmallReceiveBuffer("late" + cell, cell));
       }
     }
 
     /** From now on they come up, and answer whatever comes. */
     void open() throws IOException {
-      for (Late each : late) {
+      for (SlowAcceptSearcher each : late) {
         if (gate == Gate.BEFORE_UP) {
-          each.letGo();
+          each.releaseBacklog();
         }
         Rig.aside(
             () -> {
@@ -74,7 +74,7 @@
 
     @Override
     public void close() throws IOException {
-      for (Late each : late) {
+      for (SlowAcceptSearcher each : late) {
         each.close();
       }
     }
--- /dev/null
+++ b/mixer/src/test/java/gingerring/server/SearcherCloseRaceTest.java
@@ -0,0 +1,878 @@
+package gingerring.server;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import gingerring.backend.Back;
+import gingerring.backend.Errand;
+import gingerring.backend.Returns;
+import gingerring.decide.Outcome;
+import gingerring.decide.SearcherId;
+import gingerring.decide.Settings;
+import gingerring.json.Json;
+import gingerring.net.Counts;
+import gingerring.net.Inbox;
+import gingerring.net.Network;
+import gingerring.net.Tap;
+import gingerring.net.TurnClock;
+import java.io.Closeable;
+import java.io.IOException;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.net.ServerSocket;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.Comparator;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.PriorityQueue;
+import java.util.concurrent.BlockingQueue;
+import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.LinkedBlockingQueue;
+import java.util.concurrent.TimeUnit;
+import java.util.function.BooleanSupplier;
+import java.util.stream.Stream;
+import org.junit.jupiter.api.Timeout;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.EnumSource;
+import org.junit.jupiter.params.provider.MethodSource;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/**
+ * A searcher that closes its connection just as a part is written to it, is out or is answered, by
+ * what a repeat does in the part's class; and a probe that is wanted while two dials are under way:
+ * see docs/crossings.md.
+ */
+@Timeout(120)
+class SearcherCloseRaceTest {
+  private enum CloseMode {
+    /** In order, and it still reads what comes. */
+    HALF_CLOSE,
+    CLOSE,
+    RESET;
+
+    void apply(Rig.Link link) throws IOException {
+      switch (this) {
+        case HALF_CLOSE -> link.halfClose();
+        case CLOSE -> link.close();
+        case RESET -> link.reset();
+      }
+    }
+  }
+
+  private record CloseCase(String serviceClass, CloseMode closeMode, boolean variant) {
+    /** May run a second time. */
+    boolean retryable() {
+      return !serviceClass.equals("once");
+    }
+  }
+
+  private static Stream<CloseCase> closeCases() {
+    return Stream.of("search", "post", "once")
+        .flatMap(
+            serviceClass ->
+                Arrays.stream(CloseMode.values())
+                    .flatMap(
+                        closeMode ->
+                            Stream.of(
+                                new CloseCase(serviceClass, closeMode, false),
+                                new CloseCase(serviceClass, closeMode, true))));
+  }
+
+  private static Stream<CloseCase> closeCasesWithoutVariant() {
+    return closeCases().filter(closeCase -> !closeCase.variant);
+  }
+
+  /** Holds MINA's thread where it reads a request that is marked for it. */
+  private static final class ReadBlocker implements Tap {
+    private static final String MARKER_HEADER = "X-Brake";
+    final CountDownLatch reached = new CountDownLatch(1);
+    final CountDownLatch released = new CountDownLatch(1);
+
+    @Override
+    public void opened(long connection, InetSocketAddress opener, InetSocketAddress listener) {}
+
+    @Override
+    public void data(long connection, int side, byte[] bytes) {
+      if (new String(bytes, StandardCharsets.ISO_8859_1).contains(MARKER_HEADER)) {
+        reached.countDown();
+        awaitLatch(released);
+      }
+    }
+
+    @Override
+    public void closed(long connection, int side) {}
+  }
+
+  private static void awaitLatch(CountDownLatch latch) {
+    try {
+      assertTrue(latch.await(Rig.WAIT_MS, TimeUnit.MILLISECONDS));
+    } catch (InterruptedException e) {
+      throw new AssertionError(e);
+    }
+  }
+
+  /**
+   * A mixer and three boxes: b0 has a connection that rests, and holds shards 0 and 3; b1 holds 0,
+   * and b2 holds 3, but two calls are out at each, so that whatever either shard is asked for goes
+   * to b0 first.
+   */
+  private static final class ThreeBoxFixture implements Closeable {
+    final ReadBlocker readBlocker = new ReadBlocker();
+    final Rig harness;
+    final Rig.Box b0;
+    final Rig.Link b0Link;
+    final Rig.Link[] otherLinks = new Rig.Link[2];
+    final Rig.Client client;
+
+    /** {@code windowMs}: of the class that may run again in it. */
+    ThreeBoxFixture(int windowMs) throws Exception {
+      harness =
+          new Rig(
+              readBlocker,
+              true,
+              "{\"Name\": \"post\"",
+              "{\"Name\": \"once\", \"AimMs\": 600.0, "
+                  + "\"HardLimitMs\": 2000.0, \"Idempotency\": \"at_most_once\", \"LateWorth\": 0.0, "
+                  + "\"WindowMs\": 5000.0, \"Worth\": 1.0}, {\"Name\": \"post\"",
+              "\"ClassFetch\": [0, 0]",
+              "\"ClassFetch\": [0, 0, 0]",
+              "\"ClassFloor\": [0.4, 1.0]",
+              "\"ClassFloor\": [0.4, 1.0, 1.0]",
+              "\"ClassPartial\": [0.9, 0.9]",
+              "\"ClassPartial\": [0.9, 0.9, 0.9]",
+              "\"NeedByClass\": [1.0, 1.0]",
+              "\"NeedByClass\": [1.0, 1.0, 1.0]",
+              // no part is copied or moved for being late, and no probe comes between
+              "\"Probing\": true",
+              "\"Probing\": false",
+              "\"SecondCopies\": true",
+              "\"SecondCopies\": false",
+              "\"AimMs\": 600.0",
+              "\"AimMs\": 30000.0",
+              "\"HardLimitMs\": 2000.0",
+              "\"HardLimitMs\": 40000.0",
+              "\"WindowMs\": 5000.0",
+              "\"WindowMs\": " + windowMs + ".0");
+      b0 = harness.box("b0", 0);
+      Rig.Box b1 = harness.box("b1", 1);
+      Rig.Box b2 = harness.box("b2", 3);
+      harness.begin(b0, b1, b2);
+      Rig.Box[] boxes = {b1, b2};
+      for (int i = 0; i < 2; i++) {
+        for (int requestIndex = 0; requestIndex < 2; requestIndex++) {
+          harness.client().write(scan("search", i + 1));
+          otherLinks[i] = requestIndex == 0 ? boxes[i].link() : otherLinks[i];
+          otherLinks[i].call();
+        }
+      }
+      client = harness.client();
+      client.write(scan("search", 0));
+      b0Link = b0.link();
+      b0Link.answer(b0Link.call(), "done");
+      assertTrue(client.answer().startsWith("200"));
+    }
+
+    String scan(String serviceClass, int... partitions) {
+      return harness.scan(serviceClass, 40_000, partitions);
+    }
+
+    /** The part comes to another box, by itself, and is done there. */
+    void assertAnsweredByOtherBox(int partition) throws IOException {
+      Rig.Link otherLink = otherLinks[partition == 0 ? 0 : 1];
+      Rig.Frame request = otherLink.call();
+      assertEquals(List.of(harness.lastMark() + '.' + partition), request.parts());
+      otherLink.answer(request, "done");
+    }
+
+    /**
+     * The next that each of the other boxes hears of is what is sent to it now: nothing else was.
+     */
+    void assertNothingElseSent() throws Exception {
+      for (int i = 0; i < otherLinks.length; i++) {
+        int partition = i + 1;
+        harness.client().write(scan("search", partition));
+        assertEquals(List.of(harness.lastMark() + '.' + partition), otherLinks[i].call().parts());
+      }
+    }
+
+    /** The client's answer, after which it is told nothing more. */
+    String readOnlyAnswer() throws IOException {
+      String answer = client.answer();
+      client.halfClose();
+      assertEquals(0, countRemainingBytes(client), "one answer");
+      return answer;
+    }
+
+    void assertTripCounts(int brokenTrips, int unreachableTrips) {
+      assertEquals(brokenTrips, harness.count("trips BROKEN"));
+      assertEquals(unreachableTrips, harness.count("trips UNREACHABLE"));
+    }
+
+    @Override
+    public void close() {
+      readBlocker.released.countDown();
+      harness.close();
+    }
+  }
+
+  /** How many bytes come until the mixer ends the connection in order. */
+  private static int countRemainingBytes(Rig.Talk peer) throws IOException {
+    return peer.socket.getInputStream().readAllBytes().length;
+  }
+
+  /**
+   * Guards against a part that is put into a connection of which the end was heard in the same
+   * turn.
+   */
+  @ParameterizedTest
+  @MethodSource("closeCases")
+  void closeReadInTurnOfScanDoesNotFailIt(CloseCase closeCase) throws Exception {
+    try (ThreeBoxFixture fixture = new ThreeBoxFixture(5000)) {
+      boolean closeFirst = closeCase.variant;
+      try (Rig.Gate gate = fixture.harness.hold()) {
+        if (closeFirst) {
+          closeCase.closeMode.apply(fixture.b0Link);
+          gate.posted(1);
+        }
+        int postedBefore = gate.posted();
+        fixture.client.write(fixture.scan(closeCase.serviceClass, 0));
+        gate.posted(postedBefore + 1);
+        if (!closeFirst) {
+          closeCase.closeMode.apply(fixture.b0Link);
+          gate.posted(postedBefore + 2);
+        }
+      }
+      Rig.Link newLink = fixture.b0.link();
+      Rig.Frame request = newLink.call();
+      assertEquals(List.of(fixture.harness.lastMark() + ".0"), request.parts());
+      newLink.answer(request, "done");
+      assertTrue(fixture.readOnlyAnswer().startsWith("200 {\"whole\":true"));
+      if (closeCase.closeMode == CloseMode.HALF_CLOSE) {
+        assertEquals(0, countRemainingBytes(fixture.b0Link));
+      }
+      fixture.assertNothingElseSent();
+      fixture.assertTripCounts(0, 0);
+    }
+  }
+
+  /**
+   * The end is known to MINA, and its word behind the turn that puts the part: nothing of it
+   * leaves. Guards against a part of any class that is given up as if it might have run.
+   */
+  @ParameterizedTest
+  @MethodSource("closeCasesWithoutVariant")
+  void partQueuedButNeverWrittenIsSentToAnotherBox(CloseCase closeCase) throws Exception {
+    try (ThreeBoxFixture fixture = new ThreeBoxFixture(5000)) {
+      CountDownLatch inTurn = new CountDownLatch(1);
+      CountDownLatch resume = new CountDownLatch(1);
+      try (Rig.Gate gate = fixture.harness.hold()) {
+        fixture.client.write(fixture.scan(closeCase.serviceClass, 0));
+        gate.posted(1);
+        fixture.harness.serve.loop.post(
+            () -> {
+              inTurn.countDown();
+              awaitLatch(resume);
+            });
+      }
+      awaitLatch(inTurn); // the scan is in this turn, and what is posted from now on is not
+      closeCase.closeMode.apply(fixture.b0Link);
+      Rig.await("the word of the close", () -> fixture.harness.serve.loop.posted() >= 1);
+      resume.countDown();
+      fixture.assertAnsweredByOtherBox(0);
+      assertTrue(fixture.readOnlyAnswer().startsWith("200 {\"whole\":true"));
+      if (closeCase.closeMode == CloseMode.HALF_CLOSE) {
+        assertEquals(0, countRemainingBytes(fixture.b0Link));
+      }
+      fixture.assertNothingElseSent();
+      fixture.assertTripCounts(0, 1);
+    }
+  }
+
+  /**
+   * The end stands unread in the kernel while the part is written. After an orderly close the write
+   * goes well, and the searcher may still read it: the part may have run. After a reset nothing can
+   * be written. Guards against a second effect, and against a part that is given up though it never
+   * left.
+   */
+  @ParameterizedTest
+  @MethodSource("closeCasesWithoutVariant")
+  void partWrittenBeforeCloseIsReadMayHaveRun(CloseCase closeCase) throws Exception {
+    try (ThreeBoxFixture fixture = new ThreeBoxFixture(5000)) {
+      Rig.Client blockedClient = fixture.harness.client();
+      blockedClient.write("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n");
+      assertTrue(blockedClient.answer().startsWith("200"));
+      try (Rig.Gate gate = fixture.harness.hold()) {
+        fixture.client.write(fixture.scan(closeCase.serviceClass, 0));
+        gate.posted(1);
+        blockedClient.write(
+            "GET /ready HTTP/1.1\r\nHost: x\r\n" + ReadBlocker.MARKER_HEADER + ": 1\r\n\r\n");
+        awaitLatch(fixture.readBlocker.reached);
+        closeCase.closeMode.apply(fixture.b0Link);
+      }
+      fixture.harness.turns(2); // the part is MINA's, which writes before it reads again
+      fixture.readBlocker.released.countDown();
+      boolean mayHaveRun = closeCase.closeMode != CloseMode.RESET;
+      if (closeCase.closeMode == CloseMode.HALF_CLOSE) {
+        assertEquals(List.of(fixture.harness.lastMark() + ".0"), fixture.b0Link.call().parts());
+        assertEquals(0, countRemainingBytes(fixture.b0Link));
+      }
+      assertOutcomeOfClass(fixture, closeCase, mayHaveRun);
+      fixture.assertTripCounts(mayHaveRun ? 1 : 0, mayHaveRun ? 0 : 1);
+    }
+  }
+
+  /** The one answer to a scan of shard 0, and what is sent for it to another. */
+  private static void assertOutcomeOfClass(
+      ThreeBoxFixture fixture, CloseCase closeCase, boolean mayHaveRun) throws Exception {
+    if (closeCase.retryable() || !mayHaveRun) {
+      fixture.assertAnsweredByOtherBox(0);
+      assertTrue(fixture.readOnlyAnswer().startsWith("200 {\"whole\":true"));
+    } else {
+      assertTrue(fixture.readOnlyAnswer().startsWith("500"));
+    }
+    fixture.assertNothingElseSent();
+  }
+
+  /**
+   * Guards against a second effect of a part that its searcher had read, and against one given up
+   * for nothing.
+   */
+  @ParameterizedTest
+  @MethodSource("closeCasesWithoutVariant")
+  void partReadBySearcherIsRetriedIfItsClassAllows(CloseCase closeCase) throws Exception {
+    try (ThreeBoxFixture fixture = new ThreeBoxFixture(5000)) {
+      fixture.client.write(fixture.scan(closeCase.serviceClass, 0));
+      assertEquals(List.of(fixture.harness.lastMark() + ".0"), fixture.b0Link.call().parts());
+      try (Rig.Gate gate = fixture.harness.hold()) {
+        closeCase.closeMode.apply(fixture.b0Link);
+        gate.posted(1);
+      }
+      assertOutcomeOfClass(fixture, closeCase, true);
+      fixture.assertTripCounts(1, 0);
+    }
+  }
+
+  /** Guards against a repeat that its searcher no longer knows for one. */
+  @ParameterizedTest
+  @EnumSource(CloseMode.class)
+  void keyedPartIsNotRetriedAfterIdempotencyWindow(CloseMode closeMode) throws Exception {
+    int windowMs = 100;
+    try (ThreeBoxFixture fixture = new ThreeBoxFixture(windowMs)) {
+      fixture.client.write(fixture.scan("post", 0));
+      assertEquals(List.of(fixture.harness.lastMark() + ".0"), fixture.b0Link.call().parts());
+      long readAtNanos = System.nanoTime();
+      try (Rig.Gate gate = fixture.harness.hold()) {
+        Rig.await(
+            "the end of the window", () -> System.nanoTime() - readAtNanos > windowMs * 1_000_000L);
+        closeMode.apply(fixture.b0Link);
+        gate.posted(1);
+      }
+      assertTrue(fixture.readOnlyAnswer().startsWith("500"));
+      fixture.assertNothingElseSent();
+      fixture.assertTripCounts(1, 0);
+    }
+  }
+
+  /**
+   * Of two parts of a call one is answered, and perhaps the half of the other's answer has come.
+   * Guards against an answer that its connection's end takes along, and against the answered one
+   * being sent again with the other.
+   */
+  @ParameterizedTest
+  @MethodSource("closeCases")
+  void unansweredPartOfTwoEndsAsItsClassAllows(CloseCase closeCase) throws Exception {
+    for (int answered : new int[] {0, 3}) {
+      try (ThreeBoxFixture fixture = new ThreeBoxFixture(5000)) {
+        int unanswered = 3 - answered;
+        fixture.client.write(fixture.scan(closeCase.serviceClass, 0, 3));
+        String idempotencyKey = fixture.harness.lastMark();
+        assertEquals(2, fixture.b0Link.call().parts().size());
+        try (Rig.Gate gate = fixture.harness.hold()) {
+          byte[] unansweredResult = Rig.Link.result(idempotencyKey + '.' + unanswered, "done");
+          fixture.b0Link.write(Rig.Link.result(idempotencyKey + '.' + answered, "done"));
+          fixture.b0Link.write(
+              closeCase.variant
+                  ? Arrays.copyOf(unansweredResult, unansweredResult.length - 1)
+                  : new byte[0]);
+          gate.posted(1);
+          closeCase.closeMode.apply(fixture.b0Link);
+          gate.posted(2);
+        }
+        if (closeCase.retryable()) {
+          fixture.assertAnsweredByOtherBox(unanswered);
+          String answer = fixture.readOnlyAnswer();
+          assertTrue(
+              answer.startsWith("200 {\"whole\":true")
+                  && answer.contains("v" + idempotencyKey + ".0")
+                  && answer.contains("v" + idempotencyKey + ".3"),
+              answer);
+        } else {
+          assertTrue(fixture.readOnlyAnswer().startsWith("500"));
+        }
+        fixture.assertNothingElseSent();
+        fixture.assertTripCounts(1, 0);
+      }
+    }
+  }
+
+  // ---- probes on each of two dials ----
+
+  /**
+   * Turns that the test makes one by one, at its own time: an event is heard when the test hands it
+   * on.
+   */
+  private static final class ManualLoop implements Inbox, TurnClock {
+    private record Timer(Duration dueAt, int sequence, Runnable task) {}
+
+    private final BlockingQueue<Runnable> posted = new LinkedBlockingQueue<>();
+    private final PriorityQueue<Timer> timers =
+        new PriorityQueue<>(Comparator.comparing(Timer::dueAt).thenComparing(Timer::sequence));
+    private volatile Duration now = Duration.ZERO;
+    private int timerCount;
+
+    @Override
+    public void post(Runnable event) {
+      posted.add(event);
+    }
+
+    @Override
+    public Duration clock() {
+      return now;
+    }
+
+    @Override
+    public Duration now() {
+      return now;
+    }
+
+    @Override
+    public void wakeAfter(Duration delay, Runnable task) {
+      timers.add(new Timer(now.plus(delay), timerCount++, task));
+    }
+  }
+
+  /**
+   * A searcher's side of the mixer by itself, and the searcher: its dials come up, and are heard of
+   * when told.
+   */
+  private static final class DialFixture implements Returns, Closeable {
+    private static final SearcherId SEARCHER = new SearcherId(1);
+
+    final ManualLoop loop = new ManualLoop();
+    final Counts counts = new Counts();
+    final Network network = new Network(loop, counts, false);
+    final Back backend;
+    final Duration dialTimeout;
+    ServerSocket listener = new ServerSocket(0, 8, InetAddress.getLoopbackAddress());
+    final List<Rig.Link> links = new ArrayList<>();
+
+    /** The words that the dials are up, or refused. */
+    final List<Runnable> dialResults = new ArrayList<>();
+
+    final List<Outcome> probeOutcomes = new ArrayList<>();
+
+    DialFixture() throws IOException, Json.Malformed {
+      Map<String, String> flatSettings = new HashMap<>();
+      Path example = Files.exists(Path.of("example")) ? Path.of("example") : Path.of("../example");
+      MixerConfig.flatten(
+          "",
+          ((Map<?, ?>) Json.read(Files.readAllBytes(example.resolve("config.json"))))
+              .get("settings"),
+          flatSettings);
+      Settings settings = new Settings(flatSettings);
+      backend = new Back(network, this, settings, counts, loop);
+      dialTimeout = settings.span("PolicyLimits.DialTimeoutMs");
+      listener.setSoTimeout(Rig.WAIT_MS);
+      backend.listed(SEARCHER, (InetSocketAddress) listener.getLocalSocketAddress(), null);
+    }
+
+    /** The first dial is late and a second under way for a probe, neither heard of. */
+    static DialFixture withTwoDials() throws Exception {
+      DialFixture fixture = new DialFixture();
+      fixture.dialForProbe();
+      fixture.passDialTimeout();
+      assertEquals(
+          List.of(Outcome.UNREACHABLE), fixture.probeOutcomes); // the probe of the first dial
+      fixture.probeOutcomes.clear();
+      fixture.dialForProbe();
+      return fixture;
+    }
+
+    private void dialForProbe() throws Exception {
+      backend.probe(SEARCHER);
+      runTurn();
+      assertEquals(dialResults.size() + 1, counts.get("links dialled"));
+      links.add(new Rig.Link(listener.accept()));
+      dialResults.add(nextEvent());
+    }
+
+    /** From now on who dials is refused. */
+    void refuseConnections() throws IOException {
+      listener.close();
+    }
+
+    /** It can be dialled again, at the same address. */
+    void admitConnections() throws IOException {
+      int port = listener.getLocalPort();
+      listener = new ServerSocket();
+      listener.setReuseAddress(true);
+      listener.setSoTimeout(Rig.WAIT_MS);
+      listener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), 8);
+    }
+
+    void passDialTimeout() {
+      loop.now = loop.now.plus(dialTimeout);
+      runTurn();
+    }
+
+    Runnable nextEvent() throws InterruptedException {
+      Runnable event = loop.posted.poll(Rig.WAIT_MS, TimeUnit.MILLISECONDS);
+      assertTrue(event != null, "nothing is heard of within " + Rig.WAIT_MS + " ms");
+      return event;
+    }
+
+    /** A turn as the loop makes it. */
+    void runTurn(Runnable... events) {
+      Arrays.stream(events).forEach(Runnable::run);
+      while (!loop.timers.isEmpty() && loop.timers.peek().dueAt.compareTo(loop.now) <= 0) {
+        loop.timers.poll().task.run();
+      }
+      backend.dispatch();
+      network.flush();
+    }
+
+    /** Turns with what is heard of, but for the words kept back, until it is so. */
+    void runTurnsUntil(BooleanSupplier condition) throws InterruptedException {
+      while (!condition.getAsBoolean()) {
+        runTurn(nextEvent());
+      }
+    }
+
+    void assertProbeReceivedOn(int linkIndex) throws IOException {
+      assertEquals('H', links.get(linkIndex).frame().letter());
+    }
+
+    void answerProbe(int linkIndex) throws Exception {
+      links.get(linkIndex).write(Rig.Link.framed('H', "done"));
+      runTurnsUntil(() -> probeOutcomes.size() == 1);
+      assertEquals(List.of(Outcome.SUCCEEDED), probeOutcomes);
+    }
+
+    /**
+     * Nothing more goes by any connection, and nothing more is told, also once all times are over.
+     */
+    void assertFinalOutcome(Outcome outcome) throws Exception {
+      runTurn();
+      passDialTimeout();
+      backend.closeIdle(SEARCHER);
+      runTurnsUntil(() -> network.connections() == 0);
+      for (Rig.Link link : links) {
+        if (!link.socket.isClosed()) {
+          assertEquals(0, countRemainingBytes(link));
+        }
+      }
+      assertEquals(List.of(outcome), probeOutcomes);
+    }
+
+    @Override
+    public void ended(Errand errand, Outcome outcome, float[] load, byte[] value) {}
+
+    @Override
+    public void probed(SearcherId searcher, Outcome outcome, Duration responseTime, float[] load) {
+      probeOutcomes.add(outcome);
+    }
+
+    @Override
+    public void close() throws IOException {
+      network.dispose();
+      for (Rig.Link link : links) {
+        link.close();
+      }
+      listener.close();
+    }
+  }
+
+  private enum OtherDialOrder {
+    ESTABLISHED_IN_SAME_TURN,
+    ESTABLISHED_BEFORE_ANSWER,
+    ESTABLISHED_AFTER_ANSWER
+  }
+
+  private static Stream<List<Object>> dialOrders() {
+    return Stream.of(0, 1)
+        .flatMap(
+            first -> Arrays.stream(OtherDialOrder.values()).map(other -> List.of(first, other)));
+  }
+
+  /**
+   * Guards against a probe that goes by both of two dials, or by none, whichever is heard of first.
+   */
+  @ParameterizedTest
+  @MethodSource("dialOrders")
+  void probeUsesFirstOfTwoDialsToBeEstablished(List<Object> closeCase) throws Exception {
+    int first = (int) closeCase.get(0);
+    OtherDialOrder other = (OtherDialOrder) closeCase.get(1);
+    try (DialFixture fixture = DialFixture.withTwoDials()) {
+      Runnable establishedFirst = fixture.dialResults.get(first);
+      Runnable establishedSecond = fixture.dialResults.get(1 - first);
+      if (other == OtherDialOrder.ESTABLISHED_IN_SAME_TURN) {
+        fixture.runTurn(establishedFirst, establishedSecond);
+      } else {
+        fixture.runTurn(establishedFirst);
+      }
+      fixture.assertProbeReceivedOn(first);
+      if (other == OtherDialOrder.ESTABLISHED_BEFORE_ANSWER) {
+        fixture.runTurn(establishedSecond);
+      }
+      fixture.answerProbe(first);
+      if (other == OtherDialOrder.ESTABLISHED_AFTER_ANSWER) {
+        fixture.runTurn(establishedSecond);
+      }
+      fixture.assertFinalOutcome(Outcome.SUCCEEDED);
+      assertEquals(2, fixture.counts.get("links dialled"));
+    }
+  }
+
+  /**
+   * Guards against a second dial, or a probe that waits, where the late dial is heard of in the
+   * probe's own turn.
+   */
+  @ParameterizedTest
+  @ValueSource(booleans = {true, false})
+  void probeUsesLateDialEstablishedInItsTurn(boolean dialFirst) throws Exception {
+    try (DialFixture fixture = new DialFixture()) {
+      fixture.dialForProbe();
+      fixture.passDialTimeout();
+      fixture.probeOutcomes.clear();
+      Runnable probeRequest = () -> fixture.backend.probe(DialFixture.SEARCHER);
+      Runnable established = fixture.dialResults.get(0);
+      fixture.runTurn(
+          dialFirst ? established : probeRequest, dialFirst ? probeRequest : established);
+      fixture.assertProbeReceivedOn(0);
+      fixture.answerProbe(0);
+      fixture.assertFinalOutcome(Outcome.SUCCEEDED);
+      assertEquals(1, fixture.counts.get("links dialled"));
+    }
+  }
+
+  /** Guards against a probe that leaves after it was told as unreachable, by either dial. */
+  @ParameterizedTest
+  @ValueSource(ints = {0, 1})
+  void unreachableProbeIsNotSentOnLaterConnection(int first) throws Exception {
+    try (DialFixture fixture = DialFixture.withTwoDials()) {
+      fixture.passDialTimeout();
+      assertEquals(List.of(Outcome.UNREACHABLE), fixture.probeOutcomes);
+      fixture.runTurn(fixture.dialResults.get(first));
+      fixture.runTurn(fixture.dialResults.get(1 - first));
+      fixture.assertFinalOutcome(Outcome.UNREACHABLE);
+    }
+  }
+
+  /**
+   * What came in the turn is heard before its timers. Guards against a probe that is sent, and told
+   * as not sent.
+   */
+  @ParameterizedTest
+  @ValueSource(ints = {0, 1})
+  void probeIsSentOnDialEstablishedInTurnOfItsTimeout(int first) throws Exception {
+    try (DialFixture fixture = DialFixture.withTwoDials()) {
+      fixture.loop.now = fixture.loop.now.plus(fixture.dialTimeout);
+      fixture.runTurn(fixture.dialResults.get(first));
+      fixture.assertProbeReceivedOn(first);
+      fixture.runTurn(fixture.dialResults.get(1 - first));
+      fixture.answerProbe(first);
+      fixture.assertFinalOutcome(Outcome.SUCCEEDED);
+    }
+  }
+
+  /**
+   * Guards against a probe that is repeated by the other dial once its own time is over, against a
+   * late answer that is taken for the next probe's, and against a next probe that finds nobody as
+   * the first did.
+   */
+  @ParameterizedTest
+  @ValueSource(ints = {0, 1})
+  void probeTimedOutOnOneConnectionLeavesOtherToNextProbe(int first) throws Exception {
+    try (DialFixture fixture = DialFixture.withTwoDials()) {
+      fixture.runTurn(fixture.dialResults.get(first));
+      fixture.assertProbeReceivedOn(first);
+      fixture.runTurn(fixture.dialResults.get(1 - first));
+      fixture.passDialTimeout();
+      assertEquals(List.of(Outcome.TIMED_OUT), fixture.probeOutcomes);
+      fixture.probeOutcomes.clear();
+      fixture.links.get(first).write(Rig.Link.framed('H', "failed"));
+      fixture.backend.probe(DialFixture.SEARCHER);
+      fixture.runTurn();
+      fixture.assertProbeReceivedOn(1 - first);
+      fixture.answerProbe(1 - first);
+      fixture.assertFinalOutcome(Outcome.SUCCEEDED);
+      assertEquals(2, fixture.counts.get("links dialled"));
+    }
+  }
+
+  /**
+   * Guards against a probe that is told as timed out and then as answered, or the other way round.
+   */
+  @ParameterizedTest
+  @ValueSource(ints = {0, 1})
+  void probeAnswerReadInTurnOfItsTimeoutCounts(int first) throws Exception {
+    try (DialFixture fixture = DialFixture.withTwoDials()) {
+      fixture.runTurn(fixture.dialResults.get(first), fixture.dialResults.get(1 - first));
+      fixture.assertProbeReceivedOn(first);
+      fixture.runTurnsUntil(fixture.network::unsentFree);
+      fixture.links.get(first).write(Rig.Link.framed('H', "done"));
+      fixture.loop.now = fixture.loop.now.plus(fixture.dialTimeout);
+      fixture.runTurn(fixture.nextEvent());
+      fixture.assertFinalOutcome(Outcome.SUCCEEDED);
+    }
+  }
+
+  /**
+   * Guards against a probe that is repeated by the other dial, or told twice, as the connection it
+   * is out on ends.
+   */
+  @ParameterizedTest
+  @EnumSource(CloseMode.class)
+  void probeWhoseConnectionEndsIsReportedBrokenOnce(CloseMode closeMode) throws Exception {
+    for (int first : new int[] {0, 1}) {
+      for (boolean otherEstablishedFirst : new boolean[] {true, false}) {
+        try (DialFixture fixture = DialFixture.withTwoDials()) {
+          Runnable otherEstablished = fixture.dialResults.get(1 - first);
+          fixture.runTurn(fixture.dialResults.get(first));
+          fixture.assertProbeReceivedOn(first);
+          fixture.runTurnsUntil(fixture.network::unsentFree);
+          closeMode.apply(fixture.links.get(first));
+          Runnable closeEvent = fixture.nextEvent();
+          fixture.runTurn(
+              otherEstablishedFirst ? otherEstablished : closeEvent,
+              otherEstablishedFirst ? closeEvent : otherEstablished);
+          fixture.assertFinalOutcome(Outcome.BROKEN);
+        }
+      }
+    }
+  }
+
+  private enum RefusalOrder {
+    REFUSED_FIRST,
+    REFUSED_FIRST_IN_ONE_TURN,
+    REFUSED_LAST,
+    REFUSED_LAST_IN_ONE_TURN
+  }
+
+  /**
+   * Guards against a probe that is told as unreachable and is sent by the late dial too, or sent
+   * and not heard.
+   */
+  @ParameterizedTest
+  @EnumSource(RefusalOrder.class)
+  void secondDialRefusedWhileLateDialIsEstablished(RefusalOrder refusal) throws Exception {
+    try (DialFixture fixture = new DialFixture()) {
+      fixture.dialForProbe();
+      fixture.passDialTimeout();
+      fixture.probeOutcomes.clear();
+      fixture.refuseConnections();
+      fixture.backend.probe(DialFixture.SEARCHER);
+      fixture.runTurn();
+      Runnable established = fixture.dialResults.get(0);
+      Runnable refused = fixture.nextEvent();
+      boolean establishedFirst =
+          refusal == RefusalOrder.REFUSED_LAST || refusal == RefusalOrder.REFUSED_LAST_IN_ONE_TURN;
+      if (refusal == RefusalOrder.REFUSED_FIRST || refusal == RefusalOrder.REFUSED_LAST) {
+        fixture.runTurn(establishedFirst ? established : refused);
+        fixture.runTurn(establishedFirst ? refused : established);
+      } else {
+        fixture.runTurn(
+            establishedFirst ? established : refused, establishedFirst ? refused : established);
+      }
+      if (establishedFirst) {
+        fixture.assertProbeReceivedOn(0);
+        fixture.answerProbe(0);
+      }
+      fixture.assertFinalOutcome(establishedFirst ? Outcome.SUCCEEDED : Outcome.UNREACHABLE);
+      assertEquals(2, fixture.counts.get("links dialled"));
+    }
+  }
+
+  private enum EventOrder {
+    REFUSED_FIRST,
+    REFUSED_FIRST_IN_ONE_TURN,
+    ESTABLISHED_FIRST,
+    ESTABLISHED_FIRST_IN_ONE_TURN
+  }
+
+  /**
+   * Guards against a probe that is told as unreachable by the end of one dial while another is
+   * under way.
+   */
+  @ParameterizedTest
+  @EnumSource(EventOrder.class)
+  void lateDialRefusedWhileSecondDialIsEstablished(EventOrder order) throws Exception {
+    try (DialFixture fixture = new DialFixture()) {
+      fixture.refuseConnections();
+      fixture.backend.probe(DialFixture.SEARCHER);
+      fixture.runTurn();
+      Runnable refused = fixture.nextEvent();
+      fixture.passDialTimeout();
+      assertEquals(List.of(Outcome.UNREACHABLE), fixture.probeOutcomes);
+      fixture.probeOutcomes.clear();
+      fixture.admitConnections();
+      fixture.backend.probe(DialFixture.SEARCHER);
+      fixture.runTurn();
+      assertEquals(2, fixture.counts.get("links dialled"));
+      fixture.links.add(new Rig.Link(fixture.listener.accept()));
+      Runnable established = fixture.nextEvent();
+      switch (order) {
+        case REFUSED_FIRST -> {
+          fixture.runTurn(refused);
+          fixture.runTurn(established);
+        }
+        case REFUSED_FIRST_IN_ONE_TURN -> fixture.runTurn(refused, established);
+        case ESTABLISHED_FIRST -> {
+          fixture.runTurn(established);
+          fixture.runTurn(refused);
+        }
+        case ESTABLISHED_FIRST_IN_ONE_TURN -> fixture.runTurn(established, refused);
+      }
+      fixture.assertProbeReceivedOn(0);
+      fixture.answerProbe(0);
+      fixture.assertFinalOutcome(Outcome.SUCCEEDED);
+      assertEquals(2, fixture.counts.get("links dialled"));
+    }
+  }
+
+  /**
+   * The older of two late dials makes room for a third. Guards against a probe that goes by the one
+   * given up.
+   */
+  @ParameterizedTest
+  @ValueSource(booleans = {true, false})
+  void abandonedDialIsNotUsedWhenEstablishedAfterThirdDial(boolean secondEstablishedFirst)
+      throws Exception {
+    try (DialFixture fixture = DialFixture.withTwoDials()) {
+      fixture.passDialTimeout();
+      fixture.probeOutcomes.clear();
+      fixture.backend.probe(DialFixture.SEARCHER);
+      fixture.runTurn();
+      assertEquals(3, fixture.counts.get("links dialled"));
+      fixture.links.add(new Rig.Link(fixture.listener.accept()));
+      if (secondEstablishedFirst) {
+        fixture.runTurn(fixture.dialResults.get(0), fixture.dialResults.get(1));
+      } else {
+        fixture.runTurn(fixture.dialResults.get(0));
+        fixture.runTurnsUntil(
+            () -> !fixture.network.unsentFree()); // the third is up, and the probe on its way
+        fixture.runTurn(fixture.dialResults.get(1));
+      }
+      int expectedLink = secondEstablishedFirst ? 1 : 2;
+      fixture.assertProbeReceivedOn(expectedLink);
+      fixture.answerProbe(expectedLink);
+      fixture.assertFinalOutcome(Outcome.SUCCEEDED);
+    }
+  }
+}
--- a/mixer/src/test/java/gingerring/server/Late.java
+++ b/mixer/src/test/java/gingerring/server/SlowAcceptSearcher.java
@@ -14,40 +14,40 @@
  * A searcher whose connections come up late: the queue of its listener is full, so that the kernel
  * of those who dial asks again after a second, until the queue is let go.
  */
-final class Late implements Closeable {
+final class SlowAcceptSearcher implements Closeable {
   private final String name;
   private final int cell;
-  private final ServerSocket door = new ServerSocket();
-  private final List<Socket> queue = new ArrayList<>();
+  private final ServerSocket listener = new ServerSocket();
+  private final List<Socket> backlogFillers = new ArrayList<>();
   private final List<Rig.Link> links = new ArrayList<>();
-  private int queued;
+  private int filledSlots;
 
-  Late(String name, int cell) throws IOException {
+  SlowAcceptSearcher(String name, int cell) throws IOException {
     this(name, cell, 1);
-    fill();
+    fillBacklog();
   }
 
-  private Late(String name, int cell, int backlog) throws IOException {
+  private SlowAcceptSearcher(String name, int cell, int backlog) throws IOException {
     this.name = name;
     this.cell = cell;
-    door.setSoTimeout(Rig.WAIT_MS);
-    door.setReceiveBufferSize(4096);
-    door.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), backlog);
+    listener.setSoTimeout(Rig.WAIT_MS);
+    listener.setReceiveBufferSize(4096);
+    listener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), backlog);
   }
 
   /** One whose connections come up at once, and take little before they are read. */
-  static Late narrow(String name, int cell) throws IOException {
-    return new Late(name, cell, 64);
+  static SlowAcceptSearcher withSmallReceiveBuffer(String name, int cell) throws IOException {
+    return new SlowAcceptSearcher(name, cell, 64);
   }
 
   /** Fills the queue, so that nobody else comes up. */
-  void fill() throws IOException {
+  void fillBacklog() throws IOException {
     for (int i = 0; i < 8; i++) {
       Socket socket = new Socket();
-      queue.add(socket);
+      backlogFillers.add(socket);
       try {
-        socket.connect(door.getLocalSocketAddress(), 200);
-        queued++;
+        socket.connect(listener.getLocalSocketAddress(), 200);
+        filledSlots++;
       } catch (SocketTimeoutException e) {
         return;
       }
@@ -56,33 +56,33 @@
   }
 
   /** From now on those who dial come up, those who wait at their kernel's next try. */
-  void letGo() throws IOException {
-    for (; queued > 0; queued--) {
-      door.accept().close();
+  void releaseBacklog() throws IOException {
+    for (; filledSlots > 0; filledSlots--) {
+      listener.accept().close();
     }
-    for (Socket socket : queue) {
+    for (Socket socket : backlogFillers) {
       socket.close();
     }
-    queue.clear();
+    backlogFillers.clear();
   }
 
   /** The next connection of the mixer's. */
   Rig.Link link() throws IOException {
-    Rig.Link link = new Rig.Link(door.accept());
+    Rig.Link link = new Rig.Link(listener.accept());
     links.add(link);
     return link;
   }
 
   /** Whether nobody comes up for so long. */
-  boolean quiet(int spanMs) throws IOException {
-    door.setSoTimeout(spanMs);
+  boolean quiet(int timeoutMs) throws IOException {
+    listener.setSoTimeout(timeoutMs);
     try {
       link();
       return false;
     } catch (SocketTimeoutException e) {
       return true;
     } finally {
-      door.setSoTimeout(Rig.WAIT_MS);
+      listener.setSoTimeout(Rig.WAIT_MS);
     }
   }
 
@@ -90,7 +90,7 @@
     return "{\"id\":\""
         + name
         + "\",\"host_port\":\"127.0.0.1:"
-        + door.getLocalPort()
+        + listener.getLocalPort()
         + "\",\"locality\":\"a\",\"flavor\":\"toy\",\"cell\":"
         + cell
         + ",\"phase\":\""
@@ -100,12 +100,12 @@
 
   @Override
   public void close() throws IOException {
-    for (Socket socket : queue) {
+    for (Socket socket : backlogFillers) {
       socket.close();
     }
     for (Rig.Link link : links) {
       link.close();
     }
-    door.close();
+    listener.close();
   }
 }
--- /dev/null
+++ b/mixer/src/test/java/gingerring/server/WatchAddressChangeTest.java
@@ -0,0 +1,326 @@
+package gingerring.server;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+
+/** A move of discovery, and what crosses it, in both orders: see docs/crossings.md. */
+@Timeout(120)
+class WatchAddressChangeTest {
+  private static final int DRAIN_GRACE_MS = 500;
+  private static final int CALL_INTERVAL_MS = 250;
+  private static final int MAX_CALL_INTERVAL_MS = 1167;
+  private static final int SILENCE_TIMEOUT_MS = 2500;
+
+  private static WatchHarness newHarness() throws Exception {
+    return new WatchHarness(true, "automatic", DRAIN_GRACE_MS);
+  }
+
+  private static Rig.Call acceptWatchAndSendList(
+      WatchHarness harness, Rig.Agent agent, int expectedIndex, int revision) throws Exception {
+    Rig.Call watch = agent.watch();
+    assertTrue(watch.request.contains("?stream=1&index=" + expectedIndex + ' '), watch.request);
+    watch.say(Rig.list(revision, true));
+    assertEquals("list " + revision, harness.nextNotification());
+    return watch;
+  }
+
+  /** All that has been said is heard, and what was to be told of it is. */
+  private static void assertNoNotification(WatchHarness harness) throws Exception {
+    for (int i = 0; i < 3; i++) {
+      harness.runOnLoop(() -> {});
+    }
+    assertNull(harness.notifications.poll());
+  }
+
+  /**
+   * Guards against a mixer that hears nobody between the move and the first list from the new
+   * address.
+   */
+  @Test
+  void formerWatchIsUsedUntilFirstListFromNewAddress() throws Exception {
+    try (WatchHarness harness = newHarness();
+        Rig.Agent newAgent = new Rig.Agent(true)) {
+      harness.openWatch();
+      Rig.Call formerWatch = acceptWatchAndSendList(harness, harness.agent, 41, 42);
+      harness.changeAgentAddress(newAgent.address());
+      Rig.Call watch = newAgent.watch();
+      assertTrue(watch.request.contains("index=0 "), watch.request);
+      formerWatch.say(Rig.list(43, false));
+      assertEquals("list 43", harness.nextNotification());
+      watch.say("");
+      formerWatch.say(Rig.list(44, false));
+      assertEquals("list 44", harness.nextNotification());
+      watch.say(Rig.list(7, true));
+      assertEquals("list 7", harness.nextNotification());
+      assertEquals("closed", formerWatch.end());
+      watch.say(Rig.list(8, false));
+      assertEquals("list 8", harness.nextNotification());
+      assertNull(harness.notifications.poll());
+    }
+  }
+
+  /** Guards against a list that cannot be used, and ends the watch that could. */
+  @Test
+  void unusableListDoesNotEndFormerWatch() throws Exception {
+    try (WatchHarness harness = newHarness();
+        Rig.Agent newAgent = new Rig.Agent(true)) {
+      harness.openWatch();
+      Rig.Call formerWatch = acceptWatchAndSendList(harness, harness.agent, 41, 42);
+      harness.changeAgentAddress(newAgent.address());
+      newAgent.watch().say("{\"revision\":7}");
+      assertEquals("failed", harness.nextNotification());
+      formerWatch.say(Rig.list(43, false));
+      assertEquals("list 43", harness.nextNotification());
+      harness.advanceClock(CALL_INTERVAL_MS);
+      acceptWatchAndSendList(harness, newAgent, 0, 8);
+      assertEquals("closed", formerWatch.end());
+    }
+  }
+
+  /** In one turn: the new address has the last word, whichever comes first. */
+  @Test
+  void listOfFormerWatchAfterListFromNewAddressIsIgnored() throws Exception {
+    for (boolean formerFirst : new boolean[] {true, false}) {
+      try (WatchHarness harness = newHarness();
+          Rig.Agent newAgent = new Rig.Agent(true)) {
+        harness.openWatch();
+        Rig.Call formerWatch = acceptWatchAndSendList(harness, harness.agent, 41, 42);
+        harness.changeAgentAddress(newAgent.address());
+        Rig.Call watch = newAgent.watch();
+        harness.sendEmptyLine(watch);
+        harness.awaitCount("discovery calls", 2);
+        assertNoNotification(harness);
+        harness.runWhileBlocked(
+            () -> {
+              (formerFirst ? formerWatch : watch)
+                  .say(formerFirst ? Rig.list(43, false) : Rig.list(7, true));
+              harness.awaitPosted(1);
+              (formerFirst ? watch : formerWatch)
+                  .say(formerFirst ? Rig.list(7, true) : Rig.list(43, false));
+              harness.awaitPosted(2);
+            });
+        if (formerFirst) {
+          assertEquals("list 43", harness.nextNotification());
+        }
+        assertEquals("list 7", harness.nextNotification());
+        assertNoNotification(harness);
+      }
+    }
+  }
+
+  /** Guards against a second move that ends the watch which alone has spoken. */
+  @Test
+  void lastWatchWithListIsKeptOverTwoAddressChanges() throws Exception {
+    try (WatchHarness harness = newHarness();
+        Rig.Agent secondAgent = new Rig.Agent(true);
+        Rig.Agent thirdAgent = new Rig.Agent(true)) {
+      harness.openWatch();
+      Rig.Call formerWatch = acceptWatchAndSendList(harness, harness.agent, 41, 42);
+      harness.changeAgentAddress(secondAgent.address());
+      Rig.Call unansweredWatch = secondAgent.watch();
+      harness.changeAgentAddress(thirdAgent.address());
+      assertEquals("closed", unansweredWatch.end());
+      formerWatch.say(Rig.list(43, false));
+      assertEquals("list 43", harness.nextNotification());
+      Rig.Call watch = acceptWatchAndSendList(harness, thirdAgent, 0, 5);
+      assertEquals("closed", formerWatch.end());
+      // and where the second has spoken, it is the one that stays
+      harness.changeAgentAddress(secondAgent.address());
+      Rig.Call returnedWatch = acceptWatchAndSendList(harness, secondAgent, 0, 9);
+      assertEquals("closed", watch.end());
+      harness.changeAgentAddress(thirdAgent.address());
+      returnedWatch.say(Rig.list(10, false));
+      assertEquals("list 10", harness.nextNotification());
+      acceptWatchAndSendList(harness, thirdAgent, 0, 6);
+      assertEquals("closed", returnedWatch.end());
+      assertEquals(0, harness.counts.get("discovery failures"));
+    }
+  }
+
+  @Test
+  void returnToFirstAddressRequestsFullList() throws Exception {
+    try (WatchHarness harness = newHarness();
+        Rig.Agent newAgent = new Rig.Agent(true)) {
+      harness.openWatch();
+      Rig.Call formerWatch = acceptWatchAndSendList(harness, harness.agent, 41, 42);
+      harness.changeAgentAddress(newAgent.address());
+      Rig.Call unansweredWatch = newAgent.watch();
+      harness.changeAgentAddress(harness.agent.address());
+      assertEquals("closed", unansweredWatch.end());
+      formerWatch.say(Rig.list(43, false));
+      assertEquals("list 43", harness.nextNotification());
+      Rig.Call watch = acceptWatchAndSendList(harness, harness.agent, 0, 43);
+      assertEquals("closed", formerWatch.end());
+      harness.changeAgentAddress(harness.agent.address()); // it is there already
+      watch.say(Rig.list(44, false));
+      assertEquals("list 44", harness.nextNotification());
+      assertEquals(3, harness.discoveryCalls());
+    }
+  }
+
+  /** A former watch that falls silent or ends is no failure; the calls to the new address go on. */
+  @Test
+  void endedFormerWatchIsNotReopened() throws Exception {
+    for (boolean silent : new boolean[] {true, false}) {
+      try (WatchHarness harness = newHarness();
+          Rig.Agent newAgent = new Rig.Agent(false)) {
+        harness.openWatch();
+        Rig.Call formerWatch = acceptWatchAndSendList(harness, harness.agent, 41, 42);
+        harness.changeAgentAddress(newAgent.address());
+        assertEquals("failed", harness.nextNotification());
+        if (silent) {
+          for (int i = 0; i < SILENCE_TIMEOUT_MS; i += CALL_INTERVAL_MS) {
+            long failures = harness.counts.get("discovery failures");
+            harness.advanceClock(CALL_INTERVAL_MS);
+            harness.awaitCount("discovery failures", failures + 1);
+          }
+          assertEquals("closed", formerWatch.end());
+        } else {
+          formerWatch.reset();
+          harness.awaitCount("discovery failures", 2);
+        }
+        assertNoNotification(harness);
+        newAgent.admit();
+        harness.advanceClock(CALL_INTERVAL_MS);
+        acceptWatchAndSendList(harness, newAgent, 0, 5);
+        assertTrue(harness.agent.quiet(java.time.Duration.ofMillis(50)));
+      }
+    }
+  }
+
+  /**
+   * Guards against a timer for older lists that was set before the move, and ends the watch after
+   * it.
+   */
+  @Test
+  void olderListTimerIsCancelledByAddressChange() throws Exception {
+    for (boolean addressChanged : new boolean[] {true, false}) {
+      try (WatchHarness harness = newHarness();
+          Rig.Agent newAgent = new Rig.Agent(true)) {
+        harness.openWatch();
+        Rig.Call outdatedWatch = harness.agent.watch();
+        outdatedWatch.say(Rig.list(39, true));
+        harness.awaitCount("lists older than the one held", 1);
+        Rig.Call watch = outdatedWatch;
+        if (addressChanged) {
+          harness.changeAgentAddress(newAgent.address());
+          watch = acceptWatchAndSendList(harness, newAgent, 0, 3);
+        }
+        long calls = harness.discoveryCalls();
+        for (int i = 0; i < 6000; i += 1000) {
+          harness.sendEmptyLine(watch);
+          assertNoNotification(harness);
+          harness.advanceClock(1000);
+        }
+        assertEquals(addressChanged ? calls : calls + 1, harness.discoveryCalls());
+        if (!addressChanged) {
+          acceptWatchAndSendList(harness, harness.agent, 0, 39);
+        }
+      }
+    }
+  }
+
+  /** Guards against a whole list of the former address that replaces the one from the new. */
+  @Test
+  void fetchInFlightIsRepeatedAtNewAddress() throws Exception {
+    for (boolean answered : new boolean[] {true, false}) {
+      try (WatchHarness harness = newHarness();
+          Rig.Agent newAgent = new Rig.Agent(true)) {
+        harness.runOnLoop(harness.watch::fetch);
+        Rig.Call fetch = harness.agent.call();
+        assertTrue(fetch.request.startsWith("GET /v1/endpoints HTTP/1.1\r\n"), fetch.request);
+        String oldList = Rig.list(42, true);
+        String answer =
+            "HTTP/1.1 200 OK\r\nContent-Length: " + oldList.length() + "\r\n\r\n" + oldList;
+        if (answered) {
+          fetch.write(answer);
+          assertEquals("list 42", harness.nextNotification());
+        }
+        harness.changeAgentAddress(newAgent.address());
+        assertEquals("closed", fetch.end());
+        if (!answered) {
+          String list = Rig.list(7, true);
+          newAgent
+              .call()
+              .write("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list);
+          assertEquals("list 7", harness.nextNotification());
+        }
+        assertNoNotification(harness);
+        assertEquals(answered ? 1 : 2, harness.discoveryCalls());
+      }
+    }
+  }
+
+  /** Guards against a fetch that was answered before the watch spoke, and comes after it. */
+  @Test
+  void fetchOlderThanWatchedListIsIgnored() throws Exception {
+    try (WatchHarness harness = newHarness()) {
+      harness.openWatch();
+      Rig.Call watch = acceptWatchAndSendList(harness, harness.agent, 41, 42);
+      harness.runOnLoop(harness.watch::fetch);
+      Rig.Call fetch = harness.agent.call();
+      watch.say(Rig.list(43, false));
+      assertEquals("list 43", harness.nextNotification());
+      String oldList = Rig.list(42, true);
+      fetch.write("HTTP/1.1 200 OK\r\nContent-Length: " + oldList.length() + "\r\n\r\n" + oldList);
+      assertEquals("closed", fetch.end());
+      assertNoNotification(harness);
+    }
+  }
+
+  /**
+   * What the new address has counts 4 s after the move: calls that are refused or silent do not use
+   * it up.
+   */
+  @Test
+  void newAddressIsCalledThreeTimesWithinFourSeconds() throws Exception {
+    for (boolean refused : new boolean[] {true, false}) {
+      try (WatchHarness harness = new WatchHarness(true, "subscribe", DRAIN_GRACE_MS);
+          Rig.Agent newAgent = new Rig.Agent(!refused)) {
+        harness.openWatch();
+        acceptWatchAndSendList(harness, harness.agent, 41, 42);
+        harness.advanceClock(1000);
+        harness.changeAgentAddress(newAgent.address());
+        for (int i = 1; i <= 2; i++) {
+          if (refused) {
+            harness.awaitCount("discovery failures", i);
+          } else {
+            newAgent.call();
+          }
+          if (i == 2 && refused) {
+            newAgent.admit();
+          }
+          harness.advanceClock(MAX_CALL_INTERVAL_MS);
+        }
+        assertTrue(3 * MAX_CALL_INTERVAL_MS < 4000);
+        Rig.Call watch = newAgent.watch();
+        watch.say(Rig.list(7, true));
+        String notification = harness.nextNotification();
+        assertEquals(
+            "list 7", "failed".equals(notification) ? harness.nextNotification() : notification);
+      }
+    }
+  }
+
+  /** A move before the mixer asks for a watch, or after it wants none, opens none. */
+  @Test
+  void addressChangeOpensNoUnrequestedWatch() throws Exception {
+    try (WatchHarness harness = newHarness();
+        Rig.Agent newAgent = new Rig.Agent(true)) {
+      harness.changeAgentAddress(newAgent.address());
+      assertEquals(0, harness.discoveryCalls());
+      harness.openWatch();
+      Rig.Call watch = acceptWatchAndSendList(harness, newAgent, 0, 7);
+      harness.runOnLoop(harness.watch::close);
+      assertEquals("closed", watch.end());
+      harness.changeAgentAddress(harness.agent.address());
+      harness.advanceClock(10_000);
+      assertEquals(1, harness.discoveryCalls());
+      assertNull(harness.notifications.poll());
+    }
+  }
+}
--- /dev/null
+++ b/mixer/src/test/java/gingerring/server/WatchDialRaceTest.java
@@ -0,0 +1,602 @@
+package gingerring.server;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import gingerring.net.Connection;
+import gingerring.net.Party;
+import java.io.IOException;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.net.Socket;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.concurrent.CopyOnWriteArrayList;
+import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+
+/**
+ * Calls of discovery that come up, speak and end in one turn, and what crosses that turn at each
+ * point of it: see docs/crossings.md.
+ */
+@Timeout(120)
+class WatchDialRaceTest {
+  private static final int DRAIN_GRACE_MS = 500;
+  private static final int CALL_INTERVAL_MS = 250;
+  private static final int MAX_CALL_INTERVAL_MS = 1167;
+
+  /** So long a call may say nothing at all. */
+  private static final int LINE_TIMEOUT_MS = 1000;
+
+  /** Connections that a stage's network may hold. */
+  private static final int MAX_CONNECTIONS = 64;
+
+  /** What the agent does with a connection in the turn in which it comes up. */
+  private enum Step {
+    ESTABLISHED,
+    SPEAKS,
+    CLOSES,
+    RESETS
+  }
+
+  private static final List<List<Step>> SILENT_SEQUENCES =
+      List.of(
+          List.of(Step.ESTABLISHED),
+          List.of(Step.ESTABLISHED, Step.CLOSES),
+          List.of(Step.ESTABLISHED, Step.RESETS));
+  private static final List<List<Step>> SEQUENCES =
+      List.of(
+          List.of(Step.ESTABLISHED),
+          List.of(Step.ESTABLISHED, Step.CLOSES),
+          List.of(Step.ESTABLISHED, Step.RESETS),
+          List.of(Step.ESTABLISHED, Step.SPEAKS),
+          List.of(Step.ESTABLISHED, Step.SPEAKS, Step.CLOSES),
+          List.of(Step.ESTABLISHED, Step.SPEAKS, Step.RESETS));
+
+  private interface InterleavedScenario {
+    void run(List<Step> steps, int at, String what) throws Exception;
+  }
+
+  /** Each play, with the other event at each point of its turn: 0 is before the dial comes up. */
+  private static void forEachInterleaving(List<List<Step>> sequences, InterleavedScenario scenario)
+      throws Exception {
+    for (List<Step> steps : sequences) {
+      for (int eventIndex = 0; eventIndex <= steps.size(); eventIndex++) {
+        String description = steps + " with the other event at " + eventIndex;
+        try {
+          scenario.run(steps, eventIndex, description);
+        } catch (Exception | AssertionError e) {
+          throw new AssertionError(description + ": " + e.getMessage(), e);
+        }
+      }
+    }
+  }
+
+  /** Whether a step was heard before the other event. */
+  private static boolean happenedBefore(List<Step> steps, int eventIndex, Step step) {
+    return steps.subList(0, eventIndex).contains(step);
+  }
+
+  private static boolean ends(List<Step> steps) {
+    return steps.contains(Step.CLOSES) || steps.contains(Step.RESETS);
+  }
+
+  private static boolean endedBefore(List<Step> steps, int eventIndex) {
+    return ends(steps.subList(0, eventIndex));
+  }
+
+  private static WatchHarness newHarness(String discoveryMode) throws Exception {
+    WatchHarness harness = new WatchHarness(true, discoveryMode, DRAIN_GRACE_MS);
+    harness.runOnLoop(
+        () -> {
+          try { // so that its connections are counted against a bound
+            harness.network.listen(
+                new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
+                MAX_CONNECTIONS,
+                1024,
+                accepted -> {});
+          } catch (IOException e) {
+            throw new AssertionError(e);
+          }
+        });
+    return harness;
+  }
+
+  /**
+   * The loop stands in the turn that dials until all has come that the dial brings, and the other
+   * event with it: the next turn takes them all, in that order. Returns the agent's end of the
+   * connection.
+   *
+   * @param other brings one event before the loop
+   */
+  private static Socket runInterleaved(
+      WatchHarness harness,
+      Runnable dial,
+      List<Step> steps,
+      String responseText,
+      int eventIndex,
+      WatchHarness.BlockedLoopAction otherEvent)
+      throws Exception {
+    boolean[] settled =
+        new boolean[1]; // else an earlier request's leaving would stand for another event
+    Rig.await(
+        "all that was put leaves",
+        () -> {
+          try {
+            harness.runOnLoop(() -> settled[0] = harness.network.unsentFree());
+          } catch (InterruptedException e) {
+            throw new AssertionError(e);
+          }
+          return settled[0];
+        });
+    CountDownLatch reached = new CountDownLatch(1);
+    CountDownLatch dialAllowed = new CountDownLatch(1);
+    CountDownLatch released = new CountDownLatch(1);
+    harness.loop.post(
+        () -> {
+          reached.countDown();
+          awaitLatch(dialAllowed);
+          dial.run();
+          harness.network.flush(); // what was dialled goes on
+          awaitLatch(released);
+        });
+    awaitLatch(reached);
+    Socket agentSocket = null;
+    try {
+      int eventCount = 0;
+      for (int i = 0; i <= steps.size(); i++) {
+        if (i == eventIndex) {
+          otherEvent.run();
+          harness.awaitPosted(++eventCount);
+        }
+        if (i < steps.size()) {
+          switch (steps.get(i)) {
+            case ESTABLISHED -> {
+              dialAllowed.countDown();
+              agentSocket = harness.agent.accept();
+              agentSocket.setSoTimeout(Rig.WAIT_MS);
+            }
+            case SPEAKS -> agentSocket.getOutputStream().write(responseText.getBytes());
+            case CLOSES -> agentSocket.close();
+            case RESETS -> {
+              agentSocket.setSoLinger(true, 0);
+              agentSocket.close();
+            }
+          }
+          harness.awaitPosted(++eventCount);
+        }
+      }
+      assertEquals(eventCount, harness.loop.posted());
+    } finally {
+      dialAllowed.countDown();
+      released.countDown();
+    }
+    harness.runOnLoop(() -> {});
+    return agentSocket;
+  }
+
+  private static void awaitLatch(CountDownLatch latch) {
+    try {
+      if (!latch.await(Rig.WAIT_MS, TimeUnit.MILLISECONDS)) {
+        throw new AssertionError("nothing lets it go on");
+      }
+    } catch (InterruptedException e) {
+      throw new AssertionError(e);
+    }
+  }
+
+  /** So many connections are in hand, each counts once against the bound, and no other. */
+  private static void assertOpenConnections(WatchHarness harness, int expectedCount)
+      throws Exception {
+    int[] actual = new int[2];
+    Rig.await(
+        expectedCount + " connections in hand",
+        () -> {
+          try {
+            harness.runOnLoop(() -> actual[0] = harness.network.connections());
+          } catch (InterruptedException e) {
+            throw new AssertionError(e);
+          }
+          return actual[0] == expectedCount;
+        });
+    harness.runOnLoop(() -> actual[1] = harness.network.room());
+    assertEquals(MAX_CONNECTIONS - expectedCount, actual[1], "room");
+  }
+
+  /** What has been told since, and nothing else. */
+  private static void assertNotifications(WatchHarness harness, List<String> expected)
+      throws Exception {
+    harness.runOnLoop(() -> {});
+    List<String> notifications = new ArrayList<>();
+    harness.notifications.drainTo(notifications);
+    assertEquals(expected, notifications);
+  }
+
+  /** What a call for a watch is answered, as far as its first line. */
+  private static String watchResponse(int revision) {
+    return "HTTP/1.1 200 OK\r\n\r\n" + Rig.list(revision, true) + "\n";
+  }
+
+  private static void sendList(WatchHarness harness, Rig.Call call, int revision) throws Exception {
+    call.write(watchResponse(revision));
+    assertEquals("list " + revision, harness.nextNotification());
+  }
+
+  /** The connection ends at the agent too, and no request had been sent on it. */
+  private static void assertClosedWithoutRequest(Socket agentSocket) throws IOException {
+    assertEquals(-1, agentSocket.getInputStream().read());
+    agentSocket.close();
+  }
+
+  private static String fetchResponse(int revision) {
+    String list = Rig.list(revision, true);
+    return "HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list;
+  }
+
+  /**
+   * Guards against a call that is over as it begins, and that nobody is told of, or that none
+   * follows.
+   */
+  @Test
+  void callThatEndsInTurnOfItsDialIsRetriedAtCallInterval() throws Exception {
+    for (List<Step> steps : SEQUENCES) {
+      if (ends(steps)) {
+        try (WatchHarness harness = newHarness("automatic")) {
+          runInterleaved(
+              harness,
+              harness.watch::open,
+              steps,
+              watchResponse(42),
+              0,
+              () -> harness.loop.post(() -> {}));
+          assertNotifications(
+              harness,
+              steps.contains(Step.SPEAKS) ? List.of("list 42", "failed") : List.of("failed"));
+          assertOpenConnections(harness, 0);
+          harness.advanceClock(CALL_INTERVAL_MS - 1);
+          assertEquals(1, harness.discoveryCalls(), steps.toString());
+          harness.advanceClock(1);
+          assertEquals(2, harness.discoveryCalls(), steps.toString());
+          sendList(harness, harness.agent.call(), 43);
+          assertNotifications(harness, List.of());
+          assertOpenConnections(harness, 1);
+        }
+      }
+    }
+  }
+
+  /**
+   * Guards against a party that is told that its connection is up once it has closed it, or ended
+   * twice.
+   */
+  @Test
+  void connectionClosedInTurnOfItsDialReportsItsEndOnce() throws Exception {
+    forEachInterleaving(
+        SEQUENCES,
+        (steps, eventIndex, description) -> {
+          try (WatchHarness harness = newHarness("automatic")) {
+            List<String> callbacks = new CopyOnWriteArrayList<>();
+            Connection[] dialled = new Connection[1];
+            Party party =
+                new Party() {
+                  @Override
+                  public void opened() {
+                    callbacks.add("opened");
+                  }
+
+                  @Override
+                  public void readable() {
+                    callbacks.add("readable");
+                    dialled[0].in.clear();
+                  }
+
+                  @Override
+                  public void closed() {
+                    callbacks.add("closed");
+                  }
+                };
+            Socket agentSocket =
+                runInterleaved(
+                    harness,
+                    () -> dialled[0] = harness.network.dial(harness.agent.address(), 1024, party),
+                    steps,
+                    watchResponse(42),
+                    eventIndex,
+                    () -> harness.loop.post(() -> dialled[0].close()));
+            assertOpenConnections(harness, 0);
+            harness.runOnLoop(() -> {});
+            assertEquals("closed", callbacks.get(callbacks.size() - 1));
+            assertEquals(
+                1, callbacks.stream().filter("closed"::equals).count(), callbacks.toString());
+            assertEquals(eventIndex > 0, callbacks.contains("opened"), callbacks.toString());
+            if (!ends(steps) && !steps.contains(Step.SPEAKS)) {
+              assertClosedWithoutRequest(agentSocket);
+            }
+          }
+        });
+  }
+
+  /** (a) Guards against word of a former place, and against a failure that is told of it. */
+  @Test
+  void callEstablishedInTurnOfAddressChangeReportsNothingOfFormerAddress() throws Exception {
+    forEachInterleaving(
+        SEQUENCES,
+        (steps, eventIndex, description) -> {
+          try (WatchHarness harness = newHarness("automatic");
+              Rig.Agent newAgent = new Rig.Agent(true)) {
+            Socket formerSocket =
+                runInterleaved(
+                    harness,
+                    harness.watch::open,
+                    steps,
+                    watchResponse(42),
+                    eventIndex,
+                    () -> harness.loop.post(() -> harness.watch.move(newAgent.address())));
+            boolean listReceived = happenedBefore(steps, eventIndex, Step.SPEAKS);
+            List<String> expected = new ArrayList<>(listReceived ? List.of("list 42") : List.of());
+            if (endedBefore(steps, eventIndex)) {
+              expected.add("failed");
+            }
+            assertNotifications(harness, expected);
+            Rig.Call watch = newAgent.call();
+            assertEquals(2, harness.discoveryCalls());
+            if (!listReceived && !ends(steps) && !steps.contains(Step.SPEAKS)) {
+              assertClosedWithoutRequest(formerSocket);
+            }
+            assertOpenConnections(
+                harness,
+                listReceived && !ends(steps)
+                    ? 2
+                    : 1); // it stays until there is a list from the new place
+            sendList(harness, watch, 7);
+            assertOpenConnections(harness, 1);
+            harness.advanceClock(2 * CALL_INTERVAL_MS);
+            assertEquals(2, harness.discoveryCalls());
+            assertNotifications(harness, List.of());
+            assertEquals(
+                0,
+                harness.counts.get("connections broken") - (steps.contains(Step.RESETS) ? 1 : 0),
+                description);
+          }
+        });
+  }
+
+  /**
+   * (a) The same of a whole list that was asked for: it is asked for anew at the new place, once.
+   */
+  @Test
+  void fetchEstablishedInTurnOfAddressChangeIsRepeatedAtNewAddress() throws Exception {
+    forEachInterleaving(
+        SEQUENCES,
+        (steps, eventIndex, description) -> {
+          try (WatchHarness harness = newHarness("automatic");
+              Rig.Agent newAgent = new Rig.Agent(true)) {
+            harness.openWatch();
+            Rig.Call formerWatch = harness.agent.call();
+            sendList(harness, formerWatch, 42);
+            Socket fetchSocket =
+                runInterleaved(
+                    harness,
+                    harness.watch::fetch,
+                    steps,
+                    fetchResponse(43),
+                    eventIndex,
+                    () -> harness.loop.post(() -> harness.watch.move(newAgent.address())));
+            boolean answered = happenedBefore(steps, eventIndex, Step.SPEAKS);
+            boolean failed = !answered && endedBefore(steps, eventIndex);
+            assertNotifications(
+                harness, answered ? List.of("list 43") : failed ? List.of("failed") : List.of());
+            int repeatedFetches = answered || failed ? 0 : 1;
+            assertEquals(3 + repeatedFetches, harness.discoveryCalls());
+            if (!ends(steps) && !steps.contains(Step.SPEAKS)) {
+              assertClosedWithoutRequest(fetchSocket);
+            }
+            assertOpenConnections(
+                harness,
+                2 + repeatedFetches); // the former watch, the new one, and the list asked for anew
+            Rig.Call watch = null;
+            for (int i = 0; i <= repeatedFetches; i++) {
+              Rig.Call call = newAgent.call();
+              watch = call.request.contains("stream=1") ? call : watch;
+            }
+            sendList(harness, watch, 7);
+            assertEquals("closed", formerWatch.end());
+            assertOpenConnections(harness, 1 + repeatedFetches);
+            assertNotifications(harness, List.of());
+            assertEquals(3 + repeatedFetches, harness.discoveryCalls());
+          }
+        });
+  }
+
+  /** (b) Guards against a call that is given up as silent and told as failed twice, or kept. */
+  @Test
+  void callEstablishedInTurnOfItsSilenceTimeoutFailsOnce() throws Exception {
+    forEachInterleaving(
+        SILENT_SEQUENCES,
+        (steps, eventIndex, description) -> {
+          try (WatchHarness harness = newHarness("subscribe")) {
+            Socket agentSocket =
+                runInterleaved(
+                    harness,
+                    harness.watch::open,
+                    steps,
+                    "",
+                    eventIndex,
+                    () -> harness.loop.post(() -> harness.advanceClockOnLoop(LINE_TIMEOUT_MS)));
+            assertNotifications(harness, List.of("failed"));
+            assertEquals(1, harness.counts.get("discovery failures"));
+            if (!ends(steps)) {
+              assertClosedWithoutRequest(agentSocket);
+            }
+            assertOpenConnections(harness, 0);
+            harness.advanceClock(MAX_CALL_INTERVAL_MS - LINE_TIMEOUT_MS - 1);
+            assertEquals(1, harness.discoveryCalls());
+            harness.advanceClock(1);
+            assertEquals(2, harness.discoveryCalls());
+            sendList(harness, harness.agent.call(), 43);
+            assertOpenConnections(harness, 1);
+            assertNotifications(harness, List.of());
+          }
+        });
+  }
+
+  /** (c) Guards against a watch that was closed, and goes on by a call that was just coming up. */
+  @Test
+  void callEstablishedInTurnOfWatchCloseReportsNothing() throws Exception {
+    forEachInterleaving(
+        SEQUENCES,
+        (steps, eventIndex, description) -> {
+          try (WatchHarness harness = newHarness("automatic")) {
+            Socket agentSocket =
+                runInterleaved(
+                    harness,
+                    harness.watch::open,
+                    steps,
+                    watchResponse(42),
+                    eventIndex,
+                    () -> harness.loop.post(harness.watch::close));
+            boolean listReceived = happenedBefore(steps, eventIndex, Step.SPEAKS);
+            List<String> expected = new ArrayList<>(listReceived ? List.of("list 42") : List.of());
+            if (endedBefore(steps, eventIndex)) {
+              expected.add("failed");
+            }
+            assertNotifications(harness, expected);
+            if (!ends(steps) && !steps.contains(Step.SPEAKS)) {
+              assertClosedWithoutRequest(agentSocket);
+            }
+            assertOpenConnections(harness, 0);
+            harness.advanceClock(10_000);
+            assertEquals(1, harness.discoveryCalls());
+            assertNotifications(harness, List.of());
+            harness.openWatch(); // and it is opened again as ever
+            sendList(harness, harness.agent.call(), 43);
+            assertOpenConnections(harness, 1);
+          }
+        });
+  }
+
+  /**
+   * (d) Guards against two watches, or none, where one call speaks in the turn in which another
+   * comes up.
+   */
+  @Test
+  void callEstablishedInTurnOfAnothersAnswerLeavesOneWatch() throws Exception {
+    forEachInterleaving(
+        SEQUENCES,
+        (steps, eventIndex, description) -> {
+          try (WatchHarness harness = newHarness("automatic")) {
+            harness.openWatch();
+            Rig.Call olderCall = harness.agent.call();
+            Socket newerSocket =
+                runInterleaved(
+                    harness,
+                    () -> harness.advanceClockOnLoop(CALL_INTERVAL_MS),
+                    steps,
+                    watchResponse(43),
+                    eventIndex,
+                    () -> olderCall.write(watchResponse(42)));
+            boolean newerAnswered = happenedBefore(steps, eventIndex, Step.SPEAKS);
+            assertNotifications(harness, List.of(newerAnswered ? "list 43" : "list 42"));
+            assertEquals(2, harness.discoveryCalls());
+            if (newerAnswered) {
+              olderCall.end();
+            } else if (!ends(steps) && !steps.contains(Step.SPEAKS)) {
+              assertClosedWithoutRequest(newerSocket);
+            }
+            boolean noWatchLeft = newerAnswered && ends(steps);
+            assertOpenConnections(harness, noWatchLeft ? 0 : 1);
+            assertEquals(
+                !noWatchLeft && !endedBefore(steps, eventIndex) ? 0 : 1,
+                harness.counts.get("discovery failures"));
+            harness.advanceClock(CALL_INTERVAL_MS - 1);
+            assertEquals(2, harness.discoveryCalls());
+            harness.advanceClock(1);
+            assertEquals(noWatchLeft ? 3 : 2, harness.discoveryCalls());
+            if (noWatchLeft) {
+              sendList(harness, harness.agent.call(), 44);
+            } else if (!newerAnswered) {
+              olderCall.write(Rig.list(44, false) + "\n");
+              assertEquals("list 44", harness.nextNotification());
+            } else {
+              newerSocket.getOutputStream().write((Rig.list(44, false) + "\n").getBytes());
+              assertEquals("list 44", harness.nextNotification());
+            }
+            assertOpenConnections(harness, 1);
+            assertNotifications(harness, List.of());
+          }
+        });
+  }
+
+  /**
+   * (c) The process is told to end, or its loop ends, in the turn in which the dial of a move comes
+   * up.
+   */
+  @Test
+  void callEstablishedInTurnOfShutdownDoesNotDelayShutdown() throws Exception {
+    for (boolean stopAtOnce : new boolean[] {true, false}) {
+      forEachInterleaving(
+          SILENT_SEQUENCES,
+          (steps, eventIndex, description) -> {
+            try (Rig harness =
+                    new Rig(
+                        "\"HardLimitMs\": 2000.0",
+                        "\"HardLimitMs\": 100.0",
+                        "\"AimMs\": 600.0",
+                        "\"AimMs\": 60.0");
+                Rig.Agent newAgent = new Rig.Agent(true)) {
+              Rig.Call formerWatch = harness.begin(harness.box("b0", 0));
+              harness.configure(newAgent.address());
+              CountDownLatch reached = new CountDownLatch(1);
+              CountDownLatch dialAllowed = new CountDownLatch(1);
+              CountDownLatch released = new CountDownLatch(1);
+              Runnable endProcess =
+                  stopAtOnce ? harness.serve.loop::stop : harness.serve::announceEnd;
+              Socket agentSocket = null;
+              try (Rig.Gate gate = harness.hold()) { // what is posted behind it is one turn
+                harness.serve.loop.post(
+                    () -> {
+                      reached.countDown();
+                      awaitLatch(dialAllowed);
+                    });
+                harness.serve.reload();
+                harness.serve.loop.post(
+                    () -> {
+                      harness.serve.network().flush(); // what the move dialled goes on
+                      awaitLatch(released);
+                    });
+              }
+              awaitLatch(reached);
+              int eventCount = harness.serve.loop.posted();
+              for (int i = 0; i <= steps.size(); i++) {
+                if (i == eventIndex) {
+                  harness.serve.loop.post(endProcess);
+                  eventCount++;
+                }
+                if (i < steps.size()) {
+                  switch (steps.get(i)) {
+                    case ESTABLISHED -> {
+                      dialAllowed.countDown();
+                      agentSocket = newAgent.accept();
+                    }
+                    case CLOSES -> agentSocket.close();
+                    default -> {
+                      agentSocket.setSoLinger(true, 0);
+                      agentSocket.close();
+                    }
+                  }
+                  int minimum = ++eventCount;
+                  Rig.await("events before the loop", () -> harness.serve.loop.posted() >= minimum);
+                }
+              }
+              released.countDown();
+              assertEquals(0, harness.ended(), description);
+              agentSocket.close();
+              formerWatch.close();
+              assertEquals(stopAtOnce ? 0 : 1, harness.count("ends announced"));
+              assertEquals(1, harness.count("lists told"));
+            }
+          });
+    }
+  }
+}
--- a/mixer/src/test/java/gingerring/server/WatchStage.java
+++ b/mixer/src/test/java/gingerring/server/WatchHarness.java
@@ -19,22 +19,22 @@
 
 /**
  * A watch on a real loop and real sockets, and on a clock that stands until the test moves it: what
- * is told to the mixer waits in {@link #told}, and what is asked of the agent in its listener.
- * Times are exact therefore, whatever the machine does beside.
+ * is told to the mixer waits in {@link #notifications}, and what is asked of the agent in its
+ * listener. Times are exact therefore, whatever the machine does beside.
  */
-final class WatchStage implements Closeable {
-  private record Wake(Duration at, long number, Runnable task) implements Comparable<Wake> {
+final class WatchHarness implements Closeable {
+  private record Timer(Duration dueAt, long sequence, Runnable task) implements Comparable<Timer> {
     @Override
-    public int compareTo(Wake other) {
-      int byTime = at.compareTo(other.at);
-      return byTime != 0 ? byTime : Long.compare(number, other.number);
+    public int compareTo(Timer other) {
+      int byTime = dueAt.compareTo(other.dueAt);
+      return byTime != 0 ? byTime : Long.compare(sequence, other.sequence);
     }
   }
 
   /** All on the loop's thread. */
-  private final class Hand implements TurnClock {
-    private final PriorityQueue<Wake> wakes = new PriorityQueue<>();
-    private long count;
+  private final class ManualClock implements TurnClock {
+    private final PriorityQueue<Timer> timers = new PriorityQueue<>();
+    private long timerCount;
     private Duration now = Duration.ZERO;
 
     @Override
@@ -43,16 +43,16 @@
     }
 
     @Override
-    public void wakeAfter(Duration span, Runnable task) {
-      wakes.add(new Wake(now.plus(span), count++, task));
+    public void wakeAfter(Duration delay, Runnable task) {
+      timers.add(new Timer(now.plus(delay), timerCount++, task));
     }
 
-    private void pass(Duration span) {
-      Duration end = now.plus(span);
-      while (!wakes.isEmpty() && wakes.peek().at.compareTo(end) <= 0) {
-        Wake wake = wakes.poll();
-        now = wake.at.compareTo(now) > 0 ? wake.at : now;
-        wake.task.run();
+    private void advance(Duration delay) {
+      Duration end = now.plus(delay);
+      while (!timers.isEmpty() && timers.peek().dueAt.compareTo(end) <= 0) {
+        Timer timer = timers.poll();
+        now = timer.dueAt.compareTo(now) > 0 ? timer.dueAt : now;
+        timer.task.run();
       }
       now = end;
     }
@@ -62,17 +62,17 @@
   final Counts counts = new Counts();
   final Loop loop = new Loop(counts);
   final Network network = new Network(loop, counts, false);
-  final BlockingQueue<String> told = new LinkedBlockingQueue<>();
+  final BlockingQueue<String> notifications = new LinkedBlockingQueue<>();
   final Watch watch;
-  private final Hand clock = new Hand();
+  private final ManualClock clock = new ManualClock();
   private final Thread thread;
 
   /** How long the mixer takes to ask again after a failure; null where it does not. */
-  private Duration asksAfter;
+  private Duration retryDelay;
 
   /** {@code way} and {@code graceMs}: the settings Discovery and Safety.DrainGraceMs. */
-  WatchStage(boolean up, String way, int graceMs) throws Exception {
-    agent = new Rig.Agent(up);
+  WatchHarness(boolean accepting, String discoveryMode, int graceMs) throws Exception {
+    agent = new Rig.Agent(accepting);
     watch =
         new Watch(
             network,
@@ -81,14 +81,14 @@
             new Watch.Told() {
               @Override
               public void list(Members members) {
-                told.add("list " + members.revision());
+                notifications.add("list " + members.revision());
               }
 
               @Override
               public void failed() {
-                told.add("failed");
-                if (asksAfter != null) {
-                  clock.wakeAfter(asksAfter, watch()::open);
+                notifications.add("failed");
+                if (retryDelay != null) {
+                  clock.wakeAfter(retryDelay, watch()::open);
                 }
               }
 
@@ -99,16 +99,18 @@
             },
             counts,
             clock,
-            new Settings(Map.of("Discovery", way, "Safety.DrainGraceMs", String.valueOf(graceMs))));
+            new Settings(
+                Map.of(
+                    "Discovery", discoveryMode, "Safety.DrainGraceMs", String.valueOf(graceMs))));
     thread = new Thread(() -> loop.run(() -> {}, network::flush), "watch stage");
     thread.start();
   }
 
   /** An empty line, which has been heard by the end: the clock must not pass by it. */
-  void saysOn(Rig.Call call) throws Exception {
-    long words = counts.get("words");
+  void sendEmptyLine(Rig.Call call) throws Exception {
+    long messagesBefore = counts.get("words");
     call.say("");
-    awaitCount("words", words + 1);
+    awaitCount("words", messagesBefore + 1);
   }
 
   private Watch watch() {
@@ -116,30 +118,30 @@
   }
 
   /** From now on the mixer asks again so long after each failure. */
-  void asksAgainAfter(int ms) throws InterruptedException {
-    inLoop(() -> asksAfter = Duration.ofMillis(ms));
+  void retryAfterFailure(int spanMs) throws InterruptedException {
+    runOnLoop(() -> retryDelay = Duration.ofMillis(spanMs));
   }
 
-  void open() throws InterruptedException {
-    inLoop(watch::open);
+  void openWatch() throws InterruptedException {
+    runOnLoop(watch::open);
   }
 
-  void move(InetSocketAddress to) throws InterruptedException {
-    inLoop(() -> watch.move(to));
+  void changeAgentAddress(InetSocketAddress newAddress) throws InterruptedException {
+    runOnLoop(() -> watch.move(newAddress));
   }
 
   /** Lets the clock move on, wake by wake; those of connections come in their own time. */
-  void pass(int ms) throws InterruptedException {
-    inLoop(() -> clock.pass(Duration.ofMillis(ms)));
+  void advanceClock(int spanMs) throws InterruptedException {
+    runOnLoop(() -> clock.advance(Duration.ofMillis(spanMs)));
   }
 
   /** The same, for those who are on the loop's thread. */
-  void passNow(int ms) {
-    clock.pass(Duration.ofMillis(ms));
+  void advanceClockOnLoop(int spanMs) {
+    clock.advance(Duration.ofMillis(spanMs));
   }
 
   /** Runs a task in a turn of its own, and waits for the end of that turn. */
-  void inLoop(Runnable task) throws InterruptedException {
+  void runOnLoop(Runnable task) throws InterruptedException {
     CountDownLatch done = new CountDownLatch(1);
     loop.post(
         () -> {
@@ -155,7 +157,7 @@
    * What happens in {@code behind} stands before the loop as a whole: it takes it in one turn, in
    * that order.
    */
-  void hold(Behind behind) throws Exception {
+  void runWhileBlocked(BlockedLoopAction action) throws Exception {
     CountDownLatch reached = new CountDownLatch(1);
     CountDownLatch released = new CountDownLatch(1);
     loop.post(
@@ -169,32 +171,32 @@
         });
     reached.await(Rig.WAIT_MS, TimeUnit.MILLISECONDS);
     try {
-      behind.run();
+      action.run();
     } finally {
       released.countDown();
     }
   }
 
   /** What a test does while the loop stands. */
-  interface Behind {
+  interface BlockedLoopAction {
     void run() throws Exception;
   }
 
   /** Waits until so many events stand before the loop. */
-  void posted(int events) throws InterruptedException {
-    Rig.await(events + " events before the loop", () -> loop.posted() >= events);
+  void awaitPosted(int eventCount) throws InterruptedException {
+    Rig.await(eventCount + " events before the loop", () -> loop.posted() >= eventCount);
   }
 
   /** The next that was told; null after a while. */
-  String next() throws InterruptedException {
-    return told.poll(Rig.WAIT_MS, TimeUnit.MILLISECONDS);
+  String nextNotification() throws InterruptedException {
+    return notifications.poll(Rig.WAIT_MS, TimeUnit.MILLISECONDS);
   }
 
-  void awaitCount(String what, long least) throws InterruptedException {
-    Rig.await(what + " at " + least + " in " + counts, () -> counts.get(what) >= least);
+  void awaitCount(String counter, long minimum) throws InterruptedException {
+    Rig.await(counter + " at " + minimum + " in " + counts, () -> counts.get(counter) >= minimum);
   }
 
-  long calls() {
+  long discoveryCalls() {
     return counts.get("discovery calls");
   }
 
@@ -208,9 +210,9 @@
     }
     network.dispose();
     agent.close();
-    String text = counts.toString();
-    if (text.contains("failures in ") || text.contains("broken: ")) {
-      throw new AssertionError("what must hold did not: " + text);
+    String countsText = counts.toString();
+    if (countsText.contains("failures in ") || countsText.contains("broken: ")) {
+      throw new AssertionError("what must hold did not: " + countsText);
     }
   }
 }
--- /dev/null
+++ b/mixer/src/test/java/gingerring/server/WatchResponseTest.java
@@ -0,0 +1,289 @@
+package gingerring.server;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertNull;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+
+/**
+ * Answers of discovery that end in odd ways, never end, or hold what cannot be: see
+ * docs/crossings.md.
+ */
+@Timeout(120)
+class WatchResponseTest {
+  private static final String UNFRAMED_HEAD = "HTTP/1.1 200 OK\r\n\r\n";
+  private static final String CHUNKED_HEAD =
+      "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+  private static final int SILENCE_TIMEOUT_MS = 2500;
+  private static final int LINE_TIMEOUT_MS = 1000;
+
+  private static WatchHarness newHarness() throws Exception {
+    return new WatchHarness(true, "automatic", 60_000);
+  }
+
+  private static void runPendingEvents(WatchHarness harness) throws Exception {
+    for (int i = 0; i < 3; i++) {
+      harness.runOnLoop(() -> {});
+    }
+  }
+
+  /**
+   * Writes, and waits until the watch has read it: the loop is idle while the agent says nothing.
+   */
+  private static void writeAndAwaitRead(WatchHarness harness, Rig.Call call, String text)
+      throws Exception {
+    harness.runWhileBlocked(
+        () -> {
+          call.write(text);
+          harness.awaitPosted(1);
+        });
+    runPendingEvents(harness);
+  }
+
+  /**
+   * Guards against a list cut short by a reset that passes for whole, and against a whole one left
+   * out.
+   */
+  @Test
+  void responseWithoutLengthEndsOnlyByOrderlyClose() throws Exception {
+    for (boolean orderly : new boolean[] {true, false}) {
+      try (WatchHarness harness = newHarness()) {
+        harness.runOnLoop(harness.watch::fetch);
+        Rig.Call fetch = harness.agent.call();
+        writeAndAwaitRead(harness, fetch, UNFRAMED_HEAD + Rig.list(42, true));
+        if (orderly) {
+          fetch.halfClose();
+          assertEquals("list 42", harness.nextNotification());
+        } else {
+          fetch.reset();
+          assertEquals("failed", harness.nextNotification());
+        }
+        runPendingEvents(harness);
+        assertNull(harness.notifications.poll());
+        assertEquals(orderly ? 1 : 0, harness.counts.get("lists told"));
+      }
+    }
+  }
+
+  /**
+   * The same of a watch, whose last line need not end; what is no whole list tells nothing either
+   * way.
+   */
+  @Test
+  void unterminatedLastLineCountsOnlyAfterOrderlyClose() throws Exception {
+    for (String head : new String[] {UNFRAMED_HEAD, CHUNKED_HEAD}) {
+      for (boolean orderly : new boolean[] {true, false}) {
+        try (WatchHarness harness = newHarness()) {
+          harness.openWatch();
+          Rig.Call watch = harness.agent.call();
+          String lastLine = Rig.list(43, false);
+          boolean chunked = head.equals(CHUNKED_HEAD);
+          String line = Rig.list(42, true) + "\n";
+          writeAndAwaitRead(
+              harness,
+              watch,
+              head
+                  + (chunked ? Integer.toHexString(line.length() + lastLine.length()) + "\r\n" : "")
+                  + line
+                  + lastLine
+                  + (chunked ? "\r\n" : ""));
+          assertEquals("list 42", harness.nextNotification());
+          if (!orderly) {
+            watch.reset();
+          } else if (chunked) {
+            watch.write("0\r\n\r\n");
+          } else {
+            watch.close();
+          }
+          if (orderly) {
+            assertEquals("list 43", harness.nextNotification());
+          }
+          assertEquals("failed", harness.nextNotification());
+          runPendingEvents(harness);
+          assertNull(harness.notifications.poll());
+        }
+      }
+    }
+  }
+
+  @Test
+  void truncatedListIsNotUsedHoweverItsConnectionEnds() throws Exception {
+    for (boolean orderly : new boolean[] {true, false}) {
+      try (WatchHarness harness = newHarness()) {
+        harness.runOnLoop(harness.watch::fetch);
+        Rig.Call fetch = harness.agent.call();
+        String list = Rig.list(42, true);
+        writeAndAwaitRead(harness, fetch, UNFRAMED_HEAD + list.substring(0, list.length() - 1));
+        if (orderly) {
+          fetch.close();
+        } else {
+          fetch.reset();
+        }
+        assertEquals("failed", harness.nextNotification());
+        assertEquals(0, harness.counts.get("lists told"));
+        assertEquals(1, harness.counts.get("discovery failures"));
+      }
+    }
+  }
+
+  /** With a length, or in chunks, an orderly close before the end is none. */
+  @Test
+  void responseWithLengthDoesNotEndByClose() throws Exception {
+    String list = Rig.list(42, true);
+    for (String head :
+        new String[] {
+          "HTTP/1.1 200 OK\r\nContent-Length: " + (list.length() + 1) + "\r\n\r\n",
+          CHUNKED_HEAD + Integer.toHexString(list.length() + 1) + "\r\n"
+        }) {
+      try (WatchHarness harness = newHarness()) {
+        harness.runOnLoop(harness.watch::fetch);
+        Rig.Call fetch = harness.agent.call();
+        writeAndAwaitRead(harness, fetch, head + list);
+        fetch.close();
+        assertEquals("failed", harness.nextNotification());
+        assertEquals(0, harness.counts.get("lists told"));
+      }
+    }
+  }
+
+  /** Guards against an answer that never ends: each byte came in time, and no line ever did. */
+  @Test
+  void tricklingResponseIsAbandonedInTime() throws Exception {
+    String list = Rig.list(42, true);
+    String line = Integer.toHexString(list.length() + 1) + "\r\n" + list + "\n\r\n";
+    for (String[] segments :
+        new String[][] {
+          {"", "H", "T", "T", "P", "/"},
+          {"HTTP/1.1 200 OK\r\n", "X-A: b\r\n"},
+          {CHUNKED_HEAD, "0"},
+          {CHUNKED_HEAD + "1000\r\n", " "},
+          {CHUNKED_HEAD + "1000\r\n{", "\n"},
+          {CHUNKED_HEAD + "1000\r\n", "{"},
+          {CHUNKED_HEAD + line, "0"},
+          {CHUNKED_HEAD + line + "1000\r\n", " "},
+          {CHUNKED_HEAD + line + "1000\r\n{", "\n"}
+        }) {
+      try (WatchHarness harness = newHarness()) {
+        harness.openWatch();
+        Rig.Call call = harness.agent.call();
+        if (!segments[0].isEmpty()) {
+          writeAndAwaitRead(harness, call, segments[0]);
+        }
+        boolean listSent = segments[0].contains("members");
+        assertEquals(
+            listSent ? "list 42" : null,
+            listSent ? harness.nextNotification() : harness.notifications.poll());
+        int elapsedMs = 0;
+        for (int i = 0; harness.counts.get("discovery failures") == 0; i++) {
+          assertTrue(
+              elapsedMs < SILENCE_TIMEOUT_MS + LINE_TIMEOUT_MS,
+              segments[0] + " is still open after " + elapsedMs);
+          writeAndAwaitRead(harness, call, segments[1 + i % (segments.length - 1)]);
+          harness.advanceClock(LINE_TIMEOUT_MS / 2);
+          elapsedMs += LINE_TIMEOUT_MS / 2;
+        }
+        assertEquals("failed", harness.nextNotification());
+        assertTrue(elapsedMs > LINE_TIMEOUT_MS, segments[0] + " was given up after " + elapsedMs);
+        assertTrue(call.end().matches("closed|reset"));
+      }
+    }
+  }
+
+  /** And one that comes as fast as it can is bounded in memory. */
+  @Test
+  void growingResponseIsAbandonedAtItsSizeLimit() throws Exception {
+    for (String[] segments :
+        new String[][] {
+          {CHUNKED_HEAD, "1000\r\n" + " ".repeat(4096) + "\r\n"},
+          {CHUNKED_HEAD + "1\r\n{\r\n", "1000\r\n" + "\n".repeat(4096) + "\r\n"},
+          {UNFRAMED_HEAD, "[".repeat(4096)},
+          {"HTTP/1.1 200 OK\r\n", "X-A: " + "b".repeat(1000) + "\r\n"},
+          {CHUNKED_HEAD + "1;", "a".repeat(100)},
+          {CHUNKED_HEAD + "0\r\n", "X-A: " + "b".repeat(1000) + "\r\n"}
+        }) {
+      try (WatchHarness harness = newHarness()) {
+        harness.openWatch();
+        Rig.Call call = harness.agent.call();
+        Thread watchdog =
+            resetAfterTimeout(call); // a write that nobody reads has no time-out of its own
+        call.write(segments[0]);
+        int segmentsWritten = 0;
+        try {
+          for (; harness.counts.get("discovery failures") == 0; segmentsWritten++) {
+            // far more than the system holds for one that does not read
+            assertTrue(
+                (long) segmentsWritten * segments[1].length() < 1 << 26,
+                segments[0] + " is still open");
+            call.write(segments[1]);
+          }
+        } catch (java.io.IOException e) {
+          // it is given up as it writes
+        }
+        assertEquals("failed", harness.nextNotification());
+        assertEquals(0, harness.counts.get("lists told"));
+        watchdog.interrupt();
+        assertTrue(harness.counts.get("discovery failures") > 0, segments[0]);
+      }
+    }
+  }
+
+  private static Thread resetAfterTimeout(Rig.Call call) {
+    Thread thread =
+        new Thread(
+            () -> {
+              try {
+                Thread.sleep(Rig.WAIT_MS);
+                call.reset();
+              } catch (InterruptedException | java.io.IOException e) {
+                // it was not needed, or had ended
+              }
+            },
+            "bound");
+    thread.setDaemon(true);
+    thread.start();
+    return thread;
+  }
+
+  /**
+   * Guards against a list that is taken in part, or counts as seen, though it could not be used.
+   */
+  @Test
+  void unusableListIsRequestedAgainFromSameRevision() throws Exception {
+    try (WatchHarness harness = newHarness()) {
+      harness.openWatch();
+      Rig.Call watch = harness.agent.watch();
+      watch.say(Rig.list(42, true));
+      assertEquals("list 42", harness.nextNotification());
+      harness.advanceClock(2000);
+      watch.say(Rig.list(43, false, "{\"id\":\"s-1\",\"phase\":\"PAUSED\"}"));
+      assertEquals("failed", harness.nextNotification());
+      Rig.Call retry = harness.agent.watch();
+      assertTrue(retry.request.contains("index=42 "), retry.request);
+      retry.say(Rig.list(43, false));
+      assertEquals("list 43", harness.nextNotification());
+    }
+  }
+
+  /**
+   * A revision may jump; one that goes back tells nothing new, unless it comes with a whole list of
+   * that age.
+   */
+  @Test
+  void newerRevisionsAreAcceptedAndOlderOnesAreNot() throws Exception {
+    try (WatchHarness harness = newHarness()) {
+      harness.openWatch();
+      Rig.Call watch = harness.agent.watch();
+      watch.say(Rig.list(9_000_000, false));
+      assertEquals("list 9000000", harness.nextNotification());
+      watch.say(Rig.list(9_000_000, false));
+      watch.say(Rig.list(8, false));
+      watch.say(Rig.list(8, true));
+      watch.say(Rig.list(9_000_000, true));
+      assertEquals("list 9000000", harness.nextNotification());
+      assertNull(harness.notifications.poll());
+      assertEquals(1, harness.counts.get("lists older than the one held"));
+    }
+  }
+}
