--- a/mixer/src/test/java/gingerring/server/FrontendRaceTest.java
+++ b/mixer/src/test/java/gingerring/server/FrontendRaceTest.java
@@ -18,7 +18,7 @@
 class FrontendRaceTest {
   private static final Duration NO_TRAFFIC_WAIT = Duration.ofMillis(300);
 
-  private static void disconnect(Rig.Client client, boolean reset) throws IOException {
+  private static void disconnect(MixerTestHarness.Client client, boolean reset) throws IOException {
     if (reset) {
       client.reset();
     } else {
@@ -34,20 +34,20 @@
   void disconnectBehindTrailingBytesIsDetected() throws Exception {
     for (boolean reset : new boolean[] {false, true}) {
       for (int trailingBytes : new int[] {20_000, 400_000}) {
-        try (Rig harness = new Rig()) {
-          Rig.Box box = harness.box("b0", 0);
-          harness.begin(box);
-          Rig.Client client = harness.client();
-          client.write(harness.scan("search", 2000, 0));
-          Rig.Link link = box.link();
-          Rig.Frame request = link.call();
+        try (MixerTestHarness harness = new MixerTestHarness()) {
+          MixerTestHarness.Box box = harness.box("b0", 0);
+          harness.announceAndAwaitReady(box);
+          MixerTestHarness.Client client = harness.connectClient();
+          client.write(harness.scanRequest("search", 2000, 0));
+          MixerTestHarness.BoxConnection link = box.acceptConnection();
+          MixerTestHarness.Frame request = link.readCall();
           client.write(new byte[trailingBytes]);
           disconnect(client, reset);
           harness.awaitCount("clients that left", 1);
           assertEquals(
-              "C" + harness.lastMark() + ".0",
-              "C" + link.frame().text()); // its only part is given up
-          assertEquals(1, request.parts().size());
+              "C" + harness.lastTransactionId() + ".0",
+              "C" + link.readFrame().payloadText()); // its only part is given up
+          assertEquals(1, request.partIds().size());
         }
       }
     }
@@ -56,18 +56,18 @@
   /** It stays: it has its answer, and the connection ends with it, in order. */
   @Test
   void clientThatSendsTrailingBytesAndStaysIsAnswered() throws Exception {
-    try (Rig harness = new Rig()) {
-      Rig.Box box = harness.box("b0", 0);
-      harness.begin(box);
-      Rig.Client client = harness.client();
-      client.write(harness.scan("search", 2000, 0));
-      Rig.Link link = box.link();
-      Rig.Frame request = link.call();
+    try (MixerTestHarness harness = new MixerTestHarness()) {
+      MixerTestHarness.Box box = harness.box("b0", 0);
+      harness.announceAndAwaitReady(box);
+      MixerTestHarness.Client client = harness.connectClient();
+      client.write(harness.scanRequest("search", 2000, 0));
+      MixerTestHarness.BoxConnection link = box.acceptConnection();
+      MixerTestHarness.Frame request = link.readCall();
       client.write(new byte[400_000]);
       harness.awaitCount("bytes dropped", 300_000);
       link.answer(request, "done");
-      assertTrue(client.answer().startsWith("200"));
-      assertEquals("closed", client.end());
+      assertTrue(client.readAnswer().startsWith("200"));
+      assertEquals("closed", client.awaitEnd());
     }
   }
 
@@ -78,19 +78,19 @@
   @Test
   void scanWhoseClientLeavesInSameTurnIsNotForwarded() throws Exception {
     for (boolean reset : new boolean[] {false, true}) {
-      try (Rig harness = new Rig()) {
-        Rig.Box box = harness.box("b0", 0);
-        harness.begin(box);
-        Rig.Client client = harness.client();
-        assertTrue(client.ready());
-        try (Rig.Gate gate = harness.hold()) {
-          client.write(harness.scan("search", 2000, 0));
-          gate.posted(1);
+      try (MixerTestHarness harness = new MixerTestHarness()) {
+        MixerTestHarness.Box box = harness.box("b0", 0);
+        harness.announceAndAwaitReady(box);
+        MixerTestHarness.Client client = harness.connectClient();
+        assertTrue(client.isReady());
+        try (MixerTestHarness.LoopGate gate = harness.pauseLoop()) {
+          client.write(harness.scanRequest("search", 2000, 0));
+          gate.awaitPosted(1);
           disconnect(client, reset);
-          gate.posted(2);
+          gate.awaitPosted(2);
         }
         harness.awaitCount("clients that left", 1);
-        assertTrue(box.quiet(NO_TRAFFIC_WAIT), "reset: " + reset);
+        assertTrue(box.noConnectionWithin(NO_TRAFFIC_WAIT), "reset: " + reset);
       }
     }
   }
@@ -100,27 +100,28 @@
    */
   @Test
   void finalResponseIsNotLostToUnreadBytes() throws Exception {
-    try (Rig harness = new Rig()) {
-      harness.begin(harness.box("b0", 0));
-      Rig.Client client = harness.client();
-      try (Rig.Gate gate = harness.hold()) {
+    try (MixerTestHarness harness = new MixerTestHarness()) {
+      harness.announceAndAwaitReady(harness.box("b0", 0));
+      MixerTestHarness.Client client = harness.connectClient();
+      try (MixerTestHarness.LoopGate gate = harness.pauseLoop()) {
         // MINA's thread stops at half a ring, and leaves the rest in the system's buffer
         client.write(
             "GET /ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n" + "x".repeat(100_000));
-        gate.posted(1);
+        gate.awaitPosted(1);
       }
-      assertTrue(client.answer().startsWith("200"));
-      assertEquals("closed", client.end());
-      client.write(harness.scan("search", 2000, 0)); // it may come once more, and nothing resets it
+      assertTrue(client.readAnswer().startsWith("200"));
+      assertEquals("closed", client.awaitEnd());
+      client.write(
+          harness.scanRequest("search", 2000, 0)); // it may come once more, and nothing resets it
       client.halfClose();
-      assertEquals("closed", client.end());
-      harness.turns(2);
+      assertEquals("closed", client.awaitEnd());
+      harness.runIterations(2);
       assertEquals(0, harness.count("scans taken"));
     }
   }
 
-  private static Rig harnessWithShortTimeLimits() throws Exception {
-    return new Rig(
+  private static MixerTestHarness harnessWithShortTimeLimits() throws Exception {
+    return new MixerTestHarness(
         "\"HardLimitMs\": 2000.0",
         "\"HardLimitMs\": 500.0",
         "\"AimMs\": 600.0",
@@ -134,31 +135,32 @@
   @Test
   void requestRacingCloseOfIdleConnectionIsAnsweredOrNeverRead() throws Exception {
     for (boolean requestFirst : new boolean[] {true, false}) {
-      try (Rig harness = new Rig()) {
-        Rig.Box box = harness.box("b0", 0);
-        harness.begin(box);
-        Rig.Client client = harness.client();
-        assertTrue(client.ready());
-        String scan = harness.scan("search", 2000, 0);
+      try (MixerTestHarness harness = new MixerTestHarness()) {
+        MixerTestHarness.Box box = harness.box("b0", 0);
+        harness.announceAndAwaitReady(box);
+        MixerTestHarness.Client client = harness.connectClient();
+        assertTrue(client.isReady());
+        String scan = harness.scanRequest("search", 2000, 0);
         if (requestFirst) {
-          try (Rig.Gate gate = harness.hold()) {
-            harness.serve.loop.post(harness.serve.front::end);
+          try (MixerTestHarness.LoopGate gate = harness.pauseLoop()) {
+            harness.server.loop.post(harness.server.front::end);
             client.write(scan);
-            gate.posted(2);
+            gate.awaitPosted(2);
           }
-          Rig.Link link = box.link();
-          link.answer(link.call(), "done");
-          assertTrue(client.answer().startsWith("200"));
+          MixerTestHarness.BoxConnection link = box.acceptConnection();
+          link.answer(link.readCall(), "done");
+          assertTrue(client.readAnswer().startsWith("200"));
         } else {
-          try (Rig.Gate gate =
-              harness.hold()) { // the answer before is known to have left: the connection rests
-            harness.serve.loop.post(harness.serve.front::end);
-            gate.posted(1);
+          try (MixerTestHarness.LoopGate gate =
+              harness
+                  .pauseLoop()) { // the answer before is known to have left: the connection rests
+            harness.server.loop.post(harness.server.front::end);
+            gate.awaitPosted(1);
           }
-          harness.turns(1);
+          harness.runIterations(1);
           client.write(scan);
-          client.end();
-          assertTrue(box.quiet(NO_TRAFFIC_WAIT));
+          client.awaitEnd();
+          assertTrue(box.noConnectionWithin(NO_TRAFFIC_WAIT));
           assertEquals(0, harness.count("scans taken"));
         }
       }
@@ -168,19 +170,19 @@
   /** Guards against half a request that the end of the process finds, and leaves without a word. */
   @Test
   void partialRequestIsRejectedAtEndOfShutdown() throws Exception {
-    try (Rig harness = harnessWithShortTimeLimits()) {
-      Rig.Box box = harness.box("b0", 0);
-      harness.begin(box);
-      Rig.Client client = harness.client();
-      assertTrue(client.ready());
-      harness.inLoop(harness.serve::announceEnd);
-      String scan = harness.scan("search", 500, 0);
+    try (MixerTestHarness harness = harnessWithShortTimeLimits()) {
+      MixerTestHarness.Box box = harness.box("b0", 0);
+      harness.announceAndAwaitReady(box);
+      MixerTestHarness.Client client = harness.connectClient();
+      assertTrue(client.isReady());
+      harness.runInLoop(harness.server::announceEnd);
+      String scan = harness.scanRequest("search", 500, 0);
       client.write(scan.substring(0, scan.length() - 1));
-      assertTrue(client.answer().startsWith("503"));
-      assertEquals("closed", client.end());
+      assertTrue(client.readAnswer().startsWith("503"));
+      assertEquals("closed", client.awaitEnd());
       client.write(scan.substring(scan.length() - 1));
-      assertEquals(0, harness.ended());
-      assertTrue(box.quiet(NO_TRAFFIC_WAIT));
+      assertEquals(0, harness.awaitExitCode());
+      assertTrue(box.noConnectionWithin(NO_TRAFFIC_WAIT));
       assertEquals(0, harness.count("scans taken"));
     }
   }
@@ -192,23 +194,23 @@
   @Test
   void sigtermBeforeFirstMemberListLeavesNoScanOpen() throws Exception {
     for (boolean scanFirst : new boolean[] {true, false}) {
-      try (Rig harness = new Rig()) {
-        Rig.Box box = harness.box("b0", 0);
-        Rig.Call watch = harness.agent.watch();
-        Rig.Client client = harness.client();
+      try (MixerTestHarness harness = new MixerTestHarness()) {
+        MixerTestHarness.Box box = harness.box("b0", 0);
+        MixerTestHarness.DiscoveryConnection watch = harness.agent.acceptWatch();
+        MixerTestHarness.Client client = harness.connectClient();
         if (scanFirst) {
-          client.write(harness.scan("search", 500, 0));
+          client.write(harness.scanRequest("search", 500, 0));
           harness.awaitCount("scans taken", 1);
-          harness.inLoop(harness.serve::announceEnd);
+          harness.runInLoop(harness.server::announceEnd);
         } else {
-          harness.inLoop(harness.serve::announceEnd);
-          client.write(harness.scan("search", 500, 0));
+          harness.runInLoop(harness.server::announceEnd);
+          client.write(harness.scanRequest("search", 500, 0));
           harness.awaitCount("scans taken", 1);
         }
-        assertTrue(client.answer().startsWith("5"));
-        assertEquals(0, harness.ended());
+        assertTrue(client.readAnswer().startsWith("5"));
+        assertEquals(0, harness.awaitExitCode());
         watch.reset();
-        assertTrue(box.quiet(NO_TRAFFIC_WAIT));
+        assertTrue(box.noConnectionWithin(NO_TRAFFIC_WAIT));
       }
     }
   }
@@ -216,18 +218,18 @@
   /** The first word comes after SIGTERM: what waited goes on. */
   @Test
   void firstMemberListAfterSigtermServesWaitingScan() throws Exception {
-    try (Rig harness = new Rig()) {
-      Rig.Box box = harness.box("b0", 0);
-      Rig.Call watch = harness.agent.watch();
-      Rig.Client client = harness.client();
-      client.write(harness.scan("search", 2000, 0));
+    try (MixerTestHarness harness = new MixerTestHarness()) {
+      MixerTestHarness.Box box = harness.box("b0", 0);
+      MixerTestHarness.DiscoveryConnection watch = harness.agent.acceptWatch();
+      MixerTestHarness.Client client = harness.connectClient();
+      client.write(harness.scanRequest("search", 2000, 0));
       harness.awaitCount("scans taken", 1);
-      harness.inLoop(harness.serve::announceEnd);
-      watch.say(Rig.list(1, true, box.member("SERVING")));
-      Rig.Link link = box.link();
-      link.answer(link.call(), "done");
-      assertTrue(client.answer().startsWith("200"));
-      assertEquals(0, harness.ended());
+      harness.runInLoop(harness.server::announceEnd);
+      watch.sendLine(MixerTestHarness.memberListLine(1, true, box.memberJson("SERVING")));
+      MixerTestHarness.BoxConnection link = box.acceptConnection();
+      link.answer(link.readCall(), "done");
+      assertTrue(client.readAnswer().startsWith("200"));
+      assertEquals(0, harness.awaitExitCode());
     }
   }
 
@@ -236,15 +238,15 @@
    */
   @Test
   void secondSigtermDoesNotRestartShutdown() throws Exception {
-    try (Rig harness = harnessWithShortTimeLimits()) {
-      harness.begin(harness.box("b0", 0));
-      Rig.Client client = harness.client();
-      harness.inLoop(harness.serve::announceEnd);
+    try (MixerTestHarness harness = harnessWithShortTimeLimits()) {
+      harness.announceAndAwaitReady(harness.box("b0", 0));
+      MixerTestHarness.Client client = harness.connectClient();
+      harness.runInLoop(harness.server::announceEnd);
       client.write("GET /rea"); // keeps the end waiting for its time
       Thread.sleep(600);
-      harness.inLoop(harness.serve::announceEnd);
-      assertTrue(client.answer().startsWith("503"));
-      assertEquals(0, harness.ended());
+      harness.runInLoop(harness.server::announceEnd);
+      assertTrue(client.readAnswer().startsWith("503"));
+      assertEquals(0, harness.awaitExitCode());
       assertEquals(1, harness.count("ends announced"));
     }
   }
@@ -252,8 +254,8 @@
   /** SIGHUP before the loop runs, or even reads its configuration, is taken once it does. */
   @Test
   void sighupDuringStartupReloadsConfig() throws Exception {
-    try (Rig.Agent oldAgent = new Rig.Agent(true);
-        Rig.Agent newAgent = new Rig.Agent(true)) {
+    try (MixerTestHarness.DiscoveryAgent oldAgent = new MixerTestHarness.DiscoveryAgent(true);
+        MixerTestHarness.DiscoveryAgent newAgent = new MixerTestHarness.DiscoveryAgent(true)) {
       Path file = Files.createTempFile("hup", ".json");
       String config = exampleConfig();
       Map<String, String> env = Map.of("LB_CONFIG", file.toString());
@@ -264,10 +266,10 @@
       server.reload();
       Thread thread = new Thread(() -> server.serve(mixerConfig, System.err, address -> {}));
       thread.start();
-      newAgent.watch().say(Rig.list(1, true));
-      Rig.await("a list", () -> server.counts.get("lists told") == 1);
+      newAgent.acceptWatch().sendLine(MixerTestHarness.memberListLine(1, true));
+      MixerTestHarness.await("a list", () -> server.counts.get("lists told") == 1);
       server.loop.post(server.loop::stop);
-      thread.join(Rig.WAIT_MS);
+      thread.join(MixerTestHarness.TIMEOUT_MS);
       server.dispose();
       assertEquals(0, server.counts.get("failures in an event"));
       file.toFile().delete();
@@ -277,23 +279,23 @@
   /** SIGHUP while the process ends, and after its loop has ended. */
   @Test
   void sighupDuringShutdownIsHarmless() throws Exception {
-    try (Rig harness = new Rig()) {
-      Rig.Box box = harness.box("b0", 0);
-      harness.begin(box);
-      Rig.Client client = harness.client();
-      client.write(harness.scan("search", 2000, 0));
-      Rig.Link link = box.link();
-      Rig.Frame request = link.call();
-      try (Rig.Agent newAgent = new Rig.Agent(true)) {
-        harness.inLoop(harness.serve::announceEnd);
-        harness.configure(newAgent.address());
-        harness.serve.reload();
-        Rig.Call watch = newAgent.watch();
-        watch.say(Rig.list(7, true, box.member("SERVING")));
+    try (MixerTestHarness harness = new MixerTestHarness()) {
+      MixerTestHarness.Box box = harness.box("b0", 0);
+      harness.announceAndAwaitReady(box);
+      MixerTestHarness.Client client = harness.connectClient();
+      client.write(harness.scanRequest("search", 2000, 0));
+      MixerTestHarness.BoxConnection link = box.acceptConnection();
+      MixerTestHarness.Frame request = link.readCall();
+      try (MixerTestHarness.DiscoveryAgent newAgent = new MixerTestHarness.DiscoveryAgent(true)) {
+        harness.runInLoop(harness.server::announceEnd);
+        harness.writeConfig(newAgent.address());
+        harness.server.reload();
+        MixerTestHarness.DiscoveryConnection watch = newAgent.acceptWatch();
+        watch.sendLine(MixerTestHarness.memberListLine(7, true, box.memberJson("SERVING")));
         link.answer(request, "done");
-        assertTrue(client.answer().startsWith("200"));
-        assertEquals(0, harness.ended());
-        harness.serve.reload();
+        assertTrue(client.readAnswer().startsWith("200"));
+        assertEquals(0, harness.awaitExitCode());
+        harness.server.reload();
       }
     }
   }
@@ -306,8 +308,8 @@
   @Test
   void idleClientsLeaveConnectionsForDiscoverySearchersAndActiveClients() throws Exception {
     int maxConnections = 256 - 40;
-    try (Rig harness =
-        new Rig(
+    try (MixerTestHarness harness =
+        new MixerTestHarness(
             false,
             "\"sockets\": 1024",
             "\"sockets\": 256",
@@ -315,26 +317,26 @@
             "\"MostHeld\": 9000",
             "\"ClassFloor\": [0.4, 1.0]",
             "\"ClassFloor\": [0.1, 1.0]")) {
-      Rig.Box[] boxes = new Rig.Box[200];
+      MixerTestHarness.Box[] boxes = new MixerTestHarness.Box[200];
       for (int i = 0; i < boxes.length; i++) {
         boxes[i] = harness.box("b" + i, i % 4);
       }
-      List<Rig.Client> idleClients = new ArrayList<>();
+      List<MixerTestHarness.Client> idleClients = new ArrayList<>();
       for (int i = 0; i < 2 * maxConnections; i++) {
-        idleClients.add(harness.client());
+        idleClients.add(harness.connectClient());
       }
-      harness.agent.admit();
-      harness.begin(boxes);
+      harness.agent.resumeListening();
+      harness.announceAndAwaitReady(boxes);
       int peakConnections = 0;
       for (int i = 0; i < 300; i++) {
-        Rig.Client client = harness.client();
-        client.write(harness.scan("search", 1000, i % 8));
-        harness.turns(2);
-        peakConnections = Math.max(peakConnections, harness.serve.network().connections());
+        MixerTestHarness.Client client = harness.connectClient();
+        client.write(harness.scanRequest("search", 1000, i % 8));
+        harness.runIterations(2);
+        peakConnections = Math.max(peakConnections, harness.server.network().connections());
       }
       // the last of them may still stand in the backlog, and a link is dialled at the end of its
       // scan's turn
-      Rig.await(
+      MixerTestHarness.await(
           "what becomes of each client",
           () ->
               harness.count("idle connections shed")
@@ -342,16 +344,16 @@
                       + harness.count("nacks for want of connections")
                       + harness.count("scans taken")
                   >= 2 * maxConnections + 300);
-      harness.turns(2);
+      harness.runIterations(2);
       // each that works has its own searcher dialled, until the descriptors are full of those that
       // work
       long scansTaken = harness.count("scans taken");
-      harness.turns(2);
-      assertTrue(scansTaken >= 90, harness.serve.counts.toString());
-      assertTrue(harness.count("links dialled") >= scansTaken, harness.serve.counts.toString());
+      harness.runIterations(2);
+      assertTrue(scansTaken >= 90, harness.server.counts.toString());
+      assertTrue(harness.count("links dialled") >= scansTaken, harness.server.counts.toString());
       assertTrue(
           peakConnections <= maxConnections,
-          peakConnections + " connections at one time, " + harness.serve.counts);
+          peakConnections + " connections at one time, " + harness.server.counts);
     }
   }
 
@@ -362,11 +364,12 @@
   @Test
   void partialRequestsAreShedOnceNoIdleConnectionIsLeft() throws Exception {
     for (int idleCount : new int[] {0, 100}) {
-      try (Rig harness = new Rig("\"sockets\": 1024", "\"sockets\": 256")) {
-        harness.begin(answeringBoxes(harness, 4));
-        List<Rig.Client> partialClients = new ArrayList<>();
+      try (MixerTestHarness harness =
+          new MixerTestHarness("\"sockets\": 1024", "\"sockets\": 256")) {
+        harness.announceAndAwaitReady(answeringBoxes(harness, 4));
+        List<MixerTestHarness.Client> partialClients = new ArrayList<>();
         for (int i = 0; i < 201; i++) { // with one more, newcomers are turned away
-          Rig.Client client = harness.client();
+          MixerTestHarness.Client client = harness.connectClient();
           if (i >= idleCount) {
             client.write("POST /api HTTP/1.1\r\nHost: x\r\n");
             partialClients.add(client);
@@ -374,16 +377,16 @@
         }
         if (idleCount > 0) { // they alone are as many as have to go
           harness.awaitCount("idle connections shed", 1);
-          harness.turns(2);
-          assertEquals(0, harness.count("half requests shed"), harness.serve.counts.toString());
+          harness.runIterations(2);
+          assertEquals(0, harness.count("half requests shed"), harness.server.counts.toString());
         } else {
           harness.awaitCount("half requests shed", 1);
-          assertTrue(partialClients.get(0).answer().startsWith("503"));
-          assertEquals("closed", partialClients.get(0).end());
-          Rig.await("room for a newcomer", () -> harness.serve.network().room() > 40);
-          Rig.Client client = harness.client();
-          client.write(harness.scan("search", 2000, 0));
-          assertTrue(client.answer().startsWith("200"));
+          assertTrue(partialClients.get(0).readAnswer().startsWith("503"));
+          assertEquals("closed", partialClients.get(0).awaitEnd());
+          MixerTestHarness.await("room for a newcomer", () -> harness.server.network().room() > 40);
+          MixerTestHarness.Client client = harness.connectClient();
+          client.write(harness.scanRequest("search", 2000, 0));
+          assertTrue(client.readAnswer().startsWith("200"));
         }
       }
     }
@@ -395,28 +398,28 @@
    */
   @Test
   void newClientsOfOneTurnAreServedOnceIdleOnesAreShed() throws Exception {
-    try (Rig harness =
-        new Rig(
+    try (MixerTestHarness harness =
+        new MixerTestHarness(
             "\"sockets\": 1024", "\"sockets\": 256", "\"MostHeld\": 60", "\"MostHeld\": 9000")) {
-      harness.begin(answeringBoxes(harness, 4));
+      harness.announceAndAwaitReady(answeringBoxes(harness, 4));
       for (int i = 0; i < 150; i++) { // so many are not too many, and with the newcomers they are
-        harness.client();
+        harness.connectClient();
       }
       harness.awaitConnections(151);
-      List<Rig.Client> newClients = new ArrayList<>();
-      try (Rig.Gate gate = harness.hold()) {
+      List<MixerTestHarness.Client> newClients = new ArrayList<>();
+      try (MixerTestHarness.LoopGate gate = harness.pauseLoop()) {
         for (int i = 0; i < 40; i++) {
-          Rig.Client client = harness.client();
-          client.write(harness.scan("search", 2000, i % 8));
+          MixerTestHarness.Client client = harness.connectClient();
+          client.write(harness.scanRequest("search", 2000, i % 8));
           newClients.add(client);
         }
-        gate.posted(3 * newClients.size()); // each has come, is open, and has said something
+        gate.awaitPosted(3 * newClients.size()); // each has come, is open, and has said something
       }
-      for (Rig.Client client : newClients) {
-        String answer = client.answer();
-        assertTrue(answer.startsWith("200"), answer + ", " + harness.serve.counts);
+      for (MixerTestHarness.Client client : newClients) {
+        String answer = client.readAnswer();
+        assertTrue(answer.startsWith("200"), answer + ", " + harness.server.counts);
       }
-      assertTrue(harness.count("idle connections shed") > 0, harness.serve.counts.toString());
+      assertTrue(harness.count("idle connections shed") > 0, harness.server.counts.toString());
     }
   }
 
@@ -428,34 +431,36 @@
   @Test
   void longestIdleSearcherConnectionMakesRoomForNextSearcher() throws Exception {
     int maxConnections = 128 - 40;
-    try (Rig harness = new Rig("\"sockets\": 1024", "\"sockets\": 128")) {
-      harness.begin(answeringBoxes(harness, 80));
-      Rig.Client client = harness.client();
+    try (MixerTestHarness harness = new MixerTestHarness("\"sockets\": 1024", "\"sockets\": 128")) {
+      harness.announceAndAwaitReady(answeringBoxes(harness, 80));
+      MixerTestHarness.Client client = harness.connectClient();
       for (int i = 0; i < 1000 && harness.count("resting links shed") == 0; i++) {
-        client.write(harness.scan("search", 2000, i % 8));
-        String answer = client.answer();
-        assertTrue(answer.startsWith("200"), answer + " after " + i + ", " + harness.serve.counts);
+        client.write(harness.scanRequest("search", 2000, i % 8));
+        String answer = client.readAnswer();
+        assertTrue(answer.startsWith("200"), answer + " after " + i + ", " + harness.server.counts);
       }
-      assertTrue(harness.count("resting links shed") > 0, harness.serve.counts.toString());
+      assertTrue(harness.count("resting links shed") > 0, harness.server.counts.toString());
       assertTrue(
-          harness.count("links dialled") >= 0.75 * maxConnections, harness.serve.counts.toString());
+          harness.count("links dialled") >= 0.75 * maxConnections,
+          harness.server.counts.toString());
       assertEquals(
           0,
           harness.count("trips UNREACHABLE") + harness.count("trips BROKEN"),
-          harness.serve.counts.toString());
+          harness.server.counts.toString());
     }
   }
 
   /** So many searchers that answer whatever comes. */
-  private static Rig.Box[] answeringBoxes(Rig harness, int count) throws IOException {
-    Rig.Box[] boxes = new Rig.Box[count];
+  private static MixerTestHarness.Box[] answeringBoxes(MixerTestHarness harness, int count)
+      throws IOException {
+    MixerTestHarness.Box[] boxes = new MixerTestHarness.Box[count];
     for (int i = 0; i < count; i++) {
-      Rig.Box box = harness.box("b" + i, i % 4);
+      MixerTestHarness.Box box = harness.box("b" + i, i % 4);
       boxes[i] = box;
-      Rig.aside(
+      MixerTestHarness.runInBackground(
           () -> {
             while (true) {
-              Rig.answers(box.link());
+              MixerTestHarness.answerAllCalls(box.acceptConnection());
             }
           });
     }
@@ -470,9 +475,10 @@
   void readyWhileDiscoveryRefusesOrIsSilentWithLongDialTimeout() throws Exception {
     for (boolean refusing : new boolean[] {true, false}) {
       long startNanos = System.nanoTime();
-      try (Rig harness =
-          new Rig(!refusing, "\"DialTimeoutMs\": 250.0", "\"DialTimeoutMs\": 20000.0")) {
-        harness.ready(); // nobody accepts at the agent, or nobody listens there
+      try (MixerTestHarness harness =
+          new MixerTestHarness(
+              !refusing, "\"DialTimeoutMs\": 250.0", "\"DialTimeoutMs\": 20000.0")) {
+        harness.awaitReady(); // nobody accepts at the agent, or nobody listens there
         assertTrue(System.nanoTime() - startNanos < 10_000_000_000L, "refusing: " + refusing);
         harness.awaitCount("answers practised", 1);
       }
@@ -482,7 +488,7 @@
   /** SIGTERM in the very first turn, with practice under way and nothing heard of discovery. */
   @Test
   void sigtermDuringWarmUpShutsDownNormally() throws Exception {
-    try (Rig.Agent agent = new Rig.Agent(true)) {
+    try (MixerTestHarness.DiscoveryAgent agent = new MixerTestHarness.DiscoveryAgent(true)) {
       Path file = Files.createTempFile("term", ".json");
       Files.writeString(
           file,
--- a/mixer/src/test/java/gingerring/server/ScanRaceTest.java
+++ b/mixer/src/test/java/gingerring/server/ScanRaceTest.java
@@ -15,46 +15,46 @@
 
   @Test
   void scanIsAnsweredByItsBox() throws Exception {
-    try (Rig harness = new Rig()) {
-      Rig.Box box = harness.box("b0", 0);
-      harness.begin(box);
-      Rig.Client client = harness.client();
-      client.write(harness.scan("search", 2000, 0));
-      Rig.Link link = box.link();
-      Rig.Frame request = link.call();
+    try (MixerTestHarness harness = new MixerTestHarness()) {
+      MixerTestHarness.Box box = harness.box("b0", 0);
+      harness.announceAndAwaitReady(box);
+      MixerTestHarness.Client client = harness.connectClient();
+      client.write(harness.scanRequest("search", 2000, 0));
+      MixerTestHarness.BoxConnection link = box.acceptConnection();
+      MixerTestHarness.Frame request = link.readCall();
       link.answer(request, "done");
       assertEquals(
           "200 {\"whole\":true,\"results\":[{\"partition\":0,\"value\":\"v"
-              + harness.lastMark()
+              + harness.lastTransactionId()
               + ".0\"}]}",
-          client.answer());
+          client.readAnswer());
     }
   }
 
   @Test
   void scanReadInSameTurnAsDrainingListIsNotSent() throws Exception {
     for (boolean listFirst : new boolean[] {true, false}) {
-      try (Rig harness = new Rig()) {
-        Rig.Box box = harness.box("b0", 0);
-        Rig.Call watch = harness.begin(box);
-        Rig.Client client = harness.client();
-        assertTrue(client.ready());
-        String drainingList = Rig.list(2, false, box.member("DRAINING"));
-        String scan = harness.scan("search", 2000, 0);
-        try (Rig.Gate gate = harness.hold()) {
+      try (MixerTestHarness harness = new MixerTestHarness()) {
+        MixerTestHarness.Box box = harness.box("b0", 0);
+        MixerTestHarness.DiscoveryConnection watch = harness.announceAndAwaitReady(box);
+        MixerTestHarness.Client client = harness.connectClient();
+        assertTrue(client.isReady());
+        String drainingList = MixerTestHarness.memberListLine(2, false, box.memberJson("DRAINING"));
+        String scan = harness.scanRequest("search", 2000, 0);
+        try (MixerTestHarness.LoopGate gate = harness.pauseLoop()) {
           if (listFirst) {
-            watch.say(drainingList);
-            gate.posted(1);
+            watch.sendLine(drainingList);
+            gate.awaitPosted(1);
             client.write(scan);
           } else {
             client.write(scan);
-            gate.posted(1);
-            watch.say(drainingList);
+            gate.awaitPosted(1);
+            watch.sendLine(drainingList);
           }
-          gate.posted(2);
+          gate.awaitPosted(2);
         }
-        assertTrue(client.answer().startsWith("503"), "list first: " + listFirst);
-        assertTrue(box.quiet(NO_TRAFFIC_WAIT), "list first: " + listFirst);
+        assertTrue(client.readAnswer().startsWith("503"), "list first: " + listFirst);
+        assertTrue(box.noConnectionWithin(NO_TRAFFIC_WAIT), "list first: " + listFirst);
       }
     }
   }
@@ -65,22 +65,22 @@
    */
   @Test
   void repeatedIdempotencyKeyOpensNoConnection() throws Exception {
-    try (Rig harness = new Rig()) {
-      Rig.Box box = harness.box("b0", 0);
-      harness.begin(box);
-      String scan = harness.scan("search", 2000, 0);
-      Rig.Client client = harness.client();
+    try (MixerTestHarness harness = new MixerTestHarness()) {
+      MixerTestHarness.Box box = harness.box("b0", 0);
+      harness.announceAndAwaitReady(box);
+      String scan = harness.scanRequest("search", 2000, 0);
+      MixerTestHarness.Client client = harness.connectClient();
       client.write(scan);
-      Rig.Link link = box.link();
-      link.answer(link.call(), "done");
-      assertTrue(client.answer().startsWith("200"));
+      MixerTestHarness.BoxConnection link = box.acceptConnection();
+      link.answer(link.readCall(), "done");
+      assertTrue(client.readAnswer().startsWith("200"));
       for (int i = 0; i < 5; i++) {
         client.write(scan);
-        assertTrue(client.answer().startsWith("400"), "a mark has to be fresh");
+        assertTrue(client.readAnswer().startsWith("400"), "a mark has to be fresh");
       }
-      client.write(harness.scan("search", 2000, 0));
-      link.answer(link.call(), "done");
-      assertTrue(client.answer().startsWith("200"), "the connection goes on");
+      client.write(harness.scanRequest("search", 2000, 0));
+      link.answer(link.readCall(), "done");
+      assertTrue(client.readAnswer().startsWith("200"), "the connection goes on");
       assertEquals(1, harness.count("links dialled"));
     }
   }
@@ -103,24 +103,24 @@
   void timersDueInTurnOfRacingEventEndScanOnce() throws Exception {
     for (RacingEvent event : RacingEvent.values()) {
       for (String serviceClass : new String[] {"search", "post"}) {
-        try (Rig harness = new Rig()) {
-          Rig.Box box = harness.box("b0", 0);
-          Rig.Call watch = harness.begin(box);
-          Rig.Client client = harness.client();
-          client.write(harness.scan(serviceClass, DEADLINE_MS, 0));
-          Rig.Link link = box.link();
-          Rig.Frame request = link.call();
-          try (Rig.Gate gate = harness.hold()) {
+        try (MixerTestHarness harness = new MixerTestHarness()) {
+          MixerTestHarness.Box box = harness.box("b0", 0);
+          MixerTestHarness.DiscoveryConnection watch = harness.announceAndAwaitReady(box);
+          MixerTestHarness.Client client = harness.connectClient();
+          client.write(harness.scanRequest(serviceClass, DEADLINE_MS, 0));
+          MixerTestHarness.BoxConnection link = box.acceptConnection();
+          MixerTestHarness.Frame request = link.readCall();
+          try (MixerTestHarness.LoopGate gate = harness.pauseLoop()) {
             switch (event) {
               case ANSWER -> link.answer(request, "done");
               case ANSWER_FAILED -> link.answer(request, "failed");
               case SEARCHER_CLOSES -> link.close();
               case CLIENT_CLOSES -> client.close();
               case CLIENT_RESETS -> client.reset();
-              case SEARCHER_REMOVED -> watch.say(Rig.list(2, true));
+              case SEARCHER_REMOVED -> watch.sendLine(MixerTestHarness.memberListLine(2, true));
               case NONE -> {}
             }
-            gate.posted(event == RacingEvent.NONE ? 0 : 1);
+            gate.awaitPosted(event == RacingEvent.NONE ? 0 : 1);
             Thread.sleep(DEADLINE_MS + 50); // both timers are due, however the machine went
           }
           if (event == RacingEvent.CLIENT_CLOSES || event == RacingEvent.CLIENT_RESETS) {
@@ -129,11 +129,12 @@
             String expectedStatus =
                 event == RacingEvent.ANSWER ? "200" : serviceClass.equals("post") ? "500" : "503";
             assertEquals(
-                expectedStatus, client.answer().substring(0, 3), event + " " + serviceClass);
-            assertTrue(client.ready(), "one answer, and the connection goes on");
+                expectedStatus, client.readAnswer().substring(0, 3), event + " " + serviceClass);
+            assertTrue(client.isReady(), "one answer, and the connection goes on");
           }
           assertTrue(
-              box.quiet(NO_TRAFFIC_WAIT), event + " " + serviceClass + ": nothing more is sent");
+              box.noConnectionWithin(NO_TRAFFIC_WAIT),
+              event + " " + serviceClass + ": nothing more is sent");
           assertEquals(0, harness.count("scans the mixer left open"), event + " " + serviceClass);
         }
       }
--- a/mixer/src/test/java/gingerring/server/SearcherAddressRaceTest.java
+++ b/mixer/src/test/java/gingerring/server/SearcherAddressRaceTest.java
@@ -24,34 +24,36 @@
   @Test
   void partWaitingForDialIsSentToNewAddressOfItsSearcher() throws Exception {
     for (boolean establishedFirst : new boolean[] {false, true}) {
-      try (Rig harness = new Rig(LONG_DIAL_TIMEOUT)) {
-        SlowAcceptSearcher oldSearcher = harness.keep(new SlowAcceptSearcher("b0", 0));
-        Rig.Call watch = harness.agent.watch();
-        watch.say(Rig.list(1, true, oldSearcher.member("SERVING")));
-        harness.ready();
-        Rig.Client client = harness.client();
-        client.write(harness.scan("search", 2000, 0));
+      try (MixerTestHarness harness = new MixerTestHarness(LONG_DIAL_TIMEOUT)) {
+        SlowAcceptSearcher oldSearcher = harness.closeAtEnd(new SlowAcceptSearcher("b0", 0));
+        MixerTestHarness.DiscoveryConnection watch = harness.agent.acceptWatch();
+        watch.sendLine(MixerTestHarness.memberListLine(1, true, oldSearcher.member("SERVING")));
+        harness.awaitReady();
+        MixerTestHarness.Client client = harness.connectClient();
+        client.write(harness.scanRequest("search", 2000, 0));
         harness.awaitCount("links dialled", 1);
-        Rig.Box newSearcher = harness.box("b0", 0);
+        MixerTestHarness.Box newSearcher = harness.box("b0", 0);
         if (establishedFirst) {
           oldSearcher.releaseBacklog();
-          Rig.Link link = oldSearcher.link();
-          Rig.Frame request = link.call();
-          watch.say(Rig.list(2, false, newSearcher.member("SERVING")));
+          MixerTestHarness.BoxConnection link = oldSearcher.link();
+          MixerTestHarness.Frame request = link.readCall();
+          watch.sendLine(
+              MixerTestHarness.memberListLine(2, false, newSearcher.memberJson("SERVING")));
           harness.awaitCount("lists told", 2);
           link.answer(request, "done"); // what has begun ends where it did
         } else {
-          watch.say(Rig.list(2, false, newSearcher.member("SERVING")));
-          Rig.Link link = newSearcher.link();
-          link.answer(link.call(), "done");
+          watch.sendLine(
+              MixerTestHarness.memberListLine(2, false, newSearcher.memberJson("SERVING")));
+          MixerTestHarness.BoxConnection link = newSearcher.acceptConnection();
+          link.answer(link.readCall(), "done");
         }
-        assertTrue(client.answer().startsWith("200 {\"whole\":true"));
+        assertTrue(client.readAnswer().startsWith("200 {\"whole\":true"));
         assertEquals(1, harness.count("trips SUCCEEDED"));
         if (establishedFirst) {
-          client.write(harness.scan("search", 2000, 0));
-          Rig.Link link = newSearcher.link();
-          link.answer(link.call(), "done");
-          assertTrue(client.answer().startsWith("200 {\"whole\":true"));
+          client.write(harness.scanRequest("search", 2000, 0));
+          MixerTestHarness.BoxConnection link = newSearcher.acceptConnection();
+          link.answer(link.readCall(), "done");
+          assertTrue(client.readAnswer().startsWith("200 {\"whole\":true"));
         }
         assertEquals(2, harness.count("links dialled"));
         assertEquals(
@@ -64,26 +66,30 @@
   @Test
   void laterOfTwoListsReadInOneTurnApplies() throws Exception {
     for (boolean servingLast : new boolean[] {true, false}) {
-      try (Rig harness = new Rig()) {
-        Rig.Box box = harness.box("b0", 0);
-        Rig.Call watch = harness.begin(box);
-        Rig.Client client = harness.client();
-        try (Rig.Gate gate = harness.hold()) {
+      try (MixerTestHarness harness = new MixerTestHarness()) {
+        MixerTestHarness.Box box = harness.box("b0", 0);
+        MixerTestHarness.DiscoveryConnection watch = harness.announceAndAwaitReady(box);
+        MixerTestHarness.Client client = harness.connectClient();
+        try (MixerTestHarness.LoopGate gate = harness.pauseLoop()) {
           watch.write(
-              chunk(Rig.list(2, false, box.member(servingLast ? "DRAINING" : "SERVING")))
-                  + chunk(Rig.list(3, false, box.member(servingLast ? "SERVING" : "DRAINING"))));
-          gate.posted(1);
-          client.write(harness.scan("search", 500, 0));
-          gate.posted(2);
+              chunk(
+                      MixerTestHarness.memberListLine(
+                          2, false, box.memberJson(servingLast ? "DRAINING" : "SERVING")))
+                  + chunk(
+                      MixerTestHarness.memberListLine(
+                          3, false, box.memberJson(servingLast ? "SERVING" : "DRAINING"))));
+          gate.awaitPosted(1);
+          client.write(harness.scanRequest("search", 500, 0));
+          gate.awaitPosted(2);
         }
         harness.awaitCount("lists told", 3);
         if (servingLast) {
-          Rig.Link link = box.link();
-          link.answer(link.call(), "done");
-          assertTrue(client.answer().startsWith("200"));
+          MixerTestHarness.BoxConnection link = box.acceptConnection();
+          link.answer(link.readCall(), "done");
+          assertTrue(client.readAnswer().startsWith("200"));
         } else {
-          assertTrue(client.answer().startsWith("503"));
-          assertTrue(box.quiet(Duration.ofMillis(300)));
+          assertTrue(client.readAnswer().startsWith("503"));
+          assertTrue(box.noConnectionWithin(Duration.ofMillis(300)));
         }
       }
     }
--- a/mixer/src/test/java/gingerring/server/SearcherCloseRaceTest.java
+++ b/mixer/src/test/java/gingerring/server/SearcherCloseRaceTest.java
@@ -56,7 +56,7 @@
     CLOSE,
     RESET;
 
-    void apply(Rig.Link link) throws IOException {
+    void apply(MixerTestHarness.BoxConnection link) throws IOException {
       switch (this) {
         case HALF_CLOSE -> link.halfClose();
         case CLOSE -> link.close();
@@ -111,7 +111,7 @@
 
   private static void awaitLatch(CountDownLatch latch) {
     try {
-      assertTrue(latch.await(Rig.WAIT_MS, TimeUnit.MILLISECONDS));
+      assertTrue(latch.await(MixerTestHarness.TIMEOUT_MS, TimeUnit.MILLISECONDS));
     } catch (InterruptedException e) {
       throw new AssertionError(e);
     }
@@ -124,16 +124,16 @@
    */
   private static final class ThreeBoxFixture implements Closeable {
     final ReadBlocker readBlocker = new ReadBlocker();
-    final Rig harness;
-    final Rig.Box b0;
-    final Rig.Link b0Link;
-    final Rig.Link[] otherLinks = new Rig.Link[2];
-    final Rig.Client client;
+    final MixerTestHarness harness;
+    final MixerTestHarness.Box b0;
+    final MixerTestHarness.BoxConnection b0Link;
+    final MixerTestHarness.BoxConnection[] otherLinks = new MixerTestHarness.BoxConnection[2];
+    final MixerTestHarness.Client client;
 
     /** {@code windowMs}: of the class that may run again in it. */
     ThreeBoxFixture(int windowMs) throws Exception {
       harness =
-          new Rig(
+          new MixerTestHarness(
               readBlocker,
               true,
               "{\"Name\": \"post\"",
@@ -160,33 +160,33 @@
               "\"WindowMs\": 5000.0",
               "\"WindowMs\": " + windowMs + ".0");
       b0 = harness.box("b0", 0);
-      Rig.Box b1 = harness.box("b1", 1);
-      Rig.Box b2 = harness.box("b2", 3);
-      harness.begin(b0, b1, b2);
-      Rig.Box[] boxes = {b1, b2};
+      MixerTestHarness.Box b1 = harness.box("b1", 1);
+      MixerTestHarness.Box b2 = harness.box("b2", 3);
+      harness.announceAndAwaitReady(b0, b1, b2);
+      MixerTestHarness.Box[] boxes = {b1, b2};
       for (int i = 0; i < 2; i++) {
         for (int requestIndex = 0; requestIndex < 2; requestIndex++) {
-          harness.client().write(scan("search", i + 1));
-          otherLinks[i] = requestIndex == 0 ? boxes[i].link() : otherLinks[i];
-          otherLinks[i].call();
+          harness.connectClient().write(scan("search", i + 1));
+          otherLinks[i] = requestIndex == 0 ? boxes[i].acceptConnection() : otherLinks[i];
+          otherLinks[i].readCall();
         }
       }
-      client = harness.client();
+      client = harness.connectClient();
       client.write(scan("search", 0));
-      b0Link = b0.link();
-      b0Link.answer(b0Link.call(), "done");
-      assertTrue(client.answer().startsWith("200"));
+      b0Link = b0.acceptConnection();
+      b0Link.answer(b0Link.readCall(), "done");
+      assertTrue(client.readAnswer().startsWith("200"));
     }
 
     String scan(String serviceClass, int... partitions) {
-      return harness.scan(serviceClass, 40_000, partitions);
+      return harness.scanRequest(serviceClass, 40_000, partitions);
     }
 
     /** The part comes to another box, by itself, and is done there. */
     void assertAnsweredByOtherBox(int partition) throws IOException {
-      Rig.Link otherLink = otherLinks[partition == 0 ? 0 : 1];
-      Rig.Frame request = otherLink.call();
-      assertEquals(List.of(harness.lastMark() + '.' + partition), request.parts());
+      MixerTestHarness.BoxConnection otherLink = otherLinks[partition == 0 ? 0 : 1];
+      MixerTestHarness.Frame request = otherLink.readCall();
+      assertEquals(List.of(harness.lastTransactionId() + '.' + partition), request.partIds());
       otherLink.answer(request, "done");
     }
 
@@ -196,14 +196,16 @@
     void assertNothingElseSent() throws Exception {
       for (int i = 0; i < otherLinks.length; i++) {
         int partition = i + 1;
-        harness.client().write(scan("search", partition));
-        assertEquals(List.of(harness.lastMark() + '.' + partition), otherLinks[i].call().parts());
+        harness.connectClient().write(scan("search", partition));
+        assertEquals(
+            List.of(harness.lastTransactionId() + '.' + partition),
+            otherLinks[i].readCall().partIds());
       }
     }
 
     /** The client's answer, after which it is told nothing more. */
     String readOnlyAnswer() throws IOException {
-      String answer = client.answer();
+      String answer = client.readAnswer();
       client.halfClose();
       assertEquals(0, countRemainingBytes(client), "one answer");
       return answer;
@@ -222,7 +224,7 @@
   }
 
   /** How many bytes come until the mixer ends the connection in order. */
-  private static int countRemainingBytes(Rig.Talk peer) throws IOException {
+  private static int countRemainingBytes(MixerTestHarness.TestConnection peer) throws IOException {
     return peer.socket.getInputStream().readAllBytes().length;
   }
 
@@ -235,22 +237,22 @@
   void closeReadInTurnOfScanDoesNotFailIt(CloseCase closeCase) throws Exception {
     try (ThreeBoxFixture fixture = new ThreeBoxFixture(5000)) {
       boolean closeFirst = closeCase.variant;
-      try (Rig.Gate gate = fixture.harness.hold()) {
+      try (MixerTestHarness.LoopGate gate = fixture.harness.pauseLoop()) {
         if (closeFirst) {
           closeCase.closeMode.apply(fixture.b0Link);
-          gate.posted(1);
+          gate.awaitPosted(1);
         }
-        int postedBefore = gate.posted();
+        int postedBefore = gate.postedCount();
         fixture.client.write(fixture.scan(closeCase.serviceClass, 0));
-        gate.posted(postedBefore + 1);
+        gate.awaitPosted(postedBefore + 1);
         if (!closeFirst) {
           closeCase.closeMode.apply(fixture.b0Link);
-          gate.posted(postedBefore + 2);
+          gate.awaitPosted(postedBefore + 2);
         }
       }
-      Rig.Link newLink = fixture.b0.link();
-      Rig.Frame request = newLink.call();
-      assertEquals(List.of(fixture.harness.lastMark() + ".0"), request.parts());
+      MixerTestHarness.BoxConnection newLink = fixture.b0.acceptConnection();
+      MixerTestHarness.Frame request = newLink.readCall();
+      assertEquals(List.of(fixture.harness.lastTransactionId() + ".0"), request.partIds());
       newLink.answer(request, "done");
       assertTrue(fixture.readOnlyAnswer().startsWith("200 {\"whole\":true"));
       if (closeCase.closeMode == CloseMode.HALF_CLOSE) {
@@ -271,10 +273,10 @@
     try (ThreeBoxFixture fixture = new ThreeBoxFixture(5000)) {
       CountDownLatch inTurn = new CountDownLatch(1);
       CountDownLatch resume = new CountDownLatch(1);
-      try (Rig.Gate gate = fixture.harness.hold()) {
+      try (MixerTestHarness.LoopGate gate = fixture.harness.pauseLoop()) {
         fixture.client.write(fixture.scan(closeCase.serviceClass, 0));
-        gate.posted(1);
-        fixture.harness.serve.loop.post(
+        gate.awaitPosted(1);
+        fixture.harness.server.loop.post(
             () -> {
               inTurn.countDown();
               awaitLatch(resume);
@@ -282,7 +284,8 @@
       }
       awaitLatch(inTurn); // the scan is in this turn, and what is posted from now on is not
       closeCase.closeMode.apply(fixture.b0Link);
-      Rig.await("the word of the close", () -> fixture.harness.serve.loop.posted() >= 1);
+      MixerTestHarness.await(
+          "the word of the close", () -> fixture.harness.server.loop.posted() >= 1);
       resume.countDown();
       fixture.assertAnsweredByOtherBox(0);
       assertTrue(fixture.readOnlyAnswer().startsWith("200 {\"whole\":true"));
@@ -304,22 +307,24 @@
   @MethodSource("closeCasesWithoutVariant")
   void partWrittenBeforeCloseIsReadMayHaveRun(CloseCase closeCase) throws Exception {
     try (ThreeBoxFixture fixture = new ThreeBoxFixture(5000)) {
-      Rig.Client blockedClient = fixture.harness.client();
+      MixerTestHarness.Client blockedClient = fixture.harness.connectClient();
       blockedClient.write("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n");
-      assertTrue(blockedClient.answer().startsWith("200"));
-      try (Rig.Gate gate = fixture.harness.hold()) {
+      assertTrue(blockedClient.readAnswer().startsWith("200"));
+      try (MixerTestHarness.LoopGate gate = fixture.harness.pauseLoop()) {
         fixture.client.write(fixture.scan(closeCase.serviceClass, 0));
-        gate.posted(1);
+        gate.awaitPosted(1);
         blockedClient.write(
             "GET /ready HTTP/1.1\r\nHost: x\r\n" + ReadBlocker.MARKER_HEADER + ": 1\r\n\r\n");
         awaitLatch(fixture.readBlocker.reached);
         closeCase.closeMode.apply(fixture.b0Link);
       }
-      fixture.harness.turns(2); // the part is MINA's, which writes before it reads again
+      fixture.harness.runIterations(2); // the part is MINA's, which writes before it reads again
       fixture.readBlocker.released.countDown();
       boolean mayHaveRun = closeCase.closeMode != CloseMode.RESET;
       if (closeCase.closeMode == CloseMode.HALF_CLOSE) {
-        assertEquals(List.of(fixture.harness.lastMark() + ".0"), fixture.b0Link.call().parts());
+        assertEquals(
+            List.of(fixture.harness.lastTransactionId() + ".0"),
+            fixture.b0Link.readCall().partIds());
         assertEquals(0, countRemainingBytes(fixture.b0Link));
       }
       assertOutcomeOfClass(fixture, closeCase, mayHaveRun);
@@ -348,10 +353,11 @@
   void partReadBySearcherIsRetriedIfItsClassAllows(CloseCase closeCase) throws Exception {
     try (ThreeBoxFixture fixture = new ThreeBoxFixture(5000)) {
       fixture.client.write(fixture.scan(closeCase.serviceClass, 0));
-      assertEquals(List.of(fixture.harness.lastMark() + ".0"), fixture.b0Link.call().parts());
-      try (Rig.Gate gate = fixture.harness.hold()) {
+      assertEquals(
+          List.of(fixture.harness.lastTransactionId() + ".0"), fixture.b0Link.readCall().partIds());
+      try (MixerTestHarness.LoopGate gate = fixture.harness.pauseLoop()) {
         closeCase.closeMode.apply(fixture.b0Link);
-        gate.posted(1);
+        gate.awaitPosted(1);
       }
       assertOutcomeOfClass(fixture, closeCase, true);
       fixture.assertTripCounts(1, 0);
@@ -365,13 +371,14 @@
     int windowMs = 100;
     try (ThreeBoxFixture fixture = new ThreeBoxFixture(windowMs)) {
       fixture.client.write(fixture.scan("post", 0));
-      assertEquals(List.of(fixture.harness.lastMark() + ".0"), fixture.b0Link.call().parts());
+      assertEquals(
+          List.of(fixture.harness.lastTransactionId() + ".0"), fixture.b0Link.readCall().partIds());
       long readAtNanos = System.nanoTime();
-      try (Rig.Gate gate = fixture.harness.hold()) {
-        Rig.await(
+      try (MixerTestHarness.LoopGate gate = fixture.harness.pauseLoop()) {
+        MixerTestHarness.await(
             "the end of the window", () -> System.nanoTime() - readAtNanos > windowMs * 1_000_000L);
         closeMode.apply(fixture.b0Link);
-        gate.posted(1);
+        gate.awaitPosted(1);
       }
       assertTrue(fixture.readOnlyAnswer().startsWith("500"));
       fixture.assertNothingElseSent();
@@ -391,18 +398,20 @@
       try (ThreeBoxFixture fixture = new ThreeBoxFixture(5000)) {
         int unanswered = 3 - answered;
         fixture.client.write(fixture.scan(closeCase.serviceClass, 0, 3));
-        String idempotencyKey = fixture.harness.lastMark();
-        assertEquals(2, fixture.b0Link.call().parts().size());
-        try (Rig.Gate gate = fixture.harness.hold()) {
-          byte[] unansweredResult = Rig.Link.result(idempotencyKey + '.' + unanswered, "done");
-          fixture.b0Link.write(Rig.Link.result(idempotencyKey + '.' + answered, "done"));
+        String idempotencyKey = fixture.harness.lastTransactionId();
+        assertEquals(2, fixture.b0Link.readCall().partIds().size());
+        try (MixerTestHarness.LoopGate gate = fixture.harness.pauseLoop()) {
+          byte[] unansweredResult =
+              MixerTestHarness.BoxConnection.resultFrame(idempotencyKey + '.' + unanswered, "done");
+          fixture.b0Link.write(
+              MixerTestHarness.BoxConnection.resultFrame(idempotencyKey + '.' + answered, "done"));
           fixture.b0Link.write(
               closeCase.variant
                   ? Arrays.copyOf(unansweredResult, unansweredResult.length - 1)
                   : new byte[0]);
-          gate.posted(1);
+          gate.awaitPosted(1);
           closeCase.closeMode.apply(fixture.b0Link);
-          gate.posted(2);
+          gate.awaitPosted(2);
         }
         if (closeCase.retryable()) {
           fixture.assertAnsweredByOtherBox(unanswered);
@@ -470,7 +479,7 @@
     final Back backend;
     final Duration dialTimeout;
     ServerSocket listener = new ServerSocket(0, 8, InetAddress.getLoopbackAddress());
-    final List<Rig.Link> links = new ArrayList<>();
+    final List<MixerTestHarness.BoxConnection> links = new ArrayList<>();
 
     /** The words that the dials are up, or refused. */
     final List<Runnable> dialResults = new ArrayList<>();
@@ -487,8 +496,8 @@
           flatSettings);
       Settings settings = new Settings(flatSettings);
       backend = new Back(network, this, settings, counts, loop);
-      dialTimeout = settings.span("PolicyLimits.DialTimeoutMs");
-      listener.setSoTimeout(Rig.WAIT_MS);
+      dialTimeout = settings.duration("PolicyLimits.DialTimeoutMs");
+      listener.setSoTimeout(MixerTestHarness.TIMEOUT_MS);
       backend.listed(SEARCHER, (InetSocketAddress) listener.getLocalSocketAddress(), null);
     }
 
@@ -508,7 +517,7 @@
       backend.probe(SEARCHER);
       runTurn();
       assertEquals(dialResults.size() + 1, counts.get("links dialled"));
-      links.add(new Rig.Link(listener.accept()));
+      links.add(new MixerTestHarness.BoxConnection(listener.accept()));
       dialResults.add(nextEvent());
     }
 
@@ -522,7 +531,7 @@
       int port = listener.getLocalPort();
       listener = new ServerSocket();
       listener.setReuseAddress(true);
-      listener.setSoTimeout(Rig.WAIT_MS);
+      listener.setSoTimeout(MixerTestHarness.TIMEOUT_MS);
       listener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port), 8);
     }
 
@@ -532,8 +541,9 @@
     }
 
     Runnable nextEvent() throws InterruptedException {
-      Runnable event = loop.posted.poll(Rig.WAIT_MS, TimeUnit.MILLISECONDS);
-      assertTrue(event != null, "nothing is heard of within " + Rig.WAIT_MS + " ms");
+      Runnable event = loop.posted.poll(MixerTestHarness.TIMEOUT_MS, TimeUnit.MILLISECONDS);
+      assertTrue(
+          event != null, "nothing is heard of within " + MixerTestHarness.TIMEOUT_MS + " ms");
       return event;
     }
 
@@ -555,11 +565,11 @@
     }
 
     void assertProbeReceivedOn(int linkIndex) throws IOException {
-      assertEquals('H', links.get(linkIndex).frame().letter());
+      assertEquals('H', links.get(linkIndex).readFrame().type());
     }
 
     void answerProbe(int linkIndex) throws Exception {
-      links.get(linkIndex).write(Rig.Link.framed('H', "done"));
+      links.get(linkIndex).write(MixerTestHarness.BoxConnection.encodeFrame('H', "done"));
       runTurnsUntil(() -> probeOutcomes.size() == 1);
       assertEquals(List.of(Outcome.SUCCEEDED), probeOutcomes);
     }
@@ -572,7 +582,7 @@
       passDialTimeout();
       backend.closeIdle(SEARCHER);
       runTurnsUntil(() -> network.connections() == 0);
-      for (Rig.Link link : links) {
+      for (MixerTestHarness.BoxConnection link : links) {
         if (!link.socket.isClosed()) {
           assertEquals(0, countRemainingBytes(link));
         }
@@ -591,7 +601,7 @@
     @Override
     public void close() throws IOException {
       network.dispose();
-      for (Rig.Link link : links) {
+      for (MixerTestHarness.BoxConnection link : links) {
         link.close();
       }
       listener.close();
@@ -706,7 +716,7 @@
       fixture.passDialTimeout();
       assertEquals(List.of(Outcome.TIMED_OUT), fixture.probeOutcomes);
       fixture.probeOutcomes.clear();
-      fixture.links.get(first).write(Rig.Link.framed('H', "failed"));
+      fixture.links.get(first).write(MixerTestHarness.BoxConnection.encodeFrame('H', "failed"));
       fixture.backend.probe(DialFixture.SEARCHER);
       fixture.runTurn();
       fixture.assertProbeReceivedOn(1 - first);
@@ -726,7 +736,7 @@
       fixture.runTurn(fixture.dialResults.get(first), fixture.dialResults.get(1 - first));
       fixture.assertProbeReceivedOn(first);
       fixture.runTurnsUntil(fixture.network::unsentFree);
-      fixture.links.get(first).write(Rig.Link.framed('H', "done"));
+      fixture.links.get(first).write(MixerTestHarness.BoxConnection.encodeFrame('H', "done"));
       fixture.loop.now = fixture.loop.now.plus(fixture.dialTimeout);
       fixture.runTurn(fixture.nextEvent());
       fixture.assertFinalOutcome(Outcome.SUCCEEDED);
@@ -825,7 +835,7 @@
       fixture.backend.probe(DialFixture.SEARCHER);
       fixture.runTurn();
       assertEquals(2, fixture.counts.get("links dialled"));
-      fixture.links.add(new Rig.Link(fixture.listener.accept()));
+      fixture.links.add(new MixerTestHarness.BoxConnection(fixture.listener.accept()));
       Runnable established = fixture.nextEvent();
       switch (order) {
         case REFUSED_FIRST -> {
@@ -860,7 +870,7 @@
       fixture.backend.probe(DialFixture.SEARCHER);
       fixture.runTurn();
       assertEquals(3, fixture.counts.get("links dialled"));
-      fixture.links.add(new Rig.Link(fixture.listener.accept()));
+      fixture.links.add(new MixerTestHarness.BoxConnection(fixture.listener.accept()));
       if (secondEstablishedFirst) {
         fixture.runTurn(fixture.dialResults.get(0), fixture.dialResults.get(1));
       } else {
--- a/mixer/src/test/java/gingerring/server/SearcherConnectionRaceTest.java
+++ b/mixer/src/test/java/gingerring/server/SearcherConnectionRaceTest.java
@@ -24,23 +24,24 @@
     return Arrays.stream(groups).flatMap(Arrays::stream).toArray(String[]::new);
   }
 
-  private static Rig.Call startWithMembers(Rig harness, String... members) throws Exception {
-    Rig.Call watch = harness.agent.watch();
-    watch.say(Rig.list(1, true, members));
-    harness.ready();
+  private static MixerTestHarness.DiscoveryConnection startWithMembers(
+      MixerTestHarness harness, String... members) throws Exception {
+    MixerTestHarness.DiscoveryConnection watch = harness.agent.acceptWatch();
+    watch.sendLine(MixerTestHarness.memberListLine(1, true, members));
+    harness.awaitReady();
     return watch;
   }
 
   /** Nothing but probes comes for a while. */
-  private static boolean receivesNoRequest(Rig.Link link) throws IOException {
+  private static boolean receivesNoRequest(MixerTestHarness.BoxConnection link) throws IOException {
     link.socket.setSoTimeout(NO_TRAFFIC_WAIT_MS);
     try {
-      link.call();
+      link.readCall();
       return false;
     } catch (SocketTimeoutException e) {
       return true;
     } finally {
-      link.socket.setSoTimeout(Rig.WAIT_MS);
+      link.socket.setSoTimeout(MixerTestHarness.TIMEOUT_MS);
     }
   }
 
@@ -50,11 +51,12 @@
   @Test
   void partWaitingForDialIsNotSentAfterClientLeaves() throws Exception {
     for (String[] cancelSetting : new String[][] {CANCEL_DISABLED, {}}) {
-      try (Rig harness = new Rig(concatenate(cancelSetting, LONG_DIAL_TIMEOUT))) {
-        SlowAcceptSearcher slowSearcher = harness.keep(new SlowAcceptSearcher("late", 0));
+      try (MixerTestHarness harness =
+          new MixerTestHarness(concatenate(cancelSetting, LONG_DIAL_TIMEOUT))) {
+        SlowAcceptSearcher slowSearcher = harness.closeAtEnd(new SlowAcceptSearcher("late", 0));
         startWithMembers(harness, slowSearcher.member("SERVING"));
-        Rig.Client client = harness.client();
-        client.write(harness.scan("search", 2000, 0));
+        MixerTestHarness.Client client = harness.connectClient();
+        client.write(harness.scanRequest("search", 2000, 0));
         harness.awaitCount("links dialled", 1);
         client.close();
         harness.awaitCount("clients that left", 1);
@@ -69,15 +71,16 @@
   @Test
   void partWaitingForDialIsNotSentAfterScanIsAnswered() throws Exception {
     for (String[] cancelSetting : new String[][] {CANCEL_DISABLED, {}}) {
-      try (Rig harness = new Rig(concatenate(cancelSetting, LONG_DIAL_TIMEOUT))) {
-        SlowAcceptSearcher slowSearcher = harness.keep(new SlowAcceptSearcher("late", 3));
-        Rig.Box box = harness.box("box", 1);
-        startWithMembers(harness, slowSearcher.member("SERVING"), box.member("SERVING"));
-        Rig.Client client = harness.client();
-        client.write(harness.scan("search", 2000, 0, 2));
-        Rig.Link link = box.link();
-        link.answer(link.call(), "done");
-        assertTrue(client.answer().startsWith("200 {\"whole\":false"));
+      try (MixerTestHarness harness =
+          new MixerTestHarness(concatenate(cancelSetting, LONG_DIAL_TIMEOUT))) {
+        SlowAcceptSearcher slowSearcher = harness.closeAtEnd(new SlowAcceptSearcher("late", 3));
+        MixerTestHarness.Box box = harness.box("box", 1);
+        startWithMembers(harness, slowSearcher.member("SERVING"), box.memberJson("SERVING"));
+        MixerTestHarness.Client client = harness.connectClient();
+        client.write(harness.scanRequest("search", 2000, 0, 2));
+        MixerTestHarness.BoxConnection link = box.acceptConnection();
+        link.answer(link.readCall(), "done");
+        assertTrue(client.readAnswer().startsWith("200 {\"whole\":false"));
         slowSearcher.releaseBacklog();
         assertTrue(receivesNoRequest(slowSearcher.link()));
         assertEquals(1, harness.count("trips NOT_SENT"));
@@ -91,12 +94,13 @@
   @Test
   void partWaitingForDialIsNotSentAfterScanFails() throws Exception {
     for (String[] cancelSetting : new String[][] {CANCEL_DISABLED, {}}) {
-      try (Rig harness = new Rig(concatenate(cancelSetting, LONG_DIAL_TIMEOUT))) {
-        SlowAcceptSearcher slowSearcher = harness.keep(new SlowAcceptSearcher("late", 0));
+      try (MixerTestHarness harness =
+          new MixerTestHarness(concatenate(cancelSetting, LONG_DIAL_TIMEOUT))) {
+        SlowAcceptSearcher slowSearcher = harness.closeAtEnd(new SlowAcceptSearcher("late", 0));
         startWithMembers(harness, slowSearcher.member("SERVING"));
-        Rig.Client client = harness.client();
-        client.write(harness.scan("post", 2000, 0));
-        assertTrue(client.answer().startsWith("50"));
+        MixerTestHarness.Client client = harness.connectClient();
+        client.write(harness.scanRequest("post", 2000, 0));
+        assertTrue(client.readAnswer().startsWith("50"));
         slowSearcher.releaseBacklog();
         assertTrue(receivesNoRequest(slowSearcher.link()));
         assertEquals(1, harness.count("trips NOT_SENT"));
@@ -123,26 +127,28 @@
   @Test
   void partWaitingForDialIsNotSentAfterIdempotencyWindowOfItsCopy() throws Exception {
     for (boolean copied : new boolean[] {true, false}) {
-      try (Rig harness = new Rig(concatenate(SHORT_IDEMPOTENCY_WINDOW, LONG_DIAL_TIMEOUT))) {
-        SlowAcceptSearcher slowSearcher = harness.keep(new SlowAcceptSearcher("late", 0));
-        Rig.Call watch = startWithMembers(harness, slowSearcher.member("SERVING"));
-        Rig.Client client = harness.client();
-        client.write(harness.scan("post", 2000, 0));
+      try (MixerTestHarness harness =
+          new MixerTestHarness(concatenate(SHORT_IDEMPOTENCY_WINDOW, LONG_DIAL_TIMEOUT))) {
+        SlowAcceptSearcher slowSearcher = harness.closeAtEnd(new SlowAcceptSearcher("late", 0));
+        MixerTestHarness.DiscoveryConnection watch =
+            startWithMembers(harness, slowSearcher.member("SERVING"));
+        MixerTestHarness.Client client = harness.connectClient();
+        client.write(harness.scanRequest("post", 2000, 0));
         harness.awaitCount("links dialled", 1);
-        Rig.Box otherBox = harness.box("other", 1);
+        MixerTestHarness.Box otherBox = harness.box("other", 1);
         if (copied) {
           // what is late by half of its time is copied, and its window is as long as that
-          watch.say(Rig.list(2, false, otherBox.member("SERVING")));
-          assertEquals(1, otherBox.link().call().parts().size());
+          watch.sendLine(MixerTestHarness.memberListLine(2, false, otherBox.memberJson("SERVING")));
+          assertEquals(1, otherBox.acceptConnection().readCall().partIds().size());
         }
         slowSearcher.releaseBacklog(); // it comes up a second after it was dialled, or two
-        Rig.Link link = slowSearcher.link();
+        MixerTestHarness.BoxConnection link = slowSearcher.link();
         if (copied) {
           assertTrue(receivesNoRequest(link));
           harness.awaitCount("trips NOT_SENT", 1);
         } else {
-          link.answer(link.call(), "done");
-          assertTrue(client.answer().startsWith("200"));
+          link.answer(link.readCall(), "done");
+          assertTrue(client.readAnswer().startsWith("200"));
         }
       }
     }
@@ -154,21 +160,21 @@
    */
   @Test
   void partWhoseDeadlinePassesWithinItsTurnIsNotSent() throws Exception {
-    try (Rig harness = new Rig()) {
-      Rig.Box box = harness.box("b0", 0);
-      harness.begin(box);
-      Rig.Client client = harness.client();
-      client.write(harness.scan("search", 2000, 0));
-      Rig.Link link = box.link();
-      link.answer(link.call(), "done");
-      assertTrue(client.answer().startsWith("200"));
-      try (Rig.Gate gate = harness.hold()) {
-        client.write(harness.scan("search", 2000, 0));
-        gate.posted(1);
-        Duration deadline = harness.serve.loop.clock().plusMillis(2100);
-        harness.serve.loop.post(
+    try (MixerTestHarness harness = new MixerTestHarness()) {
+      MixerTestHarness.Box box = harness.box("b0", 0);
+      harness.announceAndAwaitReady(box);
+      MixerTestHarness.Client client = harness.connectClient();
+      client.write(harness.scanRequest("search", 2000, 0));
+      MixerTestHarness.BoxConnection link = box.acceptConnection();
+      link.answer(link.readCall(), "done");
+      assertTrue(client.readAnswer().startsWith("200"));
+      try (MixerTestHarness.LoopGate gate = harness.pauseLoop()) {
+        client.write(harness.scanRequest("search", 2000, 0));
+        gate.awaitPosted(1);
+        Duration deadline = harness.server.loop.clock().plusMillis(2100);
+        harness.server.loop.post(
             () -> { // the process stands still within the turn
-              while (harness.serve.loop.clock().compareTo(deadline) < 0) {
+              while (harness.server.loop.clock().compareTo(deadline) < 0) {
                 Thread.onSpinWait();
               }
             });
@@ -193,27 +199,30 @@
   void partIsNotSentOnConnectionEstablishedInTurnThatEndsIt() throws Exception {
     for (ConcurrentEvent event : ConcurrentEvent.values()) {
       for (boolean establishedFirst : new boolean[] {true, false}) {
-        try (Rig harness = new Rig(concatenate(LONG_LATENCY_TARGET, LONG_DIAL_TIMEOUT))) {
-          SlowAcceptSearcher slowSearcher = harness.keep(new SlowAcceptSearcher("late", 0));
-          Rig.Call watch = startWithMembers(harness, slowSearcher.member("SERVING"));
-          Rig.Client client = harness.client();
-          client.write(harness.scan("search", 2900, 0));
+        try (MixerTestHarness harness =
+            new MixerTestHarness(concatenate(LONG_LATENCY_TARGET, LONG_DIAL_TIMEOUT))) {
+          SlowAcceptSearcher slowSearcher = harness.closeAtEnd(new SlowAcceptSearcher("late", 0));
+          MixerTestHarness.DiscoveryConnection watch =
+              startWithMembers(harness, slowSearcher.member("SERVING"));
+          MixerTestHarness.Client client = harness.connectClient();
+          client.write(harness.scanRequest("search", 2900, 0));
           harness.awaitCount("links dialled", 1);
-          harness.turns(3);
-          try (Rig.Gate gate = harness.hold()) {
-            int postedBefore = gate.posted();
+          harness.runIterations(3);
+          try (MixerTestHarness.LoopGate gate = harness.pauseLoop()) {
+            int postedBefore = gate.postedCount();
             if (establishedFirst) {
               slowSearcher.releaseBacklog();
-              gate.posted(postedBefore + 1);
+              gate.awaitPosted(postedBefore + 1);
             }
             switch (event) {
               case CLIENT_LEAVES -> client.close();
               case SEARCHER_DRAINS ->
-                  watch.say(Rig.list(2, false, slowSearcher.member("DRAINING")));
-              case SEARCHER_REMOVED -> watch.say(Rig.list(2, true));
+                  watch.sendLine(
+                      MixerTestHarness.memberListLine(2, false, slowSearcher.member("DRAINING")));
+              case SEARCHER_REMOVED -> watch.sendLine(MixerTestHarness.memberListLine(2, true));
               case SEARCHER_RESTARTED ->
-                  watch.say(
-                      Rig.list(
+                  watch.sendLine(
+                      MixerTestHarness.memberListLine(
                           2,
                           false,
                           slowSearcher
@@ -222,17 +231,17 @@
                                   "\"up_since_ms\":0",
                                   "\"up_since_ms\":" + System.currentTimeMillis())));
             }
-            gate.posted(postedBefore + (establishedFirst ? 2 : 1));
+            gate.awaitPosted(postedBefore + (establishedFirst ? 2 : 1));
             if (!establishedFirst) {
               slowSearcher.releaseBacklog();
-              gate.posted(postedBefore + 2);
+              gate.awaitPosted(postedBefore + 2);
             }
           }
           String description = event + ", up first: " + establishedFirst;
-          Rig.Link link = slowSearcher.link();
+          MixerTestHarness.BoxConnection link = slowSearcher.link();
           if (event == ConcurrentEvent.SEARCHER_REMOVED
               || event == ConcurrentEvent.SEARCHER_RESTARTED) {
-            link.end(); // the mixer closes its end too
+            link.awaitEnd(); // the mixer closes its end too
           } else {
             assertTrue(receivesNoRequest(link), description);
           }
@@ -240,21 +249,22 @@
           assertEquals(0, harness.count("trips UNREACHABLE"), description);
           assertEquals(0, harness.count("trips BROKEN"), description);
           if (event != ConcurrentEvent.CLIENT_LEAVES) {
-            assertTrue(client.answer().startsWith("503"), description);
+            assertTrue(client.readAnswer().startsWith("503"), description);
           }
         }
       }
     }
   }
 
-  private static String scan(Rig harness, int deadlineMs, int queryLength, int partition) {
+  private static String scan(
+      MixerTestHarness harness, int deadlineMs, int queryLength, int partition) {
     String body =
         "{\"targets\":[{\"partition\":"
             + partition
             + ",\"share\":1}],\"query\":\""
             + "x".repeat(queryLength)
             + "\"}";
-    String head = harness.scan("search", deadlineMs, partition);
+    String head = harness.scanRequest("search", deadlineMs, partition);
     return head.substring(0, head.indexOf("Content-Length"))
         + "Content-Length: "
         + body.length()
@@ -268,8 +278,8 @@
    */
   @Test
   void unwrittenRequestsAreHeldBackOnceSearcherDrains() throws Exception {
-    try (Rig harness =
-        new Rig(
+    try (MixerTestHarness harness =
+        new MixerTestHarness(
             concatenate(
                 LONG_LATENCY_TARGET,
                 LONG_DIAL_TIMEOUT,
@@ -283,30 +293,31 @@
                   "\"Cancel\": true",
                   "\"Cancel\": false"
                 }))) {
-      SlowAcceptSearcher box = harness.keep(SlowAcceptSearcher.withSmallReceiveBuffer("box", 0));
-      Rig.Call watch = startWithMembers(harness, box.member("SERVING"));
+      SlowAcceptSearcher box =
+          harness.closeAtEnd(SlowAcceptSearcher.withSmallReceiveBuffer("box", 0));
+      MixerTestHarness.DiscoveryConnection watch = startWithMembers(harness, box.member("SERVING"));
       int largeRequests = 80; // more than the kernel takes for it
       int smallRequests = 10; // room for so few bytes there would be
       for (int i = 0; i < largeRequests + smallRequests; i++) {
-        harness.client().write(scan(harness, 2900, i < largeRequests ? 60_000 : 100, 0));
+        harness.connectClient().write(scan(harness, 2900, i < largeRequests ? 60_000 : 100, 0));
         if (i == largeRequests - 1) {
           harness.awaitCount("scans taken", largeRequests);
-          harness.turns(3);
+          harness.runIterations(3);
         }
       }
       harness.awaitCount("scans taken", largeRequests + smallRequests);
-      harness.turns(3);
+      harness.runIterations(3);
       long rejected = harness.count("nacks"); // on a machine that is too busy
-      watch.say(Rig.list(2, false, box.member("DRAINING")));
+      watch.sendLine(MixerTestHarness.memberListLine(2, false, box.member("DRAINING")));
       harness.awaitCount("trips NOT_SENT", 1);
-      harness.turns(3);
+      harness.runIterations(3);
       long heldBack = harness.count("trips NOT_SENT");
-      Rig.Link link = box.link();
+      MixerTestHarness.BoxConnection link = box.link();
       for (int partsReceived = 0;
           partsReceived < largeRequests + smallRequests - heldBack - rejected; ) {
-        Rig.Frame request = link.call();
-        partsReceived += request.parts().size();
-        assertTrue(request.rest().length > 60_000, "the small ones came last");
+        MixerTestHarness.Frame request = link.readCall();
+        partsReceived += request.partIds().size();
+        assertTrue(request.payload().length > 60_000, "the small ones came last");
       }
       assertTrue(receivesNoRequest(link), heldBack + " were kept back");
     }
@@ -315,24 +326,24 @@
   /** Guards against settings by which every connection counts as idle for too long. */
   @Test
   void connectionIsReusedWhenIdleTimeoutIsBelowDialTimeout() throws Exception {
-    try (Rig harness =
-        new Rig(
+    try (MixerTestHarness harness =
+        new MixerTestHarness(
             "\"DialTimeoutMs\": 250.0",
             "\"DialTimeoutMs\": 8000.0",
             "\"ConnIdleMs\": 30000.0",
             "\"ConnIdleMs\": 6000.0")) {
-      Rig.Box box = harness.box("box", 0);
-      startWithMembers(harness, box.member("SERVING"));
-      Rig.Client client = harness.client();
-      client.write(harness.scan("search", 2000, 0));
-      Rig.Link link = box.link();
+      MixerTestHarness.Box box = harness.box("box", 0);
+      startWithMembers(harness, box.memberJson("SERVING"));
+      MixerTestHarness.Client client = harness.connectClient();
+      client.write(harness.scanRequest("search", 2000, 0));
+      MixerTestHarness.BoxConnection link = box.acceptConnection();
       for (int i = 0; i < 3; i++) {
-        link.answer(link.call(), "done");
-        assertTrue(client.answer().startsWith("200"));
-        client.write(harness.scan("search", 2000, 0));
+        link.answer(link.readCall(), "done");
+        assertTrue(client.readAnswer().startsWith("200"));
+        client.write(harness.scanRequest("search", 2000, 0));
       }
-      link.answer(link.call(), "done");
-      assertTrue(client.answer().startsWith("200"));
+      link.answer(link.readCall(), "done");
+      assertTrue(client.readAnswer().startsWith("200"));
       assertEquals(1, harness.count("links dialled"));
     }
   }
@@ -343,19 +354,19 @@
    */
   @Test
   void connectionEstablishedAfterDialTimeoutServesNextPart() throws Exception {
-    try (Rig harness = new Rig()) {
-      SlowAcceptSearcher slowSearcher = harness.keep(new SlowAcceptSearcher("late", 0));
+    try (MixerTestHarness harness = new MixerTestHarness()) {
+      SlowAcceptSearcher slowSearcher = harness.closeAtEnd(new SlowAcceptSearcher("late", 0));
       startWithMembers(harness, slowSearcher.member("SERVING"));
-      Rig.Client client = harness.client();
-      client.write(harness.scan("search", 2000, 0));
-      assertTrue(client.answer().startsWith("503"));
+      MixerTestHarness.Client client = harness.connectClient();
+      client.write(harness.scanRequest("search", 2000, 0));
+      assertTrue(client.readAnswer().startsWith("503"));
       assertEquals(1, harness.count("trips UNREACHABLE"));
       slowSearcher.releaseBacklog();
-      Rig.Link link = slowSearcher.link();
+      MixerTestHarness.BoxConnection link = slowSearcher.link();
       assertTrue(receivesNoRequest(link)); // the part that waited for it has gone elsewhere
-      client.write(harness.scan("search", 2000, 0));
-      link.answer(link.call(), "done");
-      assertTrue(client.answer().startsWith("200"));
+      client.write(harness.scanRequest("search", 2000, 0));
+      link.answer(link.readCall(), "done");
+      assertTrue(client.readAnswer().startsWith("200"));
       assertEquals(1, harness.count("links dialled"));
     }
   }
@@ -367,27 +378,27 @@
    */
   @Test
   void oldestOfTwoLateDialsIsReplacedByNextDial() throws Exception {
-    try (Rig harness = new Rig()) {
-      SlowAcceptSearcher slowSearcher = harness.keep(new SlowAcceptSearcher("late", 0));
+    try (MixerTestHarness harness = new MixerTestHarness()) {
+      SlowAcceptSearcher slowSearcher = harness.closeAtEnd(new SlowAcceptSearcher("late", 0));
       startWithMembers(harness, slowSearcher.member("SERVING"));
-      Rig.Client client = harness.client();
+      MixerTestHarness.Client client = harness.connectClient();
       for (int expectedDials = 1; expectedDials <= 2; expectedDials++) {
-        client.write(harness.scan("search", 2000, 0));
-        assertTrue(client.answer().startsWith("50"));
+        client.write(harness.scanRequest("search", 2000, 0));
+        assertTrue(client.readAnswer().startsWith("50"));
         assertEquals(expectedDials, harness.count("links dialled"));
       }
       harness.awaitCount("links dialled", 3); // by the probe that ends a bench
       AtomicInteger openConnections = new AtomicInteger();
-      harness.inLoop(() -> openConnections.set(harness.serve.network().connections()));
+      harness.runInLoop(() -> openConnections.set(harness.server.network().connections()));
       assertEquals(4, openConnections.get()); // discovery, the client, and two dials
       slowSearcher.releaseBacklog();
-      Rig.Link link = slowSearcher.link();
+      MixerTestHarness.BoxConnection link = slowSearcher.link();
       Thread responder =
           new Thread(
               () -> {
                 try {
                   while (true) {
-                    link.answer(link.call(), "done");
+                    link.answer(link.readCall(), "done");
                   }
                 } catch (IOException e) {
                   // the test is over
@@ -396,12 +407,12 @@
               "searcher");
       responder.setDaemon(true);
       responder.start();
-      Rig.await(
+      MixerTestHarness.await(
           "a scan that is served",
           () -> {
             try {
-              client.write(harness.scan("search", 2000, 0));
-              return client.answer().startsWith("200");
+              client.write(harness.scanRequest("search", 2000, 0));
+              return client.readAnswer().startsWith("200");
             } catch (IOException e) {
               throw new AssertionError(e);
             }
--- a/mixer/src/test/java/gingerring/server/SlowAcceptSearcher.java
+++ b/mixer/src/test/java/gingerring/server/SlowAcceptSearcher.java
@@ -19,7 +19,7 @@
   private final int cell;
   private final ServerSocket listener = new ServerSocket();
   private final List<Socket> backlogFillers = new ArrayList<>();
-  private final List<Rig.Link> links = new ArrayList<>();
+  private final List<MixerTestHarness.BoxConnection> links = new ArrayList<>();
   private int filledSlots;
 
   SlowAcceptSearcher(String name, int cell) throws IOException {
@@ -30,7 +30,7 @@
   private SlowAcceptSearcher(String name, int cell, int backlog) throws IOException {
     this.name = name;
     this.cell = cell;
-    listener.setSoTimeout(Rig.WAIT_MS);
+    listener.setSoTimeout(MixerTestHarness.TIMEOUT_MS);
     listener.setReceiveBufferSize(4096);
     listener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), backlog);
   }
@@ -67,8 +67,8 @@
   }
 
   /** The next connection of the mixer's. */
-  Rig.Link link() throws IOException {
-    Rig.Link link = new Rig.Link(listener.accept());
+  MixerTestHarness.BoxConnection link() throws IOException {
+    MixerTestHarness.BoxConnection link = new MixerTestHarness.BoxConnection(listener.accept());
     links.add(link);
     return link;
   }
@@ -82,7 +82,7 @@
     } catch (SocketTimeoutException e) {
       return true;
     } finally {
-      listener.setSoTimeout(Rig.WAIT_MS);
+      listener.setSoTimeout(MixerTestHarness.TIMEOUT_MS);
     }
   }
 
@@ -103,7 +103,7 @@
     for (Socket socket : backlogFillers) {
       socket.close();
     }
-    for (Rig.Link link : links) {
+    for (MixerTestHarness.BoxConnection link : links) {
       link.close();
     }
     listener.close();
--- a/mixer/src/test/java/gingerring/server/WatchAddressChangeTest.java
+++ b/mixer/src/test/java/gingerring/server/WatchAddressChangeTest.java
@@ -19,11 +19,13 @@
     return new WatchHarness(true, "automatic", DRAIN_GRACE_MS);
   }
 
-  private static Rig.Call acceptWatchAndSendList(
-      WatchHarness harness, Rig.Agent agent, int expectedIndex, int revision) throws Exception {
-    Rig.Call watch = agent.watch();
-    assertTrue(watch.request.contains("?stream=1&index=" + expectedIndex + ' '), watch.request);
-    watch.say(Rig.list(revision, true));
+  private static MixerTestHarness.DiscoveryConnection acceptWatchAndSendList(
+      WatchHarness harness, MixerTestHarness.DiscoveryAgent agent, int expectedIndex, int revision)
+      throws Exception {
+    MixerTestHarness.DiscoveryConnection watch = agent.acceptWatch();
+    assertTrue(
+        watch.requestHead.contains("?stream=1&index=" + expectedIndex + ' '), watch.requestHead);
+    watch.sendLine(MixerTestHarness.memberListLine(revision, true));
     assertEquals("list " + revision, harness.nextNotification());
     return watch;
   }
@@ -43,21 +45,22 @@
   @Test
   void formerWatchIsUsedUntilFirstListFromNewAddress() throws Exception {
     try (WatchHarness harness = newHarness();
-        Rig.Agent newAgent = new Rig.Agent(true)) {
+        MixerTestHarness.DiscoveryAgent newAgent = new MixerTestHarness.DiscoveryAgent(true)) {
       harness.openWatch();
-      Rig.Call formerWatch = acceptWatchAndSendList(harness, harness.agent, 41, 42);
+      MixerTestHarness.DiscoveryConnection formerWatch =
+          acceptWatchAndSendList(harness, harness.agent, 41, 42);
       harness.changeAgentAddress(newAgent.address());
-      Rig.Call watch = newAgent.watch();
-      assertTrue(watch.request.contains("index=0 "), watch.request);
-      formerWatch.say(Rig.list(43, false));
+      MixerTestHarness.DiscoveryConnection watch = newAgent.acceptWatch();
+      assertTrue(watch.requestHead.contains("index=0 "), watch.requestHead);
+      formerWatch.sendLine(MixerTestHarness.memberListLine(43, false));
       assertEquals("list 43", harness.nextNotification());
-      watch.say("");
-      formerWatch.say(Rig.list(44, false));
+      watch.sendLine("");
+      formerWatch.sendLine(MixerTestHarness.memberListLine(44, false));
       assertEquals("list 44", harness.nextNotification());
-      watch.say(Rig.list(7, true));
+      watch.sendLine(MixerTestHarness.memberListLine(7, true));
       assertEquals("list 7", harness.nextNotification());
-      assertEquals("closed", formerWatch.end());
-      watch.say(Rig.list(8, false));
+      assertEquals("closed", formerWatch.awaitEnd());
+      watch.sendLine(MixerTestHarness.memberListLine(8, false));
       assertEquals("list 8", harness.nextNotification());
       assertNull(harness.notifications.poll());
     }
@@ -67,17 +70,18 @@
   @Test
   void unusableListDoesNotEndFormerWatch() throws Exception {
     try (WatchHarness harness = newHarness();
-        Rig.Agent newAgent = new Rig.Agent(true)) {
+        MixerTestHarness.DiscoveryAgent newAgent = new MixerTestHarness.DiscoveryAgent(true)) {
       harness.openWatch();
-      Rig.Call formerWatch = acceptWatchAndSendList(harness, harness.agent, 41, 42);
+      MixerTestHarness.DiscoveryConnection formerWatch =
+          acceptWatchAndSendList(harness, harness.agent, 41, 42);
       harness.changeAgentAddress(newAgent.address());
-      newAgent.watch().say("{\"revision\":7}");
+      newAgent.acceptWatch().sendLine("{\"revision\":7}");
       assertEquals("failed", harness.nextNotification());
-      formerWatch.say(Rig.list(43, false));
+      formerWatch.sendLine(MixerTestHarness.memberListLine(43, false));
       assertEquals("list 43", harness.nextNotification());
       harness.advanceClock(CALL_INTERVAL_MS);
       acceptWatchAndSendList(harness, newAgent, 0, 8);
-      assertEquals("closed", formerWatch.end());
+      assertEquals("closed", formerWatch.awaitEnd());
     }
   }
 
@@ -86,21 +90,28 @@
   void listOfFormerWatchAfterListFromNewAddressIsIgnored() throws Exception {
     for (boolean formerFirst : new boolean[] {true, false}) {
       try (WatchHarness harness = newHarness();
-          Rig.Agent newAgent = new Rig.Agent(true)) {
+          MixerTestHarness.DiscoveryAgent newAgent = new MixerTestHarness.DiscoveryAgent(true)) {
         harness.openWatch();
-        Rig.Call formerWatch = acceptWatchAndSendList(harness, harness.agent, 41, 42);
+        MixerTestHarness.DiscoveryConnection formerWatch =
+            acceptWatchAndSendList(harness, harness.agent, 41, 42);
         harness.changeAgentAddress(newAgent.address());
-        Rig.Call watch = newAgent.watch();
+        MixerTestHarness.DiscoveryConnection watch = newAgent.acceptWatch();
         harness.sendEmptyLine(watch);
         harness.awaitCount("discovery calls", 2);
         assertNoNotification(harness);
         harness.runWhileBlocked(
             () -> {
               (formerFirst ? formerWatch : watch)
-                  .say(formerFirst ? Rig.list(43, false) : Rig.list(7, true));
+                  .sendLine(
+                      formerFirst
+                          ? MixerTestHarness.memberListLine(43, false)
+                          : MixerTestHarness.memberListLine(7, true));
               harness.awaitPosted(1);
               (formerFirst ? watch : formerWatch)
-                  .say(formerFirst ? Rig.list(7, true) : Rig.list(43, false));
+                  .sendLine(
+                      formerFirst
+                          ? MixerTestHarness.memberListLine(7, true)
+                          : MixerTestHarness.memberListLine(43, false));
               harness.awaitPosted(2);
             });
         if (formerFirst) {
@@ -116,27 +127,30 @@
   @Test
   void lastWatchWithListIsKeptOverTwoAddressChanges() throws Exception {
     try (WatchHarness harness = newHarness();
-        Rig.Agent secondAgent = new Rig.Agent(true);
-        Rig.Agent thirdAgent = new Rig.Agent(true)) {
+        MixerTestHarness.DiscoveryAgent secondAgent = new MixerTestHarness.DiscoveryAgent(true);
+        MixerTestHarness.DiscoveryAgent thirdAgent = new MixerTestHarness.DiscoveryAgent(true)) {
       harness.openWatch();
-      Rig.Call formerWatch = acceptWatchAndSendList(harness, harness.agent, 41, 42);
+      MixerTestHarness.DiscoveryConnection formerWatch =
+          acceptWatchAndSendList(harness, harness.agent, 41, 42);
       harness.changeAgentAddress(secondAgent.address());
-      Rig.Call unansweredWatch = secondAgent.watch();
+      MixerTestHarness.DiscoveryConnection unansweredWatch = secondAgent.acceptWatch();
       harness.changeAgentAddress(thirdAgent.address());
-      assertEquals("closed", unansweredWatch.end());
-      formerWatch.say(Rig.list(43, false));
+      assertEquals("closed", unansweredWatch.awaitEnd());
+      formerWatch.sendLine(MixerTestHarness.memberListLine(43, false));
       assertEquals("list 43", harness.nextNotification());
-      Rig.Call watch = acceptWatchAndSendList(harness, thirdAgent, 0, 5);
-      assertEquals("closed", formerWatch.end());
+      MixerTestHarness.DiscoveryConnection watch =
+          acceptWatchAndSendList(harness, thirdAgent, 0, 5);
+      assertEquals("closed", formerWatch.awaitEnd());
       // and where the second has spoken, it is the one that stays
       harness.changeAgentAddress(secondAgent.address());
-      Rig.Call returnedWatch = acceptWatchAndSendList(harness, secondAgent, 0, 9);
-      assertEquals("closed", watch.end());
+      MixerTestHarness.DiscoveryConnection returnedWatch =
+          acceptWatchAndSendList(harness, secondAgent, 0, 9);
+      assertEquals("closed", watch.awaitEnd());
       harness.changeAgentAddress(thirdAgent.address());
-      returnedWatch.say(Rig.list(10, false));
+      returnedWatch.sendLine(MixerTestHarness.memberListLine(10, false));
       assertEquals("list 10", harness.nextNotification());
       acceptWatchAndSendList(harness, thirdAgent, 0, 6);
-      assertEquals("closed", returnedWatch.end());
+      assertEquals("closed", returnedWatch.awaitEnd());
       assertEquals(0, harness.counts.get("discovery failures"));
     }
   }
@@ -144,19 +158,21 @@
   @Test
   void returnToFirstAddressRequestsFullList() throws Exception {
     try (WatchHarness harness = newHarness();
-        Rig.Agent newAgent = new Rig.Agent(true)) {
+        MixerTestHarness.DiscoveryAgent newAgent = new MixerTestHarness.DiscoveryAgent(true)) {
       harness.openWatch();
-      Rig.Call formerWatch = acceptWatchAndSendList(harness, harness.agent, 41, 42);
+      MixerTestHarness.DiscoveryConnection formerWatch =
+          acceptWatchAndSendList(harness, harness.agent, 41, 42);
       harness.changeAgentAddress(newAgent.address());
-      Rig.Call unansweredWatch = newAgent.watch();
+      MixerTestHarness.DiscoveryConnection unansweredWatch = newAgent.acceptWatch();
       harness.changeAgentAddress(harness.agent.address());
-      assertEquals("closed", unansweredWatch.end());
-      formerWatch.say(Rig.list(43, false));
+      assertEquals("closed", unansweredWatch.awaitEnd());
+      formerWatch.sendLine(MixerTestHarness.memberListLine(43, false));
       assertEquals("list 43", harness.nextNotification());
-      Rig.Call watch = acceptWatchAndSendList(harness, harness.agent, 0, 43);
-      assertEquals("closed", formerWatch.end());
+      MixerTestHarness.DiscoveryConnection watch =
+          acceptWatchAndSendList(harness, harness.agent, 0, 43);
+      assertEquals("closed", formerWatch.awaitEnd());
       harness.changeAgentAddress(harness.agent.address()); // it is there already
-      watch.say(Rig.list(44, false));
+      watch.sendLine(MixerTestHarness.memberListLine(44, false));
       assertEquals("list 44", harness.nextNotification());
       assertEquals(3, harness.discoveryCalls());
     }
@@ -167,9 +183,10 @@
   void endedFormerWatchIsNotReopened() throws Exception {
     for (boolean silent : new boolean[] {true, false}) {
       try (WatchHarness harness = newHarness();
-          Rig.Agent newAgent = new Rig.Agent(false)) {
+          MixerTestHarness.DiscoveryAgent newAgent = new MixerTestHarness.DiscoveryAgent(false)) {
         harness.openWatch();
-        Rig.Call formerWatch = acceptWatchAndSendList(harness, harness.agent, 41, 42);
+        MixerTestHarness.DiscoveryConnection formerWatch =
+            acceptWatchAndSendList(harness, harness.agent, 41, 42);
         harness.changeAgentAddress(newAgent.address());
         assertEquals("failed", harness.nextNotification());
         if (silent) {
@@ -178,16 +195,16 @@
             harness.advanceClock(CALL_INTERVAL_MS);
             harness.awaitCount("discovery failures", failures + 1);
           }
-          assertEquals("closed", formerWatch.end());
+          assertEquals("closed", formerWatch.awaitEnd());
         } else {
           formerWatch.reset();
           harness.awaitCount("discovery failures", 2);
         }
         assertNoNotification(harness);
-        newAgent.admit();
+        newAgent.resumeListening();
         harness.advanceClock(CALL_INTERVAL_MS);
         acceptWatchAndSendList(harness, newAgent, 0, 5);
-        assertTrue(harness.agent.quiet(java.time.Duration.ofMillis(50)));
+        assertTrue(harness.agent.noConnectionWithin(java.time.Duration.ofMillis(50)));
       }
     }
   }
@@ -200,12 +217,12 @@
   void olderListTimerIsCancelledByAddressChange() throws Exception {
     for (boolean addressChanged : new boolean[] {true, false}) {
       try (WatchHarness harness = newHarness();
-          Rig.Agent newAgent = new Rig.Agent(true)) {
+          MixerTestHarness.DiscoveryAgent newAgent = new MixerTestHarness.DiscoveryAgent(true)) {
         harness.openWatch();
-        Rig.Call outdatedWatch = harness.agent.watch();
-        outdatedWatch.say(Rig.list(39, true));
+        MixerTestHarness.DiscoveryConnection outdatedWatch = harness.agent.acceptWatch();
+        outdatedWatch.sendLine(MixerTestHarness.memberListLine(39, true));
         harness.awaitCount("lists older than the one held", 1);
-        Rig.Call watch = outdatedWatch;
+        MixerTestHarness.DiscoveryConnection watch = outdatedWatch;
         if (addressChanged) {
           harness.changeAgentAddress(newAgent.address());
           watch = acceptWatchAndSendList(harness, newAgent, 0, 3);
@@ -229,11 +246,12 @@
   void fetchInFlightIsRepeatedAtNewAddress() throws Exception {
     for (boolean answered : new boolean[] {true, false}) {
       try (WatchHarness harness = newHarness();
-          Rig.Agent newAgent = new Rig.Agent(true)) {
+          MixerTestHarness.DiscoveryAgent newAgent = new MixerTestHarness.DiscoveryAgent(true)) {
         harness.runOnLoop(harness.watch::fetch);
-        Rig.Call fetch = harness.agent.call();
-        assertTrue(fetch.request.startsWith("GET /v1/endpoints HTTP/1.1\r\n"), fetch.request);
-        String oldList = Rig.list(42, true);
+        MixerTestHarness.DiscoveryConnection fetch = harness.agent.acceptRequest();
+        assertTrue(
+            fetch.requestHead.startsWith("GET /v1/endpoints HTTP/1.1\r\n"), fetch.requestHead);
+        String oldList = MixerTestHarness.memberListLine(42, true);
         String answer =
             "HTTP/1.1 200 OK\r\nContent-Length: " + oldList.length() + "\r\n\r\n" + oldList;
         if (answered) {
@@ -241,11 +259,11 @@
           assertEquals("list 42", harness.nextNotification());
         }
         harness.changeAgentAddress(newAgent.address());
-        assertEquals("closed", fetch.end());
+        assertEquals("closed", fetch.awaitEnd());
         if (!answered) {
-          String list = Rig.list(7, true);
+          String list = MixerTestHarness.memberListLine(7, true);
           newAgent
-              .call()
+              .acceptRequest()
               .write("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list);
           assertEquals("list 7", harness.nextNotification());
         }
@@ -260,14 +278,15 @@
   void fetchOlderThanWatchedListIsIgnored() throws Exception {
     try (WatchHarness harness = newHarness()) {
       harness.openWatch();
-      Rig.Call watch = acceptWatchAndSendList(harness, harness.agent, 41, 42);
+      MixerTestHarness.DiscoveryConnection watch =
+          acceptWatchAndSendList(harness, harness.agent, 41, 42);
       harness.runOnLoop(harness.watch::fetch);
-      Rig.Call fetch = harness.agent.call();
-      watch.say(Rig.list(43, false));
+      MixerTestHarness.DiscoveryConnection fetch = harness.agent.acceptRequest();
+      watch.sendLine(MixerTestHarness.memberListLine(43, false));
       assertEquals("list 43", harness.nextNotification());
-      String oldList = Rig.list(42, true);
+      String oldList = MixerTestHarness.memberListLine(42, true);
       fetch.write("HTTP/1.1 200 OK\r\nContent-Length: " + oldList.length() + "\r\n\r\n" + oldList);
-      assertEquals("closed", fetch.end());
+      assertEquals("closed", fetch.awaitEnd());
       assertNoNotification(harness);
     }
   }
@@ -280,7 +299,8 @@
   void newAddressIsCalledThreeTimesWithinFourSeconds() throws Exception {
     for (boolean refused : new boolean[] {true, false}) {
       try (WatchHarness harness = new WatchHarness(true, "subscribe", DRAIN_GRACE_MS);
-          Rig.Agent newAgent = new Rig.Agent(!refused)) {
+          MixerTestHarness.DiscoveryAgent newAgent =
+              new MixerTestHarness.DiscoveryAgent(!refused)) {
         harness.openWatch();
         acceptWatchAndSendList(harness, harness.agent, 41, 42);
         harness.advanceClock(1000);
@@ -289,16 +309,16 @@
           if (refused) {
             harness.awaitCount("discovery failures", i);
           } else {
-            newAgent.call();
+            newAgent.acceptRequest();
           }
           if (i == 2 && refused) {
-            newAgent.admit();
+            newAgent.resumeListening();
           }
           harness.advanceClock(MAX_CALL_INTERVAL_MS);
         }
         assertTrue(3 * MAX_CALL_INTERVAL_MS < 4000);
-        Rig.Call watch = newAgent.watch();
-        watch.say(Rig.list(7, true));
+        MixerTestHarness.DiscoveryConnection watch = newAgent.acceptWatch();
+        watch.sendLine(MixerTestHarness.memberListLine(7, true));
         String notification = harness.nextNotification();
         assertEquals(
             "list 7", "failed".equals(notification) ? harness.nextNotification() : notification);
@@ -310,13 +330,13 @@
   @Test
   void addressChangeOpensNoUnrequestedWatch() throws Exception {
     try (WatchHarness harness = newHarness();
-        Rig.Agent newAgent = new Rig.Agent(true)) {
+        MixerTestHarness.DiscoveryAgent newAgent = new MixerTestHarness.DiscoveryAgent(true)) {
       harness.changeAgentAddress(newAgent.address());
       assertEquals(0, harness.discoveryCalls());
       harness.openWatch();
-      Rig.Call watch = acceptWatchAndSendList(harness, newAgent, 0, 7);
+      MixerTestHarness.DiscoveryConnection watch = acceptWatchAndSendList(harness, newAgent, 0, 7);
       harness.runOnLoop(harness.watch::close);
-      assertEquals("closed", watch.end());
+      assertEquals("closed", watch.awaitEnd());
       harness.changeAgentAddress(harness.agent.address());
       harness.advanceClock(10_000);
       assertEquals(1, harness.discoveryCalls());
--- a/mixer/src/test/java/gingerring/server/WatchDialRaceTest.java
+++ b/mixer/src/test/java/gingerring/server/WatchDialRaceTest.java
@@ -120,7 +120,7 @@
       throws Exception {
     boolean[] settled =
         new boolean[1]; // else an earlier request's leaving would stand for another event
-    Rig.await(
+    MixerTestHarness.await(
         "all that was put leaves",
         () -> {
           try {
@@ -155,7 +155,7 @@
             case ESTABLISHED -> {
               dialAllowed.countDown();
               agentSocket = harness.agent.accept();
-              agentSocket.setSoTimeout(Rig.WAIT_MS);
+              agentSocket.setSoTimeout(MixerTestHarness.TIMEOUT_MS);
             }
             case SPEAKS -> agentSocket.getOutputStream().write(responseText.getBytes());
             case CLOSES -> agentSocket.close();
@@ -178,7 +178,7 @@
 
   private static void awaitLatch(CountDownLatch latch) {
     try {
-      if (!latch.await(Rig.WAIT_MS, TimeUnit.MILLISECONDS)) {
+      if (!latch.await(MixerTestHarness.TIMEOUT_MS, TimeUnit.MILLISECONDS)) {
         throw new AssertionError("nothing lets it go on");
       }
     } catch (InterruptedException e) {
@@ -190,7 +190,7 @@
   private static void assertOpenConnections(WatchHarness harness, int expectedCount)
       throws Exception {
     int[] actual = new int[2];
-    Rig.await(
+    MixerTestHarness.await(
         expectedCount + " connections in hand",
         () -> {
           try {
@@ -215,10 +215,12 @@
 
   /** What a call for a watch is answered, as far as its first line. */
   private static String watchResponse(int revision) {
-    return "HTTP/1.1 200 OK\r\n\r\n" + Rig.list(revision, true) + "\n";
+    return "HTTP/1.1 200 OK\r\n\r\n" + MixerTestHarness.memberListLine(revision, true) + "\n";
   }
 
-  private static void sendList(WatchHarness harness, Rig.Call call, int revision) throws Exception {
+  private static void sendList(
+      WatchHarness harness, MixerTestHarness.DiscoveryConnection call, int revision)
+      throws Exception {
     call.write(watchResponse(revision));
     assertEquals("list " + revision, harness.nextNotification());
   }
@@ -230,7 +232,7 @@
   }
 
   private static String fetchResponse(int revision) {
-    String list = Rig.list(revision, true);
+    String list = MixerTestHarness.memberListLine(revision, true);
     return "HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list;
   }
 
@@ -258,7 +260,7 @@
           assertEquals(1, harness.discoveryCalls(), steps.toString());
           harness.advanceClock(1);
           assertEquals(2, harness.discoveryCalls(), steps.toString());
-          sendList(harness, harness.agent.call(), 43);
+          sendList(harness, harness.agent.acceptRequest(), 43);
           assertNotifications(harness, List.of());
           assertOpenConnections(harness, 1);
         }
@@ -324,7 +326,8 @@
         SEQUENCES,
         (steps, eventIndex, description) -> {
           try (WatchHarness harness = newHarness("automatic");
-              Rig.Agent newAgent = new Rig.Agent(true)) {
+              MixerTestHarness.DiscoveryAgent newAgent =
+                  new MixerTestHarness.DiscoveryAgent(true)) {
             Socket formerSocket =
                 runInterleaved(
                     harness,
@@ -339,7 +342,7 @@
               expected.add("failed");
             }
             assertNotifications(harness, expected);
-            Rig.Call watch = newAgent.call();
+            MixerTestHarness.DiscoveryConnection watch = newAgent.acceptRequest();
             assertEquals(2, harness.discoveryCalls());
             if (!listReceived && !ends(steps) && !steps.contains(Step.SPEAKS)) {
               assertClosedWithoutRequest(formerSocket);
@@ -371,9 +374,10 @@
         SEQUENCES,
         (steps, eventIndex, description) -> {
           try (WatchHarness harness = newHarness("automatic");
-              Rig.Agent newAgent = new Rig.Agent(true)) {
+              MixerTestHarness.DiscoveryAgent newAgent =
+                  new MixerTestHarness.DiscoveryAgent(true)) {
             harness.openWatch();
-            Rig.Call formerWatch = harness.agent.call();
+            MixerTestHarness.DiscoveryConnection formerWatch = harness.agent.acceptRequest();
             sendList(harness, formerWatch, 42);
             Socket fetchSocket =
                 runInterleaved(
@@ -395,13 +399,13 @@
             assertOpenConnections(
                 harness,
                 2 + repeatedFetches); // the former watch, the new one, and the list asked for anew
-            Rig.Call watch = null;
+            MixerTestHarness.DiscoveryConnection watch = null;
             for (int i = 0; i <= repeatedFetches; i++) {
-              Rig.Call call = newAgent.call();
-              watch = call.request.contains("stream=1") ? call : watch;
+              MixerTestHarness.DiscoveryConnection call = newAgent.acceptRequest();
+              watch = call.requestHead.contains("stream=1") ? call : watch;
             }
             sendList(harness, watch, 7);
-            assertEquals("closed", formerWatch.end());
+            assertEquals("closed", formerWatch.awaitEnd());
             assertOpenConnections(harness, 1 + repeatedFetches);
             assertNotifications(harness, List.of());
             assertEquals(3 + repeatedFetches, harness.discoveryCalls());
@@ -434,7 +438,7 @@
             assertEquals(1, harness.discoveryCalls());
             harness.advanceClock(1);
             assertEquals(2, harness.discoveryCalls());
-            sendList(harness, harness.agent.call(), 43);
+            sendList(harness, harness.agent.acceptRequest(), 43);
             assertOpenConnections(harness, 1);
             assertNotifications(harness, List.of());
           }
@@ -470,7 +474,7 @@
             assertEquals(1, harness.discoveryCalls());
             assertNotifications(harness, List.of());
             harness.openWatch(); // and it is opened again as ever
-            sendList(harness, harness.agent.call(), 43);
+            sendList(harness, harness.agent.acceptRequest(), 43);
             assertOpenConnections(harness, 1);
           }
         });
@@ -487,7 +491,7 @@
         (steps, eventIndex, description) -> {
           try (WatchHarness harness = newHarness("automatic")) {
             harness.openWatch();
-            Rig.Call olderCall = harness.agent.call();
+            MixerTestHarness.DiscoveryConnection olderCall = harness.agent.acceptRequest();
             Socket newerSocket =
                 runInterleaved(
                     harness,
@@ -500,7 +504,7 @@
             assertNotifications(harness, List.of(newerAnswered ? "list 43" : "list 42"));
             assertEquals(2, harness.discoveryCalls());
             if (newerAnswered) {
-              olderCall.end();
+              olderCall.awaitEnd();
             } else if (!ends(steps) && !steps.contains(Step.SPEAKS)) {
               assertClosedWithoutRequest(newerSocket);
             }
@@ -514,12 +518,14 @@
             harness.advanceClock(1);
             assertEquals(noWatchLeft ? 3 : 2, harness.discoveryCalls());
             if (noWatchLeft) {
-              sendList(harness, harness.agent.call(), 44);
+              sendList(harness, harness.agent.acceptRequest(), 44);
             } else if (!newerAnswered) {
-              olderCall.write(Rig.list(44, false) + "\n");
+              olderCall.write(MixerTestHarness.memberListLine(44, false) + "\n");
               assertEquals("list 44", harness.nextNotification());
             } else {
-              newerSocket.getOutputStream().write((Rig.list(44, false) + "\n").getBytes());
+              newerSocket
+                  .getOutputStream()
+                  .write((MixerTestHarness.memberListLine(44, false) + "\n").getBytes());
               assertEquals("list 44", harness.nextNotification());
             }
             assertOpenConnections(harness, 1);
@@ -538,39 +544,42 @@
       forEachInterleaving(
           SILENT_SEQUENCES,
           (steps, eventIndex, description) -> {
-            try (Rig harness =
-                    new Rig(
+            try (MixerTestHarness harness =
+                    new MixerTestHarness(
                         "\"HardLimitMs\": 2000.0",
                         "\"HardLimitMs\": 100.0",
                         "\"AimMs\": 600.0",
                         "\"AimMs\": 60.0");
-                Rig.Agent newAgent = new Rig.Agent(true)) {
-              Rig.Call formerWatch = harness.begin(harness.box("b0", 0));
-              harness.configure(newAgent.address());
+                MixerTestHarness.DiscoveryAgent newAgent =
+                    new MixerTestHarness.DiscoveryAgent(true)) {
+              MixerTestHarness.DiscoveryConnection formerWatch =
+                  harness.announceAndAwaitReady(harness.box("b0", 0));
+              harness.writeConfig(newAgent.address());
               CountDownLatch reached = new CountDownLatch(1);
               CountDownLatch dialAllowed = new CountDownLatch(1);
               CountDownLatch released = new CountDownLatch(1);
               Runnable endProcess =
-                  stopAtOnce ? harness.serve.loop::stop : harness.serve::announceEnd;
+                  stopAtOnce ? harness.server.loop::stop : harness.server::announceEnd;
               Socket agentSocket = null;
-              try (Rig.Gate gate = harness.hold()) { // what is posted behind it is one turn
-                harness.serve.loop.post(
+              try (MixerTestHarness.LoopGate gate =
+                  harness.pauseLoop()) { // what is posted behind it is one turn
+                harness.server.loop.post(
                     () -> {
                       reached.countDown();
                       awaitLatch(dialAllowed);
                     });
-                harness.serve.reload();
-                harness.serve.loop.post(
+                harness.server.reload();
+                harness.server.loop.post(
                     () -> {
-                      harness.serve.network().flush(); // what the move dialled goes on
+                      harness.server.network().flush(); // what the move dialled goes on
                       awaitLatch(released);
                     });
               }
               awaitLatch(reached);
-              int eventCount = harness.serve.loop.posted();
+              int eventCount = harness.server.loop.posted();
               for (int i = 0; i <= steps.size(); i++) {
                 if (i == eventIndex) {
-                  harness.serve.loop.post(endProcess);
+                  harness.server.loop.post(endProcess);
                   eventCount++;
                 }
                 if (i < steps.size()) {
@@ -586,11 +595,12 @@
                     }
                   }
                   int minimum = ++eventCount;
-                  Rig.await("events before the loop", () -> harness.serve.loop.posted() >= minimum);
+                  MixerTestHarness.await(
+                      "events before the loop", () -> harness.server.loop.posted() >= minimum);
                 }
               }
               released.countDown();
-              assertEquals(0, harness.ended(), description);
+              assertEquals(0, harness.awaitExitCode(), description);
               agentSocket.close();
               formerWatch.close();
               assertEquals(stopAtOnce ? 0 : 1, harness.count("ends announced"));
--- a/mixer/src/test/java/gingerring/server/WatchHarness.java
+++ b/mixer/src/test/java/gingerring/server/WatchHarness.java
@@ -58,7 +58,7 @@
     }
   }
 
-  final Rig.Agent agent;
+  final MixerTestHarness.DiscoveryAgent agent;
   final Counts counts = new Counts();
   final Loop loop = new Loop(counts);
   final Network network = new Network(loop, counts, false);
@@ -72,7 +72,7 @@
 
   /** {@code way} and {@code graceMs}: the settings Discovery and Safety.DrainGraceMs. */
   WatchHarness(boolean accepting, String discoveryMode, int graceMs) throws Exception {
-    agent = new Rig.Agent(accepting);
+    agent = new MixerTestHarness.DiscoveryAgent(accepting);
     watch =
         new Watch(
             network,
@@ -107,9 +107,9 @@
   }
 
   /** An empty line, which has been heard by the end: the clock must not pass by it. */
-  void sendEmptyLine(Rig.Call call) throws Exception {
+  void sendEmptyLine(MixerTestHarness.DiscoveryConnection call) throws Exception {
     long messagesBefore = counts.get("words");
-    call.say("");
+    call.sendLine("");
     awaitCount("words", messagesBefore + 1);
   }
 
@@ -148,7 +148,7 @@
           task.run();
           loop.post(done::countDown);
         });
-    if (!done.await(Rig.WAIT_MS, TimeUnit.MILLISECONDS)) {
+    if (!done.await(MixerTestHarness.TIMEOUT_MS, TimeUnit.MILLISECONDS)) {
       throw new AssertionError("the loop did not run a task");
     }
   }
@@ -164,12 +164,12 @@
         () -> {
           reached.countDown();
           try {
-            released.await(Rig.WAIT_MS, TimeUnit.MILLISECONDS);
+            released.await(MixerTestHarness.TIMEOUT_MS, TimeUnit.MILLISECONDS);
           } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
           }
         });
-    reached.await(Rig.WAIT_MS, TimeUnit.MILLISECONDS);
+    reached.await(MixerTestHarness.TIMEOUT_MS, TimeUnit.MILLISECONDS);
     try {
       action.run();
     } finally {
@@ -184,16 +184,18 @@
 
   /** Waits until so many events stand before the loop. */
   void awaitPosted(int eventCount) throws InterruptedException {
-    Rig.await(eventCount + " events before the loop", () -> loop.posted() >= eventCount);
+    MixerTestHarness.await(
+        eventCount + " events before the loop", () -> loop.posted() >= eventCount);
   }
 
   /** The next that was told; null after a while. */
   String nextNotification() throws InterruptedException {
-    return notifications.poll(Rig.WAIT_MS, TimeUnit.MILLISECONDS);
+    return notifications.poll(MixerTestHarness.TIMEOUT_MS, TimeUnit.MILLISECONDS);
   }
 
   void awaitCount(String counter, long minimum) throws InterruptedException {
-    Rig.await(counter + " at " + minimum + " in " + counts, () -> counts.get(counter) >= minimum);
+    MixerTestHarness.await(
+        counter + " at " + minimum + " in " + counts, () -> counts.get(counter) >= minimum);
   }
 
   long discoveryCalls() {
@@ -204,7 +206,7 @@
   public void close() throws IOException {
     loop.post(loop::stop);
     try {
-      thread.join(Rig.WAIT_MS);
+      thread.join(MixerTestHarness.TIMEOUT_MS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
--- a/mixer/src/test/java/gingerring/server/WatchRaceTest.java
+++ b/mixer/src/test/java/gingerring/server/WatchRaceTest.java
@@ -28,10 +28,10 @@
 
   private static final int SILENCE_TIMEOUT_MS = 2500;
 
-  private static Rig.Call acceptWatchAndSendList(WatchHarness harness, int revision)
-      throws Exception {
-    Rig.Call watch = harness.agent.watch();
-    watch.say(Rig.list(revision, true));
+  private static MixerTestHarness.DiscoveryConnection acceptWatchAndSendList(
+      WatchHarness harness, int revision) throws Exception {
+    MixerTestHarness.DiscoveryConnection watch = harness.agent.acceptWatch();
+    watch.sendLine(MixerTestHarness.memberListLine(revision, true));
     assertEquals("list " + revision, harness.nextNotification());
     return watch;
   }
@@ -41,7 +41,7 @@
       throws InterruptedException {
     for (int i = 0; i <= totalMs; i += stepMs) {
       // refusals come in their own time, from the network
-      Rig.await(
+      MixerTestHarness.await(
           "refusals", () -> harness.counts.get("discovery failures") >= harness.discoveryCalls());
       if (i < totalMs) {
         harness.advanceClock(stepMs);
@@ -57,9 +57,9 @@
   void refusedWatchRetriesTwiceWithinDrainGraceUntilAgentReturns() throws Exception {
     try (WatchHarness harness = new WatchHarness(true, AUTOMATIC_MODE, DRAIN_GRACE_MS)) {
       harness.openWatch();
-      Rig.Call watch = acceptWatchAndSendList(harness, 42);
+      MixerTestHarness.DiscoveryConnection watch = acceptWatchAndSendList(harness, 42);
       harness.advanceClock(SILENCE_TIMEOUT_MS - 100);
-      harness.agent.refuse();
+      harness.agent.stopListening();
       watch.reset();
       assertEquals(
           "failed",
@@ -68,9 +68,14 @@
       advanceWhileRefused(harness, 3000, 50);
       assertEquals(2 + 3000 / CALL_INTERVAL_MS, harness.discoveryCalls());
       assertNull(harness.notifications.poll(), "what it calls by itself is not told as failed");
-      harness.agent.admit();
+      harness.agent.resumeListening();
       harness.advanceClock(CALL_INTERVAL_MS);
-      assertTrue(harness.agent.call().request.startsWith("GET /v1/endpoints?stream=1&index=42 "));
+      assertTrue(
+          harness
+              .agent
+              .acceptRequest()
+              .requestHead
+              .startsWith("GET /v1/endpoints?stream=1&index=42 "));
     }
   }
 
@@ -83,26 +88,26 @@
     for (boolean oldestAnswers : new boolean[] {true, false}) {
       try (WatchHarness harness = new WatchHarness(true, AUTOMATIC_MODE, DRAIN_GRACE_MS)) {
         harness.openWatch();
-        Rig.Call watch = acceptWatchAndSendList(harness, 42);
+        MixerTestHarness.DiscoveryConnection watch = acceptWatchAndSendList(harness, 42);
         harness.advanceClock(SILENCE_TIMEOUT_MS);
         assertEquals("failed", harness.nextNotification());
-        assertEquals("closed", watch.end());
-        List<Rig.Call> openCalls = new ArrayList<>();
+        assertEquals("closed", watch.awaitEnd());
+        List<MixerTestHarness.DiscoveryConnection> openCalls = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-          openCalls.add(harness.agent.call());
+          openCalls.add(harness.agent.acceptRequest());
           harness.advanceClock(i < 3 ? CALL_INTERVAL_MS : CALL_INTERVAL_MS - 1);
         }
         assertEquals(1 + 4, harness.discoveryCalls());
-        Rig.Call answeredCall = openCalls.remove(oldestAnswers ? 0 : 3);
+        MixerTestHarness.DiscoveryConnection answeredCall = openCalls.remove(oldestAnswers ? 0 : 3);
         answeredCall.write("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-        answeredCall.say(Rig.list(43, false));
+        answeredCall.sendLine(MixerTestHarness.memberListLine(43, false));
         assertEquals("list 43", harness.nextNotification());
-        for (Rig.Call other : openCalls) {
-          assertEquals("closed", other.end());
+        for (MixerTestHarness.DiscoveryConnection other : openCalls) {
+          assertEquals("closed", other.awaitEnd());
         }
         harness.advanceClock(2 * CALL_INTERVAL_MS);
-        answeredCall.say("");
-        answeredCall.say(Rig.list(44, false));
+        answeredCall.sendLine("");
+        answeredCall.sendLine(MixerTestHarness.memberListLine(44, false));
         assertEquals("list 44", harness.nextNotification());
         harness.advanceClock(SILENCE_TIMEOUT_MS - 1);
         assertEquals(1 + 4, harness.discoveryCalls());
@@ -119,20 +124,20 @@
   void firstOfTwoCallsAnsweredInOneTurnBecomesWatch() throws Exception {
     try (WatchHarness harness = new WatchHarness(true, AUTOMATIC_MODE, DRAIN_GRACE_MS)) {
       harness.openWatch();
-      Rig.Call olderCall = harness.agent.watch();
+      MixerTestHarness.DiscoveryConnection olderCall = harness.agent.acceptWatch();
       harness.advanceClock(CALL_INTERVAL_MS);
-      Rig.Call newerCall = harness.agent.watch();
+      MixerTestHarness.DiscoveryConnection newerCall = harness.agent.acceptWatch();
       harness.runOnLoop(() -> {}); // both heads are read
       harness.runWhileBlocked(
           () -> {
-            newerCall.say(Rig.list(43, false));
+            newerCall.sendLine(MixerTestHarness.memberListLine(43, false));
             harness.awaitPosted(1);
-            olderCall.say(Rig.list(44, false));
+            olderCall.sendLine(MixerTestHarness.memberListLine(44, false));
             harness.awaitPosted(2);
           });
       assertEquals("list 43", harness.nextNotification());
-      assertEquals("closed", olderCall.end());
-      newerCall.say(Rig.list(44, false));
+      assertEquals("closed", olderCall.awaitEnd());
+      newerCall.sendLine(MixerTestHarness.memberListLine(44, false));
       assertEquals("list 44", harness.nextNotification());
       assertEquals(0, harness.counts.get("discovery failures"));
     }
@@ -152,16 +157,16 @@
           harness.advanceClock(SILENCE_TIMEOUT_MS - 1);
           assertEquals(1, harness.discoveryCalls());
           if (refused) {
-            harness.agent.refuse();
+            harness.agent.stopListening();
           }
           harness.advanceClock(1);
           assertEquals("failed", harness.nextNotification());
           assertEquals(2, harness.discoveryCalls());
           if (refused) {
             assertEquals("failed", harness.nextNotification());
-            harness.agent.admit();
+            harness.agent.resumeListening();
           } else {
-            harness.agent.call();
+            harness.agent.acceptRequest();
           }
           // nobody asks: by itself it calls again, twice before its time is over; the first of them
           // is silent too
@@ -169,14 +174,14 @@
           harness.advanceClock(MAX_CALL_INTERVAL_MS);
           assertTrue(harness.discoveryCalls() > callsBefore);
           for (long i = callsBefore; i < harness.discoveryCalls(); i++) {
-            harness.agent.call();
+            harness.agent.acceptRequest();
           }
           callsBefore = harness.discoveryCalls();
           harness.advanceClock(discoveryMode.equals(AUTOMATIC_MODE) ? 500 : MAX_CALL_INTERVAL_MS);
           assertEquals(callsBefore + 1, harness.discoveryCalls());
           assertTrue(SILENCE_TIMEOUT_MS + 2 * MAX_CALL_INTERVAL_MS < 6000);
-          Rig.Call nextWatch = harness.agent.watch();
-          nextWatch.say(Rig.list(43, false));
+          MixerTestHarness.DiscoveryConnection nextWatch = harness.agent.acceptWatch();
+          nextWatch.sendLine(MixerTestHarness.memberListLine(43, false));
           String notification = harness.nextNotification();
           assertEquals(
               "list 43", "failed".equals(notification) ? harness.nextNotification() : notification);
@@ -192,8 +197,8 @@
       harness.openWatch();
       for (int i = 0; i < 8; i++) {
         assertEquals(1 + i, harness.discoveryCalls());
-        Rig.Call watch = harness.agent.watch();
-        watch.say(Rig.list(42 + i, false));
+        MixerTestHarness.DiscoveryConnection watch = harness.agent.acceptWatch();
+        watch.sendLine(MixerTestHarness.memberListLine(42 + i, false));
         assertEquals("list " + (42 + i), harness.nextNotification());
         watch.close();
         harness.awaitCount("discovery failures", i + 1);
@@ -248,11 +253,12 @@
     try (WatchHarness harness = new WatchHarness(true, AUTOMATIC_MODE, 0)) {
       harness.openWatch();
       for (int i = 0; i < 32; i++) {
-        Rig.Call partialCall = harness.agent.call();
+        MixerTestHarness.DiscoveryConnection partialCall = harness.agent.acceptRequest();
         partialCall.write("HTTP/1.1 200 OK\r\n");
         harness.advanceClock(125);
         assertEquals(2 + i, harness.discoveryCalls());
-        Rig.await("eight connections at most", () -> harness.network.connections() <= 8);
+        MixerTestHarness.await(
+            "eight connections at most", () -> harness.network.connections() <= 8);
       }
     }
   }
@@ -278,11 +284,11 @@
     try (WatchHarness harness = new WatchHarness(true, AUTOMATIC_MODE, graceMs)) {
       harness.retryAfterFailure(750);
       harness.openWatch();
-      Rig.Call watch = acceptWatchAndSendList(harness, 42);
+      MixerTestHarness.DiscoveryConnection watch = acceptWatchAndSendList(harness, 42);
       harness.advanceClock(2000);
       long callsBefore = harness.discoveryCalls();
       if (refused) {
-        harness.agent.refuse();
+        harness.agent.stopListening();
         watch.reset();
         harness.awaitCount("discovery failures", 2);
         advanceWhileRefused(harness, 10_000, 1);
--- a/mixer/src/test/java/gingerring/server/WatchResponseTest.java
+++ b/mixer/src/test/java/gingerring/server/WatchResponseTest.java
@@ -32,7 +32,8 @@
   /**
    * Writes, and waits until the watch has read it: the loop is idle while the agent says nothing.
    */
-  private static void writeAndAwaitRead(WatchHarness harness, Rig.Call call, String text)
+  private static void writeAndAwaitRead(
+      WatchHarness harness, MixerTestHarness.DiscoveryConnection call, String text)
       throws Exception {
     harness.runWhileBlocked(
         () -> {
@@ -51,8 +52,9 @@
     for (boolean orderly : new boolean[] {true, false}) {
       try (WatchHarness harness = newHarness()) {
         harness.runOnLoop(harness.watch::fetch);
-        Rig.Call fetch = harness.agent.call();
-        writeAndAwaitRead(harness, fetch, UNFRAMED_HEAD + Rig.list(42, true));
+        MixerTestHarness.DiscoveryConnection fetch = harness.agent.acceptRequest();
+        writeAndAwaitRead(
+            harness, fetch, UNFRAMED_HEAD + MixerTestHarness.memberListLine(42, true));
         if (orderly) {
           fetch.halfClose();
           assertEquals("list 42", harness.nextNotification());
@@ -77,10 +79,10 @@
       for (boolean orderly : new boolean[] {true, false}) {
         try (WatchHarness harness = newHarness()) {
           harness.openWatch();
-          Rig.Call watch = harness.agent.call();
-          String lastLine = Rig.list(43, false);
+          MixerTestHarness.DiscoveryConnection watch = harness.agent.acceptRequest();
+          String lastLine = MixerTestHarness.memberListLine(43, false);
           boolean chunked = head.equals(CHUNKED_HEAD);
-          String line = Rig.list(42, true) + "\n";
+          String line = MixerTestHarness.memberListLine(42, true) + "\n";
           writeAndAwaitRead(
               harness,
               watch,
@@ -113,8 +115,8 @@
     for (boolean orderly : new boolean[] {true, false}) {
       try (WatchHarness harness = newHarness()) {
         harness.runOnLoop(harness.watch::fetch);
-        Rig.Call fetch = harness.agent.call();
-        String list = Rig.list(42, true);
+        MixerTestHarness.DiscoveryConnection fetch = harness.agent.acceptRequest();
+        String list = MixerTestHarness.memberListLine(42, true);
         writeAndAwaitRead(harness, fetch, UNFRAMED_HEAD + list.substring(0, list.length() - 1));
         if (orderly) {
           fetch.close();
@@ -131,7 +133,7 @@
   /** With a length, or in chunks, an orderly close before the end is none. */
   @Test
   void responseWithLengthDoesNotEndByClose() throws Exception {
-    String list = Rig.list(42, true);
+    String list = MixerTestHarness.memberListLine(42, true);
     for (String head :
         new String[] {
           "HTTP/1.1 200 OK\r\nContent-Length: " + (list.length() + 1) + "\r\n\r\n",
@@ -139,7 +141,7 @@
         }) {
       try (WatchHarness harness = newHarness()) {
         harness.runOnLoop(harness.watch::fetch);
-        Rig.Call fetch = harness.agent.call();
+        MixerTestHarness.DiscoveryConnection fetch = harness.agent.acceptRequest();
         writeAndAwaitRead(harness, fetch, head + list);
         fetch.close();
         assertEquals("failed", harness.nextNotification());
@@ -151,7 +153,7 @@
   /** Guards against an answer that never ends: each byte came in time, and no line ever did. */
   @Test
   void tricklingResponseIsAbandonedInTime() throws Exception {
-    String list = Rig.list(42, true);
+    String list = MixerTestHarness.memberListLine(42, true);
     String line = Integer.toHexString(list.length() + 1) + "\r\n" + list + "\n\r\n";
     for (String[] segments :
         new String[][] {
@@ -167,7 +169,7 @@
         }) {
       try (WatchHarness harness = newHarness()) {
         harness.openWatch();
-        Rig.Call call = harness.agent.call();
+        MixerTestHarness.DiscoveryConnection call = harness.agent.acceptRequest();
         if (!segments[0].isEmpty()) {
           writeAndAwaitRead(harness, call, segments[0]);
         }
@@ -186,7 +188,7 @@
         }
         assertEquals("failed", harness.nextNotification());
         assertTrue(elapsedMs > LINE_TIMEOUT_MS, segments[0] + " was given up after " + elapsedMs);
-        assertTrue(call.end().matches("closed|reset"));
+        assertTrue(call.awaitEnd().matches("closed|reset"));
       }
     }
   }
@@ -205,7 +207,7 @@
         }) {
       try (WatchHarness harness = newHarness()) {
         harness.openWatch();
-        Rig.Call call = harness.agent.call();
+        MixerTestHarness.DiscoveryConnection call = harness.agent.acceptRequest();
         Thread watchdog =
             resetAfterTimeout(call); // a write that nobody reads has no time-out of its own
         call.write(segments[0]);
@@ -229,12 +231,12 @@
     }
   }
 
-  private static Thread resetAfterTimeout(Rig.Call call) {
+  private static Thread resetAfterTimeout(MixerTestHarness.DiscoveryConnection call) {
     Thread thread =
         new Thread(
             () -> {
               try {
-                Thread.sleep(Rig.WAIT_MS);
+                Thread.sleep(MixerTestHarness.TIMEOUT_MS);
                 call.reset();
               } catch (InterruptedException | java.io.IOException e) {
                 // it was not needed, or had ended
@@ -253,15 +255,16 @@
   void unusableListIsRequestedAgainFromSameRevision() throws Exception {
     try (WatchHarness harness = newHarness()) {
       harness.openWatch();
-      Rig.Call watch = harness.agent.watch();
-      watch.say(Rig.list(42, true));
+      MixerTestHarness.DiscoveryConnection watch = harness.agent.acceptWatch();
+      watch.sendLine(MixerTestHarness.memberListLine(42, true));
       assertEquals("list 42", harness.nextNotification());
       harness.advanceClock(2000);
-      watch.say(Rig.list(43, false, "{\"id\":\"s-1\",\"phase\":\"PAUSED\"}"));
+      watch.sendLine(
+          MixerTestHarness.memberListLine(43, false, "{\"id\":\"s-1\",\"phase\":\"PAUSED\"}"));
       assertEquals("failed", harness.nextNotification());
-      Rig.Call retry = harness.agent.watch();
-      assertTrue(retry.request.contains("index=42 "), retry.request);
-      retry.say(Rig.list(43, false));
+      MixerTestHarness.DiscoveryConnection retry = harness.agent.acceptWatch();
+      assertTrue(retry.requestHead.contains("index=42 "), retry.requestHead);
+      retry.sendLine(MixerTestHarness.memberListLine(43, false));
       assertEquals("list 43", harness.nextNotification());
     }
   }
@@ -274,13 +277,13 @@
   void newerRevisionsAreAcceptedAndOlderOnesAreNot() throws Exception {
     try (WatchHarness harness = newHarness()) {
       harness.openWatch();
-      Rig.Call watch = harness.agent.watch();
-      watch.say(Rig.list(9_000_000, false));
+      MixerTestHarness.DiscoveryConnection watch = harness.agent.acceptWatch();
+      watch.sendLine(MixerTestHarness.memberListLine(9_000_000, false));
       assertEquals("list 9000000", harness.nextNotification());
-      watch.say(Rig.list(9_000_000, false));
-      watch.say(Rig.list(8, false));
-      watch.say(Rig.list(8, true));
-      watch.say(Rig.list(9_000_000, true));
+      watch.sendLine(MixerTestHarness.memberListLine(9_000_000, false));
+      watch.sendLine(MixerTestHarness.memberListLine(8, false));
+      watch.sendLine(MixerTestHarness.memberListLine(8, true));
+      watch.sendLine(MixerTestHarness.memberListLine(9_000_000, true));
       assertEquals("list 9000000", harness.nextNotification());
       assertNull(harness.notifications.poll());
       assertEquals(1, harness.counts.get("lists older than the one held"));
