--- a/mixer/src/test/java/gingerring/server/FrontendRaceTest.java
+++ b/mixer/src/test/java/gingerring/server/FrontendRaceTest.java
@@ -332,7 +332,7 @@
         MixerTestHarness.Client client = harness.connectClient();
         client.write(harness.scanRequest("search", 1000, i % 8));
         harness.runIterations(2);
-        peakConnections = Math.max(peakConnections, harness.server.network().connections());
+        peakConnections = Math.max(peakConnections, harness.server.network().connectionCount());
       }
       // the last of them may still stand in the backlog, and a link is dialled at the end of its
       // scan's turn
@@ -383,7 +383,8 @@
           harness.awaitCount("half requests shed", 1);
           assertTrue(partialClients.get(0).readAnswer().startsWith("503"));
           assertEquals("closed", partialClients.get(0).awaitEnd());
-          MixerTestHarness.await("room for a newcomer", () -> harness.server.network().room() > 40);
+          MixerTestHarness.await(
+              "room for a newcomer", () -> harness.server.network().availableConnections() > 40);
           MixerTestHarness.Client client = harness.connectClient();
           client.write(harness.scanRequest("search", 2000, 0));
           assertTrue(client.readAnswer().startsWith("200"));
--- a/mixer/src/test/java/gingerring/server/MixerHostTest.java
+++ b/mixer/src/test/java/gingerring/server/MixerHostTest.java
@@ -7,12 +7,12 @@
 import gingerring.backend.Back;
 import gingerring.decide.MemberEntry.Status;
 import gingerring.decide.Settings;
-import gingerring.discovery.Members;
-import gingerring.discovery.Watch;
+import gingerring.discovery.DiscoveryWatch;
+import gingerring.discovery.MemberListUpdate;
 import gingerring.frontend.Ask;
 import gingerring.frontend.Reply;
 import gingerring.json.Json;
-import gingerring.net.Counts;
+import gingerring.net.Counters;
 import gingerring.net.Network;
 import java.io.IOException;
 import java.net.InetAddress;
@@ -59,23 +59,23 @@
         new byte[0]);
   }
 
-  private static Settings exampleSettings() throws IOException, Json.Malformed {
+  private static Settings exampleSettings() throws IOException, Json.JsonException {
     Map<String, String> flatSettings = new HashMap<>();
-    Map<?, ?> example = (Map<?, ?>) Json.read(Files.readAllBytes(Path.of("example/config.json")));
+    Map<?, ?> example = (Map<?, ?>) Json.parse(Files.readAllBytes(Path.of("example/config.json")));
     MixerConfig.flatten("", example.get("settings"), flatSettings);
     return new Settings(flatSettings);
   }
 
   /** Guards against a mixer that compiles what scans need while its first clients wait. */
   @Test
-  void rehearsalRunsSampleScansWithoutSockets() throws IOException, Json.Malformed {
+  void rehearsalRunsSampleScansWithoutSockets() throws IOException, Json.JsonException {
     assertTrue(new Rehearsal(exampleSettings()).run() >= 50);
   }
 
   /** Guards against a mixer that keeps something of every searcher and scan there ever was. */
   @Test
-  void keepsNoStateOfGoneSearchersAndFinishedScans() throws IOException, Json.Malformed {
-    Counts counts = new Counts();
+  void keepsNoStateOfGoneSearchersAndFinishedScans() throws IOException, Json.JsonException {
+    Counters counts = new Counters();
     Loop loop = new Loop(counts);
     Network network = new Network(loop, counts, true);
     MixerHost host = new MixerHost(loop, exampleSettings(), counts, 0);
@@ -83,21 +83,21 @@
     InetSocketAddress unusedAddress = new InetSocketAddress("127.0.0.1", 9);
     host.start(
         back,
-        new Watch(network, unusedAddress, 0, host, counts, loop),
+        new DiscoveryWatch(network, unusedAddress, 0, host, counts, loop),
         1,
-        new Members(0, true, List.of()));
+        new MemberListUpdate(0, true, List.of()));
     List<String> outcomes = new ArrayList<>();
     int rounds = 3000;
     for (int i = 0; i < rounds; i++) {
       int number = i;
       loop.post(
           () -> {
-            host.list(
-                new Members(
+            host.onUpdate(
+                new MemberListUpdate(
                     number + 1,
                     false,
                     List.of(
-                        new Members.Member(
+                        new MemberListUpdate.Member(
                             "s-" + number,
                             unusedAddress,
                             "a",
@@ -106,7 +106,7 @@
                             Status.READY,
                             1,
                             0),
-                        new Members.Member(
+                        new MemberListUpdate.Member(
                             "s-" + (number - 4),
                             unusedAddress,
                             "a",
@@ -121,17 +121,17 @@
     }
     loop.post(
         () ->
-            loop.wakeAfter(
+            loop.schedule(
                 Duration.ofMillis(4500),
                 () -> {
-                  host.list(new Members(rounds + 1, true, List.of()));
-                  loop.wakeAfter(Duration.ofMillis(1500), loop::stop);
+                  host.onUpdate(new MemberListUpdate(rounds + 1, true, List.of()));
+                  loop.schedule(Duration.ofMillis(1500), loop::stop);
                 }));
     loop.run(back::dispatch, network::flush);
     assertEquals(rounds, outcomes.size());
     assertEquals(0, host.kept());
     assertEquals(0, back.stations());
-    assertEquals(0, network.connections());
+    assertEquals(0, network.connectionCount());
   }
 
   /**
@@ -173,31 +173,33 @@
    * addresses.
    */
   private static final class HostFixture {
-    final Counts counts = new Counts();
+    final Counters counts = new Counters();
     final Loop loop = new Loop(counts);
     final Network network = new Network(loop, counts, false);
     final MixerHost host;
     final Back back;
     final InetSocketAddress address;
 
-    HostFixture(InetSocketAddress address) throws IOException, Json.Malformed {
+    HostFixture(InetSocketAddress address) throws IOException, Json.JsonException {
       this.address = address;
       host = new MixerHost(loop, exampleSettings(), counts, 0);
       back = new Back(network, host, exampleSettings(), counts, loop);
       host.start(
           back,
-          new Watch(network, address, 0, host, counts, loop),
+          new DiscoveryWatch(network, address, 0, host, counts, loop),
           1,
           memberList(true, Status.READY));
     }
 
-    Members memberList(boolean complete, Status status) {
-      return new Members(
-          1, complete, List.of(new Members.Member("s-0", address, "a", "toy", 0, status, 1, 0)));
+    MemberListUpdate memberList(boolean complete, Status status) {
+      return new MemberListUpdate(
+          1,
+          complete,
+          List.of(new MemberListUpdate.Member("s-0", address, "a", "toy", 0, status, 1, 0)));
     }
 
     void run(Runnable event, Duration duration) {
-      loop.post(() -> loop.wakeAfter(duration, loop::stop));
+      loop.post(() -> loop.schedule(duration, loop::stop));
       loop.post(event);
       loop.run(back::dispatch, network::flush);
       network.dispose();
@@ -210,7 +212,7 @@
    * down.
    */
   @Test
-  void holdsScansUntilDiscoveryHasAnswered() throws IOException, Json.Malformed {
+  void holdsScansUntilDiscoveryHasAnswered() throws IOException, Json.JsonException {
     try (FullBacklogListener listener = new FullBacklogListener()) {
       HostFixture fixture = new HostFixture(listener.address());
       List<String> outcomes = new ArrayList<>();
@@ -227,8 +229,8 @@
                     fixture.loop.post(
                         () -> { // two turns later
                           assertEquals(List.of(), outcomes);
-                          fixture.host.list(fixture.memberList(true, Status.DRAINING));
-                          fixture.host.word();
+                          fixture.host.onUpdate(fixture.memberList(true, Status.DRAINING));
+                          fixture.host.onContact();
                           assertTrue(fixture.host.ready());
                         }));
           },
@@ -240,16 +242,16 @@
 
   /** Guards against a scan that is sent by the list before the one that came with it. */
   @Test
-  void appliesMemberListBeforeScansOfTheSameIteration() throws IOException, Json.Malformed {
+  void appliesMemberListBeforeScansOfTheSameIteration() throws IOException, Json.JsonException {
     try (FullBacklogListener listener = new FullBacklogListener()) {
       HostFixture fixture = new HostFixture(listener.address());
       List<String> outcomes = new ArrayList<>();
       fixture.run(
           () -> {
-            fixture.host.word();
+            fixture.host.onContact();
             fixture.host.take(
                 scanRequest("a", 0), fixture.loop.now(), new RecordingReply("scan", outcomes));
-            fixture.host.list(fixture.memberList(false, Status.DRAINING));
+            fixture.host.onUpdate(fixture.memberList(false, Status.DRAINING));
           },
           Duration.ofMillis(300));
       assertEquals(List.of("scan nacked"), outcomes);
@@ -262,20 +264,20 @@
    * dial later.
    */
   @Test
-  void dropsPartsWaitingToConnectToDrainingOrGoneSearcher() throws IOException, Json.Malformed {
+  void dropsPartsWaitingToConnectToDrainingOrGoneSearcher() throws IOException, Json.JsonException {
     for (Status status : List.of(Status.DRAINING, Status.GONE)) {
       try (FullBacklogListener listener = new FullBacklogListener()) {
         HostFixture fixture = new HostFixture(listener.address());
         List<String> outcomes = new ArrayList<>();
         fixture.run(
             () -> {
-              fixture.host.word();
+              fixture.host.onContact();
               fixture.host.take(
                   scanRequest("a", 0), fixture.loop.now(), new RecordingReply("scan", outcomes));
               fixture.loop.post(
                   () ->
                       fixture.loop.post(
-                          () -> fixture.host.list(fixture.memberList(false, status))));
+                          () -> fixture.host.onUpdate(fixture.memberList(false, status))));
             },
             Duration.ofMillis(300));
         assertEquals(List.of("scan nacked"), outcomes);
@@ -290,19 +292,23 @@
    * counted.
    */
   @Test
-  void exceptionInTheMixerFailsOnlyTheScanItHandles() throws IOException, Json.Malformed {
+  void exceptionInTheMixerFailsOnlyTheScanItHandles() throws IOException, Json.JsonException {
     Settings settings = exampleSettings();
-    Counts counts = new Counts();
+    Counters counts = new Counters();
     Loop loop = new Loop(counts);
     Network network = new Network(loop, counts, true);
     MixerHost host = new MixerHost(loop, settings, counts, 0);
-    Watch watch = new Watch(network, new InetSocketAddress("127.0.0.1", 1), 0, host, counts, loop);
+    DiscoveryWatch watch =
+        new DiscoveryWatch(network, new InetSocketAddress("127.0.0.1", 1), 0, host, counts, loop);
     host.start(
-        new Back(network, host, settings, counts, loop), watch, 1, new Members(0, true, List.of()));
+        new Back(network, host, settings, counts, loop),
+        watch,
+        1,
+        new MemberListUpdate(0, true, List.of()));
     List<String> outcomes = new ArrayList<>();
     host.take(scanRequest("a", 7), Duration.ZERO, new RecordingReply("unknown grade", outcomes));
     host.take(scanRequest("b", 0), Duration.ZERO, new RecordingReply("good", outcomes));
-    loop.post(() -> loop.wakeAfter(Duration.ofMillis(50), loop::stop));
+    loop.post(() -> loop.schedule(Duration.ofMillis(50), loop::stop));
     loop.run(() -> {}, () -> {});
     assertEquals(List.of("unknown grade scrapped", "good nacked"), outcomes);
     assertEquals(1, counts.get("failures in the mixer"));
--- a/mixer/src/test/java/gingerring/server/MixerTestHarness.java
+++ b/mixer/src/test/java/gingerring/server/MixerTestHarness.java
@@ -1,6 +1,6 @@
 package gingerring.server;
 
-import gingerring.net.Tap;
+import gingerring.net.TrafficListener;
 import java.io.ByteArrayOutputStream;
 import java.io.Closeable;
 import java.io.EOFException;
@@ -66,7 +66,8 @@
    * {@code tap} is told of all that the mixer's connections carry, on the threads that do; null for
    * none.
    */
-  MixerTestHarness(Tap tap, boolean discoveryListens, String... replacements) throws Exception {
+  MixerTestHarness(TrafficListener tap, boolean discoveryListens, String... replacements)
+      throws Exception {
     agent = closeAtEnd(new DiscoveryAgent(discoveryListens));
     Path example = Files.exists(Path.of("example")) ? Path.of("example") : Path.of("../example");
     configTemplate =
@@ -157,7 +158,7 @@
       if (i * POLL_INTERVAL_MS > TIMEOUT_MS) {
         throw new AssertionError("something put into a connection does not leave");
       }
-      runInLoop(() -> allSent.set(server.network().unsentFree()));
+      runInLoop(() -> allSent.set(server.network().isFlushed()));
       Thread.sleep(allSent.get() ? 0 : POLL_INTERVAL_MS);
     }
     LoopGate gate = new LoopGate();
@@ -268,7 +269,7 @@
         expected + " connections",
         () -> {
           try {
-            runInLoop(() -> openConnections.set(server.network().connections()));
+            runInLoop(() -> openConnections.set(server.network().connectionCount()));
           } catch (InterruptedException e) {
             throw new AssertionError(e);
           }
@@ -686,7 +687,7 @@
         throw new AssertionError(openConnections + " connections are left after practice");
       }
       Thread.sleep(POLL_INTERVAL_MS);
-      runInLoop(() -> openConnections.set(server.network().connections()));
+      runInLoop(() -> openConnections.set(server.network().connectionCount()));
     }
   }
 
--- a/mixer/src/test/java/gingerring/server/SearcherCloseRaceTest.java
+++ b/mixer/src/test/java/gingerring/server/SearcherCloseRaceTest.java
@@ -10,11 +10,11 @@
 import gingerring.decide.SearcherId;
 import gingerring.decide.Settings;
 import gingerring.json.Json;
-import gingerring.net.Counts;
-import gingerring.net.Inbox;
+import gingerring.net.Counters;
+import gingerring.net.EventQueue;
+import gingerring.net.LoopTimer;
 import gingerring.net.Network;
-import gingerring.net.Tap;
-import gingerring.net.TurnClock;
+import gingerring.net.TrafficListener;
 import java.io.Closeable;
 import java.io.IOException;
 import java.net.InetAddress;
@@ -89,16 +89,16 @@
   }
 
   /** Holds MINA's thread where it reads a request that is marked for it. */
-  private static final class ReadBlocker implements Tap {
+  private static final class ReadBlocker implements TrafficListener {
     private static final String MARKER_HEADER = "X-Brake";
     final CountDownLatch reached = new CountDownLatch(1);
     final CountDownLatch released = new CountDownLatch(1);
 
     @Override
-    public void opened(long connection, InetSocketAddress opener, InetSocketAddress listener) {}
+    public void onOpened(long connection, InetSocketAddress opener, InetSocketAddress listener) {}
 
     @Override
-    public void data(long connection, int side, byte[] bytes) {
+    public void onData(long connection, int side, byte[] bytes) {
       if (new String(bytes, StandardCharsets.ISO_8859_1).contains(MARKER_HEADER)) {
         reached.countDown();
         awaitLatch(released);
@@ -106,7 +106,7 @@
     }
 
     @Override
-    public void closed(long connection, int side) {}
+    public void onClosed(long connection, int side) {}
   }
 
   private static void awaitLatch(CountDownLatch latch) {
@@ -436,7 +436,7 @@
    * Turns that the test makes one by one, at its own time: an event is heard when the test hands it
    * on.
    */
-  private static final class ManualLoop implements Inbox, TurnClock {
+  private static final class ManualLoop implements EventQueue, LoopTimer {
     private record Timer(Duration dueAt, int sequence, Runnable task) {}
 
     private final BlockingQueue<Runnable> posted = new LinkedBlockingQueue<>();
@@ -451,7 +451,7 @@
     }
 
     @Override
-    public Duration clock() {
+    public Duration currentTime() {
       return now;
     }
 
@@ -461,7 +461,7 @@
     }
 
     @Override
-    public void wakeAfter(Duration delay, Runnable task) {
+    public void schedule(Duration delay, Runnable task) {
       timers.add(new Timer(now.plus(delay), timerCount++, task));
     }
   }
@@ -474,7 +474,7 @@
     private static final SearcherId SEARCHER = new SearcherId(1);
 
     final ManualLoop loop = new ManualLoop();
-    final Counts counts = new Counts();
+    final Counters counts = new Counters();
     final Network network = new Network(loop, counts, false);
     final Back backend;
     final Duration dialTimeout;
@@ -486,12 +486,12 @@
 
     final List<Outcome> probeOutcomes = new ArrayList<>();
 
-    DialFixture() throws IOException, Json.Malformed {
+    DialFixture() throws IOException, Json.JsonException {
       Map<String, String> flatSettings = new HashMap<>();
       Path example = Files.exists(Path.of("example")) ? Path.of("example") : Path.of("../example");
       MixerConfig.flatten(
           "",
-          ((Map<?, ?>) Json.read(Files.readAllBytes(example.resolve("config.json"))))
+          ((Map<?, ?>) Json.parse(Files.readAllBytes(example.resolve("config.json"))))
               .get("settings"),
           flatSettings);
       Settings settings = new Settings(flatSettings);
@@ -581,7 +581,7 @@
       runTurn();
       passDialTimeout();
       backend.closeIdle(SEARCHER);
-      runTurnsUntil(() -> network.connections() == 0);
+      runTurnsUntil(() -> network.connectionCount() == 0);
       for (MixerTestHarness.BoxConnection link : links) {
         if (!link.socket.isClosed()) {
           assertEquals(0, countRemainingBytes(link));
@@ -735,7 +735,7 @@
     try (DialFixture fixture = DialFixture.withTwoDials()) {
       fixture.runTurn(fixture.dialResults.get(first), fixture.dialResults.get(1 - first));
       fixture.assertProbeReceivedOn(first);
-      fixture.runTurnsUntil(fixture.network::unsentFree);
+      fixture.runTurnsUntil(fixture.network::isFlushed);
       fixture.links.get(first).write(MixerTestHarness.BoxConnection.encodeFrame('H', "done"));
       fixture.loop.now = fixture.loop.now.plus(fixture.dialTimeout);
       fixture.runTurn(fixture.nextEvent());
@@ -756,7 +756,7 @@
           Runnable otherEstablished = fixture.dialResults.get(1 - first);
           fixture.runTurn(fixture.dialResults.get(first));
           fixture.assertProbeReceivedOn(first);
-          fixture.runTurnsUntil(fixture.network::unsentFree);
+          fixture.runTurnsUntil(fixture.network::isFlushed);
           closeMode.apply(fixture.links.get(first));
           Runnable closeEvent = fixture.nextEvent();
           fixture.runTurn(
@@ -876,7 +876,7 @@
       } else {
         fixture.runTurn(fixture.dialResults.get(0));
         fixture.runTurnsUntil(
-            () -> !fixture.network.unsentFree()); // the third is up, and the probe on its way
+            () -> !fixture.network.isFlushed()); // the third is up, and the probe on its way
         fixture.runTurn(fixture.dialResults.get(1));
       }
       int expectedLink = secondEstablishedFirst ? 1 : 2;
--- a/mixer/src/test/java/gingerring/server/SearcherConnectionRaceTest.java
+++ b/mixer/src/test/java/gingerring/server/SearcherConnectionRaceTest.java
@@ -171,10 +171,10 @@
       try (MixerTestHarness.LoopGate gate = harness.pauseLoop()) {
         client.write(harness.scanRequest("search", 2000, 0));
         gate.awaitPosted(1);
-        Duration deadline = harness.server.loop.clock().plusMillis(2100);
+        Duration deadline = harness.server.loop.currentTime().plusMillis(2100);
         harness.server.loop.post(
             () -> { // the process stands still within the turn
-              while (harness.server.loop.clock().compareTo(deadline) < 0) {
+              while (harness.server.loop.currentTime().compareTo(deadline) < 0) {
                 Thread.onSpinWait();
               }
             });
@@ -389,7 +389,7 @@
       }
       harness.awaitCount("links dialled", 3); // by the probe that ends a bench
       AtomicInteger openConnections = new AtomicInteger();
-      harness.runInLoop(() -> openConnections.set(harness.server.network().connections()));
+      harness.runInLoop(() -> openConnections.set(harness.server.network().connectionCount()));
       assertEquals(4, openConnections.get()); // discovery, the client, and two dials
       slowSearcher.releaseBacklog();
       MixerTestHarness.BoxConnection link = slowSearcher.link();
--- a/mixer/src/test/java/gingerring/server/WatchAddressChangeTest.java
+++ b/mixer/src/test/java/gingerring/server/WatchAddressChangeTest.java
@@ -247,7 +247,7 @@
     for (boolean answered : new boolean[] {true, false}) {
       try (WatchHarness harness = newHarness();
           MixerTestHarness.DiscoveryAgent newAgent = new MixerTestHarness.DiscoveryAgent(true)) {
-        harness.runOnLoop(harness.watch::fetch);
+        harness.runOnLoop(harness.watch::fetchFullList);
         MixerTestHarness.DiscoveryConnection fetch = harness.agent.acceptRequest();
         assertTrue(
             fetch.requestHead.startsWith("GET /v1/endpoints HTTP/1.1\r\n"), fetch.requestHead);
@@ -280,7 +280,7 @@
       harness.openWatch();
       MixerTestHarness.DiscoveryConnection watch =
           acceptWatchAndSendList(harness, harness.agent, 41, 42);
-      harness.runOnLoop(harness.watch::fetch);
+      harness.runOnLoop(harness.watch::fetchFullList);
       MixerTestHarness.DiscoveryConnection fetch = harness.agent.acceptRequest();
       watch.sendLine(MixerTestHarness.memberListLine(43, false));
       assertEquals("list 43", harness.nextNotification());
--- a/mixer/src/test/java/gingerring/server/WatchDialRaceTest.java
+++ b/mixer/src/test/java/gingerring/server/WatchDialRaceTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import gingerring.net.Connection;
-import gingerring.net.Party;
+import gingerring.net.ConnectionHandler;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -124,7 +124,7 @@
         "all that was put leaves",
         () -> {
           try {
-            harness.runOnLoop(() -> settled[0] = harness.network.unsentFree());
+            harness.runOnLoop(() -> settled[0] = harness.network.isFlushed());
           } catch (InterruptedException e) {
             throw new AssertionError(e);
           }
@@ -194,13 +194,13 @@
         expectedCount + " connections in hand",
         () -> {
           try {
-            harness.runOnLoop(() -> actual[0] = harness.network.connections());
+            harness.runOnLoop(() -> actual[0] = harness.network.connectionCount());
           } catch (InterruptedException e) {
             throw new AssertionError(e);
           }
           return actual[0] == expectedCount;
         });
-    harness.runOnLoop(() -> actual[1] = harness.network.room());
+    harness.runOnLoop(() -> actual[1] = harness.network.availableConnections());
     assertEquals(MAX_CONNECTIONS - expectedCount, actual[1], "room");
   }
 
@@ -280,21 +280,21 @@
           try (WatchHarness harness = newHarness("automatic")) {
             List<String> callbacks = new CopyOnWriteArrayList<>();
             Connection[] dialled = new Connection[1];
-            Party party =
-                new Party() {
+            ConnectionHandler party =
+                new ConnectionHandler() {
                   @Override
-                  public void opened() {
+                  public void onOpened() {
                     callbacks.add("opened");
                   }
 
                   @Override
-                  public void readable() {
+                  public void onReadable() {
                     callbacks.add("readable");
-                    dialled[0].in.clear();
+                    dialled[0].input.clear();
                   }
 
                   @Override
-                  public void closed() {
+                  public void onClosed() {
                     callbacks.add("closed");
                   }
                 };
@@ -335,7 +335,7 @@
                     steps,
                     watchResponse(42),
                     eventIndex,
-                    () -> harness.loop.post(() -> harness.watch.move(newAgent.address())));
+                    () -> harness.loop.post(() -> harness.watch.changeAddress(newAgent.address())));
             boolean listReceived = happenedBefore(steps, eventIndex, Step.SPEAKS);
             List<String> expected = new ArrayList<>(listReceived ? List.of("list 42") : List.of());
             if (endedBefore(steps, eventIndex)) {
@@ -382,11 +382,11 @@
             Socket fetchSocket =
                 runInterleaved(
                     harness,
-                    harness.watch::fetch,
+                    harness.watch::fetchFullList,
                     steps,
                     fetchResponse(43),
                     eventIndex,
-                    () -> harness.loop.post(() -> harness.watch.move(newAgent.address())));
+                    () -> harness.loop.post(() -> harness.watch.changeAddress(newAgent.address())));
             boolean answered = happenedBefore(steps, eventIndex, Step.SPEAKS);
             boolean failed = !answered && endedBefore(steps, eventIndex);
             assertNotifications(
--- a/mixer/src/test/java/gingerring/server/WatchHarness.java
+++ b/mixer/src/test/java/gingerring/server/WatchHarness.java
@@ -1,11 +1,11 @@
 package gingerring.server;
 
 import gingerring.decide.Settings;
-import gingerring.discovery.Members;
-import gingerring.discovery.Watch;
-import gingerring.net.Counts;
+import gingerring.discovery.DiscoveryWatch;
+import gingerring.discovery.MemberListUpdate;
+import gingerring.net.Counters;
+import gingerring.net.LoopTimer;
 import gingerring.net.Network;
-import gingerring.net.TurnClock;
 import java.io.Closeable;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -32,7 +32,7 @@
   }
 
   /** All on the loop's thread. */
-  private final class ManualClock implements TurnClock {
+  private final class ManualClock implements LoopTimer {
     private final PriorityQueue<Timer> timers = new PriorityQueue<>();
     private long timerCount;
     private Duration now = Duration.ZERO;
@@ -43,7 +43,7 @@
     }
 
     @Override
-    public void wakeAfter(Duration delay, Runnable task) {
+    public void schedule(Duration delay, Runnable task) {
       timers.add(new Timer(now.plus(delay), timerCount++, task));
     }
 
@@ -59,11 +59,11 @@
   }
 
   final MixerTestHarness.DiscoveryAgent agent;
-  final Counts counts = new Counts();
+  final Counters counts = new Counters();
   final Loop loop = new Loop(counts);
   final Network network = new Network(loop, counts, false);
   final BlockingQueue<String> notifications = new LinkedBlockingQueue<>();
-  final Watch watch;
+  final DiscoveryWatch watch;
   private final ManualClock clock = new ManualClock();
   private final Thread thread;
 
@@ -74,26 +74,26 @@
   WatchHarness(boolean accepting, String discoveryMode, int graceMs) throws Exception {
     agent = new MixerTestHarness.DiscoveryAgent(accepting);
     watch =
-        new Watch(
+        new DiscoveryWatch(
             network,
             agent.address(),
             41,
-            new Watch.Told() {
+            new DiscoveryWatch.Listener() {
               @Override
-              public void list(Members members) {
+              public void onUpdate(MemberListUpdate members) {
                 notifications.add("list " + members.revision());
               }
 
               @Override
-              public void failed() {
+              public void onFailure() {
                 notifications.add("failed");
                 if (retryDelay != null) {
-                  clock.wakeAfter(retryDelay, watch()::open);
+                  clock.schedule(retryDelay, watch()::open);
                 }
               }
 
               @Override
-              public void word() {
+              public void onContact() {
                 counts.add("words", 1);
               }
             },
@@ -113,7 +113,7 @@
     awaitCount("words", messagesBefore + 1);
   }
 
-  private Watch watch() {
+  private DiscoveryWatch watch() {
     return watch;
   }
 
@@ -127,7 +127,7 @@
   }
 
   void changeAgentAddress(InetSocketAddress newAddress) throws InterruptedException {
-    runOnLoop(() -> watch.move(newAddress));
+    runOnLoop(() -> watch.changeAddress(newAddress));
   }
 
   /** Lets the clock move on, wake by wake; those of connections come in their own time. */
--- a/mixer/src/test/java/gingerring/server/WatchRaceTest.java
+++ b/mixer/src/test/java/gingerring/server/WatchRaceTest.java
@@ -258,7 +258,7 @@
         harness.advanceClock(125);
         assertEquals(2 + i, harness.discoveryCalls());
         MixerTestHarness.await(
-            "eight connections at most", () -> harness.network.connections() <= 8);
+            "eight connections at most", () -> harness.network.connectionCount() <= 8);
       }
     }
   }
