--- a/mixer/src/main/java/gingerring/frontend/Asks.java
+++ b/mixer/src/main/java/gingerring/frontend/ScanRequestParser.java
@@ -20,33 +20,34 @@
 import java.util.regex.Pattern;
 
 /** Reads a scan out of a request's headers and body; whatever is off is a 400. */
-final class Asks {
-  private static final int MARK_MOST = 128;
+final class ScanRequestParser {
+  private static final int MAX_ID_LENGTH = 128;
   private static final Pattern MILLIS = Pattern.compile("[0-9]{1,9}");
   private static final Pattern ROUTE = Pattern.compile("[0-9a-fA-F]{16}");
-  private static final long MICROS_MOST = 86_400_000_000L;
+  private static final long MAX_WORK_MICROS = 86_400_000_000L;
 
   /** How far from 1 shares may sum up for their rounding. An answer is whole by their sum. */
-  private static final double ROUNDING = 0.01;
+  private static final double SHARE_SUM_TOLERANCE = 0.01;
 
-  private final Map<String, Integer> lanes = new HashMap<>();
-  private final List<Boolean> numbered = new ArrayList<>();
-  private final List<Duration> patience = new ArrayList<>();
-  private final int shards;
+  private final Map<String, Integer> serviceClasses = new HashMap<>();
+  private final List<Boolean> keyed = new ArrayList<>();
+  private final List<Duration> maxDeadlines = new ArrayList<>();
+  private final int shardCount;
 
-  Asks(Settings terms) {
+  ScanRequestParser(Settings terms) {
     for (int i = 0; i < terms.count("Classes.count"); i++) {
-      lanes.put(terms.text("Classes." + i + ".Name"), i);
-      patience.add(terms.duration("Classes." + i + ".HardLimitMs"));
-      numbered.add(terms.text("Classes." + i + ".Idempotency").equals("deduplicated"));
+      serviceClasses.put(terms.text("Classes." + i + ".Name"), i);
+      maxDeadlines.add(terms.duration("Classes." + i + ".HardLimitMs"));
+      keyed.add(terms.text("Classes." + i + ".Idempotency").equals("deduplicated"));
     }
-    shards = terms.count("Domain.Slices");
+    shardCount = terms.count("Domain.Slices");
   }
 
-  Ask read(MessageHead head, byte[] body) throws HttpException {
-    String mark = mark(head, "X-Txn");
+  ScanRequest parse(MessageHead head, byte[] body) throws HttpException {
+    String mark = idHeader(head, "X-Txn");
     Integer grade =
-        lanes.get(String.valueOf(head.header("X-Lane")).replace(' ', '_').replace(',', '_'));
+        serviceClasses.get(
+            String.valueOf(head.header("X-Lane")).replace(' ', '_').replace(',', '_'));
     if (grade == null) {
       throw new HttpException(400, "no known X-Lane");
     }
@@ -54,17 +55,17 @@
     if (remaining == null || !MILLIS.matcher(remaining).matches()) {
       throw new HttpException(400, "no X-Remaining-Ms");
     }
-    String key = numbered.get(grade) ? mark(head, "Idempotency-Key") : null;
+    String key = keyed.get(grade) ? idHeader(head, "Idempotency-Key") : null;
     try {
       Map<String, Object> object = JsonFields.object(Json.parse(body), "the body");
-      return new Ask(
+      return new ScanRequest(
           mark,
           grade,
           "1".equals(head.header("X-Resent")),
           key,
-          patience(grade, Long.parseLong(remaining)),
-          pieces(JsonFields.list(object, "targets")),
-          bytes(JsonFields.string(object, "query")));
+          deadline(grade, Long.parseLong(remaining)),
+          parseTargets(JsonFields.list(object, "targets")),
+          encodeUtf8(JsonFields.string(object, "query")));
     } catch (Json.JsonException e) {
       throw new HttpException(400, e.getMessage());
     }
@@ -74,13 +75,13 @@
    * No client of a grade waits longer than the settings say. Guards against a figure that keeps it
    * here.
    */
-  private Duration patience(int grade, long millis) {
-    Duration most = patience.get(grade);
+  private Duration deadline(int grade, long millis) {
+    Duration most = maxDeadlines.get(grade);
     return Duration.ofMillis(millis).compareTo(most) < 0 ? Duration.ofMillis(millis) : most;
   }
 
   /** A searcher is to get the text unchanged: half of a surrogate pair has no bytes. */
-  private static byte[] bytes(String text) throws Json.JsonException {
+  private static byte[] encodeUtf8(String text) throws Json.JsonException {
     try {
       ByteBuffer bytes = StandardCharsets.UTF_8.newEncoder().encode(CharBuffer.wrap(text));
       return Arrays.copyOf(bytes.array(), bytes.limit());
@@ -93,26 +94,26 @@
    * A mark goes into the searchers' frames as it is, so nothing that frames are cut by may stand in
    * it.
    */
-  private static String mark(MessageHead head, String name) throws HttpException {
+  private static String idHeader(MessageHead head, String name) throws HttpException {
     String mark = head.header(name);
     if (mark == null
         || mark.isEmpty()
-        || mark.length() > MARK_MOST
+        || mark.length() > MAX_ID_LENGTH
         || !mark.chars().allMatch(c -> c > ' ' && c < 127 && c != ',')) {
       throw new HttpException(400, "no " + name);
     }
     return mark;
   }
 
-  private List<Ask.Piece> pieces(List<Object> targets) throws Json.JsonException {
+  private List<ScanRequest.Target> parseTargets(List<Object> targets) throws Json.JsonException {
     double sum = 0;
-    List<Ask.Piece> pieces = new ArrayList<>();
+    List<ScanRequest.Target> pieces = new ArrayList<>();
     Set<Integer> seen = new HashSet<>();
     for (Object each : targets) {
       Map<String, Object> target = JsonFields.object(each, "a target");
       long shard = JsonFields.nonNegativeInteger(target, "partition");
       double share = JsonFields.number(target, "share");
-      if (shard >= shards || !seen.add((int) shard)) {
+      if (shard >= shardCount || !seen.add((int) shard)) {
         throw new Json.JsonException("partition " + shard + " is out of range, or there twice");
       }
       if (share <= 0) {
@@ -122,19 +123,19 @@
       long micros =
           target.containsKey("est_us") ? JsonFields.nonNegativeInteger(target, "est_us") : 0;
       pieces.add(
-          new Ask.Piece(
+          new ScanRequest.Target(
               (int) shard,
               share,
-              Duration.ofNanos(Math.min(micros, MICROS_MOST) * 1000),
-              target.containsKey("route") ? route(JsonFields.string(target, "route")) : 0));
+              Duration.ofNanos(Math.min(micros, MAX_WORK_MICROS) * 1000),
+              target.containsKey("route") ? parseRoute(JsonFields.string(target, "route")) : 0));
     }
-    if (Math.abs(sum - 1) > ROUNDING) {
+    if (Math.abs(sum - 1) > SHARE_SUM_TOLERANCE) {
       throw new Json.JsonException("the shares do not sum to 1");
     }
     return pieces;
   }
 
-  private static long route(String text) throws Json.JsonException {
+  private static long parseRoute(String text) throws Json.JsonException {
     if (!ROUTE.matcher(text).matches()) {
       throw new Json.JsonException("route is no 16 hex digits");
     }
--- a/mixer/src/test/java/gingerring/server/FrontendRaceTest.java
+++ b/mixer/src/test/java/gingerring/server/FrontendRaceTest.java
@@ -143,7 +143,7 @@
         String scan = harness.scanRequest("search", 2000, 0);
         if (requestFirst) {
           try (MixerTestHarness.LoopGate gate = harness.pauseLoop()) {
-            harness.server.loop.post(harness.server.front::end);
+            harness.server.loop.post(harness.server.frontend::closeIdleClients);
             client.write(scan);
             gate.awaitPosted(2);
           }
@@ -152,9 +152,8 @@
           assertTrue(client.readAnswer().startsWith("200"));
         } else {
           try (MixerTestHarness.LoopGate gate =
-              harness
-                  .pauseLoop()) { // the answer before is known to have left: the connection rests
-            harness.server.loop.post(harness.server.front::end);
+              harness.pauseLoop()) { // the answer before is known to have left: the connection rests
+            harness.server.loop.post(harness.server.frontend::closeIdleClients);
             gate.awaitPosted(1);
           }
           harness.runIterations(1);
@@ -175,7 +174,7 @@
       harness.announceAndAwaitReady(box);
       MixerTestHarness.Client client = harness.connectClient();
       assertTrue(client.isReady());
-      harness.runInLoop(harness.server::announceEnd);
+      harness.runInLoop(harness.server::beginShutdown);
       String scan = harness.scanRequest("search", 500, 0);
       client.write(scan.substring(0, scan.length() - 1));
       assertTrue(client.readAnswer().startsWith("503"));
@@ -201,9 +200,9 @@
         if (scanFirst) {
           client.write(harness.scanRequest("search", 500, 0));
           harness.awaitCount("scans taken", 1);
-          harness.runInLoop(harness.server::announceEnd);
+          harness.runInLoop(harness.server::beginShutdown);
         } else {
-          harness.runInLoop(harness.server::announceEnd);
+          harness.runInLoop(harness.server::beginShutdown);
           client.write(harness.scanRequest("search", 500, 0));
           harness.awaitCount("scans taken", 1);
         }
@@ -224,7 +223,7 @@
       MixerTestHarness.Client client = harness.connectClient();
       client.write(harness.scanRequest("search", 2000, 0));
       harness.awaitCount("scans taken", 1);
-      harness.runInLoop(harness.server::announceEnd);
+      harness.runInLoop(harness.server::beginShutdown);
       watch.sendLine(MixerTestHarness.memberListLine(1, true, box.memberJson("SERVING")));
       MixerTestHarness.BoxConnection link = box.acceptConnection();
       link.answer(link.readCall(), "done");
@@ -241,10 +240,10 @@
     try (MixerTestHarness harness = harnessWithShortTimeLimits()) {
       harness.announceAndAwaitReady(harness.box("b0", 0));
       MixerTestHarness.Client client = harness.connectClient();
-      harness.runInLoop(harness.server::announceEnd);
+      harness.runInLoop(harness.server::beginShutdown);
       client.write("GET /rea"); // keeps the end waiting for its time
       Thread.sleep(600);
-      harness.runInLoop(harness.server::announceEnd);
+      harness.runInLoop(harness.server::beginShutdown);
       assertTrue(client.readAnswer().startsWith("503"));
       assertEquals(0, harness.awaitExitCode());
       assertEquals(1, harness.count("ends announced"));
@@ -287,7 +286,7 @@
       MixerTestHarness.BoxConnection link = box.acceptConnection();
       MixerTestHarness.Frame request = link.readCall();
       try (MixerTestHarness.DiscoveryAgent newAgent = new MixerTestHarness.DiscoveryAgent(true)) {
-        harness.runInLoop(harness.server::announceEnd);
+        harness.runInLoop(harness.server::beginShutdown);
         harness.writeConfig(newAgent.address());
         harness.server.reload();
         MixerTestHarness.DiscoveryConnection watch = newAgent.acceptWatch();
@@ -351,9 +350,7 @@
       harness.runIterations(2);
       assertTrue(scansTaken >= 90, harness.server.counts.toString());
       assertTrue(harness.count("links dialled") >= scansTaken, harness.server.counts.toString());
-      assertTrue(
-          peakConnections <= maxConnections,
-          peakConnections + " connections at one time, " + harness.server.counts);
+      assertTrue(peakConnections <= maxConnections, peakConnections + " connections at one time, " + harness.server.counts);
     }
   }
 
@@ -364,8 +361,7 @@
   @Test
   void partialRequestsAreShedOnceNoIdleConnectionIsLeft() throws Exception {
     for (int idleCount : new int[] {0, 100}) {
-      try (MixerTestHarness harness =
-          new MixerTestHarness("\"sockets\": 1024", "\"sockets\": 256")) {
+      try (MixerTestHarness harness = new MixerTestHarness("\"sockets\": 1024", "\"sockets\": 256")) {
         harness.announceAndAwaitReady(answeringBoxes(harness, 4));
         List<MixerTestHarness.Client> partialClients = new ArrayList<>();
         for (int i = 0; i < 201; i++) { // with one more, newcomers are turned away
@@ -441,9 +437,7 @@
         assertTrue(answer.startsWith("200"), answer + " after " + i + ", " + harness.server.counts);
       }
       assertTrue(harness.count("resting links shed") > 0, harness.server.counts.toString());
-      assertTrue(
-          harness.count("links dialled") >= 0.75 * maxConnections,
-          harness.server.counts.toString());
+      assertTrue(harness.count("links dialled") >= 0.75 * maxConnections, harness.server.counts.toString());
       assertEquals(
           0,
           harness.count("trips UNREACHABLE") + harness.count("trips BROKEN"),
@@ -502,7 +496,7 @@
       assertEquals(
           0,
           server.serve(
-              MixerConfig.read(env), System.err, address -> server.loop.post(server::announceEnd)));
+              MixerConfig.read(env), System.err, address -> server.loop.post(server::beginShutdown)));
       server.dispose();
       assertEquals(1, server.counts.get("ends announced"));
       assertEquals(0, server.counts.get("failures in an event"));
--- a/mixer/src/test/java/gingerring/server/LoopTest.java
+++ b/mixer/src/test/java/gingerring/server/LoopTest.java
@@ -34,12 +34,12 @@
    */
   static final class LoopProcess {
     static volatile int timerWakes;
-    private static Loop loop;
+    private static EventLoop loop;
 
     private LoopProcess() {}
 
     public static void main(String[] args) {
-      loop = new Loop(new Counters());
+      loop = new EventLoop(new Counters());
       Thread poster =
           new Thread(
               () -> {
--- a/mixer/src/test/java/gingerring/server/MixerConfigTest.java
+++ b/mixer/src/test/java/gingerring/server/MixerConfigTest.java
@@ -52,7 +52,7 @@
             "false",
             "Weights",
             "rough"));
-    Bounds.check(new Settings(validSettings));
+    SettingsValidator.check(new Settings(validSettings));
     String invalidEntries =
         "Safety.ResendSpanMs=-1 Safety.ResendSpanMs=0 Safety.ResendSpanMs= Safety.ExtraFree=NaN "
             + "Safety.ExtraFree=-5 Safety.ResendRatio=a Safety.ResendRatio Safety.ExtraFree Safety.ResendSpanMs "
@@ -69,7 +69,7 @@
       String message =
           assertThrows(
                   IllegalArgumentException.class,
-                  () -> Bounds.check(new Settings(settings)),
+                  () -> SettingsValidator.check(new Settings(settings)),
                   invalidEntry)
               .getMessage();
       assertTrue(
--- a/mixer/src/test/java/gingerring/server/MixerHostTest.java
+++ b/mixer/src/test/java/gingerring/server/MixerHostTest.java
@@ -4,13 +4,13 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gingerring.backend.Back;
+import gingerring.backend.Backend;
 import gingerring.decide.MemberEntry.Status;
 import gingerring.decide.Settings;
 import gingerring.discovery.DiscoveryWatch;
 import gingerring.discovery.MemberListUpdate;
-import gingerring.frontend.Ask;
-import gingerring.frontend.Reply;
+import gingerring.frontend.ScanRequest;
+import gingerring.frontend.ScanResponder;
 import gingerring.json.Json;
 import gingerring.net.Counters;
 import gingerring.net.Network;
@@ -31,31 +31,31 @@
 
 class MixerHostTest {
   /** Writes down the answers of one scan. */
-  private record RecordingReply(String scanName, List<String> events) implements Reply {
+  private record RecordingReply(String scanName, List<String> events) implements ScanResponder {
     @Override
     public void answer(boolean whole, Map<Integer, byte[]> values) {
       events.add(scanName + " answered");
     }
 
     @Override
-    public void nack(Duration comeBack) {
+    public void reject(Duration comeBack) {
       events.add(scanName + " nacked");
     }
 
     @Override
-    public void scrap() {
+    public void fail() {
       events.add(scanName + " scrapped");
     }
   }
 
-  private static Ask scanRequest(String transactionId, int serviceClass) {
-    return new Ask(
+  private static ScanRequest scanRequest(String transactionId, int serviceClass) {
+    return new ScanRequest(
         transactionId,
         serviceClass,
         false,
         null,
         Duration.ofMillis(2000),
-        List.of(new Ask.Piece(0, 1, Duration.ZERO, 0)),
+        List.of(new ScanRequest.Target(0, 1, Duration.ZERO, 0)),
         new byte[0]);
   }
 
@@ -69,17 +69,17 @@
   /** Guards against a mixer that compiles what scans need while its first clients wait. */
   @Test
   void rehearsalRunsSampleScansWithoutSockets() throws IOException, Json.JsonException {
-    assertTrue(new Rehearsal(exampleSettings()).run() >= 50);
+    assertTrue(new ScanWarmUp(exampleSettings()).run() >= 50);
   }
 
   /** Guards against a mixer that keeps something of every searcher and scan there ever was. */
   @Test
   void keepsNoStateOfGoneSearchersAndFinishedScans() throws IOException, Json.JsonException {
     Counters counts = new Counters();
-    Loop loop = new Loop(counts);
+    EventLoop loop = new EventLoop(counts);
     Network network = new Network(loop, counts, true);
     MixerHost host = new MixerHost(loop, exampleSettings(), counts, 0);
-    Back back = new Back(network, host, exampleSettings(), counts, loop);
+    Backend back = new Backend(network, host, exampleSettings(), counts, loop);
     InetSocketAddress unusedAddress = new InetSocketAddress("127.0.0.1", 9);
     host.start(
         back,
@@ -115,7 +115,7 @@
                             Status.GONE,
                             1,
                             0))));
-            host.take(
+            host.accept(
                 scanRequest("m" + number, 0), loop.now(), new RecordingReply("scan", outcomes));
           });
     }
@@ -129,8 +129,8 @@
                 }));
     loop.run(back::dispatch, network::flush);
     assertEquals(rounds, outcomes.size());
-    assertEquals(0, host.kept());
-    assertEquals(0, back.stations());
+    assertEquals(0, host.retainedCount());
+    assertEquals(0, back.searcherCount());
     assertEquals(0, network.connectionCount());
   }
 
@@ -174,16 +174,16 @@
    */
   private static final class HostFixture {
     final Counters counts = new Counters();
-    final Loop loop = new Loop(counts);
+    final EventLoop loop = new EventLoop(counts);
     final Network network = new Network(loop, counts, false);
     final MixerHost host;
-    final Back back;
+    final Backend back;
     final InetSocketAddress address;
 
     HostFixture(InetSocketAddress address) throws IOException, Json.JsonException {
       this.address = address;
       host = new MixerHost(loop, exampleSettings(), counts, 0);
-      back = new Back(network, host, exampleSettings(), counts, loop);
+      back = new Backend(network, host, exampleSettings(), counts, loop);
       host.start(
           back,
           new DiscoveryWatch(network, address, 0, host, counts, loop),
@@ -220,7 +220,7 @@
           () -> {
             assertFalse(fixture.host.ready());
             assertTrue(
-                fixture.host.take(
+                fixture.host.accept(
                     scanRequest("early", 0),
                     fixture.loop.now(),
                     new RecordingReply("early", outcomes)));
@@ -249,7 +249,7 @@
       fixture.run(
           () -> {
             fixture.host.onContact();
-            fixture.host.take(
+            fixture.host.accept(
                 scanRequest("a", 0), fixture.loop.now(), new RecordingReply("scan", outcomes));
             fixture.host.onUpdate(fixture.memberList(false, Status.DRAINING));
           },
@@ -272,7 +272,7 @@
         fixture.run(
             () -> {
               fixture.host.onContact();
-              fixture.host.take(
+              fixture.host.accept(
                   scanRequest("a", 0), fixture.loop.now(), new RecordingReply("scan", outcomes));
               fixture.loop.post(
                   () ->
@@ -295,23 +295,23 @@
   void exceptionInTheMixerFailsOnlyTheScanItHandles() throws IOException, Json.JsonException {
     Settings settings = exampleSettings();
     Counters counts = new Counters();
-    Loop loop = new Loop(counts);
+    EventLoop loop = new EventLoop(counts);
     Network network = new Network(loop, counts, true);
     MixerHost host = new MixerHost(loop, settings, counts, 0);
     DiscoveryWatch watch =
         new DiscoveryWatch(network, new InetSocketAddress("127.0.0.1", 1), 0, host, counts, loop);
     host.start(
-        new Back(network, host, settings, counts, loop),
+        new Backend(network, host, settings, counts, loop),
         watch,
         1,
         new MemberListUpdate(0, true, List.of()));
     List<String> outcomes = new ArrayList<>();
-    host.take(scanRequest("a", 7), Duration.ZERO, new RecordingReply("unknown grade", outcomes));
-    host.take(scanRequest("b", 0), Duration.ZERO, new RecordingReply("good", outcomes));
+    host.accept(scanRequest("a", 7), Duration.ZERO, new RecordingReply("unknown grade", outcomes));
+    host.accept(scanRequest("b", 0), Duration.ZERO, new RecordingReply("good", outcomes));
     loop.post(() -> loop.schedule(Duration.ofMillis(50), loop::stop));
     loop.run(() -> {}, () -> {});
     assertEquals(List.of("unknown grade scrapped", "good nacked"), outcomes);
     assertEquals(1, counts.get("failures in the mixer"));
-    assertEquals(0, host.open());
+    assertEquals(0, host.openScanCount());
   }
 }
--- a/mixer/src/test/java/gingerring/server/MixerTestHarness.java
+++ b/mixer/src/test/java/gingerring/server/MixerTestHarness.java
@@ -185,12 +185,12 @@
 
     /** Waits until so many events stand behind the gate. */
     void awaitPosted(int events) throws InterruptedException {
-      await("events behind the gate", () -> server.loop.posted() >= events);
+      await("events behind the gate", () -> server.loop.queuedEvents() >= events);
     }
 
     /** How many events stand behind the gate. */
     int postedCount() {
-      return server.loop.posted();
+      return server.loop.queuedEvents();
     }
 
     @Override
--- a/mixer/src/test/java/gingerring/server/PracticeTest.java
+++ b/mixer/src/test/java/gingerring/server/PracticeTest.java
@@ -19,12 +19,12 @@
 @Timeout(60)
 class PracticeTest {
   private final Counters counts = new Counters();
-  private final Loop loop = new Loop(counts);
+  private final EventLoop loop = new EventLoop(counts);
   private final Network network = new Network(loop, counts, false);
   private final List<String> completions = new ArrayList<>();
 
   private void runPractice(InetSocketAddress listenAddress) {
-    new Practice(
+    new SocketWarmUp(
             network,
             listenAddress,
             1024,
@@ -33,7 +33,7 @@
               completions.add("done");
               loop.schedule(Duration.ofMillis(100), loop::stop);
             })
-        .begin();
+        .start();
     loop.run(() -> {}, network::flush);
     network.dispose();
     assertEquals(List.of("done"), completions);
@@ -73,8 +73,8 @@
             100,
             1024,
             connection -> connection.setHandler(ConnectionHandler.NO_OP));
-    Practice practice =
-        new Practice(
+    SocketWarmUp practice =
+        new SocketWarmUp(
             network,
             listenAddress,
             1024,
@@ -83,8 +83,8 @@
               completions.add("done");
               loop.schedule(Duration.ofMillis(100), loop::stop);
             });
-    practice.begin();
-    loop.schedule(Duration.ofMillis(100), practice::end);
+    practice.start();
+    loop.schedule(Duration.ofMillis(100), practice::closeAll);
     loop.run(() -> {}, network::flush);
     network.dispose();
     assertEquals(List.of("done"), completions);
--- a/mixer/src/test/java/gingerring/server/SearcherCloseRaceTest.java
+++ b/mixer/src/test/java/gingerring/server/SearcherCloseRaceTest.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gingerring.backend.Back;
-import gingerring.backend.Errand;
-import gingerring.backend.Returns;
+import gingerring.backend.Backend;
+import gingerring.backend.BackendListener;
+import gingerring.backend.OutboundTrip;
 import gingerring.decide.Outcome;
 import gingerring.decide.SearcherId;
 import gingerring.decide.Settings;
@@ -78,10 +78,7 @@
             serviceClass ->
                 Arrays.stream(CloseMode.values())
                     .flatMap(
-                        closeMode ->
-                            Stream.of(
-                                new CloseCase(serviceClass, closeMode, false),
-                                new CloseCase(serviceClass, closeMode, true))));
+                        closeMode -> Stream.of(new CloseCase(serviceClass, closeMode, false), new CloseCase(serviceClass, closeMode, true))));
   }
 
   private static Stream<CloseCase> closeCasesWithoutVariant() {
@@ -198,8 +195,7 @@
         int partition = i + 1;
         harness.connectClient().write(scan("search", partition));
         assertEquals(
-            List.of(harness.lastTransactionId() + '.' + partition),
-            otherLinks[i].readCall().partIds());
+            List.of(harness.lastTransactionId() + '.' + partition), otherLinks[i].readCall().partIds());
       }
     }
 
@@ -285,7 +281,7 @@
       awaitLatch(inTurn); // the scan is in this turn, and what is posted from now on is not
       closeCase.closeMode.apply(fixture.b0Link);
       MixerTestHarness.await(
-          "the word of the close", () -> fixture.harness.server.loop.posted() >= 1);
+          "the word of the close", () -> fixture.harness.server.loop.queuedEvents() >= 1);
       resume.countDown();
       fixture.assertAnsweredByOtherBox(0);
       assertTrue(fixture.readOnlyAnswer().startsWith("200 {\"whole\":true"));
@@ -313,8 +309,7 @@
       try (MixerTestHarness.LoopGate gate = fixture.harness.pauseLoop()) {
         fixture.client.write(fixture.scan(closeCase.serviceClass, 0));
         gate.awaitPosted(1);
-        blockedClient.write(
-            "GET /ready HTTP/1.1\r\nHost: x\r\n" + ReadBlocker.MARKER_HEADER + ": 1\r\n\r\n");
+        blockedClient.write("GET /ready HTTP/1.1\r\nHost: x\r\n" + ReadBlocker.MARKER_HEADER + ": 1\r\n\r\n");
         awaitLatch(fixture.readBlocker.reached);
         closeCase.closeMode.apply(fixture.b0Link);
       }
@@ -323,8 +318,7 @@
       boolean mayHaveRun = closeCase.closeMode != CloseMode.RESET;
       if (closeCase.closeMode == CloseMode.HALF_CLOSE) {
         assertEquals(
-            List.of(fixture.harness.lastTransactionId() + ".0"),
-            fixture.b0Link.readCall().partIds());
+            List.of(fixture.harness.lastTransactionId() + ".0"), fixture.b0Link.readCall().partIds());
         assertEquals(0, countRemainingBytes(fixture.b0Link));
       }
       assertOutcomeOfClass(fixture, closeCase, mayHaveRun);
@@ -333,8 +327,7 @@
   }
 
   /** The one answer to a scan of shard 0, and what is sent for it to another. */
-  private static void assertOutcomeOfClass(
-      ThreeBoxFixture fixture, CloseCase closeCase, boolean mayHaveRun) throws Exception {
+  private static void assertOutcomeOfClass(ThreeBoxFixture fixture, CloseCase closeCase, boolean mayHaveRun) throws Exception {
     if (closeCase.retryable() || !mayHaveRun) {
       fixture.assertAnsweredByOtherBox(0);
       assertTrue(fixture.readOnlyAnswer().startsWith("200 {\"whole\":true"));
@@ -353,8 +346,7 @@
   void partReadBySearcherIsRetriedIfItsClassAllows(CloseCase closeCase) throws Exception {
     try (ThreeBoxFixture fixture = new ThreeBoxFixture(5000)) {
       fixture.client.write(fixture.scan(closeCase.serviceClass, 0));
-      assertEquals(
-          List.of(fixture.harness.lastTransactionId() + ".0"), fixture.b0Link.readCall().partIds());
+      assertEquals(List.of(fixture.harness.lastTransactionId() + ".0"), fixture.b0Link.readCall().partIds());
       try (MixerTestHarness.LoopGate gate = fixture.harness.pauseLoop()) {
         closeCase.closeMode.apply(fixture.b0Link);
         gate.awaitPosted(1);
@@ -371,8 +363,7 @@
     int windowMs = 100;
     try (ThreeBoxFixture fixture = new ThreeBoxFixture(windowMs)) {
       fixture.client.write(fixture.scan("post", 0));
-      assertEquals(
-          List.of(fixture.harness.lastTransactionId() + ".0"), fixture.b0Link.readCall().partIds());
+      assertEquals(List.of(fixture.harness.lastTransactionId() + ".0"), fixture.b0Link.readCall().partIds());
       long readAtNanos = System.nanoTime();
       try (MixerTestHarness.LoopGate gate = fixture.harness.pauseLoop()) {
         MixerTestHarness.await(
@@ -401,14 +392,10 @@
         String idempotencyKey = fixture.harness.lastTransactionId();
         assertEquals(2, fixture.b0Link.readCall().partIds().size());
         try (MixerTestHarness.LoopGate gate = fixture.harness.pauseLoop()) {
-          byte[] unansweredResult =
-              MixerTestHarness.BoxConnection.resultFrame(idempotencyKey + '.' + unanswered, "done");
+          byte[] unansweredResult = MixerTestHarness.BoxConnection.resultFrame(idempotencyKey + '.' + unanswered, "done");
           fixture.b0Link.write(
               MixerTestHarness.BoxConnection.resultFrame(idempotencyKey + '.' + answered, "done"));
-          fixture.b0Link.write(
-              closeCase.variant
-                  ? Arrays.copyOf(unansweredResult, unansweredResult.length - 1)
-                  : new byte[0]);
+          fixture.b0Link.write(closeCase.variant ? Arrays.copyOf(unansweredResult, unansweredResult.length - 1) : new byte[0]);
           gate.awaitPosted(1);
           closeCase.closeMode.apply(fixture.b0Link);
           gate.awaitPosted(2);
@@ -470,13 +457,13 @@
    * A searcher's side of the mixer by itself, and the searcher: its dials come up, and are heard of
    * when told.
    */
-  private static final class DialFixture implements Returns, Closeable {
+  private static final class DialFixture implements BackendListener, Closeable {
     private static final SearcherId SEARCHER = new SearcherId(1);
 
     final ManualLoop loop = new ManualLoop();
     final Counters counts = new Counters();
     final Network network = new Network(loop, counts, false);
-    final Back backend;
+    final Backend backend;
     final Duration dialTimeout;
     ServerSocket listener = new ServerSocket(0, 8, InetAddress.getLoopbackAddress());
     final List<MixerTestHarness.BoxConnection> links = new ArrayList<>();
@@ -495,10 +482,10 @@
               .get("settings"),
           flatSettings);
       Settings settings = new Settings(flatSettings);
-      backend = new Back(network, this, settings, counts, loop);
+      backend = new Backend(network, this, settings, counts, loop);
       dialTimeout = settings.duration("PolicyLimits.DialTimeoutMs");
       listener.setSoTimeout(MixerTestHarness.TIMEOUT_MS);
-      backend.listed(SEARCHER, (InetSocketAddress) listener.getLocalSocketAddress(), null);
+      backend.addOrUpdate(SEARCHER, (InetSocketAddress) listener.getLocalSocketAddress(), null);
     }
 
     /** The first dial is late and a second under way for a probe, neither heard of. */
@@ -506,8 +493,7 @@
       DialFixture fixture = new DialFixture();
       fixture.dialForProbe();
       fixture.passDialTimeout();
-      assertEquals(
-          List.of(Outcome.UNREACHABLE), fixture.probeOutcomes); // the probe of the first dial
+      assertEquals(List.of(Outcome.UNREACHABLE), fixture.probeOutcomes); // the probe of the first dial
       fixture.probeOutcomes.clear();
       fixture.dialForProbe();
       return fixture;
@@ -591,10 +577,10 @@
     }
 
     @Override
-    public void ended(Errand errand, Outcome outcome, float[] load, byte[] value) {}
+    public void tripEnded(OutboundTrip errand, Outcome outcome, float[] load, byte[] value) {}
 
     @Override
-    public void probed(SearcherId searcher, Outcome outcome, Duration responseTime, float[] load) {
+    public void probeEnded(SearcherId searcher, Outcome outcome, Duration responseTime, float[] load) {
       probeOutcomes.add(outcome);
     }
 
@@ -616,8 +602,7 @@
 
   private static Stream<List<Object>> dialOrders() {
     return Stream.of(0, 1)
-        .flatMap(
-            first -> Arrays.stream(OtherDialOrder.values()).map(other -> List.of(first, other)));
+        .flatMap(first -> Arrays.stream(OtherDialOrder.values()).map(other -> List.of(first, other)));
   }
 
   /**
@@ -662,8 +647,7 @@
       fixture.probeOutcomes.clear();
       Runnable probeRequest = () -> fixture.backend.probe(DialFixture.SEARCHER);
       Runnable established = fixture.dialResults.get(0);
-      fixture.runTurn(
-          dialFirst ? established : probeRequest, dialFirst ? probeRequest : established);
+      fixture.runTurn(dialFirst ? established : probeRequest, dialFirst ? probeRequest : established);
       fixture.assertProbeReceivedOn(0);
       fixture.answerProbe(0);
       fixture.assertFinalOutcome(Outcome.SUCCEEDED);
@@ -759,9 +743,7 @@
           fixture.runTurnsUntil(fixture.network::isFlushed);
           closeMode.apply(fixture.links.get(first));
           Runnable closeEvent = fixture.nextEvent();
-          fixture.runTurn(
-              otherEstablishedFirst ? otherEstablished : closeEvent,
-              otherEstablishedFirst ? closeEvent : otherEstablished);
+          fixture.runTurn(otherEstablishedFirst ? otherEstablished : closeEvent, otherEstablishedFirst ? closeEvent : otherEstablished);
           fixture.assertFinalOutcome(Outcome.BROKEN);
         }
       }
@@ -791,14 +773,12 @@
       fixture.runTurn();
       Runnable established = fixture.dialResults.get(0);
       Runnable refused = fixture.nextEvent();
-      boolean establishedFirst =
-          refusal == RefusalOrder.REFUSED_LAST || refusal == RefusalOrder.REFUSED_LAST_IN_ONE_TURN;
+      boolean establishedFirst = refusal == RefusalOrder.REFUSED_LAST || refusal == RefusalOrder.REFUSED_LAST_IN_ONE_TURN;
       if (refusal == RefusalOrder.REFUSED_FIRST || refusal == RefusalOrder.REFUSED_LAST) {
         fixture.runTurn(establishedFirst ? established : refused);
         fixture.runTurn(establishedFirst ? refused : established);
       } else {
-        fixture.runTurn(
-            establishedFirst ? established : refused, establishedFirst ? refused : established);
+        fixture.runTurn(establishedFirst ? established : refused, establishedFirst ? refused : established);
       }
       if (establishedFirst) {
         fixture.assertProbeReceivedOn(0);
@@ -862,8 +842,7 @@
    */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
-  void abandonedDialIsNotUsedWhenEstablishedAfterThirdDial(boolean secondEstablishedFirst)
-      throws Exception {
+  void abandonedDialIsNotUsedWhenEstablishedAfterThirdDial(boolean secondEstablishedFirst) throws Exception {
     try (DialFixture fixture = DialFixture.withTwoDials()) {
       fixture.passDialTimeout();
       fixture.probeOutcomes.clear();
@@ -875,8 +854,7 @@
         fixture.runTurn(fixture.dialResults.get(0), fixture.dialResults.get(1));
       } else {
         fixture.runTurn(fixture.dialResults.get(0));
-        fixture.runTurnsUntil(
-            () -> !fixture.network.isFlushed()); // the third is up, and the probe on its way
+        fixture.runTurnsUntil(() -> !fixture.network.isFlushed()); // the third is up, and the probe on its way
         fixture.runTurn(fixture.dialResults.get(1));
       }
       int expectedLink = secondEstablishedFirst ? 1 : 2;
--- a/mixer/src/test/java/gingerring/server/SettingsRegressionTest.java
+++ b/mixer/src/test/java/gingerring/server/SettingsRegressionTest.java
@@ -157,7 +157,7 @@
       client.write(harness.scanRequest("search", 2000, 0));
       MixerTestHarness.BoxConnection connection = box.acceptConnection();
       connection.readCall();
-      harness.server.loop.post(harness.server::announceEnd);
+      harness.server.loop.post(harness.server::beginShutdown);
       assertTrue(client.readAnswer().startsWith("50"));
       assertEquals(0, harness.awaitExitCode());
     }
--- a/mixer/src/test/java/gingerring/server/WatchTest.java
+++ b/mixer/src/test/java/gingerring/server/WatchTest.java
@@ -37,7 +37,7 @@
   private static final int CLOCK_SPEEDUP = 10;
 
   private final Counters counts = new Counters();
-  private final Loop loop = new Loop(counts);
+  private final EventLoop loop = new EventLoop(counts);
   private final Network network = new Network(loop, counts, false);
   private final BlockingQueue<String> notifications = new LinkedBlockingQueue<>();
   private ServerSocket agent;
