--- a/mixer/src/test/java/gingerring/server/DialRaceTest.java
+++ b/mixer/src/test/java/gingerring/server/DialRaceTest.java
@@ -54,15 +54,18 @@
   void abandonedDialThatIsEstablishedDoesNotAffectOthers() throws Exception {
     InetSocketAddress refusingAddress;
     try (ServerSocket refusingListener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-        ServerSocket acceptingListener = new ServerSocket(0, 1000, InetAddress.getLoopbackAddress())) {
+        ServerSocket acceptingListener =
+            new ServerSocket(0, 1000, InetAddress.getLoopbackAddress())) {
       refusingAddress = (InetSocketAddress) refusingListener.getLocalSocketAddress();
       refusingListener.close();
-      raceAbandonedDial((InetSocketAddress) acceptingListener.getLocalSocketAddress(), refusingAddress);
+      raceAbandonedDial(
+          (InetSocketAddress) acceptingListener.getLocalSocketAddress(), refusingAddress);
     }
   }
 
   /** Gives a dial to one address up in the turn after its own, and dials another in that turn. */
-  private static void raceAbandonedDial(InetSocketAddress abandonedAddress, InetSocketAddress otherAddress) throws Exception {
+  private static void raceAbandonedDial(
+      InetSocketAddress abandonedAddress, InetSocketAddress otherAddress) throws Exception {
     Counters counts = new Counters();
     EventLoop loop = new EventLoop(counts);
     Network network = new Network(loop, counts, false);
@@ -82,7 +85,8 @@
                   }));
       assertTrue(abandoned.closed.await(5, TimeUnit.SECONDS), "round " + round);
       assertTrue(
-          other.closed.await(5, TimeUnit.SECONDS), "round " + round + ": never told of its refusal");
+          other.closed.await(5, TimeUnit.SECONDS),
+          "round " + round + ": never told of its refusal");
     }
     loop.post(loop::stop);
     thread.join(5000);
--- a/mixer/src/test/java/gingerring/server/FrontendRaceTest.java
+++ b/mixer/src/test/java/gingerring/server/FrontendRaceTest.java
@@ -152,7 +152,8 @@
           assertTrue(client.readAnswer().startsWith("200"));
         } else {
           try (MixerTestHarness.LoopGate gate =
-              harness.pauseLoop()) { // the answer before is known to have left: the connection rests
+              harness
+                  .pauseLoop()) { // the answer before is known to have left: the connection rests
             harness.server.loop.post(harness.server.frontend::closeIdleClients);
             gate.awaitPosted(1);
           }
@@ -350,7 +351,9 @@
       harness.runIterations(2);
       assertTrue(scansTaken >= 90, harness.server.counts.toString());
       assertTrue(harness.count("links dialled") >= scansTaken, harness.server.counts.toString());
-      assertTrue(peakConnections <= maxConnections, peakConnections + " connections at one time, " + harness.server.counts);
+      assertTrue(
+          peakConnections <= maxConnections,
+          peakConnections + " connections at one time, " + harness.server.counts);
     }
   }
 
@@ -361,7 +364,8 @@
   @Test
   void partialRequestsAreShedOnceNoIdleConnectionIsLeft() throws Exception {
     for (int idleCount : new int[] {0, 100}) {
-      try (MixerTestHarness harness = new MixerTestHarness("\"sockets\": 1024", "\"sockets\": 256")) {
+      try (MixerTestHarness harness =
+          new MixerTestHarness("\"sockets\": 1024", "\"sockets\": 256")) {
         harness.announceAndAwaitReady(answeringBoxes(harness, 4));
         List<MixerTestHarness.Client> partialClients = new ArrayList<>();
         for (int i = 0; i < 201; i++) { // with one more, newcomers are turned away
@@ -437,7 +441,9 @@
         assertTrue(answer.startsWith("200"), answer + " after " + i + ", " + harness.server.counts);
       }
       assertTrue(harness.count("resting links shed") > 0, harness.server.counts.toString());
-      assertTrue(harness.count("links dialled") >= 0.75 * maxConnections, harness.server.counts.toString());
+      assertTrue(
+          harness.count("links dialled") >= 0.75 * maxConnections,
+          harness.server.counts.toString());
       assertEquals(
           0,
           harness.count("trips UNREACHABLE") + harness.count("trips BROKEN"),
@@ -496,7 +502,9 @@
       assertEquals(
           0,
           server.serve(
-              MixerConfig.read(env), System.err, address -> server.loop.post(server::beginShutdown)));
+              MixerConfig.read(env),
+              System.err,
+              address -> server.loop.post(server::beginShutdown)));
       server.dispose();
       assertEquals(1, server.counts.get("ends announced"));
       assertEquals(0, server.counts.get("failures in an event"));
--- a/mixer/src/test/java/gingerring/server/ScanRaceTest.java
+++ b/mixer/src/test/java/gingerring/server/ScanRaceTest.java
@@ -126,11 +126,15 @@
           if (event == RacingEvent.CLIENT_CLOSES || event == RacingEvent.CLIENT_RESETS) {
             harness.awaitCount("clients that left", 1);
           } else {
-            String expectedStatus = event == RacingEvent.ANSWER ? "200" : serviceClass.equals("post") ? "500" : "503";
-            assertEquals(expectedStatus, client.readAnswer().substring(0, 3), event + " " + serviceClass);
+            String expectedStatus =
+                event == RacingEvent.ANSWER ? "200" : serviceClass.equals("post") ? "500" : "503";
+            assertEquals(
+                expectedStatus, client.readAnswer().substring(0, 3), event + " " + serviceClass);
             assertTrue(client.isReady(), "one answer, and the connection goes on");
           }
-          assertTrue(box.noConnectionWithin(NO_TRAFFIC_WAIT), event + " " + serviceClass + ": nothing more is sent");
+          assertTrue(
+              box.noConnectionWithin(NO_TRAFFIC_WAIT),
+              event + " " + serviceClass + ": nothing more is sent");
           assertEquals(0, harness.count("scans the mixer left open"), event + " " + serviceClass);
         }
       }
--- a/mixer/src/test/java/gingerring/server/SearcherAddressRaceTest.java
+++ b/mixer/src/test/java/gingerring/server/SearcherAddressRaceTest.java
@@ -37,11 +37,13 @@
           oldSearcher.releaseBacklog();
           MixerTestHarness.BoxConnection link = oldSearcher.link();
           MixerTestHarness.Frame request = link.readCall();
-          watch.sendLine(MixerTestHarness.memberListLine(2, false, newSearcher.memberJson("SERVING")));
+          watch.sendLine(
+              MixerTestHarness.memberListLine(2, false, newSearcher.memberJson("SERVING")));
           harness.awaitCount("lists told", 2);
           link.answer(request, "done"); // what has begun ends where it did
         } else {
-          watch.sendLine(MixerTestHarness.memberListLine(2, false, newSearcher.memberJson("SERVING")));
+          watch.sendLine(
+              MixerTestHarness.memberListLine(2, false, newSearcher.memberJson("SERVING")));
           MixerTestHarness.BoxConnection link = newSearcher.acceptConnection();
           link.answer(link.readCall(), "done");
         }
@@ -54,7 +56,8 @@
           assertTrue(client.readAnswer().startsWith("200 {\"whole\":true"));
         }
         assertEquals(2, harness.count("links dialled"));
-        assertEquals(0, harness.count("failures in an event") + harness.count("failures in the mixer"));
+        assertEquals(
+            0, harness.count("failures in an event") + harness.count("failures in the mixer"));
       }
     }
   }
--- a/mixer/src/test/java/gingerring/server/SearcherCloseRaceTest.java
+++ b/mixer/src/test/java/gingerring/server/SearcherCloseRaceTest.java
@@ -78,7 +78,10 @@
             serviceClass ->
                 Arrays.stream(CloseMode.values())
                     .flatMap(
-                        closeMode -> Stream.of(new CloseCase(serviceClass, closeMode, false), new CloseCase(serviceClass, closeMode, true))));
+                        closeMode ->
+                            Stream.of(
+                                new CloseCase(serviceClass, closeMode, false),
+                                new CloseCase(serviceClass, closeMode, true))));
   }
 
   private static Stream<CloseCase> closeCasesWithoutVariant() {
@@ -195,7 +198,8 @@
         int partition = i + 1;
         harness.connectClient().write(scan("search", partition));
         assertEquals(
-            List.of(harness.lastTransactionId() + '.' + partition), otherLinks[i].readCall().partIds());
+            List.of(harness.lastTransactionId() + '.' + partition),
+            otherLinks[i].readCall().partIds());
       }
     }
 
@@ -309,7 +313,8 @@
       try (MixerTestHarness.LoopGate gate = fixture.harness.pauseLoop()) {
         fixture.client.write(fixture.scan(closeCase.serviceClass, 0));
         gate.awaitPosted(1);
-        blockedClient.write("GET /ready HTTP/1.1\r\nHost: x\r\n" + ReadBlocker.MARKER_HEADER + ": 1\r\n\r\n");
+        blockedClient.write(
+            "GET /ready HTTP/1.1\r\nHost: x\r\n" + ReadBlocker.MARKER_HEADER + ": 1\r\n\r\n");
         awaitLatch(fixture.readBlocker.reached);
         closeCase.closeMode.apply(fixture.b0Link);
       }
@@ -318,7 +323,8 @@
       boolean mayHaveRun = closeCase.closeMode != CloseMode.RESET;
       if (closeCase.closeMode == CloseMode.HALF_CLOSE) {
         assertEquals(
-            List.of(fixture.harness.lastTransactionId() + ".0"), fixture.b0Link.readCall().partIds());
+            List.of(fixture.harness.lastTransactionId() + ".0"),
+            fixture.b0Link.readCall().partIds());
         assertEquals(0, countRemainingBytes(fixture.b0Link));
       }
       assertOutcomeOfClass(fixture, closeCase, mayHaveRun);
@@ -327,7 +333,8 @@
   }
 
   /** The one answer to a scan of shard 0, and what is sent for it to another. */
-  private static void assertOutcomeOfClass(ThreeBoxFixture fixture, CloseCase closeCase, boolean mayHaveRun) throws Exception {
+  private static void assertOutcomeOfClass(
+      ThreeBoxFixture fixture, CloseCase closeCase, boolean mayHaveRun) throws Exception {
     if (closeCase.retryable() || !mayHaveRun) {
       fixture.assertAnsweredByOtherBox(0);
       assertTrue(fixture.readOnlyAnswer().startsWith("200 {\"whole\":true"));
@@ -346,7 +353,8 @@
   void partReadBySearcherIsRetriedIfItsClassAllows(CloseCase closeCase) throws Exception {
     try (ThreeBoxFixture fixture = new ThreeBoxFixture(5000)) {
       fixture.client.write(fixture.scan(closeCase.serviceClass, 0));
-      assertEquals(List.of(fixture.harness.lastTransactionId() + ".0"), fixture.b0Link.readCall().partIds());
+      assertEquals(
+          List.of(fixture.harness.lastTransactionId() + ".0"), fixture.b0Link.readCall().partIds());
       try (MixerTestHarness.LoopGate gate = fixture.harness.pauseLoop()) {
         closeCase.closeMode.apply(fixture.b0Link);
         gate.awaitPosted(1);
@@ -363,7 +371,8 @@
     int windowMs = 100;
     try (ThreeBoxFixture fixture = new ThreeBoxFixture(windowMs)) {
       fixture.client.write(fixture.scan("post", 0));
-      assertEquals(List.of(fixture.harness.lastTransactionId() + ".0"), fixture.b0Link.readCall().partIds());
+      assertEquals(
+          List.of(fixture.harness.lastTransactionId() + ".0"), fixture.b0Link.readCall().partIds());
       long readAtNanos = System.nanoTime();
       try (MixerTestHarness.LoopGate gate = fixture.harness.pauseLoop()) {
         MixerTestHarness.await(
@@ -392,10 +401,14 @@
         String idempotencyKey = fixture.harness.lastTransactionId();
         assertEquals(2, fixture.b0Link.readCall().partIds().size());
         try (MixerTestHarness.LoopGate gate = fixture.harness.pauseLoop()) {
-          byte[] unansweredResult = MixerTestHarness.BoxConnection.resultFrame(idempotencyKey + '.' + unanswered, "done");
+          byte[] unansweredResult =
+              MixerTestHarness.BoxConnection.resultFrame(idempotencyKey + '.' + unanswered, "done");
           fixture.b0Link.write(
               MixerTestHarness.BoxConnection.resultFrame(idempotencyKey + '.' + answered, "done"));
-          fixture.b0Link.write(closeCase.variant ? Arrays.copyOf(unansweredResult, unansweredResult.length - 1) : new byte[0]);
+          fixture.b0Link.write(
+              closeCase.variant
+                  ? Arrays.copyOf(unansweredResult, unansweredResult.length - 1)
+                  : new byte[0]);
           gate.awaitPosted(1);
           closeCase.closeMode.apply(fixture.b0Link);
           gate.awaitPosted(2);
@@ -493,7 +506,8 @@
       DialFixture fixture = new DialFixture();
       fixture.dialForProbe();
       fixture.passDialTimeout();
-      assertEquals(List.of(Outcome.UNREACHABLE), fixture.probeOutcomes); // the probe of the first dial
+      assertEquals(
+          List.of(Outcome.UNREACHABLE), fixture.probeOutcomes); // the probe of the first dial
       fixture.probeOutcomes.clear();
       fixture.dialForProbe();
       return fixture;
@@ -580,7 +594,8 @@
     public void tripEnded(OutboundTrip errand, Outcome outcome, float[] load, byte[] value) {}
 
     @Override
-    public void probeEnded(SearcherId searcher, Outcome outcome, Duration responseTime, float[] load) {
+    public void probeEnded(
+        SearcherId searcher, Outcome outcome, Duration responseTime, float[] load) {
       probeOutcomes.add(outcome);
     }
 
@@ -602,7 +617,8 @@
 
   private static Stream<List<Object>> dialOrders() {
     return Stream.of(0, 1)
-        .flatMap(first -> Arrays.stream(OtherDialOrder.values()).map(other -> List.of(first, other)));
+        .flatMap(
+            first -> Arrays.stream(OtherDialOrder.values()).map(other -> List.of(first, other)));
   }
 
   /**
@@ -647,7 +663,8 @@
       fixture.probeOutcomes.clear();
       Runnable probeRequest = () -> fixture.backend.probe(DialFixture.SEARCHER);
       Runnable established = fixture.dialResults.get(0);
-      fixture.runTurn(dialFirst ? established : probeRequest, dialFirst ? probeRequest : established);
+      fixture.runTurn(
+          dialFirst ? established : probeRequest, dialFirst ? probeRequest : established);
       fixture.assertProbeReceivedOn(0);
       fixture.answerProbe(0);
       fixture.assertFinalOutcome(Outcome.SUCCEEDED);
@@ -743,7 +760,9 @@
           fixture.runTurnsUntil(fixture.network::isFlushed);
           closeMode.apply(fixture.links.get(first));
           Runnable closeEvent = fixture.nextEvent();
-          fixture.runTurn(otherEstablishedFirst ? otherEstablished : closeEvent, otherEstablishedFirst ? closeEvent : otherEstablished);
+          fixture.runTurn(
+              otherEstablishedFirst ? otherEstablished : closeEvent,
+              otherEstablishedFirst ? closeEvent : otherEstablished);
           fixture.assertFinalOutcome(Outcome.BROKEN);
         }
       }
@@ -773,12 +792,14 @@
       fixture.runTurn();
       Runnable established = fixture.dialResults.get(0);
       Runnable refused = fixture.nextEvent();
-      boolean establishedFirst = refusal == RefusalOrder.REFUSED_LAST || refusal == RefusalOrder.REFUSED_LAST_IN_ONE_TURN;
+      boolean establishedFirst =
+          refusal == RefusalOrder.REFUSED_LAST || refusal == RefusalOrder.REFUSED_LAST_IN_ONE_TURN;
       if (refusal == RefusalOrder.REFUSED_FIRST || refusal == RefusalOrder.REFUSED_LAST) {
         fixture.runTurn(establishedFirst ? established : refused);
         fixture.runTurn(establishedFirst ? refused : established);
       } else {
-        fixture.runTurn(establishedFirst ? established : refused, establishedFirst ? refused : established);
+        fixture.runTurn(
+            establishedFirst ? established : refused, establishedFirst ? refused : established);
       }
       if (establishedFirst) {
         fixture.assertProbeReceivedOn(0);
@@ -842,7 +863,8 @@
    */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
-  void abandonedDialIsNotUsedWhenEstablishedAfterThirdDial(boolean secondEstablishedFirst) throws Exception {
+  void abandonedDialIsNotUsedWhenEstablishedAfterThirdDial(boolean secondEstablishedFirst)
+      throws Exception {
     try (DialFixture fixture = DialFixture.withTwoDials()) {
       fixture.passDialTimeout();
       fixture.probeOutcomes.clear();
@@ -854,7 +876,8 @@
         fixture.runTurn(fixture.dialResults.get(0), fixture.dialResults.get(1));
       } else {
         fixture.runTurn(fixture.dialResults.get(0));
-        fixture.runTurnsUntil(() -> !fixture.network.isFlushed()); // the third is up, and the probe on its way
+        fixture.runTurnsUntil(
+            () -> !fixture.network.isFlushed()); // the third is up, and the probe on its way
         fixture.runTurn(fixture.dialResults.get(1));
       }
       int expectedLink = secondEstablishedFirst ? 1 : 2;
--- a/mixer/src/test/java/gingerring/server/SearcherConnectionRaceTest.java
+++ b/mixer/src/test/java/gingerring/server/SearcherConnectionRaceTest.java
@@ -24,8 +24,8 @@
     return Arrays.stream(groups).flatMap(Arrays::stream).toArray(String[]::new);
   }
 
-  private static MixerTestHarness.DiscoveryConnection startWithMembers(MixerTestHarness harness, String... members)
-      throws Exception {
+  private static MixerTestHarness.DiscoveryConnection startWithMembers(
+      MixerTestHarness harness, String... members) throws Exception {
     MixerTestHarness.DiscoveryConnection watch = harness.agent.acceptWatch();
     watch.sendLine(MixerTestHarness.memberListLine(1, true, members));
     harness.awaitReady();
@@ -51,7 +51,8 @@
   @Test
   void partWaitingForDialIsNotSentAfterClientLeaves() throws Exception {
     for (String[] cancelSetting : new String[][] {CANCEL_DISABLED, {}}) {
-      try (MixerTestHarness harness = new MixerTestHarness(concatenate(cancelSetting, LONG_DIAL_TIMEOUT))) {
+      try (MixerTestHarness harness =
+          new MixerTestHarness(concatenate(cancelSetting, LONG_DIAL_TIMEOUT))) {
         SlowAcceptSearcher slowSearcher = harness.closeAtEnd(new SlowAcceptSearcher("late", 0));
         startWithMembers(harness, slowSearcher.member("SERVING"));
         MixerTestHarness.Client client = harness.connectClient();
@@ -70,7 +71,8 @@
   @Test
   void partWaitingForDialIsNotSentAfterScanIsAnswered() throws Exception {
     for (String[] cancelSetting : new String[][] {CANCEL_DISABLED, {}}) {
-      try (MixerTestHarness harness = new MixerTestHarness(concatenate(cancelSetting, LONG_DIAL_TIMEOUT))) {
+      try (MixerTestHarness harness =
+          new MixerTestHarness(concatenate(cancelSetting, LONG_DIAL_TIMEOUT))) {
         SlowAcceptSearcher slowSearcher = harness.closeAtEnd(new SlowAcceptSearcher("late", 3));
         MixerTestHarness.Box box = harness.box("box", 1);
         startWithMembers(harness, slowSearcher.member("SERVING"), box.memberJson("SERVING"));
@@ -92,7 +94,8 @@
   @Test
   void partWaitingForDialIsNotSentAfterScanFails() throws Exception {
     for (String[] cancelSetting : new String[][] {CANCEL_DISABLED, {}}) {
-      try (MixerTestHarness harness = new MixerTestHarness(concatenate(cancelSetting, LONG_DIAL_TIMEOUT))) {
+      try (MixerTestHarness harness =
+          new MixerTestHarness(concatenate(cancelSetting, LONG_DIAL_TIMEOUT))) {
         SlowAcceptSearcher slowSearcher = harness.closeAtEnd(new SlowAcceptSearcher("late", 0));
         startWithMembers(harness, slowSearcher.member("SERVING"));
         MixerTestHarness.Client client = harness.connectClient();
@@ -124,9 +127,11 @@
   @Test
   void partWaitingForDialIsNotSentAfterIdempotencyWindowOfItsCopy() throws Exception {
     for (boolean copied : new boolean[] {true, false}) {
-      try (MixerTestHarness harness = new MixerTestHarness(concatenate(SHORT_IDEMPOTENCY_WINDOW, LONG_DIAL_TIMEOUT))) {
+      try (MixerTestHarness harness =
+          new MixerTestHarness(concatenate(SHORT_IDEMPOTENCY_WINDOW, LONG_DIAL_TIMEOUT))) {
         SlowAcceptSearcher slowSearcher = harness.closeAtEnd(new SlowAcceptSearcher("late", 0));
-        MixerTestHarness.DiscoveryConnection watch = startWithMembers(harness, slowSearcher.member("SERVING"));
+        MixerTestHarness.DiscoveryConnection watch =
+            startWithMembers(harness, slowSearcher.member("SERVING"));
         MixerTestHarness.Client client = harness.connectClient();
         client.write(harness.scanRequest("post", 2000, 0));
         harness.awaitCount("links dialled", 1);
@@ -194,9 +199,11 @@
   void partIsNotSentOnConnectionEstablishedInTurnThatEndsIt() throws Exception {
     for (ConcurrentEvent event : ConcurrentEvent.values()) {
       for (boolean establishedFirst : new boolean[] {true, false}) {
-        try (MixerTestHarness harness = new MixerTestHarness(concatenate(LONG_LATENCY_TARGET, LONG_DIAL_TIMEOUT))) {
+        try (MixerTestHarness harness =
+            new MixerTestHarness(concatenate(LONG_LATENCY_TARGET, LONG_DIAL_TIMEOUT))) {
           SlowAcceptSearcher slowSearcher = harness.closeAtEnd(new SlowAcceptSearcher("late", 0));
-          MixerTestHarness.DiscoveryConnection watch = startWithMembers(harness, slowSearcher.member("SERVING"));
+          MixerTestHarness.DiscoveryConnection watch =
+              startWithMembers(harness, slowSearcher.member("SERVING"));
           MixerTestHarness.Client client = harness.connectClient();
           client.write(harness.scanRequest("search", 2900, 0));
           harness.awaitCount("links dialled", 1);
@@ -218,7 +225,8 @@
                       MixerTestHarness.memberListLine(
                           2,
                           false,
-                          slowSearcher.member("SERVING")
+                          slowSearcher
+                              .member("SERVING")
                               .replace(
                                   "\"up_since_ms\":0",
                                   "\"up_since_ms\":" + System.currentTimeMillis())));
@@ -231,7 +239,8 @@
           }
           String description = event + ", up first: " + establishedFirst;
           MixerTestHarness.BoxConnection link = slowSearcher.link();
-          if (event == ConcurrentEvent.SEARCHER_REMOVED || event == ConcurrentEvent.SEARCHER_RESTARTED) {
+          if (event == ConcurrentEvent.SEARCHER_REMOVED
+              || event == ConcurrentEvent.SEARCHER_RESTARTED) {
             link.awaitEnd(); // the mixer closes its end too
           } else {
             assertTrue(receivesNoRequest(link), description);
@@ -247,7 +256,8 @@
     }
   }
 
-  private static String scan(MixerTestHarness harness, int deadlineMs, int queryLength, int partition) {
+  private static String scan(
+      MixerTestHarness harness, int deadlineMs, int queryLength, int partition) {
     String body =
         "{\"targets\":[{\"partition\":"
             + partition
@@ -283,7 +293,8 @@
                   "\"Cancel\": true",
                   "\"Cancel\": false"
                 }))) {
-      SlowAcceptSearcher box = harness.closeAtEnd(SlowAcceptSearcher.withSmallReceiveBuffer("box", 0));
+      SlowAcceptSearcher box =
+          harness.closeAtEnd(SlowAcceptSearcher.withSmallReceiveBuffer("box", 0));
       MixerTestHarness.DiscoveryConnection watch = startWithMembers(harness, box.member("SERVING"));
       int largeRequests = 80; // more than the kernel takes for it
       int smallRequests = 10; // room for so few bytes there would be
@@ -302,7 +313,8 @@
       harness.runIterations(3);
       long heldBack = harness.count("trips NOT_SENT");
       MixerTestHarness.BoxConnection link = box.link();
-      for (int partsReceived = 0; partsReceived < largeRequests + smallRequests - heldBack - rejected; ) {
+      for (int partsReceived = 0;
+          partsReceived < largeRequests + smallRequests - heldBack - rejected; ) {
         MixerTestHarness.Frame request = link.readCall();
         partsReceived += request.partIds().size();
         assertTrue(request.payload().length > 60_000, "the small ones came last");
--- a/mixer/src/test/java/gingerring/server/WatchAddressChangeTest.java
+++ b/mixer/src/test/java/gingerring/server/WatchAddressChangeTest.java
@@ -23,7 +23,8 @@
       WatchHarness harness, MixerTestHarness.DiscoveryAgent agent, int expectedIndex, int revision)
       throws Exception {
     MixerTestHarness.DiscoveryConnection watch = agent.acceptWatch();
-    assertTrue(watch.requestHead.contains("?stream=1&index=" + expectedIndex + ' '), watch.requestHead);
+    assertTrue(
+        watch.requestHead.contains("?stream=1&index=" + expectedIndex + ' '), watch.requestHead);
     watch.sendLine(MixerTestHarness.memberListLine(revision, true));
     assertEquals("list " + revision, harness.nextNotification());
     return watch;
@@ -46,7 +47,8 @@
     try (WatchHarness harness = newHarness();
         MixerTestHarness.DiscoveryAgent newAgent = new MixerTestHarness.DiscoveryAgent(true)) {
       harness.openWatch();
-      MixerTestHarness.DiscoveryConnection formerWatch = acceptWatchAndSendList(harness, harness.agent, 41, 42);
+      MixerTestHarness.DiscoveryConnection formerWatch =
+          acceptWatchAndSendList(harness, harness.agent, 41, 42);
       harness.changeAgentAddress(newAgent.address());
       MixerTestHarness.DiscoveryConnection watch = newAgent.acceptWatch();
       assertTrue(watch.requestHead.contains("index=0 "), watch.requestHead);
@@ -70,7 +72,8 @@
     try (WatchHarness harness = newHarness();
         MixerTestHarness.DiscoveryAgent newAgent = new MixerTestHarness.DiscoveryAgent(true)) {
       harness.openWatch();
-      MixerTestHarness.DiscoveryConnection formerWatch = acceptWatchAndSendList(harness, harness.agent, 41, 42);
+      MixerTestHarness.DiscoveryConnection formerWatch =
+          acceptWatchAndSendList(harness, harness.agent, 41, 42);
       harness.changeAgentAddress(newAgent.address());
       newAgent.acceptWatch().sendLine("{\"revision\":7}");
       assertEquals("failed", harness.nextNotification());
@@ -89,7 +92,8 @@
       try (WatchHarness harness = newHarness();
           MixerTestHarness.DiscoveryAgent newAgent = new MixerTestHarness.DiscoveryAgent(true)) {
         harness.openWatch();
-        MixerTestHarness.DiscoveryConnection formerWatch = acceptWatchAndSendList(harness, harness.agent, 41, 42);
+        MixerTestHarness.DiscoveryConnection formerWatch =
+            acceptWatchAndSendList(harness, harness.agent, 41, 42);
         harness.changeAgentAddress(newAgent.address());
         MixerTestHarness.DiscoveryConnection watch = newAgent.acceptWatch();
         harness.sendEmptyLine(watch);
@@ -126,18 +130,21 @@
         MixerTestHarness.DiscoveryAgent secondAgent = new MixerTestHarness.DiscoveryAgent(true);
         MixerTestHarness.DiscoveryAgent thirdAgent = new MixerTestHarness.DiscoveryAgent(true)) {
       harness.openWatch();
-      MixerTestHarness.DiscoveryConnection formerWatch = acceptWatchAndSendList(harness, harness.agent, 41, 42);
+      MixerTestHarness.DiscoveryConnection formerWatch =
+          acceptWatchAndSendList(harness, harness.agent, 41, 42);
       harness.changeAgentAddress(secondAgent.address());
       MixerTestHarness.DiscoveryConnection unansweredWatch = secondAgent.acceptWatch();
       harness.changeAgentAddress(thirdAgent.address());
       assertEquals("closed", unansweredWatch.awaitEnd());
       formerWatch.sendLine(MixerTestHarness.memberListLine(43, false));
       assertEquals("list 43", harness.nextNotification());
-      MixerTestHarness.DiscoveryConnection watch = acceptWatchAndSendList(harness, thirdAgent, 0, 5);
+      MixerTestHarness.DiscoveryConnection watch =
+          acceptWatchAndSendList(harness, thirdAgent, 0, 5);
       assertEquals("closed", formerWatch.awaitEnd());
       // and where the second has spoken, it is the one that stays
       harness.changeAgentAddress(secondAgent.address());
-      MixerTestHarness.DiscoveryConnection returnedWatch = acceptWatchAndSendList(harness, secondAgent, 0, 9);
+      MixerTestHarness.DiscoveryConnection returnedWatch =
+          acceptWatchAndSendList(harness, secondAgent, 0, 9);
       assertEquals("closed", watch.awaitEnd());
       harness.changeAgentAddress(thirdAgent.address());
       returnedWatch.sendLine(MixerTestHarness.memberListLine(10, false));
@@ -153,14 +160,16 @@
     try (WatchHarness harness = newHarness();
         MixerTestHarness.DiscoveryAgent newAgent = new MixerTestHarness.DiscoveryAgent(true)) {
       harness.openWatch();
-      MixerTestHarness.DiscoveryConnection formerWatch = acceptWatchAndSendList(harness, harness.agent, 41, 42);
+      MixerTestHarness.DiscoveryConnection formerWatch =
+          acceptWatchAndSendList(harness, harness.agent, 41, 42);
       harness.changeAgentAddress(newAgent.address());
       MixerTestHarness.DiscoveryConnection unansweredWatch = newAgent.acceptWatch();
       harness.changeAgentAddress(harness.agent.address());
       assertEquals("closed", unansweredWatch.awaitEnd());
       formerWatch.sendLine(MixerTestHarness.memberListLine(43, false));
       assertEquals("list 43", harness.nextNotification());
-      MixerTestHarness.DiscoveryConnection watch = acceptWatchAndSendList(harness, harness.agent, 0, 43);
+      MixerTestHarness.DiscoveryConnection watch =
+          acceptWatchAndSendList(harness, harness.agent, 0, 43);
       assertEquals("closed", formerWatch.awaitEnd());
       harness.changeAgentAddress(harness.agent.address()); // it is there already
       watch.sendLine(MixerTestHarness.memberListLine(44, false));
@@ -176,7 +185,8 @@
       try (WatchHarness harness = newHarness();
           MixerTestHarness.DiscoveryAgent newAgent = new MixerTestHarness.DiscoveryAgent(false)) {
         harness.openWatch();
-        MixerTestHarness.DiscoveryConnection formerWatch = acceptWatchAndSendList(harness, harness.agent, 41, 42);
+        MixerTestHarness.DiscoveryConnection formerWatch =
+            acceptWatchAndSendList(harness, harness.agent, 41, 42);
         harness.changeAgentAddress(newAgent.address());
         assertEquals("failed", harness.nextNotification());
         if (silent) {
@@ -242,7 +252,8 @@
         assertTrue(
             fetch.requestHead.startsWith("GET /v1/endpoints HTTP/1.1\r\n"), fetch.requestHead);
         String oldList = MixerTestHarness.memberListLine(42, true);
-        String answer = "HTTP/1.1 200 OK\r\nContent-Length: " + oldList.length() + "\r\n\r\n" + oldList;
+        String answer =
+            "HTTP/1.1 200 OK\r\nContent-Length: " + oldList.length() + "\r\n\r\n" + oldList;
         if (answered) {
           fetch.write(answer);
           assertEquals("list 42", harness.nextNotification());
@@ -267,7 +278,8 @@
   void fetchOlderThanWatchedListIsIgnored() throws Exception {
     try (WatchHarness harness = newHarness()) {
       harness.openWatch();
-      MixerTestHarness.DiscoveryConnection watch = acceptWatchAndSendList(harness, harness.agent, 41, 42);
+      MixerTestHarness.DiscoveryConnection watch =
+          acceptWatchAndSendList(harness, harness.agent, 41, 42);
       harness.runOnLoop(harness.watch::fetchFullList);
       MixerTestHarness.DiscoveryConnection fetch = harness.agent.acceptRequest();
       watch.sendLine(MixerTestHarness.memberListLine(43, false));
@@ -287,7 +299,8 @@
   void newAddressIsCalledThreeTimesWithinFourSeconds() throws Exception {
     for (boolean refused : new boolean[] {true, false}) {
       try (WatchHarness harness = new WatchHarness(true, "subscribe", DRAIN_GRACE_MS);
-          MixerTestHarness.DiscoveryAgent newAgent = new MixerTestHarness.DiscoveryAgent(!refused)) {
+          MixerTestHarness.DiscoveryAgent newAgent =
+              new MixerTestHarness.DiscoveryAgent(!refused)) {
         harness.openWatch();
         acceptWatchAndSendList(harness, harness.agent, 41, 42);
         harness.advanceClock(1000);
@@ -307,7 +320,8 @@
         MixerTestHarness.DiscoveryConnection watch = newAgent.acceptWatch();
         watch.sendLine(MixerTestHarness.memberListLine(7, true));
         String notification = harness.nextNotification();
-        assertEquals("list 7", "failed".equals(notification) ? harness.nextNotification() : notification);
+        assertEquals(
+            "list 7", "failed".equals(notification) ? harness.nextNotification() : notification);
       }
     }
   }
--- a/mixer/src/test/java/gingerring/server/WatchDialRaceTest.java
+++ b/mixer/src/test/java/gingerring/server/WatchDialRaceTest.java
@@ -41,7 +41,10 @@
   }
 
   private static final List<List<Step>> SILENT_SEQUENCES =
-      List.of(List.of(Step.ESTABLISHED), List.of(Step.ESTABLISHED, Step.CLOSES), List.of(Step.ESTABLISHED, Step.RESETS));
+      List.of(
+          List.of(Step.ESTABLISHED),
+          List.of(Step.ESTABLISHED, Step.CLOSES),
+          List.of(Step.ESTABLISHED, Step.RESETS));
   private static final List<List<Step>> SEQUENCES =
       List.of(
           List.of(Step.ESTABLISHED),
@@ -56,7 +59,8 @@
   }
 
   /** Each play, with the other event at each point of its turn: 0 is before the dial comes up. */
-  private static void forEachInterleaving(List<List<Step>> sequences, InterleavedScenario scenario) throws Exception {
+  private static void forEachInterleaving(List<List<Step>> sequences, InterleavedScenario scenario)
+      throws Exception {
     for (List<Step> steps : sequences) {
       for (int eventIndex = 0; eventIndex <= steps.size(); eventIndex++) {
         String description = steps + " with the other event at " + eventIndex;
@@ -88,7 +92,10 @@
         () -> {
           try { // so that its connections are counted against a bound
             harness.network.listen(
-                new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), MAX_CONNECTIONS, 1024, accepted -> {});
+                new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
+                MAX_CONNECTIONS,
+                1024,
+                accepted -> {});
           } catch (IOException e) {
             throw new AssertionError(e);
           }
@@ -180,7 +187,8 @@
   }
 
   /** So many connections are in hand, each counts once against the bound, and no other. */
-  private static void assertOpenConnections(WatchHarness harness, int expectedCount) throws Exception {
+  private static void assertOpenConnections(WatchHarness harness, int expectedCount)
+      throws Exception {
     int[] actual = new int[2];
     MixerTestHarness.await(
         expectedCount + " connections in hand",
@@ -197,7 +205,8 @@
   }
 
   /** What has been told since, and nothing else. */
-  private static void assertNotifications(WatchHarness harness, List<String> expected) throws Exception {
+  private static void assertNotifications(WatchHarness harness, List<String> expected)
+      throws Exception {
     harness.runOnLoop(() -> {});
     List<String> notifications = new ArrayList<>();
     harness.notifications.drainTo(notifications);
@@ -210,7 +219,8 @@
   }
 
   private static void sendList(
-      WatchHarness harness, MixerTestHarness.DiscoveryConnection call, int revision) throws Exception {
+      WatchHarness harness, MixerTestHarness.DiscoveryConnection call, int revision)
+      throws Exception {
     call.write(watchResponse(revision));
     assertEquals("list " + revision, harness.nextNotification());
   }
@@ -235,7 +245,13 @@
     for (List<Step> steps : SEQUENCES) {
       if (ends(steps)) {
         try (WatchHarness harness = newHarness("automatic")) {
-          runInterleaved(harness, harness.watch::open, steps, watchResponse(42), 0, () -> harness.loop.post(() -> {}));
+          runInterleaved(
+              harness,
+              harness.watch::open,
+              steps,
+              watchResponse(42),
+              0,
+              () -> harness.loop.post(() -> {}));
           assertNotifications(
               harness,
               steps.contains(Step.SPEAKS) ? List.of("list 42", "failed") : List.of("failed"));
@@ -293,7 +309,8 @@
             assertOpenConnections(harness, 0);
             harness.runOnLoop(() -> {});
             assertEquals("closed", callbacks.get(callbacks.size() - 1));
-            assertEquals(1, callbacks.stream().filter("closed"::equals).count(), callbacks.toString());
+            assertEquals(
+                1, callbacks.stream().filter("closed"::equals).count(), callbacks.toString());
             assertEquals(eventIndex > 0, callbacks.contains("opened"), callbacks.toString());
             if (!ends(steps) && !steps.contains(Step.SPEAKS)) {
               assertClosedWithoutRequest(agentSocket);
@@ -309,7 +326,8 @@
         SEQUENCES,
         (steps, eventIndex, description) -> {
           try (WatchHarness harness = newHarness("automatic");
-              MixerTestHarness.DiscoveryAgent newAgent = new MixerTestHarness.DiscoveryAgent(true)) {
+              MixerTestHarness.DiscoveryAgent newAgent =
+                  new MixerTestHarness.DiscoveryAgent(true)) {
             Socket formerSocket =
                 runInterleaved(
                     harness,
@@ -331,7 +349,9 @@
             }
             assertOpenConnections(
                 harness,
-                listReceived && !ends(steps) ? 2 : 1); // it stays until there is a list from the new place
+                listReceived && !ends(steps)
+                    ? 2
+                    : 1); // it stays until there is a list from the new place
             sendList(harness, watch, 7);
             assertOpenConnections(harness, 1);
             harness.advanceClock(2 * CALL_INTERVAL_MS);
@@ -354,7 +374,8 @@
         SEQUENCES,
         (steps, eventIndex, description) -> {
           try (WatchHarness harness = newHarness("automatic");
-              MixerTestHarness.DiscoveryAgent newAgent = new MixerTestHarness.DiscoveryAgent(true)) {
+              MixerTestHarness.DiscoveryAgent newAgent =
+                  new MixerTestHarness.DiscoveryAgent(true)) {
             harness.openWatch();
             MixerTestHarness.DiscoveryConnection formerWatch = harness.agent.acceptRequest();
             sendList(harness, formerWatch, 42);
@@ -368,13 +389,16 @@
                     () -> harness.loop.post(() -> harness.watch.changeAddress(newAgent.address())));
             boolean answered = happenedBefore(steps, eventIndex, Step.SPEAKS);
             boolean failed = !answered && endedBefore(steps, eventIndex);
-            assertNotifications(harness, answered ? List.of("list 43") : failed ? List.of("failed") : List.of());
+            assertNotifications(
+                harness, answered ? List.of("list 43") : failed ? List.of("failed") : List.of());
             int repeatedFetches = answered || failed ? 0 : 1;
             assertEquals(3 + repeatedFetches, harness.discoveryCalls());
             if (!ends(steps) && !steps.contains(Step.SPEAKS)) {
               assertClosedWithoutRequest(fetchSocket);
             }
-            assertOpenConnections(harness, 2 + repeatedFetches); // the former watch, the new one, and the list asked for anew
+            assertOpenConnections(
+                harness,
+                2 + repeatedFetches); // the former watch, the new one, and the list asked for anew
             MixerTestHarness.DiscoveryConnection watch = null;
             for (int i = 0; i <= repeatedFetches; i++) {
               MixerTestHarness.DiscoveryConnection call = newAgent.acceptRequest();
@@ -487,7 +511,8 @@
             boolean noWatchLeft = newerAnswered && ends(steps);
             assertOpenConnections(harness, noWatchLeft ? 0 : 1);
             assertEquals(
-                !noWatchLeft && !endedBefore(steps, eventIndex) ? 0 : 1, harness.counts.get("discovery failures"));
+                !noWatchLeft && !endedBefore(steps, eventIndex) ? 0 : 1,
+                harness.counts.get("discovery failures"));
             harness.advanceClock(CALL_INTERVAL_MS - 1);
             assertEquals(2, harness.discoveryCalls());
             harness.advanceClock(1);
@@ -498,7 +523,8 @@
               olderCall.write(MixerTestHarness.memberListLine(44, false) + "\n");
               assertEquals("list 44", harness.nextNotification());
             } else {
-              newerSocket.getOutputStream()
+              newerSocket
+                  .getOutputStream()
                   .write((MixerTestHarness.memberListLine(44, false) + "\n").getBytes());
               assertEquals("list 44", harness.nextNotification());
             }
@@ -524,14 +550,16 @@
                         "\"HardLimitMs\": 100.0",
                         "\"AimMs\": 600.0",
                         "\"AimMs\": 60.0");
-                MixerTestHarness.DiscoveryAgent newAgent = new MixerTestHarness.DiscoveryAgent(true)) {
+                MixerTestHarness.DiscoveryAgent newAgent =
+                    new MixerTestHarness.DiscoveryAgent(true)) {
               MixerTestHarness.DiscoveryConnection formerWatch =
                   harness.announceAndAwaitReady(harness.box("b0", 0));
               harness.writeConfig(newAgent.address());
               CountDownLatch reached = new CountDownLatch(1);
               CountDownLatch dialAllowed = new CountDownLatch(1);
               CountDownLatch released = new CountDownLatch(1);
-              Runnable endProcess = stopAtOnce ? harness.server.loop::stop : harness.server::beginShutdown;
+              Runnable endProcess =
+                  stopAtOnce ? harness.server.loop::stop : harness.server::beginShutdown;
               Socket agentSocket = null;
               try (MixerTestHarness.LoopGate gate =
                   harness.pauseLoop()) { // what is posted behind it is one turn
@@ -568,7 +596,8 @@
                   }
                   int minimum = ++eventCount;
                   MixerTestHarness.await(
-                      "events before the loop", () -> harness.server.loop.queuedEvents() >= minimum);
+                      "events before the loop",
+                      () -> harness.server.loop.queuedEvents() >= minimum);
                 }
               }
               released.countDown();
--- a/mixer/src/test/java/gingerring/server/WatchHarness.java
+++ b/mixer/src/test/java/gingerring/server/WatchHarness.java
@@ -19,8 +19,8 @@
 
 /**
  * A watch on a real loop and real sockets, and on a clock that stands until the test moves it: what
- * is told to the mixer waits in {@link #notifications}, and what is asked of the agent in its listener.
- * Times are exact therefore, whatever the machine does beside.
+ * is told to the mixer waits in {@link #notifications}, and what is asked of the agent in its
+ * listener. Times are exact therefore, whatever the machine does beside.
  */
 final class WatchHarness implements Closeable {
   private record Timer(Duration dueAt, long sequence, Runnable task) implements Comparable<Timer> {
@@ -99,7 +99,9 @@
             },
             counts,
             clock,
-            new Settings(Map.of("Discovery", discoveryMode, "Safety.DrainGraceMs", String.valueOf(graceMs))));
+            new Settings(
+                Map.of(
+                    "Discovery", discoveryMode, "Safety.DrainGraceMs", String.valueOf(graceMs))));
     thread = new Thread(() -> loop.run(() -> {}, network::flush), "watch stage");
     thread.start();
   }
@@ -182,7 +184,8 @@
 
   /** Waits until so many events stand before the loop. */
   void awaitPosted(int eventCount) throws InterruptedException {
-    MixerTestHarness.await(eventCount + " events before the loop", () -> loop.queuedEvents() >= eventCount);
+    MixerTestHarness.await(
+        eventCount + " events before the loop", () -> loop.queuedEvents() >= eventCount);
   }
 
   /** The next that was told; null after a while. */
--- a/mixer/src/test/java/gingerring/server/WatchRaceTest.java
+++ b/mixer/src/test/java/gingerring/server/WatchRaceTest.java
@@ -28,8 +28,8 @@
 
   private static final int SILENCE_TIMEOUT_MS = 2500;
 
-  private static MixerTestHarness.DiscoveryConnection acceptWatchAndSendList(WatchHarness harness, int revision)
-      throws Exception {
+  private static MixerTestHarness.DiscoveryConnection acceptWatchAndSendList(
+      WatchHarness harness, int revision) throws Exception {
     MixerTestHarness.DiscoveryConnection watch = harness.agent.acceptWatch();
     watch.sendLine(MixerTestHarness.memberListLine(revision, true));
     assertEquals("list " + revision, harness.nextNotification());
@@ -37,7 +37,8 @@
   }
 
   /** Passes on step by step, and lets each call be refused before the clock moves on. */
-  private static void advanceWhileRefused(WatchHarness harness, int totalMs, int stepMs) throws InterruptedException {
+  private static void advanceWhileRefused(WatchHarness harness, int totalMs, int stepMs)
+      throws InterruptedException {
     for (int i = 0; i <= totalMs; i += stepMs) {
       // refusals come in their own time, from the network
       MixerTestHarness.await(
@@ -61,7 +62,8 @@
       harness.agent.stopListening();
       watch.reset();
       assertEquals(
-          "failed", harness.nextNotification()); // of the watch, and of the call that followed it at once
+          "failed",
+          harness.nextNotification()); // of the watch, and of the call that followed it at once
       assertEquals("failed", harness.nextNotification());
       advanceWhileRefused(harness, 3000, 50);
       assertEquals(2 + 3000 / CALL_INTERVAL_MS, harness.discoveryCalls());
@@ -181,7 +183,8 @@
           MixerTestHarness.DiscoveryConnection nextWatch = harness.agent.acceptWatch();
           nextWatch.sendLine(MixerTestHarness.memberListLine(43, false));
           String notification = harness.nextNotification();
-          assertEquals("list 43", "failed".equals(notification) ? harness.nextNotification() : notification);
+          assertEquals(
+              "list 43", "failed".equals(notification) ? harness.nextNotification() : notification);
         }
       }
     }
@@ -224,8 +227,11 @@
       harness.notifications.clear();
       advanceWhileRefused(harness, 30_000, 50);
       long laterCalls = harness.discoveryCalls() - earlyCalls;
-      assertTrue(laterCalls <= 30_000 / CALL_INTERVAL_MS + 30_000 / 600, "calls " + laterCalls + " after " + earlyCalls);
-      assertTrue(harness.notifications.size() <= 30_000 / 600, "told " + harness.notifications.size());
+      assertTrue(
+          laterCalls <= 30_000 / CALL_INTERVAL_MS + 30_000 / 600,
+          "calls " + laterCalls + " after " + earlyCalls);
+      assertTrue(
+          harness.notifications.size() <= 30_000 / 600, "told " + harness.notifications.size());
     }
   }
 
--- a/mixer/src/test/java/gingerring/server/WatchResponseTest.java
+++ b/mixer/src/test/java/gingerring/server/WatchResponseTest.java
@@ -14,7 +14,8 @@
 @Timeout(120)
 class WatchResponseTest {
   private static final String UNFRAMED_HEAD = "HTTP/1.1 200 OK\r\n\r\n";
-  private static final String CHUNKED_HEAD = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+  private static final String CHUNKED_HEAD =
+      "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
   private static final int SILENCE_TIMEOUT_MS = 2500;
   private static final int LINE_TIMEOUT_MS = 1000;
 
@@ -32,7 +33,8 @@
    * Writes, and waits until the watch has read it: the loop is idle while the agent says nothing.
    */
   private static void writeAndAwaitRead(
-      WatchHarness harness, MixerTestHarness.DiscoveryConnection call, String text) throws Exception {
+      WatchHarness harness, MixerTestHarness.DiscoveryConnection call, String text)
+      throws Exception {
     harness.runWhileBlocked(
         () -> {
           call.write(text);
@@ -51,7 +53,8 @@
       try (WatchHarness harness = newHarness()) {
         harness.runOnLoop(harness.watch::fetchFullList);
         MixerTestHarness.DiscoveryConnection fetch = harness.agent.acceptRequest();
-        writeAndAwaitRead(harness, fetch, UNFRAMED_HEAD + MixerTestHarness.memberListLine(42, true));
+        writeAndAwaitRead(
+            harness, fetch, UNFRAMED_HEAD + MixerTestHarness.memberListLine(42, true));
         if (orderly) {
           fetch.halfClose();
           assertEquals("list 42", harness.nextNotification());
@@ -171,10 +174,14 @@
           writeAndAwaitRead(harness, call, segments[0]);
         }
         boolean listSent = segments[0].contains("members");
-        assertEquals(listSent ? "list 42" : null, listSent ? harness.nextNotification() : harness.notifications.poll());
+        assertEquals(
+            listSent ? "list 42" : null,
+            listSent ? harness.nextNotification() : harness.notifications.poll());
         int elapsedMs = 0;
         for (int i = 0; harness.counts.get("discovery failures") == 0; i++) {
-          assertTrue(elapsedMs < SILENCE_TIMEOUT_MS + LINE_TIMEOUT_MS, segments[0] + " is still open after " + elapsedMs);
+          assertTrue(
+              elapsedMs < SILENCE_TIMEOUT_MS + LINE_TIMEOUT_MS,
+              segments[0] + " is still open after " + elapsedMs);
           writeAndAwaitRead(harness, call, segments[1 + i % (segments.length - 1)]);
           harness.advanceClock(LINE_TIMEOUT_MS / 2);
           elapsedMs += LINE_TIMEOUT_MS / 2;
@@ -201,13 +208,16 @@
       try (WatchHarness harness = newHarness()) {
         harness.openWatch();
         MixerTestHarness.DiscoveryConnection call = harness.agent.acceptRequest();
-        Thread watchdog = resetAfterTimeout(call); // a write that nobody reads has no time-out of its own
+        Thread watchdog =
+            resetAfterTimeout(call); // a write that nobody reads has no time-out of its own
         call.write(segments[0]);
         int segmentsWritten = 0;
         try {
           for (; harness.counts.get("discovery failures") == 0; segmentsWritten++) {
             // far more than the system holds for one that does not read
-            assertTrue((long) segmentsWritten * segments[1].length() < 1 << 26, segments[0] + " is still open");
+            assertTrue(
+                (long) segmentsWritten * segments[1].length() < 1 << 26,
+                segments[0] + " is still open");
             call.write(segments[1]);
           }
         } catch (java.io.IOException e) {
