--- a/mixer/src/test/java/gingerring/server/MixerConfigTest.java
+++ b/mixer/src/test/java/gingerring/server/MixerConfigTest.java
@@ -5,8 +5,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import gingerring.decide.Settings;
-import gingerring.json.Fields;
 import gingerring.json.Json;
+import gingerring.json.JsonFields;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.Map;
@@ -15,11 +15,11 @@
 
 class MixerConfigTest {
   @Test
-  void flattensSettingsAsInTheFirstWireMessage() throws Json.Malformed {
+  void flattensSettingsAsInTheFirstWireMessage() throws Json.JsonException {
     Map<String, String> flatSettings = new TreeMap<>();
     MixerConfig.flatten(
         "",
-        Json.read(
+        Json.parse(
             "{\"Classes\":[{\"AimMs\":1500.5,\"Name\":\"cohort report\"},"
                 + "{\"AimMs\":1200.0}],\"Discovery\":\"subscribe\","
                 + "\"Domain\":{\"ClassFloor\":[0.4,1.0],\"WarmKeys\":false},"
@@ -35,9 +35,9 @@
   /** Includes settings that are first read when a cold searcher or a retry occurs. */
   @Test
   void namesEachInvalidSetting() throws Exception {
-    Object example = Json.read(Files.readAllBytes(Path.of("example/config.json")));
+    Object example = Json.parse(Files.readAllBytes(Path.of("example/config.json")));
     Map<String, String> validSettings = new TreeMap<>();
-    MixerConfig.flatten("", Fields.object(example, "it").get("settings"), validSettings);
+    MixerConfig.flatten("", JsonFields.object(example, "it").get("settings"), validSettings);
     validSettings.putAll(
         Map.of(
             "Safety.ExtraFree",
@@ -52,7 +52,7 @@
             "false",
             "Weights",
             "rough"));
-    Bounds.check(new Settings(validSettings));
+    SettingsValidator.check(new Settings(validSettings));
     String invalidEntries =
         "Safety.ResendSpanMs=-1 Safety.ResendSpanMs=0 Safety.ResendSpanMs= Safety.ExtraFree=NaN "
             + "Safety.ExtraFree=-5 Safety.ResendRatio=a Safety.ResendRatio Safety.ExtraFree Safety.ResendSpanMs "
@@ -69,7 +69,7 @@
       String message =
           assertThrows(
                   IllegalArgumentException.class,
-                  () -> Bounds.check(new Settings(settings)),
+                  () -> SettingsValidator.check(new Settings(settings)),
                   invalidEntry)
               .getMessage();
       assertTrue(
--- a/mixer/src/test/java/gingerring/server/MixerHostTest.java
+++ b/mixer/src/test/java/gingerring/server/MixerHostTest.java
@@ -4,15 +4,15 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gingerring.backend.Back;
+import gingerring.backend.Backend;
 import gingerring.decide.MemberEntry.Status;
 import gingerring.decide.Settings;
-import gingerring.discovery.Members;
-import gingerring.discovery.Watch;
-import gingerring.frontend.Ask;
-import gingerring.frontend.Reply;
+import gingerring.discovery.DiscoveryWatch;
+import gingerring.discovery.MemberListUpdate;
+import gingerring.frontend.ScanRequest;
+import gingerring.frontend.ScanResponder;
 import gingerring.json.Json;
-import gingerring.net.Counts;
+import gingerring.net.Counters;
 import gingerring.net.Network;
 import java.io.IOException;
 import java.net.InetAddress;
@@ -31,37 +31,37 @@
 
 class MixerHostTest {
   /** Records how a scan is answered. */
-  private record RecordingReply(String scanName, List<String> events) implements Reply {
+  private record RecordingReply(String scanName, List<String> events) implements ScanResponder {
     @Override
     public void answer(boolean whole, Map<Integer, byte[]> values) {
       events.add(scanName + " answered");
     }
 
     @Override
-    public void nack(Duration comeBack) {
+    public void reject(Duration comeBack) {
       events.add(scanName + " rejected");
     }
 
     @Override
-    public void scrap() {
+    public void fail() {
       events.add(scanName + " failed");
     }
   }
 
-  private static Ask scanRequest(String transactionId, int serviceClass) {
-    return new Ask(
+  private static ScanRequest scanRequest(String transactionId, int serviceClass) {
+    return new ScanRequest(
         transactionId,
         serviceClass,
         false,
         null,
         Duration.ofMillis(2000),
-        List.of(new Ask.Piece(0, 1, Duration.ZERO, 0)),
+        List.of(new ScanRequest.Target(0, 1, Duration.ZERO, 0)),
         new byte[0]);
   }
 
-  private static Settings exampleSettings() throws IOException, Json.Malformed {
+  private static Settings exampleSettings() throws IOException, Json.JsonException {
     Map<String, String> flatSettings = new HashMap<>();
-    Map<?, ?> example = (Map<?, ?>) Json.read(Files.readAllBytes(Path.of("example/config.json")));
+    Map<?, ?> example = (Map<?, ?>) Json.parse(Files.readAllBytes(Path.of("example/config.json")));
     MixerConfig.flatten("", example.get("settings"), flatSettings);
     return new Settings(flatSettings);
   }
@@ -71,36 +71,36 @@
    * need.
    */
   @Test
-  void rehearsalRunsSampleScansWithoutSockets() throws IOException, Json.Malformed {
-    assertTrue(new Rehearsal(exampleSettings()).run() >= 50);
+  void rehearsalRunsSampleScansWithoutSockets() throws IOException, Json.JsonException {
+    assertTrue(new ScanWarmUp(exampleSettings()).run() >= 50);
   }
 
   /** Guards against a leak: state kept for every searcher and scan that ever existed. */
   @Test
-  void keepsNoStateOfGoneSearchersAndFinishedScans() throws IOException, Json.Malformed {
-    Counts counts = new Counts();
-    Loop loop = new Loop(counts);
+  void keepsNoStateOfGoneSearchersAndFinishedScans() throws IOException, Json.JsonException {
+    Counters counts = new Counters();
+    EventLoop loop = new EventLoop(counts);
     Network network = new Network(loop, counts, true);
     MixerHost host = new MixerHost(loop, exampleSettings(), counts, 0);
-    Back back = new Back(network, host, exampleSettings(), counts, loop);
+    Backend back = new Backend(network, host, exampleSettings(), counts, loop);
     InetSocketAddress unusedAddress = new InetSocketAddress("127.0.0.1", 9);
     host.start(
         back,
-        new Watch(network, unusedAddress, 0, host, counts, loop),
+        new DiscoveryWatch(network, unusedAddress, 0, host, counts, loop),
         1,
-        new Members(0, true, List.of()));
+        new MemberListUpdate(0, true, List.of()));
     List<String> outcomes = new ArrayList<>();
     int rounds = 3000;
     for (int i = 0; i < rounds; i++) {
       int number = i;
       loop.post(
           () -> {
-            host.list(
-                new Members(
+            host.onUpdate(
+                new MemberListUpdate(
                     number + 1,
                     false,
                     List.of(
-                        new Members.Member(
+                        new MemberListUpdate.Member(
                             "s-" + number,
                             unusedAddress,
                             "a",
@@ -109,7 +109,7 @@
                             Status.READY,
                             1,
                             0),
-                        new Members.Member(
+                        new MemberListUpdate.Member(
                             "s-" + (number - 4),
                             unusedAddress,
                             "a",
@@ -118,23 +118,23 @@
                             Status.GONE,
                             1,
                             0))));
-            host.take(
+            host.accept(
                 scanRequest("m" + number, 0), loop.now(), new RecordingReply("scan", outcomes));
           });
     }
     loop.post(
         () ->
-            loop.wakeAfter(
+            loop.schedule(
                 Duration.ofMillis(4500),
                 () -> {
-                  host.list(new Members(rounds + 1, true, List.of()));
-                  loop.wakeAfter(Duration.ofMillis(1500), loop::stop);
+                  host.onUpdate(new MemberListUpdate(rounds + 1, true, List.of()));
+                  loop.schedule(Duration.ofMillis(1500), loop::stop);
                 }));
     loop.run(back::dispatch, network::flush);
     assertEquals(rounds, outcomes.size());
-    assertEquals(0, host.kept());
-    assertEquals(0, back.stations());
-    assertEquals(0, network.connections());
+    assertEquals(0, host.retainedCount());
+    assertEquals(0, back.searcherCount());
+    assertEquals(0, network.connectionCount());
   }
 
   /** A listener whose backlog is full, so that connection attempts to it hang. */
@@ -175,31 +175,33 @@
    * FullBacklogListener}.
    */
   private static final class HostFixture {
-    final Counts counts = new Counts();
-    final Loop loop = new Loop(counts);
+    final Counters counts = new Counters();
+    final EventLoop loop = new EventLoop(counts);
     final Network network = new Network(loop, counts, false);
     final MixerHost host;
-    final Back back;
+    final Backend back;
     final InetSocketAddress address;
 
-    HostFixture(InetSocketAddress address) throws IOException, Json.Malformed {
+    HostFixture(InetSocketAddress address) throws IOException, Json.JsonException {
       this.address = address;
       host = new MixerHost(loop, exampleSettings(), counts, 0);
-      back = new Back(network, host, exampleSettings(), counts, loop);
+      back = new Backend(network, host, exampleSettings(), counts, loop);
       host.start(
           back,
-          new Watch(network, address, 0, host, counts, loop),
+          new DiscoveryWatch(network, address, 0, host, counts, loop),
           1,
           memberList(true, Status.READY));
     }
 
-    Members memberList(boolean complete, Status status) {
-      return new Members(
-          1, complete, List.of(new Members.Member("s-0", address, "a", "toy", 0, status, 1, 0)));
+    MemberListUpdate memberList(boolean complete, Status status) {
+      return new MemberListUpdate(
+          1,
+          complete,
+          List.of(new MemberListUpdate.Member("s-0", address, "a", "toy", 0, status, 1, 0)));
     }
 
     void run(Runnable event, Duration duration) {
-      loop.post(() -> loop.wakeAfter(duration, loop::stop));
+      loop.post(() -> loop.schedule(duration, loop::stop));
       loop.post(event);
       loop.run(back::dispatch, network::flush);
       network.dispose();
@@ -212,7 +214,7 @@
    * while the process was down.
    */
   @Test
-  void holdsScansUntilDiscoveryHasAnswered() throws IOException, Json.Malformed {
+  void holdsScansUntilDiscoveryHasAnswered() throws IOException, Json.JsonException {
     try (FullBacklogListener listener = new FullBacklogListener()) {
       HostFixture fixture = new HostFixture(listener.address());
       List<String> outcomes = new ArrayList<>();
@@ -220,7 +222,7 @@
           () -> {
             assertFalse(fixture.host.ready());
             assertTrue(
-                fixture.host.take(
+                fixture.host.accept(
                     scanRequest("early", 0),
                     fixture.loop.now(),
                     new RecordingReply("early", outcomes)));
@@ -229,8 +231,8 @@
                     fixture.loop.post(
                         () -> { // two iterations later
                           assertEquals(List.of(), outcomes);
-                          fixture.host.list(fixture.memberList(true, Status.DRAINING));
-                          fixture.host.word();
+                          fixture.host.onUpdate(fixture.memberList(true, Status.DRAINING));
+                          fixture.host.onContact();
                           assertTrue(fixture.host.ready());
                         }));
           },
@@ -245,16 +247,16 @@
    * the same loop iteration.
    */
   @Test
-  void appliesMemberListBeforeScansOfTheSameIteration() throws IOException, Json.Malformed {
+  void appliesMemberListBeforeScansOfTheSameIteration() throws IOException, Json.JsonException {
     try (FullBacklogListener listener = new FullBacklogListener()) {
       HostFixture fixture = new HostFixture(listener.address());
       List<String> outcomes = new ArrayList<>();
       fixture.run(
           () -> {
-            fixture.host.word();
-            fixture.host.take(
+            fixture.host.onContact();
+            fixture.host.accept(
                 scanRequest("a", 0), fixture.loop.now(), new RecordingReply("scan", outcomes));
-            fixture.host.list(fixture.memberList(false, Status.DRAINING));
+            fixture.host.onUpdate(fixture.memberList(false, Status.DRAINING));
           },
           Duration.ofMillis(300));
       assertEquals(List.of("scan rejected"), outcomes);
@@ -267,20 +269,20 @@
    * earlier and waited for its connection.
    */
   @Test
-  void dropsPartsWaitingToConnectToDrainingOrGoneSearcher() throws IOException, Json.Malformed {
+  void dropsPartsWaitingToConnectToDrainingOrGoneSearcher() throws IOException, Json.JsonException {
     for (Status status : List.of(Status.DRAINING, Status.GONE)) {
       try (FullBacklogListener listener = new FullBacklogListener()) {
         HostFixture fixture = new HostFixture(listener.address());
         List<String> outcomes = new ArrayList<>();
         fixture.run(
             () -> {
-              fixture.host.word();
-              fixture.host.take(
+              fixture.host.onContact();
+              fixture.host.accept(
                   scanRequest("a", 0), fixture.loop.now(), new RecordingReply("scan", outcomes));
               fixture.loop.post(
                   () ->
                       fixture.loop.post(
-                          () -> fixture.host.list(fixture.memberList(false, status))));
+                          () -> fixture.host.onUpdate(fixture.memberList(false, status))));
             },
             Duration.ofMillis(300));
         assertEquals(List.of("scan rejected"), outcomes);
@@ -295,23 +297,27 @@
    * exception is counted.
    */
   @Test
-  void exceptionInTheMixerFailsOnlyTheScanItHandles() throws IOException, Json.Malformed {
+  void exceptionInTheMixerFailsOnlyTheScanItHandles() throws IOException, Json.JsonException {
     Settings settings = exampleSettings();
-    Counts counts = new Counts();
-    Loop loop = new Loop(counts);
+    Counters counts = new Counters();
+    EventLoop loop = new EventLoop(counts);
     Network network = new Network(loop, counts, true);
     MixerHost host = new MixerHost(loop, settings, counts, 0);
-    Watch watch = new Watch(network, new InetSocketAddress("127.0.0.1", 1), 0, host, counts, loop);
+    DiscoveryWatch watch =
+        new DiscoveryWatch(network, new InetSocketAddress("127.0.0.1", 1), 0, host, counts, loop);
     host.start(
-        new Back(network, host, settings, counts, loop), watch, 1, new Members(0, true, List.of()));
+        new Backend(network, host, settings, counts, loop),
+        watch,
+        1,
+        new MemberListUpdate(0, true, List.of()));
     List<String> outcomes = new ArrayList<>();
-    host.take(
+    host.accept(
         scanRequest("a", 7), Duration.ZERO, new RecordingReply("unknown service class", outcomes));
-    host.take(scanRequest("b", 0), Duration.ZERO, new RecordingReply("good", outcomes));
-    loop.post(() -> loop.wakeAfter(Duration.ofMillis(50), loop::stop));
+    host.accept(scanRequest("b", 0), Duration.ZERO, new RecordingReply("good", outcomes));
+    loop.post(() -> loop.schedule(Duration.ofMillis(50), loop::stop));
     loop.run(() -> {}, () -> {});
     assertEquals(List.of("unknown service class failed", "good rejected"), outcomes);
     assertEquals(1, counts.get("failures in the mixer"));
-    assertEquals(0, host.open());
+    assertEquals(0, host.openScanCount());
   }
 }
--- a/mixer/src/test/java/gingerring/server/MixerTestHarness.java
+++ b/mixer/src/test/java/gingerring/server/MixerTestHarness.java
@@ -1,6 +1,6 @@
 package gingerring.server;
 
-import gingerring.net.Tap;
+import gingerring.net.TrafficListener;
 import java.io.ByteArrayOutputStream;
 import java.io.Closeable;
 import java.io.EOFException;
@@ -72,7 +72,8 @@
    * Starts a mixer whose connections report all bytes to {@code tap}, on the threads that carry
    * them; a null {@code tap} reports nothing.
    */
-  MixerTestHarness(Tap tap, boolean discoveryListens, String... replacements) throws Exception {
+  MixerTestHarness(TrafficListener tap, boolean discoveryListens, String... replacements)
+      throws Exception {
     agent = closeAtEnd(new DiscoveryAgent(discoveryListens));
     Path example = Files.exists(Path.of("example")) ? Path.of("example") : Path.of("../example");
     configTemplate =
@@ -165,7 +166,7 @@
       if (i * POLL_INTERVAL_MS > TIMEOUT_MS) {
         throw new AssertionError("buffered bytes were not sent in time");
       }
-      runInLoop(() -> allSent.set(server.network().unsentFree()));
+      runInLoop(() -> allSent.set(server.network().isFlushed()));
       Thread.sleep(allSent.get() ? 0 : POLL_INTERVAL_MS);
     }
     LoopGate gate = new LoopGate();
@@ -195,12 +196,12 @@
 
     /** Waits until at least {@code events} events are posted behind the gate. */
     void awaitPosted(int events) throws InterruptedException {
-      await("events behind the gate", () -> server.loop.posted() >= events);
+      await("events behind the gate", () -> server.loop.queuedEvents() >= events);
     }
 
     /** Returns the number of events posted behind the gate. */
     int postedCount() {
-      return server.loop.posted();
+      return server.loop.queuedEvents();
     }
 
     @Override
@@ -279,7 +280,7 @@
         expected + " connections",
         () -> {
           try {
-            runInLoop(() -> openConnections.set(server.network().connections()));
+            runInLoop(() -> openConnections.set(server.network().connectionCount()));
           } catch (InterruptedException e) {
             throw new AssertionError(e);
           }
@@ -703,7 +704,7 @@
         throw new AssertionError(openConnections + " connections are still open after the warm-up");
       }
       Thread.sleep(POLL_INTERVAL_MS);
-      runInLoop(() -> openConnections.set(server.network().connections()));
+      runInLoop(() -> openConnections.set(server.network().connectionCount()));
     }
   }
 
--- a/mixer/src/test/java/gingerring/server/PracticeTest.java
+++ b/mixer/src/test/java/gingerring/server/PracticeTest.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import gingerring.net.Connection;
-import gingerring.net.Counts;
+import gingerring.net.ConnectionHandler;
+import gingerring.net.Counters;
 import gingerring.net.Network;
-import gingerring.net.Party;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -18,22 +18,22 @@
 
 @Timeout(60)
 class PracticeTest {
-  private final Counts counts = new Counts();
-  private final Loop loop = new Loop(counts);
+  private final Counters counts = new Counters();
+  private final EventLoop loop = new EventLoop(counts);
   private final Network network = new Network(loop, counts, false);
   private final List<String> completions = new ArrayList<>();
 
   private void runPractice(InetSocketAddress listenAddress) {
-    new Practice(
+    new SocketWarmUp(
             network,
             listenAddress,
             1024,
             counts,
             () -> {
               completions.add("done");
-              loop.wakeAfter(Duration.ofMillis(100), loop::stop);
+              loop.schedule(Duration.ofMillis(100), loop::stop);
             })
-        .begin();
+        .start();
     loop.run(() -> {}, network::flush);
     network.dispose();
     assertEquals(List.of("done"), completions);
@@ -47,10 +47,10 @@
             new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
             100,
             1024,
-            connection -> connection.party(new AnsweringParty(connection)));
+            connection -> connection.setHandler(new AnsweringParty(connection)));
     runPractice(listenAddress);
     assertEquals(192, counts.get("answers practised"));
-    assertEquals(0, network.connections());
+    assertEquals(0, network.connectionCount());
   }
 
   /** Guards against a mixer that never becomes ready because it cannot connect to itself. */
@@ -72,35 +72,35 @@
             new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
             100,
             1024,
-            connection -> connection.party(Party.NONE));
-    Practice practice =
-        new Practice(
+            connection -> connection.setHandler(ConnectionHandler.NO_OP));
+    SocketWarmUp practice =
+        new SocketWarmUp(
             network,
             listenAddress,
             1024,
             counts,
             () -> {
               completions.add("done");
-              loop.wakeAfter(Duration.ofMillis(100), loop::stop);
+              loop.schedule(Duration.ofMillis(100), loop::stop);
             });
-    practice.begin();
-    loop.wakeAfter(Duration.ofMillis(100), practice::end);
+    practice.start();
+    loop.schedule(Duration.ofMillis(100), practice::closeAll);
     loop.run(() -> {}, network::flush);
     network.dispose();
     assertEquals(List.of("done"), completions);
-    assertEquals(0, network.connections());
+    assertEquals(0, network.connectionCount());
   }
 
   /** Answers each read with one byte; a request arrives in one read here. */
-  private record AnsweringParty(Connection connection) implements Party {
+  private record AnsweringParty(Connection connection) implements ConnectionHandler {
     @Override
-    public void readable() {
-      connection.in.clear();
-      connection.out.put(new byte[] {'x'});
-      connection.touch();
+    public void onReadable() {
+      connection.input.clear();
+      connection.output.put(new byte[] {'x'});
+      connection.requestFlush();
     }
 
     @Override
-    public void closed() {}
+    public void onClosed() {}
   }
 }
--- a/mixer/src/test/java/gingerring/server/SameIterationTest.java
+++ b/mixer/src/test/java/gingerring/server/SameIterationTest.java
@@ -243,7 +243,7 @@
             harness.closeAtEnd(new MixerTestHarness.DiscoveryAgent(true)).address());
         harness.server.reload();
       }
-      case SHUTDOWN -> harness.server.loop.post(harness.server::announceEnd);
+      case SHUTDOWN -> harness.server.loop.post(harness.server::beginShutdown);
     }
   }
 
--- a/mixer/src/test/java/gingerring/server/SettingsTest.java
+++ b/mixer/src/test/java/gingerring/server/SettingsTest.java
@@ -293,7 +293,7 @@
       assertTrue(client.isReady());
       client.write(harness.scanRequest("search", 2000, 0));
       box.acceptConnection().readCall(); // the box does not answer
-      harness.server.loop.post(harness.server::announceEnd);
+      harness.server.loop.post(harness.server::beginShutdown);
       String answer = client.readAnswer();
       assertTrue(answer.startsWith("50"), answer);
       assertEquals(0, harness.awaitExitCode());
--- a/mixer/src/test/java/gingerring/server/StartWithLateSearchersTest.java
+++ b/mixer/src/test/java/gingerring/server/StartWithLateSearchersTest.java
@@ -47,23 +47,23 @@
    */
   private static final class HeldSearchers implements Closeable {
     final HoldPoint holdPoint;
-    final List<Late> searchers = new ArrayList<>();
+    final List<SlowAcceptSearcher> searchers = new ArrayList<>();
 
     HeldSearchers(HoldPoint holdPoint, int... cells) throws IOException {
       this.holdPoint = holdPoint;
       for (int cell : cells) {
         searchers.add(
             holdPoint == HoldPoint.BEFORE_CONNECT
-                ? new Late("late" + cell, cell)
-                : Late.narrow("late" + cell, cell));
+                ? new SlowAcceptSearcher("late" + cell, cell)
+                : SlowAcceptSearcher.withSmallReceiveBuffer("late" + cell, cell));
       }
     }
 
     /** Lets connections be established and answers every call from now on. */
     void release() throws IOException {
-      for (Late searcher : searchers) {
+      for (SlowAcceptSearcher searcher : searchers) {
         if (holdPoint == HoldPoint.BEFORE_CONNECT) {
-          searcher.letGo();
+          searcher.releaseBacklog();
         }
         MixerTestHarness.runInBackground(
             () -> {
@@ -76,7 +76,7 @@
 
     @Override
     public void close() throws IOException {
-      for (Late searcher : searchers) {
+      for (SlowAcceptSearcher searcher : searchers) {
         searcher.close();
       }
     }
--- a/mixer/src/test/java/gingerring/server/WatchTest.java
+++ b/mixer/src/test/java/gingerring/server/WatchTest.java
@@ -4,11 +4,11 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gingerring.discovery.Members;
-import gingerring.discovery.Watch;
-import gingerring.net.Counts;
+import gingerring.discovery.DiscoveryWatch;
+import gingerring.discovery.MemberListUpdate;
+import gingerring.net.Counters;
+import gingerring.net.LoopTimer;
 import gingerring.net.Network;
-import gingerring.net.TurnClock;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
@@ -36,8 +36,8 @@
   private static final int TIMEOUT_MS = 20_000;
   private static final int CLOCK_SPEEDUP = 10;
 
-  private final Counts counts = new Counts();
-  private final Loop loop = new Loop(counts);
+  private final Counters counts = new Counters();
+  private final EventLoop loop = new EventLoop(counts);
   private final Network network = new Network(loop, counts, false);
   private final BlockingQueue<String> notifications = new LinkedBlockingQueue<>();
   private ServerSocket agent;
@@ -47,32 +47,32 @@
    * Runs ten times as fast as the loop's clock, so that the test does not wait out the watch's
    * longest periods.
    */
-  private final class FastClock implements TurnClock {
+  private final class FastClock implements LoopTimer {
     @Override
     public Duration now() {
       return loop.now().multipliedBy(CLOCK_SPEEDUP);
     }
 
     @Override
-    public void wakeAfter(Duration span, Runnable task) {
-      loop.wakeAfter(span.dividedBy(CLOCK_SPEEDUP), task);
+    public void schedule(Duration span, Runnable task) {
+      loop.schedule(span.dividedBy(CLOCK_SPEEDUP), task);
     }
   }
 
-  private void startWatch(long revision, TurnClock clock) {
-    Watch watch =
-        new Watch(
+  private void startWatch(long revision, LoopTimer clock) {
+    DiscoveryWatch watch =
+        new DiscoveryWatch(
             network,
             (InetSocketAddress) agent.getLocalSocketAddress(),
             revision,
-            new Watch.Told() {
+            new DiscoveryWatch.Listener() {
               @Override
-              public void list(Members members) {
+              public void onUpdate(MemberListUpdate members) {
                 notifications.add("list " + members.revision());
               }
 
               @Override
-              public void failed() {
+              public void onFailure() {
                 notifications.add("failed");
               }
             },
--- a/peering/src/test/java/gingerring/peering/PeeringTest.java
+++ b/peering/src/test/java/gingerring/peering/PeeringTest.java
@@ -79,7 +79,7 @@
                   quick));
       call(
           () -> {
-            peering.begin(this);
+            peering.start(this);
             peering.membersChanged(
                 List.of(
                     new MemberEntry(
@@ -124,17 +124,17 @@
     }
 
     @Override
-    public int places() {
+    public int cellCount() {
       return 1;
     }
 
     @Override
-    public int reach() {
+    public int cellsPerShard() {
       return 1;
     }
 
     @Override
-    public long startMs() {
+    public long startEpochMs() {
       return startMs;
     }
 
@@ -145,16 +145,16 @@
 
     @Override
     public Duration now() {
-      return clock();
+      return currentTime();
     }
 
     @Override
-    public Duration clock() {
+    public Duration currentTime() {
       return Duration.ofNanos(System.nanoTime() - start);
     }
 
     @Override
-    public void wakeAfter(Duration span, Runnable task) {
+    public void schedule(Duration span, Runnable task) {
       if (!loop.isShutdown()) {
         loop.schedule(task, span.toNanos(), TimeUnit.NANOSECONDS);
       }
@@ -208,7 +208,7 @@
     until(
         () -> members.stream().allMatch(each -> each.ask('p').contains("3 of 3 there")),
         "it is back");
-    back.call(() -> back.peering.end(Duration.ofMillis(100)));
+    back.call(() -> back.peering.shutDown(Duration.ofMillis(100)));
     until(() -> members.get(0).ask('p').contains(" left "), "it has left");
   }
 
