--- a/mixer/src/main/java/gingerring/decide/Durations.java
+++ b/mixer/src/main/java/gingerring/decide/Durations.java
@@ -10,8 +10,8 @@
     return Duration.ofNanos(Math.round(ms * 1e6));
   }
 
-  static Duration scale(Duration span, double times) {
-    return Duration.ofNanos((long) (span.toNanos() * times));
+  static Duration scale(Duration span, double factor) {
+    return Duration.ofNanos((long) (span.toNanos() * factor));
   }
 
   static Duration min(Duration a, Duration b) {
--- a/mixer/src/main/java/gingerring/decide/Host.java
+++ b/mixer/src/main/java/gingerring/decide/Host.java
@@ -13,7 +13,7 @@
    * neither this one nor an earlier one that waits; what cannot begin in that time never does, and
    * its end tells that it never ran.
    */
-  void send(PartId part, SearcherId searcher, Duration timeOut, Duration startWithin);
+  void send(PartId part, SearcherId searcher, Duration timeout, Duration startWithin);
 
   /** Stops waiting for a trip. */
   void cancel(PartId part, int trip);
@@ -22,7 +22,7 @@
   void answer(ScanId scan, boolean whole);
 
   /** Sends a scan back: to ask again does no harm. {@code comeBack} is advice; zero for none. */
-  void reject(ScanId scan, Duration comeBack);
+  void reject(ScanId scan, Duration retryAfter);
 
   /** Gives a scan up, and promises nothing of its effect. */
   void fail(ScanId scan);
@@ -32,7 +32,7 @@
   void closeIdleConnections(SearcherId searcher);
 
   /** Subscribes to changes of the roster, or ends that. */
-  void watchMemberList(boolean on);
+  void watchMemberList(boolean enabled);
 
   /** Asks for the whole roster once. */
   void fetchMemberList();
@@ -40,7 +40,7 @@
   /** Sends bytes to one peer, or to all of them where {@code peer} is -1. */
   void sendToPeer(int peer, byte[] bytes);
 
-  void startTimer(Duration span, TimerId wake);
+  void startTimer(Duration delay, TimerId timer);
 
   void log(String line);
 
--- a/mixer/src/main/java/gingerring/decide/MemberList.java
+++ b/mixer/src/main/java/gingerring/decide/MemberList.java
@@ -16,12 +16,13 @@
   private final Map<SearcherId, Searcher> searchers = new TreeMap<>();
   private final Map<Integer, List<Searcher>> readyByCell = new HashMap<>();
 
-  public MemberList(int places, int reach) {
-    if (places < 1) {
-      throw new IllegalArgumentException("setting Domain.Places is no number of cells: " + places);
+  public MemberList(int cellCount, int cellsPerShard) {
+    if (cellCount < 1) {
+      throw new IllegalArgumentException(
+          "setting Domain.Places is no number of cells: " + cellCount);
     }
-    this.cellCount = places;
-    this.cellsPerShard = reach;
+    this.cellCount = cellCount;
+    this.cellsPerShard = cellsPerShard;
   }
 
   public Searcher get(SearcherId id) {
@@ -36,8 +37,8 @@
   /** Those ready that hold a shard, in the order of their cells and ids. */
   public List<Searcher> holders(int shard) {
     List<Searcher> holders = new ArrayList<>();
-    for (int j = 0; j < cellsPerShard; j++) {
-      holders.addAll(readyByCell.getOrDefault(Math.floorMod(shard + j, cellCount), List.of()));
+    for (int offset = 0; offset < cellsPerShard; offset++) {
+      holders.addAll(readyByCell.getOrDefault(Math.floorMod(shard + offset, cellCount), List.of()));
     }
     return holders;
   }
@@ -47,39 +48,39 @@
    * Those spent are forgotten first: a mixer outlives thousands of searchers.
    */
   public List<Searcher> update(
-      List<MemberEntry> lines,
-      boolean all,
-      Predicate<Searcher> spent,
-      Function<SearcherId, Searcher> newcomer) {
-    searchers.values().removeIf(spent);
-    Map<SearcherId, MemberEntry> told = new TreeMap<>();
+      List<MemberEntry> entries,
+      boolean complete,
+      Predicate<Searcher> removable,
+      Function<SearcherId, Searcher> createSearcher) {
+    searchers.values().removeIf(removable);
+    Map<SearcherId, MemberEntry> updates = new TreeMap<>();
     for (Searcher searcher : searchers.values()) {
-      if (all) {
-        MemberEntry old = searcher.entry;
-        told.put(
+      if (complete) {
+        MemberEntry previous = searcher.entry;
+        updates.put(
             searcher.id,
             new MemberEntry(
                 searcher.id,
-                old.zone(),
-                old.machine(),
-                old.cell(),
+                previous.zone(),
+                previous.machine(),
+                previous.cell(),
                 MemberEntry.Status.GONE,
-                old.capacity(),
-                old.startedAt()));
+                previous.capacity(),
+                previous.startedAt()));
       }
     }
-    lines.forEach(line -> told.put(line.searcher(), line));
-    List<Searcher> lost = new ArrayList<>();
-    for (MemberEntry line : told.values()) {
-      Searcher searcher = searchers.computeIfAbsent(line.searcher(), newcomer);
+    entries.forEach(entry -> updates.put(entry.searcher(), entry));
+    List<Searcher> goneOrRestarted = new ArrayList<>();
+    for (MemberEntry entry : updates.values()) {
+      Searcher searcher = searchers.computeIfAbsent(entry.searcher(), createSearcher);
       boolean restarted =
           searcher.entry != null
-              && line.startedAt() != null
-              && !line.startedAt().equals(searcher.startedAt);
-      searcher.entry = line;
-      searcher.startedAt = line.startedAt() != null ? line.startedAt() : searcher.startedAt;
-      if (restarted || line.status() == MemberEntry.Status.GONE) {
-        lost.add(searcher);
+              && entry.startedAt() != null
+              && !entry.startedAt().equals(searcher.startedAt);
+      searcher.entry = entry;
+      searcher.startedAt = entry.startedAt() != null ? entry.startedAt() : searcher.startedAt;
+      if (restarted || entry.status() == MemberEntry.Status.GONE) {
+        goneOrRestarted.add(searcher);
       }
     }
     readyByCell.clear();
@@ -88,6 +89,6 @@
         readyByCell.computeIfAbsent(searcher.entry.cell(), cell -> new ArrayList<>()).add(searcher);
       }
     }
-    return lost;
+    return goneOrRestarted;
   }
 }
--- a/mixer/src/main/java/gingerring/decide/Mixer.java
+++ b/mixer/src/main/java/gingerring/decide/Mixer.java
@@ -24,285 +24,295 @@
 public final class Mixer {
   // The design's starting values.
   private static final Duration PRESSURE_WINDOW = Duration.ofSeconds(2);
-  private static final double PRESSURE_BOUND = 0.1;
+  private static final double MAX_PRESSURE = 0.1;
   private static final double COVERAGE_STEP = 0.1;
-  private static final Duration COVERAGE_PACE = Duration.ofSeconds(1);
+  private static final Duration COVERAGE_STEP_INTERVAL = Duration.ofSeconds(1);
 
   /** How far above the floor the least target stays. */
-  private static final double HEADROOM = 1.25;
+  private static final double FLOOR_HEADROOM = 1.25;
 
   /** How long before the quoted time a partial answer goes out: a few round trips and ticks. */
-  private static final Duration ANSWER_MARGIN = Duration.ofMillis(50);
+  private static final Duration PARTIAL_ANSWER_MARGIN = Duration.ofMillis(50);
 
   /** How long before its client's patience ends a scan is closed, so that its answer is in time. */
-  private static final Duration CLOSE_MARGIN = Duration.ofMillis(10);
+  private static final Duration DEADLINE_MARGIN = Duration.ofMillis(10);
 
   /** The share of the time left that a part's expected stay may take, as stays scatter about it. */
-  private static final double STAY_SHARE = 0.5;
+  private static final double MAX_SERVICE_TIME_SHARE = 0.5;
 
   /**
    * The fleet's pace is that of the last seconds, and so is a searcher's where so many answers tell
    * it; else the window of a searcher grows until they do, since at a quiet mixer they come seconds
    * apart.
    */
-  private static final Duration HEALTH_WINDOW = Duration.ofSeconds(3);
+  private static final Duration DEFAULT_RULE_WINDOW = Duration.ofSeconds(3);
 
-  private static final Duration HEALTH_MEMORY = Duration.ofSeconds(10);
+  private static final Duration HEALTH_HISTORY = Duration.ofSeconds(10);
   private static final int HEALTH_BUCKETS = 20;
-  private static final int RECENT = 7;
-  private static final double OWN_TELLING = 6;
-  private static final int BUCKETS = 12;
-  private static final Duration LOOK_ROUND = Duration.ofMillis(100);
+  private static final int RECENT_BUCKETS = 7;
+  private static final double MIN_SEARCHER_ANSWERS = 6;
+  private static final int DEFAULT_BUCKETS = 12;
+  private static final Duration HEALTH_CHECK_INTERVAL = Duration.ofMillis(100);
 
   /** So many rounds without one: the mixer itself stood still. */
-  private static final double STOOD_STILL = 2;
+  private static final double STALL_INTERVALS = 2;
 
   /**
    * No word for this long, and for this many usual spans between answers, is silence and no mere
    * pause.
    */
-  private static final Duration SILENCE = Duration.ofMillis(700);
+  private static final Duration MIN_SILENCE = Duration.ofMillis(700);
 
-  private static final double SILENCE_PACES = 6;
+  private static final double SILENCE_GAPS = 6;
 
   /**
    * So many errors, and so large a share of all ends, are more than a healthy searcher makes by
    * chance.
    */
-  private static final double ERRORS_LEAST = 2;
+  private static final double MIN_ERRORS = 2;
 
-  private static final double ERROR_SHARE = 0.4;
+  private static final double MIN_ERROR_SHARE = 0.4;
 
   /** Where others see so large a share fail, a shorter silence and a single error are borne. */
-  private static final double DOUBT = 0.8;
+  private static final double SUSPICION_THRESHOLD = 0.8;
 
-  private static final double DOUBTED_SHARE = 0.5;
+  private static final double SUSPECTED_SILENCE_FACTOR = 0.5;
 
   /** The fleet's pace counts in each searcher's as so many answers, once so many tell it. */
-  private static final double ANSWERS_LENT = 2;
+  private static final double SEARCHER_PRIOR_ANSWERS = 2;
 
-  private static final double ANSWERS_TELLING = 10;
+  private static final double MIN_ANSWERS = 10;
 
   /** The fleet's pace counts in that of each zone as so many answers. */
-  private static final double ZONE_LENT = 3;
+  private static final double ZONE_PRIOR_ANSWERS = 3;
 
   /** How much of a pace a further own part adds to a line that it shares with others' parts. */
-  private static final double OWN_SHARE = 0.5;
+  private static final double OWN_PART_WEIGHT = 0.5;
 
   /**
    * A bench lasts some seconds, doubled each time in a row, and ends in so many parts one at a
    * time.
    */
-  private static final Duration BENCH_LEAST = Duration.ofSeconds(2);
+  private static final Duration MIN_EJECTION = Duration.ofSeconds(2);
 
-  private static final Duration BENCH_MOST = Duration.ofSeconds(8);
-  private static final int TRIALS = 3;
+  private static final Duration MAX_EJECTION = Duration.ofSeconds(8);
+  private static final int TRIAL_PARTS = 3;
 
   /**
    * Own ration of further trips, beside any that the rules set: so many, and so many for each first
    * trip.
    */
-  private static final double EXTRA_FEW = 2;
+  private static final double RETRY_BUDGET_BASE = 2;
 
-  private static final double EXTRA_SHARE = 0.1;
+  private static final double RETRY_BUDGET_RATIO = 0.1;
 
   /** Long enough that a scan's first trips still count when its late parts are copied. */
-  private static final Duration EXTRA_WINDOW = Duration.ofSeconds(6);
+  private static final Duration RETRY_BUDGET_WINDOW = Duration.ofSeconds(6);
 
   /** A part out for so many usual stays is late: few that come by themselves are. */
-  private static final double LATE_STAYS = 3;
+  private static final double LATE_FACTOR = 3;
 
   /**
    * The cold guard: its share of the rule's multiple, mixers that may take one part each at once,
    * memory.
    */
-  private static final double COLD_SHARE = 1;
+  private static final double COLD_LIMIT_SHARE = 1;
 
-  private static final double COLD_MIXERS = 4;
-  private static final Duration WARM_MEMORY = Duration.ofSeconds(30);
+  private static final double COLD_CONCURRENT_MIXERS = 4;
+  private static final Duration WARM_RATE_WINDOW = Duration.ofSeconds(30);
 
   /** By so many standard errors of their count are scans that came taken to be fewer than usual. */
-  private static final double SURE_ERRORS = 1.5;
+  private static final double ARRIVAL_STANDARD_ERRORS = 1.5;
 
   /**
    * The usual stay is that of the latest so many answers, from so long ago at most: scans may be
    * rare.
    */
-  private static final double STAYS_TELLING = 60;
+  private static final double SERVICE_TIME_SAMPLES = 60;
 
-  private static final Duration STAY_MEMORY = Duration.ofSeconds(20);
-  private static final int STAY_BUCKETS = 40;
-  private static final Duration FRESH = Duration.ofSeconds(3);
+  private static final Duration SERVICE_TIME_WINDOW = Duration.ofSeconds(20);
+  private static final int SERVICE_TIME_BUCKETS = 40;
+  private static final Duration SERVICE_TIME_MAX_AGE = Duration.ofSeconds(3);
 
   /** How soon the roster is asked again after a failure, and as much again by chance. */
-  private static final Duration ROSTER_RETRY = Duration.ofMillis(500);
+  private static final Duration MEMBER_LIST_RETRY_DELAY = Duration.ofMillis(500);
 
   /** How far weights may sum up short for their rounding. */
-  private static final double WEIGHT_SLACK = 0.00005;
+  private static final double WEIGHT_TOLERANCE = 0.00005;
 
-  private static final int LOG_LINES = 60;
+  private static final int MAX_LOG_LINES = 60;
 
   private final Host host;
-  private final RandomGenerator chance;
-  private final List<ServiceClass> grades = new ArrayList<>();
-  private final MemberList roster;
+  private final RandomGenerator random;
+  private final List<ServiceClass> serviceClasses = new ArrayList<>();
+  private final MemberList memberList;
   private final Map<ScanId, Scan> scans = new HashMap<>();
   private final Map<Long, Scan> scansByNumber = new HashMap<>();
   private final Map<PartId, Part> parts = new HashMap<>();
-  private final Map<TimerId, Runnable> wakes = new HashMap<>();
+  private final Map<TimerId, Runnable> timers = new HashMap<>();
   private final Predicate<Searcher> preferred;
-  private int wakeCount;
-  private int logged;
+  private int timerCount;
+  private int loggedLines;
 
-  private final Settings terms;
-  private final Duration tipAfter;
+  private final Settings settings;
+  private final Duration coldWindow;
 
   /**
    * Parts that came within the memory and within the cold guard's window, scans; parts let take
    * turns.
    */
-  private final RollingSum came = new RollingSum(WARM_MEMORY, BUCKETS);
+  private final RollingSum arrivedParts = new RollingSum(WARM_RATE_WINDOW, DEFAULT_BUCKETS);
 
-  private final RollingSum cameNow;
-  private final RollingSum scansCame = new RollingSum(WARM_MEMORY, BUCKETS);
-  private final RollingSum coldShares;
-  private final RollingSum rationExtras;
-  private final RollingSum rationTaken;
+  private final RollingSum arrivedPartsInColdWindow;
+  private final RollingSum arrivedScans = new RollingSum(WARM_RATE_WINDOW, DEFAULT_BUCKETS);
+  private final RollingSum coldTurnsGranted;
+  private final RollingSum budgetedRetries;
+  private final RollingSum budgetedArrivals;
 
-  private final RollingSum firsts = new RollingSum(EXTRA_WINDOW, BUCKETS);
-  private final RollingSum extras = new RollingSum(EXTRA_WINDOW, BUCKETS);
-  private final RollingSum settled = new RollingSum(PRESSURE_WINDOW, BUCKETS);
-  private final RollingSum pressed = new RollingSum(PRESSURE_WINDOW, BUCKETS);
+  private final RollingSum firstTrips = new RollingSum(RETRY_BUDGET_WINDOW, DEFAULT_BUCKETS);
+  private final RollingSum retries = new RollingSum(RETRY_BUDGET_WINDOW, DEFAULT_BUCKETS);
+  private final RollingSum pressureTrips = new RollingSum(PRESSURE_WINDOW, DEFAULT_BUCKETS);
+  private final RollingSum pressureRejections = new RollingSum(PRESSURE_WINDOW, DEFAULT_BUCKETS);
 
   /**
    * Searchers with own parts out, recent evidence or a bench: a large roster is mostly none of
    * these.
    */
-  private final Set<Searcher> active = new LinkedHashSet<>();
+  private final Set<Searcher> activeSearchers = new LinkedHashSet<>();
 
-  private Duration surveyedAt;
-  private double fleetPace;
-  private final Map<Integer, Double> zonePaces = new HashMap<>();
-  private double usualGap;
+  private Duration fleetStatsAt;
+  private double fleetTimePerAnswer;
+  private final Map<Integer, Double> zoneTimePerAnswer = new HashMap<>();
+  private double meanAnswerGap;
 
   /** Trips recalled to send their parts elsewhere, whose ends have not been told. */
-  private int moving;
-
-  private final RollingSum warmAnswers = new RollingSum(WARM_MEMORY, BUCKETS);
-  private final RollingSum warmTime = new RollingSum(WARM_MEMORY, BUCKETS);
-  private final RollingSum stays = new RollingSum(STAY_MEMORY, STAY_BUCKETS);
-  private final RollingSum stayed = new RollingSum(STAY_MEMORY, STAY_BUCKETS);
-  private Duration stayNoted = Duration.ZERO;
+  private int pendingMoves;
+
+  private final RollingSum warmAnswers = new RollingSum(WARM_RATE_WINDOW, DEFAULT_BUCKETS);
+  private final RollingSum warmSearcherTime = new RollingSum(WARM_RATE_WINDOW, DEFAULT_BUCKETS);
+  private final RollingSum serviceTimeSum =
+      new RollingSum(SERVICE_TIME_WINDOW, SERVICE_TIME_BUCKETS);
+  private final RollingSum serviceTimeAnswers =
+      new RollingSum(SERVICE_TIME_WINDOW, SERVICE_TIME_BUCKETS);
+  private Duration serviceTimeUpdatedAt = Duration.ZERO;
   private double coverage = 1;
-  private Duration coverageMoved = Duration.ZERO;
-  private Duration lastEvent = Duration.ZERO;
+  private Duration coverageChangedAt = Duration.ZERO;
+  private Duration lastEventAt = Duration.ZERO;
 
   /** The roster will be asked for again: failures until then add no calls. */
-  private boolean rosterRetry;
+  private boolean memberListRetryPending;
 
-  public Mixer(Map<String, String> map, RandomGenerator chance, Host host) {
+  public Mixer(Map<String, String> settingValues, RandomGenerator random, Host host) {
     this.host = host;
-    this.chance = chance;
-    preferred = each -> usable(each) && host.isPreferred(each.id);
-    terms = new Settings(map);
-    roster = new MemberList(terms.count("Domain.Places"), terms.count("Domain.Reach"));
-    for (int i = 0; i < terms.count("Classes.count"); i++) {
-      grades.add(ServiceClass.read(terms, i));
+    this.random = random;
+    preferred = searcher -> isAvailable(searcher) && host.isPreferred(searcher.id);
+    settings = new Settings(settingValues);
+    memberList = new MemberList(settings.count("Domain.Places"), settings.count("Domain.Reach"));
+    for (int i = 0; i < settings.count("Classes.count"); i++) {
+      serviceClasses.add(ServiceClass.read(settings, i));
     }
-    tipAfter = max(Duration.ofMillis(1), terms.duration("Safety.TipAfterMs", HEALTH_WINDOW));
-    cameNow = new RollingSum(tipAfter, BUCKETS);
-    coldShares = new RollingSum(tipAfter, BUCKETS);
-    Duration rationSpan = terms.duration("Safety.ResendSpanMs", HEALTH_WINDOW);
-    rationExtras = new RollingSum(rationSpan, BUCKETS);
-    rationTaken = new RollingSum(rationSpan, BUCKETS);
-    if (terms.text("Discovery").equals("subscribe")) {
+    coldWindow =
+        max(Duration.ofMillis(1), settings.duration("Safety.TipAfterMs", DEFAULT_RULE_WINDOW));
+    arrivedPartsInColdWindow = new RollingSum(coldWindow, DEFAULT_BUCKETS);
+    coldTurnsGranted = new RollingSum(coldWindow, DEFAULT_BUCKETS);
+    Duration budgetWindow = settings.duration("Safety.ResendSpanMs", DEFAULT_RULE_WINDOW);
+    budgetedRetries = new RollingSum(budgetWindow, DEFAULT_BUCKETS);
+    budgetedArrivals = new RollingSum(budgetWindow, DEFAULT_BUCKETS);
+    if (settings.text("Discovery").equals("subscribe")) {
       host.watchMemberList(true);
     }
-    wakeAfter(LOOK_ROUND, this::lookRound);
+    startTimer(HEALTH_CHECK_INTERVAL, this::checkHealth);
   }
 
   /** A scan has come, with all its parts: the ordinary path. */
   public void scanArrived(
       ScanId id,
-      long number,
-      int gradeNumber,
+      long scanNumber,
+      int serviceClassIndex,
       long key,
-      boolean repeat,
+      boolean resent,
       Duration work,
-      Duration end,
-      List<Part> arrived) {
-    Duration now = arriving();
-    Scan scan = new Scan(id, number, grades.get(gradeNumber), key, work, end);
+      Duration deadline,
+      List<Part> newParts) {
+    Duration now = recordEventTime();
+    Scan scan =
+        new Scan(id, scanNumber, serviceClasses.get(serviceClassIndex), key, work, deadline);
     scan.fullLatencyTarget =
         now.plus(scan.serviceClass.latencyTarget)
             .plus(scale(work, scan.serviceClass.latencyTargetPerWork));
-    scan.latencyTarget = min(scan.fullLatencyTarget, end.minus(CLOSE_MARGIN));
-    scan.stepDeadline = due(scan, now);
-    hold(scan, arrived, now);
+    scan.latencyTarget = min(scan.fullLatencyTarget, deadline.minus(DEADLINE_MARGIN));
+    scan.stepDeadline = stepDeadline(scan, now);
+    registerParts(scan, newParts, now);
     // all parts while coverage is full; under pressure the heaviest up to the coverage, never under
     // the floor
-    List<Part> selected = select(scan, arrived, now);
+    List<Part> selected = selectParts(scan, newParts, now);
     // each to the replica with the fewest own parts out, if one can be expected to answer in time
-    double placed = 0;
-    double late = 0;
+    double assignedWeight = 0;
+    double tooBusyParts = 0;
     // least choice first, so that others go around the last holders of a shard
     selected.forEach(
         part ->
             part.healthyHolders =
-                (int) roster.holders(part.shard).stream().filter(Mixer::trusted).count());
-    Comparator<Part> leastChoice = Comparator.comparingInt(part -> part.healthyHolders);
-    for (Part part : selected.stream().sorted(leastChoice).toList()) {
-      if (plan(part, now)) {
-        placed += part.weight;
-      } else if (roster.holders(part.shard).stream()
-          .anyMatch(each -> trusted(each) && !inTime(each, scan.serviceClass.latencyTarget, now))) {
-        late++;
+                (int) memberList.holders(part.shard).stream().filter(Mixer::isHealthy).count());
+    Comparator<Part> fewestHoldersFirst = Comparator.comparingInt(part -> part.healthyHolders);
+    for (Part part : selected.stream().sorted(fewestHoldersFirst).toList()) {
+      if (assignSearcher(part, now)) {
+        assignedWeight += part.weight;
+      } else if (memberList.holders(part.shard).stream()
+          .anyMatch(
+              searcher ->
+                  isHealthy(searcher)
+                      && !canAnswerInTime(searcher, scan.serviceClass.latencyTarget, now))) {
+        tooBusyParts++;
       }
     }
     // a part kept back because its searchers are too busy is refused as full by the mixer's own
     // judgement
-    settled.add(now, late);
-    pressed.add(now, late);
-    boolean enough = placed >= least(scan) - WEIGHT_SLACK && scan.latencyTarget.compareTo(now) > 0;
+    pressureTrips.add(now, tooBusyParts);
+    pressureRejections.add(now, tooBusyParts);
+    boolean coverageReached =
+        assignedWeight >= minCoverage(scan) - WEIGHT_TOLERANCE
+            && scan.latencyTarget.compareTo(now) > 0;
     for (Part part : selected) {
-      if (enough && part.assignedSearcher != null) {
-        firsts.add(now, 1);
+      if (coverageReached && part.assignedSearcher != null) {
+        firstTrips.add(now, 1);
         send(part, now);
       }
-      unplan(part);
+      unassignSearcher(part);
     }
-    if (!enough) {
-      giveUp(scan);
+    if (!coverageReached) {
+      rejectOrFail(scan);
       return;
     }
     // it ends when its trips have, near its quoted time if it can be partial, or with its patience
-    wakeAt(scan.stepDeadline.minus(ANSWER_MARGIN), () -> settle(scan));
-    wakeAt(scan.latencyTarget, () -> quotedPassed(scan));
-    wakeAt(scan.deadline.minus(CLOSE_MARGIN), () -> patienceEnds(scan));
+    startTimerAt(scan.stepDeadline.minus(PARTIAL_ANSWER_MARGIN), () -> completeIfPossible(scan));
+    startTimerAt(scan.latencyTarget, () -> onLatencyTarget(scan));
+    startTimerAt(scan.deadline.minus(DEADLINE_MARGIN), () -> onDeadline(scan));
   }
 
   /** The parts of the second step have come: all are needed, so all are sent. */
-  public void secondStepArrived(long number, List<Part> arrived) {
-    Duration now = arriving();
-    Scan scan = scansByNumber.get(number);
+  public void secondStepArrived(long scanNumber, List<Part> newParts) {
+    Duration now = recordEventTime();
+    Scan scan = scansByNumber.get(scanNumber);
     if (scan == null) {
       return;
     }
     scan.stepDeadline = scan.latencyTarget;
-    hold(scan, arrived, now);
-    for (Part part : arrived) {
-      firsts.add(now, 1);
+    registerParts(scan, newParts, now);
+    for (Part part : newParts) {
+      firstTrips.add(now, 1);
       // the first step's work is done and lost without it: a holder that may be late is better than
       // none
-      if (!plan(part, now) && plan(part, now, each -> true, Duration.ofNanos(Long.MAX_VALUE))) {
+      if (!assignSearcher(part, now)
+          && assignSearcher(part, now, searcher -> true, Duration.ofNanos(Long.MAX_VALUE))) {
         part.assignedSearcher.assignedParts++;
       }
       if (part.assignedSearcher != null) {
         send(part, now);
       }
-      unplan(part);
+      unassignSearcher(part);
     }
-    settle(scan);
+    completeIfPossible(scan);
   }
 
   /**
@@ -311,31 +321,32 @@
    * against a first step that waits for its last part until no time is left for the second, and all
    * its work is lost.
    */
-  private Duration due(Scan scan, Duration now) {
+  private Duration stepDeadline(Scan scan, Duration now) {
     if (scan.serviceClass.secondStepParts == 0) {
       return scan.latencyTarget;
     }
-    double half = Math.max(0, scan.latencyTarget.minus(now).toNanos() / 2.0);
-    double stay = usualStay(now);
+    double halfTimeLeft = Math.max(0, scan.latencyTarget.minus(now).toNanos() / 2.0);
+    double serviceTime = meanServiceTime(now);
     return scan.latencyTarget.minusNanos(
-        (long) (stay == 0 ? half : Math.min(half, LATE_STAYS * stay)));
+        (long)
+            (serviceTime == 0 ? halfTimeLeft : Math.min(halfTimeLeft, LATE_FACTOR * serviceTime)));
   }
 
-  private void hold(Scan scan, List<Part> arrived, Duration now) {
+  private void registerParts(Scan scan, List<Part> newParts, Duration now) {
     scans.put(scan.id, scan);
     scansByNumber.put(scan.number, scan);
-    for (Part part : arrived) {
+    for (Part part : newParts) {
       part.scan = scan;
       scan.parts.add(part);
       parts.put(part.id, part);
     }
-    came.add(now, arrived.size());
-    cameNow.add(now, arrived.size());
-    scansCame.add(now, 1);
-    double room = turnsMost(now) - coldShares.sum(now) / 1000;
-    scan.coldTurnShare = Math.max(0, Math.min(1, room / Math.max(1, arrived.size())));
-    coldShares.add(now, Math.ceil(1000 * scan.coldTurnShare * arrived.size()));
-    rationTaken.add(now, arrived.size() + (scan.parts.size() == arrived.size() ? 1 : 0));
+    arrivedParts.add(now, newParts.size());
+    arrivedPartsInColdWindow.add(now, newParts.size());
+    arrivedScans.add(now, 1);
+    double coldTurnsLeft = maxColdTurns(now) - coldTurnsGranted.sum(now) / 1000;
+    scan.coldTurnShare = Math.max(0, Math.min(1, coldTurnsLeft / Math.max(1, newParts.size())));
+    coldTurnsGranted.add(now, Math.ceil(1000 * scan.coldTurnShare * newParts.size()));
+    budgetedArrivals.add(now, newParts.size() + (scan.parts.size() == newParts.size() ? 1 : 0));
   }
 
   /**
@@ -346,33 +357,34 @@
    * a mixer of few scans would meet with all its parts each time; on old news it leaves parts
    * behind for nothing.
    */
-  private List<Part> select(Scan scan, List<Part> arrived, Duration now) {
-    Duration left = scan.latencyTarget.minus(now);
-    double stood =
-        settled.sum(now) >= ANSWERS_TELLING
+  private List<Part> selectParts(Scan scan, List<Part> newParts, Duration now) {
+    Duration timeLeft = scan.latencyTarget.minus(now);
+    double loadFraction =
+        pressureTrips.sum(now) >= MIN_ANSWERS
             ? 0
-            : usualStay(now) / (STAY_SHARE * Math.max(1, left.toNanos()));
-    double target =
+            : meanServiceTime(now) / (MAX_SERVICE_TIME_SHARE * Math.max(1, timeLeft.toNanos()));
+    double targetCoverage =
         Math.max(
-            Math.min(coverage, 2 - 2 * stood), least(scan) * HEADROOM / (1 - lateShare(left, now)));
-    if (target >= 1) {
-      return arrived;
+            Math.min(coverage, 2 - 2 * loadFraction),
+            minCoverage(scan) * FLOOR_HEADROOM / (1 - expectedLateShare(timeLeft, now)));
+    if (targetCoverage >= 1) {
+      return newParts;
     }
-    List<Part> byWeight = new ArrayList<>(arrived);
+    List<Part> byWeight = new ArrayList<>(newParts);
     byWeight.sort(Comparator.comparingDouble((Part part) -> -part.weight));
     List<Part> selected = new ArrayList<>();
-    double sum = 0;
+    double selectedWeight = 0;
     for (Part part : byWeight) {
-      if (sum >= target) {
+      if (selectedWeight >= targetCoverage) {
         break;
       }
-      sum += part.weight;
+      selectedWeight += part.weight;
       selected.add(part);
     }
     return selected;
   }
 
-  private static double least(Scan scan) {
+  private static double minCoverage(Scan scan) {
     return scan.serviceClass.allowsPartial()
         ? scan.serviceClass.minCoverage
         : scan.serviceClass.fullCoverage;
@@ -382,9 +394,9 @@
    * The replica with fewest own parts out, ties from its home on: of the preferred ones, else of
    * all trusted, a benched one only where no other can.
    */
-  private boolean plan(Part part, Duration now) {
-    if (!plan(part, now, preferred) && !plan(part, now, Mixer::usable)) {
-      plan(part, now, each -> true);
+  private boolean assignSearcher(Part part, Duration now) {
+    if (!assignSearcher(part, now, preferred) && !assignSearcher(part, now, Mixer::isAvailable)) {
+      assignSearcher(part, now, searcher -> true);
     }
     if (part.assignedSearcher != null) {
       part.assignedSearcher.assignedParts++;
@@ -392,48 +404,49 @@
     return part.assignedSearcher != null;
   }
 
-  private boolean plan(Part part, Duration now, Predicate<Searcher> choice) {
+  private boolean assignSearcher(Part part, Duration now, Predicate<Searcher> filter) {
     Scan scan = part.scan;
-    Duration by =
+    Duration answerBy =
         now.compareTo(scan.latencyTarget) < 0 && !scan.secondStep
             ? scan.latencyTarget
             : scan.deadline;
-    return plan(part, now, choice, by.minus(now));
+    return assignSearcher(part, now, filter, answerBy.minus(now));
   }
 
-  private boolean plan(Part part, Duration now, Predicate<Searcher> choice, Duration left) {
-    List<Searcher> holders = roster.holders(part.shard);
-    int home = home(part, Math.max(1, holders.size()));
+  private boolean assignSearcher(
+      Part part, Duration now, Predicate<Searcher> filter, Duration timeLeft) {
+    List<Searcher> holders = memberList.holders(part.shard);
+    int firstHolder = firstHolderIndex(part, Math.max(1, holders.size()));
     // a client of little patience is no jam: half of the full quoted time will do if the stay fits
     // at all.
     // It spends work on what is often late, and that may feed a jam no longer than the gate takes
     // to see it
-    Duration fit = scale(left, 1 / STAY_SHARE);
-    Duration room = max(left, min(fit, part.scan.fullLatencyTarget.minus(now)));
+    Duration fitTime = scale(timeLeft, 1 / MAX_SERVICE_TIME_SHARE);
+    Duration timeBudget = max(timeLeft, min(fitTime, part.scan.fullLatencyTarget.minus(now)));
     // a part whose trip has failed: without another the work of the scan's other parts is lost.
     // Guards
     // against searchers that refuse or fail while the other holder is busy or far; may carry a jam
     // on, in the
     // ration
-    boolean last = !part.trips.isEmpty() && !part.hasOpenTrip();
+    boolean allTripsFailed = !part.trips.isEmpty() && !part.hasOpenTrip();
     for (int i = 0; i < holders.size(); i++) {
-      Searcher searcher = holders.get((home + i) % holders.size());
-      boolean tried =
+      Searcher searcher = holders.get((firstHolder + i) % holders.size());
+      boolean alreadyTried =
           part.trips.stream().anyMatch(trip -> trip.searcher == searcher)
               || part.scan.failedInFirstStep(part.shard, searcher);
-      if (!tried
-          && choice.test(searcher)
-          && coldRoom(searcher, part, now)
-          && inTime(searcher, last ? fit : room, now)
+      if (!alreadyTried
+          && filter.test(searcher)
+          && coldLimitAllows(searcher, part, now)
+          && canAnswerInTime(searcher, allTripsFailed ? fitTime : timeBudget, now)
           && (part.assignedSearcher == null
-              || load(searcher, now) < load(part.assignedSearcher, now))) {
+              || projectedCalls(searcher, now) < projectedCalls(part.assignedSearcher, now))) {
         part.assignedSearcher = searcher;
       }
     }
     return part.assignedSearcher != null;
   }
 
-  private void unplan(Part part) {
+  private void unassignSearcher(Part part) {
     if (part.assignedSearcher != null) {
       part.assignedSearcher.assignedParts--;
       assert part.assignedSearcher.assignedParts >= 0 : "a part was planned and not counted";
@@ -441,16 +454,17 @@
     }
   }
 
-  private static int home(Part part, int holders) {
+  private static int firstHolderIndex(Part part, int holderCount) {
     long seed =
         part.key != 0 ? part.key : part.scan.key != 0 ? part.scan.key : part.scan.id.number();
     long hash = (seed * 0x9E3779B97F4A7C15L) ^ (part.shard * 0xC2B2AE3D27D4EB4FL);
     hash = (hash ^ (hash >>> 32)) * 0xD6E8FEB86659FD93L;
-    return (int) Math.floorMod(hash ^ (hash >>> 32), (long) holders);
+    return (int) Math.floorMod(hash ^ (hash >>> 32), (long) holderCount);
   }
 
-  private boolean inTime(Searcher searcher, Duration left, Duration now) {
-    return stay(searcher, now).toNanos() <= STAY_SHARE * left.toNanos();
+  private boolean canAnswerInTime(Searcher searcher, Duration timeLeft, Duration now) {
+    return expectedServiceTime(searcher, now).toNanos()
+        <= MAX_SERVICE_TIME_SHARE * timeLeft.toNanos();
   }
 
   /**
@@ -458,16 +472,18 @@
    * on old news: a mixer that nacks all it gets learns nothing more, and must let a scan through
    * now and then.
    */
-  private double lateShare(Duration left, Duration now) {
-    boolean known = usualStay(now) > 0 && now.minus(stayNoted).compareTo(FRESH) <= 0;
-    return known ? Math.exp(-left.toNanos() / usualStay(now)) : 0;
+  private double expectedLateShare(Duration timeLeft, Duration now) {
+    boolean measured =
+        meanServiceTime(now) > 0
+            && now.minus(serviceTimeUpdatedAt).compareTo(SERVICE_TIME_MAX_AGE) <= 0;
+    return measured ? Math.exp(-timeLeft.toNanos() / meanServiceTime(now)) : 0;
   }
 
   /** How long trips of late were out for each answer; 0 where too few were answered. */
-  private double usualStay(Duration now) {
-    int back = stayed.bucketsHolding(now, STAYS_TELLING);
-    double answers = stayed.sum(now, back);
-    return answers < ANSWERS_TELLING ? 0 : stays.sum(now, back) / answers;
+  private double meanServiceTime(Duration now) {
+    int buckets = serviceTimeAnswers.bucketsHolding(now, SERVICE_TIME_SAMPLES);
+    double answers = serviceTimeAnswers.sum(now, buckets);
+    return answers < MIN_ANSWERS ? 0 : serviceTimeSum.sum(now, buckets) / answers;
   }
 
   /**
@@ -475,15 +491,20 @@
    * beyond the usual number a share of the pace, since other mixers' parts stand in the same line
    * and do not grow with ours.
    */
-  private Duration stay(Searcher searcher, Duration now) {
-    Duration pace = pace(searcher, now);
-    double out = searcher.openTrips.size() + searcher.assignedParts + 1;
-    int back = Math.max(RECENT, searcher.answers.bucketsHolding(now, OWN_TELLING));
-    double usual =
+  private Duration expectedServiceTime(Searcher searcher, Duration now) {
+    Duration timePerAnswer = timePerAnswer(searcher, now);
+    double openTrips = searcher.openTrips.size() + searcher.assignedParts + 1;
+    int buckets =
+        Math.max(RECENT_BUCKETS, searcher.answers.bucketsHolding(now, MIN_SEARCHER_ANSWERS));
+    double meanOpenTrips =
         Math.max(
             1,
-            searcher.openTripTime.sum(now, back) / Math.max(1, searcher.busyTime.sum(now, back)));
-    return Duration.ofNanos((long) (pace.toNanos() * (usual + OWN_SHARE * (out - usual))));
+            searcher.openTripTime.sum(now, buckets)
+                / Math.max(1, searcher.busyTime.sum(now, buckets)));
+    return Duration.ofNanos(
+        (long)
+            (timePerAnswer.toNanos()
+                * (meanOpenTrips + OWN_PART_WEIGHT * (openTrips - meanOpenTrips))));
   }
 
   /**
@@ -491,41 +512,42 @@
    * it. Its zone's pace counts as a few answers more, so that a quiet mixer does not take one pause
    * for slowness.
    */
-  private Duration pace(Searcher searcher, Duration now) {
+  private Duration timePerAnswer(Searcher searcher, Duration now) {
     searcher.recordBusyTime(now);
-    survey(now);
-    if (fleetPace == 0) {
+    updateFleetStats(now);
+    if (fleetTimePerAnswer == 0) {
       return Duration.ZERO;
     }
-    double usual = zonePaces.getOrDefault(searcher.entry.zone(), fleetPace);
-    int back = Math.max(RECENT, searcher.answers.bucketsHolding(now, OWN_TELLING));
+    double zoneTime = zoneTimePerAnswer.getOrDefault(searcher.entry.zone(), fleetTimePerAnswer);
+    int buckets =
+        Math.max(RECENT_BUCKETS, searcher.answers.bucketsHolding(now, MIN_SEARCHER_ANSWERS));
     return Duration.ofNanos(
         (long)
-            ((searcher.busyTime.sum(now, back) + ANSWERS_LENT * usual)
-                / (searcher.answers.sum(now, back) + ANSWERS_LENT)));
+            ((searcher.busyTime.sum(now, buckets) + SEARCHER_PRIOR_ANSWERS * zoneTime)
+                / (searcher.answers.sum(now, buckets) + SEARCHER_PRIOR_ANSWERS)));
   }
 
-  private int load(Searcher searcher, Duration now) {
-    return searcher.projectedCalls(now, callParts());
+  private int projectedCalls(Searcher searcher, Duration now) {
+    return searcher.projectedCalls(now, partsPerCall());
   }
 
-  private int callParts() {
-    return (int) terms.number("Domain.Batch", 1);
+  private int partsPerCall() {
+    return (int) settings.number("Domain.Batch", 1);
   }
 
-  private static boolean trusted(Searcher searcher) {
+  private static boolean isHealthy(Searcher searcher) {
     return searcher.isReady() && searcher.ejectedUntil == null;
   }
 
-  private static boolean usable(Searcher searcher) {
-    boolean free = searcher.openTrips.isEmpty() && searcher.assignedParts == 0;
-    return trusted(searcher) && (searcher.trialPartsLeft == 0 || free);
+  private static boolean isAvailable(Searcher searcher) {
+    boolean idle = searcher.openTrips.isEmpty() && searcher.assignedParts == 0;
+    return isHealthy(searcher) && (searcher.trialPartsLeft == 0 || idle);
   }
 
-  private boolean cold(Searcher searcher, Duration now) {
-    Duration warmUp = terms.duration("Safety.WarmUpMs", Duration.ZERO);
+  private boolean isCold(Searcher searcher, Duration now) {
+    Duration warmUp = settings.duration("Safety.WarmUpMs", Duration.ZERO);
     return searcher.startedAt != null
-        && now.minus(searcher.startedAt).compareTo(warmUp.plus(tipAfter)) < 0;
+        && now.minus(searcher.startedAt).compareTo(warmUp.plus(coldWindow)) < 0;
   }
 
   /**
@@ -537,32 +559,38 @@
    * memory serves a fleet that starts all at once. The guard also keeps a slow starter from drawing
    * parts because it has none out; it may idle a fast one.
    */
-  private boolean coldRoom(Searcher searcher, Part part, Duration now) {
-    if (!cold(searcher, now) || warmth(searcher, now) >= 1) {
+  private boolean coldLimitAllows(Searcher searcher, Part part, Duration now) {
+    if (!isCold(searcher, now) || warmUpShare(searcher, now) >= 1) {
       return true;
     }
     // a mixer that has not yet seen a full window of its searchers does not overrate them
-    double seen =
-        Math.max(warmTime.sum(now), (double) tipAfter.toNanos() * roster.searchers().size());
-    double usual = warmAnswers.sum(now) * tipAfter.toNanos() / seen;
-    double allowed =
-        COLD_SHARE * terms.number("Safety.TipMultiple", 1) * warmth(searcher, now) * usual;
+    double warmNanos =
+        Math.max(
+            warmSearcherTime.sum(now),
+            (double) coldWindow.toNanos() * memberList.searchers().size());
+    double answersPerWindow = warmAnswers.sum(now) * coldWindow.toNanos() / warmNanos;
+    double maxParts =
+        COLD_LIMIT_SHARE
+            * settings.number("Safety.TipMultiple", 1)
+            * warmUpShare(searcher, now)
+            * answersPerWindow;
     // how often it may get a single part: less often with so many mixers that one each were too
     // much
-    double alike = Math.max(1, fleetSize() / COLD_MIXERS);
-    Duration turn = scale(tipAfter, allowed > 0 ? Math.min(alike, 1 / allowed) : alike);
+    double mixersPerTurn = Math.max(1, fleetSize() / COLD_CONCURRENT_MIXERS);
+    Duration turnInterval =
+        scale(coldWindow, maxParts > 0 ? Math.min(mixersPerTurn, 1 / maxParts) : mixersPerTurn);
     // the first turn at a moment of chance: all mixers hear of a start together, and they may be
     // too many
     if (!searcher.startedAt.equals(searcher.turnsStartedAt)) {
       searcher.turnsStartedAt = searcher.startedAt;
-      double waited = alike == 1 ? 1 : chance.nextDouble();
-      searcher.lastSentAt = searcher.startedAt.minus(scale(turn, waited));
+      double elapsedTurnShare = mixersPerTurn == 1 ? 1 : random.nextDouble();
+      searcher.lastSentAt = searcher.startedAt.minus(scale(turnInterval, elapsedTurnShare));
     }
-    boolean itsTurn =
-        now.minus(searcher.lastSentAt).compareTo(turn) > 0
-            && (part.scan.coldTurnShare == 1 || part.drawOnce(chance) < part.scan.coldTurnShare);
+    boolean turnDue =
+        now.minus(searcher.lastSentAt).compareTo(turnInterval) > 0
+            && (part.scan.coldTurnShare == 1 || part.drawOnce(random) < part.scan.coldTurnShare);
     return searcher.sentParts.sum(now) + searcher.assignedParts + 1
-        <= Math.max(itsTurn ? 1 : 0, allowed);
+        <= Math.max(turnDue ? 1 : 0, maxParts);
   }
 
   /**
@@ -573,63 +601,66 @@
    * clients return: by then it is the turn of them all, and with many mixers they are too many. It
    * keeps a mixer of few scans from some turns on an ordinary day.
    */
-  private double turnsMost(Duration now) {
-    Duration before = max(tipAfter, min(now, WARM_MEMORY).minus(tipAfter));
-    double earlier = came.sum(now) - cameNow.sum(now);
-    double usual = earlier * tipAfter.toNanos() / before.toNanos();
-    double scansEarlier = scansCame.sum(now) * earlier / Math.max(1, came.sum(now));
-    double sure = 1 - SURE_ERRORS / Math.sqrt(Math.max(1, scansEarlier));
+  private double maxColdTurns(Duration now) {
+    Duration earlierSpan = max(coldWindow, min(now, WARM_RATE_WINDOW).minus(coldWindow));
+    double earlierParts = arrivedParts.sum(now) - arrivedPartsInColdWindow.sum(now);
+    double partsPerWindow = earlierParts * coldWindow.toNanos() / earlierSpan.toNanos();
+    double earlierScans = arrivedScans.sum(now) * earlierParts / Math.max(1, arrivedParts.sum(now));
+    double confidence = 1 - ARRIVAL_STANDARD_ERRORS / Math.sqrt(Math.max(1, earlierScans));
     return Math.max(
-        usual * Math.max(1, terms.number("Safety.TipMultiple", 1) * sure),
-        roster.searchers().size() * COLD_MIXERS / fleetSize());
+        partsPerWindow * Math.max(1, settings.number("Safety.TipMultiple", 1) * confidence),
+        memberList.searchers().size() * COLD_CONCURRENT_MIXERS / fleetSize());
   }
 
   /** How many mixers there are: where no setting tells, as many as there are searchers. */
   private double fleetSize() {
-    return Math.max(1, terms.number("FleetSize", roster.searchers().size()));
+    return Math.max(1, settings.number("FleetSize", memberList.searchers().size()));
   }
 
   /**
    * The least share of its capacity that a searcher may have had a window ago: 1 once it is warm.
    */
-  private double warmth(Searcher searcher, Duration now) {
-    Duration warmUp = terms.duration("Safety.WarmUpMs", Duration.ZERO);
-    if (!cold(searcher, now) || warmUp.isZero()) {
+  private double warmUpShare(Searcher searcher, Duration now) {
+    Duration warmUp = settings.duration("Safety.WarmUpMs", Duration.ZERO);
+    if (!isCold(searcher, now) || warmUp.isZero()) {
       return 1;
     }
-    double age = Math.max(0, now.minus(searcher.startedAt).minus(tipAfter).toNanos());
-    double coldFrom = terms.number("Safety.ColdFrom", 1);
+    double age = Math.max(0, now.minus(searcher.startedAt).minus(coldWindow).toNanos());
+    double coldFrom = settings.number("Safety.ColdFrom", 1);
     return Math.min(1, coldFrom + (1 - coldFrom) * age / warmUp.toNanos());
   }
 
   private void send(Part part, Duration now) {
     Searcher searcher = part.assignedSearcher;
-    active.add(searcher);
+    activeSearchers.add(searcher);
     // a repeat is dropped up to the window's end only, and a host may begin a trip later than it
     // was decided
-    Duration since = part.firstPossibleRun();
+    Duration firstRun = part.firstPossibleRun();
     Duration startWithin =
-        part.scan.serviceClass.retrySafety != ServiceClass.RetrySafety.KEYED || since == null
+        part.scan.serviceClass.retrySafety != ServiceClass.RetrySafety.KEYED || firstRun == null
             ? null
-            : since.plus(part.scan.serviceClass.idempotencyWindow).minus(now);
-    part.trips.add(searcher.recordSend(part, now, callParts()));
+            : firstRun.plus(part.scan.serviceClass.idempotencyWindow).minus(now);
+    part.trips.add(searcher.recordSend(part, now, partsPerCall()));
     host.send(part.id, searcher.id, part.scan.deadline.minus(now), startWithin);
   }
 
   /** A trip has ended. {@code over}: the host takes no more trips for this part. */
-  public void tripEnded(PartId id, int number, Outcome outcome, boolean over, float[] load) {
+  public void tripEnded(
+      PartId id, int tripNumber, Outcome outcome, boolean noMoreTrips, float[] load) {
     Part part = parts.get(id);
-    if (part == null || number >= part.trips.size() || part.trips.get(number).outcome != null) {
+    if (part == null
+        || tripNumber >= part.trips.size()
+        || part.trips.get(tripNumber).outcome != null) {
       return;
     }
-    Duration now = arriving();
-    moving -= part.moveRequested ? 1 : 0;
+    Duration now = recordEventTime();
+    pendingMoves -= part.moveRequested ? 1 : 0;
     part.moveRequested = false;
-    Trip trip = part.trips.get(number);
+    Trip trip = part.trips.get(tripNumber);
     trip.outcome = outcome;
     trip.endedAt = now;
-    part.noMoreTrips |= over;
-    note(trip, now);
+    part.noMoreTrips |= noMoreTrips;
+    recordTripEnd(trip, now);
     if (part.scan.closed) {
       if (!part.hasOpenTrip()) {
         parts.remove(id);
@@ -638,37 +669,37 @@
     }
     if (outcome == Outcome.SUCCEEDED) {
       part.answered = true;
-      recallTrips(part);
+      cancelTrips(part);
     } else if (!part.hasOpenTrip()) {
-      sendAgain(part, now);
+      retry(part, now);
     }
-    settle(part.scan);
+    completeIfPossible(part.scan);
   }
 
   /** Books an ended trip to its searcher: its load, its pace, its errors. */
-  private void note(Trip trip, Duration now) {
+  private void recordTripEnd(Trip trip, Duration now) {
     Searcher searcher = trip.searcher;
     searcher.recordEnd(trip, now);
     switch (trip.outcome) {
       case SUCCEEDED -> {
         searcher.answers.add(now, 1);
-        warmAnswers.add(now, trusted(searcher) && !cold(searcher, now) ? 1 : 0);
+        warmAnswers.add(now, isHealthy(searcher) && !isCold(searcher, now) ? 1 : 0);
         searcher.silentTime = Duration.ZERO;
-        settle(trip, now, false);
+        recordPressure(trip, now, false);
         if (searcher.trialPartsLeft > 0) {
           searcher.trialPartsLeft--;
         }
       }
       case FULL -> {
         searcher.silentTime = Duration.ZERO;
-        settle(trip, now, true);
+        recordPressure(trip, now, true);
       }
-      case TIMED_OUT -> settle(trip, now, true);
+      case TIMED_OUT -> recordPressure(trip, now, true);
       case ERROR, BROKEN, UNREACHABLE -> {
         searcher.errors.add(now, 1);
-        settle(trip, now, false);
+        recordPressure(trip, now, false);
         searcher.silentTime = Duration.ZERO;
-        judge(searcher, now);
+        ejectIfUnhealthy(searcher, now);
       }
       default -> {}
     }
@@ -678,11 +709,11 @@
    * Books a trip to the pressure, once. What one bad searcher or zone does must not narrow every
    * scan.
    */
-  private void settle(Trip trip, Duration now, boolean refusedOrLate) {
+  private void recordPressure(Trip trip, Duration now, boolean rejectedOrLate) {
     if (!trip.countedInPressure && trip.searcher.ejectedUntil == null) {
       trip.countedInPressure = true;
-      settled.add(now, 1);
-      pressed.add(now, refusedOrLate ? 1 : 0);
+      pressureTrips.add(now, 1);
+      pressureRejections.add(now, rejectedOrLate ? 1 : 0);
     }
   }
 
@@ -693,88 +724,97 @@
    * work of all the others lost and its client back at once; it may carry a jam on to the holders
    * that are left.
    */
-  private void sendAgain(Part part, Duration now) {
-    boolean instead = part.firstPossibleRun() == null;
-    if (mayGoAgain(part, now) && (instead || withinRation(now)) && plan(part, now)) {
-      extras.add(now, instead ? 0 : 1);
-      rationExtras.add(now, 1);
+  private void retry(Part part, Duration now) {
+    boolean replacesUnrunTrip = part.firstPossibleRun() == null;
+    if (mayRetryNow(part, now)
+        && (replacesUnrunTrip || withinRetryBudget(now))
+        && assignSearcher(part, now)) {
+      retries.add(now, replacesUnrunTrip ? 0 : 1);
+      budgetedRetries.add(now, 1);
       send(part, now);
     }
-    unplan(part);
+    unassignSearcher(part);
   }
 
   /** What the rules say of another trip now, whatever it may be good for. */
-  private boolean mayGoAgain(Part part, Duration now) {
-    long out = part.trips.stream().filter(trip -> trip.outcome == null).count();
-    return mayFollow(part, now)
-        && (out == 0 || out == 1 && terms.flag("PolicyLimits.SecondCopies"));
+  private boolean mayRetryNow(Part part, Duration now) {
+    long openTrips = part.trips.stream().filter(trip -> trip.outcome == null).count();
+    return mayRetry(part, now)
+        && (openTrips == 0 || openTrips == 1 && settings.flag("PolicyLimits.SecondCopies"));
   }
 
   /** What the rules say of another trip once no more are out than may be. */
-  private boolean mayFollow(Part part, Duration now) {
+  private boolean mayRetry(Part part, Duration now) {
     Scan scan = part.scan;
-    Duration since = part.firstPossibleRun();
-    boolean harmless =
+    Duration firstRun = part.firstPossibleRun();
+    boolean safeToRetry =
         switch (scan.serviceClass.retrySafety) {
           case IDEMPOTENT -> true;
           case KEYED ->
-              since == null || now.minus(since).compareTo(scan.serviceClass.idempotencyWindow) < 0;
-          case AT_MOST_ONCE -> since == null;
+              firstRun == null
+                  || now.minus(firstRun).compareTo(scan.serviceClass.idempotencyWindow) < 0;
+          case AT_MOST_ONCE -> firstRun == null;
         };
     boolean open =
         !scan.closed
             && !part.answered
             && !part.noMoreTrips
-            && now.compareTo(scan.deadline.minus(CLOSE_MARGIN)) < 0;
-    double allowed =
-        terms.number("Safety.ExtraFree", 0)
-            + terms.number("Safety.ResendRatio", 0) * rationTaken.sumWithin(now);
-    boolean ration =
-        !terms.has("Safety.ResendSpanMs") || rationExtras.sum(now) + moving + 1 <= allowed;
-    return harmless
+            && now.compareTo(scan.deadline.minus(DEADLINE_MARGIN)) < 0;
+    double budget =
+        settings.number("Safety.ExtraFree", 0)
+            + settings.number("Safety.ResendRatio", 0) * budgetedArrivals.sumWithin(now);
+    boolean withinBudget =
+        !settings.has("Safety.ResendSpanMs")
+            || budgetedRetries.sum(now) + pendingMoves + 1 <= budget;
+    return safeToRetry
         && open
-        && ration
-        && part.trips.size() < terms.number("PolicyLimits.MaxAttempts", 1);
+        && withinBudget
+        && part.trips.size() < settings.number("PolicyLimits.MaxAttempts", 1);
   }
 
   /**
    * Further trips feed a jam: their number follows that of first trips, unless the rules set a
    * budget.
    */
-  private boolean withinRation(Duration now) {
-    return terms.has("Safety.ResendSpanMs")
-        || extras.sum(now) + moving + 1 <= EXTRA_FEW + EXTRA_SHARE * firsts.sum(now);
+  private boolean withinRetryBudget(Duration now) {
+    return settings.has("Safety.ResendSpanMs")
+        || retries.sum(now) + pendingMoves + 1
+            <= RETRY_BUDGET_BASE + RETRY_BUDGET_RATIO * firstTrips.sum(now);
   }
 
   /** Answers a scan if it can be, gives it up if it can no longer be, or leaves it to wait. */
-  private void settle(Scan scan) {
-    List<Part> step = scan.currentStepParts();
-    if (scan.closed || step.isEmpty()) {
+  private void completeIfPossible(Scan scan) {
+    List<Part> stepParts = scan.currentStepParts();
+    if (scan.closed || stepParts.isEmpty()) {
       return;
     }
     Duration now = host.now();
-    double need = scan.secondStep ? 1 : scan.serviceClass.fullCoverage;
-    double least = scan.serviceClass.allowsPartial() ? scan.serviceClass.minCoverage : need;
-    double in = 0;
-    double possible = 0;
-    boolean out = false;
-    for (Part part : step) {
-      boolean partOut = !part.answered && part.hasOpenTrip();
-      out |= partOut;
-      in += part.answered ? part.weight : 0;
-      possible += part.answered || partOut ? part.weight : 0;
+    double fullCoverage = scan.secondStep ? 1 : scan.serviceClass.fullCoverage;
+    double minCoverage =
+        scan.serviceClass.allowsPartial() ? scan.serviceClass.minCoverage : fullCoverage;
+    double answeredWeight = 0;
+    double reachableWeight = 0;
+    boolean anyTripOpen = false;
+    for (Part part : stepParts) {
+      boolean partOpen = !part.answered && part.hasOpenTrip();
+      anyTripOpen |= partOpen;
+      answeredWeight += part.answered ? part.weight : 0;
+      reachableWeight += part.answered || partOpen ? part.weight : 0;
     }
-    boolean some =
-        step.stream().anyMatch(part -> part.answered); // also where the least share is none
-    boolean all = some && in >= need - WEIGHT_SLACK;
-    boolean near = now.compareTo(scan.stepDeadline.minus(ANSWER_MARGIN)) >= 0;
-    if (all || some && in >= least - WEIGHT_SLACK && (!out || near)) {
-      if (!all) {
-        timeOut(scan, now);
+    boolean anyAnswered =
+        stepParts.stream().anyMatch(part -> part.answered); // also where the least share is none
+    boolean complete = anyAnswered && answeredWeight >= fullCoverage - WEIGHT_TOLERANCE;
+    boolean nearDeadline = now.compareTo(scan.stepDeadline.minus(PARTIAL_ANSWER_MARGIN)) >= 0;
+    if (complete
+        || anyAnswered
+            && answeredWeight >= minCoverage - WEIGHT_TOLERANCE
+            && (!anyTripOpen || nearDeadline)) {
+      if (!complete) {
+        recordTimeouts(scan, now);
       }
-      answer(scan, all && scan.firstStepWhole);
-    } else if (!out || possible < least - WEIGHT_SLACK) {
-      giveUp(scan);
+      answer(scan, complete && scan.firstStepWhole);
+    } else if (!anyTripOpen || reachableWeight < minCoverage - WEIGHT_TOLERANCE) {
+      rejectOrFail(scan);
     }
   }
 
@@ -782,22 +822,22 @@
     host.answer(scan.id, whole);
     if (scan.serviceClass.secondStepParts > 0 && !scan.secondStep) {
       scan.beginSecondStep(whole);
-      scan.parts.forEach(this::recallTrips);
+      scan.parts.forEach(this::cancelTrips);
     } else {
       close(scan);
     }
   }
 
   /** Closes a scan at once: sent back where to ask again does no harm, else scrapped. */
-  private void giveUp(Scan scan) {
-    boolean harmless =
+  private void rejectOrFail(Scan scan) {
+    boolean safeToRetry =
         scan.serviceClass.retrySafety == ServiceClass.RetrySafety.IDEMPOTENT
             || scan.parts.stream().allMatch(part -> part.firstPossibleRun() == null);
-    if (harmless) {
+    if (safeToRetry) {
       host.reject(
           scan.id,
-          terms.flag("PolicyLimits.RetryAfter")
-              ? terms.duration("PolicyLimits.MaxRetryAfterMs", Duration.ZERO)
+          settings.flag("PolicyLimits.RetryAfter")
+              ? settings.duration("PolicyLimits.MaxRetryAfterMs", Duration.ZERO)
               : Duration.ZERO);
     } else {
       host.fail(scan.id);
@@ -810,8 +850,8 @@
     scans.remove(scan.id);
     scansByNumber.remove(scan.number, scan);
     for (Part part : scan.parts) {
-      part.trips.forEach(trip -> noteStay(trip, host.now()));
-      recallTrips(part);
+      part.trips.forEach(trip -> recordServiceTime(trip, host.now()));
+      cancelTrips(part);
       if (!part.hasOpenTrip()) {
         parts.remove(part.id);
       }
@@ -824,33 +864,34 @@
    * time only, since answers alone would tell only of stays under it. What a benched searcher keeps
    * tells nothing of others.
    */
-  private void noteStay(Trip trip, Duration now) {
+  private void recordServiceTime(Trip trip, Duration now) {
     if ((trip.outcome == null || !trip.outcome.neverRan) && trip.searcher.ejectedUntil == null) {
-      Duration end = trip.outcome == null ? now : trip.endedAt;
-      boolean late = end.compareTo(trip.part.scan.latencyTarget) > 0;
-      stays.add(
+      Duration endedAt = trip.outcome == null ? now : trip.endedAt;
+      boolean late = endedAt.compareTo(trip.part.scan.latencyTarget) > 0;
+      serviceTimeSum.add(
           now,
-          max(Duration.ZERO, min(end, trip.part.scan.latencyTarget).minus(trip.sentAt)).toNanos());
-      stayed.add(now, trip.outcome == Outcome.SUCCEEDED && !late ? 1 : 0);
-      stayNoted = now;
+          max(Duration.ZERO, min(endedAt, trip.part.scan.latencyTarget).minus(trip.sentAt))
+              .toNanos());
+      serviceTimeAnswers.add(now, trip.outcome == Outcome.SUCCEEDED && !late ? 1 : 0);
+      serviceTimeUpdatedAt = now;
     }
   }
 
-  private void recallTrips(Part part) {
-    for (int i = 0; terms.flag("PolicyLimits.Cancel") && i < part.trips.size(); i++) {
+  private void cancelTrips(Part part) {
+    for (int i = 0; settings.flag("PolicyLimits.Cancel") && i < part.trips.size(); i++) {
       if (part.trips.get(i).outcome == null) {
         host.cancel(part.id, i);
       }
     }
   }
 
-  private void quotedPassed(Scan scan) {
+  private void onLatencyTarget(Scan scan) {
     if (scan.closed) {
       return;
     }
-    timeOut(scan, host.now());
+    recordTimeouts(scan, host.now());
     if (scan.serviceClass.lateValueShare == 0) {
-      giveUp(scan);
+      rejectOrFail(scan);
     }
   }
 
@@ -858,18 +899,18 @@
    * What is still out near the quoted time has timed out, whether the scan is answered without it
    * or not.
    */
-  private void timeOut(Scan scan, Duration now) {
+  private void recordTimeouts(Scan scan, Duration now) {
     for (Part part : scan.parts) {
       part.trips.stream()
           .filter(trip -> trip.outcome == null)
-          .forEach(trip -> settle(trip, now, true));
+          .forEach(trip -> recordPressure(trip, now, true));
     }
   }
 
-  private void patienceEnds(Scan scan) {
-    settle(scan);
+  private void onDeadline(Scan scan) {
+    completeIfPossible(scan);
     if (!scan.closed) {
-      giveUp(scan);
+      rejectOrFail(scan);
     }
   }
 
@@ -892,12 +933,12 @@
    * Guards against pauses of the process and of its machine; hurts nothing while rounds come on
    * time.
    */
-  private Duration arriving() {
+  private Duration recordEventTime() {
     Duration now = host.now();
-    if (now.minus(lastEvent).compareTo(scale(LOOK_ROUND, STOOD_STILL)) > 0) {
-      active.forEach(searcher -> searcher.excludeTimeUntil(now));
+    if (now.minus(lastEventAt).compareTo(scale(HEALTH_CHECK_INTERVAL, STALL_INTERVALS)) > 0) {
+      activeSearchers.forEach(searcher -> searcher.excludeTimeUntil(now));
     }
-    lastEvent = now;
+    lastEventAt = now;
     return now;
   }
 
@@ -910,88 +951,92 @@
    * paces then tell. A zone that nothing is sent to is forgotten in the window, and tried again.
    * Benched searchers are left out of it: what one bad searcher does is not its zone's.
    */
-  private void survey(Duration now) {
-    if (now.equals(surveyedAt)) {
+  private void updateFleetStats(Duration now) {
+    if (now.equals(fleetStatsAt)) {
       return;
     }
-    surveyedAt = now;
-    double busy = 0;
-    double gaps = 0;
-    double answers = 0;
+    fleetStatsAt = now;
+    double totalBusyTime = 0;
+    double totalGaps = 0;
+    double totalAnswers = 0;
     Map<Integer, double[]> zones = new HashMap<>();
-    for (Searcher searcher : active) {
-      double its = searcher.busyTime.sum(now, RECENT);
-      double answered = searcher.answers.sum(now, RECENT);
-      busy += its;
-      gaps += Math.max(0, its - searcher.silentTime.toNanos());
-      answers += answered;
-      double[] zone = zones.computeIfAbsent(searcher.entry.zone(), each -> new double[2]);
-      zone[0] += searcher.ejectedUntil == null ? its : 0;
-      zone[1] += searcher.ejectedUntil == null ? answered : 0;
+    for (Searcher searcher : activeSearchers) {
+      double busyTime = searcher.busyTime.sum(now, RECENT_BUCKETS);
+      double searcherAnswers = searcher.answers.sum(now, RECENT_BUCKETS);
+      totalBusyTime += busyTime;
+      totalGaps += Math.max(0, busyTime - searcher.silentTime.toNanos());
+      totalAnswers += searcherAnswers;
+      double[] zone = zones.computeIfAbsent(searcher.entry.zone(), zoneId -> new double[2]);
+      zone[0] += searcher.ejectedUntil == null ? busyTime : 0;
+      zone[1] += searcher.ejectedUntil == null ? searcherAnswers : 0;
     }
     // too few answers tell of the start, not of the fleet: nothing is kept back on them
-    fleetPace = answers < ANSWERS_TELLING ? 0 : busy / answers;
-    zonePaces.clear();
+    fleetTimePerAnswer = totalAnswers < MIN_ANSWERS ? 0 : totalBusyTime / totalAnswers;
+    zoneTimePerAnswer.clear();
     zones.forEach(
         (zone, sums) ->
-            zonePaces.put(zone, (sums[0] + ZONE_LENT * fleetPace) / (sums[1] + ZONE_LENT)));
-    usualGap = gaps / Math.max(1, answers);
+            zoneTimePerAnswer.put(
+                zone,
+                (sums[0] + ZONE_PRIOR_ANSWERS * fleetTimePerAnswer)
+                    / (sums[1] + ZONE_PRIOR_ANSWERS)));
+    meanAnswerGap = totalGaps / Math.max(1, totalAnswers);
   }
 
   private double pressure(Duration now) {
-    return pressed.sum(now) / Math.max(1, settled.sum(now));
+    return pressureRejections.sum(now) / Math.max(1, pressureTrips.sum(now));
   }
 
-  private void lookRound() {
-    wakeAfter(
-        LOOK_ROUND, this::lookRound); // first, so that a failure in one round does not end them all
+  private void checkHealth() {
+    startTimer(
+        HEALTH_CHECK_INTERVAL,
+        this::checkHealth); // first, so that a failure in one round does not end them all
     Duration now = host.now();
-    if (now.minus(coverageMoved).compareTo(COVERAGE_PACE) >= 0) {
-      coverageMoved = now;
-      double step = pressure(now) > PRESSURE_BOUND ? -COVERAGE_STEP : COVERAGE_STEP;
-      double moved = Math.max(0, Math.min(1, coverage + step));
-      if (moved < coverage && coverage == 1) {
+    if (now.minus(coverageChangedAt).compareTo(COVERAGE_STEP_INTERVAL) >= 0) {
+      coverageChangedAt = now;
+      double step = pressure(now) > MAX_PRESSURE ? -COVERAGE_STEP : COVERAGE_STEP;
+      double newCoverage = Math.max(0, Math.min(1, coverage + step));
+      if (newCoverage < coverage && coverage == 1) {
         log("coverage narrows, pressure " + Math.round(100 * pressure(now)) + "%");
       }
-      coverage = moved;
+      coverage = newCoverage;
     }
-    active.removeIf(searcher -> searcher.isInactive(now));
+    activeSearchers.removeIf(searcher -> searcher.isInactive(now));
     // a benched searcher bears nothing: its time is not time of a warm one
-    warmTime.add(
+    warmSearcherTime.add(
         now,
-        LOOK_ROUND.toNanos()
-            * roster.searchers().stream()
-                .filter(each -> trusted(each) && !cold(each, now))
+        HEALTH_CHECK_INTERVAL.toNanos()
+            * memberList.searchers().stream()
+                .filter(searcher -> isHealthy(searcher) && !isCold(searcher, now))
                 .count());
     // a copy, since a bench may send copies to searchers that were not active
-    for (Searcher searcher : List.copyOf(active)) {
-      judge(searcher, now);
-      copyLate(searcher, now);
+    for (Searcher searcher : List.copyOf(activeSearchers)) {
+      ejectIfUnhealthy(searcher, now);
+      retryLateParts(searcher, now);
       if (searcher.ejectedUntil != null
           && searcher.ejectedUntil.compareTo(now) <= 0
           && !searcher.probing
           && host.shouldProbe(searcher.id)) {
-        if (terms.flag("PolicyLimits.Probing") && searcher.isReady()) {
+        if (settings.flag("PolicyLimits.Probing") && searcher.isReady()) {
           searcher.probing = true;
           host.probe(searcher.id);
         } else {
-          tryAgain(searcher);
+          reinstate(searcher);
         }
       }
     }
   }
 
   /** A probe has come back. */
-  public void probeEnded(SearcherId id, Outcome outcome, Duration taken, float[] load) {
-    Searcher searcher = roster.get(id);
+  public void probeEnded(SearcherId id, Outcome outcome, Duration roundTripTime, float[] load) {
+    Searcher searcher = memberList.get(id);
     if (searcher == null || !searcher.probing) {
       return;
     }
     searcher.probing = false;
     if (searcher.ejectedUntil != null && outcome == Outcome.SUCCEEDED) {
-      tryAgain(searcher);
+      reinstate(searcher);
     } else if (searcher.ejectedUntil != null) {
-      bench(searcher, "no answer to a probe");
+      eject(searcher, "no answer to a probe");
     }
   }
 
@@ -999,7 +1044,7 @@
    * Another mixer had an answer of it: this one may ask it too, and goes by its own answer alone.
    */
   public void peerReceivedAnswer(SearcherId id) {
-    Searcher searcher = roster.get(id);
+    Searcher searcher = memberList.get(id);
     if (searcher != null && searcher.ejectedUntil != null) {
       searcher.ejectedUntil = min(searcher.ejectedUntil, host.now());
     }
@@ -1008,50 +1053,52 @@
   /**
    * Re-entry: one part at a time, until a few have been answered, and judged by new evidence alone.
    */
-  private void tryAgain(Searcher searcher) {
+  private void reinstate(Searcher searcher) {
     searcher.ejectedUntil = null;
     searcher.resetStats();
-    searcher.trialPartsLeft = TRIALS;
+    searcher.trialPartsLeft = TRIAL_PARTS;
   }
 
   /**
    * Judges a searcher by this mixer's own evidence: silence or errors. Slowness the gate on stays
    * meets.
    */
-  private void judge(Searcher searcher, Duration now) {
+  private void ejectIfUnhealthy(Searcher searcher, Duration now) {
     if (searcher.ejectedUntil != null || !searcher.isReady()) {
       return;
     }
-    survey(now);
-    double errors = searcher.errors.sum(now, RECENT);
-    double ended = errors + searcher.answers.sum(now, RECENT);
-    boolean doubted = host.reportedFailureShare(searcher.id) >= DOUBT;
+    updateFleetStats(now);
+    double errors = searcher.errors.sum(now, RECENT_BUCKETS);
+    double endedTrips = errors + searcher.answers.sum(now, RECENT_BUCKETS);
+    boolean suspected = host.reportedFailureShare(searcher.id) >= SUSPICION_THRESHOLD;
     // what others are late by as well is no silence, also where too few answers came lately to tell
     // their gap
-    double usual = Math.max(LATE_STAYS * usualStay(now), SILENCE_PACES * usualGap);
-    double silence = Math.max(SILENCE.toNanos(), usual) * (doubted ? DOUBTED_SHARE : 1);
+    double usualSilence =
+        Math.max(LATE_FACTOR * meanServiceTime(now), SILENCE_GAPS * meanAnswerGap);
+    double maxSilence =
+        Math.max(MIN_SILENCE.toNanos(), usualSilence) * (suspected ? SUSPECTED_SILENCE_FACTOR : 1);
     searcher.recordBusyTime(now);
     // only time with own parts out counts, and only from the last word on: a busy searcher still
     // answers
     // now and then; and a cold one takes its time
-    if (searcher.silentTime.toNanos() > silence / warmth(searcher, now)) {
-      bench(searcher, "silent");
-    } else if (errors >= (doubted ? 1 : ERRORS_LEAST) && errors >= ERROR_SHARE * ended) {
-      bench(searcher, "errors");
+    if (searcher.silentTime.toNanos() > maxSilence / warmUpShare(searcher, now)) {
+      eject(searcher, "silent");
+    } else if (errors >= (suspected ? 1 : MIN_ERRORS) && errors >= MIN_ERROR_SHARE * endedTrips) {
+      eject(searcher, "errors");
     }
   }
 
-  private void bench(Searcher searcher, String why) {
+  private void eject(Searcher searcher, String reason) {
     Duration now = host.now();
-    boolean again =
+    boolean repeated =
         searcher.ejectionTime != null
             && (searcher.ejectedUntil != null || searcher.trialPartsLeft > 0);
     searcher.ejectionTime =
-        again ? min(BENCH_MOST, searcher.ejectionTime.multipliedBy(2)) : BENCH_LEAST;
+        repeated ? min(MAX_EJECTION, searcher.ejectionTime.multipliedBy(2)) : MIN_EJECTION;
     searcher.ejectedUntil = now.plus(searcher.ejectionTime);
     searcher.trialPartsLeft = 0;
     host.searcherEjected(searcher.id);
-    log("searcher in cell " + searcher.entry.cell() + " benched: " + why);
+    log("searcher in cell " + searcher.entry.cell() + " benched: " + reason);
   }
 
   /**
@@ -1062,31 +1109,38 @@
    * answers, hung, silent, slow or pausing searchers, such as fail one grade alone, cut ways. It
    * may feed a jam, hence the ration.
    */
-  private void copyLate(Searcher searcher, Duration now) {
-    double stay = usualStay(now);
-    boolean copies = terms.flag("PolicyLimits.SecondCopies");
+  private void retryLateParts(Searcher searcher, Duration now) {
+    double serviceTime = meanServiceTime(now);
+    boolean copiesAllowed = settings.flag("PolicyLimits.SecondCopies");
     for (Trip trip : List.copyOf(searcher.openTrips)) {
       Part part = trip.part;
       Scan scan = part.scan;
       boolean twoSteps = scan.serviceClass.secondStepParts > 0;
-      double half = scan.stepDeadline.minus(trip.sentAt).toNanos() / 2.0;
-      double late =
-          stay == 0 ? half : Math.min(twoSteps ? half : Long.MAX_VALUE, LATE_STAYS * stay);
-      Duration by =
+      double halfStepTime = scan.stepDeadline.minus(trip.sentAt).toNanos() / 2.0;
+      double lateAfter =
+          serviceTime == 0
+              ? halfStepTime
+              : Math.min(twoSteps ? halfStepTime : Long.MAX_VALUE, LATE_FACTOR * serviceTime);
+      Duration answerBy =
           now.compareTo(scan.stepDeadline) < 0 || scan.serviceClass.lateValueShare == 0
               ? scan.stepDeadline
               : scan.deadline;
-      double out = now.minus(trip.sentAt).toNanos();
-      double left = by.minus(now).toNanos();
-      if (part.trips.get(part.trips.size() - 1) != trip || out <= late || left <= stay) {
+      double tripAge = now.minus(trip.sentAt).toNanos();
+      double timeLeft = answerBy.minus(now).toNanos();
+      if (part.trips.get(part.trips.size() - 1) != trip
+          || tripAge <= lateAfter
+          || timeLeft <= serviceTime) {
         continue;
       }
-      if (copies && (twoSteps || stay == 0 || left <= LATE_STAYS * stay + LOOK_ROUND.toNanos())) {
-        sendAgain(part, now);
-      } else if (!copies
-          && left <= stay / STAY_SHARE + LOOK_ROUND.toNanos()
-          && searcher.silentTime.toNanos() >= out) {
-        move(part, now);
+      if (copiesAllowed
+          && (twoSteps
+              || serviceTime == 0
+              || timeLeft <= LATE_FACTOR * serviceTime + HEALTH_CHECK_INTERVAL.toNanos())) {
+        retry(part, now);
+      } else if (!copiesAllowed
+          && timeLeft <= serviceTime / MAX_SERVICE_TIME_SHARE + HEALTH_CHECK_INTERVAL.toNanos()
+          && searcher.silentTime.toNanos() >= tripAge) {
+        moveLatePart(part, now);
       }
     }
   }
@@ -1099,30 +1153,30 @@
    * trip that may still come, and feeds a jam, hence the ration; trips that the ration or the
    * holders would not let follow are left alone.
    */
-  private void move(Part part, Duration now) {
-    if (terms.flag("PolicyLimits.Cancel")
+  private void moveLatePart(Part part, Duration now) {
+    if (settings.flag("PolicyLimits.Cancel")
         && !part.moveRequested
-        && mayFollow(part, now)
-        && withinRation(now)
-        && plan(part, now)) {
+        && mayRetry(part, now)
+        && withinRetryBudget(now)
+        && assignSearcher(part, now)) {
       part.moveRequested = true;
-      moving++;
+      pendingMoves++;
       host.cancel(part.id, part.trips.size() - 1);
     }
-    unplan(part);
+    unassignSearcher(part);
   }
 
   /** The roster has been told: all of it, or what changed. */
-  public void memberListUpdated(List<MemberEntry> lines, boolean all) {
-    Duration now = arriving();
+  public void memberListUpdated(List<MemberEntry> entries, boolean complete) {
+    Duration now = recordEventTime();
     // a searcher that has gone, or has started anew, is judged anew; what was out there will be
     // late
     for (Searcher searcher :
-        roster.update(
-            lines,
-            all,
-            each -> each.isRemovable(now) && !cold(each, now),
-            id -> new Searcher(id, HEALTH_MEMORY, HEALTH_BUCKETS, tipAfter, BUCKETS))) {
+        memberList.update(
+            entries,
+            complete,
+            candidate -> candidate.isRemovable(now) && !isCold(candidate, now),
+            id -> new Searcher(id, HEALTH_HISTORY, HEALTH_BUCKETS, coldWindow, DEFAULT_BUCKETS))) {
       searcher.ejectedUntil = null;
       searcher.resetStats();
     }
@@ -1133,12 +1187,12 @@
    * moment.
    */
   public void memberListFailed() {
-    if (!rosterRetry) {
-      rosterRetry = true;
-      wakeAfter(
-          ROSTER_RETRY.plusNanos(chance.nextLong(ROSTER_RETRY.toNanos())),
+    if (!memberListRetryPending) {
+      memberListRetryPending = true;
+      startTimer(
+          MEMBER_LIST_RETRY_DELAY.plusNanos(random.nextLong(MEMBER_LIST_RETRY_DELAY.toNanos())),
           () -> {
-            rosterRetry = false;
+            memberListRetryPending = false;
             host.watchMemberList(true);
           });
     }
@@ -1149,25 +1203,25 @@
   }
 
   public void timerFired(TimerId id) {
-    arriving();
-    Runnable wake = wakes.remove(id);
-    if (wake != null) {
-      wake.run();
+    recordEventTime();
+    Runnable task = timers.remove(id);
+    if (task != null) {
+      task.run();
     }
   }
 
-  private void wakeAt(Duration time, Runnable wake) {
-    wakeAfter(max(Duration.ZERO, time.minus(host.now())), wake);
+  private void startTimerAt(Duration time, Runnable task) {
+    startTimer(max(Duration.ZERO, time.minus(host.now())), task);
   }
 
-  private void wakeAfter(Duration span, Runnable wake) {
-    TimerId id = new TimerId(wakeCount++);
-    wakes.put(id, wake);
-    host.startTimer(span, id);
+  private void startTimer(Duration delay, Runnable task) {
+    TimerId id = new TimerId(timerCount++);
+    timers.put(id, task);
+    host.startTimer(delay, id);
   }
 
   private void log(String line) {
-    if (logged++ < LOG_LINES) {
+    if (loggedLines++ < MAX_LOG_LINES) {
       host.log(line);
     }
   }
--- a/mixer/src/main/java/gingerring/decide/Part.java
+++ b/mixer/src/main/java/gingerring/decide/Part.java
@@ -41,8 +41,8 @@
   /**
    * One draw for all searchers and moments, so that trying them again does not make it likelier.
    */
-  public double drawOnce(RandomGenerator chance) {
-    randomDraw = randomDraw < 0 ? chance.nextDouble() : randomDraw;
+  public double drawOnce(RandomGenerator random) {
+    randomDraw = randomDraw < 0 ? random.nextDouble() : randomDraw;
     return randomDraw;
   }
 
--- a/mixer/src/main/java/gingerring/decide/RollingSum.java
+++ b/mixer/src/main/java/gingerring/decide/RollingSum.java
@@ -39,23 +39,23 @@
   }
 
   /** How many of the newest bucketSums hold at least so much; all of them where they hold less. */
-  public int bucketsHolding(Duration now, double least) {
+  public int bucketsHolding(Duration now, double minSum) {
     advance(now);
-    int back = 0;
-    for (double held = 0; back < bucketSums.length && held < least; back++) {
-      held += bucketSums[(int) Math.floorMod(newestBucket - back, (long) bucketSums.length)];
+    int buckets = 0;
+    for (double heldSum = 0; buckets < bucketSums.length && heldSum < minSum; buckets++) {
+      heldSum += bucketSums[(int) Math.floorMod(newestBucket - buckets, (long) bucketSums.length)];
     }
-    return back;
+    return buckets;
   }
 
   /** The sum over so many of the newest bucketSums. */
-  public double sum(Duration now, int back) {
+  public double sum(Duration now, int buckets) {
     advance(now);
-    double part = 0;
-    for (int i = 0; i < back; i++) {
-      part += bucketSums[(int) Math.floorMod(newestBucket - i, (long) bucketSums.length)];
+    double partialSum = 0;
+    for (int i = 0; i < buckets; i++) {
+      partialSum += bucketSums[(int) Math.floorMod(newestBucket - i, (long) bucketSums.length)];
     }
-    return part;
+    return partialSum;
   }
 
   public void clear() {
@@ -69,9 +69,9 @@
       newestBucket = bucket;
     }
     for (long i = Math.max(newestBucket + 1, bucket - bucketSums.length + 1); i <= bucket; i++) {
-      int at = (int) Math.floorMod(i, (long) bucketSums.length);
-      total -= bucketSums[at];
-      bucketSums[at] = 0;
+      int slot = (int) Math.floorMod(i, (long) bucketSums.length);
+      total -= bucketSums[slot];
+      bucketSums[slot] = 0;
     }
     newestBucket = Math.max(newestBucket, bucket);
   }
--- a/mixer/src/main/java/gingerring/decide/Scan.java
+++ b/mixer/src/main/java/gingerring/decide/Scan.java
@@ -36,13 +36,19 @@
   /** The share of its parts that may take a turn at a cold searcher. */
   public double coldTurnShare;
 
-  public Scan(ScanId id, long number, ServiceClass grade, long key, Duration work, Duration end) {
+  public Scan(
+      ScanId id,
+      long number,
+      ServiceClass serviceClass,
+      long key,
+      Duration work,
+      Duration deadline) {
     this.id = id;
     this.number = number;
-    this.serviceClass = grade;
+    this.serviceClass = serviceClass;
     this.key = key;
     this.work = work;
-    this.deadline = end;
+    this.deadline = deadline;
   }
 
   /** The parts of the step in hand; none while the second step's have not come. */
@@ -65,10 +71,10 @@
     return false;
   }
 
-  public void beginSecondStep(boolean whole) {
+  public void beginSecondStep(boolean firstStepWhole) {
     secondStep = true;
     firstStepPartCount = parts.size();
     parts.forEach(part -> part.noMoreTrips = true);
-    firstStepWhole = whole;
+    this.firstStepWhole = firstStepWhole;
   }
 }
--- a/mixer/src/main/java/gingerring/decide/Searcher.java
+++ b/mixer/src/main/java/gingerring/decide/Searcher.java
@@ -45,12 +45,12 @@
   public int trialPartsLeft;
 
   public Searcher(
-      SearcherId id, Duration window, int buckets, Duration coldWindow, int coldBuckets) {
+      SearcherId id, Duration statsWindow, int statsBuckets, Duration coldWindow, int coldBuckets) {
     this.id = id;
-    busyTime = new RollingSum(window, buckets);
-    openTripTime = new RollingSum(window, buckets);
-    answers = new RollingSum(window, buckets);
-    errors = new RollingSum(window, buckets);
+    busyTime = new RollingSum(statsWindow, statsBuckets);
+    openTripTime = new RollingSum(statsWindow, statsBuckets);
+    answers = new RollingSum(statsWindow, statsBuckets);
+    errors = new RollingSum(statsWindow, statsBuckets);
     sentParts = new RollingSum(coldWindow, coldBuckets);
   }
 
@@ -88,18 +88,18 @@
   /** Books the time that own parts have been out. */
   public void recordBusyTime(Duration now) {
     if (busySince != null) {
-      Duration span = now.minus(busySince);
-      busyTime.add(now, span.toNanos());
-      openTripTime.add(now, (double) span.toNanos() * openTrips.size());
-      silentTime = silentTime.plus(span);
+      Duration elapsed = now.minus(busySince);
+      busyTime.add(now, elapsed.toNanos());
+      openTripTime.add(now, (double) elapsed.toNanos() * openTrips.size());
+      silentTime = silentTime.plus(elapsed);
     }
     busySince = openTrips.isEmpty() ? null : now;
   }
 
   /** Books a part that is sent now; {@code callParts} parts of one moment share a call. */
-  public Trip recordSend(Part part, Duration now, int callParts) {
+  public Trip recordSend(Part part, Duration now, int partsPerCall) {
     recordBusyTime(now);
-    if (!canJoinLastCall(now, callParts)) {
+    if (!canJoinLastCall(now, partsPerCall)) {
       lastCall = new Trip.Call(now);
       openCalls++;
     }
@@ -127,15 +127,15 @@
   }
 
   /** Own calls out, with those that planned parts would open. */
-  public int projectedCalls(Duration now, int callParts) {
+  public int projectedCalls(Duration now, int partsPerCall) {
     int joining =
-        canJoinLastCall(now, callParts)
-            ? Math.min(assignedParts, callParts - lastCall.partCount)
+        canJoinLastCall(now, partsPerCall)
+            ? Math.min(assignedParts, partsPerCall - lastCall.partCount)
             : 0;
-    return openCalls + (assignedParts - joining + callParts - 1) / callParts;
+    return openCalls + (assignedParts - joining + partsPerCall - 1) / partsPerCall;
   }
 
-  private boolean canJoinLastCall(Duration now, int callParts) {
-    return lastCall != null && lastCall.sentAt.equals(now) && lastCall.partCount < callParts;
+  private boolean canJoinLastCall(Duration now, int partsPerCall) {
+    return lastCall != null && lastCall.sentAt.equals(now) && lastCall.partCount < partsPerCall;
   }
 }
--- a/mixer/src/main/java/gingerring/decide/ServiceClass.java
+++ b/mixer/src/main/java/gingerring/decide/ServiceClass.java
@@ -22,29 +22,31 @@
   public int secondStepParts;
 
   /** Reads the grade of a number. */
-  static ServiceClass read(Settings terms, int i) {
-    String at = "Classes." + i + ".";
-    ServiceClass grade = new ServiceClass();
-    String repeats = terms.text(at + "Idempotency");
-    grade.retrySafety =
-        switch (repeats) {
+  static ServiceClass read(Settings settings, int index) {
+    String prefix = "Classes." + index + ".";
+    ServiceClass serviceClass = new ServiceClass();
+    String idempotency = settings.text(prefix + "Idempotency");
+    serviceClass.retrySafety =
+        switch (idempotency) {
           case "idempotent" -> RetrySafety.IDEMPOTENT;
           case "deduplicated" -> RetrySafety.KEYED;
           case "at_most_once" -> RetrySafety.AT_MOST_ONCE;
           default ->
               throw new IllegalArgumentException(
-                  "setting " + at + "Idempotency is unknown: " + repeats);
+                  "setting " + prefix + "Idempotency is unknown: " + idempotency);
         };
-    grade.latencyTarget = terms.duration(at + "AimMs");
-    grade.latencyTargetPerWork = terms.number(at + "AimStretch", 0);
-    grade.deadline = terms.duration(at + "HardLimitMs");
-    grade.idempotencyWindow =
-        grade.retrySafety == RetrySafety.KEYED ? terms.duration(at + "WindowMs") : Duration.ZERO;
-    grade.lateValueShare = terms.number(at + "LateWorth", 0);
-    grade.fullCoverage = terms.item("Domain.NeedByClass", i, 1);
-    grade.minCoverage = terms.item("Domain.ClassFloor", i, grade.fullCoverage);
-    grade.secondStepParts = (int) terms.item("Domain.ClassFetch", i, 0);
-    return grade;
+    serviceClass.latencyTarget = settings.duration(prefix + "AimMs");
+    serviceClass.latencyTargetPerWork = settings.number(prefix + "AimStretch", 0);
+    serviceClass.deadline = settings.duration(prefix + "HardLimitMs");
+    serviceClass.idempotencyWindow =
+        serviceClass.retrySafety == RetrySafety.KEYED
+            ? settings.duration(prefix + "WindowMs")
+            : Duration.ZERO;
+    serviceClass.lateValueShare = settings.number(prefix + "LateWorth", 0);
+    serviceClass.fullCoverage = settings.item("Domain.NeedByClass", index, 1);
+    serviceClass.minCoverage = settings.item("Domain.ClassFloor", index, serviceClass.fullCoverage);
+    serviceClass.secondStepParts = (int) settings.item("Domain.ClassFetch", index, 0);
+    return serviceClass;
   }
 
   /**
--- a/mixer/src/main/java/gingerring/decide/Settings.java
+++ b/mixer/src/main/java/gingerring/decide/Settings.java
@@ -12,8 +12,8 @@
   private final Map<String, String> values;
   private final Map<String, Double> numbers = new HashMap<>();
 
-  public Settings(Map<String, String> map) {
-    this.values = map;
+  public Settings(Map<String, String> values) {
+    this.values = values;
   }
 
   public Map<String, String> values() {
@@ -37,8 +37,8 @@
     return number;
   }
 
-  public double number(String key, double otherwise) {
-    return values.containsKey(key) ? number(key) : otherwise;
+  public double number(String key, double defaultValue) {
+    return values.containsKey(key) ? number(key) : defaultValue;
   }
 
   public int count(String key) {
@@ -50,8 +50,8 @@
     return Durations.millis(number(key));
   }
 
-  public Duration duration(String key, Duration otherwise) {
-    return values.containsKey(key) ? duration(key) : otherwise;
+  public Duration duration(String key, Duration defaultValue) {
+    return values.containsKey(key) ? duration(key) : defaultValue;
   }
 
   public boolean has(String key) {
@@ -63,15 +63,15 @@
   }
 
   /** The value at a place of a list, or {@code otherwise} where there is no such list. */
-  public double item(String key, int place, double otherwise) {
+  public double item(String key, int index, double defaultValue) {
     if (!values.containsKey(key)) {
-      return otherwise;
+      return defaultValue;
     }
     String[] items = text(key).split(",");
-    if (place >= items.length) {
-      throw new IllegalArgumentException("setting " + key + " has no item " + place);
+    if (index >= items.length) {
+      throw new IllegalArgumentException("setting " + key + " has no item " + index);
     }
-    return parse(key, items[place]);
+    return parse(key, items[index]);
   }
 
   private static double parse(String key, String value) {
--- a/mixer/src/main/java/gingerring/simulator/MixerInstance.java
+++ b/mixer/src/main/java/gingerring/simulator/MixerInstance.java
@@ -21,70 +21,72 @@
  * actions.
  */
 final class MixerInstance implements Host {
-  private static final int COST_KNOWN = 1;
-  private static final int REPEAT = 2;
+  private static final int FLAG_COST_KNOWN = 1;
+  private static final int FLAG_RESENT = 2;
 
-  private final int who;
+  private final int instanceId;
   private final ReplyWriter replies;
   private Mixer mixer;
   private double startMs;
   private double clockMs;
 
   /** A scan whose parts are still being read, and the parts read since the last other event. */
-  private Consumer<Mixer> arrival;
+  private Consumer<Mixer> pendingArrival;
 
-  private long arriving;
-  private List<Part> parts = new ArrayList<>();
+  private long pendingScanNumber;
+  private List<Part> pendingParts = new ArrayList<>();
 
-  MixerInstance(int who, ReplyWriter replies) {
-    this.who = who;
+  MixerInstance(int instanceId, ReplyWriter replies) {
+    this.instanceId = instanceId;
     this.replies = replies;
   }
 
-  void event(RecordReader records, double clock, Map<Integer, RecordReader.MemberPage> pages)
+  void handleEvent(
+      RecordReader records, double batchClockMs, Map<Integer, RecordReader.MemberPage> pages)
       throws SimulatorAdapter.MalformedInput {
-    clockMs = clock;
+    clockMs = batchClockMs;
     if (records.code() == RecordReader.INGRESS) {
-      ingress(records);
+      handleIngress(records);
       return;
     }
     finish();
     switch (records.code()) {
       case RecordReader.CREATE -> create(records.u64(), records.text());
       case RecordReader.POWER_OFF -> mixer = null;
-      case RecordReader.DISCOVERY -> discovery(records, pages);
+      case RecordReader.DISCOVERY -> handleDiscovery(records, pages);
       case RecordReader.STREAMING,
           RecordReader.FINISHED,
           RecordReader.VANISHED,
           RecordReader.TIMER,
           RecordReader.HEALTH,
           RecordReader.INBOX ->
-          tell(records);
+          dispatch(records);
       default -> {}
     }
   }
 
-  private void create(long seed, String info) {
+  private void create(long seed, String settingsText) {
     startMs = clockMs;
-    Map<String, String> map = new HashMap<>();
-    for (String line : info.split("\n")) {
-      int equals = line.indexOf('=');
-      if (equals > 0) {
-        map.put(line.substring(0, equals), line.substring(equals + 1).strip());
+    Map<String, String> settings = new HashMap<>();
+    for (String line : settingsText.split("\n")) {
+      int separator = line.indexOf('=');
+      if (separator > 0) {
+        settings.put(line.substring(0, separator), line.substring(separator + 1).strip());
       }
     }
-    guard(
+    runGuarded(
         () ->
             mixer =
-                new Mixer(map, RandomGeneratorFactory.of("L64X128MixRandom").create(seed), this));
+                new Mixer(
+                    settings, RandomGeneratorFactory.of("L64X128MixRandom").create(seed), this));
   }
 
-  private void tell(RecordReader records) throws SimulatorAdapter.MalformedInput {
+  private void dispatch(RecordReader records) throws SimulatorAdapter.MalformedInput {
     switch (records.code()) {
       case RecordReader.STREAMING -> {
         PartId part = new PartId(records.u32());
         int trip = records.u16();
-        decide(mixer -> mixer.answerStarted(part, trip));
+        callMixer(mixer -> mixer.answerStarted(part, trip));
       }
       case RecordReader.FINISHED -> {
         PartId part = new PartId(records.u32());
@@ -92,51 +94,51 @@
         records.ms();
         int trip = records.u16();
         records.searcher();
-        boolean last = records.u8() != 0;
+        boolean noMoreTrips = records.u8() != 0;
         float[] load = records.load();
-        decide(mixer -> mixer.tripEnded(part, trip, outcome, last, load));
+        callMixer(mixer -> mixer.tripEnded(part, trip, outcome, noMoreTrips, load));
       }
       case RecordReader.VANISHED -> {
         ScanId scan = new ScanId(records.u32());
-        decide(mixer -> mixer.clientLeft(scan));
+        callMixer(mixer -> mixer.clientLeft(scan));
       }
       case RecordReader.TIMER -> {
-        TimerId wake = new TimerId((int) records.u32());
-        decide(mixer -> mixer.timerFired(wake));
+        TimerId timer = new TimerId((int) records.u32());
+        callMixer(mixer -> mixer.timerFired(timer));
       }
       case RecordReader.HEALTH -> {
         var outcome = records.outcome();
-        Duration taken = span(records.ms());
+        Duration roundTripTime = duration(records.ms());
         SearcherId searcher = records.searcher();
         float[] load = records.load();
-        decide(mixer -> mixer.probeEnded(searcher, outcome, taken, load));
+        callMixer(mixer -> mixer.probeEnded(searcher, outcome, roundTripTime, load));
       }
       default -> {
         int peer = records.u16();
-        byte[] bytes = records.rest(records.u16());
-        decide(mixer -> mixer.peerMessageReceived(peer, bytes));
+        byte[] bytes = records.readBytes(records.u16());
+        callMixer(mixer -> mixer.peerMessageReceived(peer, bytes));
       }
     }
   }
 
-  private void discovery(RecordReader records, Map<Integer, RecordReader.MemberPage> pages)
+  private void handleDiscovery(RecordReader records, Map<Integer, RecordReader.MemberPage> pages)
       throws SimulatorAdapter.MalformedInput {
-    int mode = records.u8();
+    int kind = records.u8();
     records.u64();
-    int number = records.u8();
-    if (mode == 3) {
-      decide(mixer -> mixer.memberListFailed());
+    int pageNumber = records.u8();
+    if (kind == 3) {
+      callMixer(mixer -> mixer.memberListFailed());
       return;
     }
-    RecordReader.MemberPage page = pages.get(number);
-    if (mode > 3 || page == null) {
+    RecordReader.MemberPage page = pages.get(pageNumber);
+    if (kind > 3 || page == null) {
       throw new SimulatorAdapter.MalformedInput(
-          records.where() + ": no list of kind " + mode + " and page " + number);
+          records.location() + ": no list of kind " + kind + " and page " + pageNumber);
     }
-    List<MemberEntry> lines = new ArrayList<>();
+    List<MemberEntry> entries = new ArrayList<>();
     for (RecordReader.MemberLine line : page.lines()) {
-      Duration started = line.startedMs() == 0 ? null : span(line.startedMs() - startMs);
-      lines.add(
+      Duration started = line.startedMs() == 0 ? null : duration(line.startedMs() - startMs);
+      entries.add(
           new MemberEntry(
               line.searcher(),
               line.zone(),
@@ -146,61 +148,68 @@
               line.capacity(),
               started));
     }
-    decide(mixer -> mixer.memberListUpdated(lines, mode != 0));
+    callMixer(mixer -> mixer.memberListUpdated(entries, kind != 0));
   }
 
-  private void ingress(RecordReader records) throws SimulatorAdapter.MalformedInput {
-    long handle = records.u32();
-    long number = Float.floatToIntBits(records.f32());
-    int opts = records.u16();
-    int band = records.u8();
+  private void handleIngress(RecordReader records) throws SimulatorAdapter.MalformedInput {
+    long id = records.u32();
+    long scanNumber = Float.floatToIntBits(records.f32());
+    int flags = records.u16();
+    int serviceClassIndex = records.u8();
     double costMs = records.ms();
-    long entity = records.u64();
+    long key = records.u64();
     records.u32();
-    float amount = records.f32();
+    float weight = records.f32();
     double endMs = records.ms();
-    float range = records.f32();
-    Duration work = (opts & COST_KNOWN) != 0 ? span(costMs) : Duration.ZERO;
-    if (range < 0) {
+    float shard = records.f32();
+    Duration work = (flags & FLAG_COST_KNOWN) != 0 ? duration(costMs) : Duration.ZERO;
+    if (shard < 0) {
       finish();
-      List<Part> own = parts;
-      arriving = number;
-      Duration end = span(endMs - startMs);
-      arrival =
+      List<Part> newParts = pendingParts;
+      pendingScanNumber = scanNumber;
+      Duration end = duration(endMs - startMs);
+      pendingArrival =
           mixer ->
               mixer.scanArrived(
-                  new ScanId(handle), number, band, entity, (opts & REPEAT) != 0, work, end, own);
+                  new ScanId(id),
+                  scanNumber,
+                  serviceClassIndex,
+                  key,
+                  (flags & FLAG_RESENT) != 0,
+                  work,
+                  end,
+                  newParts);
       return;
     }
-    if (arrival == null || number != arriving) {
+    if (pendingArrival == null || scanNumber != pendingScanNumber) {
       finish();
-      List<Part> own = parts;
-      arriving = number;
-      arrival = mixer -> mixer.secondStepArrived(number, own);
+      List<Part> newParts = pendingParts;
+      pendingScanNumber = scanNumber;
+      pendingArrival = mixer -> mixer.secondStepArrived(scanNumber, newParts);
     }
-    parts.add(new Part(new PartId(handle), (int) range, amount, entity));
+    pendingParts.add(new Part(new PartId(id), (int) shard, weight, key));
   }
 
   /** Hands over a scan once all its parts have been read. */
   void finish() {
-    if (arrival != null) {
-      Consumer<Mixer> whole = arrival;
-      arrival = null;
-      parts = new ArrayList<>();
-      decide(whole);
+    if (pendingArrival != null) {
+      Consumer<Mixer> scanCall = pendingArrival;
+      pendingArrival = null;
+      pendingParts = new ArrayList<>();
+      callMixer(scanCall);
     }
   }
 
   /** Calls the mixer, if this instance runs. */
-  private void decide(Consumer<Mixer> call) {
+  private void callMixer(Consumer<Mixer> call) {
     if (mixer != null) {
-      guard(() -> call.accept(mixer));
+      runGuarded(() -> call.accept(mixer));
     }
   }
 
   /** Tells a failure of the decision code as such; the instance is then dead. */
-  private void guard(Runnable call) {
-    replies.instance(who);
+  private void runGuarded(Runnable call) {
+    replies.instance(instanceId);
     try {
       call.run();
     } catch (RuntimeException e) {
@@ -213,23 +222,23 @@
     }
   }
 
-  private static Duration span(double ms) {
+  private static Duration duration(double ms) {
     return Duration.ofNanos(Math.round(ms * 1e6));
   }
 
-  private static double ms(Duration span) {
-    return span.toNanos() / 1e6;
+  private static double ms(Duration delay) {
+    return delay.toNanos() / 1e6;
   }
 
   @Override
   public Duration now() {
-    return span(clockMs - startMs);
+    return duration(clockMs - startMs);
   }
 
   /** The wire has no word for {@code startWithin}, and needs none: a send counts from its batch. */
   @Override
-  public void send(PartId part, SearcherId searcher, Duration timeOut, Duration startWithin) {
-    replies.route(part.number(), searcher, ms(timeOut));
+  public void send(PartId part, SearcherId searcher, Duration timeout, Duration startWithin) {
+    replies.route(part.number(), searcher, ms(timeout));
   }
 
   @Override
@@ -243,8 +252,8 @@
   }
 
   @Override
-  public void reject(ScanId scan, Duration comeBack) {
-    replies.refuse(scan.number(), ms(comeBack));
+  public void reject(ScanId scan, Duration retryAfter) {
+    replies.refuse(scan.number(), ms(retryAfter));
   }
 
   @Override
@@ -263,8 +272,8 @@
   }
 
   @Override
-  public void watchMemberList(boolean on) {
-    replies.keepInformed(on);
+  public void watchMemberList(boolean enabled) {
+    replies.keepInformed(enabled);
   }
 
   @Override
@@ -278,8 +287,8 @@
   }
 
   @Override
-  public void startTimer(Duration span, TimerId wake) {
-    replies.defer(ms(span), wake.number());
+  public void startTimer(Duration delay, TimerId timer) {
+    replies.defer(ms(delay), timer.number());
   }
 
   @Override
--- a/mixer/src/main/java/gingerring/simulator/RecordReader.java
+++ b/mixer/src/main/java/gingerring/simulator/RecordReader.java
@@ -23,12 +23,12 @@
   static final int POWER_OFF = 9;
   static final int ROSTER = 10;
   static final int AT = 11;
-  static final int HEAD = 5;
+  static final int HEADER_BYTES = 5;
 
   /** The largest time that still counts exactly in nanoseconds. */
-  static final double MOST_MS = 9e12;
+  static final double MAX_TIME_MS = 9e12;
 
-  private static final int ENTRY = 23;
+  private static final int ENTRY_BYTES = 23;
 
   /** A numbered list of searchers; times of start are on the batches' clock, 0 for long ago. */
   record MemberPage(List<MemberLine> lines) {}
@@ -43,95 +43,95 @@
       double startedMs) {}
 
   private final ByteBuffer bytes;
-  private final String batch;
-  private int end;
+  private final String batchName;
+  private int recordEnd;
   private int code;
-  private int count;
+  private int recordNumber;
 
-  RecordReader(byte[] body, String batch) {
+  RecordReader(byte[] body, String batchName) {
     bytes = ByteBuffer.wrap(body).order(ByteOrder.LITTLE_ENDIAN);
-    this.batch = batch;
+    this.batchName = batchName;
   }
 
-  static boolean known(int code) {
+  static boolean isKnownCode(int code) {
     return code >= CREATE && code <= AT;
   }
 
   /** Moves to the next record, over whatever the last one still held. */
   void next() throws SimulatorAdapter.MalformedInput {
-    bytes.position(end);
-    count++;
+    bytes.position(recordEnd);
+    recordNumber++;
     code = -1;
-    if (bytes.remaining() < HEAD) {
-      throw new SimulatorAdapter.MalformedInput(where() + ": the batch ends before its header");
+    if (bytes.remaining() < HEADER_BYTES) {
+      throw new SimulatorAdapter.MalformedInput(location() + ": the batch ends before its header");
     }
     code = Byte.toUnsignedInt(bytes.get());
     long length = Integer.toUnsignedLong(bytes.getInt());
     if (length > bytes.remaining()) {
       throw new SimulatorAdapter.MalformedInput(
-          where() + ": " + length + " bytes claimed, " + bytes.remaining() + " left");
+          location() + ": " + length + " bytes claimed, " + bytes.remaining() + " left");
     }
-    end = bytes.position() + (int) length;
+    recordEnd = bytes.position() + (int) length;
   }
 
   int code() {
     return code;
   }
 
-  int left() {
-    return bytes.capacity() - end;
+  int remainingBytes() {
+    return bytes.capacity() - recordEnd;
   }
 
-  String where() {
-    return batch + ", record " + count + (code < 0 ? "" : " (code " + code + ")");
+  String location() {
+    return batchName + ", record " + recordNumber + (code < 0 ? "" : " (code " + code + ")");
   }
 
-  private void need(int length) throws SimulatorAdapter.MalformedInput {
-    if (end - bytes.position() < length) {
-      throw new SimulatorAdapter.MalformedInput(where() + ": its fields end early");
+  private void requireBytes(int length) throws SimulatorAdapter.MalformedInput {
+    if (recordEnd - bytes.position() < length) {
+      throw new SimulatorAdapter.MalformedInput(location() + ": its fields end early");
     }
   }
 
   int u8() throws SimulatorAdapter.MalformedInput {
-    need(1);
+    requireBytes(1);
     return Byte.toUnsignedInt(bytes.get());
   }
 
   int u16() throws SimulatorAdapter.MalformedInput {
-    need(2);
+    requireBytes(2);
     return Short.toUnsignedInt(bytes.getShort());
   }
 
   long u32() throws SimulatorAdapter.MalformedInput {
-    need(4);
+    requireBytes(4);
     return Integer.toUnsignedLong(bytes.getInt());
   }
 
   long u64() throws SimulatorAdapter.MalformedInput {
-    need(8);
+    requireBytes(8);
     return bytes.getLong();
   }
 
   float f32() throws SimulatorAdapter.MalformedInput {
-    need(4);
+    requireBytes(4);
     float value = bytes.getFloat();
     if (!Float.isFinite(value)) {
-      throw new SimulatorAdapter.MalformedInput(where() + ": a number reads " + value);
+      throw new SimulatorAdapter.MalformedInput(location() + ": a number reads " + value);
     }
     return value;
   }
 
   double ms() throws SimulatorAdapter.MalformedInput {
-    need(8);
+    requireBytes(8);
     double value = bytes.getDouble();
-    if (!Double.isFinite(value) || Math.abs(value) > MOST_MS) {
-      throw new SimulatorAdapter.MalformedInput(where() + ": a time reads " + value);
+    if (!Double.isFinite(value) || Math.abs(value) > MAX_TIME_MS) {
+      throw new SimulatorAdapter.MalformedInput(location() + ": a time reads " + value);
     }
     return value;
   }
 
   SearcherId searcher() throws SimulatorAdapter.MalformedInput {
-    need(6);
+    requireBytes(6);
     long address = 0;
     for (int i = 0; i < 4; i++) {
       address = address << 8 | u8();
@@ -140,8 +140,8 @@
   }
 
   Outcome outcome() throws SimulatorAdapter.MalformedInput {
-    int status = u16();
-    return switch (status) {
+    int outcomeCode = u16();
+    return switch (outcomeCode) {
       case 10 -> Outcome.SUCCEEDED;
       case 20 -> Outcome.ERROR;
       case 30 -> Outcome.FULL;
@@ -152,55 +152,66 @@
       case 80 -> Outcome.NOT_SENT;
       default ->
           throw new SimulatorAdapter.MalformedInput(
-              where() + ": no outcome has the code " + status);
+              location() + ": no outcome has the code " + outcomeCode);
     };
   }
 
   float[] load() throws SimulatorAdapter.MalformedInput {
-    int n = u8();
-    need(4 * n);
-    float[] load = new float[n];
-    for (int i = 0; i < n; i++) {
+    int count = u8();
+    requireBytes(4 * count);
+    float[] load = new float[count];
+    for (int i = 0; i < count; i++) {
       load[i] = f32();
     }
     return load;
   }
 
-  byte[] rest(long length) throws SimulatorAdapter.MalformedInput {
-    if (length > end - bytes.position()) {
+  byte[] readBytes(long length) throws SimulatorAdapter.MalformedInput {
+    if (length > recordEnd - bytes.position()) {
       throw new SimulatorAdapter.MalformedInput(
-          where() + ": " + length + " bytes claimed, " + (end - bytes.position()) + " left");
+          location()
+              + ": "
+              + length
+              + " bytes claimed, "
+              + (recordEnd - bytes.position())
+              + " left");
     }
-    byte[] rest = new byte[(int) length];
-    bytes.get(rest);
-    return rest;
+    byte[] content = new byte[(int) length];
+    bytes.get(content);
+    return content;
   }
 
   String text() throws SimulatorAdapter.MalformedInput {
-    return new String(rest(u32()), StandardCharsets.UTF_8);
+    return new String(readBytes(u32()), StandardCharsets.UTF_8);
   }
 
   MemberPage page() throws SimulatorAdapter.MalformedInput {
-    long n = u32();
-    if (n > (end - bytes.position()) / ENTRY) {
+    long count = u32();
+    if (count > (recordEnd - bytes.position()) / ENTRY_BYTES) {
       throw new SimulatorAdapter.MalformedInput(
-          where() + ": " + n + " lines do not fit in " + (end - bytes.position()) + " bytes");
+          location()
+              + ": "
+              + count
+              + " lines do not fit in "
+              + (recordEnd - bytes.position())
+              + " bytes");
     }
     List<MemberLine> lines = new ArrayList<>();
-    for (long i = 0; i < n; i++) {
-      lines.add(new MemberLine(searcher(), u8(), u8(), u16(), standing(), f32(), ms()));
+    for (long i = 0; i < count; i++) {
+      lines.add(new MemberLine(searcher(), u8(), u8(), u16(), status(), f32(), ms()));
     }
     return new MemberPage(lines);
   }
 
-  private MemberEntry.Status standing() throws SimulatorAdapter.MalformedInput {
-    int mode = u8();
-    return switch (mode) {
+  private MemberEntry.Status status() throws SimulatorAdapter.MalformedInput {
+    int statusCode = u8();
+    return switch (statusCode) {
       case 0 -> MemberEntry.Status.GONE;
       case 1 -> MemberEntry.Status.READY;
       case 2 -> MemberEntry.Status.DRAINING;
       default ->
-          throw new SimulatorAdapter.MalformedInput(where() + ": no searcher stands at " + mode);
+          throw new SimulatorAdapter.MalformedInput(
+              location() + ": no searcher stands at " + statusCode);
     };
   }
 }
--- a/mixer/src/main/java/gingerring/simulator/ReplyWriter.java
+++ b/mixer/src/main/java/gingerring/simulator/ReplyWriter.java
@@ -11,55 +11,55 @@
 /** Builds the reply to one batch. */
 final class ReplyWriter {
   private ByteBuffer bytes = ByteBuffer.allocate(1 << 12).order(ByteOrder.LITTLE_ENDIAN);
-  private int number;
-  private int count;
-  private int instance;
-  private int named;
+  private int batchNumber;
+  private int recordCount;
+  private int instanceId;
+  private int writtenInstance;
 
-  void begin(int batch) {
+  void begin(int batchNumber) {
     bytes.clear();
-    number = batch;
-    count = 0;
-    named = -1;
+    this.batchNumber = batchNumber;
+    recordCount = 0;
+    writtenInstance = -1;
   }
 
   /** Whose actions follow; written only once there is one. */
-  void instance(int who) {
-    instance = who;
+  void instance(int instanceId) {
+    this.instanceId = instanceId;
   }
 
   private ByteBuffer record(int code, int length) {
-    if (named != instance) {
-      named = instance;
-      head(11, 2).putShort((short) instance);
+    if (writtenInstance != instanceId) {
+      writtenInstance = instanceId;
+      header(11, 2).putShort((short) instanceId);
     }
-    return head(code, length);
+    return header(code, length);
   }
 
-  private ByteBuffer head(int code, int length) {
+  private ByteBuffer header(int code, int length) {
     if (bytes.remaining() < length + 5) {
       bytes =
           ByteBuffer.wrap(Arrays.copyOf(bytes.array(), 2 * bytes.capacity() + length))
               .order(ByteOrder.LITTLE_ENDIAN)
               .position(bytes.position());
     }
-    count++;
+    recordCount++;
     return bytes.put((byte) code).putInt(length);
   }
 
-  private static ByteBuffer put(ByteBuffer to, SearcherId searcher) {
+  private static ByteBuffer putAddress(ByteBuffer target, SearcherId searcher) {
     for (int shift = 40; shift >= 16; shift -= 8) {
-      to.put((byte) (searcher.address() >> shift));
+      target.put((byte) (searcher.address() >> shift));
     }
-    return to.putShort((short) searcher.address());
+    return target.putShort((short) searcher.address());
   }
 
   void keepInformed(boolean on) {
     record(0, 1).put((byte) (on ? 1 : 0));
   }
 
-  void route(long handle, SearcherId searcher, double ms) {
-    put(record(1, 18).putInt((int) handle), searcher).putDouble(ms);
+  void route(long handle, SearcherId searcher, double timeMs) {
+    putAddress(record(1, 18).putInt((int) handle), searcher).putDouble(timeMs);
   }
 
   void share(int peer, byte[] content) {
@@ -67,11 +67,11 @@
   }
 
   void probe(SearcherId searcher) {
-    put(record(3, 6), searcher);
+    putAddress(record(3, 6), searcher);
   }
 
   void closeIdle(SearcherId searcher) {
-    put(record(4, 6), searcher);
+    putAddress(record(4, 6), searcher);
   }
 
   void conclude(long handle, boolean whole) {
@@ -90,12 +90,12 @@
     record(8, 0);
   }
 
-  void refuse(long handle, double ms) {
-    record(9, 12).putInt((int) handle).putDouble(ms);
+  void refuse(long handle, double timeMs) {
+    record(9, 12).putInt((int) handle).putDouble(timeMs);
   }
 
-  void defer(double ms, int tag) {
-    record(10, 12).putDouble(ms).putInt(tag);
+  void defer(double timeMs, int tag) {
+    record(10, 12).putDouble(timeMs).putInt(tag);
   }
 
   void internalError(String line) {
@@ -113,14 +113,14 @@
   }
 
   void writeTo(OutputStream out) throws IOException {
-    byte[] head =
+    byte[] header =
         ByteBuffer.allocate(12)
             .order(ByteOrder.LITTLE_ENDIAN)
-            .putInt(number)
-            .putInt(count)
+            .putInt(batchNumber)
+            .putInt(recordCount)
             .putInt(bytes.position())
             .array();
-    out.write(head);
+    out.write(header);
     out.write(bytes.array(), 0, bytes.position());
   }
 }
--- a/mixer/src/main/java/gingerring/simulator/SimulatorAdapter.java
+++ b/mixer/src/main/java/gingerring/simulator/SimulatorAdapter.java
@@ -16,17 +16,17 @@
  * instance.
  */
 public final class SimulatorAdapter {
-  private static final int HEADER = 20;
-  private static final int CHUNK = 1 << 16;
+  private static final int HEADER_BYTES = 20;
+  private static final int CHUNK_BYTES = 1 << 16;
 
   private final InputStream in;
   private final OutputStream out;
-  private final Map<Integer, MixerInstance> seats = new HashMap<>();
+  private final Map<Integer, MixerInstance> instances = new HashMap<>();
   private final Map<Integer, RecordReader.MemberPage> pages = new HashMap<>();
   private final ReplyWriter replies = new ReplyWriter();
 
   public SimulatorAdapter(InputStream in, OutputStream out) {
-    this.in = new BufferedInputStream(in, CHUNK);
+    this.in = new BufferedInputStream(in, CHUNK_BYTES);
     this.out = out;
   }
 
@@ -34,90 +34,91 @@
    * Runs to the end of the input and returns the exit code; what was wrong, if anything, goes to
    * complaints.
    */
-  public int run(PrintStream complaints) throws IOException {
+  public int run(PrintStream errors) throws IOException {
     try {
-      while (batch()) {
+      while (processBatch()) {
         out.flush();
       }
       return 0;
     } catch (MalformedInput e) {
-      complaints.println("gingerring drill: " + e.getMessage());
+      errors.println("gingerring drill: " + e.getMessage());
       return 1;
     }
   }
 
-  private boolean batch() throws IOException {
-    byte[] head = in.readNBytes(HEADER);
-    if (head.length == 0) {
+  private boolean processBatch() throws IOException {
+    byte[] headerBytes = in.readNBytes(HEADER_BYTES);
+    if (headerBytes.length == 0) {
       return false;
     }
-    if (head.length < HEADER) {
+    if (headerBytes.length < HEADER_BYTES) {
       throw new MalformedInput(
-          "input ended after " + head.length + " of " + HEADER + " bytes of a header");
+          "input ended after " + headerBytes.length + " of " + HEADER_BYTES + " bytes of a header");
     }
-    ByteBuffer header = ByteBuffer.wrap(head).order(ByteOrder.LITTLE_ENDIAN);
-    int number = header.getInt();
+    ByteBuffer header = ByteBuffer.wrap(headerBytes).order(ByteOrder.LITTLE_ENDIAN);
+    int batchNumber = header.getInt();
     long length = Integer.toUnsignedLong(header.getInt());
-    double clock = header.getDouble();
-    long count = Integer.toUnsignedLong(header.getInt());
-    String where = "batch " + Integer.toUnsignedString(number);
-    if (length < HEADER - 8) {
-      throw new MalformedInput(where + ": length " + length + " is less than its header needs");
+    double clockMs = header.getDouble();
+    long recordCount = Integer.toUnsignedLong(header.getInt());
+    String location = "batch " + Integer.toUnsignedString(batchNumber);
+    if (length < HEADER_BYTES - 8) {
+      throw new MalformedInput(location + ": length " + length + " is less than its header needs");
     }
-    if (!Double.isFinite(clock) || Math.abs(clock) > RecordReader.MOST_MS) {
-      throw new MalformedInput(where + ": the clock reads " + clock);
+    if (!Double.isFinite(clockMs) || Math.abs(clockMs) > RecordReader.MAX_TIME_MS) {
+      throw new MalformedInput(location + ": the clock reads " + clockMs);
     }
-    byte[] body = read(length - (HEADER - 8), where);
-    if (count > body.length / RecordReader.HEAD) {
+    byte[] body = readBody(length - (HEADER_BYTES - 8), location);
+    if (recordCount > body.length / RecordReader.HEADER_BYTES) {
       throw new MalformedInput(
-          where + ": " + count + " records do not fit in " + body.length + " bytes");
+          location + ": " + recordCount + " records do not fit in " + body.length + " bytes");
     }
-    replies.begin(number);
-    RecordReader records = new RecordReader(body, where);
-    MixerInstance seat = null;
-    for (long i = 0; i < count; i++) {
+    replies.begin(batchNumber);
+    RecordReader records = new RecordReader(body, location);
+    MixerInstance instance = null;
+    for (long i = 0; i < recordCount; i++) {
       records.next();
       switch (records.code()) {
         case RecordReader.AT -> {
-          seat = finish(seat);
-          int who = records.u16();
-          seat = seats.computeIfAbsent(who, w -> new MixerInstance(w, replies));
-          replies.instance(who);
+          instance = finish(instance);
+          int instanceId = records.u16();
+          instance = instances.computeIfAbsent(instanceId, id -> new MixerInstance(id, replies));
+          replies.instance(instanceId);
         }
         case RecordReader.ROSTER -> pages.put(records.u8(), records.page());
         default -> {
-          if (seat == null && RecordReader.known(records.code())) {
-            throw new MalformedInput(records.where() + ": an event before any AT");
+          if (instance == null && RecordReader.isKnownCode(records.code())) {
+            throw new MalformedInput(records.location() + ": an event before any AT");
           }
-          if (seat != null) {
-            seat.event(records, clock, pages);
+          if (instance != null) {
+            instance.handleEvent(records, clockMs, pages);
           }
         }
       }
     }
-    finish(seat);
-    if (records.left() > 0) {
-      throw new MalformedInput(where + ": " + records.left() + " bytes after its last record");
+    finish(instance);
+    if (records.remainingBytes() > 0) {
+      throw new MalformedInput(
+          location + ": " + records.remainingBytes() + " bytes after its last record");
     }
     replies.writeTo(out);
     return true;
   }
 
-  private static MixerInstance finish(MixerInstance seat) {
-    if (seat != null) {
-      seat.finish();
+  private static MixerInstance finish(MixerInstance instance) {
+    if (instance != null) {
+      instance.finish();
     }
     return null;
   }
 
   /** Reads in chunks, so that a length which lies is found out before it is allocated. */
-  private byte[] read(long length, String where) throws IOException {
-    ByteArrayOutputStream body = new ByteArrayOutputStream((int) Math.min(length, CHUNK));
+  private byte[] readBody(long length, String location) throws IOException {
+    ByteArrayOutputStream body = new ByteArrayOutputStream((int) Math.min(length, CHUNK_BYTES));
     while (body.size() < length) {
-      byte[] chunk = in.readNBytes((int) Math.min(CHUNK, length - body.size()));
+      byte[] chunk = in.readNBytes((int) Math.min(CHUNK_BYTES, length - body.size()));
       if (chunk.length == 0) {
         throw new MalformedInput(
-            where + ": input ended after " + body.size() + " of " + length + " bytes");
+            location + ": input ended after " + body.size() + " of " + length + " bytes");
       }
       body.write(chunk);
     }
