--- a/mixer/src/main/java/gingerring/decide/Durations.java
+++ b/mixer/src/main/java/gingerring/decide/Durations.java
@@ -2,7 +2,7 @@
 
 import java.time.Duration;
 
-/** Arithmetic on spans of time. */
+/** Arithmetic on durations. */
 final class Durations {
   private Durations() {}
 
--- a/mixer/src/main/java/gingerring/decide/Host.java
+++ b/mixer/src/main/java/gingerring/decide/Host.java
@@ -2,42 +2,48 @@
 
 import java.time.Duration;
 
-/** All that a mixer can do, and the clock it does it by. Every call takes effect at once. */
+/**
+ * The environment of a mixer: its clock and all actions that it can take. Every call takes effect
+ * immediately.
+ */
 public interface Host {
-  /** Time since the start of this mixer. */
+  /** Returns the time since the start of this mixer. */
   Duration now();
 
   /**
-   * Starts a trip for a part; trips of a part number 0, 1, 2 in the order of these calls. {@code
-   * startWithin}: where it is not null, no trip of the part begins later than so long from now,
-   * neither this one nor an earlier one that waits; what cannot begin in that time never does, and
-   * its end tells that it never ran.
+   * Starts a trip for a part; the trips of a part are numbered 0, 1, 2 and so on in the order of
+   * these calls. If {@code startWithin} is not null, no trip of the part may start later than that
+   * from now, neither this one nor an earlier one that is still queued. A trip that cannot start in
+   * time never starts, and its outcome says that it never ran.
    */
   void send(PartId part, SearcherId searcher, Duration timeout, Duration startWithin);
 
   /** Stops waiting for a trip. */
   void cancel(PartId part, int trip);
 
-  /** Answers a scan from the parts that are in. */
+  /** Answers a scan from the parts that are answered. */
   void answer(ScanId scan, boolean whole);
 
-  /** Sends a scan back: to ask again does no harm. {@code comeBack} is advice; zero for none. */
+  /**
+   * Rejects a scan that the client may safely retry. {@code retryAfter} is advice to the client;
+   * zero means none.
+   */
   void reject(ScanId scan, Duration retryAfter);
 
-  /** Gives a scan up, and promises nothing of its effect. */
+  /** Ends a scan with a failure that leaves open whether it had an effect. */
   void fail(ScanId scan);
 
   void probe(SearcherId searcher);
 
   void closeIdleConnections(SearcherId searcher);
 
-  /** Subscribes to changes of the roster, or ends that. */
+  /** Subscribes to changes of the member list, or unsubscribes. */
   void watchMemberList(boolean enabled);
 
-  /** Asks for the whole roster once. */
+  /** Requests the complete member list once. */
   void fetchMemberList();
 
-  /** Sends bytes to one peer, or to all of them where {@code peer} is -1. */
+  /** Sends bytes to one peer, or to all peers if {@code peer} is -1. */
   void sendToPeer(int peer, byte[] bytes);
 
   void startTimer(Duration delay, TimerId timer);
@@ -45,28 +51,31 @@
   void log(String line);
 
   /**
-   * Whether this mixer is to ask a benched searcher itself now, or leaves that to others who tell
-   * it.
+   * Returns whether this mixer should probe an ejected searcher now, rather than wait for another
+   * mixer to report an answer from it.
    */
   default boolean shouldProbe(SearcherId searcher) {
     return true;
   }
 
   /**
-   * The share of a searcher's parts that fail as other mixers see it, 0 to 1; 0 where nobody tells.
+   * Returns the share of a searcher's parts that fail according to other mixers, from 0 to 1; 0 if
+   * there are no reports.
    */
   default double reportedFailureShare(SearcherId searcher) {
     return 0;
   }
 
   /**
-   * Whether a searcher is one of those that this mixer is to prefer; all are where it knows of no
-   * others.
+   * Returns whether a searcher belongs to the ones that this mixer should prefer; true for all if
+   * no preference is known.
    */
   default boolean isPreferred(SearcherId searcher) {
     return true;
   }
 
-  /** A searcher has been benched: what this mixer may tell others. */
+  /**
+   * Called when this mixer has ejected a searcher, so that the host can report it to other mixers.
+   */
   default void searcherEjected(SearcherId searcher) {}
 }
--- a/mixer/src/main/java/gingerring/decide/MemberEntry.java
+++ b/mixer/src/main/java/gingerring/decide/MemberEntry.java
@@ -2,16 +2,16 @@
 
 import java.time.Duration;
 
-/** One line of the roster. {@code startedAt} is null where the searcher started long ago. */
+/** One entry of the member list. {@code startedAt} is null if the searcher started long ago. */
 public record MemberEntry(
     SearcherId searcher,
     int zone,
     int machine,
     int cell,
     Status status,
-    float capacity,
+    float size,
     Duration startedAt) {
-  /** What the roster knows of a searcher's process. */
+  /** The state of a searcher's process according to the member list. */
   public enum Status {
     READY,
     DRAINING,
--- a/mixer/src/main/java/gingerring/decide/MemberList.java
+++ b/mixer/src/main/java/gingerring/decide/MemberList.java
@@ -9,7 +9,7 @@
 import java.util.function.Function;
 import java.util.function.Predicate;
 
-/** The searchers that a mixer has been told of, and which of them hold a shard. */
+/** The searchers that a mixer has received member entries for, and the shards that they hold. */
 public final class MemberList {
   private final int cellCount;
   private final int cellsPerShard;
@@ -19,7 +19,7 @@
   public MemberList(int cellCount, int cellsPerShard) {
     if (cellCount < 1) {
       throw new IllegalArgumentException(
-          "setting Domain.Places is no number of cells: " + cellCount);
+          "setting Domain.Places is not a valid number of cells: " + cellCount);
     }
     this.cellCount = cellCount;
     this.cellsPerShard = cellsPerShard;
@@ -29,12 +29,12 @@
     return searchers.get(id);
   }
 
-  /** All that were told of and have not gone for good, in the order of their ids. */
+  /** Returns all searchers that have not been removed, in the order of their ids. */
   public Collection<Searcher> searchers() {
     return searchers.values();
   }
 
-  /** Those ready that hold a shard, in the order of their cells and ids. */
+  /** Returns the ready searchers that hold a shard, in the order of their cells and ids. */
   public List<Searcher> holders(int shard) {
     List<Searcher> holders = new ArrayList<>();
     for (int offset = 0; offset < cellsPerShard; offset++) {
@@ -44,8 +44,9 @@
   }
 
   /**
-   * Takes in a whole list or a change to it; returns those that have gone or have started anew.
-   * Those spent are forgotten first: a mixer outlives thousands of searchers.
+   * Applies a complete list or a change to it; returns the searchers that are gone or have
+   * restarted. Removable searchers are dropped first, since a mixer runs longer than thousands of
+   * searchers.
    */
   public List<Searcher> update(
       List<MemberEntry> entries,
@@ -65,7 +66,7 @@
                 previous.machine(),
                 previous.cell(),
                 MemberEntry.Status.GONE,
-                previous.capacity(),
+                previous.size(),
                 previous.startedAt()));
       }
     }
--- a/mixer/src/main/java/gingerring/decide/Mixer.java
+++ b/mixer/src/main/java/gingerring/decide/Mixer.java
@@ -16,82 +16,110 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Decides what becomes of the scans at one mixer. Its host calls one method for each thing that
- * happens, one call at a time, and the mixer acts at once through the {@link Host} that it was
- * handed at start. Nothing here knows of a wire, another mixer or a real clock. docs/design.md says
- * what is the design's and what departs from it.
+ * Makes every routing decision of one mixer. The host calls one method for each event, one call at
+ * a time, and the mixer acts immediately through the {@link Host} that the constructor receives.
+ * This class has no access to the network, to other mixers or to a real clock. docs/design.md lists
+ * the rules that come from the original design and the deviations from it.
  */
 public final class Mixer {
-  // The design's starting values.
+  // Overload control: the initial values of the design.
   private static final Duration PRESSURE_WINDOW = Duration.ofSeconds(2);
   private static final double MAX_PRESSURE = 0.1;
   private static final double COVERAGE_STEP = 0.1;
   private static final Duration COVERAGE_STEP_INTERVAL = Duration.ofSeconds(1);
 
-  /** How far above the floor the least target stays. */
-  private static final double FLOOR_HEADROOM = 1.25;
+  /** The target coverage is at least the service class's minimum coverage times this factor. */
+  private static final double COVERAGE_HEADROOM = 1.25;
 
-  /** How long before the quoted time a partial answer goes out: a few round trips and ticks. */
+  /**
+   * A partial answer is sent this long before the latency target: a few round trips and timer
+   * ticks.
+   */
   private static final Duration PARTIAL_ANSWER_MARGIN = Duration.ofMillis(50);
 
-  /** How long before its client's patience ends a scan is closed, so that its answer is in time. */
+  /**
+   * A scan is closed this long before the client's deadline, so that the answer arrives in time.
+   */
   private static final Duration DEADLINE_MARGIN = Duration.ofMillis(10);
 
-  /** The share of the time left that a part's expected stay may take, as stays scatter about it. */
+  /**
+   * The largest share of the time left that the expected service time of a part may take. The rest
+   * allows for the spread of service times.
+   */
   private static final double MAX_SERVICE_TIME_SHARE = 0.5;
 
   /**
-   * The fleet's pace is that of the last seconds, and so is a searcher's where so many answers tell
-   * it; else the window of a searcher grows until they do, since at a quiet mixer they come seconds
-   * apart.
+   * Length of the windows of the rules Safety.TipAfterMs and Safety.ResendSpanMs where they are not
+   * set.
    */
   private static final Duration DEFAULT_RULE_WINDOW = Duration.ofSeconds(3);
 
+  /**
+   * Statistics of searchers cover the newest RECENT_BUCKETS buckets, the last few seconds. For the
+   * time per answer of a single searcher the window grows up to HEALTH_HISTORY until it holds
+   * MIN_SEARCHER_ANSWERS answers, since at a mixer with few scans they are seconds apart.
+   */
   private static final Duration HEALTH_HISTORY = Duration.ofSeconds(10);
+
   private static final int HEALTH_BUCKETS = 20;
   private static final int RECENT_BUCKETS = 7;
   private static final double MIN_SEARCHER_ANSWERS = 6;
   private static final int DEFAULT_BUCKETS = 12;
   private static final Duration HEALTH_CHECK_INTERVAL = Duration.ofMillis(100);
 
-  /** So many rounds without one: the mixer itself stood still. */
+  /**
+   * A gap between events of more than this many health check intervals means that the mixer itself
+   * was stalled.
+   */
   private static final double STALL_INTERVALS = 2;
 
   /**
-   * No word for this long, and for this many usual spans between answers, is silence and no mere
-   * pause.
+   * A searcher is silent if the mixer has waited for any answer from it for at least this long and
+   * for at least SILENCE_GAPS mean gaps between answers.
    */
   private static final Duration MIN_SILENCE = Duration.ofMillis(700);
 
   private static final double SILENCE_GAPS = 6;
 
   /**
-   * So many errors, and so large a share of all ends, are more than a healthy searcher makes by
-   * chance.
+   * A searcher is ejected for errors if it has returned at least this many and they are at least
+   * MIN_ERROR_SHARE of its ended trips. A healthy searcher does not reach both by chance.
    */
   private static final double MIN_ERRORS = 2;
 
   private static final double MIN_ERROR_SHARE = 0.4;
 
-  /** Where others see so large a share fail, a shorter silence and a single error are borne. */
+  /**
+   * If other mixers report at least this share of failures for a searcher, it is ejected after a
+   * shorter silence and after a single error.
+   */
   private static final double SUSPICION_THRESHOLD = 0.8;
 
   private static final double SUSPECTED_SILENCE_FACTOR = 0.5;
 
-  /** The fleet's pace counts in each searcher's as so many answers, once so many tell it. */
+  /**
+   * The fleet's time per answer is added to the statistics of each searcher with the weight of this
+   * many answers, once the fleet has MIN_ANSWERS answers.
+   */
   private static final double SEARCHER_PRIOR_ANSWERS = 2;
 
   private static final double MIN_ANSWERS = 10;
 
-  /** The fleet's pace counts in that of each zone as so many answers. */
+  /**
+   * The fleet's time per answer is added to the statistics of each zone with the weight of this
+   * many answers.
+   */
   private static final double ZONE_PRIOR_ANSWERS = 3;
 
-  /** How much of a pace a further own part adds to a line that it shares with others' parts. */
+  /**
+   * The share of one time per answer by which an additional part of this mixer lengthens a
+   * searcher's queue, which also holds parts of other mixers.
+   */
   private static final double OWN_PART_WEIGHT = 0.5;
 
   /**
-   * A bench lasts some seconds, doubled each time in a row, and ends in so many parts one at a
-   * time.
+   * An ejection starts at MIN_EJECTION, doubles with each consecutive ejection up to MAX_EJECTION,
+   * and is followed by TRIAL_PARTS parts that are sent one at a time.
    */
   private static final Duration MIN_EJECTION = Duration.ofSeconds(2);
 
@@ -99,34 +127,40 @@
   private static final int TRIAL_PARTS = 3;
 
   /**
-   * Own ration of further trips, beside any that the rules set: so many, and so many for each first
-   * trip.
+   * The mixer's own retry budget, which applies where the settings give none: this many retries,
+   * plus RETRY_BUDGET_RATIO for each first trip in the window.
    */
   private static final double RETRY_BUDGET_BASE = 2;
 
   private static final double RETRY_BUDGET_RATIO = 0.1;
 
-  /** Long enough that a scan's first trips still count when its late parts are copied. */
+  /**
+   * Long enough that the first trips of a scan are still counted when its late parts are retried.
+   */
   private static final Duration RETRY_BUDGET_WINDOW = Duration.ofSeconds(6);
 
-  /** A part out for so many usual stays is late: few that come by themselves are. */
+  /**
+   * A part is late after this many mean service times: few parts that take longer are still
+   * answered.
+   */
   private static final double LATE_FACTOR = 3;
 
   /**
-   * The cold guard: its share of the rule's multiple, mixers that may take one part each at once,
-   * memory.
+   * Parameters of the cold-start limit: the share of Safety.TipMultiple that this mixer uses, the
+   * number of mixers that may send one part each at the same time, and the window in which the
+   * answers of warm searchers are counted.
    */
   private static final double COLD_LIMIT_SHARE = 1;
 
   private static final double COLD_CONCURRENT_MIXERS = 4;
   private static final Duration WARM_RATE_WINDOW = Duration.ofSeconds(30);
 
-  /** By so many standard errors of their count are scans that came taken to be fewer than usual. */
+  /** The expected number of scans is lowered by this many standard errors of the count. */
   private static final double ARRIVAL_STANDARD_ERRORS = 1.5;
 
   /**
-   * The usual stay is that of the latest so many answers, from so long ago at most: scans may be
-   * rare.
+   * The mean service time covers the latest SERVICE_TIME_SAMPLES answers, but nothing older than
+   * SERVICE_TIME_WINDOW, since scans may be rare.
    */
   private static final double SERVICE_TIME_SAMPLES = 60;
 
@@ -134,10 +168,13 @@
   private static final int SERVICE_TIME_BUCKETS = 40;
   private static final Duration SERVICE_TIME_MAX_AGE = Duration.ofSeconds(3);
 
-  /** How soon the roster is asked again after a failure, and as much again by chance. */
+  /**
+   * Delay before the member list is requested again after a failure; a random delay of up to the
+   * same length is added.
+   */
   private static final Duration MEMBER_LIST_RETRY_DELAY = Duration.ofMillis(500);
 
-  /** How far weights may sum up short for their rounding. */
+  /** Tolerance for rounding errors in sums of weights. */
   private static final double WEIGHT_TOLERANCE = 0.00005;
 
   private static final int MAX_LOG_LINES = 60;
@@ -158,15 +195,18 @@
   private final Duration coldWindow;
 
   /**
-   * Parts that came within the memory and within the cold guard's window, scans; parts let take
-   * turns.
+   * Arrivals for the cold-start limit: parts and scans within WARM_RATE_WINDOW, parts within the
+   * cold window, and the parts that were allowed to take a turn at a cold searcher, in thousandths.
    */
   private final RollingSum arrivedParts = new RollingSum(WARM_RATE_WINDOW, DEFAULT_BUCKETS);
 
   private final RollingSum arrivedPartsInColdWindow;
   private final RollingSum arrivedScans = new RollingSum(WARM_RATE_WINDOW, DEFAULT_BUCKETS);
   private final RollingSum coldTurnsGranted;
+
+  /** Retries and arrivals (scans and parts) within the window of the retry budget rule. */
   private final RollingSum budgetedRetries;
+
   private final RollingSum budgetedArrivals;
 
   private final RollingSum firstTrips = new RollingSum(RETRY_BUDGET_WINDOW, DEFAULT_BUCKETS);
@@ -175,8 +215,8 @@
   private final RollingSum pressureRejections = new RollingSum(PRESSURE_WINDOW, DEFAULT_BUCKETS);
 
   /**
-   * Searchers with own parts out, recent evidence or a bench: a large roster is mostly none of
-   * these.
+   * Searchers that have open trips or recent measurements or are ejected: most searchers of a large
+   * member list are none of these.
    */
   private final Set<Searcher> activeSearchers = new LinkedHashSet<>();
 
@@ -185,7 +225,10 @@
   private final Map<Integer, Double> zoneTimePerAnswer = new HashMap<>();
   private double meanAnswerGap;
 
-  /** Trips recalled to send their parts elsewhere, whose ends have not been told. */
+  /**
+   * Canceled trips whose parts will be sent to another searcher once the host reports the end of
+   * the trip.
+   */
   private int pendingMoves;
 
   private final RollingSum warmAnswers = new RollingSum(WARM_RATE_WINDOW, DEFAULT_BUCKETS);
@@ -199,7 +242,7 @@
   private Duration coverageChangedAt = Duration.ZERO;
   private Duration lastEventAt = Duration.ZERO;
 
-  /** The roster will be asked for again: failures until then add no calls. */
+  /** A new request for the member list is scheduled: further failures schedule no second one. */
   private boolean memberListRetryPending;
 
   public Mixer(Map<String, String> settingValues, RandomGenerator random, Host host) {
@@ -224,7 +267,7 @@
     startTimer(HEALTH_CHECK_INTERVAL, this::checkHealth);
   }
 
-  /** A scan has come, with all its parts: the ordinary path. */
+  /** Handles a scan that has arrived with all its parts: the usual case. */
   public void scanArrived(
       ScanId id,
       long scanNumber,
@@ -243,13 +286,15 @@
     scan.latencyTarget = min(scan.fullLatencyTarget, deadline.minus(DEADLINE_MARGIN));
     scan.stepDeadline = stepDeadline(scan, now);
     registerParts(scan, newParts, now);
-    // all parts while coverage is full; under pressure the heaviest up to the coverage, never under
-    // the floor
+    // All parts at full coverage; under pressure the heaviest ones up to the target coverage, which
+    // is never below the minimum coverage.
     List<Part> selected = selectParts(scan, newParts, now);
-    // each to the replica with the fewest own parts out, if one can be expected to answer in time
+    // Each part goes to the replica with the fewest open calls of this mixer, if a replica is
+    // expected to answer in time.
     double assignedWeight = 0;
     double tooBusyParts = 0;
-    // least choice first, so that others go around the last holders of a shard
+    // Parts with the fewest healthy holders are assigned first, so that the other parts avoid the
+    // last holders of a shard.
     selected.forEach(
         part ->
             part.healthyHolders =
@@ -266,8 +311,8 @@
         tooBusyParts++;
       }
     }
-    // a part kept back because its searchers are too busy is refused as full by the mixer's own
-    // judgement
+    // A part that is not sent because its searchers are too busy counts as a rejection in the
+    // pressure.
     pressureTrips.add(now, tooBusyParts);
     pressureRejections.add(now, tooBusyParts);
     boolean coverageReached =
@@ -284,13 +329,14 @@
       rejectOrFail(scan);
       return;
     }
-    // it ends when its trips have, near its quoted time if it can be partial, or with its patience
+    // The scan ends with its last trip, or near the latency target if it can be answered partially,
+    // or at the deadline.
     startTimerAt(scan.stepDeadline.minus(PARTIAL_ANSWER_MARGIN), () -> completeIfPossible(scan));
     startTimerAt(scan.latencyTarget, () -> onLatencyTarget(scan));
     startTimerAt(scan.deadline.minus(DEADLINE_MARGIN), () -> onDeadline(scan));
   }
 
-  /** The parts of the second step have come: all are needed, so all are sent. */
+  /** Handles the arrival of the second step's parts. All of them are needed, so all are sent. */
   public void secondStepArrived(long scanNumber, List<Part> newParts) {
     Duration now = recordEventTime();
     Scan scan = scansByNumber.get(scanNumber);
@@ -301,8 +347,8 @@
     registerParts(scan, newParts, now);
     for (Part part : newParts) {
       firstTrips.add(now, 1);
-      // the first step's work is done and lost without it: a holder that may be late is better than
-      // none
+      // Without this part the first step's work is lost, so a holder that may be late is better
+      // than none.
       if (!assignSearcher(part, now)
           && assignSearcher(part, now, searcher -> true, Duration.ofNanos(Long.MAX_VALUE))) {
         part.assignedSearcher.assignedParts++;
@@ -316,10 +362,10 @@
   }
 
   /**
-   * By when the first step is to be answered. Where a second one follows, that is early enough for
-   * its parts to be late by what parts stayed of late, and half of the time at the earliest. Guards
-   * against a first step that waits for its last part until no time is left for the second, and all
-   * its work is lost.
+   * Returns the time by which the current step has to be answered. If a second step follows, that
+   * time leaves LATE_FACTOR mean service times for it, but at most half of the time left. This
+   * keeps a first step from waiting for its last part until no time is left for the second step and
+   * all its work is lost.
    */
   private Duration stepDeadline(Scan scan, Duration now) {
     if (scan.serviceClass.secondStepParts == 0) {
@@ -350,12 +396,13 @@
   }
 
   /**
-   * The parts to send: down to the coverage, with room above the floor by what stays of late let
-   * expect. A scan of just its floor falls to a single late part, and all its work is lost. Where
-   * the pressure's window holds too little to tell, the usual stay stands in: from half of what the
-   * gate on stays lets through, the coverage narrows until the gate shuts. Guards against jams that
-   * a mixer of few scans would meet with all its parts each time; on old news it leaves parts
-   * behind for nothing.
+   * Selects the parts to send, up to the target coverage, which stays above the minimum coverage by
+   * a margin for parts that are expected to be late. A scan sent with just its minimum coverage
+   * fails if one part is late, and all its work is lost. If the pressure window holds too few
+   * trips, the mean service time replaces it: the coverage shrinks from half of the service time
+   * that the admission check allows, and reaches zero where the check admits nothing. This keeps a
+   * mixer with few scans from sending all parts into an overloaded fleet each time; if the
+   * measurements are old, it leaves out parts without need.
    */
   private List<Part> selectParts(Scan scan, List<Part> newParts, Duration now) {
     Duration timeLeft = scan.latencyTarget.minus(now);
@@ -366,7 +413,7 @@
     double targetCoverage =
         Math.max(
             Math.min(coverage, 2 - 2 * loadFraction),
-            minCoverage(scan) * FLOOR_HEADROOM / (1 - expectedLateShare(timeLeft, now)));
+            minCoverage(scan) * COVERAGE_HEADROOM / (1 - expectedLateShare(timeLeft, now)));
     if (targetCoverage >= 1) {
       return newParts;
     }
@@ -391,8 +438,9 @@
   }
 
   /**
-   * The replica with fewest own parts out, ties from its home on: of the preferred ones, else of
-   * all trusted, a benched one only where no other can.
+   * Assigns the part to the replica with the fewest open calls of this mixer; ties go to the first
+   * replica after the part's home. Preferred replicas are tried first, then all healthy ones, and
+   * ejected ones only if no other replica is left.
    */
   private boolean assignSearcher(Part part, Duration now) {
     if (!assignSearcher(part, now, preferred) && !assignSearcher(part, now, Mixer::isAvailable)) {
@@ -417,17 +465,15 @@
       Part part, Duration now, Predicate<Searcher> filter, Duration timeLeft) {
     List<Searcher> holders = memberList.holders(part.shard);
     int firstHolder = firstHolderIndex(part, Math.max(1, holders.size()));
-    // a client of little patience is no jam: half of the full quoted time will do if the stay fits
-    // at all.
-    // It spends work on what is often late, and that may feed a jam no longer than the gate takes
-    // to see it
+    // A short client deadline is no sign of overload: half of the full latency target is enough if
+    // the service time fits into the time left at all. Many such parts are late, so this wastes
+    // work and may sustain an overload until the admission check detects it.
     Duration fitTime = scale(timeLeft, 1 / MAX_SERVICE_TIME_SHARE);
     Duration timeBudget = max(timeLeft, min(fitTime, part.scan.fullLatencyTarget.minus(now)));
-    // a part whose trip has failed: without another the work of the scan's other parts is lost.
-    // Guards
-    // against searchers that refuse or fail while the other holder is busy or far; may carry a jam
-    // on, in the
-    // ration
+    // All trips of this part have failed. Without another one the work of the scan's other parts is
+    // lost, so the service time only has to fit into the time left. This helps when a searcher
+    // rejects or fails while the other holder is busy or distant; within the retry budget it may
+    // prolong an overload.
     boolean allTripsFailed = !part.trips.isEmpty() && !part.hasOpenTrip();
     for (int i = 0; i < holders.size(); i++) {
       Searcher searcher = holders.get((firstHolder + i) % holders.size());
@@ -449,7 +495,8 @@
   private void unassignSearcher(Part part) {
     if (part.assignedSearcher != null) {
       part.assignedSearcher.assignedParts--;
-      assert part.assignedSearcher.assignedParts >= 0 : "a part was planned and not counted";
+      assert part.assignedSearcher.assignedParts >= 0
+          : "assignedParts does not include an assigned part";
       part.assignedSearcher = null;
     }
   }
@@ -468,9 +515,9 @@
   }
 
   /**
-   * The share of parts sent now that would come late, as stays scatter like waits in a line. None
-   * on old news: a mixer that nacks all it gets learns nothing more, and must let a scan through
-   * now and then.
+   * Returns the share of parts sent now that is expected to be late, with service times distributed
+   * exponentially. Returns 0 if the measurements are old: a mixer that rejects every scan measures
+   * nothing new, so it has to admit a scan now and then.
    */
   private double expectedLateShare(Duration timeLeft, Duration now) {
     boolean measured =
@@ -479,7 +526,10 @@
     return measured ? Math.exp(-timeLeft.toNanos() / meanServiceTime(now)) : 0;
   }
 
-  /** How long trips of late were out for each answer; 0 where too few were answered. */
+  /**
+   * Returns the mean time that recent trips were open for each answer, or 0 if there are too few
+   * answers.
+   */
   private double meanServiceTime(Duration now) {
     int buckets = serviceTimeAnswers.bucketsHolding(now, SERVICE_TIME_SAMPLES);
     double answers = serviceTimeAnswers.sum(now, buckets);
@@ -487,9 +537,10 @@
   }
 
   /**
-   * How long a part sent now would stay: what parts stayed there of late, and for each own part out
-   * beyond the usual number a share of the pace, since other mixers' parts stand in the same line
-   * and do not grow with ours.
+   * Returns the expected service time of a part sent now: the recent service time at the searcher,
+   * plus a share of the time per answer for each open trip above the mean number. It is only a
+   * share because parts of other mixers wait in the same queue and do not grow in number with those
+   * of this mixer.
    */
   private Duration expectedServiceTime(Searcher searcher, Duration now) {
     Duration timePerAnswer = timePerAnswer(searcher, now);
@@ -508,9 +559,10 @@
   }
 
   /**
-   * Time with own parts out for each answer: what a place in its line costs, whoever else stands in
-   * it. Its zone's pace counts as a few answers more, so that a quiet mixer does not take one pause
-   * for slowness.
+   * Returns the time with open trips divided by the number of answers: the cost of one place in the
+   * searcher's queue, no matter whose parts fill the queue. The zone's time per answer counts as a
+   * few additional answers, so that a mixer with few scans does not take a single pause for
+   * slowness.
    */
   private Duration timePerAnswer(Searcher searcher, Duration now) {
     searcher.recordBusyTime(now);
@@ -551,19 +603,20 @@
   }
 
   /**
-   * The cold guard: in any window of the rule's length a searcher that started lately gets at most
-   * its present share, times COLD_SHARE of the rule's multiple, of what warm searchers have
-   * answered this mixer in such a time over the last half minute; every trip and copy counts from
-   * its first instant. Less than a part a window is taken as single parts in turns. What was
-   * answered could be borne, so mixers that all keep to this stay under the rule together. The long
-   * memory serves a fleet that starts all at once. The guard also keeps a slow starter from drawing
-   * parts because it has none out; it may idle a fast one.
+   * Checks the cold-start limit. In any cold window, a searcher that started recently receives at
+   * most this many parts from this mixer: the answers per window of a warm searcher, measured over
+   * WARM_RATE_WINDOW, times the searcher's current warm-up share, Safety.TipMultiple and
+   * COLD_LIMIT_SHARE. Every trip counts from the moment it is sent, retries included. If the limit
+   * is below one part per window, single parts are sent in turns. Searchers could handle the load
+   * that they answered, so mixers that all obey this limit stay below the rule together. The long
+   * window is needed when the whole fleet starts at once. The limit also keeps a slow starter from
+   * attracting parts because it has no open trips; a searcher that warms up quickly may stay idle.
    */
   private boolean coldLimitAllows(Searcher searcher, Part part, Duration now) {
     if (!isCold(searcher, now) || warmUpShare(searcher, now) >= 1) {
       return true;
     }
-    // a mixer that has not yet seen a full window of its searchers does not overrate them
+    // A mixer that has been running for less than one window must not overestimate its searchers.
     double warmNanos =
         Math.max(
             warmSearcherTime.sum(now),
@@ -574,13 +627,13 @@
             * settings.number("Safety.TipMultiple", 1)
             * warmUpShare(searcher, now)
             * answersPerWindow;
-    // how often it may get a single part: less often with so many mixers that one each were too
-    // much
+    // Interval between single parts; longer if there are so many mixers that one part from each of
+    // them would be too much.
     double mixersPerTurn = Math.max(1, fleetSize() / COLD_CONCURRENT_MIXERS);
     Duration turnInterval =
         scale(coldWindow, maxParts > 0 ? Math.min(mixersPerTurn, 1 / maxParts) : mixersPerTurn);
-    // the first turn at a moment of chance: all mixers hear of a start together, and they may be
-    // too many
+    // The first turn is at a random time: all mixers learn of a start at the same moment, and one
+    // part from each may be too much.
     if (!searcher.startedAt.equals(searcher.turnsStartedAt)) {
       searcher.turnsStartedAt = searcher.startedAt;
       double elapsedTurnShare = mixersPerTurn == 1 ? 1 : random.nextDouble();
@@ -594,12 +647,13 @@
   }
 
   /**
-   * How many parts of a window may take turns at cold searchers: the rule's multiple of what came
-   * in such a time before it, as far as the scans that came are enough to tell, or this mixer's
-   * part of the few that the fleet may send each searcher at once. What comes beyond leaves turns
-   * alone. Guards against parts that come to all mixers together after a quiet time, as when
-   * clients return: by then it is the turn of them all, and with many mixers they are too many. It
-   * keeps a mixer of few scans from some turns on an ordinary day.
+   * Returns how many parts may take turns at cold searchers within one window: Safety.TipMultiple
+   * times the parts per window that arrived before, lowered for the uncertainty of the scan count,
+   * or this mixer's share of the few parts that the fleet may send to each searcher at once,
+   * whichever is larger. Parts beyond that number take no turn. This limits parts that reach all
+   * mixers together after a quiet period, for example when clients return: by then every mixer's
+   * turn is due, and many mixers would send too much. It costs a mixer with few scans some turns
+   * under normal load.
    */
   private double maxColdTurns(Duration now) {
     Duration earlierSpan = max(coldWindow, min(now, WARM_RATE_WINDOW).minus(coldWindow));
@@ -612,13 +666,14 @@
         memberList.searchers().size() * COLD_CONCURRENT_MIXERS / fleetSize());
   }
 
-  /** How many mixers there are: where no setting tells, as many as there are searchers. */
+  /** Returns the number of mixers; if the setting is missing, the number of searchers. */
   private double fleetSize() {
     return Math.max(1, settings.number("FleetSize", memberList.searchers().size()));
   }
 
   /**
-   * The least share of its capacity that a searcher may have had a window ago: 1 once it is warm.
+   * Returns the smallest share of its capacity that the searcher may have had one window ago; 1 if
+   * it is warm.
    */
   private double warmUpShare(Searcher searcher, Duration now) {
     Duration warmUp = settings.duration("Safety.WarmUpMs", Duration.ZERO);
@@ -633,8 +688,8 @@
   private void send(Part part, Duration now) {
     Searcher searcher = part.assignedSearcher;
     activeSearchers.add(searcher);
-    // a repeat is dropped up to the window's end only, and a host may begin a trip later than it
-    // was decided
+    // The idempotency key suppresses a retry only until the end of its window, and the host may
+    // start a trip later than it was decided.
     Duration firstRun = part.firstPossibleRun();
     Duration startWithin =
         part.scan.serviceClass.retrySafety != ServiceClass.RetrySafety.KEYED || firstRun == null
@@ -644,7 +699,10 @@
     host.send(part.id, searcher.id, part.scan.deadline.minus(now), startWithin);
   }
 
-  /** A trip has ended. {@code over}: the host takes no more trips for this part. */
+  /**
+   * Handles the end of a trip. If {@code noMoreTrips} is true, the host accepts no further trip for
+   * the part.
+   */
   public void tripEnded(
       PartId id, int tripNumber, Outcome outcome, boolean noMoreTrips, float[] load) {
     Part part = parts.get(id);
@@ -676,7 +734,9 @@
     completeIfPossible(part.scan);
   }
 
-  /** Books an ended trip to its searcher: its load, its pace, its errors. */
+  /**
+   * Updates the searcher's statistics with a trip that has ended: load, time per answer and errors.
+   */
   private void recordTripEnd(Trip trip, Duration now) {
     Searcher searcher = trip.searcher;
     searcher.recordEnd(trip, now);
@@ -706,8 +766,8 @@
   }
 
   /**
-   * Books a trip to the pressure, once. What one bad searcher or zone does must not narrow every
-   * scan.
+   * Counts a trip in the pressure, at most once. Trips to ejected searchers are left out, so that
+   * one bad searcher or zone does not reduce the coverage of every scan.
    */
   private void recordPressure(Trip trip, Duration now, boolean rejectedOrLate) {
     if (!trip.countedInPressure && trip.searcher.ejectedUntil == null) {
@@ -718,11 +778,11 @@
   }
 
   /**
-   * Another trip for a part, if rules, ration and time allow one and some other searcher can do it.
-   * A trip in the stead of one that never ran adds no work, so the own ration does not bind it.
-   * Guards against a scan of many parts falling to a single full or unreachable searcher, with the
-   * work of all the others lost and its client back at once; it may carry a jam on to the holders
-   * that are left.
+   * Sends another trip for a part if the rules, the retry budget and the time left allow one and
+   * another searcher can serve it. A trip that replaces one that never ran adds no work, so the
+   * mixer's own budget does not apply to it. Otherwise a scan of many parts would fail because of
+   * one full or unreachable searcher, the work of its other parts would be lost, and its client
+   * would retry at once. It may spread an overload to the remaining holders.
    */
   private void retry(Part part, Duration now) {
     boolean replacesUnrunTrip = part.firstPossibleRun() == null;
@@ -736,14 +796,14 @@
     unassignSearcher(part);
   }
 
-  /** What the rules say of another trip now, whatever it may be good for. */
+  /** Returns whether the rules allow another trip now, regardless of its benefit. */
   private boolean mayRetryNow(Part part, Duration now) {
     long openTrips = part.trips.stream().filter(trip -> trip.outcome == null).count();
     return mayRetry(part, now)
         && (openTrips == 0 || openTrips == 1 && settings.flag("PolicyLimits.SecondCopies"));
   }
 
-  /** What the rules say of another trip once no more are out than may be. */
+  /** Returns whether the rules allow another trip, apart from the limit on simultaneous trips. */
   private boolean mayRetry(Part part, Duration now) {
     Scan scan = part.scan;
     Duration firstRun = part.firstPossibleRun();
@@ -773,8 +833,8 @@
   }
 
   /**
-   * Further trips feed a jam: their number follows that of first trips, unless the rules set a
-   * budget.
+   * Retries sustain an overload, so their number is limited in proportion to first trips unless the
+   * settings define a budget.
    */
   private boolean withinRetryBudget(Duration now) {
     return settings.has("Safety.ResendSpanMs")
@@ -782,7 +842,10 @@
             <= RETRY_BUDGET_BASE + RETRY_BUDGET_RATIO * firstTrips.sum(now);
   }
 
-  /** Answers a scan if it can be, gives it up if it can no longer be, or leaves it to wait. */
+  /**
+   * Answers a scan if enough parts are answered, rejects or fails it if that is no longer possible,
+   * and otherwise leaves it waiting.
+   */
   private void completeIfPossible(Scan scan) {
     List<Part> stepParts = scan.currentStepParts();
     if (scan.closed || stepParts.isEmpty()) {
@@ -802,7 +865,8 @@
       reachableWeight += part.answered || partOpen ? part.weight : 0;
     }
     boolean anyAnswered =
-        stepParts.stream().anyMatch(part -> part.answered); // also where the least share is none
+        stepParts.stream()
+            .anyMatch(part -> part.answered); // also required if the minimum coverage is 0
     boolean complete = anyAnswered && answeredWeight >= fullCoverage - WEIGHT_TOLERANCE;
     boolean nearDeadline = now.compareTo(scan.stepDeadline.minus(PARTIAL_ANSWER_MARGIN)) >= 0;
     if (complete
@@ -828,7 +892,7 @@
     }
   }
 
-  /** Closes a scan at once: sent back where to ask again does no harm, else scrapped. */
+  /** Closes a scan immediately: rejects it if a retry by the client is safe, otherwise fails it. */
   private void rejectOrFail(Scan scan) {
     boolean safeToRetry =
         scan.serviceClass.retrySafety == ServiceClass.RetrySafety.IDEMPOTENT
@@ -859,10 +923,11 @@
   }
 
   /**
-   * Stays are booked scan by scan: single answers would tell of the quick half of a scan first and
-   * of the slow half last. All are cut off at the quoted time, and those cut off count by their
-   * time only, since answers alone would tell only of stays under it. What a benched searcher keeps
-   * tells nothing of others.
+   * Records the service time of a trip when its scan closes. Recording single answers as they
+   * arrive would count the fast half of a scan first and the slow half last. Service times end at
+   * the latency target; trips cut off there add their time but no answer, since the answers alone
+   * would only include shorter service times. Ejected searchers are left out because their service
+   * times are not typical.
    */
   private void recordServiceTime(Trip trip, Duration now) {
     if ((trip.outcome == null || !trip.outcome.neverRan) && trip.searcher.ejectedUntil == null) {
@@ -896,8 +961,8 @@
   }
 
   /**
-   * What is still out near the quoted time has timed out, whether the scan is answered without it
-   * or not.
+   * Counts the trips that are still open near the latency target as timed out, whether or not the
+   * scan is answered without them.
    */
   private void recordTimeouts(Scan scan, Duration now) {
     for (Part part : scan.parts) {
@@ -914,7 +979,7 @@
     }
   }
 
-  /** The client has left, or its time is over: nothing more is owed to the scan. */
+  /** Closes a scan whose client has disconnected or reached its deadline; no answer is due. */
   public void clientLeft(ScanId id) {
     Scan scan = scans.get(id);
     if (scan != null) {
@@ -922,16 +987,16 @@
     }
   }
 
-  /** A streamed answer has started: its trip is the client's from now on. */
+  /** Handles the start of a streamed answer, which the host then passes on to the client. */
   public void answerStarted(PartId part, int trip) {
-    // no decision hangs on it: the trip ends by its outcome like any other
+    // no decision depends on it: the trip ends by its outcome like any other
   }
 
   /**
-   * The time of an event that comes in. A look round is due so often that a longer gap shows that
-   * this mixer itself stood still: that time is no silence of the searchers' and no pace of theirs.
-   * Guards against pauses of the process and of its machine; hurts nothing while rounds come on
-   * time.
+   * Returns the time of an incoming event. Health checks run so often that a longer gap between
+   * events means that this mixer was stalled, by a pause of the process or the machine. Such a gap
+   * counts neither as silence nor as service time of the searchers. It has no effect while health
+   * checks run on time.
    */
   private Duration recordEventTime() {
     Duration now = host.now();
@@ -943,13 +1008,14 @@
   }
 
   /**
-   * Measures what hangs on all searchers, once for each moment: the fleet's pace, the span between
-   * answers to this mixer (waits that have not ended, and may never, are left out of it), and each
-   * zone's pace as seen from here. That guards against whatever strikes a zone, or the way to it,
-   * and no single searcher: slow and lossy links, cut ways, zones that are jammed; a mixer has too
-   * few parts at each searcher to see it there. It may send too much to the other zones, whose own
-   * paces then tell. A zone that nothing is sent to is forgotten in the window, and tried again.
-   * Benched searchers are left out of it: what one bad searcher does is not its zone's.
+   * Updates the statistics of the whole fleet, once for each point in time: the fleet's time per
+   * answer, the mean gap between answers to this mixer (without waits that have not ended and may
+   * never end), and the time per answer of each zone as seen by this mixer. The zone's value
+   * detects faults of a zone or of the way to it that a mixer cannot see at a single searcher,
+   * since it has too few parts there: slow or lossy links, network partitions, overloaded zones.
+   * Too many parts may move to other zones, whose own values then rise. A zone that receives no
+   * parts drops out of the window and is tried again. Ejected searchers are left out, since the
+   * fault of one searcher is not a fault of its zone.
    */
   private void updateFleetStats(Duration now) {
     if (now.equals(fleetStatsAt)) {
@@ -970,7 +1036,8 @@
       zone[0] += searcher.ejectedUntil == null ? busyTime : 0;
       zone[1] += searcher.ejectedUntil == null ? searcherAnswers : 0;
     }
-    // too few answers tell of the start, not of the fleet: nothing is kept back on them
+    // With too few answers the values describe the start and not the fleet, so they hold no part
+    // back.
     fleetTimePerAnswer = totalAnswers < MIN_ANSWERS ? 0 : totalBusyTime / totalAnswers;
     zoneTimePerAnswer.clear();
     zones.forEach(
@@ -989,7 +1056,7 @@
   private void checkHealth() {
     startTimer(
         HEALTH_CHECK_INTERVAL,
-        this::checkHealth); // first, so that a failure in one round does not end them all
+        this::checkHealth); // first, so that an exception in one check does not end all later ones
     Duration now = host.now();
     if (now.minus(coverageChangedAt).compareTo(COVERAGE_STEP_INTERVAL) >= 0) {
       coverageChangedAt = now;
@@ -1001,14 +1068,14 @@
       coverage = newCoverage;
     }
     activeSearchers.removeIf(searcher -> searcher.isInactive(now));
-    // a benched searcher bears nothing: its time is not time of a warm one
+    // An ejected searcher serves no load, so its time does not count as that of a warm one.
     warmSearcherTime.add(
         now,
         HEALTH_CHECK_INTERVAL.toNanos()
             * memberList.searchers().stream()
                 .filter(searcher -> isHealthy(searcher) && !isCold(searcher, now))
                 .count());
-    // a copy, since a bench may send copies to searchers that were not active
+    // A copy, since an ejection may lead to retries at searchers that were not active.
     for (Searcher searcher : List.copyOf(activeSearchers)) {
       ejectIfUnhealthy(searcher, now);
       retryLateParts(searcher, now);
@@ -1026,7 +1093,7 @@
     }
   }
 
-  /** A probe has come back. */
+  /** Handles the result of a probe. */
   public void probeEnded(SearcherId id, Outcome outcome, Duration roundTripTime, float[] load) {
     Searcher searcher = memberList.get(id);
     if (searcher == null || !searcher.probing) {
@@ -1041,7 +1108,8 @@
   }
 
   /**
-   * Another mixer had an answer of it: this one may ask it too, and goes by its own answer alone.
+   * Another mixer has received an answer from this searcher: this mixer may try it again, but
+   * reinstates it only after its own probe.
    */
   public void peerReceivedAnswer(SearcherId id) {
     Searcher searcher = memberList.get(id);
@@ -1051,7 +1119,8 @@
   }
 
   /**
-   * Re-entry: one part at a time, until a few have been answered, and judged by new evidence alone.
+   * Reinstates an ejected searcher: it receives one part at a time until a few have been answered,
+   * and only new measurements count.
    */
   private void reinstate(Searcher searcher) {
     searcher.ejectedUntil = null;
@@ -1060,8 +1129,8 @@
   }
 
   /**
-   * Judges a searcher by this mixer's own evidence: silence or errors. Slowness the gate on stays
-   * meets.
+   * Ejects a searcher for silence or errors, as measured by this mixer. Slowness is left to the
+   * admission check on service times.
    */
   private void ejectIfUnhealthy(Searcher searcher, Duration now) {
     if (searcher.ejectedUntil != null || !searcher.isReady()) {
@@ -1071,16 +1140,15 @@
     double errors = searcher.errors.sum(now, RECENT_BUCKETS);
     double endedTrips = errors + searcher.answers.sum(now, RECENT_BUCKETS);
     boolean suspected = host.reportedFailureShare(searcher.id) >= SUSPICION_THRESHOLD;
-    // what others are late by as well is no silence, also where too few answers came lately to tell
-    // their gap
+    // A wait that is usual at the other searchers is no silence, even if recent answers are too few
+    // to measure the gap between them.
     double usualSilence =
         Math.max(LATE_FACTOR * meanServiceTime(now), SILENCE_GAPS * meanAnswerGap);
     double maxSilence =
         Math.max(MIN_SILENCE.toNanos(), usualSilence) * (suspected ? SUSPECTED_SILENCE_FACTOR : 1);
     searcher.recordBusyTime(now);
-    // only time with own parts out counts, and only from the last word on: a busy searcher still
-    // answers
-    // now and then; and a cold one takes its time
+    // Silence is the time with open trips since the last answer or error, since a busy searcher
+    // still answers now and then. A cold searcher is given more time.
     if (searcher.silentTime.toNanos() > maxSilence / warmUpShare(searcher, now)) {
       eject(searcher, "silent");
     } else if (errors >= (suspected ? 1 : MIN_ERRORS) && errors >= MIN_ERROR_SHARE * endedTrips) {
@@ -1102,12 +1170,13 @@
   }
 
   /**
-   * A part out for far longer than parts usually stay gets a copy elsewhere, as late as that can
-   * well be in time or can still earn, since most late parts come by themselves; in scans of two
-   * steps sooner, by half of its step's time, as both steps hang on it. Guards against whatever
-   * keeps a single answer away, when a mixer sends each searcher too little to judge it: lost
-   * answers, hung, silent, slow or pausing searchers, such as fail one grade alone, cut ways. It
-   * may feed a jam, hence the ration.
+   * Retries the late parts of a searcher elsewhere while the first trip stays open. In a scan of
+   * one step that is done as late as the retry can still be in time or have value, since most late
+   * parts are answered without it; in a scan of two steps, whose steps both depend on it, at half
+   * of the step's time at the latest. This covers a single missing answer at a searcher that
+   * receives too few parts from this mixer to be judged: lost answers, hung, silent, slow or
+   * pausing searchers, failures of a single service class, network partitions. It may sustain an
+   * overload, so the retry budget applies.
    */
   private void retryLateParts(Searcher searcher, Duration now) {
     double serviceTime = meanServiceTime(now);
@@ -1146,12 +1215,13 @@
   }
 
   /**
-   * Where no second trip may fly beside the first, a late one is recalled and its part sent
-   * elsewhere when its end is told: as late as the gate is likely to let another go, and only from
-   * a searcher that has given no word since, as what answers others will come to this one too.
-   * Guards against all that copies do, lost answers of a busy searcher left aside. It throws away a
-   * trip that may still come, and feeds a jam, hence the ration; trips that the ration or the
-   * holders would not let follow are left alone.
+   * Moves a late part where a second trip may not run beside the first: the trip is canceled, and
+   * the part is sent elsewhere when the host reports its end. That is done as late as the admission
+   * check is likely to accept another trip, and only for a searcher that has returned nothing since
+   * the trip was sent, as a searcher that answers other parts will answer this one too. It covers
+   * the same faults as a retry beside the first trip, except lost answers of a busy searcher. It
+   * discards a trip that may still be answered and may sustain an overload, so the retry budget
+   * applies; a trip that the budget or the holders leave without a successor is not canceled.
    */
   private void moveLatePart(Part part, Duration now) {
     if (settings.flag("PolicyLimits.Cancel")
@@ -1166,11 +1236,11 @@
     unassignSearcher(part);
   }
 
-  /** The roster has been told: all of it, or what changed. */
+  /** Handles a member list: a complete one, or the entries that changed. */
   public void memberListUpdated(List<MemberEntry> entries, boolean complete) {
     Duration now = recordEventTime();
-    // a searcher that has gone, or has started anew, is judged anew; what was out there will be
-    // late
+    // A searcher that is gone or has restarted loses its statistics; trips that are open there will
+    // be late.
     for (Searcher searcher :
         memberList.update(
             entries,
@@ -1183,8 +1253,8 @@
   }
 
   /**
-   * A call for the roster failed, or the subscription broke: ask again soon, not all mixers at one
-   * moment.
+   * Handles a failed request for the member list or a broken subscription: requests it again soon,
+   * after a random delay so that the mixers do not all ask at once.
    */
   public void memberListFailed() {
     if (!memberListRetryPending) {
@@ -1199,7 +1269,7 @@
   }
 
   public void peerMessageReceived(int peer, byte[] bytes) {
-    // mixers need no word of each other: each decides by its own evidence
+    // mixers need no messages from each other: each decides by its own measurements
   }
 
   public void timerFired(TimerId id) {
--- a/mixer/src/main/java/gingerring/decide/Outcome.java
+++ b/mixer/src/main/java/gingerring/decide/Outcome.java
@@ -1,6 +1,6 @@
 package gingerring.decide;
 
-/** How a trip or a probe ended, and whether that proves that the work never ran. */
+/** How a trip or a probe ended; {@code neverRan} means that the work was certainly not executed. */
 public enum Outcome {
   SUCCEEDED(false),
   ERROR(false),
--- a/mixer/src/main/java/gingerring/decide/Part.java
+++ b/mixer/src/main/java/gingerring/decide/Part.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.random.RandomGenerator;
 
-/** A part of a scan: one shard's share of it. */
+/** A part of a scan: the work for one shard. */
 public final class Part {
   public final PartId id;
   public final int shard;
@@ -16,17 +16,17 @@
   public boolean answered;
 
   /**
-   * Its step has been answered, or the host told the end of its patience: nothing may be sent for
-   * it.
+   * The part's step has been answered, or the host has reported the client's deadline: no further
+   * trip may be sent.
    */
   public boolean noMoreTrips;
 
-  /** Its trip out was recalled for another to follow. */
+  /** The part's open trip was canceled so that another one can follow. */
   public boolean moveRequested;
 
   public Searcher assignedSearcher;
 
-  /** How many trusted searchers hold its shard. */
+  /** The number of healthy searchers that hold the shard. */
   public int healthyHolders;
 
   private double randomDraw = -1;
@@ -39,7 +39,8 @@
   }
 
   /**
-   * One draw for all searchers and moments, so that trying them again does not make it likelier.
+   * Returns one random number per part, the same for all searchers and at all times, so that
+   * repeated attempts do not raise the probability.
    */
   public double drawOnce(RandomGenerator random) {
     randomDraw = randomDraw < 0 ? random.nextDouble() : randomDraw;
@@ -55,7 +56,7 @@
     return false;
   }
 
-  /** When the first trip that may have run was sent, or null where none may have. */
+  /** Returns when the first trip that may have run was sent, or null if none may have run. */
   public Duration firstPossibleRun() {
     for (Trip trip : trips) {
       if (trip.outcome == null || !trip.outcome.neverRan) {
--- a/mixer/src/main/java/gingerring/decide/PartId.java
+++ b/mixer/src/main/java/gingerring/decide/PartId.java
@@ -1,8 +1,8 @@
 package gingerring.decide;
 
-/** A part of a scan, by the number that its client's side gave it. */
+/** Identifies a part of a scan by the number that the client connection assigned to it. */
 public record PartId(long number) {
-  // written out as in SearcherId
+  // written out for the reason given in SearcherId
   @Override
   public boolean equals(Object other) {
     return other instanceof PartId id && id.number == number;
--- a/mixer/src/main/java/gingerring/decide/RollingSum.java
+++ b/mixer/src/main/java/gingerring/decide/RollingSum.java
@@ -4,8 +4,8 @@
 import java.util.Arrays;
 
 /**
- * Sums over the recent past, in fixed bucketSums of time that are used again in a ring. Amounts are
- * whole numbers, so that the running total stays exact.
+ * Sums amounts over a sliding time window, in a ring of buckets of fixed length. Amounts are whole
+ * numbers, so that the running total stays exact.
  */
 public final class RollingSum {
   private final long spanNanos;
@@ -26,19 +26,24 @@
     total += amount;
   }
 
-  /** The sum over at least the ring's span: the bucket that the span begins in counts whole. */
+  /**
+   * Returns the sum over at least the window: the bucket in which the window begins counts fully.
+   */
   public double sum(Duration now) {
     advance(now);
     return total;
   }
 
-  /** The sum over less than the ring's span: the bucket that the span begins in is left out. */
+  /** Returns the sum over at most the window: the bucket in which the window begins is left out. */
   public double sumWithin(Duration now) {
     advance(now);
     return sum(now, (int) (newestBucket - Math.floorDiv(now.toNanos() - spanNanos, bucketNanos)));
   }
 
-  /** How many of the newest bucketSums hold at least so much; all of them where they hold less. */
+  /**
+   * Returns how many of the newest buckets together hold at least {@code minSum}; all buckets if
+   * they hold less.
+   */
   public int bucketsHolding(Duration now, double minSum) {
     advance(now);
     int buckets = 0;
@@ -48,7 +53,7 @@
     return buckets;
   }
 
-  /** The sum over so many of the newest bucketSums. */
+  /** Returns the sum over the given number of newest buckets. */
   public double sum(Duration now, int buckets) {
     advance(now);
     double partialSum = 0;
--- a/mixer/src/main/java/gingerring/decide/Scan.java
+++ b/mixer/src/main/java/gingerring/decide/Scan.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A scan that a mixer holds, from its arrival to its final answer. */
+/** A scan that a mixer is processing, from its arrival to its final answer. */
 public final class Scan {
   public final ScanId id;
   public final long number;
@@ -12,28 +12,30 @@
   public final long key;
   public final Duration work;
 
-  /** When its client gives this try up. */
+  /** The time at which the client gives up this attempt. */
   public final Duration deadline;
 
   public final List<Part> parts = new ArrayList<>();
 
-  /** By when its client is to have its answer. */
+  /** The time by which the client should have its answer. */
   public Duration latencyTarget;
 
-  /** The same for a client that waits so long. */
+  /** The latency target that applies if the client's deadline is late enough for it. */
   public Duration fullLatencyTarget;
 
-  /** By when the step in hand is to be answered. */
+  /** The time by which the current step has to be answered. */
   public Duration stepDeadline;
 
-  /** The first step has been answered from, and its parts are {@code firstParts}. */
+  /**
+   * True once the first step is answered; its parts are the first {@code firstStepPartCount} ones.
+   */
   public boolean secondStep;
 
   public int firstStepPartCount;
   public boolean firstStepWhole = true;
   public boolean closed;
 
-  /** The share of its parts that may take a turn at a cold searcher. */
+  /** The share of the scan's parts that may take a turn at a cold searcher. */
   public double coldTurnShare;
 
   public Scan(
@@ -51,12 +53,18 @@
     this.deadline = deadline;
   }
 
-  /** The parts of the step in hand; none while the second step's have not come. */
+  /**
+   * Returns the parts of the current step; none if the parts of the second step have not arrived
+   * yet.
+   */
   public List<Part> currentStepParts() {
     return secondStep ? parts.subList(firstStepPartCount, parts.size()) : parts;
   }
 
-  /** Whether the first step had no answer for a shard from a searcher that it was sent to. */
+  /**
+   * Returns whether a searcher was sent a part for this shard in the first step and did not answer
+   * it.
+   */
   public boolean failedInFirstStep(int shard, Searcher searcher) {
     for (int i = 0; secondStep && i < firstStepPartCount; i++) {
       Part part = parts.get(i);
--- a/mixer/src/main/java/gingerring/decide/ScanId.java
+++ b/mixer/src/main/java/gingerring/decide/ScanId.java
@@ -1,8 +1,8 @@
 package gingerring.decide;
 
-/** A scan, by the number that its client's side gave it. */
+/** Identifies a scan by the number that the client connection assigned to it. */
 public record ScanId(long number) {
-  // written out as in SearcherId
+  // written out for the reason given in SearcherId
   @Override
   public boolean equals(Object other) {
     return other instanceof ScanId id && id.number == number;
--- a/mixer/src/main/java/gingerring/decide/Searcher.java
+++ b/mixer/src/main/java/gingerring/decide/Searcher.java
@@ -5,31 +5,37 @@
 import java.util.List;
 import java.util.Set;
 
-/** A searcher as one mixer sees it: the roster's line, its own trips, and what came of them. */
+/**
+ * The state of one searcher at this mixer: its member entry, the open trips and the statistics of
+ * past ones.
+ */
 public final class Searcher {
   public final SearcherId id;
   public MemberEntry entry;
   public Duration startedAt;
 
-  /** Own trips out, oldest first, and the calls that they share. */
+  /** Open trips of this mixer, oldest first, and the number of open calls that they share. */
   public final Set<Trip> openTrips = new LinkedHashSet<>();
 
   public int openCalls;
   public Trip.Call lastCall;
 
-  /** When it was last sent a part, or from when its first turn counts while it is cold. */
+  /**
+   * When the searcher was last sent a part; for a cold one initially the start of its first turn
+   * interval.
+   */
   public Duration lastSentAt;
 
-  /** The start that its turns go by. */
+  /** The value of {@code startedAt} from which the turns of a cold searcher are counted. */
   public Duration turnsStartedAt;
 
   public int assignedParts;
   public Duration busySince;
 
-  /** Time with own parts out since the last word from it. */
+  /** Time with open trips since the last answer, rejection or error. */
   public Duration silentTime = Duration.ZERO;
 
-  /** Time with own parts out, and the same times their number. */
+  /** Time with open trips, and the same time multiplied by the number of open trips. */
   public final RollingSum busyTime;
 
   public final RollingSum openTripTime;
@@ -37,7 +43,7 @@
   public final RollingSum errors;
   public final RollingSum sentParts;
 
-  /** Null while it is trusted; else when it may next be tried. */
+  /** Null if the searcher is not ejected; otherwise the earliest time of the next probe. */
   public Duration ejectedUntil;
 
   public Duration ejectionTime;
@@ -58,7 +64,7 @@
     return entry.status() == MemberEntry.Status.READY;
   }
 
-  /** Nothing of it is out, recent or benched. */
+  /** Returns whether there are no open trips, no recent measurements and no ejection. */
   public boolean isInactive(Duration now) {
     return openTrips.isEmpty()
         && ejectedUntil == null
@@ -67,25 +73,28 @@
         && errors.sum(now) == 0;
   }
 
-  /** Gone, and nothing is out there or counts in the cold guard's window. */
+  /**
+   * Returns whether the searcher is gone, has no open trips and no longer counts in the cold-start
+   * limit.
+   */
   public boolean isRemovable(Duration now) {
     return entry.status() == MemberEntry.Status.GONE
         && openTrips.isEmpty()
         && sentParts.sum(now) == 0;
   }
 
-  /** Drops what was measured of it: it is to be judged anew. */
+  /** Discards the measurements, so that only new ones count. */
   public void resetStats() {
     silentTime = Duration.ZERO;
     List.of(busyTime, openTripTime, answers, errors).forEach(RollingSum::clear);
   }
 
-  /** Leaves the time up to now out of what is measured. */
+  /** Excludes the time up to now from the measurements. */
   public void excludeTimeUntil(Duration now) {
     busySince = openTrips.isEmpty() ? null : now;
   }
 
-  /** Books the time that own parts have been out. */
+  /** Adds the time with open trips since the last update. */
   public void recordBusyTime(Duration now) {
     if (busySince != null) {
       Duration elapsed = now.minus(busySince);
@@ -96,7 +105,10 @@
     busySince = openTrips.isEmpty() ? null : now;
   }
 
-  /** Books a part that is sent now; {@code callParts} parts of one moment share a call. */
+  /**
+   * Records a part that is sent now; up to {@code partsPerCall} parts sent at the same time share a
+   * call.
+   */
   public Trip recordSend(Part part, Duration now, int partsPerCall) {
     recordBusyTime(now);
     if (!canJoinLastCall(now, partsPerCall)) {
@@ -113,7 +125,7 @@
     return trip;
   }
 
-  /** Books a trip that has ended. */
+  /** Records a trip that has ended. */
   public void recordEnd(Trip trip, Duration now) {
     recordBusyTime(now);
     openTrips.remove(trip);
@@ -126,7 +138,7 @@
     }
   }
 
-  /** Own calls out, with those that planned parts would open. */
+  /** Returns the open calls including those that the assigned parts would add. */
   public int projectedCalls(Duration now, int partsPerCall) {
     int joining =
         canJoinLastCall(now, partsPerCall)
--- a/mixer/src/main/java/gingerring/decide/SearcherId.java
+++ b/mixer/src/main/java/gingerring/decide/SearcherId.java
@@ -1,9 +1,12 @@
 package gingerring.decide;
 
-/** A searcher, by its address: the bytes of the address and port, the first byte highest. */
+/**
+ * Identifies a searcher by its address: the bytes of the IP address and the port, in network byte
+ * order.
+ */
 public record SearcherId(long address) implements Comparable<SearcherId> {
-  // written out: a record's own are linked by method handles, which costs a starting process some
-  // 0.1 s
+  // Written out: the methods generated for a record are linked through method handles, which adds
+  // about 0.1 s to the start of the process.
   @Override
   public boolean equals(Object other) {
     return other instanceof SearcherId id && id.address == address;
--- a/mixer/src/main/java/gingerring/decide/ServiceClass.java
+++ b/mixer/src/main/java/gingerring/decide/ServiceClass.java
@@ -2,9 +2,12 @@
 
 import java.time.Duration;
 
-/** A service grade. */
+/** The service class of a scan: its deadlines, its coverage and whether it may be retried. */
 public final class ServiceClass {
-  /** What a repeat does: nothing, nothing while its mark is known, or harm. */
+  /**
+   * The effect of executing a request twice: none, none while the idempotency key is stored, or
+   * harmful.
+   */
   public enum RetrySafety {
     IDEMPOTENT,
     KEYED,
@@ -21,7 +24,7 @@
   public double fullCoverage;
   public int secondStepParts;
 
-  /** Reads the grade of a number. */
+  /** Reads the service class with the given index. */
   static ServiceClass read(Settings settings, int index) {
     String prefix = "Classes." + index + ".";
     ServiceClass serviceClass = new ServiceClass();
@@ -50,8 +53,8 @@
   }
 
   /**
-   * May be answered from some of its parts: only a grade that may run again can leave the others
-   * behind.
+   * Returns whether a scan may be answered from a subset of its parts: only an idempotent one may
+   * leave the other parts unfinished.
    */
   public boolean allowsPartial() {
     return minCoverage < fullCoverage && retrySafety == RetrySafety.IDEMPOTENT;
--- a/mixer/src/main/java/gingerring/decide/Settings.java
+++ b/mixer/src/main/java/gingerring/decide/Settings.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 
 /**
- * Reads the values handed over at start; what is needed and missing or unreadable is named. Numbers
- * are read once, since scans ask for them over and over.
+ * Reads the settings passed at start; an exception names a required setting that is missing or
+ * malformed. Parsed numbers are cached, since every scan reads them.
  */
 public final class Settings {
   private final Map<String, String> values;
@@ -45,7 +45,7 @@
     return (int) number(key);
   }
 
-  /** A time given in milliseconds. */
+  /** Returns a duration given in milliseconds. */
   public Duration duration(String key) {
     return Durations.millis(number(key));
   }
@@ -62,7 +62,10 @@
     return Boolean.parseBoolean(values.get(key));
   }
 
-  /** The value at a place of a list, or {@code otherwise} where there is no such list. */
+  /**
+   * Returns the item of a list at the given index, or {@code defaultValue} if there is no such
+   * list.
+   */
   public double item(String key, int index, double defaultValue) {
     if (!values.containsKey(key)) {
       return defaultValue;
@@ -79,10 +82,10 @@
     try {
       number = Double.parseDouble(value);
     } catch (NumberFormatException e) {
-      throw new IllegalArgumentException("setting " + key + " is no number: " + value);
+      throw new IllegalArgumentException("setting " + key + " is not a number: " + value);
     }
     if (!Double.isFinite(number)) {
-      throw new IllegalArgumentException("setting " + key + " is no number: " + value);
+      throw new IllegalArgumentException("setting " + key + " is not a number: " + value);
     }
     return number;
   }
--- a/mixer/src/main/java/gingerring/decide/TimerId.java
+++ b/mixer/src/main/java/gingerring/decide/TimerId.java
@@ -1,8 +1,8 @@
 package gingerring.decide;
 
-/** A wake-up call that the mixer asked its host for. */
+/** Identifies a timer that the mixer started at its host. */
 public record TimerId(int number) {
-  // written out as in SearcherId
+  // written out for the reason given in SearcherId
   @Override
   public boolean equals(Object other) {
     return other instanceof TimerId id && id.number == number;
--- a/mixer/src/main/java/gingerring/decide/Trip.java
+++ b/mixer/src/main/java/gingerring/decide/Trip.java
@@ -2,7 +2,7 @@
 
 import java.time.Duration;
 
-/** One sending of a part to a searcher. {@code outcome} is null while it is out. */
+/** One attempt to run a part at a searcher. {@code outcome} is null while the trip is open. */
 public final class Trip {
   public final Part part;
   public final Searcher searcher;
@@ -19,7 +19,7 @@
     this.call = call;
   }
 
-  /** Parts sent to one searcher at one moment, which share a place. */
+  /** Parts sent to one searcher at the same time, which share one call. */
   public static final class Call {
     public final Duration sentAt;
     public int partCount;
--- a/mixer/src/main/java/gingerring/server/MixerHost.java
+++ b/mixer/src/main/java/gingerring/server/MixerHost.java
@@ -343,7 +343,7 @@
                   last.machine(),
                   last.cell(),
                   member.standing(),
-                  last.capacity(),
+                  last.size(),
                   last.startedAt())
               : new MemberEntry(
                   id,
--- a/mixer/src/main/java/gingerring/simulator/MixerInstance.java
+++ b/mixer/src/main/java/gingerring/simulator/MixerInstance.java
@@ -17,8 +17,8 @@
 import java.util.random.RandomGeneratorFactory;
 
 /**
- * The place of one instance: its events become calls of its mixer, and the mixer's calls become
- * actions.
+ * Runs one simulated mixer instance: translates its events into calls of the mixer, and the mixer's
+ * calls into actions of the reply.
  */
 final class MixerInstance implements Host {
   private static final int FLAG_COST_KNOWN = 1;
@@ -145,7 +145,7 @@
               line.machine(),
               line.cell(),
               line.status(),
-              line.capacity(),
+              line.size(),
               started));
     }
     callMixer(mixer -> mixer.memberListUpdated(entries, kind != 0));
@@ -160,14 +160,14 @@
     long key = records.u64();
     records.u32();
     float weight = records.f32();
-    double endMs = records.ms();
+    double deadlineMs = records.ms();
     float shard = records.f32();
     Duration work = (flags & FLAG_COST_KNOWN) != 0 ? duration(costMs) : Duration.ZERO;
     if (shard < 0) {
       finish();
       List<Part> newParts = pendingParts;
       pendingScanNumber = scanNumber;
-      Duration end = duration(endMs - startMs);
+      Duration deadline = duration(deadlineMs - startMs);
       pendingArrival =
           mixer ->
               mixer.scanArrived(
@@ -177,7 +177,7 @@
                   key,
                   (flags & FLAG_RESENT) != 0,
                   work,
-                  end,
+                  deadline,
                   newParts);
       return;
     }
@@ -190,7 +190,7 @@
     pendingParts.add(new Part(new PartId(id), (int) shard, weight, key));
   }
 
-  /** Hands over a scan once all its parts have been read. */
+  /** Passes a scan to the mixer once all its parts have been read. */
   void finish() {
     if (pendingArrival != null) {
       Consumer<Mixer> scanCall = pendingArrival;
@@ -200,14 +200,17 @@
     }
   }
 
-  /** Calls the mixer, if this instance runs. */
+  /** Calls the mixer if this instance is running. */
   private void callMixer(Consumer<Mixer> call) {
     if (mixer != null) {
       runGuarded(() -> call.accept(mixer));
     }
   }
 
-  /** Tells a failure of the decision code as such; the instance is then dead. */
+  /**
+   * Reports an exception of the decision code as an internal error; the instance then stops
+   * running.
+   */
   private void runGuarded(Runnable call) {
     replies.instance(instanceId);
     try {
@@ -235,7 +238,9 @@
     return duration(clockMs - startMs);
   }
 
-  /** The wire has no word for {@code startWithin}, and needs none: a send counts from its batch. */
+  /**
+   * The protocol has no field for {@code startWithin} and needs none: a trip starts with its batch.
+   */
   @Override
   public void send(PartId part, SearcherId searcher, Duration timeout, Duration startWithin) {
     replies.route(part.number(), searcher, ms(timeout));
--- a/mixer/src/main/java/gingerring/simulator/RecordReader.java
+++ b/mixer/src/main/java/gingerring/simulator/RecordReader.java
@@ -9,7 +9,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Reads the records of one batch, field by field, never past the end of the record in hand. */
+/** Reads the records of one batch field by field, never beyond the end of the current record. */
 final class RecordReader {
   static final int CREATE = 0;
   static final int DISCOVERY = 1;
@@ -25,12 +25,12 @@
   static final int AT = 11;
   static final int HEADER_BYTES = 5;
 
-  /** The largest time that still counts exactly in nanoseconds. */
+  /** The largest time in milliseconds that is still exact in nanoseconds. */
   static final double MAX_TIME_MS = 9e12;
 
   private static final int ENTRY_BYTES = 23;
 
-  /** A numbered list of searchers; times of start are on the batches' clock, 0 for long ago. */
+  /** A page of the member list; start times are on the clock of the batches, 0 means long ago. */
   record MemberPage(List<MemberLine> lines) {}
 
   record MemberLine(
@@ -39,7 +39,7 @@
       int machine,
       int cell,
       MemberEntry.Status status,
-      float capacity,
+      float size,
       double startedMs) {}
 
   private final ByteBuffer bytes;
@@ -57,7 +57,7 @@
     return code >= CREATE && code <= AT;
   }
 
-  /** Moves to the next record, over whatever the last one still held. */
+  /** Moves to the next record and skips the unread rest of the current one. */
   void next() throws SimulatorAdapter.MalformedInput {
     bytes.position(recordEnd);
     recordNumber++;
@@ -88,7 +88,8 @@
 
   private void requireBytes(int length) throws SimulatorAdapter.MalformedInput {
     if (recordEnd - bytes.position() < length) {
-      throw new SimulatorAdapter.MalformedInput(location() + ": its fields end early");
+      throw new SimulatorAdapter.MalformedInput(
+          location() + ": the record is too short for its fields");
     }
   }
 
@@ -116,7 +117,7 @@
     requireBytes(4);
     float value = bytes.getFloat();
     if (!Float.isFinite(value)) {
-      throw new SimulatorAdapter.MalformedInput(location() + ": a number reads " + value);
+      throw new SimulatorAdapter.MalformedInput(location() + ": invalid number " + value);
     }
     return value;
   }
@@ -125,7 +126,7 @@
     requireBytes(8);
     double value = bytes.getDouble();
     if (!Double.isFinite(value) || Math.abs(value) > MAX_TIME_MS) {
-      throw new SimulatorAdapter.MalformedInput(location() + ": a time reads " + value);
+      throw new SimulatorAdapter.MalformedInput(location() + ": invalid time " + value);
     }
     return value;
   }
@@ -152,7 +153,7 @@
       case 80 -> Outcome.NOT_SENT;
       default ->
           throw new SimulatorAdapter.MalformedInput(
-              location() + ": no outcome has the code " + outcomeCode);
+              location() + ": unknown outcome code " + outcomeCode);
     };
   }
 
@@ -211,7 +212,7 @@
       case 2 -> MemberEntry.Status.DRAINING;
       default ->
           throw new SimulatorAdapter.MalformedInput(
-              location() + ": no searcher stands at " + statusCode);
+              location() + ": unknown searcher status " + statusCode);
     };
   }
 }
--- a/mixer/src/main/java/gingerring/simulator/ReplyWriter.java
+++ b/mixer/src/main/java/gingerring/simulator/ReplyWriter.java
@@ -23,7 +23,10 @@
     writtenInstance = -1;
   }
 
-  /** Whose actions follow; written only once there is one. */
+  /**
+   * Selects the instance of the following actions; its id is written together with the first
+   * action.
+   */
   void instance(int instanceId) {
     this.instanceId = instanceId;
   }
--- a/mixer/src/main/java/gingerring/simulator/SimulatorAdapter.java
+++ b/mixer/src/main/java/gingerring/simulator/SimulatorAdapter.java
@@ -12,8 +12,8 @@
 import java.util.Map;
 
 /**
- * Answers the bench's batches: one reply for each, from one {@link MixerInstance} for each
- * instance.
+ * Connects mixers to the simulator: reads batches of events and writes one reply per batch, with
+ * one {@link MixerInstance} per simulated mixer.
  */
 public final class SimulatorAdapter {
   private static final int HEADER_BYTES = 20;
@@ -31,8 +31,8 @@
   }
 
   /**
-   * Runs to the end of the input and returns the exit code; what was wrong, if anything, goes to
-   * complaints.
+   * Runs until the end of the input and returns the exit code; a problem is printed to {@code
+   * errors}.
    */
   public int run(PrintStream errors) throws IOException {
     try {
@@ -62,10 +62,10 @@
     long recordCount = Integer.toUnsignedLong(header.getInt());
     String location = "batch " + Integer.toUnsignedString(batchNumber);
     if (length < HEADER_BYTES - 8) {
-      throw new MalformedInput(location + ": length " + length + " is less than its header needs");
+      throw new MalformedInput(location + ": length " + length + " is shorter than the header");
     }
     if (!Double.isFinite(clockMs) || Math.abs(clockMs) > RecordReader.MAX_TIME_MS) {
-      throw new MalformedInput(location + ": the clock reads " + clockMs);
+      throw new MalformedInput(location + ": invalid clock value " + clockMs);
     }
     byte[] body = readBody(length - (HEADER_BYTES - 8), location);
     if (recordCount > body.length / RecordReader.HEADER_BYTES) {
@@ -111,7 +111,7 @@
     return null;
   }
 
-  /** Reads in chunks, so that a length which lies is found out before it is allocated. */
+  /** Reads in chunks, so that a wrong length is detected before that much memory is allocated. */
   private byte[] readBody(long length, String location) throws IOException {
     ByteArrayOutputStream body = new ByteArrayOutputStream((int) Math.min(length, CHUNK_BYTES));
     while (body.size() < length) {
@@ -125,7 +125,7 @@
     return body.toByteArray();
   }
 
-  /** Input that is not of the wire. */
+  /** Thrown for input that does not follow the protocol. */
   static final class MalformedInput extends IOException {
     private static final long serialVersionUID = 1;
 
--- a/mixer/src/test/java/gingerring/simulator/SimulatorAdapterTest.java
+++ b/mixer/src/test/java/gingerring/simulator/SimulatorAdapterTest.java
@@ -130,11 +130,11 @@
     assertComplains("input ended after 0 of", "01000000 ffffffff 00000000206ec040 00000000");
     assertComplains("records do not fit", "01000000 0c000000 00000000206ec040 ffffffff");
     assertComplains("bytes claimed", batch(1, "0b ffffff7f 0300"));
-    assertComplains("fields end early", batch(1, "0b 01000000 03"));
+    assertComplains("too short for its fields", batch(1, "0b 01000000 03"));
     assertComplains("lines do not fit", batch(1, "0a 05000000 00 ffffffff"));
     assertComplains("before any AT", batch(1, "05 04000000 c4913a5d"));
     assertComplains(
-        "no outcome has the code 11",
+        "unknown outcome code 11",
         batch(
             3,
             AT,
@@ -142,6 +142,6 @@
             "04 1c000000 c4913a5d 0b00 0000000000803240 0000 0a124a07 8b13 01 01 00004040"));
     assertComplains("page 5", batch(2, AT, "01 0a000000 02 2900000000000000 05"));
     assertComplains(
-        "a time reads NaN", batch(3, AT, create(HOUSE), SCAN.formatted("000000000000f87f")));
+        "invalid time NaN", batch(3, AT, create(HOUSE), SCAN.formatted("000000000000f87f")));
   }
 }
--- a/peering/src/main/java/gingerring/peering/Peering.java
+++ b/peering/src/main/java/gingerring/peering/Peering.java
@@ -138,7 +138,7 @@
                           new Box(
                               id(each.searcher().address()),
                               each.zone(),
-                              each.capacity() > 0 ? each.capacity() : 1),
+                              each.size() > 0 ? each.size() : 1),
                           each.cell()))
               .toList());
     }
