--- a/mixer/src/main/java/gingerring/server/PeerService.java
+++ b/mixer/src/main/java/gingerring/server/PeerService.java
@@ -2,8 +2,8 @@
 
 import gingerring.decide.MemberEntry;
 import gingerring.decide.Outcome;
-import gingerring.net.Inbox;
-import gingerring.net.TurnClock;
+import gingerring.net.EventQueue;
+import gingerring.net.LoopTimer;
 import java.time.Duration;
 import java.util.Collection;
 
@@ -15,26 +15,26 @@
  */
 public interface PeerService {
   /** What the process lends: its loop's clock and inbox, and a way to its mixer. */
-  interface Context extends TurnClock, Inbox {
+  interface Context extends LoopTimer, EventQueue {
     String name();
 
     /** The number of this mixer's zone in its settings; -1 where there is none. */
     int zone();
 
     /** Cells of the ring, and how many from a shard's own on hold it. */
-    int places();
+    int cellCount();
 
-    int reach();
+    int cellsPerShard();
 
     /** Unix time in milliseconds at the clock's zero. */
-    long startMs();
+    long startEpochMs();
 
     /** Another mixer had an answer of that searcher. */
     void answeredElsewhere(long searcher);
   }
 
   /** The process is about to take scans. */
-  void begin(Context ground);
+  void start(Context ground);
 
   void membersChanged(Collection<MemberEntry> searchers);
 
@@ -54,11 +54,11 @@
   /** The share of its parts that fail as others see it, 0 to 1; 0 where nobody tells. */
   double failureShare(long searcher);
 
-  boolean prefers(long searcher);
+  boolean isPreferred(long searcher);
 
   /** A line for the log each minute. */
-  String status();
+  String statusLine();
 
   /** The process ends on purpose; {@code within} it may still say so. */
-  void end(Duration within);
+  void shutDown(Duration within);
 }
