--- a/mixer/src/main/java/gingerring/server/MixerHost.java
+++ b/mixer/src/main/java/gingerring/server/MixerHost.java
@@ -345,7 +345,7 @@
                   last.machine(),
                   last.cell(),
                   member.standing(),
-                  last.capacity(),
+                  last.size(),
                   last.startedAt())
               : new MemberEntry(
                   id,
