--- a/mixer/src/main/java/gingerring/decide/RollingSum.java
+++ b/mixer/src/main/java/gingerring/decide/RollingSum.java
@@ -4,8 +4,8 @@
 import java.util.Arrays;
 
 /**
- * Sums over the recent past, in fixed bucketSums of time that are used again in a ring. Amounts are
- * whole numbers, so that the running total stays exact.
+ * Sums amounts over a sliding time window, in a ring of buckets of fixed length. Amounts are whole
+ * numbers, so that the running total stays exact.
  */
 public final class RollingSum {
   private final long spanNanos;
@@ -26,36 +26,41 @@
     total += amount;
   }
 
-  /** The sum over at least the ring's span: the bucket that the span begins in counts whole. */
+  /**
+   * Returns the sum over at least the window: the bucket in which the window begins counts fully.
+   */
   public double sum(Duration now) {
     advance(now);
     return total;
   }
 
-  /** The sum over less than the ring's span: the bucket that the span begins in is left out. */
+  /** Returns the sum over at most the window: the bucket in which the window begins is left out. */
   public double sumWithin(Duration now) {
     advance(now);
     return sum(now, (int) (newestBucket - Math.floorDiv(now.toNanos() - spanNanos, bucketNanos)));
   }
 
-  /** How many of the newest bucketSums hold at least so much; all of them where they hold less. */
-  public int bucketsHolding(Duration now, double least) {
+  /**
+   * Returns how many of the newest buckets together hold at least {@code minSum}; all buckets if
+   * they hold less.
+   */
+  public int bucketsHolding(Duration now, double minSum) {
     advance(now);
-    int back = 0;
-    for (double held = 0; back < bucketSums.length && held < least; back++) {
-      held += bucketSums[(int) Math.floorMod(newestBucket - back, (long) bucketSums.length)];
+    int buckets = 0;
+    for (double heldSum = 0; buckets < bucketSums.length && heldSum < minSum; buckets++) {
+      heldSum += bucketSums[(int) Math.floorMod(newestBucket - buckets, (long) bucketSums.length)];
     }
-    return back;
+    return buckets;
   }
 
-  /** The sum over so many of the newest bucketSums. */
-  public double sum(Duration now, int back) {
+  /** Returns the sum over the given number of newest buckets. */
+  public double sum(Duration now, int buckets) {
     advance(now);
-    double part = 0;
-    for (int i = 0; i < back; i++) {
-      part += bucketSums[(int) Math.floorMod(newestBucket - i, (long) bucketSums.length)];
+    double partialSum = 0;
+    for (int i = 0; i < buckets; i++) {
+      partialSum += bucketSums[(int) Math.floorMod(newestBucket - i, (long) bucketSums.length)];
     }
-    return part;
+    return partialSum;
   }
 
   public void clear() {
@@ -69,9 +74,9 @@
       newestBucket = bucket;
     }
     for (long i = Math.max(newestBucket + 1, bucket - bucketSums.length + 1); i <= bucket; i++) {
-      int at = (int) Math.floorMod(i, (long) bucketSums.length);
-      total -= bucketSums[at];
-      bucketSums[at] = 0;
+      int slot = (int) Math.floorMod(i, (long) bucketSums.length);
+      total -= bucketSums[slot];
+      bucketSums[slot] = 0;
     }
     newestBucket = Math.max(newestBucket, bucket);
   }
--- a/mixer/src/main/java/gingerring/server/MixerHost.java
+++ b/mixer/src/main/java/gingerring/server/MixerHost.java
@@ -360,7 +360,7 @@
                   previous.machine(),
                   previous.cell(),
                   member.standing(),
-                  previous.capacity(),
+                  previous.size(),
                   previous.startedAt())
               : new MemberEntry(
                   id,
