--- a/mixer/src/test/java/gingerring/server/WatchTest.java
+++ b/mixer/src/test/java/gingerring/server/DiscoveryWatchTest.java
@@ -32,13 +32,13 @@
  * requests the list apart from the watch itself.
  */
 @Timeout(60)
-class WatchTest {
+class DiscoveryWatchTest {
   private static final int TIMEOUT_MS = 20_000;
   private static final int CLOCK_SPEEDUP = 10;
 
-  private final Counters counts = new Counters();
-  private final EventLoop loop = new EventLoop(counts);
-  private final Network network = new Network(loop, counts, false);
+  private final Counters counters = new Counters();
+  private final EventLoop loop = new EventLoop(counters);
+  private final Network network = new Network(loop, counters, false);
   private final BlockingQueue<String> notifications = new LinkedBlockingQueue<>();
   private ServerSocket agent;
   private Thread loopThread;
@@ -76,7 +76,7 @@
                 notifications.add("failed");
               }
             },
-            counts,
+            counters,
             clock);
     loop.post(watch::open);
     loopThread = new Thread(() -> loop.run(() -> {}, network::flush));
@@ -129,7 +129,7 @@
 
   /**
    * Guards against a mixer that has no open watch while its agent has a newer list, which counts as
-   * delivered.
+   * known to the mixer.
    */
   @Test
   void reopensEndedOrSilentWatchAtOnce() throws Exception {
@@ -164,13 +164,13 @@
   @Test
   void ignoresCompleteListOlderThanTheCurrentOne() throws Exception {
     startWatch(41, loop);
-    Socket staleAgent = acceptWatch("41");
-    sendLine(staleAgent, memberListLine(39, true));
-    sendLine(staleAgent, memberListLine(40, false));
-    sendLine(staleAgent, memberListLine(42, false));
+    Socket staleWatch = acceptWatch("41");
+    sendLine(staleWatch, memberListLine(39, true));
+    sendLine(staleWatch, memberListLine(40, false));
+    sendLine(staleWatch, memberListLine(42, false));
     assertEquals("list 42", nextNotification());
-    assertEquals(1, counts.get("lists older than the one held"));
-    staleAgent.close();
+    assertEquals(1, counters.get("lists older than the one held"));
+    staleWatch.close();
   }
 
   /**
@@ -180,8 +180,8 @@
   @Test
   void acceptsOlderListOnceRevisionsHaveRestarted() throws Exception {
     startWatch(41, new FastClock());
-    Socket staleAgent = acceptWatch("41");
-    sendLine(staleAgent, memberListLine(3, true));
+    Socket staleWatch = acceptWatch("41");
+    sendLine(staleWatch, memberListLine(3, true));
     Socket restartedWatch = null;
     for (String index = "41"; restartedWatch == null; ) {
       // The agent sends no further lines, so the watch is reopened again and again.
@@ -196,10 +196,10 @@
       assertTrue(
           restartedWatch != null || requestLine.contains("index=" + index + ' '), requestLine);
     }
-    for (String requestLine = nextNotification();
-        !requestLine.equals("list 3");
-        requestLine = nextNotification()) {
-      assertEquals("failed", requestLine);
+    for (String notification = nextNotification();
+        !notification.equals("list 3");
+        notification = nextNotification()) {
+      assertEquals("failed", notification);
     }
     restartedWatch.close();
   }
--- a/mixer/src/test/java/gingerring/server/LoopTest.java
+++ b/mixer/src/test/java/gingerring/server/EventLoopTest.java
@@ -27,7 +27,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-class LoopTest {
+class EventLoopTest {
   /**
    * Runs, in a JVM of its own, a loop that counts its timer wakes and a thread that posts to the
    * loop for ever.
@@ -92,7 +92,7 @@
     try {
       Set<String> suspendedIn = suspendAtEachCall(child);
       assertTrue(
-          suspendedIn.stream().anyMatch(method -> method.endsWith("Loop.post")),
+          suspendedIn.stream().anyMatch(method -> method.endsWith("EventLoop.post")),
           () -> "suspended in " + suspendedIn);
       assertTrue(suspendedIn.size() >= 4, () -> "suspended in " + suspendedIn);
     } finally {
--- a/mixer/src/test/java/gingerring/server/MixerHostTest.java
+++ b/mixer/src/test/java/gingerring/server/MixerHostTest.java
@@ -31,14 +31,14 @@
 
 class MixerHostTest {
   /** Records how a scan is answered. */
-  private record RecordingReply(String scanName, List<String> events) implements ScanResponder {
+  private record RecordingResponder(String scanName, List<String> events) implements ScanResponder {
     @Override
     public void answer(boolean whole, Map<Integer, byte[]> values) {
       events.add(scanName + " answered");
     }
 
     @Override
-    public void reject(Duration comeBack) {
+    public void reject(Duration retryAfter) {
       events.add(scanName + " rejected");
     }
 
@@ -71,55 +71,48 @@
    * need.
    */
   @Test
-  void rehearsalRunsSampleScansWithoutSockets() throws IOException, Json.JsonException {
+  void warmUpRunsSampleScansWithoutSockets() throws IOException, Json.JsonException {
     assertTrue(new ScanWarmUp(exampleSettings()).run() >= 50);
   }
 
   /** Guards against a leak: state kept for every searcher and scan that ever existed. */
   @Test
   void keepsNoStateOfGoneSearchersAndFinishedScans() throws IOException, Json.JsonException {
-    Counters counts = new Counters();
-    EventLoop loop = new EventLoop(counts);
-    Network network = new Network(loop, counts, true);
-    MixerHost host = new MixerHost(loop, exampleSettings(), counts, 0);
-    Backend back = new Backend(network, host, exampleSettings(), counts, loop);
+    Counters counters = new Counters();
+    EventLoop loop = new EventLoop(counters);
+    Network network = new Network(loop, counters, true);
+    MixerHost host = new MixerHost(loop, exampleSettings(), counters, 0);
+    Backend backend = new Backend(network, host, exampleSettings(), counters, loop);
     InetSocketAddress unusedAddress = new InetSocketAddress("127.0.0.1", 9);
     host.start(
-        back,
-        new DiscoveryWatch(network, unusedAddress, 0, host, counts, loop),
+        backend,
+        new DiscoveryWatch(network, unusedAddress, 0, host, counters, loop),
         1,
         new MemberListUpdate(0, true, List.of()));
     List<String> outcomes = new ArrayList<>();
     int rounds = 3000;
     for (int i = 0; i < rounds; i++) {
-      int number = i;
+      int round = i;
       loop.post(
           () -> {
             host.onUpdate(
                 new MemberListUpdate(
-                    number + 1,
+                    round + 1,
                     false,
                     List.of(
                         new MemberListUpdate.Member(
-                            "s-" + number,
-                            unusedAddress,
-                            "a",
-                            "toy",
-                            number % 4,
-                            Status.READY,
-                            1,
-                            0),
+                            "s-" + round, unusedAddress, "a", "toy", round % 4, Status.READY, 1, 0),
                         new MemberListUpdate.Member(
-                            "s-" + (number - 4),
+                            "s-" + (round - 4),
                             unusedAddress,
                             "a",
                             "toy",
-                            number % 4,
+                            round % 4,
                             Status.GONE,
                             1,
                             0))));
             host.accept(
-                scanRequest("m" + number, 0), loop.now(), new RecordingReply("scan", outcomes));
+                scanRequest("m" + round, 0), loop.now(), new RecordingResponder("scan", outcomes));
           });
     }
     loop.post(
@@ -130,10 +123,10 @@
                   host.onUpdate(new MemberListUpdate(rounds + 1, true, List.of()));
                   loop.schedule(Duration.ofMillis(1500), loop::stop);
                 }));
-    loop.run(back::dispatch, network::flush);
+    loop.run(backend::dispatch, network::flush);
     assertEquals(rounds, outcomes.size());
     assertEquals(0, host.retainedCount());
-    assertEquals(0, back.searcherCount());
+    assertEquals(0, backend.searcherCount());
     assertEquals(0, network.connectionCount());
   }
 
@@ -175,20 +168,20 @@
    * FullBacklogListener}.
    */
   private static final class HostFixture {
-    final Counters counts = new Counters();
-    final EventLoop loop = new EventLoop(counts);
-    final Network network = new Network(loop, counts, false);
+    final Counters counters = new Counters();
+    final EventLoop loop = new EventLoop(counters);
+    final Network network = new Network(loop, counters, false);
     final MixerHost host;
-    final Backend back;
+    final Backend backend;
     final InetSocketAddress address;
 
     HostFixture(InetSocketAddress address) throws IOException, Json.JsonException {
       this.address = address;
-      host = new MixerHost(loop, exampleSettings(), counts, 0);
-      back = new Backend(network, host, exampleSettings(), counts, loop);
+      host = new MixerHost(loop, exampleSettings(), counters, 0);
+      backend = new Backend(network, host, exampleSettings(), counters, loop);
       host.start(
-          back,
-          new DiscoveryWatch(network, address, 0, host, counts, loop),
+          backend,
+          new DiscoveryWatch(network, address, 0, host, counters, loop),
           1,
           memberList(true, Status.READY));
     }
@@ -203,9 +196,9 @@
     void run(Runnable event, Duration duration) {
       loop.post(() -> loop.schedule(duration, loop::stop));
       loop.post(event);
-      loop.run(back::dispatch, network::flush);
+      loop.run(backend::dispatch, network::flush);
       network.dispose();
-      assertEquals(0, counts.get("failures in an event"));
+      assertEquals(0, counters.get("failures in an event"));
     }
   }
 
@@ -225,7 +218,7 @@
                 fixture.host.accept(
                     scanRequest("early", 0),
                     fixture.loop.now(),
-                    new RecordingReply("early", outcomes)));
+                    new RecordingResponder("early", outcomes)));
             fixture.loop.post(
                 () ->
                     fixture.loop.post(
@@ -238,7 +231,7 @@
           },
           Duration.ofMillis(300));
       assertEquals(List.of("early rejected"), outcomes);
-      assertEquals(0, fixture.counts.get("links dialled"));
+      assertEquals(0, fixture.counters.get("links dialled"));
     }
   }
 
@@ -255,12 +248,12 @@
           () -> {
             fixture.host.onContact();
             fixture.host.accept(
-                scanRequest("a", 0), fixture.loop.now(), new RecordingReply("scan", outcomes));
+                scanRequest("a", 0), fixture.loop.now(), new RecordingResponder("scan", outcomes));
             fixture.host.onUpdate(fixture.memberList(false, Status.DRAINING));
           },
           Duration.ofMillis(300));
       assertEquals(List.of("scan rejected"), outcomes);
-      assertEquals(0, fixture.counts.get("links dialled"));
+      assertEquals(0, fixture.counters.get("links dialled"));
     }
   }
 
@@ -278,7 +271,9 @@
             () -> {
               fixture.host.onContact();
               fixture.host.accept(
-                  scanRequest("a", 0), fixture.loop.now(), new RecordingReply("scan", outcomes));
+                  scanRequest("a", 0),
+                  fixture.loop.now(),
+                  new RecordingResponder("scan", outcomes));
               fixture.loop.post(
                   () ->
                       fixture.loop.post(
@@ -286,8 +281,8 @@
             },
             Duration.ofMillis(300));
         assertEquals(List.of("scan rejected"), outcomes);
-        assertEquals(1, fixture.counts.get("links dialled"));
-        assertEquals(1, fixture.counts.get("trips NOT_SENT"));
+        assertEquals(1, fixture.counters.get("links dialled"));
+        assertEquals(1, fixture.counters.get("trips NOT_SENT"));
       }
     }
   }
@@ -299,25 +294,27 @@
   @Test
   void exceptionInTheMixerFailsOnlyTheScanItHandles() throws IOException, Json.JsonException {
     Settings settings = exampleSettings();
-    Counters counts = new Counters();
-    EventLoop loop = new EventLoop(counts);
-    Network network = new Network(loop, counts, true);
-    MixerHost host = new MixerHost(loop, settings, counts, 0);
+    Counters counters = new Counters();
+    EventLoop loop = new EventLoop(counters);
+    Network network = new Network(loop, counters, true);
+    MixerHost host = new MixerHost(loop, settings, counters, 0);
     DiscoveryWatch watch =
-        new DiscoveryWatch(network, new InetSocketAddress("127.0.0.1", 1), 0, host, counts, loop);
+        new DiscoveryWatch(network, new InetSocketAddress("127.0.0.1", 1), 0, host, counters, loop);
     host.start(
-        new Backend(network, host, settings, counts, loop),
+        new Backend(network, host, settings, counters, loop),
         watch,
         1,
         new MemberListUpdate(0, true, List.of()));
     List<String> outcomes = new ArrayList<>();
     host.accept(
-        scanRequest("a", 7), Duration.ZERO, new RecordingReply("unknown service class", outcomes));
-    host.accept(scanRequest("b", 0), Duration.ZERO, new RecordingReply("good", outcomes));
+        scanRequest("a", 7),
+        Duration.ZERO,
+        new RecordingResponder("unknown service class", outcomes));
+    host.accept(scanRequest("b", 0), Duration.ZERO, new RecordingResponder("good", outcomes));
     loop.post(() -> loop.schedule(Duration.ofMillis(50), loop::stop));
     loop.run(() -> {}, () -> {});
     assertEquals(List.of("unknown service class failed", "good rejected"), outcomes);
-    assertEquals(1, counts.get("failures in the mixer"));
+    assertEquals(1, counters.get("failures in the mixer"));
     assertEquals(0, host.openScanCount());
   }
 }
--- a/mixer/src/test/java/gingerring/server/MixerServerTest.java
+++ b/mixer/src/test/java/gingerring/server/MixerServerTest.java
@@ -100,7 +100,8 @@
     return start(command, configFile);
   }
 
-  private String startToyStore() throws IOException, InterruptedException {
+  /** Starts a toy store and returns the example configuration with its discovery address. */
+  private String configOfNewToyStore() throws IOException, InterruptedException {
     toyStore = start(List.of(java(), "example/ToyStore.java", "0", "4"), null);
     String discovery = toyStore.awaitLine("discovery at").replace("discovery at ", "");
     return Files.readString(Path.of("example/config.json"))
@@ -195,7 +196,7 @@
 
   @Test
   void answersCompletePartialAndFailedScans() throws Exception {
-    startAndAwaitFirstAnswer(startToyStore());
+    startAndAwaitFirstAnswer(configOfNewToyStore());
     Answer complete = sendScan("search", "", THREE_TARGETS);
     assertEquals(200, complete.status);
     assertTrue(complete.body.startsWith("{\"whole\":true,"), complete.body);
@@ -242,7 +243,7 @@
    */
   @Test
   void malformedAnswersEndTripsAtOnceAndValidOnesCount() throws Exception {
-    startAndAwaitFirstAnswer(startToyStore().replace("600.0", "1800.0"));
+    startAndAwaitFirstAnswer(configOfNewToyStore().replace("600.0", "1800.0"));
     String target = "{\"partition\":1,\"share\":1}";
     for (String malformedAnswer : List.of("junk", "short", "stranger", "end", "bytes", "nothing")) {
       for (int i = 0; i < 8; i++) {
@@ -262,7 +263,7 @@
 
   @Test
   void keepsConnectionThroughSplitChunkedAndPipelinedRequests() throws Exception {
-    startAndAwaitFirstAnswer(startToyStore());
+    startAndAwaitFirstAnswer(configOfNewToyStore());
     try (Socket socket = connect()) {
       socket.setTcpNoDelay(true);
       String pipelinedRequests =
@@ -296,7 +297,7 @@
 
   @Test
   void answersInvalidRequestsWithAnErrorStatus() throws Exception {
-    startAndAwaitFirstAnswer(startToyStore());
+    startAndAwaitFirstAnswer(configOfNewToyStore());
     String validRequest = scanRequest("search", "", THREE_TARGETS);
     String[][] invalidRequests = {
       {"GET /other HTTP/1.1\r\nHost: x\r\n\r\n", "404"},
@@ -352,7 +353,7 @@
 
   @Test
   void rejectsScansOverTheLimitOfOpenScansAndParts() throws Exception {
-    startAndAwaitFirstAnswer(startToyStore().replace("600.0", "1800.0"));
+    startAndAwaitFirstAnswer(configOfNewToyStore().replace("600.0", "1800.0"));
     List<Socket> sockets = new ArrayList<>();
     for (int i = 0; i < 16; i++) {
       Socket socket = connect();
@@ -389,7 +390,9 @@
   void closesIdleConnectionsFirstWhenDescriptorsRunShort() throws Exception {
     // 24 connections for clients; idle ones are closed beyond 18.
     startAndAwaitFirstAnswer(
-        startToyStore().replace("\"sockets\": 1024", "\"sockets\": 64").replace("600.0", "1800.0"));
+        configOfNewToyStore()
+            .replace("\"sockets\": 1024", "\"sockets\": 64")
+            .replace("600.0", "1800.0"));
     List<Socket> idleSockets = new ArrayList<>();
     try (Socket activeSocket = connect()) {
       for (int i = 0; i < 30; i++) {
@@ -431,7 +434,7 @@
   /** Guards against clients that use up all descriptors and clients that never finish a request. */
   @Test
   void staysWithinDescriptorLimitAndClosesSilentConnections() throws Exception {
-    String config = startToyStore().replace("\"sockets\": 1024", "\"sockets\": 120");
+    String config = configOfNewToyStore().replace("\"sockets\": 1024", "\"sockets\": 120");
     configFile = directory.resolve("few.json");
     Files.writeString(configFile, config);
     mixer =
@@ -466,7 +469,7 @@
 
   @Test
   void followsMemberListThroughDrainsRestartsAndMalformedLines() throws Exception {
-    startAndAwaitFirstAnswer(startToyStore());
+    startAndAwaitFirstAnswer(configOfNewToyStore());
     String target = "{\"partition\":0,\"share\":1}"; // searchers 0 and 1 hold it
     toyStore.input.println("drain 0");
     toyStore.input.println("say nonsense");
@@ -495,7 +498,7 @@
    */
   @Test
   void acceptsIndentedMemberList() throws Exception {
-    startAndAwaitFirstAnswer(startToyStore());
+    startAndAwaitFirstAnswer(configOfNewToyStore());
     for (String line :
         List.of(
             "{",
@@ -529,7 +532,7 @@
    */
   @Test
   void followsMemberListThatEmptiesAndRefillsWithTheSameNames() throws Exception {
-    startAndAwaitFirstAnswer(startToyStore());
+    startAndAwaitFirstAnswer(configOfNewToyStore());
     String target = "{\"partition\":0,\"share\":1}";
     for (int round = 0; round < 3; round++) {
       for (int i = 0; i < 4; i++) {
@@ -560,7 +563,7 @@
   /** Guards against a watch that stays open and silent while searchers are replaced. */
   @Test
   void reopensSilentWatch() throws Exception {
-    startAndAwaitFirstAnswer(startToyStore());
+    startAndAwaitFirstAnswer(configOfNewToyStore());
     toyStore.input.println("hush");
     toyStore.input.println("drain 0");
     int consecutive = 0; // two holders would each get half of the scans
@@ -595,7 +598,7 @@
    */
   @Test
   void warnsIfSighupIsIgnored() throws Exception {
-    mixer = startMixer(startToyStore(), "/bin/sh", "-c", "trap '' HUP; exec \"$@\"", "sh");
+    mixer = startMixer(configOfNewToyStore(), "/bin/sh", "-c", "trap '' HUP; exec \"$@\"", "sh");
     mixer.awaitLine("SIGHUP is ignored");
     port = awaitListenPort(mixer);
     awaitReady();
@@ -604,11 +607,11 @@
   /** Guards against a SIGHUP that ends the process or loses the member list or a scan. */
   @Test
   void sighupMovesToTheConfiguredDiscoveryAddress() throws Exception {
-    String firstConfig = startToyStore().replace("600.0", "1800.0");
+    String firstConfig = configOfNewToyStore().replace("600.0", "1800.0");
     ChildProcess firstToyStore = toyStore;
     startAndAwaitFirstAnswer(firstConfig);
-    String secondConfig = startToyStore();
-    String thirdConfig = startToyStore();
+    String secondConfig = configOfNewToyStore();
+    String thirdConfig = configOfNewToyStore();
     try (Socket openScanSocket = connect()) {
       openScanSocket
           .getOutputStream()
@@ -645,15 +648,15 @@
    */
   @Test
   void servesAfterSigtermAndExitsWithAllScansAnswered() throws Exception {
-    startAndAwaitFirstAnswer(startToyStore());
+    startAndAwaitFirstAnswer(configOfNewToyStore());
     try (Socket openScanSocket = connect();
         Socket idleSocket = connect();
         Socket activeSocket = connect()) {
       mixer.process.destroy(); // also closes the stream of its output
       Thread.sleep(100);
       assertEquals(503, send("GET /ready HTTP/1.1\r\nHost: x\r\n\r\n").status);
-      assertEquals(
-          200, sendScan("search", "", THREE_TARGETS).status); // new connections are still accepted
+      // New connections are still accepted.
+      assertEquals(200, sendScan("search", "", THREE_TARGETS).status);
       Thread.sleep(800);
       activeSocket.getOutputStream().write(scanRequest("search", "", THREE_TARGETS).getBytes());
       Answer lateAnswer = readAnswer(activeSocket);
@@ -678,7 +681,7 @@
   /** Guards against a request that is read while the mixer shuts down and then never answered. */
   @Test
   void answersEveryRequestReadDuringShutdown() throws Exception {
-    startAndAwaitFirstAnswer(startToyStore());
+    startAndAwaitFirstAnswer(configOfNewToyStore());
     String request = scanRequest("search", "0:silent", THREE_TARGETS);
     int requestsSent = requestCount;
     try (Socket halfRequestSocket = connect();
@@ -688,8 +691,8 @@
       assertEquals(
           0, new ProcessBuilder("kill", "-TERM", "" + mixer.process.pid()).start().waitFor());
       mixer.awaitLine("ending");
-      Thread.sleep(
-          1200); // A request may take two seconds to arrive; this one arrives as the mixer exits.
+      // A request may take two seconds to arrive; this one arrives as the mixer exits.
+      Thread.sleep(1200);
       halfRequestSocket.getOutputStream().write(request.substring(0, 50).getBytes());
       assertEquals(-1, idleSocket.getInputStream().read());
       int answered = requestsSent - 1;
@@ -710,7 +713,7 @@
   /** Guards against a first scan that waits while the JVM loads and compiles the socket code. */
   @Test
   void warmsUpOnItsOwnSocketsBeforeItIsReady() throws Exception {
-    mixer = startMixer(startToyStore());
+    mixer = startMixer(configOfNewToyStore());
     port = awaitListenPort(mixer);
     awaitReady();
     assertEquals(
@@ -721,7 +724,7 @@
 
   @Test
   void reportsWhyItCannotStart() throws Exception {
-    String config = startToyStore();
+    String config = configOfNewToyStore();
     try (ServerSocket occupiedPort = new ServerSocket(0)) {
       String[][] invalidStarts = {
         {"{", "2", "LB_CONFIG"},
--- a/mixer/src/test/java/gingerring/server/MixerTestHarness.java
+++ b/mixer/src/test/java/gingerring/server/MixerTestHarness.java
@@ -138,9 +138,9 @@
     server.dispose();
     resources.forEach(MixerTestHarness::closeQuietly);
     configFile.toFile().delete();
-    String counts = server.counts.toString();
-    if (counts.contains("failures in ") || counts.contains("broken: ")) {
-      throw new AssertionError("an invariant was violated: " + counts);
+    String counters = server.counts.toString();
+    if (counters.contains("failures in ") || counters.contains("broken: ")) {
+      throw new AssertionError("an invariant was violated: " + counters);
     }
   }
 
@@ -162,8 +162,8 @@
    */
   LoopGate pauseLoop() throws InterruptedException {
     AtomicBoolean allSent = new AtomicBoolean();
-    for (int i = 0; !allSent.get(); i++) {
-      if (i * POLL_INTERVAL_MS > TIMEOUT_MS) {
+    for (int attempts = 0; !allSent.get(); attempts++) {
+      if (attempts * POLL_INTERVAL_MS > TIMEOUT_MS) {
         throw new AssertionError("buffered bytes were not sent in time");
       }
       runInLoop(() -> allSent.set(server.network().isFlushed()));
@@ -699,8 +699,8 @@
                     resource ->
                         resource instanceof Client && !((Client) resource).socket.isClosed())
                 .count();
-    for (int i = 0; openConnections.get() > expectedConnections; i++) {
-      if (i * POLL_INTERVAL_MS > TIMEOUT_MS) {
+    for (int attempts = 0; openConnections.get() > expectedConnections; attempts++) {
+      if (attempts * POLL_INTERVAL_MS > TIMEOUT_MS) {
         throw new AssertionError(openConnections + " connections are still open after the warm-up");
       }
       Thread.sleep(POLL_INTERVAL_MS);
--- a/mixer/src/test/java/gingerring/server/SameIterationTest.java
+++ b/mixer/src/test/java/gingerring/server/SameIterationTest.java
@@ -140,8 +140,8 @@
             "\"ClassPartial\": [0.9, 0.9, 0.9]",
             "\"NeedByClass\": [1.0, 1.0]",
             "\"NeedByClass\": [1.0, 1.0, 1.0]",
-            // Without these limits a pause of the test machine could let the mixer retry or give up
-            // a part that is late.
+            // No hedging and long limits: else a pause of the test machine before the iteration
+            // could make the mixer hedge the late part or give it up.
             "\"SecondCopies\": true",
             "\"SecondCopies\": false",
             "\"AimMs\": 600.0",
@@ -278,7 +278,7 @@
     }
     String answer = client.readAnswer();
     // If the list reports the box's restart before its last answer is read, that answer is ignored.
-    boolean neverRan =
+    boolean partNeverRan =
         pair.first == Event.FULL
             || pair.second == Event.FULL
                 && !BOX_CONNECTION_ENDS.contains(pair.first)
@@ -292,13 +292,11 @@
             && !(pair.first == Event.BOX_RESTARTED)
             && !BOX_CONNECTION_ENDS.contains(pair.first)) {
       expectedStatus = "200";
-    } else if (pair.serviceClass.equals("once") && !neverRan) {
+    } else if (pair.serviceClass.equals("once") && !partNeverRan) {
       expectedStatus = "500"; // The part may have been executed and must not be executed again.
     } else if (otherBoxUnavailable) {
-      expectedStatus =
-          pair.serviceClass.equals("search") || neverRan
-              ? "503"
-              : "500"; // No other box holds the partition.
+      // No other box holds the partition.
+      expectedStatus = pair.serviceClass.equals("search") || partNeverRan ? "503" : "500";
     } else {
       expectedStatus = "200"; // The other box answers.
     }
--- a/mixer/src/test/java/gingerring/server/SettingsRegressionTest.java
+++ b/mixer/src/test/java/gingerring/server/SettingsRegressionTest.java
@@ -13,7 +13,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Settings with which scans were once handled wrongly; each is tested over sockets. */
+/**
+ * Guards against faults that scans had with unusual settings before; each setting is tested over
+ * sockets.
+ */
 @Timeout(60)
 class SettingsRegressionTest {
   @Test
--- a/mixer/src/test/java/gingerring/server/PracticeTest.java
+++ b/mixer/src/test/java/gingerring/server/SocketWarmUpTest.java
@@ -17,18 +17,18 @@
 import org.junit.jupiter.api.Timeout;
 
 @Timeout(60)
-class PracticeTest {
-  private final Counters counts = new Counters();
-  private final EventLoop loop = new EventLoop(counts);
-  private final Network network = new Network(loop, counts, false);
+class SocketWarmUpTest {
+  private final Counters counters = new Counters();
+  private final EventLoop loop = new EventLoop(counters);
+  private final Network network = new Network(loop, counters, false);
   private final List<String> completions = new ArrayList<>();
 
-  private void runPractice(InetSocketAddress listenAddress) {
+  private void runWarmUp(InetSocketAddress listenAddress) {
     new SocketWarmUp(
             network,
             listenAddress,
             1024,
-            counts,
+            counters,
             () -> {
               completions.add("done");
               loop.schedule(Duration.ofMillis(100), loop::stop);
@@ -47,9 +47,9 @@
             new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
             100,
             1024,
-            connection -> connection.setHandler(new AnsweringParty(connection)));
-    runPractice(listenAddress);
-    assertEquals(192, counts.get("answers practised"));
+            connection -> connection.setHandler(new AnsweringHandler(connection)));
+    runWarmUp(listenAddress);
+    assertEquals(192, counters.get("answers practised"));
     assertEquals(0, network.connectionCount());
   }
 
@@ -60,8 +60,8 @@
     try (ServerSocket closedSocket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       closedAddress = (InetSocketAddress) closedSocket.getLocalSocketAddress();
     }
-    runPractice(closedAddress);
-    assertEquals(0, counts.get("answers practised"));
+    runWarmUp(closedAddress);
+    assertEquals(0, counters.get("answers practised"));
   }
 
   /** Guards against a warm-up that gets no answers and keeps its descriptors for ever. */
@@ -73,18 +73,18 @@
             100,
             1024,
             connection -> connection.setHandler(ConnectionHandler.NO_OP));
-    SocketWarmUp practice =
+    SocketWarmUp warmUp =
         new SocketWarmUp(
             network,
             listenAddress,
             1024,
-            counts,
+            counters,
             () -> {
               completions.add("done");
               loop.schedule(Duration.ofMillis(100), loop::stop);
             });
-    practice.start();
-    loop.schedule(Duration.ofMillis(100), practice::closeAll);
+    warmUp.start();
+    loop.schedule(Duration.ofMillis(100), warmUp::closeAll);
     loop.run(() -> {}, network::flush);
     network.dispose();
     assertEquals(List.of("done"), completions);
@@ -92,7 +92,7 @@
   }
 
   /** Answers each read with one byte; a request arrives in one read here. */
-  private record AnsweringParty(Connection connection) implements ConnectionHandler {
+  private record AnsweringHandler(Connection connection) implements ConnectionHandler {
     @Override
     public void onReadable() {
       connection.input.clear();
--- a/mixer/src/test/java/gingerring/server/StartWithLateSearchersTest.java
+++ b/mixer/src/test/java/gingerring/server/StartWithLateSearchersTest.java
@@ -43,7 +43,8 @@
   }
 
   /**
-   * Searchers that do not answer before they are released. In four cells each part has two holders.
+   * Searchers that do not answer before they are released. If they fill four cells, each part has
+   * two holders.
    */
   private static final class HeldSearchers implements Closeable {
     final HoldPoint holdPoint;
@@ -133,7 +134,8 @@
       throws Exception {
     for (String serviceClass : new String[] {"search", "post"}) {
       MixerTestHarness.Client client = harness.connectClient();
-      client.socket.setSoTimeout(2 * SCAN_DEADLINE_MS); // an upper bound, not a measured time
+      // Twice the deadline is an upper bound, not a measured time.
+      client.socket.setSoTimeout(2 * SCAN_DEADLINE_MS);
       client.write(harness.scanRequest(serviceClass, SCAN_DEADLINE_MS, 0, 1, 2, 3));
       String answer = client.readAnswer();
       assertTrue(
@@ -224,23 +226,18 @@
             earlyClient.write(harness.scanRequest("search", SCAN_DEADLINE_MS, 0, 1, 2, 3));
             harness.awaitCount("scans taken", 1);
             boolean waitsForDiscovery = discovery != DiscoveryFault.REFUSES_CONNECTIONS;
-            if (!waitsForDiscovery) { // Discovery has failed at once, so the scan's parts wait for
-              // connections only.
+            // If discovery has failed at once, the scan's parts wait for connections only.
+            if (!waitsForDiscovery) {
               harness.awaitCount("links dialled", 1);
             }
-            try (MixerTestHarness.LoopGate loopGate =
-                harness.pauseLoop()) { // The mixer cannot become ready before the searchers are
-              // released.
+            // The mixer cannot become ready before the searchers are released.
+            try (MixerTestHarness.LoopGate loopGate = harness.pauseLoop()) {
               searchers.release();
             }
             awaitReadyInTime(harness, startNanos);
             String answer = earlyClient.readAnswer();
-            boolean mayBeTooLate =
-                !waitsForDiscovery
-                    && holdPoint
-                        == HoldPoint
-                            .BEFORE_CONNECT; // A pending connection attempt succeeds only after one
-            // or two seconds.
+            // A pending connection attempt succeeds only after one or two seconds.
+            boolean mayBeTooLate = !waitsForDiscovery && holdPoint == HoldPoint.BEFORE_CONNECT;
             assertTrue(
                 answer.matches(mayBeTooLate ? "(?s)(200|50\\d).*" : "(?s)200.*"),
                 description + ": " + answer + ", " + harness.server.counts);
