--- a/mixer/src/main/java/gingerring/discovery/DiscoveryWatch.java
+++ b/mixer/src/main/java/gingerring/discovery/DiscoveryWatch.java
@@ -46,97 +46,97 @@
 
   private static final Logger LOG = LoggerFactory.getLogger("gingerring.discovery");
   private static final String PATH = "/v1/endpoints";
-  private static final int OUT_MOST = 4096;
-  private static final int LINE_MOST = 1 << 20;
+  private static final int MAX_REQUEST_BYTES = 4096;
+  private static final int MAX_LINE_BYTES = 1 << 20;
   private static final long UNBOUNDED = Long.MAX_VALUE / 2;
 
   /** An empty line comes every 2 s; the first line, and the rest of one that has begun, at once. */
-  private static final Duration SILENCE = Duration.ofMillis(2500);
+  private static final Duration SILENCE_TIMEOUT = Duration.ofMillis(2500);
 
-  private static final Duration LINE = Duration.ofSeconds(1);
-  private static final Duration LISTEN = Duration.ofMillis(250);
+  private static final Duration LINE_TIMEOUT = Duration.ofSeconds(1);
+  private static final Duration SILENCE_CHECK_INTERVAL = Duration.ofMillis(250);
 
   /**
    * By so much discovery may be late, as the protocol has it, and no more may be missed by a watch
    * that fell silent; a list that is still older then is no late one.
    */
-  private static final Duration LATE_MOST = Duration.ofSeconds(6);
+  private static final Duration MAX_DISCOVERY_DELAY = Duration.ofSeconds(6);
 
   /**
    * How many calls for a watch are under way at one time; with it, how soon they follow each other
    * at most.
    */
-  private static final int CALLS_MOST = 8;
+  private static final int MAX_PENDING_CALLS = 8;
 
   /**
    * How many calls fit between a silence that is found and the time by which what it hid counts as
    * told.
    */
-  private static final int CALLS_IN_TIME = 3;
+  private static final int CALLS_WITHIN_DELAY = 3;
 
-  private static final Duration COMPLAINTS_APART = Duration.ofSeconds(10);
+  private static final Duration WARNING_INTERVAL = Duration.ofSeconds(10);
 
   /**
    * Where discovery is, and what is known from there: elsewhere its versions may be counted
    * otherwise.
    */
-  private static final class Place {
+  private static final class Endpoint {
     final InetSocketAddress address;
     long revision;
 
     /**
      * Since when whole lists have been older than the one held; null where the last one was not.
      */
-    Duration olderSince;
+    Duration staleSince;
 
-    Place(InetSocketAddress address, long revision) {
+    Endpoint(InetSocketAddress address, long revision) {
       this.address = address;
       this.revision = revision;
     }
   }
 
   private final Network network;
-  private final Listener told;
-  private final Counters counts;
+  private final Listener listener;
+  private final Counters counters;
   private final LoopTimer clock;
 
   /** How long after its last call it calls again while no watch works. */
-  private final Duration pace;
+  private final Duration retryInterval;
 
-  private Place place;
+  private Endpoint endpoint;
 
   /** Whether a watch is asked for. */
-  private boolean wanted;
+  private boolean watchRequested;
 
   /** The watch that works: it has said a line, and is open. */
-  private Call watch;
+  private Call activeWatch;
 
   /** Calls for one that have not said a line yet, the oldest first. */
-  private final List<Call> tries = new ArrayList<>();
+  private final List<Call> pendingWatches = new ArrayList<>();
 
-  private final List<Call> fetches = new ArrayList<>();
+  private final List<Call> pendingFetches = new ArrayList<>();
 
   /**
    * The watch that last worked at an earlier address, until there is a list from the present one.
    */
-  private Call former;
+  private Call previousWatch;
 
-  private Duration called = Duration.ZERO;
+  private Duration lastCallAt = Duration.ZERO;
 
   /** There is a wake to call again. */
-  private boolean planned;
+  private boolean retryScheduled;
 
-  private Duration complained;
+  private Duration lastWarningAt;
 
   /** Follows at the pace that is in time wherever the agent need not have its say at once. */
   public DiscoveryWatch(
       Network network,
       InetSocketAddress address,
       long revision,
-      Listener told,
-      Counters counts,
+      Listener listener,
+      Counters counters,
       LoopTimer clock) {
-    this(network, address, revision, told, counts, clock, slowest());
+    this(network, address, revision, listener, counters, clock, maxRetryInterval());
   }
 
   /** Follows at the pace that the settings allow. */
@@ -144,27 +144,27 @@
       Network network,
       InetSocketAddress address,
       long revision,
-      Listener told,
-      Counters counts,
+      Listener listener,
+      Counters counters,
       LoopTimer clock,
-      Settings terms) {
-    this(network, address, revision, told, counts, clock, pace(terms));
+      Settings settings) {
+    this(network, address, revision, listener, counters, clock, retryInterval(settings));
   }
 
   private DiscoveryWatch(
       Network network,
       InetSocketAddress address,
       long revision,
-      Listener told,
-      Counters counts,
+      Listener listener,
+      Counters counters,
       LoopTimer clock,
-      Duration pace) {
+      Duration retryInterval) {
     this.network = network;
-    this.told = told;
-    this.counts = counts;
+    this.listener = listener;
+    this.counters = counters;
     this.clock = clock;
-    this.pace = pace;
-    place = new Place(address, revision);
+    this.retryInterval = retryInterval;
+    endpoint = new Endpoint(address, revision);
   }
 
   /**
@@ -173,39 +173,41 @@
    * that, so that one may be lost or the agent return right after it. Elsewhere, and with a longer
    * grace, the term is that of silence.
    */
-  private static Duration pace(Settings terms) {
-    if (!terms.text("Discovery").equals("automatic") || !terms.has("Safety.DrainGraceMs")) {
-      return slowest();
+  private static Duration retryInterval(Settings settings) {
+    if (!settings.text("Discovery").equals("automatic") || !settings.has("Safety.DrainGraceMs")) {
+      return maxRetryInterval();
     }
-    Duration half = terms.duration("Safety.DrainGraceMs").dividedBy(2);
-    return least(
-        slowest(),
-        half.compareTo(LINE.dividedBy(CALLS_MOST)) > 0 ? half : LINE.dividedBy(CALLS_MOST));
+    Duration halfGrace = settings.duration("Safety.DrainGraceMs").dividedBy(2);
+    return min(
+        maxRetryInterval(),
+        halfGrace.compareTo(LINE_TIMEOUT.dividedBy(MAX_PENDING_CALLS)) > 0
+            ? halfGrace
+            : LINE_TIMEOUT.dividedBy(MAX_PENDING_CALLS));
   }
 
-  private static Duration slowest() {
-    return LATE_MOST.minus(SILENCE).dividedBy(CALLS_IN_TIME);
+  private static Duration maxRetryInterval() {
+    return MAX_DISCOVERY_DELAY.minus(SILENCE_TIMEOUT).dividedBy(CALLS_WITHIN_DELAY);
   }
 
-  private static Duration least(Duration one, Duration other) {
-    return one.compareTo(other) < 0 ? one : other;
+  private static Duration min(Duration first, Duration second) {
+    return first.compareTo(second) < 0 ? first : second;
   }
 
   /** Opens the watch, if it is not open and no call for it is under way. */
   public void open() {
-    wanted = true;
-    if (watch == null && tries.isEmpty()) {
-      call(true);
-    } else if (watch == null) {
-      tries.get(tries.size() - 1).asked = true;
+    watchRequested = true;
+    if (activeWatch == null && pendingWatches.isEmpty()) {
+      startWatchCall(true);
+    } else if (activeWatch == null) {
+      pendingWatches.get(pendingWatches.size() - 1).reportsFailure = true;
     }
   }
 
   public void close() {
-    wanted = false;
-    endQuietly(watch);
-    endTries();
-    endFormer();
+    watchRequested = false;
+    endQuietly(activeWatch);
+    endPendingWatches();
+    endPreviousWatch();
   }
 
   /**
@@ -213,19 +215,19 @@
    * its whole list is asked for; until that has come the last list stays, and the watch that last
    * worked elsewhere.
    */
-  public void changeAddress(InetSocketAddress to) {
-    if (!to.equals(place.address)) {
-      if (watch != null) {
-        endFormer();
-        former = watch;
-        watch = null;
+  public void changeAddress(InetSocketAddress address) {
+    if (!address.equals(endpoint.address)) {
+      if (activeWatch != null) {
+        endPreviousWatch();
+        previousWatch = activeWatch;
+        activeWatch = null;
       }
-      place = new Place(to, 0);
-      endTries();
-      if (wanted) {
-        call(true);
+      endpoint = new Endpoint(address, 0);
+      endPendingWatches();
+      if (watchRequested) {
+        startWatchCall(true);
       }
-      for (Call call : List.copyOf(fetches)) {
+      for (Call call : List.copyOf(pendingFetches)) {
         endQuietly(
             call); // what it brings is the former place's, and the list from here may have come
         // before
@@ -236,46 +238,46 @@
 
   /** Asks for the whole list once. */
   public void fetchFullList() {
-    fetches.add(new Call(false, true));
+    pendingFetches.add(new Call(false, true));
   }
 
-  private void call(boolean asked) {
-    if (tries.size() == CALLS_MOST) {
-      tries
+  private void startWatchCall(boolean reportsFailure) {
+    if (pendingWatches.size() == MAX_PENDING_CALLS) {
+      pendingWatches
           .get(0)
           .fail(
               "it says no line"); // guards against calls that pile up, each kept open by a trickle
     }
-    called = clock.now();
-    plan();
-    tries.add(new Call(true, asked));
+    lastCallAt = clock.now();
+    scheduleRetry();
+    pendingWatches.add(new Call(true, reportsFailure));
   }
 
   /** Calls again once the pace allows it, unless a watch works by then. */
-  private void plan() {
-    if (!planned) {
-      planned = true;
+  private void scheduleRetry() {
+    if (!retryScheduled) {
+      retryScheduled = true;
       clock.schedule(
-          called.plus(pace).minus(clock.now()),
+          lastCallAt.plus(retryInterval).minus(clock.now()),
           () -> {
-            planned = false;
-            if (wanted && watch == null) {
-              if (clock.now().compareTo(called.plus(pace)) >= 0) {
-                call(false);
+            retryScheduled = false;
+            if (watchRequested && activeWatch == null) {
+              if (clock.now().compareTo(lastCallAt.plus(retryInterval)) >= 0) {
+                startWatchCall(false);
               } else {
-                plan(); // there was a call meanwhile
+                scheduleRetry(); // there was a call meanwhile
               }
             }
           });
     }
   }
 
-  private void endTries() {
-    List.copyOf(tries).forEach(DiscoveryWatch::endQuietly);
+  private void endPendingWatches() {
+    List.copyOf(pendingWatches).forEach(DiscoveryWatch::endQuietly);
   }
 
-  private void endFormer() {
-    endQuietly(former);
+  private void endPreviousWatch() {
+    endQuietly(previousWatch);
   }
 
   private static void endQuietly(Call call) {
@@ -284,38 +286,38 @@
     }
   }
 
-  private void complain(String what) {
-    counts.add("discovery failures", 1);
-    if (complained == null || clock.now().minus(complained).compareTo(COMPLAINTS_APART) > 0) {
-      complained = clock.now();
-      LOG.warn("discovery: {}", what);
+  private void warn(String problem) {
+    counters.add("discovery failures", 1);
+    if (lastWarningAt == null || clock.now().minus(lastWarningAt).compareTo(WARNING_INTERVAL) > 0) {
+      lastWarningAt = clock.now();
+      LOG.warn("discovery: {}", problem);
     }
   }
 
   /** One GET on a connection of its own. */
   private final class Call implements ConnectionHandler, HttpParser.Handler {
-    private final boolean streams;
+    private final boolean streaming;
 
     /** Whether its failure is told. */
-    private boolean asked;
+    private boolean reportsFailure;
 
-    private final Place from = place;
+    private final Endpoint ownEndpoint = endpoint;
     private final HttpParser parser;
-    private final ByteArrayOutputStream text = new ByteArrayOutputStream();
+    private final ByteArrayOutputStream lineBuffer = new ByteArrayOutputStream();
     private final String host;
     private final Connection connection;
-    private final Duration begun = clock.now();
+    private final Duration startedAt = clock.now();
 
     /** When the last byte came, the last whole line, and the first byte of the line at hand. */
-    private Duration heard = begun;
+    private Duration lastByteAt = startedAt;
 
-    private Duration lineEnd = begun;
-    private Duration lineBegun = begun;
-    private long lines;
+    private Duration lastLineAt = startedAt;
+    private Duration lineStartedAt = startedAt;
+    private long lineCount;
     private boolean ended;
 
     /** The answer says of no length where it ends. */
-    private boolean toEnd;
+    private boolean endsAtClose;
 
     /**
      * Within the line at hand: how many objects and lists are open, and whether a text or an escape
@@ -323,32 +325,33 @@
      */
     private int depth;
 
-    private boolean quoted;
+    private boolean inString;
     private boolean escaped;
 
-    Call(boolean streams, boolean asked) {
-      this.streams = streams;
-      this.asked = asked;
-      counts.add("discovery calls", 1);
-      parser = new HttpParser(false, streams ? UNBOUNDED : LINE_MOST, this);
-      host = from.address.getAddress().getHostAddress() + ':' + from.address.getPort();
-      connection = network.dial(from.address, OUT_MOST, this);
-      listen();
+    Call(boolean streaming, boolean reportsFailure) {
+      this.streaming = streaming;
+      this.reportsFailure = reportsFailure;
+      counters.add("discovery calls", 1);
+      parser = new HttpParser(false, streaming ? UNBOUNDED : MAX_LINE_BYTES, this);
+      host =
+          ownEndpoint.address.getAddress().getHostAddress() + ':' + ownEndpoint.address.getPort();
+      connection = network.dial(ownEndpoint.address, MAX_REQUEST_BYTES, this);
+      checkSilence();
     }
 
     /**
      * Guards against a connection that stays open and says nothing more, at any point of a list.
      */
-    private void listen() {
-      Duration left = silentAt().minus(clock.now());
-      if (left.isNegative() || left.isZero()) {
+    private void checkSilence() {
+      Duration remaining = silenceDeadline().minus(clock.now());
+      if (remaining.isNegative() || remaining.isZero()) {
         fail("silent");
       } else {
         clock.schedule(
-            least(LISTEN, left),
+            min(SILENCE_CHECK_INTERVAL, remaining),
             () -> {
               if (!ended) {
-                listen();
+                checkSilence();
               }
             });
       }
@@ -359,23 +362,25 @@
      * beyond the silence between two, and those of no line not at all. Guards against an answer
      * that never ends.
      */
-    private Duration silentAt() {
-      if (lines > 0 && text.size() == 0) {
-        return lineEnd.plus(SILENCE);
+    private Duration silenceDeadline() {
+      if (lineCount > 0 && lineBuffer.size() == 0) {
+        return lastLineAt.plus(SILENCE_TIMEOUT);
       }
-      return least(heard.plus(LINE), (lines > 0 ? lineBegun : begun).plus(SILENCE));
+      return min(
+          lastByteAt.plus(LINE_TIMEOUT),
+          (lineCount > 0 ? lineStartedAt : startedAt).plus(SILENCE_TIMEOUT));
     }
 
     @Override
     public void onOpened() {
-      String target = streams ? PATH + "?stream=1&index=" + from.revision : PATH;
-      connection.output.put(HttpWriter.getRequest(target, host, !streams));
+      String target = streaming ? PATH + "?stream=1&index=" + ownEndpoint.revision : PATH;
+      connection.output.put(HttpWriter.getRequest(target, host, !streaming));
       connection.requestFlush();
     }
 
     @Override
     public void onReadable() {
-      heard = clock.now();
+      lastByteAt = clock.now();
       try {
         while (!ended && connection.input.size() > 0) {
           parser.parse(connection.input);
@@ -393,23 +398,24 @@
       if (!head.targetOrStatus().equals("200")) {
         throw new HttpException(400, "it answered " + head.targetOrStatus());
       }
-      toEnd = head.header("content-length") == null && head.header("transfer-encoding") == null;
+      endsAtClose =
+          head.header("content-length") == null && head.header("transfer-encoding") == null;
     }
 
     @Override
     public void onBody(byte[] bytes, int length) throws HttpException {
       for (int i = 0; i < length && !ended; i++) {
-        if (streams && bytes[i] == '\n' && (depth == 0 || quoted)) {
-          line();
+        if (streaming && bytes[i] == '\n' && (depth == 0 || inString)) {
+          processLine();
         } else {
-          if (text.size() == 0) {
-            lineBegun = heard;
+          if (lineBuffer.size() == 0) {
+            lineStartedAt = lastByteAt;
           }
-          nest(bytes[i]);
-          text.write(bytes[i]);
+          trackNesting(bytes[i]);
+          lineBuffer.write(bytes[i]);
         }
       }
-      if (text.size() > LINE_MOST) {
+      if (lineBuffer.size() > MAX_LINE_BYTES) {
         throw new HttpException(413, "a line is too long");
       }
     }
@@ -417,14 +423,14 @@
     /**
      * An indented list goes over many lines: it is at its end once all that it opened is closed.
      */
-    private void nest(byte b) {
+    private void trackNesting(byte b) {
       if (escaped) {
         escaped = false;
-      } else if (quoted) {
+      } else if (inString) {
         escaped = b == '\\';
-        quoted = b != '"';
+        inString = b != '"';
       } else if (b == '"') {
-        quoted = true;
+        inString = true;
       } else if (b == '{' || b == '[') {
         depth++;
       } else if (b == '}' || b == ']') {
@@ -432,32 +438,32 @@
       }
     }
 
-    private void line() throws HttpException {
-      byte[] line = text.toByteArray();
-      text.reset();
+    private void processLine() throws HttpException {
+      byte[] line = lineBuffer.toByteArray();
+      lineBuffer.reset();
       depth = 0;
-      quoted = false;
+      inString = false;
       escaped = false;
-      boolean list = !streams || !new String(line, StandardCharsets.ISO_8859_1).isBlank();
-      MemberListUpdate members = list ? read(line) : null;
-      lines++;
-      lineEnd = heard;
-      if (streams && tries.remove(this)) {
-        watch = this; // the first that speaks; what another try would bring is no news
-        endTries();
+      boolean hasList = !streaming || !new String(line, StandardCharsets.ISO_8859_1).isBlank();
+      MemberListUpdate update = hasList ? parseUpdate(line) : null;
+      lineCount++;
+      lastLineAt = lastByteAt;
+      if (streaming && pendingWatches.remove(this)) {
+        activeWatch = this; // the first that speaks; what another try would bring is no news
+        endPendingWatches();
       }
-      if (list) {
-        take(members);
+      if (hasList) {
+        applyUpdate(update);
       }
-      if (from == place) {
-        if (list) {
-          endFormer();
+      if (ownEndpoint == endpoint) {
+        if (hasList) {
+          endPreviousWatch();
         }
-        told.onContact();
+        listener.onContact();
       }
     }
 
-    private MemberListUpdate read(byte[] line) throws HttpException {
+    private MemberListUpdate parseUpdate(byte[] line) throws HttpException {
       try {
         return MemberListUpdate.parse(Json.parse(line));
       } catch (Json.JsonException e) {
@@ -465,19 +471,19 @@
       }
     }
 
-    private void take(MemberListUpdate members) {
-      if (members.complete() && members.revision() < from.revision) {
-        if (from == place) {
-          older();
+    private void applyUpdate(MemberListUpdate update) {
+      if (update.complete() && update.revision() < ownEndpoint.revision) {
+        if (ownEndpoint == endpoint) {
+          handleStaleList();
         }
         return;
       }
       // a whole list replaces whatever was held; a change that was seen before says nothing new
-      if (members.complete() || members.revision() > from.revision) {
-        from.revision = members.revision();
-        from.olderSince = null;
-        counts.add("lists told", 1);
-        told.onUpdate(members);
+      if (update.complete() || update.revision() > ownEndpoint.revision) {
+        ownEndpoint.revision = update.revision();
+        ownEndpoint.staleSince = null;
+        counters.add("lists told", 1);
+        listener.onUpdate(update);
       }
     }
 
@@ -487,20 +493,20 @@
      * drain or to have gone. Where it is still older after the longest that discovery may be late,
      * versions are counted anew, and the whole list is asked for.
      */
-    private void older() {
-      counts.add("lists older than the one held", 1);
-      if (from.olderSince == null) {
+    private void handleStaleList() {
+      counters.add("lists older than the one held", 1);
+      if (ownEndpoint.staleSince == null) {
         Duration since = clock.now();
-        from.olderSince = since;
+        ownEndpoint.staleSince = since;
         clock.schedule(
-            LATE_MOST,
+            MAX_DISCOVERY_DELAY,
             () -> {
-              if (since.equals(from.olderSince) && from == place) {
-                from.olderSince = null;
-                from.revision = 0;
-                if (watch != null) {
-                  watch.end("its versions are counted anew");
-                  call(true);
+              if (since.equals(ownEndpoint.staleSince) && ownEndpoint == endpoint) {
+                ownEndpoint.staleSince = null;
+                ownEndpoint.revision = 0;
+                if (activeWatch != null) {
+                  activeWatch.end("its versions are counted anew");
+                  startWatchCall(true);
                 }
               }
             });
@@ -510,10 +516,10 @@
     /** The answer is whole: of a watch, its last line too, if it has no end of its own. */
     @Override
     public void onMessageEnd() throws HttpException {
-      if (!streams || text.size() > 0) {
-        line();
+      if (!streaming || lineBuffer.size() > 0) {
+        processLine();
       }
-      if (streams) {
+      if (streaming) {
         fail("the watch ended");
       } else {
         end(null);
@@ -527,7 +533,7 @@
     @Override
     public void onClosed() {
       try {
-        if (!ended && toEnd && connection.closedGracefully()) {
+        if (!ended && endsAtClose && connection.closedGracefully()) {
           onMessageEnd();
         }
       } catch (HttpException e) {
@@ -541,34 +547,36 @@
      * as told. One that failed as it began is followed by another at its pace, or when the mixer
      * asks for it, so that a broken agent is not called without a pause.
      */
-    private void fail(String why) {
+    private void fail(String reason) {
       if (!ended) {
-        boolean here = from == place;
-        boolean again = this == watch && clock.now().minus(begun).compareTo(least(LINE, pace)) >= 0;
-        end(why);
-        if (again) {
-          call(true);
-        } else if (streams && here) {
-          plan();
+        boolean current = ownEndpoint == endpoint;
+        boolean reopen =
+            this == activeWatch
+                && clock.now().minus(startedAt).compareTo(min(LINE_TIMEOUT, retryInterval)) >= 0;
+        end(reason);
+        if (reopen) {
+          startWatchCall(true);
+        } else if (streaming && current) {
+          scheduleRetry();
         }
-        if (here && asked) {
-          told.onFailure();
+        if (current && reportsFailure) {
+          listener.onFailure();
         }
       }
     }
 
-    private void end(String why) {
+    private void end(String reason) {
       ended = true;
-      tries.remove(this);
-      fetches.remove(this);
-      if (watch == this) {
-        watch = null;
+      pendingWatches.remove(this);
+      pendingFetches.remove(this);
+      if (activeWatch == this) {
+        activeWatch = null;
       }
-      if (former == this) {
-        former = null;
+      if (previousWatch == this) {
+        previousWatch = null;
       }
-      if (why != null) {
-        complain(why);
+      if (reason != null) {
+        warn(reason);
       }
       connection.close();
     }
--- a/mixer/src/main/java/gingerring/discovery/MemberListUpdate.java
+++ b/mixer/src/main/java/gingerring/discovery/MemberListUpdate.java
@@ -30,29 +30,29 @@
       float size,
       double upSinceMs) {}
 
-  private static final int CELL_MOST = 1 << 20;
-  private static final int PORT_MOST = 65535;
+  private static final int MAX_CELL = 1 << 20;
+  private static final int MAX_PORT = 65535;
 
   /** Times up to then count exactly in nanoseconds from any other. */
-  private static final double UP_SINCE_MOST_MS = 9e12;
+  private static final double MAX_UP_SINCE_MS = 9e12;
 
   public static MemberListUpdate parse(Object value) throws Json.JsonException {
-    Map<String, Object> list = JsonFields.object(value, "the list");
+    Map<String, Object> object = JsonFields.object(value, "the list");
     Map<String, Member> members = new LinkedHashMap<>();
-    for (Object each : JsonFields.list(list, "members")) {
-      Member member = member(JsonFields.object(each, "a member"));
+    for (Object entry : JsonFields.list(object, "members")) {
+      Member member = parseMember(JsonFields.object(entry, "a member"));
       members.put(member.id(), member);
     }
     return new MemberListUpdate(
-        JsonFields.nonNegativeInteger(list, "revision"),
-        JsonFields.booleanValue(list, "complete"),
+        JsonFields.nonNegativeInteger(object, "revision"),
+        JsonFields.booleanValue(object, "complete"),
         List.copyOf(members.values()));
   }
 
-  private static Member member(Map<String, Object> from) throws Json.JsonException {
-    String id = JsonFields.string(from, "id");
+  private static Member parseMember(Map<String, Object> object) throws Json.JsonException {
+    String id = JsonFields.string(object, "id");
     Status standing =
-        switch (JsonFields.string(from, "phase")) {
+        switch (JsonFields.string(object, "phase")) {
           case "SERVING" -> Status.READY;
           case "DRAINING" -> Status.DRAINING;
           case "DELETED" -> Status.GONE;
@@ -65,25 +65,25 @@
       return new Member(
           id, null, "", "", 0, standing, 1, 0); // whatever else it says, nobody calls it
     }
-    long cell = JsonFields.nonNegativeInteger(from, "cell");
-    float size = (float) JsonFields.number(from, "size");
-    double upSinceMs = JsonFields.number(from, "up_since_ms");
-    if (cell > CELL_MOST
+    long cell = JsonFields.nonNegativeInteger(object, "cell");
+    float size = (float) JsonFields.number(object, "size");
+    double upSinceMs = JsonFields.number(object, "up_since_ms");
+    if (cell > MAX_CELL
         || !(size > 0)
         || Float.isInfinite(size)
         || upSinceMs < 0
-        || upSinceMs > UP_SINCE_MOST_MS) {
+        || upSinceMs > MAX_UP_SINCE_MS) {
       throw new Json.JsonException("cell, size or up_since_ms cannot be");
     }
-    InetSocketAddress address = parseAddress(JsonFields.string(from, "host_port"));
+    InetSocketAddress address = parseAddress(JsonFields.string(object, "host_port"));
     if (address.getPort() == 0) {
       throw new Json.JsonException("nobody listens at port 0");
     }
     return new Member(
         id,
         address,
-        JsonFields.string(from, "locality"),
-        JsonFields.string(from, "flavor"),
+        JsonFields.string(object, "locality"),
+        JsonFields.string(object, "flavor"),
         (int) cell,
         standing,
         size,
@@ -97,17 +97,17 @@
     }
     int colon = text.indexOf(':');
     int port = Integer.parseInt(text.substring(colon + 1));
-    if (port > PORT_MOST) {
+    if (port > MAX_PORT) {
       throw new Json.JsonException("no port: " + text);
     }
     byte[] bytes = new byte[4];
-    String[] figures = text.substring(0, colon).split("\\.");
+    String[] octets = text.substring(0, colon).split("\\.");
     for (int i = 0; i < bytes.length; i++) {
-      int figure = Integer.parseInt(figures[i]);
-      if (figure > 255) {
+      int octet = Integer.parseInt(octets[i]);
+      if (octet > 255) {
         throw new Json.JsonException("no address: " + text);
       }
-      bytes[i] = (byte) figure;
+      bytes[i] = (byte) octet;
     }
     try {
       return new InetSocketAddress(InetAddress.getByAddress(bytes), port);
--- a/mixer/src/main/java/gingerring/http/HttpParser.java
+++ b/mixer/src/main/java/gingerring/http/HttpParser.java
@@ -22,70 +22,70 @@
     void onMessageEnd() throws HttpException;
   }
 
-  private static final int HEAD_MOST = 8192;
-  private static final int SIZE_LINE_MOST = 256;
-  private static final int PIECE = 4096;
+  private static final int MAX_HEAD_BYTES = 8192;
+  private static final int MAX_CHUNK_LINE_BYTES = 256;
+  private static final int BODY_BUFFER_BYTES = 4096;
   private static final Pattern VERSION = Pattern.compile("HTTP/1\\.[01]");
-  private static final Pattern LENGTH = Pattern.compile("[0-9]{1,18}");
+  private static final Pattern CONTENT_LENGTH = Pattern.compile("[0-9]{1,18}");
   private static final Pattern CHUNK_SIZE = Pattern.compile("[0-9a-fA-F]{1,8}");
 
-  private enum At {
-    FIRST_LINE,
+  private enum State {
+    START_LINE,
     HEADERS,
     BODY,
     CHUNK_SIZE,
     CHUNK,
     CHUNK_END,
     TRAILERS,
-    TO_END
+    UNTIL_CLOSE
   }
 
-  private final boolean requests;
-  private final long bodyMost;
-  private final Handler sink;
+  private final boolean parsesRequests;
+  private final long maxBodyBytes;
+  private final Handler handler;
   private final ByteArrayOutputStream line = new ByteArrayOutputStream();
-  private final byte[] piece = new byte[PIECE];
-  private At at = At.FIRST_LINE;
-  private String[] words;
+  private final byte[] bodyBuffer = new byte[BODY_BUFFER_BYTES];
+  private State state = State.START_LINE;
+  private String[] startLine;
   private Map<String, String> headers;
   private int headLength;
   private long bodyLength;
-  private long left;
+  private long bytesLeft;
 
-  public HttpParser(boolean requests, long bodyMost, Handler sink) {
-    this.requests = requests;
-    this.bodyMost = bodyMost;
-    this.sink = sink;
+  public HttpParser(boolean parsesRequests, long maxBodyBytes, Handler handler) {
+    this.parsesRequests = parsesRequests;
+    this.maxBodyBytes = maxBodyBytes;
+    this.handler = handler;
   }
 
   /** Whether part of a message has been read and the rest has not. */
   public boolean isMidMessage() {
-    return at != At.FIRST_LINE || line.size() > 0;
+    return state != State.START_LINE || line.size() > 0;
   }
 
   /** Reads on to the end of a message, or of the bytes there are; true once a message has ended. */
-  public boolean parse(ByteRing in) throws HttpException {
-    while (in.size() > 0) {
+  public boolean parse(ByteRing input) throws HttpException {
+    while (input.size() > 0) {
       boolean ended =
-          switch (at) {
-            case FIRST_LINE, HEADERS, CHUNK_SIZE, TRAILERS, CHUNK_END ->
-                lineRead(in) && lineEnded();
-            case BODY, CHUNK -> piece(in);
-            case TO_END -> rest(in);
+          switch (state) {
+            case START_LINE, HEADERS, CHUNK_SIZE, TRAILERS, CHUNK_END ->
+                readLine(input) && processLine();
+            case BODY, CHUNK -> readBody(input);
+            case UNTIL_CLOSE -> readUntilClose(input);
           };
       if (ended) {
-        at = At.FIRST_LINE;
+        state = State.START_LINE;
         headLength = 0;
-        sink.onMessageEnd();
+        handler.onMessageEnd();
         return true;
       }
     }
     return false;
   }
 
-  private boolean lineRead(ByteRing in) throws HttpException {
+  private boolean readLine(ByteRing input) throws HttpException {
     int next;
-    while ((next = in.take()) >= 0) {
+    while ((next = input.take()) >= 0) {
       if (next == '\n') {
         byte[] bytes = line.toByteArray();
         if (bytes.length == 0 || bytes[bytes.length - 1] != '\r') {
@@ -94,18 +94,18 @@
         return true;
       }
       line.write(next);
-      boolean head = at != At.CHUNK_SIZE && at != At.CHUNK_END;
-      if (head && ++headLength > HEAD_MOST) {
+      boolean inHead = state != State.CHUNK_SIZE && state != State.CHUNK_END;
+      if (inHead && ++headLength > MAX_HEAD_BYTES) {
         throw new HttpException(431, "headers too large");
       }
-      if (!head && line.size() > SIZE_LINE_MOST) {
+      if (!inHead && line.size() > MAX_CHUNK_LINE_BYTES) {
         throw new HttpException(400, "a chunk's line is too long");
       }
     }
     return false;
   }
 
-  private boolean lineEnded() throws HttpException {
+  private boolean processLine() throws HttpException {
     String text = line.toString(StandardCharsets.ISO_8859_1);
     line.reset();
     text = text.substring(0, text.length() - 1);
@@ -114,46 +114,47 @@
         throw new HttpException(400, "a control character in a line");
       }
     }
-    return switch (at) {
-      case FIRST_LINE -> firstLine(text);
-      case HEADERS -> text.isEmpty() ? headEnded() : header(text);
-      case CHUNK_SIZE -> chunkSize(text);
-      case CHUNK_END -> chunkEnded(text);
+    return switch (state) {
+      case START_LINE -> processStartLine(text);
+      case HEADERS -> text.isEmpty() ? finishHead() : processHeader(text);
+      case CHUNK_SIZE -> processChunkSize(text);
+      case CHUNK_END -> processChunkEnd(text);
       default -> text.isEmpty();
     };
   }
 
-  private boolean firstLine(String text) throws HttpException {
-    if (text.isEmpty() && requests) {
+  private boolean processStartLine(String text) throws HttpException {
+    if (text.isEmpty() && parsesRequests) {
       return false; // an empty line before a request is left out, as RFC 9112 2.2 asks
     }
-    words = text.split(" ", requests ? -1 : 3);
-    String version = words.length < 2 ? "" : words[requests ? words.length - 1 : 0];
-    if (words.length < 2
-        || requests && words.length != 3
+    startLine = text.split(" ", parsesRequests ? -1 : 3);
+    String version =
+        startLine.length < 2 ? "" : startLine[parsesRequests ? startLine.length - 1 : 0];
+    if (startLine.length < 2
+        || parsesRequests && startLine.length != 3
         || !VERSION.matcher(version).matches()
-        || words[0].isEmpty()
-        || words[1].isEmpty()) {
+        || startLine[0].isEmpty()
+        || startLine[1].isEmpty()) {
       throw new HttpException(400, "no first line of HTTP/1");
     }
     headers = new LinkedHashMap<>();
-    at = At.HEADERS;
+    state = State.HEADERS;
     return false;
   }
 
-  private boolean header(String text) throws HttpException {
+  private boolean processHeader(String text) throws HttpException {
     int colon = text.indexOf(':');
-    if (colon < 1 || !token(text, colon)) {
+    if (colon < 1 || !isToken(text, colon)) {
       throw new HttpException(400, "no header line");
     }
     headers.merge(
         text.substring(0, colon).toLowerCase(Locale.ROOT),
         text.substring(colon + 1).strip(),
-        (one, other) -> one + ", " + other);
+        (first, second) -> first + ", " + second);
     return false;
   }
 
-  private static boolean token(String text, int length) {
+  private static boolean isToken(String text, int length) {
     for (int i = 0; i < length; i++) {
       char c = text.charAt(i);
       if (!(c >= 'a' && c <= 'z'
@@ -166,76 +167,81 @@
     return true;
   }
 
-  private boolean headEnded() throws HttpException {
+  private boolean finishHead() throws HttpException {
     MessageHead head =
-        new MessageHead(words[0], words[1], words.length > 2 ? words[2] : "", headers);
-    String length = head.header("content-length");
-    String coding = head.header("transfer-encoding");
+        new MessageHead(
+            startLine[0], startLine[1], startLine.length > 2 ? startLine[2] : "", headers);
+    String contentLength = head.header("content-length");
+    String transferEncoding = head.header("transfer-encoding");
     bodyLength = 0;
-    if (coding != null && (length != null || !coding.equalsIgnoreCase("chunked"))) {
+    if (transferEncoding != null
+        && (contentLength != null || !transferEncoding.equalsIgnoreCase("chunked"))) {
       throw new HttpException(400, "a body framed in two ways, or in one that is not known");
     }
-    if (coding != null) {
-      at = At.CHUNK_SIZE;
-    } else if (length != null) {
-      if (!LENGTH.matcher(length).matches()) {
+    if (transferEncoding != null) {
+      state = State.CHUNK_SIZE;
+    } else if (contentLength != null) {
+      if (!CONTENT_LENGTH.matcher(contentLength).matches()) {
         throw new HttpException(400, "no content length");
       }
-      left = Long.parseLong(length);
-      grow(left);
-      at = At.BODY;
+      bytesLeft = Long.parseLong(contentLength);
+      addBodyLength(bytesLeft);
+      state = State.BODY;
     } else {
-      left = 0;
+      bytesLeft = 0;
       // 1xx, 204 and 304 have no body (RFC 9112 6.3)
-      boolean bare =
-          requests || words[1].startsWith("1") || words[1].equals("204") || words[1].equals("304");
-      at = bare ? At.BODY : At.TO_END;
+      boolean hasNoBody =
+          parsesRequests
+              || startLine[1].startsWith("1")
+              || startLine[1].equals("204")
+              || startLine[1].equals("304");
+      state = hasNoBody ? State.BODY : State.UNTIL_CLOSE;
     }
-    sink.onHead(head);
-    return at == At.BODY && left == 0;
+    handler.onHead(head);
+    return state == State.BODY && bytesLeft == 0;
   }
 
-  private void grow(long length) throws HttpException {
+  private void addBodyLength(long length) throws HttpException {
     bodyLength += length;
-    if (bodyLength > bodyMost) {
+    if (bodyLength > maxBodyBytes) {
       throw new HttpException(413, "body too large");
     }
   }
 
-  private boolean chunkSize(String text) throws HttpException {
-    int end = text.indexOf(';');
-    String size = (end < 0 ? text : text.substring(0, end)).strip();
+  private boolean processChunkSize(String text) throws HttpException {
+    int sizeEnd = text.indexOf(';');
+    String size = (sizeEnd < 0 ? text : text.substring(0, sizeEnd)).strip();
     if (!CHUNK_SIZE.matcher(size).matches()) {
       throw new HttpException(400, "no chunk size");
     }
-    left = Long.parseLong(size, 16);
-    grow(left);
-    at = left == 0 ? At.TRAILERS : At.CHUNK;
+    bytesLeft = Long.parseLong(size, 16);
+    addBodyLength(bytesLeft);
+    state = bytesLeft == 0 ? State.TRAILERS : State.CHUNK;
     return false;
   }
 
-  private boolean chunkEnded(String text) throws HttpException {
+  private boolean processChunkEnd(String text) throws HttpException {
     if (!text.isEmpty()) {
       throw new HttpException(400, "a chunk is longer than its size");
     }
-    at = At.CHUNK_SIZE;
+    state = State.CHUNK_SIZE;
     return false;
   }
 
-  private boolean piece(ByteRing in) throws HttpException {
-    int count = in.take(piece, 0, (int) Math.min(left, piece.length));
-    left -= count;
-    sink.onBody(piece, count);
-    if (left == 0 && at == At.CHUNK) {
-      at = At.CHUNK_END;
+  private boolean readBody(ByteRing input) throws HttpException {
+    int count = input.take(bodyBuffer, 0, (int) Math.min(bytesLeft, bodyBuffer.length));
+    bytesLeft -= count;
+    handler.onBody(bodyBuffer, count);
+    if (bytesLeft == 0 && state == State.CHUNK) {
+      state = State.CHUNK_END;
     }
-    return left == 0 && at == At.BODY;
+    return bytesLeft == 0 && state == State.BODY;
   }
 
-  private boolean rest(ByteRing in) throws HttpException {
-    int count = in.take(piece, 0, piece.length);
-    grow(count);
-    sink.onBody(piece, count);
+  private boolean readUntilClose(ByteRing input) throws HttpException {
+    int count = input.take(bodyBuffer, 0, bodyBuffer.length);
+    addBodyLength(count);
+    handler.onBody(bodyBuffer, count);
     return false;
   }
 }
--- a/mixer/src/main/java/gingerring/http/HttpWriter.java
+++ b/mixer/src/main/java/gingerring/http/HttpWriter.java
@@ -30,7 +30,7 @@
 
   private HttpWriter() {}
 
-  public static byte[] response(int status, boolean last, String extra, byte[] body) {
+  public static byte[] response(int status, boolean close, String extraHeaders, byte[] body) {
     ByteArrayOutputStream out = new ByteArrayOutputStream(body.length + 128);
     out.writeBytes(
         ascii(
@@ -40,8 +40,8 @@
                 + REASONS.getOrDefault(status, "Error")
                 + "\r\n"
                 + (body.length > 0 ? "Content-Type: application/json\r\n" : "")
-                + extra
-                + (last ? "Connection: close\r\n" : "")
+                + extraHeaders
+                + (close ? "Connection: close\r\n" : "")
                 + "Content-Length: "
                 + body.length
                 + "\r\n\r\n"));
@@ -49,14 +49,14 @@
     return out.toByteArray();
   }
 
-  public static byte[] getRequest(String target, String host, boolean last) {
+  public static byte[] getRequest(String target, String host, boolean close) {
     return ascii(
         "GET "
             + target
             + " HTTP/1.1\r\nHost: "
             + host
             + "\r\n"
-            + (last ? "Connection: close\r\n" : "")
+            + (close ? "Connection: close\r\n" : "")
             + "\r\n");
   }
 
--- a/mixer/src/main/java/gingerring/http/MessageHead.java
+++ b/mixer/src/main/java/gingerring/http/MessageHead.java
@@ -14,10 +14,10 @@
   }
 
   /** Whether a header that lists words has this one. */
-  public boolean hasToken(String name, String word) {
+  public boolean hasToken(String name, String token) {
     String value = header(name);
-    for (String part : value == null ? new String[0] : value.split(",")) {
-      if (part.strip().equalsIgnoreCase(word)) {
+    for (String element : value == null ? new String[0] : value.split(",")) {
+      if (element.strip().equalsIgnoreCase(token)) {
         return true;
       }
     }
--- a/mixer/src/main/java/gingerring/json/Json.java
+++ b/mixer/src/main/java/gingerring/json/Json.java
@@ -29,7 +29,7 @@
       Pattern.compile("-?(0|[1-9][0-9]*)(\\.[0-9]+)?([eE][+-]?[0-9]+)?");
 
   private final String text;
-  private int at;
+  private int position;
 
   private Json(String text) {
     this.text = text;
@@ -45,146 +45,147 @@
 
   public static Object parse(String text) throws JsonException {
     Json json = new Json(text);
-    Object value = json.value(0);
-    json.space();
-    if (json.at < text.length()) {
-      throw json.wrong("more after the value");
+    Object value = json.parseValue(0);
+    json.skipWhitespace();
+    if (json.position < text.length()) {
+      throw json.error("more after the value");
     }
     return value;
   }
 
-  private JsonException wrong(String what) {
-    return new JsonException(what + " at character " + at);
+  private JsonException error(String problem) {
+    return new JsonException(problem + " at character " + position);
   }
 
-  private void space() {
-    while (at < text.length() && " \t\r\n".indexOf(text.charAt(at)) >= 0) {
-      at++;
+  private void skipWhitespace() {
+    while (position < text.length() && " \t\r\n".indexOf(text.charAt(position)) >= 0) {
+      position++;
     }
   }
 
   private char peek() throws JsonException {
-    space();
-    if (at >= text.length()) {
-      throw wrong("it ends early");
+    skipWhitespace();
+    if (position >= text.length()) {
+      throw error("it ends early");
     }
-    return text.charAt(at);
+    return text.charAt(position);
   }
 
-  private void expect(char c) throws JsonException {
-    if (peek() != c) {
-      throw wrong("no '" + c + "'");
+  private void expect(char expected) throws JsonException {
+    if (peek() != expected) {
+      throw error("no '" + expected + "'");
     }
-    at++;
+    position++;
   }
 
-  private Object value(int depth) throws JsonException {
+  private Object parseValue(int depth) throws JsonException {
     if (depth > MAX_DEPTH) {
-      throw wrong("too deep");
+      throw error("too deep");
     }
     return switch (peek()) {
-      case '{' -> object(depth);
-      case '[' -> list(depth);
-      case '"' -> string();
-      case 't' -> word("true", true);
-      case 'f' -> word("false", false);
-      case 'n' -> word("null", null);
-      default -> number();
+      case '{' -> parseObject(depth);
+      case '[' -> parseArray(depth);
+      case '"' -> parseString();
+      case 't' -> parseLiteral("true", true);
+      case 'f' -> parseLiteral("false", false);
+      case 'n' -> parseLiteral("null", null);
+      default -> parseNumber();
     };
   }
 
-  private Object word(String word, Object value) throws JsonException {
-    if (!text.startsWith(word, at)) {
-      throw wrong("no value");
+  private Object parseLiteral(String literal, Object value) throws JsonException {
+    if (!text.startsWith(literal, position)) {
+      throw error("no value");
     }
-    at += word.length();
+    position += literal.length();
     return value;
   }
 
-  private Map<String, Object> object(int depth) throws JsonException {
+  private Map<String, Object> parseObject(int depth) throws JsonException {
     Map<String, Object> object = new LinkedHashMap<>();
-    at++;
+    position++;
     if (peek() == '}') {
-      at++;
+      position++;
       return object;
     }
     while (true) {
       if (peek() != '"') {
-        throw wrong("no name");
+        throw error("no name");
       }
-      String name = string();
+      String name = parseString();
       expect(':');
-      Object value = value(depth + 1);
+      Object value = parseValue(depth + 1);
       if (object.containsKey(name)) {
-        throw wrong("a name twice");
+        throw error("a name twice");
       }
       object.put(name, value);
       if (peek() == '}') {
-        at++;
+        position++;
         return object;
       }
       expect(',');
     }
   }
 
-  private List<Object> list(int depth) throws JsonException {
+  private List<Object> parseArray(int depth) throws JsonException {
     List<Object> list = new ArrayList<>();
-    at++;
+    position++;
     if (peek() == ']') {
-      at++;
+      position++;
       return list;
     }
     while (true) {
-      list.add(value(depth + 1));
+      list.add(parseValue(depth + 1));
       if (peek() == ']') {
-        at++;
+        position++;
         return list;
       }
       expect(',');
     }
   }
 
-  private String string() throws JsonException {
+  private String parseString() throws JsonException {
     StringBuilder string = new StringBuilder();
-    for (at++; at < text.length(); at++) {
-      char c = text.charAt(at);
+    for (position++; position < text.length(); position++) {
+      char c = text.charAt(position);
       if (c == '"') {
-        at++;
+        position++;
         return string.toString();
       }
       if (c < ' ') {
-        throw wrong("a control character");
+        throw error("a control character");
       }
-      string.append(c == '\\' ? escape() : c);
+      string.append(c == '\\' ? parseEscape() : c);
     }
-    throw wrong("it ends early");
+    throw error("it ends early");
   }
 
-  private char escape() throws JsonException {
-    if (++at >= text.length()) {
-      throw wrong("it ends early");
+  private char parseEscape() throws JsonException {
+    if (++position >= text.length()) {
+      throw error("it ends early");
     }
-    char c = text.charAt(at);
-    int plain = "\"\\/bfnrt".indexOf(c);
-    if (plain >= 0) {
-      return "\"\\/\b\f\n\r\t".charAt(plain);
+    char c = text.charAt(position);
+    int simpleEscape = "\"\\/bfnrt".indexOf(c);
+    if (simpleEscape >= 0) {
+      return "\"\\/\b\f\n\r\t".charAt(simpleEscape);
     }
-    String hex = c == 'u' && at + 5 <= text.length() ? text.substring(at + 1, at + 5) : "";
+    String hex =
+        c == 'u' && position + 5 <= text.length() ? text.substring(position + 1, position + 5) : "";
     if (!hex.matches("[0-9a-fA-F]{4}")) {
-      throw wrong("no escape");
+      throw error("no escape");
     }
-    at += 4;
+    position += 4;
     return (char) Integer.parseInt(hex, 16);
   }
 
-  private Double number() throws JsonException {
-    int start = at;
-    while (at < text.length() && "+-.0123456789eE".indexOf(text.charAt(at)) >= 0) {
-      at++;
+  private Double parseNumber() throws JsonException {
+    int start = position;
+    while (position < text.length() && "+-.0123456789eE".indexOf(text.charAt(position)) >= 0) {
+      position++;
     }
-    String number = text.substring(start, at);
+    String number = text.substring(start, position);
     if (!NUMBER.matcher(number).matches()) {
-      throw wrong("no value");
+      throw error("no value");
     }
     return Double.valueOf(number);
   }
--- a/mixer/src/main/java/gingerring/net/ByteRing.java
+++ b/mixer/src/main/java/gingerring/net/ByteRing.java
@@ -8,54 +8,54 @@
  * for one thread.
  */
 public final class ByteRing {
-  private final int most;
+  private final int capacity;
   private byte[] bytes;
-  private volatile long taken;
-  private volatile long put;
+  private volatile long readPosition;
+  private volatile long writePosition;
 
-  public ByteRing(int first, int most) {
-    this.most = most;
-    bytes = new byte[first];
+  public ByteRing(int initialCapacity, int capacity) {
+    this.capacity = capacity;
+    bytes = new byte[initialCapacity];
   }
 
   public int size() {
-    return (int) (put - taken);
+    return (int) (writePosition - readPosition);
   }
 
   public int remainingCapacity() {
-    return most - size();
+    return capacity - size();
   }
 
   /** How many bytes were ever put. */
   public long totalBytesPut() {
-    return put;
+    return writePosition;
   }
 
   /** Puts all the bytes, or none where there is no room for all. */
-  public boolean put(byte[] from, int at, int length) {
+  public boolean put(byte[] source, int offset, int length) {
     if (length > remainingCapacity()) {
       return false;
     }
     grow(length);
-    int start = (int) (put % bytes.length);
-    int first = Math.min(length, bytes.length - start);
-    System.arraycopy(from, at, bytes, start, first);
-    System.arraycopy(from, at + first, bytes, 0, length - first);
-    put += length;
+    int start = (int) (writePosition % bytes.length);
+    int untilWrap = Math.min(length, bytes.length - start);
+    System.arraycopy(source, offset, bytes, start, untilWrap);
+    System.arraycopy(source, offset + untilWrap, bytes, 0, length - untilWrap);
+    writePosition += length;
     return true;
   }
 
-  public boolean put(byte[] from) {
-    return put(from, 0, from.length);
+  public boolean put(byte[] source) {
+    return put(source, 0, source.length);
   }
 
   private void grow(int length) {
-    int need = size() + length;
-    if (need <= bytes.length) {
+    int required = size() + length;
+    if (required <= bytes.length) {
       return;
     }
-    byte[] larger = new byte[Math.min(most, Math.max(need, 2 * bytes.length))];
-    for (long i = taken; i < put; i++) {
+    byte[] larger = new byte[Math.min(capacity, Math.max(required, 2 * bytes.length))];
+    for (long i = readPosition; i < writePosition; i++) {
       larger[(int) (i % larger.length)] = bytes[(int) (i % bytes.length)];
     }
     bytes = larger;
@@ -63,38 +63,38 @@
 
   /** The next byte, or -1 where there is none. */
   public int take() {
-    long at = taken;
-    if (at == put) {
+    long offset = readPosition;
+    if (offset == writePosition) {
       return -1;
     }
-    int next = bytes[(int) (at % bytes.length)] & 0xFF;
-    taken = at + 1;
+    int next = bytes[(int) (offset % bytes.length)] & 0xFF;
+    readPosition = offset + 1;
     return next;
   }
 
   /** Takes up to so many bytes; returns how many. */
-  public int take(byte[] to, int at, int length) {
+  public int take(byte[] target, int offset, int length) {
     int count = Math.min(length, size());
-    int start = (int) (taken % bytes.length);
-    int first = Math.min(count, bytes.length - start);
-    System.arraycopy(bytes, start, to, at, first);
-    System.arraycopy(bytes, 0, to, at + first, count - first);
-    taken += count;
+    int start = (int) (readPosition % bytes.length);
+    int untilWrap = Math.min(count, bytes.length - start);
+    System.arraycopy(bytes, start, target, offset, untilWrap);
+    System.arraycopy(bytes, 0, target, offset + untilWrap, count - untilWrap);
+    readPosition += count;
     return count;
   }
 
   /** The bytes next in turn that lie side by side; they stay until skipped. */
   public ByteBuffer peekContiguous() {
-    int start = (int) (taken % bytes.length);
+    int start = (int) (readPosition % bytes.length);
     return ByteBuffer.wrap(bytes, start, Math.min(size(), bytes.length - start)).slice();
   }
 
   public void skip(int count) {
     assert count <= size();
-    taken += count;
+    readPosition += count;
   }
 
   public void clear() {
-    taken = put;
+    readPosition = writePosition;
   }
 }
--- a/mixer/src/main/java/gingerring/net/Connection.java
+++ b/mixer/src/main/java/gingerring/net/Connection.java
@@ -16,38 +16,38 @@
   /** What one read brings at most; reading stops while the ring has no room for that. */
   static final int MAX_READ_BYTES = 4096;
 
-  private static final int IN = 2 * MAX_READ_BYTES;
-  private static final int OUT_FIRST = 1024;
+  private static final int INPUT_BYTES = 2 * MAX_READ_BYTES;
+  private static final int INITIAL_OUTPUT_BYTES = 1024;
 
   /** How long a connection's last bytes may take to leave. */
-  private static final Duration FLUSH_MOST = Duration.ofSeconds(10);
+  private static final Duration FLUSH_TIMEOUT = Duration.ofSeconds(10);
 
   /** How much is read and dropped before what is read is paced. */
-  private static final long DROPPED_AT_ONCE = 1 << 20;
+  private static final long UNPACED_DISCARD_BYTES = 1 << 20;
 
-  public final ByteRing input = new ByteRing(IN, IN);
+  public final ByteRing input = new ByteRing(INPUT_BYTES, INPUT_BYTES);
   public final ByteRing output;
 
   /** The other side opened it. */
   final boolean inbound;
 
   private final Network network;
-  private ConnectionHandler party;
-  private ConnectFuture dialled;
+  private ConnectionHandler handler;
+  private ConnectFuture connectFuture;
   private volatile IoSession session;
   private boolean opened;
 
   /** This side, as a tap counts them. */
-  private int mine;
+  private int localSide;
 
   /** How many bytes MINA has in hand; 0 where it has none. */
-  private int writing;
+  private int bytesInWrite;
 
   private boolean closing;
   private boolean closed;
 
   /** This side is to be ended by a half-close, once flushed; and has been. */
-  private boolean endsOrderly;
+  private boolean closesGracefully;
 
   private boolean halfClosed;
 
@@ -55,33 +55,33 @@
    * Nothing that still comes is wanted: it is read and dropped, as fast as it comes for so many
    * bytes.
    */
-  private volatile boolean dropping;
+  private volatile boolean discarding;
 
-  private long dropped;
+  private long discardedBytes;
 
   /** The other side has ended its own, and all that it sent before has been read. */
-  private volatile boolean finRead;
+  private volatile boolean peerClosed;
 
-  private final AtomicBoolean told = new AtomicBoolean();
-  private volatile boolean paused;
+  private final AtomicBoolean readablePosted = new AtomicBoolean();
+  private volatile boolean readSuspended;
 
   /**
    * Bytes were read that are not in the ring yet; and nothing more is to be read. Both under this
    * lock.
    */
-  private boolean unput;
+  private boolean readPending;
 
-  private boolean unheeded;
-  private volatile Duration heard = Duration.ZERO;
+  private boolean readsBlocked;
+  private volatile Duration inputArrivedAt = Duration.ZERO;
 
-  Connection(Network network, int outMost, boolean came) {
+  Connection(Network network, int maxOutputBytes, boolean inbound) {
     this.network = network;
-    this.inbound = came;
-    output = new ByteRing(OUT_FIRST, outMost);
+    this.inbound = inbound;
+    output = new ByteRing(INITIAL_OUTPUT_BYTES, maxOutputBytes);
   }
 
-  public void setHandler(ConnectionHandler owner) {
-    party = owner;
+  public void setHandler(ConnectionHandler newHandler) {
+    handler = newHandler;
   }
 
   public boolean isOpen() {
@@ -98,12 +98,12 @@
   }
 
   Duration idleSince() {
-    return party.idleSince();
+    return handler.idleSince();
   }
 
   /** When bytes last came into an empty ring. */
   public Duration inputArrivedAt() {
-    return heard;
+    return inputArrivedAt;
   }
 
   /** How many bytes really left by this connection. */
@@ -111,146 +111,149 @@
     return session == null ? 0 : session.getWrittenBytes();
   }
 
-  void dialled(ConnectFuture future) {
-    dialled = future;
+  void setConnectFuture(ConnectFuture future) {
+    connectFuture = future;
   }
 
   // ---- MINA's thread ----
 
-  boolean unheeded() {
-    return unheeded;
+  boolean areReadsBlocked() {
+    return readsBlocked;
   }
 
-  void wasRead(boolean some) {
-    unput |= some;
+  void markRead(boolean gotBytes) {
+    readPending |= gotBytes;
   }
 
   /** The other side has closed, and not reset, what it sends by. */
-  void finRead() {
-    finRead = true;
+  void markPeerClosed() {
+    peerClosed = true;
   }
 
   IoSession session() {
     return session;
   }
 
-  void received(IoBuffer buffer) {
+  void onReceived(IoBuffer buffer) {
     byte[] bytes = new byte[buffer.remaining()];
     buffer.get(bytes);
-    if (dropping) { // since it was read
-      drop(bytes);
+    if (discarding) { // since it was read
+      discard(bytes);
       return;
     }
-    if (network.tap != null) {
-      network.tap.onData(session.getId(), 1 - mine, bytes);
+    if (network.trafficListener != null) {
+      network.trafficListener.onData(session.getId(), 1 - localSide, bytes);
     }
     if (input.size() == 0) {
-      heard = network.inbox.currentTime();
+      inputArrivedAt = network.eventQueue.currentTime();
     }
     boolean fits = input.put(bytes);
     synchronized (this) {
-      unput = false;
+      readPending = false;
     }
-    network.counts.checkInvariant(fits, "a read fits the ring");
+    network.counters.checkInvariant(fits, "a read fits the ring");
     if (!fits) {
       session.closeNow();
       return;
     }
     if (isInputFull()) {
-      paused = true;
+      readSuspended = true;
       session.suspendRead();
     }
-    if (told.compareAndSet(false, true)) {
-      network.inbox.post(this::tellReadable);
+    if (readablePosted.compareAndSet(false, true)) {
+      network.eventQueue.post(this::handleReadable);
     }
   }
 
-  boolean dropping() {
-    return dropping;
+  boolean isDiscarding() {
+    return discarding;
   }
 
   /** Returns whether so much has been dropped that reading is to be paced. */
-  boolean drop(byte[] bytes) {
-    if (network.tap != null) {
-      network.tap.onData(session.getId(), 1 - mine, bytes.clone());
+  boolean discard(byte[] bytes) {
+    if (network.trafficListener != null) {
+      network.trafficListener.onData(session.getId(), 1 - localSide, bytes.clone());
     }
-    dropped += bytes.length;
-    network.counts.add("bytes dropped", bytes.length);
-    return dropped > DROPPED_AT_ONCE;
+    discardedBytes += bytes.length;
+    network.counters.add("bytes dropped", bytes.length);
+    return discardedBytes > UNPACED_DISCARD_BYTES;
   }
 
   /** {@code came}: the other side opened it. */
-  void up(IoSession session, boolean came) {
+  void attach(IoSession session, boolean inbound) {
     this.session = session;
-    if (network.tap != null) {
-      mine = came ? 1 : 0;
-      InetSocketAddress here = (InetSocketAddress) session.getLocalAddress();
-      InetSocketAddress there = (InetSocketAddress) session.getRemoteAddress();
-      network.tap.onOpened(session.getId(), came ? there : here, came ? here : there);
+    if (network.trafficListener != null) {
+      localSide = inbound ? 1 : 0;
+      InetSocketAddress localAddress = (InetSocketAddress) session.getLocalAddress();
+      InetSocketAddress remoteAddress = (InetSocketAddress) session.getRemoteAddress();
+      network.trafficListener.onOpened(
+          session.getId(),
+          inbound ? remoteAddress : localAddress,
+          inbound ? localAddress : remoteAddress);
     }
   }
 
-  void sent() {
-    network.inbox.post(this::left);
+  void onSent() {
+    network.eventQueue.post(this::handleSent);
   }
 
   // ---- the loop ----
 
-  void tellOpened() {
+  void handleOpened() {
     opened = true;
     if (closed || closing) {
       session.closeNow();
       return;
     }
-    party.onOpened();
-    network.dirty(this);
+    handler.onOpened();
+    network.requestFlush(this);
   }
 
-  private void tellReadable() {
-    told.set(false);
+  private void handleReadable() {
+    readablePosted.set(false);
     if (closed) {
       return;
     }
-    if (dropping) {
+    if (discarding) {
       input.clear();
     } else {
-      party.onReadable();
+      handler.onReadable();
     }
     resumeReading();
   }
 
   /**
    * Reading goes on once there is room again, on MINA's thread. Guards against a resumption that
-   * comes between the two steps of a pause ({@link #received}): it would go unheard, and nothing
+   * comes between the two steps of a pause ({@link #onReceived}): it would go unheard, and nothing
    * would ever be read again.
    */
   public void resumeReading() {
-    if (paused && !isInputFull() && !closed) {
-      paused = false;
-      network.resumeRead(session);
+    if (readSuspended && !isInputFull() && !closed) {
+      readSuspended = false;
+      network.resumeReading(session);
     }
   }
 
   /** Marks that there is something to flush at the end of the turn. */
   public void requestFlush() {
-    network.dirty(this);
+    network.requestFlush(this);
   }
 
   /** One write of what lies side by side in the ring; what is left follows once that has gone. */
   void flush() {
-    if (!opened || closed || writing > 0) {
+    if (!opened || closed || bytesInWrite > 0) {
       return;
     }
     if (output.size() > 0) {
-      ByteBuffer slice = output.peekContiguous();
-      writing = slice.remaining();
-      if (network.tap != null) {
-        byte[] copy = new byte[writing];
-        slice.duplicate().get(copy);
-        network.tap.onData(session.getId(), mine, copy);
+      ByteBuffer nextBytes = output.peekContiguous();
+      bytesInWrite = nextBytes.remaining();
+      if (network.trafficListener != null) {
+        byte[] copy = new byte[bytesInWrite];
+        nextBytes.duplicate().get(copy);
+        network.trafficListener.onData(session.getId(), localSide, copy);
       }
-      session.write(IoBuffer.wrap(slice));
-    } else if (endsOrderly) {
+      session.write(IoBuffer.wrap(nextBytes));
+    } else if (closesGracefully) {
       if (!halfClosed) {
         halfClosed = true;
         network.halfClose(this);
@@ -260,12 +263,12 @@
     }
   }
 
-  private void left() {
-    output.skip(writing);
-    writing = 0;
+  private void handleSent() {
+    output.skip(bytesInWrite);
+    bytesInWrite = 0;
     flush();
     if (output.size() == 0 && !closed) {
-      party.onFlushed();
+      handler.onFlushed();
     }
   }
 
@@ -274,7 +277,7 @@
    * one.
    */
   public boolean isFlushed() {
-    return output.size() == 0 && writing == 0;
+    return output.size() == 0 && bytesInWrite == 0;
   }
 
   /**
@@ -283,7 +286,7 @@
    * {@link ConnectionHandler#onClosed}.
    */
   public boolean closedGracefully() {
-    return finRead;
+    return peerClosed;
   }
 
   /**
@@ -293,7 +296,7 @@
    * last answer with it. The party is told of no more bytes, and of the end.
    */
   public void closeGracefully() {
-    if (!opened || network.within()) {
+    if (!opened || network.isInMemory()) {
       closeAfterFlush();
       return;
     }
@@ -301,10 +304,10 @@
       return;
     }
     closing = true;
-    endsOrderly = true;
+    closesGracefully = true;
     discardInput();
-    network.endBy(this, FLUSH_MOST);
-    network.dirty(this);
+    network.closeWithin(this, FLUSH_TIMEOUT);
+    network.requestFlush(this);
   }
 
   /** Whether the ring is so full that reading stops. */
@@ -318,7 +321,7 @@
    * not seen behind them.
    */
   public void discardInput() {
-    dropping = true;
+    discarding = true;
     input.clear();
     resumeReading();
   }
@@ -326,7 +329,7 @@
   /** Ends the connection once what was put has left. */
   public void closeAfterFlush() {
     closing = true;
-    network.dirty(this);
+    network.requestFlush(this);
   }
 
   /**
@@ -336,10 +339,10 @@
    */
   public boolean closeIfUnread() {
     synchronized (this) {
-      if (unput || input.size() > 0) {
+      if (readPending || input.size() > 0) {
         return false;
       }
-      unheeded = true;
+      readsBlocked = true;
     }
     close();
     return true;
@@ -351,21 +354,21 @@
     if (opened) {
       session.closeNow();
     } else {
-      if (dialled != null) {
-        network.abandon(dialled);
+      if (connectFuture != null) {
+        network.abandonDial(connectFuture);
       }
-      network.inbox.post(this::tellClosed);
+      network.eventQueue.post(this::handleClosed);
     }
   }
 
-  void tellClosed() {
+  void handleClosed() {
     if (!closed) {
       closed = true;
       network.forget(this);
-      if (network.tap != null && session != null) {
-        network.tap.onClosed(session.getId(), closing ? mine : 1 - mine);
+      if (network.trafficListener != null && session != null) {
+        network.trafficListener.onClosed(session.getId(), closing ? localSide : 1 - localSide);
       }
-      party.onClosed();
+      handler.onClosed();
     }
   }
 }
--- a/mixer/src/main/java/gingerring/net/Counters.java
+++ b/mixer/src/main/java/gingerring/net/Counters.java
@@ -6,34 +6,34 @@
 
 /** What is counted rather than logged each time; safe from any thread. */
 public final class Counters {
-  private final Map<String, LongAdder> counts = new ConcurrentSkipListMap<>();
+  private final Map<String, LongAdder> adders = new ConcurrentSkipListMap<>();
 
-  public void add(String what, long many) {
-    counts.computeIfAbsent(what, name -> new LongAdder()).add(many);
+  public void add(String counter, long amount) {
+    adders.computeIfAbsent(counter, name -> new LongAdder()).add(amount);
   }
 
   /** What must hold: asserted in debug builds, counted in release builds. */
-  public void checkInvariant(boolean holds, String what) {
-    assert holds : what;
+  public void checkInvariant(boolean holds, String invariant) {
+    assert holds : invariant;
     if (!holds) {
-      add("broken: " + what, 1);
+      add("broken: " + invariant, 1);
     }
   }
 
-  public long get(String what) {
-    LongAdder count = counts.get(what);
-    return count == null ? 0 : count.sum();
+  public long get(String counter) {
+    LongAdder adder = adders.get(counter);
+    return adder == null ? 0 : adder.sum();
   }
 
   @Override
   public String toString() {
     StringBuilder text = new StringBuilder();
-    counts.forEach(
-        (what, many) ->
+    adders.forEach(
+        (counter, adder) ->
             text.append(text.length() == 0 ? "" : ", ")
-                .append(what)
+                .append(counter)
                 .append(' ')
-                .append(many.sum()));
+                .append(adder.sum()));
     return text.length() == 0 ? "none" : text.toString();
   }
 }
--- a/mixer/src/main/java/gingerring/net/Network.java
+++ b/mixer/src/main/java/gingerring/net/Network.java
@@ -43,102 +43,103 @@
  * pass bytes and events on to the loop and do nothing else.
  */
 public final class Network {
-  private static final String CONNECTION = "connection";
+  private static final String CONNECTION_ATTRIBUTE = "connection";
   private static final int BACKLOG = 512;
-  private static final int STACK = 1 << 18;
+  private static final int THREAD_STACK_BYTES = 1 << 18;
 
   /** How long a half-closed connection is read from, and how often the ends are looked after. */
-  private static final Duration LINGER = Duration.ofMillis(300);
+  private static final Duration LINGER_TIMEOUT = Duration.ofMillis(300);
 
-  private static final Duration ENDS_EVERY = Duration.ofMillis(50);
+  private static final Duration CLOSE_CHECK_INTERVAL = Duration.ofMillis(50);
 
   /** Of a flood that is dropped, so much is read in each such span. */
-  private static final int DROP = 1 << 16;
+  private static final int DISCARD_READ_BYTES = 1 << 16;
 
-  private static final Duration DROP_EVERY = Duration.ofMillis(10);
+  private static final Duration DISCARD_INTERVAL = Duration.ofMillis(10);
 
   /** How long a newcomer waits for room before it is closed. */
-  private static final Duration ROOM_WAIT = Duration.ofMillis(10);
+  private static final Duration ACCEPT_WAIT = Duration.ofMillis(10);
 
   /**
    * Of all connections that there may be: those that are dialled at most, and what is kept free for
    * them; and what no newcomer gets, for dials that come at once.
    */
-  private static final double DIALLED_MOST = 0.75;
+  private static final double MAX_DIALLED_SHARE = 0.75;
 
-  private static final double KEPT_FREE = 0.25;
-  private static final double SPARE = 1 / 16.0;
+  private static final double FREE_SHARE = 0.25;
+  private static final double DIAL_ONLY_SHARE = 1 / 16.0;
 
-  final EventQueue inbox;
-  final Counters counts;
+  final EventQueue eventQueue;
+  final Counters counters;
 
   /** Null where nothing is recorded. */
-  final TrafficListener tap;
+  final TrafficListener trafficListener;
 
-  private final ExecutorService threads =
+  private final ExecutorService executor =
       Executors.newCachedThreadPool(
           task -> {
-            Thread thread = new Thread(null, task, "mina", STACK);
+            Thread thread = new Thread(null, task, "mina", THREAD_STACK_BYTES);
             thread.setDaemon(true);
             return thread;
           });
   private final Processor processor = new Processor();
 
   /** Tasks of MINA's connector, until the turn that dials is over. */
-  private final Queue<Runnable> dialling = new ConcurrentLinkedQueue<>();
+  private final Queue<Runnable> connectorTasks = new ConcurrentLinkedQueue<>();
 
   private final IoConnector connector;
-  private final boolean within;
+  private final boolean inMemory;
   private IoAcceptor acceptor;
 
   /** Held while a connection is accepted: who holds it keeps those that come in the backlog. */
-  final Object accepting = new Object();
+  final Object acceptLock = new Object();
 
   /** Connections that came in and have not ended. */
-  private final AtomicInteger taken = new AtomicInteger();
+  private final AtomicInteger inboundCount = new AtomicInteger();
 
   /**
    * Connections of both kinds that there may be at one time; and those dialled that have not ended.
    */
-  private volatile int most = Integer.MAX_VALUE;
+  private volatile int maxConnections = Integer.MAX_VALUE;
 
-  private volatile int dialled;
+  private volatile int dialledCount;
 
   /** Dials for which there was no descriptor, by connection. */
-  private final Map<Connection, Runnable> waiting = new LinkedHashMap<>();
+  private final Map<Connection, Runnable> waitingDials = new LinkedHashMap<>();
 
-  private Runnable whenShort = () -> {};
-  private final Set<Connection> dirty = new LinkedHashSet<>();
-  private final Set<Connection> all = new LinkedHashSet<>();
+  private Runnable shortageHandler = () -> {};
+  private final Set<Connection> flushRequests = new LinkedHashSet<>();
+  private final Set<Connection> connections = new LinkedHashSet<>();
 
   /**
    * {@code within}: without sockets, to addresses that this same network listens at, by MINA's
    * pipes.
    */
-  public Network(EventQueue inbox, Counters counts, boolean within) {
-    this(inbox, counts, within, null);
+  public Network(EventQueue eventQueue, Counters counters, boolean inMemory) {
+    this(eventQueue, counters, inMemory, null);
   }
 
   /** {@code tap} is told of all that connections carry; null for none. */
-  public Network(EventQueue inbox, Counters counts, boolean within, TrafficListener tap) {
-    this.inbox = inbox;
-    this.counts = counts;
-    this.within = within;
-    this.tap = tap;
-    if (within) {
-      connector = new VmPipeConnector(threads);
+  public Network(
+      EventQueue eventQueue, Counters counters, boolean inMemory, TrafficListener trafficListener) {
+    this.eventQueue = eventQueue;
+    this.counters = counters;
+    this.inMemory = inMemory;
+    this.trafficListener = trafficListener;
+    if (inMemory) {
+      connector = new VmPipeConnector(executor);
     } else {
       // its thread ends when no dial is under way; started after the last dial of a turn and not
       // with the
       // first, it is woken once for all of them
-      NioSocketConnector sockets = new NioSocketConnector(dialling::add, processor);
-      prepare(sockets.getSessionConfig());
-      connector = sockets;
+      NioSocketConnector socketConnector = new NioSocketConnector(connectorTasks::add, processor);
+      configure(socketConnector.getSessionConfig());
+      connector = socketConnector;
     }
-    connector.setHandler(new Passing());
+    connector.setHandler(new EventForwarder());
   }
 
-  private static void prepare(SocketSessionConfig session) {
+  private static void configure(SocketSessionConfig session) {
     session.setTcpNoDelay(true);
     session.setMaxReadBufferSize(Connection.MAX_READ_BYTES);
   }
@@ -149,12 +150,15 @@
    * Returns the address, with the port that was free where port 0 was asked for.
    */
   public InetSocketAddress listen(
-      InetSocketAddress address, int most, int outMost, Consumer<Connection> accepted)
+      InetSocketAddress address,
+      int maxConnections,
+      int maxOutputBytes,
+      Consumer<Connection> onAccepted)
       throws IOException {
-    this.most = within ? Integer.MAX_VALUE : most;
-    acceptor = within ? new VmPipeAcceptor(threads) : sockets();
+    this.maxConnections = inMemory ? Integer.MAX_VALUE : maxConnections;
+    acceptor = inMemory ? new VmPipeAcceptor(executor) : newSocketAcceptor();
     acceptor.setHandler(
-        new Passing() {
+        new EventForwarder() {
           /**
            * Its descriptor is free once the selector has let go of its channel, in the next round.
            * Guards against a flood of newcomers for whom there is room by the count, and no
@@ -162,7 +166,7 @@
            */
           @Override
           public void sessionClosed(IoSession session) {
-            if (within) {
+            if (inMemory) {
               released();
             } else {
               processor.run(this::released);
@@ -171,36 +175,36 @@
           }
 
           private void released() {
-            taken.decrementAndGet();
-            roomMade();
+            inboundCount.decrementAndGet();
+            notifyConnectionFreed();
           }
 
           @Override
           public void sessionCreated(IoSession session) {
-            Connection connection = new Connection(Network.this, outMost, true);
-            session.setAttribute(CONNECTION, connection);
-            connection.up(session, true);
-            inbox.post(
+            Connection connection = new Connection(Network.this, maxOutputBytes, true);
+            session.setAttribute(CONNECTION_ATTRIBUTE, connection);
+            connection.attach(session, true);
+            eventQueue.post(
                 () -> {
-                  all.add(connection);
-                  accepted.accept(connection);
+                  connections.add(connection);
+                  onAccepted.accept(connection);
                 });
           }
         });
-    acceptor.bind(place(address));
-    return within ? address : (InetSocketAddress) acceptor.getLocalAddress();
+    acceptor.bind(minaAddress(address));
+    return inMemory ? address : (InetSocketAddress) acceptor.getLocalAddress();
   }
 
-  private NioSocketAcceptor sockets() {
-    NioSocketAcceptor sockets = new Acceptor();
-    sockets.setReuseAddress(true);
-    sockets.setBacklog(BACKLOG);
-    prepare(sockets.getSessionConfig());
-    return sockets;
+  private NioSocketAcceptor newSocketAcceptor() {
+    NioSocketAcceptor socketAcceptor = new Acceptor();
+    socketAcceptor.setReuseAddress(true);
+    socketAcceptor.setBacklog(BACKLOG);
+    configure(socketAcceptor.getSessionConfig());
+    return socketAcceptor;
   }
 
-  private SocketAddress place(InetSocketAddress address) {
-    return within ? new VmPipeAddress(address.getPort()) : address;
+  private SocketAddress minaAddress(InetSocketAddress address) {
+    return inMemory ? new VmPipeAddress(address.getPort()) : address;
   }
 
   /**
@@ -217,21 +221,21 @@
    * Calls an address; its party is told once the connection is up, or that it never came up. Where
    * there is no descriptor for it, it waits for one.
    */
-  public Connection dial(InetSocketAddress address, int outMost, ConnectionHandler party) {
-    Connection connection = new Connection(this, outMost, false);
-    connection.setHandler(party);
-    all.add(connection);
-    if (dialledOpen() > DIALLED_MOST * most) {
-      closeLongestResting();
+  public Connection dial(InetSocketAddress address, int maxOutputBytes, ConnectionHandler handler) {
+    Connection connection = new Connection(this, maxOutputBytes, false);
+    connection.setHandler(handler);
+    connections.add(connection);
+    if (openDialledCount() > MAX_DIALLED_SHARE * maxConnections) {
+      closeLongestIdle();
     }
     if (connectionShortfall() > 0) {
-      whenShort.run();
+      shortageHandler.run();
     }
     if (availableConnections() > 0) {
       connect(connection, address);
     } else {
-      counts.add("dials that waited for a descriptor", 1);
-      waiting.put(connection, () -> connect(connection, address));
+      counters.add("dials that waited for a descriptor", 1);
+      waitingDials.put(connection, () -> connect(connection, address));
     }
     return connection;
   }
@@ -239,17 +243,17 @@
   private void connect(Connection connection, InetSocketAddress address) {
     ConnectFuture future =
         connector.connect(
-            place(address),
+            minaAddress(address),
             (session, ignored) -> {
-              session.setAttribute(CONNECTION, connection);
-              connection.up(session, false);
+              session.setAttribute(CONNECTION_ATTRIBUTE, connection);
+              connection.attach(session, false);
             });
-    dialled++;
-    connection.dialled(future);
+    dialledCount++;
+    connection.setConnectFuture(future);
     future.addListener(
         ignored -> {
           if (!future.isConnected()) {
-            inbox.post(connection::tellClosed);
+            eventQueue.post(connection::handleClosed);
           }
         });
   }
@@ -260,156 +264,166 @@
    * its thread while another dial is under way, which is then told nothing. A closed channel is
    * counted once, or not at all: then the thread stays.
    */
-  void abandon(ConnectFuture dial) {
-    if (dial instanceof AbstractPollingIoConnector<?, ?>.ConnectionRequest request) {
+  void abandonDial(ConnectFuture connectFuture) {
+    if (connectFuture instanceof AbstractPollingIoConnector<?, ?>.ConnectionRequest request) {
       try {
         ((SocketChannel) request.getHandle()).close();
       } catch (IOException e) {
-        counts.add("dials that could not be given up", 1);
+        counters.add("dials that could not be given up", 1);
       }
     } else {
-      dial.cancel();
+      connectFuture.cancel();
     }
   }
 
   /** Those dialled, or that wait for it, and are not being ended. */
-  private long dialledOpen() {
-    return dialled < DIALLED_MOST * most
-        ? dialled
-        : all.stream().filter(each -> !each.inbound && each.isUsable()).count();
+  private long openDialledCount() {
+    return dialledCount < MAX_DIALLED_SHARE * maxConnections
+        ? dialledCount
+        : connections.stream()
+            .filter(connection -> !connection.inbound && connection.isUsable())
+            .count();
   }
 
   /**
    * Guards against links that nobody uses just now, and that take the descriptors of all clients.
    */
-  private void closeLongestResting() {
-    all.stream()
-        .filter(each -> !each.inbound && each.isUsable() && each.idleSince() != null)
+  private void closeLongestIdle() {
+    connections.stream()
+        .filter(
+            connection ->
+                !connection.inbound && connection.isUsable() && connection.idleSince() != null)
         .min(Comparator.comparing(Connection::idleSince))
         .ifPresent(
-            each -> {
-              counts.add("resting links shed", 1);
-              each.close();
+            connection -> {
+              counters.add("resting links shed", 1);
+              connection.close();
             });
   }
 
   /** So many connections more there may be. */
   public int availableConnections() {
-    return most == Integer.MAX_VALUE ? most : most - dialled - taken.get();
+    return maxConnections == Integer.MAX_VALUE
+        ? maxConnections
+        : maxConnections - dialledCount - inboundCount.get();
   }
 
   /** So much of the room no newcomer gets. */
-  private int spare() {
-    return (int) Math.ceil(most * SPARE);
+  private int dialOnlyConnections() {
+    return (int) Math.ceil(maxConnections * DIAL_ONLY_SHARE);
   }
 
   /**
    * Whether there is so little room that one who comes is to be sent away, once so many more have
    * ended.
    */
-  public boolean isFull(int ending) {
-    return most != Integer.MAX_VALUE && availableConnections() + ending < 2 * spare();
+  public boolean isFull(int closing) {
+    return maxConnections != Integer.MAX_VALUE
+        && availableConnections() + closing < 2 * dialOnlyConnections();
   }
 
   /** So many connections should end, if they can, for dials to find room at once. */
   public int connectionShortfall() {
-    if (most == Integer.MAX_VALUE) {
+    if (maxConnections == Integer.MAX_VALUE) {
       return 0;
     }
-    double yetToDial = Math.max(0, DIALLED_MOST * most - dialled);
+    double undialled = Math.max(0, MAX_DIALLED_SHARE * maxConnections - dialledCount);
     return (int)
-        Math.max(0, Math.min(KEPT_FREE * most, 2 * spare() + yetToDial) - availableConnections());
+        Math.max(
+            0,
+            Math.min(FREE_SHARE * maxConnections, 2 * dialOnlyConnections() + undialled)
+                - availableConnections());
   }
 
   /** {@code task} is run on the loop's thread when something is dialled while room is short. */
   public void setShortageHandler(Runnable task) {
-    whenShort = task;
+    shortageHandler = task;
   }
 
-  private void roomMade() {
-    synchronized (accepting) {
-      accepting.notifyAll();
+  private void notifyConnectionFreed() {
+    synchronized (acceptLock) {
+      acceptLock.notifyAll();
     }
   }
 
   /** Ends all there is of it. */
   public void dispose() {
     connector.dispose();
-    finishDials();
+    runConnectorTasks();
     if (acceptor != null) {
       acceptor.dispose();
     }
     processor.dispose();
-    threads.shutdown();
+    executor.shutdown();
   }
 
   /** The time since the start, read now: a turn may have stood still since it began. */
   public Duration currentTime() {
-    return inbox.currentTime();
+    return eventQueue.currentTime();
   }
 
   /** Connections in hand, those being opened too. */
   public int connectionCount() {
-    return all.size();
+    return connections.size();
   }
 
   /** Whether all that was put into connections has left, and the loop has heard so. */
   public boolean isFlushed() {
-    return all.stream().allMatch(Connection::isFlushed);
+    return connections.stream().allMatch(Connection::isFlushed);
   }
 
-  void dirty(Connection connection) {
-    dirty.add(connection);
+  void requestFlush(Connection connection) {
+    flushRequests.add(connection);
   }
 
   void forget(Connection connection) {
-    all.remove(connection);
-    dirty.remove(connection);
-    if (!connection.inbound && waiting.remove(connection) == null) {
-      dialled--;
-      roomMade();
+    connections.remove(connection);
+    flushRequests.remove(connection);
+    if (!connection.inbound && waitingDials.remove(connection) == null) {
+      dialledCount--;
+      notifyConnectionFreed();
     }
   }
 
-  void resumeRead(IoSession session) {
-    if (within) {
+  void resumeReading(IoSession session) {
+    if (inMemory) {
       session.resumeRead();
     } else {
       processor.run(session::resumeRead);
     }
   }
 
-  boolean within() {
-    return within;
+  boolean isInMemory() {
+    return inMemory;
   }
 
   /** Whatever becomes of it, a connection that is to end does so within this span. */
-  void endBy(Connection connection, Duration span) {
-    Duration by = inbox.currentTime().plus(span);
-    processor.run(() -> processor.ends.put(connection, by));
+  void closeWithin(Connection connection, Duration timeout) {
+    Duration deadline = eventQueue.currentTime().plus(timeout);
+    processor.run(() -> processor.closeDeadlines.put(connection, deadline));
   }
 
   /** What was put has left: nothing more follows, and what comes is read for a while. */
   void halfClose(Connection connection) {
-    endBy(connection, LINGER);
-    processor.run(() -> processor.halfClose(connection));
+    closeWithin(connection, LINGER_TIMEOUT);
+    processor.run(() -> processor.shutdownOutput(connection));
   }
 
-  private void finishDials() {
-    for (Runnable task = dialling.poll(); task != null; task = dialling.poll()) {
-      threads.execute(task);
+  private void runConnectorTasks() {
+    for (Runnable task = connectorTasks.poll(); task != null; task = connectorTasks.poll()) {
+      executor.execute(task);
     }
   }
 
   /** One flush for each connection that something was put into; and what was dialled goes on. */
   public void flush() {
-    while (!waiting.isEmpty() && availableConnections() > 0) {
-      waiting.remove(waiting.keySet().iterator().next()).run();
+    while (!waitingDials.isEmpty() && availableConnections() > 0) {
+      waitingDials.remove(waitingDials.keySet().iterator().next()).run();
     }
-    finishDials();
-    List<Connection> now = List.copyOf(dirty);
-    dirty.clear();
-    now.forEach(Connection::flush);
+    runConnectorTasks();
+    List<Connection> toFlush = List.copyOf(flushRequests);
+    flushRequests.clear();
+    toFlush.forEach(Connection::flush);
   }
 
   /**
@@ -421,15 +435,15 @@
     private final Queue<Runnable> tasks = new ConcurrentLinkedQueue<>();
 
     /** By when connections that are being ended are closed; this thread's. */
-    private final Map<Connection, Duration> ends = new LinkedHashMap<>();
+    private final Map<Connection, Duration> closeDeadlines = new LinkedHashMap<>();
 
     /** When floods are read from again. */
-    private final Map<Connection, Duration> floods = new LinkedHashMap<>();
+    private final Map<Connection, Duration> discardResumeTimes = new LinkedHashMap<>();
 
-    private final IoBuffer scrap = IoBuffer.allocate(DROP);
+    private final IoBuffer discardBuffer = IoBuffer.allocate(DISCARD_READ_BYTES);
 
     Processor() {
-      super(threads);
+      super(executor);
     }
 
     @Override
@@ -444,13 +458,13 @@
     }
 
     @Override
-    protected int select(long timeOut) throws Exception {
+    protected int select(long timeoutMs) throws Exception {
       int selected =
           super.select(
-              !floods.isEmpty()
-                  ? DROP_EVERY.toMillis()
-                  : !ends.isEmpty() ? ENDS_EVERY.toMillis() : timeOut);
-      if (!floods.isEmpty() || !ends.isEmpty()) {
+              !discardResumeTimes.isEmpty()
+                  ? DISCARD_INTERVAL.toMillis()
+                  : !closeDeadlines.isEmpty() ? CLOSE_CHECK_INTERVAL.toMillis() : timeoutMs);
+      if (!discardResumeTimes.isEmpty() || !closeDeadlines.isEmpty()) {
         // MINA takes selects that come back early and empty, ten in a row, for a broken selector,
         // and makes
         // a new one
@@ -459,26 +473,27 @@
       for (Runnable task = tasks.poll(); task != null; task = tasks.poll()) {
         task.run();
       }
-      if (!ends.isEmpty() || !floods.isEmpty()) {
-        Duration now = inbox.currentTime();
-        floods
+      if (!closeDeadlines.isEmpty() || !discardResumeTimes.isEmpty()) {
+        Duration now = eventQueue.currentTime();
+        discardResumeTimes
             .entrySet()
             .removeIf(
-                flood -> {
-                  boolean due = flood.getValue().compareTo(now) <= 0;
+                entry -> {
+                  boolean due = entry.getValue().compareTo(now) <= 0;
                   if (due) {
-                    flood.getKey().session().resumeRead();
+                    entry.getKey().session().resumeRead();
                   }
                   return due;
                 });
-        ends.entrySet()
+        closeDeadlines
+            .entrySet()
             .removeIf(
-                end -> {
-                  IoSession session = end.getKey().session();
+                entry -> {
+                  IoSession session = entry.getKey().session();
                   if (session.isConnected()
                       && !session.isClosing()
-                      && end.getValue().compareTo(now) <= 0) {
-                    counts.add("ends cut short", 1);
+                      && entry.getValue().compareTo(now) <= 0) {
+                    counters.add("ends cut short", 1);
                     session.closeNow();
                   }
                   return session.isClosing() || !session.isConnected();
@@ -488,7 +503,7 @@
     }
 
     /** MINA keeps a session's channel to itself, but each key of the selector knows both. */
-    private void halfClose(Connection connection) {
+    private void shutdownOutput(Connection connection) {
       for (SelectionKey key : selector.keys()) {
         if (key.attachment() == connection.session()) {
           try {
@@ -502,28 +517,28 @@
     }
 
     /** Large reads, of which nobody is told but of the end. */
-    private int drop(Connection connection) throws Exception {
-      scrap.clear();
-      int count = super.read((NioSession) connection.session(), scrap);
+    private int discardRead(Connection connection) throws Exception {
+      discardBuffer.clear();
+      int count = super.read((NioSession) connection.session(), discardBuffer);
       if (count <= 0) {
         return count;
       }
-      if (connection.drop(Arrays.copyOf(scrap.array(), count))) {
+      if (connection.discard(Arrays.copyOf(discardBuffer.array(), count))) {
         connection.session().suspendRead();
-        floods.put(connection, inbox.currentTime().plus(DROP_EVERY));
+        discardResumeTimes.put(connection, eventQueue.currentTime().plus(DISCARD_INTERVAL));
       }
       return 0;
     }
 
     @Override
     protected int read(NioSession session, IoBuffer buffer) throws Exception {
-      Connection connection = of(session);
-      if (connection.dropping()) {
-        return drop(connection);
+      Connection connection = connectionOf(session);
+      if (connection.isDiscarding()) {
+        return discardRead(connection);
       }
       synchronized (connection) {
-        int count = connection.unheeded() ? 0 : super.read(session, buffer);
-        connection.wasRead(count > 0);
+        int count = connection.areReadsBlocked() ? 0 : super.read(session, buffer);
+        connection.markRead(count > 0);
         return count;
       }
     }
@@ -540,40 +555,40 @@
      * No room was made for the last newcomer: the next does not wait for any, and holds up none
      * behind it.
      */
-    private boolean stayedFull;
+    private boolean lastWaitFailed;
 
     Acceptor() {
-      super(threads, processor);
+      super(executor, processor);
     }
 
     @Override
     protected NioSession accept(IoProcessor<NioSession> processor, ServerSocketChannel handle)
         throws Exception {
-      synchronized (accepting) {
-        return acceptOne(processor, handle);
+      synchronized (acceptLock) {
+        return acceptWithinLimit(processor, handle);
       }
     }
 
-    private NioSession acceptOne(IoProcessor<NioSession> processor, ServerSocketChannel handle)
-        throws Exception {
-      long until = System.nanoTime() + ROOM_WAIT.toNanos();
-      for (long left = 1;
-          availableConnections() <= spare() && !stayedFull && left > 0;
-          left = until - System.nanoTime()) {
-        TimeUnit.NANOSECONDS.timedWait(accepting, Math.max(1_000_000, left));
+    private NioSession acceptWithinLimit(
+        IoProcessor<NioSession> processor, ServerSocketChannel handle) throws Exception {
+      long deadlineNanos = System.nanoTime() + ACCEPT_WAIT.toNanos();
+      for (long remainingNanos = 1;
+          availableConnections() <= dialOnlyConnections() && !lastWaitFailed && remainingNanos > 0;
+          remainingNanos = deadlineNanos - System.nanoTime()) {
+        TimeUnit.NANOSECONDS.timedWait(acceptLock, Math.max(1_000_000, remainingNanos));
       }
-      stayedFull = availableConnections() <= spare();
-      if (stayedFull) {
+      lastWaitFailed = availableConnections() <= dialOnlyConnections();
+      if (lastWaitFailed) {
         SocketChannel channel = handle.accept();
         if (channel != null) {
           channel.close();
-          counts.add("connections turned away", 1);
+          counters.add("connections turned away", 1);
         }
         return null;
       }
       NioSession session = super.accept(processor, handle);
       if (session != null) {
-        taken.incrementAndGet();
+        inboundCount.incrementAndGet();
       }
       return session;
     }
@@ -599,44 +614,44 @@
     }
   }
 
-  private static Connection of(IoSession session) {
-    return (Connection) session.getAttribute(CONNECTION);
+  private static Connection connectionOf(IoSession session) {
+    return (Connection) session.getAttribute(CONNECTION_ATTRIBUTE);
   }
 
   /** Passes on what MINA tells, from its thread to the loop's. */
-  private class Passing extends IoHandlerAdapter {
+  private class EventForwarder extends IoHandlerAdapter {
     @Override
     public void sessionOpened(IoSession session) {
-      inbox.post(of(session)::tellOpened);
+      eventQueue.post(connectionOf(session)::handleOpened);
     }
 
     @Override
     public void messageReceived(IoSession session, Object message) {
-      of(session).received((IoBuffer) message);
+      connectionOf(session).onReceived((IoBuffer) message);
     }
 
     @Override
     public void messageSent(IoSession session, Object message) {
-      of(session).sent();
+      connectionOf(session).onSent();
     }
 
     @Override
     public void sessionClosed(IoSession session) {
-      if (within) {
-        of(session).finRead(); // pipes know no reset
+      if (inMemory) {
+        connectionOf(session).markPeerClosed(); // pipes know no reset
       }
-      inbox.post(of(session)::tellClosed);
+      eventQueue.post(connectionOf(session)::handleClosed);
     }
 
     @Override
     public void inputClosed(IoSession session) {
-      of(session).finRead();
+      connectionOf(session).markPeerClosed();
       session.closeNow();
     }
 
     @Override
     public void exceptionCaught(IoSession session, Throwable cause) {
-      counts.add("connections broken", 1);
+      counters.add("connections broken", 1);
       session.closeNow();
     }
   }
--- a/mixer/src/test/java/gingerring/discovery/MemberListUpdateTest.java
+++ b/mixer/src/test/java/gingerring/discovery/MemberListUpdateTest.java
@@ -12,11 +12,11 @@
 
 /** Lists with members that are odd, or cannot be. */
 class MemberListUpdateTest {
-  private static final String GOOD =
+  private static final String VALID =
       "{\"id\":\"s-1\",\"host_port\":\"10.0.0.1:81\",\"locality\":\"a\","
           + "\"flavor\":\"m\",\"cell\":3,\"phase\":\"SERVING\",\"size\":1.5,\"up_since_ms\":7}";
 
-  private static MemberListUpdate read(String... members) throws Json.JsonException {
+  private static MemberListUpdate parse(String... members) throws Json.JsonException {
     return MemberListUpdate.parse(
         Json.parse(
             ("{\"revision\":41,\"complete\":false,\"members\":[" + String.join(",", members) + "]}")
@@ -28,10 +28,10 @@
    * can.
    */
   @Test
-  void refusesAListWithAMemberThatCannotBe() throws Json.JsonException {
+  void rejectsAListWithAnInvalidMember() throws Json.JsonException {
     assertEquals(
-        List.of(1.5f), read(GOOD).members().stream().map(MemberListUpdate.Member::size).toList());
-    for (String[] swap :
+        List.of(1.5f), parse(VALID).members().stream().map(MemberListUpdate.Member::size).toList());
+    for (String[] replacement :
         new String[][] {
           {"\"s-1\"", "\"\""},
           {"10.0.0.1:81", "10.0.0.1:0"},
@@ -59,40 +59,44 @@
           {"\"id\":\"s-1\",", ""},
           {"\"phase\":\"SERVING\",", ""}
         }) {
-      String bad = GOOD.replace(swap[0], swap[1]);
-      assertThrows(Json.JsonException.class, () -> read(GOOD.replace("s-1", "s-0"), bad), bad);
+      String invalid = VALID.replace(replacement[0], replacement[1]);
+      assertThrows(
+          Json.JsonException.class, () -> parse(VALID.replace("s-1", "s-0"), invalid), invalid);
     }
   }
 
   /** Guards against a whole list refused for what one that has gone no longer has. */
   @Test
-  void ofOneThatHasGoneTheIdIsEnough() throws Json.JsonException {
-    for (String gone :
+  void deletedMemberNeedsOnlyAnId() throws Json.JsonException {
+    for (String deleted :
         new String[] {
           "{\"id\":\"s-1\",\"phase\":\"DELETED\"}",
           "{\"id\":\"s-1\",\"phase\":\"DELETED\",\"host_port\":null}",
           "{\"id\":\"s-1\",\"phase\":\"DELETED\",\"host_port\":\"\",\"size\":0}",
-          GOOD.replace("SERVING", "DELETED")
+          VALID.replace("SERVING", "DELETED")
         }) {
-      MemberListUpdate.Member member = read(gone).members().get(0);
+      MemberListUpdate.Member member = parse(deleted).members().get(0);
       assertEquals(Status.GONE, member.standing());
       assertNull(member.address());
     }
-    assertThrows(Json.JsonException.class, () -> read("{\"id\":\"\",\"phase\":\"DELETED\"}"));
+    assertThrows(Json.JsonException.class, () -> parse("{\"id\":\"\",\"phase\":\"DELETED\"}"));
   }
 
   @Test
-  void ofAMemberNamedTwiceTheLastEntryCounts() throws Json.JsonException {
-    for (boolean drains : new boolean[] {true, false}) {
-      String other = GOOD.replace("SERVING", "DRAINING").replace(":81", ":82");
+  void lastEntryOfADuplicateMemberCounts() throws Json.JsonException {
+    for (boolean drainingLast : new boolean[] {true, false}) {
+      String draining = VALID.replace("SERVING", "DRAINING").replace(":81", ":82");
       MemberListUpdate.Member member =
-          read(drains ? GOOD : other, GOOD.replace("s-1", "s-2"), drains ? other : GOOD)
+          parse(
+                  drainingLast ? VALID : draining,
+                  VALID.replace("s-1", "s-2"),
+                  drainingLast ? draining : VALID)
               .members()
               .get(0);
       assertEquals("s-1", member.id());
-      assertEquals(drains ? Status.DRAINING : Status.READY, member.standing());
-      assertEquals(drains ? 82 : 81, member.address().getPort());
-      assertEquals(2, read(GOOD, other, GOOD.replace("s-1", "s-2")).members().size());
+      assertEquals(drainingLast ? Status.DRAINING : Status.READY, member.standing());
+      assertEquals(drainingLast ? 82 : 81, member.address().getPort());
+      assertEquals(2, parse(VALID, draining, VALID.replace("s-1", "s-2")).members().size());
     }
   }
 }
--- a/mixer/src/test/java/gingerring/http/HttpParserTest.java
+++ b/mixer/src/test/java/gingerring/http/HttpParserTest.java
@@ -10,7 +10,7 @@
 
 class HttpParserTest {
   /** Writes down what is read. */
-  private static final class Notes implements HttpParser.Handler {
+  private static final class RecordingHandler implements HttpParser.Handler {
     final StringBuilder text = new StringBuilder();
 
     @Override
@@ -29,28 +29,28 @@
     }
   }
 
-  private static String read(boolean requests, byte[] bytes, int... cuts) {
-    Notes notes = new Notes();
-    HttpParser parser = new HttpParser(requests, 1000, notes);
+  private static String parse(boolean requests, byte[] bytes, int... splits) {
+    RecordingHandler handler = new RecordingHandler();
+    HttpParser parser = new HttpParser(requests, 1000, handler);
     ByteRing ring = new ByteRing(4096, 4096);
-    int from = 0;
+    int start = 0;
     try {
-      for (int i = 0; i <= cuts.length; i++) {
-        int to = i < cuts.length ? cuts[i] : bytes.length;
-        assertTrue(ring.put(bytes, from, to - from));
+      for (int i = 0; i <= splits.length; i++) {
+        int end = i < splits.length ? splits[i] : bytes.length;
+        assertTrue(ring.put(bytes, start, end - start));
         while (ring.size() > 0) {
           parser.parse(ring);
         }
-        from = to;
+        start = end;
       }
     } catch (HttpException e) {
-      notes.text.append(e.status);
+      handler.text.append(e.status);
     }
-    return notes.text.toString();
+    return handler.text.toString();
   }
 
   @Test
-  void readsTheSameOnEverySplit() {
+  void parsesTheSameOnEverySplit() {
     String[] messages = {
       "\r\nPOST /a HTTP/1.1\r\nHost: x\r\nB:  c \r\nB: d\r\nContent-Length: 3\r\n\r\n"
           + "abcGET / HTTP/1.0\r\n\r\n",
@@ -65,31 +65,31 @@
     };
     for (int m = 0; m < messages.length; m++) {
       byte[] bytes = messages[m].getBytes(StandardCharsets.ISO_8859_1);
-      String whole = read(true, bytes);
-      assertTrue(whole.endsWith(ends[m]), whole);
+      String unsplit = parse(true, bytes);
+      assertTrue(unsplit.endsWith(ends[m]), unsplit);
       for (int i = 0; i <= bytes.length; i++) {
-        assertEquals(whole, read(true, bytes, i));
-        assertEquals(whole, read(true, bytes, i, Math.min(bytes.length, i + 1)));
+        assertEquals(unsplit, parse(true, bytes, i));
+        assertEquals(unsplit, parse(true, bytes, i, Math.min(bytes.length, i + 1)));
       }
     }
     assertEquals(
         "MessageHead[methodOrVersion=HTTP/1.1, targetOrStatus=200, versionOrReason=OK x, headers={}]rest",
-        read(false, "HTTP/1.1 200 OK x\r\n\r\nrest".getBytes(StandardCharsets.ISO_8859_1)));
+        parse(false, "HTTP/1.1 200 OK x\r\n\r\nrest".getBytes(StandardCharsets.ISO_8859_1)));
   }
 
   @Test
-  void randomBytesEndInAStatusOrWait() {
+  void randomBytesGiveAClientErrorOrAreAccepted() {
     SplittableRandom random = new SplittableRandom(7);
-    String seeds = "GET /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nabcde\r\n0\r\n\r\n";
+    String message = "GET /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nabcde\r\n0\r\n\r\n";
     for (int round = 0; round < 20_000; round++) {
-      byte[] bytes = seeds.getBytes(StandardCharsets.ISO_8859_1);
+      byte[] bytes = message.getBytes(StandardCharsets.ISO_8859_1);
       for (int i = random.nextInt(1, 4); i > 0; i--) {
-        int at = random.nextInt(bytes.length);
-        bytes[at] =
+        int index = random.nextInt(bytes.length);
+        bytes[index] =
             random.nextBoolean() ? (byte) random.nextInt() : bytes[random.nextInt(bytes.length)];
       }
-      String read = read(random.nextBoolean(), bytes);
-      assertTrue(!read.contains("500"), read);
+      String result = parse(random.nextBoolean(), bytes);
+      assertTrue(!result.contains("500"), result);
     }
   }
 }
--- a/mixer/src/test/java/gingerring/json/JsonTest.java
+++ b/mixer/src/test/java/gingerring/json/JsonTest.java
@@ -9,7 +9,7 @@
 
 class JsonTest {
   @Test
-  void readsWhatIsJson() throws Json.JsonException {
+  void parsesValidJson() throws Json.JsonException {
     assertEquals(
         "{a=[1.0, -250.0, true, null], b={c=x\"\u00e9\n/}}",
         Json.parse(" {\"a\":[1,-2.5e2,true,null] ,\"b\":{\"c\":\"x\\\"\\u00e9\\n\\/\"}} ")
@@ -18,8 +18,8 @@
   }
 
   @Test
-  void refusesWhatIsNot() {
-    String deep = "[".repeat(40) + "]".repeat(40);
+  void rejectsInvalidJson() {
+    String tooDeep = "[".repeat(40) + "]".repeat(40);
     for (String text :
         new String[] {
           "",
@@ -42,7 +42,7 @@
           "[1 2]",
           "1 1",
           "{1:2}",
-          deep
+          tooDeep
         }) {
       assertThrows(Json.JsonException.class, () -> Json.parse(text), text);
     }
@@ -50,13 +50,13 @@
   }
 
   @Test
-  void randomTextIsReadOrRefused() {
+  void randomTextIsParsedOrRejected() {
     SplittableRandom random = new SplittableRandom(11);
-    String letters = "{}[]\",:\\u0041e+-.tfn \n";
+    String alphabet = "{}[]\",:\\u0041e+-.tfn \n";
     for (int round = 0; round < 50_000; round++) {
       StringBuilder text = new StringBuilder();
       for (int i = random.nextInt(30); i > 0; i--) {
-        text.append(letters.charAt(random.nextInt(letters.length())));
+        text.append(alphabet.charAt(random.nextInt(alphabet.length())));
       }
       try {
         Json.parse(text.toString());
--- a/mixer/src/test/java/gingerring/net/BacklogDrainTest.java
+++ b/mixer/src/test/java/gingerring/net/BacklogDrainTest.java
@@ -15,7 +15,7 @@
 
 @Timeout(30)
 class BacklogDrainTest {
-  private static final int COME = 5;
+  private static final int CONNECTIONS = 5;
   private final LinkedBlockingQueue<Runnable> events = new LinkedBlockingQueue<>();
   private final Network network =
       new Network(
@@ -36,8 +36,8 @@
 
   /** Guards against clients that have connected, and are reset because nobody listens any more. */
   @Test
-  void whatStandsInTheBacklogIsTakenWhenListeningStops() throws Exception {
-    InetSocketAddress at =
+  void backlogIsAcceptedWhenListeningStops() throws Exception {
+    InetSocketAddress address =
         network.listen(
             new InetSocketAddress("127.0.0.1", 0),
             10,
@@ -47,37 +47,37 @@
               accepted.add(connection);
             });
     List<Socket> sockets = new ArrayList<>();
-    Thread stops = new Thread(network::stopListening);
-    synchronized (network.accepting) { // one connection is about to be accepted at most
-      for (int i = 0; i < COME; i++) {
-        sockets.add(new Socket(at.getAddress(), at.getPort()));
+    Thread stopper = new Thread(network::stopListening);
+    synchronized (network.acceptLock) { // one connection is about to be accepted at most
+      for (int i = 0; i < CONNECTIONS; i++) {
+        sockets.add(new Socket(address.getAddress(), address.getPort()));
         sockets.get(i).setSoTimeout(10_000);
         sockets.get(i).getOutputStream().write(i);
       }
-      stops.start();
-      while (stops.getState() != Thread.State.TIMED_WAITING
-          && stops.getState() != Thread.State.WAITING) {
+      stopper.start();
+      while (stopper.getState() != Thread.State.TIMED_WAITING
+          && stopper.getState() != Thread.State.WAITING) {
         Thread.sleep(1);
       }
     }
-    stops.join(10_000);
-    long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
-    while (accepted.size() < COME && System.nanoTime() < end) {
+    stopper.join(10_000);
+    long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
+    while (accepted.size() < CONNECTIONS && System.nanoTime() < deadlineNanos) {
       Runnable event = events.poll(10, TimeUnit.MILLISECONDS);
       if (event != null) {
         event.run();
       }
     }
-    assertEquals(COME, accepted.size());
-    assertEquals("refused", knock(at));
+    assertEquals(CONNECTIONS, accepted.size());
+    assertEquals("refused", tryConnect(address));
     for (Socket socket : sockets) {
       socket.close();
     }
     network.dispose();
   }
 
-  private static String knock(InetSocketAddress at) {
-    try (Socket late = new Socket(at.getAddress(), at.getPort())) {
+  private static String tryConnect(InetSocketAddress address) {
+    try (Socket socket = new Socket(address.getAddress(), address.getPort())) {
       return "taken";
     } catch (IOException e) {
       return "refused";
--- a/mixer/src/test/java/gingerring/net/CloseIfUnreadTest.java
+++ b/mixer/src/test/java/gingerring/net/CloseIfUnreadTest.java
@@ -34,7 +34,7 @@
   private Connection accepted;
 
   private Socket connect() throws Exception {
-    InetSocketAddress at =
+    InetSocketAddress address =
         network.listen(
             new InetSocketAddress("127.0.0.1", 0),
             10,
@@ -43,7 +43,7 @@
               connection.setHandler(ConnectionHandler.NO_OP);
               accepted = connection;
             });
-    Socket socket = new Socket(at.getAddress(), at.getPort());
+    Socket socket = new Socket(address.getAddress(), address.getPort());
     while (accepted == null) {
       events.poll(10, TimeUnit.SECONDS).run();
     }
@@ -53,19 +53,19 @@
 
   /** Guards against a request that was read and is dropped with its idle connection. */
   @Test
-  void aConnectionIsNotEndedAsIdleOnceSomethingWasRead() throws Exception {
+  void isNotClosedOnceBytesWereRead() throws Exception {
     try (Socket socket = connect()) {
       socket.getOutputStream().write(7);
-      Runnable told = events.poll(10, TimeUnit.SECONDS);
+      Runnable readEvent = events.poll(10, TimeUnit.SECONDS);
       assertFalse(accepted.closeIfUnread());
-      told.run();
+      readEvent.run();
       assertTrue(accepted.isOpen());
     }
     network.dispose();
   }
 
   @Test
-  void nothingIsReadOnceAConnectionIsEndedAsIdle() throws Exception {
+  void nothingIsReadAfterClose() throws Exception {
     try (Socket socket = connect()) {
       synchronized (accepted) { // MINA's thread cannot read before it is ended
         socket.getOutputStream().write(7);
--- a/mixer/src/test/java/gingerring/net/ConnectionCloseTest.java
+++ b/mixer/src/test/java/gingerring/net/ConnectionCloseTest.java
@@ -22,7 +22,7 @@
 @Timeout(30)
 class ConnectionCloseTest {
   private final LinkedBlockingQueue<Runnable> events = new LinkedBlockingQueue<>();
-  private final Counters counts = new Counters();
+  private final Counters counters = new Counters();
   private final Network network =
       new Network(
           new EventQueue() {
@@ -36,57 +36,57 @@
               return Duration.ofNanos(System.nanoTime());
             }
           },
-          counts,
+          counters,
           false);
-  private final Heard heard = new Heard();
+  private final RecordingHandler handler = new RecordingHandler();
   private Connection accepted;
   private Socket socket;
 
   /** What the connection's party was told. */
-  private final class Heard implements ConnectionHandler {
-    private int read;
-    private int drained;
+  private final class RecordingHandler implements ConnectionHandler {
+    private int readableCalls;
+    private int flushedCalls;
     private boolean closed;
-    private boolean orderly;
+    private boolean closedGracefully;
 
     @Override
     public void onReadable() {
-      read++;
+      readableCalls++;
     }
 
     @Override
     public void onFlushed() {
-      drained++;
+      flushedCalls++;
       assertTrue(accepted.isFlushed());
     }
 
     @Override
     public void onClosed() {
       closed = true;
-      orderly = accepted.closedGracefully();
+      closedGracefully = accepted.closedGracefully();
     }
   }
 
   private void connect() throws Exception {
-    InetSocketAddress at =
+    InetSocketAddress address =
         network.listen(
             new InetSocketAddress("127.0.0.1", 0),
             10,
             1 << 22,
             connection -> {
-              connection.setHandler(heard);
+              connection.setHandler(handler);
               accepted = connection;
             });
-    socket = new Socket(at.getAddress(), at.getPort());
+    socket = new Socket(address.getAddress(), address.getPort());
     socket.setSoTimeout(10_000);
-    until(() -> accepted != null && accepted.isOpen());
+    runUntil(() -> accepted != null && accepted.isOpen());
   }
 
   /** Runs what is posted, on this thread as on the loop's, until something holds. */
-  private void until(BooleanSupplier holds) throws InterruptedException {
-    long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
-    while (!holds.getAsBoolean()) {
-      assertTrue(System.nanoTime() < end, "not within 10 s");
+  private void runUntil(BooleanSupplier condition) throws InterruptedException {
+    long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
+    while (!condition.getAsBoolean()) {
+      assertTrue(System.nanoTime() < deadlineNanos, "not within 10 s");
       Runnable event = events.poll(10, TimeUnit.MILLISECONDS);
       if (event != null) {
         event.run();
@@ -96,43 +96,43 @@
   }
 
   @AfterEach
-  void end() throws IOException {
+  void closeSocketAndNetwork() throws IOException {
     socket.close();
     network.dispose();
   }
 
   @Test
-  void aCloseByTheOtherSideIsOrderly() throws Exception {
+  void closeByThePeerIsGraceful() throws Exception {
     connect();
     socket.getOutputStream().write(new byte[] {1, 2});
     socket.close();
-    until(() -> heard.closed);
-    assertTrue(heard.orderly);
+    runUntil(() -> handler.closed);
+    assertTrue(handler.closedGracefully);
     assertEquals(2, accepted.input.size());
   }
 
   @Test
-  void aResetByTheOtherSideIsNot() throws Exception {
+  void resetByThePeerIsNotGraceful() throws Exception {
     connect();
     socket.getOutputStream().write(new byte[] {1, 2});
-    until(() -> accepted.input.size() == 2);
+    runUntil(() -> accepted.input.size() == 2);
     socket.setSoLinger(true, 0);
     socket.close();
-    until(() -> heard.closed);
-    assertFalse(heard.orderly);
+    runUntil(() -> handler.closed);
+    assertFalse(handler.closedGracefully);
   }
 
   @Test
-  void anEndOfOurOwnIsNot() throws Exception {
+  void immediateCloseIsNotGraceful() throws Exception {
     connect();
     accepted.close();
-    until(() -> heard.closed);
-    assertFalse(heard.orderly);
+    runUntil(() -> handler.closed);
+    assertFalse(handler.closedGracefully);
   }
 
   /** Guards against bytes that are taken for sent while MINA has them in hand. */
   @Test
-  void whatWaitsToLeaveIsToldUntilItHasLeft() throws Exception {
+  void isNotFlushedUntilAllBytesWereSent() throws Exception {
     connect();
     assertTrue(accepted.isFlushed());
     accepted.output.put(new byte[1 << 21]); // more than the system takes at once
@@ -149,7 +149,7 @@
               }
             });
     reader.start();
-    until(() -> heard.drained > 0);
+    runUntil(() -> handler.flushedCalls > 0);
     assertTrue(accepted.isFlushed());
     reader.join(10_000);
   }
@@ -158,38 +158,38 @@
    * Guards against a close over unread bytes, which resets the connection and the answer with it.
    */
   @Test
-  void anAnswerOutlivesItsConnectionsEndOverUnreadBytes() throws Exception {
+  void responseArrivesWhenClosedOverUnreadBytes() throws Exception {
     connect();
-    byte[] answer = new byte[50_000];
-    Arrays.fill(answer, (byte) 'a');
-    accepted.output.put(answer);
+    byte[] response = new byte[50_000];
+    Arrays.fill(response, (byte) 'a');
+    accepted.output.put(response);
     accepted.closeGracefully();
-    until(accepted::isFlushed);
+    runUntil(accepted::isFlushed);
     socket.getOutputStream().write(new byte[20_000]); // more than one read, and than the ring
-    assertArrayEquals(answer, socket.getInputStream().readNBytes(answer.length));
+    assertArrayEquals(response, socket.getInputStream().readNBytes(response.length));
     assertEquals(-1, socket.getInputStream().read()); // an orderly end
-    assertFalse(heard.closed);
+    assertFalse(handler.closed);
     socket.getOutputStream().write(new byte[20_000]); // and nothing resets it yet
     socket.close();
-    until(() -> heard.closed);
-    assertTrue(counts.get("bytes dropped") > 0);
-    assertEquals(0, heard.read);
-    assertEquals(0, counts.get("ends cut short"));
+    runUntil(() -> handler.closed);
+    assertTrue(counters.get("bytes dropped") > 0);
+    assertEquals(0, handler.readableCalls);
+    assertEquals(0, counters.get("ends cut short"));
   }
 
   /** The same while reading is suspended because the ring is full. */
   @Test
-  void anEndIsOrderlyWhereReadingWasSuspended() throws Exception {
+  void closesGracefullyWhileReadingIsSuspended() throws Exception {
     connect();
     socket.getOutputStream().write(new byte[30_000]);
-    until(() -> accepted.input.remainingCapacity() < Connection.MAX_READ_BYTES);
+    runUntil(() -> accepted.input.remainingCapacity() < Connection.MAX_READ_BYTES);
     accepted.output.put(new byte[] {7});
     accepted.closeGracefully();
-    until(accepted::isFlushed);
+    runUntil(accepted::isFlushed);
     assertEquals(7, socket.getInputStream().read());
     assertEquals(-1, socket.getInputStream().read());
     socket.close();
-    until(() -> heard.closed);
+    runUntil(() -> handler.closed);
     assertEquals(0, accepted.input.size());
   }
 
@@ -198,13 +198,13 @@
    * answer.
    */
   @Test
-  void anEndThatTheOtherSideDoesNotShareIsBounded() throws Exception {
+  void closeIsBoundedWhenThePeerKeepsSending() throws Exception {
     connect();
     accepted.output.put(new byte[] {7});
     accepted.closeGracefully();
-    until(accepted::isFlushed);
+    runUntil(accepted::isFlushed);
     assertEquals(7, socket.getInputStream().read());
-    Thread flood =
+    Thread sender =
         new Thread(
             () -> {
               try {
@@ -217,12 +217,12 @@
                 throw new IllegalStateException(e);
               }
             });
-    flood.start();
-    until(() -> heard.closed);
-    flood.join(10_000);
-    assertFalse(flood.isAlive());
-    assertEquals(1, counts.get("ends cut short"));
-    assertTrue(counts.get("bytes dropped") < 10_000 * 4096L / 2); // of a flood, a part
+    sender.start();
+    runUntil(() -> handler.closed);
+    sender.join(10_000);
+    assertFalse(sender.isAlive());
+    assertEquals(1, counters.get("ends cut short"));
+    assertTrue(counters.get("bytes dropped") < 10_000 * 4096L / 2); // of a flood, a part
     assertEquals(0, network.connectionCount());
   }
 }
--- a/mixer/src/test/java/gingerring/net/ConnectionLimitTest.java
+++ b/mixer/src/test/java/gingerring/net/ConnectionLimitTest.java
@@ -18,7 +18,7 @@
 /** What room there is for connections, by the count that newcomers are taken by. */
 @Timeout(120)
 class ConnectionLimitTest {
-  private static final int MOST = 8;
+  private static final int MAX_CONNECTIONS = 8;
   private static final int WAIT_S = 60;
 
   /**
@@ -27,12 +27,12 @@
    * connection, too, so that the thread has nobody else to turn for.
    */
   @Test
-  void aConnectionThatHasEndedCountsUntilItsDescriptorIsFree() throws Exception {
+  void closedConnectionCountsUntilItsDescriptorIsFree() throws Exception {
     BlockingQueue<Runnable> events = new LinkedBlockingQueue<>();
-    CountDownLatch came = new CountDownLatch(1);
-    CountDownLatch ended = new CountDownLatch(1);
+    CountDownLatch accepted = new CountDownLatch(1);
+    CountDownLatch closePosted = new CountDownLatch(1);
     Semaphore gate = new Semaphore(0);
-    EventQueue inbox =
+    EventQueue eventQueue =
         new EventQueue() {
           /**
            * Of a connection's events its end is the one that is posted once it is up and nothing
@@ -44,7 +44,7 @@
           public synchronized void post(Runnable event) {
             events.add(event);
             if (++posted == 3) { // it came, it is open, it has ended
-              ended.countDown();
+              closePosted.countDown();
               gate.acquireUninterruptibly();
             }
           }
@@ -54,27 +54,27 @@
             return Duration.ofNanos(System.nanoTime());
           }
         };
-    Network network = new Network(inbox, new Counters(), false);
-    InetSocketAddress at =
+    Network network = new Network(eventQueue, new Counters(), false);
+    InetSocketAddress address =
         network.listen(
             new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
-            MOST,
+            MAX_CONNECTIONS,
             1024,
             connection -> {
               connection.setHandler(ConnectionHandler.NO_OP);
-              came.countDown();
+              accepted.countDown();
             });
-    Socket socket = new Socket(at.getAddress(), at.getPort());
+    Socket socket = new Socket(address.getAddress(), address.getPort());
     for (int i = 0; i < 2; i++) {
       events.take().run();
     }
-    assertTrue(came.await(WAIT_S, TimeUnit.SECONDS));
-    assertEquals(MOST - 1, network.availableConnections());
+    assertTrue(accepted.await(WAIT_S, TimeUnit.SECONDS));
+    assertEquals(MAX_CONNECTIONS - 1, network.availableConnections());
     socket.close();
-    assertTrue(ended.await(WAIT_S, TimeUnit.SECONDS));
-    assertEquals(MOST - 1, network.availableConnections());
+    assertTrue(closePosted.await(WAIT_S, TimeUnit.SECONDS));
+    assertEquals(MAX_CONNECTIONS - 1, network.availableConnections());
     gate.release();
-    while (network.availableConnections() < MOST) { // bounded by the test's time
+    while (network.availableConnections() < MAX_CONNECTIONS) { // bounded by the test's time
       TimeUnit.MILLISECONDS.sleep(1);
     }
     events.take().run();
--- a/mixer/src/test/java/gingerring/net/ReadPauseTest.java
+++ b/mixer/src/test/java/gingerring/net/ReadPauseTest.java
@@ -18,15 +18,15 @@
 /** Reading that is paused while the ring is full, and resumed by the loop. */
 @Timeout(120)
 class ReadPauseTest {
-  private static final int BLOCK = 1 << 16;
+  private static final int BLOCK_BYTES = 1 << 16;
   private static final int BLOCKS = 4000;
   private static final int WAIT_S = 60;
 
   /** Guards against a resumption that crosses its pause: the connection was never read again. */
   @Test
-  void aConnectionWhoseReaderKeepsUpIsReadToItsEnd() throws Exception {
+  void connectionWithAFastReaderIsReadToItsEnd() throws Exception {
     BlockingQueue<Runnable> events = new LinkedBlockingQueue<>();
-    EventQueue inbox =
+    EventQueue eventQueue =
         new EventQueue() {
           @Override
           public void post(Runnable event) {
@@ -38,7 +38,7 @@
             return Duration.ofNanos(System.nanoTime());
           }
         };
-    Network network = new Network(inbox, new Counters(), false);
+    Network network = new Network(eventQueue, new Counters(), false);
     Thread loop =
         new Thread(
             () -> {
@@ -54,9 +54,9 @@
             "loop");
     loop.setDaemon(true);
     loop.start();
-    AtomicLong read = new AtomicLong();
-    CountDownLatch whole = new CountDownLatch(1);
-    InetSocketAddress at =
+    AtomicLong bytesRead = new AtomicLong();
+    CountDownLatch allRead = new CountDownLatch(1);
+    InetSocketAddress address =
         network.listen(
             new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
             8,
@@ -69,11 +69,11 @@
 
                       @Override
                       public void onReadable() {
-                        byte[] some = new byte[Connection.MAX_READ_BYTES];
-                        for (int n = 1; n > 0; ) {
-                          n = connection.input.take(some, 0, some.length);
-                          if (read.addAndGet(n) == (long) BLOCK * BLOCKS) {
-                            whole.countDown();
+                        byte[] buffer = new byte[Connection.MAX_READ_BYTES];
+                        for (int count = 1; count > 0; ) {
+                          count = connection.input.take(buffer, 0, buffer.length);
+                          if (bytesRead.addAndGet(count) == (long) BLOCK_BYTES * BLOCKS) {
+                            allRead.countDown();
                           }
                         }
                       }
@@ -81,14 +81,14 @@
                       @Override
                       public void onClosed() {}
                     }));
-    Socket socket = new Socket(at.getAddress(), at.getPort());
+    Socket socket = new Socket(address.getAddress(), address.getPort());
     Thread writer =
         new Thread(
             () -> {
               try {
                 OutputStream out = socket.getOutputStream();
                 for (int i = 0; i < BLOCKS; i++) {
-                  out.write(new byte[BLOCK]);
+                  out.write(new byte[BLOCK_BYTES]);
                 }
               } catch (java.io.IOException e) {
                 // the test has failed
@@ -97,9 +97,9 @@
             "writer");
     writer.setDaemon(true);
     writer.start();
-    whole.await(WAIT_S, TimeUnit.SECONDS);
+    allRead.await(WAIT_S, TimeUnit.SECONDS);
     socket.close();
-    assertEquals((long) BLOCK * BLOCKS, read.get());
+    assertEquals((long) BLOCK_BYTES * BLOCKS, bytesRead.get());
     loop.interrupt();
     network.dispose();
   }
