--- a/emulator/src/test/java/gingerring/emulator/core/BoxTest.java
+++ b/emulator/src/test/java/gingerring/emulator/core/BoxTest.java
@@ -167,7 +167,7 @@
             "{\"grades\": [{\"share\": 1}]}",
             "grades.0.name is missing",
             "[",
-            "it ends early");
+            "unexpected end of input");
     wrong.forEach(
         (json, why) -> {
           Scenario.InvalidScenario unfit =
--- a/mixer/src/main/java/gingerring/discovery/DiscoveryWatch.java
+++ b/mixer/src/main/java/gingerring/discovery/DiscoveryWatch.java
@@ -21,25 +21,28 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Follows discovery: a watch that is held open, and the whole list where it is asked for. While no
- * watch works it calls again by itself, at a pace that the settings allow, and does not wait for
- * the end of a call that says nothing: the first that speaks is the watch, and the others end.
+ * Client of the discovery service: keeps a watch (a streaming GET) open, and fetches the complete
+ * list on request. While no watch works, further watches are opened at the retry interval that the
+ * settings allow, without waiting for silent ones to fail: the first that delivers a line becomes
+ * the active watch, and the others are closed.
  */
 public final class DiscoveryWatch {
-  /** Who is told. */
+  /** Receives lists and failures, on the event loop's thread. */
   public interface Listener {
-    void onUpdate(MemberListUpdate members);
+    /** The service has sent a new list, complete or of changes only. */
+    void onUpdate(MemberListUpdate update);
 
     /**
-     * The watch has ended, or a call failed that was asked for; the list held stays. Not told of
-     * calls that the watch makes by itself: who is told may ask again for each that is told, and
-     * there is one answer to one ask.
+     * The active watch has ended, or a call failed that {@link #open} or {@link #fetchFullList} had
+     * requested; the current list stays valid. Not called for retries that the watch makes by
+     * itself: a listener that requests a new call at each failure thus gets one result for each
+     * request.
      */
     void onFailure();
 
     /**
-     * There was word from discovery, be it that nothing is new; told after the list that it
-     * brought.
+     * The discovery service has sent a line, even one without news; called after {@link #onUpdate}
+     * for the list in that line.
      */
     default void onContact() {}
   }
@@ -50,42 +53,47 @@
   private static final int MAX_LINE_BYTES = 1 << 20;
   private static final long UNBOUNDED = Long.MAX_VALUE / 2;
 
-  /** An empty line comes every 2 s; the first line, and the rest of one that has begun, at once. */
+  /** The service sends an empty line every 2 s; a watch without a line for this long has failed. */
   private static final Duration SILENCE_TIMEOUT = Duration.ofMillis(2500);
 
+  /** How long the first line, and the rest of a line that has begun, may take. */
   private static final Duration LINE_TIMEOUT = Duration.ofSeconds(1);
+
+  /** The longest time between two checks of a call for silence. */
   private static final Duration SILENCE_CHECK_INTERVAL = Duration.ofMillis(250);
 
   /**
-   * By so much discovery may be late, as the protocol has it, and no more may be missed by a watch
-   * that fell silent; a list that is still older then is no late one.
+   * The longest delay of discovery that the protocol allows, and so the most that a watch may miss
+   * that has fallen silent. A complete list that stays outdated for longer is not merely delayed.
    */
   private static final Duration MAX_DISCOVERY_DELAY = Duration.ofSeconds(6);
 
   /**
-   * How many calls for a watch are under way at one time; with it, how soon they follow each other
-   * at most.
+   * Most watches that may be pending at one time; {@link #LINE_TIMEOUT} divided by it is the
+   * shortest retry interval.
    */
   private static final int MAX_PENDING_CALLS = 8;
 
   /**
-   * How many calls fit between a silence that is found and the time by which what it hid counts as
-   * told.
+   * How many retries fit between the detection of a silent watch and {@link #MAX_DISCOVERY_DELAY},
+   * by which the missed changes have to be known.
    */
   private static final int CALLS_WITHIN_DELAY = 3;
 
+  /** Shortest time between two warnings in the log. */
   private static final Duration WARNING_INTERVAL = Duration.ofSeconds(10);
 
   /**
-   * Where discovery is, and what is known from there: elsewhere its versions may be counted
-   * otherwise.
+   * The address of the discovery service with the last revision received from there; another
+   * address may count revisions differently.
    */
   private static final class Endpoint {
     final InetSocketAddress address;
     long revision;
 
     /**
-     * Since when whole lists have been older than the one held; null where the last one was not.
+     * Since when complete lists have been older than {@link #revision}; null if the last one was
+     * not.
      */
     Duration staleSince;
 
@@ -100,35 +108,39 @@
   private final Counters counters;
   private final LoopTimer clock;
 
-  /** How long after its last call it calls again while no watch works. */
+  /** How long after the last call a new watch is opened while none works. */
   private final Duration retryInterval;
 
   private Endpoint endpoint;
 
-  /** Whether a watch is asked for. */
+  /** Whether a watch is to be kept open. */
   private boolean watchRequested;
 
-  /** The watch that works: it has said a line, and is open. */
+  /** The watch that has delivered a line and is still open; null if there is none. */
   private Call activeWatch;
 
-  /** Calls for one that have not said a line yet, the oldest first. */
+  /** Watches that have not delivered a line yet, the oldest first. */
   private final List<Call> pendingWatches = new ArrayList<>();
 
   private final List<Call> pendingFetches = new ArrayList<>();
 
   /**
-   * The watch that last worked at an earlier address, until there is a list from the present one.
+   * The last active watch at an earlier address, kept until the first list from the current
+   * address.
    */
   private Call previousWatch;
 
   private Duration lastCallAt = Duration.ZERO;
 
-  /** There is a wake to call again. */
+  /** Whether a timer for the next retry is running. */
   private boolean retryScheduled;
 
   private Duration lastWarningAt;
 
-  /** Follows at the pace that is in time wherever the agent need not have its say at once. */
+  /**
+   * Creates a watch with the longest retry interval, which is short enough unless the agent's
+   * current list counts as known as soon as the agent can be reached.
+   */
   public DiscoveryWatch(
       Network network,
       InetSocketAddress address,
@@ -139,7 +151,7 @@
     this(network, address, revision, listener, counters, clock, maxRetryInterval());
   }
 
-  /** Follows at the pace that the settings allow. */
+  /** Creates a watch with the retry interval that the settings require. */
   public DiscoveryWatch(
       Network network,
       InetSocketAddress address,
@@ -168,10 +180,11 @@
   }
 
   /**
-   * Where lists are pushed, what the agent has counts as told the moment that it can be reached
-   * again, and what is sent to a searcher that drains is excused for the grace: two calls fit into
-   * that, so that one may be lost or the agent return right after it. Elsewhere, and with a longer
-   * grace, the term is that of silence.
+   * The retry interval. With automatic discovery, what the agent knows counts as known to the mixer
+   * as soon as the agent can be reached again, and requests to a draining searcher are excused for
+   * the drain grace only. Two calls have to fit into that grace, so that one may be lost, or the
+   * agent may return right after it. Without automatic discovery, or with a longer grace, the
+   * silence timeout determines the interval.
    */
   private static Duration retryInterval(Settings settings) {
     if (!settings.text("Discovery").equals("automatic") || !settings.has("Safety.DrainGraceMs")) {
@@ -193,7 +206,7 @@
     return first.compareTo(second) < 0 ? first : second;
   }
 
-  /** Opens the watch, if it is not open and no call for it is under way. */
+  /** Opens a watch unless one is open or pending. */
   public void open() {
     watchRequested = true;
     if (activeWatch == null && pendingWatches.isEmpty()) {
@@ -203,6 +216,7 @@
     }
   }
 
+  /** Closes the watch and all pending ones without notifying the listener. */
   public void close() {
     watchRequested = false;
     endQuietly(activeWatch);
@@ -211,9 +225,9 @@
   }
 
   /**
-   * Discovery is at another address from now on. Its versions may be counted otherwise there, so
-   * its whole list is asked for; until that has come the last list stays, and the watch that last
-   * worked elsewhere.
+   * Switches to another address of the discovery service. Revisions may be counted differently
+   * there, so the complete list is requested; until it arrives, the last list and the last active
+   * watch stay in use.
    */
   public void changeAddress(InetSocketAddress address) {
     if (!address.equals(endpoint.address)) {
@@ -228,32 +242,29 @@
         startWatchCall(true);
       }
       for (Call call : List.copyOf(pendingFetches)) {
-        endQuietly(
-            call); // what it brings is the former place's, and the list from here may have come
-        // before
+        // its list would come from the old address, and possibly after one from the new address
+        endQuietly(call);
         fetchFullList();
       }
     }
   }
 
-  /** Asks for the whole list once. */
+  /** Requests the complete list once. */
   public void fetchFullList() {
     pendingFetches.add(new Call(false, true));
   }
 
   private void startWatchCall(boolean reportsFailure) {
     if (pendingWatches.size() == MAX_PENDING_CALLS) {
-      pendingWatches
-          .get(0)
-          .fail(
-              "it says no line"); // guards against calls that pile up, each kept open by a trickle
+      // guards against pending watches that pile up, each kept open by a trickle of bytes
+      pendingWatches.get(0).fail("it says no line");
     }
     lastCallAt = clock.now();
     scheduleRetry();
     pendingWatches.add(new Call(true, reportsFailure));
   }
 
-  /** Calls again once the pace allows it, unless a watch works by then. */
+  /** Opens another watch after the retry interval unless one works by then. */
   private void scheduleRetry() {
     if (!retryScheduled) {
       retryScheduled = true;
@@ -265,7 +276,7 @@
               if (clock.now().compareTo(lastCallAt.plus(retryInterval)) >= 0) {
                 startWatchCall(false);
               } else {
-                scheduleRetry(); // there was a call meanwhile
+                scheduleRetry(); // another call was made in the meantime
               }
             }
           });
@@ -294,38 +305,44 @@
     }
   }
 
-  /** One GET on a connection of its own. */
+  /** One GET request on a connection of its own. */
   private final class Call implements ConnectionHandler, HttpParser.Handler {
     private final boolean streaming;
 
-    /** Whether its failure is told. */
+    /** Whether a failure is reported to the listener. */
     private boolean reportsFailure;
 
+    /** The endpoint that this call was made to. */
     private final Endpoint ownEndpoint = endpoint;
+
     private final HttpParser parser;
     private final ByteArrayOutputStream lineBuffer = new ByteArrayOutputStream();
     private final String host;
     private final Connection connection;
     private final Duration startedAt = clock.now();
 
-    /** When the last byte came, the last whole line, and the first byte of the line at hand. */
+    /** When the last byte arrived. */
     private Duration lastByteAt = startedAt;
 
+    /** When the last complete line arrived. */
     private Duration lastLineAt = startedAt;
+
+    /** When the first byte of the current line arrived. */
     private Duration lineStartedAt = startedAt;
+
     private long lineCount;
     private boolean ended;
 
-    /** The answer says of no length where it ends. */
+    /** Whether the response has no length, so that it ends when the connection is closed. */
     private boolean endsAtClose;
 
-    /**
-     * Within the line at hand: how many objects and lists are open, and whether a text or an escape
-     * is.
-     */
+    /** In the current line: how many objects and lists are open. */
     private int depth;
 
+    /** In the current line: whether a string is open. */
     private boolean inString;
+
+    /** In the current line: whether the previous byte escapes the next one. */
     private boolean escaped;
 
     Call(boolean streaming, boolean reportsFailure) {
@@ -340,7 +357,8 @@
     }
 
     /**
-     * Guards against a connection that stays open and says nothing more, at any point of a list.
+     * Fails the call once the service has been silent for too long. Guards against a connection
+     * that stays open but delivers no more data, at any point of a list.
      */
     private void checkSilence() {
       Duration remaining = silenceDeadline().minus(clock.now());
@@ -358,9 +376,10 @@
     }
 
     /**
-     * Whole lines alone are word: bytes that come one by one put the end of a line off, but not
-     * beyond the silence between two, and those of no line not at all. Guards against an answer
-     * that never ends.
+     * The time at which the call fails for silence. Bytes extend the time for the line that they
+     * belong to, but not beyond the silence timeout, which starts with the first byte of the line,
+     * and for the first line with the call. Bytes outside a line, such as chunk sizes, extend
+     * nothing. Guards against a response that never ends.
      */
     private Duration silenceDeadline() {
       if (lineCount > 0 && lineBuffer.size() == 0) {
@@ -396,7 +415,7 @@
     @Override
     public void onHead(MessageHead head) throws HttpException {
       if (!head.targetOrStatus().equals("200")) {
-        throw new HttpException(400, "it answered " + head.targetOrStatus());
+        throw new HttpException(400, "answered with status " + head.targetOrStatus());
       }
       endsAtClose =
           head.header("content-length") == null && head.header("transfer-encoding") == null;
@@ -416,12 +435,13 @@
         }
       }
       if (lineBuffer.size() > MAX_LINE_BYTES) {
-        throw new HttpException(413, "a line is too long");
+        throw new HttpException(413, "line is longer than " + MAX_LINE_BYTES + " bytes");
       }
     }
 
     /**
-     * An indented list goes over many lines: it is at its end once all that it opened is closed.
+     * Tracks open objects, lists and strings. An indented list spans several lines: it ends at the
+     * first line break at which everything is closed.
      */
     private void trackNesting(byte b) {
       if (escaped) {
@@ -449,7 +469,7 @@
       lineCount++;
       lastLineAt = lastByteAt;
       if (streaming && pendingWatches.remove(this)) {
-        activeWatch = this; // the first that speaks; what another try would bring is no news
+        activeWatch = this; // the first to deliver a line; the other pending watches are not needed
         endPendingWatches();
       }
       if (hasList) {
@@ -478,7 +498,7 @@
         }
         return;
       }
-      // a whole list replaces whatever was held; a change that was seen before says nothing new
+      // a complete list replaces the current one; changes that were seen before are ignored
       if (update.complete() || update.revision() > ownEndpoint.revision) {
         ownEndpoint.revision = update.revision();
         ownEndpoint.staleSince = null;
@@ -488,10 +508,10 @@
     }
 
     /**
-     * A whole list that is older than what is held tells nothing: its agent is late, and its
-     * changes bring it up to date. Guards against sending again to searchers that are known to
-     * drain or to have gone. Where it is still older after the longest that discovery may be late,
-     * versions are counted anew, and the whole list is asked for.
+     * Ignores a complete list that is older than the current one: its agent is late, and its
+     * changes bring it up to date. Guards against sending requests again to searchers that are
+     * known to drain or to have been deleted. If lists are still older after the longest delay that
+     * discovery may have, revisions are counted anew, and the complete list is requested.
      */
     private void handleStaleList() {
       counters.add("lists older than the one held", 1);
@@ -505,7 +525,7 @@
                 ownEndpoint.staleSince = null;
                 ownEndpoint.revision = 0;
                 if (activeWatch != null) {
-                  activeWatch.end("its versions are counted anew");
+                  activeWatch.end("its revisions are counted anew");
                   startWatchCall(true);
                 }
               }
@@ -513,7 +533,7 @@
       }
     }
 
-    /** The answer is whole: of a watch, its last line too, if it has no end of its own. */
+    /** The response is complete. The last line of a watch counts even without a line break. */
     @Override
     public void onMessageEnd() throws HttpException {
       if (!streaming || lineBuffer.size() > 0) {
@@ -527,8 +547,8 @@
     }
 
     /**
-     * Without a length an orderly close is the answer's end; a reset never is: a list cut short
-     * tells nothing.
+     * A response without a length ends with a graceful close of the connection; after a reset the
+     * list may be truncated, and is ignored.
      */
     @Override
     public void onClosed() {
@@ -543,9 +563,10 @@
     }
 
     /**
-     * A watch that worked for a while is opened anew at once: what the agent has meanwhile counts
-     * as told. One that failed as it began is followed by another at its pace, or when the mixer
-     * asks for it, so that a broken agent is not called without a pause.
+     * Ends the call as failed. An active watch that had been open for a while is reopened at once:
+     * what the agent has learned in the meantime already counts as known. A watch that fails soon
+     * after its start is followed by another after the retry interval, or when the mixer requests
+     * it, so that a broken agent is not called without a pause.
      */
     private void fail(String reason) {
       if (!ended) {
--- a/mixer/src/main/java/gingerring/http/HttpException.java
+++ b/mixer/src/main/java/gingerring/http/HttpException.java
@@ -1,8 +1,8 @@
 package gingerring.http;
 
 /**
- * Input that is not HTTP, or more of it than is taken; {@code status} is what its sender is
- * answered.
+ * Input that is not valid HTTP or exceeds a limit; {@code status} is the response status for its
+ * sender.
  */
 public final class HttpException extends Exception {
   private static final long serialVersionUID = 1;
--- a/mixer/src/main/java/gingerring/http/HttpParser.java
+++ b/mixer/src/main/java/gingerring/http/HttpParser.java
@@ -9,16 +9,20 @@
 import java.util.regex.Pattern;
 
 /**
- * Reads HTTP/1.1 messages (RFC 9112) from a ring, in whatever pieces they come, and stops after
- * each so that the next stays in the ring. One direction a parser: requests, or answers to a GET.
+ * Incremental parser of HTTP/1.1 messages (RFC 9112). Reads from a ring buffer, in pieces of any
+ * size, and stops after each message so that the next stays in the buffer. One parser handles one
+ * direction of a connection: requests, or responses to GET.
  */
 public final class HttpParser {
-  /** What is read is told here as it comes. */
+  /** Receives the parts of a message as they are parsed. */
   public interface Handler {
+    /** The start line and all headers were parsed. */
     void onHead(MessageHead head) throws HttpException;
 
+    /** The first {@code length} bytes of {@code bytes} are the next part of the body. */
     void onBody(byte[] bytes, int length) throws HttpException;
 
+    /** The message is complete. */
     void onMessageEnd() throws HttpException;
   }
 
@@ -52,18 +56,19 @@
   private long bodyLength;
   private long bytesLeft;
 
+  /** {@code parsesRequests}: parses requests, not responses. */
   public HttpParser(boolean parsesRequests, long maxBodyBytes, Handler handler) {
     this.parsesRequests = parsesRequests;
     this.maxBodyBytes = maxBodyBytes;
     this.handler = handler;
   }
 
-  /** Whether part of a message has been read and the rest has not. */
+  /** Whether a message has been parsed in part. */
   public boolean isMidMessage() {
     return state != State.START_LINE || line.size() > 0;
   }
 
-  /** Reads on to the end of a message, or of the bytes there are; true once a message has ended. */
+  /** Parses until a message ends or the buffer is empty; returns whether a message has ended. */
   public boolean parse(ByteRing input) throws HttpException {
     while (input.size() > 0) {
       boolean ended =
@@ -89,17 +94,19 @@
       if (next == '\n') {
         byte[] bytes = line.toByteArray();
         if (bytes.length == 0 || bytes[bytes.length - 1] != '\r') {
-          throw new HttpException(400, "a line ends without CR");
+          throw new HttpException(400, "line does not end with CRLF");
         }
         return true;
       }
       line.write(next);
       boolean inHead = state != State.CHUNK_SIZE && state != State.CHUNK_END;
       if (inHead && ++headLength > MAX_HEAD_BYTES) {
-        throw new HttpException(431, "headers too large");
+        throw new HttpException(
+            431, "start line and headers are larger than " + MAX_HEAD_BYTES + " bytes");
       }
       if (!inHead && line.size() > MAX_CHUNK_LINE_BYTES) {
-        throw new HttpException(400, "a chunk's line is too long");
+        throw new HttpException(
+            400, "chunk size line is longer than " + MAX_CHUNK_LINE_BYTES + " bytes");
       }
     }
     return false;
@@ -111,7 +118,7 @@
     text = text.substring(0, text.length() - 1);
     for (int i = 0; i < text.length(); i++) {
       if (text.charAt(i) < ' ' && text.charAt(i) != '\t' || text.charAt(i) == 127) {
-        throw new HttpException(400, "a control character in a line");
+        throw new HttpException(400, "control character in a line");
       }
     }
     return switch (state) {
@@ -125,7 +132,7 @@
 
   private boolean processStartLine(String text) throws HttpException {
     if (text.isEmpty() && parsesRequests) {
-      return false; // an empty line before a request is left out, as RFC 9112 2.2 asks
+      return false; // RFC 9112 section 2.2: ignore an empty line before a request
     }
     startLine = text.split(" ", parsesRequests ? -1 : 3);
     String version =
@@ -135,7 +142,7 @@
         || !VERSION.matcher(version).matches()
         || startLine[0].isEmpty()
         || startLine[1].isEmpty()) {
-      throw new HttpException(400, "no first line of HTTP/1");
+      throw new HttpException(400, "invalid HTTP/1 start line");
     }
     headers = new LinkedHashMap<>();
     state = State.HEADERS;
@@ -145,7 +152,7 @@
   private boolean processHeader(String text) throws HttpException {
     int colon = text.indexOf(':');
     if (colon < 1 || !isToken(text, colon)) {
-      throw new HttpException(400, "no header line");
+      throw new HttpException(400, "invalid header line");
     }
     headers.merge(
         text.substring(0, colon).toLowerCase(Locale.ROOT),
@@ -176,20 +183,20 @@
     bodyLength = 0;
     if (transferEncoding != null
         && (contentLength != null || !transferEncoding.equalsIgnoreCase("chunked"))) {
-      throw new HttpException(400, "a body framed in two ways, or in one that is not known");
+      throw new HttpException(400, "conflicting or unsupported body framing");
     }
     if (transferEncoding != null) {
       state = State.CHUNK_SIZE;
     } else if (contentLength != null) {
       if (!CONTENT_LENGTH.matcher(contentLength).matches()) {
-        throw new HttpException(400, "no content length");
+        throw new HttpException(400, "invalid Content-Length");
       }
       bytesLeft = Long.parseLong(contentLength);
       addBodyLength(bytesLeft);
       state = State.BODY;
     } else {
       bytesLeft = 0;
-      // 1xx, 204 and 304 have no body (RFC 9112 6.3)
+      // 1xx, 204 and 304 have no body (RFC 9112 section 6.3)
       boolean hasNoBody =
           parsesRequests
               || startLine[1].startsWith("1")
@@ -204,7 +211,7 @@
   private void addBodyLength(long length) throws HttpException {
     bodyLength += length;
     if (bodyLength > maxBodyBytes) {
-      throw new HttpException(413, "body too large");
+      throw new HttpException(413, "body exceeds the size limit");
     }
   }
 
@@ -212,7 +219,7 @@
     int sizeEnd = text.indexOf(';');
     String size = (sizeEnd < 0 ? text : text.substring(0, sizeEnd)).strip();
     if (!CHUNK_SIZE.matcher(size).matches()) {
-      throw new HttpException(400, "no chunk size");
+      throw new HttpException(400, "invalid chunk size");
     }
     bytesLeft = Long.parseLong(size, 16);
     addBodyLength(bytesLeft);
@@ -222,7 +229,7 @@
 
   private boolean processChunkEnd(String text) throws HttpException {
     if (!text.isEmpty()) {
-      throw new HttpException(400, "a chunk is longer than its size");
+      throw new HttpException(400, "chunk data is longer than the chunk size");
     }
     state = State.CHUNK_SIZE;
     return false;
--- a/mixer/src/main/java/gingerring/http/HttpWriter.java
+++ b/mixer/src/main/java/gingerring/http/HttpWriter.java
@@ -4,7 +4,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
 
-/** Writes HTTP/1.1 messages whole. */
+/** Serializes complete HTTP/1.1 messages. */
 public final class HttpWriter {
   private static final Map<Integer, String> REASONS =
       Map.of(
@@ -26,10 +26,16 @@
           "Internal Server Error",
           503,
           "Service Unavailable");
+
+  /** The interim response to {@code Expect: 100-continue}. */
   public static final byte[] CONTINUE = ascii("HTTP/1.1 100 Continue\r\n\r\n");
 
   private HttpWriter() {}
 
+  /**
+   * A response. {@code close}: the connection is closed after it; {@code extraHeaders}: complete
+   * header lines, each ended by CRLF.
+   */
   public static byte[] response(int status, boolean close, String extraHeaders, byte[] body) {
     ByteArrayOutputStream out = new ByteArrayOutputStream(body.length + 128);
     out.writeBytes(
@@ -49,6 +55,7 @@
     return out.toByteArray();
   }
 
+  /** A GET request. {@code close}: asks for the connection to be closed after the response. */
   public static byte[] getRequest(String target, String host, boolean close) {
     return ascii(
         "GET "
--- a/mixer/src/main/java/gingerring/json/Json.java
+++ b/mixer/src/main/java/gingerring/json/Json.java
@@ -10,12 +10,12 @@
 import java.util.regex.Pattern;
 
 /**
- * Reads JSON (RFC 8259) strictly: one value, UTF-8, no name twice, no deeper than {@link
- * #MAX_DEPTH}. Values come as {@code Map}, {@code List}, {@code String}, {@code Double}, {@code
- * Boolean} and null.
+ * Strict JSON parser (RFC 8259): a single value in UTF-8, no duplicate names in an object, nested
+ * no deeper than {@link #MAX_DEPTH}. Values are returned as {@code Map}, {@code List}, {@code
+ * String}, {@code Double}, {@code Boolean} and null.
  */
 public final class Json {
-  /** Input that is not JSON. */
+  /** Input that is not valid JSON, or has not the expected content. */
   public static final class JsonException extends Exception {
     private static final long serialVersionUID = 1;
 
@@ -35,20 +35,22 @@
     this.text = text;
   }
 
+  /** Parses a JSON text in UTF-8. */
   public static Object parse(byte[] bytes) throws JsonException {
     try {
       return parse(StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(bytes)).toString());
     } catch (CharacterCodingException e) {
-      throw new JsonException("not UTF-8");
+      throw new JsonException("invalid UTF-8");
     }
   }
 
+  /** Parses a JSON text. */
   public static Object parse(String text) throws JsonException {
     Json json = new Json(text);
     Object value = json.parseValue(0);
     json.skipWhitespace();
     if (json.position < text.length()) {
-      throw json.error("more after the value");
+      throw json.error("unexpected text after the value");
     }
     return value;
   }
@@ -66,21 +68,21 @@
   private char peek() throws JsonException {
     skipWhitespace();
     if (position >= text.length()) {
-      throw error("it ends early");
+      throw error("unexpected end of input");
     }
     return text.charAt(position);
   }
 
   private void expect(char expected) throws JsonException {
     if (peek() != expected) {
-      throw error("no '" + expected + "'");
+      throw error("expected '" + expected + "'");
     }
     position++;
   }
 
   private Object parseValue(int depth) throws JsonException {
     if (depth > MAX_DEPTH) {
-      throw error("too deep");
+      throw error("nested deeper than " + MAX_DEPTH + " levels");
     }
     return switch (peek()) {
       case '{' -> parseObject(depth);
@@ -95,7 +97,7 @@
 
   private Object parseLiteral(String literal, Object value) throws JsonException {
     if (!text.startsWith(literal, position)) {
-      throw error("no value");
+      throw error("invalid value");
     }
     position += literal.length();
     return value;
@@ -110,13 +112,13 @@
     }
     while (true) {
       if (peek() != '"') {
-        throw error("no name");
+        throw error("expected a name in quotes");
       }
       String name = parseString();
       expect(':');
       Object value = parseValue(depth + 1);
       if (object.containsKey(name)) {
-        throw error("a name twice");
+        throw error("duplicate name");
       }
       object.put(name, value);
       if (peek() == '}') {
@@ -153,16 +155,16 @@
         return string.toString();
       }
       if (c < ' ') {
-        throw error("a control character");
+        throw error("control character in a string");
       }
       string.append(c == '\\' ? parseEscape() : c);
     }
-    throw error("it ends early");
+    throw error("unexpected end of input");
   }
 
   private char parseEscape() throws JsonException {
     if (++position >= text.length()) {
-      throw error("it ends early");
+      throw error("unexpected end of input");
     }
     char c = text.charAt(position);
     int simpleEscape = "\"\\/bfnrt".indexOf(c);
@@ -172,7 +174,7 @@
     String hex =
         c == 'u' && position + 5 <= text.length() ? text.substring(position + 1, position + 5) : "";
     if (!hex.matches("[0-9a-fA-F]{4}")) {
-      throw error("no escape");
+      throw error("invalid escape sequence");
     }
     position += 4;
     return (char) Integer.parseInt(hex, 16);
@@ -185,7 +187,7 @@
     }
     String number = text.substring(start, position);
     if (!NUMBER.matcher(number).matches()) {
-      throw error("no value");
+      throw error("invalid value");
     }
     return Double.valueOf(number);
   }
--- a/mixer/src/main/java/gingerring/json/JsonFields.java
+++ b/mixer/src/main/java/gingerring/json/JsonFields.java
@@ -3,18 +3,22 @@
 import java.util.List;
 import java.util.Map;
 
-/** Takes values of a kind out of what was read; what is missing or of another kind is named. */
+/**
+ * Typed access to the values that {@link Json} has parsed. A value that is missing or of another
+ * type is named in the exception.
+ */
 public final class JsonFields {
+  /** 2^53: up to here a double represents every integer. */
   private static final double MAX_EXACT_INTEGER = 9007199254740992.0;
 
   private JsonFields() {}
 
-  @SuppressWarnings("unchecked") // Json makes maps with strings for names only
+  @SuppressWarnings("unchecked") // Json creates maps with string keys only
   public static Map<String, Object> object(Object value, String name) throws Json.JsonException {
     if (value instanceof Map<?, ?> map) {
       return (Map<String, Object>) map;
     }
-    throw new Json.JsonException(name + " is no object");
+    throw new Json.JsonException(name + " is not an object");
   }
 
   @SuppressWarnings("unchecked")
@@ -23,29 +27,29 @@
     if (object.get(name) instanceof List<?> list) {
       return (List<Object>) list;
     }
-    throw new Json.JsonException(name + " is no list");
+    throw new Json.JsonException(name + " is not a list");
   }
 
   public static String string(Map<String, Object> object, String name) throws Json.JsonException {
     if (object.get(name) instanceof String text) {
       return text;
     }
-    throw new Json.JsonException(name + " is no text");
+    throw new Json.JsonException(name + " is not a string");
   }
 
   public static double number(Map<String, Object> object, String name) throws Json.JsonException {
     if (object.get(name) instanceof Double number && Double.isFinite(number)) {
       return number;
     }
-    throw new Json.JsonException(name + " is no number");
+    throw new Json.JsonException(name + " is not a number");
   }
 
-  /** A whole number from 0 on. */
+  /** An integer that is not negative and that a double represents exactly. */
   public static long nonNegativeInteger(Map<String, Object> object, String name)
       throws Json.JsonException {
     double number = number(object, name);
     if (number < 0 || number != Math.rint(number) || number > MAX_EXACT_INTEGER) {
-      throw new Json.JsonException(name + " is no whole number");
+      throw new Json.JsonException(name + " is not a non-negative integer");
     }
     return (long) number;
   }
--- a/mixer/src/main/java/gingerring/net/ByteRing.java
+++ b/mixer/src/main/java/gingerring/net/ByteRing.java
@@ -3,16 +3,22 @@
 import java.nio.ByteBuffer;
 
 /**
- * Bytes on their way through a connection, in a ring that holds so many at most. One that starts at
- * its full size never moves, so that one thread may put while another takes; a smaller one grows,
- * for one thread.
+ * A bounded ring buffer of bytes. If the initial capacity equals the limit, the array is never
+ * replaced, and one thread may put while another takes; otherwise the buffer grows and must be used
+ * by one thread only.
  */
 public final class ByteRing {
   private final int capacity;
   private byte[] bytes;
+
+  /** Total bytes ever taken and put. */
   private volatile long readPosition;
+
   private volatile long writePosition;
 
+  /**
+   * Creates a buffer that starts with {@code initialCapacity} bytes and grows to {@code capacity}.
+   */
   public ByteRing(int initialCapacity, int capacity) {
     this.capacity = capacity;
     bytes = new byte[initialCapacity];
@@ -26,12 +32,12 @@
     return capacity - size();
   }
 
-  /** How many bytes were ever put. */
+  /** Total number of bytes ever put. */
   public long totalBytesPut() {
     return writePosition;
   }
 
-  /** Puts all the bytes, or none where there is no room for all. */
+  /** Puts all the bytes, or none if they do not all fit; returns whether they were put. */
   public boolean put(byte[] source, int offset, int length) {
     if (length > remainingCapacity()) {
       return false;
@@ -61,7 +67,7 @@
     bytes = larger;
   }
 
-  /** The next byte, or -1 where there is none. */
+  /** Takes the next byte; -1 if the buffer is empty. */
   public int take() {
     long offset = readPosition;
     if (offset == writePosition) {
@@ -72,7 +78,7 @@
     return next;
   }
 
-  /** Takes up to so many bytes; returns how many. */
+  /** Takes up to {@code length} bytes; returns how many. */
   public int take(byte[] target, int offset, int length) {
     int count = Math.min(length, size());
     int start = (int) (readPosition % bytes.length);
@@ -83,17 +89,21 @@
     return count;
   }
 
-  /** The bytes next in turn that lie side by side; they stay until skipped. */
+  /**
+   * The next bytes as far as they are contiguous in memory; they stay in the buffer until skipped.
+   */
   public ByteBuffer peekContiguous() {
     int start = (int) (readPosition % bytes.length);
     return ByteBuffer.wrap(bytes, start, Math.min(size(), bytes.length - start)).slice();
   }
 
+  /** Removes the next {@code count} bytes. */
   public void skip(int count) {
     assert count <= size();
     readPosition += count;
   }
 
+  /** Removes all bytes. */
   public void clear() {
     readPosition = writePosition;
   }
--- a/mixer/src/main/java/gingerring/net/Connection.java
+++ b/mixer/src/main/java/gingerring/net/Connection.java
@@ -9,26 +9,30 @@
 import org.apache.mina.core.session.IoSession;
 
 /**
- * One connection as the loop has it: a ring of bytes for each direction, both bounded. The methods
- * marked so are MINA's thread's; all others are the loop's.
+ * One TCP connection (or in-memory pipe) with a bounded ring buffer for each direction. The methods
+ * of the section marked "MINA's thread" run on the I/O thread of Apache MINA; all others run on the
+ * event loop's thread.
  */
 public final class Connection {
-  /** What one read brings at most; reading stops while the ring has no room for that. */
+  /**
+   * Most bytes that one read can deliver; reading is suspended while {@link #input} has less free
+   * space.
+   */
   static final int MAX_READ_BYTES = 4096;
 
   private static final int INPUT_BYTES = 2 * MAX_READ_BYTES;
   private static final int INITIAL_OUTPUT_BYTES = 1024;
 
-  /** How long a connection's last bytes may take to leave. */
+  /** How long {@link #closeGracefully} waits for the remaining output to be sent. */
   private static final Duration FLUSH_TIMEOUT = Duration.ofSeconds(10);
 
-  /** How much is read and dropped before what is read is paced. */
+  /** Input that is discarded at full speed; beyond it, reads of discarded input are paced. */
   private static final long UNPACED_DISCARD_BYTES = 1 << 20;
 
   public final ByteRing input = new ByteRing(INPUT_BYTES, INPUT_BYTES);
   public final ByteRing output;
 
-  /** The other side opened it. */
+  /** Whether the peer opened the connection; false for a dialled one. */
   final boolean inbound;
 
   private final Network network;
@@ -37,41 +41,50 @@
   private volatile IoSession session;
   private boolean opened;
 
-  /** This side, as a tap counts them. */
+  /**
+   * This end, as {@link TrafficListener} counts the sides: 0 opened the connection, 1 accepted it.
+   */
   private int localSide;
 
-  /** How many bytes MINA has in hand; 0 where it has none. */
+  /** Bytes handed to MINA and not yet written to the socket; 0 if no write is under way. */
   private int bytesInWrite;
 
   private boolean closing;
   private boolean closed;
 
-  /** This side is to be ended by a half-close, once flushed; and has been. */
+  /**
+   * Whether the output is shut down once it is flushed, and the connection ends when the peer
+   * closes too.
+   */
   private boolean closesGracefully;
 
+  /** Whether the output has been shut down. */
   private boolean halfClosed;
 
   /**
-   * Nothing that still comes is wanted: it is read and dropped, as fast as it comes for so many
-   * bytes.
+   * Whether further input is read and discarded; only the first {@link #UNPACED_DISCARD_BYTES} are
+   * read at full speed.
    */
   private volatile boolean discarding;
 
   private long discardedBytes;
 
-  /** The other side has ended its own, and all that it sent before has been read. */
+  /** Whether the peer has closed its side gracefully, and all that it had sent has been read. */
   private volatile boolean peerClosed;
 
+  /** Whether a call of {@link #handleReadable} is in the event queue. */
   private final AtomicBoolean readablePosted = new AtomicBoolean();
+
   private volatile boolean readSuspended;
 
   /**
-   * Bytes were read that are not in the ring yet; and nothing more is to be read. Both under this
-   * lock.
+   * Whether bytes were read that are not in {@link #input} yet. Guarded by this connection's lock.
    */
   private boolean readPending;
 
+  /** Whether nothing more may be read. Guarded by this connection's lock. */
   private boolean readsBlocked;
+
   private volatile Duration inputArrivedAt = Duration.ZERO;
 
   Connection(Network network, int maxOutputBytes, boolean inbound) {
@@ -80,19 +93,24 @@
     output = new ByteRing(INITIAL_OUTPUT_BYTES, maxOutputBytes);
   }
 
+  /** Sets the handler that is called for the events of this connection. */
   public void setHandler(ConnectionHandler newHandler) {
     handler = newHandler;
   }
 
+  /** Whether the connection is established and no close has been requested. */
   public boolean isOpen() {
     return opened && !closed && !closing;
   }
 
-  /** Up or coming up, and not to be closed. */
+  /**
+   * Whether the connection is established or being established, and no close has been requested.
+   */
   public boolean isUsable() {
     return !closed && !closing;
   }
 
+  /** Whether the connection has ended and its handler has been notified. */
   public boolean isClosed() {
     return closed;
   }
@@ -101,12 +119,12 @@
     return handler.idleSince();
   }
 
-  /** When bytes last came into an empty ring. */
+  /** When bytes last arrived while {@link #input} was empty. */
   public Duration inputArrivedAt() {
     return inputArrivedAt;
   }
 
-  /** How many bytes really left by this connection. */
+  /** How many bytes were written to the socket. */
   public long bytesSent() {
     return session == null ? 0 : session.getWrittenBytes();
   }
@@ -125,7 +143,7 @@
     readPending |= gotBytes;
   }
 
-  /** The other side has closed, and not reset, what it sends by. */
+  /** The peer has shut down its output, rather than reset the connection. */
   void markPeerClosed() {
     peerClosed = true;
   }
@@ -137,7 +155,7 @@
   void onReceived(IoBuffer buffer) {
     byte[] bytes = new byte[buffer.remaining()];
     buffer.get(bytes);
-    if (discarding) { // since it was read
+    if (discarding) { // discardInput was called after these bytes were read
       discard(bytes);
       return;
     }
@@ -169,7 +187,10 @@
     return discarding;
   }
 
-  /** Returns whether so much has been dropped that reading is to be paced. */
+  /**
+   * Counts discarded bytes. Returns whether so many were discarded that further reads are to be
+   * paced.
+   */
   boolean discard(byte[] bytes) {
     if (network.trafficListener != null) {
       network.trafficListener.onData(session.getId(), 1 - localSide, bytes.clone());
@@ -179,7 +200,7 @@
     return discardedBytes > UNPACED_DISCARD_BYTES;
   }
 
-  /** {@code came}: the other side opened it. */
+  /** Binds the MINA session. {@code inbound}: the peer opened the connection. */
   void attach(IoSession session, boolean inbound) {
     this.session = session;
     if (network.trafficListener != null) {
@@ -197,7 +218,7 @@
     network.eventQueue.post(this::handleSent);
   }
 
-  // ---- the loop ----
+  // ---- the event loop's thread ----
 
   void handleOpened() {
     opened = true;
@@ -223,9 +244,9 @@
   }
 
   /**
-   * Reading goes on once there is room again, on MINA's thread. Guards against a resumption that
-   * comes between the two steps of a pause ({@link #onReceived}): it would go unheard, and nothing
-   * would ever be read again.
+   * Resumes reading, on MINA's thread, once {@link #input} has space again. Guards against a resume
+   * that comes between the two steps of a suspension in {@link #onReceived}: it would be lost, and
+   * nothing would ever be read again.
    */
   public void resumeReading() {
     if (readSuspended && !isInputFull() && !closed) {
@@ -234,12 +255,15 @@
     }
   }
 
-  /** Marks that there is something to flush at the end of the turn. */
+  /** Requests a flush of {@link #output} at the end of this loop iteration. */
   public void requestFlush() {
     network.requestFlush(this);
   }
 
-  /** One write of what lies side by side in the ring; what is left follows once that has gone. */
+  /**
+   * Writes the next contiguous bytes of {@link #output}; {@link #handleSent} writes the rest. Once
+   * the output is empty, carries out a requested close.
+   */
   void flush() {
     if (!opened || closed || bytesInWrite > 0) {
       return;
@@ -273,27 +297,27 @@
   }
 
   /**
-   * Nothing that was put waits to leave: what is put now is written at the end of this turn, as
-   * one.
+   * Whether no output is buffered or being written, so that output put now is sent in one write at
+   * the end of this loop iteration.
    */
   public boolean isFlushed() {
     return output.size() == 0 && bytesInWrite == 0;
   }
 
   /**
-   * Whether the other side ended the connection by an orderly close, all that it had sent having
-   * been read; not by a reset, and not before this side had ended it at once. Told by the time of
-   * {@link ConnectionHandler#onClosed}.
+   * Whether the peer closed the connection gracefully and all that it had sent has been read. False
+   * after a reset, and if this side closed the connection at once before. Valid from the call of
+   * {@link ConnectionHandler#onClosed} on.
    */
   public boolean closedGracefully() {
     return peerClosed;
   }
 
   /**
-   * Ends the connection in an orderly way once what was put has left: this side is half-closed,
-   * what still comes is read and dropped, within bounds of bytes and time, until the other side has
-   * closed too. Guards against a close over unread bytes, which resets the connection and takes the
-   * last answer with it. The party is told of no more bytes, and of the end.
+   * Closes the connection gracefully once the output is sent: shuts down the output, then reads and
+   * discards input, within limits of bytes and time, until the peer has closed too. Guards against
+   * a close with unread bytes, which resets the connection and loses the last response. The handler
+   * gets no more input, only {@link ConnectionHandler#onClosed}.
    */
   public void closeGracefully() {
     if (!opened || network.isInMemory()) {
@@ -310,15 +334,15 @@
     network.requestFlush(this);
   }
 
-  /** Whether the ring is so full that reading stops. */
+  /** Whether {@link #input} is so full that reading is suspended. */
   public boolean isInputFull() {
     return input.remainingCapacity() < MAX_READ_BYTES;
   }
 
   /**
-   * Nothing that has come or still comes is wanted: it is read and dropped, at a pace once it is
-   * much, and the party is told of no more bytes. Guards against the end of the other side that is
-   * not seen behind them.
+   * Discards the buffered and all further input; beyond {@link #UNPACED_DISCARD_BYTES} reading is
+   * paced. The handler is not called for input any more. Guards against unread input that hides the
+   * end of the connection by the peer.
    */
   public void discardInput() {
     discarding = true;
@@ -326,16 +350,17 @@
     resumeReading();
   }
 
-  /** Ends the connection once what was put has left. */
+  /** Closes the connection once the output is sent. */
   public void closeAfterFlush() {
     closing = true;
     network.requestFlush(this);
   }
 
   /**
-   * Ends the connection at once if nothing has been read from it that its party has not seen;
-   * nothing is from then on. Guards against a request that is read just as its connection is ended
-   * for being idle: its client would take it for lost, while one that was never read is sent again.
+   * Closes the connection at once unless bytes were read that the handler has not processed;
+   * returns whether it did. No bytes are read afterwards. Guards against a request that is read
+   * just as its connection is closed for being idle: the client would take the request for lost,
+   * while one that was never read is sent again.
    */
   public boolean closeIfUnread() {
     synchronized (this) {
@@ -348,7 +373,7 @@
     return true;
   }
 
-  /** Ends the connection at once; its party is told all the same. */
+  /** Closes the connection at once; the handler's {@code onClosed} is called all the same. */
   public void close() {
     closing = true;
     if (opened) {
--- a/mixer/src/main/java/gingerring/net/ConnectionHandler.java
+++ b/mixer/src/main/java/gingerring/net/ConnectionHandler.java
@@ -2,9 +2,9 @@
 
 import java.time.Duration;
 
-/** Who owns a connection: called on the loop's thread alone. */
+/** Receives the events of one connection, on the event loop's thread. */
 public interface ConnectionHandler {
-  /** Nobody: what comes is left in the ring. */
+  /** Does nothing; input stays in the connection's buffer. */
   ConnectionHandler NO_OP =
       new ConnectionHandler() {
         @Override
@@ -14,23 +14,23 @@
         public void onClosed() {}
       };
 
-  /** The connection is up. */
+  /** The connection is established. */
   default void onOpened() {}
 
-  /** Bytes have come into the ring {@link Connection#input}. */
+  /** Bytes have arrived in {@link Connection#input}. */
   void onReadable();
 
-  /** All that was put into {@link Connection#output} has left. */
+  /** All bytes put into {@link Connection#output} have been sent. */
   default void onFlushed() {}
 
   /**
-   * Since when nothing has been under way, so that a dialled connection may be ended for another;
-   * or null.
+   * Since when no request has been under way, so that a dialled connection may be closed in favour
+   * of another; null if one is under way.
    */
   default Duration idleSince() {
     return null;
   }
 
-  /** The connection never came up, or has ended; nothing follows. */
+  /** The connection failed to be established or has ended; no further call follows. */
   void onClosed();
 }
--- a/mixer/src/main/java/gingerring/net/EventQueue.java
+++ b/mixer/src/main/java/gingerring/net/EventQueue.java
@@ -2,10 +2,11 @@
 
 import java.time.Duration;
 
-/** Where the input and output threads leave word for the loop; safe from any thread. */
+/** The event loop's queue, into which the I/O threads post events; safe from any thread. */
 public interface EventQueue {
+  /** Queues an event to run on the loop's thread. */
   void post(Runnable event);
 
-  /** The time since the start, read now. */
+  /** The current time since the start. */
   Duration currentTime();
 }
--- a/mixer/src/main/java/gingerring/net/LoopTimer.java
+++ b/mixer/src/main/java/gingerring/net/LoopTimer.java
@@ -2,10 +2,11 @@
 
 import java.time.Duration;
 
-/** The loop's time and wakes, for those who live on its thread. */
+/** The event loop's clock and timers, for code on the loop's thread. */
 public interface LoopTimer {
-  /** The time of this turn, since the start. */
+  /** When this loop iteration began, as time since the start. */
   Duration now();
 
+  /** Runs a task on the loop's thread after a delay. */
   void schedule(Duration delay, Runnable task);
 }
--- a/mixer/src/main/java/gingerring/net/Network.java
+++ b/mixer/src/main/java/gingerring/net/Network.java
@@ -39,40 +39,50 @@
 import org.apache.mina.transport.vmpipe.VmPipeConnector;
 
 /**
- * Apache MINA: one thread reads and writes for those who come in and those we call. Its handlers
- * pass bytes and events on to the loop and do nothing else.
+ * All connections of the process, over Apache MINA. One MINA thread reads and writes for inbound
+ * and dialled connections; its handlers only pass bytes and events on to the event loop.
  */
 public final class Network {
   private static final String CONNECTION_ATTRIBUTE = "connection";
   private static final int BACKLOG = 512;
   private static final int THREAD_STACK_BYTES = 1 << 18;
 
-  /** How long a half-closed connection is read from, and how often the ends are looked after. */
+  /** How long input of a half-closed connection is read before the connection is closed. */
   private static final Duration LINGER_TIMEOUT = Duration.ofMillis(300);
 
+  /** How often the deadlines of closing connections are checked. */
   private static final Duration CLOSE_CHECK_INTERVAL = Duration.ofMillis(50);
 
-  /** Of a flood that is dropped, so much is read in each such span. */
+  /**
+   * Most bytes of discarded input that one read takes; paced reads are {@link #DISCARD_INTERVAL}
+   * apart.
+   */
   private static final int DISCARD_READ_BYTES = 1 << 16;
 
   private static final Duration DISCARD_INTERVAL = Duration.ofMillis(10);
 
-  /** How long a newcomer waits for room before it is closed. */
-  private static final Duration ACCEPT_WAIT = Duration.ofMillis(10);
-
   /**
-   * Of all connections that there may be: those that are dialled at most, and what is kept free for
-   * them; and what no newcomer gets, for dials that come at once.
+   * How long accepting waits for a connection to end when the limit is reached; then the new
+   * connection is closed.
    */
+  private static final Duration ACCEPT_WAIT = Duration.ofMillis(10);
+
+  /** The largest share of {@link #maxConnections} that dialled connections may take. */
   private static final double MAX_DIALLED_SHARE = 0.75;
 
+  /**
+   * The share of {@link #maxConnections} that is kept free, if possible, for dials; see {@link
+   * #connectionShortfall}.
+   */
   private static final double FREE_SHARE = 0.25;
+
+  /** The share of {@link #maxConnections} that inbound connections never get, for sudden dials. */
   private static final double DIAL_ONLY_SHARE = 1 / 16.0;
 
   final EventQueue eventQueue;
   final Counters counters;
 
-  /** Null where nothing is recorded. */
+  /** Receives all traffic for a recording; null if nothing is recorded. */
   final TrafficListener trafficListener;
 
   private final ExecutorService executor =
@@ -84,27 +94,31 @@
           });
   private final Processor processor = new Processor();
 
-  /** Tasks of MINA's connector, until the turn that dials is over. */
+  /**
+   * Tasks that MINA's connector has submitted; they are started at the end of the loop iteration.
+   */
   private final Queue<Runnable> connectorTasks = new ConcurrentLinkedQueue<>();
 
   private final IoConnector connector;
   private final boolean inMemory;
   private IoAcceptor acceptor;
 
-  /** Held while a connection is accepted: who holds it keeps those that come in the backlog. */
+  /**
+   * Held while a connection is accepted; a thread that holds it keeps new connections in the
+   * backlog.
+   */
   final Object acceptLock = new Object();
 
-  /** Connections that came in and have not ended. */
+  /** Inbound connections whose descriptor is not free yet. */
   private final AtomicInteger inboundCount = new AtomicInteger();
 
-  /**
-   * Connections of both kinds that there may be at one time; and those dialled that have not ended.
-   */
+  /** Limit of inbound and dialled connections together. */
   private volatile int maxConnections = Integer.MAX_VALUE;
 
+  /** Dialled connections that have not ended. */
   private volatile int dialledCount;
 
-  /** Dials for which there was no descriptor, by connection. */
+  /** Dials that wait for a free descriptor, in order. */
   private final Map<Connection, Runnable> waitingDials = new LinkedHashMap<>();
 
   private Runnable shortageHandler = () -> {};
@@ -112,14 +126,14 @@
   private final Set<Connection> connections = new LinkedHashSet<>();
 
   /**
-   * {@code within}: without sockets, to addresses that this same network listens at, by MINA's
-   * pipes.
+   * Creates a network. {@code inMemory}: uses MINA's in-memory pipes in place of sockets; only
+   * addresses that this network listens at can be dialled.
    */
   public Network(EventQueue eventQueue, Counters counters, boolean inMemory) {
     this(eventQueue, counters, inMemory, null);
   }
 
-  /** {@code tap} is told of all that connections carry; null for none. */
+  /** Creates a network whose traffic is passed to {@code trafficListener}, or to none if null. */
   public Network(
       EventQueue eventQueue, Counters counters, boolean inMemory, TrafficListener trafficListener) {
     this.eventQueue = eventQueue;
@@ -129,9 +143,8 @@
     if (inMemory) {
       connector = new VmPipeConnector(executor);
     } else {
-      // its thread ends when no dial is under way; started after the last dial of a turn and not
-      // with the
-      // first, it is woken once for all of them
+      // The connector's thread ends when no dial is under way. Starting it after the last dial of a
+      // loop iteration, not with the first, wakes it once for all of them.
       NioSocketConnector socketConnector = new NioSocketConnector(connectorTasks::add, processor);
       configure(socketConnector.getSessionConfig());
       connector = socketConnector;
@@ -145,9 +158,9 @@
   }
 
   /**
-   * Takes connections at an address; each is told to {@code accepted}, which gives it a party.
-   * {@code most} counts all connections, those dialled too: where they are many, fewer are taken.
-   * Returns the address, with the port that was free where port 0 was asked for.
+   * Accepts connections at an address; {@code onAccepted} gets each and has to set its handler.
+   * {@code maxConnections} limits inbound and dialled connections together: the more are dialled,
+   * the fewer are accepted.
    */
   public InetSocketAddress listen(
       InetSocketAddress address,
@@ -160,21 +173,21 @@
     acceptor.setHandler(
         new EventForwarder() {
           /**
-           * Its descriptor is free once the selector has let go of its channel, in the next round.
-           * Guards against a flood of newcomers for whom there is room by the count, and no
-           * descriptor yet: the acceptor would stand still for a second.
+           * Counts the connection as ended only after the next select, when its channel is
+           * deregistered and its descriptor free. Guards against a burst of connections that fit
+           * the count while no descriptor is free yet: the acceptor would stall for a second.
            */
           @Override
           public void sessionClosed(IoSession session) {
             if (inMemory) {
-              released();
+              onDescriptorFreed();
             } else {
-              processor.run(this::released);
+              processor.run(this::onDescriptorFreed);
             }
             super.sessionClosed(session);
           }
 
-          private void released() {
+          private void onDescriptorFreed() {
             inboundCount.decrementAndGet();
             notifyConnectionFreed();
           }
@@ -207,9 +220,7 @@
     return inMemory ? new VmPipeAddress(address.getPort()) : address;
   }
 
-  /**
-   * Takes no more connections; those there are stay, and those that stand in the backlog are taken.
-   */
+  /** Stops listening. Established connections stay, and those in the backlog are accepted. */
   public void stopListening() {
     if (acceptor != null && acceptor.isActive()) {
       acceptor.setCloseOnDeactivation(false);
@@ -218,8 +229,8 @@
   }
 
   /**
-   * Calls an address; its party is told once the connection is up, or that it never came up. Where
-   * there is no descriptor for it, it waits for one.
+   * Dials an address; the handler is notified when the connection is established or has failed. If
+   * no descriptor is free, the dial waits for one.
    */
   public Connection dial(InetSocketAddress address, int maxOutputBytes, ConnectionHandler handler) {
     Connection connection = new Connection(this, maxOutputBytes, false);
@@ -259,10 +270,10 @@
   }
 
   /**
-   * Gives a dial up by closing its channel. Guards against ConnectFuture.cancel: where it crosses
-   * the dial's coming up or its refusal, MINA's connector counts the dial as over twice, and ends
-   * its thread while another dial is under way, which is then told nothing. A closed channel is
-   * counted once, or not at all: then the thread stays.
+   * Aborts a dial by closing its channel. Guards against ConnectFuture.cancel: if it races with the
+   * success or refusal of the dial, MINA's connector counts the dial as finished twice and ends its
+   * thread while another dial is under way, whose outcome is then never reported. A closed channel
+   * is counted once or not at all; in the second case the thread stays.
    */
   void abandonDial(ConnectFuture connectFuture) {
     if (connectFuture instanceof AbstractPollingIoConnector<?, ?>.ConnectionRequest request) {
@@ -276,7 +287,10 @@
     }
   }
 
-  /** Those dialled, or that wait for it, and are not being ended. */
+  /**
+   * Dialled connections, waiting dials included, that are not being closed. Counted one by one only
+   * near the limit.
+   */
   private long openDialledCount() {
     return dialledCount < MAX_DIALLED_SHARE * maxConnections
         ? dialledCount
@@ -286,7 +300,8 @@
   }
 
   /**
-   * Guards against links that nobody uses just now, and that take the descriptors of all clients.
+   * Closes the dialled connection that has been idle the longest. Guards against unused connections
+   * to searchers that take the descriptors of all clients.
    */
   private void closeLongestIdle() {
     connections.stream()
@@ -301,20 +316,20 @@
             });
   }
 
-  /** So many connections more there may be. */
+  /** How many more connections there may be. */
   public int availableConnections() {
     return maxConnections == Integer.MAX_VALUE
         ? maxConnections
         : maxConnections - dialledCount - inboundCount.get();
   }
 
-  /** So much of the room no newcomer gets. */
+  /** How many connections are reserved for dials. */
   private int dialOnlyConnections() {
     return (int) Math.ceil(maxConnections * DIAL_ONLY_SHARE);
   }
 
   /**
-   * Whether there is so little room that one who comes is to be sent away, once so many more have
+   * Whether an inbound connection is to be turned away, even after {@code closing} connections have
    * ended.
    */
   public boolean isFull(int closing) {
@@ -322,7 +337,7 @@
         && availableConnections() + closing < 2 * dialOnlyConnections();
   }
 
-  /** So many connections should end, if they can, for dials to find room at once. */
+  /** How many connections should be closed, if possible, for further dials to succeed at once. */
   public int connectionShortfall() {
     if (maxConnections == Integer.MAX_VALUE) {
       return 0;
@@ -335,7 +350,10 @@
                 - availableConnections());
   }
 
-  /** {@code task} is run on the loop's thread when something is dialled while room is short. */
+  /**
+   * Sets a task that runs on the loop's thread when something is dialled while {@link
+   * #connectionShortfall} is positive.
+   */
   public void setShortageHandler(Runnable task) {
     shortageHandler = task;
   }
@@ -346,7 +364,7 @@
     }
   }
 
-  /** Ends all there is of it. */
+  /** Stops MINA and closes all connections. */
   public void dispose() {
     connector.dispose();
     runConnectorTasks();
@@ -357,17 +375,17 @@
     executor.shutdown();
   }
 
-  /** The time since the start, read now: a turn may have stood still since it began. */
+  /** The current time since the start, not the time at which the loop iteration began. */
   public Duration currentTime() {
     return eventQueue.currentTime();
   }
 
-  /** Connections in hand, those being opened too. */
+  /** Number of connections, those being established included. */
   public int connectionCount() {
     return connections.size();
   }
 
-  /** Whether all that was put into connections has left, and the loop has heard so. */
+  /** Whether no connection has output that is buffered or being written. */
   public boolean isFlushed() {
     return connections.stream().allMatch(Connection::isFlushed);
   }
@@ -397,25 +415,29 @@
     return inMemory;
   }
 
-  /** Whatever becomes of it, a connection that is to end does so within this span. */
+  /** Closes a connection after {@code timeout} unless it has ended before. */
   void closeWithin(Connection connection, Duration timeout) {
     Duration deadline = eventQueue.currentTime().plus(timeout);
     processor.run(() -> processor.closeDeadlines.put(connection, deadline));
   }
 
-  /** What was put has left: nothing more follows, and what comes is read for a while. */
+  /**
+   * Shuts down the output, all of which was sent; input is read for {@link #LINGER_TIMEOUT} at
+   * most.
+   */
   void halfClose(Connection connection) {
     closeWithin(connection, LINGER_TIMEOUT);
     processor.run(() -> processor.shutdownOutput(connection));
   }
 
+  /** Starts the submitted tasks of MINA's connector. */
   private void runConnectorTasks() {
     for (Runnable task = connectorTasks.poll(); task != null; task = connectorTasks.poll()) {
       executor.execute(task);
     }
   }
 
-  /** One flush for each connection that something was put into; and what was dialled goes on. */
+  /** Starts waiting dials that now fit the limit, and flushes each connection with new output. */
   public void flush() {
     while (!waitingDials.isEmpty() && availableConnections() > 0) {
       waitingDials.remove(waitingDials.keySet().iterator().next()).run();
@@ -427,17 +449,17 @@
   }
 
   /**
-   * MINA's processor, with its wake-up call within reach: a change of interest waits for the next
-   * one. It also ends connections in an orderly way, on its own thread, where their channels are at
-   * hand.
+   * MINA's processor with its protected wake-up made callable: a change of interest, such as
+   * resumed reading, takes effect only at the next wake-up. It also closes connections gracefully,
+   * on its own thread, which may access their channels.
    */
   private final class Processor extends NioProcessor {
     private final Queue<Runnable> tasks = new ConcurrentLinkedQueue<>();
 
-    /** By when connections that are being ended are closed; this thread's. */
+    /** When connections that are being closed are closed at once. Used on this thread only. */
     private final Map<Connection, Duration> closeDeadlines = new LinkedHashMap<>();
 
-    /** When floods are read from again. */
+    /** When reading is resumed for connections whose discarded input is paced. */
     private final Map<Connection, Duration> discardResumeTimes = new LinkedHashMap<>();
 
     private final IoBuffer discardBuffer = IoBuffer.allocate(DISCARD_READ_BYTES);
@@ -451,7 +473,7 @@
       super.wakeup();
     }
 
-    /** Runs a task on MINA's thread; not at all once no connection is left. */
+    /** Runs a task on MINA's thread; tasks do not run while no connection is left. */
     void run(Runnable task) {
       tasks.add(task);
       wakeup();
@@ -465,9 +487,8 @@
                   ? DISCARD_INTERVAL.toMillis()
                   : !closeDeadlines.isEmpty() ? CLOSE_CHECK_INTERVAL.toMillis() : timeoutMs);
       if (!discardResumeTimes.isEmpty() || !closeDeadlines.isEmpty()) {
-        // MINA takes selects that come back early and empty, ten in a row, for a broken selector,
-        // and makes
-        // a new one
+        // MINA takes ten early and empty selects in a row for a broken selector and replaces it;
+        // marking them as woken up prevents that
         wakeupCalled.set(true);
       }
       for (Runnable task = tasks.poll(); task != null; task = tasks.poll()) {
@@ -502,21 +523,24 @@
       return selected;
     }
 
-    /** MINA keeps a session's channel to itself, but each key of the selector knows both. */
+    /**
+     * Shuts down the output of a connection. MINA does not expose the channel of a session, but the
+     * selector's key refers to both.
+     */
     private void shutdownOutput(Connection connection) {
       for (SelectionKey key : selector.keys()) {
         if (key.attachment() == connection.session()) {
           try {
             ((SocketChannel) key.channel()).shutdownOutput();
           } catch (IOException e) {
-            connection.session().closeNow(); // the other side was first
+            connection.session().closeNow(); // the peer closed before
           }
           return;
         }
       }
     }
 
-    /** Large reads, of which nobody is told but of the end. */
+    /** Reads a large piece of discarded input; only the end of the input is reported to MINA. */
     private int discardRead(Connection connection) throws Exception {
       discardBuffer.clear();
       int count = super.read((NioSession) connection.session(), discardBuffer);
@@ -545,15 +569,15 @@
   }
 
   /**
-   * MINA's acceptor, taking no more than there is room for: it gives the loop a moment to make
-   * room, and closes at once what comes when there is none. Guards against a crowd that takes the
-   * last descriptor: the acceptor would then stand still for a second at a time, and no searcher
+   * MINA's acceptor with a connection limit: at the limit it waits briefly for the loop to close
+   * other connections, and otherwise closes the new one at once. Guards against many clients that
+   * take the last descriptor: the acceptor would then stall for a second at a time, and no searcher
    * could be dialled.
    */
   private final class Acceptor extends NioSocketAcceptor {
     /**
-     * No room was made for the last newcomer: the next does not wait for any, and holds up none
-     * behind it.
+     * Whether no connection ended during the last wait at the limit. Accepting then does not wait
+     * again while the limit is reached, so that one connection does not delay those behind it.
      */
     private boolean lastWaitFailed;
 
@@ -594,8 +618,8 @@
     }
 
     /**
-     * Takes what stands in the backlog before the listening ends. Guards against clients who have
-     * connected, and perhaps written their request, and are reset without an answer.
+     * Accepts the connections in the backlog before listening ends. Guards against clients that
+     * have connected, and perhaps sent their request, and are reset without a response.
      */
     @Override
     protected void close(ServerSocketChannel handle) throws Exception {
@@ -618,7 +642,7 @@
     return (Connection) session.getAttribute(CONNECTION_ATTRIBUTE);
   }
 
-  /** Passes on what MINA tells, from its thread to the loop's. */
+  /** Forwards MINA's events from its thread to the event loop. */
   private class EventForwarder extends IoHandlerAdapter {
     @Override
     public void sessionOpened(IoSession session) {
@@ -638,7 +662,7 @@
     @Override
     public void sessionClosed(IoSession session) {
       if (inMemory) {
-        connectionOf(session).markPeerClosed(); // pipes know no reset
+        connectionOf(session).markPeerClosed(); // an in-memory pipe cannot be reset
       }
       eventQueue.post(connectionOf(session)::handleClosed);
     }
--- a/mixer/src/main/java/gingerring/net/TrafficListener.java
+++ b/mixer/src/main/java/gingerring/net/TrafficListener.java
@@ -3,18 +3,21 @@
 import java.net.InetSocketAddress;
 
 /**
- * Told of all that connections carry, for a recording. Called on the network's and the loop's
- * threads, of one direction of a connection on one of them; must return at once and keep nothing
- * waiting. Side 0 is who opened the connection. The bytes are the tap's to keep, and not to change.
+ * Receives all bytes that connections carry, for a recording. Called on MINA's thread and the event
+ * loop's; each direction of a connection is reported by one thread only. Implementations must
+ * return at once without blocking. Side 0 is the end that opened the connection, side 1 the end
+ * that accepted it. The listener may keep the byte arrays, and must not change them.
  */
 public interface TrafficListener {
+  /** A connection was established. */
   void onOpened(long connection, InetSocketAddress opener, InetSocketAddress listener);
 
+  /** One end has sent bytes. */
   void onData(long connection, int side, byte[] bytes);
 
-  /** {@code side}: who ended it, as far as it is known. */
+  /** A connection has ended. {@code side} is the end that closed it, as far as known. */
   void onClosed(long connection, int side);
 
-  /** The process is about to end: what is kept is to be written, within seconds. */
+  /** The process is about to exit: buffered data has to be written within seconds. */
   default void onShutdown() {}
 }
--- a/mixer/src/main/java/gingerring/server/MixerHost.java
+++ b/mixer/src/main/java/gingerring/server/MixerHost.java
@@ -343,7 +343,7 @@
                   last.zone(),
                   last.machine(),
                   last.cell(),
-                  member.standing(),
+                  member.status(),
                   last.capacity(),
                   last.startedAt())
               : new MemberEntry(
@@ -351,12 +351,12 @@
                   zones.indexOf(member.locality()),
                   machines.indexOf(member.flavor()),
                   member.cell(),
-                  member.standing(),
+                  member.status(),
                   member.size(),
                   started);
       lines.add(line);
       listed.put(id, line);
-      if (member.address() == null || member.standing() == MemberEntry.Status.GONE) {
+      if (member.address() == null || member.status() == MemberEntry.Status.GONE) {
         back.gone(id);
       } else {
         back.listed(id, member.address(), line.startedAt());
--- a/mixer/src/test/java/gingerring/discovery/MemberListUpdateTest.java
+++ b/mixer/src/test/java/gingerring/discovery/MemberListUpdateTest.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Lists with members that are odd, or cannot be. */
+/** Lists with unusual or invalid members. */
 class MemberListUpdateTest {
   private static final String VALID =
       "{\"id\":\"s-1\",\"host_port\":\"10.0.0.1:81\",\"locality\":\"a\","
@@ -24,8 +24,8 @@
   }
 
   /**
-   * Guards against a searcher that cannot be called, or never weighs anything, among those that
-   * can.
+   * Guards against a searcher that cannot be dialled, or whose size is not positive, among valid
+   * ones.
    */
   @Test
   void rejectsAListWithAnInvalidMember() throws Json.JsonException {
@@ -65,7 +65,9 @@
     }
   }
 
-  /** Guards against a whole list refused for what one that has gone no longer has. */
+  /**
+   * Guards against a list that is rejected because of fields that a deleted member no longer has.
+   */
   @Test
   void deletedMemberNeedsOnlyAnId() throws Json.JsonException {
     for (String deleted :
@@ -76,7 +78,7 @@
           VALID.replace("SERVING", "DELETED")
         }) {
       MemberListUpdate.Member member = parse(deleted).members().get(0);
-      assertEquals(Status.GONE, member.standing());
+      assertEquals(Status.GONE, member.status());
       assertNull(member.address());
     }
     assertThrows(Json.JsonException.class, () -> parse("{\"id\":\"\",\"phase\":\"DELETED\"}"));
@@ -94,7 +96,7 @@
               .members()
               .get(0);
       assertEquals("s-1", member.id());
-      assertEquals(drainingLast ? Status.DRAINING : Status.READY, member.standing());
+      assertEquals(drainingLast ? Status.DRAINING : Status.READY, member.status());
       assertEquals(drainingLast ? 82 : 81, member.address().getPort());
       assertEquals(2, parse(VALID, draining, VALID.replace("s-1", "s-2")).members().size());
     }
--- a/mixer/src/test/java/gingerring/http/HttpParserTest.java
+++ b/mixer/src/test/java/gingerring/http/HttpParserTest.java
@@ -8,8 +8,9 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
+/** Parsing of messages split at any position, and of random bytes. */
 class HttpParserTest {
-  /** Writes down what is read. */
+  /** Records all parsed parts as text. */
   private static final class RecordingHandler implements HttpParser.Handler {
     final StringBuilder text = new StringBuilder();
 
--- a/mixer/src/test/java/gingerring/json/JsonTest.java
+++ b/mixer/src/test/java/gingerring/json/JsonTest.java
@@ -7,6 +7,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
+/** Parsing of valid, invalid and random JSON. */
 class JsonTest {
   @Test
   void parsesValidJson() throws Json.JsonException {
@@ -61,7 +62,7 @@
       try {
         Json.parse(text.toString());
       } catch (Json.JsonException e) {
-        // the one way out
+        // the only exception allowed
       }
     }
   }
--- a/mixer/src/test/java/gingerring/net/BacklogDrainTest.java
+++ b/mixer/src/test/java/gingerring/net/BacklogDrainTest.java
@@ -13,6 +13,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
+/** Accepting the connections of the backlog when listening stops. */
 @Timeout(30)
 class BacklogDrainTest {
   private static final int CONNECTIONS = 5;
@@ -34,7 +35,10 @@
           false);
   private final List<Connection> accepted = new ArrayList<>();
 
-  /** Guards against clients that have connected, and are reset because nobody listens any more. */
+  /**
+   * Guards against connections in the backlog that are reset when listening stops: their clients
+   * have connected, and may have sent a request.
+   */
   @Test
   void backlogIsAcceptedWhenListeningStops() throws Exception {
     InetSocketAddress address =
@@ -48,7 +52,9 @@
             });
     List<Socket> sockets = new ArrayList<>();
     Thread stopper = new Thread(network::stopListening);
-    synchronized (network.acceptLock) { // one connection is about to be accepted at most
+    synchronized (
+        network.acceptLock) { // holds up the acceptor, so that at most one connection is being
+      // accepted
       for (int i = 0; i < CONNECTIONS; i++) {
         sockets.add(new Socket(address.getAddress(), address.getPort()));
         sockets.get(i).setSoTimeout(10_000);
--- a/mixer/src/test/java/gingerring/net/ByteRingTest.java
+++ b/mixer/src/test/java/gingerring/net/ByteRingTest.java
@@ -7,6 +7,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
+/** Random operations on a ring buffer, compared with a plain queue. */
 class ByteRingTest {
   @Test
   void bytesComeOutInOrder() {
--- a/mixer/src/test/java/gingerring/net/CloseIfUnreadTest.java
+++ b/mixer/src/test/java/gingerring/net/CloseIfUnreadTest.java
@@ -13,6 +13,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
+/** Closing an idle connection unless bytes were read from it. */
 @Timeout(30)
 class CloseIfUnreadTest {
   private final LinkedBlockingQueue<Runnable> events = new LinkedBlockingQueue<>();
@@ -47,11 +48,11 @@
     while (accepted == null) {
       events.poll(10, TimeUnit.SECONDS).run();
     }
-    events.poll(10, TimeUnit.SECONDS).run(); // it is open
+    events.poll(10, TimeUnit.SECONDS).run(); // the event that the connection is open
     return socket;
   }
 
-  /** Guards against a request that was read and is dropped with its idle connection. */
+  /** Guards against a request that was read and is lost when its connection is closed as idle. */
   @Test
   void isNotClosedOnceBytesWereRead() throws Exception {
     try (Socket socket = connect()) {
@@ -67,7 +68,7 @@
   @Test
   void nothingIsReadAfterClose() throws Exception {
     try (Socket socket = connect()) {
-      synchronized (accepted) { // MINA's thread cannot read before it is ended
+      synchronized (accepted) { // MINA's thread cannot read before the connection is closed
         socket.getOutputStream().write(7);
         Thread.sleep(100);
         assertTrue(accepted.closeIfUnread());
@@ -82,7 +83,7 @@
     try {
       return socket.getInputStream().read();
     } catch (SocketException e) {
-      return -1; // what was not read resets it
+      return -1; // closing with unread bytes resets the connection
     }
   }
 }
--- a/mixer/src/test/java/gingerring/net/ConnectionCloseTest.java
+++ b/mixer/src/test/java/gingerring/net/ConnectionCloseTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** How connections end, from either side: in order, or by a reset. */
+/** Closing of connections from either side, gracefully or by a reset. */
 @Timeout(30)
 class ConnectionCloseTest {
   private final LinkedBlockingQueue<Runnable> events = new LinkedBlockingQueue<>();
@@ -42,7 +42,7 @@
   private Connection accepted;
   private Socket socket;
 
-  /** What the connection's party was told. */
+  /** Records the calls that the handler of the connection gets. */
   private final class RecordingHandler implements ConnectionHandler {
     private int readableCalls;
     private int flushedCalls;
@@ -82,11 +82,11 @@
     runUntil(() -> accepted != null && accepted.isOpen());
   }
 
-  /** Runs what is posted, on this thread as on the loop's, until something holds. */
+  /** Runs posted events on this thread, in place of the event loop, until a condition holds. */
   private void runUntil(BooleanSupplier condition) throws InterruptedException {
     long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
     while (!condition.getAsBoolean()) {
-      assertTrue(System.nanoTime() < deadlineNanos, "not within 10 s");
+      assertTrue(System.nanoTime() < deadlineNanos, "condition did not hold within 10 s");
       Runnable event = events.poll(10, TimeUnit.MILLISECONDS);
       if (event != null) {
         event.run();
@@ -130,12 +130,12 @@
     assertFalse(handler.closedGracefully);
   }
 
-  /** Guards against bytes that are taken for sent while MINA has them in hand. */
+  /** Guards against output that counts as sent while MINA still has to write it. */
   @Test
   void isNotFlushedUntilAllBytesWereSent() throws Exception {
     connect();
     assertTrue(accepted.isFlushed());
-    accepted.output.put(new byte[1 << 21]); // more than the system takes at once
+    accepted.output.put(new byte[1 << 21]); // more than the socket buffers take at once
     accepted.requestFlush();
     network.flush();
     assertFalse(accepted.isFlushed());
@@ -155,7 +155,7 @@
   }
 
   /**
-   * Guards against a close over unread bytes, which resets the connection and the answer with it.
+   * Guards against a close with unread bytes, which resets the connection and loses the response.
    */
   @Test
   void responseArrivesWhenClosedOverUnreadBytes() throws Exception {
@@ -165,11 +165,13 @@
     accepted.output.put(response);
     accepted.closeGracefully();
     runUntil(accepted::isFlushed);
-    socket.getOutputStream().write(new byte[20_000]); // more than one read, and than the ring
+    socket
+        .getOutputStream()
+        .write(new byte[20_000]); // more than one read and more than the input buffer
     assertArrayEquals(response, socket.getInputStream().readNBytes(response.length));
-    assertEquals(-1, socket.getInputStream().read()); // an orderly end
+    assertEquals(-1, socket.getInputStream().read()); // the output was shut down
     assertFalse(handler.closed);
-    socket.getOutputStream().write(new byte[20_000]); // and nothing resets it yet
+    socket.getOutputStream().write(new byte[20_000]); // the connection is not reset yet
     socket.close();
     runUntil(() -> handler.closed);
     assertTrue(counters.get("bytes dropped") > 0);
@@ -177,7 +179,7 @@
     assertEquals(0, counters.get("ends cut short"));
   }
 
-  /** The same while reading is suspended because the ring is full. */
+  /** The same while reading is suspended because the input buffer is full. */
   @Test
   void closesGracefullyWhileReadingIsSuspended() throws Exception {
     connect();
@@ -194,8 +196,7 @@
   }
 
   /**
-   * Guards against a client that stays, or sends without an end, after its connection's last
-   * answer.
+   * Guards against a client that stays connected, or sends without end, after the last response.
    */
   @Test
   void closeIsBoundedWhenThePeerKeepsSending() throws Exception {
@@ -212,7 +213,7 @@
                   socket.getOutputStream().write(new byte[4096]);
                 }
               } catch (SocketException e) {
-                // reset in the end
+                // the connection was reset, as expected
               } catch (IOException e) {
                 throw new IllegalStateException(e);
               }
@@ -222,7 +223,8 @@
     sender.join(10_000);
     assertFalse(sender.isAlive());
     assertEquals(1, counters.get("ends cut short"));
-    assertTrue(counters.get("bytes dropped") < 10_000 * 4096L / 2); // of a flood, a part
+    assertTrue(
+        counters.get("bytes dropped") < 10_000 * 4096L / 2); // only part of the input was read
     assertEquals(0, network.connectionCount());
   }
 }
--- a/mixer/src/test/java/gingerring/net/ConnectionLimitTest.java
+++ b/mixer/src/test/java/gingerring/net/ConnectionLimitTest.java
@@ -15,16 +15,16 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** What room there is for connections, by the count that newcomers are taken by. */
+/** The count of connections against the limit. */
 @Timeout(120)
 class ConnectionLimitTest {
   private static final int MAX_CONNECTIONS = 8;
   private static final int WAIT_S = 60;
 
   /**
-   * MINA's thread is held between the end of a connection and its next look at the selector, which
-   * lets go of the descriptor. Guards against room that is counted before: it was the last
-   * connection, too, so that the thread has nobody else to turn for.
+   * Guards against a closed connection that stops counting before its descriptor is free. The test
+   * blocks MINA's thread between the end of the connection and the next select, which frees the
+   * descriptor. It was the only connection, so that no other wakes the thread.
    */
   @Test
   void closedConnectionCountsUntilItsDescriptorIsFree() throws Exception {
@@ -35,15 +35,15 @@
     EventQueue eventQueue =
         new EventQueue() {
           /**
-           * Of a connection's events its end is the one that is posted once it is up and nothing
-           * was read.
+           * Number of posted events; the third is the end of the connection, since no bytes are
+           * sent.
            */
           private int posted;
 
           @Override
           public synchronized void post(Runnable event) {
             events.add(event);
-            if (++posted == 3) { // it came, it is open, it has ended
+            if (++posted == 3) { // accepted, opened, closed
               closePosted.countDown();
               gate.acquireUninterruptibly();
             }
@@ -74,7 +74,8 @@
     assertTrue(closePosted.await(WAIT_S, TimeUnit.SECONDS));
     assertEquals(MAX_CONNECTIONS - 1, network.availableConnections());
     gate.release();
-    while (network.availableConnections() < MAX_CONNECTIONS) { // bounded by the test's time
+    while (network.availableConnections()
+        < MAX_CONNECTIONS) { // the timeout of the test bounds this loop
       TimeUnit.MILLISECONDS.sleep(1);
     }
     events.take().run();
--- a/mixer/src/test/java/gingerring/net/ReadPauseTest.java
+++ b/mixer/src/test/java/gingerring/net/ReadPauseTest.java
@@ -15,14 +15,17 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Reading that is paused while the ring is full, and resumed by the loop. */
+/** Reading that is suspended while the input buffer is full, and resumed by the event loop. */
 @Timeout(120)
 class ReadPauseTest {
   private static final int BLOCK_BYTES = 1 << 16;
   private static final int BLOCKS = 4000;
   private static final int WAIT_S = 60;
 
-  /** Guards against a resumption that crosses its pause: the connection was never read again. */
+  /**
+   * Guards against a resume that comes between the two steps of a suspension: the connection was
+   * never read again.
+   */
   @Test
   void connectionWithAFastReaderIsReadToItsEnd() throws Exception {
     BlockingQueue<Runnable> events = new LinkedBlockingQueue<>();
--- a/mixer/src/test/java/gingerring/server/MixerServerTest.java
+++ b/mixer/src/test/java/gingerring/server/MixerServerTest.java
@@ -732,7 +732,7 @@
         {"{", "2", "LB_CONFIG"},
         {config.replace("\"discovery\"", "\"other\""), "2", "discovery is missing"},
         {config.replace("\"Places\"", "\"Other\""), "2", "setting Domain.Places is missing"},
-        {config.replace("127.0.0.1:0", "localhost:1"), "2", "listen: no address"},
+        {config.replace("127.0.0.1:0", "localhost:1"), "2", "listen: not an IPv4 address and port"},
         {config.replace("[0, 0]", "[3, 0]"), "2", "setting Domain.ClassFetch"},
         {
           config.replace("\"WarmUpMs\": 5000.0", "\"WarmUpMs\": -5000.0"),
