--- a/mixer/src/main/java/gingerring/decide/Settings.java
+++ b/mixer/src/main/java/gingerring/decide/Settings.java
@@ -5,15 +5,15 @@
 import java.util.Map;
 
 /**
- * Reads the values handed over at start; what is needed and missing or unreadable is named. Numbers
- * are read once, since scans ask for them over and over.
+ * Reads the settings passed at start; an exception names a required setting that is missing or
+ * malformed. Parsed numbers are cached, since every scan reads them.
  */
 public final class Settings {
   private final Map<String, String> values;
   private final Map<String, Double> numbers = new HashMap<>();
 
-  public Settings(Map<String, String> map) {
-    this.values = map;
+  public Settings(Map<String, String> values) {
+    this.values = values;
   }
 
   public Map<String, String> values() {
@@ -37,21 +37,21 @@
     return number;
   }
 
-  public double number(String key, double otherwise) {
-    return values.containsKey(key) ? number(key) : otherwise;
+  public double number(String key, double defaultValue) {
+    return values.containsKey(key) ? number(key) : defaultValue;
   }
 
   public int count(String key) {
     return (int) number(key);
   }
 
-  /** A time given in milliseconds. */
+  /** Returns a duration given in milliseconds. */
   public Duration duration(String key) {
     return Durations.millis(number(key));
   }
 
-  public Duration duration(String key, Duration otherwise) {
-    return values.containsKey(key) ? duration(key) : otherwise;
+  public Duration duration(String key, Duration defaultValue) {
+    return values.containsKey(key) ? duration(key) : defaultValue;
   }
 
   public boolean has(String key) {
@@ -62,16 +62,19 @@
     return Boolean.parseBoolean(values.get(key));
   }
 
-  /** The value at a place of a list, or {@code otherwise} where there is no such list. */
-  public double item(String key, int place, double otherwise) {
+  /**
+   * Returns the item of a list at the given index, or {@code defaultValue} if there is no such
+   * list.
+   */
+  public double item(String key, int index, double defaultValue) {
     if (!values.containsKey(key)) {
-      return otherwise;
+      return defaultValue;
     }
     String[] items = text(key).split(",");
-    if (place >= items.length) {
-      throw new IllegalArgumentException("setting " + key + " has no item " + place);
+    if (index >= items.length) {
+      throw new IllegalArgumentException("setting " + key + " has no item " + index);
     }
-    return parse(key, items[place]);
+    return parse(key, items[index]);
   }
 
   private static double parse(String key, String value) {
@@ -79,10 +82,10 @@
     try {
       number = Double.parseDouble(value);
     } catch (NumberFormatException e) {
-      throw new IllegalArgumentException("setting " + key + " is no number: " + value);
+      throw new IllegalArgumentException("setting " + key + " is not a number: " + value);
     }
     if (!Double.isFinite(number)) {
-      throw new IllegalArgumentException("setting " + key + " is no number: " + value);
+      throw new IllegalArgumentException("setting " + key + " is not a number: " + value);
     }
     return number;
   }
--- a/mixer/src/test/java/gingerring/server/MixerHostTest.java
+++ b/mixer/src/test/java/gingerring/server/MixerHostTest.java
@@ -4,13 +4,13 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gingerring.backend.Back;
+import gingerring.backend.Backend;
 import gingerring.decide.MemberEntry.Status;
 import gingerring.decide.Settings;
 import gingerring.discovery.DiscoveryWatch;
 import gingerring.discovery.MemberListUpdate;
-import gingerring.frontend.Ask;
-import gingerring.frontend.Reply;
+import gingerring.frontend.ScanRequest;
+import gingerring.frontend.ScanResponder;
 import gingerring.json.Json;
 import gingerring.net.Counters;
 import gingerring.net.Network;
@@ -30,32 +30,32 @@
 import org.junit.jupiter.api.Test;
 
 class MixerHostTest {
-  /** Writes down the answers of one scan. */
-  private record RecordingReply(String scanName, List<String> events) implements Reply {
+  /** Records how a scan is answered. */
+  private record RecordingReply(String scanName, List<String> events) implements ScanResponder {
     @Override
     public void answer(boolean whole, Map<Integer, byte[]> values) {
       events.add(scanName + " answered");
     }
 
     @Override
-    public void nack(Duration comeBack) {
-      events.add(scanName + " nacked");
+    public void reject(Duration comeBack) {
+      events.add(scanName + " rejected");
     }
 
     @Override
-    public void scrap() {
-      events.add(scanName + " scrapped");
+    public void fail() {
+      events.add(scanName + " failed");
     }
   }
 
-  private static Ask scanRequest(String transactionId, int serviceClass) {
-    return new Ask(
+  private static ScanRequest scanRequest(String transactionId, int serviceClass) {
+    return new ScanRequest(
         transactionId,
         serviceClass,
         false,
         null,
         Duration.ofMillis(2000),
-        List.of(new Ask.Piece(0, 1, Duration.ZERO, 0)),
+        List.of(new ScanRequest.Target(0, 1, Duration.ZERO, 0)),
         new byte[0]);
   }
 
@@ -66,20 +66,23 @@
     return new Settings(flatSettings);
   }
 
-  /** Guards against a mixer that compiles what scans need while its first clients wait. */
+  /**
+   * Guards against a mixer whose first clients wait while the JVM compiles the code that scans
+   * need.
+   */
   @Test
   void rehearsalRunsSampleScansWithoutSockets() throws IOException, Json.JsonException {
-    assertTrue(new Rehearsal(exampleSettings()).run() >= 50);
+    assertTrue(new ScanWarmUp(exampleSettings()).run() >= 50);
   }
 
-  /** Guards against a mixer that keeps something of every searcher and scan there ever was. */
+  /** Guards against a leak: state kept for every searcher and scan that ever existed. */
   @Test
   void keepsNoStateOfGoneSearchersAndFinishedScans() throws IOException, Json.JsonException {
     Counters counts = new Counters();
-    Loop loop = new Loop(counts);
+    EventLoop loop = new EventLoop(counts);
     Network network = new Network(loop, counts, true);
     MixerHost host = new MixerHost(loop, exampleSettings(), counts, 0);
-    Back back = new Back(network, host, exampleSettings(), counts, loop);
+    Backend back = new Backend(network, host, exampleSettings(), counts, loop);
     InetSocketAddress unusedAddress = new InetSocketAddress("127.0.0.1", 9);
     host.start(
         back,
@@ -115,7 +118,7 @@
                             Status.GONE,
                             1,
                             0))));
-            host.take(
+            host.accept(
                 scanRequest("m" + number, 0), loop.now(), new RecordingReply("scan", outcomes));
           });
     }
@@ -129,14 +132,12 @@
                 }));
     loop.run(back::dispatch, network::flush);
     assertEquals(rounds, outcomes.size());
-    assertEquals(0, host.kept());
-    assertEquals(0, back.stations());
+    assertEquals(0, host.retainedCount());
+    assertEquals(0, back.searcherCount());
     assertEquals(0, network.connectionCount());
   }
 
-  /**
-   * A listener that lets no connection come up: its queue is full, so that those who dial it wait.
-   */
+  /** A listener whose backlog is full, so that connection attempts to it hang. */
   private static final class FullBacklogListener implements AutoCloseable {
     private final ServerSocket serverSocket =
         new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
@@ -152,7 +153,7 @@
           return;
         }
       }
-      throw new IOException("the queue of a listener is never full");
+      throw new IOException("the listener's backlog never fills up");
     }
 
     InetSocketAddress address() {
@@ -169,21 +170,22 @@
   }
 
   /**
-   * A desk on real sockets, before discovery's first word and with one searcher known; all at deaf
-   * addresses.
+   * A mixer host on real sockets that has no answer from discovery yet and starts with a list of
+   * one searcher; connection attempts to both hang if {@code address} is that of a {@link
+   * FullBacklogListener}.
    */
   private static final class HostFixture {
     final Counters counts = new Counters();
-    final Loop loop = new Loop(counts);
+    final EventLoop loop = new EventLoop(counts);
     final Network network = new Network(loop, counts, false);
     final MixerHost host;
-    final Back back;
+    final Backend back;
     final InetSocketAddress address;
 
     HostFixture(InetSocketAddress address) throws IOException, Json.JsonException {
       this.address = address;
       host = new MixerHost(loop, exampleSettings(), counts, 0);
-      back = new Back(network, host, exampleSettings(), counts, loop);
+      back = new Backend(network, host, exampleSettings(), counts, loop);
       host.start(
           back,
           new DiscoveryWatch(network, address, 0, host, counts, loop),
@@ -208,8 +210,8 @@
   }
 
   /**
-   * Guards against a new process that sends by its old list to searchers that left while it was
-   * down.
+   * Guards against a new process that sends scans by its stored member list to searchers that left
+   * while the process was down.
    */
   @Test
   void holdsScansUntilDiscoveryHasAnswered() throws IOException, Json.JsonException {
@@ -220,14 +222,14 @@
           () -> {
             assertFalse(fixture.host.ready());
             assertTrue(
-                fixture.host.take(
+                fixture.host.accept(
                     scanRequest("early", 0),
                     fixture.loop.now(),
                     new RecordingReply("early", outcomes)));
             fixture.loop.post(
                 () ->
                     fixture.loop.post(
-                        () -> { // two turns later
+                        () -> { // two iterations later
                           assertEquals(List.of(), outcomes);
                           fixture.host.onUpdate(fixture.memberList(true, Status.DRAINING));
                           fixture.host.onContact();
@@ -235,12 +237,15 @@
                         }));
           },
           Duration.ofMillis(300));
-      assertEquals(List.of("early nacked"), outcomes);
+      assertEquals(List.of("early rejected"), outcomes);
       assertEquals(0, fixture.counts.get("links dialled"));
     }
   }
 
-  /** Guards against a scan that is sent by the list before the one that came with it. */
+  /**
+   * Guards against a scan that is sent by the previous member list although a newer list arrived in
+   * the same loop iteration.
+   */
   @Test
   void appliesMemberListBeforeScansOfTheSameIteration() throws IOException, Json.JsonException {
     try (FullBacklogListener listener = new FullBacklogListener()) {
@@ -249,19 +254,19 @@
       fixture.run(
           () -> {
             fixture.host.onContact();
-            fixture.host.take(
+            fixture.host.accept(
                 scanRequest("a", 0), fixture.loop.now(), new RecordingReply("scan", outcomes));
             fixture.host.onUpdate(fixture.memberList(false, Status.DRAINING));
           },
           Duration.ofMillis(300));
-      assertEquals(List.of("scan nacked"), outcomes);
+      assertEquals(List.of("scan rejected"), outcomes);
       assertEquals(0, fixture.counts.get("links dialled"));
     }
   }
 
   /**
-   * Guards against parts that leave for a searcher that drains once their connection comes up, a
-   * dial later.
+   * Guards against parts that are sent to a draining searcher because they were assigned to it
+   * earlier and waited for its connection.
    */
   @Test
   void dropsPartsWaitingToConnectToDrainingOrGoneSearcher() throws IOException, Json.JsonException {
@@ -272,7 +277,7 @@
         fixture.run(
             () -> {
               fixture.host.onContact();
-              fixture.host.take(
+              fixture.host.accept(
                   scanRequest("a", 0), fixture.loop.now(), new RecordingReply("scan", outcomes));
               fixture.loop.post(
                   () ->
@@ -280,7 +285,7 @@
                           () -> fixture.host.onUpdate(fixture.memberList(false, status))));
             },
             Duration.ofMillis(300));
-        assertEquals(List.of("scan nacked"), outcomes);
+        assertEquals(List.of("scan rejected"), outcomes);
         assertEquals(1, fixture.counts.get("links dialled"));
         assertEquals(1, fixture.counts.get("trips NOT_SENT"));
       }
@@ -288,30 +293,31 @@
   }
 
   /**
-   * Guards against a failure of the decisions on one scan: it alone is scrapped, and that is
-   * counted.
+   * Guards against an exception in the mixer's decision on one scan: that scan alone fails, and the
+   * exception is counted.
    */
   @Test
   void exceptionInTheMixerFailsOnlyTheScanItHandles() throws IOException, Json.JsonException {
     Settings settings = exampleSettings();
     Counters counts = new Counters();
-    Loop loop = new Loop(counts);
+    EventLoop loop = new EventLoop(counts);
     Network network = new Network(loop, counts, true);
     MixerHost host = new MixerHost(loop, settings, counts, 0);
     DiscoveryWatch watch =
         new DiscoveryWatch(network, new InetSocketAddress("127.0.0.1", 1), 0, host, counts, loop);
     host.start(
-        new Back(network, host, settings, counts, loop),
+        new Backend(network, host, settings, counts, loop),
         watch,
         1,
         new MemberListUpdate(0, true, List.of()));
     List<String> outcomes = new ArrayList<>();
-    host.take(scanRequest("a", 7), Duration.ZERO, new RecordingReply("unknown grade", outcomes));
-    host.take(scanRequest("b", 0), Duration.ZERO, new RecordingReply("good", outcomes));
+    host.accept(
+        scanRequest("a", 7), Duration.ZERO, new RecordingReply("unknown service class", outcomes));
+    host.accept(scanRequest("b", 0), Duration.ZERO, new RecordingReply("good", outcomes));
     loop.post(() -> loop.schedule(Duration.ofMillis(50), loop::stop));
     loop.run(() -> {}, () -> {});
-    assertEquals(List.of("unknown grade scrapped", "good nacked"), outcomes);
+    assertEquals(List.of("unknown service class failed", "good rejected"), outcomes);
     assertEquals(1, counts.get("failures in the mixer"));
-    assertEquals(0, host.open());
+    assertEquals(0, host.openScanCount());
   }
 }
--- a/mixer/src/test/java/gingerring/server/PracticeTest.java
+++ b/mixer/src/test/java/gingerring/server/PracticeTest.java
@@ -19,12 +19,12 @@
 @Timeout(60)
 class PracticeTest {
   private final Counters counts = new Counters();
-  private final Loop loop = new Loop(counts);
+  private final EventLoop loop = new EventLoop(counts);
   private final Network network = new Network(loop, counts, false);
   private final List<String> completions = new ArrayList<>();
 
   private void runPractice(InetSocketAddress listenAddress) {
-    new Practice(
+    new SocketWarmUp(
             network,
             listenAddress,
             1024,
@@ -33,13 +33,13 @@
               completions.add("done");
               loop.schedule(Duration.ofMillis(100), loop::stop);
             })
-        .begin();
+        .start();
     loop.run(() -> {}, network::flush);
     network.dispose();
     assertEquals(List.of("done"), completions);
   }
 
-  /** Guards against a practice that goes on for ever, or leaves connections behind. */
+  /** Guards against a warm-up that never ends or leaves connections open. */
   @Test
   void endsOnceEveryRequestIsAnswered() throws IOException {
     InetSocketAddress listenAddress =
@@ -53,7 +53,7 @@
     assertEquals(0, network.connectionCount());
   }
 
-  /** Guards against a mixer that is never ready where it cannot call itself. */
+  /** Guards against a mixer that never becomes ready because it cannot connect to itself. */
   @Test
   void endsIfConnectionsAreRefused() throws IOException {
     InetSocketAddress closedAddress;
@@ -64,7 +64,7 @@
     assertEquals(0, counts.get("answers practised"));
   }
 
-  /** Guards against a practice that nobody answers, and that holds its descriptors for ever. */
+  /** Guards against a warm-up that gets no answers and keeps its descriptors for ever. */
   @Test
   void endsWhenStoppedIfNothingIsAnswered() throws IOException {
     InetSocketAddress listenAddress =
@@ -73,8 +73,8 @@
             100,
             1024,
             connection -> connection.setHandler(ConnectionHandler.NO_OP));
-    Practice practice =
-        new Practice(
+    SocketWarmUp practice =
+        new SocketWarmUp(
             network,
             listenAddress,
             1024,
@@ -83,15 +83,15 @@
               completions.add("done");
               loop.schedule(Duration.ofMillis(100), loop::stop);
             });
-    practice.begin();
-    loop.schedule(Duration.ofMillis(100), practice::end);
+    practice.start();
+    loop.schedule(Duration.ofMillis(100), practice::closeAll);
     loop.run(() -> {}, network::flush);
     network.dispose();
     assertEquals(List.of("done"), completions);
     assertEquals(0, network.connectionCount());
   }
 
-  /** Answers a request, which comes whole here. */
+  /** Answers each read with one byte; a request arrives in one read here. */
   private record AnsweringParty(Connection connection) implements ConnectionHandler {
     @Override
     public void onReadable() {
