--- a/mixer/src/test/java/gingerring/server/FrontendRaceTest.java
+++ b/mixer/src/test/java/gingerring/server/FrontendRaceTest.java
@@ -39,14 +39,14 @@
           harness.announceAndAwaitReady(box);
           MixerTestHarness.Client client = harness.connectClient();
           client.write(harness.scanRequest("search", 2000, 0));
-          MixerTestHarness.BoxConnection link = box.acceptConnection();
-          MixerTestHarness.Frame request = link.readCall();
+          MixerTestHarness.BoxConnection connection = box.acceptConnection();
+          MixerTestHarness.Frame request = connection.readCall();
           client.write(new byte[trailingBytes]);
           disconnect(client, reset);
           harness.awaitCount("clients that left", 1);
           assertEquals(
               "C" + harness.lastTransactionId() + ".0",
-              "C" + link.readFrame().payloadText()); // its only part is given up
+              "C" + connection.readFrame().payloadText()); // its only part is given up
           assertEquals(1, request.partIds().size());
         }
       }
@@ -61,11 +61,11 @@
       harness.announceAndAwaitReady(box);
       MixerTestHarness.Client client = harness.connectClient();
       client.write(harness.scanRequest("search", 2000, 0));
-      MixerTestHarness.BoxConnection link = box.acceptConnection();
-      MixerTestHarness.Frame request = link.readCall();
+      MixerTestHarness.BoxConnection connection = box.acceptConnection();
+      MixerTestHarness.Frame request = connection.readCall();
       client.write(new byte[400_000]);
       harness.awaitCount("bytes dropped", 300_000);
-      link.answer(request, "done");
+      connection.answer(request, "done");
       assertTrue(client.readAnswer().startsWith("200"));
       assertEquals("closed", client.awaitEnd());
     }
@@ -76,7 +76,7 @@
    * gone.
    */
   @Test
-  void scanWhoseClientLeavesInSameTurnIsNotForwarded() throws Exception {
+  void scanWhoseClientLeavesInSameIterationIsNotForwarded() throws Exception {
     for (boolean reset : new boolean[] {false, true}) {
       try (MixerTestHarness harness = new MixerTestHarness()) {
         MixerTestHarness.Box box = harness.box("b0", 0);
@@ -147,8 +147,8 @@
             client.write(scan);
             gate.awaitPosted(2);
           }
-          MixerTestHarness.BoxConnection link = box.acceptConnection();
-          link.answer(link.readCall(), "done");
+          MixerTestHarness.BoxConnection connection = box.acceptConnection();
+          connection.answer(connection.readCall(), "done");
           assertTrue(client.readAnswer().startsWith("200"));
         } else {
           try (MixerTestHarness.LoopGate gate =
@@ -226,8 +226,8 @@
       harness.awaitCount("scans taken", 1);
       harness.runInLoop(harness.server::beginShutdown);
       watch.sendLine(MixerTestHarness.memberListLine(1, true, box.memberJson("SERVING")));
-      MixerTestHarness.BoxConnection link = box.acceptConnection();
-      link.answer(link.readCall(), "done");
+      MixerTestHarness.BoxConnection connection = box.acceptConnection();
+      connection.answer(connection.readCall(), "done");
       assertTrue(client.readAnswer().startsWith("200"));
       assertEquals(0, harness.awaitExitCode());
     }
@@ -284,15 +284,15 @@
       harness.announceAndAwaitReady(box);
       MixerTestHarness.Client client = harness.connectClient();
       client.write(harness.scanRequest("search", 2000, 0));
-      MixerTestHarness.BoxConnection link = box.acceptConnection();
-      MixerTestHarness.Frame request = link.readCall();
+      MixerTestHarness.BoxConnection connection = box.acceptConnection();
+      MixerTestHarness.Frame request = connection.readCall();
       try (MixerTestHarness.DiscoveryAgent newAgent = new MixerTestHarness.DiscoveryAgent(true)) {
         harness.runInLoop(harness.server::beginShutdown);
         harness.writeConfig(newAgent.address());
         harness.server.reload();
         MixerTestHarness.DiscoveryConnection watch = newAgent.acceptWatch();
         watch.sendLine(MixerTestHarness.memberListLine(7, true, box.memberJson("SERVING")));
-        link.answer(request, "done");
+        connection.answer(request, "done");
         assertTrue(client.readAnswer().startsWith("200"));
         assertEquals(0, harness.awaitExitCode());
         harness.server.reload();
@@ -398,7 +398,7 @@
    * being ended for them: who comes in one turn comes before any of those has gone.
    */
   @Test
-  void newClientsOfOneTurnAreServedOnceIdleOnesAreShed() throws Exception {
+  void newClientsOfOneIterationAreServedOnceIdleOnesAreShed() throws Exception {
     try (MixerTestHarness harness =
         new MixerTestHarness(
             "\"sockets\": 1024", "\"sockets\": 256", "\"MostHeld\": 60", "\"MostHeld\": 9000")) {
--- a/mixer/src/test/java/gingerring/server/ScanRaceTest.java
+++ b/mixer/src/test/java/gingerring/server/ScanRaceTest.java
@@ -20,9 +20,9 @@
       harness.announceAndAwaitReady(box);
       MixerTestHarness.Client client = harness.connectClient();
       client.write(harness.scanRequest("search", 2000, 0));
-      MixerTestHarness.BoxConnection link = box.acceptConnection();
-      MixerTestHarness.Frame request = link.readCall();
-      link.answer(request, "done");
+      MixerTestHarness.BoxConnection connection = box.acceptConnection();
+      MixerTestHarness.Frame request = connection.readCall();
+      connection.answer(request, "done");
       assertEquals(
           "200 {\"whole\":true,\"results\":[{\"partition\":0,\"value\":\"v"
               + harness.lastTransactionId()
@@ -32,7 +32,7 @@
   }
 
   @Test
-  void scanReadInSameTurnAsDrainingListIsNotSent() throws Exception {
+  void scanReadInSameIterationAsDrainingListIsNotSent() throws Exception {
     for (boolean listFirst : new boolean[] {true, false}) {
       try (MixerTestHarness harness = new MixerTestHarness()) {
         MixerTestHarness.Box box = harness.box("b0", 0);
@@ -71,15 +71,15 @@
       String scan = harness.scanRequest("search", 2000, 0);
       MixerTestHarness.Client client = harness.connectClient();
       client.write(scan);
-      MixerTestHarness.BoxConnection link = box.acceptConnection();
-      link.answer(link.readCall(), "done");
+      MixerTestHarness.BoxConnection connection = box.acceptConnection();
+      connection.answer(connection.readCall(), "done");
       assertTrue(client.readAnswer().startsWith("200"));
       for (int i = 0; i < 5; i++) {
         client.write(scan);
         assertTrue(client.readAnswer().startsWith("400"), "a mark has to be fresh");
       }
       client.write(harness.scanRequest("search", 2000, 0));
-      link.answer(link.readCall(), "done");
+      connection.answer(connection.readCall(), "done");
       assertTrue(client.readAnswer().startsWith("200"), "the connection goes on");
       assertEquals(1, harness.count("links dialled"));
     }
@@ -100,7 +100,7 @@
    * what came is heard first, and one thing or the other ends the scan, once.
    */
   @Test
-  void timersDueInTurnOfRacingEventEndScanOnce() throws Exception {
+  void timersDueInIterationOfRacingEventEndScanOnce() throws Exception {
     for (RacingEvent event : RacingEvent.values()) {
       for (String serviceClass : new String[] {"search", "post"}) {
         try (MixerTestHarness harness = new MixerTestHarness()) {
@@ -108,13 +108,13 @@
           MixerTestHarness.DiscoveryConnection watch = harness.announceAndAwaitReady(box);
           MixerTestHarness.Client client = harness.connectClient();
           client.write(harness.scanRequest(serviceClass, DEADLINE_MS, 0));
-          MixerTestHarness.BoxConnection link = box.acceptConnection();
-          MixerTestHarness.Frame request = link.readCall();
+          MixerTestHarness.BoxConnection connection = box.acceptConnection();
+          MixerTestHarness.Frame request = connection.readCall();
           try (MixerTestHarness.LoopGate gate = harness.pauseLoop()) {
             switch (event) {
-              case ANSWER -> link.answer(request, "done");
-              case ANSWER_FAILED -> link.answer(request, "failed");
-              case SEARCHER_CLOSES -> link.close();
+              case ANSWER -> connection.answer(request, "done");
+              case ANSWER_FAILED -> connection.answer(request, "failed");
+              case SEARCHER_CLOSES -> connection.close();
               case CLIENT_CLOSES -> client.close();
               case CLIENT_RESETS -> client.reset();
               case SEARCHER_REMOVED -> watch.sendLine(MixerTestHarness.memberListLine(2, true));
--- a/mixer/src/test/java/gingerring/server/SearcherAddressRaceTest.java
+++ b/mixer/src/test/java/gingerring/server/SearcherAddressRaceTest.java
@@ -27,7 +27,7 @@
       try (MixerTestHarness harness = new MixerTestHarness(LONG_DIAL_TIMEOUT)) {
         SlowAcceptSearcher oldSearcher = harness.closeAtEnd(new SlowAcceptSearcher("b0", 0));
         MixerTestHarness.DiscoveryConnection watch = harness.agent.acceptWatch();
-        watch.sendLine(MixerTestHarness.memberListLine(1, true, oldSearcher.member("SERVING")));
+        watch.sendLine(MixerTestHarness.memberListLine(1, true, oldSearcher.memberJson("SERVING")));
         harness.awaitReady();
         MixerTestHarness.Client client = harness.connectClient();
         client.write(harness.scanRequest("search", 2000, 0));
@@ -35,24 +35,24 @@
         MixerTestHarness.Box newSearcher = harness.box("b0", 0);
         if (establishedFirst) {
           oldSearcher.releaseBacklog();
-          MixerTestHarness.BoxConnection link = oldSearcher.link();
-          MixerTestHarness.Frame request = link.readCall();
+          MixerTestHarness.BoxConnection connection = oldSearcher.acceptConnection();
+          MixerTestHarness.Frame request = connection.readCall();
           watch.sendLine(
               MixerTestHarness.memberListLine(2, false, newSearcher.memberJson("SERVING")));
           harness.awaitCount("lists told", 2);
-          link.answer(request, "done"); // what has begun ends where it did
+          connection.answer(request, "done"); // what has begun ends where it did
         } else {
           watch.sendLine(
               MixerTestHarness.memberListLine(2, false, newSearcher.memberJson("SERVING")));
-          MixerTestHarness.BoxConnection link = newSearcher.acceptConnection();
-          link.answer(link.readCall(), "done");
+          MixerTestHarness.BoxConnection connection = newSearcher.acceptConnection();
+          connection.answer(connection.readCall(), "done");
         }
         assertTrue(client.readAnswer().startsWith("200 {\"whole\":true"));
         assertEquals(1, harness.count("trips SUCCEEDED"));
         if (establishedFirst) {
           client.write(harness.scanRequest("search", 2000, 0));
-          MixerTestHarness.BoxConnection link = newSearcher.acceptConnection();
-          link.answer(link.readCall(), "done");
+          MixerTestHarness.BoxConnection connection = newSearcher.acceptConnection();
+          connection.answer(connection.readCall(), "done");
           assertTrue(client.readAnswer().startsWith("200 {\"whole\":true"));
         }
         assertEquals(2, harness.count("links dialled"));
@@ -64,7 +64,7 @@
 
   /** Of two lists that are read in one turn the later one holds, whichever way round they come. */
   @Test
-  void laterOfTwoListsReadInOneTurnApplies() throws Exception {
+  void laterOfTwoListsReadInOneIterationApplies() throws Exception {
     for (boolean servingLast : new boolean[] {true, false}) {
       try (MixerTestHarness harness = new MixerTestHarness()) {
         MixerTestHarness.Box box = harness.box("b0", 0);
@@ -84,8 +84,8 @@
         }
         harness.awaitCount("lists told", 3);
         if (servingLast) {
-          MixerTestHarness.BoxConnection link = box.acceptConnection();
-          link.answer(link.readCall(), "done");
+          MixerTestHarness.BoxConnection connection = box.acceptConnection();
+          connection.answer(connection.readCall(), "done");
           assertTrue(client.readAnswer().startsWith("200"));
         } else {
           assertTrue(client.readAnswer().startsWith("503"));
--- a/mixer/src/test/java/gingerring/server/SearcherCloseRaceTest.java
+++ b/mixer/src/test/java/gingerring/server/SearcherCloseRaceTest.java
@@ -56,11 +56,11 @@
     CLOSE,
     RESET;
 
-    void apply(MixerTestHarness.BoxConnection link) throws IOException {
+    void apply(MixerTestHarness.BoxConnection connection) throws IOException {
       switch (this) {
-        case HALF_CLOSE -> link.halfClose();
-        case CLOSE -> link.close();
-        case RESET -> link.reset();
+        case HALF_CLOSE -> connection.halfClose();
+        case CLOSE -> connection.close();
+        case RESET -> connection.reset();
       }
     }
   }
@@ -126,8 +126,8 @@
     final ReadBlocker readBlocker = new ReadBlocker();
     final MixerTestHarness harness;
     final MixerTestHarness.Box b0;
-    final MixerTestHarness.BoxConnection b0Link;
-    final MixerTestHarness.BoxConnection[] otherLinks = new MixerTestHarness.BoxConnection[2];
+    final MixerTestHarness.BoxConnection b0Connection;
+    final MixerTestHarness.BoxConnection[] otherConnections = new MixerTestHarness.BoxConnection[2];
     final MixerTestHarness.Client client;
 
     /** {@code windowMs}: of the class that may run again in it. */
@@ -167,14 +167,15 @@
       for (int i = 0; i < 2; i++) {
         for (int requestIndex = 0; requestIndex < 2; requestIndex++) {
           harness.connectClient().write(scan("search", i + 1));
-          otherLinks[i] = requestIndex == 0 ? boxes[i].acceptConnection() : otherLinks[i];
-          otherLinks[i].readCall();
+          otherConnections[i] =
+              requestIndex == 0 ? boxes[i].acceptConnection() : otherConnections[i];
+          otherConnections[i].readCall();
         }
       }
       client = harness.connectClient();
       client.write(scan("search", 0));
-      b0Link = b0.acceptConnection();
-      b0Link.answer(b0Link.readCall(), "done");
+      b0Connection = b0.acceptConnection();
+      b0Connection.answer(b0Connection.readCall(), "done");
       assertTrue(client.readAnswer().startsWith("200"));
     }
 
@@ -184,22 +185,22 @@
 
     /** The part comes to another box, by itself, and is done there. */
     void assertAnsweredByOtherBox(int partition) throws IOException {
-      MixerTestHarness.BoxConnection otherLink = otherLinks[partition == 0 ? 0 : 1];
-      MixerTestHarness.Frame request = otherLink.readCall();
+      MixerTestHarness.BoxConnection otherConnection = otherConnections[partition == 0 ? 0 : 1];
+      MixerTestHarness.Frame request = otherConnection.readCall();
       assertEquals(List.of(harness.lastTransactionId() + '.' + partition), request.partIds());
-      otherLink.answer(request, "done");
+      otherConnection.answer(request, "done");
     }
 
     /**
      * The next that each of the other boxes hears of is what is sent to it now: nothing else was.
      */
     void assertNothingElseSent() throws Exception {
-      for (int i = 0; i < otherLinks.length; i++) {
+      for (int i = 0; i < otherConnections.length; i++) {
         int partition = i + 1;
         harness.connectClient().write(scan("search", partition));
         assertEquals(
             List.of(harness.lastTransactionId() + '.' + partition),
-            otherLinks[i].readCall().partIds());
+            otherConnections[i].readCall().partIds());
       }
     }
 
@@ -234,29 +235,29 @@
    */
   @ParameterizedTest
   @MethodSource("closeCases")
-  void closeReadInTurnOfScanDoesNotFailIt(CloseCase closeCase) throws Exception {
+  void closeReadInIterationOfScanDoesNotFailIt(CloseCase closeCase) throws Exception {
     try (ThreeBoxFixture fixture = new ThreeBoxFixture(5000)) {
       boolean closeFirst = closeCase.variant;
       try (MixerTestHarness.LoopGate gate = fixture.harness.pauseLoop()) {
         if (closeFirst) {
-          closeCase.closeMode.apply(fixture.b0Link);
+          closeCase.closeMode.apply(fixture.b0Connection);
           gate.awaitPosted(1);
         }
         int postedBefore = gate.postedCount();
         fixture.client.write(fixture.scan(closeCase.serviceClass, 0));
         gate.awaitPosted(postedBefore + 1);
         if (!closeFirst) {
-          closeCase.closeMode.apply(fixture.b0Link);
+          closeCase.closeMode.apply(fixture.b0Connection);
           gate.awaitPosted(postedBefore + 2);
         }
       }
-      MixerTestHarness.BoxConnection newLink = fixture.b0.acceptConnection();
-      MixerTestHarness.Frame request = newLink.readCall();
+      MixerTestHarness.BoxConnection newConnection = fixture.b0.acceptConnection();
+      MixerTestHarness.Frame request = newConnection.readCall();
       assertEquals(List.of(fixture.harness.lastTransactionId() + ".0"), request.partIds());
-      newLink.answer(request, "done");
+      newConnection.answer(request, "done");
       assertTrue(fixture.readOnlyAnswer().startsWith("200 {\"whole\":true"));
       if (closeCase.closeMode == CloseMode.HALF_CLOSE) {
-        assertEquals(0, countRemainingBytes(fixture.b0Link));
+        assertEquals(0, countRemainingBytes(fixture.b0Connection));
       }
       fixture.assertNothingElseSent();
       fixture.assertTripCounts(0, 0);
@@ -271,26 +272,26 @@
   @MethodSource("closeCasesWithoutVariant")
   void partQueuedButNeverWrittenIsSentToAnotherBox(CloseCase closeCase) throws Exception {
     try (ThreeBoxFixture fixture = new ThreeBoxFixture(5000)) {
-      CountDownLatch inTurn = new CountDownLatch(1);
+      CountDownLatch inIteration = new CountDownLatch(1);
       CountDownLatch resume = new CountDownLatch(1);
       try (MixerTestHarness.LoopGate gate = fixture.harness.pauseLoop()) {
         fixture.client.write(fixture.scan(closeCase.serviceClass, 0));
         gate.awaitPosted(1);
         fixture.harness.server.loop.post(
             () -> {
-              inTurn.countDown();
+              inIteration.countDown();
               awaitLatch(resume);
             });
       }
-      awaitLatch(inTurn); // the scan is in this turn, and what is posted from now on is not
-      closeCase.closeMode.apply(fixture.b0Link);
+      awaitLatch(inIteration); // the scan is in this turn, and what is posted from now on is not
+      closeCase.closeMode.apply(fixture.b0Connection);
       MixerTestHarness.await(
           "the word of the close", () -> fixture.harness.server.loop.queuedEvents() >= 1);
       resume.countDown();
       fixture.assertAnsweredByOtherBox(0);
       assertTrue(fixture.readOnlyAnswer().startsWith("200 {\"whole\":true"));
       if (closeCase.closeMode == CloseMode.HALF_CLOSE) {
-        assertEquals(0, countRemainingBytes(fixture.b0Link));
+        assertEquals(0, countRemainingBytes(fixture.b0Connection));
       }
       fixture.assertNothingElseSent();
       fixture.assertTripCounts(0, 1);
@@ -316,7 +317,7 @@
         blockedClient.write(
             "GET /ready HTTP/1.1\r\nHost: x\r\n" + ReadBlocker.MARKER_HEADER + ": 1\r\n\r\n");
         awaitLatch(fixture.readBlocker.reached);
-        closeCase.closeMode.apply(fixture.b0Link);
+        closeCase.closeMode.apply(fixture.b0Connection);
       }
       fixture.harness.runIterations(2); // the part is MINA's, which writes before it reads again
       fixture.readBlocker.released.countDown();
@@ -324,8 +325,8 @@
       if (closeCase.closeMode == CloseMode.HALF_CLOSE) {
         assertEquals(
             List.of(fixture.harness.lastTransactionId() + ".0"),
-            fixture.b0Link.readCall().partIds());
-        assertEquals(0, countRemainingBytes(fixture.b0Link));
+            fixture.b0Connection.readCall().partIds());
+        assertEquals(0, countRemainingBytes(fixture.b0Connection));
       }
       assertOutcomeOfClass(fixture, closeCase, mayHaveRun);
       fixture.assertTripCounts(mayHaveRun ? 1 : 0, mayHaveRun ? 0 : 1);
@@ -354,9 +355,10 @@
     try (ThreeBoxFixture fixture = new ThreeBoxFixture(5000)) {
       fixture.client.write(fixture.scan(closeCase.serviceClass, 0));
       assertEquals(
-          List.of(fixture.harness.lastTransactionId() + ".0"), fixture.b0Link.readCall().partIds());
+          List.of(fixture.harness.lastTransactionId() + ".0"),
+          fixture.b0Connection.readCall().partIds());
       try (MixerTestHarness.LoopGate gate = fixture.harness.pauseLoop()) {
-        closeCase.closeMode.apply(fixture.b0Link);
+        closeCase.closeMode.apply(fixture.b0Connection);
         gate.awaitPosted(1);
       }
       assertOutcomeOfClass(fixture, closeCase, true);
@@ -372,12 +374,13 @@
     try (ThreeBoxFixture fixture = new ThreeBoxFixture(windowMs)) {
       fixture.client.write(fixture.scan("post", 0));
       assertEquals(
-          List.of(fixture.harness.lastTransactionId() + ".0"), fixture.b0Link.readCall().partIds());
+          List.of(fixture.harness.lastTransactionId() + ".0"),
+          fixture.b0Connection.readCall().partIds());
       long readAtNanos = System.nanoTime();
       try (MixerTestHarness.LoopGate gate = fixture.harness.pauseLoop()) {
         MixerTestHarness.await(
             "the end of the window", () -> System.nanoTime() - readAtNanos > windowMs * 1_000_000L);
-        closeMode.apply(fixture.b0Link);
+        closeMode.apply(fixture.b0Connection);
         gate.awaitPosted(1);
       }
       assertTrue(fixture.readOnlyAnswer().startsWith("500"));
@@ -399,18 +402,18 @@
         int unanswered = 3 - answered;
         fixture.client.write(fixture.scan(closeCase.serviceClass, 0, 3));
         String idempotencyKey = fixture.harness.lastTransactionId();
-        assertEquals(2, fixture.b0Link.readCall().partIds().size());
+        assertEquals(2, fixture.b0Connection.readCall().partIds().size());
         try (MixerTestHarness.LoopGate gate = fixture.harness.pauseLoop()) {
           byte[] unansweredResult =
               MixerTestHarness.BoxConnection.resultFrame(idempotencyKey + '.' + unanswered, "done");
-          fixture.b0Link.write(
+          fixture.b0Connection.write(
               MixerTestHarness.BoxConnection.resultFrame(idempotencyKey + '.' + answered, "done"));
-          fixture.b0Link.write(
+          fixture.b0Connection.write(
               closeCase.variant
                   ? Arrays.copyOf(unansweredResult, unansweredResult.length - 1)
                   : new byte[0]);
           gate.awaitPosted(1);
-          closeCase.closeMode.apply(fixture.b0Link);
+          closeCase.closeMode.apply(fixture.b0Connection);
           gate.awaitPosted(2);
         }
         if (closeCase.retryable()) {
@@ -479,7 +482,7 @@
     final Backend backend;
     final Duration dialTimeout;
     ServerSocket listener = new ServerSocket(0, 8, InetAddress.getLoopbackAddress());
-    final List<MixerTestHarness.BoxConnection> links = new ArrayList<>();
+    final List<MixerTestHarness.BoxConnection> connections = new ArrayList<>();
 
     /** The words that the dials are up, or refused. */
     final List<Runnable> dialResults = new ArrayList<>();
@@ -515,9 +518,9 @@
 
     private void dialForProbe() throws Exception {
       backend.probe(SEARCHER);
-      runTurn();
+      runIteration();
       assertEquals(dialResults.size() + 1, counts.get("links dialled"));
-      links.add(new MixerTestHarness.BoxConnection(listener.accept()));
+      connections.add(new MixerTestHarness.BoxConnection(listener.accept()));
       dialResults.add(nextEvent());
     }
 
@@ -537,7 +540,7 @@
 
     void passDialTimeout() {
       loop.now = loop.now.plus(dialTimeout);
-      runTurn();
+      runIteration();
     }
 
     Runnable nextEvent() throws InterruptedException {
@@ -548,7 +551,7 @@
     }
 
     /** A turn as the loop makes it. */
-    void runTurn(Runnable... events) {
+    void runIteration(Runnable... events) {
       Arrays.stream(events).forEach(Runnable::run);
       while (!loop.timers.isEmpty() && loop.timers.peek().dueAt.compareTo(loop.now) <= 0) {
         loop.timers.poll().task.run();
@@ -558,19 +561,21 @@
     }
 
     /** Turns with what is heard of, but for the words kept back, until it is so. */
-    void runTurnsUntil(BooleanSupplier condition) throws InterruptedException {
+    void runIterationsUntil(BooleanSupplier condition) throws InterruptedException {
       while (!condition.getAsBoolean()) {
-        runTurn(nextEvent());
+        runIteration(nextEvent());
       }
     }
 
-    void assertProbeReceivedOn(int linkIndex) throws IOException {
-      assertEquals('H', links.get(linkIndex).readFrame().type());
+    void assertProbeReceivedOn(int connectionIndex) throws IOException {
+      assertEquals('H', connections.get(connectionIndex).readFrame().type());
     }
 
-    void answerProbe(int linkIndex) throws Exception {
-      links.get(linkIndex).write(MixerTestHarness.BoxConnection.encodeFrame('H', "done"));
-      runTurnsUntil(() -> probeOutcomes.size() == 1);
+    void answerProbe(int connectionIndex) throws Exception {
+      connections
+          .get(connectionIndex)
+          .write(MixerTestHarness.BoxConnection.encodeFrame('H', "done"));
+      runIterationsUntil(() -> probeOutcomes.size() == 1);
       assertEquals(List.of(Outcome.SUCCEEDED), probeOutcomes);
     }
 
@@ -578,13 +583,13 @@
      * Nothing more goes by any connection, and nothing more is told, also once all times are over.
      */
     void assertFinalOutcome(Outcome outcome) throws Exception {
-      runTurn();
+      runIteration();
       passDialTimeout();
       backend.closeIdle(SEARCHER);
-      runTurnsUntil(() -> network.connectionCount() == 0);
-      for (MixerTestHarness.BoxConnection link : links) {
-        if (!link.socket.isClosed()) {
-          assertEquals(0, countRemainingBytes(link));
+      runIterationsUntil(() -> network.connectionCount() == 0);
+      for (MixerTestHarness.BoxConnection connection : connections) {
+        if (!connection.socket.isClosed()) {
+          assertEquals(0, countRemainingBytes(connection));
         }
       }
       assertEquals(List.of(outcome), probeOutcomes);
@@ -602,15 +607,15 @@
     @Override
     public void close() throws IOException {
       network.dispose();
-      for (MixerTestHarness.BoxConnection link : links) {
-        link.close();
+      for (MixerTestHarness.BoxConnection connection : connections) {
+        connection.close();
       }
       listener.close();
     }
   }
 
   private enum OtherDialOrder {
-    ESTABLISHED_IN_SAME_TURN,
+    ESTABLISHED_IN_SAME_ITERATION,
     ESTABLISHED_BEFORE_ANSWER,
     ESTABLISHED_AFTER_ANSWER
   }
@@ -632,18 +637,18 @@
     try (DialFixture fixture = DialFixture.withTwoDials()) {
       Runnable establishedFirst = fixture.dialResults.get(first);
       Runnable establishedSecond = fixture.dialResults.get(1 - first);
-      if (other == OtherDialOrder.ESTABLISHED_IN_SAME_TURN) {
-        fixture.runTurn(establishedFirst, establishedSecond);
+      if (other == OtherDialOrder.ESTABLISHED_IN_SAME_ITERATION) {
+        fixture.runIteration(establishedFirst, establishedSecond);
       } else {
-        fixture.runTurn(establishedFirst);
+        fixture.runIteration(establishedFirst);
       }
       fixture.assertProbeReceivedOn(first);
       if (other == OtherDialOrder.ESTABLISHED_BEFORE_ANSWER) {
-        fixture.runTurn(establishedSecond);
+        fixture.runIteration(establishedSecond);
       }
       fixture.answerProbe(first);
       if (other == OtherDialOrder.ESTABLISHED_AFTER_ANSWER) {
-        fixture.runTurn(establishedSecond);
+        fixture.runIteration(establishedSecond);
       }
       fixture.assertFinalOutcome(Outcome.SUCCEEDED);
       assertEquals(2, fixture.counts.get("links dialled"));
@@ -656,14 +661,14 @@
    */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
-  void probeUsesLateDialEstablishedInItsTurn(boolean dialFirst) throws Exception {
+  void probeUsesLateDialEstablishedInItsIteration(boolean dialFirst) throws Exception {
     try (DialFixture fixture = new DialFixture()) {
       fixture.dialForProbe();
       fixture.passDialTimeout();
       fixture.probeOutcomes.clear();
       Runnable probeRequest = () -> fixture.backend.probe(DialFixture.SEARCHER);
       Runnable established = fixture.dialResults.get(0);
-      fixture.runTurn(
+      fixture.runIteration(
           dialFirst ? established : probeRequest, dialFirst ? probeRequest : established);
       fixture.assertProbeReceivedOn(0);
       fixture.answerProbe(0);
@@ -679,8 +684,8 @@
     try (DialFixture fixture = DialFixture.withTwoDials()) {
       fixture.passDialTimeout();
       assertEquals(List.of(Outcome.UNREACHABLE), fixture.probeOutcomes);
-      fixture.runTurn(fixture.dialResults.get(first));
-      fixture.runTurn(fixture.dialResults.get(1 - first));
+      fixture.runIteration(fixture.dialResults.get(first));
+      fixture.runIteration(fixture.dialResults.get(1 - first));
       fixture.assertFinalOutcome(Outcome.UNREACHABLE);
     }
   }
@@ -691,12 +696,12 @@
    */
   @ParameterizedTest
   @ValueSource(ints = {0, 1})
-  void probeIsSentOnDialEstablishedInTurnOfItsTimeout(int first) throws Exception {
+  void probeIsSentOnDialEstablishedInIterationOfItsTimeout(int first) throws Exception {
     try (DialFixture fixture = DialFixture.withTwoDials()) {
       fixture.loop.now = fixture.loop.now.plus(fixture.dialTimeout);
-      fixture.runTurn(fixture.dialResults.get(first));
+      fixture.runIteration(fixture.dialResults.get(first));
       fixture.assertProbeReceivedOn(first);
-      fixture.runTurn(fixture.dialResults.get(1 - first));
+      fixture.runIteration(fixture.dialResults.get(1 - first));
       fixture.answerProbe(first);
       fixture.assertFinalOutcome(Outcome.SUCCEEDED);
     }
@@ -711,15 +716,18 @@
   @ValueSource(ints = {0, 1})
   void probeTimedOutOnOneConnectionLeavesOtherToNextProbe(int first) throws Exception {
     try (DialFixture fixture = DialFixture.withTwoDials()) {
-      fixture.runTurn(fixture.dialResults.get(first));
+      fixture.runIteration(fixture.dialResults.get(first));
       fixture.assertProbeReceivedOn(first);
-      fixture.runTurn(fixture.dialResults.get(1 - first));
+      fixture.runIteration(fixture.dialResults.get(1 - first));
       fixture.passDialTimeout();
       assertEquals(List.of(Outcome.TIMED_OUT), fixture.probeOutcomes);
       fixture.probeOutcomes.clear();
-      fixture.links.get(first).write(MixerTestHarness.BoxConnection.encodeFrame('H', "failed"));
+      fixture
+          .connections
+          .get(first)
+          .write(MixerTestHarness.BoxConnection.encodeFrame('H', "failed"));
       fixture.backend.probe(DialFixture.SEARCHER);
-      fixture.runTurn();
+      fixture.runIteration();
       fixture.assertProbeReceivedOn(1 - first);
       fixture.answerProbe(1 - first);
       fixture.assertFinalOutcome(Outcome.SUCCEEDED);
@@ -732,14 +740,14 @@
    */
   @ParameterizedTest
   @ValueSource(ints = {0, 1})
-  void probeAnswerReadInTurnOfItsTimeoutCounts(int first) throws Exception {
+  void probeAnswerReadInIterationOfItsTimeoutCounts(int first) throws Exception {
     try (DialFixture fixture = DialFixture.withTwoDials()) {
-      fixture.runTurn(fixture.dialResults.get(first), fixture.dialResults.get(1 - first));
+      fixture.runIteration(fixture.dialResults.get(first), fixture.dialResults.get(1 - first));
       fixture.assertProbeReceivedOn(first);
-      fixture.runTurnsUntil(fixture.network::isFlushed);
-      fixture.links.get(first).write(MixerTestHarness.BoxConnection.encodeFrame('H', "done"));
+      fixture.runIterationsUntil(fixture.network::isFlushed);
+      fixture.connections.get(first).write(MixerTestHarness.BoxConnection.encodeFrame('H', "done"));
       fixture.loop.now = fixture.loop.now.plus(fixture.dialTimeout);
-      fixture.runTurn(fixture.nextEvent());
+      fixture.runIteration(fixture.nextEvent());
       fixture.assertFinalOutcome(Outcome.SUCCEEDED);
     }
   }
@@ -755,12 +763,12 @@
       for (boolean otherEstablishedFirst : new boolean[] {true, false}) {
         try (DialFixture fixture = DialFixture.withTwoDials()) {
           Runnable otherEstablished = fixture.dialResults.get(1 - first);
-          fixture.runTurn(fixture.dialResults.get(first));
+          fixture.runIteration(fixture.dialResults.get(first));
           fixture.assertProbeReceivedOn(first);
-          fixture.runTurnsUntil(fixture.network::isFlushed);
-          closeMode.apply(fixture.links.get(first));
+          fixture.runIterationsUntil(fixture.network::isFlushed);
+          closeMode.apply(fixture.connections.get(first));
           Runnable closeEvent = fixture.nextEvent();
-          fixture.runTurn(
+          fixture.runIteration(
               otherEstablishedFirst ? otherEstablished : closeEvent,
               otherEstablishedFirst ? closeEvent : otherEstablished);
           fixture.assertFinalOutcome(Outcome.BROKEN);
@@ -771,9 +779,9 @@
 
   private enum RefusalOrder {
     REFUSED_FIRST,
-    REFUSED_FIRST_IN_ONE_TURN,
+    REFUSED_FIRST_IN_ONE_ITERATION,
     REFUSED_LAST,
-    REFUSED_LAST_IN_ONE_TURN
+    REFUSED_LAST_IN_ONE_ITERATION
   }
 
   /**
@@ -789,16 +797,17 @@
       fixture.probeOutcomes.clear();
       fixture.refuseConnections();
       fixture.backend.probe(DialFixture.SEARCHER);
-      fixture.runTurn();
+      fixture.runIteration();
       Runnable established = fixture.dialResults.get(0);
       Runnable refused = fixture.nextEvent();
       boolean establishedFirst =
-          refusal == RefusalOrder.REFUSED_LAST || refusal == RefusalOrder.REFUSED_LAST_IN_ONE_TURN;
+          refusal == RefusalOrder.REFUSED_LAST
+              || refusal == RefusalOrder.REFUSED_LAST_IN_ONE_ITERATION;
       if (refusal == RefusalOrder.REFUSED_FIRST || refusal == RefusalOrder.REFUSED_LAST) {
-        fixture.runTurn(establishedFirst ? established : refused);
-        fixture.runTurn(establishedFirst ? refused : established);
+        fixture.runIteration(establishedFirst ? established : refused);
+        fixture.runIteration(establishedFirst ? refused : established);
       } else {
-        fixture.runTurn(
+        fixture.runIteration(
             establishedFirst ? established : refused, establishedFirst ? refused : established);
       }
       if (establishedFirst) {
@@ -812,9 +821,9 @@
 
   private enum EventOrder {
     REFUSED_FIRST,
-    REFUSED_FIRST_IN_ONE_TURN,
+    REFUSED_FIRST_IN_ONE_ITERATION,
     ESTABLISHED_FIRST,
-    ESTABLISHED_FIRST_IN_ONE_TURN
+    ESTABLISHED_FIRST_IN_ONE_ITERATION
   }
 
   /**
@@ -827,28 +836,28 @@
     try (DialFixture fixture = new DialFixture()) {
       fixture.refuseConnections();
       fixture.backend.probe(DialFixture.SEARCHER);
-      fixture.runTurn();
+      fixture.runIteration();
       Runnable refused = fixture.nextEvent();
       fixture.passDialTimeout();
       assertEquals(List.of(Outcome.UNREACHABLE), fixture.probeOutcomes);
       fixture.probeOutcomes.clear();
       fixture.admitConnections();
       fixture.backend.probe(DialFixture.SEARCHER);
-      fixture.runTurn();
+      fixture.runIteration();
       assertEquals(2, fixture.counts.get("links dialled"));
-      fixture.links.add(new MixerTestHarness.BoxConnection(fixture.listener.accept()));
+      fixture.connections.add(new MixerTestHarness.BoxConnection(fixture.listener.accept()));
       Runnable established = fixture.nextEvent();
       switch (order) {
         case REFUSED_FIRST -> {
-          fixture.runTurn(refused);
-          fixture.runTurn(established);
+          fixture.runIteration(refused);
+          fixture.runIteration(established);
         }
-        case REFUSED_FIRST_IN_ONE_TURN -> fixture.runTurn(refused, established);
+        case REFUSED_FIRST_IN_ONE_ITERATION -> fixture.runIteration(refused, established);
         case ESTABLISHED_FIRST -> {
-          fixture.runTurn(established);
-          fixture.runTurn(refused);
+          fixture.runIteration(established);
+          fixture.runIteration(refused);
         }
-        case ESTABLISHED_FIRST_IN_ONE_TURN -> fixture.runTurn(established, refused);
+        case ESTABLISHED_FIRST_IN_ONE_ITERATION -> fixture.runIteration(established, refused);
       }
       fixture.assertProbeReceivedOn(0);
       fixture.answerProbe(0);
@@ -869,20 +878,20 @@
       fixture.passDialTimeout();
       fixture.probeOutcomes.clear();
       fixture.backend.probe(DialFixture.SEARCHER);
-      fixture.runTurn();
+      fixture.runIteration();
       assertEquals(3, fixture.counts.get("links dialled"));
-      fixture.links.add(new MixerTestHarness.BoxConnection(fixture.listener.accept()));
+      fixture.connections.add(new MixerTestHarness.BoxConnection(fixture.listener.accept()));
       if (secondEstablishedFirst) {
-        fixture.runTurn(fixture.dialResults.get(0), fixture.dialResults.get(1));
+        fixture.runIteration(fixture.dialResults.get(0), fixture.dialResults.get(1));
       } else {
-        fixture.runTurn(fixture.dialResults.get(0));
-        fixture.runTurnsUntil(
+        fixture.runIteration(fixture.dialResults.get(0));
+        fixture.runIterationsUntil(
             () -> !fixture.network.isFlushed()); // the third is up, and the probe on its way
-        fixture.runTurn(fixture.dialResults.get(1));
+        fixture.runIteration(fixture.dialResults.get(1));
       }
-      int expectedLink = secondEstablishedFirst ? 1 : 2;
-      fixture.assertProbeReceivedOn(expectedLink);
-      fixture.answerProbe(expectedLink);
+      int expectedConnection = secondEstablishedFirst ? 1 : 2;
+      fixture.assertProbeReceivedOn(expectedConnection);
+      fixture.answerProbe(expectedConnection);
       fixture.assertFinalOutcome(Outcome.SUCCEEDED);
     }
   }
--- a/mixer/src/test/java/gingerring/server/SearcherConnectionRaceTest.java
+++ b/mixer/src/test/java/gingerring/server/SearcherConnectionRaceTest.java
@@ -33,15 +33,16 @@
   }
 
   /** Nothing but probes comes for a while. */
-  private static boolean receivesNoRequest(MixerTestHarness.BoxConnection link) throws IOException {
-    link.socket.setSoTimeout(NO_TRAFFIC_WAIT_MS);
+  private static boolean receivesNoRequest(MixerTestHarness.BoxConnection connection)
+      throws IOException {
+    connection.socket.setSoTimeout(NO_TRAFFIC_WAIT_MS);
     try {
-      link.readCall();
+      connection.readCall();
       return false;
     } catch (SocketTimeoutException e) {
       return true;
     } finally {
-      link.socket.setSoTimeout(MixerTestHarness.TIMEOUT_MS);
+      connection.socket.setSoTimeout(MixerTestHarness.TIMEOUT_MS);
     }
   }
 
@@ -54,14 +55,14 @@
       try (MixerTestHarness harness =
           new MixerTestHarness(concatenate(cancelSetting, LONG_DIAL_TIMEOUT))) {
         SlowAcceptSearcher slowSearcher = harness.closeAtEnd(new SlowAcceptSearcher("late", 0));
-        startWithMembers(harness, slowSearcher.member("SERVING"));
+        startWithMembers(harness, slowSearcher.memberJson("SERVING"));
         MixerTestHarness.Client client = harness.connectClient();
         client.write(harness.scanRequest("search", 2000, 0));
         harness.awaitCount("links dialled", 1);
         client.close();
         harness.awaitCount("clients that left", 1);
         slowSearcher.releaseBacklog();
-        assertTrue(receivesNoRequest(slowSearcher.link()));
+        assertTrue(receivesNoRequest(slowSearcher.acceptConnection()));
         assertEquals(1, harness.count("trips NOT_SENT"));
       }
     }
@@ -75,14 +76,14 @@
           new MixerTestHarness(concatenate(cancelSetting, LONG_DIAL_TIMEOUT))) {
         SlowAcceptSearcher slowSearcher = harness.closeAtEnd(new SlowAcceptSearcher("late", 3));
         MixerTestHarness.Box box = harness.box("box", 1);
-        startWithMembers(harness, slowSearcher.member("SERVING"), box.memberJson("SERVING"));
+        startWithMembers(harness, slowSearcher.memberJson("SERVING"), box.memberJson("SERVING"));
         MixerTestHarness.Client client = harness.connectClient();
         client.write(harness.scanRequest("search", 2000, 0, 2));
-        MixerTestHarness.BoxConnection link = box.acceptConnection();
-        link.answer(link.readCall(), "done");
+        MixerTestHarness.BoxConnection connection = box.acceptConnection();
+        connection.answer(connection.readCall(), "done");
         assertTrue(client.readAnswer().startsWith("200 {\"whole\":false"));
         slowSearcher.releaseBacklog();
-        assertTrue(receivesNoRequest(slowSearcher.link()));
+        assertTrue(receivesNoRequest(slowSearcher.acceptConnection()));
         assertEquals(1, harness.count("trips NOT_SENT"));
       }
     }
@@ -97,12 +98,12 @@
       try (MixerTestHarness harness =
           new MixerTestHarness(concatenate(cancelSetting, LONG_DIAL_TIMEOUT))) {
         SlowAcceptSearcher slowSearcher = harness.closeAtEnd(new SlowAcceptSearcher("late", 0));
-        startWithMembers(harness, slowSearcher.member("SERVING"));
+        startWithMembers(harness, slowSearcher.memberJson("SERVING"));
         MixerTestHarness.Client client = harness.connectClient();
         client.write(harness.scanRequest("post", 2000, 0));
         assertTrue(client.readAnswer().startsWith("50"));
         slowSearcher.releaseBacklog();
-        assertTrue(receivesNoRequest(slowSearcher.link()));
+        assertTrue(receivesNoRequest(slowSearcher.acceptConnection()));
         assertEquals(1, harness.count("trips NOT_SENT"));
       }
     }
@@ -131,7 +132,7 @@
           new MixerTestHarness(concatenate(SHORT_IDEMPOTENCY_WINDOW, LONG_DIAL_TIMEOUT))) {
         SlowAcceptSearcher slowSearcher = harness.closeAtEnd(new SlowAcceptSearcher("late", 0));
         MixerTestHarness.DiscoveryConnection watch =
-            startWithMembers(harness, slowSearcher.member("SERVING"));
+            startWithMembers(harness, slowSearcher.memberJson("SERVING"));
         MixerTestHarness.Client client = harness.connectClient();
         client.write(harness.scanRequest("post", 2000, 0));
         harness.awaitCount("links dialled", 1);
@@ -142,12 +143,12 @@
           assertEquals(1, otherBox.acceptConnection().readCall().partIds().size());
         }
         slowSearcher.releaseBacklog(); // it comes up a second after it was dialled, or two
-        MixerTestHarness.BoxConnection link = slowSearcher.link();
+        MixerTestHarness.BoxConnection connection = slowSearcher.acceptConnection();
         if (copied) {
-          assertTrue(receivesNoRequest(link));
+          assertTrue(receivesNoRequest(connection));
           harness.awaitCount("trips NOT_SENT", 1);
         } else {
-          link.answer(link.readCall(), "done");
+          connection.answer(connection.readCall(), "done");
           assertTrue(client.readAnswer().startsWith("200"));
         }
       }
@@ -159,14 +160,14 @@
    * by now.
    */
   @Test
-  void partWhoseDeadlinePassesWithinItsTurnIsNotSent() throws Exception {
+  void partWhoseDeadlinePassesWithinItsIterationIsNotSent() throws Exception {
     try (MixerTestHarness harness = new MixerTestHarness()) {
       MixerTestHarness.Box box = harness.box("b0", 0);
       harness.announceAndAwaitReady(box);
       MixerTestHarness.Client client = harness.connectClient();
       client.write(harness.scanRequest("search", 2000, 0));
-      MixerTestHarness.BoxConnection link = box.acceptConnection();
-      link.answer(link.readCall(), "done");
+      MixerTestHarness.BoxConnection connection = box.acceptConnection();
+      connection.answer(connection.readCall(), "done");
       assertTrue(client.readAnswer().startsWith("200"));
       try (MixerTestHarness.LoopGate gate = harness.pauseLoop()) {
         client.write(harness.scanRequest("search", 2000, 0));
@@ -180,7 +181,7 @@
             });
       }
       harness.awaitCount("trips NOT_SENT", 1);
-      assertTrue(receivesNoRequest(link));
+      assertTrue(receivesNoRequest(connection));
     }
   }
 
@@ -196,14 +197,14 @@
    * any more.
    */
   @Test
-  void partIsNotSentOnConnectionEstablishedInTurnThatEndsIt() throws Exception {
+  void partIsNotSentOnConnectionEstablishedInIterationThatEndsIt() throws Exception {
     for (ConcurrentEvent event : ConcurrentEvent.values()) {
       for (boolean establishedFirst : new boolean[] {true, false}) {
         try (MixerTestHarness harness =
             new MixerTestHarness(concatenate(LONG_LATENCY_TARGET, LONG_DIAL_TIMEOUT))) {
           SlowAcceptSearcher slowSearcher = harness.closeAtEnd(new SlowAcceptSearcher("late", 0));
           MixerTestHarness.DiscoveryConnection watch =
-              startWithMembers(harness, slowSearcher.member("SERVING"));
+              startWithMembers(harness, slowSearcher.memberJson("SERVING"));
           MixerTestHarness.Client client = harness.connectClient();
           client.write(harness.scanRequest("search", 2900, 0));
           harness.awaitCount("links dialled", 1);
@@ -218,7 +219,8 @@
               case CLIENT_LEAVES -> client.close();
               case SEARCHER_DRAINS ->
                   watch.sendLine(
-                      MixerTestHarness.memberListLine(2, false, slowSearcher.member("DRAINING")));
+                      MixerTestHarness.memberListLine(
+                          2, false, slowSearcher.memberJson("DRAINING")));
               case SEARCHER_REMOVED -> watch.sendLine(MixerTestHarness.memberListLine(2, true));
               case SEARCHER_RESTARTED ->
                   watch.sendLine(
@@ -226,7 +228,7 @@
                           2,
                           false,
                           slowSearcher
-                              .member("SERVING")
+                              .memberJson("SERVING")
                               .replace(
                                   "\"up_since_ms\":0",
                                   "\"up_since_ms\":" + System.currentTimeMillis())));
@@ -238,12 +240,12 @@
             }
           }
           String description = event + ", up first: " + establishedFirst;
-          MixerTestHarness.BoxConnection link = slowSearcher.link();
+          MixerTestHarness.BoxConnection connection = slowSearcher.acceptConnection();
           if (event == ConcurrentEvent.SEARCHER_REMOVED
               || event == ConcurrentEvent.SEARCHER_RESTARTED) {
-            link.awaitEnd(); // the mixer closes its end too
+            connection.awaitEnd(); // the mixer closes its end too
           } else {
-            assertTrue(receivesNoRequest(link), description);
+            assertTrue(receivesNoRequest(connection), description);
           }
           harness.awaitCount("trips NOT_SENT", 1);
           assertEquals(0, harness.count("trips UNREACHABLE"), description);
@@ -295,7 +297,8 @@
                 }))) {
       SlowAcceptSearcher box =
           harness.closeAtEnd(SlowAcceptSearcher.withSmallReceiveBuffer("box", 0));
-      MixerTestHarness.DiscoveryConnection watch = startWithMembers(harness, box.member("SERVING"));
+      MixerTestHarness.DiscoveryConnection watch =
+          startWithMembers(harness, box.memberJson("SERVING"));
       int largeRequests = 80; // more than the kernel takes for it
       int smallRequests = 10; // room for so few bytes there would be
       for (int i = 0; i < largeRequests + smallRequests; i++) {
@@ -308,18 +311,18 @@
       harness.awaitCount("scans taken", largeRequests + smallRequests);
       harness.runIterations(3);
       long rejected = harness.count("nacks"); // on a machine that is too busy
-      watch.sendLine(MixerTestHarness.memberListLine(2, false, box.member("DRAINING")));
+      watch.sendLine(MixerTestHarness.memberListLine(2, false, box.memberJson("DRAINING")));
       harness.awaitCount("trips NOT_SENT", 1);
       harness.runIterations(3);
       long heldBack = harness.count("trips NOT_SENT");
-      MixerTestHarness.BoxConnection link = box.link();
+      MixerTestHarness.BoxConnection connection = box.acceptConnection();
       for (int partsReceived = 0;
           partsReceived < largeRequests + smallRequests - heldBack - rejected; ) {
-        MixerTestHarness.Frame request = link.readCall();
+        MixerTestHarness.Frame request = connection.readCall();
         partsReceived += request.partIds().size();
         assertTrue(request.payload().length > 60_000, "the small ones came last");
       }
-      assertTrue(receivesNoRequest(link), heldBack + " were kept back");
+      assertTrue(receivesNoRequest(connection), heldBack + " were kept back");
     }
   }
 
@@ -336,13 +339,13 @@
       startWithMembers(harness, box.memberJson("SERVING"));
       MixerTestHarness.Client client = harness.connectClient();
       client.write(harness.scanRequest("search", 2000, 0));
-      MixerTestHarness.BoxConnection link = box.acceptConnection();
+      MixerTestHarness.BoxConnection connection = box.acceptConnection();
       for (int i = 0; i < 3; i++) {
-        link.answer(link.readCall(), "done");
+        connection.answer(connection.readCall(), "done");
         assertTrue(client.readAnswer().startsWith("200"));
         client.write(harness.scanRequest("search", 2000, 0));
       }
-      link.answer(link.readCall(), "done");
+      connection.answer(connection.readCall(), "done");
       assertTrue(client.readAnswer().startsWith("200"));
       assertEquals(1, harness.count("links dialled"));
     }
@@ -356,16 +359,16 @@
   void connectionEstablishedAfterDialTimeoutServesNextPart() throws Exception {
     try (MixerTestHarness harness = new MixerTestHarness()) {
       SlowAcceptSearcher slowSearcher = harness.closeAtEnd(new SlowAcceptSearcher("late", 0));
-      startWithMembers(harness, slowSearcher.member("SERVING"));
+      startWithMembers(harness, slowSearcher.memberJson("SERVING"));
       MixerTestHarness.Client client = harness.connectClient();
       client.write(harness.scanRequest("search", 2000, 0));
       assertTrue(client.readAnswer().startsWith("503"));
       assertEquals(1, harness.count("trips UNREACHABLE"));
       slowSearcher.releaseBacklog();
-      MixerTestHarness.BoxConnection link = slowSearcher.link();
-      assertTrue(receivesNoRequest(link)); // the part that waited for it has gone elsewhere
+      MixerTestHarness.BoxConnection connection = slowSearcher.acceptConnection();
+      assertTrue(receivesNoRequest(connection)); // the part that waited for it has gone elsewhere
       client.write(harness.scanRequest("search", 2000, 0));
-      link.answer(link.readCall(), "done");
+      connection.answer(connection.readCall(), "done");
       assertTrue(client.readAnswer().startsWith("200"));
       assertEquals(1, harness.count("links dialled"));
     }
@@ -380,7 +383,7 @@
   void oldestOfTwoLateDialsIsReplacedByNextDial() throws Exception {
     try (MixerTestHarness harness = new MixerTestHarness()) {
       SlowAcceptSearcher slowSearcher = harness.closeAtEnd(new SlowAcceptSearcher("late", 0));
-      startWithMembers(harness, slowSearcher.member("SERVING"));
+      startWithMembers(harness, slowSearcher.memberJson("SERVING"));
       MixerTestHarness.Client client = harness.connectClient();
       for (int expectedDials = 1; expectedDials <= 2; expectedDials++) {
         client.write(harness.scanRequest("search", 2000, 0));
@@ -392,13 +395,13 @@
       harness.runInLoop(() -> openConnections.set(harness.server.network().connectionCount()));
       assertEquals(4, openConnections.get()); // discovery, the client, and two dials
       slowSearcher.releaseBacklog();
-      MixerTestHarness.BoxConnection link = slowSearcher.link();
+      MixerTestHarness.BoxConnection connection = slowSearcher.acceptConnection();
       Thread responder =
           new Thread(
               () -> {
                 try {
                   while (true) {
-                    link.answer(link.readCall(), "done");
+                    connection.answer(connection.readCall(), "done");
                   }
                 } catch (IOException e) {
                   // the test is over
--- a/mixer/src/test/java/gingerring/server/SlowAcceptSearcher.java
+++ b/mixer/src/test/java/gingerring/server/SlowAcceptSearcher.java
@@ -19,7 +19,7 @@
   private final int cell;
   private final ServerSocket listener = new ServerSocket();
   private final List<Socket> backlogFillers = new ArrayList<>();
-  private final List<MixerTestHarness.BoxConnection> links = new ArrayList<>();
+  private final List<MixerTestHarness.BoxConnection> acceptedConnections = new ArrayList<>();
   private int filledSlots;
 
   SlowAcceptSearcher(String name, int cell) throws IOException {
@@ -67,17 +67,18 @@
   }
 
   /** The next connection of the mixer's. */
-  MixerTestHarness.BoxConnection link() throws IOException {
-    MixerTestHarness.BoxConnection link = new MixerTestHarness.BoxConnection(listener.accept());
-    links.add(link);
-    return link;
+  MixerTestHarness.BoxConnection acceptConnection() throws IOException {
+    MixerTestHarness.BoxConnection connection =
+        new MixerTestHarness.BoxConnection(listener.accept());
+    acceptedConnections.add(connection);
+    return connection;
   }
 
   /** Whether nobody comes up for so long. */
-  boolean quiet(int timeoutMs) throws IOException {
+  boolean noConnectionWithin(int timeoutMs) throws IOException {
     listener.setSoTimeout(timeoutMs);
     try {
-      link();
+      acceptConnection();
       return false;
     } catch (SocketTimeoutException e) {
       return true;
@@ -86,7 +87,7 @@
     }
   }
 
-  String member(String phase) {
+  String memberJson(String phase) {
     return "{\"id\":\""
         + name
         + "\",\"host_port\":\"127.0.0.1:"
@@ -103,8 +104,8 @@
     for (Socket socket : backlogFillers) {
       socket.close();
     }
-    for (MixerTestHarness.BoxConnection link : links) {
-      link.close();
+    for (MixerTestHarness.BoxConnection connection : acceptedConnections) {
+      connection.close();
     }
     listener.close();
   }
--- a/mixer/src/test/java/gingerring/server/StartWithLateSearchersTest.java
+++ b/mixer/src/test/java/gingerring/server/StartWithLateSearchersTest.java
@@ -66,7 +66,7 @@
         MixerTestHarness.runInBackground(
             () -> {
               while (true) {
-                MixerTestHarness.answerAllCalls(searcher.link());
+                MixerTestHarness.answerAllCalls(searcher.acceptConnection());
               }
             });
       }
@@ -110,7 +110,7 @@
 
   private static String[] memberJsons(HeldSearchers searchers) {
     return searchers.searchers.stream()
-        .map(searcher -> searcher.member("SERVING"))
+        .map(searcher -> searcher.memberJson("SERVING"))
         .toArray(String[]::new);
   }
 
@@ -265,7 +265,7 @@
             startMixer(
                 discovery,
                 LONG_DIAL_TIMEOUT,
-                searchers.searchers.get(0).member("SERVING"),
+                searchers.searchers.get(0).memberJson("SERVING"),
                 prompt.memberJson())) {
           awaitReadyInTime(harness, startNanos);
           MixerTestHarness.Client client = harness.connectClient();
--- a/mixer/src/test/java/gingerring/server/WatchAddressChangeTest.java
+++ b/mixer/src/test/java/gingerring/server/WatchAddressChangeTest.java
@@ -33,7 +33,7 @@
   /** All that has been said is heard, and what was to be told of it is. */
   private static void assertNoNotification(WatchHarness harness) throws Exception {
     for (int i = 0; i < 3; i++) {
-      harness.runOnLoop(() -> {});
+      harness.runInLoop(() -> {});
     }
     assertNull(harness.notifications.poll());
   }
@@ -247,7 +247,7 @@
     for (boolean answered : new boolean[] {true, false}) {
       try (WatchHarness harness = newHarness();
           MixerTestHarness.DiscoveryAgent newAgent = new MixerTestHarness.DiscoveryAgent(true)) {
-        harness.runOnLoop(harness.watch::fetchFullList);
+        harness.runInLoop(harness.watch::fetchFullList);
         MixerTestHarness.DiscoveryConnection fetch = harness.agent.acceptRequest();
         assertTrue(
             fetch.requestHead.startsWith("GET /v1/endpoints HTTP/1.1\r\n"), fetch.requestHead);
@@ -280,7 +280,7 @@
       harness.openWatch();
       MixerTestHarness.DiscoveryConnection watch =
           acceptWatchAndSendList(harness, harness.agent, 41, 42);
-      harness.runOnLoop(harness.watch::fetchFullList);
+      harness.runInLoop(harness.watch::fetchFullList);
       MixerTestHarness.DiscoveryConnection fetch = harness.agent.acceptRequest();
       watch.sendLine(MixerTestHarness.memberListLine(43, false));
       assertEquals("list 43", harness.nextNotification());
@@ -335,7 +335,7 @@
       assertEquals(0, harness.discoveryCalls());
       harness.openWatch();
       MixerTestHarness.DiscoveryConnection watch = acceptWatchAndSendList(harness, newAgent, 0, 7);
-      harness.runOnLoop(harness.watch::close);
+      harness.runInLoop(harness.watch::close);
       assertEquals("closed", watch.awaitEnd());
       harness.changeAgentAddress(harness.agent.address());
       harness.advanceClock(10_000);
--- a/mixer/src/test/java/gingerring/server/WatchDialRaceTest.java
+++ b/mixer/src/test/java/gingerring/server/WatchDialRaceTest.java
@@ -88,7 +88,7 @@
 
   private static WatchHarness newHarness(String discoveryMode) throws Exception {
     WatchHarness harness = new WatchHarness(true, discoveryMode, DRAIN_GRACE_MS);
-    harness.runOnLoop(
+    harness.runInLoop(
         () -> {
           try { // so that its connections are counted against a bound
             harness.network.listen(
@@ -124,7 +124,7 @@
         "all that was put leaves",
         () -> {
           try {
-            harness.runOnLoop(() -> settled[0] = harness.network.isFlushed());
+            harness.runInLoop(() -> settled[0] = harness.network.isFlushed());
           } catch (InterruptedException e) {
             throw new AssertionError(e);
           }
@@ -172,7 +172,7 @@
       dialAllowed.countDown();
       released.countDown();
     }
-    harness.runOnLoop(() -> {});
+    harness.runInLoop(() -> {});
     return agentSocket;
   }
 
@@ -194,20 +194,20 @@
         expectedCount + " connections in hand",
         () -> {
           try {
-            harness.runOnLoop(() -> actual[0] = harness.network.connectionCount());
+            harness.runInLoop(() -> actual[0] = harness.network.connectionCount());
           } catch (InterruptedException e) {
             throw new AssertionError(e);
           }
           return actual[0] == expectedCount;
         });
-    harness.runOnLoop(() -> actual[1] = harness.network.availableConnections());
+    harness.runInLoop(() -> actual[1] = harness.network.availableConnections());
     assertEquals(MAX_CONNECTIONS - expectedCount, actual[1], "room");
   }
 
   /** What has been told since, and nothing else. */
   private static void assertNotifications(WatchHarness harness, List<String> expected)
       throws Exception {
-    harness.runOnLoop(() -> {});
+    harness.runInLoop(() -> {});
     List<String> notifications = new ArrayList<>();
     harness.notifications.drainTo(notifications);
     assertEquals(expected, notifications);
@@ -241,7 +241,7 @@
    * follows.
    */
   @Test
-  void callThatEndsInTurnOfItsDialIsRetriedAtCallInterval() throws Exception {
+  void callThatEndsInIterationOfItsDialIsRetriedAtCallInterval() throws Exception {
     for (List<Step> steps : SEQUENCES) {
       if (ends(steps)) {
         try (WatchHarness harness = newHarness("automatic")) {
@@ -273,7 +273,7 @@
    * twice.
    */
   @Test
-  void connectionClosedInTurnOfItsDialReportsItsEndOnce() throws Exception {
+  void connectionClosedInIterationOfItsDialReportsItsEndOnce() throws Exception {
     forEachInterleaving(
         SEQUENCES,
         (steps, eventIndex, description) -> {
@@ -307,7 +307,7 @@
                     eventIndex,
                     () -> harness.loop.post(() -> dialled[0].close()));
             assertOpenConnections(harness, 0);
-            harness.runOnLoop(() -> {});
+            harness.runInLoop(() -> {});
             assertEquals("closed", callbacks.get(callbacks.size() - 1));
             assertEquals(
                 1, callbacks.stream().filter("closed"::equals).count(), callbacks.toString());
@@ -321,7 +321,7 @@
 
   /** (a) Guards against word of a former place, and against a failure that is told of it. */
   @Test
-  void callEstablishedInTurnOfAddressChangeReportsNothingOfFormerAddress() throws Exception {
+  void callEstablishedInIterationOfAddressChangeReportsNothingOfFormerAddress() throws Exception {
     forEachInterleaving(
         SEQUENCES,
         (steps, eventIndex, description) -> {
@@ -369,7 +369,7 @@
    * (a) The same of a whole list that was asked for: it is asked for anew at the new place, once.
    */
   @Test
-  void fetchEstablishedInTurnOfAddressChangeIsRepeatedAtNewAddress() throws Exception {
+  void fetchEstablishedInIterationOfAddressChangeIsRepeatedAtNewAddress() throws Exception {
     forEachInterleaving(
         SEQUENCES,
         (steps, eventIndex, description) -> {
@@ -415,7 +415,7 @@
 
   /** (b) Guards against a call that is given up as silent and told as failed twice, or kept. */
   @Test
-  void callEstablishedInTurnOfItsSilenceTimeoutFailsOnce() throws Exception {
+  void callEstablishedInIterationOfItsSilenceTimeoutFailsOnce() throws Exception {
     forEachInterleaving(
         SILENT_SEQUENCES,
         (steps, eventIndex, description) -> {
@@ -447,7 +447,7 @@
 
   /** (c) Guards against a watch that was closed, and goes on by a call that was just coming up. */
   @Test
-  void callEstablishedInTurnOfWatchCloseReportsNothing() throws Exception {
+  void callEstablishedInIterationOfWatchCloseReportsNothing() throws Exception {
     forEachInterleaving(
         SEQUENCES,
         (steps, eventIndex, description) -> {
@@ -485,7 +485,7 @@
    * comes up.
    */
   @Test
-  void callEstablishedInTurnOfAnothersAnswerLeavesOneWatch() throws Exception {
+  void callEstablishedInIterationOfAnothersAnswerLeavesOneWatch() throws Exception {
     forEachInterleaving(
         SEQUENCES,
         (steps, eventIndex, description) -> {
@@ -539,7 +539,7 @@
    * up.
    */
   @Test
-  void callEstablishedInTurnOfShutdownDoesNotDelayShutdown() throws Exception {
+  void callEstablishedInIterationOfShutdownDoesNotDelayShutdown() throws Exception {
     for (boolean stopAtOnce : new boolean[] {true, false}) {
       forEachInterleaving(
           SILENT_SEQUENCES,
--- a/mixer/src/test/java/gingerring/server/WatchHarness.java
+++ b/mixer/src/test/java/gingerring/server/WatchHarness.java
@@ -119,20 +119,20 @@
 
   /** From now on the mixer asks again so long after each failure. */
   void retryAfterFailure(int spanMs) throws InterruptedException {
-    runOnLoop(() -> retryDelay = Duration.ofMillis(spanMs));
+    runInLoop(() -> retryDelay = Duration.ofMillis(spanMs));
   }
 
   void openWatch() throws InterruptedException {
-    runOnLoop(watch::open);
+    runInLoop(watch::open);
   }
 
   void changeAgentAddress(InetSocketAddress newAddress) throws InterruptedException {
-    runOnLoop(() -> watch.changeAddress(newAddress));
+    runInLoop(() -> watch.changeAddress(newAddress));
   }
 
   /** Lets the clock move on, wake by wake; those of connections come in their own time. */
   void advanceClock(int spanMs) throws InterruptedException {
-    runOnLoop(() -> clock.advance(Duration.ofMillis(spanMs)));
+    runInLoop(() -> clock.advance(Duration.ofMillis(spanMs)));
   }
 
   /** The same, for those who are on the loop's thread. */
@@ -141,7 +141,7 @@
   }
 
   /** Runs a task in a turn of its own, and waits for the end of that turn. */
-  void runOnLoop(Runnable task) throws InterruptedException {
+  void runInLoop(Runnable task) throws InterruptedException {
     CountDownLatch done = new CountDownLatch(1);
     loop.post(
         () -> {
--- a/mixer/src/test/java/gingerring/server/WatchRaceTest.java
+++ b/mixer/src/test/java/gingerring/server/WatchRaceTest.java
@@ -121,13 +121,13 @@
    * failure.
    */
   @Test
-  void firstOfTwoCallsAnsweredInOneTurnBecomesWatch() throws Exception {
+  void firstOfTwoCallsAnsweredInOneIterationBecomesWatch() throws Exception {
     try (WatchHarness harness = new WatchHarness(true, AUTOMATIC_MODE, DRAIN_GRACE_MS)) {
       harness.openWatch();
       MixerTestHarness.DiscoveryConnection olderCall = harness.agent.acceptWatch();
       harness.advanceClock(CALL_INTERVAL_MS);
       MixerTestHarness.DiscoveryConnection newerCall = harness.agent.acceptWatch();
-      harness.runOnLoop(() -> {}); // both heads are read
+      harness.runInLoop(() -> {}); // both heads are read
       harness.runWhileBlocked(
           () -> {
             newerCall.sendLine(MixerTestHarness.memberListLine(43, false));
--- a/mixer/src/test/java/gingerring/server/WatchResponseTest.java
+++ b/mixer/src/test/java/gingerring/server/WatchResponseTest.java
@@ -25,7 +25,7 @@
 
   private static void runPendingEvents(WatchHarness harness) throws Exception {
     for (int i = 0; i < 3; i++) {
-      harness.runOnLoop(() -> {});
+      harness.runInLoop(() -> {});
     }
   }
 
@@ -51,7 +51,7 @@
   void responseWithoutLengthEndsOnlyByOrderlyClose() throws Exception {
     for (boolean orderly : new boolean[] {true, false}) {
       try (WatchHarness harness = newHarness()) {
-        harness.runOnLoop(harness.watch::fetchFullList);
+        harness.runInLoop(harness.watch::fetchFullList);
         MixerTestHarness.DiscoveryConnection fetch = harness.agent.acceptRequest();
         writeAndAwaitRead(
             harness, fetch, UNFRAMED_HEAD + MixerTestHarness.memberListLine(42, true));
@@ -114,7 +114,7 @@
   void truncatedListIsNotUsedHoweverItsConnectionEnds() throws Exception {
     for (boolean orderly : new boolean[] {true, false}) {
       try (WatchHarness harness = newHarness()) {
-        harness.runOnLoop(harness.watch::fetchFullList);
+        harness.runInLoop(harness.watch::fetchFullList);
         MixerTestHarness.DiscoveryConnection fetch = harness.agent.acceptRequest();
         String list = MixerTestHarness.memberListLine(42, true);
         writeAndAwaitRead(harness, fetch, UNFRAMED_HEAD + list.substring(0, list.length() - 1));
@@ -140,7 +140,7 @@
           CHUNKED_HEAD + Integer.toHexString(list.length() + 1) + "\r\n"
         }) {
       try (WatchHarness harness = newHarness()) {
-        harness.runOnLoop(harness.watch::fetchFullList);
+        harness.runInLoop(harness.watch::fetchFullList);
         MixerTestHarness.DiscoveryConnection fetch = harness.agent.acceptRequest();
         writeAndAwaitRead(harness, fetch, head + list);
         fetch.close();
