--- a/mixer/src/test/java/gingerring/server/DialRaceTest.java
+++ b/mixer/src/test/java/gingerring/server/DialRaceTest.java
@@ -15,7 +15,8 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Dials that cross: one given up just as it is refused or comes up, and another that is under way.
+ * Races between two dials: one is abandoned just as it is refused or established, while another is
+ * in progress.
  */
 @Timeout(120)
 class DialRaceTest {
@@ -37,8 +38,8 @@
   }
 
   /**
-   * Guards against a dial that is told neither up nor failed since another was given up as it was
-   * refused.
+   * Guards against a dial that is never reported as established or failed because another dial was
+   * abandoned just as it was refused.
    */
   @Test
   void abandonedDialThatIsRefusedDoesNotAffectOthers() throws Exception {
@@ -49,7 +50,7 @@
     raceAbandonedDial(refusingAddress, refusingAddress);
   }
 
-  /** The same where the one given up is just coming up. */
+  /** The same failure, where the abandoned dial is just being established. */
   @Test
   void abandonedDialThatIsEstablishedDoesNotAffectOthers() throws Exception {
     InetSocketAddress refusingAddress;
@@ -63,7 +64,10 @@
     }
   }
 
-  /** Gives a dial to one address up in the turn after its own, and dials another in that turn. */
+  /**
+   * In each round dials {@code abandonedAddress}, closes that dial in the next loop iteration, and
+   * in the same iteration dials {@code otherAddress}.
+   */
   private static void raceAbandonedDial(
       InetSocketAddress abandonedAddress, InetSocketAddress otherAddress) throws Exception {
     Counters counts = new Counters();
@@ -86,7 +90,7 @@
       assertTrue(abandoned.closed.await(5, TimeUnit.SECONDS), "round " + round);
       assertTrue(
           other.closed.await(5, TimeUnit.SECONDS),
-          "round " + round + ": never told of its refusal");
+          "round " + round + ": the refused dial was never reported");
     }
     loop.post(loop::stop);
     thread.join(5000);
--- a/mixer/src/test/java/gingerring/server/FrontendRaceTest.java
+++ b/mixer/src/test/java/gingerring/server/FrontendRaceTest.java
@@ -13,7 +13,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** What crosses at the clients' side: leaving, answers, ends of connections and of the process. */
+/**
+ * Races on client connections: disconnects, answers, connection closes and the shutdown of the
+ * process.
+ */
 @Timeout(120)
 class FrontendRaceTest {
   private static final Duration NO_TRAFFIC_WAIT = Duration.ofMillis(300);
@@ -27,8 +30,8 @@
   }
 
   /**
-   * Guards against a client's end that is not seen behind what it sent, until its scan has been
-   * answered.
+   * Guards against a client's disconnect that stays unnoticed behind the bytes sent after its
+   * request until the scan is answered.
    */
   @Test
   void disconnectBehindTrailingBytesIsDetected() throws Exception {
@@ -46,14 +49,17 @@
           harness.awaitCount("clients that left", 1);
           assertEquals(
               "C" + harness.lastTransactionId() + ".0",
-              "C" + connection.readFrame().payloadText()); // its only part is given up
+              "C" + connection.readFrame().payloadText()); // its only part is cancelled
           assertEquals(1, request.partIds().size());
         }
       }
     }
   }
 
-  /** It stays: it has its answer, and the connection ends with it, in order. */
+  /**
+   * A client that sends bytes after its request and stays connected gets its answer, after which
+   * the connection closes in order.
+   */
   @Test
   void clientThatSendsTrailingBytesAndStaysIsAnswered() throws Exception {
     try (MixerTestHarness harness = new MixerTestHarness()) {
@@ -72,8 +78,8 @@
   }
 
   /**
-   * Guards against a scan that is sent on in the very turn in which its client is seen to have
-   * gone.
+   * Guards against a scan that is forwarded in the loop iteration in which its client's disconnect
+   * is seen.
    */
   @Test
   void scanWhoseClientLeavesInSameIterationIsNotForwarded() throws Exception {
@@ -96,7 +102,8 @@
   }
 
   /**
-   * Guards against a last answer that is reset away by what its client has sent behind its request.
+   * Guards against a final response that is lost to a TCP reset, caused by unread bytes that the
+   * client sent after its request.
    */
   @Test
   void finalResponseIsNotLostToUnreadBytes() throws Exception {
@@ -104,15 +111,15 @@
       harness.announceAndAwaitReady(harness.box("b0", 0));
       MixerTestHarness.Client client = harness.connectClient();
       try (MixerTestHarness.LoopGate gate = harness.pauseLoop()) {
-        // MINA's thread stops at half a ring, and leaves the rest in the system's buffer
+        // MINA's thread stops reading at half a ring buffer and leaves the rest in the kernel's
+        // buffer
         client.write(
             "GET /ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n" + "x".repeat(100_000));
         gate.awaitPosted(1);
       }
       assertTrue(client.readAnswer().startsWith("200"));
       assertEquals("closed", client.awaitEnd());
-      client.write(
-          harness.scanRequest("search", 2000, 0)); // it may come once more, and nothing resets it
+      client.write(harness.scanRequest("search", 2000, 0)); // sending once more causes no reset
       client.halfClose();
       assertEquals("closed", client.awaitEnd());
       harness.runIterations(2);
@@ -129,8 +136,8 @@
   }
 
   /**
-   * A resting connection's request and its end: read before, it is answered; written after, never
-   * read.
+   * A request races the close of its idle connection: if it is read before the close it is
+   * answered; if it is written after the close it is never read.
    */
   @Test
   void requestRacingCloseOfIdleConnectionIsAnsweredOrNeverRead() throws Exception {
@@ -153,7 +160,8 @@
         } else {
           try (MixerTestHarness.LoopGate gate =
               harness
-                  .pauseLoop()) { // the answer before is known to have left: the connection rests
+                  .pauseLoop()) { // the previous answer is known to be sent, so the connection is
+            // idle
             harness.server.loop.post(harness.server.frontend::closeIdleClients);
             gate.awaitPosted(1);
           }
@@ -167,7 +175,7 @@
     }
   }
 
-  /** Guards against half a request that the end of the process finds, and leaves without a word. */
+  /** Guards against a partial request that is pending at shutdown and gets no response. */
   @Test
   void partialRequestIsRejectedAtEndOfShutdown() throws Exception {
     try (MixerTestHarness harness = harnessWithShortTimeLimits()) {
@@ -188,8 +196,8 @@
   }
 
   /**
-   * Discovery says nothing: a scan that waits for its first word is answered all the same, and the
-   * end comes.
+   * Discovery never sends a list: a scan that waits for the first list is answered with an error
+   * all the same, and the process exits.
    */
   @Test
   void sigtermBeforeFirstMemberListLeavesNoScanOpen() throws Exception {
@@ -215,7 +223,7 @@
     }
   }
 
-  /** The first word comes after SIGTERM: what waited goes on. */
+  /** The first member list arrives after SIGTERM: the waiting scan is served. */
   @Test
   void firstMemberListAfterSigtermServesWaitingScan() throws Exception {
     try (MixerTestHarness harness = new MixerTestHarness()) {
@@ -234,7 +242,8 @@
   }
 
   /**
-   * Guards against a second SIGTERM that begins the end anew, and a process that is killed in it.
+   * Guards against a second SIGTERM that starts the shutdown anew, so that the process is killed
+   * before the shutdown ends.
    */
   @Test
   void secondSigtermDoesNotRestartShutdown() throws Exception {
@@ -242,7 +251,7 @@
       harness.announceAndAwaitReady(harness.box("b0", 0));
       MixerTestHarness.Client client = harness.connectClient();
       harness.runInLoop(harness.server::beginShutdown);
-      client.write("GET /rea"); // keeps the end waiting for its time
+      client.write("GET /rea"); // delays the shutdown until its time limit
       Thread.sleep(600);
       harness.runInLoop(harness.server::beginShutdown);
       assertTrue(client.readAnswer().startsWith("503"));
@@ -251,7 +260,10 @@
     }
   }
 
-  /** SIGHUP before the loop runs, or even reads its configuration, is taken once it does. */
+  /**
+   * A SIGHUP that arrives before the loop runs, or even before the configuration is read, takes
+   * effect once the loop runs.
+   */
   @Test
   void sighupDuringStartupReloadsConfig() throws Exception {
     try (MixerTestHarness.DiscoveryAgent oldAgent = new MixerTestHarness.DiscoveryAgent(true);
@@ -267,7 +279,7 @@
       Thread thread = new Thread(() -> server.serve(mixerConfig, System.err, address -> {}));
       thread.start();
       newAgent.acceptWatch().sendLine(MixerTestHarness.memberListLine(1, true));
-      MixerTestHarness.await("a list", () -> server.counts.get("lists told") == 1);
+      MixerTestHarness.await("a member list", () -> server.counts.get("lists told") == 1);
       server.loop.post(server.loop::stop);
       thread.join(MixerTestHarness.TIMEOUT_MS);
       server.dispose();
@@ -276,7 +288,7 @@
     }
   }
 
-  /** SIGHUP while the process ends, and after its loop has ended. */
+  /** SIGHUP during the shutdown, and after the loop has ended. */
   @Test
   void sighupDuringShutdownIsHarmless() throws Exception {
     try (MixerTestHarness harness = new MixerTestHarness()) {
@@ -301,9 +313,9 @@
   }
 
   /**
-   * Guards against idle clients that fill the descriptors while discovery is down, and leave none
-   * for it, for searchers that it tells of at its return, and for the clients that have something
-   * to ask.
+   * Guards against idle clients that use up the file descriptors while discovery is down, and leave
+   * none for discovery, for the searchers that discovery lists once it is back, and for clients
+   * that send requests.
    */
   @Test
   void idleClientsLeaveConnectionsForDiscoverySearchersAndActiveClients() throws Exception {
@@ -337,7 +349,7 @@
       // the last of them may still stand in the backlog, and a link is dialled at the end of its
       // scan's turn
       MixerTestHarness.await(
-          "what becomes of each client",
+          "an outcome for each client",
           () ->
               harness.count("idle connections shed")
                       + harness.count("connections turned away")
@@ -358,8 +370,8 @@
   }
 
   /**
-   * Guards against a flood of half requests that holds all room until the time for whole ones is
-   * over.
+   * Guards against a flood of partial requests that occupies all connections until the time limit
+   * for complete requests.
    */
   @Test
   void partialRequestsAreShedOnceNoIdleConnectionIsLeft() throws Exception {
@@ -368,14 +380,14 @@
           new MixerTestHarness("\"sockets\": 1024", "\"sockets\": 256")) {
         harness.announceAndAwaitReady(answeringBoxes(harness, 4));
         List<MixerTestHarness.Client> partialClients = new ArrayList<>();
-        for (int i = 0; i < 201; i++) { // with one more, newcomers are turned away
+        for (int i = 0; i < 201; i++) { // with one more, new clients would be turned away
           MixerTestHarness.Client client = harness.connectClient();
           if (i >= idleCount) {
             client.write("POST /api HTTP/1.1\r\nHost: x\r\n");
             partialClients.add(client);
           }
         }
-        if (idleCount > 0) { // they alone are as many as have to go
+        if (idleCount > 0) { // shedding the idle connections alone is enough
           harness.awaitCount("idle connections shed", 1);
           harness.runIterations(2);
           assertEquals(0, harness.count("half requests shed"), harness.server.counts.toString());
@@ -384,7 +396,7 @@
           assertTrue(partialClients.get(0).readAnswer().startsWith("503"));
           assertEquals("closed", partialClients.get(0).awaitEnd());
           MixerTestHarness.await(
-              "room for a newcomer", () -> harness.server.network().availableConnections() > 40);
+              "room for a new client", () -> harness.server.network().availableConnections() > 40);
           MixerTestHarness.Client client = harness.connectClient();
           client.write(harness.scanRequest("search", 2000, 0));
           assertTrue(client.readAnswer().startsWith("200"));
@@ -394,8 +406,9 @@
   }
 
   /**
-   * Guards against newcomers that are nacked for want of connections while enough idle ones are
-   * being ended for them: who comes in one turn comes before any of those has gone.
+   * Guards against new clients that are rejected for lack of connections while enough idle
+   * connections are being closed for them: the new clients of one loop iteration arrive before any
+   * of the idle connections has closed.
    */
   @Test
   void newClientsOfOneIterationAreServedOnceIdleOnesAreShed() throws Exception {
@@ -403,7 +416,9 @@
         new MixerTestHarness(
             "\"sockets\": 1024", "\"sockets\": 256", "\"MostHeld\": 60", "\"MostHeld\": 9000")) {
       harness.announceAndAwaitReady(answeringBoxes(harness, 4));
-      for (int i = 0; i < 150; i++) { // so many are not too many, and with the newcomers they are
+      for (int i = 0;
+          i < 150;
+          i++) { // within the limit alone, above it together with the new clients
         harness.connectClient();
       }
       harness.awaitConnections(151);
@@ -414,7 +429,8 @@
           client.write(harness.scanRequest("search", 2000, i % 8));
           newClients.add(client);
         }
-        gate.awaitPosted(3 * newClients.size()); // each has come, is open, and has said something
+        gate.awaitPosted(
+            3 * newClients.size()); // each has connected, is open and has sent its request
       }
       for (MixerTestHarness.Client client : newClients) {
         String answer = client.readAnswer();
@@ -425,9 +441,9 @@
   }
 
   /**
-   * Guards against links at rest that hold the descriptors of all others: with more searchers than
-   * may be dialled, the one that has rested longest makes room for the next, and every scan is
-   * answered.
+   * Guards against idle searcher connections that use up all file descriptors. With more searchers
+   * than connections allowed, the connection idle for longest is closed for the next searcher, and
+   * every scan is answered.
    */
   @Test
   void longestIdleSearcherConnectionMakesRoomForNextSearcher() throws Exception {
@@ -451,7 +467,7 @@
     }
   }
 
-  /** So many searchers that answer whatever comes. */
+  /** Starts {@code count} searchers that answer every call. */
   private static MixerTestHarness.Box[] answeringBoxes(MixerTestHarness harness, int count)
       throws IOException {
     MixerTestHarness.Box[] boxes = new MixerTestHarness.Box[count];
@@ -469,8 +485,8 @@
   }
 
   /**
-   * Guards against a mixer that waits for discovery's word where none comes, or for its own
-   * practice.
+   * Guards against a mixer that does not get ready because it waits for a member list that never
+   * arrives, or for its own warm-up.
    */
   @Test
   void readyWhileDiscoveryRefusesOrIsSilentWithLongDialTimeout() throws Exception {
@@ -479,14 +495,14 @@
       try (MixerTestHarness harness =
           new MixerTestHarness(
               !refusing, "\"DialTimeoutMs\": 250.0", "\"DialTimeoutMs\": 20000.0")) {
-        harness.awaitReady(); // nobody accepts at the agent, or nobody listens there
+        harness.awaitReady(); // the agent does not accept, or does not listen
         assertTrue(System.nanoTime() - startNanos < 10_000_000_000L, "refusing: " + refusing);
         harness.awaitCount("answers practised", 1);
       }
     }
   }
 
-  /** SIGTERM in the very first turn, with practice under way and nothing heard of discovery. */
+  /** SIGTERM in the first loop iteration, while the warm-up runs and discovery has sent nothing. */
   @Test
   void sigtermDuringWarmUpShutsDownNormally() throws Exception {
     try (MixerTestHarness.DiscoveryAgent agent = new MixerTestHarness.DiscoveryAgent(true)) {
--- a/mixer/src/test/java/gingerring/server/ScanRaceTest.java
+++ b/mixer/src/test/java/gingerring/server/ScanRaceTest.java
@@ -7,7 +7,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Pairs of events that cross, in both orders: see docs/crossings.md. */
+/**
+ * Pairs of events that reach the mixer in the same loop iteration, in both orders: see
+ * docs/crossings.md.
+ */
 @Timeout(120)
 class ScanRaceTest {
   private static final Duration NO_TRAFFIC_WAIT = Duration.ofMillis(300);
@@ -60,8 +63,8 @@
   }
 
   /**
-   * Seen on join+brink: one client's mark, sent 650 times, left 65 open connections to each
-   * searcher.
+   * Guards against a connection leak: in the simulation join+brink one client sent the same
+   * transaction id 650 times, which left 65 open connections to each searcher.
    */
   @Test
   void repeatedIdempotencyKeyOpensNoConnection() throws Exception {
@@ -76,11 +79,11 @@
       assertTrue(client.readAnswer().startsWith("200"));
       for (int i = 0; i < 5; i++) {
         client.write(scan);
-        assertTrue(client.readAnswer().startsWith("400"), "a mark has to be fresh");
+        assertTrue(client.readAnswer().startsWith("400"), "a transaction id must not be reused");
       }
       client.write(harness.scanRequest("search", 2000, 0));
       connection.answer(connection.readCall(), "done");
-      assertTrue(client.readAnswer().startsWith("200"), "the connection goes on");
+      assertTrue(client.readAnswer().startsWith("200"), "the connection stays in use");
       assertEquals(1, harness.count("links dialled"));
     }
   }
@@ -96,8 +99,8 @@
   }
 
   /**
-   * The quoted time and the client's patience pass while something else waits for the same turn:
-   * what came is heard first, and one thing or the other ends the scan, once.
+   * The latency target and the client's deadline expire while another event waits for the same loop
+   * iteration. The event is processed before the timers, and exactly one of them ends the scan.
    */
   @Test
   void timersDueInIterationOfRacingEventEndScanOnce() throws Exception {
@@ -121,7 +124,7 @@
               case NONE -> {}
             }
             gate.awaitPosted(event == RacingEvent.NONE ? 0 : 1);
-            Thread.sleep(DEADLINE_MS + 50); // both timers are due, however the machine went
+            Thread.sleep(DEADLINE_MS + 50); // both timers are due, even on a slow machine
           }
           if (event == RacingEvent.CLIENT_CLOSES || event == RacingEvent.CLIENT_RESETS) {
             harness.awaitCount("clients that left", 1);
@@ -130,7 +133,7 @@
                 event == RacingEvent.ANSWER ? "200" : serviceClass.equals("post") ? "500" : "503";
             assertEquals(
                 expectedStatus, client.readAnswer().substring(0, 3), event + " " + serviceClass);
-            assertTrue(client.isReady(), "one answer, and the connection goes on");
+            assertTrue(client.isReady(), "one answer, and the connection stays in use");
           }
           assertTrue(
               box.noConnectionWithin(NO_TRAFFIC_WAIT),
--- a/mixer/src/test/java/gingerring/server/SearcherAddressRaceTest.java
+++ b/mixer/src/test/java/gingerring/server/SearcherAddressRaceTest.java
@@ -8,8 +8,8 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Lists that move a searcher, or take back what a list of the same turn said: see
- * docs/crossings.md.
+ * Member lists that change a searcher's address, or that contradict another list read in the same
+ * loop iteration: see docs/crossings.md.
  */
 @Timeout(120)
 class SearcherAddressRaceTest {
@@ -18,8 +18,8 @@
   };
 
   /**
-   * Guards against a part that goes to where its searcher was, or nowhere, as its connection is
-   * late.
+   * Guards against a part that is sent to its searcher's former address, or is not sent at all,
+   * because a list changes the address while the part waits for a late connection.
    */
   @Test
   void partWaitingForDialIsSentToNewAddressOfItsSearcher() throws Exception {
@@ -40,7 +40,7 @@
           watch.sendLine(
               MixerTestHarness.memberListLine(2, false, newSearcher.memberJson("SERVING")));
           harness.awaitCount("lists told", 2);
-          connection.answer(request, "done"); // what has begun ends where it did
+          connection.answer(request, "done"); // a part already sent completes on its connection
         } else {
           watch.sendLine(
               MixerTestHarness.memberListLine(2, false, newSearcher.memberJson("SERVING")));
@@ -62,7 +62,10 @@
     }
   }
 
-  /** Of two lists that are read in one turn the later one holds, whichever way round they come. */
+  /**
+   * Of two lists that are read in one loop iteration the later one applies, whichever states they
+   * carry.
+   */
   @Test
   void laterOfTwoListsReadInOneIterationApplies() throws Exception {
     for (boolean servingLast : new boolean[] {true, false}) {
--- a/mixer/src/test/java/gingerring/server/SearcherCloseRaceTest.java
+++ b/mixer/src/test/java/gingerring/server/SearcherCloseRaceTest.java
@@ -44,14 +44,14 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A searcher that closes its connection just as a part is written to it, is out or is answered, by
- * what a repeat does in the part's class; and a probe that is wanted while two dials are under way:
+ * Races of a searcher's connection close with a part that is being written, is in flight or is
+ * answered, for each retry safety; and a probe that is requested while two dials are in progress:
  * see docs/crossings.md.
  */
 @Timeout(120)
 class SearcherCloseRaceTest {
   private enum CloseMode {
-    /** In order, and it still reads what comes. */
+    /** Closes its sending side in order and still reads. */
     HALF_CLOSE,
     CLOSE,
     RESET;
@@ -65,8 +65,12 @@
     }
   }
 
+  /**
+   * One parameter set. {@code variant} selects between two orders or contents of events, as the
+   * test defines them.
+   */
   private record CloseCase(String serviceClass, CloseMode closeMode, boolean variant) {
-    /** May run a second time. */
+    /** Returns whether a part of the class may run a second time. */
     boolean retryable() {
       return !serviceClass.equals("once");
     }
@@ -88,7 +92,7 @@
     return closeCases().filter(closeCase -> !closeCase.variant);
   }
 
-  /** Holds MINA's thread where it reads a request that is marked for it. */
+  /** Blocks MINA's thread while it reads a request with the marker header. */
   private static final class ReadBlocker implements TrafficListener {
     private static final String MARKER_HEADER = "X-Brake";
     final CountDownLatch reached = new CountDownLatch(1);
@@ -118,9 +122,9 @@
   }
 
   /**
-   * A mixer and three boxes: b0 has a connection that rests, and holds shards 0 and 3; b1 holds 0,
-   * and b2 holds 3, but two calls are out at each, so that whatever either shard is asked for goes
-   * to b0 first.
+   * A mixer and three boxes. Box b0 has an idle connection and serves partitions 0 and 3; b1 serves
+   * 0 and b2 serves 3, but each of these two has two calls in flight, so that every request for
+   * either partition goes to b0 first.
    */
   private static final class ThreeBoxFixture implements Closeable {
     final ReadBlocker readBlocker = new ReadBlocker();
@@ -130,7 +134,10 @@
     final MixerTestHarness.BoxConnection[] otherConnections = new MixerTestHarness.BoxConnection[2];
     final MixerTestHarness.Client client;
 
-    /** {@code windowMs}: of the class that may run again in it. */
+    /**
+     * Starts the mixer and the boxes. {@code windowMs} is the idempotency window of the keyed
+     * class.
+     */
     ThreeBoxFixture(int windowMs) throws Exception {
       harness =
           new MixerTestHarness(
@@ -148,7 +155,7 @@
               "\"ClassPartial\": [0.9, 0.9, 0.9]",
               "\"NeedByClass\": [1.0, 1.0]",
               "\"NeedByClass\": [1.0, 1.0, 1.0]",
-              // no part is copied or moved for being late, and no probe comes between
+              // late parts are neither copied nor moved, and no probe interferes
               "\"Probing\": true",
               "\"Probing\": false",
               "\"SecondCopies\": true",
@@ -183,7 +190,7 @@
       return harness.scanRequest(serviceClass, 40_000, partitions);
     }
 
-    /** The part comes to another box, by itself, and is done there. */
+    /** Asserts that the part is sent to another box, in a call of its own, and answers it there. */
     void assertAnsweredByOtherBox(int partition) throws IOException {
       MixerTestHarness.BoxConnection otherConnection = otherConnections[partition == 0 ? 0 : 1];
       MixerTestHarness.Frame request = otherConnection.readCall();
@@ -192,7 +199,8 @@
     }
 
     /**
-     * The next that each of the other boxes hears of is what is sent to it now: nothing else was.
+     * Asserts that the next call that each of the other boxes receives is the one sent now, so that
+     * none was sent before.
      */
     void assertNothingElseSent() throws Exception {
       for (int i = 0; i < otherConnections.length; i++) {
@@ -204,11 +212,11 @@
       }
     }
 
-    /** The client's answer, after which it is told nothing more. */
+    /** Reads the client's answer and asserts that nothing follows. */
     String readOnlyAnswer() throws IOException {
       String answer = client.readAnswer();
       client.halfClose();
-      assertEquals(0, countRemainingBytes(client), "one answer");
+      assertEquals(0, countRemainingBytes(client), "more than one answer");
       return answer;
     }
 
@@ -224,14 +232,14 @@
     }
   }
 
-  /** How many bytes come until the mixer ends the connection in order. */
+  /** Counts the bytes that arrive until the mixer closes the connection in order. */
   private static int countRemainingBytes(MixerTestHarness.TestConnection peer) throws IOException {
     return peer.socket.getInputStream().readAllBytes().length;
   }
 
   /**
-   * Guards against a part that is put into a connection of which the end was heard in the same
-   * turn.
+   * Guards against a part that is written to a connection whose close was read in the same loop
+   * iteration.
    */
   @ParameterizedTest
   @MethodSource("closeCases")
@@ -265,8 +273,9 @@
   }
 
   /**
-   * The end is known to MINA, and its word behind the turn that puts the part: nothing of it
-   * leaves. Guards against a part of any class that is given up as if it might have run.
+   * MINA knows of the close, but its event waits behind the loop iteration that queues the part, so
+   * nothing of the part is written. Guards against a part of any class that is failed as if it
+   * might have run.
    */
   @ParameterizedTest
   @MethodSource("closeCasesWithoutVariant")
@@ -283,10 +292,11 @@
               awaitLatch(resume);
             });
       }
-      awaitLatch(inIteration); // the scan is in this turn, and what is posted from now on is not
+      awaitLatch(
+          inIteration); // the scan is in this iteration; events posted from now on are in the next
       closeCase.closeMode.apply(fixture.b0Connection);
       MixerTestHarness.await(
-          "the word of the close", () -> fixture.harness.server.loop.queuedEvents() >= 1);
+          "the close event", () -> fixture.harness.server.loop.queuedEvents() >= 1);
       resume.countDown();
       fixture.assertAnsweredByOtherBox(0);
       assertTrue(fixture.readOnlyAnswer().startsWith("200 {\"whole\":true"));
@@ -299,10 +309,10 @@
   }
 
   /**
-   * The end stands unread in the kernel while the part is written. After an orderly close the write
-   * goes well, and the searcher may still read it: the part may have run. After a reset nothing can
-   * be written. Guards against a second effect, and against a part that is given up though it never
-   * left.
+   * The close is unread in the kernel while the part is written. After an orderly close the write
+   * succeeds and the searcher may still read the part, so the part may have run. After a reset
+   * nothing can be written. Guards against a second effect, and against a part that is failed
+   * although it was never sent.
    */
   @ParameterizedTest
   @MethodSource("closeCasesWithoutVariant")
@@ -319,7 +329,8 @@
         awaitLatch(fixture.readBlocker.reached);
         closeCase.closeMode.apply(fixture.b0Connection);
       }
-      fixture.harness.runIterations(2); // the part is MINA's, which writes before it reads again
+      fixture.harness.runIterations(
+          2); // the part is queued at MINA, which writes before it reads again
       fixture.readBlocker.released.countDown();
       boolean mayHaveRun = closeCase.closeMode != CloseMode.RESET;
       if (closeCase.closeMode == CloseMode.HALF_CLOSE) {
@@ -333,7 +344,10 @@
     }
   }
 
-  /** The one answer to a scan of shard 0, and what is sent for it to another. */
+  /**
+   * Asserts the only answer to a scan of partition 0, and the retry at another box if the class
+   * allows one.
+   */
   private static void assertOutcomeOfClass(
       ThreeBoxFixture fixture, CloseCase closeCase, boolean mayHaveRun) throws Exception {
     if (closeCase.retryable() || !mayHaveRun) {
@@ -346,8 +360,8 @@
   }
 
   /**
-   * Guards against a second effect of a part that its searcher had read, and against one given up
-   * for nothing.
+   * Guards against a second effect of a part that its searcher had read, and against a part that is
+   * failed although its class allows a retry.
    */
   @ParameterizedTest
   @MethodSource("closeCasesWithoutVariant")
@@ -366,7 +380,7 @@
     }
   }
 
-  /** Guards against a repeat that its searcher no longer knows for one. */
+  /** Guards against a retry that its searcher no longer recognises as a repeat. */
   @ParameterizedTest
   @EnumSource(CloseMode.class)
   void keyedPartIsNotRetriedAfterIdempotencyWindow(CloseMode closeMode) throws Exception {
@@ -390,9 +404,9 @@
   }
 
   /**
-   * Of two parts of a call one is answered, and perhaps the half of the other's answer has come.
-   * Guards against an answer that its connection's end takes along, and against the answered one
-   * being sent again with the other.
+   * Of two parts of a call one is answered, and in one variant half of the other's answer has
+   * arrived. Guards against an answer that is lost with its connection, and against the answered
+   * part being retried with the other.
    */
   @ParameterizedTest
   @MethodSource("closeCases")
@@ -433,11 +447,11 @@
     }
   }
 
-  // ---- probes on each of two dials ----
+  // ---- probes while two dials are in progress ----
 
   /**
-   * Turns that the test makes one by one, at its own time: an event is heard when the test hands it
-   * on.
+   * A loop whose iterations the test runs one by one on a manual clock: an event is processed when
+   * the test runs it.
    */
   private static final class ManualLoop implements EventQueue, LoopTimer {
     private record Timer(Duration dueAt, int sequence, Runnable task) {}
@@ -470,8 +484,8 @@
   }
 
   /**
-   * A searcher's side of the mixer by itself, and the searcher: its dials come up, and are heard of
-   * when told.
+   * The mixer's backend on its own, and one searcher: its dials are established, but the backend
+   * learns of it only when the test runs the event.
    */
   private static final class DialFixture implements BackendListener, Closeable {
     private static final SearcherId SEARCHER = new SearcherId(1);
@@ -484,7 +498,7 @@
     ServerSocket listener = new ServerSocket(0, 8, InetAddress.getLoopbackAddress());
     final List<MixerTestHarness.BoxConnection> connections = new ArrayList<>();
 
-    /** The words that the dials are up, or refused. */
+    /** The events that report a dial as established or refused. */
     final List<Runnable> dialResults = new ArrayList<>();
 
     final List<Outcome> probeOutcomes = new ArrayList<>();
@@ -504,13 +518,17 @@
       backend.addOrUpdate(SEARCHER, (InetSocketAddress) listener.getLocalSocketAddress(), null);
     }
 
-    /** The first dial is late and a second under way for a probe, neither heard of. */
+    /**
+     * Returns a fixture whose first dial is late and whose second dial is in progress for a probe;
+     * neither result has been processed.
+     */
     static DialFixture withTwoDials() throws Exception {
       DialFixture fixture = new DialFixture();
       fixture.dialForProbe();
       fixture.passDialTimeout();
       assertEquals(
-          List.of(Outcome.UNREACHABLE), fixture.probeOutcomes); // the probe of the first dial
+          List.of(Outcome.UNREACHABLE),
+          fixture.probeOutcomes); // outcome of the probe that started the first dial
       fixture.probeOutcomes.clear();
       fixture.dialForProbe();
       return fixture;
@@ -524,12 +542,12 @@
       dialResults.add(nextEvent());
     }
 
-    /** From now on who dials is refused. */
+    /** Refuses connections from now on. */
     void refuseConnections() throws IOException {
       listener.close();
     }
 
-    /** It can be dialled again, at the same address. */
+    /** Accepts connections again at the same address. */
     void admitConnections() throws IOException {
       int port = listener.getLocalPort();
       listener = new ServerSocket();
@@ -545,12 +563,11 @@
 
     Runnable nextEvent() throws InterruptedException {
       Runnable event = loop.posted.poll(MixerTestHarness.TIMEOUT_MS, TimeUnit.MILLISECONDS);
-      assertTrue(
-          event != null, "nothing is heard of within " + MixerTestHarness.TIMEOUT_MS + " ms");
+      assertTrue(event != null, "no event within " + MixerTestHarness.TIMEOUT_MS + " ms");
       return event;
     }
 
-    /** A turn as the loop makes it. */
+    /** Runs one iteration as the loop does: events, due timers, dispatch, flush. */
     void runIteration(Runnable... events) {
       Arrays.stream(events).forEach(Runnable::run);
       while (!loop.timers.isEmpty() && loop.timers.peek().dueAt.compareTo(loop.now) <= 0) {
@@ -560,7 +577,10 @@
       network.flush();
     }
 
-    /** Turns with what is heard of, but for the words kept back, until it is so. */
+    /**
+     * Runs iterations with the next events, except the dial results held back, until the condition
+     * holds.
+     */
     void runIterationsUntil(BooleanSupplier condition) throws InterruptedException {
       while (!condition.getAsBoolean()) {
         runIteration(nextEvent());
@@ -580,7 +600,8 @@
     }
 
     /**
-     * Nothing more goes by any connection, and nothing more is told, also once all times are over.
+     * Asserts that nothing more is sent on any connection and no other outcome is reported, even
+     * after all timeouts.
      */
     void assertFinalOutcome(Outcome outcome) throws Exception {
       runIteration();
@@ -627,7 +648,8 @@
   }
 
   /**
-   * Guards against a probe that goes by both of two dials, or by none, whichever is heard of first.
+   * Guards against a probe that is sent on both of two connections, or on none, in either order of
+   * the dial results.
    */
   @ParameterizedTest
   @MethodSource("dialOrders")
@@ -656,8 +678,8 @@
   }
 
   /**
-   * Guards against a second dial, or a probe that waits, where the late dial is heard of in the
-   * probe's own turn.
+   * Guards against a second dial, or a probe that keeps waiting, if the late dial is established in
+   * the loop iteration of the probe.
    */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
@@ -677,7 +699,10 @@
     }
   }
 
-  /** Guards against a probe that leaves after it was told as unreachable, by either dial. */
+  /**
+   * Guards against a probe that is sent, on either connection, after it was reported as
+   * unreachable.
+   */
   @ParameterizedTest
   @ValueSource(ints = {0, 1})
   void unreachableProbeIsNotSentOnLaterConnection(int first) throws Exception {
@@ -691,8 +716,8 @@
   }
 
   /**
-   * What came in the turn is heard before its timers. Guards against a probe that is sent, and told
-   * as not sent.
+   * Events of a loop iteration are processed before its timers. Guards against a probe that is sent
+   * and also reported as not sent.
    */
   @ParameterizedTest
   @ValueSource(ints = {0, 1})
@@ -708,9 +733,9 @@
   }
 
   /**
-   * Guards against a probe that is repeated by the other dial once its own time is over, against a
-   * late answer that is taken for the next probe's, and against a next probe that finds nobody as
-   * the first did.
+   * Guards against a probe that is repeated on the other connection after its timeout, against a
+   * late answer that is taken for the next probe's, and against a next probe that fails on the
+   * connection of the first.
    */
   @ParameterizedTest
   @ValueSource(ints = {0, 1})
@@ -735,9 +760,7 @@
     }
   }
 
-  /**
-   * Guards against a probe that is told as timed out and then as answered, or the other way round.
-   */
+  /** Guards against a probe that is reported both as timed out and as answered, in either order. */
   @ParameterizedTest
   @ValueSource(ints = {0, 1})
   void probeAnswerReadInIterationOfItsTimeoutCounts(int first) throws Exception {
@@ -753,8 +776,8 @@
   }
 
   /**
-   * Guards against a probe that is repeated by the other dial, or told twice, as the connection it
-   * is out on ends.
+   * Guards against a probe that is repeated on the other connection, or reported twice, when its
+   * own connection ends.
    */
   @ParameterizedTest
   @EnumSource(CloseMode.class)
@@ -785,8 +808,8 @@
   }
 
   /**
-   * Guards against a probe that is told as unreachable and is sent by the late dial too, or sent
-   * and not heard.
+   * Guards against a probe that is reported as unreachable and also sent on the late connection, or
+   * sent without its answer being processed.
    */
   @ParameterizedTest
   @EnumSource(RefusalOrder.class)
@@ -827,8 +850,8 @@
   }
 
   /**
-   * Guards against a probe that is told as unreachable by the end of one dial while another is
-   * under way.
+   * Guards against a probe that is reported as unreachable because one dial failed while another is
+   * in progress.
    */
   @ParameterizedTest
   @EnumSource(EventOrder.class)
@@ -867,8 +890,8 @@
   }
 
   /**
-   * The older of two late dials makes room for a third. Guards against a probe that goes by the one
-   * given up.
+   * The older of two late dials is abandoned for a third. Guards against a probe that is sent on
+   * the abandoned connection.
    */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
@@ -886,7 +909,9 @@
       } else {
         fixture.runIteration(fixture.dialResults.get(0));
         fixture.runIterationsUntil(
-            () -> !fixture.network.isFlushed()); // the third is up, and the probe on its way
+            () ->
+                !fixture.network
+                    .isFlushed()); // the third dial is established and the probe is queued
         fixture.runIteration(fixture.dialResults.get(1));
       }
       int expectedConnection = secondEstablishedFirst ? 1 : 2;
--- a/mixer/src/test/java/gingerring/server/SearcherConnectionRaceTest.java
+++ b/mixer/src/test/java/gingerring/server/SearcherConnectionRaceTest.java
@@ -11,7 +11,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Events at searchers' connections that cross others, in both orders: see docs/crossings.md. */
+/**
+ * Races between events on searcher connections and other events, in both orders: see
+ * docs/crossings.md.
+ */
 @Timeout(180)
 class SearcherConnectionRaceTest {
   private static final int NO_TRAFFIC_WAIT_MS = 300;
@@ -32,7 +35,7 @@
     return watch;
   }
 
-  /** Nothing but probes comes for a while. */
+  /** Returns whether only probes and no request arrive for {@link #NO_TRAFFIC_WAIT_MS}. */
   private static boolean receivesNoRequest(MixerTestHarness.BoxConnection connection)
       throws IOException {
     connection.socket.setSoTimeout(NO_TRAFFIC_WAIT_MS);
@@ -47,7 +50,8 @@
   }
 
   /**
-   * Guards against a part that is sent for a client that left while its connection was coming up.
+   * Guards against a part that is sent for a client that left while the part's connection was being
+   * established.
    */
   @Test
   void partWaitingForDialIsNotSentAfterClientLeaves() throws Exception {
@@ -90,7 +94,8 @@
   }
 
   /**
-   * Guards against a part that is sent after its scan was given up, and has its effect for nobody.
+   * Guards against a part that is sent after its scan failed, and so has an effect that no client
+   * is waiting for.
    */
   @Test
   void partWaitingForDialIsNotSentAfterScanFails() throws Exception {
@@ -114,16 +119,17 @@
   };
 
   /**
-   * Late is what is out for 0.7 s, and a repeat is one up to 0.95 s; connections that are late come
-   * up after 1 s.
+   * A part counts as late after 0.7 s, and a repeat is accepted up to 0.95 s; connections of a
+   * {@link SlowAcceptSearcher} are established after 1 s.
    */
   private static final String[] SHORT_IDEMPOTENCY_WINDOW = {
     "\"AimMs\": 600.0", "\"AimMs\": 1400.0", "\"WindowMs\": 5000.0", "\"WindowMs\": 950.0"
   };
 
   /**
-   * Guards against a part of a numbered class that begins where it would be taken for another than
-   * its copy, which began before it; and against one kept back by a window that nothing has opened.
+   * Guards against a part of a keyed class that is sent after the idempotency window of its earlier
+   * copy, when the searcher no longer recognises it as a repeat; and against a part held back by a
+   * window although no copy was sent.
    */
   @Test
   void partWaitingForDialIsNotSentAfterIdempotencyWindowOfItsCopy() throws Exception {
@@ -138,11 +144,12 @@
         harness.awaitCount("links dialled", 1);
         MixerTestHarness.Box otherBox = harness.box("other", 1);
         if (copied) {
-          // what is late by half of its time is copied, and its window is as long as that
+          // a part that is late by half of its time is copied, and its window is as long as that
           watch.sendLine(MixerTestHarness.memberListLine(2, false, otherBox.memberJson("SERVING")));
           assertEquals(1, otherBox.acceptConnection().readCall().partIds().size());
         }
-        slowSearcher.releaseBacklog(); // it comes up a second after it was dialled, or two
+        slowSearcher
+            .releaseBacklog(); // the connection is established one or two seconds after the dial
         MixerTestHarness.BoxConnection connection = slowSearcher.acceptConnection();
         if (copied) {
           assertTrue(receivesNoRequest(connection));
@@ -156,8 +163,8 @@
   }
 
   /**
-   * Guards against a part that is put by the time at which its turn began, though its own is over
-   * by now.
+   * Guards against a part that is sent because its deadline is checked against the start of the
+   * loop iteration, although the deadline has passed by now.
    */
   @Test
   void partWhoseDeadlinePassesWithinItsIterationIsNotSent() throws Exception {
@@ -174,7 +181,7 @@
         gate.awaitPosted(1);
         Duration deadline = harness.server.loop.currentTime().plusMillis(2100);
         harness.server.loop.post(
-            () -> { // the process stands still within the turn
+            () -> { // the process stalls within the iteration
               while (harness.server.loop.currentTime().compareTo(deadline) < 0) {
                 Thread.onSpinWait();
               }
@@ -193,8 +200,8 @@
   }
 
   /**
-   * Guards against a part whose connection comes up in the very turn in which nobody wants it there
-   * any more.
+   * Guards against a part that is sent on a connection established in the loop iteration in which
+   * the part is cancelled or its searcher drains, goes or restarts.
    */
   @Test
   void partIsNotSentOnConnectionEstablishedInIterationThatEndsIt() throws Exception {
@@ -239,11 +246,11 @@
               gate.awaitPosted(postedBefore + 2);
             }
           }
-          String description = event + ", up first: " + establishedFirst;
+          String description = event + ", established first: " + establishedFirst;
           MixerTestHarness.BoxConnection connection = slowSearcher.acceptConnection();
           if (event == ConcurrentEvent.SEARCHER_REMOVED
               || event == ConcurrentEvent.SEARCHER_RESTARTED) {
-            connection.awaitEnd(); // the mixer closes its end too
+            connection.awaitEnd(); // the mixer closes its side too
           } else {
             assertTrue(receivesNoRequest(connection), description);
           }
@@ -275,8 +282,8 @@
   }
 
   /**
-   * Guards against calls that wait behind a searcher that does not read, and leave after it began
-   * to drain.
+   * Guards against calls that wait for a searcher that does not read, and are written after the
+   * searcher began to drain.
    */
   @Test
   void unwrittenRequestsAreHeldBackOnceSearcherDrains() throws Exception {
@@ -299,8 +306,8 @@
           harness.closeAtEnd(SlowAcceptSearcher.withSmallReceiveBuffer("box", 0));
       MixerTestHarness.DiscoveryConnection watch =
           startWithMembers(harness, box.memberJson("SERVING"));
-      int largeRequests = 80; // more than the kernel takes for it
-      int smallRequests = 10; // room for so few bytes there would be
+      int largeRequests = 80; // more than the kernel buffers
+      int smallRequests = 10; // these few bytes would still fit
       for (int i = 0; i < largeRequests + smallRequests; i++) {
         harness.connectClient().write(scan(harness, 2900, i < largeRequests ? 60_000 : 100, 0));
         if (i == largeRequests - 1) {
@@ -310,7 +317,7 @@
       }
       harness.awaitCount("scans taken", largeRequests + smallRequests);
       harness.runIterations(3);
-      long rejected = harness.count("nacks"); // on a machine that is too busy
+      long rejected = harness.count("nacks"); // some are rejected on an overloaded machine
       watch.sendLine(MixerTestHarness.memberListLine(2, false, box.memberJson("DRAINING")));
       harness.awaitCount("trips NOT_SENT", 1);
       harness.runIterations(3);
@@ -320,13 +327,14 @@
           partsReceived < largeRequests + smallRequests - heldBack - rejected; ) {
         MixerTestHarness.Frame request = connection.readCall();
         partsReceived += request.partIds().size();
-        assertTrue(request.payload().length > 60_000, "the small ones came last");
+        assertTrue(
+            request.payload().length > 60_000, "a small request was sent although it came last");
       }
-      assertTrue(receivesNoRequest(connection), heldBack + " were kept back");
+      assertTrue(receivesNoRequest(connection), heldBack + " were held back");
     }
   }
 
-  /** Guards against settings by which every connection counts as idle for too long. */
+  /** Guards against settings under which every connection counts as idle for too long. */
   @Test
   void connectionIsReusedWhenIdleTimeoutIsBelowDialTimeout() throws Exception {
     try (MixerTestHarness harness =
@@ -352,8 +360,8 @@
   }
 
   /**
-   * Guards against a storm of handshakes at a searcher whose connections come up later than a dial
-   * may take.
+   * Guards against a storm of handshakes at a searcher whose connections take longer to establish
+   * than the dial timeout.
    */
   @Test
   void connectionEstablishedAfterDialTimeoutServesNextPart() throws Exception {
@@ -366,7 +374,7 @@
       assertEquals(1, harness.count("trips UNREACHABLE"));
       slowSearcher.releaseBacklog();
       MixerTestHarness.BoxConnection connection = slowSearcher.acceptConnection();
-      assertTrue(receivesNoRequest(connection)); // the part that waited for it has gone elsewhere
+      assertTrue(receivesNoRequest(connection)); // the part that waited for it was sent elsewhere
       client.write(harness.scanRequest("search", 2000, 0));
       connection.answer(connection.readCall(), "done");
       assertTrue(client.readAnswer().startsWith("200"));
@@ -375,9 +383,9 @@
   }
 
   /**
-   * Guards against a storm of handshakes at a searcher whose connections come up late, and against
-   * one of which nothing more is heard as all dials that may be under way are late: the oldest
-   * makes room for the next.
+   * Guards against a storm of handshakes at a searcher whose connections are established late, and
+   * against a searcher that is never reached again because all dials that may be in progress are
+   * late: the oldest dial is replaced by the next.
    */
   @Test
   void oldestOfTwoLateDialsIsReplacedByNextDial() throws Exception {
@@ -390,10 +398,10 @@
         assertTrue(client.readAnswer().startsWith("50"));
         assertEquals(expectedDials, harness.count("links dialled"));
       }
-      harness.awaitCount("links dialled", 3); // by the probe that ends a bench
+      harness.awaitCount("links dialled", 3); // by the probe that ends an ejection
       AtomicInteger openConnections = new AtomicInteger();
       harness.runInLoop(() -> openConnections.set(harness.server.network().connectionCount()));
-      assertEquals(4, openConnections.get()); // discovery, the client, and two dials
+      assertEquals(4, openConnections.get()); // discovery, the client and two dials
       slowSearcher.releaseBacklog();
       MixerTestHarness.BoxConnection connection = slowSearcher.acceptConnection();
       Thread responder =
@@ -411,7 +419,7 @@
       responder.setDaemon(true);
       responder.start();
       MixerTestHarness.await(
-          "a scan that is served",
+          "a successful scan",
           () -> {
             try {
               client.write(harness.scanRequest("search", 2000, 0));
--- a/mixer/src/test/java/gingerring/server/SlowAcceptSearcher.java
+++ b/mixer/src/test/java/gingerring/server/SlowAcceptSearcher.java
@@ -11,8 +11,8 @@
 import java.util.List;
 
 /**
- * A searcher whose connections come up late: the queue of its listener is full, so that the kernel
- * of those who dial asks again after a second, until the queue is let go.
+ * A searcher whose connections are established late: the listener's backlog is full, so the kernel
+ * of a connecting client repeats its SYN after a second, until the backlog is released.
  */
 final class SlowAcceptSearcher implements Closeable {
   private final String name;
@@ -35,12 +35,15 @@
     listener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), backlog);
   }
 
-  /** One whose connections come up at once, and take little before they are read. */
+  /**
+   * Returns a searcher that accepts connections at once, but whose small receive buffer takes few
+   * bytes before the test reads them.
+   */
   static SlowAcceptSearcher withSmallReceiveBuffer(String name, int cell) throws IOException {
     return new SlowAcceptSearcher(name, cell, 64);
   }
 
-  /** Fills the queue, so that nobody else comes up. */
+  /** Fills the listener's backlog, so that no further connection is established. */
   void fillBacklog() throws IOException {
     for (int i = 0; i < 8; i++) {
       Socket socket = new Socket();
@@ -52,10 +55,13 @@
         return;
       }
     }
-    throw new IOException("the queue of a listener is never full");
+    throw new IOException("the listener's backlog did not fill up");
   }
 
-  /** From now on those who dial come up, those who wait at their kernel's next try. */
+  /**
+   * Empties the backlog. New connections are established at once, pending ones at the next SYN of
+   * their kernel.
+   */
   void releaseBacklog() throws IOException {
     for (; filledSlots > 0; filledSlots--) {
       listener.accept().close();
@@ -66,7 +72,7 @@
     backlogFillers.clear();
   }
 
-  /** The next connection of the mixer's. */
+  /** Accepts the mixer's next connection. */
   MixerTestHarness.BoxConnection acceptConnection() throws IOException {
     MixerTestHarness.BoxConnection connection =
         new MixerTestHarness.BoxConnection(listener.accept());
@@ -74,7 +80,7 @@
     return connection;
   }
 
-  /** Whether nobody comes up for so long. */
+  /** Returns whether no connection is established within {@code timeoutMs}. */
   boolean noConnectionWithin(int timeoutMs) throws IOException {
     listener.setSoTimeout(timeoutMs);
     try {
--- a/mixer/src/test/java/gingerring/server/WatchAddressChangeTest.java
+++ b/mixer/src/test/java/gingerring/server/WatchAddressChangeTest.java
@@ -7,7 +7,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A move of discovery, and what crosses it, in both orders: see docs/crossings.md. */
+/**
+ * A change of the discovery agent's address, and events that race it, in both orders: see
+ * docs/crossings.md.
+ */
 @Timeout(120)
 class WatchAddressChangeTest {
   private static final int DRAIN_GRACE_MS = 500;
@@ -30,7 +33,7 @@
     return watch;
   }
 
-  /** All that has been said is heard, and what was to be told of it is. */
+  /** Runs all pending events and asserts that they report nothing. */
   private static void assertNoNotification(WatchHarness harness) throws Exception {
     for (int i = 0; i < 3; i++) {
       harness.runInLoop(() -> {});
@@ -39,8 +42,8 @@
   }
 
   /**
-   * Guards against a mixer that hears nobody between the move and the first list from the new
-   * address.
+   * Guards against a mixer without any watch between the address change and the first list from the
+   * new address.
    */
   @Test
   void formerWatchIsUsedUntilFirstListFromNewAddress() throws Exception {
@@ -66,7 +69,10 @@
     }
   }
 
-  /** Guards against a list that cannot be used, and ends the watch that could. */
+  /**
+   * Guards against an unusable list from the new address that ends the former watch, which still
+   * works.
+   */
   @Test
   void unusableListDoesNotEndFormerWatch() throws Exception {
     try (WatchHarness harness = newHarness();
@@ -85,7 +91,7 @@
     }
   }
 
-  /** In one turn: the new address has the last word, whichever comes first. */
+  /** Within one loop iteration the list from the new address prevails, whichever is read first. */
   @Test
   void listOfFormerWatchAfterListFromNewAddressIsIgnored() throws Exception {
     for (boolean formerFirst : new boolean[] {true, false}) {
@@ -123,7 +129,7 @@
     }
   }
 
-  /** Guards against a second move that ends the watch which alone has spoken. */
+  /** Guards against a second address change that ends the only watch that has delivered a list. */
   @Test
   void lastWatchWithListIsKeptOverTwoAddressChanges() throws Exception {
     try (WatchHarness harness = newHarness();
@@ -141,7 +147,7 @@
       MixerTestHarness.DiscoveryConnection watch =
           acceptWatchAndSendList(harness, thirdAgent, 0, 5);
       assertEquals("closed", formerWatch.awaitEnd());
-      // and where the second has spoken, it is the one that stays
+      // once the second agent has sent a list, its watch is kept
       harness.changeAgentAddress(secondAgent.address());
       MixerTestHarness.DiscoveryConnection returnedWatch =
           acceptWatchAndSendList(harness, secondAgent, 0, 9);
@@ -171,14 +177,16 @@
       MixerTestHarness.DiscoveryConnection watch =
           acceptWatchAndSendList(harness, harness.agent, 0, 43);
       assertEquals("closed", formerWatch.awaitEnd());
-      harness.changeAgentAddress(harness.agent.address()); // it is there already
+      harness.changeAgentAddress(harness.agent.address()); // unchanged address
       watch.sendLine(MixerTestHarness.memberListLine(44, false));
       assertEquals("list 44", harness.nextNotification());
       assertEquals(3, harness.discoveryCalls());
     }
   }
 
-  /** A former watch that falls silent or ends is no failure; the calls to the new address go on. */
+  /**
+   * A former watch that falls silent or ends is not a failure; the calls to the new address go on.
+   */
   @Test
   void endedFormerWatchIsNotReopened() throws Exception {
     for (boolean silent : new boolean[] {true, false}) {
@@ -210,8 +218,8 @@
   }
 
   /**
-   * Guards against a timer for older lists that was set before the move, and ends the watch after
-   * it.
+   * Guards against a timer for outdated lists that was set before the address change and ends the
+   * watch after it.
    */
   @Test
   void olderListTimerIsCancelledByAddressChange() throws Exception {
@@ -241,7 +249,7 @@
     }
   }
 
-  /** Guards against a whole list of the former address that replaces the one from the new. */
+  /** Guards against a full list from the former address that replaces the list from the new one. */
   @Test
   void fetchInFlightIsRepeatedAtNewAddress() throws Exception {
     for (boolean answered : new boolean[] {true, false}) {
@@ -273,7 +281,9 @@
     }
   }
 
-  /** Guards against a fetch that was answered before the watch spoke, and comes after it. */
+  /**
+   * Guards against a fetch that was answered before the watch sent its list, and arrives after it.
+   */
   @Test
   void fetchOlderThanWatchedListIsIgnored() throws Exception {
     try (WatchHarness harness = newHarness()) {
@@ -292,8 +302,8 @@
   }
 
   /**
-   * What the new address has counts 4 s after the move: calls that are refused or silent do not use
-   * it up.
+   * The list at the new address has to apply 4 s after the address change: calls that are refused
+   * or silent do not use up that time.
    */
   @Test
   void newAddressIsCalledThreeTimesWithinFourSeconds() throws Exception {
@@ -326,7 +336,9 @@
     }
   }
 
-  /** A move before the mixer asks for a watch, or after it wants none, opens none. */
+  /**
+   * An address change before the mixer opens a watch, or after it has closed the watch, opens none.
+   */
   @Test
   void addressChangeOpensNoUnrequestedWatch() throws Exception {
     try (WatchHarness harness = newHarness();
--- a/mixer/src/test/java/gingerring/server/WatchDialRaceTest.java
+++ b/mixer/src/test/java/gingerring/server/WatchDialRaceTest.java
@@ -17,8 +17,8 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Calls of discovery that come up, speak and end in one turn, and what crosses that turn at each
- * point of it: see docs/crossings.md.
+ * Calls to discovery that are established, answered and ended in one loop iteration, with another
+ * event at each point of that iteration: see docs/crossings.md.
  */
 @Timeout(120)
 class WatchDialRaceTest {
@@ -26,13 +26,13 @@
   private static final int CALL_INTERVAL_MS = 250;
   private static final int MAX_CALL_INTERVAL_MS = 1167;
 
-  /** So long a call may say nothing at all. */
+  /** Time after which a call without any response is abandoned. */
   private static final int LINE_TIMEOUT_MS = 1000;
 
-  /** Connections that a stage's network may hold. */
+  /** Limit of connections of the harness's network. */
   private static final int MAX_CONNECTIONS = 64;
 
-  /** What the agent does with a connection in the turn in which it comes up. */
+  /** Actions of the agent in the loop iteration in which a connection is established. */
   private enum Step {
     ESTABLISHED,
     SPEAKS,
@@ -55,10 +55,13 @@
           List.of(Step.ESTABLISHED, Step.SPEAKS, Step.RESETS));
 
   private interface InterleavedScenario {
-    void run(List<Step> steps, int at, String what) throws Exception;
+    void run(List<Step> steps, int eventIndex, String description) throws Exception;
   }
 
-  /** Each play, with the other event at each point of its turn: 0 is before the dial comes up. */
+  /**
+   * Runs the scenario for each sequence, with the other event at each point of the iteration: 0 is
+   * before the dial is established.
+   */
   private static void forEachInterleaving(List<List<Step>> sequences, InterleavedScenario scenario)
       throws Exception {
     for (List<Step> steps : sequences) {
@@ -73,7 +76,7 @@
     }
   }
 
-  /** Whether a step was heard before the other event. */
+  /** Returns whether a step of the sequence was processed before the other event. */
   private static boolean happenedBefore(List<Step> steps, int eventIndex, Step step) {
     return steps.subList(0, eventIndex).contains(step);
   }
@@ -90,7 +93,7 @@
     WatchHarness harness = new WatchHarness(true, discoveryMode, DRAIN_GRACE_MS);
     harness.runInLoop(
         () -> {
-          try { // so that its connections are counted against a bound
+          try { // so that connections count against a limit
             harness.network.listen(
                 new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                 MAX_CONNECTIONS,
@@ -104,11 +107,11 @@
   }
 
   /**
-   * The loop stands in the turn that dials until all has come that the dial brings, and the other
-   * event with it: the next turn takes them all, in that order. Returns the agent's end of the
-   * connection.
+   * Blocks the loop in the iteration that dials until all events that follow from the dial, and the
+   * other event, are posted: the next iteration takes them all, in that order. Returns the agent's
+   * end of the connection.
    *
-   * @param other brings one event before the loop
+   * @param otherEvent posts one event to the loop
    */
   private static Socket runInterleaved(
       WatchHarness harness,
@@ -119,9 +122,9 @@
       WatchHarness.BlockedLoopAction otherEvent)
       throws Exception {
     boolean[] settled =
-        new boolean[1]; // else an earlier request's leaving would stand for another event
+        new boolean[1]; // otherwise the event that an earlier request was sent would be counted
     MixerTestHarness.await(
-        "all that was put leaves",
+        "all queued bytes to be sent",
         () -> {
           try {
             harness.runInLoop(() -> settled[0] = harness.network.isFlushed());
@@ -138,7 +141,7 @@
           reached.countDown();
           awaitLatch(dialAllowed);
           dial.run();
-          harness.network.flush(); // what was dialled goes on
+          harness.network.flush(); // starts the dial
           awaitLatch(released);
         });
     awaitLatch(reached);
@@ -179,19 +182,22 @@
   private static void awaitLatch(CountDownLatch latch) {
     try {
       if (!latch.await(MixerTestHarness.TIMEOUT_MS, TimeUnit.MILLISECONDS)) {
-        throw new AssertionError("nothing lets it go on");
+        throw new AssertionError("the latch was not released in time");
       }
     } catch (InterruptedException e) {
       throw new AssertionError(e);
     }
   }
 
-  /** So many connections are in hand, each counts once against the bound, and no other. */
+  /**
+   * Asserts that {@code expectedCount} connections are open, and that each of them and nothing else
+   * counts once against the limit.
+   */
   private static void assertOpenConnections(WatchHarness harness, int expectedCount)
       throws Exception {
     int[] actual = new int[2];
     MixerTestHarness.await(
-        expectedCount + " connections in hand",
+        expectedCount + " open connections",
         () -> {
           try {
             harness.runInLoop(() -> actual[0] = harness.network.connectionCount());
@@ -204,7 +210,7 @@
     assertEquals(MAX_CONNECTIONS - expectedCount, actual[1], "room");
   }
 
-  /** What has been told since, and nothing else. */
+  /** Asserts the notifications since the last check. */
   private static void assertNotifications(WatchHarness harness, List<String> expected)
       throws Exception {
     harness.runInLoop(() -> {});
@@ -213,7 +219,7 @@
     assertEquals(expected, notifications);
   }
 
-  /** What a call for a watch is answered, as far as its first line. */
+  /** Returns the response to a watch call up to its first line. */
   private static String watchResponse(int revision) {
     return "HTTP/1.1 200 OK\r\n\r\n" + MixerTestHarness.memberListLine(revision, true) + "\n";
   }
@@ -225,7 +231,7 @@
     assertEquals("list " + revision, harness.nextNotification());
   }
 
-  /** The connection ends at the agent too, and no request had been sent on it. */
+  /** Asserts that the connection ends at the agent too, and that no request was sent on it. */
   private static void assertClosedWithoutRequest(Socket agentSocket) throws IOException {
     assertEquals(-1, agentSocket.getInputStream().read());
     agentSocket.close();
@@ -236,10 +242,7 @@
     return "HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list;
   }
 
-  /**
-   * Guards against a call that is over as it begins, and that nobody is told of, or that none
-   * follows.
-   */
+  /** Guards against a call that ends as it begins and is neither reported nor retried. */
   @Test
   void callThatEndsInIterationOfItsDialIsRetriedAtCallInterval() throws Exception {
     for (List<Step> steps : SEQUENCES) {
@@ -269,8 +272,8 @@
   }
 
   /**
-   * Guards against a party that is told that its connection is up once it has closed it, or ended
-   * twice.
+   * Guards against a callback that reports a connection as established after the owner closed it,
+   * or as closed twice.
    */
   @Test
   void connectionClosedInIterationOfItsDialReportsItsEndOnce() throws Exception {
@@ -319,7 +322,10 @@
         });
   }
 
-  /** (a) Guards against word of a former place, and against a failure that is told of it. */
+  /**
+   * (a) Guards against a list or a failure of the former address that is reported after the address
+   * change.
+   */
   @Test
   void callEstablishedInIterationOfAddressChangeReportsNothingOfFormerAddress() throws Exception {
     forEachInterleaving(
@@ -351,7 +357,7 @@
                 harness,
                 listReceived && !ends(steps)
                     ? 2
-                    : 1); // it stays until there is a list from the new place
+                    : 1); // the former watch stays open until the new address sends a list
             sendList(harness, watch, 7);
             assertOpenConnections(harness, 1);
             harness.advanceClock(2 * CALL_INTERVAL_MS);
@@ -365,9 +371,7 @@
         });
   }
 
-  /**
-   * (a) The same of a whole list that was asked for: it is asked for anew at the new place, once.
-   */
+  /** (a) The same for the fetch of a full list: it is repeated once at the new address. */
   @Test
   void fetchEstablishedInIterationOfAddressChangeIsRepeatedAtNewAddress() throws Exception {
     forEachInterleaving(
@@ -398,7 +402,7 @@
             }
             assertOpenConnections(
                 harness,
-                2 + repeatedFetches); // the former watch, the new one, and the list asked for anew
+                2 + repeatedFetches); // the former watch, the new watch and the repeated fetch
             MixerTestHarness.DiscoveryConnection watch = null;
             for (int i = 0; i <= repeatedFetches; i++) {
               MixerTestHarness.DiscoveryConnection call = newAgent.acceptRequest();
@@ -413,7 +417,10 @@
         });
   }
 
-  /** (b) Guards against a call that is given up as silent and told as failed twice, or kept. */
+  /**
+   * (b) Guards against a call that is abandoned as silent and reported as failed twice, or kept
+   * open.
+   */
   @Test
   void callEstablishedInIterationOfItsSilenceTimeoutFailsOnce() throws Exception {
     forEachInterleaving(
@@ -445,7 +452,9 @@
         });
   }
 
-  /** (c) Guards against a watch that was closed, and goes on by a call that was just coming up. */
+  /**
+   * (c) Guards against a closed watch that goes on through a call that was just being established.
+   */
   @Test
   void callEstablishedInIterationOfWatchCloseReportsNothing() throws Exception {
     forEachInterleaving(
@@ -473,7 +482,7 @@
             harness.advanceClock(10_000);
             assertEquals(1, harness.discoveryCalls());
             assertNotifications(harness, List.of());
-            harness.openWatch(); // and it is opened again as ever
+            harness.openWatch(); // the watch can be opened again
             sendList(harness, harness.agent.acceptRequest(), 43);
             assertOpenConnections(harness, 1);
           }
@@ -481,8 +490,8 @@
   }
 
   /**
-   * (d) Guards against two watches, or none, where one call speaks in the turn in which another
-   * comes up.
+   * (d) Guards against two watches, or none, if one call is answered in the loop iteration in which
+   * another is established.
    */
   @Test
   void callEstablishedInIterationOfAnothersAnswerLeavesOneWatch() throws Exception {
@@ -535,8 +544,8 @@
   }
 
   /**
-   * (c) The process is told to end, or its loop ends, in the turn in which the dial of a move comes
-   * up.
+   * (c) The process begins its shutdown, or its loop stops, in the loop iteration in which the dial
+   * of an address change is established.
    */
   @Test
   void callEstablishedInIterationOfShutdownDoesNotDelayShutdown() throws Exception {
@@ -562,7 +571,7 @@
                   stopAtOnce ? harness.server.loop::stop : harness.server::beginShutdown;
               Socket agentSocket = null;
               try (MixerTestHarness.LoopGate gate =
-                  harness.pauseLoop()) { // what is posted behind it is one turn
+                  harness.pauseLoop()) { // events posted behind the gate form one iteration
                 harness.server.loop.post(
                     () -> {
                       reached.countDown();
@@ -571,7 +580,7 @@
                 harness.server.reload();
                 harness.server.loop.post(
                     () -> {
-                      harness.server.network().flush(); // what the move dialled goes on
+                      harness.server.network().flush(); // starts the dial of the address change
                       awaitLatch(released);
                     });
               }
@@ -596,8 +605,7 @@
                   }
                   int minimum = ++eventCount;
                   MixerTestHarness.await(
-                      "events before the loop",
-                      () -> harness.server.loop.queuedEvents() >= minimum);
+                      "posted events", () -> harness.server.loop.queuedEvents() >= minimum);
                 }
               }
               released.countDown();
--- a/mixer/src/test/java/gingerring/server/WatchHarness.java
+++ b/mixer/src/test/java/gingerring/server/WatchHarness.java
@@ -18,9 +18,10 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A watch on a real loop and real sockets, and on a clock that stands until the test moves it: what
- * is told to the mixer waits in {@link #notifications}, and what is asked of the agent in its
- * listener. Times are exact therefore, whatever the machine does beside.
+ * A discovery watch on a real event loop and real sockets, with a clock that stands still until the
+ * test advances it. Reports to the mixer are collected in {@link #notifications}; requests to the
+ * agent wait in its listener. Timer behaviour is therefore exact, independent of the machine's
+ * load.
  */
 final class WatchHarness implements Closeable {
   private record Timer(Duration dueAt, long sequence, Runnable task) implements Comparable<Timer> {
@@ -31,7 +32,7 @@
     }
   }
 
-  /** All on the loop's thread. */
+  /** A clock that the test advances. Used on the loop's thread only. */
   private final class ManualClock implements LoopTimer {
     private final PriorityQueue<Timer> timers = new PriorityQueue<>();
     private long timerCount;
@@ -67,10 +68,13 @@
   private final ManualClock clock = new ManualClock();
   private final Thread thread;
 
-  /** How long the mixer takes to ask again after a failure; null where it does not. */
+  /** Delay after which the mixer retries after a failure; null for no retry. */
   private Duration retryDelay;
 
-  /** {@code way} and {@code graceMs}: the settings Discovery and Safety.DrainGraceMs. */
+  /**
+   * Starts the loop. {@code discoveryMode} and {@code graceMs} are the settings Discovery and
+   * Safety.DrainGraceMs; {@code accepting} tells whether the agent accepts connections.
+   */
   WatchHarness(boolean accepting, String discoveryMode, int graceMs) throws Exception {
     agent = new MixerTestHarness.DiscoveryAgent(accepting);
     watch =
@@ -94,7 +98,7 @@
 
               @Override
               public void onContact() {
-                counts.add("words", 1);
+                counts.add("watch messages", 1);
               }
             },
             counts,
@@ -102,22 +106,25 @@
             new Settings(
                 Map.of(
                     "Discovery", discoveryMode, "Safety.DrainGraceMs", String.valueOf(graceMs))));
-    thread = new Thread(() -> loop.run(() -> {}, network::flush), "watch stage");
+    thread = new Thread(() -> loop.run(() -> {}, network::flush), "watch harness");
     thread.start();
   }
 
-  /** An empty line, which has been heard by the end: the clock must not pass by it. */
+  /**
+   * Sends an empty line and waits until the watch has read it, so that the clock cannot advance
+   * before.
+   */
   void sendEmptyLine(MixerTestHarness.DiscoveryConnection call) throws Exception {
-    long messagesBefore = counts.get("words");
+    long messagesBefore = counts.get("watch messages");
     call.sendLine("");
-    awaitCount("words", messagesBefore + 1);
+    awaitCount("watch messages", messagesBefore + 1);
   }
 
   private DiscoveryWatch watch() {
     return watch;
   }
 
-  /** From now on the mixer asks again so long after each failure. */
+  /** Makes the mixer retry {@code spanMs} after each failure from now on. */
   void retryAfterFailure(int spanMs) throws InterruptedException {
     runInLoop(() -> retryDelay = Duration.ofMillis(spanMs));
   }
@@ -130,17 +137,17 @@
     runInLoop(() -> watch.changeAddress(newAddress));
   }
 
-  /** Lets the clock move on, wake by wake; those of connections come in their own time. */
+  /** Advances the clock from timer to timer. Socket events are not tied to this clock. */
   void advanceClock(int spanMs) throws InterruptedException {
     runInLoop(() -> clock.advance(Duration.ofMillis(spanMs)));
   }
 
-  /** The same, for those who are on the loop's thread. */
+  /** Advances the clock; for callers on the loop's thread. */
   void advanceClockOnLoop(int spanMs) {
     clock.advance(Duration.ofMillis(spanMs));
   }
 
-  /** Runs a task in a turn of its own, and waits for the end of that turn. */
+  /** Runs a task in a loop iteration of its own, and waits for the end of that iteration. */
   void runInLoop(Runnable task) throws InterruptedException {
     CountDownLatch done = new CountDownLatch(1);
     loop.post(
@@ -154,8 +161,8 @@
   }
 
   /**
-   * What happens in {@code behind} stands before the loop as a whole: it takes it in one turn, in
-   * that order.
+   * Blocks the loop while {@code action} runs: the loop then takes all events posted by the action
+   * in one iteration, in their order.
    */
   void runWhileBlocked(BlockedLoopAction action) throws Exception {
     CountDownLatch reached = new CountDownLatch(1);
@@ -177,18 +184,17 @@
     }
   }
 
-  /** What a test does while the loop stands. */
+  /** An action of the test while the loop is blocked. */
   interface BlockedLoopAction {
     void run() throws Exception;
   }
 
-  /** Waits until so many events stand before the loop. */
+  /** Waits until {@code eventCount} events are posted to the loop. */
   void awaitPosted(int eventCount) throws InterruptedException {
-    MixerTestHarness.await(
-        eventCount + " events before the loop", () -> loop.queuedEvents() >= eventCount);
+    MixerTestHarness.await(eventCount + " posted events", () -> loop.queuedEvents() >= eventCount);
   }
 
-  /** The next that was told; null after a while. */
+  /** Returns the next notification, or null after a timeout. */
   String nextNotification() throws InterruptedException {
     return notifications.poll(MixerTestHarness.TIMEOUT_MS, TimeUnit.MILLISECONDS);
   }
@@ -214,7 +220,7 @@
     agent.close();
     String countsText = counts.toString();
     if (countsText.contains("failures in ") || countsText.contains("broken: ")) {
-      throw new AssertionError("what must hold did not: " + countsText);
+      throw new AssertionError("an invariant was violated: " + countsText);
     }
   }
 }
--- a/mixer/src/test/java/gingerring/server/WatchRaceTest.java
+++ b/mixer/src/test/java/gingerring/server/WatchRaceTest.java
@@ -9,20 +9,20 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Pairs of events that cross at discovery's watch, in both orders: see docs/crossings.md. */
+/** Pairs of simultaneous events at the discovery watch, in both orders: see docs/crossings.md. */
 @Timeout(120)
 class WatchRaceTest {
   private static final String AUTOMATIC_MODE = "automatic";
   private static final String SUBSCRIBE_MODE = "subscribe";
 
-  /** A grace, and how long after a call the next one comes by it. */
+  /** A drain grace, and the interval between calls that follows from it. */
   private static final int DRAIN_GRACE_MS = 500;
 
   private static final int CALL_INTERVAL_MS = 250;
 
   /**
-   * The longest pace: a third of what the protocol leaves between a silence found and the end of
-   * its term.
+   * The longest interval between calls: a third of the time that the protocol leaves between the
+   * detection of a silent watch and its deadline.
    */
   private static final int MAX_CALL_INTERVAL_MS = 1167;
 
@@ -36,7 +36,9 @@
     return watch;
   }
 
-  /** Passes on step by step, and lets each call be refused before the clock moves on. */
+  /**
+   * Advances the clock step by step, and waits for each call to be refused before the next step.
+   */
   private static void advanceWhileRefused(WatchHarness harness, int totalMs, int stepMs)
       throws InterruptedException {
     for (int i = 0; i <= totalMs; i += stepMs) {
@@ -50,8 +52,8 @@
   }
 
   /**
-   * Guards against an agent that can be reached again, whose list counts as told at once, while the
-   * mixer waits longer than the grace before it calls again.
+   * Guards against a mixer that waits longer than the drain grace before it calls again, although
+   * an agent that is reachable again counts its list as delivered at once.
    */
   @Test
   void refusedWatchRetriesTwiceWithinDrainGraceUntilAgentReturns() throws Exception {
@@ -63,11 +65,13 @@
       watch.reset();
       assertEquals(
           "failed",
-          harness.nextNotification()); // of the watch, and of the call that followed it at once
+          harness.nextNotification()); // of the watch, and of the call that followed at once
       assertEquals("failed", harness.nextNotification());
       advanceWhileRefused(harness, 3000, 50);
       assertEquals(2 + 3000 / CALL_INTERVAL_MS, harness.discoveryCalls());
-      assertNull(harness.notifications.poll(), "what it calls by itself is not told as failed");
+      assertNull(
+          harness.notifications.poll(),
+          "failed calls that the watch repeats itself are not reported");
       harness.agent.resumeListening();
       harness.advanceClock(CALL_INTERVAL_MS);
       assertTrue(
@@ -80,7 +84,7 @@
   }
 
   /**
-   * The same where the agent takes connections and says nothing: no call waits for the end of
+   * The same where the agent accepts connections and sends nothing: no call waits for the end of
    * another.
    */
   @Test
@@ -117,8 +121,8 @@
   }
 
   /**
-   * Two calls answered in one turn: the second brings nothing that the first has not, and is no
-   * failure.
+   * Two calls are answered in one loop iteration: the second answer has no newer list than the
+   * first, and is not a failure.
    */
   @Test
   void firstOfTwoCallsAnsweredInOneIterationBecomesWatch() throws Exception {
@@ -127,7 +131,7 @@
       MixerTestHarness.DiscoveryConnection olderCall = harness.agent.acceptWatch();
       harness.advanceClock(CALL_INTERVAL_MS);
       MixerTestHarness.DiscoveryConnection newerCall = harness.agent.acceptWatch();
-      harness.runInLoop(() -> {}); // both heads are read
+      harness.runInLoop(() -> {}); // both response heads are read
       harness.runWhileBlocked(
           () -> {
             newerCall.sendLine(MixerTestHarness.memberListLine(43, false));
@@ -144,8 +148,8 @@
   }
 
   /**
-   * Guards against a silence that is told too late as the first call after it is refused or silent
-   * too.
+   * Guards against a list that arrives too late because the first call after a silent watch is
+   * refused or silent too.
    */
   @Test
   void listMissedBySilentWatchArrivesWithinSixSeconds() throws Exception {
@@ -168,7 +172,8 @@
           } else {
             harness.agent.acceptRequest();
           }
-          // nobody asks: by itself it calls again, twice before its time is over; the first of them
+          // without a retry of the mixer the watch calls again twice before its deadline; the first
+          // call
           // is silent too
           long callsBefore = harness.discoveryCalls();
           harness.advanceClock(MAX_CALL_INTERVAL_MS);
@@ -190,7 +195,10 @@
     }
   }
 
-  /** An agent that ends each watch as it begins is called at the pace, and not without a pause. */
+  /**
+   * An agent that ends each watch as it begins is called at the usual interval, not without a
+   * pause.
+   */
   @Test
   void agentThatEndsEachWatchIsCalledAtCallInterval() throws Exception {
     try (WatchHarness harness = new WatchHarness(true, AUTOMATIC_MODE, DRAIN_GRACE_MS)) {
@@ -214,8 +222,8 @@
   }
 
   /**
-   * A mixer that asks again after each failure that is told keeps one such wake: guards against
-   * calls that beget calls, more from second to second.
+   * A mixer that retries after each reported failure has only one pending retry. Guards against
+   * calls that cause further calls, so that their rate grows without bound.
    */
   @Test
   void retriesOfMixerDoNotAccumulateInLongOutage() throws Exception {
@@ -231,11 +239,12 @@
           laterCalls <= 30_000 / CALL_INTERVAL_MS + 30_000 / 600,
           "calls " + laterCalls + " after " + earlyCalls);
       assertTrue(
-          harness.notifications.size() <= 30_000 / 600, "told " + harness.notifications.size());
+          harness.notifications.size() <= 30_000 / 600,
+          "notifications " + harness.notifications.size());
     }
   }
 
-  /** The slowest pace holds where the grace is long, and where nothing is pushed. */
+  /** The longest interval applies if the drain grace is long, and in both discovery modes. */
   @Test
   void callIntervalReachesItsMaximum() throws Exception {
     for (String discoveryMode : List.of(AUTOMATIC_MODE, SUBSCRIBE_MODE)) {
@@ -247,7 +256,10 @@
     }
   }
 
-  /** And the fastest is bounded, however short the grace, as are the calls under way. */
+  /**
+   * The shortest interval is bounded however short the drain grace is, and so is the number of
+   * calls in progress.
+   */
   @Test
   void atMostEightCallsAreOpenAtOnce() throws Exception {
     try (WatchHarness harness = new WatchHarness(true, AUTOMATIC_MODE, 0)) {
@@ -258,14 +270,14 @@
         harness.advanceClock(125);
         assertEquals(2 + i, harness.discoveryCalls());
         MixerTestHarness.await(
-            "eight connections at most", () -> harness.network.connectionCount() <= 8);
+            "at most eight connections", () -> harness.network.connectionCount() <= 8);
       }
     }
   }
 
   /**
-   * What an outage of 10 s costs in calls, with a mixer that asks again 750 ms after each failure
-   * that it is told, as it does in the mean.
+   * The number of calls in an outage of 10 s, with a mixer that retries 750 ms after each reported
+   * failure, its mean delay.
    */
   @Test
   void outageCostsExpectedNumberOfCalls() throws Exception {
--- a/mixer/src/test/java/gingerring/server/WatchResponseTest.java
+++ b/mixer/src/test/java/gingerring/server/WatchResponseTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Answers of discovery that end in odd ways, never end, or hold what cannot be: see
+ * Responses of discovery that end abnormally, never end, or have invalid content: see
  * docs/crossings.md.
  */
 @Timeout(120)
@@ -30,7 +30,8 @@
   }
 
   /**
-   * Writes, and waits until the watch has read it: the loop is idle while the agent says nothing.
+   * Writes, and waits until the watch has read the text: the loop is idle while the agent sends
+   * nothing.
    */
   private static void writeAndAwaitRead(
       WatchHarness harness, MixerTestHarness.DiscoveryConnection call, String text)
@@ -44,8 +45,8 @@
   }
 
   /**
-   * Guards against a list cut short by a reset that passes for whole, and against a whole one left
-   * out.
+   * Guards against a list that is truncated by a reset and taken as complete, and against a
+   * complete list that is ignored.
    */
   @Test
   void responseWithoutLengthEndsOnlyByOrderlyClose() throws Exception {
@@ -70,8 +71,8 @@
   }
 
   /**
-   * The same of a watch, whose last line need not end; what is no whole list tells nothing either
-   * way.
+   * The same for a watch, whose last line need not be terminated. A list that is not complete is
+   * reported in neither case.
    */
   @Test
   void unterminatedLastLineCountsOnlyAfterOrderlyClose() throws Exception {
@@ -130,7 +131,10 @@
     }
   }
 
-  /** With a length, or in chunks, an orderly close before the end is none. */
+  /**
+   * A response with a content length or in chunks is not complete if the connection closes early,
+   * even in order.
+   */
   @Test
   void responseWithLengthDoesNotEndByClose() throws Exception {
     String list = MixerTestHarness.memberListLine(42, true);
@@ -150,7 +154,10 @@
     }
   }
 
-  /** Guards against an answer that never ends: each byte came in time, and no line ever did. */
+  /**
+   * Guards against a response that never ends: every byte arrives in time, but no line is ever
+   * completed.
+   */
   @Test
   void tricklingResponseIsAbandonedInTime() throws Exception {
     String list = MixerTestHarness.memberListLine(42, true);
@@ -181,19 +188,20 @@
         for (int i = 0; harness.counts.get("discovery failures") == 0; i++) {
           assertTrue(
               elapsedMs < SILENCE_TIMEOUT_MS + LINE_TIMEOUT_MS,
-              segments[0] + " is still open after " + elapsedMs);
+              segments[0] + " is still open, in ms: " + elapsedMs);
           writeAndAwaitRead(harness, call, segments[1 + i % (segments.length - 1)]);
           harness.advanceClock(LINE_TIMEOUT_MS / 2);
           elapsedMs += LINE_TIMEOUT_MS / 2;
         }
         assertEquals("failed", harness.nextNotification());
-        assertTrue(elapsedMs > LINE_TIMEOUT_MS, segments[0] + " was given up after " + elapsedMs);
+        assertTrue(
+            elapsedMs > LINE_TIMEOUT_MS, segments[0] + " was abandoned early, in ms: " + elapsedMs);
         assertTrue(call.awaitEnd().matches("closed|reset"));
       }
     }
   }
 
-  /** And one that comes as fast as it can is bounded in memory. */
+  /** A response that arrives as fast as possible is bounded in memory. */
   @Test
   void growingResponseIsAbandonedAtItsSizeLimit() throws Exception {
     for (String[] segments :
@@ -209,19 +217,19 @@
         harness.openWatch();
         MixerTestHarness.DiscoveryConnection call = harness.agent.acceptRequest();
         Thread watchdog =
-            resetAfterTimeout(call); // a write that nobody reads has no time-out of its own
+            resetAfterTimeout(call); // a write has no timeout of its own if the peer does not read
         call.write(segments[0]);
         int segmentsWritten = 0;
         try {
           for (; harness.counts.get("discovery failures") == 0; segmentsWritten++) {
-            // far more than the system holds for one that does not read
+            // far more than the kernel buffers for a peer that does not read
             assertTrue(
                 (long) segmentsWritten * segments[1].length() < 1 << 26,
                 segments[0] + " is still open");
             call.write(segments[1]);
           }
         } catch (java.io.IOException e) {
-          // it is given up as it writes
+          // the watch closes the connection during the write
         }
         assertEquals("failed", harness.nextNotification());
         assertEquals(0, harness.counts.get("lists told"));
@@ -239,17 +247,18 @@
                 Thread.sleep(MixerTestHarness.TIMEOUT_MS);
                 call.reset();
               } catch (InterruptedException | java.io.IOException e) {
-                // it was not needed, or had ended
+                // the call has already ended
               }
             },
-            "bound");
+            "watchdog");
     thread.setDaemon(true);
     thread.start();
     return thread;
   }
 
   /**
-   * Guards against a list that is taken in part, or counts as seen, though it could not be used.
+   * Guards against a list that is applied in part, or whose revision counts as seen, although the
+   * list is invalid.
    */
   @Test
   void unusableListIsRequestedAgainFromSameRevision() throws Exception {
@@ -270,7 +279,7 @@
   }
 
   /**
-   * A revision may jump; one that goes back tells nothing new, unless it comes with a whole list of
+   * A revision may skip numbers. An older revision is ignored, unless it comes with a full list of
    * that age.
    */
   @Test
