--- a/mixer/src/test/java/gingerring/server/SearcherConnectionRaceTest.java
+++ b/mixer/src/test/java/gingerring/server/SearcherConnectionRaceTest.java
@@ -11,7 +11,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Events at searchers' connections that cross others, in both orders: see docs/crossings.md. */
+/**
+ * Races between events on searcher connections and other events, in both orders: see
+ * docs/crossings.md.
+ */
 @Timeout(180)
 class SearcherConnectionRaceTest {
   private static final int NO_TRAFFIC_WAIT_MS = 300;
@@ -32,21 +35,23 @@
     return watch;
   }
 
-  /** Nothing but probes comes for a while. */
-  private static boolean receivesNoRequest(MixerTestHarness.BoxConnection link) throws IOException {
-    link.socket.setSoTimeout(NO_TRAFFIC_WAIT_MS);
+  /** Returns whether only probes and no request arrive for {@link #NO_TRAFFIC_WAIT_MS}. */
+  private static boolean receivesNoRequest(MixerTestHarness.BoxConnection connection)
+      throws IOException {
+    connection.socket.setSoTimeout(NO_TRAFFIC_WAIT_MS);
     try {
-      link.readCall();
+      connection.readCall();
       return false;
     } catch (SocketTimeoutException e) {
       return true;
     } finally {
-      link.socket.setSoTimeout(MixerTestHarness.TIMEOUT_MS);
+      connection.socket.setSoTimeout(MixerTestHarness.TIMEOUT_MS);
     }
   }
 
   /**
-   * Guards against a part that is sent for a client that left while its connection was coming up.
+   * Guards against a part that is sent for a client that left while the part's connection was being
+   * established.
    */
   @Test
   void partWaitingForDialIsNotSentAfterClientLeaves() throws Exception {
@@ -54,14 +59,14 @@
       try (MixerTestHarness harness =
           new MixerTestHarness(concatenate(cancelSetting, LONG_DIAL_TIMEOUT))) {
         SlowAcceptSearcher slowSearcher = harness.closeAtEnd(new SlowAcceptSearcher("late", 0));
-        startWithMembers(harness, slowSearcher.member("SERVING"));
+        startWithMembers(harness, slowSearcher.memberJson("SERVING"));
         MixerTestHarness.Client client = harness.connectClient();
         client.write(harness.scanRequest("search", 2000, 0));
         harness.awaitCount("links dialled", 1);
         client.close();
         harness.awaitCount("clients that left", 1);
         slowSearcher.releaseBacklog();
-        assertTrue(receivesNoRequest(slowSearcher.link()));
+        assertTrue(receivesNoRequest(slowSearcher.acceptConnection()));
         assertEquals(1, harness.count("trips NOT_SENT"));
       }
     }
@@ -75,21 +80,22 @@
           new MixerTestHarness(concatenate(cancelSetting, LONG_DIAL_TIMEOUT))) {
         SlowAcceptSearcher slowSearcher = harness.closeAtEnd(new SlowAcceptSearcher("late", 3));
         MixerTestHarness.Box box = harness.box("box", 1);
-        startWithMembers(harness, slowSearcher.member("SERVING"), box.memberJson("SERVING"));
+        startWithMembers(harness, slowSearcher.memberJson("SERVING"), box.memberJson("SERVING"));
         MixerTestHarness.Client client = harness.connectClient();
         client.write(harness.scanRequest("search", 2000, 0, 2));
-        MixerTestHarness.BoxConnection link = box.acceptConnection();
-        link.answer(link.readCall(), "done");
+        MixerTestHarness.BoxConnection connection = box.acceptConnection();
+        connection.answer(connection.readCall(), "done");
         assertTrue(client.readAnswer().startsWith("200 {\"whole\":false"));
         slowSearcher.releaseBacklog();
-        assertTrue(receivesNoRequest(slowSearcher.link()));
+        assertTrue(receivesNoRequest(slowSearcher.acceptConnection()));
         assertEquals(1, harness.count("trips NOT_SENT"));
       }
     }
   }
 
   /**
-   * Guards against a part that is sent after its scan was given up, and has its effect for nobody.
+   * Guards against a part that is sent after its scan failed, and so has an effect that no client
+   * is waiting for.
    */
   @Test
   void partWaitingForDialIsNotSentAfterScanFails() throws Exception {
@@ -97,12 +103,12 @@
       try (MixerTestHarness harness =
           new MixerTestHarness(concatenate(cancelSetting, LONG_DIAL_TIMEOUT))) {
         SlowAcceptSearcher slowSearcher = harness.closeAtEnd(new SlowAcceptSearcher("late", 0));
-        startWithMembers(harness, slowSearcher.member("SERVING"));
+        startWithMembers(harness, slowSearcher.memberJson("SERVING"));
         MixerTestHarness.Client client = harness.connectClient();
         client.write(harness.scanRequest("post", 2000, 0));
         assertTrue(client.readAnswer().startsWith("50"));
         slowSearcher.releaseBacklog();
-        assertTrue(receivesNoRequest(slowSearcher.link()));
+        assertTrue(receivesNoRequest(slowSearcher.acceptConnection()));
         assertEquals(1, harness.count("trips NOT_SENT"));
       }
     }
@@ -113,16 +119,17 @@
   };
 
   /**
-   * Late is what is out for 0.7 s, and a repeat is one up to 0.95 s; connections that are late come
-   * up after 1 s.
+   * A part counts as late after 0.7 s, and a repeat is accepted up to 0.95 s; connections of a
+   * {@link SlowAcceptSearcher} are established after 1 s.
    */
   private static final String[] SHORT_IDEMPOTENCY_WINDOW = {
     "\"AimMs\": 600.0", "\"AimMs\": 1400.0", "\"WindowMs\": 5000.0", "\"WindowMs\": 950.0"
   };
 
   /**
-   * Guards against a part of a numbered class that begins where it would be taken for another than
-   * its copy, which began before it; and against one kept back by a window that nothing has opened.
+   * Guards against a part of a keyed class that is sent after the idempotency window of its earlier
+   * copy, when the searcher no longer recognises it as a repeat; and against a part held back by a
+   * window although no copy was sent.
    */
   @Test
   void partWaitingForDialIsNotSentAfterIdempotencyWindowOfItsCopy() throws Exception {
@@ -131,23 +138,24 @@
           new MixerTestHarness(concatenate(SHORT_IDEMPOTENCY_WINDOW, LONG_DIAL_TIMEOUT))) {
         SlowAcceptSearcher slowSearcher = harness.closeAtEnd(new SlowAcceptSearcher("late", 0));
         MixerTestHarness.DiscoveryConnection watch =
-            startWithMembers(harness, slowSearcher.member("SERVING"));
+            startWithMembers(harness, slowSearcher.memberJson("SERVING"));
         MixerTestHarness.Client client = harness.connectClient();
         client.write(harness.scanRequest("post", 2000, 0));
         harness.awaitCount("links dialled", 1);
         MixerTestHarness.Box otherBox = harness.box("other", 1);
         if (copied) {
-          // what is late by half of its time is copied, and its window is as long as that
+          // a part that is late by half of its time is copied, and its window is as long as that
           watch.sendLine(MixerTestHarness.memberListLine(2, false, otherBox.memberJson("SERVING")));
           assertEquals(1, otherBox.acceptConnection().readCall().partIds().size());
         }
-        slowSearcher.releaseBacklog(); // it comes up a second after it was dialled, or two
-        MixerTestHarness.BoxConnection link = slowSearcher.link();
+        slowSearcher
+            .releaseBacklog(); // the connection is established one or two seconds after the dial
+        MixerTestHarness.BoxConnection connection = slowSearcher.acceptConnection();
         if (copied) {
-          assertTrue(receivesNoRequest(link));
+          assertTrue(receivesNoRequest(connection));
           harness.awaitCount("trips NOT_SENT", 1);
         } else {
-          link.answer(link.readCall(), "done");
+          connection.answer(connection.readCall(), "done");
           assertTrue(client.readAnswer().startsWith("200"));
         }
       }
@@ -155,32 +163,32 @@
   }
 
   /**
-   * Guards against a part that is put by the time at which its turn began, though its own is over
-   * by now.
+   * Guards against a part that is sent because its deadline is checked against the start of the
+   * loop iteration, although the deadline has passed by now.
    */
   @Test
-  void partWhoseDeadlinePassesWithinItsTurnIsNotSent() throws Exception {
+  void partWhoseDeadlinePassesWithinItsIterationIsNotSent() throws Exception {
     try (MixerTestHarness harness = new MixerTestHarness()) {
       MixerTestHarness.Box box = harness.box("b0", 0);
       harness.announceAndAwaitReady(box);
       MixerTestHarness.Client client = harness.connectClient();
       client.write(harness.scanRequest("search", 2000, 0));
-      MixerTestHarness.BoxConnection link = box.acceptConnection();
-      link.answer(link.readCall(), "done");
+      MixerTestHarness.BoxConnection connection = box.acceptConnection();
+      connection.answer(connection.readCall(), "done");
       assertTrue(client.readAnswer().startsWith("200"));
       try (MixerTestHarness.LoopGate gate = harness.pauseLoop()) {
         client.write(harness.scanRequest("search", 2000, 0));
         gate.awaitPosted(1);
         Duration deadline = harness.server.loop.currentTime().plusMillis(2100);
         harness.server.loop.post(
-            () -> { // the process stands still within the turn
+            () -> { // the process stalls within the iteration
               while (harness.server.loop.currentTime().compareTo(deadline) < 0) {
                 Thread.onSpinWait();
               }
             });
       }
       harness.awaitCount("trips NOT_SENT", 1);
-      assertTrue(receivesNoRequest(link));
+      assertTrue(receivesNoRequest(connection));
     }
   }
 
@@ -192,18 +200,18 @@
   }
 
   /**
-   * Guards against a part whose connection comes up in the very turn in which nobody wants it there
-   * any more.
+   * Guards against a part that is sent on a connection established in the loop iteration in which
+   * the part is cancelled or its searcher drains, goes or restarts.
    */
   @Test
-  void partIsNotSentOnConnectionEstablishedInTurnThatEndsIt() throws Exception {
+  void partIsNotSentOnConnectionEstablishedInIterationThatEndsIt() throws Exception {
     for (ConcurrentEvent event : ConcurrentEvent.values()) {
       for (boolean establishedFirst : new boolean[] {true, false}) {
         try (MixerTestHarness harness =
             new MixerTestHarness(concatenate(LONG_LATENCY_TARGET, LONG_DIAL_TIMEOUT))) {
           SlowAcceptSearcher slowSearcher = harness.closeAtEnd(new SlowAcceptSearcher("late", 0));
           MixerTestHarness.DiscoveryConnection watch =
-              startWithMembers(harness, slowSearcher.member("SERVING"));
+              startWithMembers(harness, slowSearcher.memberJson("SERVING"));
           MixerTestHarness.Client client = harness.connectClient();
           client.write(harness.scanRequest("search", 2900, 0));
           harness.awaitCount("links dialled", 1);
@@ -218,7 +226,8 @@
               case CLIENT_LEAVES -> client.close();
               case SEARCHER_DRAINS ->
                   watch.sendLine(
-                      MixerTestHarness.memberListLine(2, false, slowSearcher.member("DRAINING")));
+                      MixerTestHarness.memberListLine(
+                          2, false, slowSearcher.memberJson("DRAINING")));
               case SEARCHER_REMOVED -> watch.sendLine(MixerTestHarness.memberListLine(2, true));
               case SEARCHER_RESTARTED ->
                   watch.sendLine(
@@ -226,7 +235,7 @@
                           2,
                           false,
                           slowSearcher
-                              .member("SERVING")
+                              .memberJson("SERVING")
                               .replace(
                                   "\"up_since_ms\":0",
                                   "\"up_since_ms\":" + System.currentTimeMillis())));
@@ -237,13 +246,13 @@
               gate.awaitPosted(postedBefore + 2);
             }
           }
-          String description = event + ", up first: " + establishedFirst;
-          MixerTestHarness.BoxConnection link = slowSearcher.link();
+          String description = event + ", established first: " + establishedFirst;
+          MixerTestHarness.BoxConnection connection = slowSearcher.acceptConnection();
           if (event == ConcurrentEvent.SEARCHER_REMOVED
               || event == ConcurrentEvent.SEARCHER_RESTARTED) {
-            link.awaitEnd(); // the mixer closes its end too
+            connection.awaitEnd(); // the mixer closes its side too
           } else {
-            assertTrue(receivesNoRequest(link), description);
+            assertTrue(receivesNoRequest(connection), description);
           }
           harness.awaitCount("trips NOT_SENT", 1);
           assertEquals(0, harness.count("trips UNREACHABLE"), description);
@@ -273,8 +282,8 @@
   }
 
   /**
-   * Guards against calls that wait behind a searcher that does not read, and leave after it began
-   * to drain.
+   * Guards against calls that wait for a searcher that does not read, and are written after the
+   * searcher began to drain.
    */
   @Test
   void unwrittenRequestsAreHeldBackOnceSearcherDrains() throws Exception {
@@ -295,9 +304,10 @@
                 }))) {
       SlowAcceptSearcher box =
           harness.closeAtEnd(SlowAcceptSearcher.withSmallReceiveBuffer("box", 0));
-      MixerTestHarness.DiscoveryConnection watch = startWithMembers(harness, box.member("SERVING"));
-      int largeRequests = 80; // more than the kernel takes for it
-      int smallRequests = 10; // room for so few bytes there would be
+      MixerTestHarness.DiscoveryConnection watch =
+          startWithMembers(harness, box.memberJson("SERVING"));
+      int largeRequests = 80; // more than the kernel buffers
+      int smallRequests = 10; // these few bytes would still fit
       for (int i = 0; i < largeRequests + smallRequests; i++) {
         harness.connectClient().write(scan(harness, 2900, i < largeRequests ? 60_000 : 100, 0));
         if (i == largeRequests - 1) {
@@ -307,23 +317,24 @@
       }
       harness.awaitCount("scans taken", largeRequests + smallRequests);
       harness.runIterations(3);
-      long rejected = harness.count("nacks"); // on a machine that is too busy
-      watch.sendLine(MixerTestHarness.memberListLine(2, false, box.member("DRAINING")));
+      long rejected = harness.count("nacks"); // some are rejected on an overloaded machine
+      watch.sendLine(MixerTestHarness.memberListLine(2, false, box.memberJson("DRAINING")));
       harness.awaitCount("trips NOT_SENT", 1);
       harness.runIterations(3);
       long heldBack = harness.count("trips NOT_SENT");
-      MixerTestHarness.BoxConnection link = box.link();
+      MixerTestHarness.BoxConnection connection = box.acceptConnection();
       for (int partsReceived = 0;
           partsReceived < largeRequests + smallRequests - heldBack - rejected; ) {
-        MixerTestHarness.Frame request = link.readCall();
+        MixerTestHarness.Frame request = connection.readCall();
         partsReceived += request.partIds().size();
-        assertTrue(request.payload().length > 60_000, "the small ones came last");
+        assertTrue(
+            request.payload().length > 60_000, "a small request was sent although it came last");
       }
-      assertTrue(receivesNoRequest(link), heldBack + " were kept back");
+      assertTrue(receivesNoRequest(connection), heldBack + " were held back");
     }
   }
 
-  /** Guards against settings by which every connection counts as idle for too long. */
+  /** Guards against settings under which every connection counts as idle for too long. */
   @Test
   void connectionIsReusedWhenIdleTimeoutIsBelowDialTimeout() throws Exception {
     try (MixerTestHarness harness =
@@ -336,69 +347,69 @@
       startWithMembers(harness, box.memberJson("SERVING"));
       MixerTestHarness.Client client = harness.connectClient();
       client.write(harness.scanRequest("search", 2000, 0));
-      MixerTestHarness.BoxConnection link = box.acceptConnection();
+      MixerTestHarness.BoxConnection connection = box.acceptConnection();
       for (int i = 0; i < 3; i++) {
-        link.answer(link.readCall(), "done");
+        connection.answer(connection.readCall(), "done");
         assertTrue(client.readAnswer().startsWith("200"));
         client.write(harness.scanRequest("search", 2000, 0));
       }
-      link.answer(link.readCall(), "done");
+      connection.answer(connection.readCall(), "done");
       assertTrue(client.readAnswer().startsWith("200"));
       assertEquals(1, harness.count("links dialled"));
     }
   }
 
   /**
-   * Guards against a storm of handshakes at a searcher whose connections come up later than a dial
-   * may take.
+   * Guards against a storm of handshakes at a searcher whose connections take longer to establish
+   * than the dial timeout.
    */
   @Test
   void connectionEstablishedAfterDialTimeoutServesNextPart() throws Exception {
     try (MixerTestHarness harness = new MixerTestHarness()) {
       SlowAcceptSearcher slowSearcher = harness.closeAtEnd(new SlowAcceptSearcher("late", 0));
-      startWithMembers(harness, slowSearcher.member("SERVING"));
+      startWithMembers(harness, slowSearcher.memberJson("SERVING"));
       MixerTestHarness.Client client = harness.connectClient();
       client.write(harness.scanRequest("search", 2000, 0));
       assertTrue(client.readAnswer().startsWith("503"));
       assertEquals(1, harness.count("trips UNREACHABLE"));
       slowSearcher.releaseBacklog();
-      MixerTestHarness.BoxConnection link = slowSearcher.link();
-      assertTrue(receivesNoRequest(link)); // the part that waited for it has gone elsewhere
+      MixerTestHarness.BoxConnection connection = slowSearcher.acceptConnection();
+      assertTrue(receivesNoRequest(connection)); // the part that waited for it was sent elsewhere
       client.write(harness.scanRequest("search", 2000, 0));
-      link.answer(link.readCall(), "done");
+      connection.answer(connection.readCall(), "done");
       assertTrue(client.readAnswer().startsWith("200"));
       assertEquals(1, harness.count("links dialled"));
     }
   }
 
   /**
-   * Guards against a storm of handshakes at a searcher whose connections come up late, and against
-   * one of which nothing more is heard as all dials that may be under way are late: the oldest
-   * makes room for the next.
+   * Guards against a storm of handshakes at a searcher whose connections are established late, and
+   * against a searcher that is never reached again because all dials that may be in progress are
+   * late: the oldest dial is replaced by the next.
    */
   @Test
   void oldestOfTwoLateDialsIsReplacedByNextDial() throws Exception {
     try (MixerTestHarness harness = new MixerTestHarness()) {
       SlowAcceptSearcher slowSearcher = harness.closeAtEnd(new SlowAcceptSearcher("late", 0));
-      startWithMembers(harness, slowSearcher.member("SERVING"));
+      startWithMembers(harness, slowSearcher.memberJson("SERVING"));
       MixerTestHarness.Client client = harness.connectClient();
       for (int expectedDials = 1; expectedDials <= 2; expectedDials++) {
         client.write(harness.scanRequest("search", 2000, 0));
         assertTrue(client.readAnswer().startsWith("50"));
         assertEquals(expectedDials, harness.count("links dialled"));
       }
-      harness.awaitCount("links dialled", 3); // by the probe that ends a bench
+      harness.awaitCount("links dialled", 3); // by the probe that ends an ejection
       AtomicInteger openConnections = new AtomicInteger();
       harness.runInLoop(() -> openConnections.set(harness.server.network().connectionCount()));
-      assertEquals(4, openConnections.get()); // discovery, the client, and two dials
+      assertEquals(4, openConnections.get()); // discovery, the client and two dials
       slowSearcher.releaseBacklog();
-      MixerTestHarness.BoxConnection link = slowSearcher.link();
+      MixerTestHarness.BoxConnection connection = slowSearcher.acceptConnection();
       Thread responder =
           new Thread(
               () -> {
                 try {
                   while (true) {
-                    link.answer(link.readCall(), "done");
+                    connection.answer(connection.readCall(), "done");
                   }
                 } catch (IOException e) {
                   // the test is over
@@ -408,7 +419,7 @@
       responder.setDaemon(true);
       responder.start();
       MixerTestHarness.await(
-          "a scan that is served",
+          "a successful scan",
           () -> {
             try {
               client.write(harness.scanRequest("search", 2000, 0));
