--- a/mixer/src/main/java/gingerring/server/MixerHost.java
+++ b/mixer/src/main/java/gingerring/server/MixerHost.java
@@ -359,7 +359,7 @@
                   previous.zone(),
                   previous.machine(),
                   previous.cell(),
-                  member.standing(),
+                  member.status(),
                   previous.size(),
                   previous.startedAt())
               : new MemberEntry(
@@ -367,12 +367,12 @@
                   zones.indexOf(member.locality()),
                   machineTypes.indexOf(member.flavor()),
                   member.cell(),
-                  member.standing(),
+                  member.status(),
                   member.size(),
                   startedAt);
       entries.add(entry);
       listedMembers.put(id, entry);
-      if (member.address() == null || member.standing() == MemberEntry.Status.GONE) {
+      if (member.address() == null || member.status() == MemberEntry.Status.GONE) {
         backend.remove(id);
       } else {
         backend.addOrUpdate(id, member.address(), entry.startedAt());
--- a/mixer/src/test/java/gingerring/server/SearcherCloseRaceTest.java
+++ b/mixer/src/test/java/gingerring/server/SearcherCloseRaceTest.java
@@ -44,29 +44,33 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A searcher that closes its connection just as a part is written to it, is out or is answered, by
- * what a repeat does in the part's class; and a probe that is wanted while two dials are under way:
+ * Races of a searcher's connection close with a part that is being written, is in flight or is
+ * answered, for each retry safety; and a probe that is requested while two dials are in progress:
  * see docs/crossings.md.
  */
 @Timeout(120)
 class SearcherCloseRaceTest {
   private enum CloseMode {
-    /** In order, and it still reads what comes. */
+    /** Closes its sending side in order and still reads. */
     HALF_CLOSE,
     CLOSE,
     RESET;
 
-    void apply(MixerTestHarness.BoxConnection link) throws IOException {
+    void apply(MixerTestHarness.BoxConnection connection) throws IOException {
       switch (this) {
-        case HALF_CLOSE -> link.halfClose();
-        case CLOSE -> link.close();
-        case RESET -> link.reset();
+        case HALF_CLOSE -> connection.halfClose();
+        case CLOSE -> connection.close();
+        case RESET -> connection.reset();
       }
     }
   }
 
+  /**
+   * One parameter set. {@code variant} selects between two orders or contents of events, as the
+   * test defines them.
+   */
   private record CloseCase(String serviceClass, CloseMode closeMode, boolean variant) {
-    /** May run a second time. */
+    /** Returns whether a part of the class may run a second time. */
     boolean retryable() {
       return !serviceClass.equals("once");
     }
@@ -88,7 +92,7 @@
     return closeCases().filter(closeCase -> !closeCase.variant);
   }
 
-  /** Holds MINA's thread where it reads a request that is marked for it. */
+  /** Blocks MINA's thread while it reads a request with the marker header. */
   private static final class ReadBlocker implements TrafficListener {
     private static final String MARKER_HEADER = "X-Brake";
     final CountDownLatch reached = new CountDownLatch(1);
@@ -118,19 +122,22 @@
   }
 
   /**
-   * A mixer and three boxes: b0 has a connection that rests, and holds shards 0 and 3; b1 holds 0,
-   * and b2 holds 3, but two calls are out at each, so that whatever either shard is asked for goes
-   * to b0 first.
+   * A mixer and three boxes. Box b0 has an idle connection and serves partitions 0 and 3; b1 serves
+   * 0 and b2 serves 3, but each of these two has two calls in flight, so that every request for
+   * either partition goes to b0 first.
    */
   private static final class ThreeBoxFixture implements Closeable {
     final ReadBlocker readBlocker = new ReadBlocker();
     final MixerTestHarness harness;
     final MixerTestHarness.Box b0;
-    final MixerTestHarness.BoxConnection b0Link;
-    final MixerTestHarness.BoxConnection[] otherLinks = new MixerTestHarness.BoxConnection[2];
+    final MixerTestHarness.BoxConnection b0Connection;
+    final MixerTestHarness.BoxConnection[] otherConnections = new MixerTestHarness.BoxConnection[2];
     final MixerTestHarness.Client client;
 
-    /** {@code windowMs}: of the class that may run again in it. */
+    /**
+     * Starts the mixer and the boxes. {@code windowMs} is the idempotency window of the keyed
+     * class.
+     */
     ThreeBoxFixture(int windowMs) throws Exception {
       harness =
           new MixerTestHarness(
@@ -148,7 +155,7 @@
               "\"ClassPartial\": [0.9, 0.9, 0.9]",
               "\"NeedByClass\": [1.0, 1.0]",
               "\"NeedByClass\": [1.0, 1.0, 1.0]",
-              // no part is copied or moved for being late, and no probe comes between
+              // late parts are neither copied nor moved, and no probe interferes
               "\"Probing\": true",
               "\"Probing\": false",
               "\"SecondCopies\": true",
@@ -167,14 +174,15 @@
       for (int i = 0; i < 2; i++) {
         for (int requestIndex = 0; requestIndex < 2; requestIndex++) {
           harness.connectClient().write(scan("search", i + 1));
-          otherLinks[i] = requestIndex == 0 ? boxes[i].acceptConnection() : otherLinks[i];
-          otherLinks[i].readCall();
+          otherConnections[i] =
+              requestIndex == 0 ? boxes[i].acceptConnection() : otherConnections[i];
+          otherConnections[i].readCall();
         }
       }
       client = harness.connectClient();
       client.write(scan("search", 0));
-      b0Link = b0.acceptConnection();
-      b0Link.answer(b0Link.readCall(), "done");
+      b0Connection = b0.acceptConnection();
+      b0Connection.answer(b0Connection.readCall(), "done");
       assertTrue(client.readAnswer().startsWith("200"));
     }
 
@@ -182,32 +190,33 @@
       return harness.scanRequest(serviceClass, 40_000, partitions);
     }
 
-    /** The part comes to another box, by itself, and is done there. */
+    /** Asserts that the part is sent to another box, in a call of its own, and answers it there. */
     void assertAnsweredByOtherBox(int partition) throws IOException {
-      MixerTestHarness.BoxConnection otherLink = otherLinks[partition == 0 ? 0 : 1];
-      MixerTestHarness.Frame request = otherLink.readCall();
+      MixerTestHarness.BoxConnection otherConnection = otherConnections[partition == 0 ? 0 : 1];
+      MixerTestHarness.Frame request = otherConnection.readCall();
       assertEquals(List.of(harness.lastTransactionId() + '.' + partition), request.partIds());
-      otherLink.answer(request, "done");
+      otherConnection.answer(request, "done");
     }
 
     /**
-     * The next that each of the other boxes hears of is what is sent to it now: nothing else was.
+     * Asserts that the next call that each of the other boxes receives is the one sent now, so that
+     * none was sent before.
      */
     void assertNothingElseSent() throws Exception {
-      for (int i = 0; i < otherLinks.length; i++) {
+      for (int i = 0; i < otherConnections.length; i++) {
         int partition = i + 1;
         harness.connectClient().write(scan("search", partition));
         assertEquals(
             List.of(harness.lastTransactionId() + '.' + partition),
-            otherLinks[i].readCall().partIds());
+            otherConnections[i].readCall().partIds());
       }
     }
 
-    /** The client's answer, after which it is told nothing more. */
+    /** Reads the client's answer and asserts that nothing follows. */
     String readOnlyAnswer() throws IOException {
       String answer = client.readAnswer();
       client.halfClose();
-      assertEquals(0, countRemainingBytes(client), "one answer");
+      assertEquals(0, countRemainingBytes(client), "more than one answer");
       return answer;
     }
 
@@ -223,40 +232,40 @@
     }
   }
 
-  /** How many bytes come until the mixer ends the connection in order. */
+  /** Counts the bytes that arrive until the mixer closes the connection in order. */
   private static int countRemainingBytes(MixerTestHarness.TestConnection peer) throws IOException {
     return peer.socket.getInputStream().readAllBytes().length;
   }
 
   /**
-   * Guards against a part that is put into a connection of which the end was heard in the same
-   * turn.
+   * Guards against a part that is written to a connection whose close was read in the same loop
+   * iteration.
    */
   @ParameterizedTest
   @MethodSource("closeCases")
-  void closeReadInTurnOfScanDoesNotFailIt(CloseCase closeCase) throws Exception {
+  void closeReadInIterationOfScanDoesNotFailIt(CloseCase closeCase) throws Exception {
     try (ThreeBoxFixture fixture = new ThreeBoxFixture(5000)) {
       boolean closeFirst = closeCase.variant;
       try (MixerTestHarness.LoopGate gate = fixture.harness.pauseLoop()) {
         if (closeFirst) {
-          closeCase.closeMode.apply(fixture.b0Link);
+          closeCase.closeMode.apply(fixture.b0Connection);
           gate.awaitPosted(1);
         }
         int postedBefore = gate.postedCount();
         fixture.client.write(fixture.scan(closeCase.serviceClass, 0));
         gate.awaitPosted(postedBefore + 1);
         if (!closeFirst) {
-          closeCase.closeMode.apply(fixture.b0Link);
+          closeCase.closeMode.apply(fixture.b0Connection);
           gate.awaitPosted(postedBefore + 2);
         }
       }
-      MixerTestHarness.BoxConnection newLink = fixture.b0.acceptConnection();
-      MixerTestHarness.Frame request = newLink.readCall();
+      MixerTestHarness.BoxConnection newConnection = fixture.b0.acceptConnection();
+      MixerTestHarness.Frame request = newConnection.readCall();
       assertEquals(List.of(fixture.harness.lastTransactionId() + ".0"), request.partIds());
-      newLink.answer(request, "done");
+      newConnection.answer(request, "done");
       assertTrue(fixture.readOnlyAnswer().startsWith("200 {\"whole\":true"));
       if (closeCase.closeMode == CloseMode.HALF_CLOSE) {
-        assertEquals(0, countRemainingBytes(fixture.b0Link));
+        assertEquals(0, countRemainingBytes(fixture.b0Connection));
       }
       fixture.assertNothingElseSent();
       fixture.assertTripCounts(0, 0);
@@ -264,33 +273,35 @@
   }
 
   /**
-   * The end is known to MINA, and its word behind the turn that puts the part: nothing of it
-   * leaves. Guards against a part of any class that is given up as if it might have run.
+   * MINA knows of the close, but its event waits behind the loop iteration that queues the part, so
+   * nothing of the part is written. Guards against a part of any class that is failed as if it
+   * might have run.
    */
   @ParameterizedTest
   @MethodSource("closeCasesWithoutVariant")
   void partQueuedButNeverWrittenIsSentToAnotherBox(CloseCase closeCase) throws Exception {
     try (ThreeBoxFixture fixture = new ThreeBoxFixture(5000)) {
-      CountDownLatch inTurn = new CountDownLatch(1);
+      CountDownLatch inIteration = new CountDownLatch(1);
       CountDownLatch resume = new CountDownLatch(1);
       try (MixerTestHarness.LoopGate gate = fixture.harness.pauseLoop()) {
         fixture.client.write(fixture.scan(closeCase.serviceClass, 0));
         gate.awaitPosted(1);
         fixture.harness.server.loop.post(
             () -> {
-              inTurn.countDown();
+              inIteration.countDown();
               awaitLatch(resume);
             });
       }
-      awaitLatch(inTurn); // the scan is in this turn, and what is posted from now on is not
-      closeCase.closeMode.apply(fixture.b0Link);
+      awaitLatch(
+          inIteration); // the scan is in this iteration; events posted from now on are in the next
+      closeCase.closeMode.apply(fixture.b0Connection);
       MixerTestHarness.await(
-          "the word of the close", () -> fixture.harness.server.loop.queuedEvents() >= 1);
+          "the close event", () -> fixture.harness.server.loop.queuedEvents() >= 1);
       resume.countDown();
       fixture.assertAnsweredByOtherBox(0);
       assertTrue(fixture.readOnlyAnswer().startsWith("200 {\"whole\":true"));
       if (closeCase.closeMode == CloseMode.HALF_CLOSE) {
-        assertEquals(0, countRemainingBytes(fixture.b0Link));
+        assertEquals(0, countRemainingBytes(fixture.b0Connection));
       }
       fixture.assertNothingElseSent();
       fixture.assertTripCounts(0, 1);
@@ -298,10 +309,10 @@
   }
 
   /**
-   * The end stands unread in the kernel while the part is written. After an orderly close the write
-   * goes well, and the searcher may still read it: the part may have run. After a reset nothing can
-   * be written. Guards against a second effect, and against a part that is given up though it never
-   * left.
+   * The close is unread in the kernel while the part is written. After an orderly close the write
+   * succeeds and the searcher may still read the part, so the part may have run. After a reset
+   * nothing can be written. Guards against a second effect, and against a part that is failed
+   * although it was never sent.
    */
   @ParameterizedTest
   @MethodSource("closeCasesWithoutVariant")
@@ -316,23 +327,27 @@
         blockedClient.write(
             "GET /ready HTTP/1.1\r\nHost: x\r\n" + ReadBlocker.MARKER_HEADER + ": 1\r\n\r\n");
         awaitLatch(fixture.readBlocker.reached);
-        closeCase.closeMode.apply(fixture.b0Link);
+        closeCase.closeMode.apply(fixture.b0Connection);
       }
-      fixture.harness.runIterations(2); // the part is MINA's, which writes before it reads again
+      fixture.harness.runIterations(
+          2); // the part is queued at MINA, which writes before it reads again
       fixture.readBlocker.released.countDown();
       boolean mayHaveRun = closeCase.closeMode != CloseMode.RESET;
       if (closeCase.closeMode == CloseMode.HALF_CLOSE) {
         assertEquals(
             List.of(fixture.harness.lastTransactionId() + ".0"),
-            fixture.b0Link.readCall().partIds());
-        assertEquals(0, countRemainingBytes(fixture.b0Link));
+            fixture.b0Connection.readCall().partIds());
+        assertEquals(0, countRemainingBytes(fixture.b0Connection));
       }
       assertOutcomeOfClass(fixture, closeCase, mayHaveRun);
       fixture.assertTripCounts(mayHaveRun ? 1 : 0, mayHaveRun ? 0 : 1);
     }
   }
 
-  /** The one answer to a scan of shard 0, and what is sent for it to another. */
+  /**
+   * Asserts the only answer to a scan of partition 0, and the retry at another box if the class
+   * allows one.
+   */
   private static void assertOutcomeOfClass(
       ThreeBoxFixture fixture, CloseCase closeCase, boolean mayHaveRun) throws Exception {
     if (closeCase.retryable() || !mayHaveRun) {
@@ -345,8 +360,8 @@
   }
 
   /**
-   * Guards against a second effect of a part that its searcher had read, and against one given up
-   * for nothing.
+   * Guards against a second effect of a part that its searcher had read, and against a part that is
+   * failed although its class allows a retry.
    */
   @ParameterizedTest
   @MethodSource("closeCasesWithoutVariant")
@@ -354,9 +369,10 @@
     try (ThreeBoxFixture fixture = new ThreeBoxFixture(5000)) {
       fixture.client.write(fixture.scan(closeCase.serviceClass, 0));
       assertEquals(
-          List.of(fixture.harness.lastTransactionId() + ".0"), fixture.b0Link.readCall().partIds());
+          List.of(fixture.harness.lastTransactionId() + ".0"),
+          fixture.b0Connection.readCall().partIds());
       try (MixerTestHarness.LoopGate gate = fixture.harness.pauseLoop()) {
-        closeCase.closeMode.apply(fixture.b0Link);
+        closeCase.closeMode.apply(fixture.b0Connection);
         gate.awaitPosted(1);
       }
       assertOutcomeOfClass(fixture, closeCase, true);
@@ -364,7 +380,7 @@
     }
   }
 
-  /** Guards against a repeat that its searcher no longer knows for one. */
+  /** Guards against a retry that its searcher no longer recognises as a repeat. */
   @ParameterizedTest
   @EnumSource(CloseMode.class)
   void keyedPartIsNotRetriedAfterIdempotencyWindow(CloseMode closeMode) throws Exception {
@@ -372,12 +388,13 @@
     try (ThreeBoxFixture fixture = new ThreeBoxFixture(windowMs)) {
       fixture.client.write(fixture.scan("post", 0));
       assertEquals(
-          List.of(fixture.harness.lastTransactionId() + ".0"), fixture.b0Link.readCall().partIds());
+          List.of(fixture.harness.lastTransactionId() + ".0"),
+          fixture.b0Connection.readCall().partIds());
       long readAtNanos = System.nanoTime();
       try (MixerTestHarness.LoopGate gate = fixture.harness.pauseLoop()) {
         MixerTestHarness.await(
             "the end of the window", () -> System.nanoTime() - readAtNanos > windowMs * 1_000_000L);
-        closeMode.apply(fixture.b0Link);
+        closeMode.apply(fixture.b0Connection);
         gate.awaitPosted(1);
       }
       assertTrue(fixture.readOnlyAnswer().startsWith("500"));
@@ -387,9 +404,9 @@
   }
 
   /**
-   * Of two parts of a call one is answered, and perhaps the half of the other's answer has come.
-   * Guards against an answer that its connection's end takes along, and against the answered one
-   * being sent again with the other.
+   * Of two parts of a call one is answered, and in one variant half of the other's answer has
+   * arrived. Guards against an answer that is lost with its connection, and against the answered
+   * part being retried with the other.
    */
   @ParameterizedTest
   @MethodSource("closeCases")
@@ -399,18 +416,18 @@
         int unanswered = 3 - answered;
         fixture.client.write(fixture.scan(closeCase.serviceClass, 0, 3));
         String idempotencyKey = fixture.harness.lastTransactionId();
-        assertEquals(2, fixture.b0Link.readCall().partIds().size());
+        assertEquals(2, fixture.b0Connection.readCall().partIds().size());
         try (MixerTestHarness.LoopGate gate = fixture.harness.pauseLoop()) {
           byte[] unansweredResult =
               MixerTestHarness.BoxConnection.resultFrame(idempotencyKey + '.' + unanswered, "done");
-          fixture.b0Link.write(
+          fixture.b0Connection.write(
               MixerTestHarness.BoxConnection.resultFrame(idempotencyKey + '.' + answered, "done"));
-          fixture.b0Link.write(
+          fixture.b0Connection.write(
               closeCase.variant
                   ? Arrays.copyOf(unansweredResult, unansweredResult.length - 1)
                   : new byte[0]);
           gate.awaitPosted(1);
-          closeCase.closeMode.apply(fixture.b0Link);
+          closeCase.closeMode.apply(fixture.b0Connection);
           gate.awaitPosted(2);
         }
         if (closeCase.retryable()) {
@@ -430,11 +447,11 @@
     }
   }
 
-  // ---- probes on each of two dials ----
+  // ---- probes while two dials are in progress ----
 
   /**
-   * Turns that the test makes one by one, at its own time: an event is heard when the test hands it
-   * on.
+   * A loop whose iterations the test runs one by one on a manual clock: an event is processed when
+   * the test runs it.
    */
   private static final class ManualLoop implements EventQueue, LoopTimer {
     private record Timer(Duration dueAt, int sequence, Runnable task) {}
@@ -467,8 +484,8 @@
   }
 
   /**
-   * A searcher's side of the mixer by itself, and the searcher: its dials come up, and are heard of
-   * when told.
+   * The mixer's backend on its own, and one searcher: its dials are established, but the backend
+   * learns of it only when the test runs the event.
    */
   private static final class DialFixture implements BackendListener, Closeable {
     private static final SearcherId SEARCHER = new SearcherId(1);
@@ -479,9 +496,9 @@
     final Backend backend;
     final Duration dialTimeout;
     ServerSocket listener = new ServerSocket(0, 8, InetAddress.getLoopbackAddress());
-    final List<MixerTestHarness.BoxConnection> links = new ArrayList<>();
+    final List<MixerTestHarness.BoxConnection> connections = new ArrayList<>();
 
-    /** The words that the dials are up, or refused. */
+    /** The events that report a dial as established or refused. */
     final List<Runnable> dialResults = new ArrayList<>();
 
     final List<Outcome> probeOutcomes = new ArrayList<>();
@@ -501,13 +518,17 @@
       backend.addOrUpdate(SEARCHER, (InetSocketAddress) listener.getLocalSocketAddress(), null);
     }
 
-    /** The first dial is late and a second under way for a probe, neither heard of. */
+    /**
+     * Returns a fixture whose first dial is late and whose second dial is in progress for a probe;
+     * neither result has been processed.
+     */
     static DialFixture withTwoDials() throws Exception {
       DialFixture fixture = new DialFixture();
       fixture.dialForProbe();
       fixture.passDialTimeout();
       assertEquals(
-          List.of(Outcome.UNREACHABLE), fixture.probeOutcomes); // the probe of the first dial
+          List.of(Outcome.UNREACHABLE),
+          fixture.probeOutcomes); // outcome of the probe that started the first dial
       fixture.probeOutcomes.clear();
       fixture.dialForProbe();
       return fixture;
@@ -515,18 +536,18 @@
 
     private void dialForProbe() throws Exception {
       backend.probe(SEARCHER);
-      runTurn();
+      runIteration();
       assertEquals(dialResults.size() + 1, counts.get("links dialled"));
-      links.add(new MixerTestHarness.BoxConnection(listener.accept()));
+      connections.add(new MixerTestHarness.BoxConnection(listener.accept()));
       dialResults.add(nextEvent());
     }
 
-    /** From now on who dials is refused. */
+    /** Refuses connections from now on. */
     void refuseConnections() throws IOException {
       listener.close();
     }
 
-    /** It can be dialled again, at the same address. */
+    /** Accepts connections again at the same address. */
     void admitConnections() throws IOException {
       int port = listener.getLocalPort();
       listener = new ServerSocket();
@@ -537,18 +558,17 @@
 
     void passDialTimeout() {
       loop.now = loop.now.plus(dialTimeout);
-      runTurn();
+      runIteration();
     }
 
     Runnable nextEvent() throws InterruptedException {
       Runnable event = loop.posted.poll(MixerTestHarness.TIMEOUT_MS, TimeUnit.MILLISECONDS);
-      assertTrue(
-          event != null, "nothing is heard of within " + MixerTestHarness.TIMEOUT_MS + " ms");
+      assertTrue(event != null, "no event within " + MixerTestHarness.TIMEOUT_MS + " ms");
       return event;
     }
 
-    /** A turn as the loop makes it. */
-    void runTurn(Runnable... events) {
+    /** Runs one iteration as the loop does: events, due timers, dispatch, flush. */
+    void runIteration(Runnable... events) {
       Arrays.stream(events).forEach(Runnable::run);
       while (!loop.timers.isEmpty() && loop.timers.peek().dueAt.compareTo(loop.now) <= 0) {
         loop.timers.poll().task.run();
@@ -557,34 +577,40 @@
       network.flush();
     }
 
-    /** Turns with what is heard of, but for the words kept back, until it is so. */
-    void runTurnsUntil(BooleanSupplier condition) throws InterruptedException {
+    /**
+     * Runs iterations with the next events, except the dial results held back, until the condition
+     * holds.
+     */
+    void runIterationsUntil(BooleanSupplier condition) throws InterruptedException {
       while (!condition.getAsBoolean()) {
-        runTurn(nextEvent());
+        runIteration(nextEvent());
       }
     }
 
-    void assertProbeReceivedOn(int linkIndex) throws IOException {
-      assertEquals('H', links.get(linkIndex).readFrame().type());
+    void assertProbeReceivedOn(int connectionIndex) throws IOException {
+      assertEquals('H', connections.get(connectionIndex).readFrame().type());
     }
 
-    void answerProbe(int linkIndex) throws Exception {
-      links.get(linkIndex).write(MixerTestHarness.BoxConnection.encodeFrame('H', "done"));
-      runTurnsUntil(() -> probeOutcomes.size() == 1);
+    void answerProbe(int connectionIndex) throws Exception {
+      connections
+          .get(connectionIndex)
+          .write(MixerTestHarness.BoxConnection.encodeFrame('H', "done"));
+      runIterationsUntil(() -> probeOutcomes.size() == 1);
       assertEquals(List.of(Outcome.SUCCEEDED), probeOutcomes);
     }
 
     /**
-     * Nothing more goes by any connection, and nothing more is told, also once all times are over.
+     * Asserts that nothing more is sent on any connection and no other outcome is reported, even
+     * after all timeouts.
      */
     void assertFinalOutcome(Outcome outcome) throws Exception {
-      runTurn();
+      runIteration();
       passDialTimeout();
       backend.closeIdle(SEARCHER);
-      runTurnsUntil(() -> network.connectionCount() == 0);
-      for (MixerTestHarness.BoxConnection link : links) {
-        if (!link.socket.isClosed()) {
-          assertEquals(0, countRemainingBytes(link));
+      runIterationsUntil(() -> network.connectionCount() == 0);
+      for (MixerTestHarness.BoxConnection connection : connections) {
+        if (!connection.socket.isClosed()) {
+          assertEquals(0, countRemainingBytes(connection));
         }
       }
       assertEquals(List.of(outcome), probeOutcomes);
@@ -602,15 +628,15 @@
     @Override
     public void close() throws IOException {
       network.dispose();
-      for (MixerTestHarness.BoxConnection link : links) {
-        link.close();
+      for (MixerTestHarness.BoxConnection connection : connections) {
+        connection.close();
       }
       listener.close();
     }
   }
 
   private enum OtherDialOrder {
-    ESTABLISHED_IN_SAME_TURN,
+    ESTABLISHED_IN_SAME_ITERATION,
     ESTABLISHED_BEFORE_ANSWER,
     ESTABLISHED_AFTER_ANSWER
   }
@@ -622,7 +648,8 @@
   }
 
   /**
-   * Guards against a probe that goes by both of two dials, or by none, whichever is heard of first.
+   * Guards against a probe that is sent on both of two connections, or on none, in either order of
+   * the dial results.
    */
   @ParameterizedTest
   @MethodSource("dialOrders")
@@ -632,18 +659,18 @@
     try (DialFixture fixture = DialFixture.withTwoDials()) {
       Runnable establishedFirst = fixture.dialResults.get(first);
       Runnable establishedSecond = fixture.dialResults.get(1 - first);
-      if (other == OtherDialOrder.ESTABLISHED_IN_SAME_TURN) {
-        fixture.runTurn(establishedFirst, establishedSecond);
+      if (other == OtherDialOrder.ESTABLISHED_IN_SAME_ITERATION) {
+        fixture.runIteration(establishedFirst, establishedSecond);
       } else {
-        fixture.runTurn(establishedFirst);
+        fixture.runIteration(establishedFirst);
       }
       fixture.assertProbeReceivedOn(first);
       if (other == OtherDialOrder.ESTABLISHED_BEFORE_ANSWER) {
-        fixture.runTurn(establishedSecond);
+        fixture.runIteration(establishedSecond);
       }
       fixture.answerProbe(first);
       if (other == OtherDialOrder.ESTABLISHED_AFTER_ANSWER) {
-        fixture.runTurn(establishedSecond);
+        fixture.runIteration(establishedSecond);
       }
       fixture.assertFinalOutcome(Outcome.SUCCEEDED);
       assertEquals(2, fixture.counts.get("links dialled"));
@@ -651,19 +678,19 @@
   }
 
   /**
-   * Guards against a second dial, or a probe that waits, where the late dial is heard of in the
-   * probe's own turn.
+   * Guards against a second dial, or a probe that keeps waiting, if the late dial is established in
+   * the loop iteration of the probe.
    */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
-  void probeUsesLateDialEstablishedInItsTurn(boolean dialFirst) throws Exception {
+  void probeUsesLateDialEstablishedInItsIteration(boolean dialFirst) throws Exception {
     try (DialFixture fixture = new DialFixture()) {
       fixture.dialForProbe();
       fixture.passDialTimeout();
       fixture.probeOutcomes.clear();
       Runnable probeRequest = () -> fixture.backend.probe(DialFixture.SEARCHER);
       Runnable established = fixture.dialResults.get(0);
-      fixture.runTurn(
+      fixture.runIteration(
           dialFirst ? established : probeRequest, dialFirst ? probeRequest : established);
       fixture.assertProbeReceivedOn(0);
       fixture.answerProbe(0);
@@ -672,54 +699,60 @@
     }
   }
 
-  /** Guards against a probe that leaves after it was told as unreachable, by either dial. */
+  /**
+   * Guards against a probe that is sent, on either connection, after it was reported as
+   * unreachable.
+   */
   @ParameterizedTest
   @ValueSource(ints = {0, 1})
   void unreachableProbeIsNotSentOnLaterConnection(int first) throws Exception {
     try (DialFixture fixture = DialFixture.withTwoDials()) {
       fixture.passDialTimeout();
       assertEquals(List.of(Outcome.UNREACHABLE), fixture.probeOutcomes);
-      fixture.runTurn(fixture.dialResults.get(first));
-      fixture.runTurn(fixture.dialResults.get(1 - first));
+      fixture.runIteration(fixture.dialResults.get(first));
+      fixture.runIteration(fixture.dialResults.get(1 - first));
       fixture.assertFinalOutcome(Outcome.UNREACHABLE);
     }
   }
 
   /**
-   * What came in the turn is heard before its timers. Guards against a probe that is sent, and told
-   * as not sent.
+   * Events of a loop iteration are processed before its timers. Guards against a probe that is sent
+   * and also reported as not sent.
    */
   @ParameterizedTest
   @ValueSource(ints = {0, 1})
-  void probeIsSentOnDialEstablishedInTurnOfItsTimeout(int first) throws Exception {
+  void probeIsSentOnDialEstablishedInIterationOfItsTimeout(int first) throws Exception {
     try (DialFixture fixture = DialFixture.withTwoDials()) {
       fixture.loop.now = fixture.loop.now.plus(fixture.dialTimeout);
-      fixture.runTurn(fixture.dialResults.get(first));
+      fixture.runIteration(fixture.dialResults.get(first));
       fixture.assertProbeReceivedOn(first);
-      fixture.runTurn(fixture.dialResults.get(1 - first));
+      fixture.runIteration(fixture.dialResults.get(1 - first));
       fixture.answerProbe(first);
       fixture.assertFinalOutcome(Outcome.SUCCEEDED);
     }
   }
 
   /**
-   * Guards against a probe that is repeated by the other dial once its own time is over, against a
-   * late answer that is taken for the next probe's, and against a next probe that finds nobody as
-   * the first did.
+   * Guards against a probe that is repeated on the other connection after its timeout, against a
+   * late answer that is taken for the next probe's, and against a next probe that fails on the
+   * connection of the first.
    */
   @ParameterizedTest
   @ValueSource(ints = {0, 1})
   void probeTimedOutOnOneConnectionLeavesOtherToNextProbe(int first) throws Exception {
     try (DialFixture fixture = DialFixture.withTwoDials()) {
-      fixture.runTurn(fixture.dialResults.get(first));
+      fixture.runIteration(fixture.dialResults.get(first));
       fixture.assertProbeReceivedOn(first);
-      fixture.runTurn(fixture.dialResults.get(1 - first));
+      fixture.runIteration(fixture.dialResults.get(1 - first));
       fixture.passDialTimeout();
       assertEquals(List.of(Outcome.TIMED_OUT), fixture.probeOutcomes);
       fixture.probeOutcomes.clear();
-      fixture.links.get(first).write(MixerTestHarness.BoxConnection.encodeFrame('H', "failed"));
+      fixture
+          .connections
+          .get(first)
+          .write(MixerTestHarness.BoxConnection.encodeFrame('H', "failed"));
       fixture.backend.probe(DialFixture.SEARCHER);
-      fixture.runTurn();
+      fixture.runIteration();
       fixture.assertProbeReceivedOn(1 - first);
       fixture.answerProbe(1 - first);
       fixture.assertFinalOutcome(Outcome.SUCCEEDED);
@@ -727,26 +760,24 @@
     }
   }
 
-  /**
-   * Guards against a probe that is told as timed out and then as answered, or the other way round.
-   */
+  /** Guards against a probe that is reported both as timed out and as answered, in either order. */
   @ParameterizedTest
   @ValueSource(ints = {0, 1})
-  void probeAnswerReadInTurnOfItsTimeoutCounts(int first) throws Exception {
+  void probeAnswerReadInIterationOfItsTimeoutCounts(int first) throws Exception {
     try (DialFixture fixture = DialFixture.withTwoDials()) {
-      fixture.runTurn(fixture.dialResults.get(first), fixture.dialResults.get(1 - first));
+      fixture.runIteration(fixture.dialResults.get(first), fixture.dialResults.get(1 - first));
       fixture.assertProbeReceivedOn(first);
-      fixture.runTurnsUntil(fixture.network::isFlushed);
-      fixture.links.get(first).write(MixerTestHarness.BoxConnection.encodeFrame('H', "done"));
+      fixture.runIterationsUntil(fixture.network::isFlushed);
+      fixture.connections.get(first).write(MixerTestHarness.BoxConnection.encodeFrame('H', "done"));
       fixture.loop.now = fixture.loop.now.plus(fixture.dialTimeout);
-      fixture.runTurn(fixture.nextEvent());
+      fixture.runIteration(fixture.nextEvent());
       fixture.assertFinalOutcome(Outcome.SUCCEEDED);
     }
   }
 
   /**
-   * Guards against a probe that is repeated by the other dial, or told twice, as the connection it
-   * is out on ends.
+   * Guards against a probe that is repeated on the other connection, or reported twice, when its
+   * own connection ends.
    */
   @ParameterizedTest
   @EnumSource(CloseMode.class)
@@ -755,12 +786,12 @@
       for (boolean otherEstablishedFirst : new boolean[] {true, false}) {
         try (DialFixture fixture = DialFixture.withTwoDials()) {
           Runnable otherEstablished = fixture.dialResults.get(1 - first);
-          fixture.runTurn(fixture.dialResults.get(first));
+          fixture.runIteration(fixture.dialResults.get(first));
           fixture.assertProbeReceivedOn(first);
-          fixture.runTurnsUntil(fixture.network::isFlushed);
-          closeMode.apply(fixture.links.get(first));
+          fixture.runIterationsUntil(fixture.network::isFlushed);
+          closeMode.apply(fixture.connections.get(first));
           Runnable closeEvent = fixture.nextEvent();
-          fixture.runTurn(
+          fixture.runIteration(
               otherEstablishedFirst ? otherEstablished : closeEvent,
               otherEstablishedFirst ? closeEvent : otherEstablished);
           fixture.assertFinalOutcome(Outcome.BROKEN);
@@ -771,14 +802,14 @@
 
   private enum RefusalOrder {
     REFUSED_FIRST,
-    REFUSED_FIRST_IN_ONE_TURN,
+    REFUSED_FIRST_IN_ONE_ITERATION,
     REFUSED_LAST,
-    REFUSED_LAST_IN_ONE_TURN
+    REFUSED_LAST_IN_ONE_ITERATION
   }
 
   /**
-   * Guards against a probe that is told as unreachable and is sent by the late dial too, or sent
-   * and not heard.
+   * Guards against a probe that is reported as unreachable and also sent on the late connection, or
+   * sent without its answer being processed.
    */
   @ParameterizedTest
   @EnumSource(RefusalOrder.class)
@@ -789,16 +820,17 @@
       fixture.probeOutcomes.clear();
       fixture.refuseConnections();
       fixture.backend.probe(DialFixture.SEARCHER);
-      fixture.runTurn();
+      fixture.runIteration();
       Runnable established = fixture.dialResults.get(0);
       Runnable refused = fixture.nextEvent();
       boolean establishedFirst =
-          refusal == RefusalOrder.REFUSED_LAST || refusal == RefusalOrder.REFUSED_LAST_IN_ONE_TURN;
+          refusal == RefusalOrder.REFUSED_LAST
+              || refusal == RefusalOrder.REFUSED_LAST_IN_ONE_ITERATION;
       if (refusal == RefusalOrder.REFUSED_FIRST || refusal == RefusalOrder.REFUSED_LAST) {
-        fixture.runTurn(establishedFirst ? established : refused);
-        fixture.runTurn(establishedFirst ? refused : established);
+        fixture.runIteration(establishedFirst ? established : refused);
+        fixture.runIteration(establishedFirst ? refused : established);
       } else {
-        fixture.runTurn(
+        fixture.runIteration(
             establishedFirst ? established : refused, establishedFirst ? refused : established);
       }
       if (establishedFirst) {
@@ -812,14 +844,14 @@
 
   private enum EventOrder {
     REFUSED_FIRST,
-    REFUSED_FIRST_IN_ONE_TURN,
+    REFUSED_FIRST_IN_ONE_ITERATION,
     ESTABLISHED_FIRST,
-    ESTABLISHED_FIRST_IN_ONE_TURN
+    ESTABLISHED_FIRST_IN_ONE_ITERATION
   }
 
   /**
-   * Guards against a probe that is told as unreachable by the end of one dial while another is
-   * under way.
+   * Guards against a probe that is reported as unreachable because one dial failed while another is
+   * in progress.
    */
   @ParameterizedTest
   @EnumSource(EventOrder.class)
@@ -827,28 +859,28 @@
     try (DialFixture fixture = new DialFixture()) {
       fixture.refuseConnections();
       fixture.backend.probe(DialFixture.SEARCHER);
-      fixture.runTurn();
+      fixture.runIteration();
       Runnable refused = fixture.nextEvent();
       fixture.passDialTimeout();
       assertEquals(List.of(Outcome.UNREACHABLE), fixture.probeOutcomes);
       fixture.probeOutcomes.clear();
       fixture.admitConnections();
       fixture.backend.probe(DialFixture.SEARCHER);
-      fixture.runTurn();
+      fixture.runIteration();
       assertEquals(2, fixture.counts.get("links dialled"));
-      fixture.links.add(new MixerTestHarness.BoxConnection(fixture.listener.accept()));
+      fixture.connections.add(new MixerTestHarness.BoxConnection(fixture.listener.accept()));
       Runnable established = fixture.nextEvent();
       switch (order) {
         case REFUSED_FIRST -> {
-          fixture.runTurn(refused);
-          fixture.runTurn(established);
+          fixture.runIteration(refused);
+          fixture.runIteration(established);
         }
-        case REFUSED_FIRST_IN_ONE_TURN -> fixture.runTurn(refused, established);
+        case REFUSED_FIRST_IN_ONE_ITERATION -> fixture.runIteration(refused, established);
         case ESTABLISHED_FIRST -> {
-          fixture.runTurn(established);
-          fixture.runTurn(refused);
+          fixture.runIteration(established);
+          fixture.runIteration(refused);
         }
-        case ESTABLISHED_FIRST_IN_ONE_TURN -> fixture.runTurn(established, refused);
+        case ESTABLISHED_FIRST_IN_ONE_ITERATION -> fixture.runIteration(established, refused);
       }
       fixture.assertProbeReceivedOn(0);
       fixture.answerProbe(0);
@@ -858,8 +890,8 @@
   }
 
   /**
-   * The older of two late dials makes room for a third. Guards against a probe that goes by the one
-   * given up.
+   * The older of two late dials is abandoned for a third. Guards against a probe that is sent on
+   * the abandoned connection.
    */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
@@ -869,20 +901,22 @@
       fixture.passDialTimeout();
       fixture.probeOutcomes.clear();
       fixture.backend.probe(DialFixture.SEARCHER);
-      fixture.runTurn();
+      fixture.runIteration();
       assertEquals(3, fixture.counts.get("links dialled"));
-      fixture.links.add(new MixerTestHarness.BoxConnection(fixture.listener.accept()));
+      fixture.connections.add(new MixerTestHarness.BoxConnection(fixture.listener.accept()));
       if (secondEstablishedFirst) {
-        fixture.runTurn(fixture.dialResults.get(0), fixture.dialResults.get(1));
+        fixture.runIteration(fixture.dialResults.get(0), fixture.dialResults.get(1));
       } else {
-        fixture.runTurn(fixture.dialResults.get(0));
-        fixture.runTurnsUntil(
-            () -> !fixture.network.isFlushed()); // the third is up, and the probe on its way
-        fixture.runTurn(fixture.dialResults.get(1));
+        fixture.runIteration(fixture.dialResults.get(0));
+        fixture.runIterationsUntil(
+            () ->
+                !fixture.network
+                    .isFlushed()); // the third dial is established and the probe is queued
+        fixture.runIteration(fixture.dialResults.get(1));
       }
-      int expectedLink = secondEstablishedFirst ? 1 : 2;
-      fixture.assertProbeReceivedOn(expectedLink);
-      fixture.answerProbe(expectedLink);
+      int expectedConnection = secondEstablishedFirst ? 1 : 2;
+      fixture.assertProbeReceivedOn(expectedConnection);
+      fixture.answerProbe(expectedConnection);
       fixture.assertFinalOutcome(Outcome.SUCCEEDED);
     }
   }
