--- a/mixer/src/test/java/gingerring/server/FrontendRaceTest.java
+++ b/mixer/src/test/java/gingerring/server/FrontendRaceTest.java
@@ -158,10 +158,8 @@
           connection.answer(connection.readCall(), "done");
           assertTrue(client.readAnswer().startsWith("200"));
         } else {
-          try (MixerTestHarness.LoopGate gate =
-              harness
-                  .pauseLoop()) { // the previous answer is known to be sent, so the connection is
-            // idle
+          // the previous answer is known to be sent, so the connection is idle
+          try (MixerTestHarness.LoopGate gate = harness.pauseLoop()) {
             harness.server.loop.post(harness.server.frontend::closeIdleClients);
             gate.awaitPosted(1);
           }
@@ -346,8 +344,8 @@
         harness.runIterations(2);
         peakConnections = Math.max(peakConnections, harness.server.network().connectionCount());
       }
-      // the last of them may still stand in the backlog, and a link is dialled at the end of its
-      // scan's turn
+      // the last clients may still wait in the accept backlog, and a searcher connection is dialled
+      // at the end of the loop iteration of its scan
       MixerTestHarness.await(
           "an outcome for each client",
           () ->
@@ -357,8 +355,8 @@
                       + harness.count("scans taken")
                   >= 2 * maxConnections + 300);
       harness.runIterations(2);
-      // each that works has its own searcher dialled, until the descriptors are full of those that
-      // work
+      // for each active client its own searcher is dialled, until active connections use up the
+      // descriptors
       long scansTaken = harness.count("scans taken");
       harness.runIterations(2);
       assertTrue(scansTaken >= 90, harness.server.counts.toString());
@@ -416,9 +414,8 @@
         new MixerTestHarness(
             "\"sockets\": 1024", "\"sockets\": 256", "\"MostHeld\": 60", "\"MostHeld\": 9000")) {
       harness.announceAndAwaitReady(answeringBoxes(harness, 4));
-      for (int i = 0;
-          i < 150;
-          i++) { // within the limit alone, above it together with the new clients
+      // within the limit alone, above it together with the new clients
+      for (int i = 0; i < 150; i++) {
         harness.connectClient();
       }
       harness.awaitConnections(151);
@@ -429,8 +426,8 @@
           client.write(harness.scanRequest("search", 2000, i % 8));
           newClients.add(client);
         }
-        gate.awaitPosted(
-            3 * newClients.size()); // each has connected, is open and has sent its request
+        // each has connected, is open and has sent its request
+        gate.awaitPosted(3 * newClients.size());
       }
       for (MixerTestHarness.Client client : newClients) {
         String answer = client.readAnswer();
--- a/mixer/src/test/java/gingerring/server/ScanRaceTest.java
+++ b/mixer/src/test/java/gingerring/server/ScanRaceTest.java
@@ -63,11 +63,11 @@
   }
 
   /**
-   * Guards against a connection leak: in the simulation join+brink one client sent the same
-   * transaction id 650 times, which left 65 open connections to each searcher.
+   * Guards against a connection leak: in the run join+brink one client sent the same transaction id
+   * 650 times, which left 65 open connections to each searcher.
    */
   @Test
-  void repeatedIdempotencyKeyOpensNoConnection() throws Exception {
+  void reusedTransactionIdOpensNoConnection() throws Exception {
     try (MixerTestHarness harness = new MixerTestHarness()) {
       MixerTestHarness.Box box = harness.box("b0", 0);
       harness.announceAndAwaitReady(box);
--- a/mixer/src/test/java/gingerring/server/SearcherCloseRaceTest.java
+++ b/mixer/src/test/java/gingerring/server/SearcherCloseRaceTest.java
@@ -273,27 +273,28 @@
   }
 
   /**
-   * MINA knows of the close, but its event waits behind the loop iteration that queues the part, so
-   * nothing of the part is written. Guards against a part of any class that is failed as if it
-   * might have run.
+   * MINA has read the close, but the close event waits behind the loop iteration that queues the
+   * part, so nothing of the part is written. Guards against a part of any class that is failed as
+   * if it might have run.
    */
   @ParameterizedTest
   @MethodSource("closeCasesWithoutVariant")
   void partQueuedButNeverWrittenIsSentToAnotherBox(CloseCase closeCase) throws Exception {
     try (ThreeBoxFixture fixture = new ThreeBoxFixture(5000)) {
-      CountDownLatch inIteration = new CountDownLatch(1);
+      CountDownLatch iterationStarted = new CountDownLatch(1);
       CountDownLatch resume = new CountDownLatch(1);
       try (MixerTestHarness.LoopGate gate = fixture.harness.pauseLoop()) {
         fixture.client.write(fixture.scan(closeCase.serviceClass, 0));
         gate.awaitPosted(1);
         fixture.harness.server.loop.post(
             () -> {
-              inIteration.countDown();
+              iterationStarted.countDown();
               awaitLatch(resume);
             });
       }
       awaitLatch(
-          inIteration); // the scan is in this iteration; events posted from now on are in the next
+          iterationStarted); // the scan is in this iteration; events posted from now on are in the
+      // next
       closeCase.closeMode.apply(fixture.b0Connection);
       MixerTestHarness.await(
           "the close event", () -> fixture.harness.server.loop.queuedEvents() >= 1);
@@ -329,8 +330,8 @@
         awaitLatch(fixture.readBlocker.reached);
         closeCase.closeMode.apply(fixture.b0Connection);
       }
-      fixture.harness.runIterations(
-          2); // the part is queued at MINA, which writes before it reads again
+      // the part is queued at MINA, which writes before it reads again
+      fixture.harness.runIterations(2);
       fixture.readBlocker.released.countDown();
       boolean mayHaveRun = closeCase.closeMode != CloseMode.RESET;
       if (closeCase.closeMode == CloseMode.HALF_CLOSE) {
@@ -415,13 +416,13 @@
       try (ThreeBoxFixture fixture = new ThreeBoxFixture(5000)) {
         int unanswered = 3 - answered;
         fixture.client.write(fixture.scan(closeCase.serviceClass, 0, 3));
-        String idempotencyKey = fixture.harness.lastTransactionId();
+        String transactionId = fixture.harness.lastTransactionId();
         assertEquals(2, fixture.b0Connection.readCall().partIds().size());
         try (MixerTestHarness.LoopGate gate = fixture.harness.pauseLoop()) {
           byte[] unansweredResult =
-              MixerTestHarness.BoxConnection.resultFrame(idempotencyKey + '.' + unanswered, "done");
+              MixerTestHarness.BoxConnection.resultFrame(transactionId + '.' + unanswered, "done");
           fixture.b0Connection.write(
-              MixerTestHarness.BoxConnection.resultFrame(idempotencyKey + '.' + answered, "done"));
+              MixerTestHarness.BoxConnection.resultFrame(transactionId + '.' + answered, "done"));
           fixture.b0Connection.write(
               closeCase.variant
                   ? Arrays.copyOf(unansweredResult, unansweredResult.length - 1)
@@ -435,8 +436,8 @@
           String answer = fixture.readOnlyAnswer();
           assertTrue(
               answer.startsWith("200 {\"whole\":true")
-                  && answer.contains("v" + idempotencyKey + ".0")
-                  && answer.contains("v" + idempotencyKey + ".3"),
+                  && answer.contains("v" + transactionId + ".0")
+                  && answer.contains("v" + transactionId + ".3"),
               answer);
         } else {
           assertTrue(fixture.readOnlyAnswer().startsWith("500"));
@@ -484,8 +485,8 @@
   }
 
   /**
-   * The mixer's backend on its own, and one searcher: its dials are established, but the backend
-   * learns of it only when the test runs the event.
+   * The mixer's backend on its own, and one searcher: its dials are established, but the backend is
+   * notified only when the test runs the event.
    */
   private static final class DialFixture implements BackendListener, Closeable {
     private static final SearcherId SEARCHER = new SearcherId(1);
@@ -526,9 +527,8 @@
       DialFixture fixture = new DialFixture();
       fixture.dialForProbe();
       fixture.passDialTimeout();
-      assertEquals(
-          List.of(Outcome.UNREACHABLE),
-          fixture.probeOutcomes); // outcome of the probe that started the first dial
+      // outcome of the probe that started the first dial
+      assertEquals(List.of(Outcome.UNREACHABLE), fixture.probeOutcomes);
       fixture.probeOutcomes.clear();
       fixture.dialForProbe();
       return fixture;
@@ -617,7 +617,7 @@
     }
 
     @Override
-    public void tripEnded(OutboundTrip errand, Outcome outcome, float[] load, byte[] value) {}
+    public void tripEnded(OutboundTrip trip, Outcome outcome, float[] load, byte[] value) {}
 
     @Override
     public void probeEnded(
--- a/mixer/src/test/java/gingerring/server/WatchDialRaceTest.java
+++ b/mixer/src/test/java/gingerring/server/WatchDialRaceTest.java
@@ -35,7 +35,7 @@
   /** Actions of the agent in the loop iteration in which a connection is established. */
   private enum Step {
     ESTABLISHED,
-    SPEAKS,
+    ANSWERS,
     CLOSES,
     RESETS
   }
@@ -50,9 +50,9 @@
           List.of(Step.ESTABLISHED),
           List.of(Step.ESTABLISHED, Step.CLOSES),
           List.of(Step.ESTABLISHED, Step.RESETS),
-          List.of(Step.ESTABLISHED, Step.SPEAKS),
-          List.of(Step.ESTABLISHED, Step.SPEAKS, Step.CLOSES),
-          List.of(Step.ESTABLISHED, Step.SPEAKS, Step.RESETS));
+          List.of(Step.ESTABLISHED, Step.ANSWERS),
+          List.of(Step.ESTABLISHED, Step.ANSWERS, Step.CLOSES),
+          List.of(Step.ESTABLISHED, Step.ANSWERS, Step.RESETS));
 
   private interface InterleavedScenario {
     void run(List<Step> steps, int eventIndex, String description) throws Exception;
@@ -121,17 +121,17 @@
       int eventIndex,
       WatchHarness.BlockedLoopAction otherEvent)
       throws Exception {
-    boolean[] settled =
-        new boolean[1]; // otherwise the event that an earlier request was sent would be counted
+    // otherwise the event that an earlier request was sent would be counted
+    boolean[] flushed = new boolean[1];
     MixerTestHarness.await(
         "all queued bytes to be sent",
         () -> {
           try {
-            harness.runInLoop(() -> settled[0] = harness.network.isFlushed());
+            harness.runInLoop(() -> flushed[0] = harness.network.isFlushed());
           } catch (InterruptedException e) {
             throw new AssertionError(e);
           }
-          return settled[0];
+          return flushed[0];
         });
     CountDownLatch reached = new CountDownLatch(1);
     CountDownLatch dialAllowed = new CountDownLatch(1);
@@ -160,7 +160,7 @@
               agentSocket = harness.agent.accept();
               agentSocket.setSoTimeout(MixerTestHarness.TIMEOUT_MS);
             }
-            case SPEAKS -> agentSocket.getOutputStream().write(responseText.getBytes());
+            case ANSWERS -> agentSocket.getOutputStream().write(responseText.getBytes());
             case CLOSES -> agentSocket.close();
             case RESETS -> {
               agentSocket.setSoLinger(true, 0);
@@ -207,7 +207,7 @@
           return actual[0] == expectedCount;
         });
     harness.runInLoop(() -> actual[1] = harness.network.availableConnections());
-    assertEquals(MAX_CONNECTIONS - expectedCount, actual[1], "room");
+    assertEquals(MAX_CONNECTIONS - expectedCount, actual[1], "available connections");
   }
 
   /** Asserts the notifications since the last check. */
@@ -257,7 +257,7 @@
               () -> harness.loop.post(() -> {}));
           assertNotifications(
               harness,
-              steps.contains(Step.SPEAKS) ? List.of("list 42", "failed") : List.of("failed"));
+              steps.contains(Step.ANSWERS) ? List.of("list 42", "failed") : List.of("failed"));
           assertOpenConnections(harness, 0);
           harness.advanceClock(CALL_INTERVAL_MS - 1);
           assertEquals(1, harness.discoveryCalls(), steps.toString());
@@ -282,8 +282,8 @@
         (steps, eventIndex, description) -> {
           try (WatchHarness harness = newHarness("automatic")) {
             List<String> callbacks = new CopyOnWriteArrayList<>();
-            Connection[] dialled = new Connection[1];
-            ConnectionHandler party =
+            Connection[] dialledConnection = new Connection[1];
+            ConnectionHandler handler =
                 new ConnectionHandler() {
                   @Override
                   public void onOpened() {
@@ -293,7 +293,7 @@
                   @Override
                   public void onReadable() {
                     callbacks.add("readable");
-                    dialled[0].input.clear();
+                    dialledConnection[0].input.clear();
                   }
 
                   @Override
@@ -304,18 +304,20 @@
             Socket agentSocket =
                 runInterleaved(
                     harness,
-                    () -> dialled[0] = harness.network.dial(harness.agent.address(), 1024, party),
+                    () ->
+                        dialledConnection[0] =
+                            harness.network.dial(harness.agent.address(), 1024, handler),
                     steps,
                     watchResponse(42),
                     eventIndex,
-                    () -> harness.loop.post(() -> dialled[0].close()));
+                    () -> harness.loop.post(() -> dialledConnection[0].close()));
             assertOpenConnections(harness, 0);
             harness.runInLoop(() -> {});
             assertEquals("closed", callbacks.get(callbacks.size() - 1));
             assertEquals(
                 1, callbacks.stream().filter("closed"::equals).count(), callbacks.toString());
             assertEquals(eventIndex > 0, callbacks.contains("opened"), callbacks.toString());
-            if (!ends(steps) && !steps.contains(Step.SPEAKS)) {
+            if (!ends(steps) && !steps.contains(Step.ANSWERS)) {
               assertClosedWithoutRequest(agentSocket);
             }
           }
@@ -342,7 +344,7 @@
                     watchResponse(42),
                     eventIndex,
                     () -> harness.loop.post(() -> harness.watch.changeAddress(newAgent.address())));
-            boolean listReceived = happenedBefore(steps, eventIndex, Step.SPEAKS);
+            boolean listReceived = happenedBefore(steps, eventIndex, Step.ANSWERS);
             List<String> expected = new ArrayList<>(listReceived ? List.of("list 42") : List.of());
             if (endedBefore(steps, eventIndex)) {
               expected.add("failed");
@@ -350,7 +352,7 @@
             assertNotifications(harness, expected);
             MixerTestHarness.DiscoveryConnection watch = newAgent.acceptRequest();
             assertEquals(2, harness.discoveryCalls());
-            if (!listReceived && !ends(steps) && !steps.contains(Step.SPEAKS)) {
+            if (!listReceived && !ends(steps) && !steps.contains(Step.ANSWERS)) {
               assertClosedWithoutRequest(formerSocket);
             }
             assertOpenConnections(
@@ -391,13 +393,13 @@
                     fetchResponse(43),
                     eventIndex,
                     () -> harness.loop.post(() -> harness.watch.changeAddress(newAgent.address())));
-            boolean answered = happenedBefore(steps, eventIndex, Step.SPEAKS);
+            boolean answered = happenedBefore(steps, eventIndex, Step.ANSWERS);
             boolean failed = !answered && endedBefore(steps, eventIndex);
             assertNotifications(
                 harness, answered ? List.of("list 43") : failed ? List.of("failed") : List.of());
             int repeatedFetches = answered || failed ? 0 : 1;
             assertEquals(3 + repeatedFetches, harness.discoveryCalls());
-            if (!ends(steps) && !steps.contains(Step.SPEAKS)) {
+            if (!ends(steps) && !steps.contains(Step.ANSWERS)) {
               assertClosedWithoutRequest(fetchSocket);
             }
             assertOpenConnections(
@@ -469,13 +471,13 @@
                     watchResponse(42),
                     eventIndex,
                     () -> harness.loop.post(harness.watch::close));
-            boolean listReceived = happenedBefore(steps, eventIndex, Step.SPEAKS);
+            boolean listReceived = happenedBefore(steps, eventIndex, Step.ANSWERS);
             List<String> expected = new ArrayList<>(listReceived ? List.of("list 42") : List.of());
             if (endedBefore(steps, eventIndex)) {
               expected.add("failed");
             }
             assertNotifications(harness, expected);
-            if (!ends(steps) && !steps.contains(Step.SPEAKS)) {
+            if (!ends(steps) && !steps.contains(Step.ANSWERS)) {
               assertClosedWithoutRequest(agentSocket);
             }
             assertOpenConnections(harness, 0);
@@ -509,12 +511,12 @@
                     watchResponse(43),
                     eventIndex,
                     () -> olderCall.write(watchResponse(42)));
-            boolean newerAnswered = happenedBefore(steps, eventIndex, Step.SPEAKS);
+            boolean newerAnswered = happenedBefore(steps, eventIndex, Step.ANSWERS);
             assertNotifications(harness, List.of(newerAnswered ? "list 43" : "list 42"));
             assertEquals(2, harness.discoveryCalls());
             if (newerAnswered) {
               olderCall.awaitEnd();
-            } else if (!ends(steps) && !steps.contains(Step.SPEAKS)) {
+            } else if (!ends(steps) && !steps.contains(Step.ANSWERS)) {
               assertClosedWithoutRequest(newerSocket);
             }
             boolean noWatchLeft = newerAnswered && ends(steps);
--- a/mixer/src/test/java/gingerring/server/WatchHarness.java
+++ b/mixer/src/test/java/gingerring/server/WatchHarness.java
@@ -48,8 +48,8 @@
       timers.add(new Timer(now.plus(delay), timerCount++, task));
     }
 
-    private void advance(Duration delay) {
-      Duration end = now.plus(delay);
+    private void advance(Duration duration) {
+      Duration end = now.plus(duration);
       while (!timers.isEmpty() && timers.peek().dueAt.compareTo(end) <= 0) {
         Timer timer = timers.poll();
         now = timer.dueAt.compareTo(now) > 0 ? timer.dueAt : now;
--- a/mixer/src/test/java/gingerring/server/WatchRaceTest.java
+++ b/mixer/src/test/java/gingerring/server/WatchRaceTest.java
@@ -42,7 +42,7 @@
   private static void advanceWhileRefused(WatchHarness harness, int totalMs, int stepMs)
       throws InterruptedException {
     for (int i = 0; i <= totalMs; i += stepMs) {
-      // refusals come in their own time, from the network
+      // refusals arrive from the network, independent of the clock
       MixerTestHarness.await(
           "refusals", () -> harness.counts.get("discovery failures") >= harness.discoveryCalls());
       if (i < totalMs) {
@@ -63,9 +63,8 @@
       harness.advanceClock(SILENCE_TIMEOUT_MS - 100);
       harness.agent.stopListening();
       watch.reset();
-      assertEquals(
-          "failed",
-          harness.nextNotification()); // of the watch, and of the call that followed at once
+      // one failure of the watch, one of the call that followed at once
+      assertEquals("failed", harness.nextNotification());
       assertEquals("failed", harness.nextNotification());
       advanceWhileRefused(harness, 3000, 50);
       assertEquals(2 + 3000 / CALL_INTERVAL_MS, harness.discoveryCalls());
@@ -173,8 +172,7 @@
             harness.agent.acceptRequest();
           }
           // without a retry of the mixer the watch calls again twice before its deadline; the first
-          // call
-          // is silent too
+          // of these calls is silent too
           long callsBefore = harness.discoveryCalls();
           harness.advanceClock(MAX_CALL_INTERVAL_MS);
           assertTrue(harness.discoveryCalls() > callsBefore);
@@ -244,7 +242,10 @@
     }
   }
 
-  /** The longest interval applies if the drain grace is long, and in both discovery modes. */
+  /**
+   * The longest interval applies with a long drain grace, and in subscribe mode, which has no
+   * pushed lists.
+   */
   @Test
   void callIntervalReachesItsMaximum() throws Exception {
     for (String discoveryMode : List.of(AUTOMATIC_MODE, SUBSCRIBE_MODE)) {
--- a/mixer/src/test/java/gingerring/server/WatchResponseTest.java
+++ b/mixer/src/test/java/gingerring/server/WatchResponseTest.java
@@ -216,8 +216,8 @@
       try (WatchHarness harness = newHarness()) {
         harness.openWatch();
         MixerTestHarness.DiscoveryConnection call = harness.agent.acceptRequest();
-        Thread watchdog =
-            resetAfterTimeout(call); // a write has no timeout of its own if the peer does not read
+        // a write has no timeout of its own if the peer does not read
+        Thread watchdog = resetAfterTimeout(call);
         call.write(segments[0]);
         int segmentsWritten = 0;
         try {
