--- a/mixer/src/main/java/gingerring/server/MixerHost.java
+++ b/mixer/src/main/java/gingerring/server/MixerHost.java
@@ -344,7 +344,7 @@
                   last.zone(),
                   last.machine(),
                   last.cell(),
-                  member.standing(),
+                  member.status(),
                   last.size(),
                   last.startedAt())
               : new MemberEntry(
@@ -352,12 +352,12 @@
                   zones.indexOf(member.locality()),
                   machineTypes.indexOf(member.flavor()),
                   member.cell(),
-                  member.standing(),
+                  member.status(),
                   member.size(),
                   started);
       lines.add(line);
       listedMembers.put(id, line);
-      if (member.address() == null || member.standing() == MemberEntry.Status.GONE) {
+      if (member.address() == null || member.status() == MemberEntry.Status.GONE) {
         backend.remove(id);
       } else {
         backend.addOrUpdate(id, member.address(), line.startedAt());
--- a/mixer/src/test/java/gingerring/server/MixerHostTest.java
+++ b/mixer/src/test/java/gingerring/server/MixerHostTest.java
@@ -30,21 +30,21 @@
 import org.junit.jupiter.api.Test;
 
 class MixerHostTest {
-  /** Writes down the answers of one scan. */
-  private record RecordingReply(String scanName, List<String> events) implements ScanResponder {
+  /** Records how a scan is answered. */
+  private record RecordingResponder(String scanName, List<String> events) implements ScanResponder {
     @Override
     public void answer(boolean whole, Map<Integer, byte[]> values) {
       events.add(scanName + " answered");
     }
 
     @Override
-    public void reject(Duration comeBack) {
-      events.add(scanName + " nacked");
+    public void reject(Duration retryAfter) {
+      events.add(scanName + " rejected");
     }
 
     @Override
     public void fail() {
-      events.add(scanName + " scrapped");
+      events.add(scanName + " failed");
     }
   }
 
@@ -66,57 +66,53 @@
     return new Settings(flatSettings);
   }
 
-  /** Guards against a mixer that compiles what scans need while its first clients wait. */
+  /**
+   * Guards against a mixer whose first clients wait while the JVM compiles the code that scans
+   * need.
+   */
   @Test
-  void rehearsalRunsSampleScansWithoutSockets() throws IOException, Json.JsonException {
+  void warmUpRunsSampleScansWithoutSockets() throws IOException, Json.JsonException {
     assertTrue(new ScanWarmUp(exampleSettings()).run() >= 50);
   }
 
-  /** Guards against a mixer that keeps something of every searcher and scan there ever was. */
+  /** Guards against a leak: state kept for every searcher and scan that ever existed. */
   @Test
   void keepsNoStateOfGoneSearchersAndFinishedScans() throws IOException, Json.JsonException {
-    Counters counts = new Counters();
-    EventLoop loop = new EventLoop(counts);
-    Network network = new Network(loop, counts, true);
-    MixerHost host = new MixerHost(loop, exampleSettings(), counts, 0);
-    Backend back = new Backend(network, host, exampleSettings(), counts, loop);
+    Counters counters = new Counters();
+    EventLoop loop = new EventLoop(counters);
+    Network network = new Network(loop, counters, true);
+    MixerHost host = new MixerHost(loop, exampleSettings(), counters, 0);
+    Backend backend = new Backend(network, host, exampleSettings(), counters, loop);
     InetSocketAddress unusedAddress = new InetSocketAddress("127.0.0.1", 9);
     host.start(
-        back,
-        new DiscoveryWatch(network, unusedAddress, 0, host, counts, loop),
+        backend,
+        new DiscoveryWatch(network, unusedAddress, 0, host, counters, loop),
         1,
         new MemberListUpdate(0, true, List.of()));
     List<String> outcomes = new ArrayList<>();
     int rounds = 3000;
     for (int i = 0; i < rounds; i++) {
-      int number = i;
+      int round = i;
       loop.post(
           () -> {
             host.onUpdate(
                 new MemberListUpdate(
-                    number + 1,
+                    round + 1,
                     false,
                     List.of(
                         new MemberListUpdate.Member(
-                            "s-" + number,
-                            unusedAddress,
-                            "a",
-                            "toy",
-                            number % 4,
-                            Status.READY,
-                            1,
-                            0),
+                            "s-" + round, unusedAddress, "a", "toy", round % 4, Status.READY, 1, 0),
                         new MemberListUpdate.Member(
-                            "s-" + (number - 4),
+                            "s-" + (round - 4),
                             unusedAddress,
                             "a",
                             "toy",
-                            number % 4,
+                            round % 4,
                             Status.GONE,
                             1,
                             0))));
             host.accept(
-                scanRequest("m" + number, 0), loop.now(), new RecordingReply("scan", outcomes));
+                scanRequest("m" + round, 0), loop.now(), new RecordingResponder("scan", outcomes));
           });
     }
     loop.post(
@@ -127,16 +123,14 @@
                   host.onUpdate(new MemberListUpdate(rounds + 1, true, List.of()));
                   loop.schedule(Duration.ofMillis(1500), loop::stop);
                 }));
-    loop.run(back::dispatch, network::flush);
+    loop.run(backend::dispatch, network::flush);
     assertEquals(rounds, outcomes.size());
     assertEquals(0, host.retainedCount());
-    assertEquals(0, back.searcherCount());
+    assertEquals(0, backend.searcherCount());
     assertEquals(0, network.connectionCount());
   }
 
-  /**
-   * A listener that lets no connection come up: its queue is full, so that those who dial it wait.
-   */
+  /** A listener whose backlog is full, so that connection attempts to it hang. */
   private static final class FullBacklogListener implements AutoCloseable {
     private final ServerSocket serverSocket =
         new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
@@ -152,7 +146,7 @@
           return;
         }
       }
-      throw new IOException("the queue of a listener is never full");
+      throw new IOException("the listener's backlog never fills up");
     }
 
     InetSocketAddress address() {
@@ -169,24 +163,25 @@
   }
 
   /**
-   * A desk on real sockets, before discovery's first word and with one searcher known; all at deaf
-   * addresses.
+   * A mixer host on real sockets that has no answer from discovery yet and starts with a list of
+   * one searcher; connection attempts to both hang if {@code address} is that of a {@link
+   * FullBacklogListener}.
    */
   private static final class HostFixture {
-    final Counters counts = new Counters();
-    final EventLoop loop = new EventLoop(counts);
-    final Network network = new Network(loop, counts, false);
+    final Counters counters = new Counters();
+    final EventLoop loop = new EventLoop(counters);
+    final Network network = new Network(loop, counters, false);
     final MixerHost host;
-    final Backend back;
+    final Backend backend;
     final InetSocketAddress address;
 
     HostFixture(InetSocketAddress address) throws IOException, Json.JsonException {
       this.address = address;
-      host = new MixerHost(loop, exampleSettings(), counts, 0);
-      back = new Backend(network, host, exampleSettings(), counts, loop);
+      host = new MixerHost(loop, exampleSettings(), counters, 0);
+      backend = new Backend(network, host, exampleSettings(), counters, loop);
       host.start(
-          back,
-          new DiscoveryWatch(network, address, 0, host, counts, loop),
+          backend,
+          new DiscoveryWatch(network, address, 0, host, counters, loop),
           1,
           memberList(true, Status.READY));
     }
@@ -201,15 +196,15 @@
     void run(Runnable event, Duration duration) {
       loop.post(() -> loop.schedule(duration, loop::stop));
       loop.post(event);
-      loop.run(back::dispatch, network::flush);
+      loop.run(backend::dispatch, network::flush);
       network.dispose();
-      assertEquals(0, counts.get("failures in an event"));
+      assertEquals(0, counters.get("failures in an event"));
     }
   }
 
   /**
-   * Guards against a new process that sends by its old list to searchers that left while it was
-   * down.
+   * Guards against a new process that sends scans by its stored member list to searchers that left
+   * while the process was down.
    */
   @Test
   void holdsScansUntilDiscoveryHasAnswered() throws IOException, Json.JsonException {
@@ -223,11 +218,11 @@
                 fixture.host.accept(
                     scanRequest("early", 0),
                     fixture.loop.now(),
-                    new RecordingReply("early", outcomes)));
+                    new RecordingResponder("early", outcomes)));
             fixture.loop.post(
                 () ->
                     fixture.loop.post(
-                        () -> { // two turns later
+                        () -> { // two iterations later
                           assertEquals(List.of(), outcomes);
                           fixture.host.onUpdate(fixture.memberList(true, Status.DRAINING));
                           fixture.host.onContact();
@@ -235,12 +230,15 @@
                         }));
           },
           Duration.ofMillis(300));
-      assertEquals(List.of("early nacked"), outcomes);
-      assertEquals(0, fixture.counts.get("links dialled"));
+      assertEquals(List.of("early rejected"), outcomes);
+      assertEquals(0, fixture.counters.get("links dialled"));
     }
   }
 
-  /** Guards against a scan that is sent by the list before the one that came with it. */
+  /**
+   * Guards against a scan that is sent by the previous member list although a newer list arrived in
+   * the same loop iteration.
+   */
   @Test
   void appliesMemberListBeforeScansOfTheSameIteration() throws IOException, Json.JsonException {
     try (FullBacklogListener listener = new FullBacklogListener()) {
@@ -250,18 +248,18 @@
           () -> {
             fixture.host.onContact();
             fixture.host.accept(
-                scanRequest("a", 0), fixture.loop.now(), new RecordingReply("scan", outcomes));
+                scanRequest("a", 0), fixture.loop.now(), new RecordingResponder("scan", outcomes));
             fixture.host.onUpdate(fixture.memberList(false, Status.DRAINING));
           },
           Duration.ofMillis(300));
-      assertEquals(List.of("scan nacked"), outcomes);
-      assertEquals(0, fixture.counts.get("links dialled"));
+      assertEquals(List.of("scan rejected"), outcomes);
+      assertEquals(0, fixture.counters.get("links dialled"));
     }
   }
 
   /**
-   * Guards against parts that leave for a searcher that drains once their connection comes up, a
-   * dial later.
+   * Guards against parts that are sent to a draining searcher because they were assigned to it
+   * earlier and waited for its connection.
    */
   @Test
   void dropsPartsWaitingToConnectToDrainingOrGoneSearcher() throws IOException, Json.JsonException {
@@ -273,45 +271,50 @@
             () -> {
               fixture.host.onContact();
               fixture.host.accept(
-                  scanRequest("a", 0), fixture.loop.now(), new RecordingReply("scan", outcomes));
+                  scanRequest("a", 0),
+                  fixture.loop.now(),
+                  new RecordingResponder("scan", outcomes));
               fixture.loop.post(
                   () ->
                       fixture.loop.post(
                           () -> fixture.host.onUpdate(fixture.memberList(false, status))));
             },
             Duration.ofMillis(300));
-        assertEquals(List.of("scan nacked"), outcomes);
-        assertEquals(1, fixture.counts.get("links dialled"));
-        assertEquals(1, fixture.counts.get("trips NOT_SENT"));
+        assertEquals(List.of("scan rejected"), outcomes);
+        assertEquals(1, fixture.counters.get("links dialled"));
+        assertEquals(1, fixture.counters.get("trips NOT_SENT"));
       }
     }
   }
 
   /**
-   * Guards against a failure of the decisions on one scan: it alone is scrapped, and that is
-   * counted.
+   * Guards against an exception in the mixer's decision on one scan: that scan alone fails, and the
+   * exception is counted.
    */
   @Test
   void exceptionInTheMixerFailsOnlyTheScanItHandles() throws IOException, Json.JsonException {
     Settings settings = exampleSettings();
-    Counters counts = new Counters();
-    EventLoop loop = new EventLoop(counts);
-    Network network = new Network(loop, counts, true);
-    MixerHost host = new MixerHost(loop, settings, counts, 0);
+    Counters counters = new Counters();
+    EventLoop loop = new EventLoop(counters);
+    Network network = new Network(loop, counters, true);
+    MixerHost host = new MixerHost(loop, settings, counters, 0);
     DiscoveryWatch watch =
-        new DiscoveryWatch(network, new InetSocketAddress("127.0.0.1", 1), 0, host, counts, loop);
+        new DiscoveryWatch(network, new InetSocketAddress("127.0.0.1", 1), 0, host, counters, loop);
     host.start(
-        new Backend(network, host, settings, counts, loop),
+        new Backend(network, host, settings, counters, loop),
         watch,
         1,
         new MemberListUpdate(0, true, List.of()));
     List<String> outcomes = new ArrayList<>();
-    host.accept(scanRequest("a", 7), Duration.ZERO, new RecordingReply("unknown grade", outcomes));
-    host.accept(scanRequest("b", 0), Duration.ZERO, new RecordingReply("good", outcomes));
+    host.accept(
+        scanRequest("a", 7),
+        Duration.ZERO,
+        new RecordingResponder("unknown service class", outcomes));
+    host.accept(scanRequest("b", 0), Duration.ZERO, new RecordingResponder("good", outcomes));
     loop.post(() -> loop.schedule(Duration.ofMillis(50), loop::stop));
     loop.run(() -> {}, () -> {});
-    assertEquals(List.of("unknown grade scrapped", "good nacked"), outcomes);
-    assertEquals(1, counts.get("failures in the mixer"));
+    assertEquals(List.of("unknown service class failed", "good rejected"), outcomes);
+    assertEquals(1, counters.get("failures in the mixer"));
     assertEquals(0, host.openScanCount());
   }
 }
--- a/mixer/src/test/java/gingerring/server/ScanRaceTest.java
+++ b/mixer/src/test/java/gingerring/server/ScanRaceTest.java
@@ -7,7 +7,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Pairs of events that cross, in both orders: see docs/crossings.md. */
+/**
+ * Pairs of events that reach the mixer in the same loop iteration, in both orders: see
+ * docs/crossings.md.
+ */
 @Timeout(120)
 class ScanRaceTest {
   private static final Duration NO_TRAFFIC_WAIT = Duration.ofMillis(300);
@@ -20,9 +23,9 @@
       harness.announceAndAwaitReady(box);
       MixerTestHarness.Client client = harness.connectClient();
       client.write(harness.scanRequest("search", 2000, 0));
-      MixerTestHarness.BoxConnection link = box.acceptConnection();
-      MixerTestHarness.Frame request = link.readCall();
-      link.answer(request, "done");
+      MixerTestHarness.BoxConnection connection = box.acceptConnection();
+      MixerTestHarness.Frame request = connection.readCall();
+      connection.answer(request, "done");
       assertEquals(
           "200 {\"whole\":true,\"results\":[{\"partition\":0,\"value\":\"v"
               + harness.lastTransactionId()
@@ -32,7 +35,7 @@
   }
 
   @Test
-  void scanReadInSameTurnAsDrainingListIsNotSent() throws Exception {
+  void scanReadInSameIterationAsDrainingListIsNotSent() throws Exception {
     for (boolean listFirst : new boolean[] {true, false}) {
       try (MixerTestHarness harness = new MixerTestHarness()) {
         MixerTestHarness.Box box = harness.box("b0", 0);
@@ -60,8 +63,8 @@
   }
 
   /**
-   * Seen on join+brink: one client's mark, sent 650 times, left 65 open connections to each
-   * searcher.
+   * Guards against a connection leak: in the simulation join+brink one client sent the same
+   * transaction id 650 times, which left 65 open connections to each searcher.
    */
   @Test
   void repeatedIdempotencyKeyOpensNoConnection() throws Exception {
@@ -71,16 +74,16 @@
       String scan = harness.scanRequest("search", 2000, 0);
       MixerTestHarness.Client client = harness.connectClient();
       client.write(scan);
-      MixerTestHarness.BoxConnection link = box.acceptConnection();
-      link.answer(link.readCall(), "done");
+      MixerTestHarness.BoxConnection connection = box.acceptConnection();
+      connection.answer(connection.readCall(), "done");
       assertTrue(client.readAnswer().startsWith("200"));
       for (int i = 0; i < 5; i++) {
         client.write(scan);
-        assertTrue(client.readAnswer().startsWith("400"), "a mark has to be fresh");
+        assertTrue(client.readAnswer().startsWith("400"), "a transaction id must not be reused");
       }
       client.write(harness.scanRequest("search", 2000, 0));
-      link.answer(link.readCall(), "done");
-      assertTrue(client.readAnswer().startsWith("200"), "the connection goes on");
+      connection.answer(connection.readCall(), "done");
+      assertTrue(client.readAnswer().startsWith("200"), "the connection stays in use");
       assertEquals(1, harness.count("links dialled"));
     }
   }
@@ -96,11 +99,11 @@
   }
 
   /**
-   * The quoted time and the client's patience pass while something else waits for the same turn:
-   * what came is heard first, and one thing or the other ends the scan, once.
+   * The latency target and the client's deadline expire while another event waits for the same loop
+   * iteration. The event is processed before the timers, and exactly one of them ends the scan.
    */
   @Test
-  void timersDueInTurnOfRacingEventEndScanOnce() throws Exception {
+  void timersDueInIterationOfRacingEventEndScanOnce() throws Exception {
     for (RacingEvent event : RacingEvent.values()) {
       for (String serviceClass : new String[] {"search", "post"}) {
         try (MixerTestHarness harness = new MixerTestHarness()) {
@@ -108,20 +111,20 @@
           MixerTestHarness.DiscoveryConnection watch = harness.announceAndAwaitReady(box);
           MixerTestHarness.Client client = harness.connectClient();
           client.write(harness.scanRequest(serviceClass, DEADLINE_MS, 0));
-          MixerTestHarness.BoxConnection link = box.acceptConnection();
-          MixerTestHarness.Frame request = link.readCall();
+          MixerTestHarness.BoxConnection connection = box.acceptConnection();
+          MixerTestHarness.Frame request = connection.readCall();
           try (MixerTestHarness.LoopGate gate = harness.pauseLoop()) {
             switch (event) {
-              case ANSWER -> link.answer(request, "done");
-              case ANSWER_FAILED -> link.answer(request, "failed");
-              case SEARCHER_CLOSES -> link.close();
+              case ANSWER -> connection.answer(request, "done");
+              case ANSWER_FAILED -> connection.answer(request, "failed");
+              case SEARCHER_CLOSES -> connection.close();
               case CLIENT_CLOSES -> client.close();
               case CLIENT_RESETS -> client.reset();
               case SEARCHER_REMOVED -> watch.sendLine(MixerTestHarness.memberListLine(2, true));
               case NONE -> {}
             }
             gate.awaitPosted(event == RacingEvent.NONE ? 0 : 1);
-            Thread.sleep(DEADLINE_MS + 50); // both timers are due, however the machine went
+            Thread.sleep(DEADLINE_MS + 50); // both timers are due, even on a slow machine
           }
           if (event == RacingEvent.CLIENT_CLOSES || event == RacingEvent.CLIENT_RESETS) {
             harness.awaitCount("clients that left", 1);
@@ -130,7 +133,7 @@
                 event == RacingEvent.ANSWER ? "200" : serviceClass.equals("post") ? "500" : "503";
             assertEquals(
                 expectedStatus, client.readAnswer().substring(0, 3), event + " " + serviceClass);
-            assertTrue(client.isReady(), "one answer, and the connection goes on");
+            assertTrue(client.isReady(), "one answer, and the connection stays in use");
           }
           assertTrue(
               box.noConnectionWithin(NO_TRAFFIC_WAIT),
--- a/mixer/src/test/java/gingerring/server/PracticeTest.java
+++ b/mixer/src/test/java/gingerring/server/SocketWarmUpTest.java
@@ -17,18 +17,18 @@
 import org.junit.jupiter.api.Timeout;
 
 @Timeout(60)
-class PracticeTest {
-  private final Counters counts = new Counters();
-  private final EventLoop loop = new EventLoop(counts);
-  private final Network network = new Network(loop, counts, false);
+class SocketWarmUpTest {
+  private final Counters counters = new Counters();
+  private final EventLoop loop = new EventLoop(counters);
+  private final Network network = new Network(loop, counters, false);
   private final List<String> completions = new ArrayList<>();
 
-  private void runPractice(InetSocketAddress listenAddress) {
+  private void runWarmUp(InetSocketAddress listenAddress) {
     new SocketWarmUp(
             network,
             listenAddress,
             1024,
-            counts,
+            counters,
             () -> {
               completions.add("done");
               loop.schedule(Duration.ofMillis(100), loop::stop);
@@ -39,7 +39,7 @@
     assertEquals(List.of("done"), completions);
   }
 
-  /** Guards against a practice that goes on for ever, or leaves connections behind. */
+  /** Guards against a warm-up that never ends or leaves connections open. */
   @Test
   void endsOnceEveryRequestIsAnswered() throws IOException {
     InetSocketAddress listenAddress =
@@ -47,24 +47,24 @@
             new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
             100,
             1024,
-            connection -> connection.setHandler(new AnsweringParty(connection)));
-    runPractice(listenAddress);
-    assertEquals(192, counts.get("answers practised"));
+            connection -> connection.setHandler(new AnsweringHandler(connection)));
+    runWarmUp(listenAddress);
+    assertEquals(192, counters.get("answers practised"));
     assertEquals(0, network.connectionCount());
   }
 
-  /** Guards against a mixer that is never ready where it cannot call itself. */
+  /** Guards against a mixer that never becomes ready because it cannot connect to itself. */
   @Test
   void endsIfConnectionsAreRefused() throws IOException {
     InetSocketAddress closedAddress;
     try (ServerSocket closedSocket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       closedAddress = (InetSocketAddress) closedSocket.getLocalSocketAddress();
     }
-    runPractice(closedAddress);
-    assertEquals(0, counts.get("answers practised"));
+    runWarmUp(closedAddress);
+    assertEquals(0, counters.get("answers practised"));
   }
 
-  /** Guards against a practice that nobody answers, and that holds its descriptors for ever. */
+  /** Guards against a warm-up that gets no answers and keeps its descriptors for ever. */
   @Test
   void endsWhenStoppedIfNothingIsAnswered() throws IOException {
     InetSocketAddress listenAddress =
@@ -73,26 +73,26 @@
             100,
             1024,
             connection -> connection.setHandler(ConnectionHandler.NO_OP));
-    SocketWarmUp practice =
+    SocketWarmUp warmUp =
         new SocketWarmUp(
             network,
             listenAddress,
             1024,
-            counts,
+            counters,
             () -> {
               completions.add("done");
               loop.schedule(Duration.ofMillis(100), loop::stop);
             });
-    practice.start();
-    loop.schedule(Duration.ofMillis(100), practice::closeAll);
+    warmUp.start();
+    loop.schedule(Duration.ofMillis(100), warmUp::closeAll);
     loop.run(() -> {}, network::flush);
     network.dispose();
     assertEquals(List.of("done"), completions);
     assertEquals(0, network.connectionCount());
   }
 
-  /** Answers a request, which comes whole here. */
-  private record AnsweringParty(Connection connection) implements ConnectionHandler {
+  /** Answers each read with one byte; a request arrives in one read here. */
+  private record AnsweringHandler(Connection connection) implements ConnectionHandler {
     @Override
     public void onReadable() {
       connection.input.clear();
