--- a/mixer/src/main/java/gingerring/discovery/DiscoveryWatch.java
+++ b/mixer/src/main/java/gingerring/discovery/DiscoveryWatch.java
@@ -21,261 +21,274 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Follows discovery: a watch that is held open, and the whole list where it is asked for. While no
- * watch works it calls again by itself, at a pace that the settings allow, and does not wait for
- * the end of a call that says nothing: the first that speaks is the watch, and the others end.
+ * Client of the discovery service: keeps a watch (a streaming GET) open, and fetches the complete
+ * list on request. While no watch works, further watches are opened at the retry interval that the
+ * settings allow, without waiting for silent ones to fail: the first that delivers a line becomes
+ * the active watch, and the others are closed.
  */
 public final class DiscoveryWatch {
-  /** Who is told. */
+  /** Receives lists and failures, on the event loop's thread. */
   public interface Listener {
-    void onUpdate(MemberListUpdate members);
+    /** The service has sent a new list, complete or of changes only. */
+    void onUpdate(MemberListUpdate update);
 
     /**
-     * The watch has ended, or a call failed that was asked for; the list held stays. Not told of
-     * calls that the watch makes by itself: who is told may ask again for each that is told, and
-     * there is one answer to one ask.
+     * The active watch has ended, or a call failed that {@link #open} or {@link #fetchFullList} had
+     * requested; the current list stays valid. Not called for retries that the watch makes by
+     * itself: a listener that requests a new call at each failure thus gets one result for each
+     * request.
      */
     void onFailure();
 
     /**
-     * There was word from discovery, be it that nothing is new; told after the list that it
-     * brought.
+     * The discovery service has sent a line, even one without news; called after {@link #onUpdate}
+     * for the list in that line.
      */
     default void onContact() {}
   }
 
   private static final Logger LOG = LoggerFactory.getLogger("gingerring.discovery");
   private static final String PATH = "/v1/endpoints";
-  private static final int OUT_MOST = 4096;
-  private static final int LINE_MOST = 1 << 20;
+  private static final int MAX_REQUEST_BYTES = 4096;
+  private static final int MAX_LINE_BYTES = 1 << 20;
   private static final long UNBOUNDED = Long.MAX_VALUE / 2;
 
-  /** An empty line comes every 2 s; the first line, and the rest of one that has begun, at once. */
-  private static final Duration SILENCE = Duration.ofMillis(2500);
+  /** The service sends an empty line every 2 s; a watch without a line for this long has failed. */
+  private static final Duration SILENCE_TIMEOUT = Duration.ofMillis(2500);
 
-  private static final Duration LINE = Duration.ofSeconds(1);
-  private static final Duration LISTEN = Duration.ofMillis(250);
+  /** How long the first line, and the rest of a line that has begun, may take. */
+  private static final Duration LINE_TIMEOUT = Duration.ofSeconds(1);
+
+  /** The longest time between two checks of a call for silence. */
+  private static final Duration SILENCE_CHECK_INTERVAL = Duration.ofMillis(250);
 
   /**
-   * By so much discovery may be late, as the protocol has it, and no more may be missed by a watch
-   * that fell silent; a list that is still older then is no late one.
+   * The longest delay of discovery that the protocol allows, and so the most that a watch may miss
+   * that has fallen silent. A complete list that stays outdated for longer is not merely delayed.
    */
-  private static final Duration LATE_MOST = Duration.ofSeconds(6);
+  private static final Duration MAX_DISCOVERY_DELAY = Duration.ofSeconds(6);
 
   /**
-   * How many calls for a watch are under way at one time; with it, how soon they follow each other
-   * at most.
+   * Most watches that may be pending at one time; {@link #LINE_TIMEOUT} divided by it is the
+   * shortest retry interval.
    */
-  private static final int CALLS_MOST = 8;
+  private static final int MAX_PENDING_CALLS = 8;
 
   /**
-   * How many calls fit between a silence that is found and the time by which what it hid counts as
-   * told.
+   * How many retries fit between the detection of a silent watch and {@link #MAX_DISCOVERY_DELAY},
+   * by which the missed changes have to be known.
    */
-  private static final int CALLS_IN_TIME = 3;
+  private static final int CALLS_WITHIN_DELAY = 3;
 
-  private static final Duration COMPLAINTS_APART = Duration.ofSeconds(10);
+  /** Shortest time between two warnings in the log. */
+  private static final Duration WARNING_INTERVAL = Duration.ofSeconds(10);
 
   /**
-   * Where discovery is, and what is known from there: elsewhere its versions may be counted
-   * otherwise.
+   * The address of the discovery service with the last revision received from there; another
+   * address may count revisions differently.
    */
-  private static final class Place {
+  private static final class Endpoint {
     final InetSocketAddress address;
     long revision;
 
     /**
-     * Since when whole lists have been older than the one held; null where the last one was not.
+     * Since when complete lists have been older than {@link #revision}; null if the last one was
+     * not.
      */
-    Duration olderSince;
+    Duration staleSince;
 
-    Place(InetSocketAddress address, long revision) {
+    Endpoint(InetSocketAddress address, long revision) {
       this.address = address;
       this.revision = revision;
     }
   }
 
   private final Network network;
-  private final Listener told;
-  private final Counters counts;
+  private final Listener listener;
+  private final Counters counters;
   private final LoopTimer clock;
 
-  /** How long after its last call it calls again while no watch works. */
-  private final Duration pace;
+  /** How long after the last call a new watch is opened while none works. */
+  private final Duration retryInterval;
 
-  private Place place;
+  private Endpoint endpoint;
 
-  /** Whether a watch is asked for. */
-  private boolean wanted;
+  /** Whether a watch is to be kept open. */
+  private boolean watchRequested;
 
-  /** The watch that works: it has said a line, and is open. */
-  private Call watch;
+  /** The watch that has delivered a line and is still open; null if there is none. */
+  private Call activeWatch;
 
-  /** Calls for one that have not said a line yet, the oldest first. */
-  private final List<Call> tries = new ArrayList<>();
+  /** Watches that have not delivered a line yet, the oldest first. */
+  private final List<Call> pendingWatches = new ArrayList<>();
 
-  private final List<Call> fetches = new ArrayList<>();
+  private final List<Call> pendingFetches = new ArrayList<>();
 
   /**
-   * The watch that last worked at an earlier address, until there is a list from the present one.
+   * The last active watch at an earlier address, kept until the first list from the current
+   * address.
    */
-  private Call former;
+  private Call previousWatch;
 
-  private Duration called = Duration.ZERO;
+  private Duration lastCallAt = Duration.ZERO;
 
-  /** There is a wake to call again. */
-  private boolean planned;
+  /** Whether a timer for the next retry is running. */
+  private boolean retryScheduled;
 
-  private Duration complained;
+  private Duration lastWarningAt;
 
-  /** Follows at the pace that is in time wherever the agent need not have its say at once. */
+  /**
+   * Creates a watch with the longest retry interval, which is short enough unless the agent's
+   * current list counts as known as soon as the agent can be reached.
+   */
   public DiscoveryWatch(
       Network network,
       InetSocketAddress address,
       long revision,
-      Listener told,
-      Counters counts,
+      Listener listener,
+      Counters counters,
       LoopTimer clock) {
-    this(network, address, revision, told, counts, clock, slowest());
+    this(network, address, revision, listener, counters, clock, maxRetryInterval());
   }
 
-  /** Follows at the pace that the settings allow. */
+  /** Creates a watch with the retry interval that the settings require. */
   public DiscoveryWatch(
       Network network,
       InetSocketAddress address,
       long revision,
-      Listener told,
-      Counters counts,
+      Listener listener,
+      Counters counters,
       LoopTimer clock,
-      Settings terms) {
-    this(network, address, revision, told, counts, clock, pace(terms));
+      Settings settings) {
+    this(network, address, revision, listener, counters, clock, retryInterval(settings));
   }
 
   private DiscoveryWatch(
       Network network,
       InetSocketAddress address,
       long revision,
-      Listener told,
-      Counters counts,
+      Listener listener,
+      Counters counters,
       LoopTimer clock,
-      Duration pace) {
+      Duration retryInterval) {
     this.network = network;
-    this.told = told;
-    this.counts = counts;
+    this.listener = listener;
+    this.counters = counters;
     this.clock = clock;
-    this.pace = pace;
-    place = new Place(address, revision);
+    this.retryInterval = retryInterval;
+    endpoint = new Endpoint(address, revision);
   }
 
   /**
-   * Where lists are pushed, what the agent has counts as told the moment that it can be reached
-   * again, and what is sent to a searcher that drains is excused for the grace: two calls fit into
-   * that, so that one may be lost or the agent return right after it. Elsewhere, and with a longer
-   * grace, the term is that of silence.
+   * The retry interval. With automatic discovery, what the agent knows counts as known to the mixer
+   * as soon as the agent can be reached again, and requests to a draining searcher are excused for
+   * the drain grace only. Two calls have to fit into that grace, so that one may be lost, or the
+   * agent may return right after it. Without automatic discovery, or with a longer grace, the
+   * silence timeout determines the interval.
    */
-  private static Duration pace(Settings terms) {
-    if (!terms.text("Discovery").equals("automatic") || !terms.has("Safety.DrainGraceMs")) {
-      return slowest();
+  private static Duration retryInterval(Settings settings) {
+    if (!settings.text("Discovery").equals("automatic") || !settings.has("Safety.DrainGraceMs")) {
+      return maxRetryInterval();
     }
-    Duration half = terms.duration("Safety.DrainGraceMs").dividedBy(2);
-    return least(
-        slowest(),
-        half.compareTo(LINE.dividedBy(CALLS_MOST)) > 0 ? half : LINE.dividedBy(CALLS_MOST));
+    Duration halfGrace = settings.duration("Safety.DrainGraceMs").dividedBy(2);
+    return min(
+        maxRetryInterval(),
+        halfGrace.compareTo(LINE_TIMEOUT.dividedBy(MAX_PENDING_CALLS)) > 0
+            ? halfGrace
+            : LINE_TIMEOUT.dividedBy(MAX_PENDING_CALLS));
   }
 
-  private static Duration slowest() {
-    return LATE_MOST.minus(SILENCE).dividedBy(CALLS_IN_TIME);
+  private static Duration maxRetryInterval() {
+    return MAX_DISCOVERY_DELAY.minus(SILENCE_TIMEOUT).dividedBy(CALLS_WITHIN_DELAY);
   }
 
-  private static Duration least(Duration one, Duration other) {
-    return one.compareTo(other) < 0 ? one : other;
+  private static Duration min(Duration first, Duration second) {
+    return first.compareTo(second) < 0 ? first : second;
   }
 
-  /** Opens the watch, if it is not open and no call for it is under way. */
+  /** Opens a watch unless one is open or pending. */
   public void open() {
-    wanted = true;
-    if (watch == null && tries.isEmpty()) {
-      call(true);
-    } else if (watch == null) {
-      tries.get(tries.size() - 1).asked = true;
+    watchRequested = true;
+    if (activeWatch == null && pendingWatches.isEmpty()) {
+      startWatchCall(true);
+    } else if (activeWatch == null) {
+      pendingWatches.get(pendingWatches.size() - 1).reportsFailure = true;
     }
   }
 
+  /** Closes the watch and all pending ones without notifying the listener. */
   public void close() {
-    wanted = false;
-    endQuietly(watch);
-    endTries();
-    endFormer();
+    watchRequested = false;
+    endQuietly(activeWatch);
+    endPendingWatches();
+    endPreviousWatch();
   }
 
   /**
-   * Discovery is at another address from now on. Its versions may be counted otherwise there, so
-   * its whole list is asked for; until that has come the last list stays, and the watch that last
-   * worked elsewhere.
+   * Switches to another address of the discovery service. Revisions may be counted differently
+   * there, so the complete list is requested; until it arrives, the last list and the last active
+   * watch stay in use.
    */
-  public void changeAddress(InetSocketAddress to) {
-    if (!to.equals(place.address)) {
-      if (watch != null) {
-        endFormer();
-        former = watch;
-        watch = null;
+  public void changeAddress(InetSocketAddress address) {
+    if (!address.equals(endpoint.address)) {
+      if (activeWatch != null) {
+        endPreviousWatch();
+        previousWatch = activeWatch;
+        activeWatch = null;
       }
-      place = new Place(to, 0);
-      endTries();
-      if (wanted) {
-        call(true);
+      endpoint = new Endpoint(address, 0);
+      endPendingWatches();
+      if (watchRequested) {
+        startWatchCall(true);
       }
-      for (Call call : List.copyOf(fetches)) {
-        endQuietly(
-            call); // what it brings is the former place's, and the list from here may have come
-        // before
+      for (Call call : List.copyOf(pendingFetches)) {
+        // its list would come from the old address, and possibly after one from the new address
+        endQuietly(call);
         fetchFullList();
       }
     }
   }
 
-  /** Asks for the whole list once. */
+  /** Requests the complete list once. */
   public void fetchFullList() {
-    fetches.add(new Call(false, true));
+    pendingFetches.add(new Call(false, true));
   }
 
-  private void call(boolean asked) {
-    if (tries.size() == CALLS_MOST) {
-      tries
-          .get(0)
-          .fail(
-              "it says no line"); // guards against calls that pile up, each kept open by a trickle
+  private void startWatchCall(boolean reportsFailure) {
+    if (pendingWatches.size() == MAX_PENDING_CALLS) {
+      // guards against pending watches that pile up, each kept open by a trickle of bytes
+      pendingWatches.get(0).fail("it says no line");
     }
-    called = clock.now();
-    plan();
-    tries.add(new Call(true, asked));
+    lastCallAt = clock.now();
+    scheduleRetry();
+    pendingWatches.add(new Call(true, reportsFailure));
   }
 
-  /** Calls again once the pace allows it, unless a watch works by then. */
-  private void plan() {
-    if (!planned) {
-      planned = true;
+  /** Opens another watch after the retry interval unless one works by then. */
+  private void scheduleRetry() {
+    if (!retryScheduled) {
+      retryScheduled = true;
       clock.schedule(
-          called.plus(pace).minus(clock.now()),
+          lastCallAt.plus(retryInterval).minus(clock.now()),
           () -> {
-            planned = false;
-            if (wanted && watch == null) {
-              if (clock.now().compareTo(called.plus(pace)) >= 0) {
-                call(false);
+            retryScheduled = false;
+            if (watchRequested && activeWatch == null) {
+              if (clock.now().compareTo(lastCallAt.plus(retryInterval)) >= 0) {
+                startWatchCall(false);
               } else {
-                plan(); // there was a call meanwhile
+                scheduleRetry(); // another call was made in the meantime
               }
             }
           });
     }
   }
 
-  private void endTries() {
-    List.copyOf(tries).forEach(DiscoveryWatch::endQuietly);
+  private void endPendingWatches() {
+    List.copyOf(pendingWatches).forEach(DiscoveryWatch::endQuietly);
   }
 
-  private void endFormer() {
-    endQuietly(former);
+  private void endPreviousWatch() {
+    endQuietly(previousWatch);
   }
 
   private static void endQuietly(Call call) {
@@ -284,98 +297,109 @@
     }
   }
 
-  private void complain(String what) {
-    counts.add("discovery failures", 1);
-    if (complained == null || clock.now().minus(complained).compareTo(COMPLAINTS_APART) > 0) {
-      complained = clock.now();
-      LOG.warn("discovery: {}", what);
+  private void warn(String problem) {
+    counters.add("discovery failures", 1);
+    if (lastWarningAt == null || clock.now().minus(lastWarningAt).compareTo(WARNING_INTERVAL) > 0) {
+      lastWarningAt = clock.now();
+      LOG.warn("discovery: {}", problem);
     }
   }
 
-  /** One GET on a connection of its own. */
+  /** One GET request on a connection of its own. */
   private final class Call implements ConnectionHandler, HttpParser.Handler {
-    private final boolean streams;
+    private final boolean streaming;
 
-    /** Whether its failure is told. */
-    private boolean asked;
+    /** Whether a failure is reported to the listener. */
+    private boolean reportsFailure;
+
+    /** The endpoint that this call was made to. */
+    private final Endpoint ownEndpoint = endpoint;
 
-    private final Place from = place;
     private final HttpParser parser;
-    private final ByteArrayOutputStream text = new ByteArrayOutputStream();
+    private final ByteArrayOutputStream lineBuffer = new ByteArrayOutputStream();
     private final String host;
     private final Connection connection;
-    private final Duration begun = clock.now();
+    private final Duration startedAt = clock.now();
+
+    /** When the last byte arrived. */
+    private Duration lastByteAt = startedAt;
 
-    /** When the last byte came, the last whole line, and the first byte of the line at hand. */
-    private Duration heard = begun;
+    /** When the last complete line arrived. */
+    private Duration lastLineAt = startedAt;
 
-    private Duration lineEnd = begun;
-    private Duration lineBegun = begun;
-    private long lines;
+    /** When the first byte of the current line arrived. */
+    private Duration lineStartedAt = startedAt;
+
+    private long lineCount;
     private boolean ended;
 
-    /** The answer says of no length where it ends. */
-    private boolean toEnd;
+    /** Whether the response has no length, so that it ends when the connection is closed. */
+    private boolean endsAtClose;
 
-    /**
-     * Within the line at hand: how many objects and lists are open, and whether a text or an escape
-     * is.
-     */
+    /** In the current line: how many objects and lists are open. */
     private int depth;
 
-    private boolean quoted;
+    /** In the current line: whether a string is open. */
+    private boolean inString;
+
+    /** In the current line: whether the previous byte escapes the next one. */
     private boolean escaped;
 
-    Call(boolean streams, boolean asked) {
-      this.streams = streams;
-      this.asked = asked;
-      counts.add("discovery calls", 1);
-      parser = new HttpParser(false, streams ? UNBOUNDED : LINE_MOST, this);
-      host = from.address.getAddress().getHostAddress() + ':' + from.address.getPort();
-      connection = network.dial(from.address, OUT_MOST, this);
-      listen();
+    Call(boolean streaming, boolean reportsFailure) {
+      this.streaming = streaming;
+      this.reportsFailure = reportsFailure;
+      counters.add("discovery calls", 1);
+      parser = new HttpParser(false, streaming ? UNBOUNDED : MAX_LINE_BYTES, this);
+      host =
+          ownEndpoint.address.getAddress().getHostAddress() + ':' + ownEndpoint.address.getPort();
+      connection = network.dial(ownEndpoint.address, MAX_REQUEST_BYTES, this);
+      checkSilence();
     }
 
     /**
-     * Guards against a connection that stays open and says nothing more, at any point of a list.
+     * Fails the call once the service has been silent for too long. Guards against a connection
+     * that stays open but delivers no more data, at any point of a list.
      */
-    private void listen() {
-      Duration left = silentAt().minus(clock.now());
-      if (left.isNegative() || left.isZero()) {
+    private void checkSilence() {
+      Duration remaining = silenceDeadline().minus(clock.now());
+      if (remaining.isNegative() || remaining.isZero()) {
         fail("silent");
       } else {
         clock.schedule(
-            least(LISTEN, left),
+            min(SILENCE_CHECK_INTERVAL, remaining),
             () -> {
               if (!ended) {
-                listen();
+                checkSilence();
               }
             });
       }
     }
 
     /**
-     * Whole lines alone are word: bytes that come one by one put the end of a line off, but not
-     * beyond the silence between two, and those of no line not at all. Guards against an answer
-     * that never ends.
+     * The time at which the call fails for silence. Bytes extend the time for the line that they
+     * belong to, but not beyond the silence timeout, which starts with the first byte of the line,
+     * and for the first line with the call. Bytes outside a line, such as chunk sizes, extend
+     * nothing. Guards against a response that never ends.
      */
-    private Duration silentAt() {
-      if (lines > 0 && text.size() == 0) {
-        return lineEnd.plus(SILENCE);
+    private Duration silenceDeadline() {
+      if (lineCount > 0 && lineBuffer.size() == 0) {
+        return lastLineAt.plus(SILENCE_TIMEOUT);
       }
-      return least(heard.plus(LINE), (lines > 0 ? lineBegun : begun).plus(SILENCE));
+      return min(
+          lastByteAt.plus(LINE_TIMEOUT),
+          (lineCount > 0 ? lineStartedAt : startedAt).plus(SILENCE_TIMEOUT));
     }
 
     @Override
     public void onOpened() {
-      String target = streams ? PATH + "?stream=1&index=" + from.revision : PATH;
-      connection.output.put(HttpWriter.getRequest(target, host, !streams));
+      String target = streaming ? PATH + "?stream=1&index=" + ownEndpoint.revision : PATH;
+      connection.output.put(HttpWriter.getRequest(target, host, !streaming));
       connection.requestFlush();
     }
 
     @Override
     public void onReadable() {
-      heard = clock.now();
+      lastByteAt = clock.now();
       try {
         while (!ended && connection.input.size() > 0) {
           parser.parse(connection.input);
@@ -391,40 +415,42 @@
     @Override
     public void onHead(MessageHead head) throws HttpException {
       if (!head.targetOrStatus().equals("200")) {
-        throw new HttpException(400, "it answered " + head.targetOrStatus());
+        throw new HttpException(400, "answered with status " + head.targetOrStatus());
       }
-      toEnd = head.header("content-length") == null && head.header("transfer-encoding") == null;
+      endsAtClose =
+          head.header("content-length") == null && head.header("transfer-encoding") == null;
     }
 
     @Override
     public void onBody(byte[] bytes, int length) throws HttpException {
       for (int i = 0; i < length && !ended; i++) {
-        if (streams && bytes[i] == '\n' && (depth == 0 || quoted)) {
-          line();
+        if (streaming && bytes[i] == '\n' && (depth == 0 || inString)) {
+          processLine();
         } else {
-          if (text.size() == 0) {
-            lineBegun = heard;
+          if (lineBuffer.size() == 0) {
+            lineStartedAt = lastByteAt;
           }
-          nest(bytes[i]);
-          text.write(bytes[i]);
+          trackNesting(bytes[i]);
+          lineBuffer.write(bytes[i]);
         }
       }
-      if (text.size() > LINE_MOST) {
-        throw new HttpException(413, "a line is too long");
+      if (lineBuffer.size() > MAX_LINE_BYTES) {
+        throw new HttpException(413, "line is longer than " + MAX_LINE_BYTES + " bytes");
       }
     }
 
     /**
-     * An indented list goes over many lines: it is at its end once all that it opened is closed.
+     * Tracks open objects, lists and strings. An indented list spans several lines: it ends at the
+     * first line break at which everything is closed.
      */
-    private void nest(byte b) {
+    private void trackNesting(byte b) {
       if (escaped) {
         escaped = false;
-      } else if (quoted) {
+      } else if (inString) {
         escaped = b == '\\';
-        quoted = b != '"';
+        inString = b != '"';
       } else if (b == '"') {
-        quoted = true;
+        inString = true;
       } else if (b == '{' || b == '[') {
         depth++;
       } else if (b == '}' || b == ']') {
@@ -432,32 +458,32 @@
       }
     }
 
-    private void line() throws HttpException {
-      byte[] line = text.toByteArray();
-      text.reset();
+    private void processLine() throws HttpException {
+      byte[] line = lineBuffer.toByteArray();
+      lineBuffer.reset();
       depth = 0;
-      quoted = false;
+      inString = false;
       escaped = false;
-      boolean list = !streams || !new String(line, StandardCharsets.ISO_8859_1).isBlank();
-      MemberListUpdate members = list ? read(line) : null;
-      lines++;
-      lineEnd = heard;
-      if (streams && tries.remove(this)) {
-        watch = this; // the first that speaks; what another try would bring is no news
-        endTries();
+      boolean hasList = !streaming || !new String(line, StandardCharsets.ISO_8859_1).isBlank();
+      MemberListUpdate update = hasList ? parseUpdate(line) : null;
+      lineCount++;
+      lastLineAt = lastByteAt;
+      if (streaming && pendingWatches.remove(this)) {
+        activeWatch = this; // the first to deliver a line; the other pending watches are not needed
+        endPendingWatches();
       }
-      if (list) {
-        take(members);
+      if (hasList) {
+        applyUpdate(update);
       }
-      if (from == place) {
-        if (list) {
-          endFormer();
+      if (ownEndpoint == endpoint) {
+        if (hasList) {
+          endPreviousWatch();
         }
-        told.onContact();
+        listener.onContact();
       }
     }
 
-    private MemberListUpdate read(byte[] line) throws HttpException {
+    private MemberListUpdate parseUpdate(byte[] line) throws HttpException {
       try {
         return MemberListUpdate.parse(Json.parse(line));
       } catch (Json.JsonException e) {
@@ -465,55 +491,55 @@
       }
     }
 
-    private void take(MemberListUpdate members) {
-      if (members.complete() && members.revision() < from.revision) {
-        if (from == place) {
-          older();
+    private void applyUpdate(MemberListUpdate update) {
+      if (update.complete() && update.revision() < ownEndpoint.revision) {
+        if (ownEndpoint == endpoint) {
+          handleStaleList();
         }
         return;
       }
-      // a whole list replaces whatever was held; a change that was seen before says nothing new
-      if (members.complete() || members.revision() > from.revision) {
-        from.revision = members.revision();
-        from.olderSince = null;
-        counts.add("lists told", 1);
-        told.onUpdate(members);
+      // a complete list replaces the current one; changes that were seen before are ignored
+      if (update.complete() || update.revision() > ownEndpoint.revision) {
+        ownEndpoint.revision = update.revision();
+        ownEndpoint.staleSince = null;
+        counters.add("lists told", 1);
+        listener.onUpdate(update);
       }
     }
 
     /**
-     * A whole list that is older than what is held tells nothing: its agent is late, and its
-     * changes bring it up to date. Guards against sending again to searchers that are known to
-     * drain or to have gone. Where it is still older after the longest that discovery may be late,
-     * versions are counted anew, and the whole list is asked for.
+     * Ignores a complete list that is older than the current one: its agent is late, and its
+     * changes bring it up to date. Guards against sending requests again to searchers that are
+     * known to drain or to have been deleted. If lists are still older after the longest delay that
+     * discovery may have, revisions are counted anew, and the complete list is requested.
      */
-    private void older() {
-      counts.add("lists older than the one held", 1);
-      if (from.olderSince == null) {
+    private void handleStaleList() {
+      counters.add("lists older than the one held", 1);
+      if (ownEndpoint.staleSince == null) {
         Duration since = clock.now();
-        from.olderSince = since;
+        ownEndpoint.staleSince = since;
         clock.schedule(
-            LATE_MOST,
+            MAX_DISCOVERY_DELAY,
             () -> {
-              if (since.equals(from.olderSince) && from == place) {
-                from.olderSince = null;
-                from.revision = 0;
-                if (watch != null) {
-                  watch.end("its versions are counted anew");
-                  call(true);
+              if (since.equals(ownEndpoint.staleSince) && ownEndpoint == endpoint) {
+                ownEndpoint.staleSince = null;
+                ownEndpoint.revision = 0;
+                if (activeWatch != null) {
+                  activeWatch.end("its revisions are counted anew");
+                  startWatchCall(true);
                 }
               }
             });
       }
     }
 
-    /** The answer is whole: of a watch, its last line too, if it has no end of its own. */
+    /** The response is complete. The last line of a watch counts even without a line break. */
     @Override
     public void onMessageEnd() throws HttpException {
-      if (!streams || text.size() > 0) {
-        line();
+      if (!streaming || lineBuffer.size() > 0) {
+        processLine();
       }
-      if (streams) {
+      if (streaming) {
         fail("the watch ended");
       } else {
         end(null);
@@ -521,13 +547,13 @@
     }
 
     /**
-     * Without a length an orderly close is the answer's end; a reset never is: a list cut short
-     * tells nothing.
+     * A response without a length ends with a graceful close of the connection; after a reset the
+     * list may be truncated, and is ignored.
      */
     @Override
     public void onClosed() {
       try {
-        if (!ended && toEnd && connection.closedGracefully()) {
+        if (!ended && endsAtClose && connection.closedGracefully()) {
           onMessageEnd();
         }
       } catch (HttpException e) {
@@ -537,38 +563,41 @@
     }
 
     /**
-     * A watch that worked for a while is opened anew at once: what the agent has meanwhile counts
-     * as told. One that failed as it began is followed by another at its pace, or when the mixer
-     * asks for it, so that a broken agent is not called without a pause.
+     * Ends the call as failed. An active watch that had been open for a while is reopened at once:
+     * what the agent has learned in the meantime already counts as known. A watch that fails soon
+     * after its start is followed by another after the retry interval, or when the mixer requests
+     * it, so that a broken agent is not called without a pause.
      */
-    private void fail(String why) {
+    private void fail(String reason) {
       if (!ended) {
-        boolean here = from == place;
-        boolean again = this == watch && clock.now().minus(begun).compareTo(least(LINE, pace)) >= 0;
-        end(why);
-        if (again) {
-          call(true);
-        } else if (streams && here) {
-          plan();
+        boolean current = ownEndpoint == endpoint;
+        boolean reopen =
+            this == activeWatch
+                && clock.now().minus(startedAt).compareTo(min(LINE_TIMEOUT, retryInterval)) >= 0;
+        end(reason);
+        if (reopen) {
+          startWatchCall(true);
+        } else if (streaming && current) {
+          scheduleRetry();
         }
-        if (here && asked) {
-          told.onFailure();
+        if (current && reportsFailure) {
+          listener.onFailure();
         }
       }
     }
 
-    private void end(String why) {
+    private void end(String reason) {
       ended = true;
-      tries.remove(this);
-      fetches.remove(this);
-      if (watch == this) {
-        watch = null;
+      pendingWatches.remove(this);
+      pendingFetches.remove(this);
+      if (activeWatch == this) {
+        activeWatch = null;
       }
-      if (former == this) {
-        former = null;
+      if (previousWatch == this) {
+        previousWatch = null;
       }
-      if (why != null) {
-        complain(why);
+      if (reason != null) {
+        warn(reason);
       }
       connection.close();
     }
