--- a/mixer/src/main/java/gingerring/Main.java
+++ b/mixer/src/main/java/gingerring/Main.java
@@ -15,9 +15,10 @@
     if (args.length == 1 && args[0].equals("serve")) {
       System.exit(MixerServer.run(System.getenv(), System.err));
     }
-    System.err.println("usage: java -jar gingerring.jar drill    (decides on the bench's wire)");
     System.err.println(
-        "       java -jar gingerring.jar serve    (a real mixer, as LB_CONFIG tells)");
+        "usage: java -jar gingerring.jar drill    (reads the simulator's protocol on standard input)");
+    System.err.println(
+        "       java -jar gingerring.jar serve    (runs a mixer with the configuration file LB_CONFIG)");
     System.exit(2);
   }
 }
--- a/mixer/src/main/java/gingerring/backend/FrameCodec.java
+++ b/mixer/src/main/java/gingerring/backend/FrameCodec.java
@@ -64,7 +64,7 @@
             Integer.toUnsignedLong(
                 ByteBuffer.wrap(lengthField).order(ByteOrder.LITTLE_ENDIAN).getInt());
         if (length < 1 || length > MAX_FRAME_BYTES) {
-          throw new MalformedFrameException("a frame of " + length + " bytes");
+          throw new MalformedFrameException("frame length " + length + " is out of range");
         }
         frame = new byte[(int) length];
         frameRead = 0;
--- a/mixer/src/main/java/gingerring/backend/SearcherConnection.java
+++ b/mixer/src/main/java/gingerring/backend/SearcherConnection.java
@@ -311,7 +311,7 @@
           backend.dialTimeout(),
           () -> {
             if (frameCodec.framesRead() == read && connection.isUsable()) {
-              closeOnBadFrame("a frame stopped short");
+              closeOnBadFrame("a frame is incomplete");
             }
           });
     }
@@ -337,7 +337,7 @@
               "F: "
                   + new String(payload, 0, Math.min(payload.length, 80), StandardCharsets.US_ASCII)
                       .replaceAll("[^ -~]", "?"));
-      default -> throw new FrameCodec.MalformedFrameException("letter " + (int) letter);
+      default -> throw new FrameCodec.MalformedFrameException("unknown frame type " + (int) letter);
     }
   }
 
@@ -348,26 +348,26 @@
     }
     String[] words = new String(payload, 0, lineEnd, StandardCharsets.US_ASCII).split(" ", -1);
     if (lineEnd == payload.length || words.length != 4) {
-      throw new FrameCodec.MalformedFrameException("R without its line");
+      throw new FrameCodec.MalformedFrameException("R without its status line");
     }
     Outcome outcome =
         switch (words[1]) {
           case "done" -> Outcome.SUCCEEDED;
           case "failed" -> Outcome.ERROR;
           case "full" -> Outcome.FULL;
-          default -> throw new FrameCodec.MalformedFrameException("R with an unknown end");
+          default -> throw new FrameCodec.MalformedFrameException("R with an unknown outcome");
         };
     OutboundTrip trip = tripsInFlight.get(words[0]);
     if (trip == null) {
       if (!recentIds.contains(words[0])) {
-        throw new FrameCodec.MalformedFrameException("R for a part that is not known");
+        throw new FrameCodec.MalformedFrameException("R for an unknown part");
       }
       backend.counts().add("late answers", 1);
       return;
     }
     byte[] value = Arrays.copyOfRange(payload, lineEnd + 1, payload.length);
     if (outcome == Outcome.SUCCEEDED && (value.length == 0 || !isUtf8(value))) {
-      throw new FrameCodec.MalformedFrameException("R with a value that is no text");
+      throw new FrameCodec.MalformedFrameException("R with a value that is not valid UTF-8");
     }
     removeTrip(trip);
     backend.tripEnded(
@@ -405,7 +405,7 @@
     }
     boolean report = letter == 'M' && !answer.equals("failed");
     if (letter == 'H' && !answer.equals("done") && !answer.equals("failed")) {
-      throw new FrameCodec.MalformedFrameException("H with an unknown end");
+      throw new FrameCodec.MalformedFrameException("H with an unknown outcome");
     }
     backend.probeEnded(
         pool,
--- a/mixer/src/main/java/gingerring/frontend/ClientConnection.java
+++ b/mixer/src/main/java/gingerring/frontend/ClientConnection.java
@@ -232,7 +232,7 @@
     closeAfterResponse =
         head.hasToken("connection", "close") || head.versionOrReason().equals("HTTP/1.0");
     if (head.versionOrReason().equals("HTTP/1.1") && head.header("host") == null) {
-      throw new HttpException(400, "no Host");
+      throw new HttpException(400, "Host is missing");
     }
     int queryStart = head.targetOrStatus().indexOf('?');
     String path =
--- a/mixer/src/main/java/gingerring/frontend/Frontend.java
+++ b/mixer/src/main/java/gingerring/frontend/Frontend.java
@@ -186,7 +186,7 @@
    */
   void reserveBodyBytes(int length) throws HttpException {
     if (bufferedBodyBytes + length > MAX_BUFFERED_BODY_BYTES) {
-      throw new HttpException(503, "too many bodies half sent");
+      throw new HttpException(503, "too many request bodies incomplete");
     }
     bufferedBodyBytes += length;
   }
--- a/mixer/src/main/java/gingerring/frontend/ScanRequestParser.java
+++ b/mixer/src/main/java/gingerring/frontend/ScanRequestParser.java
@@ -52,11 +52,11 @@
         serviceClasses.get(
             String.valueOf(head.header("X-Lane")).replace(' ', '_').replace(',', '_'));
     if (serviceClass == null) {
-      throw new HttpException(400, "no known X-Lane");
+      throw new HttpException(400, "X-Lane is missing or unknown");
     }
     String remaining = head.header("X-Remaining-Ms");
     if (remaining == null || !MILLIS.matcher(remaining).matches()) {
-      throw new HttpException(400, "no X-Remaining-Ms");
+      throw new HttpException(400, "X-Remaining-Ms is missing or not a number");
     }
     String idempotencyKey = keyed.get(serviceClass) ? idHeader(head, "Idempotency-Key") : null;
     try {
@@ -94,7 +94,7 @@
       ByteBuffer bytes = StandardCharsets.UTF_8.newEncoder().encode(CharBuffer.wrap(text));
       return Arrays.copyOf(bytes.array(), bytes.limit());
     } catch (CharacterCodingException e) {
-      throw new Json.JsonException("query is no text");
+      throw new Json.JsonException("query is not valid text");
     }
   }
 
@@ -108,7 +108,7 @@
         || value.isEmpty()
         || value.length() > MAX_ID_LENGTH
         || !value.chars().allMatch(c -> c > ' ' && c < 127 && c != ',')) {
-      throw new HttpException(400, "no " + name);
+      throw new HttpException(400, name + " is missing or invalid");
     }
     return value;
   }
@@ -122,7 +122,7 @@
       long shard = JsonFields.nonNegativeInteger(target, "partition");
       double share = JsonFields.number(target, "share");
       if (shard >= shardCount || !seenShards.add((int) shard)) {
-        throw new Json.JsonException("partition " + shard + " is out of range, or there twice");
+        throw new Json.JsonException("partition " + shard + " is out of range or listed twice");
       }
       if (share <= 0) {
         throw new Json.JsonException("share is not positive");
@@ -145,7 +145,7 @@
 
   private static long parseRoute(String text) throws Json.JsonException {
     if (!ROUTE.matcher(text).matches()) {
-      throw new Json.JsonException("route is no 16 hex digits");
+      throw new Json.JsonException("route is not 16 hex digits");
     }
     return Long.parseUnsignedLong(text, 16);
   }
--- a/mixer/src/main/java/gingerring/server/MixerConfig.java
+++ b/mixer/src/main/java/gingerring/server/MixerConfig.java
@@ -52,7 +52,8 @@
     }
     Map<String, String> flat = new HashMap<>();
     if (!(config.get("settings") instanceof Map<?, ?> settings) || settings.isEmpty()) {
-      throw new InvalidConfig("settings is missing or no object: give the deployment's settings");
+      throw new InvalidConfig(
+          "settings is missing or not an object: give the deployment's settings");
     }
     flatten("", settings, flat);
     Settings settingsRead = new Settings(flat);
@@ -138,7 +139,7 @@
     try {
       return Long.parseUnsignedLong(text(config, "seed", null), 16);
     } catch (NumberFormatException e) {
-      throw new InvalidConfig("seed is no number in hex digits");
+      throw new InvalidConfig("seed is not a number in hex digits");
     }
   }
 
@@ -160,7 +161,7 @@
               + sockets
               + ": give a number from "
               + MIN_SOCKET_LIMIT
-              + " on, and three for each searcher if there are so many");
+              + " up, and at least three for each searcher");
     }
     return (int) sockets;
   }
--- a/mixer/src/main/java/gingerring/server/MixerHost.java
+++ b/mixer/src/main/java/gingerring/server/MixerHost.java
@@ -103,7 +103,7 @@
   private final Map<String, SearcherId> searcherIds = new HashMap<>();
   private final Map<SearcherId, MemberEntry> listedMembers = new HashMap<>();
   private long nextId;
-  private int held;
+  private int heldCount;
   private Mixer mixer;
   private Backend backend;
   private DiscoveryWatch watch;
@@ -196,7 +196,7 @@
     }
     // The limit is checked before the scan is added: as in the simulator, the last scan accepted
     // may exceed it.
-    if (held >= maxHeld) {
+    if (heldCount >= maxHeld) {
       counts.add("nacks for a full house", 1);
       responder.reject(Duration.ZERO);
       return true;
@@ -214,7 +214,7 @@
       openParts.put(part.id, part);
       parts.add(new Part(part.id, target.shard(), target.share(), target.route()));
     }
-    held += 1 + parts.size();
+    heldCount += 1 + parts.size();
     openScans.put(scan.id, scan);
     scansByTransaction.put(request.transactionId(), scan);
     scansByResponder.put(responder, scan);
@@ -286,9 +286,9 @@
     }
     scansByResponder.remove(scan.responder);
     // as in the simulator, a part that has succeeded no longer counts as held
-    held -= 1 + (int) scan.parts.stream().filter(part -> part.value == null).count();
+    heldCount -= 1 + (int) scan.parts.stream().filter(part -> part.value == null).count();
     counts.checkInvariant(
-        held >= 0 && openScans.isEmpty() == (held == 0), "what is held is what is open");
+        heldCount >= 0 && openScans.isEmpty() == (heldCount == 0), "what is held is what is open");
     scan.parts.forEach(this::cancelUnsentTrips);
     scan.parts.forEach(this::removeIfFinished);
   }
@@ -315,7 +315,7 @@
           boolean partOver = part == null || part.scan.answered || part.value != null;
           if (part != null && !partOver && outcome == Outcome.SUCCEEDED) {
             part.value = value;
-            held--;
+            heldCount--;
             partOver = true;
             cancelUnsentTrips(part);
           }
--- a/mixer/src/main/java/gingerring/server/MixerServer.java
+++ b/mixer/src/main/java/gingerring/server/MixerServer.java
@@ -204,7 +204,7 @@
     LOG.info(
         "reload: discovery at {}{}",
         config.discoveryAddress(),
-        config.differsOnlyInDiscovery(startConfig) ? "" : "; what else is new waits for a restart");
+        config.differsOnlyInDiscovery(startConfig) ? "" : "; all other changes wait for a restart");
     watch.changeAddress(config.discoveryAddress());
   }
 
--- a/mixer/src/main/java/gingerring/server/SettingsValidator.java
+++ b/mixer/src/main/java/gingerring/server/SettingsValidator.java
@@ -113,8 +113,8 @@
     require(
         settings.has("Classes.count") && number(settings, "Classes.count", "a list") >= 1,
         "Classes",
-        "is no list of grades",
-        "give one object for each service grade, one at least");
+        "is no list of service classes",
+        "give one object for each service class, at least one");
     int classCount = settings.count("Classes.count");
     for (String rule : NUMBER_RANGES) {
       String[] bound = rule.split(" ");
@@ -158,7 +158,7 @@
       require(
           budgetSettings == 0 || settings.has(key),
           key,
-          "is missing beside the others of a budget",
+          "is missing while other settings of the retry budget are present",
           "give " + String.join(", ", RETRY_BUDGET) + ", or none of them");
     }
     checkServiceClasses(settings, classCount);
@@ -177,20 +177,20 @@
       require(
           !name.isEmpty() && name.chars().allMatch(c -> c > ' ' && c < 127),
           prefix + "Name",
-          "is nothing that a header carries",
+          "cannot be sent in a header",
           "give a name of plain ASCII text");
       Integer earlier = names.putIfAbsent(name, i);
       require(
           earlier == null,
           prefix + "Name",
-          "is that of Classes." + earlier + " too",
+          "is also the name of Classes." + earlier,
           "give each a name of its own");
       require(
           !settings.text(prefix + "Idempotency").equals("deduplicated")
               || settings.has(prefix + "WindowMs"),
           prefix + "WindowMs",
           "is missing",
-          "give the time for which repeats of the grade are dropped");
+          "give the time for which retries of the service class are dropped");
     }
   }
 
@@ -222,12 +222,12 @@
       return settings.item(key, index, 1);
     } catch (IllegalArgumentException e) {
       throw new InvalidSettingException(
-          key, "has no number at place " + index, "give " + range + " for each grade");
+          key, "has no number at index " + index, "give " + range + " for each service class");
     }
   }
 
   private static String describeRange(String[] bound) {
-    return "a number from " + bound[1] + (bound.length > 2 ? " to " + bound[2] : " on");
+    return "a number from " + bound[1] + (bound.length > 2 ? " to " + bound[2] : " up");
   }
 
   private static void requireInRange(String key, double value, String[] bound) {
--- a/mixer/src/test/java/gingerring/backend/FramesTest.java
+++ b/mixer/src/test/java/gingerring/backend/FrameCodecTest.java
@@ -16,8 +16,8 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-class FramesTest {
-  private static String read(byte[] bytes, int cut) {
+class FrameCodecTest {
+  private static String decode(byte[] bytes, int split) {
     StringBuilder text = new StringBuilder();
     FrameCodec frames = new FrameCodec();
     ByteRing ring = new ByteRing(4096, 4096);
@@ -25,9 +25,9 @@
         (letter, rest) ->
             text.append(letter).append(new String(rest, StandardCharsets.ISO_8859_1)).append('|');
     try {
-      ring.put(bytes, 0, cut);
+      ring.put(bytes, 0, split);
       frames.read(ring, sink);
-      ring.put(bytes, cut, bytes.length - cut);
+      ring.put(bytes, split, bytes.length - split);
       frames.read(ring, sink);
     } catch (FrameCodec.MalformedFrameException e) {
       text.append("malformed");
@@ -36,19 +36,19 @@
   }
 
   @Test
-  void readsTheSameOnEverySplit() {
+  void decodesTheSameFramesAtEverySplit() {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     bytes.writeBytes(
         FrameCodec.encode('R', "a.1 done 5 -\nvalue".getBytes(StandardCharsets.US_ASCII)));
     bytes.writeBytes(FrameCodec.encode('H', new byte[0]));
     bytes.writeBytes(new byte[] {0, 0, 0, 0});
-    for (int cut = 0; cut <= bytes.size(); cut++) {
-      assertEquals("Ra.1 done 5 -\nvalue|H|malformed", read(bytes.toByteArray(), cut));
+    for (int split = 0; split <= bytes.size(); split++) {
+      assertEquals("Ra.1 done 5 -\nvalue|H|malformed", decode(bytes.toByteArray(), split));
     }
   }
 
   @Test
-  void randomBytesAreFramesOrMalformed() {
+  void decodesRandomBytesOrReportsThemAsMalformed() {
     SplittableRandom random = new SplittableRandom(3);
     for (int round = 0; round < 20_000; round++) {
       byte[] bytes = new byte[random.nextInt(40)];
@@ -56,13 +56,13 @@
       for (int i = 1; i < bytes.length; i += 2) {
         bytes[i] = 0;
       }
-      read(bytes, random.nextInt(bytes.length + 1));
+      decode(bytes, random.nextInt(bytes.length + 1));
     }
   }
 
   @Test
-  void writesACallAsTheProtocolHasIt() {
-    OutboundTrip errand =
+  void encodesACallAsTheProtocolDefines() {
+    OutboundTrip trip =
         new OutboundTrip(
             new PartId(1),
             0,
@@ -73,14 +73,14 @@
             "c41e77d0".getBytes(StandardCharsets.US_ASCII),
             Duration.ofMillis(1240));
     String line = "S9b1f03aa5c7e2d41 3 d=240,k=5c0f6e1a2b3d4c59a8b7c6d5e4f30211 8\nc41e77d0";
-    byte[] call = FrameCodec.encodeCall(List.of(errand), Duration.ofSeconds(1));
+    byte[] call = FrameCodec.encodeCall(List.of(trip), Duration.ofSeconds(1));
     assertEquals("\0\0\0" + line, new String(call, 1, call.length - 1, StandardCharsets.US_ASCII));
     assertEquals(line.length(), call[0]);
   }
 
-  /** An unreadable report says nothing, and nothing against the answer that it came with. */
+  /** An unreadable report counts as none and does not affect the answer that it came with. */
   @Test
-  void readsLoadReportsByTheColumnsTold() {
+  void parsesLoadReportsIntoTheConfiguredColumns() {
     Counters counts = new Counters();
     LoadReportParser reports =
         new LoadReportParser(
