--- a/mixer/src/main/java/gingerring/discovery/MemberListUpdate.java
+++ b/mixer/src/main/java/gingerring/discovery/MemberListUpdate.java
@@ -63,9 +63,8 @@
       throw new Json.JsonException("id is empty");
     }
     if (status == Status.GONE) {
-      return new Member(
-          id, null, "", "", 0, status, 1,
-          0); // other fields are ignored: a deleted member is never dialled
+      // other fields are ignored: a deleted member is never dialled
+      return new Member(id, null, "", "", 0, status, 1, 0);
     }
     long cell = JsonFields.nonNegativeInteger(object, "cell");
     float size = (float) JsonFields.number(object, "size");
--- a/mixer/src/main/java/gingerring/http/HttpParser.java
+++ b/mixer/src/main/java/gingerring/http/HttpParser.java
@@ -106,7 +106,7 @@
       }
       if (!inHead && line.size() > MAX_CHUNK_LINE_BYTES) {
         throw new HttpException(
-            400, "chunk size line is longer than " + MAX_CHUNK_LINE_BYTES + " bytes");
+            400, "line of the chunk framing is longer than " + MAX_CHUNK_LINE_BYTES + " bytes");
       }
     }
     return false;
--- a/mixer/src/main/java/gingerring/net/ByteRing.java
+++ b/mixer/src/main/java/gingerring/net/ByteRing.java
@@ -11,9 +11,10 @@
   private final int capacity;
   private byte[] bytes;
 
-  /** Total bytes ever taken and put. */
+  /** Total number of bytes ever taken. */
   private volatile long readPosition;
 
+  /** Total number of bytes ever put. */
   private volatile long writePosition;
 
   /**
@@ -69,12 +70,12 @@
 
   /** Takes the next byte; -1 if the buffer is empty. */
   public int take() {
-    long offset = readPosition;
-    if (offset == writePosition) {
+    long position = readPosition;
+    if (position == writePosition) {
       return -1;
     }
-    int next = bytes[(int) (offset % bytes.length)] & 0xFF;
-    readPosition = offset + 1;
+    int next = bytes[(int) (position % bytes.length)] & 0xFF;
+    readPosition = position + 1;
     return next;
   }
 
--- a/mixer/src/test/java/gingerring/net/BacklogDrainTest.java
+++ b/mixer/src/test/java/gingerring/net/BacklogDrainTest.java
@@ -52,9 +52,8 @@
             });
     List<Socket> sockets = new ArrayList<>();
     Thread stopper = new Thread(network::stopListening);
-    synchronized (
-        network.acceptLock) { // holds up the acceptor, so that at most one connection is being
-      // accepted
+    // holding the lock keeps the acceptor from accepting more than one connection
+    synchronized (network.acceptLock) {
       for (int i = 0; i < CONNECTIONS; i++) {
         sockets.add(new Socket(address.getAddress(), address.getPort()));
         sockets.get(i).setSoTimeout(10_000);
--- a/mixer/src/test/java/gingerring/net/ConnectionCloseTest.java
+++ b/mixer/src/test/java/gingerring/net/ConnectionCloseTest.java
@@ -165,9 +165,8 @@
     accepted.output.put(response);
     accepted.closeGracefully();
     runUntil(accepted::isFlushed);
-    socket
-        .getOutputStream()
-        .write(new byte[20_000]); // more than one read and more than the input buffer
+    // more than one read and more than the input buffer
+    socket.getOutputStream().write(new byte[20_000]);
     assertArrayEquals(response, socket.getInputStream().readNBytes(response.length));
     assertEquals(-1, socket.getInputStream().read()); // the output was shut down
     assertFalse(handler.closed);
@@ -223,8 +222,8 @@
     sender.join(10_000);
     assertFalse(sender.isAlive());
     assertEquals(1, counters.get("ends cut short"));
-    assertTrue(
-        counters.get("bytes dropped") < 10_000 * 4096L / 2); // only part of the input was read
+    // only part of the input was read
+    assertTrue(counters.get("bytes dropped") < 10_000 * 4096L / 2);
     assertEquals(0, network.connectionCount());
   }
 }
--- a/mixer/src/test/java/gingerring/net/ConnectionLimitTest.java
+++ b/mixer/src/test/java/gingerring/net/ConnectionLimitTest.java
@@ -24,7 +24,7 @@
   /**
    * Guards against a closed connection that stops counting before its descriptor is free. The test
    * blocks MINA's thread between the end of the connection and the next select, which frees the
-   * descriptor. It was the only connection, so that no other wakes the thread.
+   * descriptor. There is no other connection whose events would wake the thread.
    */
   @Test
   void closedConnectionCountsUntilItsDescriptorIsFree() throws Exception {
@@ -74,8 +74,8 @@
     assertTrue(closePosted.await(WAIT_S, TimeUnit.SECONDS));
     assertEquals(MAX_CONNECTIONS - 1, network.availableConnections());
     gate.release();
-    while (network.availableConnections()
-        < MAX_CONNECTIONS) { // the timeout of the test bounds this loop
+    // the timeout of the test bounds this loop
+    while (network.availableConnections() < MAX_CONNECTIONS) {
       TimeUnit.MILLISECONDS.sleep(1);
     }
     events.take().run();
