--- a/mixer/src/main/java/gingerring/backend/Backend.java
+++ b/mixer/src/main/java/gingerring/backend/Backend.java
@@ -17,7 +17,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The searchers' side: carries errands and probes out, and tells how each ended, once. */
+/** Sends trips and probes to searchers and reports the outcome of each exactly once. */
 public final class Backend {
   static final int OUTPUT_BUFFER_BYTES = 1 << 18;
   private static final Logger LOG = LoggerFactory.getLogger("gingerring.back");
@@ -41,117 +41,132 @@
   private Duration lastBadFrameLog;
 
   public Backend(
-      Network network, BackendListener returns, Settings terms, Counters counts, LoopTimer clock) {
+      Network network,
+      BackendListener listener,
+      Settings settings,
+      Counters counts,
+      LoopTimer clock) {
     this.network = network;
-    this.listener = returns;
+    this.listener = listener;
     this.counts = counts;
     this.clock = clock;
-    loadReportParser = new LoadReportParser(terms, counts);
-    maxPartsPerCall = Math.max(1, (int) terms.number("Domain.Batch", 1));
-    maxTripsPerConnection = Math.max(1, terms.count("PolicyLimits.StreamsPerConn"));
-    dialTimeout = terms.duration("PolicyLimits.DialTimeoutMs");
-    // the searcher may close as early as its time for idle ones, and its word of that takes a
-    // moment: the
-    // time in which a connection has to come up, but never so much that none could be used twice
-    Duration idle = terms.duration("PolicyLimits.ConnIdleMs");
-    Duration half = idle.dividedBy(2);
-    maxIdleTime = dialTimeout.compareTo(half) < 0 ? idle.minus(dialTimeout) : half;
-    cancelSupported = terms.flag("PolicyLimits.Cancel");
-    // where reports come by probes alone, a probe asks for one
-    boolean byProbe =
-        terms.has("LoadReport.Source") && terms.text("LoadReport.Source").equals("probe");
-    probeLetter = byProbe ? 'M' : 'H';
+    loadReportParser = new LoadReportParser(settings, counts);
+    maxPartsPerCall = Math.max(1, (int) settings.number("Domain.Batch", 1));
+    maxTripsPerConnection = Math.max(1, settings.count("PolicyLimits.StreamsPerConn"));
+    dialTimeout = settings.duration("PolicyLimits.DialTimeoutMs");
+    // The searcher may close an idle connection as soon as its own idle timeout has passed, and
+    // the close takes time to arrive. So close dialTimeout earlier, but after no less than half of
+    // the idle timeout, so that a connection can be used more than once.
+    Duration searcherIdleTimeout = settings.duration("PolicyLimits.ConnIdleMs");
+    Duration halfIdleTimeout = searcherIdleTimeout.dividedBy(2);
+    maxIdleTime =
+        dialTimeout.compareTo(halfIdleTimeout) < 0
+            ? searcherIdleTimeout.minus(dialTimeout)
+            : halfIdleTimeout;
+    cancelSupported = settings.flag("PolicyLimits.Cancel");
+    // if load reports come only with probes, a probe asks for one (M); otherwise it is a health
+    // check (H)
+    boolean reportsByProbe =
+        settings.has("LoadReport.Source") && settings.text("LoadReport.Source").equals("probe");
+    probeLetter = reportsByProbe ? 'M' : 'H';
     clock.schedule(SWEEP_INTERVAL, this::closeIdleConnections);
   }
 
-  /** The list has this searcher, at an address, up since a moment (null: long ago). */
+  /**
+   * Adds a searcher of the member list or updates its address. {@code startedAt} is the time at
+   * which its process started, null if long ago.
+   */
   public void addOrUpdate(SearcherId id, InetSocketAddress address, Duration startedAt) {
-    pools.computeIfAbsent(id, each -> new ConnectionPool(this, each)).update(address, startedAt);
+    pools.computeIfAbsent(id, newId -> new ConnectionPool(this, newId)).update(address, startedAt);
   }
 
-  /** The list no longer has it: its links go as soon as nothing is out on them. */
+  /**
+   * Removes a searcher that left the member list. Its connections are closed as soon as nothing is
+   * in flight on them.
+   */
   public void remove(SearcherId id) {
     withPool(id, ConnectionPool::remove);
   }
 
   /**
-   * The list says that it drains or has gone: what has not begun there does not, whatever keeps it.
-   * A send counts from its first byte, which may be a whole dial after the list was told.
+   * Stops new trips to a searcher that drains or has left. Trips that have not begun are not sent,
+   * whatever delayed them: a trip counts as sent from its first byte, which may leave a whole dial
+   * after the member list changed.
    */
   public void stopSending(SearcherId id) {
     withPool(id, ConnectionPool::stopSending);
   }
 
-  private void withPool(SearcherId id, Consumer<ConnectionPool> what) {
-    ConnectionPool station = pools.get(id);
-    if (station != null) {
-      what.accept(station);
+  private void withPool(SearcherId id, Consumer<ConnectionPool> action) {
+    ConnectionPool pool = pools.get(id);
+    if (pool != null) {
+      action.accept(pool);
     }
   }
 
-  /** Takes a trip along; it leaves with the others of this turn. */
-  public void send(OutboundTrip errand) {
-    ConnectionPool station = pools.get(errand.searcher);
-    if (station == null) {
-      tripEnded(errand, Outcome.UNREACHABLE);
+  /** Queues a trip; it is sent with the others of this turn. */
+  public void send(OutboundTrip trip) {
+    ConnectionPool pool = pools.get(trip.searcher);
+    if (pool == null) {
+      tripEnded(trip, Outcome.UNREACHABLE);
       return;
     }
-    errand.queuedAt = now();
-    station.send(errand);
+    trip.queuedAt = now();
+    pool.send(trip);
     clock.schedule(
-        errand.deadline.minus(now()),
+        trip.deadline.minus(now()),
         () -> {
-          if (!cancelIfUnsent(errand) && !errand.ended) {
-            errand.connection.tripTimedOut(errand);
-            tripEnded(errand, Outcome.TIMED_OUT);
+          if (!cancelIfUnsent(trip) && !trip.ended) {
+            trip.connection.tripTimedOut(trip);
+            tripEnded(trip, Outcome.TIMED_OUT);
           }
         });
   }
 
   /**
-   * Makes what waits into calls, and puts those into the rings of the links that have room. It
-   * comes last in a turn, so that what leaves is looked at by all that is known when it does.
+   * Batches queued trips into calls and writes them to the connections that have capacity. Runs at
+   * the end of a turn, so that each trip is checked against all that was learned in the turn.
    */
   public void dispatch() {
-    List<ConnectionPool> turn = List.copyOf(poolsToDispatch);
+    List<ConnectionPool> scheduled = List.copyOf(poolsToDispatch);
     poolsToDispatch.clear();
-    turn.forEach(ConnectionPool::dispatch);
+    scheduled.forEach(ConnectionPool::dispatch);
   }
 
-  void scheduleDispatch(ConnectionPool station) {
-    poolsToDispatch.add(station);
+  void scheduleDispatch(ConnectionPool pool) {
+    poolsToDispatch.add(pool);
   }
 
   /**
-   * Gives a trip up: one that has not begun never does, and the searcher is told of any other if it
-   * may be.
+   * Cancels a trip. A trip that has not begun is never sent; for a trip in flight the searcher is
+   * told to cancel, if the settings allow that.
    */
-  public void cancel(OutboundTrip errand) {
-    if (!cancelIfUnsent(errand) && !errand.ended && cancelSupported) {
-      errand.connection.cancel(errand);
-      tripEnded(errand, Outcome.CALLED_OFF);
+  public void cancel(OutboundTrip trip) {
+    if (!cancelIfUnsent(trip) && !trip.ended && cancelSupported) {
+      trip.connection.cancel(trip);
+      tripEnded(trip, Outcome.CALLED_OFF);
     }
   }
 
   /**
-   * Nobody wants the trip any more: it ends if nothing of it was put yet, and is left alone if it
-   * was. Returns whether it ended. Guards against work for nobody, and against an effect that
-   * nobody knows of, also where trips under way cannot be called off.
+   * Ends a trip that is no longer needed if none of it has been written; otherwise lets it
+   * continue. Returns whether the trip ended. Prevents needless work and effects that no client
+   * learns of, also where trips in flight cannot be cancelled.
    */
-  public boolean cancelIfUnsent(OutboundTrip errand) {
-    if (errand.ended || errand.written()) {
+  public boolean cancelIfUnsent(OutboundTrip trip) {
+    if (trip.ended || trip.written()) {
       return false;
     }
-    tripEnded(errand, Outcome.NOT_SENT);
+    tripEnded(trip, Outcome.NOT_SENT);
     return true;
   }
 
   public void probe(SearcherId id) {
-    ConnectionPool station = pools.get(id);
-    if (station == null) {
+    ConnectionPool pool = pools.get(id);
+    if (pool == null) {
       listener.probeEnded(id, Outcome.UNREACHABLE, Duration.ZERO, NO_LOAD);
     } else {
-      station.probe();
+      pool.probe();
     }
   }
 
@@ -159,46 +174,46 @@
     withPool(id, ConnectionPool::closeIdle);
   }
 
-  /** Closes what has stood idle for its time, and forgets who has gone. */
+  /** Closes connections that were idle for too long and removes unused pools. */
   private void closeIdleConnections() {
     pools.values().removeIf(ConnectionPool::unused);
     pools.values().forEach(ConnectionPool::closeIdleTooLong);
     clock.schedule(SWEEP_INTERVAL, this::closeIdleConnections);
   }
 
-  /** How many searchers something is kept for. */
+  /** Returns the number of searchers with a connection pool. */
   public int searcherCount() {
     return pools.size();
   }
 
-  /** Errands end once, whatever comes of them later. */
-  void tripEnded(OutboundTrip errand, Outcome outcome) {
-    tripEnded(errand, outcome, NO_LOAD, null);
+  /** Ends a trip; only the first outcome of a trip is reported. */
+  void tripEnded(OutboundTrip trip, Outcome outcome) {
+    tripEnded(trip, outcome, NO_LOAD, null);
   }
 
-  void tripEnded(OutboundTrip errand, Outcome outcome, float[] load, byte[] value) {
-    if (!errand.ended) {
-      errand.ended = true;
-      if (errand.pool != null) {
-        errand.pool.removeWaiting(errand);
+  void tripEnded(OutboundTrip trip, Outcome outcome, float[] load, byte[] value) {
+    if (!trip.ended) {
+      trip.ended = true;
+      if (trip.pool != null) {
+        trip.pool.removeWaiting(trip);
       }
       counts.add("trips " + outcome, 1);
-      listener.tripEnded(errand, outcome, load, value);
+      listener.tripEnded(trip, outcome, load, value);
     }
   }
 
-  void probeEnded(ConnectionPool station, Outcome outcome, Duration taken, float[] load) {
+  void probeEnded(ConnectionPool pool, Outcome outcome, Duration responseTime, float[] load) {
     counts.add("probes " + outcome, 1);
-    listener.probeEnded(station.id, outcome, taken, load == null ? NO_LOAD : load);
+    listener.probeEnded(pool.id, outcome, responseTime, load == null ? NO_LOAD : load);
   }
 
-  /** Counts what a searcher did wrong, and logs it once in a while. */
-  void reportBadFrame(String what) {
+  /** Counts a bad frame and logs it at most once per {@link #BAD_FRAME_LOG_INTERVAL}. */
+  void reportBadFrame(String message) {
     counts.add("bad frames", 1);
     if (lastBadFrameLog == null
         || now().minus(lastBadFrameLog).compareTo(BAD_FRAME_LOG_INTERVAL) > 0) {
       lastBadFrameLog = now();
-      LOG.warn(what);
+      LOG.warn(message);
     }
   }
 
@@ -210,7 +225,7 @@
     return counts;
   }
 
-  /** The time since the start, read now. */
+  /** Returns the time since the start, read now rather than at the start of the turn. */
   Duration currentTime() {
     return network.currentTime();
   }
@@ -219,8 +234,8 @@
     return clock.now();
   }
 
-  void wakeAfter(Duration span, Runnable task) {
-    clock.schedule(span, task);
+  void wakeAfter(Duration delay, Runnable task) {
+    clock.schedule(delay, task);
   }
 
   LoadReportParser loadReportParser() {
--- a/mixer/src/main/java/gingerring/backend/ConnectionPool.java
+++ b/mixer/src/main/java/gingerring/backend/ConnectionPool.java
@@ -12,34 +12,35 @@
 import java.util.Set;
 
 /**
- * A searcher as the network has it: where it listens, the links to it, and the errands that wait
- * for one of them to take them. What waits here has not begun, and is looked at again at the moment
- * in which it would.
+ * The connections to one searcher and the trips waiting for one of them. A waiting trip has not
+ * begun; whether it still may begin is checked again at the moment of sending.
  */
 final class ConnectionPool {
-  /** Dials under way to one searcher: one that is late may still come up while another is tried. */
+  /** A second dial is allowed because an overdue dial may still succeed while another is tried. */
   private static final int MAX_CONCURRENT_DIALS = 2;
 
   final SearcherId id;
   private final Backend backend;
   private InetSocketAddress address;
 
-  /** The list no longer has it: forgotten once nothing is out there. */
+  /**
+   * Whether the searcher has left the member list; the pool is dropped once nothing is in flight.
+   */
   private boolean removed;
 
-  /** The list says that it drains or has gone: nothing begins there any more. */
+  /** Whether the searcher drains or has left, so that no new trip begins there. */
   private boolean sendingStopped;
 
   private final List<SearcherConnection> connections = new ArrayList<>();
 
-  /** In the order in which they came; none has been put into a link's ring. */
+  /** Trips in order of arrival; none of them has been written to a connection. */
   private final Set<OutboundTrip> waiting = new LinkedHashSet<>();
 
-  /** Probes that wait for a connection, by when they were asked for. */
+  /** Probes waiting for a connection, in order of arrival. */
   private final List<SearcherConnection.PendingProbe> waitingProbes = new ArrayList<>();
 
-  ConnectionPool(Backend back, SearcherId id) {
-    this.backend = back;
+  ConnectionPool(Backend backend, SearcherId id) {
+    this.backend = backend;
     this.id = id;
   }
 
@@ -47,24 +48,24 @@
     return address;
   }
 
-  void update(InetSocketAddress at, Duration startedAt) {
-    boolean moved = address != null && !address.equals(at);
-    address = at;
+  void update(InetSocketAddress newAddress, Duration startedAt) {
+    boolean moved = address != null && !address.equals(newAddress);
+    address = newAddress;
     removed = false;
     sendingStopped = false;
     if (startedAt != null) {
-      // made for a process that is no more: the new one is cold, and is to get no more than is
-      // decided for it
+      // These trips were meant for the previous process. The new process is cold and is to receive
+      // only what is decided for it.
       List.copyOf(waiting).stream()
-          .filter(errand -> errand.queuedAt.compareTo(startedAt) < 0)
-          .forEach(errand -> backend.tripEnded(errand, Outcome.NOT_SENT));
+          .filter(trip -> trip.queuedAt.compareTo(startedAt) < 0)
+          .forEach(trip -> backend.tripEnded(trip, Outcome.NOT_SENT));
     }
-    for (SearcherConnection link : List.copyOf(connections)) {
-      if (startedAt != null && link.dialledAt.compareTo(startedAt) < 0) {
-        // it was made to a process that is no more: what was out there will not be answered
-        link.abandon();
+    for (SearcherConnection connection : List.copyOf(connections)) {
+      if (startedAt != null && connection.dialledAt.compareTo(startedAt) < 0) {
+        // this connection leads to the previous process, which will not answer what is in flight
+        connection.abandon();
       } else if (moved) {
-        link.retire();
+        connection.retire();
       }
     }
     backend.scheduleDispatch(this);
@@ -83,106 +84,115 @@
     backend.scheduleDispatch(this);
   }
 
-  /** Nothing is left of it that anybody could ask for. */
+  /** Returns whether the searcher has left and nothing is waiting or open here. */
   boolean unused() {
     return removed && connections.isEmpty() && waiting.isEmpty() && waitingProbes.isEmpty();
   }
 
-  void send(OutboundTrip errand) {
-    errand.pool = this;
-    waiting.add(errand);
+  void send(OutboundTrip trip) {
+    trip.pool = this;
+    waiting.add(trip);
     backend.scheduleDispatch(this);
-    failUnlessConnected(errand);
+    failUnlessConnected(trip);
   }
 
   /**
-   * An errand that no connection comes up for in its time, or none that is read from, has found
-   * nobody.
+   * Ends a trip as unreachable if no connection opens for it within the dial timeout, or if the
+   * searcher reads from none.
    */
-  private void failUnlessConnected(OutboundTrip errand) {
+  private void failUnlessConnected(OutboundTrip trip) {
     backend.wakeAfter(
         backend.dialTimeout(),
         () -> {
-          if (waiting.contains(errand)) {
+          if (waiting.contains(trip)) {
             List.copyOf(connections).stream()
                 .filter(SearcherConnection::writeStalled)
                 .forEach(SearcherConnection::retire);
             if (connections.stream().anyMatch(SearcherConnection::connected)) {
-              failUnlessConnected(errand);
+              failUnlessConnected(trip);
             } else {
-              backend.tripEnded(errand, Outcome.UNREACHABLE);
+              backend.tripEnded(trip, Outcome.UNREACHABLE);
             }
           }
         });
   }
 
-  /** It has been put, or has ended without. */
-  void removeWaiting(OutboundTrip errand) {
-    waiting.remove(errand);
+  /** Removes a trip that has been written or has ended. */
+  void removeWaiting(OutboundTrip trip) {
+    waiting.remove(trip);
   }
 
   /**
-   * Puts what waits and may still begin into the links that have room, and dials where there are
-   * too few.
+   * Writes the waiting trips that may still begin to connections with capacity, and dials if more
+   * connections are needed.
    */
   void dispatch() {
-    // by the time it is, and not by the turn's: guards against a process that stands still within a
-    // turn
+    // Uses the current time instead of the turn's, in case the process was suspended during the
+    // turn.
     Duration now = backend.currentTime();
-    for (OutboundTrip errand : List.copyOf(waiting)) {
-      if (sendingStopped || !errand.mayStart(now)) {
-        backend.tripEnded(errand, Outcome.NOT_SENT);
+    for (OutboundTrip trip : List.copyOf(waiting)) {
+      if (sendingStopped || !trip.mayStart(now)) {
+        backend.tripEnded(trip, Outcome.NOT_SENT);
       }
     }
-    for (SearcherConnection link : List.copyOf(connections)) {
-      link.dispatch(waiting);
+    for (SearcherConnection connection : List.copyOf(connections)) {
+      connection.dispatch(waiting);
     }
-    for (int lacking = missingConnections(); lacking > 0 && dial(); lacking--) {
-      // one for each that is lacking, as far as that goes
+    for (int missing = missingConnections(); missing > 0 && dial(); missing--) {
+      // dial once for each missing connection, as far as the limit allows
     }
   }
 
-  /** How many more links are wanted for what waits, beside those up and those coming up in time. */
+  /**
+   * Returns how many connections the waiting trips need in addition to those open or being dialled
+   * in time.
+   */
   private int missingConnections() {
-    Map<SearcherConnection, Integer> room = new HashMap<>();
+    Map<SearcherConnection, Integer> freeSlots = new HashMap<>();
     connections.stream()
         .filter(SearcherConnection::usableOrDialing)
-        .forEach(link -> room.put(link, link.freeSlots()));
-    int lacking = 0;
-    int further = 0;
-    for (OutboundTrip errand : waiting) {
-      SearcherConnection taker =
+        .forEach(connection -> freeSlots.put(connection, connection.freeSlots()));
+    int missing = 0;
+    int slotsOnMissing = 0;
+    for (OutboundTrip trip : waiting) {
+      SearcherConnection target =
           connections.stream()
-              .filter(link -> room.getOrDefault(link, 0) > 0 && link.accepts(errand))
+              .filter(
+                  connection ->
+                      freeSlots.getOrDefault(connection, 0) > 0 && connection.accepts(trip))
               .findFirst()
               .orElse(null);
-      if (taker != null) {
-        room.merge(taker, -1, Integer::sum);
-      } else if (further > 0) {
-        further--;
+      if (target != null) {
+        freeSlots.merge(target, -1, Integer::sum);
+      } else if (slotsOnMissing > 0) {
+        slotsOnMissing--;
       } else {
-        lacking++;
-        further = backend.maxTripsPerConnection() - 1;
+        missing++;
+        slotsOnMissing = backend.maxTripsPerConnection() - 1;
       }
     }
-    return lacking == 0 && !waitingProbes.isEmpty() && room.isEmpty() ? 1 : lacking;
+    return missing == 0 && !waitingProbes.isEmpty() && freeSlots.isEmpty() ? 1 : missing;
   }
 
   /**
-   * Dials, unless as many dials are under way as may be. Where one of them is late and may never
-   * come up, as after a machine vanished, the oldest makes room. Guards against a storm of
-   * handshakes at a searcher whose connections come up late, each closed before it is of use.
+   * Dials, unless the limit of concurrent dials is reached by dials that are not overdue. If one is
+   * overdue and may never succeed, as when a machine has vanished, the oldest overdue dial is
+   * closed to make room. The limit prevents a storm of handshakes at a searcher whose connections
+   * open late, each closed before it is used.
    */
   private boolean dial() {
-    List<SearcherConnection> coming =
+    List<SearcherConnection> dialing =
         connections.stream().filter(SearcherConnection::dialing).toList();
-    if (coming.size() >= MAX_CONCURRENT_DIALS) {
-      SearcherConnection late =
-          coming.stream().filter(link -> !link.usableOrDialing()).findFirst().orElse(null);
-      if (late == null) {
+    if (dialing.size() >= MAX_CONCURRENT_DIALS) {
+      SearcherConnection overdue =
+          dialing.stream()
+              .filter(connection -> !connection.usableOrDialing())
+              .findFirst()
+              .orElse(null);
+      if (overdue == null) {
         return false;
       }
-      late.close();
+      overdue.close();
     }
     backend.counts().add("links dialled", 1);
     connections.add(new SearcherConnection(backend, this));
@@ -194,10 +204,10 @@
       backend.probeEnded(this, Outcome.UNREACHABLE, Duration.ZERO, null);
       return;
     }
-    SearcherConnection link =
+    SearcherConnection connection =
         connections.stream().filter(SearcherConnection::usable).findFirst().orElse(null);
-    if (link != null) {
-      link.probe();
+    if (connection != null) {
+      connection.probe();
       return;
     }
     SearcherConnection.PendingProbe probe = new SearcherConnection.PendingProbe(backend.now());
@@ -212,26 +222,27 @@
         });
   }
 
-  /** A link is up: what waited for one goes by it. */
-  void connectionOpened(SearcherConnection link) {
+  /** Called when a connection has opened: sends the probes that waited for one. */
+  void connectionOpened(SearcherConnection connection) {
     backend.scheduleDispatch(this);
-    if (link.usable()) {
-      waitingProbes.forEach(probe -> link.probe());
+    if (connection.usable()) {
+      waitingProbes.forEach(probe -> connection.probe());
       waitingProbes.clear();
     }
   }
 
-  /** A link has ended, or never came up. */
-  void connectionClosed(SearcherConnection link) {
-    connections.remove(link);
+  /** Called when a connection has closed or a dial has failed. */
+  void connectionClosed(SearcherConnection connection) {
+    connections.remove(connection);
     backend.scheduleDispatch(this);
-    if (link.dialFailed() && connections.stream().noneMatch(SearcherConnection::usableOrDialing)) {
-      List.copyOf(waiting).forEach(errand -> backend.tripEnded(errand, Outcome.UNREACHABLE));
+    if (connection.dialFailed()
+        && connections.stream().noneMatch(SearcherConnection::usableOrDialing)) {
+      List.copyOf(waiting).forEach(trip -> backend.tripEnded(trip, Outcome.UNREACHABLE));
       failWaitingProbes();
     }
   }
 
-  /** Probes that waited for a connection have found nobody. */
+  /** Ends the probes that waited for a connection as unreachable. */
   private void failWaitingProbes() {
     waitingProbes.forEach(
         probe ->
@@ -241,12 +252,12 @@
 
   void closeIdle() {
     connections.stream()
-        .filter(link -> link.connected() && link.idle())
+        .filter(connection -> connection.connected() && connection.idle())
         .toList()
         .forEach(SearcherConnection::close);
   }
 
-  /** Closes what has stood idle for its time, and dials that nobody waited for as long. */
+  /** Closes connections, and overdue dials, that were idle for too long. */
   void closeIdleTooLong() {
     connections.stream()
         .filter(SearcherConnection::idleTooLong)
--- a/mixer/src/main/java/gingerring/backend/LoadReportParser.java
+++ b/mixer/src/main/java/gingerring/backend/LoadReportParser.java
@@ -5,12 +5,12 @@
 import java.util.Map;
 
 /**
- * Puts the figures of a searcher's load report in the order of the columns that the mixer was told.
+ * Parses the load reports of searchers into an array, in the order of the columns in the settings.
  */
 final class LoadReportParser {
   private static final float[] NO_LOAD = {};
 
-  /** The protocol's names for the columns that WIRE names. */
+  /** Maps the column names in the settings (see WIRE) to those in the searcher protocol. */
   private static final Map<String, String> WIRE_NAMES =
       Map.of(
           "concurrent",
@@ -29,13 +29,17 @@
   private final String[] columns;
   private final Counters counts;
 
-  LoadReportParser(Settings terms, Counters counts) {
+  LoadReportParser(Settings settings, Counters counts) {
     this.counts = counts;
-    String told = terms.has("LoadReport.Columns") ? terms.text("LoadReport.Columns") : "";
-    columns = told.isEmpty() ? new String[0] : told.split(",");
+    String columnList =
+        settings.has("LoadReport.Columns") ? settings.text("LoadReport.Columns") : "";
+    columns = columnList.isEmpty() ? new String[0] : columnList.split(",");
   }
 
-  /** What cannot be read is no report: it says nothing of the answer that it came with. */
+  /**
+   * Parses a report. An unreadable one counts as no report and does not affect the answer that it
+   * came with.
+   */
   float[] parse(String text) {
     if (text.equals("-") || columns.length == 0) {
       return NO_LOAD;
@@ -44,14 +48,14 @@
     for (String pair : text.split(",", -1)) {
       int equals = pair.indexOf('=');
       String name = pair.substring(0, Math.max(0, equals));
-      float figure = parseFigure(pair.substring(equals + 1));
-      if (equals < 1 || Float.isNaN(figure)) {
+      float value = parseFigure(pair.substring(equals + 1));
+      if (equals < 1 || Float.isNaN(value)) {
         counts.add("unreadable load reports", 1);
         return NO_LOAD;
       }
       for (int i = 0; i < columns.length; i++) {
         if (columns[i].equals(name) || name.equals(WIRE_NAMES.get(columns[i]))) {
-          load[i] = figure;
+          load[i] = value;
         }
       }
     }
@@ -60,8 +64,8 @@
 
   private static float parseFigure(String text) {
     try {
-      float figure = Float.parseFloat(text);
-      return Float.isFinite(figure) ? figure : Float.NaN;
+      float value = Float.parseFloat(text);
+      return Float.isFinite(value) ? value : Float.NaN;
     } catch (NumberFormatException e) {
       return Float.NaN;
     }
--- a/mixer/src/main/java/gingerring/backend/SearcherConnection.java
+++ b/mixer/src/main/java/gingerring/backend/SearcherConnection.java
@@ -18,22 +18,22 @@
 import java.util.Map;
 import java.util.Set;
 
-/** One connection to a searcher, with the calls and probes that are out on it. */
+/** A connection to a searcher, with the trips and probes in flight on it. */
 final class SearcherConnection implements ConnectionHandler {
-  /** A probe on its way, in the order in which its kind is answered. */
+  /** A probe in flight. Probes of one kind are answered in the order in which they were sent. */
   static final class PendingProbe {
     final Duration sentAt;
 
-    PendingProbe(Duration sent) {
-      this.sentAt = sent;
+    PendingProbe(Duration sentAt) {
+      this.sentAt = sentAt;
     }
   }
 
   private static final int MAX_RECENT_IDS = 512;
 
   /**
-   * No further call is put behind so many bytes that have not left: they could not be kept back any
-   * more.
+   * No further call is written while this many bytes wait to be sent, since written calls can no
+   * longer be held back.
    */
   private static final int MAX_UNSENT_BYTES = 4096;
 
@@ -42,43 +42,46 @@
   private final Connection connection;
   private final FrameCodec frameCodec = new FrameCodec();
 
-  /** Small frames that leave behind the calls of their turn. */
+  /** Cancel frames, sent after the calls of the same turn. */
   private final List<byte[]> pendingCancels = new ArrayList<>();
 
   private final Map<String, OutboundTrip> tripsInFlight = new LinkedHashMap<>();
 
-  /** The latest parts that are out no more: an answer to any other is spoilt. */
+  /**
+   * Ids of the trips that ended most recently. An answer with any other unknown id is a protocol
+   * violation.
+   */
   private final Set<String> recentIds = new LinkedHashSet<>();
 
   private final Deque<PendingProbe> probesInFlight = new ArrayDeque<>();
   private boolean opened;
 
-  /** The dial has taken longer than its time: it may still come up, and is not counted on. */
+  /** Whether the dial has exceeded its timeout: it may still succeed but is not counted on. */
   private boolean dialOverdue;
 
-  /** Nothing new goes by it: it is closed once nothing is out on it. */
+  /** Whether no new frames are sent here; the connection is closed once nothing is in flight. */
   private boolean retired;
 
   final Duration dialledAt;
   private Duration lastUsedAt;
 
-  /** When all that was put before had last left. */
+  /** When all earlier output had last been sent. */
   private Duration outputEmptyAt;
 
   private Duration lastReadAt;
 
-  SearcherConnection(Backend back, ConnectionPool station) {
-    this.backend = back;
-    this.pool = station;
-    dialledAt = back.now();
+  SearcherConnection(Backend backend, ConnectionPool pool) {
+    this.backend = backend;
+    this.pool = pool;
+    dialledAt = backend.now();
     lastUsedAt = dialledAt;
     lastReadAt = dialledAt;
-    connection = back.network().dial(station.address(), Backend.OUTPUT_BUFFER_BYTES, this);
-    back.wakeAfter(
-        back.dialTimeout(),
+    connection = backend.network().dial(pool.address(), Backend.OUTPUT_BUFFER_BYTES, this);
+    backend.wakeAfter(
+        backend.dialTimeout(),
         () -> {
           dialOverdue = true;
-          back.scheduleDispatch(station);
+          backend.scheduleDispatch(pool);
         });
   }
 
@@ -86,51 +89,58 @@
     return opened && !retired && connection.isUsable();
   }
 
-  /** Its dial was turned away, and not given up from here. */
+  /** Returns whether the dial failed without having been given up by the mixer. */
   boolean dialFailed() {
     return !opened && !retired;
   }
 
-  /** Its dial is under way. */
+  /** Returns whether the connection is being dialled. */
   boolean dialing() {
     return !opened && !retired && connection.isUsable();
   }
 
-  /** Up or coming up in its time, and open to what is new. */
+  /** Returns whether the connection is open or being dialled in time, and accepts new trips. */
   boolean usableOrDialing() {
     return connected() && !idleTooLong() || dialing() && !dialOverdue;
   }
 
-  /** Whether it takes frames now. */
+  /** Returns whether frames can be sent now. */
   boolean usable() {
     return connected() && connection.isOpen() && !idleTooLong();
   }
 
-  /** What was put a dial's time ago has not left: the searcher does not read. */
+  /**
+   * Returns whether output has waited for a dial timeout without being sent: the searcher does not
+   * read.
+   */
   boolean writeStalled() {
     return opened
         && !outputEmpty()
         && backend.now().minus(outputEmptyAt).compareTo(backend.dialTimeout()) >= 0;
   }
 
-  /** All that was put before has left. */
+  /** Returns whether all output has been sent. */
   private boolean outputEmpty() {
     return connection.isFlushed();
   }
 
-  /** How many more parts it takes. */
+  /** Returns how many more trips may be in flight here. */
   int freeSlots() {
     return Math.max(0, backend.maxTripsPerConnection() - tripsInFlight.size());
   }
 
-  /** A part that was out here before is not told from its repeat by its answers. */
-  boolean accepts(OutboundTrip errand) {
-    return !tripsInFlight.containsKey(errand.wireId) && !recentIds.contains(errand.wireId);
+  /**
+   * Returns whether a trip may be sent here. A connection that has carried the same id before is
+   * excluded, since the answers to both trips could not be told apart.
+   */
+  boolean accepts(OutboundTrip trip) {
+    return !tripsInFlight.containsKey(trip.wireId) && !recentIds.contains(trip.wireId);
   }
 
   /**
-   * It has stood idle for so long that the searcher may be closing it. Not in the turn in which it
-   * comes up, also where no idle time is allowed: what waited for it goes by it.
+   * Returns whether the connection has been idle for so long that the searcher may be closing it.
+   * This is false in the turn in which the connection opens, even with an idle time of 0, since
+   * trips that waited for the connection are sent then.
    */
   boolean idleTooLong() {
     return idle()
@@ -143,8 +153,8 @@
   }
 
   /**
-   * Guards against links that nobody uses just now and that keep others from being dialled, with
-   * few descriptors.
+   * Lets the network close a connection that is idle, so that others can be dialled when
+   * descriptors are scarce.
    */
   @Override
   public Duration idleSince() {
@@ -163,27 +173,27 @@
   }
 
   /**
-   * Puts what waits into the ring, as far as there is room for parts, if all that was put before
-   * has left. Guards against a frame that leaves long after it was decided: what is kept here can
-   * still be kept back.
+   * Writes waiting trips, up to the limit of trips in flight, if all earlier output has been sent.
+   * A trip kept here can still be held back, while a written frame might leave long after it was
+   * decided.
    */
   void dispatch(Collection<OutboundTrip> waiting) {
     if (usable() && outputEmpty()) {
-      List<OutboundTrip> call = new ArrayList<>();
-      for (OutboundTrip errand : List.copyOf(waiting)) {
+      List<OutboundTrip> batch = new ArrayList<>();
+      for (OutboundTrip trip : List.copyOf(waiting)) {
         if (tripsInFlight.size() < backend.maxTripsPerConnection()
             && connection.output.size() < MAX_UNSENT_BYTES
-            && accepts(errand)) {
-          errand.connection = this;
-          tripsInFlight.put(errand.wireId, errand);
-          call.add(errand);
-          if (call.size() == backend.maxPartsPerCall()) {
-            writeCall(call);
-            call.clear();
+            && accepts(trip)) {
+          trip.connection = this;
+          tripsInFlight.put(trip.wireId, trip);
+          batch.add(trip);
+          if (batch.size() == backend.maxPartsPerCall()) {
+            writeCall(batch);
+            batch.clear();
           }
         }
       }
-      writeCall(call);
+      writeCall(batch);
     }
     if (connection.isOpen()) {
       pendingCancels.forEach(this::writeFrame);
@@ -191,26 +201,26 @@
     pendingCancels.clear();
   }
 
-  private void writeCall(List<OutboundTrip> call) {
-    if (call.isEmpty()) {
+  private void writeCall(List<OutboundTrip> batch) {
+    if (batch.isEmpty()) {
       return;
     }
-    if (writeFrame(FrameCodec.encodeCall(call, backend.now()))) {
-      for (OutboundTrip errand : call) {
-        backend.counts().checkInvariant(!errand.written(), "a trip begins once");
-        errand.frameEndPosition = connection.output.totalBytesPut();
-        pool.removeWaiting(errand);
+    if (writeFrame(FrameCodec.encodeCall(batch, backend.now()))) {
+      for (OutboundTrip trip : batch) {
+        backend.counts().checkInvariant(!trip.written(), "a trip begins once");
+        trip.frameEndPosition = connection.output.totalBytesPut();
+        pool.removeWaiting(trip);
       }
-    } else if (call.size() > 1) {
-      // so much text at once does not fit the ring
-      writeCall(call.subList(0, call.size() / 2));
-      writeCall(call.subList(call.size() / 2, call.size()));
+    } else if (batch.size() > 1) {
+      // the call does not fit the output ring: split it
+      writeCall(batch.subList(0, batch.size() / 2));
+      writeCall(batch.subList(batch.size() / 2, batch.size()));
     } else {
-      // it waits until the ring is empty again
-      call.forEach(
-          errand -> {
-            errand.connection = null;
-            tripsInFlight.remove(errand.wireId);
+      // the trip waits until the output ring is empty
+      batch.forEach(
+          trip -> {
+            trip.connection = null;
+            tripsInFlight.remove(trip.wireId);
           });
     }
   }
@@ -222,20 +232,20 @@
     return connection.output.put(frame);
   }
 
-  /** Gives up a trip whose frame has been put: the searcher is told. */
-  void cancel(OutboundTrip errand) {
-    removeTrip(errand);
-    pendingCancels.add(FrameCodec.encodeCancel(errand));
+  /** Cancels a trip whose frame has been written, and tells the searcher. */
+  void cancel(OutboundTrip trip) {
+    removeTrip(trip);
+    pendingCancels.add(FrameCodec.encodeCancel(trip));
     backend.scheduleDispatch(pool);
     closeIfRetiredAndIdle();
   }
 
   /**
-   * A trip has timed out: nothing is sent, and a link that has told nothing since is not trusted
-   * on.
+   * Handles the timeout of a trip. Nothing is sent. A connection on which nothing has been read
+   * since it was dialled, or for a dial timeout, is no longer used.
    */
-  void tripTimedOut(OutboundTrip errand) {
-    removeTrip(errand);
+  void tripTimedOut(OutboundTrip trip) {
+    removeTrip(trip);
     if (lastReadAt.compareTo(dialledAt) <= 0
         || backend.now().minus(lastReadAt).compareTo(backend.dialTimeout()) > 0) {
       retired = true;
@@ -259,7 +269,7 @@
         backend.dialTimeout(),
         () -> {
           if (probesInFlight.remove(probe)) {
-            // answers are matched by their order, so nothing more is asked on this link
+            // probe answers are matched by order, so this connection can send no further probes
             retired = true;
             backend.probeEnded(pool, Outcome.TIMED_OUT, backend.now().minus(probe.sentAt), null);
             closeIfRetiredAndIdle();
@@ -294,8 +304,8 @@
       closeOnBadFrame(e.getMessage());
     }
     if (frameCodec.midFrame() && connection.isUsable()) {
-      // answers are written whole: guards against one that stops short, or whose length is not its
-      // own
+      // Searchers write each answer as a whole, so a frame that stays incomplete is truncated or
+      // has a wrong length.
       long read = frameCodec.framesRead();
       backend.wakeAfter(
           backend.dialTimeout(),
@@ -309,36 +319,35 @@
   }
 
   /**
-   * Where the next frame begins can no longer be told, so nothing more of it is believed. The part
-   * it was for may have run, and so may all others out on it: they end as on a connection that
-   * breaks.
+   * Closes the connection after a bad frame: the start of the next frame is unknown. The trip that
+   * the frame was for and all others in flight may have run; they end as on a broken connection.
    */
-  private void closeOnBadFrame(String what) {
-    backend.reportBadFrame("a searcher's frame could not be used: " + what);
+  private void closeOnBadFrame(String fault) {
+    backend.reportBadFrame("a searcher's frame could not be used: " + fault);
     connection.input.clear();
     connection.close();
   }
 
-  private void handleFrame(char letter, byte[] rest) throws FrameCodec.MalformedFrameException {
+  private void handleFrame(char letter, byte[] payload) throws FrameCodec.MalformedFrameException {
     switch (letter) {
-      case 'R' -> handleResult(rest);
-      case 'H', 'M' -> handleProbeAnswer(letter, new String(rest, StandardCharsets.US_ASCII));
+      case 'R' -> handleResult(payload);
+      case 'H', 'M' -> handleProbeAnswer(letter, new String(payload, StandardCharsets.US_ASCII));
       case 'F' ->
           throw new FrameCodec.MalformedFrameException(
               "F: "
-                  + new String(rest, 0, Math.min(rest.length, 80), StandardCharsets.US_ASCII)
+                  + new String(payload, 0, Math.min(payload.length, 80), StandardCharsets.US_ASCII)
                       .replaceAll("[^ -~]", "?"));
       default -> throw new FrameCodec.MalformedFrameException("letter " + (int) letter);
     }
   }
 
-  private void handleResult(byte[] rest) throws FrameCodec.MalformedFrameException {
-    int end = 0;
-    while (end < rest.length && rest[end] != '\n') {
-      end++;
+  private void handleResult(byte[] payload) throws FrameCodec.MalformedFrameException {
+    int lineEnd = 0;
+    while (lineEnd < payload.length && payload[lineEnd] != '\n') {
+      lineEnd++;
     }
-    String[] words = new String(rest, 0, end, StandardCharsets.US_ASCII).split(" ", -1);
-    if (end == rest.length || words.length != 4) {
+    String[] words = new String(payload, 0, lineEnd, StandardCharsets.US_ASCII).split(" ", -1);
+    if (lineEnd == payload.length || words.length != 4) {
       throw new FrameCodec.MalformedFrameException("R without its line");
     }
     Outcome outcome =
@@ -348,27 +357,27 @@
           case "full" -> Outcome.FULL;
           default -> throw new FrameCodec.MalformedFrameException("R with an unknown end");
         };
-    OutboundTrip errand = tripsInFlight.get(words[0]);
-    if (errand == null) {
+    OutboundTrip trip = tripsInFlight.get(words[0]);
+    if (trip == null) {
       if (!recentIds.contains(words[0])) {
         throw new FrameCodec.MalformedFrameException("R for a part that is not known");
       }
       backend.counts().add("late answers", 1);
       return;
     }
-    byte[] value = Arrays.copyOfRange(rest, end + 1, rest.length);
+    byte[] value = Arrays.copyOfRange(payload, lineEnd + 1, payload.length);
     if (outcome == Outcome.SUCCEEDED && (value.length == 0 || !isUtf8(value))) {
       throw new FrameCodec.MalformedFrameException("R with a value that is no text");
     }
-    removeTrip(errand);
+    removeTrip(trip);
     backend.tripEnded(
-        errand,
+        trip,
         outcome,
         backend.loadReportParser().parse(words[3]),
         outcome == Outcome.SUCCEEDED ? value : null);
   }
 
-  /** Whether a value can stand in a client's answer as it is. */
+  /** Returns whether a value is valid UTF-8 and can be copied into a client's response. */
   private static boolean isUtf8(byte[] value) {
     try {
       StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(value));
@@ -378,10 +387,10 @@
     }
   }
 
-  /** No longer out; an answer may still come, late or for a second time. */
-  private void removeTrip(OutboundTrip errand) {
-    tripsInFlight.remove(errand.wireId);
-    recentIds.add(errand.wireId);
+  /** Removes a trip from those in flight; its answer may still arrive, late or repeated. */
+  private void removeTrip(OutboundTrip trip) {
+    tripsInFlight.remove(trip.wireId);
+    recentIds.add(trip.wireId);
     if (recentIds.size() > MAX_RECENT_IDS) {
       recentIds.remove(recentIds.iterator().next());
     }
@@ -406,12 +415,13 @@
   }
 
   /**
-   * The searcher's process is known to be gone: what is out ends now, before anything else is told
-   * of it.
+   * Closes the connection to a process that is known to have ended. All trips and probes end at
+   * once, before any other event for them.
    */
   void abandon() {
     close();
-    // how far MINA has written is not known here: whatever was put may have left
+    // the number of bytes that MINA has written is unknown here, so anything written may have been
+    // sent
     endTripsAndProbes(Long.MAX_VALUE);
   }
 
@@ -420,12 +430,12 @@
     endTripsAndProbes(connection.bytesSent());
   }
 
-  /** Ends with what is out on it: what had left whole may have run. */
-  private void endTripsAndProbes(long written) {
+  /** Ends all trips and probes in flight. A trip whose frame was sent in full may have run. */
+  private void endTripsAndProbes(long bytesWritten) {
     pool.connectionClosed(this);
-    for (OutboundTrip errand : new ArrayList<>(tripsInFlight.values())) {
+    for (OutboundTrip trip : new ArrayList<>(tripsInFlight.values())) {
       backend.tripEnded(
-          errand, errand.frameEndPosition <= written ? Outcome.BROKEN : Outcome.UNREACHABLE);
+          trip, trip.frameEndPosition <= bytesWritten ? Outcome.BROKEN : Outcome.UNREACHABLE);
     }
     tripsInFlight.clear();
     for (PendingProbe probe : probesInFlight) {
@@ -434,7 +444,7 @@
     probesInFlight.clear();
   }
 
-  /** Ends it from here, also while its dial is under way. */
+  /** Closes the connection from this side, even while it is being dialled. */
   void close() {
     retired = true;
     connection.close();
--- a/mixer/src/main/java/gingerring/server/ScanWarmUp.java
+++ b/mixer/src/main/java/gingerring/server/ScanWarmUp.java
@@ -23,10 +23,11 @@
 import java.util.Map;
 
 /**
- * Before the first client comes, sample scans go the whole way from a client's bytes to a
- * searcher's and back, through everything that real ones pass but the sockets: on a loop, network
- * and mixer of its own that are dropped after it. Guards against a first second of answers that are
- * late because the JVM has yet to load and compile all that they need, on part of a core.
+ * Warms up the JVM before the first client connects: sample scans pass through all code that real
+ * ones use, from a client's bytes to a searcher's and back, except the sockets. They run on a
+ * separate event loop, network and mixer that are dropped afterwards. Without the warm-up, answers
+ * of the first second are late, because the JVM still loads and compiles classes while it has only
+ * part of a core.
  */
 final class ScanWarmUp {
   private static final int SAMPLE_SCANS = 60;
@@ -44,56 +45,56 @@
   private int scansSent;
   private int scansAnswered;
 
-  ScanWarmUp(Settings told) {
-    Map<String, String> map = new HashMap<>(told.values());
-    map.put("Discovery", "none here");
-    settings = new Settings(map);
+  ScanWarmUp(Settings deploymentSettings) {
+    Map<String, String> values = new HashMap<>(deploymentSettings.values());
+    values.put("Discovery", "none here");
+    settings = new Settings(values);
   }
 
   private static InetSocketAddress loopbackAddress(int port) {
     return new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
   }
 
-  /** Returns how many sample scans were answered, the less the less of a core there is. */
+  /** Returns the number of sample scans answered; the less CPU time is available, the fewer. */
   int run() {
-    Network store = new Network(loop, counts, true);
-    MixerHost desk = new MixerHost(loop, settings, counts, 0);
-    Backend back = new Backend(network, desk, settings, counts, loop);
+    Network searcherNetwork = new Network(loop, counts, true);
+    MixerHost host = new MixerHost(loop, settings, counts, 0);
+    Backend backend = new Backend(network, host, settings, counts, loop);
     List<MemberListUpdate.Member> members = new ArrayList<>();
     for (int cell = 0; cell < settings.count("Domain.Places"); cell++) {
       members.add(
           new MemberListUpdate.Member(
               "sample-" + cell, searcherAddress, "", "", cell, Status.READY, 1, 0));
     }
-    DiscoveryWatch watch = new DiscoveryWatch(network, loopbackAddress(3), 0, desk, counts, loop);
-    desk.start(back, watch, 0, new MemberListUpdate(0, true, members));
+    DiscoveryWatch watch = new DiscoveryWatch(network, loopbackAddress(3), 0, host, counts, loop);
+    host.start(backend, watch, 0, new MemberListUpdate(0, true, members));
     try {
-      store.listen(
+      searcherNetwork.listen(
           searcherAddress,
           Integer.MAX_VALUE,
           BUFFER_BYTES,
           connection -> connection.setHandler(new SampleSearcher(connection)));
-      new Frontend(network, desk, settings, counts, loop, loop::post, Integer.MAX_VALUE)
+      new Frontend(network, host, settings, counts, loop, loop::post, Integer.MAX_VALUE)
           .listen(frontendAddress);
     } catch (IOException e) {
-      return 0; // without it the mixer starts all the same, and slowly
+      return 0; // without the warm-up the mixer still starts, but its first answers are slow
     }
     for (int i = 0; i < CLIENT_COUNT; i++) {
       new SampleClient();
     }
     loop.schedule(TIME_LIMIT, loop::stop);
     loop.run(
-        back::dispatch,
+        backend::dispatch,
         () -> {
           network.flush();
-          store.flush();
+          searcherNetwork.flush();
         });
     network.dispose();
-    store.dispose();
+    searcherNetwork.dispose();
     return scansAnswered;
   }
 
-  /** Asks for one scan after the other on one connection. */
+  /** A client that sends one scan after the other on one connection. */
   private final class SampleClient implements ConnectionHandler {
     private final Connection connection = network.dial(frontendAddress, BUFFER_BYTES, this);
 
@@ -104,16 +105,16 @@
 
     private void sendScan() {
       int number = scansSent++;
-      int grade = number % settings.count("Classes.count");
-      int parts = Math.min(MAX_PARTS_PER_SCAN, settings.count("Domain.Slices"));
+      int serviceClass = number % settings.count("Classes.count");
+      int partCount = Math.min(MAX_PARTS_PER_SCAN, settings.count("Domain.Slices"));
       StringBuilder targets = new StringBuilder();
-      for (int i = 0; i < parts; i++) {
+      for (int i = 0; i < partCount; i++) {
         targets
             .append(i == 0 ? "" : ",")
             .append("{\"partition\":")
             .append((number + i) % settings.count("Domain.Slices"))
             .append(",\"share\":")
-            .append(1.0 / parts)
+            .append(1.0 / partCount)
             .append(",\"est_us\":1000}");
       }
       String body = "{\"targets\":[" + targets + "],\"query\":\"\"}";
@@ -121,7 +122,7 @@
           ("POST /api HTTP/1.1\r\nHost: sample\r\nX-Txn: sample-"
                   + number
                   + "\r\nX-Lane: "
-                  + settings.text("Classes." + grade + ".Name")
+                  + settings.text("Classes." + serviceClass + ".Name")
                   + "\r\nX-Remaining-Ms: 60000\r\nIdempotency-Key: "
                   + number
                   + "\r\nContent-Length: "
@@ -134,7 +135,7 @@
 
     @Override
     public void onReadable() {
-      // an answer is put whole, and leaves whole
+      // a response is written and sent as a whole
       connection.input.clear();
       if (++scansAnswered >= SAMPLE_SCANS) {
         loop.stop();
@@ -147,7 +148,7 @@
     public void onClosed() {}
   }
 
-  /** A searcher that has every part at once. */
+  /** A searcher that answers every part at once. */
   private static final class SampleSearcher implements ConnectionHandler {
     private final Connection connection;
     private final byte[] buffered = new byte[BUFFER_BYTES];
@@ -177,13 +178,13 @@
     }
 
     private void answerParts(String parts) {
-      for (String part : parts.split("\n")) { // their text is empty
-        String rest = "R" + part.split(" ", 2)[0] + " done 1 -\nvalue";
+      for (String part : parts.split("\n")) { // the query text of each part is empty
+        String payload = "R" + part.split(" ", 2)[0] + " done 1 -\nvalue";
         connection.output.put(
-            ByteBuffer.allocate(4 + rest.length())
+            ByteBuffer.allocate(4 + payload.length())
                 .order(ByteOrder.LITTLE_ENDIAN)
-                .putInt(rest.length())
-                .put(rest.getBytes(StandardCharsets.US_ASCII))
+                .putInt(payload.length())
+                .put(payload.getBytes(StandardCharsets.US_ASCII))
                 .array());
       }
       connection.requestFlush();
