--- a/mixer/src/main/java/gingerring/backend/BackendListener.java
+++ b/mixer/src/main/java/gingerring/backend/BackendListener.java
@@ -4,13 +4,13 @@
 import gingerring.decide.SearcherId;
 import java.time.Duration;
 
-/** Where the ends of errands and probes are told. */
+/** Receives the outcomes of trips and probes. */
 public interface BackendListener {
   /**
-   * {@code value} is null but for a part that succeeded; {@code load} is empty where no report
-   * came.
+   * Reports the end of a trip. {@code value} is null unless the trip succeeded; {@code load} is
+   * empty without a load report.
    */
-  void tripEnded(OutboundTrip errand, Outcome outcome, float[] load, byte[] value);
+  void tripEnded(OutboundTrip trip, Outcome outcome, float[] load, byte[] value);
 
-  void probeEnded(SearcherId searcher, Outcome outcome, Duration taken, float[] load);
+  void probeEnded(SearcherId searcher, Outcome outcome, Duration responseTime, float[] load);
 }
--- a/mixer/src/main/java/gingerring/backend/FrameCodec.java
+++ b/mixer/src/main/java/gingerring/backend/FrameCodec.java
@@ -10,10 +10,11 @@
 import java.util.List;
 
 /**
- * The searchers' frames: a length of four bytes, least first, that covers a letter and the rest.
+ * Reads and encodes the frames of the searcher protocol: a length of four bytes, little-endian,
+ * that counts a letter and the payload after it.
  */
 final class FrameCodec {
-  /** A frame that is not of the protocol. */
+  /** Thrown for a frame that violates the protocol. */
   static final class MalformedFrameException extends Exception {
     private static final long serialVersionUID = 1;
 
@@ -22,14 +23,14 @@
     }
   }
 
-  /** Who is told of each frame read. */
+  /** Receives each frame read. */
   interface Sink {
-    void frame(char letter, byte[] rest) throws MalformedFrameException;
+    void frame(char letter, byte[] payload) throws MalformedFrameException;
   }
 
   private static final int LENGTH_BYTES = 4;
 
-  /** A value goes on in an answer of 64 KiB at most. */
+  /** A searcher's value may have up to 64 KiB, plus the line before it. */
   static final int MAX_FRAME_BYTES = (1 << 16) + 1024;
 
   private final byte[] lengthField = new byte[LENGTH_BYTES];
@@ -38,17 +39,20 @@
   private int frameRead;
   private long framesRead;
 
-  /** How many whole frames were read. */
+  /** Returns the number of complete frames read. */
   long framesRead() {
     return framesRead;
   }
 
-  /** Whether a frame has begun to come and has not come whole. */
+  /** Returns whether a frame has been read in part. */
   boolean midFrame() {
     return lengthFieldRead > 0;
   }
 
-  /** Reads all whole frames there are; the rest of one that is cut waits for its next bytes. */
+  /**
+   * Reads all complete frames from {@code in}; the bytes of an incomplete frame are kept until the
+   * rest arrives.
+   */
   void read(ByteRing in, Sink sink) throws MalformedFrameException {
     while (in.size() > 0) {
       if (frame == null) {
@@ -67,46 +71,46 @@
       }
       frameRead += in.take(frame, frameRead, frame.length - frameRead);
       if (frameRead == frame.length) {
-        byte[] whole = frame;
+        byte[] complete = frame;
         frame = null;
         lengthFieldRead = 0;
         framesRead++;
-        sink.frame((char) whole[0], Arrays.copyOfRange(whole, 1, whole.length));
+        sink.frame((char) complete[0], Arrays.copyOfRange(complete, 1, complete.length));
       }
     }
   }
 
-  static byte[] encode(char letter, byte[] rest) {
-    return ByteBuffer.allocate(LENGTH_BYTES + 1 + rest.length)
+  static byte[] encode(char letter, byte[] payload) {
+    return ByteBuffer.allocate(LENGTH_BYTES + 1 + payload.length)
         .order(ByteOrder.LITTLE_ENDIAN)
-        .putInt(1 + rest.length)
+        .putInt(1 + payload.length)
         .put((byte) letter)
-        .put(rest)
+        .put(payload)
         .array();
   }
 
-  /** One call: a line and the text for each part. */
-  static byte[] encodeCall(List<OutboundTrip> errands, Duration now) {
-    ByteArrayOutputStream rest = new ByteArrayOutputStream();
-    for (OutboundTrip errand : errands) {
-      long wait = Math.max(1, errand.deadline.minus(now).toMillis());
+  /** Encodes one call: a line and the query text for each part. */
+  static byte[] encodeCall(List<OutboundTrip> trips, Duration now) {
+    ByteArrayOutputStream payload = new ByteArrayOutputStream();
+    for (OutboundTrip trip : trips) {
+      long remainingMs = Math.max(1, trip.deadline.minus(now).toMillis());
       String line =
-          errand.wireId
+          trip.wireId
               + ' '
-              + errand.shard
+              + trip.shard
               + " d="
-              + wait
-              + (errand.idempotencyKey == null ? "" : ",k=" + errand.idempotencyKey)
+              + remainingMs
+              + (trip.idempotencyKey == null ? "" : ",k=" + trip.idempotencyKey)
               + ' '
-              + errand.queryText.length
+              + trip.queryText.length
               + '\n';
-      rest.writeBytes(line.getBytes(StandardCharsets.US_ASCII));
-      rest.writeBytes(errand.queryText);
+      payload.writeBytes(line.getBytes(StandardCharsets.US_ASCII));
+      payload.writeBytes(trip.queryText);
     }
-    return encode('S', rest.toByteArray());
+    return encode('S', payload.toByteArray());
   }
 
-  static byte[] encodeCancel(OutboundTrip errand) {
-    return encode('C', errand.wireId.getBytes(StandardCharsets.US_ASCII));
+  static byte[] encodeCancel(OutboundTrip trip) {
+    return encode('C', trip.wireId.getBytes(StandardCharsets.US_ASCII));
   }
 }
--- a/mixer/src/main/java/gingerring/frontend/ScanRequestParser.java
+++ b/mixer/src/main/java/gingerring/frontend/ScanRequestParser.java
@@ -19,14 +19,17 @@
 import java.util.Set;
 import java.util.regex.Pattern;
 
-/** Reads a scan out of a request's headers and body; whatever is off is a 400. */
+/** Parses a scan request from HTTP headers and body. Invalid input gets status 400. */
 final class ScanRequestParser {
   private static final int MAX_ID_LENGTH = 128;
   private static final Pattern MILLIS = Pattern.compile("[0-9]{1,9}");
   private static final Pattern ROUTE = Pattern.compile("[0-9a-fA-F]{16}");
   private static final long MAX_WORK_MICROS = 86_400_000_000L;
 
-  /** How far from 1 shares may sum up for their rounding. An answer is whole by their sum. */
+  /**
+   * How far the sum of the shares may differ from 1, since clients round them. An answer is
+   * complete by the sum of its shares.
+   */
   private static final double SHARE_SUM_TOLERANCE = 0.01;
 
   private final Map<String, Integer> serviceClasses = new HashMap<>();
@@ -34,36 +37,36 @@
   private final List<Duration> maxDeadlines = new ArrayList<>();
   private final int shardCount;
 
-  ScanRequestParser(Settings terms) {
-    for (int i = 0; i < terms.count("Classes.count"); i++) {
-      serviceClasses.put(terms.text("Classes." + i + ".Name"), i);
-      maxDeadlines.add(terms.duration("Classes." + i + ".HardLimitMs"));
-      keyed.add(terms.text("Classes." + i + ".Idempotency").equals("deduplicated"));
+  ScanRequestParser(Settings settings) {
+    for (int i = 0; i < settings.count("Classes.count"); i++) {
+      serviceClasses.put(settings.text("Classes." + i + ".Name"), i);
+      maxDeadlines.add(settings.duration("Classes." + i + ".HardLimitMs"));
+      keyed.add(settings.text("Classes." + i + ".Idempotency").equals("deduplicated"));
     }
-    shardCount = terms.count("Domain.Slices");
+    shardCount = settings.count("Domain.Slices");
   }
 
   ScanRequest parse(MessageHead head, byte[] body) throws HttpException {
-    String mark = idHeader(head, "X-Txn");
-    Integer grade =
+    String transactionId = idHeader(head, "X-Txn");
+    Integer serviceClass =
         serviceClasses.get(
             String.valueOf(head.header("X-Lane")).replace(' ', '_').replace(',', '_'));
-    if (grade == null) {
+    if (serviceClass == null) {
       throw new HttpException(400, "no known X-Lane");
     }
     String remaining = head.header("X-Remaining-Ms");
     if (remaining == null || !MILLIS.matcher(remaining).matches()) {
       throw new HttpException(400, "no X-Remaining-Ms");
     }
-    String key = keyed.get(grade) ? idHeader(head, "Idempotency-Key") : null;
+    String idempotencyKey = keyed.get(serviceClass) ? idHeader(head, "Idempotency-Key") : null;
     try {
       Map<String, Object> object = JsonFields.object(Json.parse(body), "the body");
       return new ScanRequest(
-          mark,
-          grade,
+          transactionId,
+          serviceClass,
           "1".equals(head.header("X-Resent")),
-          key,
-          deadline(grade, Long.parseLong(remaining)),
+          idempotencyKey,
+          deadline(serviceClass, Long.parseLong(remaining)),
           parseTargets(JsonFields.list(object, "targets")),
           encodeUtf8(JsonFields.string(object, "query")));
     } catch (Json.JsonException e) {
@@ -72,15 +75,20 @@
   }
 
   /**
-   * No client of a grade waits longer than the settings say. Guards against a figure that keeps it
-   * here.
+   * Limits the deadline that a client asks for to that of its service class, so that a client
+   * cannot keep a scan open for longer than the settings allow.
    */
-  private Duration deadline(int grade, long millis) {
-    Duration most = maxDeadlines.get(grade);
-    return Duration.ofMillis(millis).compareTo(most) < 0 ? Duration.ofMillis(millis) : most;
+  private Duration deadline(int serviceClass, long millis) {
+    Duration maxDeadline = maxDeadlines.get(serviceClass);
+    return Duration.ofMillis(millis).compareTo(maxDeadline) < 0
+        ? Duration.ofMillis(millis)
+        : maxDeadline;
   }
 
-  /** A searcher is to get the text unchanged: half of a surrogate pair has no bytes. */
+  /**
+   * Encodes the query text. Searchers have to receive it unchanged, so a lone surrogate, which has
+   * no UTF-8 encoding, is rejected.
+   */
   private static byte[] encodeUtf8(String text) throws Json.JsonException {
     try {
       ByteBuffer bytes = StandardCharsets.UTF_8.newEncoder().encode(CharBuffer.wrap(text));
@@ -91,48 +99,48 @@
   }
 
   /**
-   * A mark goes into the searchers' frames as it is, so nothing that frames are cut by may stand in
-   * it.
+   * Reads a header with an id. The id is copied into the frames to searchers, so it may not contain
+   * the characters that separate fields there.
    */
   private static String idHeader(MessageHead head, String name) throws HttpException {
-    String mark = head.header(name);
-    if (mark == null
-        || mark.isEmpty()
-        || mark.length() > MAX_ID_LENGTH
-        || !mark.chars().allMatch(c -> c > ' ' && c < 127 && c != ',')) {
+    String value = head.header(name);
+    if (value == null
+        || value.isEmpty()
+        || value.length() > MAX_ID_LENGTH
+        || !value.chars().allMatch(c -> c > ' ' && c < 127 && c != ',')) {
       throw new HttpException(400, "no " + name);
     }
-    return mark;
+    return value;
   }
 
-  private List<ScanRequest.Target> parseTargets(List<Object> targets) throws Json.JsonException {
-    double sum = 0;
-    List<ScanRequest.Target> pieces = new ArrayList<>();
-    Set<Integer> seen = new HashSet<>();
-    for (Object each : targets) {
-      Map<String, Object> target = JsonFields.object(each, "a target");
+  private List<ScanRequest.Target> parseTargets(List<Object> items) throws Json.JsonException {
+    double shareSum = 0;
+    List<ScanRequest.Target> targets = new ArrayList<>();
+    Set<Integer> seenShards = new HashSet<>();
+    for (Object item : items) {
+      Map<String, Object> target = JsonFields.object(item, "a target");
       long shard = JsonFields.nonNegativeInteger(target, "partition");
       double share = JsonFields.number(target, "share");
-      if (shard >= shardCount || !seen.add((int) shard)) {
+      if (shard >= shardCount || !seenShards.add((int) shard)) {
         throw new Json.JsonException("partition " + shard + " is out of range, or there twice");
       }
       if (share <= 0) {
         throw new Json.JsonException("share is not positive");
       }
-      sum += share;
+      shareSum += share;
       long micros =
           target.containsKey("est_us") ? JsonFields.nonNegativeInteger(target, "est_us") : 0;
-      pieces.add(
+      targets.add(
           new ScanRequest.Target(
               (int) shard,
               share,
               Duration.ofNanos(Math.min(micros, MAX_WORK_MICROS) * 1000),
               target.containsKey("route") ? parseRoute(JsonFields.string(target, "route")) : 0));
     }
-    if (Math.abs(sum - 1) > SHARE_SUM_TOLERANCE) {
+    if (Math.abs(shareSum - 1) > SHARE_SUM_TOLERANCE) {
       throw new Json.JsonException("the shares do not sum to 1");
     }
-    return pieces;
+    return targets;
   }
 
   private static long parseRoute(String text) throws Json.JsonException {
