--- a/mixer/src/main/java/gingerring/frontend/Frontend.java
+++ b/mixer/src/main/java/gingerring/frontend/Frontend.java
@@ -20,14 +20,15 @@
   static final int MAX_BODY_BYTES = 64 * 1024;
   private static final int OUTPUT_BUFFER_BYTES = 1 << 20;
 
-  /**
-   * Longest time from the first byte of a request to its last. The constants below limit the time
-   * to send a response and the time that a client may stay idle.
-   */
+  /** Longest time from the first byte of a request to its last. */
   static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(2);
 
+  /** Longest time to send a response. */
   static final Duration RESPONSE_TIMEOUT = Duration.ofSeconds(10);
+
+  /** Longest time between requests. */
   static final Duration IDLE_TIMEOUT = Duration.ofSeconds(60);
+
   static final Duration SWEEP_INTERVAL = Duration.ofMillis(250);
   private static final int MAX_BUFFERED_BODY_BYTES = 16 << 20;
 
--- a/mixer/src/main/java/gingerring/server/MixerServer.java
+++ b/mixer/src/main/java/gingerring/server/MixerServer.java
@@ -26,20 +26,16 @@
   /** How long new connections are accepted after SIGTERM; later ones may go unanswered. */
   private static final Duration ACCEPT_AFTER_SIGTERM = Duration.ofMillis(700);
 
-  /**
-   * The longest client deadline that a shutdown waits for. {@code END_MARGIN} is how long before
-   * the end the last scans are closed.
-   */
+  /** The longest client deadline that a shutdown waits for. */
   private static final Duration MAX_DRAIN_TIME = Duration.ofSeconds(3);
 
+  /** How long before the end the last scans are closed. */
   private static final Duration END_MARGIN = Duration.ofMillis(300);
 
-  /**
-   * How long before the end connections are closed after their next response. {@code
-   * CLOSE_IDLE_PERIOD} is how long before the end idle connections are closed.
-   */
+  /** How long before the end connections are closed after their next response. */
   private static final Duration CLOSE_AFTER_RESPONSE_PERIOD = Duration.ofMillis(600);
 
+  /** How long before the end idle connections are closed. */
   private static final Duration CLOSE_IDLE_PERIOD = Duration.ofMillis(200);
 
   /** Time for responses to be sent. */
@@ -50,12 +46,10 @@
 
   private static final Duration STATUS_INTERVAL = Duration.ofSeconds(60);
 
-  /**
-   * Descriptors reserved for the process itself; {@code MIN_CONNECTION_SOCKETS} are left for
-   * connections at least.
-   */
+  /** Descriptors reserved for the process itself. */
   private static final int RESERVED_SOCKETS = 40;
 
+  /** Descriptors left for connections even with a small limit. */
   private static final int MIN_CONNECTION_SOCKETS = 16;
 
   private final Map<String, String> env;
