--- a/mixer/src/test/java/gingerring/server/SearcherCloseRaceTest.java
+++ b/mixer/src/test/java/gingerring/server/SearcherCloseRaceTest.java
@@ -292,9 +292,8 @@
               awaitLatch(resume);
             });
       }
-      awaitLatch(
-          iterationStarted); // the scan is in this iteration; events posted from now on are in the
-      // next
+      // the scan is in this iteration; events posted from now on are in the next
+      awaitLatch(iterationStarted);
       closeCase.closeMode.apply(fixture.b0Connection);
       MixerTestHarness.await(
           "the close event", () -> fixture.harness.server.loop.queuedEvents() >= 1);
