--- a/mixer/src/main/java/gingerring/decide/Mixer.java
+++ b/mixer/src/main/java/gingerring/decide/Mixer.java
@@ -211,7 +211,13 @@
 
   private final RollingSum firstTrips = new RollingSum(RETRY_BUDGET_WINDOW, DEFAULT_BUCKETS);
   private final RollingSum retries = new RollingSum(RETRY_BUDGET_WINDOW, DEFAULT_BUCKETS);
+
+  /**
+   * Trips that have ended or timed out, and those of them that were rejected or late, within
+   * PRESSURE_WINDOW. The pressure is the share of the latter.
+   */
   private final RollingSum pressureTrips = new RollingSum(PRESSURE_WINDOW, DEFAULT_BUCKETS);
+
   private final RollingSum pressureRejections = new RollingSum(PRESSURE_WINDOW, DEFAULT_BUCKETS);
 
   /**
@@ -1108,8 +1114,8 @@
   }
 
   /**
-   * Another mixer has received an answer from this searcher: this mixer may try it again, but
-   * reinstates it only after its own probe.
+   * Handles a report that another mixer has received an answer from the searcher: this mixer may
+   * probe or try it immediately, but judges it only by the answers that it receives itself.
    */
   public void peerReceivedAnswer(SearcherId id) {
     Searcher searcher = memberList.get(id);
--- a/mixer/src/main/java/gingerring/decide/RollingSum.java
+++ b/mixer/src/main/java/gingerring/decide/RollingSum.java
@@ -8,15 +8,15 @@
  * numbers, so that the running total stays exact.
  */
 public final class RollingSum {
-  private final long spanNanos;
+  private final long windowNanos;
   private final long bucketNanos;
   private final double[] bucketSums;
   private double total;
   private long newestBucket = Long.MIN_VALUE;
 
-  public RollingSum(Duration span, int bucketCount) {
-    this.spanNanos = span.toNanos();
-    bucketNanos = Math.max(1, (this.spanNanos + bucketCount - 1) / bucketCount);
+  public RollingSum(Duration window, int bucketCount) {
+    this.windowNanos = window.toNanos();
+    bucketNanos = Math.max(1, (this.windowNanos + bucketCount - 1) / bucketCount);
     bucketSums = new double[bucketCount + 1];
   }
 
@@ -37,7 +37,7 @@
   /** Returns the sum over at most the window: the bucket in which the window begins is left out. */
   public double sumWithin(Duration now) {
     advance(now);
-    return sum(now, (int) (newestBucket - Math.floorDiv(now.toNanos() - spanNanos, bucketNanos)));
+    return sum(now, (int) (newestBucket - Math.floorDiv(now.toNanos() - windowNanos, bucketNanos)));
   }
 
   /**
