--- a/mixer/src/main/java/gingerring/server/SettingsValidator.java
+++ b/mixer/src/main/java/gingerring/server/SettingsValidator.java
@@ -7,52 +7,54 @@
 import java.util.stream.IntStream;
 
 /**
- * What the settings must keep to. The mixer reads some of them only when it first needs them, long
- * after its start: what it could not use then is named before it, with what an operator can do.
+ * Validates the settings at the start. The mixer reads some of them only when it first needs them,
+ * long after its start; a value that it could not use then is reported now, with what an operator
+ * can do.
  *
- * <p>Whatever the pages leave open is served, by these readings. A drain grace, a window, an idle
- * time, a warm-up or a worth of 0 is one: nothing is sent after it, no repeat is in it, no
- * connection is kept, a searcher is warm at once, a scan is served like any other. A quoted time
- * over the patience counts as the patience. A shard may have more holders than there are cells:
- * they begin again at the first. What is left out and has a neutral reading has that one; the
- * fleet's size too.
+ * <p>Values that the documentation leaves open are accepted and read as follows. A drain grace, a
+ * window, an idle time, a warm-up or a worth of 0 means: nothing is sent after the drain begins, no
+ * retry falls into the window, no connection is kept, a searcher is warm at once, and a scan whose
+ * late answer is worth nothing is served like any other. A latency target above the deadline counts
+ * as the deadline. If a shard has more holders than there are cells, they wrap around to the first
+ * cell. A missing setting with a neutral value has that value; so does the fleet's size.
  *
- * <p>Refused is what no scan could be served by, or no rule kept: times in which nothing comes up,
- * is answered or counts, none of what there must be one of, a need of nothing, two grades of one
- * name.
+ * <p>Rejected are settings with which no scan could be served or no rule could be kept: timeouts
+ * within which no connection could open, be answered or count, a count of zero where at least one
+ * is required, a required completeness of zero, and two service classes of one name.
  */
 final class SettingsValidator {
-  /** A setting that cannot be used. */
+  /** Thrown for a setting that cannot be used. */
   static final class InvalidSettingException extends IllegalArgumentException {
     private static final long serialVersionUID = 1;
     private final String settingPath;
     private final String remedy;
 
-    InvalidSettingException(String entry, String fault, String remedy) {
-      super("setting " + entry + " " + fault + ": " + remedy);
-      this.settingPath = entry;
+    InvalidSettingException(String settingPath, String fault, String remedy) {
+      super("setting " + settingPath + " " + fault + ": " + remedy);
+      this.settingPath = settingPath;
       this.remedy = remedy;
     }
 
-    /** The path of the setting, as on the wire. */
+    /** Returns the path of the setting, as on the wire. */
     String settingPath() {
       return settingPath;
     }
 
-    /** What an operator can do. */
+    /** Returns what an operator can do. */
     String remedy() {
       return remedy;
     }
   }
 
-  /** The largest time that still counts exactly in nanoseconds, as on the wire. */
+  /** The largest time in milliseconds that is still exact in nanoseconds, as on the wire. */
   private static final double MAX_VALUE = 9e12;
 
   /**
-   * Each with the least that it may be and the most, if there is one; {@code *} for each service
-   * grade, {@code !} where it must be there. Numbers of parts, cells and searchers are counted one
-   * by one. A scan is closed 10 ms before its client's patience ends, so that no shorter one could
-   * be served; and a wait from ten million seconds on has no plain decimals in Retry-After.
+   * The minimum of each numeric setting and its maximum, if any; {@code *} stands for each service
+   * class, {@code !} marks a required setting. Numbers of parts, cells and searchers are limited
+   * because the code iterates over them. A scan is closed 10 ms before its client's deadline, so no
+   * shorter one could be served; and from ten million seconds on, a wait is printed in Retry-After
+   * with an exponent.
    */
   private static final List<String> NUMBER_RANGES =
       List.of(
@@ -82,8 +84,9 @@
           "Classes.*.WindowMs 0");
 
   /**
-   * Lists with an item for each service grade. Second steps have no form on sockets; and a grade
-   * that needs nothing would be answered with nothing.
+   * Lists with an item for each service class. Second steps are not supported over sockets, so
+   * their number is 0; and a class with a required completeness of 0 would be answered without
+   * results.
    */
   private static final List<String> PER_CLASS_RANGES =
       List.of("Domain.ClassFetch 0 0", "Domain.ClassFloor 0 1", "Domain.NeedByClass 0.0001 1");
@@ -105,131 +108,139 @@
 
   private SettingsValidator() {}
 
-  /** Throws {@link Refused} for the first setting that cannot be used. */
-  static void check(Settings terms) {
+  /** Throws {@link InvalidSettingException} for the first setting that cannot be used. */
+  static void check(Settings settings) {
     require(
-        terms.has("Classes.count") && number(terms, "Classes.count", "a list") >= 1,
+        settings.has("Classes.count") && number(settings, "Classes.count", "a list") >= 1,
         "Classes",
-        "is no list of grades",
-        "give one object for each service grade, one at least");
-    int grades = terms.count("Classes.count");
-    for (String line : NUMBER_RANGES) {
-      String[] bound = line.split(" ");
-      for (String key : expand(bound[0], grades)) {
-        if (isPresent(terms, bound[0], key, "give " + describeRange(bound))) {
-          requireInRange(key, number(terms, key, describeRange(bound)), bound);
+        "is no list of service classes",
+        "give one object for each service class, at least one");
+    int classCount = settings.count("Classes.count");
+    for (String rule : NUMBER_RANGES) {
+      String[] bound = rule.split(" ");
+      for (String key : expand(bound[0], classCount)) {
+        if (isPresent(settings, bound[0], key, "give " + describeRange(bound))) {
+          requireInRange(key, number(settings, key, describeRange(bound)), bound);
         }
       }
     }
-    for (String line : PER_CLASS_RANGES) {
-      String[] bound = line.split(" ");
-      for (int i = 0; i < grades; i++) {
-        requireInRange(bound[0], item(terms, bound[0], i, describeRange(bound)), bound);
+    for (String rule : PER_CLASS_RANGES) {
+      String[] bound = rule.split(" ");
+      for (int i = 0; i < classCount; i++) {
+        requireInRange(bound[0], item(settings, bound[0], i, describeRange(bound)), bound);
       }
     }
     for (String key : FLAGS) {
       require(
-          !terms.has(key) || terms.text(key).equals("true") || terms.text(key).equals("false"),
+          !settings.has(key)
+              || settings.text(key).equals("true")
+              || settings.text(key).equals("false"),
           key,
           "is neither true nor false",
           "give one of them");
     }
-    for (String line : CHOICES) {
-      List<String> choice = List.of(line.split(" "));
-      List<String> known = choice.subList(1, choice.size());
-      for (String key : expand(choice.get(0), grades)) {
-        String remedy = "give one of " + String.join(", ", known);
-        if (isPresent(terms, choice.get(0), key, remedy)) {
-          require(known.contains(terms.text(key)), key, "is unknown", remedy);
+    for (String rule : CHOICES) {
+      List<String> choice = List.of(rule.split(" "));
+      List<String> allowed = choice.subList(1, choice.size());
+      for (String key : expand(choice.get(0), classCount)) {
+        String remedy = "give one of " + String.join(", ", allowed);
+        if (isPresent(settings, choice.get(0), key, remedy)) {
+          require(allowed.contains(settings.text(key)), key, "is unknown", remedy);
         }
       }
     }
     for (String key : REQUIRED_LISTS) {
       isPresent(
-          terms, "!" + key, key, "give the list of their names, an empty one if there is none");
+          settings, "!" + key, key, "give the list of their names, an empty one if there is none");
     }
-    long told = RETRY_BUDGET.stream().filter(terms::has).count();
+    long budgetSettings = RETRY_BUDGET.stream().filter(settings::has).count();
     for (String key : RETRY_BUDGET) {
       require(
-          told == 0 || terms.has(key),
+          budgetSettings == 0 || settings.has(key),
           key,
-          "is missing beside the others of a budget",
+          "is missing while other settings of the retry budget are present",
           "give " + String.join(", ", RETRY_BUDGET) + ", or none of them");
     }
-    checkServiceClasses(terms, grades);
+    checkServiceClasses(settings, classCount);
   }
 
-  /** What grades must have that others need not, and must have for themselves. */
-  private static void checkServiceClasses(Settings terms, int grades) {
+  /**
+   * Checks the rules that service classes have beyond the ranges: a valid and unique name, and a
+   * window if keyed.
+   */
+  private static void checkServiceClasses(Settings settings, int classCount) {
     Map<String, Integer> names = new HashMap<>();
-    for (int i = 0; i < grades; i++) {
-      String at = "Classes." + i + ".";
-      isPresent(terms, "!", at + "Name", "give the name that clients send in X-Lane");
-      String name = terms.text(at + "Name");
+    for (int i = 0; i < classCount; i++) {
+      String prefix = "Classes." + i + ".";
+      isPresent(settings, "!", prefix + "Name", "give the name that clients send in X-Lane");
+      String name = settings.text(prefix + "Name");
       require(
           !name.isEmpty() && name.chars().allMatch(c -> c > ' ' && c < 127),
-          at + "Name",
-          "is nothing that a header carries",
+          prefix + "Name",
+          "cannot be sent in a header",
           "give a name of plain ASCII text");
-      Integer other = names.putIfAbsent(name, i);
+      Integer earlier = names.putIfAbsent(name, i);
       require(
-          other == null,
-          at + "Name",
-          "is that of Classes." + other + " too",
+          earlier == null,
+          prefix + "Name",
+          "is also the name of Classes." + earlier,
           "give each a name of its own");
       require(
-          !terms.text(at + "Idempotency").equals("deduplicated") || terms.has(at + "WindowMs"),
-          at + "WindowMs",
+          !settings.text(prefix + "Idempotency").equals("deduplicated")
+              || settings.has(prefix + "WindowMs"),
+          prefix + "WindowMs",
           "is missing",
-          "give the time for which repeats of the grade are dropped");
+          "give the time for which retries of the service class are dropped");
     }
   }
 
-  private static List<String> expand(String entry, int grades) {
-    String key = entry.replace("!", "");
+  private static List<String> expand(String pattern, int classCount) {
+    String key = pattern.replace("!", "");
     return !key.contains("*")
         ? List.of(key)
-        : IntStream.range(0, grades).mapToObj(i -> key.replace("*", String.valueOf(i))).toList();
+        : IntStream.range(0, classCount)
+            .mapToObj(i -> key.replace("*", String.valueOf(i)))
+            .toList();
   }
 
-  private static boolean isPresent(Settings terms, String entry, String key, String remedy) {
-    require(!entry.startsWith("!") || terms.has(key), key, "is missing", remedy);
-    return terms.has(key);
+  private static boolean isPresent(Settings settings, String pattern, String key, String remedy) {
+    require(!pattern.startsWith("!") || settings.has(key), key, "is missing", remedy);
+    return settings.has(key);
   }
 
-  private static double number(Settings terms, String key, String range) {
+  private static double number(Settings settings, String key, String range) {
     try {
-      return terms.number(key);
+      return settings.number(key);
     } catch (IllegalArgumentException e) {
       throw new InvalidSettingException(
-          key, "is no number", "give " + range + " in place of " + terms.text(key));
+          key, "is no number", "give " + range + " in place of " + settings.text(key));
     }
   }
 
-  private static double item(Settings terms, String key, int place, String range) {
+  private static double item(Settings settings, String key, int index, String range) {
     try {
-      return terms.item(key, place, 1);
+      return settings.item(key, index, 1);
     } catch (IllegalArgumentException e) {
       throw new InvalidSettingException(
-          key, "has no number at place " + place, "give " + range + " for each grade");
+          key, "has no number at index " + index, "give " + range + " for each service class");
     }
   }
 
   private static String describeRange(String[] bound) {
-    return "a number from " + bound[1] + (bound.length > 2 ? " to " + bound[2] : " on");
+    return "a number from " + bound[1] + (bound.length > 2 ? " to " + bound[2] : " up");
   }
 
   private static void requireInRange(String key, double value, String[] bound) {
-    double most = bound.length > 2 ? Double.parseDouble(bound[2]) : MAX_VALUE;
+    double max = bound.length > 2 ? Double.parseDouble(bound[2]) : MAX_VALUE;
     require(
-        value >= Double.parseDouble(bound[1]) && value <= most,
+        value >= Double.parseDouble(bound[1]) && value <= max,
         key,
         "is out of its range, " + value,
         "give " + describeRange(bound));
   }
 
-  private static void require(boolean kept, String key, String fault, String remedy) {
-    if (!kept) {
+  private static void require(boolean satisfied, String key, String fault, String remedy) {
+    if (!satisfied) {
       throw new InvalidSettingException(key, fault, remedy);
     }
   }
