--- a/mixer/src/main/java/gingerring/backend/Backend.java
+++ b/mixer/src/main/java/gingerring/backend/Backend.java
@@ -234,7 +234,7 @@
     return clock.now();
   }
 
-  void wakeAfter(Duration delay, Runnable task) {
+  void schedule(Duration delay, Runnable task) {
     clock.schedule(delay, task);
   }
 
--- a/mixer/src/main/java/gingerring/backend/ConnectionPool.java
+++ b/mixer/src/main/java/gingerring/backend/ConnectionPool.java
@@ -101,7 +101,7 @@
    * searcher reads from none.
    */
   private void failUnlessConnected(OutboundTrip trip) {
-    backend.wakeAfter(
+    backend.schedule(
         backend.dialTimeout(),
         () -> {
           if (waiting.contains(trip)) {
@@ -213,7 +213,7 @@
     SearcherConnection.PendingProbe probe = new SearcherConnection.PendingProbe(backend.now());
     waitingProbes.add(probe);
     backend.scheduleDispatch(this);
-    backend.wakeAfter(
+    backend.schedule(
         backend.dialTimeout(),
         () -> {
           if (waitingProbes.remove(probe)) {
--- a/mixer/src/main/java/gingerring/backend/SearcherConnection.java
+++ b/mixer/src/main/java/gingerring/backend/SearcherConnection.java
@@ -77,7 +77,7 @@
     lastUsedAt = dialledAt;
     lastReadAt = dialledAt;
     connection = backend.network().dial(pool.address(), Backend.OUTPUT_BUFFER_BYTES, this);
-    backend.wakeAfter(
+    backend.schedule(
         backend.dialTimeout(),
         () -> {
           dialOverdue = true;
@@ -265,7 +265,7 @@
       return;
     }
     probesInFlight.add(probe);
-    backend.wakeAfter(
+    backend.schedule(
         backend.dialTimeout(),
         () -> {
           if (probesInFlight.remove(probe)) {
@@ -307,7 +307,7 @@
       // Searchers write each answer as a whole, so a frame that stays incomplete is truncated or
       // has a wrong length.
       long read = frameCodec.framesRead();
-      backend.wakeAfter(
+      backend.schedule(
           backend.dialTimeout(),
           () -> {
             if (frameCodec.framesRead() == read && connection.isUsable()) {
