--- a/mixer/src/test/java/gingerring/server/MixerTestHarness.java
+++ b/mixer/src/test/java/gingerring/server/MixerTestHarness.java
@@ -641,15 +641,16 @@
   }
 
   /**
-   * Returns a scan request for the given shards, with equal shares and a new transaction id that
-   * {@link #lastTransactionId} returns.
+   * Returns a scan request for the given partitions, with equal shares and a new transaction id
+   * that {@link #lastTransactionId} returns.
    */
-  String scanRequest(String serviceClass, int deadlineMs, int... shards) {
+  String scanRequest(String serviceClass, int deadlineMs, int... partitions) {
     scanCount++;
     String targets =
-        Arrays.stream(shards)
+        Arrays.stream(partitions)
             .mapToObj(
-                shard -> "{\"partition\":" + shard + ",\"share\":" + 1.0 / shards.length + "}")
+                partition ->
+                    "{\"partition\":" + partition + ",\"share\":" + 1.0 / partitions.length + "}")
             .collect(Collectors.joining(","));
     String body = "{\"targets\":[" + targets + "],\"query\":\"q\"}";
     return "POST /api HTTP/1.1\r\nHost: x\r\nX-Txn: "
@@ -692,14 +693,14 @@
     client.close();
     AtomicInteger openConnections = new AtomicInteger(Integer.MAX_VALUE);
     // One watch, or up to 8 attempts to open one while discovery does not answer.
-    long expectedConnections =
+    long maxConnections =
         (agent.hasAccepted() ? 1 : 8)
             + resources.stream()
                 .filter(
                     resource ->
                         resource instanceof Client && !((Client) resource).socket.isClosed())
                 .count();
-    for (int attempts = 0; openConnections.get() > expectedConnections; attempts++) {
+    for (int attempts = 0; openConnections.get() > maxConnections; attempts++) {
       if (attempts * POLL_INTERVAL_MS > TIMEOUT_MS) {
         throw new AssertionError(openConnections + " connections are still open after the warm-up");
       }
