--- a/mixer/src/main/java/gingerring/frontend/Frontend.java
+++ b/mixer/src/main/java/gingerring/frontend/Frontend.java
@@ -15,19 +15,20 @@
 import java.util.Set;
 import java.util.function.Consumer;
 
-/** The clients' side: takes their connections, reads their scans, hands them on. */
+/** Accepts client connections, reads scan requests and passes them to the {@link ScanHandler}. */
 public final class Frontend {
   static final int MAX_BODY_BYTES = 64 * 1024;
   private static final int OUTPUT_BUFFER_BYTES = 1 << 20;
 
-  /**
-   * How long a request may take to come, and an answer to leave; and how long a client may say
-   * nothing.
-   */
+  /** Longest time from the first byte of a request to its last. */
   static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(2);
 
+  /** Longest time to send a response. */
   static final Duration RESPONSE_TIMEOUT = Duration.ofSeconds(10);
+
+  /** Longest time between requests. */
   static final Duration IDLE_TIMEOUT = Duration.ofSeconds(60);
+
   static final Duration SWEEP_INTERVAL = Duration.ofMillis(250);
   private static final int MAX_BUFFERED_BODY_BYTES = 16 << 20;
 
@@ -41,30 +42,30 @@
   private int bufferedBodyBytes;
   private boolean closed;
 
-  /** Connections being ended for others. */
+  /** Number of connections that are being closed to make room for others. */
   private int evictionsPending;
 
   private final Set<ClientConnection> clients = new LinkedHashSet<>();
 
   /**
-   * {@code again} runs a task in the next turn; the network is to hold so many connections at one
-   * time, those dialled too.
+   * Creates the frontend. {@code nextTurn} runs a task in the next turn of the event loop; {@code
+   * maxConnections} limits the connections of the network, dialled ones included.
    */
   public Frontend(
       Network network,
-      ScanHandler intake,
-      Settings terms,
+      ScanHandler handler,
+      Settings settings,
       Counters counts,
       LoopTimer clock,
-      Consumer<Runnable> again,
-      int connectionsMost) {
+      Consumer<Runnable> nextTurn,
+      int maxConnections) {
     this.network = network;
-    this.handler = intake;
+    this.handler = handler;
     this.counts = counts;
     this.clock = clock;
-    this.nextTurn = again;
-    this.maxConnections = connectionsMost;
-    requestParser = new ScanRequestParser(terms);
+    this.nextTurn = nextTurn;
+    this.maxConnections = maxConnections;
+    requestParser = new ScanRequestParser(settings);
     clock.schedule(SWEEP_INTERVAL, this::enforceTimeouts);
   }
 
@@ -76,45 +77,46 @@
   private void clientConnected(Connection connection) {
     if (closed) {
       connection.setHandler(ConnectionHandler.NO_OP);
-      connection.close(); // never read: its client may come again
+      connection.close(); // nothing was read from it, so the client can safely retry
       return;
     }
-    // guards against newcomers of one turn that are sent away while enough others are being ended
-    // for them
-    boolean crowded = !evictClients() && network.isFull(evictionsPending);
-    ClientConnection client = new ClientConnection(this, connection, crowded);
+    // Evicts first: connections being closed for new ones of the same turn count as free, so that
+    // these are not turned away.
+    boolean overConnectionLimit = !evictClients() && network.isFull(evictionsPending);
+    ClientConnection client = new ClientConnection(this, connection, overConnectionLimit);
     connection.setHandler(client);
     clients.add(client);
   }
 
   /**
-   * Guards against running out of descriptors, where dials are to find some: first go those that
-   * have had their last answer, then who never asked for anything, then the longest idle, then who
-   * began a request and does not end it: a flood of such holds all room otherwise, until their time
-   * is over. Where all are busy a newcomer's scan is nacked. Returns whether any went.
+   * Closes connections when file descriptors run short, so that dials still find one. The order is:
+   * connections whose final response has been written, clients that never completed a request, the
+   * clients idle for longest, and clients that began a request and do not finish it. Without the
+   * last group, a flood of half-sent requests would occupy all connections until their timeout. If
+   * all clients are busy, the scan of a new client is rejected. Returns whether any connection was
+   * closed.
    */
   private boolean evictClients() {
-    int shortBy = network.connectionShortfall() - evictionsPending;
-    if (shortBy <= 0) {
+    int needed = network.connectionShortfall() - evictionsPending;
+    if (needed <= 0) {
       return false;
     }
-    int before = evictionsPending;
-    for (ClientConnection each :
+    int pendingBefore = evictionsPending;
+    for (ClientConnection client :
         clients.stream()
             .filter(ClientConnection::evictable)
             .sorted(ClientConnection.EVICTION_ORDER)
             .toList()) {
-      if (evictionsPending - before < shortBy && each.evict()) {
+      if (evictionsPending - pendingBefore < needed && client.evict()) {
         evictionsPending++;
       }
     }
-    return evictionsPending > before;
+    return evictionsPending > pendingBefore;
   }
 
   /**
-   * Ends connections that a request or an answer has been on for too long, or nothing. Guards
-   * against clients that send half a request or none: they are owed an end, and hold descriptors
-   * and memory.
+   * Closes connections that exceed the time for a request, a response or idling. Such clients hold
+   * descriptors and memory.
    */
   private void enforceTimeouts() {
     List.copyOf(clients).forEach(ClientConnection::enforceTimeouts);
@@ -122,9 +124,7 @@
     clock.schedule(SWEEP_INTERVAL, this::enforceTimeouts);
   }
 
-  /**
-   * The end is near: connections between requests are closed, the others end with their answers.
-   */
+  /** Closes idle connections before the shutdown; the others are closed after their responses. */
   public void closeIdleClients() {
     List.copyOf(clients).stream()
         .filter(ClientConnection::idle)
@@ -132,8 +132,8 @@
   }
 
   /**
-   * The end is here, and no scan is in hand: every connection ends, and no request is read any
-   * more.
+   * Closes all connections at the end of the shutdown, when no scan is open. No further request is
+   * read.
    */
   public void closeAllClients() {
     closed = true;
@@ -144,9 +144,9 @@
     return clients.size();
   }
 
-  void clientClosed(ClientConnection client, boolean gaveWay) {
+  void clientClosed(ClientConnection client, boolean evicted) {
     clients.remove(client);
-    evictionsPending -= gaveWay ? 1 : 0;
+    evictionsPending -= evicted ? 1 : 0;
   }
 
   Duration now() {
@@ -169,22 +169,25 @@
     return handler.closeAfterResponse();
   }
 
-  boolean accept(ScanRequest ask, Duration since, ScanResponder reply) {
-    return handler.accept(ask, since, reply);
+  boolean accept(ScanRequest request, Duration requestStartedAt, ScanResponder responder) {
+    return handler.accept(request, requestStartedAt, responder);
   }
 
-  void clientDisconnected(ScanResponder reply) {
-    handler.clientDisconnected(reply);
+  void clientDisconnected(ScanResponder responder) {
+    handler.clientDisconnected(responder);
   }
 
   void runNextTurn(Runnable task) {
     nextTurn.accept(task);
   }
 
-  /** Guards against many slow senders that together hold more than the memory there is. */
+  /**
+   * Reserves memory for part of a request body. The total is limited, so that many slow senders
+   * cannot exhaust the memory.
+   */
   void reserveBodyBytes(int length) throws HttpException {
     if (bufferedBodyBytes + length > MAX_BUFFERED_BODY_BYTES) {
-      throw new HttpException(503, "too many bodies half sent");
+      throw new HttpException(503, "too many request bodies incomplete");
     }
     bufferedBodyBytes += length;
   }
