--- a/bench/src/main/java/gingerring/bench/RecordingCost.java
+++ b/bench/src/main/java/gingerring/bench/RecordingCost.java
@@ -1,7 +1,7 @@
 package gingerring.bench;
 
 import gingerring.emulator.core.Scenario;
-import gingerring.emulator.experiment.Run;
+import gingerring.emulator.experiment.ExperimentRun;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -24,22 +24,23 @@
     Histogram[] all = {new Histogram(3), new Histogram(3)};
     for (int round = 0; round < Integer.parseInt(args[2]); round++) {
       for (int on = 0; on < 2; on++) {
-        Run.Result result = Run.of(world, Run.Router.MIXER, 1, on == 1 ? file : null);
+        ExperimentRun.Result result =
+            ExperimentRun.run(world, ExperimentRun.Router.MIXER, 1, on == 1 ? file : null);
         Histogram micros = new Histogram(3);
-        result.tally().grades.values().forEach(grade -> micros.add(grade.micros));
+        result.statistics().byClass.values().forEach(grade -> micros.add(grade.latencyMicros));
         all[on].add(micros);
-        double each = result.mixerCpu() * 1e6 / result.tally().asked;
+        double each = result.mixerCpuSeconds() * 1e6 / result.statistics().attempts;
         cpu[on] += each;
         System.out.printf(
             Locale.ROOT,
             "%d,%s,%d,%.0f,%.2f,%.2f,%.4f%n",
             round,
             on == 1 ? "on" : "off",
-            result.tally().asked,
+            result.statistics().attempts,
             each,
             micros.getValueAtPercentile(50) / 1e3,
             micros.getValueAtPercentile(99) / 1e3,
-            result.tally().service());
+            result.statistics().serviceLevel());
       }
     }
     System.out.printf(
--- a/cli/src/main/java/gingerring/cli/DemoCommand.java
+++ b/cli/src/main/java/gingerring/cli/DemoCommand.java
@@ -1,8 +1,8 @@
 package gingerring.cli;
 
 import gingerring.emulator.core.Scenario;
-import gingerring.emulator.experiment.Run;
-import gingerring.emulator.experiment.Tables;
+import gingerring.emulator.experiment.ExperimentRun;
+import gingerring.emulator.experiment.ResultTables;
 import java.io.InputStream;
 import java.io.PrintWriter;
 import java.util.concurrent.Callable;
@@ -29,17 +29,17 @@
         "a mixer before "
             + world.boxes()
             + " emulated boxes, "
-            + (int) world.rate()
+            + (int) world.requestsPerSecond()
             + " scans a second for "
             + world.length().toSeconds()
             + " s, while one box fails fast, one vanishes and one is replaced ...");
     print.flush();
-    Run.Result mixer = Run.of(world, Run.Router.MIXER, 1, null);
-    print.print(Tables.text(mixer));
+    ExperimentRun.Result mixer = ExperimentRun.run(world, ExperimentRun.Router.MIXER, 1, null);
+    print.print(ResultTables.text(mixer));
     print.println("\nthe same with plain random choice ...");
     print.flush();
-    print.print(Tables.text(Run.of(world, Run.Router.RANDOM, 1, null)));
+    print.print(ResultTables.text(ExperimentRun.run(world, ExperimentRun.Router.RANDOM, 1, null)));
     print.flush();
-    return mixer.referee().fouls() == 0 ? 0 : Gingerring.VERDICT;
+    return mixer.ruleChecker().violationCount() == 0 ? 0 : Gingerring.VERDICT;
   }
 }
--- a/cli/src/main/java/gingerring/cli/EmulateCommand.java
+++ b/cli/src/main/java/gingerring/cli/EmulateCommand.java
@@ -1,10 +1,10 @@
 package gingerring.cli;
 
-import gingerring.emulator.core.Referee;
+import gingerring.emulator.core.RuleChecker;
 import gingerring.emulator.core.Scenario;
 import gingerring.emulator.core.Workload;
+import gingerring.emulator.experiment.EmulatedStore;
 import gingerring.emulator.experiment.MixerProcess;
-import gingerring.emulator.experiment.Store;
 import gingerring.traffic.wire.Reactor;
 import java.io.IOException;
 import java.nio.file.Path;
@@ -48,24 +48,26 @@
   public Integer call() throws Exception {
     Scenario world = Worlds.read(file);
     Reactor reactor = new Reactor();
-    Referee referee = new Referee(world);
-    Store store = new Store(world, reactor, referee, Worlds.pace(pace));
+    RuleChecker referee = new RuleChecker(world);
+    EmulatedStore store = new EmulatedStore(world, reactor, referee, Worlds.pace(pace));
     // a replay of a run's recording meets each trouble when the run did
-    store.beginWithFirstPart(
-        Workload.of(world).stream()
+    store.startOnFirstPart(
+        Workload.generate(world).stream()
             .findFirst()
-            .map(Workload.ClientRequest::at)
+            .map(Workload.ClientRequest::sendAt)
             .orElse(Duration.ZERO));
     Thread thread = new Thread(reactor::run, "emulator");
     thread.setDaemon(true);
     thread.start();
-    spec.commandLine().getOut().println("discovery at 127.0.0.1:" + store.discovery().getPort());
+    spec.commandLine()
+        .getOut()
+        .println("discovery at 127.0.0.1:" + store.discoveryAddress().getPort());
     if (mixer) {
       try (MixerProcess process =
-          MixerProcess.start(world, store.discovery(), store.list(), record)) {
+          MixerProcess.start(world, store.discoveryAddress(), store.memberList(), record)) {
         spec.commandLine().getOut().println("mixer at 127.0.0.1:" + process.address().getPort());
         awaitEnd();
-        process.end();
+        process.stop();
       }
     } else {
       awaitEnd();
--- a/cli/src/main/java/gingerring/cli/ExperimentCommand.java
+++ b/cli/src/main/java/gingerring/cli/ExperimentCommand.java
@@ -1,9 +1,9 @@
 package gingerring.cli;
 
 import gingerring.emulator.core.Scenario;
-import gingerring.emulator.experiment.Charts;
-import gingerring.emulator.experiment.Run;
-import gingerring.emulator.experiment.Tables;
+import gingerring.emulator.experiment.ExperimentRun;
+import gingerring.emulator.experiment.LineCharts;
+import gingerring.emulator.experiment.ResultTables;
 import java.io.PrintWriter;
 import java.nio.file.Path;
 import java.util.LinkedHashMap;
@@ -46,25 +46,29 @@
     Scenario world = Worlds.read(file);
     String name = file.getFileName().toString().replaceAll("\\.json$", "");
     PrintWriter print = spec.commandLine().getOut();
-    Run.Result mixer = Run.of(world, Run.Router.MIXER, Worlds.pace(pace), record);
-    print.print(Tables.text(mixer));
+    ExperimentRun.Result mixer =
+        ExperimentRun.run(world, ExperimentRun.Router.MIXER, Worlds.pace(pace), record);
+    print.print(ResultTables.text(mixer));
     Map<String, Map<Integer, Double>> series = new LinkedHashMap<>();
-    series.put("mixer", Charts.service(mixer));
+    series.put("mixer", LineCharts.serviceLevelBySecond(mixer));
     if (!alone) {
-      Run.Result random = Run.of(world, Run.Router.RANDOM, pace, null);
+      ExperimentRun.Result random =
+          ExperimentRun.run(world, ExperimentRun.Router.RANDOM, pace, null);
       print.println();
-      print.print(Tables.text(random));
-      series.put("plain random choice", Charts.service(random));
+      print.print(ResultTables.text(random));
+      series.put("plain random choice", LineCharts.serviceLevelBySecond(random));
       if (out != null) {
-        Tables.csv(random, out, name + "-random");
+        ResultTables.writeCsv(random, out, name + "-random");
       }
     }
     if (out != null) {
-      Tables.csv(mixer, out, name + "-mixer");
-      Charts.lines(out.resolve(name + ".png"), name, "service", series);
+      ResultTables.writeCsv(mixer, out, name + "-mixer");
+      LineCharts.write(out.resolve(name + ".png"), name, "service", series);
       print.println("written to " + out);
     }
     print.flush();
-    return mixer.referee().fouls() == 0 && mixer.exitCode() == 0 ? 0 : Gingerring.VERDICT;
+    return mixer.ruleChecker().violationCount() == 0 && mixer.exitCode() == 0
+        ? 0
+        : Gingerring.VERDICT;
   }
 }
--- a/cli/src/main/java/gingerring/cli/FleetCommand.java
+++ b/cli/src/main/java/gingerring/cli/FleetCommand.java
@@ -1,14 +1,14 @@
 package gingerring.cli;
 
 import gingerring.emulator.core.Scenario;
-import gingerring.emulator.experiment.Charts;
+import gingerring.emulator.experiment.LineCharts;
 import gingerring.emulator.harness.Fleet;
 import gingerring.emulator.harness.FleetScenario;
 import gingerring.emulator.harness.HarnessError;
 import gingerring.emulator.harness.OverlappingFaults;
-import gingerring.emulator.simulation.Choices;
 import gingerring.emulator.simulation.PeerSimulation;
-import gingerring.emulator.simulation.Probes;
+import gingerring.emulator.simulation.ProbeSimulation;
+import gingerring.emulator.simulation.RoutingSimulation;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.nio.file.Files;
@@ -83,7 +83,7 @@
         if (title == null) {
           return;
         }
-        Charts.lines(
+        LineCharts.write(
             folder.resolve(name + ".png"),
             title + " (simulated time)",
             "mixers, power of ten",
@@ -141,19 +141,20 @@
             "p99 ms",
             "parts");
     for (int size : sizes) {
-      for (Choices.Policy policy : Choices.Policy.values()) {
-        Choices.Result result =
-            Choices.of(new Choices.Setup(size, boxes, copies, keep, use, seconds, seed), policy);
+      for (RoutingSimulation.Policy policy : RoutingSimulation.Policy.values()) {
+        RoutingSimulation.Result result =
+            RoutingSimulation.run(
+                new RoutingSimulation.Setup(size, boxes, copies, keep, use, seconds, seed), policy);
         table.row(
             size,
             policy,
-            result.largestOverMean(),
-            result.linesMean(),
-            result.linesMost(),
-            result.p50(),
-            result.p99(),
+            result.maxOverMeanBusyTime(),
+            result.meanConnections(),
+            result.maxConnections(),
+            result.p50Ms(),
+            result.p99Ms(),
             result.parts());
-        table.point(policy.name(), size, result.largestOverMean());
+        table.point(policy.name(), size, result.maxOverMeanBusyTime());
       }
     }
     table.write(folder, "choices", "The busiest box over the mean", "largest / mean");
@@ -202,17 +203,18 @@
     Table table =
         new Table("mixers", "way", "probes/s", "most in 1 s", "found after s", "latest s");
     for (int size : sizes) {
-      for (Probes.Way way : Probes.Way.values()) {
+      for (ProbeSimulation.Strategy way : ProbeSimulation.Strategy.values()) {
         double rate = 0;
         int most = 0;
         double found = 0;
         double latest = 0;
         for (int seed = 1; seed <= seeds; seed++) {
-          Probes.Result result = Probes.of(new Probes.Setup(size, stopped, lost, back, seed), way);
-          rate += result.perSecond() / seeds;
-          most = Math.max(most, result.most());
-          found += result.foundAfter() / seeds;
-          latest = Math.max(latest, result.foundAfter());
+          ProbeSimulation.Result result =
+              ProbeSimulation.run(new ProbeSimulation.Setup(size, stopped, lost, back, seed), way);
+          rate += result.probesPerSecond() / seeds;
+          most = Math.max(most, result.maxInOneSecond());
+          found += result.detectionSeconds() / seeds;
+          latest = Math.max(latest, result.detectionSeconds());
         }
         table.row(size, way, rate, most, found, latest);
         table.point(way.name(), size, Math.log10(rate));
@@ -276,34 +278,39 @@
         double[] worst = new double[10];
         for (int seed = 1; seed <= seeds; seed++) {
           PeerSimulation.Result result =
-              PeerSimulation.of(PeerSimulation.Setup.usual(size, seconds, seed, each.getValue()));
+              PeerSimulation.run(
+                  PeerSimulation.Setup.defaults(size, seconds, seed, each.getValue()));
           double asks = 0;
           for (int second = 30; second < 50; second++) {
-            asks += result.asks.getOrDefault(second, 0) / 20.0 / 2;
+            asks += result.deadBoxProbes.getOrDefault(second, 0) / 20.0 / 2;
           }
           double[] now = {
-            result.bytes.stream().skip(10).mapToDouble(bytes -> bytes[1]).average().orElse(0),
-            result.bytes.stream().skip(10).mapToDouble(bytes -> bytes[0]).max().orElse(0),
-            result.known.stream()
+            result.bytesBySecond.stream()
+                .skip(10)
+                .mapToDouble(bytes -> bytes[1])
+                .average()
+                .orElse(0),
+            result.bytesBySecond.stream().skip(10).mapToDouble(bytes -> bytes[0]).max().orElse(0),
+            result.detectionTimesMs.stream()
                 .mapToDouble(ms -> ms / 1000)
                 .filter(s -> !Double.isNaN(s))
                 .max()
                 .orElse(0),
-            result.wronglyGone,
-            result.strangers,
+            result.falselyGone,
+            result.unknownPairs,
             asks,
-            result.found.stream()
+            result.recoveryTimesMs.stream()
                 .mapToDouble(found -> found[0] / 1000)
                 .filter(Double::isFinite)
                 .max()
                 .orElse(0),
-            result.found.stream()
+            result.recoveryTimesMs.stream()
                 .mapToDouble(found -> found[1] / 1000)
                 .filter(Double::isFinite)
                 .max()
                 .orElse(0),
-            result.doubtOfAlive,
-            result.demand
+            result.maxFailureShareOfLiveBox,
+            result.maxDemandRatio
           };
           for (int i = 0; i < now.length; i++) {
             worst[i] = Math.max(worst[i], now[i]);
@@ -463,9 +470,9 @@
         name,
         plan.mixers(),
         plan.peers(),
-        result.tally.service(),
-        result.referee.fouls(),
-        (int) result.referee.excused(),
+        result.tally.serviceLevel(),
+        result.referee.violationCount(),
+        (int) result.referee.exempted(),
         result.crashes.size(),
         result.probes(0, Integer.MAX_VALUE),
         (int) result.connections[0],
@@ -474,10 +481,10 @@
         result.largestOverMean(),
         result.letters[1] / Math.max(1e-9, result.seconds) / plan.mixers(),
         result.present.stream().mapToInt(Integer::intValue).min().orElse(0),
-        (int) result.referee.held(),
-        result.referee.stall().toNanos() / 1e6,
+        (int) result.referee.delayedCount(),
+        result.referee.longestStall().toNanos() / 1e6,
         result.verdict());
-    result.referee.shown().forEach(foul -> told(name, foul));
+    result.referee.violations().forEach(foul -> told(name, foul));
     result.crashes.forEach(crash -> told(name, crash));
     result.errors.forEach(error -> told(name, error.getMessage()));
     return !result.errors.isEmpty()
--- a/cli/src/main/java/gingerring/cli/ReplayCommand.java
+++ b/cli/src/main/java/gingerring/cli/ReplayCommand.java
@@ -1,6 +1,6 @@
 package gingerring.cli;
 
-import gingerring.emulator.experiment.Charts;
+import gingerring.emulator.experiment.LineCharts;
 import gingerring.traffic.flow.Bounds;
 import gingerring.traffic.pcap.CaptureReader;
 import gingerring.traffic.replay.Comparison;
@@ -257,7 +257,7 @@
     Map<String, Map<Integer, Double>> series = new LinkedHashMap<>();
     series.put("recorded", answered(result.recorded()));
     series.put("replayed", answered(result.replayed()));
-    Charts.lines(
+    LineCharts.write(
         out.resolve("timelines.png"), "answered scans", "answered, whole or in part", series);
   }
 
--- a/cli/src/test/java/gingerring/cli/GingerringTest.java
+++ b/cli/src/test/java/gingerring/cli/GingerringTest.java
@@ -4,12 +4,12 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gingerring.emulator.core.Referee;
+import gingerring.emulator.core.RuleChecker;
 import gingerring.emulator.core.Scenario;
 import gingerring.emulator.core.Workload;
+import gingerring.emulator.experiment.EmulatedStore;
+import gingerring.emulator.experiment.ExperimentRun;
 import gingerring.emulator.experiment.MixerProcess;
-import gingerring.emulator.experiment.Run;
-import gingerring.emulator.experiment.Store;
 import gingerring.traffic.wire.Reactor;
 import java.io.PrintWriter;
 import java.io.StringWriter;
@@ -49,11 +49,12 @@
   private double agreement(Path recording, Scenario world, double pace, String retries)
       throws Exception {
     Reactor reactor = new Reactor();
-    Store store = new Store(world, reactor, new Referee(world), pace);
-    store.beginWithFirstPart(Workload.of(world).get(0).at());
+    EmulatedStore store = new EmulatedStore(world, reactor, new RuleChecker(world), pace);
+    store.startOnFirstPart(Workload.generate(world).get(0).sendAt());
     Thread thread = new Thread(reactor::run);
     thread.start();
-    try (MixerProcess mixer = MixerProcess.start(world, store.discovery(), store.list(), null)) {
+    try (MixerProcess mixer =
+        MixerProcess.start(world, store.discoveryAddress(), store.memberList(), null)) {
       int code =
           gingerring(
               "replay",
@@ -83,17 +84,18 @@
   void aRecordedRunIsReplayedWithTheSameOutcomes() throws Exception {
     Scenario world = Scenario.read(WORLD.getBytes());
     Path recording = folder.resolve("run.pcapng");
-    Run.Result run = Run.of(world, Run.Router.MIXER, 1, recording);
-    assertEquals(0, run.referee().fouls(), () -> run.referee().shown().toString());
+    ExperimentRun.Result run = ExperimentRun.run(world, ExperimentRun.Router.MIXER, 1, recording);
+    assertEquals(
+        0, run.ruleChecker().violationCount(), () -> run.ruleChecker().violations().toString());
     assertEquals(0, run.exitCode());
     assertEquals(0, gingerring("pcap", "info", recording), out + err);
     assertTrue(
-        out.contains(" " + run.tally().asked + " scans ")
-            || out.contains("; " + run.tally().asked + " scans"),
+        out.contains(" " + run.statistics().attempts + " scans ")
+            || out.contains("; " + run.statistics().attempts + " scans"),
         out);
     assertTrue(out.contains("the file is whole"), out);
     assertEquals(0, gingerring("pcap", "scans", recording));
-    assertEquals(run.tally().asked + 1, out.lines().count());
+    assertEquals(run.statistics().attempts + 1, out.lines().count());
     assertTrue(agreement(recording, world, 1, "recorded") >= 0.99, out);
     assertTrue(agreement(recording, world, 5, "recorded") >= 0.97, out);
     // only first tries are sent then, and a nack brings its retry, as it did when recorded
@@ -119,10 +121,10 @@
             ("{\"boxes\": 6, \"rate\": 60, \"lengthMs\": 5000, \"listLagMs\": 0, "
                     + "\"drainGraceMs\": 200, \"troubles\": [{\"kind\": \"drain\", \"atMs\": 500, \"forMs\": 20000}]}")
                 .getBytes());
-    Run.Result random = Run.of(world, Run.Router.RANDOM, 1, null);
+    ExperimentRun.Result random = ExperimentRun.run(world, ExperimentRun.Router.RANDOM, 1, null);
     assertTrue(
-        random.referee().counts().containsKey(Referee.Rule.DRAIN),
-        random.referee().counts().toString());
+        random.ruleChecker().countsByRule().containsKey(RuleChecker.Rule.DRAIN),
+        random.ruleChecker().countsByRule().toString());
   }
 
   @Test
--- a/emulator/src/main/java/gingerring/emulator/core/Box.java
+++ b/emulator/src/main/java/gingerring/emulator/core/Box.java
@@ -11,83 +11,83 @@
 
 /**
  * One box: cores that work off a queue, pauses, a warm-up in which it can do only part of its work,
- * and the fall when it is sent too much of that. Call {@link #part} and {@link #cancel} as frames
- * come, {@link #start} and {@link #stop} as its process lives and dies; it answers through {@link
- * Host}.
+ * and the fall when it is sent too much of that. Call {@link #receive} and {@link #cancel} as
+ * frames come, {@link #start} and {@link #stop} as its process lives and dies; it answers through
+ * {@link Host}.
  */
 public final class Box {
   /** What a box can do, and the clock it does it by. */
   public interface Host {
     Duration now();
 
-    void after(Duration span, Runnable task);
+    void schedule(Duration span, Runnable task);
 
     /** {@code end} is done, failed, full, or spoilt: an answer that is not of the protocol. */
     void answer(Part part, String end);
 
     /** Runs a numbered part unless its mark is known; false where it is. */
-    boolean runs(Part part);
+    boolean beginExecution(Part part);
 
     /** It was sent too much while cold, and stays down. */
-    void fell(Box box);
+    void overloaded(Box box);
   }
 
   /** A part as a box has it; {@code link} is for whoever sent it. */
-  public record Part(Object link, String id, int folio, String key, String text) {}
+  public record Part(Object connection, String id, int partition, String key, String query) {}
 
   private static final Duration BUCKET = Duration.ofMillis(250);
-  private static final Duration FAST = Duration.ofMillis(2);
+  private static final Duration ERROR_DELAY = Duration.ofMillis(2);
 
   public final int number;
-  private final Scenario world;
+  private final Scenario scenario;
   private final Host host;
   private final double speed;
   private final Deque<Part> queue = new ArrayDeque<>();
-  private final Map<String, Part> waiting = new LinkedHashMap<>();
-  private final Set<BoxFault> troubles = new HashSet<>();
+  private final Map<String, Part> queuedById = new LinkedHashMap<>();
+  private final Set<BoxFault> faults = new HashSet<>();
   private int running;
-  private int life;
+  private int incarnation;
   private boolean up;
-  private boolean fallen;
+  private boolean overloaded;
   private boolean draining;
-  private Duration since;
-  private Duration bucket = Duration.ZERO;
-  private double sent;
-  private Duration overSince;
-  private long done;
-  private double worked;
+  private Duration coldSince;
+  private Duration bucketStart = Duration.ZERO;
+  private double bucketWorkMs;
+  private Duration overloadSince;
+  private long partsDone;
+  private double workDoneMs;
 
   public Box(Scenario world, int number, Host host) {
-    this.world = world;
+    this.scenario = world;
     this.number = number;
     this.host = host;
     boolean slow = SeededDraw.draw(world.seed(), "slow", number) < world.slowShare();
     double spread = SeededDraw.draw(world.seed(), "speed", number);
     speed = slow ? 0.69 + 0.12 * spread : 0.92 + 0.18 * spread;
-    for (BoxFault trouble : world.troubles()) {
-      if (world.struck(trouble).contains(number)) {
-        troubles.add(trouble);
+    for (BoxFault trouble : world.faults()) {
+      if (world.affectedBoxes(trouble).contains(number)) {
+        faults.add(trouble);
       }
     }
   }
 
   /** Its process starts: warm where it began long ago. */
   public void start(boolean cold) {
-    up = !fallen;
+    up = !overloaded;
     draining = false;
-    life++;
-    since = cold ? host.now() : null;
-    bucket = host.now();
-    sent = 0;
-    overSince = null;
+    incarnation++;
+    coldSince = cold ? host.now() : null;
+    bucketStart = host.now();
+    bucketWorkMs = 0;
+    overloadSince = null;
   }
 
   /** Its process dies, with all it had. */
   public void stop() {
     up = false;
-    life++;
+    incarnation++;
     queue.clear();
-    waiting.clear();
+    queuedById.clear();
     running = 0;
   }
 
@@ -95,153 +95,165 @@
     draining = true;
   }
 
-  public boolean up() {
+  public boolean isUp() {
     return up;
   }
 
-  public boolean fallen() {
-    return fallen;
+  public boolean isOverloaded() {
+    return overloaded;
   }
 
-  public int queued() {
+  public int queueLength() {
     return queue.size();
   }
 
-  public int inHand() {
+  public int inFlight() {
     return queue.size() + running;
   }
 
   /** Parts it has done, and the milliseconds of work in them. */
-  public long done() {
-    return done;
+  public long partsDone() {
+    return partsDone;
   }
 
-  public double worked() {
-    return worked;
+  public double workDoneMs() {
+    return workDoneMs;
   }
 
   /** What share of its full work it can do now. */
-  public double warmth() {
-    if (since == null || world.warmUp().isZero()) {
+  public double capacityShare() {
+    if (coldSince == null || scenario.warmUp().isZero()) {
       return 1;
     }
-    double share = (double) host.now().minus(since).toNanos() / world.warmUp().toNanos();
-    return Math.min(1, world.coldFrom() + (1 - world.coldFrom()) * share);
+    double share = (double) host.now().minus(coldSince).toNanos() / scenario.warmUp().toNanos();
+    return Math.min(1, scenario.coldCapacityShare() + (1 - scenario.coldCapacityShare()) * share);
   }
 
-  public void part(Part part) {
-    if (!up || active(BoxFault.Kind.HANG) != null) {
+  public void receive(Part part) {
+    if (!up || activeFault(BoxFault.Kind.HANG) != null) {
       return;
     }
-    if (draining || queue.size() >= world.queueMost()) {
+    if (draining || queue.size() >= scenario.maxQueue()) {
       host.answer(part, "full");
       return;
     }
-    load(work(part));
+    recordColdWork(workMs(part));
     if (!up) {
       return;
     }
-    BoxFault errors = active(BoxFault.Kind.ERRORS);
-    boolean bad = SeededDraw.draw(world.seed(), "bad " + part.text, part.folio) < world.badParts();
+    BoxFault errors = activeFault(BoxFault.Kind.ERRORS);
+    boolean bad =
+        SeededDraw.draw(scenario.seed(), "bad " + part.query, part.partition)
+            < scenario.failingPartShare();
     if (bad
         || errors != null
-            && SeededDraw.draw(world.seed(), "error " + part.text, part.folio, number)
-                < errors.size()) {
-      int mine = life;
-      host.after(
-          FAST,
+            && SeededDraw.draw(scenario.seed(), "error " + part.query, part.partition, number)
+                < errors.magnitude()) {
+      int mine = incarnation;
+      host.schedule(
+          ERROR_DELAY,
           () -> {
-            if (life == mine) {
+            if (incarnation == mine) {
               host.answer(part, "failed");
             }
           });
       return;
     }
     queue.add(part);
-    waiting.put(part.id, part);
-    next();
+    queuedById.put(part.id, part);
+    startQueued();
   }
 
   /** Waiting work is dropped; what runs goes on, and is answered. */
   public void cancel(String id) {
-    Part part = waiting.remove(id);
+    Part part = queuedById.remove(id);
     if (part != null) {
       queue.remove(part);
     }
   }
 
-  private double work(Part part) {
-    Scenario.ServiceClass grade = world.grade(part.text.replaceAll(":.*", ""));
-    Scenario.Range range = grade == null ? new Scenario.Range(10, 20) : grade.work();
-    return range.at(SeededDraw.draw(world.seed(), "work " + part.text, part.folio));
+  private double workMs(Part part) {
+    Scenario.ServiceClass grade = scenario.serviceClass(part.query.replaceAll(":.*", ""));
+    Scenario.Range range = grade == null ? new Scenario.Range(10, 20) : grade.workMs();
+    return range.interpolate(
+        SeededDraw.draw(scenario.seed(), "work " + part.query, part.partition));
   }
 
   /** Takes note of work sent while cold; too much of it for too long brings the box down. */
-  private void load(double millis) {
+  private void recordColdWork(double millis) {
     Duration now = host.now();
-    while (now.minus(bucket).compareTo(BUCKET) >= 0) {
-      judge(bucket.plus(BUCKET));
-      sent = 0;
-      bucket = bucket.plus(BUCKET);
+    while (now.minus(bucketStart).compareTo(BUCKET) >= 0) {
+      checkOverload(bucketStart.plus(BUCKET));
+      bucketWorkMs = 0;
+      bucketStart = bucketStart.plus(BUCKET);
     }
-    sent += millis;
+    bucketWorkMs += millis;
   }
 
-  private void judge(Duration at) {
-    double can = world.cores() * speed * warmth() * BUCKET.toMillis();
-    if (warmth() >= 1 || sent <= world.tipMultiple() * can) {
-      overSince = null;
-    } else if (overSince == null) {
-      overSince = at.minus(BUCKET);
+  private void checkOverload(Duration at) {
+    double can = scenario.cores() * speed * capacityShare() * BUCKET.toMillis();
+    if (capacityShare() >= 1 || bucketWorkMs <= scenario.overloadMultiple() * can) {
+      overloadSince = null;
+    } else if (overloadSince == null) {
+      overloadSince = at.minus(BUCKET);
     }
-    if (overSince != null && at.minus(overSince).compareTo(world.tipAfter()) >= 0) {
-      fallen = true;
+    if (overloadSince != null
+        && at.minus(overloadSince).compareTo(scenario.overloadDuration()) >= 0) {
+      overloaded = true;
       stop();
-      host.fell(this);
+      host.overloaded(this);
     }
   }
 
-  private void next() {
-    while (running < world.cores() && !queue.isEmpty()) {
+  private void startQueued() {
+    while (running < scenario.cores() && !queue.isEmpty()) {
       Part part = queue.poll();
-      waiting.remove(part.id);
+      queuedById.remove(part.id);
       running++;
-      boolean runs = host.runs(part);
-      double millis = runs ? work(part) : 1;
-      BoxFault slow = active(BoxFault.Kind.SLOW);
-      double takes = millis / (speed * warmth()) * (slow == null ? 1 : Math.max(1, slow.size()));
+      boolean runs = host.beginExecution(part);
+      double millis = runs ? workMs(part) : 1;
+      BoxFault slow = activeFault(BoxFault.Kind.SLOW);
+      double takes =
+          millis / (speed * capacityShare()) * (slow == null ? 1 : Math.max(1, slow.magnitude()));
       Duration span = Duration.ofNanos((long) (takes * 1e6));
-      int mine = life;
-      host.after(
-          span.plus(pauses(host.now(), span)),
+      int mine = incarnation;
+      host.schedule(
+          span.plus(pauseTime(host.now(), span)),
           () -> {
-            if (life != mine) {
+            if (incarnation != mine) {
               return;
             }
             running--;
-            done++;
-            worked += millis;
-            BoxFault spoil = active(BoxFault.Kind.SPOIL);
+            partsDone++;
+            workDoneMs += millis;
+            BoxFault spoil = activeFault(BoxFault.Kind.SPOIL);
             boolean spoilt =
                 spoil != null
-                    && SeededDraw.draw(world.seed(), "spoil " + part.text, part.folio, number)
-                        < spoil.size();
+                    && SeededDraw.draw(
+                            scenario.seed(), "spoil " + part.query, part.partition, number)
+                        < spoil.magnitude();
             host.answer(part, spoilt ? "spoilt" : "done");
-            next();
+            startQueued();
           });
     }
   }
 
   /** How long the box stands still between now and then, and whatever that adds. */
-  private Duration pauses(Duration from, Duration span) {
-    if (world.pauseEvery().high() <= 0 || world.pause().high() <= 0) {
+  private Duration pauseTime(Duration from, Duration span) {
+    if (scenario.pauseIntervalMs().high() <= 0 || scenario.pauseMs().high() <= 0) {
       return Duration.ZERO;
     }
     double every =
-        Math.max(100, world.pauseEvery().at(SeededDraw.draw(world.seed(), "every", number)));
+        Math.max(
+            100,
+            scenario
+                .pauseIntervalMs()
+                .interpolate(SeededDraw.draw(scenario.seed(), "every", number)));
     double length =
-        Math.min(every / 2, world.pause().at(SeededDraw.draw(world.seed(), "pause", number)));
-    double offset = SeededDraw.draw(world.seed(), "offset", number) * every;
+        Math.min(
+            every / 2,
+            scenario.pauseMs().interpolate(SeededDraw.draw(scenario.seed(), "pause", number)));
+    double offset = SeededDraw.draw(scenario.seed(), "offset", number) * every;
     double at = from.toNanos() / 1e6;
     double left = span.toNanos() / 1e6;
     double added = 0;
@@ -259,10 +271,10 @@
   }
 
   /** The trouble of a kind that is on at this box now, or null. */
-  public BoxFault active(BoxFault.Kind kind) {
+  public BoxFault activeFault(BoxFault.Kind kind) {
     Duration now = host.now();
-    for (BoxFault trouble : troubles) {
-      if (trouble.kind() == kind && trouble.active(now)) {
+    for (BoxFault trouble : faults) {
+      if (trouble.kind() == kind && trouble.isActive(now)) {
         return trouble;
       }
     }
--- a/emulator/src/main/java/gingerring/emulator/core/Scenario.java
+++ b/emulator/src/main/java/gingerring/emulator/core/Scenario.java
@@ -18,33 +18,33 @@
 public record Scenario(
     long seed,
     int boxes,
-    int folios,
-    int copies,
+    int partitions,
+    int replicas,
     int cores,
     double slowShare,
-    int queueMost,
-    double coldFrom,
+    int maxQueue,
+    double coldCapacityShare,
     Duration warmUp,
-    double tipMultiple,
-    Duration tipAfter,
+    double overloadMultiple,
+    Duration overloadDuration,
     Duration drainGrace,
-    Duration listLag,
+    Duration discoveryLag,
     Duration handshake,
-    Duration idle,
-    int linesMost,
-    Range pause,
-    Range pauseEvery,
-    double badParts,
+    Duration idleTimeout,
+    int maxConnections,
+    Range pauseMs,
+    Range pauseIntervalMs,
+    double failingPartShare,
     Duration length,
-    double rate,
+    double requestsPerSecond,
     int clients,
-    int retries,
-    int trips,
-    List<ServiceClass> grades,
-    List<BoxFault> troubles) {
+    int maxRetries,
+    int maxTrips,
+    List<ServiceClass> serviceClasses,
+    List<BoxFault> faults) {
   /** A range that is drawn from evenly. */
   public record Range(double low, double high) {
-    double at(double share) {
+    double interpolate(double share) {
       return low + (high - low) * share;
     }
   }
@@ -62,20 +62,21 @@
    */
   public record ServiceClass(
       String name,
-      double share,
-      Duration quoted,
-      Duration patience,
-      RetrySafety repeats,
-      Duration window,
-      double floor,
-      double folios,
-      Range work,
-      double earnings,
-      double late,
+      double trafficShare,
+      Duration latencyTarget,
+      Duration deadline,
+      RetrySafety retrySafety,
+      Duration idempotencyWindow,
+      double minCoverage,
+      double partitionShare,
+      Range workMs,
+      double value,
+      double lateValueShare,
       boolean skewed) {}
 
   /** What goes wrong with so many boxes; {@code size} is a share or a factor, by kind. */
-  public record BoxFault(Kind kind, Duration at, Duration span, int boxes, double size) {
+  public record BoxFault(
+      Kind kind, Duration start, Duration duration, int boxCount, double magnitude) {
     /** What goes wrong. */
     public enum Kind {
       /** The process dies and comes back cold. */
@@ -98,8 +99,8 @@
       BREAK
     }
 
-    public boolean active(Duration now) {
-      return now.compareTo(at) >= 0 && now.compareTo(at.plus(span)) < 0;
+    public boolean isActive(Duration now) {
+      return now.compareTo(start) >= 0 && now.compareTo(start.plus(duration)) < 0;
     }
   }
 
@@ -130,7 +131,7 @@
   }
 
   /** The usual one, with nothing set. */
-  public static Scenario usual() {
+  public static Scenario defaults() {
     try {
       return read("{}".getBytes());
     } catch (InvalidScenario e) {
@@ -351,23 +352,26 @@
   /** Which boxes hold a folio: the one at which it begins on the ring, and those after. */
   public List<Integer> holders(int folio) {
     List<Integer> holders = new ArrayList<>();
-    for (int i = 0; i < copies; i++) {
+    for (int i = 0; i < replicas; i++) {
       holders.add((folio + i) % boxes);
     }
     return holders;
   }
 
   /** Which boxes a trouble strikes; the same whatever the pace. */
-  public Set<Integer> struck(BoxFault trouble) {
+  public Set<Integer> affectedBoxes(BoxFault trouble) {
     Set<Integer> struck = new TreeSet<>();
-    int number = troubles.indexOf(trouble);
-    for (long i = 0; struck.size() < Math.min(boxes, trouble.boxes); i++) {
+    int number = faults.indexOf(trouble);
+    for (long i = 0; struck.size() < Math.min(boxes, trouble.boxCount); i++) {
       struck.add((int) (SeededDraw.draw(seed, "struck", number, i) * boxes));
     }
     return struck;
   }
 
-  public ServiceClass grade(String name) {
-    return grades.stream().filter(grade -> grade.name.equals(name)).findFirst().orElse(null);
+  public ServiceClass serviceClass(String name) {
+    return serviceClasses.stream()
+        .filter(grade -> grade.name.equals(name))
+        .findFirst()
+        .orElse(null);
   }
 }
--- a/emulator/src/main/java/gingerring/emulator/core/Workload.java
+++ b/emulator/src/main/java/gingerring/emulator/core/Workload.java
@@ -13,19 +13,19 @@
   /** A wish of a client; its tries share text and key. */
   public record ClientRequest(
       int number,
-      Duration at,
-      ServiceClass grade,
+      Duration sendAt,
+      ServiceClass serviceClass,
       Map<Integer, Double> shares,
       String key,
-      String text) {
+      String query) {
     /** The body of its request, with a rough guess at each part's work. */
     public byte[] body(Scenario world) {
       StringBuilder json = new StringBuilder("{\"targets\":[");
       String between = "";
       for (Map.Entry<Integer, Double> share : shares.entrySet()) {
         double guess =
-            grade.work().at(0.5)
-                * (0.7 + 0.6 * SeededDraw.draw(world.seed(), text, share.getKey(), 7));
+            serviceClass.workMs().interpolate(0.5)
+                * (0.7 + 0.6 * SeededDraw.draw(world.seed(), query, share.getKey(), 7));
         json.append(between)
             .append("{\"partition\":")
             .append(share.getKey())
@@ -36,31 +36,31 @@
             .append('}');
         between = ",";
       }
-      return json.append("],\"query\":\"").append(text).append("\"}").toString().getBytes();
+      return json.append("],\"query\":\"").append(query).append("\"}").toString().getBytes();
     }
   }
 
   private Workload() {}
 
   /** All wishes of a run, in the order of their times: a Poisson stream. */
-  public static List<ClientRequest> of(Scenario world) {
+  public static List<ClientRequest> generate(Scenario world) {
     SplittableRandom random = new SplittableRandom(world.seed());
     List<ClientRequest> wishes = new ArrayList<>();
-    double total = world.grades().stream().mapToDouble(ServiceClass::share).sum();
+    double total = world.serviceClasses().stream().mapToDouble(ServiceClass::trafficShare).sum();
     double at = 0;
     while (true) {
-      at += -Math.log(1 - random.nextDouble()) / world.rate();
+      at += -Math.log(1 - random.nextDouble()) / world.requestsPerSecond();
       if (at > world.length().toNanos() / 1e9) {
         return wishes;
       }
       double pick = random.nextDouble() * total;
-      ServiceClass grade = world.grades().get(world.grades().size() - 1);
-      for (ServiceClass each : world.grades()) {
-        if (pick < each.share()) {
+      ServiceClass grade = world.serviceClasses().get(world.serviceClasses().size() - 1);
+      for (ServiceClass each : world.serviceClasses()) {
+        if (pick < each.trafficShare()) {
           grade = each;
           break;
         }
-        pick -= each.share();
+        pick -= each.trafficShare();
       }
       int number = wishes.size();
       String text =
@@ -81,8 +81,8 @@
 
   private static Map<Integer, Double> shares(
       Scenario world, ServiceClass grade, SplittableRandom random) {
-    int count = Math.max(1, (int) Math.round(grade.folios() * world.folios()));
-    int first = random.nextInt(world.folios());
+    int count = Math.max(1, (int) Math.round(grade.partitionShare() * world.partitions()));
+    int first = random.nextInt(world.partitions());
     double[] weights = new double[count];
     double sum = 0;
     for (int i = 0; i < count; i++) {
@@ -95,7 +95,7 @@
     for (int i = 0; i < count; i++) {
       double share = i == count - 1 ? left : Math.round(weights[i] / sum * 1e6) / 1e6;
       left -= share;
-      shares.put((first + i) % world.folios(), Math.round(Math.max(share, 1e-6) * 1e6) / 1e6);
+      shares.put((first + i) % world.partitions(), Math.round(Math.max(share, 1e-6) * 1e6) / 1e6);
     }
     return shares;
   }
--- a/emulator/src/main/java/gingerring/emulator/experiment/Run.java
+++ b/emulator/src/main/java/gingerring/emulator/experiment/ExperimentRun.java
@@ -1,6 +1,6 @@
 package gingerring.emulator.experiment;
 
-import gingerring.emulator.core.Referee;
+import gingerring.emulator.core.RuleChecker;
 import gingerring.emulator.core.Scenario;
 import gingerring.emulator.core.Workload;
 import gingerring.traffic.wire.Reactor;
@@ -14,7 +14,7 @@
 import java.util.concurrent.atomic.AtomicReference;
 
 /** One run: a world's store, a router before it, its clients; and what came of it. */
-public final class Run {
+public final class ExperimentRun {
   /** Which router stands before the store. */
   public enum Router {
     MIXER,
@@ -28,29 +28,29 @@
    */
   public record Result(
       Router router,
-      Tally tally,
-      Referee referee,
-      Map<Integer, double[]> load,
-      Duration took,
-      double mixerCpu,
+      ClientStatistics statistics,
+      RuleChecker ruleChecker,
+      Map<Integer, double[]> loadByBox,
+      Duration duration,
+      double mixerCpuSeconds,
       int exitCode,
-      int failures) {}
+      int reactorFailures) {}
 
-  private static final Duration SETTLE = Duration.ofMillis(300);
-  private static final Duration SPARE = Duration.ofSeconds(60);
+  private static final Duration START_DELAY = Duration.ofMillis(300);
+  private static final Duration END_TIMEOUT = Duration.ofSeconds(60);
 
-  private Run() {}
+  private ExperimentRun() {}
 
   /**
    * Runs until every wish has had its end; {@code record} names a capture file for the mixer, or is
    * null.
    */
-  public static Result of(Scenario world, Router router, double pace, Path record)
+  public static Result run(Scenario world, Router router, double pace, Path record)
       throws IOException {
     Reactor reactor = new Reactor();
-    Referee referee = new Referee(world);
-    Store store = new Store(world, reactor, referee, pace);
-    Tally tally = new Tally();
+    RuleChecker referee = new RuleChecker(world);
+    EmulatedStore store = new EmulatedStore(world, reactor, referee, pace);
+    ClientStatistics tally = new ClientStatistics();
     Thread thread = new Thread(reactor::run, "emulator");
     thread.setDaemon(true);
     MixerProcess mixer = null;
@@ -58,10 +58,10 @@
       InetSocketAddress address;
       if (router == Router.MIXER) {
         thread.start();
-        mixer = MixerProcess.start(world, store.discovery(), store.list(), record);
+        mixer = MixerProcess.start(world, store.discoveryAddress(), store.memberList(), record);
         address = mixer.address();
       } else {
-        address = new RandomRouter(world, reactor, store.list()).address();
+        address = new RandomRouter(world, reactor, store.memberList()).address();
         thread.start();
       }
       double cpuBefore = mixer == null ? Double.NaN : mixer.cpuSeconds();
@@ -69,12 +69,12 @@
       AtomicReference<Duration> took = new AtomicReference<>(Duration.ZERO);
       reactor.post(
           () -> {
-            Duration start = reactor.now().plus(SETTLE);
+            Duration start = reactor.now().plus(START_DELAY);
             reactor.after(
-                SETTLE,
+                START_DELAY,
                 () -> {
-                  store.begin();
-                  new Clients(
+                  store.start();
+                  new EmulatedClients(
                           world,
                           reactor,
                           referee,
@@ -85,17 +85,17 @@
                             took.set(reactor.now().minus(start));
                             over.countDown();
                           })
-                      .begin(Workload.of(world));
+                      .start(Workload.generate(world));
                 });
           });
-      long most = (long) (world.length().toMillis() / pace) + SPARE.toMillis();
+      long most = (long) (world.length().toMillis() / pace) + END_TIMEOUT.toMillis();
       if (!over.await(most, TimeUnit.MILLISECONDS)) {
         throw new IOException("the run did not end within " + most + " ms");
       }
       double cpu = mixer == null ? Double.NaN : mixer.cpuSeconds() - cpuBefore;
-      int code = mixer == null ? 0 : mixer.end();
+      int code = mixer == null ? 0 : mixer.stop();
       return new Result(
-          router, tally, referee, store.load(), took.get(), cpu, code, reactor.failures());
+          router, tally, referee, store.loadByBox(), took.get(), cpu, code, reactor.failures());
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
       throw new IOException("interrupted", e);
--- a/emulator/src/main/java/gingerring/emulator/experiment/Charts.java
+++ b/emulator/src/main/java/gingerring/emulator/experiment/LineCharts.java
@@ -12,24 +12,24 @@
 import org.jfree.data.xy.XYSeriesCollection;
 
 /** Lines over seconds, as PNG files. */
-public final class Charts {
+public final class LineCharts {
   private static final int WIDTH = 960;
   private static final int HEIGHT = 420;
 
-  private Charts() {}
+  private LineCharts() {}
 
   /** Each series by second; all are of emulated boxes, which the title says. */
-  public static void lines(
+  public static void write(
       Path file, String title, String what, Map<String, Map<Integer, Double>> series)
       throws IOException {
-    lines(file, title + " (emulated boxes)", "second", what, series);
+    write(file, title + " (emulated boxes)", "second", what, series);
   }
 
   /**
    * Each series by whatever the points are counted by; the title has to say what the figures are
    * of.
    */
-  public static void lines(
+  public static void write(
       Path file, String title, String by, String what, Map<String, Map<Integer, Double>> series)
       throws IOException {
     System.setProperty("java.awt.headless", "true");
@@ -48,11 +48,11 @@
   }
 
   /** Service by second of a run. */
-  public static Map<Integer, Double> service(Run.Result result) {
+  public static Map<Integer, Double> serviceLevelBySecond(ExperimentRun.Result result) {
     Map<Integer, Double> points = new TreeMap<>();
     result
-        .tally()
-        .seconds
+        .statistics()
+        .valueBySecond
         .forEach((second, its) -> points.put(second, its[0] == 0 ? 1 : its[1] / its[0]));
     return points;
   }
--- a/emulator/src/main/java/gingerring/emulator/experiment/MixerProcess.java
+++ b/emulator/src/main/java/gingerring/emulator/experiment/MixerProcess.java
@@ -26,45 +26,45 @@
   /**
    * Which of a fleet a mixer is; {@code peers} is the file of its peers, or null where it has none.
    */
-  public record Member(
-      String name, int number, int fleet, List<String> zones, int zone, Path peers) {
-    static final Member ALONE = new Member("emulated", 0, 1, List.of("a"), 0, null);
+  public record FleetMember(
+      String name, int number, int fleetSize, List<String> zones, int zone, Path peersFile) {
+    static final FleetMember STANDALONE = new FleetMember("emulated", 0, 1, List.of("a"), 0, null);
   }
 
-  private static final Pattern LISTENS = Pattern.compile("listens at [^ ]*:([0-9]+),");
-  private static final long START_MS = 20_000;
-  private static final long END_MS = 5_000;
-  private static final List<String> FLAGS =
+  private static final Pattern LISTENING_LINE = Pattern.compile("listens at [^ ]*:([0-9]+),");
+  private static final long START_TIMEOUT_MS = 20_000;
+  private static final long STOP_TIMEOUT_MS = 5_000;
+  private static final List<String> JVM_FLAGS =
       List.of(
           "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-XX:-UsePerfData", "-Xms24m", "-Xss512k");
 
   /**
    * The deployment's heap, in MB, and what a client's two connections may take on top of it, in KB.
    */
-  private static final int HEAP_MB = 64;
+  private static final int BASE_HEAP_MB = 64;
 
-  private static final int CLIENT_KB = 48;
+  private static final int HEAP_KB_PER_CLIENT = 48;
 
   private final Process process;
-  private final BlockingQueue<String> lines = new LinkedBlockingQueue<>(10_000);
-  private final List<String> last = new ArrayList<>();
-  private final Path config;
-  private UnaryOperator<String> edit = UnaryOperator.identity();
+  private final BlockingQueue<String> unreadLines = new LinkedBlockingQueue<>(10_000);
+  private final List<String> readLines = new ArrayList<>();
+  private final Path configFile;
+  private UnaryOperator<String> configEdit = UnaryOperator.identity();
   private InetSocketAddress address;
 
   private MixerProcess(Process process, Path config) {
     this.process = process;
-    this.config = config;
+    this.configFile = config;
     Thread reader =
         new Thread(
             () -> {
               try (BufferedReader out =
                   new BufferedReader(new InputStreamReader(process.getInputStream()))) {
                 for (String line = out.readLine(); line != null; line = out.readLine()) {
-                  lines.offer(line);
+                  unreadLines.offer(line);
                 }
               } catch (IOException e) {
-                lines.offer("the mixer's output ended: " + e.getMessage());
+                unreadLines.offer("the mixer's output ended: " + e.getMessage());
               }
             },
             "mixer-log");
@@ -78,12 +78,12 @@
    */
   public static MixerProcess start(
       Scenario world, InetSocketAddress discovery, String known, Path record) throws IOException {
-    return start(world, discovery, known, record, Member.ALONE);
+    return start(world, discovery, known, record, FleetMember.STANDALONE);
   }
 
   /** Starts one of a fleet. */
   public static MixerProcess start(
-      Scenario world, InetSocketAddress discovery, String known, Path record, Member member)
+      Scenario world, InetSocketAddress discovery, String known, Path record, FleetMember member)
       throws IOException {
     return start(world, discovery, known, record, member, UnaryOperator.identity());
   }
@@ -92,7 +92,7 @@
   public static MixerProcess startEdited(
       Scenario world, InetSocketAddress discovery, String known, UnaryOperator<String> edit)
       throws IOException {
-    return start(world, discovery, known, null, Member.ALONE, edit);
+    return start(world, discovery, known, null, FleetMember.STANDALONE, edit);
   }
 
   private static MixerProcess start(
@@ -100,7 +100,7 @@
       InetSocketAddress discovery,
       String known,
       Path record,
-      Member member,
+      FleetMember member,
       UnaryOperator<String> edit)
       throws IOException {
     Path config = Files.createTempFile("gingerring-mixer", ".json");
@@ -108,12 +108,13 @@
     List<String> command =
         new ArrayList<>(
             List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString()));
-    command.addAll(FLAGS);
-    command.add("-Xmx" + (HEAP_MB + (int) ((long) world.clients() * CLIENT_KB >> 10)) + "m");
+    command.addAll(JVM_FLAGS);
+    command.add(
+        "-Xmx" + (BASE_HEAP_MB + (int) ((long) world.clients() * HEAP_KB_PER_CLIENT >> 10)) + "m");
     command.addAll(List.of("-cp", System.getProperty("java.class.path")));
     command.addAll(
-        member.peers() != null
-            ? List.of("gingerring.peering.Main", "serve", "--peers", member.peers().toString())
+        member.peersFile() != null
+            ? List.of("gingerring.peering.Main", "serve", "--peers", member.peersFile().toString())
             : record == null
                 ? List.of("gingerring.Main", "serve")
                 : List.of("gingerring.cli.Gingerring", "serve", "--record", record.toString()));
@@ -121,7 +122,7 @@
     builder.environment().remove("GINGERRING_LOG"); // its lines are read here as plain ones
     builder.environment().put("LB_CONFIG", config.toString());
     MixerProcess mixer = new MixerProcess(builder.start(), config);
-    mixer.edit = edit;
+    mixer.configEdit = edit;
     try {
       mixer.awaitStart();
       return mixer;
@@ -132,15 +133,15 @@
   }
 
   private void awaitStart() throws IOException {
-    long until = System.currentTimeMillis() + START_MS;
+    long until = System.currentTimeMillis() + START_TIMEOUT_MS;
     try {
       while (System.currentTimeMillis() < until) {
-        String line = lines.poll(100, TimeUnit.MILLISECONDS);
+        String line = unreadLines.poll(100, TimeUnit.MILLISECONDS);
         if (line != null) {
-          last.add(line);
-          Matcher listens = LISTENS.matcher(line);
+          readLines.add(line);
+          Matcher listens = LISTENING_LINE.matcher(line);
           if (listens.find()) {
-            address = Store.loopback(Integer.parseInt(listens.group(1)));
+            address = EmulatedStore.loopback(Integer.parseInt(listens.group(1)));
             return;
           }
         } else if (!process.isAlive()) {
@@ -150,7 +151,7 @@
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
-    throw new IOException("the mixer did not start: " + String.join(" | ", last));
+    throw new IOException("the mixer did not start: " + String.join(" | ", readLines));
   }
 
   public InetSocketAddress address() {
@@ -162,7 +163,7 @@
   }
 
   /** Whether it still runs. */
-  public boolean alive() {
+  public boolean isAlive() {
     return process.isAlive();
   }
 
@@ -171,7 +172,7 @@
     try {
       new ProcessBuilder("kill", "-" + name, String.valueOf(process.pid()))
           .start()
-          .waitFor(END_MS, TimeUnit.MILLISECONDS);
+          .waitFor(STOP_TIMEOUT_MS, TimeUnit.MILLISECONDS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
@@ -181,7 +182,8 @@
    * Has it read its configuration again (SIGHUP), which differs from before in where discovery is.
    */
   public void reload(Scenario world, InetSocketAddress discovery, String known) throws IOException {
-    Files.writeString(config, edit.apply(config(world, discovery, known, Member.ALONE)));
+    Files.writeString(
+        configFile, configEdit.apply(config(world, discovery, known, FleetMember.STANDALONE)));
     signal("HUP");
   }
 
@@ -198,19 +200,19 @@
   }
 
   /** Waits for a line that matches and returns its first group; null where none comes in time. */
-  public String await(Pattern pattern, long ms) {
+  public String awaitLine(Pattern pattern, long ms) {
     long until = System.currentTimeMillis() + ms;
     try {
-      for (String line : last) {
+      for (String line : readLines) {
         Matcher matcher = pattern.matcher(line);
         if (matcher.find()) {
           return matcher.group(1);
         }
       }
       while (System.currentTimeMillis() < until) {
-        String line = lines.poll(50, TimeUnit.MILLISECONDS);
+        String line = unreadLines.poll(50, TimeUnit.MILLISECONDS);
         if (line != null) {
-          last.add(line);
+          readLines.add(line);
           Matcher matcher = pattern.matcher(line);
           if (matcher.find()) {
             return matcher.group(1);
@@ -234,18 +236,18 @@
   }
 
   /** What it has logged and was not read yet. */
-  public List<String> log() {
+  public List<String> drainLog() {
     List<String> log = new ArrayList<>();
-    lines.drainTo(log);
+    unreadLines.drainTo(log);
     return log;
   }
 
   /** Ends it by the usual signal, and for good where it does not go; returns its exit code. */
-  public int end() {
+  public int stop() {
     process.destroy();
     try {
-      if (!process.waitFor(END_MS + 5000, TimeUnit.MILLISECONDS)) {
-        process.destroyForcibly().waitFor(END_MS, TimeUnit.MILLISECONDS);
+      if (!process.waitFor(STOP_TIMEOUT_MS + 5000, TimeUnit.MILLISECONDS)) {
+        process.destroyForcibly().waitFor(STOP_TIMEOUT_MS, TimeUnit.MILLISECONDS);
       }
       return process.isAlive() ? -1 : process.exitValue();
     } catch (InterruptedException e) {
@@ -258,16 +260,19 @@
   public void close() {
     process.destroyForcibly();
     try {
-      Files.deleteIfExists(config);
+      Files.deleteIfExists(configFile);
     } catch (IOException e) {
-      config.toFile().deleteOnExit();
+      configFile.toFile().deleteOnExit();
     }
   }
 
   /** The configuration of a mixer before this world's store, in the deployment's form. */
-  static String config(Scenario world, InetSocketAddress discovery, String known, Member member) {
+  static String config(
+      Scenario world, InetSocketAddress discovery, String known, FleetMember member) {
     String grades =
-        world.grades().stream().map(MixerProcess::grade).collect(Collectors.joining(",\n      "));
+        world.serviceClasses().stream()
+            .map(MixerProcess::serviceClassJson)
+            .collect(Collectors.joining(",\n      "));
     return String.format(
         Locale.ROOT,
         """
@@ -292,33 +297,33 @@
         world.seed(),
         known,
         grades,
-        list(world, grade -> "0"),
-        list(world, grade -> String.valueOf(grade.floor())),
-        list(world, grade -> "0.95"),
-        list(world, grade -> "1.0"),
+        joinClasses(world, grade -> "0"),
+        joinClasses(world, grade -> String.valueOf(grade.minCoverage())),
+        joinClasses(world, grade -> "0.95"),
+        joinClasses(world, grade -> "1.0"),
         world.boxes(),
-        world.copies(),
-        world.folios(),
-        member.fleet(),
+        world.replicas(),
+        world.partitions(),
+        member.fleetSize(),
         member.number(),
-        millis(world.idle()),
-        world.trips(),
-        world.coldFrom(),
+        millis(world.idleTimeout()),
+        world.maxTrips(),
+        world.coldCapacityShare(),
         millis(world.drainGrace()),
-        millis(world.tipAfter()),
-        world.tipMultiple(),
+        millis(world.overloadDuration()),
+        world.overloadMultiple(),
         millis(world.warmUp()),
         member.zone(),
         String.join("\", \"", member.zones()));
   }
 
-  private static String list(Scenario world, Function<ServiceClass, String> value) {
-    return world.grades().stream().map(value).collect(Collectors.joining(", "));
+  private static String joinClasses(Scenario world, Function<ServiceClass, String> value) {
+    return world.serviceClasses().stream().map(value).collect(Collectors.joining(", "));
   }
 
-  private static String grade(ServiceClass grade) {
+  private static String serviceClassJson(ServiceClass grade) {
     String repeats =
-        switch (grade.repeats()) {
+        switch (grade.retrySafety()) {
           case IDEMPOTENT -> "idempotent";
           case KEYED -> "deduplicated";
           case AT_MOST_ONCE -> "at_most_once";
@@ -328,12 +333,12 @@
         "{\"Name\": \"%s\", \"AimMs\": %f, \"HardLimitMs\": %f, "
             + "\"Idempotency\": \"%s\", \"LateWorth\": %f, \"WindowMs\": %f, \"Worth\": %f}",
         grade.name(),
-        millis(grade.quoted()),
-        millis(grade.patience()),
+        millis(grade.latencyTarget()),
+        millis(grade.deadline()),
         repeats,
-        grade.late(),
-        millis(grade.window()),
-        grade.earnings());
+        grade.lateValueShare(),
+        millis(grade.idempotencyWindow()),
+        grade.value());
   }
 
   private static double millis(Duration span) {
--- a/emulator/src/main/java/gingerring/emulator/experiment/RandomRouter.java
+++ b/emulator/src/main/java/gingerring/emulator/experiment/RandomRouter.java
@@ -31,31 +31,31 @@
  * the referee shows that.
  */
 final class RandomRouter {
-  private final Scenario world;
+  private final Scenario scenario;
   private final Reactor reactor;
   private final SplittableRandom random;
-  private final Map<Integer, InetSocketAddress> boxes = new HashMap<>();
-  private final Map<Integer, Box> lines = new HashMap<>();
+  private final Map<Integer, InetSocketAddress> boxAddresses = new HashMap<>();
+  private final Map<Integer, BoxConnection> connections = new HashMap<>();
   private final Map<String, Scan> scans = new HashMap<>();
   private final Reactor.Listening listening;
 
   /** {@code list}: the store's list, in discovery's form. */
   RandomRouter(Scenario world, Reactor reactor, String list) throws IOException {
-    this.world = world;
+    this.scenario = world;
     this.reactor = reactor;
     random = new SplittableRandom(world.seed() + 2);
     try {
       for (Object each : JsonFields.list(JsonFields.object(Json.parse(list), "list"), "members")) {
         Map<String, Object> member = JsonFields.object(each, "member");
         String address = JsonFields.string(member, "host_port");
-        boxes.put(
+        boxAddresses.put(
             (int) JsonFields.nonNegativeInteger(member, "cell"),
-            Store.loopback(Integer.parseInt(address.substring(address.indexOf(':') + 1))));
+            EmulatedStore.loopback(Integer.parseInt(address.substring(address.indexOf(':') + 1))));
       }
     } catch (Json.JsonException e) {
       throw new IOException(e);
     }
-    listening = reactor.listen(Store.loopback(0), Asker::new);
+    listening = reactor.listen(EmulatedStore.loopback(0), ClientConnection::new);
   }
 
   InetSocketAddress address() {
@@ -63,38 +63,38 @@
   }
 
   private static final class Scan {
-    final Asker asker;
-    final String mark;
-    final ServiceClass grade;
+    final ClientConnection client;
+    final String id;
+    final ServiceClass serviceClass;
     final Map<Integer, Double> shares = new LinkedHashMap<>();
     final Map<Integer, String> values = new TreeMap<>();
-    int settled;
+    int settledParts;
 
-    Scan(Asker asker, String mark, ServiceClass grade) {
-      this.asker = asker;
-      this.mark = mark;
-      this.grade = grade;
+    Scan(ClientConnection asker, String mark, ServiceClass grade) {
+      this.client = asker;
+      this.id = mark;
+      this.serviceClass = grade;
     }
 
-    double weight() {
+    double coverage() {
       return values.keySet().stream().mapToDouble(shares::get).sum();
     }
   }
 
-  private void settle(Scan scan, boolean last) {
+  private void finishIfSettled(Scan scan, boolean last) {
     boolean whole = scan.values.size() == scan.shares.size();
-    if (!last && scan.settled < scan.shares.size()) {
+    if (!last && scan.settledParts < scan.shares.size()) {
       return;
     }
-    if (scans.remove(scan.mark) == null) {
+    if (scans.remove(scan.id) == null) {
       return;
     }
     boolean partial =
-        scan.grade.repeats() == Scenario.RetrySafety.IDEMPOTENT
+        scan.serviceClass.retrySafety() == Scenario.RetrySafety.IDEMPOTENT
             && !scan.values.isEmpty()
-            && scan.weight() >= scan.grade.floor();
+            && scan.coverage() >= scan.serviceClass.minCoverage();
     if (!whole && !partial) {
-      scan.asker.put(HttpWriter.response(500, false, "", new byte[0]));
+      scan.client.send(HttpWriter.response(500, false, "", new byte[0]));
       return;
     }
     StringBuilder json = new StringBuilder("{\"whole\":" + whole + ",\"results\":[");
@@ -108,56 +108,57 @@
           .append("\"}");
       between = ",";
     }
-    scan.asker.put(
+    scan.client.send(
         HttpWriter.response(
             200, false, "", json.append("]}").toString().getBytes(StandardCharsets.US_ASCII)));
   }
 
   /** A client's connection. */
-  private final class Asker extends HttpHandler {
-    private final ReactorConnection wire;
+  private final class ClientConnection extends HttpHandler {
+    private final ReactorConnection connection;
 
-    Asker(ReactorConnection wire) {
+    ClientConnection(ReactorConnection wire) {
       super(true, 1 << 16);
-      this.wire = wire;
+      this.connection = wire;
     }
 
-    void put(byte[] answer) {
-      wire.put(answer);
+    void send(byte[] answer) {
+      connection.put(answer);
     }
 
     @Override
     protected void malformed(HttpException e) {
-      wire.reset();
+      connection.reset();
     }
 
     @Override
     protected void message(MessageHead head, byte[] json) throws HttpException {
       try {
         Map<String, Object> asked = JsonFields.object(Json.parse(json), "the body");
-        Scan scan = new Scan(this, head.header("X-Txn"), world.grade(head.header("X-Lane")));
+        Scan scan =
+            new Scan(this, head.header("X-Txn"), scenario.serviceClass(head.header("X-Lane")));
         for (Object each : JsonFields.list(asked, "targets")) {
           Map<String, Object> target = JsonFields.object(each, "a target");
           scan.shares.put(
               (int) JsonFields.nonNegativeInteger(target, "partition"),
               JsonFields.number(target, "share"));
         }
-        scans.put(scan.mark, scan);
+        scans.put(scan.id, scan);
         String key = head.header("Idempotency-Key");
         for (int folio : scan.shares.keySet()) {
-          List<Integer> holders = world.holders(folio);
-          line(holders.get(random.nextInt(holders.size())))
+          List<Integer> holders = scenario.holders(folio);
+          connection(holders.get(random.nextInt(holders.size())))
               .send(scan, folio, key, JsonFields.string(asked, "query"));
         }
         reactor.after(
-            scan.grade.quoted(),
+            scan.serviceClass.latencyTarget(),
             () -> {
-              if (scan.weight() >= scan.grade.floor()) {
-                settle(scan, true);
+              if (scan.coverage() >= scan.serviceClass.minCoverage()) {
+                finishIfSettled(scan, true);
               }
             });
-        Duration end = scan.grade.patience().minusMillis(20);
-        reactor.after(end, () -> settle(scan, true));
+        Duration end = scan.serviceClass.deadline().minusMillis(20);
+        reactor.after(end, () -> finishIfSettled(scan, true));
       } catch (Json.JsonException e) {
         throw new HttpException(400, e.getMessage());
       }
@@ -165,47 +166,47 @@
 
     @Override
     public void closed() {
-      scans.values().removeIf(scan -> scan.asker == this);
+      scans.values().removeIf(scan -> scan.client == this);
     }
   }
 
-  private Box line(int number) {
-    Box box = lines.get(number);
-    if (box == null || box.wire.closed()) {
-      box = new Box(number);
-      lines.put(number, box);
+  private BoxConnection connection(int number) {
+    BoxConnection box = connections.get(number);
+    if (box == null || box.connection.closed()) {
+      box = new BoxConnection(number);
+      connections.put(number, box);
     }
     return box;
   }
 
   /** A connection to a box. */
-  private final class Box implements ReactorConnection.Handler {
-    private final ReactorConnection wire;
-    private final Map<String, Integer> out = new LinkedHashMap<>();
-    private final ByteArrayOutputStream kept = new ByteArrayOutputStream();
+  private final class BoxConnection implements ReactorConnection.Handler {
+    private final ReactorConnection connection;
+    private final Map<String, Integer> partsInFlight = new LinkedHashMap<>();
+    private final ByteArrayOutputStream received = new ByteArrayOutputStream();
 
-    Box(int number) {
-      wire = reactor.dial(boxes.get(number), this);
+    BoxConnection(int number) {
+      connection = reactor.dial(boxAddresses.get(number), this);
     }
 
     void send(Scan scan, int folio, String key, String text) {
-      out.put(scan.mark + '.' + folio, folio);
+      partsInFlight.put(scan.id + '.' + folio, folio);
       String line =
           "S"
-              + scan.mark
+              + scan.id
               + '.'
               + folio
               + ' '
               + folio
               + " d="
-              + scan.grade.patience().toMillis()
+              + scan.serviceClass.deadline().toMillis()
               + (key == null ? "" : ",k=" + key)
               + ' '
               + text.length()
               + '\n'
               + text;
       byte[] bytes = line.getBytes(StandardCharsets.US_ASCII);
-      wire.put(
+      connection.put(
           ByteBuffer.allocate(4 + bytes.length)
               .order(ByteOrder.LITTLE_ENDIAN)
               .putInt(bytes.length)
@@ -215,8 +216,8 @@
 
     @Override
     public void bytes(byte[] bytes, int length) {
-      kept.write(bytes, 0, length);
-      ByteBuffer all = ByteBuffer.wrap(kept.toByteArray()).order(ByteOrder.LITTLE_ENDIAN);
+      received.write(bytes, 0, length);
+      ByteBuffer all = ByteBuffer.wrap(received.toByteArray()).order(ByteOrder.LITTLE_ENDIAN);
       while (all.remaining() >= 4 && all.remaining() >= 4 + all.getInt(all.position())) {
         byte[] frame = new byte[all.getInt()];
         all.get(frame);
@@ -224,29 +225,29 @@
         int end = text.indexOf('\n');
         if (frame[0] == 'R' && end > 0) {
           String[] words = text.substring(1, end).split(" ");
-          returned(words[0], words[1].equals("done") ? text.substring(end + 1) : null);
+          partEnded(words[0], words[1].equals("done") ? text.substring(end + 1) : null);
         }
       }
-      kept.reset();
-      kept.write(all.array(), all.position(), all.remaining());
+      received.reset();
+      received.write(all.array(), all.position(), all.remaining());
     }
 
-    private void returned(String id, String value) {
-      Integer folio = out.remove(id);
+    private void partEnded(String id, String value) {
+      Integer folio = partsInFlight.remove(id);
       Scan scan = scans.get(id.substring(0, id.lastIndexOf('.')));
       if (folio != null && scan != null) {
-        scan.settled++;
+        scan.settledParts++;
         if (value != null) {
           scan.values.put(folio, value);
         }
-        settle(scan, false);
+        finishIfSettled(scan, false);
       }
     }
 
     @Override
     public void closed() {
-      for (String id : List.copyOf(out.keySet())) {
-        returned(id, null);
+      for (String id : List.copyOf(partsInFlight.keySet())) {
+        partEnded(id, null);
       }
     }
   }
--- a/emulator/src/main/java/gingerring/emulator/experiment/Passage.java
+++ b/emulator/src/main/java/gingerring/emulator/experiment/SendTimes.java
@@ -8,14 +8,14 @@
  * What a link knows of the bytes that it carries to a box: whose they are, and when they left the
  * sender. A link that holds bytes back delivers them late, and that is not the sender's doing.
  */
-public final class Passage {
-  private record Piece(long end, Duration at) {}
+public final class SendTimes {
+  private record Segment(long endOffset, Duration sentAt) {}
 
   private final int mixer;
-  private final Deque<Piece> pieces = new ArrayDeque<>();
-  private long taken;
+  private final Deque<Segment> segments = new ArrayDeque<>();
+  private long totalBytes;
 
-  public Passage(int mixer) {
+  public SendTimes(int mixer) {
     this.mixer = mixer;
   }
 
@@ -24,19 +24,19 @@
   }
 
   /** The sender has handed over so many bytes more. */
-  public void took(int length, Duration at) {
-    taken += length;
-    pieces.add(new Piece(taken, at));
+  public void recordSent(int length, Duration at) {
+    totalBytes += length;
+    segments.add(new Segment(totalBytes, at));
   }
 
   /**
    * When the sender had handed over so many bytes; asked in order, as what lies before is
    * forgotten.
    */
-  Duration sent(long bytes) {
-    while (pieces.size() > 1 && pieces.peek().end < bytes) {
-      pieces.poll();
+  Duration sentAt(long bytes) {
+    while (segments.size() > 1 && segments.peek().endOffset < bytes) {
+      segments.poll();
     }
-    return pieces.peek().at;
+    return segments.peek().sentAt;
   }
 }
--- a/emulator/src/main/java/gingerring/emulator/harness/Fleet.java
+++ b/emulator/src/main/java/gingerring/emulator/harness/Fleet.java
@@ -1,13 +1,13 @@
 package gingerring.emulator.harness;
 
-import gingerring.emulator.core.Referee;
+import gingerring.emulator.core.RuleChecker;
 import gingerring.emulator.core.Scenario;
 import gingerring.emulator.core.SeededDraw;
 import gingerring.emulator.core.Workload;
-import gingerring.emulator.experiment.Clients;
+import gingerring.emulator.experiment.ClientStatistics;
+import gingerring.emulator.experiment.EmulatedClients;
+import gingerring.emulator.experiment.EmulatedStore;
 import gingerring.emulator.experiment.MixerProcess;
-import gingerring.emulator.experiment.Store;
-import gingerring.emulator.experiment.Tally;
 import gingerring.emulator.harness.FleetScenario.Fault;
 import gingerring.peering.PeerQueryClient;
 import gingerring.peers.PeerAddress;
@@ -55,8 +55,8 @@
 
   /** What came of a run. */
   public static final class Result {
-    public Tally tally;
-    public Referee referee;
+    public ClientStatistics tally;
+    public RuleChecker referee;
 
     /** Mixers that ended by themselves, or with another code than 0 when told to end. */
     public final List<String> crashes = Collections.synchronizedList(new ArrayList<>());
@@ -86,7 +86,7 @@
 
     /** A rule that was broken is that whatever else is missing. */
     public Verdict verdict() {
-      return referee.fouls() > 0 || !crashes.isEmpty()
+      return referee.violationCount() > 0 || !crashes.isEmpty()
           ? Verdict.BROKEN
           : errors.isEmpty() ? Verdict.KEPT : Verdict.UNDECIDED;
     }
@@ -119,9 +119,9 @@
   private final FleetScenario plan;
   private final Scenario world;
   private final Reactor reactor = new Reactor();
-  private final Referee referee;
-  private final Store store;
-  private final List<Store.View> views = new ArrayList<>();
+  private final RuleChecker referee;
+  private final EmulatedStore store;
+  private final List<EmulatedStore.MixerView> views = new ArrayList<>();
   private final Map<Integer, Map<Integer, Relay>> relays = new HashMap<>();
 
   /** By mixer and box. */
@@ -148,9 +148,9 @@
   private final SplittableRandom chance;
   private final ExecutorService hands = Executors.newCachedThreadPool(Fleet::thread);
   private final ExecutorService signals = Executors.newSingleThreadExecutor(Fleet::thread);
-  private final Tally tally = new Tally();
+  private final ClientStatistics tally = new ClientStatistics();
   private final Result result = new Result();
-  private Clients clients;
+  private EmulatedClients clients;
   private Duration zero = Duration.ZERO;
 
   private static Thread thread(Runnable task) {
@@ -164,8 +164,8 @@
     world = plan.world();
     chance = new SplittableRandom(world.seed());
     up = new CountDownLatch(plan.mixers());
-    referee = new Referee(world);
-    store = new Store(world, reactor, referee, 1, plan.zones());
+    referee = new RuleChecker(world);
+    store = new EmulatedStore(world, reactor, referee, 1, plan.zones());
     folder = Files.createTempDirectory("gingerring-fleet");
     faults = new Relay.Faults[plan.mixers()][world.boxes()];
     int all = plan.mixers() + plan.liars();
@@ -187,12 +187,13 @@
       for (int box = 0; box < world.boxes(); box++) {
         faults[i][box] = new Relay.Faults();
       }
-      Store.View view =
-          store.view(
+      EmulatedStore.MixerView view =
+          store.addView(
               i,
               (box, port) ->
-                  mine.computeIfAbsent(port, p -> relay(mixer, box, Store.loopback(p))).port());
-      view.whenClosed(
+                  mine.computeIfAbsent(port, p -> relay(mixer, box, EmulatedStore.loopback(p)))
+                      .port());
+      view.onPortClosed(
           port -> {
             if (mine.containsKey(port)) {
               mine.get(port).close();
@@ -205,7 +206,7 @@
   private Relay relay(int mixer, int box, InetSocketAddress target) {
     try {
       return new Relay(
-          reactor, target, faults[mixer][box], chance::nextDouble, mixer, store::passes);
+          reactor, target, faults[mixer][box], chance::nextDouble, mixer, store::registerSendTimes);
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
@@ -250,12 +251,13 @@
               SETTLE,
               () -> {
                 zero = reactor.now();
-                store.begin();
+                store.start();
                 plan.faults().forEach(this::schedule);
                 beat();
                 clients =
-                    new Clients(world, reactor, referee, new Front(), 1, tally, over::countDown);
-                clients.begin(Workload.of(world));
+                    new EmulatedClients(
+                        world, reactor, referee, new Front(), 1, tally, over::countDown);
+                clients.start(Workload.generate(world));
               });
         });
     long most = SETTLE.plus(world.length()).plus(plan.spare()).toMillis();
@@ -271,7 +273,7 @@
   }
 
   private void beat() {
-    referee.beat(reactor.now());
+    referee.heartbeat(reactor.now());
     reactor.after(BEAT, this::beat);
   }
 
@@ -287,7 +289,7 @@
 
   /** Whom a run that does not end waits for. */
   private List<String> waits() {
-    List<String> waits = new ArrayList<>(clients.waitsFor());
+    List<String> waits = new ArrayList<>(clients.describePending());
     for (int i = 0; i < plan.mixers(); i++) {
       String state = mixers.get(i).state();
       if (!state.isEmpty()) {
@@ -306,14 +308,15 @@
     }
     int zone = mixer % plan.zones().size();
     CompletableFuture<String> list = new CompletableFuture<>();
-    reactor.post(() -> list.complete(views.get(mixer).list()));
+    reactor.post(() -> list.complete(views.get(mixer).memberList()));
     MixerProcess process =
         MixerProcess.start(
             world,
-            views.get(mixer).discovery(),
+            views.get(mixer).discoveryAddress(),
             list.get(END_MS, TimeUnit.MILLISECONDS),
             null,
-            new MixerProcess.Member("m" + mixer, mixer, plan.mixers(), plan.zones(), zone, file));
+            new MixerProcess.FleetMember(
+                "m" + mixer, mixer, plan.mixers(), plan.zones(), zone, file));
     synchronized (born) {
       born.add(process);
       if (closed) {
@@ -321,10 +324,10 @@
       }
     }
     if (file != null) {
-      String port = process.await(BOUND, END_MS);
+      String port = process.awaitLine(BOUND, END_MS);
       if (port == null) {
         process.kill();
-        throw new IOException("it told no port of its peers: " + process.log());
+        throw new IOException("it told no port of its peers: " + process.drainLog());
       }
       reactor.post(() -> hub.bound(mixer, Integer.parseInt(port)));
     }
@@ -369,7 +372,7 @@
       try {
         Datagrams socket =
             reactor.datagrams(
-                Store.loopback(0),
+                EmulatedStore.loopback(0),
                 (from, letter) ->
                     liar.received(new PeerAddress(0x7F000001, from.getPort()), letter));
         hub.bound(number, socket.address().getPort());
@@ -388,7 +391,7 @@
    * Which mixer a client's connection goes to: its own by a draw, or the next while that is known
    * to be away.
    */
-  private final class Front implements Clients.Way {
+  private final class Front implements EmulatedClients.MixerSelector {
     @Override
     public int mixer(int client) {
       double all = plan.mixers() - 1 + plan.uneven();
@@ -482,7 +485,7 @@
       int mixer = i;
       views
           .get(i)
-          .silent(
+          .setSilent(
               active.stream()
                   .anyMatch(
                       fault ->
@@ -502,7 +505,7 @@
 
   /** Scans that were there when a mixer was made to fail, up to the longest patience back. */
   private void excuse(int mixer, Duration from, Duration to) {
-    referee.excuse(mixer, from, to);
+    referee.addExemption(mixer, from, to);
   }
 
   private void ends(Fault fault) {
@@ -549,12 +552,12 @@
           result.seconds = reactor.now().minus(zero).toNanos() / 1e9;
           int begun = (int) zero.toSeconds();
           store
-              .probes()
+              .probesBySecond()
               .forEach((second, count) -> result.probes.merge(second - begun, count, Integer::sum));
-          result.connections = store.connections();
-          result.listCalls = store.calls();
+          result.connections = store.connectionCounts();
+          result.listCalls = store.discoveryCalls();
           result.letters = hub.counts();
-          store.load().forEach((box, load) -> result.load.put(box, load[0]));
+          store.loadByBox().forEach((box, load) -> result.load.put(box, load[0]));
           result.failures = reactor.failures();
           there.complete(mixers.stream().map(Keep::over).toList());
         });
@@ -569,12 +572,12 @@
     signals.awaitTermination(END_MS, TimeUnit.MILLISECONDS);
     List<CompletableFuture<Integer>> ends = new ArrayList<>();
     for (int i = 0; i < plan.mixers(); i++) {
-      if (left.get(i) != null && left.get(i).alive() && plan.peers()) {
+      if (left.get(i) != null && left.get(i).isAlive() && plan.peers()) {
         there(i);
       }
     }
     for (MixerProcess each : left) {
-      ends.add(each == null ? null : CompletableFuture.supplyAsync(each::end, hands));
+      ends.add(each == null ? null : CompletableFuture.supplyAsync(each::stop, hands));
     }
     for (int i = 0; i < plan.mixers(); i++) {
       if (left.get(i) != null) {
@@ -588,7 +591,7 @@
 
   private void ended(int mixer, MixerProcess process, int code) {
     if (code != 0) {
-      result.crashes.add("m" + mixer + " ended with " + code + ": " + process.log());
+      result.crashes.add("m" + mixer + " ended with " + code + ": " + process.drainLog());
     }
   }
 
--- a/emulator/src/main/java/gingerring/emulator/harness/Hub.java
+++ b/emulator/src/main/java/gingerring/emulator/harness/Hub.java
@@ -1,6 +1,6 @@
 package gingerring.emulator.harness;
 
-import gingerring.emulator.experiment.Store;
+import gingerring.emulator.experiment.EmulatedStore;
 import gingerring.traffic.wire.Datagrams;
 import gingerring.traffic.wire.Reactor;
 import java.io.IOException;
@@ -43,7 +43,8 @@
     for (int i = 0; i < mixers; i++) {
       int to = i;
       places.add(
-          reactor.datagrams(Store.loopback(0), (from, letter) -> came(from.getPort(), to, letter)));
+          reactor.datagrams(
+              EmulatedStore.loopback(0), (from, letter) -> came(from.getPort(), to, letter)));
     }
   }
 
@@ -56,7 +57,7 @@
   void bound(int mixer, int port) {
     byPort.values().removeIf(each -> each == mixer);
     byPort.put(port, mixer);
-    bound.put(mixer, Store.loopback(port));
+    bound.put(mixer, EmulatedStore.loopback(port));
   }
 
   /** Where a mixer's own socket is. */
--- a/emulator/src/main/java/gingerring/emulator/harness/Keep.java
+++ b/emulator/src/main/java/gingerring/emulator/harness/Keep.java
@@ -138,7 +138,7 @@
     release(leaving);
     hands.execute(
         () -> {
-          int code = leaving.end();
+          int code = leaving.stop();
           reactor.post(
               () -> {
                 leaving = null;
@@ -205,6 +205,6 @@
                     ? "not there"
                     : stops > 0
                         ? "stopped by the schedule"
-                        : process.alive() ? "" : "ended by itself";
+                        : process.isAlive() ? "" : "ended by itself";
   }
 }
--- a/emulator/src/main/java/gingerring/emulator/harness/Relay.java
+++ b/emulator/src/main/java/gingerring/emulator/harness/Relay.java
@@ -1,7 +1,7 @@
 package gingerring.emulator.harness;
 
-import gingerring.emulator.experiment.Passage;
-import gingerring.emulator.experiment.Store;
+import gingerring.emulator.experiment.EmulatedStore;
+import gingerring.emulator.experiment.SendTimes;
 import gingerring.traffic.wire.Reactor;
 import gingerring.traffic.wire.ReactorConnection;
 import java.io.IOException;
@@ -60,7 +60,7 @@
   private final Faults faults;
   private final DoubleSupplier draw;
   private final int mixer;
-  private final BiConsumer<ReactorConnection, Passage> passages;
+  private final BiConsumer<ReactorConnection, SendTimes> passages;
   private final Reactor.Listening listening;
   private final Set<Pair> pairs = new LinkedHashSet<>();
 
@@ -71,7 +71,7 @@
       Faults faults,
       DoubleSupplier draw,
       int mixer,
-      BiConsumer<ReactorConnection, Passage> passages)
+      BiConsumer<ReactorConnection, SendTimes> passages)
       throws IOException {
     this.reactor = reactor;
     this.mixer = mixer;
@@ -79,7 +79,7 @@
     this.target = target;
     this.faults = faults;
     this.draw = draw;
-    listening = reactor.listen(Store.loopback(0), Pair::new);
+    listening = reactor.listen(EmulatedStore.loopback(0), Pair::new);
   }
 
   int port() {
@@ -121,7 +121,7 @@
     private final ReactorConnection far;
     private final Flow forth;
     private final Flow back;
-    private final Passage passage = new Passage(mixer);
+    private final SendTimes passage = new SendTimes(mixer);
 
     Pair(ReactorConnection near) {
       this.near = near;
@@ -169,7 +169,7 @@
 
     @Override
     public void bytes(byte[] bytes, int length) {
-      passage.took(length, reactor.now());
+      passage.recordSent(length, reactor.now());
       forth.add(Arrays.copyOf(bytes, length));
     }
 
--- a/emulator/src/main/java/gingerring/emulator/interleaving/Judge.java
+++ b/emulator/src/main/java/gingerring/emulator/interleaving/Judge.java
@@ -1,6 +1,6 @@
 package gingerring.emulator.interleaving;
 
-import gingerring.emulator.core.Referee;
+import gingerring.emulator.core.RuleChecker;
 import gingerring.emulator.core.Scenario;
 import java.time.Duration;
 import java.util.ArrayList;
@@ -9,9 +9,9 @@
 import java.util.Map;
 
 /**
- * Judges one crossing by what its parties' sockets saw: the {@link Referee}'s rules, and what holds
- * when a client goes and when a process ends. Times are the reactor's; each is judged from the
- * moment seen at a party's socket.
+ * Judges one crossing by what its parties' sockets saw: the {@link RuleChecker}'s rules, and what
+ * holds when a client goes and when a process ends. Times are the reactor's; each is judged from
+ * the moment seen at a party's socket.
  */
 final class Judge {
   /** Of a request whose client has gone no attempt, first or further, begins later than this. */
@@ -72,7 +72,7 @@
   }
 
   private final Scenario world;
-  private final Referee referee;
+  private final RuleChecker referee;
   private final Map<String, Request> requests = new HashMap<>();
   private final List<Foul> own = new ArrayList<>();
   private final List<Duration[]> stalls = new ArrayList<>();
@@ -81,18 +81,18 @@
 
   Judge(Scenario world) {
     this.world = world;
-    referee = new Referee(world);
+    referee = new RuleChecker(world);
   }
 
   /**
    * The rig runs: told often. Where it stood still, what it saw late is not held against the mixer.
    */
   void beat(Duration now) {
-    if (beat != null && now.minus(beat).compareTo(Referee.SLACK) > 0) {
+    if (beat != null && now.minus(beat).compareTo(RuleChecker.SLACK) > 0) {
       stalls.add(new Duration[] {beat, now});
     }
     beat = now;
-    referee.beat(now);
+    referee.heartbeat(now);
   }
 
   private Duration stalled(Duration from, Duration to) {
@@ -107,9 +107,9 @@
 
   /** A client has written a request whole to a connection that is open for all that it has seen. */
   void asked(String mark, String grade, Map<Integer, Double> shares, String key, Duration at) {
-    Duration patience = world.grade(grade).patience().plus(LATE);
+    Duration patience = world.serviceClass(grade).deadline().plus(LATE);
     requests.put(mark, new Request(at, at.plus(patience)));
-    referee.asked(mark, grade, shares, key, at, patience.minus(Referee.SLACK));
+    referee.requestSent(mark, grade, shares, key, at, patience.minus(RuleChecker.SLACK));
   }
 
   /** The mixer had ended that connection before; the request is owed nothing, and not sent on. */
@@ -133,7 +133,7 @@
     if (request != null) {
       request.answered = at;
     }
-    referee.answered(mark, at, nacked, whole, values);
+    referee.requestAnswered(mark, at, nacked, whole, values);
   }
 
   /** The connection never came up, so that the request was not taken. */
@@ -206,20 +206,20 @@
                     + " though it came to a connection that had ended"));
       }
     }
-    referee.part(mark, folio, key, box, at);
+    referee.partReceived(mark, folio, key, box, at);
   }
 
   void returned(String mark, int folio, int box, String end, String value, Duration at) {
-    referee.returned(mark, folio, box, end, value, at);
+    referee.partAnswered(mark, folio, box, end, value, at);
   }
 
   /** The mixer counts as told since then that a box drains or is gone, or (null) that it serves. */
   void told(int box, Duration since) {
-    referee.told(box, since);
+    referee.boxStateNotified(box, since);
   }
 
   void fell(int box, Duration at) {
-    referee.fell(box, at);
+    referee.boxOverloaded(box, at);
   }
 
   void terminated(Duration at) {
@@ -238,7 +238,10 @@
   /** The longest that a process may go on after SIGTERM, the machine's share in it. */
   Duration endsBy() {
     Duration patience =
-        world.grades().stream().map(Scenario.ServiceClass::patience).max(Duration::compareTo).get();
+        world.serviceClasses().stream()
+            .map(Scenario.ServiceClass::deadline)
+            .max(Duration::compareTo)
+            .get();
     return terminated.plus(patience).plus(KILLED).plus(ENDING);
   }
 
@@ -251,7 +254,7 @@
         (mark, request) -> {
           if (owed(request) && now.compareTo(request.until) > 0) {
             request.answered = now;
-            referee.lost(mark, now);
+            referee.answerMissing(mark, now);
           }
         });
     if (terminated != null
@@ -281,12 +284,14 @@
 
   List<Foul> fouls() {
     List<Foul> all = new ArrayList<>(own);
-    referee.shown().forEach(foul -> all.add(new Foul(foul.rule().name(), foul.at(), foul.what())));
+    referee
+        .violations()
+        .forEach(foul -> all.add(new Foul(foul.rule().name(), foul.at(), foul.what())));
     return all;
   }
 
   /** The longest time for which the rig stood still. */
   Duration stall() {
-    return referee.stall();
+    return referee.longestStall();
   }
 }
--- a/emulator/src/main/java/gingerring/emulator/interleaving/Scene.java
+++ b/emulator/src/main/java/gingerring/emulator/interleaving/Scene.java
@@ -207,7 +207,7 @@
             && asker.mark == null
             && asker.opened
             && (asker.asked == null || now().minus(asker.asked).compareTo(WARM_EVERY) > 0)) {
-          asker.ask(world.grades().get(0), 0, world.folios());
+          asker.ask(world.serviceClasses().get(0), 0, world.partitions());
         }
       }
     }
@@ -218,15 +218,16 @@
   void open(Runnable atFrame) {
     playing = true;
     seats.forEach(seat -> seat.mode = Mode.HOLDS);
-    Scenario.ServiceClass grade = world.grades().get(draw.grade(world.grades().size()));
-    String mark = subject.ask(grade, draw.between("folio", 0, world.folios() - 1), 2);
+    Scenario.ServiceClass grade =
+        world.serviceClasses().get(draw.grade(world.serviceClasses().size()));
+    String mark = subject.ask(grade, draw.between("folio", 0, world.partitions() - 1), 2);
     atFirstPart.put(
         mark,
         () -> {
           note("the first frame is at " + target.id);
           atFrame.run();
         });
-    other.ask(world.grades().get(0), 0, world.folios());
+    other.ask(world.serviceClasses().get(0), 0, world.partitions());
     steadily(0);
   }
 
@@ -304,8 +305,10 @@
     for (Asker asker : steady) {
       if (asker.opened && asker.mark == null) {
         Scenario.ServiceClass grade =
-            world.grades().get((int) (draw.chance("steady grade", number) * world.grades().size()));
-        asker.ask(grade, (int) (draw.chance("steady folio", number) * world.folios()), 1);
+            world
+                .serviceClasses()
+                .get((int) (draw.chance("steady grade", number) * world.serviceClasses().size()));
+        asker.ask(grade, (int) (draw.chance("steady folio", number) * world.partitions()), 1);
         break;
       }
     }
@@ -326,8 +329,8 @@
           if (judge != null) {
             judge.beat(now());
             if (mixer != null) {
-              mixer.log().forEach(this::logged);
-              if (!mixer.alive() && !exited) {
+              mixer.drainLog().forEach(this::logged);
+              if (!mixer.isAlive() && !exited) {
                 exited = true;
                 note("the mixer has ended with " + mixer.exitCode());
                 judge.exited(mixer.exitCode(), now());
@@ -477,7 +480,7 @@
         if (rested.wire.closed() || rested.mark != null || rested.orderly) {
           seen.run();
         } else {
-          once(rested.ask(world.grades().get(draw.between("next", 0, 2)), 0, 2), seen);
+          once(rested.ask(world.serviceClasses().get(draw.between("next", 0, 2)), 0, 2), seen);
         }
       }
       case CLIENT_ASKS_GOES -> {
@@ -485,7 +488,9 @@
           seen.run();
         } else {
           rested.ask(
-              world.grades().get(draw.between("next", 0, 2)), draw.between("next folio", 0, 3), 2);
+              world.serviceClasses().get(draw.between("next", 0, 2)),
+              draw.between("next folio", 0, 3),
+              2);
           reactor.after(
               Duration.ofMillis(draw.between("goes", 0, 60)),
               () -> {
@@ -503,10 +508,10 @@
         Runnable[] first = {seen};
         for (int i = 0; i < MANY; i++) {
           Asker asker = new Asker();
-          int folio = i % world.folios();
+          int folio = i % world.partitions();
           asker.atOpen =
               () -> {
-                String mark = asker.ask(world.grades().get(0), folio, 2);
+                String mark = asker.ask(world.serviceClasses().get(0), folio, 2);
                 atFirstPart.put(
                     mark,
                     () -> {
@@ -980,13 +985,13 @@
     }
 
     @Override
-    public void after(Duration span, Runnable task) {
+    public void schedule(Duration span, Runnable task) {
       reactor.after(span, task);
     }
 
     @Override
     public void answer(Box.Part part, String end) {
-      Runnable answers = () -> ((Line) part.link()).answer(part, end);
+      Runnable answers = () -> ((Line) part.connection()).answer(part, end);
       if (mode == Mode.ANSWERS || end.equals("full")) {
         answers.run();
       } else {
@@ -995,12 +1000,12 @@
     }
 
     @Override
-    public boolean runs(Box.Part part) {
+    public boolean beginExecution(Box.Part part) {
       return true;
     }
 
     @Override
-    public void fell(Box which) {
+    public void overloaded(Box which) {
       judge.fell(number, reactor.now());
       note(id + " fell");
     }
@@ -1093,7 +1098,7 @@
       if (due != null) {
         due.run();
       }
-      seat.box.part(new Box.Part(this, partId, folio, key, text));
+      seat.box.receive(new Box.Part(this, partId, folio, key, text));
     }
 
     private String mark(String partId) {
@@ -1101,7 +1106,7 @@
     }
 
     private String report() {
-      return "queue=" + seat.box.queued() + ",inflight=" + seat.box.inHand();
+      return "queue=" + seat.box.queueLength() + ",inflight=" + seat.box.inFlight();
     }
 
     void answer(Box.Part part, String end) {
@@ -1109,9 +1114,10 @@
         return;
       }
       out--;
-      String value = SeededDraw.value(world.seed(), part.text(), part.folio());
+      String value = SeededDraw.value(world.seed(), part.query(), part.partition());
       boolean done = end.equals("done");
-      judge.returned(mark(part.id()), part.folio(), seat.number, end, done ? value : null, now());
+      judge.returned(
+          mark(part.id()), part.partition(), seat.number, end, done ? value : null, now());
       put(
           "R"
               + part.id()
@@ -1192,7 +1198,7 @@
               + "\r\nX-Lane: "
               + grade.name()
               + "\r\nX-Remaining-Ms: "
-              + grade.patience().toMillis()
+              + grade.deadline().toMillis()
               + (key(as, grade) == null ? "" : "\r\nIdempotency-Key: " + key(as, grade))
               + "\r\nContent-Length: "
               + json.length()
@@ -1202,7 +1208,7 @@
     }
 
     private static String key(String as, Scenario.ServiceClass grade) {
-      return grade.repeats() == Scenario.RetrySafety.KEYED
+      return grade.retrySafety() == Scenario.RetrySafety.KEYED
           ? String.format("%032x", SeededDraw.bits(5, as) >>> 1)
           : null;
     }
@@ -1218,7 +1224,7 @@
     /** Asks for so many folios from a first one; returns the request's mark. */
     String ask(Scenario.ServiceClass grade, int first, int count) {
       mark = String.format("%08x%08x", generation, marks++);
-      Map<Integer, Double> shares = shares(first, count, world.folios());
+      Map<Integer, Double> shares = shares(first, count, world.partitions());
       wire.put(request(mark, grade, shares));
       asked = now();
       judge.asked(mark, grade.name(), shares, key(mark, grade), asked);
@@ -1249,7 +1255,7 @@
           ("POST /api HTTP/1.1\r\nHost: mixer\r\nX-Txn: f"
                   + mark
                   + "\r\nX-Lane: "
-                  + world.grades().get(0).name()
+                  + world.serviceClasses().get(0).name()
                   + "\r\nX-Remaining-Ms: 1000\r\nContent-Length: 60000\r\n\r\n")
               .getBytes(StandardCharsets.US_ASCII));
       wire.put(new byte[FLOOD]);
@@ -1267,8 +1273,8 @@
         return false;
       }
       mark = String.format("%08x%08x", generation, marks++);
-      Scenario.ServiceClass grade = world.grades().get(0);
-      Map<Integer, Double> shares = shares(0, 2, world.folios());
+      Scenario.ServiceClass grade = world.serviceClasses().get(0);
+      Map<Integer, Double> shares = shares(0, 2, world.partitions());
       judge.askedAfterEnd(mark, grade.name(), shares, null, now());
       wire.put(request(mark, grade, shares));
       note("asked " + mark + " after that");
@@ -1311,7 +1317,10 @@
         wire.close();
       } else if (terminatedAt != null && steady.contains(this) && !left) {
         // until the connection ends, so that its end crosses a request
-        ask(world.grades().get(marks % world.grades().size()), marks % world.folios(), 1);
+        ask(
+            world.serviceClasses().get(marks % world.serviceClasses().size()),
+            marks % world.partitions(),
+            1);
       }
     }
 
--- a/emulator/src/main/java/gingerring/emulator/simulation/Portions.java
+++ b/emulator/src/main/java/gingerring/emulator/simulation/CapacitySharingSimulation.java
@@ -13,13 +13,13 @@
  * simulated time. In its course demand shifts, some leave, new ones come, and the box's capacity
  * halves and comes back.
  */
-public final class Portions {
+public final class CapacitySharingSimulation {
   /**
    * {@code delayMs}: the mean age at which a report counts, each between a half and one and a half
    * of it.
    */
   public record Setup(
-      int mixers, double delayMs, double gain, double most, double holdMs, long seed) {}
+      int mixers, double delayMs, double gain, double maxGrowth, double holdMs, long seed) {}
 
   /**
    * {@code errors}: by change (shift, leave, join, halved, back), the largest distance of any mixer
@@ -27,31 +27,31 @@
    * {@code refused}: share refused from 5 s after a change on; {@code swing}: largest less least
    * sum sent then, over the capacity.
    */
-  public record Result(double[] errors, double refused, double swing) {}
+  public record Result(double[] errors, double rejectedShare, double swing) {}
 
-  private record Report(double demand, double answered, double refused) {
+  private record Report(double demand, double answered, double rejected) {
     static final Report NONE = new Report(0, 0, 0);
   }
 
   private static final int STEP_MS = 250;
-  private static final int CHANGE_MS = 15_000;
-  private static final int SETTLE_MS = 5_000;
+  private static final int CHANGE_INTERVAL_MS = 15_000;
+  private static final int SETTLING_MS = 5_000;
   private static final double CAPACITY = 1000;
 
-  private Portions() {}
+  private CapacitySharingSimulation() {}
 
-  public static Result of(Setup setup) {
+  public static Result run(Setup setup) {
     SplittableRandom chance = new SplittableRandom(setup.seed);
     int n = setup.mixers;
     double[] demand = new double[n];
     boolean[] there = new boolean[n];
     CapacityEstimator[] beliefs = new CapacityEstimator[n];
-    Deque<Report>[] reports = deques(n);
+    Deque<Report>[] reports = emptyQueues(n);
     int[] late = new int[n];
     for (int i = 0; i < n; i++) {
       demand[i] = CAPACITY / n * (0.4 + 2 * chance.nextDouble());
       there[i] = i < n - Math.max(1, n / 5); // a fifth comes later
-      beliefs[i] = belief(setup);
+      beliefs[i] = newEstimator(setup);
       late[i] = (int) Math.round(setup.delayMs * (0.5 + chance.nextDouble()) / STEP_MS);
     }
     double[] errors = new double[5];
@@ -61,12 +61,12 @@
     double least = Double.POSITIVE_INFINITY;
     double largest = 0;
     double capacity = CAPACITY;
-    int steps = 6 * CHANGE_MS / STEP_MS;
+    int steps = 6 * CHANGE_INTERVAL_MS / STEP_MS;
     for (int step = 0; step < steps; step++) {
       int at = step * STEP_MS;
-      int change = at / CHANGE_MS - 1;
-      if (at % CHANGE_MS == 0 && change >= 0) {
-        capacity = change(change, demand, there, beliefs, setup, chance, capacity);
+      int change = at / CHANGE_INTERVAL_MS - 1;
+      if (at % CHANGE_INTERVAL_MS == 0 && change >= 0) {
+        capacity = applyChange(change, demand, there, beliefs, setup, chance, capacity);
         least = Double.POSITIVE_INFINITY;
         largest = 0;
       }
@@ -79,10 +79,10 @@
           double refused = 0;
           for (int j = 0; j < n; j++) {
             // its own at once, the others' as late as they are heard
-            Report report = there[j] ? nth(reports[j], j == i ? 0 : late[j]) : Report.NONE;
+            Report report = there[j] ? reportAt(reports[j], j == i ? 0 : late[j]) : Report.NONE;
             heard[j] = j == i ? demand[i] : report.demand;
             answered += report.answered;
-            refused += report.refused;
+            refused += report.rejected;
           }
           beliefs[i].update(answered, refused, Duration.ofMillis(at));
           double[] even = new double[n];
@@ -99,7 +99,7 @@
           reports[i].removeLast();
         }
       }
-      if (change >= 0 && at % CHANGE_MS >= SETTLE_MS) {
+      if (change >= 0 && at % CHANGE_INTERVAL_MS >= SETTLING_MS) {
         double[] wanted = new double[n];
         double[] even = new double[n];
         int count = 0;
@@ -127,11 +127,12 @@
     return new Result(errors, refusedSum / Math.max(1e-9, sentSum), swing);
   }
 
-  private static CapacityEstimator belief(Setup setup) {
-    return new CapacityEstimator(setup.gain, setup.most, Duration.ofMillis((long) setup.holdMs));
+  private static CapacityEstimator newEstimator(Setup setup) {
+    return new CapacityEstimator(
+        setup.gain, setup.maxGrowth, Duration.ofMillis((long) setup.holdMs));
   }
 
-  private static double change(
+  private static double applyChange(
       int which,
       double[] demand,
       boolean[] there,
@@ -158,7 +159,7 @@
         for (int i = 0; i < n; i++) {
           if (!there[i]) {
             there[i] = true;
-            beliefs[i] = belief(setup);
+            beliefs[i] = newEstimator(setup);
           }
         }
       }
@@ -173,13 +174,13 @@
   }
 
   @SuppressWarnings({"unchecked", "rawtypes"}) // no arrays of generic type
-  private static Deque<Report>[] deques(int n) {
+  private static Deque<Report>[] emptyQueues(int n) {
     Deque<Report>[] deques = new Deque[n];
     Arrays.setAll(deques, i -> new ArrayDeque<>());
     return deques;
   }
 
-  private static Report nth(Deque<Report> reports, int back) {
+  private static Report reportAt(Deque<Report> reports, int back) {
     int i = 0;
     for (Report each : reports) {
       if (i++ == back) {
--- a/emulator/src/main/java/gingerring/emulator/simulation/PeerSimulation.java
+++ b/emulator/src/main/java/gingerring/emulator/simulation/PeerSimulation.java
@@ -32,7 +32,12 @@
 public final class PeerSimulation {
   /** What goes wrong; {@code some} are those it befalls, {@code others} the far side of a cut. */
   public record Fault(
-      Kind kind, double atMs, double forMs, Set<Integer> some, Set<Integer> others, double size) {
+      Kind kind,
+      double startMs,
+      double durationMs,
+      Set<Integer> targets,
+      Set<Integer> others,
+      double magnitude) {
     /** What goes wrong. */
     public enum Kind {
       /** Nothing goes between some and others. */
@@ -55,8 +60,8 @@
       BOXES_DEAD
     }
 
-    boolean during(double now) {
-      return now >= atMs && now < atMs + forMs;
+    boolean isActive(double now) {
+      return now >= startMs && now < startMs + durationMs;
     }
   }
 
@@ -69,16 +74,16 @@
       int mixers,
       int zones,
       int boxes,
-      double loss,
-      double twice,
-      double delayMs,
-      double clockMs,
-      double rate,
+      double lossShare,
+      double duplicateShare,
+      double maxDelayMs,
+      double maxClockOffsetMs,
+      double partsPerSecond,
       double seconds,
       long seed,
       List<Fault> faults,
       PeerNode.Rules rules) {
-    public static Setup usual(int mixers, double seconds, long seed, List<Fault> faults) {
+    public static Setup defaults(int mixers, double seconds, long seed, List<Fault> faults) {
       return new Setup(
           mixers, 3, 20, 0.02, 0.005, 20, 50, 5, seconds, seed, faults, PeerNode.Rules.usual());
     }
@@ -87,101 +92,103 @@
   /** What came of it. Times in ms, bytes of letters without datagrams' heads. */
   public static final class Result {
     /** By second: the most and the mean bytes that one mixer sent. */
-    public final List<double[]> bytes = new ArrayList<>();
+    public final List<double[]> bytesBySecond = new ArrayList<>();
 
     /** Living mixers taken for gone by others who could hear them, over the run. */
-    public int wronglyGone;
+    public int falselyGone;
 
     /** For each kill: when the last of the others knew. */
-    public final List<Double> known = new ArrayList<>();
+    public final List<Double> detectionTimesMs = new ArrayList<>();
 
     /** Asks of dead boxes by second, and of boxes alive. */
-    public final Map<Integer, Integer> asks = new TreeMap<>();
+    public final Map<Integer, Integer> deadBoxProbes = new TreeMap<>();
 
     /** For each box that came back: when the first, and when all who had benched it, asked it. */
-    public final List<double[]> found = new ArrayList<>();
+    public final List<double[]> recoveryTimesMs = new ArrayList<>();
 
     /** The largest doubt that an honest mixer had of a box that was alive. */
-    public double doubtOfAlive;
+    public double maxFailureShareOfLiveBox;
 
     /** The largest demand believed over the true one. */
-    public double demand;
+    public double maxDemandRatio;
 
     /** Pairs of living mixers that do not know each other as there, at the end. */
-    public int strangers;
+    public int unknownPairs;
 
-    public final Map<PeerNode.Count, Long> counts = new TreeMap<>();
-    public final Map<Membership.Count, Long> memberCounts = new TreeMap<>();
+    public final Map<PeerNode.Count, Long> peerCounts = new TreeMap<>();
+    public final Map<Membership.Count, Long> membershipCounts = new TreeMap<>();
   }
 
   private static final double TICK_MS = 100;
-  private static final int BUFFER = 64;
-  private static final double BENCH_MS = 2000;
-  private static final long UNIX = 1_700_000_000_000L;
-  private static final byte[] KEY = "a key for play alone".getBytes(StandardCharsets.US_ASCII);
+  private static final int BUFFER_LIMIT = 64;
+  private static final double EJECTION_MS = 2000;
+  private static final long START_UNIX_MS = 1_700_000_000_000L;
+  private static final byte[] SHARED_KEY =
+      "a key for play alone".getBytes(StandardCharsets.US_ASCII);
 
   /** One mixer's process. */
   private final class Node implements PeerNode.Host {
     final int number;
     final int zone;
-    final double clockMs;
-    final double rate;
-    double begun;
-    PeerNode company;
+    final double clockOffsetMs;
+    final double partsPerSecond;
+    double startedAt;
+    PeerNode peerNode;
     boolean alive;
-    final Deque<Runnable> waiting = new ArrayDeque<>();
-    final Deque<byte[]> heard = new ArrayDeque<>();
-    final Map<Long, Integer> failures = new HashMap<>();
-    final Map<Long, Double> benched = new HashMap<>();
-    final Set<Long> asking = new HashSet<>();
-    long sentBefore;
+    final Deque<Runnable> suspendedTasks = new ArrayDeque<>();
+    final Deque<byte[]> recordedMessages = new ArrayDeque<>();
+    final Map<Long, Integer> consecutiveFailures = new HashMap<>();
+    final Map<Long, Double> ejectedUntil = new HashMap<>();
+    final Set<Long> probing = new HashSet<>();
+    long bytesAtLastMeasure;
 
     Node(int number) {
       this.number = number;
       zone = number % Math.max(1, setup.zones);
-      clockMs = (chance.nextDouble() * 2 - 1) * setup.clockMs;
-      rate = setup.rate * (number == 0 ? 10 : 1); // one has ten times what the others have
+      clockOffsetMs = (random.nextDouble() * 2 - 1) * setup.maxClockOffsetMs;
+      partsPerSecond =
+          setup.partsPerSecond * (number == 0 ? 10 : 1); // one has ten times what the others have
     }
 
     void start() {
       alive = true;
-      begun = agenda.now();
-      company =
+      startedAt = scheduler.now();
+      peerNode =
           new PeerNode(
               peer(number),
-              place(number),
-              UNIX + (long) (begun + clockMs),
+              address(number),
+              START_UNIX_MS + (long) (startedAt + clockOffsetMs),
               withZone(setup.rules, zone),
-              MessageAuthenticator.of(List.of(KEY)),
-              chance.split(),
+              MessageAuthenticator.of(List.of(SHARED_KEY)),
+              random.split(),
               this);
       List<Long> boxes = new ArrayList<>();
       for (long box = 0; box < setup.boxes; box++) {
         boxes.add(box);
       }
-      company.listed(boxes);
-      sentBefore = 0;
-      failures.clear();
-      benched.clear();
-      asking.clear();
+      peerNode.listed(boxes);
+      bytesAtLastMeasure = 0;
+      consecutiveFailures.clear();
+      ejectedUntil.clear();
+      probing.clear();
       // the first few places are told to all, as a file would tell them
-      company.begin(List.of(place(0), place(1 % setup.mixers), place(2 % setup.mixers)));
-      PeerNode mine = company;
-      later(chance.nextDouble() * TICK_MS, mine, this::tick);
-      later(1000 * chance.nextDouble() / rate, mine, this::part);
+      peerNode.begin(List.of(address(0), address(1 % setup.mixers), address(2 % setup.mixers)));
+      PeerNode mine = peerNode;
+      runLater(random.nextDouble() * TICK_MS, mine, this::tick);
+      runLater(1000 * random.nextDouble() / partsPerSecond, mine, this::sendPart);
     }
 
     /**
      * Something of this process, later; not if it has ended, and when it goes on if it is stopped.
      */
-    void later(double span, PeerNode mine, Runnable task) {
-      agenda.at(agenda.now() + span, () -> run(mine, task));
+    void runLater(double span, PeerNode mine, Runnable task) {
+      scheduler.schedule(scheduler.now() + span, () -> run(mine, task));
     }
 
     private void run(PeerNode mine, Runnable task) {
-      if (alive && company == mine) {
-        if (active(Fault.Kind.STOP, number)) {
-          waiting.add(task);
+      if (alive && peerNode == mine) {
+        if (isActive(Fault.Kind.STOP, number)) {
+          suspendedTasks.add(task);
         } else {
           task.run();
         }
@@ -189,118 +196,121 @@
     }
 
     void tick() {
-      company.tick();
-      for (Map.Entry<Long, Double> each : List.copyOf(benched.entrySet())) {
+      peerNode.tick();
+      for (Map.Entry<Long, Double> each : List.copyOf(ejectedUntil.entrySet())) {
         long box = each.getKey();
-        if (each.getValue() <= agenda.now() && !asking.contains(box) && company.shouldProbe(box)) {
-          ask(box);
+        if (each.getValue() <= scheduler.now()
+            && !probing.contains(box)
+            && peerNode.shouldProbe(box)) {
+          probe(box);
         }
       }
-      if (active(Fault.Kind.REPEAT, number) && !heard.isEmpty()) {
+      if (isActive(Fault.Kind.REPEAT, number) && !recordedMessages.isEmpty()) {
         for (int i = 0; i < 5; i++) {
-          byte[] again = heard.poll();
-          heard.add(again);
-          send(place(chance.nextInt(setup.mixers)), again);
+          byte[] again = recordedMessages.poll();
+          recordedMessages.add(again);
+          send(address(random.nextInt(setup.mixers)), again);
         }
       }
-      if (active(Fault.Kind.CLAIM, number)) {
+      if (isActive(Fault.Kind.CLAIM, number)) {
         for (long box = 0; box < setup.boxes; box++) {
-          company.probeStarted(box);
-          company.probeEnded(box, true);
+          peerNode.probeStarted(box);
+          peerNode.probeEnded(box, true);
         }
       }
-      later(TICK_MS, company, this::tick);
+      runLater(TICK_MS, peerNode, this::tick);
     }
 
-    private void ask(long box) {
-      asking.add(box);
-      company.probeStarted(box);
-      boolean answers = !dead(box);
+    private void probe(long box) {
+      probing.add(box);
+      peerNode.probeStarted(box);
+      boolean answers = !isDead(box);
       if (!answers) {
-        result.asks.merge((int) (agenda.now() / 1000), 1, Integer::sum);
+        result.deadBoxProbes.merge((int) (scheduler.now() / 1000), 1, Integer::sum);
       } else {
-        for (Return each : returns) {
-          if (each.box == box && agenda.now() >= each.at) {
-            each.first = Math.min(each.first, agenda.now());
-            each.last = Math.max(each.last, agenda.now());
+        for (BoxRecovery each : recoveries) {
+          if (each.box == box && scheduler.now() >= each.recoveredAt) {
+            each.firstProbe = Math.min(each.firstProbe, scheduler.now());
+            each.lastProbe = Math.max(each.lastProbe, scheduler.now());
           }
         }
       }
-      later(
+      runLater(
           answers ? 2 : 250,
-          company,
+          peerNode,
           () -> {
-            asking.remove(box);
-            company.probeEnded(box, answers);
+            probing.remove(box);
+            peerNode.probeEnded(box, answers);
             if (answers) {
-              benched.remove(box);
-              failures.remove(box);
+              ejectedUntil.remove(box);
+              consecutiveFailures.remove(box);
             } else {
-              benched.put(box, agenda.now() + BENCH_MS);
+              ejectedUntil.put(box, scheduler.now() + EJECTION_MS);
             }
           });
     }
 
-    void part() {
-      long box = chance.nextInt(setup.boxes);
-      if (!benched.containsKey(box)) {
-        boolean answered = !dead(box);
-        if (active(Fault.Kind.LIE, number)) {
-          company.attemptEnded(box, false);
-          company.ejected(box);
+    void sendPart() {
+      long box = random.nextInt(setup.boxes);
+      if (!ejectedUntil.containsKey(box)) {
+        boolean answered = !isDead(box);
+        if (isActive(Fault.Kind.LIE, number)) {
+          peerNode.attemptEnded(box, false);
+          peerNode.ejected(box);
         } else if (answered) {
-          company.attemptEnded(box, true);
-          failures.remove(box);
+          peerNode.attemptEnded(box, true);
+          consecutiveFailures.remove(box);
         } else {
-          company.attemptEnded(box, false);
-          if (failures.merge(box, 1, Integer::sum) >= 2) {
-            company.ejected(box);
-            benched.put(box, agenda.now() + BENCH_MS);
+          peerNode.attemptEnded(box, false);
+          if (consecutiveFailures.merge(box, 1, Integer::sum) >= 2) {
+            peerNode.ejected(box);
+            ejectedUntil.put(box, scheduler.now() + EJECTION_MS);
           }
         }
       }
-      if (active(Fault.Kind.GREED, number)) {
+      if (isActive(Fault.Kind.GREED, number)) {
         for (int i = 0; i < 1000; i++) {
-          company.attemptEnded(box, true);
+          peerNode.attemptEnded(box, true);
         }
       }
-      later(-1000 * Math.log(1 - chance.nextDouble()) / rate, company, this::part);
+      runLater(
+          -1000 * Math.log(1 - random.nextDouble()) / partsPerSecond, peerNode, this::sendPart);
     }
 
     @Override
     public Duration now() {
-      return Duration.ofNanos((long) Math.ceil((agenda.now() - begun) * 1e6));
+      return Duration.ofNanos((long) Math.ceil((scheduler.now() - startedAt) * 1e6));
     }
 
     @Override
     public void send(PeerAddress to, byte[] letter) {
       int other = to.port() - 1;
-      if (chance.nextDouble() < setup.loss || cut(number, other)) {
+      if (random.nextDouble() < setup.lossShare || isCut(number, other)) {
         return;
       }
-      for (int copies = chance.nextDouble() < setup.twice ? 2 : 1; copies > 0; copies--) {
-        agenda.at(
-            agenda.now() + 0.1 + chance.nextDouble() * setup.delayMs,
-            () -> nodes.get(other).arrive(number, letter));
+      for (int copies = random.nextDouble() < setup.duplicateShare ? 2 : 1; copies > 0; copies--) {
+        scheduler.schedule(
+            scheduler.now() + 0.1 + random.nextDouble() * setup.maxDelayMs,
+            () -> nodes.get(other).receive(number, letter));
       }
     }
 
-    private void arrive(int from, byte[] letter) {
-      if (alive && (!active(Fault.Kind.STOP, number) || waiting.size() < BUFFER)) {
-        if (active(Fault.Kind.REPEAT, number)
-            || heard.size() < BUFFER && hostile.contains(number)) {
-          heard.add(letter);
-          if (heard.size() > BUFFER) {
-            heard.poll();
+    private void receive(int from, byte[] letter) {
+      if (alive && (!isActive(Fault.Kind.STOP, number) || suspendedTasks.size() < BUFFER_LIMIT)) {
+        if (isActive(Fault.Kind.REPEAT, number)
+            || recordedMessages.size() < BUFFER_LIMIT && hostileMixers.contains(number)) {
+          recordedMessages.add(letter);
+          if (recordedMessages.size() > BUFFER_LIMIT) {
+            recordedMessages.poll();
           }
         }
-        run(company, () -> company.received(place(from), letter));
+        run(peerNode, () -> peerNode.received(address(from), letter));
       }
     }
 
     @Override
     public void boxAnswered(long box) {
-      benched.computeIfPresent(box, (each, until) -> agenda.now());
+      ejectedUntil.computeIfPresent(box, (each, until) -> scheduler.now());
     }
 
     @Override
@@ -310,12 +320,14 @@
       }
       int who = (int) now.peer().number() - 1;
       Node node = nodes.get(who);
-      if (node.alive && now.incarnation() == node.company.membership().incarnation(peer(who))) {
+      if (node.alive && now.incarnation() == node.peerNode.membership().incarnation(peer(who))) {
         return;
       }
-      for (Death death : deaths) {
-        if (death.who == who && agenda.now() >= death.at && agenda.now() < death.at + death.away) {
-          death.known = agenda.now();
+      for (Restart death : restarts) {
+        if (death.mixer == who
+            && scheduler.now() >= death.killedAt
+            && scheduler.now() < death.killedAt + death.downMs) {
+          death.detectedAt = scheduler.now();
           return;
         }
       }
@@ -323,60 +335,60 @@
           setup.faults.stream()
               .anyMatch(
                   fault ->
-                      agenda.now() >= fault.atMs
-                          && agenda.now() < fault.atMs + fault.forMs + 10_000
+                      scheduler.now() >= fault.startMs
+                          && scheduler.now() < fault.startMs + fault.durationMs + 10_000
                           && fault.kind != Fault.Kind.BOXES_DEAD
-                          && (fault.some.contains(who)
-                              || fault.some.contains(number)
+                          && (fault.targets.contains(who)
+                              || fault.targets.contains(number)
                               || fault.others.contains(who)
                               || fault.others.contains(number)));
       if (!excused) {
-        result.wronglyGone++;
+        result.falselyGone++;
       }
     }
   }
 
-  private static final class Death {
-    final int who;
-    final double at;
-    final double away;
-    double known = Double.NaN;
+  private static final class Restart {
+    final int mixer;
+    final double killedAt;
+    final double downMs;
+    double detectedAt = Double.NaN;
 
-    Death(int who, double at, double away) {
-      this.who = who;
-      this.at = at;
-      this.away = away;
+    Restart(int who, double at, double away) {
+      this.mixer = who;
+      this.killedAt = at;
+      this.downMs = away;
     }
   }
 
-  private static final class Return {
+  private static final class BoxRecovery {
     final long box;
-    final double at;
-    double first = Double.POSITIVE_INFINITY;
-    double last = Double.NEGATIVE_INFINITY;
+    final double recoveredAt;
+    double firstProbe = Double.POSITIVE_INFINITY;
+    double lastProbe = Double.NEGATIVE_INFINITY;
 
-    Return(long box, double at) {
+    BoxRecovery(long box, double at) {
       this.box = box;
-      this.at = at;
+      this.recoveredAt = at;
     }
   }
 
   private final Setup setup;
-  private final Agenda agenda = new Agenda();
-  private final SplittableRandom chance;
+  private final EventScheduler scheduler = new EventScheduler();
+  private final SplittableRandom random;
   private final List<Node> nodes = new ArrayList<>();
-  private final List<Death> deaths = new ArrayList<>();
-  private final List<Return> returns = new ArrayList<>();
-  private final Set<Integer> hostile = new HashSet<>();
+  private final List<Restart> restarts = new ArrayList<>();
+  private final List<BoxRecovery> recoveries = new ArrayList<>();
+  private final Set<Integer> hostileMixers = new HashSet<>();
   private final Result result = new Result();
 
   private PeerSimulation(Setup setup) {
     this.setup = setup;
-    chance = new SplittableRandom(setup.seed);
+    random = new SplittableRandom(setup.seed);
   }
 
-  public static Result of(Setup setup) {
-    return new PeerSimulation(setup).play();
+  public static Result run(Setup setup) {
+    return new PeerSimulation(setup).simulate();
   }
 
   /** So many numbers from one on, for a fault. */
@@ -392,7 +404,7 @@
     return new PeerId(number + 1L);
   }
 
-  private static PeerAddress place(int number) {
+  private static PeerAddress address(int number) {
     return new PeerAddress(0x7F000001, number + 1);
   }
 
@@ -411,20 +423,20 @@
         rules.bytesPerSecond());
   }
 
-  private boolean active(Fault.Kind kind, int number) {
+  private boolean isActive(Fault.Kind kind, int number) {
     for (Fault fault : setup.faults) {
-      if (fault.kind == kind && fault.during(agenda.now()) && fault.some.contains(number)) {
+      if (fault.kind == kind && fault.isActive(scheduler.now()) && fault.targets.contains(number)) {
         return true;
       }
     }
     return false;
   }
 
-  private boolean cut(int from, int to) {
+  private boolean isCut(int from, int to) {
     for (Fault fault : setup.faults) {
-      if (fault.during(agenda.now())) {
-        boolean forth = fault.some.contains(from) && fault.others.contains(to);
-        boolean back = fault.some.contains(to) && fault.others.contains(from);
+      if (fault.isActive(scheduler.now())) {
+        boolean forth = fault.targets.contains(from) && fault.others.contains(to);
+        boolean back = fault.targets.contains(to) && fault.others.contains(from);
         if (fault.kind == Fault.Kind.CUT && (forth || back)
             || fault.kind == Fault.Kind.CUT_ONE_WAY && forth) {
           return true;
@@ -434,37 +446,41 @@
     return false;
   }
 
-  private boolean dead(long box) {
-    return active(Fault.Kind.BOXES_DEAD, (int) box);
+  private boolean isDead(long box) {
+    return isActive(Fault.Kind.BOXES_DEAD, (int) box);
   }
 
-  private Result play() {
+  private Result simulate() {
     for (int i = 0; i < setup.mixers; i++) {
       nodes.add(new Node(i));
     }
     for (Fault fault : setup.faults) {
       schedule(fault);
     }
-    nodes.forEach(node -> agenda.at(chance.nextDouble() * 500, node::start));
+    nodes.forEach(node -> scheduler.schedule(random.nextDouble() * 500, node::start));
     for (int second = 1; second <= setup.seconds; second++) {
-      agenda.until(second * 1000.0);
+      scheduler.runUntil(second * 1000.0);
       measure();
     }
-    deaths.forEach(death -> result.known.add(death.known - death.at));
-    returns.forEach(
-        each -> result.found.add(new double[] {each.first - each.at, each.last - each.at}));
+    restarts.forEach(death -> result.detectionTimesMs.add(death.detectedAt - death.killedAt));
+    recoveries.forEach(
+        each ->
+            result.recoveryTimesMs.add(
+                new double[] {
+                  each.firstProbe - each.recoveredAt, each.lastProbe - each.recoveredAt
+                }));
     for (Node one : nodes) {
       for (Node other : nodes) {
         boolean both = one != other && one.alive && other.alive;
-        result.strangers +=
-            both && one.company.membership().incarnation(peer(other.number)) == 0 ? 1 : 0;
+        result.unknownPairs +=
+            both && one.peerNode.membership().incarnation(peer(other.number)) == 0 ? 1 : 0;
       }
       if (one.alive) {
-        one.company
+        one.peerNode
             .counts()
-            .forEach((which, count) -> result.counts.merge(which, count, Long::sum));
+            .forEach((which, count) -> result.peerCounts.merge(which, count, Long::sum));
         for (Membership.Count which : Membership.Count.values()) {
-          result.memberCounts.merge(which, one.company.membership().count(which), Long::sum);
+          result.membershipCounts.merge(which, one.peerNode.membership().count(which), Long::sum);
         }
       }
     }
@@ -474,31 +490,32 @@
   private void schedule(Fault fault) {
     switch (fault.kind) {
       case KILL ->
-          fault.some.forEach(
+          fault.targets.forEach(
               who -> {
-                deaths.add(new Death(who, fault.atMs, fault.forMs));
-                agenda.at(
-                    fault.atMs,
+                restarts.add(new Restart(who, fault.startMs, fault.durationMs));
+                scheduler.schedule(
+                    fault.startMs,
                     () -> {
                       nodes.get(who).alive = false;
-                      nodes.get(who).waiting.clear();
+                      nodes.get(who).suspendedTasks.clear();
                     });
-                agenda.at(fault.atMs + fault.forMs, () -> nodes.get(who).start());
+                scheduler.schedule(fault.startMs + fault.durationMs, () -> nodes.get(who).start());
               });
       case STOP ->
-          fault.some.forEach(
+          fault.targets.forEach(
               who ->
-                  agenda.at(
-                      fault.atMs + fault.forMs,
+                  scheduler.schedule(
+                      fault.startMs + fault.durationMs,
                       () -> {
                         Node node = nodes.get(who);
-                        List<Runnable> due = new ArrayList<>(node.waiting);
-                        node.waiting.clear();
-                        due.forEach(task -> node.run(node.company, task));
+                        List<Runnable> due = new ArrayList<>(node.suspendedTasks);
+                        node.suspendedTasks.clear();
+                        due.forEach(task -> node.run(node.peerNode, task));
                       }));
       case BOXES_DEAD ->
-          fault.some.forEach(box -> returns.add(new Return(box, fault.atMs + fault.forMs)));
-      case LIE, GREED, REPEAT, CLAIM -> hostile.addAll(fault.some);
+          fault.targets.forEach(
+              box -> recoveries.add(new BoxRecovery(box, fault.startMs + fault.durationMs)));
+      case LIE, GREED, REPEAT, CLAIM -> hostileMixers.addAll(fault.targets);
       default -> {}
     }
   }
@@ -510,39 +527,40 @@
     int count = 0;
     for (Node node : nodes) {
       if (node.alive) {
-        double sent = node.company.bytes() - node.sentBefore;
-        node.sentBefore = node.company.bytes();
+        double sent = node.peerNode.bytes() - node.bytesAtLastMeasure;
+        node.bytesAtLastMeasure = node.peerNode.bytes();
         most = Math.max(most, sent);
         sum += sent;
         count++;
-        asked += hostile.contains(node.number) ? 0 : node.rate;
+        asked += hostileMixers.contains(node.number) ? 0 : node.partsPerSecond;
       }
     }
-    result.bytes.add(new double[] {most, sum / Math.max(1, count)});
+    result.bytesBySecond.add(new double[] {most, sum / Math.max(1, count)});
     for (Node node : nodes) {
-      if (node.alive && !hostile.contains(node.number)) {
+      if (node.alive && !hostileMixers.contains(node.number)) {
         for (long box = 0; box < setup.boxes; box++) {
-          double doubt = node.company.failureShare(box);
-          if (aliveFor(box, 15_000)) {
-            result.doubtOfAlive = Math.max(result.doubtOfAlive, doubt);
+          double doubt = node.peerNode.failureShare(box);
+          if (hasBeenAliveFor(box, 15_000)) {
+            result.maxFailureShareOfLiveBox = Math.max(result.maxFailureShareOfLiveBox, doubt);
           }
         }
-        if (agenda.now() > 15_000) {
+        if (scheduler.now() > 15_000) {
           // what is heard is a sample of the fleet: the sum of what it tells, over what those would
           // ask
-          result.demand = Math.max(result.demand, node.company.demand() / Math.max(1, asked));
+          result.maxDemandRatio =
+              Math.max(result.maxDemandRatio, node.peerNode.demand() / Math.max(1, asked));
         }
       }
     }
   }
 
-  private boolean aliveFor(long box, double span) {
+  private boolean hasBeenAliveFor(long box, double span) {
     return setup.faults.stream()
         .noneMatch(
             fault ->
                 fault.kind == Fault.Kind.BOXES_DEAD
-                    && fault.some.contains((int) box)
-                    && agenda.now() >= fault.atMs
-                    && agenda.now() < fault.atMs + fault.forMs + span);
+                    && fault.targets.contains((int) box)
+                    && scheduler.now() >= fault.startMs
+                    && scheduler.now() < fault.startMs + fault.durationMs + span);
   }
 }
--- a/emulator/src/test/java/gingerring/emulator/core/BoxTest.java
+++ b/emulator/src/test/java/gingerring/emulator/core/BoxTest.java
@@ -36,7 +36,7 @@
     }
 
     @Override
-    public void after(Duration span, Runnable task) {
+    public void schedule(Duration span, Runnable task) {
       wakes.add(new Wake(now.plus(span), wakeNumber++, task));
     }
 
@@ -46,12 +46,12 @@
     }
 
     @Override
-    public boolean runs(Box.Part part) {
+    public boolean beginExecution(Box.Part part) {
       return true;
     }
 
     @Override
-    public void fell(Box box) {
+    public void overloaded(Box box) {
       fell.add(box.number);
     }
 
@@ -80,14 +80,14 @@
     Box box = new Box(world, 0, time);
     box.start(false);
     for (int i = 0; i < 6; i++) {
-      box.part(part(i));
+      box.receive(part(i));
     }
     assertEquals(Map.of("p4", "full", "p5", "full"), time.ends);
     box.cancel("p3");
     time.run(Duration.ofSeconds(1));
     assertEquals("done", time.ends.get("p2"));
     assertFalse(time.ends.containsKey("p3"));
-    assertEquals(3, box.done());
+    assertEquals(3, box.partsDone());
   }
 
   @Test
@@ -100,15 +100,15 @@
       Time time = new Time();
       Box box = new Box(world, 0, time);
       box.start(true);
-      assertEquals(0.19, box.warmth(), 1e-9);
+      assertEquals(0.19, box.capacityShare(), 1e-9);
       for (int i = 0; i < perSecond * 3; i++) {
         time.run(Duration.ofMillis(1000L * i / perSecond));
-        box.part(part(i));
+        box.receive(part(i));
       }
       time.run(Duration.ofSeconds(11));
-      assertEquals(perSecond > 100, box.fallen(), perSecond + " a second");
+      assertEquals(perSecond > 100, box.isOverloaded(), perSecond + " a second");
       assertEquals(perSecond > 100 ? List.of(0) : List.of(), time.fell);
-      assertTrue(perSecond > 100 || box.warmth() == 1);
+      assertTrue(perSecond > 100 || box.capacityShare() == 1);
     }
   }
 
@@ -129,7 +129,7 @@
       box.start(false);
       for (int i = 0; i < 200; i++) {
         time.run(Duration.ofMillis((long) i * gap));
-        box.part(part(gap == 1 ? i : 199 - i));
+        box.receive(part(gap == 1 ? i : 199 - i));
       }
       time.run(Duration.ofSeconds(100));
       runs.add(time.ends);
@@ -144,12 +144,12 @@
     Time time = new Time();
     Box box = new Box(world("{\"boxes\": 3}"), 0, time);
     box.start(false);
-    box.part(part(1));
+    box.receive(part(1));
     box.stop();
     box.start(true);
     time.run(Duration.ofSeconds(5));
     assertEquals(Map.of(), time.ends);
-    assertEquals(0, box.inHand());
+    assertEquals(0, box.inFlight());
   }
 
   @Test
@@ -178,9 +178,9 @@
 
   @Test
   void theScriptIsTheSameEveryTimeAndItsWeightsSumToOne() {
-    Scenario world = Scenario.usual();
-    List<Workload.ClientRequest> wishes = Workload.of(world);
-    assertEquals(wishes, Workload.of(world));
+    Scenario world = Scenario.defaults();
+    List<Workload.ClientRequest> wishes = Workload.generate(world);
+    assertEquals(wishes, Workload.generate(world));
     assertTrue(wishes.size() > 120 && wishes.size() < 280, "wishes: " + wishes.size());
     for (Workload.ClientRequest wish : wishes) {
       assertEquals(1, wish.shares().values().stream().mapToDouble(Double::doubleValue).sum(), 1e-3);
--- a/emulator/src/test/java/gingerring/emulator/core/RefereeTest.java
+++ b/emulator/src/test/java/gingerring/emulator/core/RuleCheckerTest.java
@@ -2,22 +2,22 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import gingerring.emulator.core.Referee.Rule;
+import gingerring.emulator.core.RuleChecker.Rule;
 import java.time.Duration;
 import java.util.Map;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
 /** The referee sees each rule broken, and nothing in a run that keeps them. */
-class RefereeTest {
+class RuleCheckerTest {
   private static final Map<Integer, Double> SHARES = Map.of(0, 0.5, 1, 0.3, 2, 0.2);
 
-  private Referee referee;
+  private RuleChecker referee;
 
   @BeforeEach
   void world() throws Exception {
     referee =
-        new Referee(
+        new RuleChecker(
             Scenario.read(
                 """
         {"boxes": 4, "copies": 2, "trips": 2, "grades": [
@@ -32,64 +32,64 @@
   }
 
   private void ask(String mark, String grade) {
-    referee.asked(mark, grade, SHARES, "key", ms(0), ms(2000));
+    referee.requestSent(mark, grade, SHARES, "key", ms(0), ms(2000));
   }
 
   /** A part goes to the box at which its folio begins, and is done there. */
   private void done(String mark, int folio) {
-    referee.part(mark, folio, "key", folio, ms(10));
-    referee.returned(mark, folio, folio, "done", "v" + folio, ms(12));
+    referee.partReceived(mark, folio, "key", folio, ms(10));
+    referee.partAnswered(mark, folio, folio, "done", "v" + folio, ms(12));
   }
 
   private void only(Rule rule) {
-    assertEquals(Map.of(rule, 1), referee.counts());
+    assertEquals(Map.of(rule, 1), referee.countsByRule());
   }
 
   @Test
   void aRunThatKeepsTheRulesIsNotBlamed() {
     for (String grade : new String[] {"search", "post", "once"}) {
       ask(grade, grade);
-      referee.part(grade, 0, "key", 0, ms(5));
-      referee.returned(grade, 0, 0, "full", null, ms(6)); // it never ran: free to go again
-      referee.part(grade, 0, "key", 1, ms(6));
-      referee.returned(grade, 0, 1, "done", "v0", ms(8));
+      referee.partReceived(grade, 0, "key", 0, ms(5));
+      referee.partAnswered(grade, 0, 0, "full", null, ms(6)); // it never ran: free to go again
+      referee.partReceived(grade, 0, "key", 1, ms(6));
+      referee.partAnswered(grade, 0, 1, "done", "v0", ms(8));
       done(grade, 1);
       done(grade, 2);
-      referee.answered(grade, ms(20), false, true, Map.of(0, "v0", 1, "v1", 2, "v2"));
+      referee.requestAnswered(grade, ms(20), false, true, Map.of(0, "v0", 1, "v1", 2, "v2"));
     }
     ask("part", "search");
     done("part", 0);
-    referee.answered("part", ms(20), false, false, Map.of(0, "v0"));
+    referee.requestAnswered("part", ms(20), false, false, Map.of(0, "v0"));
     ask("refused", "once");
-    referee.answered("refused", ms(20), true, false, null);
+    referee.requestAnswered("refused", ms(20), true, false, null);
     ask("gone", "search");
-    referee.left("gone", ms(100));
-    referee.answered("gone", ms(120), false, false, null);
-    referee.told(3, ms(0));
+    referee.clientLeft("gone", ms(100));
+    referee.requestAnswered("gone", ms(120), false, false, null);
+    referee.boxStateNotified(3, ms(0));
     ask("drains", "search");
-    referee.part("drains", 2, "key", 3, ms(1000)); // within the grace
-    referee.told(3, null);
-    assertEquals(Map.of(), referee.counts());
+    referee.partReceived("drains", 2, "key", 3, ms(1000)); // within the grace
+    referee.boxStateNotified(3, null);
+    assertEquals(Map.of(), referee.countsByRule());
   }
 
   @Test
   void aScanWithoutAnAnswer() {
     ask("a", "search");
-    referee.lost("a", ms(2050));
+    referee.answerMissing("a", ms(2050));
     only(Rule.SCAN_LOST);
   }
 
   @Test
   void aScanAnsweredTwice() {
     ask("a", "search");
-    referee.answered("a", ms(20), true, false, null);
-    referee.answered("a", ms(30), true, false, null);
+    referee.requestAnswered("a", ms(20), true, false, null);
+    referee.requestAnswered("a", ms(30), true, false, null);
     only(Rule.SCAN_LOST);
   }
 
   @Test
   void anAnswerThatNobodyAskedFor() {
-    referee.answered("a", ms(20), true, false, null);
+    referee.requestAnswered("a", ms(20), true, false, null);
     only(Rule.SCAN_LOST);
   }
 
@@ -97,14 +97,15 @@
   @Test
   void aPartThatWasHeldOnItsWay() {
     ask("a", "once");
-    referee.told(0, 1, ms(100));
-    referee.part(0, "a", 1, "key", 1, ms(10), ms(5000));
-    referee.answered("a", ms(20), false, false, null);
-    referee.part(0, "a", 0, "key", 0, ms(15), ms(6000));
-    assertEquals(Map.of(), referee.counts());
-    referee.part(0, "a", 0, "key", 1, ms(12), ms(7000)); // sent before the one that has come
+    referee.boxStateNotified(0, 1, ms(100));
+    referee.partReceived(0, "a", 1, "key", 1, ms(10), ms(5000));
+    referee.requestAnswered("a", ms(20), false, false, null);
+    referee.partReceived(0, "a", 0, "key", 0, ms(15), ms(6000));
+    assertEquals(Map.of(), referee.countsByRule());
+    referee.partReceived(
+        0, "a", 0, "key", 1, ms(12), ms(7000)); // sent before the one that has come
     only(Rule.EFFECT_TWICE);
-    assertEquals(3, referee.held());
+    assertEquals(3, referee.delayedCount());
   }
 
   /**
@@ -114,73 +115,73 @@
   @Test
   void aJudgeThatStoodStillBlamesNobody() {
     ask("a", "search");
-    referee.beat(ms(1900));
-    referee.answered("a", ms(2100), true, false, null);
-    assertEquals(Map.of(), referee.counts());
-    referee.beat(ms(2110));
-    referee.asked("b", "search", SHARES, "key", ms(2120), ms(100));
+    referee.heartbeat(ms(1900));
+    referee.requestAnswered("a", ms(2100), true, false, null);
+    assertEquals(Map.of(), referee.countsByRule());
+    referee.heartbeat(ms(2110));
+    referee.requestSent("b", "search", SHARES, "key", ms(2120), ms(100));
     for (int at = 2120; at < 2300; at += 10) {
-      referee.beat(ms(at));
+      referee.heartbeat(ms(at));
     }
-    referee.answered("b", ms(2300), true, false, null);
+    referee.requestAnswered("b", ms(2300), true, false, null);
     only(Rule.SCAN_LOST);
-    assertEquals(ms(200), referee.stall());
+    assertEquals(ms(200), referee.longestStall());
   }
 
   @Test
   void aScanAnsweredTooLate() {
     ask("a", "search");
-    referee.answered("a", ms(2051), true, false, null);
+    referee.requestAnswered("a", ms(2051), true, false, null);
     only(Rule.SCAN_LOST);
   }
 
   @Test
   void aPartSentAfterTheAnswer() {
     ask("a", "search");
-    referee.answered("a", ms(20), true, false, null);
-    referee.part("a", 0, "key", 0, ms(71));
+    referee.requestAnswered("a", ms(20), true, false, null);
+    referee.partReceived("a", 0, "key", 0, ms(71));
     only(Rule.SCAN_LOST);
   }
 
   @Test
   void anAtMostOncePartSentAgainThatMayHaveRun() {
     ask("a", "once");
-    referee.part("a", 0, "key", 0, ms(5));
-    referee.part("a", 0, "key", 1, ms(500));
+    referee.partReceived("a", 0, "key", 0, ms(5));
+    referee.partReceived("a", 0, "key", 1, ms(500));
     only(Rule.EFFECT_TWICE);
   }
 
   @Test
   void anAtMostOnceScanNackedThatMayHaveRun() {
     ask("a", "once");
-    referee.part("a", 0, "key", 0, ms(5));
-    referee.returned("a", 0, 0, "failed", null, ms(6));
-    referee.answered("a", ms(20), true, false, null);
+    referee.partReceived("a", 0, "key", 0, ms(5));
+    referee.partAnswered("a", 0, 0, "failed", null, ms(6));
+    referee.requestAnswered("a", ms(20), true, false, null);
     only(Rule.EFFECT_TWICE);
   }
 
   @Test
   void aNumberedPartSentAgainAfterItsMarkWasForgotten() {
     ask("a", "post");
-    referee.part("a", 0, "key", 0, ms(5));
-    referee.part("a", 0, "key", 1, ms(1056));
+    referee.partReceived("a", 0, "key", 0, ms(5));
+    referee.partReceived("a", 0, "key", 1, ms(1056));
     only(Rule.EFFECT_TWICE);
   }
 
   private void beats(int from, int to) {
     for (int at = from; at <= to; at += 5) {
-      referee.beat(ms(at));
+      referee.heartbeat(ms(at));
     }
   }
 
   /** Its first part is read at 5 ms; its window, the slack in it, ends at 1055 ms. */
   private void numbered() {
     ask("a", "post");
-    referee.part("a", 0, "key", 0, ms(5));
+    referee.partReceived("a", 0, "key", 0, ms(5));
   }
 
   private void numberedAgain(int at) {
-    referee.part("a", 0, "key", 1, ms(at));
+    referee.partReceived("a", 0, "key", 1, ms(at));
   }
 
   @Test
@@ -188,8 +189,8 @@
     numbered();
     beats(5, 900);
     numberedAgain(1300);
-    assertEquals(Map.of(), referee.counts());
-    assertEquals(1, referee.excused());
+    assertEquals(Map.of(), referee.countsByRule());
+    assertEquals(1, referee.exempted());
   }
 
   /** Seen by another's part first, and read a turn later. */
@@ -199,7 +200,7 @@
     beats(5, 900);
     beats(1300, 1310);
     numberedAgain(1310);
-    assertEquals(Map.of(), referee.counts());
+    assertEquals(Map.of(), referee.countsByRule());
   }
 
   @Test
@@ -209,7 +210,7 @@
     beats(1300, 1310);
     numberedAgain(1311);
     only(Rule.EFFECT_TWICE);
-    assertEquals(0, referee.excused());
+    assertEquals(0, referee.exempted());
   }
 
   @Test
@@ -217,11 +218,11 @@
     numbered();
     beats(5, 1055);
     numberedAgain(1300);
-    assertEquals(Map.of(), referee.counts());
-    referee.asked("b", "post", SHARES, "key", ms(1300), ms(2000));
-    referee.part("b", 0, "key", 0, ms(1300));
+    assertEquals(Map.of(), referee.countsByRule());
+    referee.requestSent("b", "post", SHARES, "key", ms(1300), ms(2000));
+    referee.partReceived("b", 0, "key", 0, ms(1300));
     beats(1305, 2355); // 2350 ms are allowed
-    referee.part("b", 0, "key", 1, ms(2600));
+    referee.partReceived("b", 0, "key", 1, ms(2600));
     only(Rule.EFFECT_TWICE);
   }
 
@@ -233,37 +234,37 @@
   void aNumberedPartReadAfterTwoStalls() {
     numbered();
     beats(5, 900);
-    referee.beat(ms(1100));
+    referee.heartbeat(ms(1100));
     numberedAgain(1300);
-    assertEquals(Map.of(), referee.counts());
-    referee.asked("b", "post", SHARES, "key", ms(1300), ms(2000));
-    referee.part("b", 0, "key", 0, ms(1300));
+    assertEquals(Map.of(), referee.countsByRule());
+    referee.requestSent("b", "post", SHARES, "key", ms(1300), ms(2000));
+    referee.partReceived("b", 0, "key", 0, ms(1300));
     beats(1305, 2200);
     beats(2400, 2405);
-    referee.part("b", 0, "key", 1, ms(2600));
+    referee.partReceived("b", 0, "key", 1, ms(2600));
     only(Rule.EFFECT_TWICE);
   }
 
   @Test
   void anAtMostOncePartSentAgainWhileTheRigStoodStill() {
     ask("a", "once");
-    referee.part("a", 0, "key", 0, ms(5));
+    referee.partReceived("a", 0, "key", 0, ms(5));
     beats(5, 900);
-    referee.part("a", 0, "key", 1, ms(1300));
+    referee.partReceived("a", 0, "key", 1, ms(1300));
     only(Rule.EFFECT_TWICE);
   }
 
   @Test
   void aPartSentToADrainedBox() {
-    referee.told(0, ms(0));
+    referee.boxStateNotified(0, ms(0));
     ask("a", "search");
-    referee.part("a", 0, "key", 0, ms(1051));
+    referee.partReceived("a", 0, "key", 0, ms(1051));
     only(Rule.DRAIN);
   }
 
   @Test
   void aColdBoxPushedOver() {
-    referee.fell(1, ms(7));
+    referee.boxOverloaded(1, ms(7));
     only(Rule.COLD_BOX);
   }
 
@@ -271,7 +272,7 @@
   void anAnswerUnderTheFloor() {
     ask("a", "search");
     done("a", 1);
-    referee.answered("a", ms(20), false, false, Map.of(1, "v1"));
+    referee.requestAnswered("a", ms(20), false, false, Map.of(1, "v1"));
     only(Rule.HONEST_ANSWER);
   }
 
@@ -280,7 +281,7 @@
     ask("a", "search");
     done("a", 0);
     done("a", 1);
-    referee.answered("a", ms(20), false, true, Map.of(0, "v0", 1, "v1"));
+    referee.requestAnswered("a", ms(20), false, true, Map.of(0, "v0", 1, "v1"));
     only(Rule.HONEST_ANSWER);
   }
 
@@ -288,8 +289,8 @@
   void aValueThatNoBoxGave() {
     ask("a", "search");
     done("a", 0);
-    referee.part("a", 1, "key", 1, ms(10)); // out, and not back
-    referee.answered("a", ms(20), false, false, Map.of(0, "v0", 1, "v1"));
+    referee.partReceived("a", 1, "key", 1, ms(10)); // out, and not back
+    referee.requestAnswered("a", ms(20), false, false, Map.of(0, "v0", 1, "v1"));
     only(Rule.HONEST_ANSWER);
   }
 
@@ -297,7 +298,7 @@
   void aTripTooMany() {
     ask("a", "search");
     for (int i = 0; i < 3; i++) {
-      referee.part("a", 0, "key", i % 2, ms(5 + i));
+      referee.partReceived("a", 0, "key", i % 2, ms(5 + i));
     }
     only(Rule.TRIPS);
   }
@@ -305,11 +306,11 @@
   @Test
   void aPartThatNobodyAskedForOrThatItsBoxDoesNotHold() {
     ask("a", "search");
-    referee.part("a", 3, "key", 3, ms(5));
+    referee.partReceived("a", 3, "key", 3, ms(5));
     only(Rule.STRANGE_PART);
-    referee.part("a", 0, "key", 3, ms(5));
+    referee.partReceived("a", 0, "key", 3, ms(5));
     ask("b", "post");
-    referee.part("b", 0, "another", 0, ms(5));
-    assertEquals(Map.of(Rule.STRANGE_PART, 3), referee.counts());
+    referee.partReceived("b", 0, "another", 0, ms(5));
+    assertEquals(Map.of(Rule.STRANGE_PART, 3), referee.countsByRule());
   }
 }
--- a/emulator/src/test/java/gingerring/emulator/experiment/ClientsTest.java
+++ b/emulator/src/test/java/gingerring/emulator/experiment/EmulatedClientsTest.java
@@ -6,28 +6,28 @@
 import gingerring.emulator.core.Scenario;
 import org.junit.jupiter.api.Test;
 
-class ClientsTest {
+class EmulatedClientsTest {
   /**
    * All connections that may be were idle, other clients' own, and who waited for one waited for
    * good.
    */
   @Test
   void aClientThatWaitsGetsAnothersIdleConnection() throws Exception {
-    Run.Result result =
-        Run.of(
+    ExperimentRun.Result result =
+        ExperimentRun.run(
             Scenario.read(
                 """
         {"boxes": 4, "clients": 32, "rate": 200, "lengthMs": 1000, "retries": 0, "pauseMs": [0, 0],
          "queueMost": 1000, "grades": [{"name": "search", "folios": 0.25, "workMs": [100, 120],
           "quotedMs": 30000, "patienceMs": 30000}]}"""
                     .getBytes()),
-            Run.Router.RANDOM,
+            ExperimentRun.Router.RANDOM,
             1,
             null);
-    assertTrue(result.tally().waited > 0, "some have to wait");
+    assertTrue(result.statistics().waitedForConnection > 0, "some have to wait");
     assertEquals(
-        result.tally().asked,
-        result.tally().grades.get("search").wishes.values().stream()
+        result.statistics().attempts,
+        result.statistics().byClass.get("search").requestOutcomes.values().stream()
             .mapToLong(Long::longValue)
             .sum(),
         "each wish has its end");
--- a/emulator/src/test/java/gingerring/emulator/harness/FleetRigTest.java
+++ b/emulator/src/test/java/gingerring/emulator/harness/FleetRigTest.java
@@ -39,8 +39,8 @@
   private static void sound(Fleet.Result result) {
     assertEquals(
         List.of(),
-        result.referee.shown(),
-        "the rig itself stood still for " + result.referee.stall());
+        result.referee.violations(),
+        "the rig itself stood still for " + result.referee.longestStall());
     assertEquals(List.of(), result.crashes);
     assertEquals(0, result.failures);
   }
@@ -54,7 +54,7 @@
   void aCalmFleetThatTalksKeepsTheRules() throws Exception {
     Fleet.Result result = play("", ", \"peers\": true, \"uneven\": 10");
     together(result);
-    assertTrue(result.referee.judged() > 150);
+    assertTrue(result.referee.requestCount() > 150);
     double bytes = result.letters[1] / result.seconds / 8;
     assertTrue(bytes < 16_384, bytes + " bytes a second and mixer");
   }
@@ -156,7 +156,7 @@
     Fleet.Result result = play("", ", \"peers\": true, \"liars\": 1");
     sound(result);
     assertEquals(Collections.nCopies(8, 8), result.present, "the one that lies is there too");
-    assertTrue(result.tally.service() > 0.9, "service " + result.tally.service());
+    assertTrue(result.tally.serviceLevel() > 0.9, "service " + result.tally.serviceLevel());
   }
 
   /**
@@ -195,7 +195,7 @@
             "\"lengthMs\": 1500, ",
             ", \"spareMs\": 0, \"faults\": [{\"kind\": \"stop\", "
                 + "\"atMs\": 500, \"forMs\": 60000}]");
-    assertEquals(List.of(), result.referee.shown());
+    assertEquals(List.of(), result.referee.violations());
     assertEquals(List.of(), result.crashes, "who was stopped on purpose has not crashed");
     assertEquals(Fleet.Verdict.UNDECIDED, result.verdict());
     HarnessError error = result.errors.get(0);
@@ -203,7 +203,7 @@
     assertTrue(
         error.place().contains(" owes ") && error.place().contains("m0 is stopped by the schedule"),
         error.getMessage());
-    assertTrue(result.tally.asked > 0 && result.connections[0] > 0 && !error.remedy().isEmpty());
+    assertTrue(result.tally.attempts > 0 && result.connections[0] > 0 && !error.remedy().isEmpty());
   }
 
   @Test
--- a/emulator/src/test/java/gingerring/emulator/harness/PlantedFoulsTest.java
+++ b/emulator/src/test/java/gingerring/emulator/harness/PlantedFoulsTest.java
@@ -3,10 +3,10 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gingerring.emulator.core.Referee;
-import gingerring.emulator.core.Referee.Rule;
+import gingerring.emulator.core.RuleChecker;
+import gingerring.emulator.core.RuleChecker.Rule;
 import gingerring.emulator.core.Scenario;
-import gingerring.emulator.experiment.Store;
+import gingerring.emulator.experiment.EmulatedStore;
 import gingerring.traffic.wire.Reactor;
 import gingerring.traffic.wire.ReactorConnection;
 import java.io.IOException;
@@ -32,7 +32,7 @@
  */
 class PlantedFoulsTest {
   private static final int PLANTER = 1;
-  private static final long PAST_SLACK_MS = 2 * Referee.SLACK.toMillis() + 20;
+  private static final long PAST_SLACK_MS = 2 * RuleChecker.SLACK.toMillis() + 20;
   private static final Map<Integer, Double> SHARES = Map.of(0, 0.5, 1, 0.5);
 
   private final Reactor reactor = new Reactor();
@@ -40,8 +40,8 @@
   private final Relay[][] relays = new Relay[3][3];
   private final Map<String, Relay> made = new HashMap<>();
   private final ReactorConnection[][] wires = new ReactorConnection[3][3];
-  private Referee referee;
-  private Store store;
+  private RuleChecker referee;
+  private EmulatedStore store;
   private int parts;
 
   @BeforeEach
@@ -55,19 +55,19 @@
          "grades": [{"name": "search", "floor": 0.4, "patienceMs": 60000},
           {"name": "once", "repeats": "at-most-once", "patienceMs": 60000}]}"""
                 .getBytes());
-    referee = new Referee(world);
-    store = new Store(world, reactor, referee, 1);
+    referee = new RuleChecker(world);
+    store = new EmulatedStore(world, reactor, referee, 1);
     for (int i = 0; i < 3; i++) {
       int mixer = i;
       store
-          .view(
+          .addView(
               mixer,
               (box, port) -> {
                 relays[mixer][box] =
                     made.computeIfAbsent(mixer + "." + port, p -> relay(mixer, port));
                 return relays[mixer][box].port();
               })
-          .list();
+          .memberList();
     }
     Thread thread = new Thread(reactor::run, "planted");
     thread.setDaemon(true);
@@ -76,7 +76,13 @@
 
   private Relay relay(int mixer, int port) {
     try {
-      return new Relay(reactor, Store.loopback(port), links[mixer], () -> 1, mixer, store::passes);
+      return new Relay(
+          reactor,
+          EmulatedStore.loopback(port),
+          links[mixer],
+          () -> 1,
+          mixer,
+          store::registerSendTimes);
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
@@ -103,7 +109,7 @@
   private void until(Callable<Boolean> holds) throws Exception {
     long end = System.nanoTime() + 20_000_000_000L;
     while (!on(holds)) {
-      assertTrue(System.nanoTime() < end, "in time; parts " + on(referee::trips));
+      assertTrue(System.nanoTime() < end, "in time; parts " + on(referee::tripCount));
       Thread.sleep(5);
     }
   }
@@ -111,7 +117,8 @@
   private void ask(int mixer, String mark, String grade) throws Exception {
     on(
         () -> {
-          referee.asked(mixer, mark, grade, SHARES, null, reactor.now(), Duration.ofMinutes(1));
+          referee.requestSent(
+              mixer, mark, grade, SHARES, null, reactor.now(), Duration.ofMinutes(1));
           return null;
         });
   }
@@ -119,7 +126,7 @@
   private void answer(String mark, boolean nacked, Map<Integer, String> values) throws Exception {
     on(
         () -> {
-          referee.answered(mark, reactor.now(), nacked, false, values);
+          referee.requestAnswered(mark, reactor.now(), nacked, false, values);
           return null;
         });
   }
@@ -135,7 +142,7 @@
               if (wires[mixer][box] == null || !wires[mixer][box].open()) {
                 wires[mixer][box] =
                     reactor.dial(
-                        Store.loopback(relays[mixer][box].port()),
+                        EmulatedStore.loopback(relays[mixer][box].port()),
                         new ReactorConnection.Handler() {
                           @Override
                           public void bytes(byte[] bytes, int length) {}
@@ -153,13 +160,13 @@
                         .put(frame)
                         .array());
               }
-              return referee.trips() + marks.length;
+              return referee.tripCount() + marks.length;
             });
     until(
         () ->
             links[mixer].cut
                 ? relays[mixer][box].held() > 0
-                : referee.trips() == due || referee.fouls() > 0);
+                : referee.tripCount() == due || referee.violationCount() > 0);
   }
 
   private void cut(String mixers, boolean on) throws Exception {
@@ -199,7 +206,7 @@
         on(
             () -> {
               for (int mixer = 0; mixer < 3; mixer++) {
-                referee.told(mixer, 0, reactor.now());
+                referee.boxStateNotified(mixer, 0, reactor.now());
               }
               return null;
             });
@@ -242,12 +249,13 @@
       each.answer("good2", true, null);
       Thread.sleep(PAST_SLACK_MS);
       each.cut(cut, false);
-      each.until(() -> each.referee.trips() == each.parts);
-      String where = foul + ", cut off: " + cut + ": " + each.on(each.referee::shown);
+      each.until(() -> each.referee.tripCount() == each.parts);
+      String where = foul + ", cut off: " + cut + ": " + each.on(each.referee::violations);
       Rule rule = Rule.valueOf(foul.replace("NACKED", "TWICE"));
-      assertEquals(Map.of(rule, 1), each.on(each.referee::counts), where);
-      assertEquals(Map.of(PLANTER, 1), each.on(each.referee::blamed), where);
-      assertTrue(cut.isEmpty() || each.on(each.referee::held) > 0 || each.parts == 2, where);
+      assertEquals(Map.of(rule, 1), each.on(each.referee::countsByRule), where);
+      assertEquals(Map.of(PLANTER, 1), each.on(each.referee::countsByMixer), where);
+      assertTrue(
+          cut.isEmpty() || each.on(each.referee::delayedCount) > 0 || each.parts == 2, where);
       each.over();
     }
   }
@@ -259,7 +267,7 @@
     Relay warm = relays[0][0];
     on(
         () -> {
-          store.begin();
+          store.start();
           return null;
         });
     until(() -> relays[0][0] != warm);
@@ -275,15 +283,16 @@
     }
     send(PLANTER, 0, 0, many);
     cut(cut, false);
-    until(() -> referee.trips() == parts || referee.fouls() > 0);
+    until(() -> referee.tripCount() == parts || referee.violationCount() > 0);
     Thread.sleep(
         300); // longer than a box's bucket: the next part has it judged, if that was not done
     // before
-    if (on(referee::fouls) == 0) {
+    if (on(referee::violationCount) == 0) {
       send(PLANTER, 0, 0, "bad");
     }
-    until(() -> referee.fouls() > 0);
-    assertEquals(Map.of(Rule.COLD_BOX, 1), on(referee::counts), on(referee::shown).toString());
-    assertEquals(Map.of(PLANTER, 1), on(referee::blamed));
+    until(() -> referee.violationCount() > 0);
+    assertEquals(
+        Map.of(Rule.COLD_BOX, 1), on(referee::countsByRule), on(referee::violations).toString());
+    assertEquals(Map.of(PLANTER, 1), on(referee::countsByMixer));
   }
 }
--- a/emulator/src/test/java/gingerring/emulator/simulation/SocietyTest.java
+++ b/emulator/src/test/java/gingerring/emulator/simulation/PeerSimulationTest.java
@@ -14,9 +14,9 @@
 import org.junit.jupiter.api.Test;
 
 /** Fleets that talk, in simulated time, with the hard cases of many mixers. */
-class SocietyTest {
+class PeerSimulationTest {
   private static Result play(int mixers, double seconds, long seed, Fault... faults) {
-    return PeerSimulation.of(Setup.usual(mixers, seconds, seed, List.of(faults)));
+    return PeerSimulation.run(Setup.defaults(mixers, seconds, seed, List.of(faults)));
   }
 
   private static Fault fault(Kind kind, double atMs, double forMs, Set<Integer> some) {
@@ -24,17 +24,17 @@
   }
 
   private static double most(Result result) {
-    return result.bytes.stream().mapToDouble(each -> each[0]).max().orElse(0);
+    return result.bytesBySecond.stream().mapToDouble(each -> each[0]).max().orElse(0);
   }
 
   @Test
   void aCalmFleetKnowsItselfAndSuspectsNobodyForLong() {
     for (long seed = 1; seed <= 3; seed++) {
       Result result = play(40, 60, seed);
-      assertEquals(0, result.wronglyGone);
-      assertEquals(0, result.strangers);
+      assertEquals(0, result.falselyGone);
+      assertEquals(0, result.unknownPairs);
       assertTrue(most(result) <= 2 * PeerNode.Rules.usual().bytesPerSecond());
-      assertEquals(0, result.doubtOfAlive);
+      assertEquals(0, result.maxFailureShareOfLiveBox);
     }
   }
 
@@ -42,9 +42,9 @@
   void theSameSeedPlaysTheSame() {
     Result one = play(15, 30, 9, fault(Kind.KILL, 10_000, 5000, Set.of(3)));
     Result other = play(15, 30, 9, fault(Kind.KILL, 10_000, 5000, Set.of(3)));
-    assertEquals(one.counts, other.counts);
-    assertEquals(one.memberCounts, other.memberCounts);
-    assertEquals(one.known, other.known);
+    assertEquals(one.peerCounts, other.peerCounts);
+    assertEquals(one.membershipCounts, other.membershipCounts);
+    assertEquals(one.detectionTimesMs, other.detectionTimesMs);
   }
 
   /**
@@ -55,8 +55,8 @@
     for (long seed = 1; seed <= 3; seed++) {
       Result result =
           play(30, 60, seed, fault(Kind.KILL, 20_000, 900, PeerSimulation.range(9, 21)));
-      assertEquals(0, result.wronglyGone);
-      assertEquals(0, result.strangers);
+      assertEquals(0, result.falselyGone);
+      assertEquals(0, result.unknownPairs);
     }
   }
 
@@ -64,8 +64,9 @@
   void whoIsKilledForGoodIsKnownToAllInTime() {
     for (long seed = 1; seed <= 3; seed++) {
       Result result = play(30, 60, seed, fault(Kind.KILL, 20_000, 60_000, Set.of(5, 6)));
-      assertEquals(0, result.wronglyGone);
-      result.known.forEach(after -> assertTrue(after < 30_000, "known after " + after + " ms"));
+      assertEquals(0, result.falselyGone);
+      result.detectionTimesMs.forEach(
+          after -> assertTrue(after < 30_000, "known after " + after + " ms"));
     }
   }
 
@@ -89,8 +90,8 @@
       for (long seed = 3; seed <= 5; seed++) {
         Result result = play(30, 120, seed, each);
         assertEquals(
-            0, result.strangers, () -> "after " + each.kind() + " of " + each.some().size());
-        assertEquals(0, result.wronglyGone);
+            0, result.unknownPairs, () -> "after " + each.kind() + " of " + each.targets().size());
+        assertEquals(0, result.falselyGone);
       }
     }
   }
@@ -107,9 +108,10 @@
             5,
             fault(Kind.STOP, 20_000, 10_000, Set.of(4, 5)),
             fault(Kind.BOXES_DEAD, 15_000, 25_000, Set.of(2)));
-    assertEquals(0, result.strangers);
-    assertEquals(0, result.wronglyGone);
-    assertTrue(result.found.get(0)[0] < 6000, "found after " + result.found.get(0)[0]);
+    assertEquals(0, result.unknownPairs);
+    assertEquals(0, result.falselyGone);
+    assertTrue(
+        result.recoveryTimesMs.get(0)[0] < 6000, "found after " + result.recoveryTimesMs.get(0)[0]);
   }
 
   /**
@@ -122,11 +124,11 @@
       // from when all have benched them: at most two in a round of 2 s, for each of three boxes
       int asks = 0;
       for (int second = 25; second < 55; second++) {
-        asks += result.asks.getOrDefault(second, 0);
+        asks += result.deadBoxProbes.getOrDefault(second, 0);
       }
       assertTrue(asks <= 3 * 2 * 15, asks + " asks in 30 s with " + mixers);
       assertTrue(asks >= 3 * 15 / 2, asks + " asks in 30 s with " + mixers);
-      for (double[] found : result.found) {
+      for (double[] found : result.recoveryTimesMs) {
         assertTrue(
             found[0] < 4000 && found[1] < 9000,
             found[0] + " and " + found[1] + " ms with " + mixers);
@@ -138,14 +140,15 @@
   void aLiarMovesNothing() {
     Set<Integer> one = Set.of(3);
     Result lied = play(16, 60, 7, fault(Kind.LIE, 10_000, 50_000, one));
-    assertEquals(0, lied.doubtOfAlive, "one who calls healthy boxes dead");
+    assertEquals(0, lied.maxFailureShareOfLiveBox, "one who calls healthy boxes dead");
     Result greedy = play(16, 60, 7, fault(Kind.GREED, 10_000, 50_000, one));
     assertTrue(
-        greedy.demand < 2, "a demand of " + greedy.demand + " times the true one is believed");
+        greedy.maxDemandRatio < 2,
+        "a demand of " + greedy.maxDemandRatio + " times the true one is believed");
     Result repeated = play(16, 60, 7, fault(Kind.REPEAT, 10_000, 50_000, one));
-    assertEquals(0, repeated.strangers);
-    assertEquals(0, repeated.wronglyGone);
-    assertTrue(repeated.counts.get(PeerNode.Count.REPEATED) > 500);
+    assertEquals(0, repeated.unknownPairs);
+    assertEquals(0, repeated.falselyGone);
+    assertTrue(repeated.peerCounts.get(PeerNode.Count.REPEATED) > 500);
   }
 
   /**
@@ -155,7 +158,9 @@
   @Test
   void threeThatColludeStayBounded() {
     Result result = play(16, 60, 8, fault(Kind.LIE, 10_000, 50_000, PeerSimulation.range(3, 3)));
-    assertTrue(result.doubtOfAlive <= 0.5, "doubt of a box alive: " + result.doubtOfAlive);
+    assertTrue(
+        result.maxFailureShareOfLiveBox <= 0.5,
+        "doubt of a box alive: " + result.maxFailureShareOfLiveBox);
   }
 
   /**
@@ -168,18 +173,21 @@
     Result honest = play(16, 70, 9, dead);
     Result claimed = play(16, 70, 9, dead, fault(Kind.CLAIM, 10_000, 60_000, Set.of(3)));
     assertTrue(
-        claimed.found.get(0)[0] < 8000,
-        "found after " + claimed.found.get(0)[0] + " ms, without claims " + honest.found.get(0)[0]);
-    assertTrue(claimed.counts.get(PeerNode.Count.NOTES_DISBELIEVED) > 1000);
+        claimed.recoveryTimesMs.get(0)[0] < 8000,
+        "found after "
+            + claimed.recoveryTimesMs.get(0)[0]
+            + " ms, without claims "
+            + honest.recoveryTimesMs.get(0)[0]);
+    assertTrue(claimed.peerCounts.get(PeerNode.Count.NOTES_DISBELIEVED) > 1000);
   }
 
   /** Many that begin at once at three places do not end as islands round each. */
   @Test
   void aLargeFleetThatBeginsAtOnceIsOne() {
     Result result = play(100, 40, 2);
-    assertEquals(0, result.strangers);
+    assertEquals(0, result.unknownPairs);
     assertTrue(
-        result.bytes.stream().skip(15).allMatch(each -> each[0] < 8192),
+        result.bytesBySecond.stream().skip(15).allMatch(each -> each[0] < 8192),
         "calm, and over 8 KB a second");
   }
 
@@ -188,11 +196,12 @@
   void whoMissedTheWordFindsTheBoxBackAllTheSame() {
     // by turns alone the last of a hundred would ask after 25 s
     Setup usual =
-        Setup.usual(100, 70, 3, List.of(fault(Kind.BOXES_DEAD, 15_000, 30_000, Set.of(2))));
+        Setup.defaults(100, 70, 3, List.of(fault(Kind.BOXES_DEAD, 15_000, 30_000, Set.of(2))));
     Setup lossy = new Setup(100, 3, 6, 0.35, 0, 20, 50, 8, 70, 3, usual.faults(), usual.rules());
-    Result result = PeerSimulation.of(lossy);
+    Result result = PeerSimulation.run(lossy);
     assertTrue(
-        result.found.get(0)[1] < 15_000, "the last one after " + result.found.get(0)[1] + " ms");
+        result.recoveryTimesMs.get(0)[1] < 15_000,
+        "the last one after " + result.recoveryTimesMs.get(0)[1] + " ms");
   }
 
   /**
@@ -205,17 +214,17 @@
     int early = 0;
     int late = 0;
     for (int second = 20; second < 40; second++) {
-      early += result.asks.getOrDefault(second, 0);
-      late += result.asks.getOrDefault(second + 60, 0);
+      early += result.deadBoxProbes.getOrDefault(second, 0);
+      late += result.deadBoxProbes.getOrDefault(second + 60, 0);
     }
-    assertTrue(result.counts.get(PeerNode.Count.MISLED) > 0);
+    assertTrue(result.peerCounts.get(PeerNode.Count.MISLED) > 0);
     assertTrue(late < early / 2, early + " asks in 20 s at first, " + late + " later");
   }
 
   @Test
   void countsSpeakOfCauses() {
     Result result = play(10, 40, 10, fault(Kind.KILL, 10_000, 30_000, Set.of(2)));
-    assertTrue(result.memberCounts.get(Membership.Count.UNANSWERED) > 0);
-    assertTrue(result.memberCounts.get(Membership.Count.GONE) > 0);
+    assertTrue(result.membershipCounts.get(Membership.Count.UNANSWERED) > 0);
+    assertTrue(result.membershipCounts.get(Membership.Count.GONE) > 0);
   }
 }
