--- a/bench/src/main/java/gingerring/bench/MembershipCost.java
+++ b/bench/src/main/java/gingerring/bench/MembershipCost.java
@@ -116,11 +116,11 @@
               PeerId.named("m" + number),
               here,
               System.currentTimeMillis(),
-              PeerNode.Rules.usual(),
+              PeerNode.Settings.defaults(),
               MessageAuthenticator.of(List.of(new byte[32])),
               new SplittableRandom(number),
               this);
-      company.begin(seed == null ? List.of() : List.of(seed));
+      company.start(seed == null ? List.of() : List.of(seed));
       Thread thread = new Thread(this::run);
       thread.setDaemon(true);
       thread.start();
@@ -169,6 +169,6 @@
     public void boxAnswered(long box) {}
 
     @Override
-    public void changed(PeerRecord now) {}
+    public void peerChanged(PeerRecord now) {}
   }
 }
--- a/cli/src/main/java/gingerring/cli/PeersCommand.java
+++ b/cli/src/main/java/gingerring/cli/PeersCommand.java
@@ -57,7 +57,7 @@
       }
     }
     PrintWriter out = spec.commandLine().getOut();
-    out.println(PeerQueryClient.ask(mixer, settings.keys(), about, box));
+    out.println(PeerQueryClient.query(mixer, settings.keys(), about, box));
     out.flush();
   }
 
@@ -76,7 +76,7 @@
                 + " seeds, "
                 + settings.keys().size()
                 + " keys, at most "
-                + settings.rules().bytesPerSecond()
+                + settings.nodeSettings().maxBytesPerSecond()
                 + " bytes a second");
   }
 
--- a/emulator/src/main/java/gingerring/emulator/harness/Fleet.java
+++ b/emulator/src/main/java/gingerring/emulator/harness/Fleet.java
@@ -599,7 +599,7 @@
     try {
       Matcher there =
           THERE.matcher(
-              PeerQueryClient.ask(address.get(END_MS, TimeUnit.MILLISECONDS), keys, 'p', 0));
+              PeerQueryClient.query(address.get(END_MS, TimeUnit.MILLISECONDS), keys, 'p', 0));
       result.present.add(there.find() ? Integer.parseInt(there.group(1)) : -1);
     } catch (IOException | ExecutionException | TimeoutException e) {
       result.present.add(-1);
--- a/emulator/src/main/java/gingerring/emulator/harness/Liar.java
+++ b/emulator/src/main/java/gingerring/emulator/harness/Liar.java
@@ -43,12 +43,12 @@
             self,
             here,
             System.currentTimeMillis(),
-            PeerNode.Rules.usual(),
+            PeerNode.Settings.defaults(),
             MessageAuthenticator.of(keys),
             new SplittableRandom(self.number()),
             this);
-    company.listed(boxes);
-    company.begin(seeds);
+    company.boxesListed(boxes);
+    company.start(seeds);
   }
 
   void begin(Datagrams through) {
@@ -89,5 +89,5 @@
   public void boxAnswered(long box) {}
 
   @Override
-  public void changed(PeerRecord now) {}
+  public void peerChanged(PeerRecord now) {}
 }
--- a/emulator/src/main/java/gingerring/emulator/simulation/Choices.java
+++ b/emulator/src/main/java/gingerring/emulator/simulation/Choices.java
@@ -91,7 +91,7 @@
     for (int m = 0; m < setup.mixers; m++) {
       boolean[] mine = new boolean[setup.boxes];
       if (policy == Policy.COVER) {
-        cover.of(new MixerId(m)).forEach(id -> mine[(int) id.number()] = true);
+        cover.select(new MixerId(m)).forEach(id -> mine[(int) id.number()] = true);
       } else {
         Arrays.fill(mine, true);
       }
--- a/emulator/src/main/java/gingerring/emulator/simulation/PeerSimulation.java
+++ b/emulator/src/main/java/gingerring/emulator/simulation/PeerSimulation.java
@@ -77,10 +77,21 @@
       double seconds,
       long seed,
       List<Fault> faults,
-      PeerNode.Rules rules) {
+      PeerNode.Settings rules) {
     public static Setup usual(int mixers, double seconds, long seed, List<Fault> faults) {
       return new Setup(
-          mixers, 3, 20, 0.02, 0.005, 20, 50, 5, seconds, seed, faults, PeerNode.Rules.usual());
+          mixers,
+          3,
+          20,
+          0.02,
+          0.005,
+          20,
+          50,
+          5,
+          seconds,
+          seed,
+          faults,
+          PeerNode.Settings.defaults());
     }
   }
 
@@ -159,13 +170,13 @@
       for (long box = 0; box < setup.boxes; box++) {
         boxes.add(box);
       }
-      company.listed(boxes);
+      company.boxesListed(boxes);
       sentBefore = 0;
       failures.clear();
       benched.clear();
       asking.clear();
       // the first few places are told to all, as a file would tell them
-      company.begin(List.of(place(0), place(1 % setup.mixers), place(2 % setup.mixers)));
+      company.start(List.of(place(0), place(1 % setup.mixers), place(2 % setup.mixers)));
       PeerNode mine = company;
       later(chance.nextDouble() * TICK_MS, mine, this::tick);
       later(1000 * chance.nextDouble() / rate, mine, this::part);
@@ -304,7 +315,7 @@
     }
 
     @Override
-    public void changed(PeerRecord now) {
+    public void peerChanged(PeerRecord now) {
       if (now.state() != PeerRecord.State.GONE) {
         return;
       }
@@ -396,19 +407,19 @@
     return new PeerAddress(0x7F000001, number + 1);
   }
 
-  private static PeerNode.Rules withZone(PeerNode.Rules rules, int zone) {
-    return new PeerNode.Rules(
+  private static PeerNode.Settings withZone(PeerNode.Settings rules, int zone) {
+    return new PeerNode.Settings(
         rules.membership(),
         zone,
-        rules.sayEvery(),
-        rules.sayTo(),
-        rules.sees(),
-        rules.believes(),
-        rules.witnesses(),
-        rules.roundEvery(),
+        rules.reportPeriod(),
+        rules.reportFanout(),
+        rules.observationSpan(),
+        rules.reportLifetime(),
+        rules.minWitnesses(),
+        rules.roundPeriod(),
         rules.roundStep(),
-        rules.boxesMost(),
-        rules.bytesPerSecond());
+        rules.maxBoxes(),
+        rules.maxBytesPerSecond());
   }
 
   private boolean active(Fault.Kind kind, int number) {
@@ -510,8 +521,8 @@
     int count = 0;
     for (Node node : nodes) {
       if (node.alive) {
-        double sent = node.company.bytes() - node.sentBefore;
-        node.sentBefore = node.company.bytes();
+        double sent = node.company.bytesSent() - node.sentBefore;
+        node.sentBefore = node.company.bytesSent();
         most = Math.max(most, sent);
         sum += sent;
         count++;
@@ -530,7 +541,7 @@
         if (agenda.now() > 15_000) {
           // what is heard is a sample of the fleet: the sum of what it tells, over what those would
           // ask
-          result.demand = Math.max(result.demand, node.company.demand() / Math.max(1, asked));
+          result.demand = Math.max(result.demand, node.company.fleetDemand() / Math.max(1, asked));
         }
       }
     }
--- a/emulator/src/main/java/gingerring/emulator/simulation/Portions.java
+++ b/emulator/src/main/java/gingerring/emulator/simulation/Portions.java
@@ -87,7 +87,7 @@
           beliefs[i].update(answered, refused, Duration.ofMillis(at));
           double[] even = new double[n];
           Arrays.fill(even, 1);
-          sent[i] = Math.min(demand[i], beliefs[i].portion(heard, even, i));
+          sent[i] = Math.min(demand[i], beliefs[i].share(heard, even, i));
           all += sent[i];
         }
       }
@@ -108,7 +108,7 @@
           even[i] = 1;
           count += there[i] ? 1 : 0;
         }
-        double[] due = FairShares.of(capacity, wanted, even);
+        double[] due = FairShares.allocate(capacity, wanted, even);
         for (int i = 0; i < n; i++) {
           if (there[i]) {
             errors[change] =
--- a/emulator/src/main/java/gingerring/emulator/simulation/Probes.java
+++ b/emulator/src/main/java/gingerring/emulator/simulation/Probes.java
@@ -1,8 +1,8 @@
 package gingerring.emulator.simulation;
 
 import gingerring.share.MixerId;
+import gingerring.share.TurnOrder;
 import gingerring.share.TurnSchedule;
-import gingerring.share.Turns;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -106,12 +106,12 @@
 
   /** The rota of each decides; what one tells arrives after a while at the others, or is lost. */
   private void turn(int mixer) {
-    Duration due = rotas.get(mixer).due(members, time());
+    Duration due = rotas.get(mixer).nextTurn(members, time());
     agenda.at(
         due.toNanos() / 1e6,
         () -> {
           TurnSchedule rota = rotas.get(mixer);
-          if (rota.due(members, time()).compareTo(time()) <= 0) {
+          if (rota.nextTurn(members, time()).compareTo(time()) <= 0) {
             long round = rota.claimRound(time());
             probe();
             for (int other = 0; other < setup.mixers; other++) {
@@ -132,10 +132,10 @@
   }
 
   private void spread(int mixer, long which) {
-    Turns turns = new Turns(members.get(mixer), Duration.ofMillis((long) ROUND_MS));
+    TurnOrder turns = new TurnOrder(members.get(mixer), Duration.ofMillis((long) ROUND_MS));
     double length = ROUND_MS * setup.mixers;
     double begun = agenda.now();
-    agenda.at(begun + turns.spread(MATTER, which, setup.mixers).toMillis(), this::probe);
+    agenda.at(begun + turns.randomDelay(MATTER, which, setup.mixers).toMillis(), this::probe);
     agenda.at(begun + length, () -> spread(mixer, which + 1));
   }
 }
--- a/emulator/src/test/java/gingerring/emulator/simulation/SocietyTest.java
+++ b/emulator/src/test/java/gingerring/emulator/simulation/SocietyTest.java
@@ -33,7 +33,7 @@
       Result result = play(40, 60, seed);
       assertEquals(0, result.wronglyGone);
       assertEquals(0, result.strangers);
-      assertTrue(most(result) <= 2 * PeerNode.Rules.usual().bytesPerSecond());
+      assertTrue(most(result) <= 2 * PeerNode.Settings.defaults().maxBytesPerSecond());
       assertEquals(0, result.doubtOfAlive);
     }
   }
--- a/lease/src/main/java/gingerring/lease/Ranks.java
+++ b/lease/src/main/java/gingerring/lease/Ranks.java
@@ -1,7 +1,7 @@
 package gingerring.lease;
 
-import static gingerring.share.RendezvousHash.draw;
 import static gingerring.share.RendezvousHash.mix;
+import static gingerring.share.RendezvousHash.pairHash;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -24,7 +24,7 @@
     Comparator<Drawn> order = Comparator.comparingLong(Drawn::draw).thenComparing(Drawn::mixer);
     List<Drawn> best = new ArrayList<>(first + 1);
     for (MixerId each : members) {
-      Drawn drawn = new Drawn(draw(hash, mix(each.number())), each);
+      Drawn drawn = new Drawn(pairHash(hash, mix(each.number())), each);
       if (best.size() < first || first > 0 && order.compare(drawn, best.get(first - 1)) < 0) {
         int at = best.size();
         while (at > 0 && order.compare(drawn, best.get(at - 1)) < 0) {
--- a/peering/src/main/java/gingerring/peering/PeerQueryClient.java
+++ b/peering/src/main/java/gingerring/peering/PeerQueryClient.java
@@ -27,26 +27,26 @@
   private PeerQueryClient() {}
 
   /** {@code about}: as {@link Peering#explain} has it. */
-  public static String ask(InetSocketAddress mixer, List<byte[]> keys, char about, long box)
+  public static String query(InetSocketAddress mixer, List<byte[]> keys, char about, long box)
       throws IOException {
     MessageCodec letters = new MessageCodec(MessageAuthenticator.of(keys));
     PeerId self = new PeerId(new SplittableRandom().nextLong());
-    PeerAddress place = PeerSettings.place(mixer);
+    PeerAddress place = PeerSettings.toPeerAddress(mixer);
     try (DatagramSocket socket = new DatagramSocket()) {
       socket.setSoTimeout(TRY_MS);
-      byte[] bytes = new byte[MessageCodec.MOST + 1];
+      byte[] bytes = new byte[MessageCodec.MAX_BYTES + 1];
       for (int i = 1; i <= TRIES; i++) {
         byte[] letter =
-            letters.write(
+            letters.encode(
                 new PeerMessage(
                     self, 1, i, new MessageBody.Query(about, box), List.of(), List.of()));
-        socket.send(new DatagramPacket(letter, letter.length, PeerSettings.address(place)));
+        socket.send(new DatagramPacket(letter, letter.length, PeerSettings.toSocketAddress(place)));
         try {
           long until = System.nanoTime() + TRY_MS * 1_000_000L;
           while (System.nanoTime() < until) {
             DatagramPacket packet = new DatagramPacket(bytes, bytes.length);
             socket.receive(packet);
-            PeerMessage answer = letters.read(Arrays.copyOf(bytes, packet.getLength()));
+            PeerMessage answer = letters.decode(Arrays.copyOf(bytes, packet.getLength()));
             if (answer.body() instanceof MessageBody.Reply reply) {
               return reply.text();
             }
--- a/peering/src/main/java/gingerring/peering/PeerSettings.java
+++ b/peering/src/main/java/gingerring/peering/PeerSettings.java
@@ -25,20 +25,20 @@
  *
  * @param listen where datagrams come in; port 0 takes any
  * @param advertised where the others reach it, null for the place listened at
- * @param prefer holders preferred of each folio, 0 to prefer none
+ * @param preferredHolders holders preferred of each folio, 0 to prefer none
  */
 public record PeerSettings(
     InetSocketAddress listen,
     PeerAddress advertised,
     List<PeerAddress> seeds,
     List<byte[]> keys,
-    int prefer,
-    PeerNode.Rules rules) {
+    int preferredHolders,
+    PeerNode.Settings nodeSettings) {
   /** A file that cannot be used; a line for each thing that is wrong. */
-  public static final class Unfit extends IOException {
+  public static final class InvalidPeerSettings extends IOException {
     private static final long serialVersionUID = 1;
 
-    Unfit(Path file, List<String> complaints) {
+    InvalidPeerSettings(Path file, List<String> complaints) {
       super(file + ": " + String.join("\n" + file + ": ", complaints));
     }
   }
@@ -171,7 +171,7 @@
     try {
       told = new LinkedHashMap<>(JsonFields.object(Json.parse(Files.readAllBytes(file)), "it"));
     } catch (Json.JsonException e) {
-      throw new Unfit(file, List.of(e.getMessage()));
+      throw new InvalidPeerSettings(file, List.of(e.getMessage()));
     }
     Reading reading = new Reading(file, told);
     for (String name : told.keySet()) {
@@ -187,7 +187,7 @@
     List<PeerAddress> seeds = new ArrayList<>();
     for (Object each : reading.list("seeds")) {
       InetSocketAddress seed = reading.address("seeds." + seeds.size(), each, false);
-      seeds.add(seed == null ? null : place(seed));
+      seeds.add(seed == null ? null : toPeerAddress(seed));
     }
     List<byte[]> keys = new ArrayList<>();
     for (Object each : reading.list("key_files")) {
@@ -197,48 +197,48 @@
       reading.complaints.add("key_files has to name a file with the fleet's key");
     }
     int prefer = reading.count("prefer", 0, 0, 1000);
-    PeerNode.Rules rules = rules(reading);
+    PeerNode.Settings rules = rules(reading);
     if (!reading.complaints.isEmpty()) {
-      throw new Unfit(file, reading.complaints);
+      throw new InvalidPeerSettings(file, reading.complaints);
     }
     return new PeerSettings(
         listen,
-        advertise == null ? null : place(advertise),
+        advertise == null ? null : toPeerAddress(advertise),
         List.copyOf(seeds),
         List.copyOf(keys),
         prefer,
         rules);
   }
 
-  private static PeerNode.Rules rules(Reading reading) {
-    PeerNode.Rules usual = PeerNode.Rules.usual();
-    Membership.Rules known = usual.membership();
+  private static PeerNode.Settings rules(Reading reading) {
+    PeerNode.Settings usual = PeerNode.Settings.defaults();
+    Membership.Settings known = usual.membership();
     try {
-      return new PeerNode.Rules(
-          new Membership.Rules(
-              reading.span("period_ms", known.period(), 10),
-              reading.span("ack_ms", known.ackIn(), 1),
-              reading.count("helpers", known.helpers(), 0, 100),
-              reading.span("reconnect_ms", known.reconnect(), 10),
-              reading.span("forget_ms", known.forget(), 1000),
-              reading.count("peers_most", known.peersMost(), 1, 10_000)),
+      return new PeerNode.Settings(
+          new Membership.Settings(
+              reading.span("period_ms", known.pingPeriod(), 10),
+              reading.span("ack_ms", known.ackTimeout(), 1),
+              reading.count("helpers", known.helperCount(), 0, 100),
+              reading.span("reconnect_ms", known.reconnectPeriod(), 10),
+              reading.span("forget_ms", known.forgetAfter(), 1000),
+              reading.count("peers_most", known.maxPeers(), 1, 10_000)),
           reading.count("zone", usual.zone(), -1, 10_000),
-          reading.span("say_ms", usual.sayEvery(), 50),
-          reading.count("say_to", usual.sayTo(), 0, 1000),
-          reading.span("sees_ms", usual.sees(), 100),
-          reading.span("believes_ms", usual.believes(), 100),
-          reading.count("witnesses", usual.witnesses(), 1, 1000),
-          reading.span("round_ms", usual.roundEvery(), 100),
+          reading.span("say_ms", usual.reportPeriod(), 50),
+          reading.count("say_to", usual.reportFanout(), 0, 1000),
+          reading.span("sees_ms", usual.observationSpan(), 100),
+          reading.span("believes_ms", usual.reportLifetime(), 100),
+          reading.count("witnesses", usual.minWitnesses(), 1, 1000),
+          reading.span("round_ms", usual.roundPeriod(), 100),
           reading.span("step_ms", usual.roundStep(), 10),
-          reading.count("boxes_most", usual.boxesMost(), 1, 100_000),
-          reading.count("bytes_per_second", usual.bytesPerSecond(), 1200, 100_000_000));
+          reading.count("boxes_most", usual.maxBoxes(), 1, 100_000),
+          reading.count("bytes_per_second", usual.maxBytesPerSecond(), 1200, 100_000_000));
     } catch (IllegalArgumentException e) {
       reading.complaints.add(e.getMessage()); // what does not go together
       return usual;
     }
   }
 
-  static PeerAddress place(InetSocketAddress address) {
+  static PeerAddress toPeerAddress(InetSocketAddress address) {
     byte[] bytes = ((Inet4Address) address.getAddress()).getAddress();
     int number = 0;
     for (byte each : bytes) {
@@ -247,7 +247,7 @@
     return new PeerAddress(number, address.getPort());
   }
 
-  static InetSocketAddress address(PeerAddress place) {
+  static InetSocketAddress toSocketAddress(PeerAddress place) {
     int number = place.address();
     try {
       return new InetSocketAddress(
--- a/peering/src/main/java/gingerring/peering/PeerSocket.java
+++ b/peering/src/main/java/gingerring/peering/PeerSocket.java
@@ -59,7 +59,7 @@
 
   private void run() {
     ByteBuffer buffer =
-        ByteBuffer.allocateDirect(MessageCodec.MOST + 1); // what is longer is no letter
+        ByteBuffer.allocateDirect(MessageCodec.MAX_BYTES + 1); // what is longer is no letter
     while (channel.isOpen()) {
       try {
         buffer.clear();
@@ -75,7 +75,7 @@
         inbox.accept(
             () -> {
               waiting.decrementAndGet();
-              received.accept(PeerSettings.place(from), bytes);
+              received.accept(PeerSettings.toPeerAddress(from), bytes);
             });
       } catch (AsynchronousCloseException e) {
         return;
@@ -90,7 +90,7 @@
 
   void send(PeerAddress to, byte[] letter) {
     try {
-      channel.send(ByteBuffer.wrap(letter), PeerSettings.address(to));
+      channel.send(ByteBuffer.wrap(letter), PeerSettings.toSocketAddress(to));
     } catch (IOException e) {
       unsent++;
     }
--- a/peering/src/main/java/gingerring/peering/Peering.java
+++ b/peering/src/main/java/gingerring/peering/Peering.java
@@ -15,7 +15,7 @@
 import gingerring.share.BoxId;
 import gingerring.share.FairShares;
 import gingerring.share.MixerId;
-import gingerring.share.Preference;
+import gingerring.share.PreferredBoxes;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.net.InetSocketAddress;
@@ -44,7 +44,7 @@
   private Context ground;
   private PeerSocket socket;
   private PeerNode company;
-  private Preference preference;
+  private PreferredBoxes preference;
   private PeerAddress here;
   private boolean ended;
   private boolean saidSuperseded;
@@ -61,26 +61,27 @@
           new PeerSocket(
               settings.listen(), lent::post, (from, bytes) -> company.received(from, bytes));
       InetSocketAddress bound = socket.address();
-      here = settings.advertised() != null ? settings.advertised() : PeerSettings.place(bound);
+      here =
+          settings.advertised() != null ? settings.advertised() : PeerSettings.toPeerAddress(bound);
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
-    PeerNode.Rules told = settings.rules();
-    PeerNode.Rules rules =
+    PeerNode.Settings told = settings.nodeSettings();
+    PeerNode.Settings rules =
         told.zone() >= 0
             ? told
-            : new PeerNode.Rules(
+            : new PeerNode.Settings(
                 told.membership(),
                 lent.zone(),
-                told.sayEvery(),
-                told.sayTo(),
-                told.sees(),
-                told.believes(),
-                told.witnesses(),
-                told.roundEvery(),
+                told.reportPeriod(),
+                told.reportFanout(),
+                told.observationSpan(),
+                told.reportLifetime(),
+                told.minWitnesses(),
+                told.roundPeriod(),
                 told.roundStep(),
-                told.boxesMost(),
-                told.bytesPerSecond());
+                told.maxBoxes(),
+                told.maxBytesPerSecond());
     PeerId self = PeerId.named(lent.name());
     company =
         new PeerNode(
@@ -91,11 +92,11 @@
             MessageAuthenticator.of(settings.keys()),
             new SplittableRandom(self.number() ^ lent.startEpochMs()),
             this);
-    if (settings.prefer() > 0) {
+    if (settings.preferredHolders() > 0) {
       preference =
-          new Preference(
+          new PreferredBoxes(
               new MixerId(self.number()),
-              settings.prefer(),
+              settings.preferredHolders(),
               lent.cellCount(),
               lent.cellsPerShard());
     }
@@ -104,7 +105,7 @@
         here,
         address().getPort(),
         Long.toHexString(self.number()));
-    company.begin(settings.seeds());
+    company.start(settings.seeds());
     socket.start();
     tick();
   }
@@ -115,7 +116,7 @@
         () -> {
           if (!ended) {
             company.tick();
-            if (company.membership().superseded() && !saidSuperseded) {
+            if (company.membership().isSuperseded() && !saidSuperseded) {
               saidSuperseded = true;
               LOG.warn(
                   "another mixer has started under the name {}: this one says nothing to peers any more",
@@ -130,14 +131,14 @@
 
   @Override
   public void membersChanged(Collection<MemberEntry> searchers) {
-    company.listed(searchers.stream().map(each -> each.searcher().address()).toList());
+    company.boxesListed(searchers.stream().map(each -> each.searcher().address()).toList());
     if (preference != null) {
       preference.update(
           searchers.stream()
               .filter(each -> each.status() == MemberEntry.Status.READY)
               .map(
                   each ->
-                      new Preference.Listed(
+                      new PreferredBoxes.ListedBox(
                           new Box(
                               id(each.searcher().address()),
                               each.zone(),
@@ -201,9 +202,9 @@
     return "peers: "
         + company.membership().present().size()
         + " there, health "
-        + company.membership().health()
+        + company.membership().healthScore()
         + ", "
-        + company.bytes()
+        + company.bytesSent()
         + " bytes sent, "
         + socket.dropped()
         + " datagrams dropped; counts: "
@@ -248,7 +249,7 @@
   }
 
   @Override
-  public void changed(PeerRecord now) {
+  public void peerChanged(PeerRecord now) {
     LOG.info(
         "peer {} at {}: {}",
         Long.toHexString(now.peer().number()),
@@ -261,7 +262,7 @@
    * counts.
    */
   @Override
-  public String explain(MessageBody.Query query) {
+  public String answerQuery(MessageBody.Query query) {
     List<String> lines = new ArrayList<>();
     switch (query.about()) {
       case 'p' -> peers(lines);
@@ -274,13 +275,13 @@
   }
 
   private void peers(List<String> lines) {
-    List<PeerRecord> all = company.membership().all();
+    List<PeerRecord> all = company.membership().records();
     lines.add(
         ground.name()
             + " life "
             + ground.startEpochMs()
             + " health "
-            + company.membership().health()
+            + company.membership().healthScore()
             + ", "
             + company.membership().present().size()
             + " of "
@@ -304,7 +305,7 @@
   }
 
   private void why(long box, List<String> lines) {
-    BoxObservation own = company.own(box);
+    BoxObservation own = company.ownObservation(box);
     lines.add(
         String.format(
             Locale.ROOT,
@@ -324,7 +325,7 @@
                 "%x (zone %d, %d ms ago): %.0f answered, %.0f failed",
                 each.report().author().number(),
                 each.report().zone(),
-                now().minus(each.at()).toMillis(),
+                now().minus(each.receivedAt()).toMillis(),
                 seen.answered(),
                 seen.failed()));
       }
@@ -345,7 +346,7 @@
     double[] even = new double[wanted.length];
     Arrays.fill(even, 1);
     double all = Arrays.stream(wanted).sum();
-    double[] shares = FairShares.of(0.9 * all, wanted, even);
+    double[] shares = FairShares.allocate(0.9 * all, wanted, even);
     lines.add(
         String.format(
             Locale.ROOT,
--- a/peering/src/test/java/gingerring/peering/PeerSettingsTest.java
+++ b/peering/src/test/java/gingerring/peering/PeerSettingsTest.java
@@ -34,10 +34,11 @@
     assertEquals(new PeerAddress(0x7F000009, 7100), settings.advertised());
     assertEquals(List.of(new PeerAddress(0x7F000002, 7101)), settings.seeds());
     assertEquals("127.0.0.2:7101", settings.seeds().get(0).toString());
-    assertEquals(2, settings.prefer());
-    assertEquals(Duration.ofMillis(50), settings.rules().membership().ackIn());
-    assertEquals(3, settings.rules().witnesses());
-    assertEquals(PeerNode.Rules.usual().believes(), settings.rules().believes());
+    assertEquals(2, settings.preferredHolders());
+    assertEquals(Duration.ofMillis(50), settings.nodeSettings().membership().ackTimeout());
+    assertEquals(3, settings.nodeSettings().minWitnesses());
+    assertEquals(
+        PeerNode.Settings.defaults().reportLifetime(), settings.nodeSettings().reportLifetime());
   }
 
   /** All that is wrong is said at once, each with its place. */
@@ -49,7 +50,8 @@
         {"listen": "nowhere:1", "seeds": ["127.0.0.1:0", 3], "key_files": ["short", "missing"], "witness": 3,
          "say_ms": "often", "say_to": 2.5, "prefer": -1}""");
     String message =
-        assertThrows(PeerSettings.Unfit.class, () -> PeerSettings.read(file)).getMessage();
+        assertThrows(PeerSettings.InvalidPeerSettings.class, () -> PeerSettings.read(file))
+            .getMessage();
     for (String each :
         List.of(
             "listen is nowhere:1",
@@ -70,15 +72,15 @@
   void whatDoesNotGoTogetherIsRefused() throws IOException {
     Path file = file("{\"listen\": \"127.0.0.1:0\", \"key_files\": [\"key\"], \"ack_ms\": 900}");
     assertTrue(
-        assertThrows(PeerSettings.Unfit.class, () -> PeerSettings.read(file))
+        assertThrows(PeerSettings.InvalidPeerSettings.class, () -> PeerSettings.read(file))
             .getMessage()
             .contains("answers in PT0.9S"));
     Path none = file("{\"listen\": \"127.0.0.1:0\"}");
     assertTrue(
-        assertThrows(PeerSettings.Unfit.class, () -> PeerSettings.read(none))
+        assertThrows(PeerSettings.InvalidPeerSettings.class, () -> PeerSettings.read(none))
             .getMessage()
             .contains("key_files has to name"));
     Path broken = file("{\"listen\": ");
-    assertThrows(PeerSettings.Unfit.class, () -> PeerSettings.read(broken));
+    assertThrows(PeerSettings.InvalidPeerSettings.class, () -> PeerSettings.read(broken));
   }
 }
--- a/peering/src/test/java/gingerring/peering/PeeringTest.java
+++ b/peering/src/test/java/gingerring/peering/PeeringTest.java
@@ -48,10 +48,10 @@
 
     Member(String name, List<byte[]> keys, Member seed) throws IOException {
       this.name = name;
-      PeerNode.Rules usual = PeerNode.Rules.usual();
-      PeerNode.Rules quick =
-          new PeerNode.Rules(
-              new Membership.Rules(
+      PeerNode.Settings usual = PeerNode.Settings.defaults();
+      PeerNode.Settings quick =
+          new PeerNode.Settings(
+              new Membership.Settings(
                   Duration.ofMillis(200),
                   Duration.ofMillis(60),
                   2,
@@ -61,8 +61,8 @@
               -1,
               Duration.ofMillis(100),
               3,
-              usual.sees(),
-              usual.believes(),
+              usual.observationSpan(),
+              usual.reportLifetime(),
               2,
               Duration.ofMillis(500),
               Duration.ofMillis(100),
@@ -73,7 +73,7 @@
               new PeerSettings(
                   new InetSocketAddress(InetAddress.getLoopbackAddress(), 0),
                   null,
-                  seed == null ? List.of() : List.of(PeerSettings.place(seed.address())),
+                  seed == null ? List.of() : List.of(PeerSettings.toPeerAddress(seed.address())),
                   keys,
                   0,
                   quick));
@@ -85,7 +85,7 @@
                     new MemberEntry(
                         new SearcherId(BOX), 0, 0, 0, MemberEntry.Status.READY, 1, null)));
           });
-      String shown = PeerQueryClient.ask(address(), keys, 'p', 0);
+      String shown = PeerQueryClient.query(address(), keys, 'p', 0);
       assertTrue(shown.startsWith(name + " life " + startMs), shown);
       members.add(this);
     }
@@ -102,7 +102,7 @@
 
     String ask(char about) {
       try {
-        return PeerQueryClient.ask(address(), KEYS, about, BOX);
+        return PeerQueryClient.query(address(), KEYS, about, BOX);
       } catch (IOException e) {
         throw new AssertionError(e);
       }
@@ -257,7 +257,7 @@
     assertThrows(
         IOException.class,
         () ->
-            PeerQueryClient.ask(
+            PeerQueryClient.query(
                 mixer.address(), List.of("another fleet's key".getBytes()), 'p', 0));
     try (DatagramSocket noise = new DatagramSocket()) {
       byte[] bytes = new byte[1500];
--- a/peers/src/main/java/gingerring/peers/Budget.java
+++ b/peers/src/main/java/gingerring/peers/BandwidthLimiter.java
@@ -7,20 +7,20 @@
  * second's worth at once. What would go over it is not sent and counted; words go first, as others
  * can do without them for longer: they may use half of it.
  */
-final class Budget {
+final class BandwidthLimiter {
   private final double perNano;
   private final double most;
   private double left;
   private Duration at = Duration.ZERO;
   private long refused;
 
-  Budget(int bytesPerSecond) {
-    if (bytesPerSecond < MessageCodec.MOST) {
+  BandwidthLimiter(int bytesPerSecond) {
+    if (bytesPerSecond < MessageCodec.MAX_BYTES) {
       throw new IllegalArgumentException(
           "a ceiling of "
               + bytesPerSecond
               + " bytes a second is under one letter of "
-              + MessageCodec.MOST);
+              + MessageCodec.MAX_BYTES);
     }
     perNano = bytesPerSecond / 1e9;
     most = bytesPerSecond;
--- a/peers/src/main/java/gingerring/peers/Spread.java
+++ b/peers/src/main/java/gingerring/peers/GossipQueue.java
@@ -12,7 +12,7 @@
  * each so many times as the logarithm of the fleet's size asks for. At most {@code most} subjects:
  * what was passed on most often goes for what is new, and is counted.
  */
-final class Spread<S, N> {
+final class GossipQueue<S, N> {
   private static final class Item<N> {
     final N news;
     final long since;
@@ -31,7 +31,7 @@
   private long dropped;
 
   /** {@code times}: how often each is passed on for each power of ten of the fleet. */
-  Spread(int most, double times) {
+  GossipQueue(int most, double times) {
     this.most = most;
     this.times = times;
   }
--- a/peers/src/main/java/gingerring/peers/Membership.java
+++ b/peers/src/main/java/gingerring/peers/Membership.java
@@ -17,16 +17,16 @@
 /**
  * Who the other mixers are: SWIM (Das, Gupta and Motivala, DSN 2002) with the local health, the
  * growing confidence in a suspicion and the word to the suspected first of Lifeguard (Dadgar,
- * Phillips and Currey, DSN-W 2018). Its host calls {@link #begin} once, {@link #tick} some times
- * within {@code Rules.ackIn}, {@link #heard} for each letter that was proved, {@link #news} for
- * what the next letter is to carry; it acts by {@link Host}.
+ * Phillips and Currey, DSN-W 2018). Its host calls {@link #start} once, {@link #tick} some times
+ * within {@code Rules.ackIn}, {@link #messageReceived} for each letter that was proved, {@link
+ * #takeUpdates} for what the next letter is to carry; it acts by {@link Host}.
  *
  * <p>What a mixer does alone, at once: it asks one other each period, through helpers where that is
  * silent, and suspects it where these are too. Who is suspected and lives says so with a higher
  * rise. What is suspected long enough is gone, and comes back under the same name with a higher
  * rise or a later life; words of an earlier life never count. Each half of a cut fleet takes the
  * other for gone and asks one of the gone now and then, by which they find each other again. A
- * process that learns of a later life under its own name is {@link #superseded}: it falls silent,
+ * process that learns of a later life under its own name is {@link #isSuperseded}: it falls silent,
  * so that of two with one name only the later speaks.
  *
  * <p>Bounds: {@code Rules.peersMost} peers, newcomers beyond are turned away and counted; as much
@@ -45,7 +45,7 @@
      * What is believed of one peer is new: it came, is suspected, is trusted again, has gone or
      * left.
      */
-    void changed(PeerRecord now);
+    void peerChanged(PeerRecord now);
   }
 
   /**
@@ -54,37 +54,37 @@
    * told at the start, is tried; {@code forget}: how long the gone are remembered; {@code
    * peersMost}: how many are known at most.
    */
-  public record Rules(
-      Duration period,
-      Duration ackIn,
-      int helpers,
-      Duration reconnect,
-      Duration forget,
-      int peersMost) {
-    public Rules {
-      if (ackIn.isZero()
-          || ackIn.isNegative()
-          || period.compareTo(ackIn.multipliedBy(2)) < 0
-          || helpers < 0
-          || reconnect.compareTo(period) < 0
-          || peersMost < 1) {
+  public record Settings(
+      Duration pingPeriod,
+      Duration ackTimeout,
+      int helperCount,
+      Duration reconnectPeriod,
+      Duration forgetAfter,
+      int maxPeers) {
+    public Settings {
+      if (ackTimeout.isZero()
+          || ackTimeout.isNegative()
+          || pingPeriod.compareTo(ackTimeout.multipliedBy(2)) < 0
+          || helperCount < 0
+          || reconnectPeriod.compareTo(pingPeriod) < 0
+          || maxPeers < 1) {
         throw new IllegalArgumentException(
             "a period of "
-                + period
+                + pingPeriod
                 + ", answers in "
-                + ackIn
+                + ackTimeout
                 + ", "
-                + helpers
+                + helperCount
                 + " helpers, one gone tried each "
-                + reconnect
+                + reconnectPeriod
                 + ", "
-                + peersMost
+                + maxPeers
                 + " peers");
       }
     }
 
-    public static Rules usual() {
-      return new Rules(
+    public static Settings defaults() {
+      return new Settings(
           Duration.ofSeconds(1),
           Duration.ofMillis(300),
           3,
@@ -134,7 +134,7 @@
   }
 
   /** The ask that is out. */
-  private static final class Asking {
+  private static final class PendingPing {
     final PeerId peer;
     final int number;
     final Duration at;
@@ -143,7 +143,7 @@
     int nacked;
     boolean helped;
 
-    Asking(PeerId peer, int number, Duration at, int health) {
+    PendingPing(PeerId peer, int number, Duration at, int health) {
       this.peer = peer;
       this.number = number;
       this.at = at;
@@ -152,7 +152,7 @@
   }
 
   /** An ask on another's behalf. */
-  private record Errand(PeerAddress back, int number, Duration at) {}
+  private record IndirectPing(PeerAddress back, int number, Duration at) {}
 
   private static final int HEALTH_MOST = 8;
 
@@ -179,21 +179,21 @@
   private final PeerId self;
   private final PeerAddress here;
   private final long life;
-  private final Rules rules;
+  private final Settings rules;
   private final RandomGenerator chance;
   private final Host host;
   private final NavigableMap<Long, Member> members = new TreeMap<>(Long::compareUnsigned);
   private final Set<Member> suspects = new LinkedHashSet<>();
   private final List<PeerId> order = new ArrayList<>();
-  private final Spread<PeerId, PeerRecord> spread;
-  private final Map<Integer, Errand> errands = new HashMap<>();
+  private final GossipQueue<PeerId, PeerRecord> spread;
+  private final Map<Integer, IndirectPing> errands = new HashMap<>();
   private final Map<Count, Long> counts = new HashMap<>();
   private List<PeerAddress> seeds = List.of();
   private int there;
   private int rise;
-  private int health;
+  private int healthScore;
   private int numbers;
-  private Asking asking;
+  private PendingPing asking;
   private Duration askNext;
   private Duration reconnectNext;
 
@@ -205,24 +205,24 @@
 
   /** {@code life}: as in {@link PeerRecord}; {@code here}: where the others reach this mixer. */
   public Membership(
-      PeerId self, PeerAddress here, long life, Rules rules, RandomGenerator chance, Host host) {
+      PeerId self, PeerAddress here, long life, Settings rules, RandomGenerator chance, Host host) {
     this.self = self;
     this.here = here;
     this.life = life;
     this.rules = rules;
     this.chance = chance;
     this.host = host;
-    spread = new Spread<>(rules.peersMost, PASSED_ON);
+    spread = new GossipQueue<>(rules.maxPeers, PASSED_ON);
   }
 
   /**
    * Joins by asking at some places whom they know; it goes on to ask there while nobody is known.
    */
-  public void begin(List<PeerAddress> places) {
+  public void start(List<PeerAddress> places) {
     seeds = places.stream().filter(place -> !place.equals(here)).toList();
     Duration now = host.now();
-    askNext = now.plus(part(rules.period));
-    reconnectNext = now.plus(part(rules.period));
+    askNext = now.plus(part(rules.pingPeriod));
+    reconnectNext = now.plus(part(rules.pingPeriod));
     spread.add(self, own());
     if (!seeds.isEmpty()) {
       askWhole(seeds.get(chance.nextInt(seeds.size())));
@@ -258,7 +258,7 @@
         .values()
         .removeIf(
             errand -> {
-              boolean late = now.minus(errand.at).toNanos() >= NACK_AT * rules.ackIn.toNanos();
+              boolean late = now.minus(errand.at).toNanos() >= NACK_AT * rules.ackTimeout.toNanos();
               if (late) {
                 host.send(errand.back, new MessageBody.Nack(errand.number));
               }
@@ -266,7 +266,8 @@
             });
     ask(now);
     if (now.compareTo(reconnectNext) >= 0) {
-      reconnectNext = now.plus(rules.reconnect.dividedBy(2)).plus(part(rules.reconnect));
+      reconnectNext =
+          now.plus(rules.reconnectPeriod.dividedBy(2)).plus(part(rules.reconnectPeriod));
       reconnect(now);
     }
   }
@@ -281,7 +282,7 @@
       member.lastAsked = now;
       spread.add(member.standing.peer(), member.standing);
       host.send(member.standing.address(), new MessageBody.Ping(++numbers, member.standing.peer()));
-    } else if (now.minus(member.lastAsked).compareTo(rules.period) >= 0) {
+    } else if (now.minus(member.lastAsked).compareTo(rules.pingPeriod) >= 0) {
       count(Count.GONE);
       take(member.standing.as(State.GONE, self), now);
     }
@@ -290,7 +291,7 @@
   /** The periodic ask: first straight, then through helpers, then a suspicion. */
   private void ask(Duration now) {
     if (asking != null) {
-      Duration allowed = rules.ackIn.multipliedBy(1L + asking.health);
+      Duration allowed = rules.ackTimeout.multipliedBy(1L + asking.health);
       if (!asking.helped && now.minus(asking.at).compareTo(allowed) >= 0) {
         asking.helped = true;
         PeerRecord target =
@@ -298,7 +299,7 @@
                 ? null
                 : members.get(asking.peer.number()).standing;
         if (target != null) {
-          for (PeerRecord helper : some(rules.helpers, asking.peer)) {
+          for (PeerRecord helper : randomPeers(rules.helperCount, asking.peer)) {
             asking.helpers.add(helper.address());
             host.send(
                 helper.address(),
@@ -306,8 +307,8 @@
           }
         }
       }
-      if (now.minus(asking.at).compareTo(rules.period.multipliedBy(1L + asking.health)) >= 0) {
-        Asking failed = asking;
+      if (now.minus(asking.at).compareTo(rules.pingPeriod.multipliedBy(1L + asking.health)) >= 0) {
+        PendingPing failed = asking;
         asking = null;
         count(Count.UNANSWERED);
         // helpers that say nothing either are a sign that it is this mixer that hears late
@@ -316,10 +317,10 @@
       }
     }
     if (asking == null && now.compareTo(askNext) >= 0) {
-      askNext = now.plus(rules.period);
+      askNext = now.plus(rules.pingPeriod);
       PeerRecord next = next();
       if (next != null) {
-        asking = new Asking(next.peer(), ++numbers, now, health);
+        asking = new PendingPing(next.peer(), ++numbers, now, healthScore);
         if (next.state() == State.SUSPECTED) {
           spread.add(next.peer(), next); // it is to hear of it first from whom it can answer
         }
@@ -352,7 +353,7 @@
   }
 
   /** So many of those who are here, by chance, but that one. */
-  private List<PeerRecord> some(int count, PeerId but) {
+  private List<PeerRecord> randomPeers(int count, PeerId but) {
     List<PeerRecord> here = new ArrayList<>();
     members
         .values()
@@ -370,8 +371,8 @@
   }
 
   /** So many of those who are here, by chance, for a word. */
-  public List<PeerRecord> some(int count) {
-    return superseded || left ? List.of() : some(count, self);
+  public List<PeerRecord> randomPeers(int count) {
+    return superseded || left ? List.of() : randomPeers(count, self);
   }
 
   private void suspect(PeerId peer, Duration now) {
@@ -389,7 +390,7 @@
    */
   private Duration suspicion(Member member) {
     double least =
-        SUSPICION_LEAST * Math.max(1, Math.log10(Math.max(1, there))) * rules.period.toNanos();
+        SUSPICION_LEAST * Math.max(1, Math.log10(Math.max(1, there))) * rules.pingPeriod.toNanos();
     int wanted = Math.min(CONFIRMERS, there - 2);
     if (wanted < 1) {
       return Duration.ofNanos((long) least);
@@ -411,7 +412,8 @@
         .values()
         .removeIf(
             each ->
-                !each.standing.isPresent() && now.minus(each.since).compareTo(rules.forget) > 0);
+                !each.standing.isPresent()
+                    && now.minus(each.since).compareTo(rules.forgetAfter) > 0);
     List<PeerAddress> gone = new ArrayList<>();
     members
         .values()
@@ -428,18 +430,18 @@
     if (!gone.isEmpty()) {
       askWhole(gone.get(chance.nextInt(gone.size())));
     } else {
-      some(1, self)
+      randomPeers(1, self)
           .forEach(
               each -> host.send(each.address(), new MessageBody.MembersRequest(chance.nextLong())));
     }
   }
 
   private void worse(int steps) {
-    health = Math.max(0, Math.min(HEALTH_MOST, health + steps));
+    healthScore = Math.max(0, Math.min(HEALTH_MOST, healthScore + steps));
   }
 
   /** A letter of a mixer in that life has come that was proved to be of the fleet. */
-  public void heard(
+  public void messageReceived(
       PeerId author,
       long authorLife,
       PeerAddress from,
@@ -457,7 +459,8 @@
     }
     if (sender != null
         && sender.standing.state() == State.GONE
-        && (sender.lastTold == null || now.minus(sender.lastTold).compareTo(rules.period) >= 0)) {
+        && (sender.lastTold == null
+            || now.minus(sender.lastTold).compareTo(rules.pingPeriod) >= 0)) {
       // it lives, and does not know what is believed of it: told, it speaks against that
       sender.lastTold = now;
       host.send(from, new MessageBody.MembersPage(List.of(sender.standing), 0));
@@ -485,17 +488,17 @@
     } else if (body instanceof MessageBody.PingRequest help) {
       help(from, help, now);
     } else if (body instanceof MessageBody.MembersRequest question) {
-      host.send(from, page(question.from()));
+      host.send(from, page(question.fromPeer()));
     } else if (body instanceof MessageBody.MembersPage page) {
       page.records().forEach(each -> take(each, now));
-      if (page.next() != 0 && from.equals(askedWhole)) {
-        host.send(from, new MessageBody.MembersRequest(page.next()));
+      if (page.nextPeer() != 0 && from.equals(askedWhole)) {
+        host.send(from, new MessageBody.MembersRequest(page.nextPeer()));
       }
     }
   }
 
   private void acked(PeerId author, MessageBody.Ack ack, Duration now) {
-    Errand errand = errands.remove(ack.number());
+    IndirectPing errand = errands.remove(ack.number());
     if (errand != null) {
       host.send(errand.back, new MessageBody.Ack(errand.number));
     }
@@ -515,7 +518,7 @@
       count(Count.TOO_BUSY);
       return;
     }
-    errands.put(++numbers, new Errand(from, help.number(), now));
+    errands.put(++numbers, new IndirectPing(from, help.number(), now));
     host.send(help.address(), new MessageBody.Ping(numbers, help.peer()));
   }
 
@@ -541,7 +544,7 @@
     }
     Member member = members.get(told.peer().number());
     if (member == null) {
-      if (members.size() >= rules.peersMost && !makeRoom()) {
+      if (members.size() >= rules.maxPeers && !makeRoom()) {
         count(Count.NO_ROOM);
         return;
       }
@@ -600,7 +603,7 @@
     if (before == null
         || before.state() != standing.state()
         || before.incarnation() != standing.incarnation()) {
-      host.changed(standing);
+      host.peerChanged(standing);
     }
   }
 
@@ -621,18 +624,18 @@
   public void leave() {
     left = true;
     spread.add(self, own());
-    for (PeerRecord each : some(rules.helpers + 1, self)) {
+    for (PeerRecord each : randomPeers(rules.helperCount + 1, self)) {
       host.send(each.address(), new MessageBody.MembersPage(List.of(own()), 0));
     }
   }
 
   /** News for the next letter, so many at most. */
-  public List<PeerRecord> news(int most) {
+  public List<PeerRecord> takeUpdates(int most) {
     return spread.take(most, there + 1);
   }
 
   /** All that is known of the others, by their numbers. */
-  public List<PeerRecord> all() {
+  public List<PeerRecord> records() {
     return members.values().stream().map(each -> each.standing).toList();
   }
 
@@ -652,13 +655,13 @@
   }
 
   /** Whether a later life under the own name is about. */
-  public boolean superseded() {
+  public boolean isSuperseded() {
     return superseded;
   }
 
   /** From 0, hears in time, to {@value #HEALTH_MOST}. */
-  public int health() {
-    return health;
+  public int healthScore() {
+    return healthScore;
   }
 
   public long count(Enum<Count> which) {
--- a/peers/src/main/java/gingerring/peers/MessageBody.java
+++ b/peers/src/main/java/gingerring/peers/MessageBody.java
@@ -19,12 +19,12 @@
   record PingRequest(int number, PeerId peer, PeerAddress address) implements MessageBody {}
 
   /** Tell me whom you know, from this number on (as unsigned). */
-  record MembersRequest(long from) implements MessageBody {}
+  record MembersRequest(long fromPeer) implements MessageBody {}
 
   /**
    * Whom I know, in the order of their numbers; {@code next} is where the rest begins, 0 for none.
    */
-  record MembersPage(List<PeerRecord> records, long next) implements MessageBody {
+  record MembersPage(List<PeerRecord> records, long nextPeer) implements MessageBody {
     public MembersPage {
       records = List.copyOf(records);
     }
--- a/peers/src/main/java/gingerring/peers/MessageCodec.java
+++ b/peers/src/main/java/gingerring/peers/MessageCodec.java
@@ -13,8 +13,8 @@
 /**
  * Letters as bytes, most significant byte first: form 2 (1 byte), author, life, number (8 each),
  * kind (1), the body, a count of news (1) with 35 bytes each, a count of notes (1) with 33 each,
- * and the proof ({@link MessageAuthenticator}). At most {@value #MOST} bytes, so that a letter is
- * one packet on any usual way.
+ * and the proof ({@link MessageAuthenticator}). At most {@value #MAX_BYTES} bytes, so that a letter
+ * is one packet on any usual way.
  *
  * <p>Bodies: ping number (4), peer (8); ack and nack number (4); help number (4), peer (8), place
  * (6); ask from (8); page next (8), count (1), standings; say zone (4), demand (4, a float), count
@@ -32,7 +32,7 @@
   }
 
   /** A letter's bytes at most. */
-  public static final int MOST = 1200;
+  public static final int MAX_BYTES = 1200;
 
   private static final byte FORM = 2;
   private static final int HEAD = 26;
@@ -46,7 +46,7 @@
   private static final PeerRecord.State[] STATES = PeerRecord.State.values();
 
   private final MessageAuthenticator seal;
-  private final byte[] bytes = new byte[MOST];
+  private final byte[] bytes = new byte[MAX_BYTES];
 
   public MessageCodec(MessageAuthenticator seal) {
     this.seal = seal;
@@ -54,14 +54,20 @@
 
   /** How many boxes a word may tell of so that so many news and notes still fit beside it. */
   static int boxes(int news, int notes) {
-    return (MOST - HEAD - WORD - 2 - news * STANDING - notes * NOTE - MessageAuthenticator.PROOF)
+    return (MAX_BYTES
+            - HEAD
+            - WORD
+            - 2
+            - news * STANDING
+            - notes * NOTE
+            - MessageAuthenticator.PROOF)
         / BOX;
   }
 
   /** How much fits beside a body of that kind: room in standings, where no notes go along. */
   static int newsBeside(MessageBody body) {
     int taken = HEAD + 2 + MessageAuthenticator.PROOF + size(body);
-    return Math.max(0, Math.min(COUNT_MOST, (MOST - taken) / STANDING));
+    return Math.max(0, Math.min(COUNT_MOST, (MAX_BYTES - taken) / STANDING));
   }
 
   private static int size(MessageBody body) {
@@ -75,8 +81,8 @@
   }
 
   /** The bytes of a letter; one that is too large is a fault of its writer. */
-  public byte[] write(PeerMessage letter) {
-    ByteBuffer to = ByteBuffer.wrap(bytes, 0, MOST - MessageAuthenticator.PROOF);
+  public byte[] encode(PeerMessage letter) {
+    ByteBuffer to = ByteBuffer.wrap(bytes, 0, MAX_BYTES - MessageAuthenticator.PROOF);
     to.put(FORM)
         .putLong(letter.author().number())
         .putLong(letter.incarnation())
@@ -84,9 +90,9 @@
     body(to, letter.body());
     to.put((byte) letter.updates().size());
     letter.updates().forEach(each -> standing(to, each));
-    to.put((byte) letter.notes().size());
+    to.put((byte) letter.notices().size());
     letter
-        .notes()
+        .notices()
         .forEach(
             each ->
                 to.putLong(each.author().number())
@@ -110,9 +116,9 @@
       to.put((byte) 'h').putInt(help.number()).putLong(help.peer().number());
       place(to, help.address());
     } else if (body instanceof MessageBody.MembersRequest ask) {
-      to.put((byte) 'q').putLong(ask.from());
+      to.put((byte) 'q').putLong(ask.fromPeer());
     } else if (body instanceof MessageBody.MembersPage page) {
-      to.put((byte) 'r').putLong(page.next()).put((byte) page.records().size());
+      to.put((byte) 'r').putLong(page.nextPeer()).put((byte) page.records().size());
       page.records().forEach(each -> standing(to, each));
     } else if (body instanceof MessageBody.Report say) {
       PeerReport word = say.report();
@@ -157,7 +163,7 @@
   }
 
   /** Proves bytes first, and only then reads them. */
-  public PeerMessage read(byte[] from) throws InvalidMessage {
+  public PeerMessage decode(byte[] from) throws InvalidMessage {
     int length = seal.proved(from);
     if (length < 0) {
       throw new InvalidMessage(
@@ -176,10 +182,10 @@
       long number = in.getLong();
       MessageBody body = body(in, author, life, number);
       List<PeerRecord> news = standings(in);
-      List<Note> notes = new ArrayList<>();
+      List<ProbeNotice> notes = new ArrayList<>();
       for (int i = Byte.toUnsignedInt(in.get()); i > 0; i--) {
         notes.add(
-            new Note(
+            new ProbeNotice(
                 new PeerId(in.getLong()), in.getLong(), in.getLong(), in.getLong(), in.get() == 1));
       }
       if (in.hasRemaining()) {
--- a/peers/src/main/java/gingerring/peers/Sight.java
+++ b/peers/src/main/java/gingerring/peers/ObservationWindow.java
@@ -12,7 +12,7 @@
  * telling first: the boxes that failed, then those that answered most. At most {@code boxesMost}
  * boxes: what was seen of others is not kept, and counted. 16 bytes a box and bucket.
  */
-final class Sight {
+final class ObservationWindow {
   private static final int BUCKETS = 5;
 
   private static final class Ring {
@@ -27,7 +27,7 @@
   private long unkept;
 
   /** {@code span}: how far back it sees. */
-  Sight(Duration span, int boxesMost) {
+  ObservationWindow(Duration span, int boxesMost) {
     width = Math.max(1, span.toNanos() / BUCKETS);
     this.boxesMost = boxesMost;
   }
--- a/peers/src/main/java/gingerring/peers/PeerMessage.java
+++ b/peers/src/main/java/gingerring/peers/PeerMessage.java
@@ -7,7 +7,7 @@
  *
  * @param number counts up within its author's life, over all letters to whomever
  * @param updates what is believed of the members, passed on
- * @param notes what was asked of benched boxes for all, passed on
+ * @param notices what was asked of benched boxes for all, passed on
  */
 public record PeerMessage(
     PeerId author,
@@ -15,9 +15,9 @@
     long number,
     MessageBody body,
     List<PeerRecord> updates,
-    List<Note> notes) {
+    List<ProbeNotice> notices) {
   public PeerMessage {
     updates = List.copyOf(updates);
-    notes = List.copyOf(notes);
+    notices = List.copyOf(notices);
   }
 }
--- a/peers/src/main/java/gingerring/peers/PeerNode.java
+++ b/peers/src/main/java/gingerring/peers/PeerNode.java
@@ -1,8 +1,8 @@
 package gingerring.peers;
 
 import gingerring.share.MixerId;
+import gingerring.share.TurnOrder;
 import gingerring.share.TurnSchedule;
-import gingerring.share.Turns;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -17,9 +17,9 @@
 
 /**
  * One mixer among its peers: who they are ({@link Membership}), what they say and how much it
- * weighs ({@link PeerReports}, {@link Hearsay}), and whose turn it is to ask a benched box for all
- * ({@link TurnSchedule}). Its owner calls {@link #begin} once, {@link #tick} ten times a second,
- * {@link #received} for each datagram, {@link #attemptEnded}, {@link #ejected}, {@link
+ * weighs ({@link PeerReports}, {@link ReportAggregator}), and whose turn it is to ask a benched box
+ * for all ({@link TurnSchedule}). Its owner calls {@link #start} once, {@link #tick} ten times a
+ * second, {@link #received} for each datagram, {@link #attemptEnded}, {@link #ejected}, {@link
  * #probeStarted} and {@link #probeEnded} for what the mixer meets, and asks {@link #shouldProbe}
  * and {@link #failureShare} when the mixer wants to know; it acts by {@link Host}.
  *
@@ -28,8 +28,8 @@
  * What any one peer can move is so much and no more, and with nobody heard every answer is what it
  * would be without peers.
  *
- * <p>Bounds: as of its parts; {@link Rules#boxesMost} boxes in hand; one note a box is passed on,
- * the newest; and {@link Rules#bytesPerSecond} sent at the most.
+ * <p>Bounds: as of its parts; {@link Rules#maxBoxes} boxes in hand; one note a box is passed on,
+ * the newest; and {@link Rules#maxBytesPerSecond} sent at the most.
  */
 public final class PeerNode {
   /** How it acts, and the clock. */
@@ -44,10 +44,10 @@
     void boxAnswered(long box);
 
     /** A peer came, went or is in doubt. */
-    void changed(PeerRecord now);
+    void peerChanged(PeerRecord now);
 
     /** What to answer an operator who asks. */
-    default String explain(MessageBody.Query query) {
+    default String answerQuery(MessageBody.Query query) {
       return "";
     }
   }
@@ -56,43 +56,43 @@
    * {@code zone}: where this mixer stands, -1 where that is not told; {@code sayEvery} and {@code
    * sayTo}: how often its word goes out, and to how many drawn by chance; {@code sees}: what span a
    * word tells of; {@code believes}: how long one counts; {@code witnesses}: how many are needed,
-   * see {@link Hearsay} (2f + 1 stand against f that lie together); {@code roundEvery} and {@code
-   * roundStep}: the rota of asks; {@code bytesPerSecond}: the ceiling.
+   * see {@link ReportAggregator} (2f + 1 stand against f that lie together); {@code roundEvery} and
+   * {@code roundStep}: the rota of asks; {@code bytesPerSecond}: the ceiling.
    */
-  public record Rules(
-      Membership.Rules membership,
+  public record Settings(
+      Membership.Settings membership,
       int zone,
-      Duration sayEvery,
-      int sayTo,
-      Duration sees,
-      Duration believes,
-      int witnesses,
-      Duration roundEvery,
+      Duration reportPeriod,
+      int reportFanout,
+      Duration observationSpan,
+      Duration reportLifetime,
+      int minWitnesses,
+      Duration roundPeriod,
       Duration roundStep,
-      int boxesMost,
-      int bytesPerSecond) {
-    public Rules {
-      if (sayEvery.isZero()
-          || sayEvery.isNegative()
-          || sayTo < 0
-          || boxesMost < 1
-          || believes.compareTo(sayEvery) <= 0) {
+      int maxBoxes,
+      int maxBytesPerSecond) {
+    public Settings {
+      if (reportPeriod.isZero()
+          || reportPeriod.isNegative()
+          || reportFanout < 0
+          || maxBoxes < 1
+          || reportLifetime.compareTo(reportPeriod) <= 0) {
         throw new IllegalArgumentException(
             "a word each "
-                + sayEvery
+                + reportPeriod
                 + " to "
-                + sayTo
+                + reportFanout
                 + ", believed for "
-                + believes
+                + reportLifetime
                 + ", of "
-                + boxesMost
+                + maxBoxes
                 + " boxes");
       }
     }
 
-    public static Rules usual() {
-      return new Rules(
-          Membership.Rules.usual(),
+    public static Settings defaults() {
+      return new Settings(
+          Membership.Settings.defaults(),
           -1,
           Duration.ofSeconds(1),
           3,
@@ -161,7 +161,7 @@
   private static final double SILENCE_PARTS = 3;
 
   /** A box that this mixer asks about, or hears of. */
-  private static final class Matter {
+  private static final class ProbeState {
     final TurnSchedule rota;
 
     /** From when on it may ask by itself since another had an answer; null where none had. */
@@ -171,7 +171,7 @@
     Long round;
 
     /** Whose note was believed last. */
-    Note last;
+    ProbeNotice last;
 
     /** Whose word of an answer the ask that is out goes by; null where it is a turn. */
     PeerId onWordOf;
@@ -179,45 +179,45 @@
     /** When others' words may next lead to an ask. */
     Duration byWords = Duration.ZERO;
 
-    Matter(TurnSchedule rota) {
+    ProbeState(TurnSchedule rota) {
       this.rota = rota;
     }
   }
 
-  private record Misled(Duration until, int times) {}
+  private record Distrust(Duration until, int times) {}
 
   private final PeerId self;
   private final long life;
-  private final Rules rules;
+  private final Settings rules;
   private final Host host;
   private final MessageCodec letters;
   private final Membership membership;
-  private final Numbers numbers;
+  private final ReplayFilter numbers;
   private final PeerReports words;
-  private final Hearsay hearsay;
-  private final Sight sight;
-  private final Budget budget;
-  private final Spread<Long, Note> notes;
-  private final Map<Long, Matter> matters = new LinkedHashMap<>(16, 0.75f, true);
+  private final ReportAggregator hearsay;
+  private final ObservationWindow sight;
+  private final BandwidthLimiter budget;
+  private final GossipQueue<Long, ProbeNotice> notes;
+  private final Map<Long, ProbeState> matters = new LinkedHashMap<>(16, 0.75f, true);
 
   /**
    * Who said of a box that it answers, and it did not: until when nothing of that is believed, and
    * how often.
    */
-  private final Map<PeerId, Misled> misled = new LinkedHashMap<>();
+  private final Map<PeerId, Distrust> misled = new LinkedHashMap<>();
 
   private final Map<Count, Long> counts = new TreeMap<>();
   private Set<Long> listed = Set.of();
   private long number;
   private Duration sayNext = Duration.ZERO;
-  private long bytes;
+  private long bytesSent;
 
   /** {@code life}: Unix time in milliseconds at which {@link Host#now} was zero. */
   public PeerNode(
       PeerId self,
       PeerAddress here,
       long life,
-      Rules rules,
+      Settings rules,
       MessageAuthenticator seal,
       RandomGenerator chance,
       Host host) {
@@ -226,18 +226,18 @@
     this.rules = rules;
     this.host = host;
     letters = new MessageCodec(seal);
-    numbers = new Numbers(2 * rules.membership.peersMost());
+    numbers = new ReplayFilter(2 * rules.membership.maxPeers());
     words =
         new PeerReports(
             self,
-            rules.membership.peersMost(),
+            rules.membership.maxPeers(),
             MessageCodec.boxes(0, 0),
-            rules.sayEvery.dividedBy(2),
-            rules.believes);
-    hearsay = new Hearsay(rules.witnesses, PARTS_LEAST, LENT, DEMAND_MOST);
-    sight = new Sight(rules.sees, rules.boxesMost);
-    budget = new Budget(rules.bytesPerSecond);
-    notes = new Spread<>(rules.boxesMost, NOTES_PASSED_ON);
+            rules.reportPeriod.dividedBy(2),
+            rules.reportLifetime);
+    hearsay = new ReportAggregator(rules.minWitnesses, PARTS_LEAST, LENT, DEMAND_MOST);
+    sight = new ObservationWindow(rules.observationSpan, rules.maxBoxes);
+    budget = new BandwidthLimiter(rules.maxBytesPerSecond);
+    notes = new GossipQueue<>(rules.maxBoxes, NOTES_PASSED_ON);
     membership =
         new Membership(
             self,
@@ -257,19 +257,19 @@
               }
 
               @Override
-              public void changed(PeerRecord now) {
+              public void peerChanged(PeerRecord now) {
                 if (now.state()
                     == PeerRecord.State
                         .LEFT) { // what one who is gone said ages by itself: it may be back
-                  words.left(now.peer(), now.incarnation(), host.now());
+                  words.peerLeft(now.peer(), now.incarnation(), host.now());
                 }
-                host.changed(now);
+                host.peerChanged(now);
               }
             });
   }
 
-  public void begin(List<PeerAddress> places) {
-    membership.begin(places);
+  public void start(List<PeerAddress> places) {
+    membership.start(places);
   }
 
   /** Time has passed. */
@@ -277,7 +277,7 @@
     membership.tick();
     Duration now = host.now();
     if (now.compareTo(sayNext) >= 0) {
-      sayNext = now.plus(rules.sayEvery);
+      sayNext = now.plus(rules.reportPeriod);
       PeerReport word =
           new PeerReport(
               self,
@@ -287,25 +287,25 @@
               sight.demand(now),
               sight.worth(MessageCodec.boxes(NEWS, NOTES), now));
       membership
-          .some(rules.sayTo)
+          .randomPeers(rules.reportFanout)
           .forEach(each -> send(each.address(), new MessageBody.Report(word), true));
     }
   }
 
   private void send(PeerAddress to, MessageBody body, boolean word) {
-    if (membership.superseded()) {
+    if (membership.isSuperseded()) {
       return;
     }
     int room = MessageCodec.newsBeside(body);
-    List<Note> passed =
+    List<ProbeNotice> passed =
         room < 2 * NOTES ? List.of() : notes.take(NOTES, membership.present().size() + 1);
-    List<PeerRecord> news = membership.news(Math.min(NEWS, room - passed.size()));
-    byte[] letter = letters.write(new PeerMessage(self, life, ++number, body, news, passed));
+    List<PeerRecord> news = membership.takeUpdates(Math.min(NEWS, room - passed.size()));
+    byte[] letter = letters.encode(new PeerMessage(self, life, ++number, body, news, passed));
     if (!budget.take(letter.length, word, host.now())) {
       count(Count.OVER_CEILING);
       return;
     }
-    bytes += letter.length;
+    bytesSent += letter.length;
     count(Count.SENT);
     host.send(to, letter);
   }
@@ -314,7 +314,7 @@
   public void received(PeerAddress from, byte[] datagram) {
     PeerMessage letter;
     try {
-      letter = letters.read(datagram);
+      letter = letters.decode(datagram);
     } catch (MessageCodec.InvalidMessage e) {
       count(Count.REFUSED);
       return;
@@ -325,20 +325,21 @@
       return;
     }
     count(Count.TAKEN);
-    membership.heard(letter.author(), letter.incarnation(), from, letter.body(), letter.updates());
+    membership.messageReceived(
+        letter.author(), letter.incarnation(), from, letter.body(), letter.updates());
     if (letter.body() instanceof MessageBody.Report say) {
       count(
-          words.heard(say.report(), host.now()) == PeerReports.Verdict.TAKEN
+          words.accept(say.report(), host.now()) == PeerReports.Verdict.TAKEN
               ? Count.WORDS
               : Count.WORDS_DROPPED);
     } else if (letter.body() instanceof MessageBody.Query query) {
-      send(from, new MessageBody.Reply(host.explain(query)), true);
+      send(from, new MessageBody.Reply(host.answerQuery(query)), true);
     }
-    letter.notes().forEach(this::noted);
+    letter.notices().forEach(this::noted);
   }
 
   /** A note that came, perhaps by others: believed only of one whose turn had come. */
-  private void noted(Note note) {
+  private void noted(ProbeNotice note) {
     if (note.author().equals(self)) {
       return;
     }
@@ -346,7 +347,7 @@
       count(Count.STRANGE_BOX);
       return;
     }
-    Matter matter = matter(note.box());
+    ProbeState matter = matter(note.box());
     long before = matter.rota.rejectedClaims();
     // who had asked in this round has had its answer
     boolean more =
@@ -366,12 +367,13 @@
     }
     matter.last = note;
     count(Count.NOTES);
-    Misled liar = misled.get(note.author());
+    Distrust liar = misled.get(note.author());
     if (note.answered() && (liar == null || liar.until.compareTo(host.now()) <= 0)) {
       matter.onWordOf = note.author();
       // all are to ask it now, and not all in one moment
       Duration wait =
-          new Turns(id(self), AFTER_ANSWER).spread(note.box(), note.round(), mixers().size());
+          new TurnOrder(id(self), AFTER_ANSWER)
+              .randomDelay(note.box(), note.round(), mixers().size());
       matter.answered = host.now().plus(wait);
       host.boxAnswered(note.box());
     }
@@ -382,18 +384,20 @@
    * News that does not bear waiting for the next letter: to some at once, each of whom does the
    * same.
    */
-  private void pass(Note note) {
+  private void pass(ProbeNotice note) {
     notes.add(note.box(), note);
-    membership.some(PASS_TO).forEach(each -> send(each.address(), new MessageBody.Empty(), false));
+    membership
+        .randomPeers(PASS_TO)
+        .forEach(each -> send(each.address(), new MessageBody.Empty(), false));
   }
 
-  private Matter matter(long box) {
-    Matter matter = matters.get(box);
+  private ProbeState matter(long box) {
+    ProbeState matter = matters.get(box);
     if (matter == null) {
-      if (matters.size() >= rules.boxesMost) {
+      if (matters.size() >= rules.maxBoxes) {
         matters.remove(matters.keySet().iterator().next());
       }
-      matter = new Matter(new TurnSchedule(id(self), box, rules.roundEvery, rules.roundStep));
+      matter = new ProbeState(new TurnSchedule(id(self), box, rules.roundPeriod, rules.roundStep));
       matters.put(box, matter);
     }
     return matter;
@@ -417,7 +421,7 @@
   // ---- what the mixer meets, and what it asks ----
 
   /** Discovery's list: of other boxes nothing is taken in. */
-  public void listed(Collection<Long> boxes) {
+  public void boxesListed(Collection<Long> boxes) {
     listed = new HashSet<>(boxes);
     matters.keySet().retainAll(listed);
   }
@@ -438,10 +442,10 @@
    */
   public boolean shouldProbe(long box) {
     List<PeerId> present = membership.present();
-    if (present.isEmpty() || membership.superseded()) {
+    if (present.isEmpty() || membership.isSuperseded()) {
       return true;
     }
-    Matter matter = matter(box);
+    ProbeState matter = matter(box);
     if (matter.answered != null) {
       return matter.answered.compareTo(host.now()) <= 0;
     }
@@ -449,16 +453,16 @@
     if (host.now().compareTo(matter.byWords) >= 0 && answersOthers(box)) {
       return true;
     }
-    return matter.rota.due(mixers(), common()).compareTo(common()) <= 0;
+    return matter.rota.nextTurn(mixers(), common()).compareTo(common()) <= 0;
   }
 
   private boolean answersOthers(long box) {
-    return hearsay.failing(box, new BoxObservation(0, 0), words.fresh(host.now())) < SOUND;
+    return hearsay.failing(box, new BoxObservation(0, 0), words.current(host.now())) < SOUND;
   }
 
   /** This mixer asks a benched box now. */
   public void probeStarted(long box) {
-    Matter matter = matter(box);
+    ProbeState matter = matter(box);
     if (matter.answered == null) {
       matter.onWordOf = null;
     }
@@ -466,15 +470,15 @@
     matter.byWords = host.now().plus(BY_WORDS);
     matter.round = matter.rota.claimRound(common());
     count(Count.ASKED);
-    pass(new Note(self, life, box, matter.round, false));
+    pass(new ProbeNotice(self, life, box, matter.round, false));
   }
 
   /** What came of it. */
   public void probeEnded(long box, boolean answered) {
-    Matter matter = matters.get(box);
+    ProbeState matter = matters.get(box);
     if (matter != null && matter.round != null) {
       if (answered) {
-        pass(new Note(self, life, box, matter.round, true));
+        pass(new ProbeNotice(self, life, box, matter.round, true));
       } else if (matter.onWordOf != null) {
         misledBy(matter.onWordOf);
       }
@@ -487,12 +491,12 @@
    * Who says falsely that a box answers is not believed in it for a while, twice as long each time.
    */
   private void misledBy(PeerId author) {
-    Misled before = misled.remove(author);
+    Distrust before = misled.remove(author);
     int times = before == null ? 0 : Math.min(before.times + 1, MISLED_DOUBLED);
-    if (misled.size() >= rules.boxesMost) {
+    if (misled.size() >= rules.maxBoxes) {
       misled.remove(misled.keySet().iterator().next());
     }
-    misled.put(author, new Misled(host.now().plus(MISLED.multipliedBy(1L << times)), times));
+    misled.put(author, new Distrust(host.now().plus(MISLED.multipliedBy(1L << times)), times));
     count(Count.MISLED);
   }
 
@@ -500,13 +504,13 @@
    * The share of a box's parts that fail as others see it: 0 where too few tell, or nothing does.
    */
   public double failureShare(long box) {
-    double failing = hearsay.failing(box, new BoxObservation(0, 0), words.fresh(host.now()));
+    double failing = hearsay.failing(box, new BoxObservation(0, 0), words.current(host.now()));
     return Double.isNaN(failing) ? 0 : failing;
   }
 
   /** Parts a second that the whole fleet's clients ask for, as far as it is heard. */
-  public double demand() {
-    return hearsay.demand(sight.demand(host.now()), words.fresh(host.now()));
+  public double fleetDemand() {
+    return hearsay.demand(sight.demand(host.now()), words.current(host.now()));
   }
 
   /** Parts a second that this mixer's own clients ask for. */
@@ -515,13 +519,13 @@
   }
 
   /** What this mixer saw of a box, as its next word would tell it. */
-  public BoxObservation own(long box) {
+  public BoxObservation ownObservation(long box) {
     return sight.of(box, host.now());
   }
 
   /** The words that count now. */
   public List<PeerReports.TimedReport> reports() {
-    return words.fresh(host.now());
+    return words.current(host.now());
   }
 
   /** It ends on purpose. */
@@ -534,11 +538,11 @@
    * hand.
    */
   public String describeTurn(long box) {
-    Matter matter = matters.get(box);
+    ProbeState matter = matters.get(box);
     if (matter == null) {
       return "";
     }
-    Duration due = matter.rota.due(mixers(), common()).minus(common());
+    Duration due = matter.rota.nextTurn(mixers(), common()).minus(common());
     return "own turn in "
         + due.toMillis()
         + " ms"
@@ -554,8 +558,8 @@
   }
 
   /** Bytes sent so far, without those of the datagrams' own heads. */
-  public long bytes() {
-    return bytes;
+  public long bytesSent() {
+    return bytesSent;
   }
 
   public Map<Count, Long> counts() {
--- a/peers/src/main/java/gingerring/peers/PeerReports.java
+++ b/peers/src/main/java/gingerring/peers/PeerReports.java
@@ -8,8 +8,8 @@
 import java.util.Map;
 
 /**
- * The latest word of each peer. Call {@link #heard} for each word that came and whose sender was
- * proved; {@link #fresh} for those that still count.
+ * The latest word of each peer. Call {@link #accept} for each word that came and whose sender was
+ * proved; {@link #current} for those that still count.
  *
  * <p>Bounds: {@code peersMost} peers, of whom the one silent longest goes for a newcomer once its
  * word has aged, and a newcomer is turned away while none has; {@code boxesMost} boxes a word; one
@@ -33,7 +33,7 @@
   }
 
   /** A word and when it came. */
-  public record TimedReport(PeerReport report, Duration at) {}
+  public record TimedReport(PeerReport report, Duration receivedAt) {}
 
   private final PeerId self;
   private final int peersMost;
@@ -67,7 +67,7 @@
   }
 
   /** A word has come. */
-  public Verdict heard(PeerReport word, Duration now) {
+  public Verdict accept(PeerReport word, Duration now) {
     Verdict verdict = judge(word, now);
     counts.merge(verdict, 1L, Long::sum);
     if (verdict == Verdict.TAKEN) {
@@ -91,7 +91,7 @@
       return Verdict.OLD_NUMBER;
     }
     // of a new life too: who claims one life after the other is not heard more often than others
-    if (last != null && now.minus(last.at).compareTo(apart) < 0) {
+    if (last != null && now.minus(last.receivedAt).compareTo(apart) < 0) {
       return Verdict.TOO_SOON;
     }
     if (word.boxes().size() > boxesMost) {
@@ -100,7 +100,7 @@
     boolean room =
         last != null
             || kept.size() < peersMost
-            || now.minus(kept.values().iterator().next().at).compareTo(age) >= 0;
+            || now.minus(kept.values().iterator().next().receivedAt).compareTo(age) >= 0;
     return room ? Verdict.TAKEN : Verdict.NO_ROOM;
   }
 
@@ -108,22 +108,22 @@
    * The peer has said that it leaves: what it said counts no more. Its life is remembered until it
    * is forgotten.
    */
-  public void left(PeerId peer, long life, Duration now) {
+  public void peerLeft(PeerId peer, long life, Duration now) {
     TimedReport last = kept.get(peer);
     if (last != null && last.report.incarnation() <= life) {
       kept.put(
           peer,
           new TimedReport(
               new PeerReport(peer, life, Long.MAX_VALUE, last.report.zone(), 0, Map.of()),
-              last.at));
+              last.receivedAt));
     }
   }
 
   /** The words that still count, the oldest first. */
-  public List<TimedReport> fresh(Duration now) {
+  public List<TimedReport> current(Duration now) {
     List<TimedReport> fresh = new ArrayList<>();
     for (TimedReport each : kept.values()) {
-      if (now.minus(each.at).compareTo(age) < 0 && each.report.number() != Long.MAX_VALUE) {
+      if (now.minus(each.receivedAt).compareTo(age) < 0 && each.report.number() != Long.MAX_VALUE) {
         fresh.add(each);
       }
     }
--- a/peers/src/main/java/gingerring/peers/Numbers.java
+++ b/peers/src/main/java/gingerring/peers/ReplayFilter.java
@@ -8,7 +8,7 @@
  * 3.4.3). A letter of an earlier life, one that came before, and one far behind are not taken. At
  * most so many authors, the one heard longest ago goes first; some 100 bytes each.
  */
-final class Numbers {
+final class ReplayFilter {
   private static final int WIDE = 64;
 
   private static final class Window {
@@ -22,7 +22,7 @@
   private final int most;
   private final Map<PeerId, Window> windows = new LinkedHashMap<>(16, 0.75f, true);
 
-  Numbers(int most) {
+  ReplayFilter(int most) {
     this.most = most;
   }
 
--- a/peers/src/main/java/gingerring/peers/Hearsay.java
+++ b/peers/src/main/java/gingerring/peers/ReportAggregator.java
@@ -15,7 +15,7 @@
  * Regression and Outlier Detection", 1987). Demands are summed with each held to a multiple of
  * their median.
  */
-public final class Hearsay {
+public final class ReportAggregator {
   private final int witnesses;
   private final double partsLeast;
   private final double lent;
@@ -27,7 +27,7 @@
    * parts of a box is no witness; {@code lent}: what all of them together count for, in own parts;
    * {@code demandMost}: how many times the median demand one peer may claim.
    */
-  public Hearsay(int witnesses, double partsLeast, double lent, double demandMost) {
+  public ReportAggregator(int witnesses, double partsLeast, double lent, double demandMost) {
     if (witnesses < 1 || !(partsLeast > 0) || !(lent >= 0) || !(demandMost >= 1)) {
       throw new IllegalArgumentException(
           "witnesses "
--- a/peers/src/test/java/gingerring/peers/BoundsTest.java
+++ b/peers/src/test/java/gingerring/peers/BoundsTest.java
@@ -26,13 +26,13 @@
   @Property(tries = 100, seed = "61")
   void theCeilingHoldsOverEverySpan(@ForAll long seed) {
     SplittableRandom chance = new SplittableRandom(seed);
-    Budget budget = new Budget(4000);
+    BandwidthLimiter budget = new BandwidthLimiter(4000);
     List<long[]> sent = new ArrayList<>();
     long now = 0;
     long refused = 0;
     for (int i = 0; i < 400; i++) {
       now += chance.nextInt(200);
-      int bytes = chance.nextInt(1, MessageCodec.MOST + 1);
+      int bytes = chance.nextInt(1, MessageCodec.MAX_BYTES + 1);
       if (budget.take(bytes, chance.nextBoolean(), ms(now))) {
         sent.add(new long[] {now, bytes});
       } else {
@@ -51,21 +51,22 @@
 
   @Test
   void wordsLeaveHalfOfTheCeilingToTheRest() {
-    Budget budget = new Budget(4000);
+    BandwidthLimiter budget = new BandwidthLimiter(4000);
     int words = 0;
     while (budget.take(500, true, Duration.ZERO)) {
       words++;
     }
     assertEquals(4, words);
     assertTrue(budget.take(1200, false, Duration.ZERO));
-    assertThrows(IllegalArgumentException.class, () -> new Budget(MessageCodec.MOST - 1));
+    assertThrows(
+        IllegalArgumentException.class, () -> new BandwidthLimiter(MessageCodec.MAX_BYTES - 1));
   }
 
   /** Against a list of all that was seen and when. */
   @Property(tries = 100, seed = "62")
   void aSightTellsOfItsSpan(@ForAll long seed) {
     SplittableRandom chance = new SplittableRandom(seed);
-    Sight sight = new Sight(ms(5000), 4);
+    ObservationWindow sight = new ObservationWindow(ms(5000), 4);
     Deque<long[]> all = new ArrayDeque<>();
     long now = 0;
     for (int i = 0; i < 200; i++) {
@@ -89,7 +90,7 @@
 
   @Test
   void whatFailedIsToldFirst() {
-    Sight sight = new Sight(ms(5000), 100);
+    ObservationWindow sight = new ObservationWindow(ms(5000), 100);
     for (long box = 0; box < 50; box++) {
       sight.add(box, box, box == 3 ? 1 : 0, Duration.ZERO);
     }
@@ -111,7 +112,7 @@
    */
   @Test
   void newsIsPassedOnSoOften() {
-    Spread<Integer, String> spread = new Spread<>(3, 2);
+    GossipQueue<Integer, String> spread = new GossipQueue<>(3, 2);
     spread.add(1, "old");
     spread.add(1, "one");
     spread.add(2, "two");
--- a/peers/src/test/java/gingerring/peers/LivesExplorationTest.java
+++ b/peers/src/test/java/gingerring/peers/MembershipExplorationTest.java
@@ -18,7 +18,7 @@
  * which all have to know all in their latest lives; and at no moment is an earlier life believed
  * where a later one was known.
  */
-class LivesExplorationTest {
+class MembershipExplorationTest {
   private static final long CALM_MS = 60_000;
 
   private record Flying(int from, long life, int to, MessageBody body, List<PeerRecord> news) {}
@@ -67,7 +67,7 @@
               new PeerId(1 + who),
               place(who),
               lives[who],
-              Membership.Rules.usual(),
+              Membership.Settings.defaults(),
               new SplittableRandom(who + lives[who]),
               new Membership.Host() {
                 @Override
@@ -77,11 +77,12 @@
 
                 @Override
                 public void send(PeerAddress to, MessageBody body) {
-                  flying.add(new Flying(who, mineLife, to.port() - 1, body, mine[0].news(4)));
+                  flying.add(
+                      new Flying(who, mineLife, to.port() - 1, body, mine[0].takeUpdates(4)));
                 }
 
                 @Override
-                public void changed(PeerRecord standing) {
+                public void peerChanged(PeerRecord standing) {
                   int other = (int) standing.peer().number() - 1;
                   assertTrue(
                       standing.incarnation() >= seen[who][other],
@@ -90,7 +91,7 @@
                 }
               });
       mixers[who] = mine[0];
-      mixers[who].begin(List.of(place(0), place(1)));
+      mixers[who].start(List.of(place(0), place(1)));
     }
 
     List<Choice> choices() {
@@ -140,7 +141,7 @@
     private void deliver(Flying letter) {
       if (letter.to() < 3
           && !stopped[letter.to()]) { // one who is stopped keeps no more than the rest does
-        mixers[letter.to()].heard(
+        mixers[letter.to()].messageReceived(
             new PeerId(1 + letter.from()),
             letter.life(),
             place(letter.from()),
--- a/peers/src/test/java/gingerring/peers/MembershipTest.java
+++ b/peers/src/test/java/gingerring/peers/MembershipTest.java
@@ -32,7 +32,7 @@
           SELF,
           HERE,
           LIFE,
-          Membership.Rules.usual(),
+          Membership.Settings.defaults(),
           new SplittableRandom(1),
           new Membership.Host() {
             @Override
@@ -47,7 +47,7 @@
             }
 
             @Override
-            public void changed(PeerRecord standing) {
+            public void peerChanged(PeerRecord standing) {
               changes.add(standing);
             }
           });
@@ -61,7 +61,8 @@
   }
 
   private void told(PeerRecord... standings) {
-    membership.heard(new PeerId(1), 1, place(1), new MessageBody.Empty(), List.of(standings));
+    membership.messageReceived(
+        new PeerId(1), 1, place(1), new MessageBody.Empty(), List.of(standings));
   }
 
   private void pass(long ms) {
@@ -72,7 +73,7 @@
   }
 
   private State state(int peer) {
-    return membership.all().stream()
+    return membership.records().stream()
         .filter(each -> each.peer().number() == peer)
         .map(PeerRecord::state)
         .findFirst()
@@ -85,7 +86,7 @@
 
   @Test
   void asksThroughHelpersBeforeItSuspects() {
-    membership.begin(List.of());
+    membership.start(List.of());
     told(here(1, 1, 0, State.HERE), here(2, 1, 0, State.HERE), here(3, 1, 0, State.HERE));
     while (sent(MessageBody.Ping.class).isEmpty()) {
       pass(50);
@@ -101,7 +102,7 @@
     assertEquals(State.HERE, state(asked));
     // a helper had its answer: nothing is suspected
     int helper = asked == 1 ? 2 : 1;
-    membership.heard(
+    membership.messageReceived(
         new PeerId(helper), 1, place(helper), new MessageBody.Ack(ping.number()), List.of());
     pass(700);
     assertEquals(State.HERE, state(asked));
@@ -110,7 +111,7 @@
 
   @Test
   void whoSaysNothingIsSuspectedAndThenGone() {
-    membership.begin(List.of());
+    membership.start(List.of());
     told(here(1, 1, 0, State.HERE));
     pass(2500);
     assertEquals(State.SUSPECTED, state(1));
@@ -138,7 +139,7 @@
    */
   @Test
   void nobodyIsTakenForGoneByOneWhoHearsIt() {
-    membership.begin(List.of());
+    membership.start(List.of());
     told(here(1, 1, 0, State.HERE));
     pass(2500);
     assertEquals(State.SUSPECTED, state(1));
@@ -147,7 +148,7 @@
       int before = sent(MessageBody.Ping.class).size();
       pass(50);
       if (sent(MessageBody.Ping.class).size() > before) {
-        membership.heard(new PeerId(1), 1, place(1), new MessageBody.Empty(), List.of());
+        membership.messageReceived(new PeerId(1), 1, place(1), new MessageBody.Empty(), List.of());
       }
     }
     assertEquals(State.SUSPECTED, state(1));
@@ -158,10 +159,10 @@
    */
   @Test
   void whoIsTakenForGoneAndSpeaksIsToldSo() {
-    membership.begin(List.of());
+    membership.start(List.of());
     told(here(1, 1, 0, State.GONE), here(2, 1, 0, State.HERE));
-    membership.heard(new PeerId(1), 1, place(1), new MessageBody.Empty(), List.of());
-    membership.heard(new PeerId(1), 1, place(1), new MessageBody.Empty(), List.of());
+    membership.messageReceived(new PeerId(1), 1, place(1), new MessageBody.Empty(), List.of());
+    membership.messageReceived(new PeerId(1), 1, place(1), new MessageBody.Empty(), List.of());
     List<MessageBody.MembersPage> told = sent(MessageBody.MembersPage.class);
     assertEquals(1, told.size(), "once a period");
     assertEquals(State.GONE, told.get(0).records().get(0).state());
@@ -170,18 +171,18 @@
 
   @Test
   void speaksAgainstItsOwnSuspicion() {
-    membership.begin(List.of());
+    membership.start(List.of());
     told(
         here(1, 1, 0, State.HERE),
         new PeerRecord(SELF, HERE, LIFE, 0, State.SUSPECTED, new PeerId(1)));
     PeerRecord own =
-        membership.news(10).stream()
+        membership.takeUpdates(10).stream()
             .filter(each -> each.peer().equals(SELF))
             .findFirst()
             .orElseThrow();
     assertEquals(State.HERE, own.state());
     assertEquals(1, own.refutations());
-    assertEquals(1, membership.health());
+    assertEquals(1, membership.healthScore());
     told(new PeerRecord(SELF, HERE, LIFE, 0, State.GONE, new PeerId(1)));
     assertEquals(1, membership.count(Membership.Count.REFUTED), "that was answered before");
   }
@@ -189,7 +190,7 @@
   /** Others who suspect the same shorten a suspicion; the same one saying it again does not. */
   @Test
   void aSuspicionGrowsSureByOthers() {
-    membership.begin(List.of());
+    membership.start(List.of());
     for (int i = 1; i < 8; i++) {
       told(here(i, 1, 0, State.HERE));
     }
@@ -223,23 +224,24 @@
 
   @Test
   void ofTwoWithOneNameTheEarlierFallsSilent() {
-    membership.begin(List.of(place(1)));
+    membership.start(List.of(place(1)));
     told(here(1, 1, 0, State.HERE), new PeerRecord(SELF, place(9), LIFE + 1, 0, State.HERE, SELF));
-    assertTrue(membership.superseded());
+    assertTrue(membership.isSuperseded());
     sent.clear();
     pass(20_000);
-    membership.heard(new PeerId(1), 1, place(1), new MessageBody.Ping(1, SELF), List.of());
+    membership.messageReceived(
+        new PeerId(1), 1, place(1), new MessageBody.Ping(1, SELF), List.of());
     assertEquals(List.of(), sent);
   }
 
   /** Whose own first word was lost is asked who it is as soon as it says anything. */
   @Test
   void whoIsUnknownIsAskedWhoItIs() {
-    membership.begin(List.of());
-    membership.heard(new PeerId(9), 1, place(9), new MessageBody.Empty(), List.of());
+    membership.start(List.of());
+    membership.messageReceived(new PeerId(9), 1, place(9), new MessageBody.Empty(), List.of());
     assertEquals(List.of(place(9)), to);
     assertEquals(1, sent(MessageBody.MembersRequest.class).size());
-    membership.heard(
+    membership.messageReceived(
         new PeerId(9),
         3,
         place(9),
@@ -248,34 +250,36 @@
     assertEquals(3, membership.incarnation(new PeerId(9)));
     // and again where it speaks in a life that it was not known in
     sent.clear();
-    membership.heard(new PeerId(9), 4, place(9), new MessageBody.Empty(), List.of());
+    membership.messageReceived(new PeerId(9), 4, place(9), new MessageBody.Empty(), List.of());
     assertEquals(1, sent(MessageBody.MembersRequest.class).size());
   }
 
   /** An address that is another's by now does not answer for whom it was before. */
   @Test
   void answersForItselfAlone() {
-    membership.heard(
+    membership.messageReceived(
         new PeerId(1), 1, place(1), new MessageBody.Ping(1, new PeerId(99)), List.of());
     assertEquals(List.of(), sent(MessageBody.Ack.class));
     assertEquals(1, membership.count(Membership.Count.NOT_ME));
-    membership.heard(new PeerId(1), 1, place(1), new MessageBody.Ping(2, SELF), List.of());
+    membership.messageReceived(
+        new PeerId(1), 1, place(1), new MessageBody.Ping(2, SELF), List.of());
     assertEquals(List.of(new MessageBody.Ack(2)), sent(MessageBody.Ack.class));
   }
 
   @Test
   void helpsAndSaysWhereItCannot() {
-    membership.begin(List.of());
-    membership.heard(
+    membership.start(List.of());
+    membership.messageReceived(
         new PeerId(1),
         1,
         place(1),
         new MessageBody.PingRequest(7, new PeerId(2), place(2)),
         List.of());
     MessageBody.Ping ping = sent(MessageBody.Ping.class).get(0);
-    membership.heard(new PeerId(2), 1, place(2), new MessageBody.Ack(ping.number()), List.of());
+    membership.messageReceived(
+        new PeerId(2), 1, place(2), new MessageBody.Ack(ping.number()), List.of());
     assertEquals(new MessageBody.Ack(7), sent.get(sent.size() - 1));
-    membership.heard(
+    membership.messageReceived(
         new PeerId(1),
         1,
         place(1),
@@ -285,7 +289,7 @@
     assertTrue(sent.contains(new MessageBody.Nack(8)));
     // one peer has so many errands open at once, and no more
     for (int i = 0; i < 20; i++) {
-      membership.heard(
+      membership.messageReceived(
           new PeerId(1),
           1,
           place(1),
@@ -303,25 +307,31 @@
     long from = 0;
     Set<PeerId> told = new HashSet<>();
     do {
-      membership.heard(new PeerId(1), 1, place(1), new MessageBody.MembersRequest(from), List.of());
+      membership.messageReceived(
+          new PeerId(1), 1, place(1), new MessageBody.MembersRequest(from), List.of());
       MessageBody.MembersPage page = (MessageBody.MembersPage) sent.get(sent.size() - 1);
       assertEquals(SELF, page.records().get(0).peer(), "each page begins with who sends it");
       page.records().forEach(each -> told.add(each.peer()));
-      from = page.next();
+      from = page.nextPeer();
     } while (from != 0);
     assertEquals(51, told.size());
   }
 
   @Test
   void knowsSoManyAndTheGoneMakeRoom() {
-    Membership.Rules usual = Membership.Rules.usual();
+    Membership.Settings usual = Membership.Settings.defaults();
     Membership small =
         new Membership(
             SELF,
             HERE,
             LIFE,
-            new Membership.Rules(
-                usual.period(), usual.ackIn(), 3, usual.reconnect(), usual.forget(), 3),
+            new Membership.Settings(
+                usual.pingPeriod(),
+                usual.ackTimeout(),
+                3,
+                usual.reconnectPeriod(),
+                usual.forgetAfter(),
+                3),
             new SplittableRandom(1),
             new Membership.Host() {
               @Override
@@ -333,15 +343,15 @@
               public void send(PeerAddress place, MessageBody body) {}
 
               @Override
-              public void changed(PeerRecord standing) {}
+              public void peerChanged(PeerRecord standing) {}
             });
     for (int i = 1; i <= 4; i++) {
-      small.heard(
+      small.messageReceived(
           new PeerId(1), 1, place(1), new MessageBody.Empty(), List.of(here(i, 1, 0, State.HERE)));
     }
-    assertEquals(3, small.all().size());
+    assertEquals(3, small.records().size());
     assertEquals(1, small.count(Membership.Count.NO_ROOM));
-    small.heard(
+    small.messageReceived(
         new PeerId(1),
         1,
         place(1),
@@ -353,7 +363,7 @@
   /** Fleets that began at two places would never hear of each other. */
   @Test
   void asksAtPlacesOfTheStartWhereNobodyKnownStands() {
-    membership.begin(List.of(place(1), place(2)));
+    membership.start(List.of(place(1), place(2)));
     told(here(1, 1, 0, State.HERE));
     to.clear();
     sent.clear();
@@ -370,14 +380,14 @@
         i < sent.size();
         i++) { // all are known: one page from somewhere, and no whole list
       assertTrue(
-          !(sent.get(i) instanceof MessageBody.MembersRequest ask) || ask.from() != 0,
+          !(sent.get(i) instanceof MessageBody.MembersRequest ask) || ask.fromPeer() != 0,
           "asked anew at " + to.get(i));
     }
   }
 
   @Test
   void whoLeavesSaysSoAndIsSilent() {
-    membership.begin(List.of());
+    membership.start(List.of());
     told(here(1, 1, 0, State.HERE), here(2, 1, 0, State.HERE));
     membership.leave();
     List<MessageBody.MembersPage> words = sent(MessageBody.MembersPage.class);
--- a/peers/src/test/java/gingerring/peers/LettersTest.java
+++ b/peers/src/test/java/gingerring/peers/MessageCodecTest.java
@@ -17,7 +17,7 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-class LettersTest {
+class MessageCodecTest {
   private static final byte[] KEY = "a key of this fleet".getBytes();
   private static final byte[] NEXT = "the key that follows".getBytes();
 
@@ -73,10 +73,10 @@
           case 8 -> new MessageBody.Reply("x\u00e9".repeat(chance.nextInt(200)));
           default -> new MessageBody.Empty();
         };
-    List<Note> notes = new ArrayList<>();
+    List<ProbeNotice> notes = new ArrayList<>();
     for (int i = chance.nextInt(5); i > 0; i--) {
       notes.add(
-          new Note(
+          new ProbeNotice(
               new PeerId(chance.nextLong()),
               chance.nextLong(),
               chance.nextLong(),
@@ -91,19 +91,19 @@
     SplittableRandom chance = new SplittableRandom(seed);
     PeerMessage letter = letter(chance);
     MessageCodec letters = with(KEY);
-    byte[] bytes = letters.write(letter);
-    assertTrue(bytes.length <= MessageCodec.MOST);
-    assertEquals(letter, letters.read(bytes));
+    byte[] bytes = letters.encode(letter);
+    assertTrue(bytes.length <= MessageCodec.MAX_BYTES);
+    assertEquals(letter, letters.decode(bytes));
     byte[] bent = bytes.clone();
     bent[chance.nextInt(bent.length)] ^= (byte) (1 << chance.nextInt(8));
-    assertThrows(MessageCodec.InvalidMessage.class, () -> letters.read(bent));
+    assertThrows(MessageCodec.InvalidMessage.class, () -> letters.decode(bent));
     assertThrows(
         MessageCodec.InvalidMessage.class,
-        () -> letters.read(Arrays.copyOf(bytes, chance.nextInt(bytes.length))));
+        () -> letters.decode(Arrays.copyOf(bytes, chance.nextInt(bytes.length))));
     assertThrows(
         MessageCodec.InvalidMessage.class,
-        () -> letters.read(Arrays.copyOf(bytes, bytes.length + 1)));
-    assertThrows(MessageCodec.InvalidMessage.class, () -> with(NEXT).read(bytes));
+        () -> letters.decode(Arrays.copyOf(bytes, bytes.length + 1)));
+    assertThrows(MessageCodec.InvalidMessage.class, () -> with(NEXT).decode(bytes));
   }
 
   /** A key is changed in three steps, mixer by mixer; at no step is a letter refused. */
@@ -112,18 +112,18 @@
     PeerMessage letter = letter(new SplittableRandom(1));
     List<MessageCodec> steps = List.of(with(KEY), with(KEY, NEXT), with(NEXT, KEY), with(NEXT));
     for (int i = 0; i + 1 < steps.size(); i++) {
-      assertEquals(letter, steps.get(i).read(steps.get(i + 1).write(letter)));
-      assertEquals(letter, steps.get(i + 1).read(steps.get(i).write(letter)));
+      assertEquals(letter, steps.get(i).decode(steps.get(i + 1).encode(letter)));
+      assertEquals(letter, steps.get(i + 1).decode(steps.get(i).encode(letter)));
     }
     assertThrows(
-        MessageCodec.InvalidMessage.class, () -> steps.get(0).read(steps.get(3).write(letter)));
+        MessageCodec.InvalidMessage.class, () -> steps.get(0).decode(steps.get(3).encode(letter)));
   }
 
   /** Who holds the key and writes nonsense is refused with a reason, whatever the nonsense. */
   @Property(tries = 400, seed = "34")
   void provedNonsenseIsRefused(@ForAll long seed) throws Exception {
     SplittableRandom chance = new SplittableRandom(seed);
-    byte[] bytes = with(KEY).write(letter(chance));
+    byte[] bytes = with(KEY).encode(letter(chance));
     int length = bytes.length - MessageAuthenticator.PROOF;
     int cut = chance.nextInt(2) == 0 ? chance.nextInt(1, length) : length;
     byte[] plain = Arrays.copyOf(bytes, cut);
@@ -139,7 +139,7 @@
             .put(proof)
             .array();
     try {
-      with(KEY).read(sealed); // some changes make another letter
+      with(KEY).decode(sealed); // some changes make another letter
     } catch (MessageCodec.InvalidMessage e) {
       assertTrue(
           e.getMessage().startsWith("proved, and no letter")
@@ -161,9 +161,9 @@
         new PeerReport(author, 1, 1, 0, 1e300, Map.of(1L, new BoxObservation(1e9, 70_000)));
     PeerMessage read =
         with(KEY)
-            .read(
+            .decode(
                 with(KEY)
-                    .write(
+                    .encode(
                         new PeerMessage(
                             author, 1, 1, new MessageBody.Report(much), List.of(), List.of())));
     PeerReport word = ((MessageBody.Report) read.body()).report();
--- a/peers/src/test/java/gingerring/peers/StandingTest.java
+++ b/peers/src/test/java/gingerring/peers/PeerRecordTest.java
@@ -11,7 +11,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
-class StandingTest {
+class PeerRecordTest {
   private static final PeerId PEER = new PeerId(7);
 
   private static PeerRecord draw(SplittableRandom chance) {
--- a/peers/src/test/java/gingerring/peers/WordsTest.java
+++ b/peers/src/test/java/gingerring/peers/PeerReportsTest.java
@@ -15,7 +15,7 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-class WordsTest {
+class PeerReportsTest {
   private static final PeerId SELF = new PeerId(99);
   private static final Duration APART = Duration.ofMillis(500);
   private static final Duration AGE = Duration.ofSeconds(5);
@@ -46,10 +46,10 @@
               word.incarnation() > each.report().incarnation()
                   || word.incarnation() == each.report().incarnation()
                       && word.number() > each.report().number();
-          newest &= now - each.at().toMillis() >= APART.toMillis();
+          newest &= now - each.receivedAt().toMillis() >= APART.toMillis();
         }
       }
-      assertEquals(newest, words.heard(word, ms(now)) == Verdict.TAKEN);
+      assertEquals(newest, words.accept(word, ms(now)) == Verdict.TAKEN);
       if (newest) {
         taken.add(new PeerReports.TimedReport(word, ms(now)));
       }
@@ -57,12 +57,12 @@
     Map<PeerId, PeerReport> last = new HashMap<>();
     for (PeerReports.TimedReport each : taken) {
       last.remove(each.report().author());
-      if (now - each.at().toMillis() < AGE.toMillis()) {
+      if (now - each.receivedAt().toMillis() < AGE.toMillis()) {
         last.put(each.report().author(), each.report());
       }
     }
     Map<PeerId, PeerReport> fresh = new HashMap<>();
-    words.fresh(ms(now)).forEach(each -> fresh.put(each.report().author(), each.report()));
+    words.current(ms(now)).forEach(each -> fresh.put(each.report().author(), each.report()));
     assertEquals(last, fresh);
   }
 
@@ -73,13 +73,13 @@
   @Test
   void anEarlierLifeNeverWins() {
     PeerReports words = new PeerReports(SELF, 10, 4, APART, AGE);
-    assertEquals(Verdict.TAKEN, words.heard(word(1, 100, 50), ms(0)));
-    assertEquals(Verdict.TAKEN, words.heard(word(1, 200, 1), ms(1000)));
-    assertEquals(Verdict.OLD_LIFE, words.heard(word(1, 100, 51), ms(2000)));
-    assertEquals(Verdict.OLD_NUMBER, words.heard(word(1, 200, 1), ms(3000)));
+    assertEquals(Verdict.TAKEN, words.accept(word(1, 100, 50), ms(0)));
+    assertEquals(Verdict.TAKEN, words.accept(word(1, 200, 1), ms(1000)));
+    assertEquals(Verdict.OLD_LIFE, words.accept(word(1, 100, 51), ms(2000)));
+    assertEquals(Verdict.OLD_NUMBER, words.accept(word(1, 200, 1), ms(3000)));
     assertEquals(
-        Verdict.OLD_LIFE, words.heard(word(99, 300, 1), ms(3000)), "an own word that came back");
-    assertEquals(200, words.fresh(ms(3000)).get(0).report().incarnation());
+        Verdict.OLD_LIFE, words.accept(word(99, 300, 1), ms(3000)), "an own word that came back");
+    assertEquals(200, words.current(ms(3000)).get(0).report().incarnation());
     assertEquals(2, words.count(Verdict.OLD_LIFE));
   }
 
@@ -92,7 +92,7 @@
     PeerReports words = new PeerReports(SELF, 10, 4, APART, AGE);
     int taken = 0;
     for (int i = 0; i < 100; i++) {
-      taken += words.heard(word(1, 100 + i, 1), ms(i * 100)) == Verdict.TAKEN ? 1 : 0;
+      taken += words.accept(word(1, 100 + i, 1), ms(i * 100)) == Verdict.TAKEN ? 1 : 0;
     }
     assertEquals(20, taken);
     assertEquals(80, words.count(Verdict.TOO_SOON));
@@ -102,9 +102,9 @@
   void itsBoundsHold() {
     PeerReports words = new PeerReports(SELF, 3, 2, APART, AGE);
     for (int i = 0; i < 3; i++) {
-      assertEquals(Verdict.TAKEN, words.heard(word(i, 1, 1), ms(i)));
+      assertEquals(Verdict.TAKEN, words.accept(word(i, 1, 1), ms(i)));
     }
-    assertEquals(Verdict.NO_ROOM, words.heard(word(3, 1, 1), ms(100)));
+    assertEquals(Verdict.NO_ROOM, words.accept(word(3, 1, 1), ms(100)));
     Map<Long, BoxObservation> many =
         Map.of(
             1L,
@@ -114,24 +114,24 @@
             3L,
             new BoxObservation(1, 0));
     assertEquals(
-        Verdict.TOO_LARGE, words.heard(new PeerReport(new PeerId(1), 1, 2, 0, 0, many), ms(1000)));
+        Verdict.TOO_LARGE, words.accept(new PeerReport(new PeerId(1), 1, 2, 0, 0, many), ms(1000)));
     assertEquals(
-        Verdict.TAKEN, words.heard(word(0, 1, 2), ms(4000)), "now 1 is the one heard longest ago");
-    assertEquals(Verdict.TAKEN, words.heard(word(3, 1, 1), ms(5002)));
-    assertEquals(Verdict.OLD_NUMBER, words.heard(word(0, 1, 2), ms(5002)));
+        Verdict.TAKEN, words.accept(word(0, 1, 2), ms(4000)), "now 1 is the one heard longest ago");
+    assertEquals(Verdict.TAKEN, words.accept(word(3, 1, 1), ms(5002)));
+    assertEquals(Verdict.OLD_NUMBER, words.accept(word(0, 1, 2), ms(5002)));
     assertTrue(
-        words.fresh(ms(5003)).stream().noneMatch(each -> each.report().author().number() == 1));
+        words.current(ms(5003)).stream().noneMatch(each -> each.report().author().number() == 1));
   }
 
   @Test
   void whoLeavesIsForgottenAtOnceAndComesBackWithANewLifeAlone() {
     PeerReports words = new PeerReports(SELF, 10, 4, APART, AGE);
-    words.heard(word(1, 100, 5), ms(0));
-    words.left(new PeerId(1), 100, ms(600));
-    assertEquals(List.of(), words.fresh(ms(600)));
+    words.accept(word(1, 100, 5), ms(0));
+    words.peerLeft(new PeerId(1), 100, ms(600));
+    assertEquals(List.of(), words.current(ms(600)));
     assertEquals(
-        Verdict.OLD_NUMBER, words.heard(word(1, 100, 6), ms(1200)), "a word that was on its way");
-    assertEquals(Verdict.TAKEN, words.heard(word(1, 101, 1), ms(1200)));
+        Verdict.OLD_NUMBER, words.accept(word(1, 100, 6), ms(1200)), "a word that was on its way");
+    assertEquals(Verdict.TAKEN, words.accept(word(1, 101, 1), ms(1200)));
   }
 
   @Test
--- a/peers/src/test/java/gingerring/peers/NumbersTest.java
+++ b/peers/src/test/java/gingerring/peers/ReplayFilterTest.java
@@ -11,14 +11,14 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-class NumbersTest {
+class ReplayFilterTest {
   private static final PeerId AUTHOR = new PeerId(1);
 
   /** Against a plain set of all that ever came. */
   @Property(tries = 300, seed = "51")
   void takesEachNumberOnceWithinItsWindow(@ForAll long seed) {
     SplittableRandom chance = new SplittableRandom(seed);
-    Numbers numbers = new Numbers(4);
+    ReplayFilter numbers = new ReplayFilter(4);
     Set<Long> come = new HashSet<>();
     long highest = Long.MIN_VALUE;
     long life = 5;
@@ -44,7 +44,7 @@
 
   @Test
   void keepsSoManyAuthors() {
-    Numbers numbers = new Numbers(3);
+    ReplayFilter numbers = new ReplayFilter(3);
     for (int i = 0; i < 100; i++) {
       assertTrue(numbers.take(new PeerId(i), 1, 1));
     }
--- a/peers/src/test/java/gingerring/peers/HearsayTest.java
+++ b/peers/src/test/java/gingerring/peers/ReportAggregatorTest.java
@@ -13,7 +13,7 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-class HearsayTest {
+class ReportAggregatorTest {
   private static final BoxObservation NOTHING = new BoxObservation(0, 0);
 
   private static PeerReports.TimedReport kept(
@@ -47,7 +47,7 @@
     for (int i = 0; i < f; i++) {
       words.add(kept(100 + i, i % 3, 1, dead ? 0 : 1e9, dead ? 1e9 : 0));
     }
-    Hearsay hearsay = new Hearsay(3, 1, 4, 3);
+    ReportAggregator hearsay = new ReportAggregator(3, 1, 4, 3);
     double told = hearsay.failing(5, NOTHING, words);
     assertTrue(
         told >= low - 1e-12 && told <= high + 1e-12, () -> "brought out of range to " + told);
@@ -57,7 +57,7 @@
 
   @Test
   void fewWitnessesOrOneZoneAreNotEnough() {
-    Hearsay hearsay = new Hearsay(3, 5, 4, 3);
+    ReportAggregator hearsay = new ReportAggregator(3, 5, 4, 3);
     List<PeerReports.TimedReport> words =
         new ArrayList<>(List.of(kept(1, 0, 1, 0, 10), kept(2, 1, 1, 0, 10)));
     assertEquals(Double.NaN, hearsay.failing(5, NOTHING, words));
@@ -76,7 +76,7 @@
   /** Guards against one that claims endless demand: it is held to a multiple of the middle one. */
   @Test
   void noDemandIsEndless() {
-    Hearsay hearsay = new Hearsay(3, 1, 4, 3);
+    ReportAggregator hearsay = new ReportAggregator(3, 1, 4, 3);
     List<PeerReports.TimedReport> words = new ArrayList<>();
     for (int i = 0; i < 15; i++) {
       words.add(kept(i, 0, i == 0 ? 1e12 : 10, 1, 0));
@@ -87,9 +87,9 @@
 
   @Test
   void refusesWhatCannotBe() {
-    assertThrows(IllegalArgumentException.class, () -> new Hearsay(0, 1, 1, 1));
-    assertThrows(IllegalArgumentException.class, () -> new Hearsay(1, 0, 1, 1));
-    assertThrows(IllegalArgumentException.class, () -> new Hearsay(1, 1, -1, 1));
-    assertThrows(IllegalArgumentException.class, () -> new Hearsay(1, 1, 1, 0.5));
+    assertThrows(IllegalArgumentException.class, () -> new ReportAggregator(0, 1, 1, 1));
+    assertThrows(IllegalArgumentException.class, () -> new ReportAggregator(1, 0, 1, 1));
+    assertThrows(IllegalArgumentException.class, () -> new ReportAggregator(1, 1, -1, 1));
+    assertThrows(IllegalArgumentException.class, () -> new ReportAggregator(1, 1, 1, 0.5));
   }
 }
--- a/share/src/main/java/gingerring/share/CapacityEstimator.java
+++ b/share/src/main/java/gingerring/share/CapacityEstimator.java
@@ -8,7 +8,7 @@
  * How much a box is believed to bear, in parts a second, by what the whole fleet is told to have
  * had answered and refused there; each mixer keeps its own belief, and its portion is its due of
  * that ({@link FairShares}). Call {@link #update} with the fleet's sums each time that reports are
- * looked at, then {@link #portion}.
+ * looked at, then {@link #share}.
  *
  * <p>Where parts are refused the room is what was answered: measured, not searched for, so that
  * late reports bring no swing of their own. Where nothing is refused and the room binds, it is
@@ -97,7 +97,9 @@
   }
 
   /** This mixer's due, in parts a second, of all demands and weights, its own at {@code self}. */
-  public double portion(double[] demands, double[] weights, int self) {
-    return Double.isInfinite(room) ? demands[self] : FairShares.of(room, demands, weights)[self];
+  public double share(double[] demands, double[] weights, int self) {
+    return Double.isInfinite(room)
+        ? demands[self]
+        : FairShares.allocate(room, demands, weights)[self];
   }
 }
--- a/share/src/main/java/gingerring/share/FairShares.java
+++ b/share/src/main/java/gingerring/share/FairShares.java
@@ -19,7 +19,7 @@
    * @throws IllegalArgumentException naming the place, for a room, demand or weight that is below
    *     zero or no number
    */
-  public static double[] of(double room, double[] demands, double[] weights) {
+  public static double[] allocate(double room, double[] demands, double[] weights) {
     check("room", room);
     if (demands.length != weights.length) {
       throw new IllegalArgumentException(
--- a/share/src/main/java/gingerring/share/Preference.java
+++ b/share/src/main/java/gingerring/share/PreferredBoxes.java
@@ -14,15 +14,15 @@
  * that box's folios stand in at once; when it is back, so is the old choice. Before the first list,
  * and with nothing trusted, all are preferred.
  */
-public final class Preference {
+public final class PreferredBoxes {
   /** A box, and the cell of the ring that it stands in. */
-  public record Listed(Box box, int cell) {}
+  public record ListedBox(Box box, int cell) {}
 
   private final MixerId self;
   private final int keep;
   private final int places;
   private final int reach;
-  private Collection<Listed> listed = List.of();
+  private Collection<ListedBox> listed = List.of();
   private final Set<BoxId> distrusted = new HashSet<>();
   private Set<BoxId> preferred;
   private long moved;
@@ -31,7 +31,7 @@
    * {@code keep}: holders preferred of each folio; {@code places}: cells of the ring; {@code
    * reach}: how many cells from a folio's own on hold it.
    */
-  public Preference(MixerId self, int keep, int places, int reach) {
+  public PreferredBoxes(MixerId self, int keep, int places, int reach) {
     if (keep < 1 || places < 1 || reach < 1) {
       throw new IllegalArgumentException(
           "keep " + keep + ", places " + places + ", reach " + reach);
@@ -42,7 +42,7 @@
     this.reach = reach;
   }
 
-  public void update(Collection<Listed> boxes) {
+  public void update(Collection<ListedBox> boxes) {
     listed = List.copyOf(boxes);
     distrusted.retainAll(listed.stream().map(each -> each.box().id()).toList());
     chooseAnew();
@@ -65,7 +65,7 @@
     List<Box> trusted =
         listed.stream()
             .filter(each -> !distrusted.contains(each.box().id()))
-            .map(Listed::box)
+            .map(ListedBox::box)
             .toList();
     for (int folio = 0; folio < places; folio++) {
       int first = folio;
@@ -77,7 +77,7 @@
               .toList());
     }
     Set<BoxId> chosen =
-        trusted.isEmpty() ? null : new SubsetSelector(trusted, cells.values(), keep).of(self);
+        trusted.isEmpty() ? null : new SubsetSelector(trusted, cells.values(), keep).select(self);
     if (preferred != null && chosen != null) {
       moved += chosen.stream().filter(each -> !preferred.contains(each)).count();
     }
--- a/share/src/main/java/gingerring/share/RendezvousHash.java
+++ b/share/src/main/java/gingerring/share/RendezvousHash.java
@@ -21,13 +21,13 @@
   }
 
   /** A draw for a pair, even over all longs. */
-  public static long draw(long one, long other) {
+  public static long pairHash(long one, long other) {
     return mix(mix(one + STRIDE) + STRIDE * 3 + other);
   }
 
   /** A draw for a pair, above 0 and under 1. */
-  static double unit(long one, long other) {
-    return ((draw(one, other) >>> 11) + 0.5) * 0x1p-53;
+  static double unitHash(long one, long other) {
+    return ((pairHash(one, other) >>> 11) + 0.5) * 0x1p-53;
   }
 
   /**
@@ -35,7 +35,7 @@
    * Spirakis, "Weighted random sampling with a reservoir", Information Processing Letters 97,
    * 2006).
    */
-  static double weighted(long one, long other, double weight) {
-    return -Math.log(unit(one, other)) / weight;
+  static double weightedHash(long one, long other, double weight) {
+    return -Math.log(unitHash(one, other)) / weight;
   }
 }
--- a/share/src/main/java/gingerring/share/SubsetSelector.java
+++ b/share/src/main/java/gingerring/share/SubsetSelector.java
@@ -57,13 +57,14 @@
   }
 
   /** The boxes that a mixer prefers, the first drawn first. */
-  public Set<BoxId> of(MixerId mixer) {
+  public Set<BoxId> select(MixerId mixer) {
     List<BoxId> order = new ArrayList<>(held.keySet());
     Map<BoxId, Double> draws = new HashMap<>();
     order.forEach(
         id ->
             draws.put(
-                id, RendezvousHash.weighted(mixer.number(), id.number(), boxes.get(id).size())));
+                id,
+                RendezvousHash.weightedHash(mixer.number(), id.number(), boxes.get(id).size())));
     order.sort(Comparator.<BoxId>comparingDouble(draws::get).thenComparingLong(BoxId::number));
     Set<BoxId> chosen = new LinkedHashSet<>();
     for (BoxId id : order) {
--- a/share/src/main/java/gingerring/share/Turns.java
+++ b/share/src/main/java/gingerring/share/TurnOrder.java
@@ -5,7 +5,7 @@
 
 /**
  * Whose turn it is to do what one is to do for all: to probe a benched box, to give a cold one its
- * next part, to connect first after a loss, to ask discovery first when it is back. {@link #wait}
+ * next part, to connect first after a loss, to ask discovery first when it is back. {@link #delay}
  * says how long after the matter fell due this mixer leaves it to others; if it has no word by then
  * that it was done, it may do it.
  *
@@ -16,15 +16,15 @@
  *
  * <p>Without talk only the size of the fleet is known, and no mixer hears that another acted: each
  * draws its own time from so many steps, so that over the fleet one acts in a step on average,
- * however large the fleet is ({@link #spread}); some act in the same step, as in any draw, and the
- * longest span without any is that of such a draw.
+ * however large the fleet is ({@link #randomDelay}); some act in the same step, as in any draw, and
+ * the longest span without any is that of such a draw.
  */
-public final class Turns {
+public final class TurnOrder {
   private final MixerId self;
   private final Duration step;
 
   /** {@code step}: how long one who acts takes until the others know, and more than zero. */
-  public Turns(MixerId self, Duration step) {
+  public TurnOrder(MixerId self, Duration step) {
     if (step.isZero() || step.isNegative()) {
       throw new IllegalArgumentException("a turn's step is " + step + ", and has to be above zero");
     }
@@ -37,28 +37,28 @@
    * matter} names what is to be done and for whom, {@code round} counts up so that no mixer owns a
    * matter for good.
    */
-  public int place(long matter, long round, Collection<MixerId> members) {
-    long key = RendezvousHash.draw(matter, round);
-    long mine = RendezvousHash.draw(key, self.number());
+  public int rank(long matter, long round, Collection<MixerId> members) {
+    long key = RendezvousHash.pairHash(matter, round);
+    long mine = RendezvousHash.pairHash(key, self.number());
     int before = 0;
     for (MixerId member : members) {
-      long its = RendezvousHash.draw(key, member.number());
+      long its = RendezvousHash.pairHash(key, member.number());
       before += its < mine || its == mine && member.number() < self.number() ? 1 : 0;
     }
     return before;
   }
 
   /** How long after it fell due the matter is left to the members who come first. */
-  public Duration wait(long matter, long round, Collection<MixerId> members) {
-    return step.multipliedBy(place(matter, round, members));
+  public Duration delay(long matter, long round, Collection<MixerId> members) {
+    return step.multipliedBy(rank(matter, round, members));
   }
 
   /**
    * The same where nobody is heard: a time of its own, at most {@code size} steps, even over the
    * fleet.
    */
-  public Duration spread(long matter, long round, int size) {
-    double share = RendezvousHash.unit(RendezvousHash.draw(matter, round), self.number());
+  public Duration randomDelay(long matter, long round, int size) {
+    double share = RendezvousHash.unitHash(RendezvousHash.pairHash(matter, round), self.number());
     return Duration.ofNanos((long) (step.toNanos() * share * Math.max(1, size)));
   }
 }
--- a/share/src/main/java/gingerring/share/TurnSchedule.java
+++ b/share/src/main/java/gingerring/share/TurnSchedule.java
@@ -5,11 +5,11 @@
 
 /**
  * One matter that is done once in each span by one mixer for all, as one mixer knows it. All times
- * are of the common clock: since a moment that all know. Ask {@link #due} when this mixer acts if
- * it hears of nobody who has; call {@link #claimRound} when it does, and tell the others the round
- * that it returns; {@link #receiveClaim} when another tells so. Rounds are numbered by the clock,
- * so that one who starts anew, or wakes after a stop, knows the round at once and needs nobody's
- * word for it.
+ * are of the common clock: since a moment that all know. Ask {@link #nextTurn} when this mixer acts
+ * if it hears of nobody who has; call {@link #claimRound} when it does, and tell the others the
+ * round that it returns; {@link #receiveClaim} when another tells so. Rounds are numbered by the
+ * clock, so that one who starts anew, or wakes after a stop, knows the round at once and needs
+ * nobody's word for it.
  *
  * <p>Two act in a round: one more for each mixer that a word did not reach within its step, and one
  * more for each whose clock is off by more than a step. Nobody acts: those who come first and are
@@ -21,7 +21,7 @@
  * first among those there. State: two numbers.
  */
 public final class TurnSchedule {
-  private final Turns turns;
+  private final TurnOrder turns;
   private final MixerId self;
   private final long matter;
   private final Duration every;
@@ -40,7 +40,7 @@
       throw new IllegalArgumentException(
           "a round of " + every + " is shorter than a step of " + step);
     }
-    turns = new Turns(self, step);
+    turns = new TurnOrder(self, step);
     this.self = self;
     this.matter = matter;
     this.every = every;
@@ -48,7 +48,7 @@
   }
 
   /** The round that a moment is in. */
-  public long round(Duration now) {
+  public long roundAt(Duration now) {
     return Math.floorDiv(now.toNanos(), every.toNanos());
   }
 
@@ -56,12 +56,12 @@
    * When this mixer next acts, unless it hears of another before: now, where its turn has passed
    * unused.
    */
-  public Duration due(Collection<MixerId> members, Duration now) {
-    long next = Math.max(round(now), done == Long.MIN_VALUE ? Long.MIN_VALUE : done + 1);
-    Duration wait = turns.wait(matter, next, members);
+  public Duration nextTurn(Collection<MixerId> members, Duration now) {
+    long next = Math.max(roundAt(now), done == Long.MIN_VALUE ? Long.MIN_VALUE : done + 1);
+    Duration wait = turns.delay(matter, next, members);
     while (wait.compareTo(every) >= 0) { // so many come first that the round is over before
       next++;
-      wait = turns.wait(matter, next, members);
+      wait = turns.delay(matter, next, members);
     }
     Duration turn = every.multipliedBy(next).plus(wait);
     return turn.compareTo(now) > 0 ? turn : now;
@@ -69,7 +69,7 @@
 
   /** This mixer acts; returns the round to tell. */
   public long claimRound(Duration now) {
-    done = Math.max(done, round(now));
+    done = Math.max(done, roundAt(now));
     return done;
   }
 
@@ -79,9 +79,9 @@
     if (told <= done) {
       return false;
     }
-    Duration turn = step.multipliedBy(new Turns(author, step).place(matter, told, members) - 1L);
+    Duration turn = step.multipliedBy(new TurnOrder(author, step).rank(matter, told, members) - 1L);
     boolean round =
-        told == round(now) || told == round(now.plus(step)) || told == round(now.minus(step));
+        told == roundAt(now) || told == roundAt(now.plus(step)) || told == roundAt(now.minus(step));
     boolean its =
         members.contains(author)
             && !author.equals(self)
--- a/share/src/test/java/gingerring/share/RoomBeliefTest.java
+++ b/share/src/test/java/gingerring/share/CapacityEstimatorTest.java
@@ -12,7 +12,7 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-class RoomBeliefTest {
+class CapacityEstimatorTest {
   private static Duration ms(long ms) {
     return Duration.ofMillis(ms);
   }
@@ -21,7 +21,7 @@
   void whileNothingIsRefusedAllIsOnesOwnDemand() {
     CapacityEstimator belief = new CapacityEstimator(1, 0.02, ms(2000));
     belief.update(1000, 0, ms(0));
-    assertEquals(70, belief.portion(new double[] {70, 900}, new double[] {1, 1}, 0));
+    assertEquals(70, belief.share(new double[] {70, 900}, new double[] {1, 1}, 0));
     belief.update(1000, 5, ms(250)); // by chance
     assertEquals(Double.POSITIVE_INFINITY, belief.capacity());
   }
@@ -31,7 +31,7 @@
     CapacityEstimator belief = new CapacityEstimator(1, 0.02, ms(2000));
     belief.update(800, 200, ms(0));
     assertEquals(800, belief.capacity());
-    assertEquals(700, belief.portion(new double[] {900, 100}, new double[] {1, 1}, 0));
+    assertEquals(700, belief.share(new double[] {900, 100}, new double[] {1, 1}, 0));
     // reports of unlike age sum up to less for a moment: no reason to believe in less room
     belief.update(500, 50, ms(250));
     assertEquals(800, belief.capacity());
--- a/share/src/test/java/gingerring/share/FairSharesTest.java
+++ b/share/src/test/java/gingerring/share/FairSharesTest.java
@@ -37,7 +37,7 @@
     double[] demands = chance.doubles(count, 0, 10).map(d -> d < 2 ? 0 : d).toArray();
     double[] weights = chance.doubles(count, 0.5, 4).toArray();
     double room = chance.nextDouble(0.1, 60);
-    double[] shares = FairShares.of(room, demands, weights);
+    double[] shares = FairShares.allocate(room, demands, weights);
     double[] poured = poured(room, demands, weights);
     // a cup that is poured past a demand is lost to the model: some cups for each that is full
     assertArrayEquals(poured, shares, room * (count + 2) / 2_000.0);
@@ -57,23 +57,29 @@
   @Test
   void whoHasNoWeightGetsWhatNobodyWants() {
     assertArrayEquals(
-        new double[] {3, 2}, FairShares.of(5, new double[] {3, 9}, new double[] {1, 0}), 1e-12);
+        new double[] {3, 2},
+        FairShares.allocate(5, new double[] {3, 9}, new double[] {1, 0}),
+        1e-12);
     assertArrayEquals(
-        new double[] {5, 0}, FairShares.of(5, new double[] {7, 9}, new double[] {1, 0}), 1e-12);
-    assertArrayEquals(new double[0], FairShares.of(5, new double[0], new double[0]));
+        new double[] {5, 0},
+        FairShares.allocate(5, new double[] {7, 9}, new double[] {1, 0}),
+        1e-12);
+    assertArrayEquals(new double[0], FairShares.allocate(5, new double[0], new double[0]));
   }
 
   @Test
   void refusesWhatIsNoMeasure() {
     assertThrows(
-        IllegalArgumentException.class, () -> FairShares.of(-1, new double[0], new double[0]));
+        IllegalArgumentException.class,
+        () -> FairShares.allocate(-1, new double[0], new double[0]));
     assertThrows(
         IllegalArgumentException.class,
-        () -> FairShares.of(1, new double[] {Double.NaN}, new double[] {1}));
+        () -> FairShares.allocate(1, new double[] {Double.NaN}, new double[] {1}));
     assertThrows(
         IllegalArgumentException.class,
-        () -> FairShares.of(1, new double[] {1}, new double[] {-1}));
+        () -> FairShares.allocate(1, new double[] {1}, new double[] {-1}));
     assertThrows(
-        IllegalArgumentException.class, () -> FairShares.of(1, new double[] {1}, new double[0]));
+        IllegalArgumentException.class,
+        () -> FairShares.allocate(1, new double[] {1}, new double[0]));
   }
 }
--- a/share/src/test/java/gingerring/share/PreferenceTest.java
+++ b/share/src/test/java/gingerring/share/PreferredBoxesTest.java
@@ -12,11 +12,11 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-class PreferenceTest {
-  private static List<Preference.Listed> ring(int boxes) {
-    List<Preference.Listed> ring = new ArrayList<>();
+class PreferredBoxesTest {
+  private static List<PreferredBoxes.ListedBox> ring(int boxes) {
+    List<PreferredBoxes.ListedBox> ring = new ArrayList<>();
     for (int i = 0; i < boxes; i++) {
-      ring.add(new Preference.Listed(new Box(new BoxId(1000 + i), i % 3, 1), i));
+      ring.add(new PreferredBoxes.ListedBox(new Box(new BoxId(1000 + i), i % 3, 1), i));
     }
     return ring;
   }
@@ -25,7 +25,7 @@
   @Property(tries = 60, seed = "71")
   void eachFolioKeepsItsHoldersWhileSomeAreTrusted(@ForAll long seed) {
     SplittableRandom chance = new SplittableRandom(seed);
-    Preference preference = new Preference(new MixerId(chance.nextLong()), 2, 12, 4);
+    PreferredBoxes preference = new PreferredBoxes(new MixerId(chance.nextLong()), 2, 12, 4);
     assertTrue(preference.prefers(new BoxId(1000)), "before any list");
     preference.update(ring(12));
     Set<BoxId> out = new HashSet<>();
@@ -55,7 +55,7 @@
 
   @Test
   void aBoxThatIsBackBringsTheOldChoiceBack() {
-    Preference preference = new Preference(new MixerId(5), 2, 12, 4);
+    PreferredBoxes preference = new PreferredBoxes(new MixerId(5), 2, 12, 4);
     preference.update(ring(12));
     List<Boolean> before =
         ring(12).stream().map(each -> preference.prefers(each.box().id())).toList();
@@ -75,7 +75,7 @@
 
   @Test
   void withNothingTrustedAllArePreferred() {
-    Preference preference = new Preference(new MixerId(5), 1, 3, 1);
+    PreferredBoxes preference = new PreferredBoxes(new MixerId(5), 1, 3, 1);
     preference.update(ring(3));
     ring(3).forEach(each -> preference.exclude(each.box().id()));
     assertTrue(ring(3).stream().allMatch(each -> preference.prefers(each.box().id())));
--- a/share/src/test/java/gingerring/share/CoverTest.java
+++ b/share/src/test/java/gingerring/share/SubsetSelectorTest.java
@@ -17,7 +17,7 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-class CoverTest {
+class SubsetSelectorTest {
   private static List<Box> ring(int size, int zones) {
     List<Box> boxes = new ArrayList<>();
     for (int i = 0; i < size; i++) {
@@ -50,7 +50,7 @@
     List<Box> all = ring(size, zones);
     List<List<BoxId>> folios = folios(all, copies);
     List<Box> trusted = all.stream().filter(box -> chance.nextInt(5) > 0).toList();
-    Set<BoxId> chosen = new SubsetSelector(trusted, folios, keep).of(new MixerId(seed));
+    Set<BoxId> chosen = new SubsetSelector(trusted, folios, keep).select(new MixerId(seed));
     assertTrue(plainlyCovered(trusted, folios, keep, chosen));
     for (BoxId spare : chosen) {
       Set<BoxId> fewer = new HashSet<>(chosen);
@@ -97,11 +97,11 @@
     int moved = 0;
     int had = 0;
     for (int m = 0; m < 200; m++) {
-      Set<BoxId> before = new SubsetSelector(all, folios, 2).of(new MixerId(m));
+      Set<BoxId> before = new SubsetSelector(all, folios, 2).select(new MixerId(m));
       BoxId gone = before.iterator().next();
       Set<BoxId> after =
           new SubsetSelector(all.stream().filter(box -> !box.id().equals(gone)).toList(), folios, 2)
-              .of(new MixerId(m));
+              .select(new MixerId(m));
       assertFalse(after.contains(gone));
       Set<BoxId> changed = new HashSet<>(before);
       changed.removeAll(after);
@@ -127,7 +127,7 @@
     double[] mixers = new double[30];
     for (int m = 0; m < 9000; m++) {
       new SubsetSelector(boxes, one, 1)
-          .of(new MixerId(m))
+          .select(new MixerId(m))
           .forEach(id -> mixers[(int) id.number()]++);
     }
     for (int i = 0; i < 30; i++) {
--- a/share/src/test/java/gingerring/share/TurnsTest.java
+++ b/share/src/test/java/gingerring/share/TurnOrderTest.java
@@ -15,7 +15,7 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-class TurnsTest {
+class TurnOrderTest {
   private static final Duration STEP = Duration.ofMillis(100);
 
   private static List<MixerId> fleet(int size) {
@@ -31,13 +31,13 @@
   void eachHoldsAPlaceOfItsOwn(@ForAll long matter, @ForAll int round) {
     List<MixerId> fleet = fleet(40);
     Set<Integer> places = new TreeSet<>();
-    fleet.forEach(mixer -> places.add(new Turns(mixer, STEP).place(matter, round, fleet)));
+    fleet.forEach(mixer -> places.add(new TurnOrder(mixer, STEP).rank(matter, round, fleet)));
     assertEquals(40, places.size());
     assertEquals(39, ((TreeSet<Integer>) places).last());
     Set<MixerId> firsts = new HashSet<>();
     for (long later = round; later < round + 40L; later++) {
       for (MixerId mixer : fleet) {
-        if (new Turns(mixer, STEP).place(matter, later, fleet) == 0) {
+        if (new TurnOrder(mixer, STEP).rank(matter, later, fleet) == 0) {
           firsts.add(mixer);
         }
       }
@@ -63,7 +63,7 @@
           view.remove(missed);
         }
       }
-      first += new Turns(mixer, STEP).place(seed, 1, view) == 0 ? 1 : 0;
+      first += new TurnOrder(mixer, STEP).rank(seed, 1, view) == 0 ? 1 : 0;
     }
     int holders = first;
     assertTrue(
@@ -72,7 +72,7 @@
     List<MixerId> there = fleet.subList(d, 12);
     Duration soonest =
         there.stream()
-            .map(mixer -> new Turns(mixer, STEP).wait(seed, 1, fleet))
+            .map(mixer -> new TurnOrder(mixer, STEP).delay(seed, 1, fleet))
             .min(Duration::compareTo)
             .orElseThrow();
     assertTrue(
@@ -87,7 +87,7 @@
       long within = 0;
       for (long matter = 0; matter < 20; matter++) {
         for (MixerId mixer : fleet(size)) {
-          Duration at = new Turns(mixer, STEP).spread(matter, 1, size);
+          Duration at = new TurnOrder(mixer, STEP).randomDelay(matter, 1, size);
           assertTrue(at.compareTo(STEP.multipliedBy(size)) <= 0);
           within += at.compareTo(STEP.multipliedBy(5)) < 0 ? 1 : 0;
         }
@@ -99,6 +99,7 @@
 
   @Test
   void refusesAStepOfNothing() {
-    assertThrows(IllegalArgumentException.class, () -> new Turns(new MixerId(1), Duration.ZERO));
+    assertThrows(
+        IllegalArgumentException.class, () -> new TurnOrder(new MixerId(1), Duration.ZERO));
   }
 }
--- a/share/src/test/java/gingerring/share/RotaTest.java
+++ b/share/src/test/java/gingerring/share/TurnScheduleTest.java
@@ -15,7 +15,7 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-class RotaTest {
+class TurnScheduleTest {
   private static final Duration STEP = Duration.ofMillis(100);
   private static final Duration EVERY = Duration.ofMillis(400);
   private static final long MATTER = 11;
@@ -205,7 +205,7 @@
       for (int m = 0; m < 3; m++) {
         TurnSchedule rota = at(m, state.done.get(m), members(3));
         if (state.stoppedUntil.get(m) <= state.tick
-            && rota.due(members(3), now).compareTo(now) <= 0) {
+            && rota.nextTurn(members(3), now).compareTo(now) <= 0) {
           long round = rota.claimRound(now);
           done.set(m, round);
           acted++;
@@ -274,7 +274,7 @@
       boolean theirs = false;
       for (int liar = 5; liar < 8; liar++) {
         // give or take a step
-        theirs |= new Turns(members.get(liar), STEP).place(MATTER, round, members) <= 1;
+        theirs |= new TurnOrder(members.get(liar), STEP).rank(MATTER, round, members) <= 1;
       }
       assertTrue(!believed || theirs);
       heldUp += believed ? 1 : 0;
@@ -298,10 +298,10 @@
     TurnSchedule rota = rota(0);
     rota.claimRound(Duration.ZERO);
     Duration woken = EVERY.multipliedBy(25).plus(STEP);
-    Duration due = rota.due(members, woken);
-    assertEquals(25, rota.round(due), "no round is made up for");
+    Duration due = rota.nextTurn(members, woken);
+    assertEquals(25, rota.roundAt(due), "no round is made up for");
     rota.claimRound(due);
-    assertTrue(rota.round(rota.due(members, due)) > 25);
+    assertTrue(rota.roundAt(rota.nextTurn(members, due)) > 25);
   }
 
   @Test
