--- a/mixer/src/main/java/gingerring/decide/Spans.java
+++ b/mixer/src/main/java/gingerring/decide/Durations.java
@@ -2,16 +2,16 @@
 
 import java.time.Duration;
 
-/** Arithmetic on spans of time. */
-final class Spans {
-  private Spans() {}
+/** Arithmetic on durations. */
+final class Durations {
+  private Durations() {}
 
   static Duration millis(double ms) {
     return Duration.ofNanos(Math.round(ms * 1e6));
   }
 
-  static Duration scale(Duration span, double times) {
-    return Duration.ofNanos((long) (span.toNanos() * times));
+  static Duration scale(Duration span, double factor) {
+    return Duration.ofNanos((long) (span.toNanos() * factor));
   }
 
   static Duration min(Duration a, Duration b) {
--- a/mixer/src/main/java/gingerring/decide/Mixer.java
+++ b/mixer/src/main/java/gingerring/decide/Mixer.java
@@ -1,8 +1,8 @@
 package gingerring.decide;
 
-import static gingerring.decide.Spans.max;
-import static gingerring.decide.Spans.min;
-import static gingerring.decide.Spans.scale;
+import static gingerring.decide.Durations.max;
+import static gingerring.decide.Durations.min;
+import static gingerring.decide.Durations.scale;
 
 import java.time.Duration;
 import java.util.ArrayList;
@@ -16,774 +16,901 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Decides what becomes of the scans at one mixer. Its host calls one method for each thing that
- * happens, one call at a time, and the mixer acts at once through the {@link Host} that it was
- * handed at start. Nothing here knows of a wire, another mixer or a real clock. docs/design.md says
- * what is the design's and what departs from it.
+ * Makes every routing decision of one mixer. The host calls one method for each event, one call at
+ * a time, and the mixer acts immediately through the {@link Host} that the constructor receives.
+ * This class has no access to the network, to other mixers or to a real clock. docs/design.md lists
+ * the rules that come from the original design and the deviations from it.
  */
 public final class Mixer {
-  // The design's starting values.
+  // Overload control: the initial values of the design.
   private static final Duration PRESSURE_WINDOW = Duration.ofSeconds(2);
-  private static final double PRESSURE_BOUND = 0.1;
+  private static final double MAX_PRESSURE = 0.1;
   private static final double COVERAGE_STEP = 0.1;
-  private static final Duration COVERAGE_PACE = Duration.ofSeconds(1);
+  private static final Duration COVERAGE_STEP_INTERVAL = Duration.ofSeconds(1);
 
-  /** How far above the floor the least target stays. */
-  private static final double HEADROOM = 1.25;
+  /** The target coverage is at least the service class's minimum coverage times this factor. */
+  private static final double COVERAGE_HEADROOM = 1.25;
 
-  /** How long before the quoted time a partial answer goes out: a few round trips and ticks. */
-  private static final Duration ANSWER_MARGIN = Duration.ofMillis(50);
+  /**
+   * A partial answer is sent this long before the latency target: a few round trips and timer
+   * ticks.
+   */
+  private static final Duration PARTIAL_ANSWER_MARGIN = Duration.ofMillis(50);
+
+  /**
+   * A scan is closed this long before the client's deadline, so that the answer arrives in time.
+   */
+  private static final Duration DEADLINE_MARGIN = Duration.ofMillis(10);
 
-  /** How long before its client's patience ends a scan is closed, so that its answer is in time. */
-  private static final Duration CLOSE_MARGIN = Duration.ofMillis(10);
+  /**
+   * The largest share of the time left that the expected service time of a part may take. The rest
+   * allows for the spread of service times.
+   */
+  private static final double MAX_SERVICE_TIME_SHARE = 0.5;
 
-  /** The share of the time left that a part's expected stay may take, as stays scatter about it. */
-  private static final double STAY_SHARE = 0.5;
+  /**
+   * Length of the windows of the rules Safety.TipAfterMs and Safety.ResendSpanMs where they are not
+   * set.
+   */
+  private static final Duration DEFAULT_RULE_WINDOW = Duration.ofSeconds(3);
 
   /**
-   * The fleet's pace is that of the last seconds, and so is a searcher's where so many answers tell
-   * it; else the window of a searcher grows until they do, since at a quiet mixer they come seconds
-   * apart.
+   * Statistics of searchers cover the newest RECENT_BUCKETS buckets, the last few seconds. For the
+   * time per answer of a single searcher the window grows up to HEALTH_HISTORY until it holds
+   * MIN_SEARCHER_ANSWERS answers, since at a mixer with few scans they are seconds apart.
    */
-  private static final Duration HEALTH_WINDOW = Duration.ofSeconds(3);
+  private static final Duration HEALTH_HISTORY = Duration.ofSeconds(10);
 
-  private static final Duration HEALTH_MEMORY = Duration.ofSeconds(10);
   private static final int HEALTH_BUCKETS = 20;
-  private static final int RECENT = 7;
-  private static final double OWN_TELLING = 6;
-  private static final int BUCKETS = 12;
-  private static final Duration LOOK_ROUND = Duration.ofMillis(100);
+  private static final int RECENT_BUCKETS = 7;
+  private static final double MIN_SEARCHER_ANSWERS = 6;
+  private static final int DEFAULT_BUCKETS = 12;
+  private static final Duration HEALTH_CHECK_INTERVAL = Duration.ofMillis(100);
 
-  /** So many rounds without one: the mixer itself stood still. */
-  private static final double STOOD_STILL = 2;
+  /**
+   * A gap between events of more than this many health check intervals means that the mixer itself
+   * was stalled.
+   */
+  private static final double STALL_INTERVALS = 2;
 
   /**
-   * No word for this long, and for this many usual spans between answers, is silence and no mere
-   * pause.
+   * A searcher is silent if the mixer has waited for any answer from it for at least this long and
+   * for at least SILENCE_GAPS mean gaps between answers.
    */
-  private static final Duration SILENCE = Duration.ofMillis(700);
+  private static final Duration MIN_SILENCE = Duration.ofMillis(700);
 
-  private static final double SILENCE_PACES = 6;
+  private static final double SILENCE_GAPS = 6;
 
   /**
-   * So many errors, and so large a share of all ends, are more than a healthy searcher makes by
-   * chance.
+   * A searcher is ejected for errors if it has returned at least this many and they are at least
+   * MIN_ERROR_SHARE of its ended trips. A healthy searcher does not reach both by chance.
    */
-  private static final double ERRORS_LEAST = 2;
+  private static final double MIN_ERRORS = 2;
 
-  private static final double ERROR_SHARE = 0.4;
+  private static final double MIN_ERROR_SHARE = 0.4;
 
-  /** Where others see so large a share fail, a shorter silence and a single error are borne. */
-  private static final double DOUBT = 0.8;
+  /**
+   * If other mixers report at least this share of failures for a searcher, it is ejected after a
+   * shorter silence and after a single error.
+   */
+  private static final double SUSPICION_THRESHOLD = 0.8;
 
-  private static final double DOUBTED_SHARE = 0.5;
+  private static final double SUSPECTED_SILENCE_FACTOR = 0.5;
 
-  /** The fleet's pace counts in each searcher's as so many answers, once so many tell it. */
-  private static final double ANSWERS_LENT = 2;
+  /**
+   * The fleet's time per answer is added to the statistics of each searcher with the weight of this
+   * many answers, once the fleet has MIN_ANSWERS answers.
+   */
+  private static final double SEARCHER_PRIOR_ANSWERS = 2;
 
-  private static final double ANSWERS_TELLING = 10;
+  private static final double MIN_ANSWERS = 10;
 
-  /** The fleet's pace counts in that of each zone as so many answers. */
-  private static final double ZONE_LENT = 3;
+  /**
+   * The fleet's time per answer is added to the statistics of each zone with the weight of this
+   * many answers.
+   */
+  private static final double ZONE_PRIOR_ANSWERS = 3;
 
-  /** How much of a pace a further own part adds to a line that it shares with others' parts. */
-  private static final double OWN_SHARE = 0.5;
+  /**
+   * The share of one time per answer by which an additional part of this mixer lengthens a
+   * searcher's queue, which also holds parts of other mixers.
+   */
+  private static final double OWN_PART_WEIGHT = 0.5;
 
   /**
-   * A bench lasts some seconds, doubled each time in a row, and ends in so many parts one at a
-   * time.
+   * An ejection starts at MIN_EJECTION, doubles with each consecutive ejection up to MAX_EJECTION,
+   * and is followed by TRIAL_PARTS parts that are sent one at a time.
    */
-  private static final Duration BENCH_LEAST = Duration.ofSeconds(2);
+  private static final Duration MIN_EJECTION = Duration.ofSeconds(2);
 
-  private static final Duration BENCH_MOST = Duration.ofSeconds(8);
-  private static final int TRIALS = 3;
+  private static final Duration MAX_EJECTION = Duration.ofSeconds(8);
+  private static final int TRIAL_PARTS = 3;
 
   /**
-   * Own ration of further trips, beside any that the rules set: so many, and so many for each first
-   * trip.
+   * The mixer's own retry budget, which applies where the settings give none: this many retries,
+   * plus RETRY_BUDGET_RATIO for each first trip in the window.
    */
-  private static final double EXTRA_FEW = 2;
+  private static final double RETRY_BUDGET_BASE = 2;
 
-  private static final double EXTRA_SHARE = 0.1;
+  private static final double RETRY_BUDGET_RATIO = 0.1;
 
-  /** Long enough that a scan's first trips still count when its late parts are copied. */
-  private static final Duration EXTRA_WINDOW = Duration.ofSeconds(6);
+  /**
+   * Long enough that the first trips of a scan are still counted when its late parts are retried.
+   */
+  private static final Duration RETRY_BUDGET_WINDOW = Duration.ofSeconds(6);
 
-  /** A part out for so many usual stays is late: few that come by themselves are. */
-  private static final double LATE_STAYS = 3;
+  /**
+   * A part is late after this many mean service times: few parts that take longer are still
+   * answered.
+   */
+  private static final double LATE_FACTOR = 3;
 
   /**
-   * The cold guard: its share of the rule's multiple, mixers that may take one part each at once,
-   * memory.
+   * Parameters of the cold-start limit: the share of Safety.TipMultiple that this mixer uses, the
+   * number of mixers that may send one part each at the same time, and the window in which the
+   * answers of warm searchers are counted.
    */
-  private static final double COLD_SHARE = 1;
+  private static final double COLD_LIMIT_SHARE = 1;
 
-  private static final double COLD_MIXERS = 4;
-  private static final Duration WARM_MEMORY = Duration.ofSeconds(30);
+  private static final double COLD_CONCURRENT_MIXERS = 4;
+  private static final Duration WARM_RATE_WINDOW = Duration.ofSeconds(30);
 
-  /** By so many standard errors of their count are scans that came taken to be fewer than usual. */
-  private static final double SURE_ERRORS = 1.5;
+  /** The expected number of scans is lowered by this many standard errors of the count. */
+  private static final double ARRIVAL_STANDARD_ERRORS = 1.5;
 
   /**
-   * The usual stay is that of the latest so many answers, from so long ago at most: scans may be
-   * rare.
+   * The mean service time covers the latest SERVICE_TIME_SAMPLES answers, but nothing older than
+   * SERVICE_TIME_WINDOW, since scans may be rare.
    */
-  private static final double STAYS_TELLING = 60;
+  private static final double SERVICE_TIME_SAMPLES = 60;
 
-  private static final Duration STAY_MEMORY = Duration.ofSeconds(20);
-  private static final int STAY_BUCKETS = 40;
-  private static final Duration FRESH = Duration.ofSeconds(3);
+  private static final Duration SERVICE_TIME_WINDOW = Duration.ofSeconds(20);
+  private static final int SERVICE_TIME_BUCKETS = 40;
+  private static final Duration SERVICE_TIME_MAX_AGE = Duration.ofSeconds(3);
 
-  /** How soon the roster is asked again after a failure, and as much again by chance. */
-  private static final Duration ROSTER_RETRY = Duration.ofMillis(500);
+  /**
+   * Delay before the member list is requested again after a failure; a random delay of up to the
+   * same length is added.
+   */
+  private static final Duration MEMBER_LIST_RETRY_DELAY = Duration.ofMillis(500);
 
-  /** How far weights may sum up short for their rounding. */
-  private static final double WEIGHT_SLACK = 0.00005;
+  /** Tolerance for rounding errors in sums of weights. */
+  private static final double WEIGHT_TOLERANCE = 0.00005;
 
-  private static final int LOG_LINES = 60;
+  private static final int MAX_LOG_LINES = 60;
 
   private final Host host;
-  private final RandomGenerator chance;
-  private final List<ServiceClass> grades = new ArrayList<>();
-  private final MemberList roster;
+  private final RandomGenerator random;
+  private final List<ServiceClass> serviceClasses = new ArrayList<>();
+  private final MemberList memberList;
   private final Map<ScanId, Scan> scans = new HashMap<>();
   private final Map<Long, Scan> scansByNumber = new HashMap<>();
   private final Map<PartId, Part> parts = new HashMap<>();
-  private final Map<WakeId, Runnable> wakes = new HashMap<>();
+  private final Map<TimerId, Runnable> timers = new HashMap<>();
   private final Predicate<Searcher> preferred;
-  private int wakeCount;
-  private int logged;
+  private int timerCount;
+  private int loggedLines;
 
-  private final Settings terms;
-  private final Duration tipAfter;
+  private final Settings settings;
+  private final Duration coldWindow;
 
   /**
-   * Parts that came within the memory and within the cold guard's window, scans; parts let take
-   * turns.
+   * Arrivals for the cold-start limit: parts and scans within WARM_RATE_WINDOW, parts within the
+   * cold window, and the parts that were allowed to take a turn at a cold searcher, in thousandths.
    */
-  private final TimeRing came = new TimeRing(WARM_MEMORY, BUCKETS);
+  private final RollingSum arrivedParts = new RollingSum(WARM_RATE_WINDOW, DEFAULT_BUCKETS);
+
+  private final RollingSum arrivedPartsInColdWindow;
+  private final RollingSum arrivedScans = new RollingSum(WARM_RATE_WINDOW, DEFAULT_BUCKETS);
+  private final RollingSum coldTurnsGranted;
 
-  private final TimeRing cameNow;
-  private final TimeRing scansCame = new TimeRing(WARM_MEMORY, BUCKETS);
-  private final TimeRing coldShares;
-  private final TimeRing rationExtras;
-  private final TimeRing rationTaken;
+  /** Retries and arrivals (scans and parts) within the window of the retry budget rule. */
+  private final RollingSum budgetedRetries;
 
-  private final TimeRing firsts = new TimeRing(EXTRA_WINDOW, BUCKETS);
-  private final TimeRing extras = new TimeRing(EXTRA_WINDOW, BUCKETS);
-  private final TimeRing settled = new TimeRing(PRESSURE_WINDOW, BUCKETS);
-  private final TimeRing pressed = new TimeRing(PRESSURE_WINDOW, BUCKETS);
+  private final RollingSum budgetedArrivals;
+
+  private final RollingSum firstTrips = new RollingSum(RETRY_BUDGET_WINDOW, DEFAULT_BUCKETS);
+  private final RollingSum retries = new RollingSum(RETRY_BUDGET_WINDOW, DEFAULT_BUCKETS);
 
   /**
-   * Searchers with own parts out, recent evidence or a bench: a large roster is mostly none of
-   * these.
+   * Trips that have ended or timed out, and those of them that were rejected or late, within
+   * PRESSURE_WINDOW. The pressure is the share of the latter.
    */
-  private final Set<Searcher> active = new LinkedHashSet<>();
+  private final RollingSum pressureTrips = new RollingSum(PRESSURE_WINDOW, DEFAULT_BUCKETS);
 
-  private Duration surveyedAt;
-  private double fleetPace;
-  private final Map<Integer, Double> zonePaces = new HashMap<>();
-  private double usualGap;
+  private final RollingSum pressureRejections = new RollingSum(PRESSURE_WINDOW, DEFAULT_BUCKETS);
 
-  /** Trips recalled to send their parts elsewhere, whose ends have not been told. */
-  private int moving;
+  /**
+   * Searchers that have open trips or recent measurements or are ejected: most searchers of a large
+   * member list are none of these.
+   */
+  private final Set<Searcher> activeSearchers = new LinkedHashSet<>();
 
-  private final TimeRing warmAnswers = new TimeRing(WARM_MEMORY, BUCKETS);
-  private final TimeRing warmTime = new TimeRing(WARM_MEMORY, BUCKETS);
-  private final TimeRing stays = new TimeRing(STAY_MEMORY, STAY_BUCKETS);
-  private final TimeRing stayed = new TimeRing(STAY_MEMORY, STAY_BUCKETS);
-  private Duration stayNoted = Duration.ZERO;
+  private Duration fleetStatsAt;
+  private double fleetTimePerAnswer;
+  private final Map<Integer, Double> zoneTimePerAnswer = new HashMap<>();
+  private double meanAnswerGap;
+
+  /**
+   * Canceled trips whose parts will be sent to another searcher once the host reports the end of
+   * the trip.
+   */
+  private int pendingMoves;
+
+  private final RollingSum warmAnswers = new RollingSum(WARM_RATE_WINDOW, DEFAULT_BUCKETS);
+  private final RollingSum warmSearcherTime = new RollingSum(WARM_RATE_WINDOW, DEFAULT_BUCKETS);
+  private final RollingSum serviceTimeSum =
+      new RollingSum(SERVICE_TIME_WINDOW, SERVICE_TIME_BUCKETS);
+  private final RollingSum serviceTimeAnswers =
+      new RollingSum(SERVICE_TIME_WINDOW, SERVICE_TIME_BUCKETS);
+  private Duration serviceTimeUpdatedAt = Duration.ZERO;
   private double coverage = 1;
-  private Duration coverageMoved = Duration.ZERO;
-  private Duration lastEvent = Duration.ZERO;
+  private Duration coverageChangedAt = Duration.ZERO;
+  private Duration lastEventAt = Duration.ZERO;
 
-  /** The roster will be asked for again: failures until then add no calls. */
-  private boolean rosterRetry;
+  /** A new request for the member list is scheduled: further failures schedule no second one. */
+  private boolean memberListRetryPending;
 
-  public Mixer(Map<String, String> map, RandomGenerator chance, Host host) {
+  public Mixer(Map<String, String> settingValues, RandomGenerator random, Host host) {
     this.host = host;
-    this.chance = chance;
-    preferred = each -> usable(each) && host.prefers(each.id);
-    terms = new Settings(map);
-    roster = new MemberList(terms.count("Domain.Places"), terms.count("Domain.Reach"));
-    for (int i = 0; i < terms.count("Classes.count"); i++) {
-      grades.add(ServiceClass.read(terms, i));
+    this.random = random;
+    preferred = searcher -> isAvailable(searcher) && host.isPreferred(searcher.id);
+    settings = new Settings(settingValues);
+    memberList = new MemberList(settings.count("Domain.Places"), settings.count("Domain.Reach"));
+    for (int i = 0; i < settings.count("Classes.count"); i++) {
+      serviceClasses.add(ServiceClass.read(settings, i));
     }
-    tipAfter = max(Duration.ofMillis(1), terms.span("Safety.TipAfterMs", HEALTH_WINDOW));
-    cameNow = new TimeRing(tipAfter, BUCKETS);
-    coldShares = new TimeRing(tipAfter, BUCKETS);
-    Duration rationSpan = terms.span("Safety.ResendSpanMs", HEALTH_WINDOW);
-    rationExtras = new TimeRing(rationSpan, BUCKETS);
-    rationTaken = new TimeRing(rationSpan, BUCKETS);
-    if (terms.text("Discovery").equals("subscribe")) {
-      host.watchRoster(true);
+    coldWindow =
+        max(Duration.ofMillis(1), settings.duration("Safety.TipAfterMs", DEFAULT_RULE_WINDOW));
+    arrivedPartsInColdWindow = new RollingSum(coldWindow, DEFAULT_BUCKETS);
+    coldTurnsGranted = new RollingSum(coldWindow, DEFAULT_BUCKETS);
+    Duration budgetWindow = settings.duration("Safety.ResendSpanMs", DEFAULT_RULE_WINDOW);
+    budgetedRetries = new RollingSum(budgetWindow, DEFAULT_BUCKETS);
+    budgetedArrivals = new RollingSum(budgetWindow, DEFAULT_BUCKETS);
+    if (settings.text("Discovery").equals("subscribe")) {
+      host.watchMemberList(true);
     }
-    wakeAfter(LOOK_ROUND, this::lookRound);
+    startTimer(HEALTH_CHECK_INTERVAL, this::checkHealth);
   }
 
-  /** A scan has come, with all its parts: the ordinary path. */
+  /** Handles a scan that has arrived with all its parts: the usual case. */
   public void scanArrived(
       ScanId id,
-      long number,
-      int gradeNumber,
+      long scanNumber,
+      int serviceClassIndex,
       long key,
-      boolean repeat,
+      boolean resent,
       Duration work,
-      Duration end,
-      List<Part> arrived) {
-    Duration now = arriving();
-    Scan scan = new Scan(id, number, grades.get(gradeNumber), key, work, end);
-    scan.fullQuoted = now.plus(scan.grade.quoted).plus(scale(work, scan.grade.quotedStretch));
-    scan.quoted = min(scan.fullQuoted, end.minus(CLOSE_MARGIN));
-    scan.due = due(scan, now);
-    hold(scan, arrived, now);
-    // all parts while coverage is full; under pressure the heaviest up to the coverage, never under
-    // the floor
-    List<Part> selected = select(scan, arrived, now);
-    // each to the replica with the fewest own parts out, if one can be expected to answer in time
-    double placed = 0;
-    double late = 0;
-    // least choice first, so that others go around the last holders of a shard
+      Duration deadline,
+      List<Part> newParts) {
+    Duration now = recordEventTime();
+    Scan scan =
+        new Scan(id, scanNumber, serviceClasses.get(serviceClassIndex), key, work, deadline);
+    scan.fullLatencyTarget =
+        now.plus(scan.serviceClass.latencyTarget)
+            .plus(scale(work, scan.serviceClass.latencyTargetPerWork));
+    scan.latencyTarget = min(scan.fullLatencyTarget, deadline.minus(DEADLINE_MARGIN));
+    scan.stepDeadline = stepDeadline(scan, now);
+    registerParts(scan, newParts, now);
+    // All parts at full coverage; under pressure the heaviest ones up to the target coverage, which
+    // is never below the minimum coverage.
+    List<Part> selected = selectParts(scan, newParts, now);
+    // Each part goes to the replica with the fewest open calls of this mixer, if a replica is
+    // expected to answer in time.
+    double assignedWeight = 0;
+    double tooBusyParts = 0;
+    // Parts with the fewest healthy holders are assigned first, so that the other parts avoid the
+    // last holders of a shard.
     selected.forEach(
         part ->
-            part.choices =
-                (int) roster.holders(part.shard).stream().filter(Mixer::trusted).count());
-    Comparator<Part> leastChoice = Comparator.comparingInt(part -> part.choices);
-    for (Part part : selected.stream().sorted(leastChoice).toList()) {
-      if (plan(part, now)) {
-        placed += part.weight;
-      } else if (roster.holders(part.shard).stream()
-          .anyMatch(each -> trusted(each) && !inTime(each, scan.grade.quoted, now))) {
-        late++;
+            part.healthyHolders =
+                (int) memberList.holders(part.shard).stream().filter(Mixer::isHealthy).count());
+    Comparator<Part> fewestHoldersFirst = Comparator.comparingInt(part -> part.healthyHolders);
+    for (Part part : selected.stream().sorted(fewestHoldersFirst).toList()) {
+      if (assignSearcher(part, now)) {
+        assignedWeight += part.weight;
+      } else if (memberList.holders(part.shard).stream()
+          .anyMatch(
+              searcher ->
+                  isHealthy(searcher)
+                      && !canAnswerInTime(searcher, scan.serviceClass.latencyTarget, now))) {
+        tooBusyParts++;
       }
     }
-    // a part kept back because its searchers are too busy is refused as full by the mixer's own
-    // judgement
-    settled.add(now, late);
-    pressed.add(now, late);
-    boolean enough = placed >= least(scan) - WEIGHT_SLACK && scan.quoted.compareTo(now) > 0;
+    // A part that is not sent because its searchers are too busy counts as a rejection in the
+    // pressure.
+    pressureTrips.add(now, tooBusyParts);
+    pressureRejections.add(now, tooBusyParts);
+    boolean coverageReached =
+        assignedWeight >= minCoverage(scan) - WEIGHT_TOLERANCE
+            && scan.latencyTarget.compareTo(now) > 0;
     for (Part part : selected) {
-      if (enough && part.planned != null) {
-        firsts.add(now, 1);
+      if (coverageReached && part.assignedSearcher != null) {
+        firstTrips.add(now, 1);
         send(part, now);
       }
-      unplan(part);
+      unassignSearcher(part);
     }
-    if (!enough) {
-      giveUp(scan);
+    if (!coverageReached) {
+      rejectOrFail(scan);
       return;
     }
-    // it ends when its trips have, near its quoted time if it can be partial, or with its patience
-    wakeAt(scan.due.minus(ANSWER_MARGIN), () -> settle(scan));
-    wakeAt(scan.quoted, () -> quotedPassed(scan));
-    wakeAt(scan.end.minus(CLOSE_MARGIN), () -> patienceEnds(scan));
+    // The scan ends with its last trip, or near the latency target if it can be answered partially,
+    // or at the deadline.
+    startTimerAt(scan.stepDeadline.minus(PARTIAL_ANSWER_MARGIN), () -> completeIfPossible(scan));
+    startTimerAt(scan.latencyTarget, () -> onLatencyTarget(scan));
+    startTimerAt(scan.deadline.minus(DEADLINE_MARGIN), () -> onDeadline(scan));
   }
 
-  /** The parts of the second step have come: all are needed, so all are sent. */
-  public void secondStepArrived(long number, List<Part> arrived) {
-    Duration now = arriving();
-    Scan scan = scansByNumber.get(number);
+  /** Handles the arrival of the second step's parts. All of them are needed, so all are sent. */
+  public void secondStepArrived(long scanNumber, List<Part> newParts) {
+    Duration now = recordEventTime();
+    Scan scan = scansByNumber.get(scanNumber);
     if (scan == null) {
       return;
     }
-    scan.due = scan.quoted;
-    hold(scan, arrived, now);
-    for (Part part : arrived) {
-      firsts.add(now, 1);
-      // the first step's work is done and lost without it: a holder that may be late is better than
-      // none
-      if (!plan(part, now) && plan(part, now, each -> true, Duration.ofNanos(Long.MAX_VALUE))) {
-        part.planned.plannedParts++;
+    scan.stepDeadline = scan.latencyTarget;
+    registerParts(scan, newParts, now);
+    for (Part part : newParts) {
+      firstTrips.add(now, 1);
+      // Without this part the first step's work is lost, so a holder that may be late is better
+      // than none.
+      if (!assignSearcher(part, now)
+          && assignSearcher(part, now, searcher -> true, Duration.ofNanos(Long.MAX_VALUE))) {
+        part.assignedSearcher.assignedParts++;
       }
-      if (part.planned != null) {
+      if (part.assignedSearcher != null) {
         send(part, now);
       }
-      unplan(part);
+      unassignSearcher(part);
     }
-    settle(scan);
+    completeIfPossible(scan);
   }
 
   /**
-   * By when the first step is to be answered. Where a second one follows, that is early enough for
-   * its parts to be late by what parts stayed of late, and half of the time at the earliest. Guards
-   * against a first step that waits for its last part until no time is left for the second, and all
-   * its work is lost.
+   * Returns the time by which the current step has to be answered. If a second step follows, that
+   * time leaves LATE_FACTOR mean service times for it, but at most half of the time left. This
+   * keeps a first step from waiting for its last part until no time is left for the second step and
+   * all its work is lost.
    */
-  private Duration due(Scan scan, Duration now) {
-    if (scan.grade.fetch == 0) {
-      return scan.quoted;
+  private Duration stepDeadline(Scan scan, Duration now) {
+    if (scan.serviceClass.secondStepParts == 0) {
+      return scan.latencyTarget;
     }
-    double half = Math.max(0, scan.quoted.minus(now).toNanos() / 2.0);
-    double stay = usualStay(now);
-    return scan.quoted.minusNanos((long) (stay == 0 ? half : Math.min(half, LATE_STAYS * stay)));
+    double halfTimeLeft = Math.max(0, scan.latencyTarget.minus(now).toNanos() / 2.0);
+    double serviceTime = meanServiceTime(now);
+    return scan.latencyTarget.minusNanos(
+        (long)
+            (serviceTime == 0 ? halfTimeLeft : Math.min(halfTimeLeft, LATE_FACTOR * serviceTime)));
   }
 
-  private void hold(Scan scan, List<Part> arrived, Duration now) {
+  private void registerParts(Scan scan, List<Part> newParts, Duration now) {
     scans.put(scan.id, scan);
     scansByNumber.put(scan.number, scan);
-    for (Part part : arrived) {
+    for (Part part : newParts) {
       part.scan = scan;
       scan.parts.add(part);
       parts.put(part.id, part);
     }
-    came.add(now, arrived.size());
-    cameNow.add(now, arrived.size());
-    scansCame.add(now, 1);
-    double room = turnsMost(now) - coldShares.sum(now) / 1000;
-    scan.coldShare = Math.max(0, Math.min(1, room / Math.max(1, arrived.size())));
-    coldShares.add(now, Math.ceil(1000 * scan.coldShare * arrived.size()));
-    rationTaken.add(now, arrived.size() + (scan.parts.size() == arrived.size() ? 1 : 0));
+    arrivedParts.add(now, newParts.size());
+    arrivedPartsInColdWindow.add(now, newParts.size());
+    arrivedScans.add(now, 1);
+    double coldTurnsLeft = maxColdTurns(now) - coldTurnsGranted.sum(now) / 1000;
+    scan.coldTurnShare = Math.max(0, Math.min(1, coldTurnsLeft / Math.max(1, newParts.size())));
+    coldTurnsGranted.add(now, Math.ceil(1000 * scan.coldTurnShare * newParts.size()));
+    budgetedArrivals.add(now, newParts.size() + (scan.parts.size() == newParts.size() ? 1 : 0));
   }
 
   /**
-   * The parts to send: down to the coverage, with room above the floor by what stays of late let
-   * expect. A scan of just its floor falls to a single late part, and all its work is lost. Where
-   * the pressure's window holds too little to tell, the usual stay stands in: from half of what the
-   * gate on stays lets through, the coverage narrows until the gate shuts. Guards against jams that
-   * a mixer of few scans would meet with all its parts each time; on old news it leaves parts
-   * behind for nothing.
+   * Selects the parts to send, up to the target coverage, which stays above the minimum coverage by
+   * a margin for parts that are expected to be late. A scan sent with just its minimum coverage
+   * fails if one part is late, and all its work is lost. If the pressure window holds too few
+   * trips, the mean service time replaces it: the coverage shrinks from half of the service time
+   * that the admission check allows, and reaches zero where the check admits nothing. This keeps a
+   * mixer with few scans from sending all parts into an overloaded fleet each time; if the
+   * measurements are old, it leaves out parts without need.
    */
-  private List<Part> select(Scan scan, List<Part> arrived, Duration now) {
-    Duration left = scan.quoted.minus(now);
-    double stood =
-        settled.sum(now) >= ANSWERS_TELLING
+  private List<Part> selectParts(Scan scan, List<Part> newParts, Duration now) {
+    Duration timeLeft = scan.latencyTarget.minus(now);
+    double loadFraction =
+        pressureTrips.sum(now) >= MIN_ANSWERS
             ? 0
-            : usualStay(now) / (STAY_SHARE * Math.max(1, left.toNanos()));
-    double target =
+            : meanServiceTime(now) / (MAX_SERVICE_TIME_SHARE * Math.max(1, timeLeft.toNanos()));
+    double targetCoverage =
         Math.max(
-            Math.min(coverage, 2 - 2 * stood), least(scan) * HEADROOM / (1 - lateShare(left, now)));
-    if (target >= 1) {
-      return arrived;
+            Math.min(coverage, 2 - 2 * loadFraction),
+            minCoverage(scan) * COVERAGE_HEADROOM / (1 - expectedLateShare(timeLeft, now)));
+    if (targetCoverage >= 1) {
+      return newParts;
     }
-    List<Part> byWeight = new ArrayList<>(arrived);
+    List<Part> byWeight = new ArrayList<>(newParts);
     byWeight.sort(Comparator.comparingDouble((Part part) -> -part.weight));
     List<Part> selected = new ArrayList<>();
-    double sum = 0;
+    double selectedWeight = 0;
     for (Part part : byWeight) {
-      if (sum >= target) {
+      if (selectedWeight >= targetCoverage) {
         break;
       }
-      sum += part.weight;
+      selectedWeight += part.weight;
       selected.add(part);
     }
     return selected;
   }
 
-  private static double least(Scan scan) {
-    return scan.grade.partial() ? scan.grade.floor : scan.grade.need;
+  private static double minCoverage(Scan scan) {
+    return scan.serviceClass.allowsPartial()
+        ? scan.serviceClass.minCoverage
+        : scan.serviceClass.fullCoverage;
   }
 
   /**
-   * The replica with fewest own parts out, ties from its home on: of the preferred ones, else of
-   * all trusted, a benched one only where no other can.
+   * Assigns the part to the replica with the fewest open calls of this mixer; ties go to the first
+   * replica after the part's home. Preferred replicas are tried first, then all healthy ones, and
+   * ejected ones only if no other replica is left.
    */
-  private boolean plan(Part part, Duration now) {
-    if (!plan(part, now, preferred) && !plan(part, now, Mixer::usable)) {
-      plan(part, now, each -> true);
+  private boolean assignSearcher(Part part, Duration now) {
+    if (!assignSearcher(part, now, preferred) && !assignSearcher(part, now, Mixer::isAvailable)) {
+      assignSearcher(part, now, searcher -> true);
     }
-    if (part.planned != null) {
-      part.planned.plannedParts++;
+    if (part.assignedSearcher != null) {
+      part.assignedSearcher.assignedParts++;
     }
-    return part.planned != null;
+    return part.assignedSearcher != null;
   }
 
-  private boolean plan(Part part, Duration now, Predicate<Searcher> choice) {
+  private boolean assignSearcher(Part part, Duration now, Predicate<Searcher> filter) {
     Scan scan = part.scan;
-    Duration by = now.compareTo(scan.quoted) < 0 && !scan.secondStep ? scan.quoted : scan.end;
-    return plan(part, now, choice, by.minus(now));
+    Duration answerBy =
+        now.compareTo(scan.latencyTarget) < 0 && !scan.secondStep
+            ? scan.latencyTarget
+            : scan.deadline;
+    return assignSearcher(part, now, filter, answerBy.minus(now));
   }
 
-  private boolean plan(Part part, Duration now, Predicate<Searcher> choice, Duration left) {
-    List<Searcher> holders = roster.holders(part.shard);
-    int home = home(part, Math.max(1, holders.size()));
-    // a client of little patience is no jam: half of the full quoted time will do if the stay fits
-    // at all.
-    // It spends work on what is often late, and that may feed a jam no longer than the gate takes
-    // to see it
-    Duration fit = scale(left, 1 / STAY_SHARE);
-    Duration room = max(left, min(fit, part.scan.fullQuoted.minus(now)));
-    // a part whose trip has failed: without another the work of the scan's other parts is lost.
-    // Guards
-    // against searchers that refuse or fail while the other holder is busy or far; may carry a jam
-    // on, in the
-    // ration
-    boolean last = !part.trips.isEmpty() && !part.out();
+  private boolean assignSearcher(
+      Part part, Duration now, Predicate<Searcher> filter, Duration timeLeft) {
+    List<Searcher> holders = memberList.holders(part.shard);
+    int firstHolder = firstHolderIndex(part, Math.max(1, holders.size()));
+    // A short client deadline is no sign of overload: half of the full latency target is enough if
+    // the service time fits into the time left at all. Many such parts are late, so this wastes
+    // work and may sustain an overload until the admission check detects it.
+    Duration fitTime = scale(timeLeft, 1 / MAX_SERVICE_TIME_SHARE);
+    Duration timeBudget = max(timeLeft, min(fitTime, part.scan.fullLatencyTarget.minus(now)));
+    // All trips of this part have failed. Without another one the work of the scan's other parts is
+    // lost, so the service time only has to fit into the time left. This helps when a searcher
+    // rejects or fails while the other holder is busy or distant; within the retry budget it may
+    // prolong an overload.
+    boolean allTripsFailed = !part.trips.isEmpty() && !part.hasOpenTrip();
     for (int i = 0; i < holders.size(); i++) {
-      Searcher searcher = holders.get((home + i) % holders.size());
-      boolean tried =
+      Searcher searcher = holders.get((firstHolder + i) % holders.size());
+      boolean alreadyTried =
           part.trips.stream().anyMatch(trip -> trip.searcher == searcher)
-              || part.scan.failedAt(part.shard, searcher);
-      if (!tried
-          && choice.test(searcher)
-          && coldRoom(searcher, part, now)
-          && inTime(searcher, last ? fit : room, now)
-          && (part.planned == null || load(searcher, now) < load(part.planned, now))) {
-        part.planned = searcher;
+              || part.scan.failedInFirstStep(part.shard, searcher);
+      if (!alreadyTried
+          && filter.test(searcher)
+          && coldLimitAllows(searcher, part, now)
+          && canAnswerInTime(searcher, allTripsFailed ? fitTime : timeBudget, now)
+          && (part.assignedSearcher == null
+              || projectedCalls(searcher, now) < projectedCalls(part.assignedSearcher, now))) {
+        part.assignedSearcher = searcher;
       }
     }
-    return part.planned != null;
+    return part.assignedSearcher != null;
   }
 
-  private void unplan(Part part) {
-    if (part.planned != null) {
-      part.planned.plannedParts--;
-      assert part.planned.plannedParts >= 0 : "a part was planned and not counted";
-      part.planned = null;
+  private void unassignSearcher(Part part) {
+    if (part.assignedSearcher != null) {
+      part.assignedSearcher.assignedParts--;
+      assert part.assignedSearcher.assignedParts >= 0
+          : "assignedParts does not include an assigned part";
+      part.assignedSearcher = null;
     }
   }
 
-  private static int home(Part part, int holders) {
+  private static int firstHolderIndex(Part part, int holderCount) {
     long seed =
         part.key != 0 ? part.key : part.scan.key != 0 ? part.scan.key : part.scan.id.number();
     long hash = (seed * 0x9E3779B97F4A7C15L) ^ (part.shard * 0xC2B2AE3D27D4EB4FL);
     hash = (hash ^ (hash >>> 32)) * 0xD6E8FEB86659FD93L;
-    return (int) Math.floorMod(hash ^ (hash >>> 32), (long) holders);
+    return (int) Math.floorMod(hash ^ (hash >>> 32), (long) holderCount);
   }
 
-  private boolean inTime(Searcher searcher, Duration left, Duration now) {
-    return stay(searcher, now).toNanos() <= STAY_SHARE * left.toNanos();
+  private boolean canAnswerInTime(Searcher searcher, Duration timeLeft, Duration now) {
+    return expectedServiceTime(searcher, now).toNanos()
+        <= MAX_SERVICE_TIME_SHARE * timeLeft.toNanos();
   }
 
   /**
-   * The share of parts sent now that would come late, as stays scatter like waits in a line. None
-   * on old news: a mixer that nacks all it gets learns nothing more, and must let a scan through
-   * now and then.
+   * Returns the share of parts sent now that is expected to be late, with service times distributed
+   * exponentially. Returns 0 if the measurements are old: a mixer that rejects every scan measures
+   * nothing new, so it has to admit a scan now and then.
    */
-  private double lateShare(Duration left, Duration now) {
-    boolean known = usualStay(now) > 0 && now.minus(stayNoted).compareTo(FRESH) <= 0;
-    return known ? Math.exp(-left.toNanos() / usualStay(now)) : 0;
+  private double expectedLateShare(Duration timeLeft, Duration now) {
+    boolean measured =
+        meanServiceTime(now) > 0
+            && now.minus(serviceTimeUpdatedAt).compareTo(SERVICE_TIME_MAX_AGE) <= 0;
+    return measured ? Math.exp(-timeLeft.toNanos() / meanServiceTime(now)) : 0;
   }
 
-  /** How long trips of late were out for each answer; 0 where too few were answered. */
-  private double usualStay(Duration now) {
-    int back = stayed.back(now, STAYS_TELLING);
-    double answers = stayed.sum(now, back);
-    return answers < ANSWERS_TELLING ? 0 : stays.sum(now, back) / answers;
+  /**
+   * Returns the mean time that recent trips were open for each answer, or 0 if there are too few
+   * answers.
+   */
+  private double meanServiceTime(Duration now) {
+    int buckets = serviceTimeAnswers.bucketsHolding(now, SERVICE_TIME_SAMPLES);
+    double answers = serviceTimeAnswers.sum(now, buckets);
+    return answers < MIN_ANSWERS ? 0 : serviceTimeSum.sum(now, buckets) / answers;
   }
 
   /**
-   * How long a part sent now would stay: what parts stayed there of late, and for each own part out
-   * beyond the usual number a share of the pace, since other mixers' parts stand in the same line
-   * and do not grow with ours.
+   * Returns the expected service time of a part sent now: the recent service time at the searcher,
+   * plus a share of the time per answer for each open trip above the mean number. It is only a
+   * share because parts of other mixers wait in the same queue and do not grow in number with those
+   * of this mixer.
    */
-  private Duration stay(Searcher searcher, Duration now) {
-    Duration pace = pace(searcher, now);
-    double out = searcher.out.size() + searcher.plannedParts + 1;
-    int back = Math.max(RECENT, searcher.answers.back(now, OWN_TELLING));
-    double usual =
-        Math.max(1, searcher.held.sum(now, back) / Math.max(1, searcher.busy.sum(now, back)));
-    return Duration.ofNanos((long) (pace.toNanos() * (usual + OWN_SHARE * (out - usual))));
+  private Duration expectedServiceTime(Searcher searcher, Duration now) {
+    Duration timePerAnswer = timePerAnswer(searcher, now);
+    double openTrips = searcher.openTrips.size() + searcher.assignedParts + 1;
+    int buckets =
+        Math.max(RECENT_BUCKETS, searcher.answers.bucketsHolding(now, MIN_SEARCHER_ANSWERS));
+    double meanOpenTrips =
+        Math.max(
+            1,
+            searcher.openTripTime.sum(now, buckets)
+                / Math.max(1, searcher.busyTime.sum(now, buckets)));
+    return Duration.ofNanos(
+        (long)
+            (timePerAnswer.toNanos()
+                * (meanOpenTrips + OWN_PART_WEIGHT * (openTrips - meanOpenTrips))));
   }
 
   /**
-   * Time with own parts out for each answer: what a place in its line costs, whoever else stands in
-   * it. Its zone's pace counts as a few answers more, so that a quiet mixer does not take one pause
-   * for slowness.
+   * Returns the time with open trips divided by the number of answers: the cost of one place in the
+   * searcher's queue, no matter whose parts fill the queue. The zone's time per answer counts as a
+   * few additional answers, so that a mixer with few scans does not take a single pause for
+   * slowness.
    */
-  private Duration pace(Searcher searcher, Duration now) {
-    searcher.noteBusy(now);
-    survey(now);
-    if (fleetPace == 0) {
+  private Duration timePerAnswer(Searcher searcher, Duration now) {
+    searcher.recordBusyTime(now);
+    updateFleetStats(now);
+    if (fleetTimePerAnswer == 0) {
       return Duration.ZERO;
     }
-    double usual = zonePaces.getOrDefault(searcher.listing.zone(), fleetPace);
-    int back = Math.max(RECENT, searcher.answers.back(now, OWN_TELLING));
+    double zoneTime = zoneTimePerAnswer.getOrDefault(searcher.entry.zone(), fleetTimePerAnswer);
+    int buckets =
+        Math.max(RECENT_BUCKETS, searcher.answers.bucketsHolding(now, MIN_SEARCHER_ANSWERS));
     return Duration.ofNanos(
         (long)
-            ((searcher.busy.sum(now, back) + ANSWERS_LENT * usual)
-                / (searcher.answers.sum(now, back) + ANSWERS_LENT)));
+            ((searcher.busyTime.sum(now, buckets) + SEARCHER_PRIOR_ANSWERS * zoneTime)
+                / (searcher.answers.sum(now, buckets) + SEARCHER_PRIOR_ANSWERS)));
   }
 
-  private int load(Searcher searcher, Duration now) {
-    return searcher.load(now, callParts());
+  private int projectedCalls(Searcher searcher, Duration now) {
+    return searcher.projectedCalls(now, partsPerCall());
   }
 
-  private int callParts() {
-    return (int) terms.number("Domain.Batch", 1);
+  private int partsPerCall() {
+    return (int) settings.number("Domain.Batch", 1);
   }
 
-  private static boolean trusted(Searcher searcher) {
-    return searcher.ready() && searcher.benchedUntil == null;
+  private static boolean isHealthy(Searcher searcher) {
+    return searcher.isReady() && searcher.ejectedUntil == null;
   }
 
-  private static boolean usable(Searcher searcher) {
-    boolean free = searcher.out.isEmpty() && searcher.plannedParts == 0;
-    return trusted(searcher) && (searcher.trialsLeft == 0 || free);
+  private static boolean isAvailable(Searcher searcher) {
+    boolean idle = searcher.openTrips.isEmpty() && searcher.assignedParts == 0;
+    return isHealthy(searcher) && (searcher.trialPartsLeft == 0 || idle);
   }
 
-  private boolean cold(Searcher searcher, Duration now) {
-    Duration warmUp = terms.span("Safety.WarmUpMs", Duration.ZERO);
+  private boolean isCold(Searcher searcher, Duration now) {
+    Duration warmUp = settings.duration("Safety.WarmUpMs", Duration.ZERO);
     return searcher.startedAt != null
-        && now.minus(searcher.startedAt).compareTo(warmUp.plus(tipAfter)) < 0;
+        && now.minus(searcher.startedAt).compareTo(warmUp.plus(coldWindow)) < 0;
   }
 
   /**
-   * The cold guard: in any window of the rule's length a searcher that started lately gets at most
-   * its present share, times COLD_SHARE of the rule's multiple, of what warm searchers have
-   * answered this mixer in such a time over the last half minute; every trip and copy counts from
-   * its first instant. Less than a part a window is taken as single parts in turns. What was
-   * answered could be borne, so mixers that all keep to this stay under the rule together. The long
-   * memory serves a fleet that starts all at once. The guard also keeps a slow starter from drawing
-   * parts because it has none out; it may idle a fast one.
+   * Checks the cold-start limit. In any cold window, a searcher that started recently receives at
+   * most this many parts from this mixer: the answers per window of a warm searcher, measured over
+   * WARM_RATE_WINDOW, times the searcher's current warm-up share, Safety.TipMultiple and
+   * COLD_LIMIT_SHARE. Every trip counts from the moment it is sent, retries included. If the limit
+   * is below one part per window, single parts are sent in turns. Searchers could handle the load
+   * that they answered, so mixers that all obey this limit stay below the rule together. The long
+   * window is needed when the whole fleet starts at once. The limit also keeps a slow starter from
+   * attracting parts because it has no open trips; a searcher that warms up quickly may stay idle.
    */
-  private boolean coldRoom(Searcher searcher, Part part, Duration now) {
-    if (!cold(searcher, now) || warmth(searcher, now) >= 1) {
+  private boolean coldLimitAllows(Searcher searcher, Part part, Duration now) {
+    if (!isCold(searcher, now) || warmUpShare(searcher, now) >= 1) {
       return true;
     }
-    // a mixer that has not yet seen a full window of its searchers does not overrate them
-    double seen = Math.max(warmTime.sum(now), (double) tipAfter.toNanos() * roster.all().size());
-    double usual = warmAnswers.sum(now) * tipAfter.toNanos() / seen;
-    double allowed =
-        COLD_SHARE * terms.number("Safety.TipMultiple", 1) * warmth(searcher, now) * usual;
-    // how often it may get a single part: less often with so many mixers that one each were too
-    // much
-    double alike = Math.max(1, fleetSize() / COLD_MIXERS);
-    Duration turn = scale(tipAfter, allowed > 0 ? Math.min(alike, 1 / allowed) : alike);
-    // the first turn at a moment of chance: all mixers hear of a start together, and they may be
-    // too many
-    if (!searcher.startedAt.equals(searcher.turnsSince)) {
-      searcher.turnsSince = searcher.startedAt;
-      double waited = alike == 1 ? 1 : chance.nextDouble();
-      searcher.lastSent = searcher.startedAt.minus(scale(turn, waited));
+    // A mixer that has been running for less than one window must not overestimate its searchers.
+    double warmNanos =
+        Math.max(
+            warmSearcherTime.sum(now),
+            (double) coldWindow.toNanos() * memberList.searchers().size());
+    double answersPerWindow = warmAnswers.sum(now) * coldWindow.toNanos() / warmNanos;
+    double maxParts =
+        COLD_LIMIT_SHARE
+            * settings.number("Safety.TipMultiple", 1)
+            * warmUpShare(searcher, now)
+            * answersPerWindow;
+    // Interval between single parts; longer if there are so many mixers that one part from each of
+    // them would be too much.
+    double mixersPerTurn = Math.max(1, fleetSize() / COLD_CONCURRENT_MIXERS);
+    Duration turnInterval =
+        scale(coldWindow, maxParts > 0 ? Math.min(mixersPerTurn, 1 / maxParts) : mixersPerTurn);
+    // The first turn is at a random time: all mixers learn of a start at the same moment, and one
+    // part from each may be too much.
+    if (!searcher.startedAt.equals(searcher.turnsStartedAt)) {
+      searcher.turnsStartedAt = searcher.startedAt;
+      double elapsedTurnShare = mixersPerTurn == 1 ? 1 : random.nextDouble();
+      searcher.lastSentAt = searcher.startedAt.minus(scale(turnInterval, elapsedTurnShare));
     }
-    boolean itsTurn =
-        now.minus(searcher.lastSent).compareTo(turn) > 0
-            && (part.scan.coldShare == 1 || part.luck(chance) < part.scan.coldShare);
-    return searcher.sends.sum(now) + searcher.plannedParts + 1
-        <= Math.max(itsTurn ? 1 : 0, allowed);
+    boolean turnDue =
+        now.minus(searcher.lastSentAt).compareTo(turnInterval) > 0
+            && (part.scan.coldTurnShare == 1 || part.drawOnce(random) < part.scan.coldTurnShare);
+    return searcher.sentParts.sum(now) + searcher.assignedParts + 1
+        <= Math.max(turnDue ? 1 : 0, maxParts);
   }
 
   /**
-   * How many parts of a window may take turns at cold searchers: the rule's multiple of what came
-   * in such a time before it, as far as the scans that came are enough to tell, or this mixer's
-   * part of the few that the fleet may send each searcher at once. What comes beyond leaves turns
-   * alone. Guards against parts that come to all mixers together after a quiet time, as when
-   * clients return: by then it is the turn of them all, and with many mixers they are too many. It
-   * keeps a mixer of few scans from some turns on an ordinary day.
+   * Returns how many parts may take turns at cold searchers within one window: Safety.TipMultiple
+   * times the parts per window that arrived before, lowered for the uncertainty of the scan count,
+   * or this mixer's share of the few parts that the fleet may send to each searcher at once,
+   * whichever is larger. Parts beyond that number take no turn. This limits parts that reach all
+   * mixers together after a quiet period, for example when clients return: by then every mixer's
+   * turn is due, and many mixers would send too much. It costs a mixer with few scans some turns
+   * under normal load.
    */
-  private double turnsMost(Duration now) {
-    Duration before = max(tipAfter, min(now, WARM_MEMORY).minus(tipAfter));
-    double earlier = came.sum(now) - cameNow.sum(now);
-    double usual = earlier * tipAfter.toNanos() / before.toNanos();
-    double scansEarlier = scansCame.sum(now) * earlier / Math.max(1, came.sum(now));
-    double sure = 1 - SURE_ERRORS / Math.sqrt(Math.max(1, scansEarlier));
+  private double maxColdTurns(Duration now) {
+    Duration earlierSpan = max(coldWindow, min(now, WARM_RATE_WINDOW).minus(coldWindow));
+    double earlierParts = arrivedParts.sum(now) - arrivedPartsInColdWindow.sum(now);
+    double partsPerWindow = earlierParts * coldWindow.toNanos() / earlierSpan.toNanos();
+    double earlierScans = arrivedScans.sum(now) * earlierParts / Math.max(1, arrivedParts.sum(now));
+    double confidence = 1 - ARRIVAL_STANDARD_ERRORS / Math.sqrt(Math.max(1, earlierScans));
     return Math.max(
-        usual * Math.max(1, terms.number("Safety.TipMultiple", 1) * sure),
-        roster.all().size() * COLD_MIXERS / fleetSize());
+        partsPerWindow * Math.max(1, settings.number("Safety.TipMultiple", 1) * confidence),
+        memberList.searchers().size() * COLD_CONCURRENT_MIXERS / fleetSize());
   }
 
-  /** How many mixers there are: where no setting tells, as many as there are searchers. */
+  /** Returns the number of mixers; if the setting is missing, the number of searchers. */
   private double fleetSize() {
-    return Math.max(1, terms.number("FleetSize", roster.all().size()));
+    return Math.max(1, settings.number("FleetSize", memberList.searchers().size()));
   }
 
   /**
-   * The least share of its capacity that a searcher may have had a window ago: 1 once it is warm.
+   * Returns the smallest share of its capacity that the searcher may have had one window ago; 1 if
+   * it is warm.
    */
-  private double warmth(Searcher searcher, Duration now) {
-    Duration warmUp = terms.span("Safety.WarmUpMs", Duration.ZERO);
-    if (!cold(searcher, now) || warmUp.isZero()) {
+  private double warmUpShare(Searcher searcher, Duration now) {
+    Duration warmUp = settings.duration("Safety.WarmUpMs", Duration.ZERO);
+    if (!isCold(searcher, now) || warmUp.isZero()) {
       return 1;
     }
-    double age = Math.max(0, now.minus(searcher.startedAt).minus(tipAfter).toNanos());
-    double coldFrom = terms.number("Safety.ColdFrom", 1);
+    double age = Math.max(0, now.minus(searcher.startedAt).minus(coldWindow).toNanos());
+    double coldFrom = settings.number("Safety.ColdFrom", 1);
     return Math.min(1, coldFrom + (1 - coldFrom) * age / warmUp.toNanos());
   }
 
   private void send(Part part, Duration now) {
-    Searcher searcher = part.planned;
-    active.add(searcher);
-    // a repeat is dropped up to the window's end only, and a host may begin a trip later than it
-    // was decided
-    Duration since = part.mayHaveRunSince();
+    Searcher searcher = part.assignedSearcher;
+    activeSearchers.add(searcher);
+    // The idempotency key suppresses a retry only until the end of its window, and the host may
+    // start a trip later than it was decided.
+    Duration firstRun = part.firstPossibleRun();
     Duration startWithin =
-        part.scan.grade.repeats != ServiceClass.RetrySafety.KEYED || since == null
+        part.scan.serviceClass.retrySafety != ServiceClass.RetrySafety.KEYED || firstRun == null
             ? null
-            : since.plus(part.scan.grade.window).minus(now);
-    part.trips.add(searcher.send(part, now, callParts()));
-    host.send(part.id, searcher.id, part.scan.end.minus(now), startWithin);
+            : firstRun.plus(part.scan.serviceClass.idempotencyWindow).minus(now);
+    part.trips.add(searcher.recordSend(part, now, partsPerCall()));
+    host.send(part.id, searcher.id, part.scan.deadline.minus(now), startWithin);
   }
 
-  /** A trip has ended. {@code over}: the host takes no more trips for this part. */
-  public void tripEnded(PartId id, int number, Outcome outcome, boolean over, float[] load) {
+  /**
+   * Handles the end of a trip. If {@code noMoreTrips} is true, the host accepts no further trip for
+   * the part.
+   */
+  public void tripEnded(
+      PartId id, int tripNumber, Outcome outcome, boolean noMoreTrips, float[] load) {
     Part part = parts.get(id);
-    if (part == null || number >= part.trips.size() || part.trips.get(number).outcome != null) {
+    if (part == null
+        || tripNumber >= part.trips.size()
+        || part.trips.get(tripNumber).outcome != null) {
       return;
     }
-    Duration now = arriving();
-    moving -= part.moving ? 1 : 0;
-    part.moving = false;
-    Trip trip = part.trips.get(number);
+    Duration now = recordEventTime();
+    pendingMoves -= part.moveRequested ? 1 : 0;
+    part.moveRequested = false;
+    Trip trip = part.trips.get(tripNumber);
     trip.outcome = outcome;
-    trip.ended = now;
-    part.over |= over;
-    note(trip, now);
+    trip.endedAt = now;
+    part.noMoreTrips |= noMoreTrips;
+    recordTripEnd(trip, now);
     if (part.scan.closed) {
-      if (!part.out()) {
+      if (!part.hasOpenTrip()) {
         parts.remove(id);
       }
       return;
     }
     if (outcome == Outcome.SUCCEEDED) {
-      part.in = true;
-      recallTrips(part);
-    } else if (!part.out()) {
-      sendAgain(part, now);
+      part.answered = true;
+      cancelTrips(part);
+    } else if (!part.hasOpenTrip()) {
+      retry(part, now);
     }
-    settle(part.scan);
+    completeIfPossible(part.scan);
   }
 
-  /** Books an ended trip to its searcher: its load, its pace, its errors. */
-  private void note(Trip trip, Duration now) {
+  /**
+   * Updates the searcher's statistics with a trip that has ended: load, time per answer and errors.
+   */
+  private void recordTripEnd(Trip trip, Duration now) {
     Searcher searcher = trip.searcher;
-    searcher.end(trip, now);
+    searcher.recordEnd(trip, now);
     switch (trip.outcome) {
       case SUCCEEDED -> {
         searcher.answers.add(now, 1);
-        warmAnswers.add(now, trusted(searcher) && !cold(searcher, now) ? 1 : 0);
-        searcher.unheard = Duration.ZERO;
-        settle(trip, now, false);
-        if (searcher.trialsLeft > 0) {
-          searcher.trialsLeft--;
+        warmAnswers.add(now, isHealthy(searcher) && !isCold(searcher, now) ? 1 : 0);
+        searcher.silentTime = Duration.ZERO;
+        recordPressure(trip, now, false);
+        if (searcher.trialPartsLeft > 0) {
+          searcher.trialPartsLeft--;
         }
       }
       case FULL -> {
-        searcher.unheard = Duration.ZERO;
-        settle(trip, now, true);
+        searcher.silentTime = Duration.ZERO;
+        recordPressure(trip, now, true);
       }
-      case TIMED_OUT -> settle(trip, now, true);
+      case TIMED_OUT -> recordPressure(trip, now, true);
       case ERROR, BROKEN, UNREACHABLE -> {
         searcher.errors.add(now, 1);
-        settle(trip, now, false);
-        searcher.unheard = Duration.ZERO;
-        judge(searcher, now);
+        recordPressure(trip, now, false);
+        searcher.silentTime = Duration.ZERO;
+        ejectIfUnhealthy(searcher, now);
       }
       default -> {}
     }
   }
 
   /**
-   * Books a trip to the pressure, once. What one bad searcher or zone does must not narrow every
-   * scan.
+   * Counts a trip in the pressure, at most once. Trips to ejected searchers are left out, so that
+   * one bad searcher or zone does not reduce the coverage of every scan.
    */
-  private void settle(Trip trip, Duration now, boolean refusedOrLate) {
-    if (!trip.settled && trip.searcher.benchedUntil == null) {
-      trip.settled = true;
-      settled.add(now, 1);
-      pressed.add(now, refusedOrLate ? 1 : 0);
+  private void recordPressure(Trip trip, Duration now, boolean rejectedOrLate) {
+    if (!trip.countedInPressure && trip.searcher.ejectedUntil == null) {
+      trip.countedInPressure = true;
+      pressureTrips.add(now, 1);
+      pressureRejections.add(now, rejectedOrLate ? 1 : 0);
     }
   }
 
   /**
-   * Another trip for a part, if rules, ration and time allow one and some other searcher can do it.
-   * A trip in the stead of one that never ran adds no work, so the own ration does not bind it.
-   * Guards against a scan of many parts falling to a single full or unreachable searcher, with the
-   * work of all the others lost and its client back at once; it may carry a jam on to the holders
-   * that are left.
+   * Sends another trip for a part if the rules, the retry budget and the time left allow one and
+   * another searcher can serve it. A trip that replaces one that never ran adds no work, so the
+   * mixer's own budget does not apply to it. Otherwise a scan of many parts would fail because of
+   * one full or unreachable searcher, the work of its other parts would be lost, and its client
+   * would retry at once. It may spread an overload to the remaining holders.
    */
-  private void sendAgain(Part part, Duration now) {
-    boolean instead = part.mayHaveRunSince() == null;
-    if (mayGoAgain(part, now) && (instead || withinRation(now)) && plan(part, now)) {
-      extras.add(now, instead ? 0 : 1);
-      rationExtras.add(now, 1);
+  private void retry(Part part, Duration now) {
+    boolean replacesUnrunTrip = part.firstPossibleRun() == null;
+    if (mayRetryNow(part, now)
+        && (replacesUnrunTrip || withinRetryBudget(now))
+        && assignSearcher(part, now)) {
+      retries.add(now, replacesUnrunTrip ? 0 : 1);
+      budgetedRetries.add(now, 1);
       send(part, now);
     }
-    unplan(part);
+    unassignSearcher(part);
   }
 
-  /** What the rules say of another trip now, whatever it may be good for. */
-  private boolean mayGoAgain(Part part, Duration now) {
-    long out = part.trips.stream().filter(trip -> trip.outcome == null).count();
-    return mayFollow(part, now)
-        && (out == 0 || out == 1 && terms.flag("PolicyLimits.SecondCopies"));
+  /** Returns whether the rules allow another trip now, regardless of its benefit. */
+  private boolean mayRetryNow(Part part, Duration now) {
+    long openTrips = part.trips.stream().filter(trip -> trip.outcome == null).count();
+    return mayRetry(part, now)
+        && (openTrips == 0 || openTrips == 1 && settings.flag("PolicyLimits.SecondCopies"));
   }
 
-  /** What the rules say of another trip once no more are out than may be. */
-  private boolean mayFollow(Part part, Duration now) {
+  /** Returns whether the rules allow another trip, apart from the limit on simultaneous trips. */
+  private boolean mayRetry(Part part, Duration now) {
     Scan scan = part.scan;
-    Duration since = part.mayHaveRunSince();
-    boolean harmless =
-        switch (scan.grade.repeats) {
+    Duration firstRun = part.firstPossibleRun();
+    boolean safeToRetry =
+        switch (scan.serviceClass.retrySafety) {
           case IDEMPOTENT -> true;
-          case KEYED -> since == null || now.minus(since).compareTo(scan.grade.window) < 0;
-          case AT_MOST_ONCE -> since == null;
+          case KEYED ->
+              firstRun == null
+                  || now.minus(firstRun).compareTo(scan.serviceClass.idempotencyWindow) < 0;
+          case AT_MOST_ONCE -> firstRun == null;
         };
     boolean open =
-        !scan.closed && !part.in && !part.over && now.compareTo(scan.end.minus(CLOSE_MARGIN)) < 0;
-    double allowed =
-        terms.number("Safety.ExtraFree", 0)
-            + terms.number("Safety.ResendRatio", 0) * rationTaken.sumWithin(now);
-    boolean ration =
-        !terms.has("Safety.ResendSpanMs") || rationExtras.sum(now) + moving + 1 <= allowed;
-    return harmless
+        !scan.closed
+            && !part.answered
+            && !part.noMoreTrips
+            && now.compareTo(scan.deadline.minus(DEADLINE_MARGIN)) < 0;
+    double budget =
+        settings.number("Safety.ExtraFree", 0)
+            + settings.number("Safety.ResendRatio", 0) * budgetedArrivals.sumWithin(now);
+    boolean withinBudget =
+        !settings.has("Safety.ResendSpanMs")
+            || budgetedRetries.sum(now) + pendingMoves + 1 <= budget;
+    return safeToRetry
         && open
-        && ration
-        && part.trips.size() < terms.number("PolicyLimits.MaxAttempts", 1);
+        && withinBudget
+        && part.trips.size() < settings.number("PolicyLimits.MaxAttempts", 1);
   }
 
   /**
-   * Further trips feed a jam: their number follows that of first trips, unless the rules set a
-   * budget.
+   * Retries sustain an overload, so their number is limited in proportion to first trips unless the
+   * settings define a budget.
    */
-  private boolean withinRation(Duration now) {
-    return terms.has("Safety.ResendSpanMs")
-        || extras.sum(now) + moving + 1 <= EXTRA_FEW + EXTRA_SHARE * firsts.sum(now);
+  private boolean withinRetryBudget(Duration now) {
+    return settings.has("Safety.ResendSpanMs")
+        || retries.sum(now) + pendingMoves + 1
+            <= RETRY_BUDGET_BASE + RETRY_BUDGET_RATIO * firstTrips.sum(now);
   }
 
-  /** Answers a scan if it can be, gives it up if it can no longer be, or leaves it to wait. */
-  private void settle(Scan scan) {
-    List<Part> step = scan.step();
-    if (scan.closed || step.isEmpty()) {
+  /**
+   * Answers a scan if enough parts are answered, rejects or fails it if that is no longer possible,
+   * and otherwise leaves it waiting.
+   */
+  private void completeIfPossible(Scan scan) {
+    List<Part> stepParts = scan.currentStepParts();
+    if (scan.closed || stepParts.isEmpty()) {
       return;
     }
     Duration now = host.now();
-    double need = scan.secondStep ? 1 : scan.grade.need;
-    double least = scan.grade.partial() ? scan.grade.floor : need;
-    double in = 0;
-    double possible = 0;
-    boolean out = false;
-    for (Part part : step) {
-      boolean partOut = !part.in && part.out();
-      out |= partOut;
-      in += part.in ? part.weight : 0;
-      possible += part.in || partOut ? part.weight : 0;
+    double fullCoverage = scan.secondStep ? 1 : scan.serviceClass.fullCoverage;
+    double minCoverage =
+        scan.serviceClass.allowsPartial() ? scan.serviceClass.minCoverage : fullCoverage;
+    double answeredWeight = 0;
+    double reachableWeight = 0;
+    boolean anyTripOpen = false;
+    for (Part part : stepParts) {
+      boolean partOpen = !part.answered && part.hasOpenTrip();
+      anyTripOpen |= partOpen;
+      answeredWeight += part.answered ? part.weight : 0;
+      reachableWeight += part.answered || partOpen ? part.weight : 0;
     }
-    boolean some = step.stream().anyMatch(part -> part.in); // also where the least share is none
-    boolean all = some && in >= need - WEIGHT_SLACK;
-    boolean near = now.compareTo(scan.due.minus(ANSWER_MARGIN)) >= 0;
-    if (all || some && in >= least - WEIGHT_SLACK && (!out || near)) {
-      if (!all) {
-        timeOut(scan, now);
+    boolean anyAnswered =
+        stepParts.stream()
+            .anyMatch(part -> part.answered); // also required if the minimum coverage is 0
+    boolean complete = anyAnswered && answeredWeight >= fullCoverage - WEIGHT_TOLERANCE;
+    boolean nearDeadline = now.compareTo(scan.stepDeadline.minus(PARTIAL_ANSWER_MARGIN)) >= 0;
+    if (complete
+        || anyAnswered
+            && answeredWeight >= minCoverage - WEIGHT_TOLERANCE
+            && (!anyTripOpen || nearDeadline)) {
+      if (!complete) {
+        recordTimeouts(scan, now);
       }
-      answer(scan, all && scan.wholeSoFar);
-    } else if (!out || possible < least - WEIGHT_SLACK) {
-      giveUp(scan);
+      answer(scan, complete && scan.firstStepWhole);
+    } else if (!anyTripOpen || reachableWeight < minCoverage - WEIGHT_TOLERANCE) {
+      rejectOrFail(scan);
     }
   }
 
   private void answer(Scan scan, boolean whole) {
     host.answer(scan.id, whole);
-    if (scan.grade.fetch > 0 && !scan.secondStep) {
+    if (scan.serviceClass.secondStepParts > 0 && !scan.secondStep) {
       scan.beginSecondStep(whole);
-      scan.parts.forEach(this::recallTrips);
+      scan.parts.forEach(this::cancelTrips);
     } else {
       close(scan);
     }
   }
 
-  /** Closes a scan at once: sent back where to ask again does no harm, else scrapped. */
-  private void giveUp(Scan scan) {
-    boolean harmless =
-        scan.grade.repeats == ServiceClass.RetrySafety.IDEMPOTENT
-            || scan.parts.stream().allMatch(part -> part.mayHaveRunSince() == null);
-    if (harmless) {
-      host.nack(
+  /** Closes a scan immediately: rejects it if a retry by the client is safe, otherwise fails it. */
+  private void rejectOrFail(Scan scan) {
+    boolean safeToRetry =
+        scan.serviceClass.retrySafety == ServiceClass.RetrySafety.IDEMPOTENT
+            || scan.parts.stream().allMatch(part -> part.firstPossibleRun() == null);
+    if (safeToRetry) {
+      host.reject(
           scan.id,
-          terms.flag("PolicyLimits.RetryAfter")
-              ? terms.span("PolicyLimits.MaxRetryAfterMs", Duration.ZERO)
+          settings.flag("PolicyLimits.RetryAfter")
+              ? settings.duration("PolicyLimits.MaxRetryAfterMs", Duration.ZERO)
               : Duration.ZERO);
     } else {
-      host.scrap(scan.id);
+      host.fail(scan.id);
     }
     close(scan);
   }
@@ -793,69 +920,72 @@
     scans.remove(scan.id);
     scansByNumber.remove(scan.number, scan);
     for (Part part : scan.parts) {
-      part.trips.forEach(trip -> noteStay(trip, host.now()));
-      recallTrips(part);
-      if (!part.out()) {
+      part.trips.forEach(trip -> recordServiceTime(trip, host.now()));
+      cancelTrips(part);
+      if (!part.hasOpenTrip()) {
         parts.remove(part.id);
       }
     }
   }
 
   /**
-   * Stays are booked scan by scan: single answers would tell of the quick half of a scan first and
-   * of the slow half last. All are cut off at the quoted time, and those cut off count by their
-   * time only, since answers alone would tell only of stays under it. What a benched searcher keeps
-   * tells nothing of others.
+   * Records the service time of a trip when its scan closes. Recording single answers as they
+   * arrive would count the fast half of a scan first and the slow half last. Service times end at
+   * the latency target; trips cut off there add their time but no answer, since the answers alone
+   * would only include shorter service times. Ejected searchers are left out because their service
+   * times are not typical.
    */
-  private void noteStay(Trip trip, Duration now) {
-    if ((trip.outcome == null || !trip.outcome.neverRan) && trip.searcher.benchedUntil == null) {
-      Duration end = trip.outcome == null ? now : trip.ended;
-      boolean late = end.compareTo(trip.part.scan.quoted) > 0;
-      stays.add(
-          now, max(Duration.ZERO, min(end, trip.part.scan.quoted).minus(trip.sent)).toNanos());
-      stayed.add(now, trip.outcome == Outcome.SUCCEEDED && !late ? 1 : 0);
-      stayNoted = now;
+  private void recordServiceTime(Trip trip, Duration now) {
+    if ((trip.outcome == null || !trip.outcome.neverRan) && trip.searcher.ejectedUntil == null) {
+      Duration endedAt = trip.outcome == null ? now : trip.endedAt;
+      boolean late = endedAt.compareTo(trip.part.scan.latencyTarget) > 0;
+      serviceTimeSum.add(
+          now,
+          max(Duration.ZERO, min(endedAt, trip.part.scan.latencyTarget).minus(trip.sentAt))
+              .toNanos());
+      serviceTimeAnswers.add(now, trip.outcome == Outcome.SUCCEEDED && !late ? 1 : 0);
+      serviceTimeUpdatedAt = now;
     }
   }
 
-  private void recallTrips(Part part) {
-    for (int i = 0; terms.flag("PolicyLimits.Cancel") && i < part.trips.size(); i++) {
+  private void cancelTrips(Part part) {
+    for (int i = 0; settings.flag("PolicyLimits.Cancel") && i < part.trips.size(); i++) {
       if (part.trips.get(i).outcome == null) {
-        host.recall(part.id, i);
+        host.cancel(part.id, i);
       }
     }
   }
 
-  private void quotedPassed(Scan scan) {
+  private void onLatencyTarget(Scan scan) {
     if (scan.closed) {
       return;
     }
-    timeOut(scan, host.now());
-    if (scan.grade.lateShare == 0) {
-      giveUp(scan);
+    recordTimeouts(scan, host.now());
+    if (scan.serviceClass.lateValueShare == 0) {
+      rejectOrFail(scan);
     }
   }
 
   /**
-   * What is still out near the quoted time has timed out, whether the scan is answered without it
-   * or not.
+   * Counts the trips that are still open near the latency target as timed out, whether or not the
+   * scan is answered without them.
    */
-  private void timeOut(Scan scan, Duration now) {
+  private void recordTimeouts(Scan scan, Duration now) {
     for (Part part : scan.parts) {
       part.trips.stream()
           .filter(trip -> trip.outcome == null)
-          .forEach(trip -> settle(trip, now, true));
+          .forEach(trip -> recordPressure(trip, now, true));
     }
   }
 
-  private void patienceEnds(Scan scan) {
-    settle(scan);
+  private void onDeadline(Scan scan) {
+    completeIfPossible(scan);
     if (!scan.closed) {
-      giveUp(scan);
+      rejectOrFail(scan);
     }
   }
 
-  /** The client has left, or its time is over: nothing more is owed to the scan. */
+  /** Closes a scan whose client has disconnected or reached its deadline; no answer is due. */
   public void clientLeft(ScanId id) {
     Scan scan = scans.get(id);
     if (scan != null) {
@@ -863,286 +993,311 @@
     }
   }
 
-  /** A streamed answer has started: its trip is the client's from now on. */
+  /** Handles the start of a streamed answer, which the host then passes on to the client. */
   public void answerStarted(PartId part, int trip) {
-    // no decision hangs on it: the trip ends by its outcome like any other
+    // no decision depends on it: the trip ends by its outcome like any other
   }
 
   /**
-   * The time of an event that comes in. A look round is due so often that a longer gap shows that
-   * this mixer itself stood still: that time is no silence of the searchers' and no pace of theirs.
-   * Guards against pauses of the process and of its machine; hurts nothing while rounds come on
-   * time.
+   * Returns the time of an incoming event. Health checks run so often that a longer gap between
+   * events means that this mixer was stalled, by a pause of the process or the machine. Such a gap
+   * counts neither as silence nor as service time of the searchers. It has no effect while health
+   * checks run on time.
    */
-  private Duration arriving() {
+  private Duration recordEventTime() {
     Duration now = host.now();
-    if (now.minus(lastEvent).compareTo(scale(LOOK_ROUND, STOOD_STILL)) > 0) {
-      active.forEach(searcher -> searcher.skipTo(now));
+    if (now.minus(lastEventAt).compareTo(scale(HEALTH_CHECK_INTERVAL, STALL_INTERVALS)) > 0) {
+      activeSearchers.forEach(searcher -> searcher.excludeTimeUntil(now));
     }
-    lastEvent = now;
+    lastEventAt = now;
     return now;
   }
 
   /**
-   * Measures what hangs on all searchers, once for each moment: the fleet's pace, the span between
-   * answers to this mixer (waits that have not ended, and may never, are left out of it), and each
-   * zone's pace as seen from here. That guards against whatever strikes a zone, or the way to it,
-   * and no single searcher: slow and lossy links, cut ways, zones that are jammed; a mixer has too
-   * few parts at each searcher to see it there. It may send too much to the other zones, whose own
-   * paces then tell. A zone that nothing is sent to is forgotten in the window, and tried again.
-   * Benched searchers are left out of it: what one bad searcher does is not its zone's.
+   * Updates the statistics of the whole fleet, once for each point in time: the fleet's time per
+   * answer, the mean gap between answers to this mixer (without waits that have not ended and may
+   * never end), and the time per answer of each zone as seen by this mixer. The zone's value
+   * detects faults of a zone or of the way to it that a mixer cannot see at a single searcher,
+   * since it has too few parts there: slow or lossy links, network partitions, overloaded zones.
+   * Too many parts may move to other zones, whose own values then rise. A zone that receives no
+   * parts drops out of the window and is tried again. Ejected searchers are left out, since the
+   * fault of one searcher is not a fault of its zone.
    */
-  private void survey(Duration now) {
-    if (now.equals(surveyedAt)) {
+  private void updateFleetStats(Duration now) {
+    if (now.equals(fleetStatsAt)) {
       return;
     }
-    surveyedAt = now;
-    double busy = 0;
-    double gaps = 0;
-    double answers = 0;
+    fleetStatsAt = now;
+    double totalBusyTime = 0;
+    double totalGaps = 0;
+    double totalAnswers = 0;
     Map<Integer, double[]> zones = new HashMap<>();
-    for (Searcher searcher : active) {
-      double its = searcher.busy.sum(now, RECENT);
-      double answered = searcher.answers.sum(now, RECENT);
-      busy += its;
-      gaps += Math.max(0, its - searcher.unheard.toNanos());
-      answers += answered;
-      double[] zone = zones.computeIfAbsent(searcher.listing.zone(), each -> new double[2]);
-      zone[0] += searcher.benchedUntil == null ? its : 0;
-      zone[1] += searcher.benchedUntil == null ? answered : 0;
+    for (Searcher searcher : activeSearchers) {
+      double busyTime = searcher.busyTime.sum(now, RECENT_BUCKETS);
+      double searcherAnswers = searcher.answers.sum(now, RECENT_BUCKETS);
+      totalBusyTime += busyTime;
+      totalGaps += Math.max(0, busyTime - searcher.silentTime.toNanos());
+      totalAnswers += searcherAnswers;
+      double[] zone = zones.computeIfAbsent(searcher.entry.zone(), zoneId -> new double[2]);
+      zone[0] += searcher.ejectedUntil == null ? busyTime : 0;
+      zone[1] += searcher.ejectedUntil == null ? searcherAnswers : 0;
     }
-    // too few answers tell of the start, not of the fleet: nothing is kept back on them
-    fleetPace = answers < ANSWERS_TELLING ? 0 : busy / answers;
-    zonePaces.clear();
+    // With too few answers the values describe the start and not the fleet, so they hold no part
+    // back.
+    fleetTimePerAnswer = totalAnswers < MIN_ANSWERS ? 0 : totalBusyTime / totalAnswers;
+    zoneTimePerAnswer.clear();
     zones.forEach(
         (zone, sums) ->
-            zonePaces.put(zone, (sums[0] + ZONE_LENT * fleetPace) / (sums[1] + ZONE_LENT)));
-    usualGap = gaps / Math.max(1, answers);
+            zoneTimePerAnswer.put(
+                zone,
+                (sums[0] + ZONE_PRIOR_ANSWERS * fleetTimePerAnswer)
+                    / (sums[1] + ZONE_PRIOR_ANSWERS)));
+    meanAnswerGap = totalGaps / Math.max(1, totalAnswers);
   }
 
   private double pressure(Duration now) {
-    return pressed.sum(now) / Math.max(1, settled.sum(now));
+    return pressureRejections.sum(now) / Math.max(1, pressureTrips.sum(now));
   }
 
-  private void lookRound() {
-    wakeAfter(
-        LOOK_ROUND, this::lookRound); // first, so that a failure in one round does not end them all
+  private void checkHealth() {
+    startTimer(
+        HEALTH_CHECK_INTERVAL,
+        this::checkHealth); // first, so that an exception in one check does not end all later ones
     Duration now = host.now();
-    if (now.minus(coverageMoved).compareTo(COVERAGE_PACE) >= 0) {
-      coverageMoved = now;
-      double step = pressure(now) > PRESSURE_BOUND ? -COVERAGE_STEP : COVERAGE_STEP;
-      double moved = Math.max(0, Math.min(1, coverage + step));
-      if (moved < coverage && coverage == 1) {
+    if (now.minus(coverageChangedAt).compareTo(COVERAGE_STEP_INTERVAL) >= 0) {
+      coverageChangedAt = now;
+      double step = pressure(now) > MAX_PRESSURE ? -COVERAGE_STEP : COVERAGE_STEP;
+      double newCoverage = Math.max(0, Math.min(1, coverage + step));
+      if (newCoverage < coverage && coverage == 1) {
         log("coverage narrows, pressure " + Math.round(100 * pressure(now)) + "%");
       }
-      coverage = moved;
+      coverage = newCoverage;
     }
-    active.removeIf(searcher -> searcher.quiet(now));
-    // a benched searcher bears nothing: its time is not time of a warm one
-    warmTime.add(
+    activeSearchers.removeIf(searcher -> searcher.isInactive(now));
+    // An ejected searcher serves no load, so its time does not count as that of a warm one.
+    warmSearcherTime.add(
         now,
-        LOOK_ROUND.toNanos()
-            * roster.all().stream().filter(each -> trusted(each) && !cold(each, now)).count());
-    // a copy, since a bench may send copies to searchers that were not active
-    for (Searcher searcher : List.copyOf(active)) {
-      judge(searcher, now);
-      copyLate(searcher, now);
-      if (searcher.benchedUntil != null
-          && searcher.benchedUntil.compareTo(now) <= 0
+        HEALTH_CHECK_INTERVAL.toNanos()
+            * memberList.searchers().stream()
+                .filter(searcher -> isHealthy(searcher) && !isCold(searcher, now))
+                .count());
+    // A copy, since an ejection may lead to retries at searchers that were not active.
+    for (Searcher searcher : List.copyOf(activeSearchers)) {
+      ejectIfUnhealthy(searcher, now);
+      retryLateParts(searcher, now);
+      if (searcher.ejectedUntil != null
+          && searcher.ejectedUntil.compareTo(now) <= 0
           && !searcher.probing
-          && host.asksItself(searcher.id)) {
-        if (terms.flag("PolicyLimits.Probing") && searcher.ready()) {
+          && host.shouldProbe(searcher.id)) {
+        if (settings.flag("PolicyLimits.Probing") && searcher.isReady()) {
           searcher.probing = true;
           host.probe(searcher.id);
         } else {
-          tryAgain(searcher);
+          reinstate(searcher);
         }
       }
     }
   }
 
-  /** A probe has come back. */
-  public void probed(SearcherId id, Outcome outcome, Duration taken, float[] load) {
-    Searcher searcher = roster.get(id);
+  /** Handles the result of a probe. */
+  public void probeEnded(SearcherId id, Outcome outcome, Duration roundTripTime, float[] load) {
+    Searcher searcher = memberList.get(id);
     if (searcher == null || !searcher.probing) {
       return;
     }
     searcher.probing = false;
-    if (searcher.benchedUntil != null && outcome == Outcome.SUCCEEDED) {
-      tryAgain(searcher);
-    } else if (searcher.benchedUntil != null) {
-      bench(searcher, "no answer to a probe");
+    if (searcher.ejectedUntil != null && outcome == Outcome.SUCCEEDED) {
+      reinstate(searcher);
+    } else if (searcher.ejectedUntil != null) {
+      eject(searcher, "no answer to a probe");
     }
   }
 
   /**
-   * Another mixer had an answer of it: this one may ask it too, and goes by its own answer alone.
+   * Handles a report that another mixer has received an answer from the searcher: this mixer may
+   * probe or try it immediately, but judges it only by the answers that it receives itself.
    */
-  public void othersHeard(SearcherId id) {
-    Searcher searcher = roster.get(id);
-    if (searcher != null && searcher.benchedUntil != null) {
-      searcher.benchedUntil = min(searcher.benchedUntil, host.now());
+  public void peerReceivedAnswer(SearcherId id) {
+    Searcher searcher = memberList.get(id);
+    if (searcher != null && searcher.ejectedUntil != null) {
+      searcher.ejectedUntil = min(searcher.ejectedUntil, host.now());
     }
   }
 
   /**
-   * Re-entry: one part at a time, until a few have been answered, and judged by new evidence alone.
+   * Reinstates an ejected searcher: it receives one part at a time until a few have been answered,
+   * and only new measurements count.
    */
-  private void tryAgain(Searcher searcher) {
-    searcher.benchedUntil = null;
-    searcher.forget();
-    searcher.trialsLeft = TRIALS;
+  private void reinstate(Searcher searcher) {
+    searcher.ejectedUntil = null;
+    searcher.resetStats();
+    searcher.trialPartsLeft = TRIAL_PARTS;
   }
 
   /**
-   * Judges a searcher by this mixer's own evidence: silence or errors. Slowness the gate on stays
-   * meets.
+   * Ejects a searcher for silence or errors, as measured by this mixer. Slowness is left to the
+   * admission check on service times.
    */
-  private void judge(Searcher searcher, Duration now) {
-    if (searcher.benchedUntil != null || !searcher.ready()) {
+  private void ejectIfUnhealthy(Searcher searcher, Duration now) {
+    if (searcher.ejectedUntil != null || !searcher.isReady()) {
       return;
     }
-    survey(now);
-    double errors = searcher.errors.sum(now, RECENT);
-    double ended = errors + searcher.answers.sum(now, RECENT);
-    boolean doubted = host.doubt(searcher.id) >= DOUBT;
-    // what others are late by as well is no silence, also where too few answers came lately to tell
-    // their gap
-    double usual = Math.max(LATE_STAYS * usualStay(now), SILENCE_PACES * usualGap);
-    double silence = Math.max(SILENCE.toNanos(), usual) * (doubted ? DOUBTED_SHARE : 1);
-    searcher.noteBusy(now);
-    // only time with own parts out counts, and only from the last word on: a busy searcher still
-    // answers
-    // now and then; and a cold one takes its time
-    if (searcher.unheard.toNanos() > silence / warmth(searcher, now)) {
-      bench(searcher, "silent");
-    } else if (errors >= (doubted ? 1 : ERRORS_LEAST) && errors >= ERROR_SHARE * ended) {
-      bench(searcher, "errors");
+    updateFleetStats(now);
+    double errors = searcher.errors.sum(now, RECENT_BUCKETS);
+    double endedTrips = errors + searcher.answers.sum(now, RECENT_BUCKETS);
+    boolean suspected = host.reportedFailureShare(searcher.id) >= SUSPICION_THRESHOLD;
+    // A wait that is usual at the other searchers is no silence, even if recent answers are too few
+    // to measure the gap between them.
+    double usualSilence =
+        Math.max(LATE_FACTOR * meanServiceTime(now), SILENCE_GAPS * meanAnswerGap);
+    double maxSilence =
+        Math.max(MIN_SILENCE.toNanos(), usualSilence) * (suspected ? SUSPECTED_SILENCE_FACTOR : 1);
+    searcher.recordBusyTime(now);
+    // Silence is the time with open trips since the last answer or error, since a busy searcher
+    // still answers now and then. A cold searcher is given more time.
+    if (searcher.silentTime.toNanos() > maxSilence / warmUpShare(searcher, now)) {
+      eject(searcher, "silent");
+    } else if (errors >= (suspected ? 1 : MIN_ERRORS) && errors >= MIN_ERROR_SHARE * endedTrips) {
+      eject(searcher, "errors");
     }
   }
 
-  private void bench(Searcher searcher, String why) {
+  private void eject(Searcher searcher, String reason) {
     Duration now = host.now();
-    boolean again =
-        searcher.benchSpan != null && (searcher.benchedUntil != null || searcher.trialsLeft > 0);
-    searcher.benchSpan = again ? min(BENCH_MOST, searcher.benchSpan.multipliedBy(2)) : BENCH_LEAST;
-    searcher.benchedUntil = now.plus(searcher.benchSpan);
-    searcher.trialsLeft = 0;
-    host.benched(searcher.id);
-    log("searcher in cell " + searcher.listing.cell() + " benched: " + why);
+    boolean repeated =
+        searcher.ejectionTime != null
+            && (searcher.ejectedUntil != null || searcher.trialPartsLeft > 0);
+    searcher.ejectionTime =
+        repeated ? min(MAX_EJECTION, searcher.ejectionTime.multipliedBy(2)) : MIN_EJECTION;
+    searcher.ejectedUntil = now.plus(searcher.ejectionTime);
+    searcher.trialPartsLeft = 0;
+    host.searcherEjected(searcher.id);
+    log("searcher in cell " + searcher.entry.cell() + " benched: " + reason);
   }
 
   /**
-   * A part out for far longer than parts usually stay gets a copy elsewhere, as late as that can
-   * well be in time or can still earn, since most late parts come by themselves; in scans of two
-   * steps sooner, by half of its step's time, as both steps hang on it. Guards against whatever
-   * keeps a single answer away, when a mixer sends each searcher too little to judge it: lost
-   * answers, hung, silent, slow or pausing searchers, such as fail one grade alone, cut ways. It
-   * may feed a jam, hence the ration.
+   * Retries the late parts of a searcher elsewhere while the first trip stays open. In a scan of
+   * one step that is done as late as the retry can still be in time or have value, since most late
+   * parts are answered without it; in a scan of two steps, whose steps both depend on it, at half
+   * of the step's time at the latest. This covers a single missing answer at a searcher that
+   * receives too few parts from this mixer to be judged: lost answers, hung, silent, slow or
+   * pausing searchers, failures of a single service class, network partitions. It may sustain an
+   * overload, so the retry budget applies.
    */
-  private void copyLate(Searcher searcher, Duration now) {
-    double stay = usualStay(now);
-    boolean copies = terms.flag("PolicyLimits.SecondCopies");
-    for (Trip trip : List.copyOf(searcher.out)) {
+  private void retryLateParts(Searcher searcher, Duration now) {
+    double serviceTime = meanServiceTime(now);
+    boolean copiesAllowed = settings.flag("PolicyLimits.SecondCopies");
+    for (Trip trip : List.copyOf(searcher.openTrips)) {
       Part part = trip.part;
       Scan scan = part.scan;
-      boolean twoSteps = scan.grade.fetch > 0;
-      double half = scan.due.minus(trip.sent).toNanos() / 2.0;
-      double late =
-          stay == 0 ? half : Math.min(twoSteps ? half : Long.MAX_VALUE, LATE_STAYS * stay);
-      Duration by = now.compareTo(scan.due) < 0 || scan.grade.lateShare == 0 ? scan.due : scan.end;
-      double out = now.minus(trip.sent).toNanos();
-      double left = by.minus(now).toNanos();
-      if (part.trips.get(part.trips.size() - 1) != trip || out <= late || left <= stay) {
+      boolean twoSteps = scan.serviceClass.secondStepParts > 0;
+      double halfStepTime = scan.stepDeadline.minus(trip.sentAt).toNanos() / 2.0;
+      double lateAfter =
+          serviceTime == 0
+              ? halfStepTime
+              : Math.min(twoSteps ? halfStepTime : Long.MAX_VALUE, LATE_FACTOR * serviceTime);
+      Duration answerBy =
+          now.compareTo(scan.stepDeadline) < 0 || scan.serviceClass.lateValueShare == 0
+              ? scan.stepDeadline
+              : scan.deadline;
+      double tripAge = now.minus(trip.sentAt).toNanos();
+      double timeLeft = answerBy.minus(now).toNanos();
+      if (part.trips.get(part.trips.size() - 1) != trip
+          || tripAge <= lateAfter
+          || timeLeft <= serviceTime) {
         continue;
       }
-      if (copies && (twoSteps || stay == 0 || left <= LATE_STAYS * stay + LOOK_ROUND.toNanos())) {
-        sendAgain(part, now);
-      } else if (!copies
-          && left <= stay / STAY_SHARE + LOOK_ROUND.toNanos()
-          && searcher.unheard.toNanos() >= out) {
-        move(part, now);
+      if (copiesAllowed
+          && (twoSteps
+              || serviceTime == 0
+              || timeLeft <= LATE_FACTOR * serviceTime + HEALTH_CHECK_INTERVAL.toNanos())) {
+        retry(part, now);
+      } else if (!copiesAllowed
+          && timeLeft <= serviceTime / MAX_SERVICE_TIME_SHARE + HEALTH_CHECK_INTERVAL.toNanos()
+          && searcher.silentTime.toNanos() >= tripAge) {
+        moveLatePart(part, now);
       }
     }
   }
 
   /**
-   * Where no second trip may fly beside the first, a late one is recalled and its part sent
-   * elsewhere when its end is told: as late as the gate is likely to let another go, and only from
-   * a searcher that has given no word since, as what answers others will come to this one too.
-   * Guards against all that copies do, lost answers of a busy searcher left aside. It throws away a
-   * trip that may still come, and feeds a jam, hence the ration; trips that the ration or the
-   * holders would not let follow are left alone.
+   * Moves a late part where a second trip may not run beside the first: the trip is canceled, and
+   * the part is sent elsewhere when the host reports its end. That is done as late as the admission
+   * check is likely to accept another trip, and only for a searcher that has returned nothing since
+   * the trip was sent, as a searcher that answers other parts will answer this one too. It covers
+   * the same faults as a retry beside the first trip, except lost answers of a busy searcher. It
+   * discards a trip that may still be answered and may sustain an overload, so the retry budget
+   * applies; a trip that the budget or the holders leave without a successor is not canceled.
    */
-  private void move(Part part, Duration now) {
-    if (terms.flag("PolicyLimits.Cancel")
-        && !part.moving
-        && mayFollow(part, now)
-        && withinRation(now)
-        && plan(part, now)) {
-      part.moving = true;
-      moving++;
-      host.recall(part.id, part.trips.size() - 1);
+  private void moveLatePart(Part part, Duration now) {
+    if (settings.flag("PolicyLimits.Cancel")
+        && !part.moveRequested
+        && mayRetry(part, now)
+        && withinRetryBudget(now)
+        && assignSearcher(part, now)) {
+      part.moveRequested = true;
+      pendingMoves++;
+      host.cancel(part.id, part.trips.size() - 1);
     }
-    unplan(part);
+    unassignSearcher(part);
   }
 
-  /** The roster has been told: all of it, or what changed. */
-  public void rosterTold(List<MemberEntry> lines, boolean all) {
-    Duration now = arriving();
-    // a searcher that has gone, or has started anew, is judged anew; what was out there will be
-    // late
+  /** Handles a member list: a complete one, or the entries that changed. */
+  public void memberListUpdated(List<MemberEntry> entries, boolean complete) {
+    Duration now = recordEventTime();
+    // A searcher that is gone or has restarted loses its statistics; trips that are open there will
+    // be late.
     for (Searcher searcher :
-        roster.told(
-            lines,
-            all,
-            each -> each.spent(now) && !cold(each, now),
-            id -> new Searcher(id, HEALTH_MEMORY, HEALTH_BUCKETS, tipAfter, BUCKETS))) {
-      searcher.benchedUntil = null;
-      searcher.forget();
+        memberList.update(
+            entries,
+            complete,
+            candidate -> candidate.isRemovable(now) && !isCold(candidate, now),
+            id -> new Searcher(id, HEALTH_HISTORY, HEALTH_BUCKETS, coldWindow, DEFAULT_BUCKETS))) {
+      searcher.ejectedUntil = null;
+      searcher.resetStats();
     }
   }
 
   /**
-   * A call for the roster failed, or the subscription broke: ask again soon, not all mixers at one
-   * moment.
+   * Handles a failed request for the member list or a broken subscription: requests it again soon,
+   * after a random delay so that the mixers do not all ask at once.
    */
-  public void rosterFailed() {
-    if (!rosterRetry) {
-      rosterRetry = true;
-      wakeAfter(
-          ROSTER_RETRY.plusNanos(chance.nextLong(ROSTER_RETRY.toNanos())),
+  public void memberListFailed() {
+    if (!memberListRetryPending) {
+      memberListRetryPending = true;
+      startTimer(
+          MEMBER_LIST_RETRY_DELAY.plusNanos(random.nextLong(MEMBER_LIST_RETRY_DELAY.toNanos())),
           () -> {
-            rosterRetry = false;
-            host.watchRoster(true);
+            memberListRetryPending = false;
+            host.watchMemberList(true);
           });
     }
   }
 
-  public void peerTold(int peer, byte[] bytes) {
-    // mixers need no word of each other: each decides by its own evidence
+  public void peerMessageReceived(int peer, byte[] bytes) {
+    // mixers need no messages from each other: each decides by its own measurements
   }
 
-  public void woken(WakeId id) {
-    arriving();
-    Runnable wake = wakes.remove(id);
-    if (wake != null) {
-      wake.run();
+  public void timerFired(TimerId id) {
+    recordEventTime();
+    Runnable task = timers.remove(id);
+    if (task != null) {
+      task.run();
     }
   }
 
-  private void wakeAt(Duration time, Runnable wake) {
-    wakeAfter(max(Duration.ZERO, time.minus(host.now())), wake);
+  private void startTimerAt(Duration time, Runnable task) {
+    startTimer(max(Duration.ZERO, time.minus(host.now())), task);
   }
 
-  private void wakeAfter(Duration span, Runnable wake) {
-    WakeId id = new WakeId(wakeCount++);
-    wakes.put(id, wake);
-    host.wakeAfter(span, id);
+  private void startTimer(Duration delay, Runnable task) {
+    TimerId id = new TimerId(timerCount++);
+    timers.put(id, task);
+    host.startTimer(delay, id);
   }
 
   private void log(String line) {
-    if (logged++ < LOG_LINES) {
+    if (loggedLines++ < MAX_LOG_LINES) {
       host.log(line);
     }
   }
--- a/mixer/src/main/java/gingerring/decide/Part.java
+++ b/mixer/src/main/java/gingerring/decide/Part.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.random.RandomGenerator;
 
-/** A part of a scan: one shard's share of it. */
+/** A part of a scan: the work for one shard. */
 public final class Part {
   public final PartId id;
   public final int shard;
@@ -13,23 +13,23 @@
   public final long key;
   public Scan scan;
   public final List<Trip> trips = new ArrayList<>();
-  public boolean in;
+  public boolean answered;
 
   /**
-   * Its step has been answered, or the host told the end of its patience: nothing may be sent for
-   * it.
+   * The part's step has been answered, or the host has reported the client's deadline: no further
+   * trip may be sent.
    */
-  public boolean over;
+  public boolean noMoreTrips;
 
-  /** Its trip out was recalled for another to follow. */
-  public boolean moving;
+  /** The part's open trip was canceled so that another one can follow. */
+  public boolean moveRequested;
 
-  public Searcher planned;
+  public Searcher assignedSearcher;
 
-  /** How many trusted searchers hold its shard. */
-  public int choices;
+  /** The number of healthy searchers that hold the shard. */
+  public int healthyHolders;
 
-  private double luck = -1;
+  private double randomDraw = -1;
 
   public Part(PartId id, int shard, double weight, long key) {
     this.id = id;
@@ -39,14 +39,15 @@
   }
 
   /**
-   * One draw for all searchers and moments, so that trying them again does not make it likelier.
+   * Returns one random number per part, the same for all searchers and at all times, so that
+   * repeated attempts do not raise the probability.
    */
-  public double luck(RandomGenerator chance) {
-    luck = luck < 0 ? chance.nextDouble() : luck;
-    return luck;
+  public double drawOnce(RandomGenerator random) {
+    randomDraw = randomDraw < 0 ? random.nextDouble() : randomDraw;
+    return randomDraw;
   }
 
-  public boolean out() {
+  public boolean hasOpenTrip() {
     for (Trip trip : trips) {
       if (trip.outcome == null) {
         return true;
@@ -55,11 +56,11 @@
     return false;
   }
 
-  /** When the first trip that may have run was sent, or null where none may have. */
-  public Duration mayHaveRunSince() {
+  /** Returns when the first trip that may have run was sent, or null if none may have run. */
+  public Duration firstPossibleRun() {
     for (Trip trip : trips) {
       if (trip.outcome == null || !trip.outcome.neverRan) {
-        return trip.sent;
+        return trip.sentAt;
       }
     }
     return null;
--- a/mixer/src/main/java/gingerring/decide/Searcher.java
+++ b/mixer/src/main/java/gingerring/decide/Searcher.java
@@ -5,132 +5,149 @@
 import java.util.List;
 import java.util.Set;
 
-/** A searcher as one mixer sees it: the roster's line, its own trips, and what came of them. */
+/**
+ * The state of one searcher at this mixer: its member entry, the open trips and the statistics of
+ * past ones.
+ */
 public final class Searcher {
   public final SearcherId id;
-  public MemberEntry listing;
+  public MemberEntry entry;
   public Duration startedAt;
 
-  /** Own trips out, oldest first, and the calls that they share. */
-  public final Set<Trip> out = new LinkedHashSet<>();
+  /** Open trips of this mixer, oldest first, and the number of open calls that they share. */
+  public final Set<Trip> openTrips = new LinkedHashSet<>();
 
-  public int callsOut;
-  public Trip.Call call;
+  public int openCalls;
+  public Trip.Call lastCall;
 
-  /** When it was last sent a part, or from when its first turn counts while it is cold. */
-  public Duration lastSent;
+  /**
+   * When the searcher was last sent a part; for a cold one initially the start of its first turn
+   * interval.
+   */
+  public Duration lastSentAt;
 
-  /** The start that its turns go by. */
-  public Duration turnsSince;
+  /** The value of {@code startedAt} from which the turns of a cold searcher are counted. */
+  public Duration turnsStartedAt;
 
-  public int plannedParts;
+  public int assignedParts;
   public Duration busySince;
 
-  /** Time with own parts out since the last word from it. */
-  public Duration unheard = Duration.ZERO;
+  /** Time with open trips since the last answer, rejection or error. */
+  public Duration silentTime = Duration.ZERO;
 
-  /** Time with own parts out, and the same times their number. */
-  public final TimeRing busy;
+  /** Time with open trips, and the same time multiplied by the number of open trips. */
+  public final RollingSum busyTime;
 
-  public final TimeRing held;
-  public final TimeRing answers;
-  public final TimeRing errors;
-  public final TimeRing sends;
+  public final RollingSum openTripTime;
+  public final RollingSum answers;
+  public final RollingSum errors;
+  public final RollingSum sentParts;
 
-  /** Null while it is trusted; else when it may next be tried. */
-  public Duration benchedUntil;
+  /** Null if the searcher is not ejected; otherwise the earliest time of the next probe. */
+  public Duration ejectedUntil;
 
-  public Duration benchSpan;
+  public Duration ejectionTime;
   public boolean probing;
-  public int trialsLeft;
+  public int trialPartsLeft;
 
   public Searcher(
-      SearcherId id, Duration window, int buckets, Duration coldWindow, int coldBuckets) {
+      SearcherId id, Duration statsWindow, int statsBuckets, Duration coldWindow, int coldBuckets) {
     this.id = id;
-    busy = new TimeRing(window, buckets);
-    held = new TimeRing(window, buckets);
-    answers = new TimeRing(window, buckets);
-    errors = new TimeRing(window, buckets);
-    sends = new TimeRing(coldWindow, coldBuckets);
+    busyTime = new RollingSum(statsWindow, statsBuckets);
+    openTripTime = new RollingSum(statsWindow, statsBuckets);
+    answers = new RollingSum(statsWindow, statsBuckets);
+    errors = new RollingSum(statsWindow, statsBuckets);
+    sentParts = new RollingSum(coldWindow, coldBuckets);
   }
 
-  public boolean ready() {
-    return listing.standing() == MemberEntry.Standing.READY;
+  public boolean isReady() {
+    return entry.status() == MemberEntry.Status.READY;
   }
 
-  /** Nothing of it is out, recent or benched. */
-  public boolean quiet(Duration now) {
-    return out.isEmpty()
-        && benchedUntil == null
-        && busy.sum(now) == 0
+  /** Returns whether there are no open trips, no recent measurements and no ejection. */
+  public boolean isInactive(Duration now) {
+    return openTrips.isEmpty()
+        && ejectedUntil == null
+        && busyTime.sum(now) == 0
         && answers.sum(now) == 0
         && errors.sum(now) == 0;
   }
 
-  /** Gone, and nothing is out there or counts in the cold guard's window. */
-  public boolean spent(Duration now) {
-    return listing.standing() == MemberEntry.Standing.GONE && out.isEmpty() && sends.sum(now) == 0;
+  /**
+   * Returns whether the searcher is gone, has no open trips and no longer counts in the cold-start
+   * limit.
+   */
+  public boolean isRemovable(Duration now) {
+    return entry.status() == MemberEntry.Status.GONE
+        && openTrips.isEmpty()
+        && sentParts.sum(now) == 0;
   }
 
-  /** Drops what was measured of it: it is to be judged anew. */
-  public void forget() {
-    unheard = Duration.ZERO;
-    List.of(busy, held, answers, errors).forEach(TimeRing::clear);
+  /** Discards the measurements, so that only new ones count. */
+  public void resetStats() {
+    silentTime = Duration.ZERO;
+    List.of(busyTime, openTripTime, answers, errors).forEach(RollingSum::clear);
   }
 
-  /** Leaves the time up to now out of what is measured. */
-  public void skipTo(Duration now) {
-    busySince = out.isEmpty() ? null : now;
+  /** Excludes the time up to now from the measurements. */
+  public void excludeTimeUntil(Duration now) {
+    busySince = openTrips.isEmpty() ? null : now;
   }
 
-  /** Books the time that own parts have been out. */
-  public void noteBusy(Duration now) {
+  /** Adds the time with open trips since the last update. */
+  public void recordBusyTime(Duration now) {
     if (busySince != null) {
-      Duration span = now.minus(busySince);
-      busy.add(now, span.toNanos());
-      held.add(now, (double) span.toNanos() * out.size());
-      unheard = unheard.plus(span);
+      Duration elapsed = now.minus(busySince);
+      busyTime.add(now, elapsed.toNanos());
+      openTripTime.add(now, (double) elapsed.toNanos() * openTrips.size());
+      silentTime = silentTime.plus(elapsed);
     }
-    busySince = out.isEmpty() ? null : now;
+    busySince = openTrips.isEmpty() ? null : now;
   }
 
-  /** Books a part that is sent now; {@code callParts} parts of one moment share a call. */
-  public Trip send(Part part, Duration now, int callParts) {
-    noteBusy(now);
-    if (!callOpen(now, callParts)) {
-      call = new Trip.Call(now);
-      callsOut++;
+  /**
+   * Records a part that is sent now; up to {@code partsPerCall} parts sent at the same time share a
+   * call.
+   */
+  public Trip recordSend(Part part, Duration now, int partsPerCall) {
+    recordBusyTime(now);
+    if (!canJoinLastCall(now, partsPerCall)) {
+      lastCall = new Trip.Call(now);
+      openCalls++;
     }
-    call.parts++;
-    call.out++;
-    Trip trip = new Trip(part, this, now, call);
-    out.add(trip);
+    lastCall.partCount++;
+    lastCall.openTrips++;
+    Trip trip = new Trip(part, this, now, lastCall);
+    openTrips.add(trip);
     busySince = now;
-    lastSent = now;
-    sends.add(now, 1);
+    lastSentAt = now;
+    sentParts.add(now, 1);
     return trip;
   }
 
-  /** Books a trip that has ended. */
-  public void end(Trip trip, Duration now) {
-    noteBusy(now);
-    out.remove(trip);
-    trip.call.out--;
-    if (trip.call.out == 0) {
-      callsOut--;
+  /** Records a trip that has ended. */
+  public void recordEnd(Trip trip, Duration now) {
+    recordBusyTime(now);
+    openTrips.remove(trip);
+    trip.call.openTrips--;
+    if (trip.call.openTrips == 0) {
+      openCalls--;
     }
-    if (out.isEmpty()) {
+    if (openTrips.isEmpty()) {
       busySince = null;
     }
   }
 
-  /** Own calls out, with those that planned parts would open. */
-  public int load(Duration now, int callParts) {
-    int joining = callOpen(now, callParts) ? Math.min(plannedParts, callParts - call.parts) : 0;
-    return callsOut + (plannedParts - joining + callParts - 1) / callParts;
+  /** Returns the open calls including those that the assigned parts would add. */
+  public int projectedCalls(Duration now, int partsPerCall) {
+    int joining =
+        canJoinLastCall(now, partsPerCall)
+            ? Math.min(assignedParts, partsPerCall - lastCall.partCount)
+            : 0;
+    return openCalls + (assignedParts - joining + partsPerCall - 1) / partsPerCall;
   }
 
-  private boolean callOpen(Duration now, int callParts) {
-    return call != null && call.made.equals(now) && call.parts < callParts;
+  private boolean canJoinLastCall(Duration now, int partsPerCall) {
+    return lastCall != null && lastCall.sentAt.equals(now) && lastCall.partCount < partsPerCall;
   }
 }
--- a/mixer/src/main/java/gingerring/decide/ServiceClass.java
+++ b/mixer/src/main/java/gingerring/decide/ServiceClass.java
@@ -2,55 +2,61 @@
 
 import java.time.Duration;
 
-/** A service grade. */
+/** The service class of a scan: its deadlines, its coverage and whether it may be retried. */
 public final class ServiceClass {
-  /** What a repeat does: nothing, nothing while its mark is known, or harm. */
+  /**
+   * The effect of executing a request twice: none, none while the idempotency key is stored, or
+   * harmful.
+   */
   public enum RetrySafety {
     IDEMPOTENT,
     KEYED,
     AT_MOST_ONCE
   }
 
-  public RetrySafety repeats;
-  public Duration quoted;
-  public double quotedStretch;
-  public Duration patience;
-  public Duration window;
-  public double lateShare;
-  public double floor;
-  public double need;
-  public int fetch;
+  public RetrySafety retrySafety;
+  public Duration latencyTarget;
+  public double latencyTargetPerWork;
+  public Duration deadline;
+  public Duration idempotencyWindow;
+  public double lateValueShare;
+  public double minCoverage;
+  public double fullCoverage;
+  public int secondStepParts;
 
-  /** Reads the grade of a number. */
-  static ServiceClass read(Settings terms, int i) {
-    String at = "Classes." + i + ".";
-    ServiceClass grade = new ServiceClass();
-    String repeats = terms.text(at + "Idempotency");
-    grade.repeats =
-        switch (repeats) {
+  /** Reads the service class with the given index. */
+  static ServiceClass read(Settings settings, int index) {
+    String prefix = "Classes." + index + ".";
+    ServiceClass serviceClass = new ServiceClass();
+    String idempotency = settings.text(prefix + "Idempotency");
+    serviceClass.retrySafety =
+        switch (idempotency) {
           case "idempotent" -> RetrySafety.IDEMPOTENT;
           case "deduplicated" -> RetrySafety.KEYED;
           case "at_most_once" -> RetrySafety.AT_MOST_ONCE;
           default ->
               throw new IllegalArgumentException(
-                  "setting " + at + "Idempotency is unknown: " + repeats);
+                  "setting " + prefix + "Idempotency is unknown: " + idempotency);
         };
-    grade.quoted = terms.span(at + "AimMs");
-    grade.quotedStretch = terms.number(at + "AimStretch", 0);
-    grade.patience = terms.span(at + "HardLimitMs");
-    grade.window = grade.repeats == RetrySafety.KEYED ? terms.span(at + "WindowMs") : Duration.ZERO;
-    grade.lateShare = terms.number(at + "LateWorth", 0);
-    grade.need = terms.item("Domain.NeedByClass", i, 1);
-    grade.floor = terms.item("Domain.ClassFloor", i, grade.need);
-    grade.fetch = (int) terms.item("Domain.ClassFetch", i, 0);
-    return grade;
+    serviceClass.latencyTarget = settings.duration(prefix + "AimMs");
+    serviceClass.latencyTargetPerWork = settings.number(prefix + "AimStretch", 0);
+    serviceClass.deadline = settings.duration(prefix + "HardLimitMs");
+    serviceClass.idempotencyWindow =
+        serviceClass.retrySafety == RetrySafety.KEYED
+            ? settings.duration(prefix + "WindowMs")
+            : Duration.ZERO;
+    serviceClass.lateValueShare = settings.number(prefix + "LateWorth", 0);
+    serviceClass.fullCoverage = settings.item("Domain.NeedByClass", index, 1);
+    serviceClass.minCoverage = settings.item("Domain.ClassFloor", index, serviceClass.fullCoverage);
+    serviceClass.secondStepParts = (int) settings.item("Domain.ClassFetch", index, 0);
+    return serviceClass;
   }
 
   /**
-   * May be answered from some of its parts: only a grade that may run again can leave the others
-   * behind.
+   * Returns whether a scan may be answered from a subset of its parts: only an idempotent one may
+   * leave the other parts unfinished.
    */
-  public boolean partial() {
-    return floor < need && repeats == RetrySafety.IDEMPOTENT;
+  public boolean allowsPartial() {
+    return minCoverage < fullCoverage && retrySafety == RetrySafety.IDEMPOTENT;
   }
 }
--- a/mixer/src/main/java/gingerring/decide/Trip.java
+++ b/mixer/src/main/java/gingerring/decide/Trip.java
@@ -2,31 +2,31 @@
 
 import java.time.Duration;
 
-/** One sending of a part to a searcher. {@code outcome} is null while it is out. */
+/** One attempt to run a part at a searcher. {@code outcome} is null while the trip is open. */
 public final class Trip {
   public final Part part;
   public final Searcher searcher;
-  public final Duration sent;
+  public final Duration sentAt;
   public final Call call;
   public Outcome outcome;
-  public Duration ended;
-  public boolean settled;
+  public Duration endedAt;
+  public boolean countedInPressure;
 
   public Trip(Part part, Searcher searcher, Duration sent, Call call) {
     this.part = part;
     this.searcher = searcher;
-    this.sent = sent;
+    this.sentAt = sent;
     this.call = call;
   }
 
-  /** Parts sent to one searcher at one moment, which share a place. */
+  /** Parts sent to one searcher at the same time, which share one call. */
   public static final class Call {
-    public final Duration made;
-    public int parts;
-    public int out;
+    public final Duration sentAt;
+    public int partCount;
+    public int openTrips;
 
     public Call(Duration made) {
-      this.made = made;
+      this.sentAt = made;
     }
   }
 }
--- a/mixer/src/main/java/gingerring/http/HttpWriter.java
+++ b/mixer/src/main/java/gingerring/http/HttpWriter.java
@@ -4,7 +4,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Map;
 
-/** Writes HTTP/1.1 messages whole. */
+/** Serializes complete HTTP/1.1 messages. */
 public final class HttpWriter {
   private static final Map<Integer, String> REASONS =
       Map.of(
@@ -26,11 +26,17 @@
           "Internal Server Error",
           503,
           "Service Unavailable");
+
+  /** The interim response to {@code Expect: 100-continue}. */
   public static final byte[] CONTINUE = ascii("HTTP/1.1 100 Continue\r\n\r\n");
 
   private HttpWriter() {}
 
-  public static byte[] answer(int status, boolean last, String extra, byte[] body) {
+  /**
+   * A response. {@code close}: the connection is closed after it; {@code extraHeaders}: complete
+   * header lines, each ended by CRLF.
+   */
+  public static byte[] response(int status, boolean close, String extraHeaders, byte[] body) {
     ByteArrayOutputStream out = new ByteArrayOutputStream(body.length + 128);
     out.writeBytes(
         ascii(
@@ -40,8 +46,8 @@
                 + REASONS.getOrDefault(status, "Error")
                 + "\r\n"
                 + (body.length > 0 ? "Content-Type: application/json\r\n" : "")
-                + extra
-                + (last ? "Connection: close\r\n" : "")
+                + extraHeaders
+                + (close ? "Connection: close\r\n" : "")
                 + "Content-Length: "
                 + body.length
                 + "\r\n\r\n"));
@@ -49,14 +55,15 @@
     return out.toByteArray();
   }
 
-  public static byte[] get(String target, String host, boolean last) {
+  /** A GET request. {@code close}: asks for the connection to be closed after the response. */
+  public static byte[] getRequest(String target, String host, boolean close) {
     return ascii(
         "GET "
             + target
             + " HTTP/1.1\r\nHost: "
             + host
             + "\r\n"
-            + (last ? "Connection: close\r\n" : "")
+            + (close ? "Connection: close\r\n" : "")
             + "\r\n");
   }
 
--- a/mixer/src/main/java/gingerring/net/Connection.java
+++ b/mixer/src/main/java/gingerring/net/Connection.java
@@ -9,248 +9,275 @@
 import org.apache.mina.core.session.IoSession;
 
 /**
- * One connection as the loop has it: a ring of bytes for each direction, both bounded. The methods
- * marked so are MINA's thread's; all others are the loop's.
+ * One TCP connection (or in-memory pipe) with a bounded ring buffer for each direction. The methods
+ * of the section marked "MINA's thread" run on the I/O thread of Apache MINA; all others run on the
+ * event loop's thread.
  */
 public final class Connection {
-  /** What one read brings at most; reading stops while the ring has no room for that. */
-  static final int READ = 4096;
+  /**
+   * Most bytes that one read can deliver; reading is suspended while {@link #input} has less free
+   * space.
+   */
+  static final int MAX_READ_BYTES = 4096;
 
-  private static final int IN = 2 * READ;
-  private static final int OUT_FIRST = 1024;
+  private static final int INPUT_BYTES = 2 * MAX_READ_BYTES;
+  private static final int INITIAL_OUTPUT_BYTES = 1024;
 
-  /** How long a connection's last bytes may take to leave. */
-  private static final Duration FLUSH_MOST = Duration.ofSeconds(10);
+  /** How long {@link #closeGracefully} waits for the remaining output to be sent. */
+  private static final Duration FLUSH_TIMEOUT = Duration.ofSeconds(10);
 
-  /** How much is read and dropped before what is read is paced. */
-  private static final long DROPPED_AT_ONCE = 1 << 20;
+  /** Input that is discarded at full speed; beyond it, reads of discarded input are paced. */
+  private static final long UNPACED_DISCARD_BYTES = 1 << 20;
 
-  public final ByteRing in = new ByteRing(IN, IN);
-  public final ByteRing out;
+  public final ByteRing input = new ByteRing(INPUT_BYTES, INPUT_BYTES);
+  public final ByteRing output;
 
-  /** The other side opened it. */
-  final boolean came;
+  /** Whether the peer opened the connection; false for a dialled one. */
+  final boolean inbound;
 
   private final Network network;
-  private Party party;
-  private ConnectFuture dialled;
+  private ConnectionHandler handler;
+  private ConnectFuture connectFuture;
   private volatile IoSession session;
   private boolean opened;
 
-  /** This side, as a tap counts them. */
-  private int mine;
+  /**
+   * This end, as {@link TrafficListener} counts the sides: 0 opened the connection, 1 accepted it.
+   */
+  private int localSide;
 
-  /** How many bytes MINA has in hand; 0 where it has none. */
-  private int writing;
+  /** Bytes handed to MINA and not yet written to the socket; 0 if no write is under way. */
+  private int bytesInWrite;
 
   private boolean closing;
   private boolean closed;
 
-  /** This side is to be ended by a half-close, once flushed; and has been. */
-  private boolean endsOrderly;
+  /**
+   * Whether the output is shut down once it is flushed, and the connection ends when the peer
+   * closes too.
+   */
+  private boolean closesGracefully;
 
+  /** Whether the output has been shut down. */
   private boolean halfClosed;
 
   /**
-   * Nothing that still comes is wanted: it is read and dropped, as fast as it comes for so many
-   * bytes.
+   * Whether further input is read and discarded; only the first {@link #UNPACED_DISCARD_BYTES} are
+   * read at full speed.
    */
-  private volatile boolean dropping;
+  private volatile boolean discarding;
+
+  private long discardedBytes;
 
-  private long dropped;
+  /** Whether the peer has closed its side gracefully, and all that it had sent has been read. */
+  private volatile boolean peerClosed;
 
-  /** The other side has ended its own, and all that it sent before has been read. */
-  private volatile boolean finRead;
+  /** Whether a call of {@link #handleReadable} is in the event queue. */
+  private final AtomicBoolean readablePosted = new AtomicBoolean();
 
-  private final AtomicBoolean told = new AtomicBoolean();
-  private volatile boolean paused;
+  private volatile boolean readSuspended;
 
   /**
-   * Bytes were read that are not in the ring yet; and nothing more is to be read. Both under this
-   * lock.
+   * Whether bytes were read that are not in {@link #input} yet. Guarded by this connection's lock.
    */
-  private boolean unput;
+  private boolean readPending;
 
-  private boolean unheeded;
-  private volatile Duration heard = Duration.ZERO;
+  /** Whether nothing more may be read. Guarded by this connection's lock. */
+  private boolean readsBlocked;
 
-  Connection(Network network, int outMost, boolean came) {
+  private volatile Duration inputArrivedAt = Duration.ZERO;
+
+  Connection(Network network, int maxOutputBytes, boolean inbound) {
     this.network = network;
-    this.came = came;
-    out = new ByteRing(OUT_FIRST, outMost);
+    this.inbound = inbound;
+    output = new ByteRing(INITIAL_OUTPUT_BYTES, maxOutputBytes);
   }
 
-  public void party(Party owner) {
-    party = owner;
+  /** Sets the handler that is called for the events of this connection. */
+  public void setHandler(ConnectionHandler newHandler) {
+    handler = newHandler;
   }
 
-  public boolean open() {
+  /** Whether the connection is established and no close has been requested. */
+  public boolean isOpen() {
     return opened && !closed && !closing;
   }
 
-  /** Up or coming up, and not to be closed. */
-  public boolean usable() {
+  /**
+   * Whether the connection is established or being established, and no close has been requested.
+   */
+  public boolean isUsable() {
     return !closed && !closing;
   }
 
-  public boolean closed() {
+  /** Whether the connection has ended and its handler has been notified. */
+  public boolean isClosed() {
     return closed;
   }
 
-  Duration restsSince() {
-    return party.restsSince();
+  Duration idleSince() {
+    return handler.idleSince();
   }
 
-  /** When bytes last came into an empty ring. */
-  public Duration heard() {
-    return heard;
+  /** When bytes last arrived while {@link #input} was empty. */
+  public Duration inputArrivedAt() {
+    return inputArrivedAt;
   }
 
-  /** How many bytes really left by this connection. */
-  public long written() {
+  /** How many bytes were written to the socket. */
+  public long bytesSent() {
     return session == null ? 0 : session.getWrittenBytes();
   }
 
-  void dialled(ConnectFuture future) {
-    dialled = future;
+  void setConnectFuture(ConnectFuture future) {
+    connectFuture = future;
   }
 
   // ---- MINA's thread ----
 
-  boolean unheeded() {
-    return unheeded;
+  boolean areReadsBlocked() {
+    return readsBlocked;
   }
 
-  void wasRead(boolean some) {
-    unput |= some;
+  void markRead(boolean gotBytes) {
+    readPending |= gotBytes;
   }
 
-  /** The other side has closed, and not reset, what it sends by. */
-  void finRead() {
-    finRead = true;
+  /** The peer has shut down its output, rather than reset the connection. */
+  void markPeerClosed() {
+    peerClosed = true;
   }
 
   IoSession session() {
     return session;
   }
 
-  void received(IoBuffer buffer) {
+  void onReceived(IoBuffer buffer) {
     byte[] bytes = new byte[buffer.remaining()];
     buffer.get(bytes);
-    if (dropping) { // since it was read
-      drop(bytes);
+    if (discarding) { // discardInput was called after these bytes were read
+      discard(bytes);
       return;
     }
-    if (network.tap != null) {
-      network.tap.data(session.getId(), 1 - mine, bytes);
+    if (network.trafficListener != null) {
+      network.trafficListener.onData(session.getId(), 1 - localSide, bytes);
     }
-    if (in.size() == 0) {
-      heard = network.inbox.clock();
+    if (input.size() == 0) {
+      inputArrivedAt = network.eventQueue.currentTime();
     }
-    boolean fits = in.put(bytes);
+    boolean fits = input.put(bytes);
     synchronized (this) {
-      unput = false;
+      readPending = false;
     }
-    network.counts.must(fits, "a read fits the ring");
+    network.counters.checkInvariant(fits, "a read fits the ring");
     if (!fits) {
       session.closeNow();
       return;
     }
-    if (crowded()) {
-      paused = true;
+    if (isInputFull()) {
+      readSuspended = true;
       session.suspendRead();
     }
-    if (told.compareAndSet(false, true)) {
-      network.inbox.post(this::tellReadable);
+    if (readablePosted.compareAndSet(false, true)) {
+      network.eventQueue.post(this::handleReadable);
     }
   }
 
-  boolean dropping() {
-    return dropping;
+  boolean isDiscarding() {
+    return discarding;
   }
 
-  /** Returns whether so much has been dropped that reading is to be paced. */
-  boolean drop(byte[] bytes) {
-    if (network.tap != null) {
-      network.tap.data(session.getId(), 1 - mine, bytes.clone());
+  /**
+   * Counts discarded bytes. Returns whether so many were discarded that further reads are to be
+   * paced.
+   */
+  boolean discard(byte[] bytes) {
+    if (network.trafficListener != null) {
+      network.trafficListener.onData(session.getId(), 1 - localSide, bytes.clone());
     }
-    dropped += bytes.length;
-    network.counts.add("bytes dropped", bytes.length);
-    return dropped > DROPPED_AT_ONCE;
+    discardedBytes += bytes.length;
+    network.counters.add("bytes dropped", bytes.length);
+    return discardedBytes > UNPACED_DISCARD_BYTES;
   }
 
-  /** {@code came}: the other side opened it. */
-  void up(IoSession session, boolean came) {
+  /** Binds the MINA session. {@code inbound}: the peer opened the connection. */
+  void attach(IoSession session, boolean inbound) {
     this.session = session;
-    if (network.tap != null) {
-      mine = came ? 1 : 0;
-      InetSocketAddress here = (InetSocketAddress) session.getLocalAddress();
-      InetSocketAddress there = (InetSocketAddress) session.getRemoteAddress();
-      network.tap.opened(session.getId(), came ? there : here, came ? here : there);
+    if (network.trafficListener != null) {
+      localSide = inbound ? 1 : 0;
+      InetSocketAddress localAddress = (InetSocketAddress) session.getLocalAddress();
+      InetSocketAddress remoteAddress = (InetSocketAddress) session.getRemoteAddress();
+      network.trafficListener.onOpened(
+          session.getId(),
+          inbound ? remoteAddress : localAddress,
+          inbound ? localAddress : remoteAddress);
     }
   }
 
-  void sent() {
-    network.inbox.post(this::left);
+  void onSent() {
+    network.eventQueue.post(this::handleSent);
   }
 
-  // ---- the loop ----
+  // ---- the event loop's thread ----
 
-  void tellOpened() {
+  void handleOpened() {
     opened = true;
     if (closed || closing) {
       session.closeNow();
       return;
     }
-    party.opened();
-    network.dirty(this);
+    handler.onOpened();
+    network.requestFlush(this);
   }
 
-  private void tellReadable() {
-    told.set(false);
+  private void handleReadable() {
+    readablePosted.set(false);
     if (closed) {
       return;
     }
-    if (dropping) {
-      in.clear();
+    if (discarding) {
+      input.clear();
     } else {
-      party.readable();
+      handler.onReadable();
     }
-    resume();
+    resumeReading();
   }
 
   /**
-   * Reading goes on once there is room again, on MINA's thread. Guards against a resumption that
-   * comes between the two steps of a pause ({@link #received}): it would go unheard, and nothing
-   * would ever be read again.
+   * Resumes reading, on MINA's thread, once {@link #input} has space again. Guards against a resume
+   * that comes between the two steps of a suspension in {@link #onReceived}: it would be lost, and
+   * nothing would ever be read again.
    */
-  public void resume() {
-    if (paused && !crowded() && !closed) {
-      paused = false;
-      network.resumeRead(session);
+  public void resumeReading() {
+    if (readSuspended && !isInputFull() && !closed) {
+      readSuspended = false;
+      network.resumeReading(session);
     }
   }
 
-  /** Marks that there is something to flush at the end of the turn. */
-  public void touch() {
-    network.dirty(this);
+  /** Requests a flush of {@link #output} at the end of this loop iteration. */
+  public void requestFlush() {
+    network.requestFlush(this);
   }
 
-  /** One write of what lies side by side in the ring; what is left follows once that has gone. */
+  /**
+   * Writes the next contiguous bytes of {@link #output}; {@link #handleSent} writes the rest. Once
+   * the output is empty, carries out a requested close.
+   */
   void flush() {
-    if (!opened || closed || writing > 0) {
+    if (!opened || closed || bytesInWrite > 0) {
       return;
     }
-    if (out.size() > 0) {
-      ByteBuffer slice = out.peek();
-      writing = slice.remaining();
-      if (network.tap != null) {
-        byte[] copy = new byte[writing];
-        slice.duplicate().get(copy);
-        network.tap.data(session.getId(), mine, copy);
+    if (output.size() > 0) {
+      ByteBuffer nextBytes = output.peekContiguous();
+      bytesInWrite = nextBytes.remaining();
+      if (network.trafficListener != null) {
+        byte[] copy = new byte[bytesInWrite];
+        nextBytes.duplicate().get(copy);
+        network.trafficListener.onData(session.getId(), localSide, copy);
       }
-      session.write(IoBuffer.wrap(slice));
-    } else if (endsOrderly) {
+      session.write(IoBuffer.wrap(nextBytes));
+    } else if (closesGracefully) {
       if (!halfClosed) {
         halfClosed = true;
         network.halfClose(this);
@@ -260,40 +287,40 @@
     }
   }
 
-  private void left() {
-    out.skip(writing);
-    writing = 0;
+  private void handleSent() {
+    output.skip(bytesInWrite);
+    bytesInWrite = 0;
     flush();
-    if (out.size() == 0 && !closed) {
-      party.drained();
+    if (output.size() == 0 && !closed) {
+      handler.onFlushed();
     }
   }
 
   /**
-   * Nothing that was put waits to leave: what is put now is written at the end of this turn, as
-   * one.
+   * Whether no output is buffered or being written, so that output put now is sent in one write at
+   * the end of this loop iteration.
    */
-  public boolean unsentFree() {
-    return out.size() == 0 && writing == 0;
+  public boolean isFlushed() {
+    return output.size() == 0 && bytesInWrite == 0;
   }
 
   /**
-   * Whether the other side ended the connection by an orderly close, all that it had sent having
-   * been read; not by a reset, and not before this side had ended it at once. Told by the time of
-   * {@link Party#closed}.
+   * Whether the peer closed the connection gracefully and all that it had sent has been read. False
+   * after a reset, and if this side closed the connection at once before. Valid from the call of
+   * {@link ConnectionHandler#onClosed} on.
    */
-  public boolean endedOrderly() {
-    return finRead;
+  public boolean closedGracefully() {
+    return peerClosed;
   }
 
   /**
-   * Ends the connection in an orderly way once what was put has left: this side is half-closed,
-   * what still comes is read and dropped, within bounds of bytes and time, until the other side has
-   * closed too. Guards against a close over unread bytes, which resets the connection and takes the
-   * last answer with it. The party is told of no more bytes, and of the end.
+   * Closes the connection gracefully once the output is sent: shuts down the output, then reads and
+   * discards input, within limits of bytes and time, until the peer has closed too. Guards against
+   * a close with unread bytes, which resets the connection and loses the last response. The handler
+   * gets no more input, only {@link ConnectionHandler#onClosed}.
    */
-  public void endAfterFlush() {
-    if (!opened || network.within()) {
+  public void closeGracefully() {
+    if (!opened || network.isInMemory()) {
       closeAfterFlush();
       return;
     }
@@ -301,71 +328,72 @@
       return;
     }
     closing = true;
-    endsOrderly = true;
-    dropRest();
-    network.endBy(this, FLUSH_MOST);
-    network.dirty(this);
+    closesGracefully = true;
+    discardInput();
+    network.closeWithin(this, FLUSH_TIMEOUT);
+    network.requestFlush(this);
   }
 
-  /** Whether the ring is so full that reading stops. */
-  public boolean crowded() {
-    return in.room() < READ;
+  /** Whether {@link #input} is so full that reading is suspended. */
+  public boolean isInputFull() {
+    return input.remainingCapacity() < MAX_READ_BYTES;
   }
 
   /**
-   * Nothing that has come or still comes is wanted: it is read and dropped, at a pace once it is
-   * much, and the party is told of no more bytes. Guards against the end of the other side that is
-   * not seen behind them.
+   * Discards the buffered and all further input; beyond {@link #UNPACED_DISCARD_BYTES} reading is
+   * paced. The handler is not called for input any more. Guards against unread input that hides the
+   * end of the connection by the peer.
    */
-  public void dropRest() {
-    dropping = true;
-    in.clear();
-    resume();
+  public void discardInput() {
+    discarding = true;
+    input.clear();
+    resumeReading();
   }
 
-  /** Ends the connection once what was put has left. */
+  /** Closes the connection once the output is sent. */
   public void closeAfterFlush() {
     closing = true;
-    network.dirty(this);
+    network.requestFlush(this);
   }
 
   /**
-   * Ends the connection at once if nothing has been read from it that its party has not seen;
-   * nothing is from then on. Guards against a request that is read just as its connection is ended
-   * for being idle: its client would take it for lost, while one that was never read is sent again.
+   * Closes the connection at once unless bytes were read that the handler has not processed;
+   * returns whether it did. No bytes are read afterwards. Guards against a request that is read
+   * just as its connection is closed for being idle: the client would take the request for lost,
+   * while one that was never read is sent again.
    */
   public boolean closeIfUnread() {
     synchronized (this) {
-      if (unput || in.size() > 0) {
+      if (readPending || input.size() > 0) {
         return false;
       }
-      unheeded = true;
+      readsBlocked = true;
     }
     close();
     return true;
   }
 
-  /** Ends the connection at once; its party is told all the same. */
+  /** Closes the connection at once; the handler's {@code onClosed} is called all the same. */
   public void close() {
     closing = true;
     if (opened) {
       session.closeNow();
     } else {
-      if (dialled != null) {
-        network.abandon(dialled);
+      if (connectFuture != null) {
+        network.abandonDial(connectFuture);
       }
-      network.inbox.post(this::tellClosed);
+      network.eventQueue.post(this::handleClosed);
     }
   }
 
-  void tellClosed() {
+  void handleClosed() {
     if (!closed) {
       closed = true;
       network.forget(this);
-      if (network.tap != null && session != null) {
-        network.tap.closed(session.getId(), closing ? mine : 1 - mine);
+      if (network.trafficListener != null && session != null) {
+        network.trafficListener.onClosed(session.getId(), closing ? localSide : 1 - localSide);
       }
-      party.closed();
+      handler.onClosed();
     }
   }
 }
--- /dev/null
+++ b/mixer/src/main/java/gingerring/net/EventQueue.java
@@ -0,0 +1,12 @@
+package gingerring.net;
+
+import java.time.Duration;
+
+/** The event loop's queue, into which the I/O threads post events; safe from any thread. */
+public interface EventQueue {
+  /** Queues an event to run on the loop's thread. */
+  void post(Runnable event);
+
+  /** The current time since the start. */
+  Duration currentTime();
+}
--- a/mixer/src/main/java/gingerring/net/Network.java
+++ b/mixer/src/main/java/gingerring/net/Network.java
@@ -39,173 +39,188 @@
 import org.apache.mina.transport.vmpipe.VmPipeConnector;
 
 /**
- * Apache MINA: one thread reads and writes for those who come in and those we call. Its handlers
- * pass bytes and events on to the loop and do nothing else.
+ * All connections of the process, over Apache MINA. One MINA thread reads and writes for inbound
+ * and dialled connections; its handlers only pass bytes and events on to the event loop.
  */
 public final class Network {
-  private static final String CONNECTION = "connection";
+  private static final String CONNECTION_ATTRIBUTE = "connection";
   private static final int BACKLOG = 512;
-  private static final int STACK = 1 << 18;
+  private static final int THREAD_STACK_BYTES = 1 << 18;
 
-  /** How long a half-closed connection is read from, and how often the ends are looked after. */
-  private static final Duration LINGER = Duration.ofMillis(300);
+  /** How long input of a half-closed connection is read before the connection is closed. */
+  private static final Duration LINGER_TIMEOUT = Duration.ofMillis(300);
 
-  private static final Duration ENDS_EVERY = Duration.ofMillis(50);
+  /** How often the deadlines of closing connections are checked. */
+  private static final Duration CLOSE_CHECK_INTERVAL = Duration.ofMillis(50);
 
-  /** Of a flood that is dropped, so much is read in each such span. */
-  private static final int DROP = 1 << 16;
+  /**
+   * Most bytes of discarded input that one read takes; paced reads are {@link #DISCARD_INTERVAL}
+   * apart.
+   */
+  private static final int DISCARD_READ_BYTES = 1 << 16;
+
+  private static final Duration DISCARD_INTERVAL = Duration.ofMillis(10);
 
-  private static final Duration DROP_EVERY = Duration.ofMillis(10);
+  /**
+   * How long accepting waits for a connection to end when the limit is reached; then the new
+   * connection is closed.
+   */
+  private static final Duration ACCEPT_WAIT = Duration.ofMillis(10);
 
-  /** How long a newcomer waits for room before it is closed. */
-  private static final Duration ROOM_WAIT = Duration.ofMillis(10);
+  /** The largest share of {@link #maxConnections} that dialled connections may take. */
+  private static final double MAX_DIALLED_SHARE = 0.75;
 
   /**
-   * Of all connections that there may be: those that are dialled at most, and what is kept free for
-   * them; and what no newcomer gets, for dials that come at once.
+   * The share of {@link #maxConnections} that is kept free, if possible, for dials; see {@link
+   * #connectionShortfall}.
    */
-  private static final double DIALLED_MOST = 0.75;
+  private static final double FREE_SHARE = 0.25;
 
-  private static final double KEPT_FREE = 0.25;
-  private static final double SPARE = 1 / 16.0;
+  /** The share of {@link #maxConnections} that inbound connections never get, for sudden dials. */
+  private static final double DIAL_ONLY_SHARE = 1 / 16.0;
 
-  final Inbox inbox;
-  final Counts counts;
+  final EventQueue eventQueue;
+  final Counters counters;
 
-  /** Null where nothing is recorded. */
-  final Tap tap;
+  /** Receives all traffic for a recording; null if nothing is recorded. */
+  final TrafficListener trafficListener;
 
-  private final ExecutorService threads =
+  private final ExecutorService executor =
       Executors.newCachedThreadPool(
           task -> {
-            Thread thread = new Thread(null, task, "mina", STACK);
+            Thread thread = new Thread(null, task, "mina", THREAD_STACK_BYTES);
             thread.setDaemon(true);
             return thread;
           });
   private final Processor processor = new Processor();
 
-  /** Tasks of MINA's connector, until the turn that dials is over. */
-  private final Queue<Runnable> dialling = new ConcurrentLinkedQueue<>();
+  /**
+   * Tasks that MINA's connector has submitted; they are started at the end of the loop iteration.
+   */
+  private final Queue<Runnable> connectorTasks = new ConcurrentLinkedQueue<>();
 
   private final IoConnector connector;
-  private final boolean within;
+  private final boolean inMemory;
   private IoAcceptor acceptor;
 
-  /** Held while a connection is accepted: who holds it keeps those that come in the backlog. */
-  final Object accepting = new Object();
-
-  /** Connections that came in and have not ended. */
-  private final AtomicInteger taken = new AtomicInteger();
-
   /**
-   * Connections of both kinds that there may be at one time; and those dialled that have not ended.
+   * Held while a connection is accepted; a thread that holds it keeps new connections in the
+   * backlog.
    */
-  private volatile int most = Integer.MAX_VALUE;
+  final Object acceptLock = new Object();
 
-  private volatile int dialled;
+  /** Inbound connections whose descriptor is not free yet. */
+  private final AtomicInteger inboundCount = new AtomicInteger();
 
-  /** Dials for which there was no descriptor, by connection. */
-  private final Map<Connection, Runnable> waiting = new LinkedHashMap<>();
+  /** Limit of inbound and dialled connections together. */
+  private volatile int maxConnections = Integer.MAX_VALUE;
 
-  private Runnable whenShort = () -> {};
-  private final Set<Connection> dirty = new LinkedHashSet<>();
-  private final Set<Connection> all = new LinkedHashSet<>();
+  /** Dialled connections that have not ended. */
+  private volatile int dialledCount;
+
+  /** Dials that wait for a free descriptor, in order. */
+  private final Map<Connection, Runnable> waitingDials = new LinkedHashMap<>();
+
+  private Runnable shortageHandler = () -> {};
+  private final Set<Connection> flushRequests = new LinkedHashSet<>();
+  private final Set<Connection> connections = new LinkedHashSet<>();
 
   /**
-   * {@code within}: without sockets, to addresses that this same network listens at, by MINA's
-   * pipes.
+   * Creates a network. {@code inMemory}: uses MINA's in-memory pipes in place of sockets; only
+   * addresses that this network listens at can be dialled.
    */
-  public Network(Inbox inbox, Counts counts, boolean within) {
-    this(inbox, counts, within, null);
-  }
-
-  /** {@code tap} is told of all that connections carry; null for none. */
-  public Network(Inbox inbox, Counts counts, boolean within, Tap tap) {
-    this.inbox = inbox;
-    this.counts = counts;
-    this.within = within;
-    this.tap = tap;
-    if (within) {
-      connector = new VmPipeConnector(threads);
+  public Network(EventQueue eventQueue, Counters counters, boolean inMemory) {
+    this(eventQueue, counters, inMemory, null);
+  }
+
+  /** Creates a network whose traffic is passed to {@code trafficListener}, or to none if null. */
+  public Network(
+      EventQueue eventQueue, Counters counters, boolean inMemory, TrafficListener trafficListener) {
+    this.eventQueue = eventQueue;
+    this.counters = counters;
+    this.inMemory = inMemory;
+    this.trafficListener = trafficListener;
+    if (inMemory) {
+      connector = new VmPipeConnector(executor);
     } else {
-      // its thread ends when no dial is under way; started after the last dial of a turn and not
-      // with the
-      // first, it is woken once for all of them
-      NioSocketConnector sockets = new NioSocketConnector(dialling::add, processor);
-      prepare(sockets.getSessionConfig());
-      connector = sockets;
+      // The connector's thread ends when no dial is under way. Starting it after the last dial of a
+      // loop iteration, not with the first, wakes it once for all of them.
+      NioSocketConnector socketConnector = new NioSocketConnector(connectorTasks::add, processor);
+      configure(socketConnector.getSessionConfig());
+      connector = socketConnector;
     }
-    connector.setHandler(new Passing());
+    connector.setHandler(new EventForwarder());
   }
 
-  private static void prepare(SocketSessionConfig session) {
+  private static void configure(SocketSessionConfig session) {
     session.setTcpNoDelay(true);
-    session.setMaxReadBufferSize(Connection.READ);
+    session.setMaxReadBufferSize(Connection.MAX_READ_BYTES);
   }
 
   /**
-   * Takes connections at an address; each is told to {@code accepted}, which gives it a party.
-   * {@code most} counts all connections, those dialled too: where they are many, fewer are taken.
-   * Returns the address, with the port that was free where port 0 was asked for.
+   * Accepts connections at an address; {@code onAccepted} gets each and has to set its handler.
+   * {@code maxConnections} limits inbound and dialled connections together: the more are dialled,
+   * the fewer are accepted.
    */
   public InetSocketAddress listen(
-      InetSocketAddress address, int most, int outMost, Consumer<Connection> accepted)
+      InetSocketAddress address,
+      int maxConnections,
+      int maxOutputBytes,
+      Consumer<Connection> onAccepted)
       throws IOException {
-    this.most = within ? Integer.MAX_VALUE : most;
-    acceptor = within ? new VmPipeAcceptor(threads) : sockets();
+    this.maxConnections = inMemory ? Integer.MAX_VALUE : maxConnections;
+    acceptor = inMemory ? new VmPipeAcceptor(executor) : newSocketAcceptor();
     acceptor.setHandler(
-        new Passing() {
+        new EventForwarder() {
           /**
-           * Its descriptor is free once the selector has let go of its channel, in the next round.
-           * Guards against a flood of newcomers for whom there is room by the count, and no
-           * descriptor yet: the acceptor would stand still for a second.
+           * Counts the connection as ended only after the next select, when its channel is
+           * deregistered and its descriptor free. Guards against a burst of connections that fit
+           * the count while no descriptor is free yet: the acceptor would stall for a second.
            */
           @Override
           public void sessionClosed(IoSession session) {
-            if (within) {
-              released();
+            if (inMemory) {
+              onDescriptorFreed();
             } else {
-              processor.run(this::released);
+              processor.run(this::onDescriptorFreed);
             }
             super.sessionClosed(session);
           }
 
-          private void released() {
-            taken.decrementAndGet();
-            roomMade();
+          private void onDescriptorFreed() {
+            inboundCount.decrementAndGet();
+            notifyConnectionFreed();
           }
 
           @Override
           public void sessionCreated(IoSession session) {
-            Connection connection = new Connection(Network.this, outMost, true);
-            session.setAttribute(CONNECTION, connection);
-            connection.up(session, true);
-            inbox.post(
+            Connection connection = new Connection(Network.this, maxOutputBytes, true);
+            session.setAttribute(CONNECTION_ATTRIBUTE, connection);
+            connection.attach(session, true);
+            eventQueue.post(
                 () -> {
-                  all.add(connection);
-                  accepted.accept(connection);
+                  connections.add(connection);
+                  onAccepted.accept(connection);
                 });
           }
         });
-    acceptor.bind(place(address));
-    return within ? address : (InetSocketAddress) acceptor.getLocalAddress();
+    acceptor.bind(minaAddress(address));
+    return inMemory ? address : (InetSocketAddress) acceptor.getLocalAddress();
   }
 
-  private NioSocketAcceptor sockets() {
-    NioSocketAcceptor sockets = new Acceptor();
-    sockets.setReuseAddress(true);
-    sockets.setBacklog(BACKLOG);
-    prepare(sockets.getSessionConfig());
-    return sockets;
+  private NioSocketAcceptor newSocketAcceptor() {
+    NioSocketAcceptor socketAcceptor = new Acceptor();
+    socketAcceptor.setReuseAddress(true);
+    socketAcceptor.setBacklog(BACKLOG);
+    configure(socketAcceptor.getSessionConfig());
+    return socketAcceptor;
   }
 
-  private SocketAddress place(InetSocketAddress address) {
-    return within ? new VmPipeAddress(address.getPort()) : address;
+  private SocketAddress minaAddress(InetSocketAddress address) {
+    return inMemory ? new VmPipeAddress(address.getPort()) : address;
   }
 
-  /**
-   * Takes no more connections; those there are stay, and those that stand in the backlog are taken.
-   */
+  /** Stops listening. Established connections stay, and those in the backlog are accepted. */
   public void stopListening() {
     if (acceptor != null && acceptor.isActive()) {
       acceptor.setCloseOnDeactivation(false);
@@ -214,24 +229,24 @@
   }
 
   /**
-   * Calls an address; its party is told once the connection is up, or that it never came up. Where
-   * there is no descriptor for it, it waits for one.
+   * Dials an address; the handler is notified when the connection is established or has failed. If
+   * no descriptor is free, the dial waits for one.
    */
-  public Connection dial(InetSocketAddress address, int outMost, Party party) {
-    Connection connection = new Connection(this, outMost, false);
-    connection.party(party);
-    all.add(connection);
-    if (dialledOpen() > DIALLED_MOST * most) {
-      closeLongestResting();
+  public Connection dial(InetSocketAddress address, int maxOutputBytes, ConnectionHandler handler) {
+    Connection connection = new Connection(this, maxOutputBytes, false);
+    connection.setHandler(handler);
+    connections.add(connection);
+    if (openDialledCount() > MAX_DIALLED_SHARE * maxConnections) {
+      closeLongestIdle();
     }
-    if (shortBy() > 0) {
-      whenShort.run();
+    if (connectionShortfall() > 0) {
+      shortageHandler.run();
     }
-    if (room() > 0) {
+    if (availableConnections() > 0) {
       connect(connection, address);
     } else {
-      counts.add("dials that waited for a descriptor", 1);
-      waiting.put(connection, () -> connect(connection, address));
+      counters.add("dials that waited for a descriptor", 1);
+      waitingDials.put(connection, () -> connect(connection, address));
     }
     return connection;
   }
@@ -239,196 +254,218 @@
   private void connect(Connection connection, InetSocketAddress address) {
     ConnectFuture future =
         connector.connect(
-            place(address),
+            minaAddress(address),
             (session, ignored) -> {
-              session.setAttribute(CONNECTION, connection);
-              connection.up(session, false);
+              session.setAttribute(CONNECTION_ATTRIBUTE, connection);
+              connection.attach(session, false);
             });
-    dialled++;
-    connection.dialled(future);
+    dialledCount++;
+    connection.setConnectFuture(future);
     future.addListener(
         ignored -> {
           if (!future.isConnected()) {
-            inbox.post(connection::tellClosed);
+            eventQueue.post(connection::handleClosed);
           }
         });
   }
 
   /**
-   * Gives a dial up by closing its channel. Guards against ConnectFuture.cancel: where it crosses
-   * the dial's coming up or its refusal, MINA's connector counts the dial as over twice, and ends
-   * its thread while another dial is under way, which is then told nothing. A closed channel is
-   * counted once, or not at all: then the thread stays.
+   * Aborts a dial by closing its channel. Guards against ConnectFuture.cancel: if it races with the
+   * success or refusal of the dial, MINA's connector counts the dial as finished twice and ends its
+   * thread while another dial is under way, whose outcome is then never reported. A closed channel
+   * is counted once or not at all; in the second case the thread stays.
    */
-  void abandon(ConnectFuture dial) {
-    if (dial instanceof AbstractPollingIoConnector<?, ?>.ConnectionRequest request) {
+  void abandonDial(ConnectFuture connectFuture) {
+    if (connectFuture instanceof AbstractPollingIoConnector<?, ?>.ConnectionRequest request) {
       try {
         ((SocketChannel) request.getHandle()).close();
       } catch (IOException e) {
-        counts.add("dials that could not be given up", 1);
+        counters.add("dials that could not be given up", 1);
       }
     } else {
-      dial.cancel();
+      connectFuture.cancel();
     }
   }
 
-  /** Those dialled, or that wait for it, and are not being ended. */
-  private long dialledOpen() {
-    return dialled < DIALLED_MOST * most
-        ? dialled
-        : all.stream().filter(each -> !each.came && each.usable()).count();
+  /**
+   * Dialled connections, waiting dials included, that are not being closed. Counted one by one only
+   * near the limit.
+   */
+  private long openDialledCount() {
+    return dialledCount < MAX_DIALLED_SHARE * maxConnections
+        ? dialledCount
+        : connections.stream()
+            .filter(connection -> !connection.inbound && connection.isUsable())
+            .count();
   }
 
   /**
-   * Guards against links that nobody uses just now, and that take the descriptors of all clients.
+   * Closes the dialled connection that has been idle the longest. Guards against unused connections
+   * to searchers that take the descriptors of all clients.
    */
-  private void closeLongestResting() {
-    all.stream()
-        .filter(each -> !each.came && each.usable() && each.restsSince() != null)
-        .min(Comparator.comparing(Connection::restsSince))
+  private void closeLongestIdle() {
+    connections.stream()
+        .filter(
+            connection ->
+                !connection.inbound && connection.isUsable() && connection.idleSince() != null)
+        .min(Comparator.comparing(Connection::idleSince))
         .ifPresent(
-            each -> {
-              counts.add("resting links shed", 1);
-              each.close();
+            connection -> {
+              counters.add("resting links shed", 1);
+              connection.close();
             });
   }
 
-  /** So many connections more there may be. */
-  public int room() {
-    return most == Integer.MAX_VALUE ? most : most - dialled - taken.get();
+  /** How many more connections there may be. */
+  public int availableConnections() {
+    return maxConnections == Integer.MAX_VALUE
+        ? maxConnections
+        : maxConnections - dialledCount - inboundCount.get();
   }
 
-  /** So much of the room no newcomer gets. */
-  private int spare() {
-    return (int) Math.ceil(most * SPARE);
+  /** How many connections are reserved for dials. */
+  private int dialOnlyConnections() {
+    return (int) Math.ceil(maxConnections * DIAL_ONLY_SHARE);
   }
 
   /**
-   * Whether there is so little room that one who comes is to be sent away, once so many more have
+   * Whether an inbound connection is to be turned away, even after {@code closing} connections have
    * ended.
    */
-  public boolean full(int ending) {
-    return most != Integer.MAX_VALUE && room() + ending < 2 * spare();
+  public boolean isFull(int closing) {
+    return maxConnections != Integer.MAX_VALUE
+        && availableConnections() + closing < 2 * dialOnlyConnections();
   }
 
-  /** So many connections should end, if they can, for dials to find room at once. */
-  public int shortBy() {
-    if (most == Integer.MAX_VALUE) {
+  /** How many connections should be closed, if possible, for further dials to succeed at once. */
+  public int connectionShortfall() {
+    if (maxConnections == Integer.MAX_VALUE) {
       return 0;
     }
-    double yetToDial = Math.max(0, DIALLED_MOST * most - dialled);
-    return (int) Math.max(0, Math.min(KEPT_FREE * most, 2 * spare() + yetToDial) - room());
+    double undialled = Math.max(0, MAX_DIALLED_SHARE * maxConnections - dialledCount);
+    return (int)
+        Math.max(
+            0,
+            Math.min(FREE_SHARE * maxConnections, 2 * dialOnlyConnections() + undialled)
+                - availableConnections());
   }
 
-  /** {@code task} is run on the loop's thread when something is dialled while room is short. */
-  public void whenShort(Runnable task) {
-    whenShort = task;
+  /**
+   * Sets a task that runs on the loop's thread when something is dialled while {@link
+   * #connectionShortfall} is positive.
+   */
+  public void setShortageHandler(Runnable task) {
+    shortageHandler = task;
   }
 
-  private void roomMade() {
-    synchronized (accepting) {
-      accepting.notifyAll();
+  private void notifyConnectionFreed() {
+    synchronized (acceptLock) {
+      acceptLock.notifyAll();
     }
   }
 
-  /** Ends all there is of it. */
+  /** Stops MINA and closes all connections. */
   public void dispose() {
     connector.dispose();
-    finishDials();
+    runConnectorTasks();
     if (acceptor != null) {
       acceptor.dispose();
     }
     processor.dispose();
-    threads.shutdown();
+    executor.shutdown();
   }
 
-  /** The time since the start, read now: a turn may have stood still since it began. */
-  public Duration clock() {
-    return inbox.clock();
+  /** The current time since the start, not the time at which the loop iteration began. */
+  public Duration currentTime() {
+    return eventQueue.currentTime();
   }
 
-  /** Connections in hand, those being opened too. */
-  public int connections() {
-    return all.size();
+  /** Number of connections, those being established included. */
+  public int connectionCount() {
+    return connections.size();
   }
 
-  /** Whether all that was put into connections has left, and the loop has heard so. */
-  public boolean unsentFree() {
-    return all.stream().allMatch(Connection::unsentFree);
+  /** Whether no connection has output that is buffered or being written. */
+  public boolean isFlushed() {
+    return connections.stream().allMatch(Connection::isFlushed);
   }
 
-  void dirty(Connection connection) {
-    dirty.add(connection);
+  void requestFlush(Connection connection) {
+    flushRequests.add(connection);
   }
 
   void forget(Connection connection) {
-    all.remove(connection);
-    dirty.remove(connection);
-    if (!connection.came && waiting.remove(connection) == null) {
-      dialled--;
-      roomMade();
+    connections.remove(connection);
+    flushRequests.remove(connection);
+    if (!connection.inbound && waitingDials.remove(connection) == null) {
+      dialledCount--;
+      notifyConnectionFreed();
     }
   }
 
-  void resumeRead(IoSession session) {
-    if (within) {
+  void resumeReading(IoSession session) {
+    if (inMemory) {
       session.resumeRead();
     } else {
       processor.run(session::resumeRead);
     }
   }
 
-  boolean within() {
-    return within;
+  boolean isInMemory() {
+    return inMemory;
   }
 
-  /** Whatever becomes of it, a connection that is to end does so within this span. */
-  void endBy(Connection connection, Duration span) {
-    Duration by = inbox.clock().plus(span);
-    processor.run(() -> processor.ends.put(connection, by));
+  /** Closes a connection after {@code timeout} unless it has ended before. */
+  void closeWithin(Connection connection, Duration timeout) {
+    Duration deadline = eventQueue.currentTime().plus(timeout);
+    processor.run(() -> processor.closeDeadlines.put(connection, deadline));
   }
 
-  /** What was put has left: nothing more follows, and what comes is read for a while. */
+  /**
+   * Shuts down the output, all of which was sent; input is read for {@link #LINGER_TIMEOUT} at
+   * most.
+   */
   void halfClose(Connection connection) {
-    endBy(connection, LINGER);
-    processor.run(() -> processor.halfClose(connection));
+    closeWithin(connection, LINGER_TIMEOUT);
+    processor.run(() -> processor.shutdownOutput(connection));
   }
 
-  private void finishDials() {
-    for (Runnable task = dialling.poll(); task != null; task = dialling.poll()) {
-      threads.execute(task);
+  /** Starts the submitted tasks of MINA's connector. */
+  private void runConnectorTasks() {
+    for (Runnable task = connectorTasks.poll(); task != null; task = connectorTasks.poll()) {
+      executor.execute(task);
     }
   }
 
-  /** One flush for each connection that something was put into; and what was dialled goes on. */
+  /** Starts waiting dials that now fit the limit, and flushes each connection with new output. */
   public void flush() {
-    while (!waiting.isEmpty() && room() > 0) {
-      waiting.remove(waiting.keySet().iterator().next()).run();
+    while (!waitingDials.isEmpty() && availableConnections() > 0) {
+      waitingDials.remove(waitingDials.keySet().iterator().next()).run();
     }
-    finishDials();
-    List<Connection> now = List.copyOf(dirty);
-    dirty.clear();
-    now.forEach(Connection::flush);
+    runConnectorTasks();
+    List<Connection> toFlush = List.copyOf(flushRequests);
+    flushRequests.clear();
+    toFlush.forEach(Connection::flush);
   }
 
   /**
-   * MINA's processor, with its wake-up call within reach: a change of interest waits for the next
-   * one. It also ends connections in an orderly way, on its own thread, where their channels are at
-   * hand.
+   * MINA's processor with its protected wake-up made callable: a change of interest, such as
+   * resumed reading, takes effect only at the next wake-up. It also closes connections gracefully,
+   * on its own thread, which may access their channels.
    */
   private final class Processor extends NioProcessor {
     private final Queue<Runnable> tasks = new ConcurrentLinkedQueue<>();
 
-    /** By when connections that are being ended are closed; this thread's. */
-    private final Map<Connection, Duration> ends = new LinkedHashMap<>();
+    /** When connections that are being closed are closed at once. Used on this thread only. */
+    private final Map<Connection, Duration> closeDeadlines = new LinkedHashMap<>();
 
-    /** When floods are read from again. */
-    private final Map<Connection, Duration> floods = new LinkedHashMap<>();
+    /** When reading is resumed for connections whose discarded input is paced. */
+    private final Map<Connection, Duration> discardResumeTimes = new LinkedHashMap<>();
 
-    private final IoBuffer scrap = IoBuffer.allocate(DROP);
+    private final IoBuffer discardBuffer = IoBuffer.allocate(DISCARD_READ_BYTES);
 
     Processor() {
-      super(threads);
+      super(executor);
     }
 
     @Override
@@ -436,48 +473,48 @@
       super.wakeup();
     }
 
-    /** Runs a task on MINA's thread; not at all once no connection is left. */
+    /** Runs a task on MINA's thread; tasks do not run while no connection is left. */
     void run(Runnable task) {
       tasks.add(task);
       wakeup();
     }
 
     @Override
-    protected int select(long timeOut) throws Exception {
+    protected int select(long timeoutMs) throws Exception {
       int selected =
           super.select(
-              !floods.isEmpty()
-                  ? DROP_EVERY.toMillis()
-                  : !ends.isEmpty() ? ENDS_EVERY.toMillis() : timeOut);
-      if (!floods.isEmpty() || !ends.isEmpty()) {
-        // MINA takes selects that come back early and empty, ten in a row, for a broken selector,
-        // and makes
-        // a new one
+              !discardResumeTimes.isEmpty()
+                  ? DISCARD_INTERVAL.toMillis()
+                  : !closeDeadlines.isEmpty() ? CLOSE_CHECK_INTERVAL.toMillis() : timeoutMs);
+      if (!discardResumeTimes.isEmpty() || !closeDeadlines.isEmpty()) {
+        // MINA takes ten early and empty selects in a row for a broken selector and replaces it;
+        // marking them as woken up prevents that
         wakeupCalled.set(true);
       }
       for (Runnable task = tasks.poll(); task != null; task = tasks.poll()) {
         task.run();
       }
-      if (!ends.isEmpty() || !floods.isEmpty()) {
-        Duration now = inbox.clock();
-        floods
+      if (!closeDeadlines.isEmpty() || !discardResumeTimes.isEmpty()) {
+        Duration now = eventQueue.currentTime();
+        discardResumeTimes
             .entrySet()
             .removeIf(
-                flood -> {
-                  boolean due = flood.getValue().compareTo(now) <= 0;
+                entry -> {
+                  boolean due = entry.getValue().compareTo(now) <= 0;
                   if (due) {
-                    flood.getKey().session().resumeRead();
+                    entry.getKey().session().resumeRead();
                   }
                   return due;
                 });
-        ends.entrySet()
+        closeDeadlines
+            .entrySet()
             .removeIf(
-                end -> {
-                  IoSession session = end.getKey().session();
+                entry -> {
+                  IoSession session = entry.getKey().session();
                   if (session.isConnected()
                       && !session.isClosing()
-                      && end.getValue().compareTo(now) <= 0) {
-                    counts.add("ends cut short", 1);
+                      && entry.getValue().compareTo(now) <= 0) {
+                    counters.add("ends cut short", 1);
                     session.closeNow();
                   }
                   return session.isClosing() || !session.isConnected();
@@ -486,100 +523,103 @@
       return selected;
     }
 
-    /** MINA keeps a session's channel to itself, but each key of the selector knows both. */
-    private void halfClose(Connection connection) {
+    /**
+     * Shuts down the output of a connection. MINA does not expose the channel of a session, but the
+     * selector's key refers to both.
+     */
+    private void shutdownOutput(Connection connection) {
       for (SelectionKey key : selector.keys()) {
         if (key.attachment() == connection.session()) {
           try {
             ((SocketChannel) key.channel()).shutdownOutput();
           } catch (IOException e) {
-            connection.session().closeNow(); // the other side was first
+            connection.session().closeNow(); // the peer closed before
           }
           return;
         }
       }
     }
 
-    /** Large reads, of which nobody is told but of the end. */
-    private int drop(Connection connection) throws Exception {
-      scrap.clear();
-      int count = super.read((NioSession) connection.session(), scrap);
+    /** Reads a large piece of discarded input; only the end of the input is reported to MINA. */
+    private int discardRead(Connection connection) throws Exception {
+      discardBuffer.clear();
+      int count = super.read((NioSession) connection.session(), discardBuffer);
       if (count <= 0) {
         return count;
       }
-      if (connection.drop(Arrays.copyOf(scrap.array(), count))) {
+      if (connection.discard(Arrays.copyOf(discardBuffer.array(), count))) {
         connection.session().suspendRead();
-        floods.put(connection, inbox.clock().plus(DROP_EVERY));
+        discardResumeTimes.put(connection, eventQueue.currentTime().plus(DISCARD_INTERVAL));
       }
       return 0;
     }
 
     @Override
     protected int read(NioSession session, IoBuffer buffer) throws Exception {
-      Connection connection = of(session);
-      if (connection.dropping()) {
-        return drop(connection);
+      Connection connection = connectionOf(session);
+      if (connection.isDiscarding()) {
+        return discardRead(connection);
       }
       synchronized (connection) {
-        int count = connection.unheeded() ? 0 : super.read(session, buffer);
-        connection.wasRead(count > 0);
+        int count = connection.areReadsBlocked() ? 0 : super.read(session, buffer);
+        connection.markRead(count > 0);
         return count;
       }
     }
   }
 
   /**
-   * MINA's acceptor, taking no more than there is room for: it gives the loop a moment to make
-   * room, and closes at once what comes when there is none. Guards against a crowd that takes the
-   * last descriptor: the acceptor would then stand still for a second at a time, and no searcher
+   * MINA's acceptor with a connection limit: at the limit it waits briefly for the loop to close
+   * other connections, and otherwise closes the new one at once. Guards against many clients that
+   * take the last descriptor: the acceptor would then stall for a second at a time, and no searcher
    * could be dialled.
    */
   private final class Acceptor extends NioSocketAcceptor {
     /**
-     * No room was made for the last newcomer: the next does not wait for any, and holds up none
-     * behind it.
+     * Whether no connection ended during the last wait at the limit. Accepting then does not wait
+     * again while the limit is reached, so that one connection does not delay those behind it.
      */
-    private boolean stayedFull;
+    private boolean lastWaitFailed;
 
     Acceptor() {
-      super(threads, processor);
+      super(executor, processor);
     }
 
     @Override
     protected NioSession accept(IoProcessor<NioSession> processor, ServerSocketChannel handle)
         throws Exception {
-      synchronized (accepting) {
-        return acceptOne(processor, handle);
+      synchronized (acceptLock) {
+        return acceptWithinLimit(processor, handle);
       }
     }
 
-    private NioSession acceptOne(IoProcessor<NioSession> processor, ServerSocketChannel handle)
-        throws Exception {
-      long until = System.nanoTime() + ROOM_WAIT.toNanos();
-      for (long left = 1;
-          room() <= spare() && !stayedFull && left > 0;
-          left = until - System.nanoTime()) {
-        TimeUnit.NANOSECONDS.timedWait(accepting, Math.max(1_000_000, left));
+    private NioSession acceptWithinLimit(
+        IoProcessor<NioSession> processor, ServerSocketChannel handle) throws Exception {
+      long deadlineNanos = System.nanoTime() + ACCEPT_WAIT.toNanos();
+      for (long remainingNanos = 1;
+          availableConnections() <= dialOnlyConnections() && !lastWaitFailed && remainingNanos > 0;
+          remainingNanos = deadlineNanos - System.nanoTime()) {
+        TimeUnit.NANOSECONDS.timedWait(acceptLock, Math.max(1_000_000, remainingNanos));
       }
-      stayedFull = room() <= spare();
-      if (stayedFull) {
+      lastWaitFailed = availableConnections() <= dialOnlyConnections();
+      if (lastWaitFailed) {
         SocketChannel channel = handle.accept();
         if (channel != null) {
           channel.close();
-          counts.add("connections turned away", 1);
+          counters.add("connections turned away", 1);
         }
         return null;
       }
       NioSession session = super.accept(processor, handle);
       if (session != null) {
-        taken.incrementAndGet();
+        inboundCount.incrementAndGet();
       }
       return session;
     }
 
     /**
-     * Takes what stands in the backlog before the listening ends. Guards against clients who have
-     * connected, and perhaps written their request, and are reset without an answer.
+     * Accepts the connections in the backlog before listening ends. Guards against clients that
+     * have connected, and perhaps sent their request, and are reset without a response.
      */
     @Override
     protected void close(ServerSocketChannel handle) throws Exception {
@@ -598,44 +638,44 @@
     }
   }
 
-  private static Connection of(IoSession session) {
-    return (Connection) session.getAttribute(CONNECTION);
+  private static Connection connectionOf(IoSession session) {
+    return (Connection) session.getAttribute(CONNECTION_ATTRIBUTE);
   }
 
-  /** Passes on what MINA tells, from its thread to the loop's. */
-  private class Passing extends IoHandlerAdapter {
+  /** Forwards MINA's events from its thread to the event loop. */
+  private class EventForwarder extends IoHandlerAdapter {
     @Override
     public void sessionOpened(IoSession session) {
-      inbox.post(of(session)::tellOpened);
+      eventQueue.post(connectionOf(session)::handleOpened);
     }
 
     @Override
     public void messageReceived(IoSession session, Object message) {
-      of(session).received((IoBuffer) message);
+      connectionOf(session).onReceived((IoBuffer) message);
     }
 
     @Override
     public void messageSent(IoSession session, Object message) {
-      of(session).sent();
+      connectionOf(session).onSent();
     }
 
     @Override
     public void sessionClosed(IoSession session) {
-      if (within) {
-        of(session).finRead(); // pipes know no reset
+      if (inMemory) {
+        connectionOf(session).markPeerClosed(); // an in-memory pipe cannot be reset
       }
-      inbox.post(of(session)::tellClosed);
+      eventQueue.post(connectionOf(session)::handleClosed);
     }
 
     @Override
     public void inputClosed(IoSession session) {
-      of(session).finRead();
+      connectionOf(session).markPeerClosed();
       session.closeNow();
     }
 
     @Override
     public void exceptionCaught(IoSession session, Throwable cause) {
-      counts.add("connections broken", 1);
+      counters.add("connections broken", 1);
       session.closeNow();
     }
   }
