--- a/emulator/src/main/java/gingerring/emulator/simulation/PeerSimulation.java
+++ b/emulator/src/main/java/gingerring/emulator/simulation/PeerSimulation.java
@@ -82,10 +82,21 @@
       double seconds,
       long seed,
       List<Fault> faults,
-      PeerNode.Rules rules) {
+      PeerNode.Settings rules) {
     public static Setup defaults(int mixers, double seconds, long seed, List<Fault> faults) {
       return new Setup(
-          mixers, 3, 20, 0.02, 0.005, 20, 50, 5, seconds, seed, faults, PeerNode.Rules.usual());
+          mixers,
+          3,
+          20,
+          0.02,
+          0.005,
+          20,
+          50,
+          5,
+          seconds,
+          seed,
+          faults,
+          PeerNode.Settings.defaults());
     }
   }
 
@@ -166,13 +177,13 @@
       for (long box = 0; box < setup.boxes; box++) {
         boxes.add(box);
       }
-      peerNode.listed(boxes);
+      peerNode.boxesListed(boxes);
       bytesAtLastMeasure = 0;
       consecutiveFailures.clear();
       ejectedUntil.clear();
       probing.clear();
       // the first few places are told to all, as a file would tell them
-      peerNode.begin(List.of(address(0), address(1 % setup.mixers), address(2 % setup.mixers)));
+      peerNode.start(List.of(address(0), address(1 % setup.mixers), address(2 % setup.mixers)));
       PeerNode mine = peerNode;
       runLater(random.nextDouble() * TICK_MS, mine, this::tick);
       runLater(1000 * random.nextDouble() / partsPerSecond, mine, this::sendPart);
@@ -314,7 +325,7 @@
     }
 
     @Override
-    public void changed(PeerRecord now) {
+    public void peerChanged(PeerRecord now) {
       if (now.state() != PeerRecord.State.GONE) {
         return;
       }
@@ -408,19 +419,19 @@
     return new PeerAddress(0x7F000001, number + 1);
   }
 
-  private static PeerNode.Rules withZone(PeerNode.Rules rules, int zone) {
-    return new PeerNode.Rules(
+  private static PeerNode.Settings withZone(PeerNode.Settings rules, int zone) {
+    return new PeerNode.Settings(
         rules.membership(),
         zone,
-        rules.sayEvery(),
-        rules.sayTo(),
-        rules.sees(),
-        rules.believes(),
-        rules.witnesses(),
-        rules.roundEvery(),
+        rules.reportPeriod(),
+        rules.reportFanout(),
+        rules.observationSpan(),
+        rules.reportLifetime(),
+        rules.minWitnesses(),
+        rules.roundPeriod(),
         rules.roundStep(),
-        rules.boxesMost(),
-        rules.bytesPerSecond());
+        rules.maxBoxes(),
+        rules.maxBytesPerSecond());
   }
 
   private boolean isActive(Fault.Kind kind, int number) {
@@ -527,8 +538,8 @@
     int count = 0;
     for (Node node : nodes) {
       if (node.alive) {
-        double sent = node.peerNode.bytes() - node.bytesAtLastMeasure;
-        node.bytesAtLastMeasure = node.peerNode.bytes();
+        double sent = node.peerNode.bytesSent() - node.bytesAtLastMeasure;
+        node.bytesAtLastMeasure = node.peerNode.bytesSent();
         most = Math.max(most, sent);
         sum += sent;
         count++;
@@ -548,7 +559,7 @@
           // what is heard is a sample of the fleet: the sum of what it tells, over what those would
           // ask
           result.maxDemandRatio =
-              Math.max(result.maxDemandRatio, node.peerNode.demand() / Math.max(1, asked));
+              Math.max(result.maxDemandRatio, node.peerNode.fleetDemand() / Math.max(1, asked));
         }
       }
     }
--- a/emulator/src/main/java/gingerring/emulator/simulation/ProbeSimulation.java
+++ b/emulator/src/main/java/gingerring/emulator/simulation/ProbeSimulation.java
@@ -1,8 +1,8 @@
 package gingerring.emulator.simulation;
 
 import gingerring.share.MixerId;
+import gingerring.share.TurnOrder;
 import gingerring.share.TurnSchedule;
-import gingerring.share.Turns;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -110,12 +110,12 @@
 
   /** The rota of each decides; what one tells arrives after a while at the others, or is lost. */
   private void scheduleTurn(int mixer) {
-    Duration due = schedules.get(mixer).due(members, time());
+    Duration due = schedules.get(mixer).nextTurn(members, time());
     scheduler.schedule(
         due.toNanos() / 1e6,
         () -> {
           TurnSchedule rota = schedules.get(mixer);
-          if (rota.due(members, time()).compareTo(time()) <= 0) {
+          if (rota.nextTurn(members, time()).compareTo(time()) <= 0) {
             long round = rota.claimRound(time());
             probe();
             for (int other = 0; other < setup.mixers; other++) {
@@ -139,10 +139,11 @@
   }
 
   private void scheduleSpread(int mixer, long which) {
-    Turns turns = new Turns(members.get(mixer), Duration.ofMillis((long) ROUND_MS));
+    TurnOrder turns = new TurnOrder(members.get(mixer), Duration.ofMillis((long) ROUND_MS));
     double length = ROUND_MS * setup.mixers;
     double begun = scheduler.now();
-    scheduler.schedule(begun + turns.spread(TURN_KEY, which, setup.mixers).toMillis(), this::probe);
+    scheduler.schedule(
+        begun + turns.randomDelay(TURN_KEY, which, setup.mixers).toMillis(), this::probe);
     scheduler.schedule(begun + length, () -> scheduleSpread(mixer, which + 1));
   }
 }
--- a/emulator/src/test/java/gingerring/emulator/simulation/PeerSimulationTest.java
+++ b/emulator/src/test/java/gingerring/emulator/simulation/PeerSimulationTest.java
@@ -33,7 +33,7 @@
       Result result = play(40, 60, seed);
       assertEquals(0, result.falselyGone);
       assertEquals(0, result.unknownPairs);
-      assertTrue(most(result) <= 2 * PeerNode.Rules.usual().bytesPerSecond());
+      assertTrue(most(result) <= 2 * PeerNode.Settings.defaults().maxBytesPerSecond());
       assertEquals(0, result.maxFailureShareOfLiveBox);
     }
   }
