--- a/cli/src/main/java/gingerring/cli/FleetCommand.java
+++ b/cli/src/main/java/gingerring/cli/FleetCommand.java
@@ -452,28 +452,30 @@
     least("--mixers", mixers, 2);
     least("--boxes", boxes, 4);
     least("--seconds", seconds, 5);
-    spec.commandLine().getOut().print(OverlappingFaults.of(seed, mixers, boxes, seconds * 1000L));
+    spec.commandLine()
+        .getOut()
+        .print(OverlappingFaults.generate(seed, mixers, boxes, seconds * 1000L));
     spec.commandLine().getOut().flush();
   }
 
   /** One run's row and all that is wrong with it; returns its exit code. */
   private int played(Table table, String name, FleetScenario plan) throws IOException {
-    Fleet.Result result = Fleet.of(plan);
+    Fleet.Result result = Fleet.run(plan);
     table.row(
         name,
         plan.mixers(),
-        plan.peers(),
+        plan.peersEnabled(),
         result.tally.service(),
         result.referee.fouls(),
         (int) result.referee.excused(),
         result.crashes.size(),
-        result.probes(0, Integer.MAX_VALUE),
-        (int) result.connections[0],
-        (int) result.connections[1],
-        (int) result.listCalls,
-        result.largestOverMean(),
-        result.letters[1] / Math.max(1e-9, result.seconds) / plan.mixers(),
-        result.present.stream().mapToInt(Integer::intValue).min().orElse(0),
+        result.probeCount(0, Integer.MAX_VALUE),
+        (int) result.connectionCounts[0],
+        (int) result.connectionCounts[1],
+        (int) result.discoveryCalls,
+        result.peakToMeanLoad(),
+        result.datagramCounts[1] / Math.max(1e-9, result.elapsedSeconds) / plan.mixers(),
+        result.visiblePeers.stream().mapToInt(Integer::intValue).min().orElse(0),
         (int) result.referee.held(),
         result.referee.stall().toNanos() / 1e6,
         result.verdict());
--- a/emulator/src/main/java/gingerring/emulator/harness/Liar.java
+++ b/emulator/src/main/java/gingerring/emulator/harness/ByzantinePeer.java
@@ -17,76 +17,76 @@
  * each of them and had an answer, and that its clients want endlessly much. It calls no box and
  * serves no client.
  */
-final class Liar implements PeerNode.Host {
-  private static final Duration TICK = Duration.ofMillis(100);
-  private static final int GREED = 1000;
+final class ByzantinePeer implements PeerNode.Host {
+  private static final Duration TICK_INTERVAL = Duration.ofMillis(100);
+  private static final int ATTEMPTS_PER_TICK = 1000;
 
   private final Reactor reactor;
-  private final PeerNode company;
-  private final List<Long> boxes;
-  private final Duration start;
+  private final PeerNode peerNode;
+  private final List<Long> boxIds;
+  private final Duration startedAt;
   private Datagrams socket;
 
-  Liar(
-      int number,
+  ByzantinePeer(
+      int index,
       Reactor reactor,
-      PeerAddress here,
+      PeerAddress ownAddress,
       List<PeerAddress> seeds,
       List<byte[]> keys,
-      List<Long> boxes) {
+      List<Long> boxIds) {
     this.reactor = reactor;
-    this.boxes = boxes;
-    start = reactor.now();
-    PeerId self = PeerId.named("liar-" + number);
-    company =
+    this.boxIds = boxIds;
+    startedAt = reactor.now();
+    PeerId self = PeerId.named("liar-" + index);
+    peerNode =
         new PeerNode(
             self,
-            here,
+            ownAddress,
             System.currentTimeMillis(),
             PeerNode.Settings.defaults(),
             MessageAuthenticator.of(keys),
             new SplittableRandom(self.number()),
             this);
-    company.boxesListed(boxes);
-    company.start(seeds);
+    peerNode.boxesListed(boxIds);
+    peerNode.start(seeds);
   }
 
-  void begin(Datagrams through) {
-    socket = through;
+  void start(Datagrams datagrams) {
+    socket = datagrams;
     tick();
   }
 
-  void received(PeerAddress from, byte[] letter) {
-    company.received(from, letter);
+  void received(PeerAddress from, byte[] datagram) {
+    peerNode.received(from, datagram);
   }
 
   private void tick() {
-    for (long box : boxes) {
-      company.ejected(box);
-      company.probeStarted(box);
-      company.probeEnded(box, true);
+    for (long boxId : boxIds) {
+      peerNode.ejected(boxId);
+      peerNode.probeStarted(boxId);
+      peerNode.probeEnded(boxId, true);
     }
-    for (int i = 0; i < GREED; i++) {
-      company.attemptEnded(boxes.get(i % boxes.size()), false);
+    for (int i = 0; i < ATTEMPTS_PER_TICK; i++) {
+      peerNode.attemptEnded(boxIds.get(i % boxIds.size()), false);
     }
-    company.tick();
-    reactor.after(TICK, this::tick);
+    peerNode.tick();
+    reactor.after(TICK_INTERVAL, this::tick);
   }
 
   @Override
   public Duration now() {
-    return reactor.now().minus(start);
+    return reactor.now().minus(startedAt);
   }
 
   @Override
-  public void send(PeerAddress to, byte[] letter) {
+  public void send(PeerAddress destination, byte[] datagram) {
     if (socket != null) {
-      socket.send(new InetSocketAddress("127.0.0.1", to.port()), letter);
+      socket.send(new InetSocketAddress("127.0.0.1", destination.port()), datagram);
     }
   }
 
   @Override
-  public void boxAnswered(long box) {}
+  public void boxAnswered(long boxId) {}
 
   @Override
   public void peerChanged(PeerRecord now) {}
--- /dev/null
+++ b/emulator/src/main/java/gingerring/emulator/harness/DatagramRelay.java
@@ -0,0 +1,95 @@
+package gingerring.emulator.harness;
+
+import gingerring.emulator.experiment.Store;
+import gingerring.traffic.wire.Datagrams;
+import gingerring.traffic.wire.Reactor;
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.function.DoubleSupplier;
+
+/**
+ * All links between peers: each mixer tells the others a place of the hub as its own, and what
+ * comes there goes on to it as from the sender's place. So each link between two, and each
+ * direction of it, can be cut by itself.
+ */
+final class DatagramRelay {
+  /** Whether nothing goes from one to another now. */
+  interface LinkCuts {
+    boolean blocks(int from, int to);
+  }
+
+  private final Reactor reactor;
+  private final DoubleSupplier random;
+  private final LinkCuts linkCuts;
+  private final List<Datagrams> advertisedSockets = new ArrayList<>();
+  private final Map<Integer, Integer> mixerByPort = new HashMap<>();
+  private final Map<Integer, InetSocketAddress> boundAddresses = new HashMap<>();
+  double lossRate;
+  double duplicationRate;
+  double maxReorderDelayMs;
+  private long datagrams;
+  private long bytes;
+  private long dropped;
+
+  DatagramRelay(Reactor reactor, int mixers, DoubleSupplier random, LinkCuts linkCuts)
+      throws IOException {
+    this.reactor = reactor;
+    this.random = random;
+    this.linkCuts = linkCuts;
+    for (int i = 0; i < mixers; i++) {
+      int to = i;
+      advertisedSockets.add(
+          reactor.datagrams(
+              Store.loopback(0), (from, datagram) -> relay(from.getPort(), to, datagram)));
+    }
+  }
+
+  /** Where the others reach a mixer. */
+  InetSocketAddress advertisedAddress(int mixer) {
+    return advertisedSockets.get(mixer).address();
+  }
+
+  /** A mixer has bound its socket, or a new one after a restart. */
+  void setBoundPort(int mixer, int port) {
+    mixerByPort.values().removeIf(index -> index == mixer);
+    mixerByPort.put(port, mixer);
+    boundAddresses.put(mixer, Store.loopback(port));
+  }
+
+  /** Where a mixer's own socket is. */
+  InetSocketAddress boundAddress(int mixer) {
+    return boundAddresses.get(mixer);
+  }
+
+  private void relay(int sourcePort, int to, byte[] datagram) {
+    Integer from = mixerByPort.get(sourcePort);
+    datagrams++;
+    bytes += datagram.length;
+    if (from == null
+        || !boundAddresses.containsKey(to)
+        || linkCuts.blocks(from, to)
+        || random.getAsDouble() < lossRate) {
+      dropped++;
+      return;
+    }
+    for (int copies = random.getAsDouble() < duplicationRate ? 2 : 1; copies > 0; copies--) {
+      Runnable send = () -> advertisedSockets.get(from).send(boundAddresses.get(to), datagram);
+      if (maxReorderDelayMs > 0) {
+        reactor.after(
+            Duration.ofNanos((long) (random.getAsDouble() * maxReorderDelayMs * 1e6)), send);
+      } else {
+        send.run();
+      }
+    }
+  }
+
+  /** Letters, their bytes, and those lost by faults or sent before a mixer was known. */
+  long[] counts() {
+    return new long[] {datagrams, bytes, dropped};
+  }
+}
--- a/emulator/src/main/java/gingerring/emulator/harness/Fleet.java
+++ b/emulator/src/main/java/gingerring/emulator/harness/Fleet.java
@@ -62,24 +62,24 @@
     public final List<String> crashes = Collections.synchronizedList(new ArrayList<>());
 
     /** By mixer, how many others it takes for there at the end; empty without peers. */
-    public final List<Integer> present = new ArrayList<>();
+    public final List<Integer> visiblePeers = new ArrayList<>();
 
     /** Asks of boxes by second from the start. */
-    public final Map<Integer, Integer> probes = new TreeMap<>();
+    public final Map<Integer, Integer> probesBySecond = new TreeMap<>();
 
     /** Connections made to boxes, and the most that one box held. */
-    public long[] connections = new long[2];
+    public long[] connectionCounts = new long[2];
 
-    public long listCalls;
+    public long discoveryCalls;
 
     /** Letters between peers, their bytes, and those lost. */
-    public long[] letters = new long[3];
+    public long[] datagramCounts = new long[3];
 
     /** Parts done by box. */
-    public final Map<Integer, Double> load = new TreeMap<>();
+    public final Map<Integer, Double> partsByBox = new TreeMap<>();
 
-    public int failures;
-    public double seconds;
+    public int eventFailures;
+    public double elapsedSeconds;
 
     /** Why there is no verdict on all of it; empty where there is. */
     public final List<HarnessError> errors = Collections.synchronizedList(new ArrayList<>());
@@ -92,148 +92,159 @@
     }
 
     /** The busiest box over the mean, by parts. */
-    public double largestOverMean() {
-      double mean = load.values().stream().mapToDouble(Double::doubleValue).average().orElse(0);
-      return load.values().stream().mapToDouble(Double::doubleValue).max().orElse(0)
+    public double peakToMeanLoad() {
+      double mean =
+          partsByBox.values().stream().mapToDouble(Double::doubleValue).average().orElse(0);
+      return partsByBox.values().stream().mapToDouble(Double::doubleValue).max().orElse(0)
           / Math.max(1e-9, mean);
     }
 
     /** Asks between two seconds, both within. */
-    public int probes(int from, int to) {
-      return probes.entrySet().stream()
-          .filter(each -> each.getKey() >= from && each.getKey() <= to)
+    public int probeCount(int firstSecond, int lastSecond) {
+      return probesBySecond.entrySet().stream()
+          .filter(entry -> entry.getKey() >= firstSecond && entry.getKey() <= lastSecond)
           .mapToInt(Map.Entry::getValue)
           .sum();
     }
   }
 
-  private static final Pattern BOUND = Pattern.compile("bound to port ([0-9]+)");
-  private static final Pattern THERE = Pattern.compile(", ([0-9]+) of [0-9]+ there");
-  private static final Duration SETTLE = Duration.ofSeconds(2);
-  private static final long START_MS = 30_000;
-  private static final long END_MS = 5_000;
-  private static final Duration BEAT = Duration.ofMillis(10);
-  private static final Duration FOREVER = Duration.ofDays(1);
-  private static final Duration ROLL_END = Duration.ofMillis(4500);
-
-  private final FleetScenario plan;
-  private final Scenario world;
+  private static final Pattern BOUND_PORT = Pattern.compile("bound to port ([0-9]+)");
+  private static final Pattern PEERS_PRESENT = Pattern.compile(", ([0-9]+) of [0-9]+ there");
+  private static final Duration SETTLE_TIME = Duration.ofSeconds(2);
+  private static final long START_TIMEOUT_MS = 30_000;
+  private static final long STEP_TIMEOUT_MS = 5_000;
+  private static final Duration HEARTBEAT_INTERVAL = Duration.ofMillis(10);
+  private static final Duration UNBOUNDED = Duration.ofDays(1);
+  private static final Duration MIN_RESTART_INTERVAL = Duration.ofMillis(4500);
+
+  private final FleetScenario fleetScenario;
+  private final Scenario scenario;
   private final Reactor reactor = new Reactor();
   private final Referee referee;
   private final Store store;
-  private final List<Store.View> views = new ArrayList<>();
-  private final Map<Integer, Map<Integer, Relay>> relays = new HashMap<>();
+  private final List<Store.View> discoveryViews = new ArrayList<>();
+  private final Map<Integer, Map<Integer, TcpRelay>> relaysByMixer = new HashMap<>();
 
   /** By mixer and box. */
-  private final Relay.Faults[][] faults;
+  private final TcpRelay.LinkFaults[][] linkFaults;
 
   /** The faults that are on now. */
-  private final List<Fault> active = new ArrayList<>();
+  private final List<Fault> activeFaults = new ArrayList<>();
 
-  private final Hub hub;
-  private final List<Keep> mixers = new ArrayList<>();
+  private final DatagramRelay peerRelay;
+  private final List<MixerSupervisor> supervisors = new ArrayList<>();
 
   /** Every process ever started, for the end; guarded by itself. */
-  private final List<MixerProcess> born = new ArrayList<>();
+  private final List<MixerProcess> startedProcesses = new ArrayList<>();
 
   private boolean closed;
-  private final Thread hook = new Thread(this::killAll);
+  private final Thread shutdownHook = new Thread(this::killAll);
 
   /** Mixers whose first start has come to an end. */
-  private final CountDownLatch up;
+  private final CountDownLatch pendingStarts;
 
-  private final Path folder;
+  private final Path tempDirectory;
   private final List<byte[]> keys =
       List.of("the key of an emulated fleet".getBytes(StandardCharsets.US_ASCII));
-  private final SplittableRandom chance;
-  private final ExecutorService hands = Executors.newCachedThreadPool(Fleet::thread);
-  private final ExecutorService signals = Executors.newSingleThreadExecutor(Fleet::thread);
+  private final SplittableRandom random;
+  private final ExecutorService blockingExecutor =
+      Executors.newCachedThreadPool(Fleet::daemonThread);
+  private final ExecutorService signalExecutor =
+      Executors.newSingleThreadExecutor(Fleet::daemonThread);
   private final Tally tally = new Tally();
   private final Result result = new Result();
   private Clients clients;
-  private Duration zero = Duration.ZERO;
+  private Duration startedAt = Duration.ZERO;
 
-  private static Thread thread(Runnable task) {
+  private static Thread daemonThread(Runnable task) {
     Thread thread = new Thread(task, "rig");
     thread.setDaemon(true);
     return thread;
   }
 
-  private Fleet(FleetScenario plan) throws IOException {
-    this.plan = plan;
-    world = plan.world();
-    chance = new SplittableRandom(world.seed());
-    up = new CountDownLatch(plan.mixers());
-    referee = new Referee(world);
-    store = new Store(world, reactor, referee, 1, plan.zones());
-    folder = Files.createTempDirectory("gingerring-fleet");
-    faults = new Relay.Faults[plan.mixers()][world.boxes()];
-    int all = plan.mixers() + plan.liars();
-    hub = new Hub(reactor, plan.peers() ? all : 0, chance::nextDouble, this::cutPeers);
-    for (int i = 0; i < plan.mixers(); i++) {
+  private Fleet(FleetScenario fleetScenario) throws IOException {
+    this.fleetScenario = fleetScenario;
+    scenario = fleetScenario.scenario();
+    random = new SplittableRandom(scenario.seed());
+    pendingStarts = new CountDownLatch(fleetScenario.mixers());
+    referee = new Referee(scenario);
+    store = new Store(scenario, reactor, referee, 1, fleetScenario.zones());
+    tempDirectory = Files.createTempDirectory("gingerring-fleet");
+    linkFaults = new TcpRelay.LinkFaults[fleetScenario.mixers()][scenario.boxes()];
+    int peerCount = fleetScenario.mixers() + fleetScenario.byzantinePeers();
+    peerRelay =
+        new DatagramRelay(
+            reactor,
+            fleetScenario.peersEnabled() ? peerCount : 0,
+            random::nextDouble,
+            this::peersCut);
+    for (int i = 0; i < fleetScenario.mixers(); i++) {
       int mixer = i;
-      mixers.add(
-          new Keep(
+      supervisors.add(
+          new MixerSupervisor(
               reactor,
-              hands,
-              signals,
-              () -> start(mixer),
+              blockingExecutor,
+              signalExecutor,
+              () -> startMixer(mixer),
               e -> {
                 result.errors.add(new HarnessError.NotStarted(mixer, e.getMessage(), e));
-                up.countDown();
+                pendingStarts.countDown();
               }));
-      Map<Integer, Relay> mine = new HashMap<>();
-      relays.put(i, mine);
-      for (int box = 0; box < world.boxes(); box++) {
-        faults[i][box] = new Relay.Faults();
+      Map<Integer, TcpRelay> relaysByPort = new HashMap<>();
+      relaysByMixer.put(i, relaysByPort);
+      for (int box = 0; box < scenario.boxes(); box++) {
+        linkFaults[i][box] = new TcpRelay.LinkFaults();
       }
-      Store.View view =
+      Store.View discoveryView =
           store.view(
               i,
               (box, port) ->
-                  mine.computeIfAbsent(port, p -> relay(mixer, box, Store.loopback(p))).port());
-      view.whenClosed(
+                  relaysByPort
+                      .computeIfAbsent(port, p -> openRelay(mixer, box, Store.loopback(p)))
+                      .port());
+      discoveryView.whenClosed(
           port -> {
-            if (mine.containsKey(port)) {
-              mine.get(port).close();
+            if (relaysByPort.containsKey(port)) {
+              relaysByPort.get(port).close();
             }
           });
-      views.add(view);
+      discoveryViews.add(discoveryView);
     }
   }
 
-  private Relay relay(int mixer, int box, InetSocketAddress target) {
+  private TcpRelay openRelay(int mixer, int box, InetSocketAddress target) {
     try {
-      return new Relay(
-          reactor, target, faults[mixer][box], chance::nextDouble, mixer, store::passes);
+      return new TcpRelay(
+          reactor, target, linkFaults[mixer][box], random::nextDouble, mixer, store::passes);
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
   }
 
-  public static Result of(FleetScenario plan) throws IOException {
-    try (Fleet fleet = new Fleet(plan)) {
-      return fleet.play();
+  public static Result run(FleetScenario fleetScenario) throws IOException {
+    try (Fleet fleet = new Fleet(fleetScenario)) {
+      return fleet.runToEnd();
     }
   }
 
-  private Result play() throws IOException {
-    Thread thread = new Thread(reactor::run, "rig-reactor");
-    thread.setDaemon(true);
-    thread.start();
-    Runtime.getRuntime().addShutdownHook(hook);
+  private Result runToEnd() throws IOException {
+    Thread reactorThread = new Thread(reactor::run, "rig-reactor");
+    reactorThread.setDaemon(true);
+    reactorThread.start();
+    Runtime.getRuntime().addShutdownHook(shutdownHook);
     try {
-      Files.write(folder.resolve("key"), keys.get(0));
-      reactor.post(() -> mixers.forEach(each -> each.start(up::countDown)));
-      boolean all = up.await(START_MS, TimeUnit.MILLISECONDS);
-      if (all && result.errors.isEmpty()) {
-        run();
-      } else if (!all) {
-        reactor.post(this::notUp);
+      Files.write(tempDirectory.resolve("key"), keys.get(0));
+      reactor.post(
+          () -> supervisors.forEach(supervisor -> supervisor.start(pendingStarts::countDown)));
+      boolean allStarted = pendingStarts.await(START_TIMEOUT_MS, TimeUnit.MILLISECONDS);
+      if (allStarted && result.errors.isEmpty()) {
+        runWorkload();
+      } else if (!allStarted) {
+        reactor.post(this::reportNotStarted);
       }
-      finish();
+      collectResult();
       reactor.stop();
-      thread.join(END_MS); // what it wrote is read from here on
+      reactorThread.join(STEP_TIMEOUT_MS); // what it wrote is read from here on
       return result;
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
@@ -241,110 +252,124 @@
     }
   }
 
-  private void run() throws InterruptedException {
-    CountDownLatch over = new CountDownLatch(1);
+  private void runWorkload() throws InterruptedException {
+    CountDownLatch workloadEnded = new CountDownLatch(1);
     reactor.post(
         () -> {
-          liars();
+          startByzantinePeers();
           reactor.after(
-              SETTLE,
+              SETTLE_TIME,
               () -> {
-                zero = reactor.now();
+                startedAt = reactor.now();
                 store.begin();
-                plan.faults().forEach(this::schedule);
-                beat();
+                fleetScenario.faults().forEach(this::scheduleFault);
+                heartbeat();
                 clients =
-                    new Clients(world, reactor, referee, new Front(), 1, tally, over::countDown);
-                clients.begin(Workload.of(world));
+                    new Clients(
+                        scenario,
+                        reactor,
+                        referee,
+                        new LoadBalancer(),
+                        1,
+                        tally,
+                        workloadEnded::countDown);
+                clients.begin(Workload.of(scenario));
               });
         });
-    long most = SETTLE.plus(world.length()).plus(plan.spare()).toMillis();
-    if (!over.await(most, TimeUnit.MILLISECONDS)) {
+    long timeoutMs =
+        SETTLE_TIME.plus(scenario.length()).plus(fleetScenario.completionTimeout()).toMillis();
+    if (!workloadEnded.await(timeoutMs, TimeUnit.MILLISECONDS)) {
       reactor.post(
           () -> {
-            result.errors.add(new HarnessError.NotEnded(most, waits()));
-            for (int i = 0; i < plan.mixers(); i++) {
-              excuse(i, zero, FOREVER); // what is lost from here on is the rig's end
+            result.errors.add(new HarnessError.NotEnded(timeoutMs, unfinished()));
+            for (int i = 0; i < fleetScenario.mixers(); i++) {
+              excuse(i, startedAt, UNBOUNDED); // what is lost from here on is the rig's end
             }
           });
     }
   }
 
-  private void beat() {
+  private void heartbeat() {
     referee.beat(reactor.now());
-    reactor.after(BEAT, this::beat);
+    reactor.after(HEARTBEAT_INTERVAL, this::heartbeat);
   }
 
-  private void notUp() {
-    for (int i = 0; i < plan.mixers(); i++) {
-      String state = mixers.get(i).state();
-      if (!state.isEmpty()) {
+  private void reportNotStarted() {
+    for (int i = 0; i < fleetScenario.mixers(); i++) {
+      String reason = supervisors.get(i).unavailableReason();
+      if (!reason.isEmpty()) {
         result.errors.add(
-            new HarnessError.NotStarted(i, state + " after " + START_MS + " ms", null));
+            new HarnessError.NotStarted(i, reason + " after " + START_TIMEOUT_MS + " ms", null));
       }
     }
   }
 
   /** Whom a run that does not end waits for. */
-  private List<String> waits() {
-    List<String> waits = new ArrayList<>(clients.waitsFor());
-    for (int i = 0; i < plan.mixers(); i++) {
-      String state = mixers.get(i).state();
-      if (!state.isEmpty()) {
-        waits.add("m" + i + " is " + state);
+  private List<String> unfinished() {
+    List<String> unfinished = new ArrayList<>(clients.waitsFor());
+    for (int i = 0; i < fleetScenario.mixers(); i++) {
+      String reason = supervisors.get(i).unavailableReason();
+      if (!reason.isEmpty()) {
+        unfinished.add("m" + i + " is " + reason);
       }
     }
-    return waits;
+    return unfinished;
   }
 
   /** Starts a mixer, or starts it anew under its name; on a thread that may wait. */
-  private MixerProcess start(int mixer) throws Exception {
-    Path file = null;
-    if (plan.peers()) {
-      file = folder.resolve("peers-" + mixer + ".json");
-      Files.writeString(file, peersFile(mixer));
-    }
-    int zone = mixer % plan.zones().size();
-    CompletableFuture<String> list = new CompletableFuture<>();
-    reactor.post(() -> list.complete(views.get(mixer).list()));
+  private MixerProcess startMixer(int mixer) throws Exception {
+    Path peersFile = null;
+    if (fleetScenario.peersEnabled()) {
+      peersFile = tempDirectory.resolve("peers-" + mixer + ".json");
+      Files.writeString(peersFile, peersFileJson(mixer));
+    }
+    int zone = mixer % fleetScenario.zones().size();
+    CompletableFuture<String> initialList = new CompletableFuture<>();
+    reactor.post(() -> initialList.complete(discoveryViews.get(mixer).list()));
     MixerProcess process =
         MixerProcess.start(
-            world,
-            views.get(mixer).discovery(),
-            list.get(END_MS, TimeUnit.MILLISECONDS),
+            scenario,
+            discoveryViews.get(mixer).discovery(),
+            initialList.get(STEP_TIMEOUT_MS, TimeUnit.MILLISECONDS),
             null,
-            new MixerProcess.Member("m" + mixer, mixer, plan.mixers(), plan.zones(), zone, file));
-    synchronized (born) {
-      born.add(process);
+            new MixerProcess.Member(
+                "m" + mixer,
+                mixer,
+                fleetScenario.mixers(),
+                fleetScenario.zones(),
+                zone,
+                peersFile));
+    synchronized (startedProcesses) {
+      startedProcesses.add(process);
       if (closed) {
         process.close();
       }
     }
-    if (file != null) {
-      String port = process.await(BOUND, END_MS);
+    if (peersFile != null) {
+      String port = process.await(BOUND_PORT, STEP_TIMEOUT_MS);
       if (port == null) {
         process.kill();
         throw new IOException("it told no port of its peers: " + process.log());
       }
-      reactor.post(() -> hub.bound(mixer, Integer.parseInt(port)));
+      reactor.post(() -> peerRelay.setBoundPort(mixer, Integer.parseInt(port)));
     }
     return process;
   }
 
-  private String peersFile(int mixer) {
-    Map<String, Object> told = new TreeMap<>(plan.settings());
+  private String peersFileJson(int mixer) {
+    Map<String, Object> settings = new TreeMap<>(fleetScenario.peerSettings());
     StringBuilder json =
         new StringBuilder("{\"listen\": \"127.0.0.1:0\", \"advertise\": \"127.0.0.1:")
-            .append(hub.place(mixer).getPort())
+            .append(peerRelay.advertisedAddress(mixer).getPort())
             .append("\", \"key_files\": [\"key\"], \"seeds\": [");
-    for (int i = 0; i < Math.min(3, plan.mixers()); i++) {
+    for (int i = 0; i < Math.min(3, fleetScenario.mixers()); i++) {
       json.append(i == 0 ? "" : ", ")
           .append("\"127.0.0.1:")
-          .append(hub.place(i).getPort())
+          .append(peerRelay.advertisedAddress(i).getPort())
           .append('"');
     }
     json.append(']');
-    told.forEach(
+    settings.forEach(
         (name, value) ->
             json.append(", \"")
                 .append(name)
@@ -354,72 +379,81 @@
   }
 
   /** Peers that lie; their boxes' numbers are those that mixers make of the boxes' names. */
-  private void liars() {
-    List<Long> boxes = new ArrayList<>();
-    for (int i = 0; i < world.boxes(); i++) {
-      boxes.add(PeerId.named("box-" + i).number());
+  private void startByzantinePeers() {
+    List<Long> boxIds = new ArrayList<>();
+    for (int i = 0; i < scenario.boxes(); i++) {
+      boxIds.add(PeerId.named("box-" + i).number());
     }
     List<PeerAddress> seeds = new ArrayList<>();
-    for (int i = 0; i < plan.mixers() && plan.peers(); i++) {
-      seeds.add(place(i));
+    for (int i = 0; i < fleetScenario.mixers() && fleetScenario.peersEnabled(); i++) {
+      seeds.add(advertisedAddress(i));
     }
-    for (int i = 0; i < (plan.peers() ? plan.liars() : 0); i++) {
-      int number = plan.mixers() + i;
-      Liar liar = new Liar(i, reactor, place(number), seeds, keys, boxes);
+    for (int i = 0; i < (fleetScenario.peersEnabled() ? fleetScenario.byzantinePeers() : 0); i++) {
+      int index = fleetScenario.mixers() + i;
+      ByzantinePeer peer =
+          new ByzantinePeer(i, reactor, advertisedAddress(index), seeds, keys, boxIds);
       try {
-        Datagrams socket =
+        Datagrams datagrams =
             reactor.datagrams(
                 Store.loopback(0),
-                (from, letter) ->
-                    liar.received(new PeerAddress(0x7F000001, from.getPort()), letter));
-        hub.bound(number, socket.address().getPort());
-        liar.begin(socket);
+                (from, datagram) ->
+                    peer.received(new PeerAddress(0x7F000001, from.getPort()), datagram));
+        peerRelay.setBoundPort(index, datagrams.address().getPort());
+        peer.start(datagrams);
       } catch (IOException e) {
         throw new UncheckedIOException(e);
       }
     }
   }
 
-  private PeerAddress place(int mixer) {
-    return new PeerAddress(0x7F000001, hub.place(mixer).getPort());
+  private PeerAddress advertisedAddress(int mixer) {
+    return new PeerAddress(0x7F000001, peerRelay.advertisedAddress(mixer).getPort());
   }
 
   /**
    * Which mixer a client's connection goes to: its own by a draw, or the next while that is known
    * to be away.
    */
-  private final class Front implements Clients.Way {
+  private final class LoadBalancer implements Clients.Way {
     @Override
     public int mixer(int client) {
-      double all = plan.mixers() - 1 + plan.uneven();
-      double draw = SeededDraw.draw(world.seed(), "front", client) * all;
-      int mine = draw < plan.uneven() ? 0 : 1 + (int) (draw - plan.uneven());
-      for (int i = 0; i < plan.mixers(); i++) {
+      double totalWeight = fleetScenario.mixers() - 1 + fleetScenario.firstMixerWeight();
+      double position = SeededDraw.draw(scenario.seed(), "front", client) * totalWeight;
+      int preferred =
+          position < fleetScenario.firstMixerWeight()
+              ? 0
+              : 1 + (int) (position - fleetScenario.firstMixerWeight());
+      for (int i = 0; i < fleetScenario.mixers(); i++) {
         int mixer =
             Math.min(
-                plan.mixers() - 1, mine + i < plan.mixers() ? mine + i : mine + i - plan.mixers());
-        Duration since = mixers.get(mixer).away();
-        if (since == null || reactor.now().minus(since).compareTo(plan.front()) < 0) {
+                fleetScenario.mixers() - 1,
+                preferred + i < fleetScenario.mixers()
+                    ? preferred + i
+                    : preferred + i - fleetScenario.mixers());
+        Duration unavailableSince = supervisors.get(mixer).unavailableSince();
+        if (unavailableSince == null
+            || reactor.now().minus(unavailableSince).compareTo(fleetScenario.failoverDelay()) < 0) {
           return mixer;
         }
       }
-      return mine;
+      return preferred;
     }
 
     @Override
     public InetSocketAddress address(int mixer) {
-      return mixers.get(mixer).address();
+      return supervisors.get(mixer).address();
     }
   }
 
-  private boolean cutPeers(int from, int to) {
-    Duration now = reactor.now().minus(zero);
-    for (Fault fault : plan.faults()) {
-      boolean during =
-          now.compareTo(fault.at()) >= 0 && now.compareTo(fault.at().plus(fault.span())) < 0;
-      boolean apart = fault.mixers().contains(from) != fault.mixers().contains(to);
-      if (during
-          && apart
+  private boolean peersCut(int from, int to) {
+    Duration elapsed = reactor.now().minus(startedAt);
+    for (Fault fault : fleetScenario.faults()) {
+      boolean ongoing =
+          elapsed.compareTo(fault.start()) >= 0
+              && elapsed.compareTo(fault.start().plus(fault.duration())) < 0;
+      boolean acrossCut = fault.mixers().contains(from) != fault.mixers().contains(to);
+      if (ongoing
+          && acrossCut
           && (fault.kind() == Fault.Kind.CUT_PEERS
               || fault.kind() == Fault.Kind.CUT_PEERS_ONE_WAY && fault.mixers().contains(from))) {
         return true;
@@ -428,17 +462,17 @@
     return false;
   }
 
-  private void schedule(Fault fault) {
-    reactor.after(fault.at(), () -> begins(fault));
-    reactor.after(fault.at().plus(fault.span()), () -> ends(fault));
+  private void scheduleFault(Fault fault) {
+    reactor.after(fault.start(), () -> beginFault(fault));
+    reactor.after(fault.start().plus(fault.duration()), () -> endFault(fault));
   }
 
-  private Stream<Relay.Faults> links(Fault fault) {
+  private Stream<TcpRelay.LinkFaults> affectedLinks(Fault fault) {
     return fault.mixers().stream()
-        .flatMap(mixer -> fault.boxes().stream().map(box -> faults[mixer][box]));
+        .flatMap(mixer -> fault.boxes().stream().map(box -> linkFaults[mixer][box]));
   }
 
-  private void begins(Fault fault) {
+  private void beginFault(Fault fault) {
     Duration now = reactor.now();
     switch (fault.kind()) {
       case KILL ->
@@ -446,56 +480,58 @@
               .mixers()
               .forEach(
                   mixer -> {
-                    excuse(mixer, now, now.plus(fault.span()));
-                    mixers.get(mixer).kill();
+                    excuse(mixer, now, now.plus(fault.duration()));
+                    supervisors.get(mixer).beginKill();
                   });
       case STOP ->
           fault
               .mixers()
               .forEach(
                   mixer -> {
-                    excuse(mixer, now, now.plus(fault.span()).plusMillis(500));
-                    MixerProcess struck = mixers.get(mixer).stop();
-                    reactor.after(fault.span(), () -> mixers.get(mixer).go(struck));
+                    excuse(mixer, now, now.plus(fault.duration()).plusMillis(500));
+                    MixerProcess stoppedProcess = supervisors.get(mixer).beginStop();
+                    reactor.after(
+                        fault.duration(), () -> supervisors.get(mixer).endStop(stoppedProcess));
                   });
       case ROLL ->
-          roll(new ArrayList<>(fault.mixers()), fault.span().dividedBy(fault.mixers().size()));
-      case RESET -> resetSome(fault, now.plus(fault.span()));
+          rollingRestart(
+              new ArrayList<>(fault.mixers()), fault.duration().dividedBy(fault.mixers().size()));
+      case RESET -> resetConnections(fault, now.plus(fault.duration()));
       default -> {} // cuts between peers look for themselves
     }
-    active.add(fault);
-    apply();
+    activeFaults.add(fault);
+    applyActiveFaults();
   }
 
   /** Sets every link as all the faults have it that are on now: one's end is not another's. */
-  private void apply() {
-    for (Relay.Faults[] mine : faults) {
-      for (Relay.Faults each : mine) {
-        each.none();
+  private void applyActiveFaults() {
+    for (TcpRelay.LinkFaults[] mixerLinks : linkFaults) {
+      for (TcpRelay.LinkFaults link : mixerLinks) {
+        link.clear();
       }
     }
-    active.forEach(fault -> links(fault).forEach(each -> each.add(fault)));
-    hub.lose = most(Fault.Kind.LOSE);
-    hub.twice = most(Fault.Kind.DOUBLE);
-    hub.reorderMs = most(Fault.Kind.REORDER);
-    for (int i = 0; i < plan.mixers(); i++) {
+    activeFaults.forEach(fault -> affectedLinks(fault).forEach(link -> link.add(fault)));
+    peerRelay.lossRate = maxMagnitude(Fault.Kind.LOSE);
+    peerRelay.duplicationRate = maxMagnitude(Fault.Kind.DOUBLE);
+    peerRelay.maxReorderDelayMs = maxMagnitude(Fault.Kind.REORDER);
+    for (int i = 0; i < fleetScenario.mixers(); i++) {
       int mixer = i;
-      views
+      discoveryViews
           .get(i)
           .silent(
-              active.stream()
+              activeFaults.stream()
                   .anyMatch(
                       fault ->
                           fault.kind() == Fault.Kind.LIST_SILENT
                               && fault.mixers().contains(mixer)));
-      List.copyOf(relays.get(i).values()).forEach(Relay::healed);
+      List.copyOf(relaysByMixer.get(i).values()).forEach(TcpRelay::resume);
     }
   }
 
-  private double most(Fault.Kind kind) {
-    return active.stream()
+  private double maxMagnitude(Fault.Kind kind) {
+    return activeFaults.stream()
         .filter(fault -> fault.kind() == kind)
-        .mapToDouble(Fault::size)
+        .mapToDouble(Fault::magnitude)
         .max()
         .orElse(0);
   }
@@ -505,112 +541,121 @@
     referee.excuse(mixer, from, to);
   }
 
-  private void ends(Fault fault) {
+  private void endFault(Fault fault) {
     if (fault.kind() == Fault.Kind.KILL) {
-      fault.mixers().forEach(mixer -> mixers.get(mixer).revive());
+      fault.mixers().forEach(mixer -> supervisors.get(mixer).endKill());
     }
-    active.remove(fault);
-    apply();
+    activeFaults.remove(fault);
+    applyActiveFaults();
   }
 
-  private void resetSome(Fault fault, Duration until) {
-    if (reactor.now().compareTo(until) < 0) {
+  private void resetConnections(Fault fault, Duration end) {
+    if (reactor.now().compareTo(end) < 0) {
       fault
           .mixers()
           .forEach(
               mixer ->
-                  List.copyOf(relays.get(mixer).values())
-                      .forEach(relay -> relay.reset(fault.size())));
-      reactor.after(Duration.ofSeconds(1), () -> resetSome(fault, until));
+                  List.copyOf(relaysByMixer.get(mixer).values())
+                      .forEach(relay -> relay.reset(fault.magnitude())));
+      reactor.after(Duration.ofSeconds(1), () -> resetConnections(fault, end));
     }
   }
 
   /** Each is told to end, and started anew once it has; the next follows after a while. */
-  private void roll(List<Integer> left, Duration apart) {
-    if (left.isEmpty()) {
+  private void rollingRestart(List<Integer> remaining, Duration interval) {
+    if (remaining.isEmpty()) {
       return;
     }
-    int mixer = left.remove(0);
+    int mixer = remaining.remove(0);
     // planned: the front knows at once
-    mixers
+    supervisors
         .get(mixer)
-        .roll(
-            reactor.now().minus(plan.front()),
+        .restart(
+            reactor.now().minus(fleetScenario.failoverDelay()),
             code -> result.crashes.add("m" + mixer + " ended with " + code));
-    reactor.after(apart.compareTo(ROLL_END) > 0 ? apart : ROLL_END, () -> roll(left, apart));
+    reactor.after(
+        interval.compareTo(MIN_RESTART_INTERVAL) > 0 ? interval : MIN_RESTART_INTERVAL,
+        () -> rollingRestart(remaining, interval));
   }
 
-  private void finish() throws InterruptedException {
+  private void collectResult() throws InterruptedException {
     result.tally = tally;
     result.referee = referee;
-    CompletableFuture<List<MixerProcess>> there = new CompletableFuture<>();
+    CompletableFuture<List<MixerProcess>> running = new CompletableFuture<>();
     reactor.post(
         () -> {
-          result.seconds = reactor.now().minus(zero).toNanos() / 1e9;
-          int begun = (int) zero.toSeconds();
+          result.elapsedSeconds = reactor.now().minus(startedAt).toNanos() / 1e9;
+          int startSecond = (int) startedAt.toSeconds();
           store
               .probes()
-              .forEach((second, count) -> result.probes.merge(second - begun, count, Integer::sum));
-          result.connections = store.connections();
-          result.listCalls = store.calls();
-          result.letters = hub.counts();
-          store.load().forEach((box, load) -> result.load.put(box, load[0]));
-          result.failures = reactor.failures();
-          there.complete(mixers.stream().map(Keep::over).toList());
+              .forEach(
+                  (second, count) ->
+                      result.probesBySecond.merge(second - startSecond, count, Integer::sum));
+          result.connectionCounts = store.connections();
+          result.discoveryCalls = store.calls();
+          result.datagramCounts = peerRelay.counts();
+          store.load().forEach((box, totals) -> result.partsByBox.put(box, totals[0]));
+          result.eventFailures = reactor.failures();
+          running.complete(supervisors.stream().map(MixerSupervisor::finish).toList());
         });
-    List<MixerProcess> left;
+    List<MixerProcess> processes;
     try {
-      left = there.get(END_MS, TimeUnit.MILLISECONDS);
+      processes = running.get(STEP_TIMEOUT_MS, TimeUnit.MILLISECONDS);
     } catch (ExecutionException | TimeoutException e) {
-      result.errors.add(new HarnessError.Stumbled(reactor.failures()));
+      result.errors.add(new HarnessError.HarnessFailure(reactor.failures()));
       return;
     }
-    signals.shutdown();
-    signals.awaitTermination(END_MS, TimeUnit.MILLISECONDS);
-    List<CompletableFuture<Integer>> ends = new ArrayList<>();
-    for (int i = 0; i < plan.mixers(); i++) {
-      if (left.get(i) != null && left.get(i).alive() && plan.peers()) {
-        there(i);
+    signalExecutor.shutdown();
+    signalExecutor.awaitTermination(STEP_TIMEOUT_MS, TimeUnit.MILLISECONDS);
+    List<CompletableFuture<Integer>> exitCodes = new ArrayList<>();
+    for (int i = 0; i < fleetScenario.mixers(); i++) {
+      if (processes.get(i) != null && processes.get(i).alive() && fleetScenario.peersEnabled()) {
+        queryVisiblePeers(i);
       }
     }
-    for (MixerProcess each : left) {
-      ends.add(each == null ? null : CompletableFuture.supplyAsync(each::end, hands));
+    for (MixerProcess process : processes) {
+      exitCodes.add(
+          process == null ? null : CompletableFuture.supplyAsync(process::end, blockingExecutor));
     }
-    for (int i = 0; i < plan.mixers(); i++) {
-      if (left.get(i) != null) {
-        ended(i, left.get(i), ends.get(i).join()); // it waits no longer than the process's own end
+    for (int i = 0; i < fleetScenario.mixers(); i++) {
+      if (processes.get(i) != null) {
+        recordExit(
+            i,
+            processes.get(i),
+            exitCodes.get(i).join()); // it waits no longer than the process's own end
       }
     }
-    if (result.failures > 0) {
-      result.errors.add(new HarnessError.Stumbled(result.failures));
+    if (result.eventFailures > 0) {
+      result.errors.add(new HarnessError.HarnessFailure(result.eventFailures));
     }
   }
 
-  private void ended(int mixer, MixerProcess process, int code) {
+  private void recordExit(int mixer, MixerProcess process, int code) {
     if (code != 0) {
       result.crashes.add("m" + mixer + " ended with " + code + ": " + process.log());
     }
   }
 
   /** Whom a mixer takes for there. A guest goes past the hub, which would not know it. */
-  private void there(int mixer) throws InterruptedException {
+  private void queryVisiblePeers(int mixer) throws InterruptedException {
     CompletableFuture<InetSocketAddress> address = new CompletableFuture<>();
-    reactor.post(() -> address.complete(hub.boundAt(mixer)));
+    reactor.post(() -> address.complete(peerRelay.boundAddress(mixer)));
     try {
-      Matcher there =
-          THERE.matcher(
-              PeerQueryClient.query(address.get(END_MS, TimeUnit.MILLISECONDS), keys, 'p', 0));
-      result.present.add(there.find() ? Integer.parseInt(there.group(1)) : -1);
+      Matcher matcher =
+          PEERS_PRESENT.matcher(
+              PeerQueryClient.query(
+                  address.get(STEP_TIMEOUT_MS, TimeUnit.MILLISECONDS), keys, 'p', 0));
+      result.visiblePeers.add(matcher.find() ? Integer.parseInt(matcher.group(1)) : -1);
     } catch (IOException | ExecutionException | TimeoutException e) {
-      result.present.add(-1);
-      result.errors.add(new HarnessError.NotTold(mixer, e));
+      result.visiblePeers.add(-1);
+      result.errors.add(new HarnessError.PeersNotReported(mixer, e));
     }
   }
 
   private void killAll() {
-    synchronized (born) {
+    synchronized (startedProcesses) {
       closed = true;
-      born.forEach(MixerProcess::close);
+      startedProcesses.forEach(MixerProcess::close);
     }
   }
 
@@ -618,19 +663,19 @@
   public void close() {
     killAll();
     try {
-      Runtime.getRuntime().removeShutdownHook(hook);
+      Runtime.getRuntime().removeShutdownHook(shutdownHook);
     } catch (IllegalStateException e) {
       // it runs already
     }
-    hands.shutdownNow();
-    signals.shutdownNow();
+    blockingExecutor.shutdownNow();
+    signalExecutor.shutdownNow();
     reactor.stop();
-    try (Stream<Path> files = Files.walk(folder)) {
-      for (Path each : files.sorted(Comparator.reverseOrder()).toList()) {
-        Files.deleteIfExists(each);
+    try (Stream<Path> files = Files.walk(tempDirectory)) {
+      for (Path path : files.sorted(Comparator.reverseOrder()).toList()) {
+        Files.deleteIfExists(path);
       }
     } catch (IOException e) {
-      folder.toFile().deleteOnExit();
+      tempDirectory.toFile().deleteOnExit();
     }
   }
 }
--- a/emulator/src/main/java/gingerring/emulator/harness/FleetScenario.java
+++ b/emulator/src/main/java/gingerring/emulator/harness/FleetScenario.java
@@ -18,25 +18,31 @@
  * at their times. Everything has a usual value; what is unknown or out of range is refused with its
  * place.
  *
- * @param peers whether mixers talk; {@code settings} goes into the file of their peers as it is
- * @param uneven how many times the others' clients the first mixer has
- * @param spare how long after the run's time its last wishes may have their ends
- * @param liars so many further peers that hold the key and say what is false
+ * @param peersEnabled whether mixers talk; {@code settings} goes into the file of their peers as it
+ *     is
+ * @param firstMixerWeight how many times the others' clients the first mixer has
+ * @param completionTimeout how long after the run's time its last wishes may have their ends
+ * @param byzantinePeers so many further peers that hold the key and say what is false
  */
 public record FleetScenario(
-    Scenario world,
+    Scenario scenario,
     int mixers,
     List<String> zones,
-    boolean peers,
-    Map<String, Object> settings,
-    double uneven,
-    int liars,
-    Duration front,
-    Duration spare,
+    boolean peersEnabled,
+    Map<String, Object> peerSettings,
+    double firstMixerWeight,
+    int byzantinePeers,
+    Duration failoverDelay,
+    Duration completionTimeout,
     List<Fault> faults) {
   /** One thing that goes wrong; {@code size} by kind. */
   public record Fault(
-      Kind kind, Duration at, Duration span, Set<Integer> mixers, Set<Integer> boxes, double size) {
+      Kind kind,
+      Duration start,
+      Duration duration,
+      Set<Integer> mixers,
+      Set<Integer> boxes,
+      double magnitude) {
     /** What goes wrong. */
     public enum Kind {
       /** Processes are killed, and new ones start empty after the span. */
@@ -70,7 +76,7 @@
     }
   }
 
-  private static final List<String> FLEET =
+  private static final List<String> FLEET_KEYS =
       List.of(
           "mixers",
           "zones",
@@ -81,29 +87,31 @@
           "frontMs",
           "spareMs",
           "faults");
-  private static final List<String> FAULT =
+  private static final List<String> FAULT_KEYS =
       List.of("kind", "atMs", "forMs", "mixers", "share", "boxes", "size");
 
   public static FleetScenario read(byte[] json) throws InvalidScenario {
     try {
-      Map<String, Object> all =
+      Map<String, Object> root =
           new LinkedHashMap<>(JsonFields.object(Json.parse(json), "the description"));
-      Object fleet = all.remove("fleet");
-      return read(Scenario.read(all), fleet == null ? Map.of() : JsonFields.object(fleet, "fleet"));
+      Object fleet = root.remove("fleet");
+      return read(
+          Scenario.read(root), fleet == null ? Map.of() : JsonFields.object(fleet, "fleet"));
     } catch (Json.JsonException e) {
       throw new InvalidScenario(e.getMessage());
     }
   }
 
-  private static FleetScenario read(Scenario world, Map<String, Object> fleet)
+  private static FleetScenario read(Scenario scenario, Map<String, Object> fleet)
       throws InvalidScenario, Json.JsonException {
-    known(fleet, FLEET, "fleet.");
-    int mixers = (int) number(fleet, "mixers", "fleet.", 8, 1, 1000);
+    requireKnownKeys(fleet, FLEET_KEYS, "fleet.");
+    int mixers = (int) numberInRange(fleet, "mixers", "fleet.", 8, 1, 1000);
     List<String> zones = new ArrayList<>();
-    for (Object each :
+    for (Object element :
         fleet.containsKey("zones") ? JsonFields.list(fleet, "zones") : List.of("a")) {
-      if (!(each instanceof String zone) || !zone.matches("[a-z0-9-]{1,20}")) {
-        throw new InvalidScenario("fleet.zones." + zones.size() + " is no name of a zone: " + each);
+      if (!(element instanceof String zone) || !zone.matches("[a-z0-9-]{1,20}")) {
+        throw new InvalidScenario(
+            "fleet.zones." + zones.size() + " is no name of a zone: " + element);
       }
       zones.add(zone);
     }
@@ -111,101 +119,109 @@
       throw new InvalidScenario("fleet.zones names none");
     }
     List<Fault> faults = new ArrayList<>();
-    for (Object each : fleet.containsKey("faults") ? JsonFields.list(fleet, "faults") : List.of()) {
-      String place = "fleet.faults." + faults.size() + '.';
+    for (Object element :
+        fleet.containsKey("faults") ? JsonFields.list(fleet, "faults") : List.of()) {
+      String path = "fleet.faults." + faults.size() + '.';
       faults.add(
-          fault(world, mixers, JsonFields.object(each, place + " here"), place, faults.size()));
+          readFault(
+              scenario, mixers, JsonFields.object(element, path + " here"), path, faults.size()));
     }
     return new FleetScenario(
-        world,
+        scenario,
         mixers,
         List.copyOf(zones),
         fleet.containsKey("peers") && JsonFields.booleanValue(fleet, "peers"),
         fleet.containsKey("settings")
             ? JsonFields.object(fleet.get("settings"), "fleet.settings")
             : Map.of(),
-        number(fleet, "uneven", "fleet.", 1, 0.01, 1000),
-        (int) number(fleet, "liars", "fleet.", 0, 0, 100),
-        millis(number(fleet, "frontMs", "fleet.", 1500, 0, 60_000)),
-        millis(number(fleet, "spareMs", "fleet.", 60_000, 0, 600_000)),
+        numberInRange(fleet, "uneven", "fleet.", 1, 0.01, 1000),
+        (int) numberInRange(fleet, "liars", "fleet.", 0, 0, 100),
+        millis(numberInRange(fleet, "frontMs", "fleet.", 1500, 0, 60_000)),
+        millis(numberInRange(fleet, "spareMs", "fleet.", 60_000, 0, 600_000)),
         List.copyOf(faults));
   }
 
-  private static Fault fault(
-      Scenario world, int mixers, Map<String, Object> told, String place, int number)
+  private static Fault readFault(
+      Scenario scenario, int mixers, Map<String, Object> fields, String path, int faultIndex)
       throws InvalidScenario, Json.JsonException {
-    known(told, FAULT, place);
-    String name = JsonFields.string(told, "kind");
+    requireKnownKeys(fields, FAULT_KEYS, path);
+    String kindName = JsonFields.string(fields, "kind");
     for (Fault.Kind kind : Fault.Kind.values()) {
-      if (kind.name().equalsIgnoreCase(name)) {
-        Set<Integer> some = numbers(told, "mixers", place, mixers);
-        if (told.containsKey("share")) {
-          int count = (int) Math.round(mixers * number(told, "share", place, 1, 0, 1));
-          for (long i = 0; some.size() < count; i++) {
-            some.add((int) (SeededDraw.draw(world.seed(), "mixers", number, i) * mixers));
+      if (kind.name().equalsIgnoreCase(kindName)) {
+        Set<Integer> affectedMixers = indexes(fields, "mixers", path, mixers);
+        if (fields.containsKey("share")) {
+          int count = (int) Math.round(mixers * numberInRange(fields, "share", path, 1, 0, 1));
+          for (long i = 0; affectedMixers.size() < count; i++) {
+            affectedMixers.add(
+                (int) (SeededDraw.draw(scenario.seed(), "mixers", faultIndex, i) * mixers));
           }
-        } else if (!told.containsKey("mixers")) {
+        } else if (!fields.containsKey("mixers")) {
           for (int i = 0; i < mixers; i++) {
-            some.add(i);
+            affectedMixers.add(i);
           }
         }
-        Set<Integer> boxes = numbers(told, "boxes", place, world.boxes());
-        if (!told.containsKey("boxes")) {
-          for (int i = 0; i < world.boxes(); i++) {
+        Set<Integer> boxes = indexes(fields, "boxes", path, scenario.boxes());
+        if (!fields.containsKey("boxes")) {
+          for (int i = 0; i < scenario.boxes(); i++) {
             boxes.add(i);
           }
         }
         return new Fault(
             kind,
-            millis(number(told, "atMs", place, 0, 0, 1e9)),
-            millis(number(told, "forMs", place, 5000, 1, 1e9)),
-            some,
+            millis(numberInRange(fields, "atMs", path, 0, 0, 1e9)),
+            millis(numberInRange(fields, "forMs", path, 5000, 1, 1e9)),
+            affectedMixers,
             boxes,
-            number(told, "size", place, 0.5, 0, 1e6));
+            numberInRange(fields, "size", path, 0.5, 0, 1e6));
       }
     }
-    throw new InvalidScenario(place + "kind is unknown: " + name);
+    throw new InvalidScenario(path + "kind is unknown: " + kindName);
   }
 
-  private static void known(Map<String, Object> told, List<String> names, String place)
-      throws InvalidScenario {
-    for (String name : told.keySet()) {
-      if (!names.contains(name)) {
+  private static void requireKnownKeys(
+      Map<String, Object> fields, List<String> knownKeys, String path) throws InvalidScenario {
+    for (String key : fields.keySet()) {
+      if (!knownKeys.contains(key)) {
         throw new InvalidScenario(
-            place + name + " is unknown; known are " + String.join(", ", names));
+            path + key + " is unknown; known are " + String.join(", ", knownKeys));
       }
     }
   }
 
-  private static double number(
-      Map<String, Object> told, String name, String place, double usual, double least, double most)
+  private static double numberInRange(
+      Map<String, Object> fields,
+      String key,
+      String path,
+      double defaultValue,
+      double min,
+      double max)
       throws InvalidScenario, Json.JsonException {
-    if (!told.containsKey(name)) {
-      return usual;
+    if (!fields.containsKey(key)) {
+      return defaultValue;
     }
-    double value = JsonFields.number(told, name);
-    if (value < least || value > most) {
+    double value = JsonFields.number(fields, key);
+    if (value < min || value > max) {
       throw new InvalidScenario(
-          place + name + " is out of range: " + value + " is not " + least + " to " + most);
+          path + key + " is out of range: " + value + " is not " + min + " to " + max);
     }
     return value;
   }
 
-  private static Set<Integer> numbers(
-      Map<String, Object> told, String name, String place, int count)
+  private static Set<Integer> indexes(
+      Map<String, Object> fields, String key, String path, int limit)
       throws InvalidScenario, Json.JsonException {
-    Set<Integer> numbers = new TreeSet<>();
-    for (Object each : told.containsKey(name) ? JsonFields.list(told, name) : List.of()) {
-      if (!(each instanceof Double number)
+    Set<Integer> indexes = new TreeSet<>();
+    for (Object element : fields.containsKey(key) ? JsonFields.list(fields, key) : List.of()) {
+      if (!(element instanceof Double number)
           || number != Math.rint(number)
           || number < 0
-          || number >= count) {
+          || number >= limit) {
         throw new InvalidScenario(
-            place + name + " has " + each + ", and there are " + count + " from 0 on");
+            path + key + " has " + element + ", and there are " + limit + " from 0 on");
       }
-      numbers.add(number.intValue());
+      indexes.add(number.intValue());
     }
-    return numbers;
+    return indexes;
   }
 
   private static Duration millis(double ms) {
--- a/emulator/src/main/java/gingerring/emulator/harness/HarnessError.java
+++ b/emulator/src/main/java/gingerring/emulator/harness/HarnessError.java
@@ -10,20 +10,20 @@
  */
 public abstract sealed class HarnessError extends IOException {
   private static final long serialVersionUID = 1;
-  private final String place;
+  private final String subject;
   private final String remedy;
 
-  HarnessError(String place, String what, String remedy, Throwable cause) {
-    super(what, cause);
-    this.place = place;
+  HarnessError(String subject, String problem, String remedy, Throwable cause) {
+    super(problem, cause);
+    this.subject = subject;
     this.remedy = remedy;
   }
 
   public abstract String code();
 
   /** Which file, process or party it is about. */
-  public String place() {
-    return place;
+  public String subject() {
+    return subject;
   }
 
   /** What an operator can do. */
@@ -33,7 +33,7 @@
 
   @Override
   public String getMessage() {
-    return code() + " at " + place + ": " + super.getMessage() + "; " + remedy;
+    return code() + " at " + subject + ": " + super.getMessage() + "; " + remedy;
   }
 
   /** A file that describes no run. */
@@ -58,10 +58,10 @@
   public static final class NotStarted extends HarnessError {
     private static final long serialVersionUID = 1;
 
-    NotStarted(int mixer, String what, Throwable cause) {
+    NotStarted(int mixer, String problem, Throwable cause) {
       super(
           "m" + mixer,
-          "did not start: " + what,
+          "did not start: " + problem,
           "read its lines here; with many mixers look at free memory",
           cause);
     }
@@ -76,10 +76,10 @@
   public static final class NotEnded extends HarnessError {
     private static final long serialVersionUID = 1;
 
-    NotEnded(long ms, List<String> waits) {
+    NotEnded(long timeoutMs, List<String> unfinished) {
       super(
-          String.join(", ", waits),
-          "the run did not end within " + ms + " ms",
+          String.join(", ", unfinished),
+          "the run did not end within " + timeoutMs + " ms",
           "the table tells of what ended; play the schedule again without the faults on that party",
           null);
     }
@@ -91,10 +91,10 @@
   }
 
   /** A mixer that does not say whom it takes for there. */
-  public static final class NotTold extends HarnessError {
+  public static final class PeersNotReported extends HarnessError {
     private static final long serialVersionUID = 1;
 
-    NotTold(int mixer, Throwable cause) {
+    PeersNotReported(int mixer, Throwable cause) {
       super(
           "m" + mixer,
           "did not say who is there: " + cause.getMessage(),
@@ -109,10 +109,10 @@
   }
 
   /** The rig's own events failed, and what they would have done is missing. */
-  public static final class Stumbled extends HarnessError {
+  public static final class HarnessFailure extends HarnessError {
     private static final long serialVersionUID = 1;
 
-    Stumbled(int failures) {
+    HarnessFailure(int failures) {
       super("rig", failures + " of its own events failed", "report it with the log's lines", null);
     }
 
--- a/emulator/src/main/java/gingerring/emulator/harness/OverlappingFaults.java
+++ b/emulator/src/main/java/gingerring/emulator/harness/OverlappingFaults.java
@@ -15,34 +15,34 @@
  */
 public final class OverlappingFaults {
   /** What strikes a process, and what strikes the ways to and from it. */
-  private static final List<Kind> PROCESS = List.of(Kind.KILL, Kind.STOP, Kind.ROLL);
+  private static final List<Kind> PROCESS_FAULTS = List.of(Kind.KILL, Kind.STOP, Kind.ROLL);
 
-  private static final List<Kind> TALK =
+  private static final List<Kind> PEER_FAULTS =
       List.of(Kind.CUT_PEERS, Kind.CUT_PEERS_ONE_WAY, Kind.LOSE, Kind.DOUBLE, Kind.REORDER);
-  private static final List<Kind> ALL = List.of(Kind.values());
+  private static final List<Kind> ALL_FAULTS = List.of(Kind.values());
 
   private OverlappingFaults() {}
 
   /**
    * The run's description in JSON; {@code ms} is its length, of which the faults take the middle.
    */
-  public static String of(long seed, int mixers, int boxes, long ms) {
+  public static String generate(long seed, int mixers, int boxes, long lengthMs) {
     SplittableRandom random = new SplittableRandom(seed);
     List<String> faults = new ArrayList<>();
-    boolean talk = false;
-    int victim = random.nextInt(mixers);
+    boolean hasPeerFault = false;
+    int sharedMixer = random.nextInt(mixers);
     int count = random.nextInt(2, 5);
-    double at = ms * random.nextDouble(0.08, 0.16);
+    double startMs = lengthMs * random.nextDouble(0.08, 0.16);
     for (int i = 0; i < count; i++) {
       Kind kind =
           i == 0
-              ? PROCESS.get(random.nextInt(PROCESS.size()))
-              : ALL.get(random.nextInt(ALL.size()));
-      talk |= TALK.contains(kind);
-      double span = ms * random.nextDouble(0.1, 0.3);
-      Set<Integer> struck = some(random, mixers, mixers / 2);
+              ? PROCESS_FAULTS.get(random.nextInt(PROCESS_FAULTS.size()))
+              : ALL_FAULTS.get(random.nextInt(ALL_FAULTS.size()));
+      hasPeerFault |= PEER_FAULTS.contains(kind);
+      double durationMs = lengthMs * random.nextDouble(0.1, 0.3);
+      Set<Integer> affectedMixers = randomSubset(random, mixers, mixers / 2);
       if (i < 2 || random.nextBoolean()) {
-        struck.add(victim);
+        affectedMixers.add(sharedMixer);
       }
       faults.add(
           String.format(
@@ -50,12 +50,12 @@
               "{\"kind\": \"%s\", \"atMs\": %.0f, \"forMs\": %.0f, \"mixers\": %s, \"boxes\": %s, "
                   + "\"size\": %.2f}",
               kind.name().toLowerCase(Locale.ROOT),
-              at,
-              span,
-              struck,
-              some(random, boxes, boxes / 2),
-              size(kind, random)));
-      at += span * random.nextDouble(0.1, 0.7);
+              startMs,
+              durationMs,
+              affectedMixers,
+              randomSubset(random, boxes, boxes / 2),
+              randomMagnitude(kind, random)));
+      startMs += durationMs * random.nextDouble(0.1, 0.7);
     }
     return String.format(
         Locale.ROOT,
@@ -69,24 +69,24 @@
         seed,
         boxes,
         boxes,
-        ms,
-        ms / 5,
-        ms * 2 / 5,
+        lengthMs,
+        lengthMs / 5,
+        lengthMs * 2 / 5,
         boxes / 4,
         mixers,
-        talk || random.nextBoolean(),
+        hasPeerFault || random.nextBoolean(),
         String.join(",\n   ", faults));
   }
 
-  private static Set<Integer> some(SplittableRandom random, int of, int most) {
-    Set<Integer> some = new TreeSet<>();
-    for (int i = random.nextInt(1, Math.max(2, most + 1)); i > 0; i--) {
-      some.add(random.nextInt(of));
+  private static Set<Integer> randomSubset(SplittableRandom random, int limit, int maxDraws) {
+    Set<Integer> subset = new TreeSet<>();
+    for (int i = random.nextInt(1, Math.max(2, maxDraws + 1)); i > 0; i--) {
+      subset.add(random.nextInt(limit));
     }
-    return some;
+    return subset;
   }
 
-  private static double size(Kind kind, SplittableRandom random) {
+  private static double randomMagnitude(Kind kind, SplittableRandom random) {
     return switch (kind) {
       case DELAY, REORDER -> random.nextDouble(20, 120);
       case DRIP -> random.nextDouble(2000, 20_000);
--- a/emulator/src/main/java/gingerring/emulator/interleaving/Event.java
+++ b/emulator/src/main/java/gingerring/emulator/interleaving/Event.java
@@ -56,12 +56,12 @@
   CLIENTS_MANY;
 
   /** Whether the list of boxes changes by it. */
-  boolean changesList() {
+  boolean changesMemberList() {
     return this == LIST_DRAINS || this == LIST_GONE || this == LIST_BACK_COLD || this == LIST_MOVED;
   }
 
   /** Whether a client goes while it waits for its answer. */
-  boolean leaves() {
+  boolean clientLeaves() {
     return this == CLIENT_CLOSES
         || this == CLIENT_RESETS
         || this == CLIENT_FLOODS
--- /dev/null
+++ b/emulator/src/main/java/gingerring/emulator/interleaving/InterleavingRunner.java
@@ -0,0 +1,503 @@
+package gingerring.emulator.interleaving;
+
+import gingerring.emulator.core.Scenario;
+import gingerring.emulator.experiment.MixerProcess;
+import gingerring.traffic.wire.Reactor;
+import java.io.IOException;
+import java.io.PrintStream;
+import java.time.Duration;
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.Deque;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import java.util.concurrent.Callable;
+import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.ExecutionException;
+import java.util.concurrent.TimeUnit;
+import java.util.concurrent.TimeoutException;
+import java.util.function.Consumer;
+import java.util.function.LongFunction;
+
+/**
+ * Plays crossings of two events, each drawn from its seed, at real mixer processes: several one
+ * after the other at one process, until one of them ends it or breaks a rule.
+ */
+public final class InterleavingRunner {
+  /**
+   * What came of one; {@code trail} is what its parties saw, in order, and {@code began} says that
+   * the first event was reached.
+   */
+  public record Result(
+      EventPair pair,
+      String verdict,
+      List<String> findings,
+      List<String> trace,
+      Duration stall,
+      Duration elapsed,
+      boolean firstEventReached) {
+    public boolean kept() {
+      return verdict.equals(KEPT);
+    }
+
+    /** Seed, pair, order, what was broken and how to play it alone. */
+    public String report() {
+      return "seed "
+          + pair.seed()
+          + " | "
+          + pair.first()
+          + " then "
+          + pair.second()
+          + " | "
+          + verdict
+          + "\n  "
+          + String.join("\n  ", findings)
+          + "\n  alone: "
+          + pair.replayCommand()
+          + "\n    "
+          + String.join("\n    ", trace);
+    }
+  }
+
+  /**
+   * Short in all that makes a crossing long; the drain grace is the shortest that is asked of a
+   * mixer.
+   */
+  static final String SCENARIO_JSON =
+      """
+      {"boxes": 4, "folios": 4, "copies": 2, "cores": 4, "slowShare": 0, "pauseMs": [0, 0], "queueMost": 400,
+       "drainGraceMs": 500, "listLagMs": 0, "tipAfterMs": 500, "warmUpMs": 5000, "clients": 60, "trips": 3,
+       "grades": [
+        {"name": "search", "quotedMs": 800, "patienceMs": 2000, "floor": 0.4, "workMs": [2, 4], "earnings": 3},
+        {"name": "post", "quotedMs": 800, "patienceMs": 2000, "repeats": "numbered", "windowMs": 700,
+         "workMs": [2, 4]},
+        {"name": "once", "quotedMs": 800, "patienceMs": 2000, "repeats": "at-most-once", "workMs": [2, 4]}]}""";
+
+  private static final String KEPT = "kept";
+
+  /** A point was not seen, or the mixer did not serve before: nothing is known of the crossing. */
+  private static final String UNDECIDED = "undecided";
+
+  private static final String EMPTY_MEMBER_LIST =
+      "{\"revision\":0,\"complete\":true,\"members\":[]}";
+  private static final Duration STEP_TIMEOUT = Duration.ofSeconds(15);
+  private static final Duration TRIGGER_TIMEOUT = Duration.ofSeconds(5);
+  private static final long POLL_INTERVAL_MS = 10;
+
+  /** After the drain grace, long enough for steady requests to show a box that is still sent to. */
+  private static final Duration OBSERVATION_AFTER_GRACE = Duration.ofMillis(400);
+
+  private final Scenario scenario;
+
+  private InterleavingRunner(Scenario scenario) {
+    this.scenario = scenario;
+  }
+
+  private static InterleavingRunner create() {
+    try {
+      return new InterleavingRunner(Scenario.read(SCENARIO_JSON.getBytes()));
+    } catch (Scenario.InvalidScenario e) {
+      throw new IllegalStateException(e);
+    }
+  }
+
+  /**
+   * Plays these, so many mixers at a time; tells of each as it ends. Failures of the rig are
+   * thrown.
+   */
+  public static List<Result> play(
+      List<EventPair> pairs, int concurrency, Consumer<Result> resultListener) throws IOException {
+    InterleavingRunner runner = create();
+    // those that end their mixer come last at each; long ones first, that no worker is left with
+    // them
+    Map<Integer, Deque<EventPair>> pairsByDialTimeout = new TreeMap<>();
+    pairs.stream()
+        .sorted(
+            Comparator.comparing(EventPair::endsMixer)
+                .thenComparing(pair -> runner.observationTime(pair).negated()))
+        .forEach(
+            pair ->
+                pairsByDialTimeout
+                    .computeIfAbsent(pair.dialTimeoutMs(), timeout -> new ArrayDeque<>())
+                    .add(pair));
+    List<Result> results = new ArrayList<>();
+    List<Throwable> failures = new ArrayList<>();
+    List<Thread> threads = new ArrayList<>();
+    for (int i = 0; i < concurrency; i++) {
+      int worker = i;
+      Thread thread =
+          new Thread(
+              () -> {
+                try {
+                  runner.runWorker(
+                      pairsByDialTimeout,
+                      worker,
+                      result -> {
+                        synchronized (results) {
+                          results.add(result);
+                          resultListener.accept(result);
+                        }
+                      });
+                } catch (IOException | RuntimeException | Error e) {
+                  synchronized (results) {
+                    failures.add(e);
+                  }
+                }
+              },
+              "crossings-" + i);
+      threads.add(thread);
+      thread.start();
+    }
+    try {
+      for (Thread thread : threads) {
+        thread.join();
+      }
+    } catch (InterruptedException e) {
+      Thread.currentThread().interrupt();
+    }
+    if (!failures.isEmpty()) {
+      throw new IOException("the rig failed", failures.get(0));
+    }
+    return results;
+  }
+
+  /** The next draw for a mixer with this bound of dials, else of any; null where none is left. */
+  private static EventPair nextPair(
+      Map<Integer, Deque<EventPair>> pairsByDialTimeout, int dialTimeoutMs, boolean anyTimeout) {
+    synchronized (pairsByDialTimeout) {
+      EventPair sameTimeout =
+          pairsByDialTimeout.getOrDefault(dialTimeoutMs, new ArrayDeque<>()).poll();
+      if (sameTimeout != null || !anyTimeout) {
+        return sameTimeout;
+      }
+      return pairsByDialTimeout.values().stream()
+          .filter(pairs -> !pairs.isEmpty())
+          .findFirst()
+          .map(Deque::poll)
+          .orElse(null);
+    }
+  }
+
+  private void runWorker(
+      Map<Integer, Deque<EventPair>> pairsByDialTimeout,
+      int worker,
+      Consumer<Result> resultListener)
+      throws IOException {
+    int dialTimeoutMs =
+        worker == 0
+            ? pairsByDialTimeout.keySet().stream().max(Integer::compare).orElse(0)
+            : pairsByDialTimeout.keySet().stream().min(Integer::compare).orElse(0);
+    for (EventPair pair = nextPair(pairsByDialTimeout, dialTimeoutMs, true);
+        pair != null;
+        pair = nextPair(pairsByDialTimeout, dialTimeoutMs, true)) {
+      dialTimeoutMs = pair.dialTimeoutMs();
+      try (MixerUnderTest mixerUnderTest = new MixerUnderTest(scenario, dialTimeoutMs)) {
+        for (boolean freshMixer = true; pair != null; freshMixer = false) {
+          Result result = mixerUnderTest.play(pair);
+          if (!freshMixer && !result.firstEventReached() && result.verdict().equals(UNDECIDED)) {
+            // what came before had left the mixer short of boxes: the crossing is played at a fresh
+            // one
+            synchronized (pairsByDialTimeout) {
+              pairsByDialTimeout.get(dialTimeoutMs).addFirst(pair);
+            }
+            break;
+          }
+          resultListener.accept(result);
+          pair =
+              !result.kept() || pair.endsMixer()
+                  ? null
+                  : nextPair(pairsByDialTimeout, dialTimeoutMs, false);
+        }
+      }
+    }
+  }
+
+  /** How long requests go on after both events: until what was broken would show. */
+  private Duration observationTime(EventPair pair) {
+    boolean changesMemberList =
+        pair.first().changesMemberList() || pair.second().changesMemberList();
+    Duration notificationDelay =
+        !changesMemberList
+            ? Duration.ZERO
+            : pair.includes(Event.WATCH_SILENT)
+                ? MixerEnvironment.MAX_WATCH_SILENCE
+                : pair.includes(Event.DISCOVERY_DOWN) || pair.includes(Event.DISCOVERY_DOWN_FORGETS)
+                    ? Duration.ofMillis(pair.discoveryDownMs())
+                    : Duration.ZERO;
+    return changesMemberList
+        ? notificationDelay.plus(scenario.drainGrace()).plus(OBSERVATION_AFTER_GRACE)
+        : OBSERVATION_AFTER_GRACE;
+  }
+
+  /** One mixer and its parties. */
+  private final class MixerUnderTest implements AutoCloseable {
+    private final Reactor reactor = new Reactor();
+    private final MixerEnvironment environment;
+    private final MixerProcess mixer;
+
+    MixerUnderTest(Scenario scenario, int dialTimeoutMs) throws IOException {
+      environment = new MixerEnvironment(scenario, reactor);
+      Thread reactorThread = new Thread(reactor::run, "crossing");
+      reactorThread.setDaemon(true);
+      reactorThread.start();
+      try {
+        mixer =
+            MixerProcess.startEdited(
+                scenario,
+                environment.discoveryAddress(),
+                EMPTY_MEMBER_LIST,
+                config ->
+                    config.replace(
+                        "\"DialTimeoutMs\": 250.0", "\"DialTimeoutMs\": " + dialTimeoutMs + ".0"));
+      } catch (IOException e) {
+        reactor.stop();
+        throw e;
+      }
+    }
+
+    Result play(EventPair pair) throws IOException {
+      long startNanos = System.nanoTime();
+      String reason = "";
+      boolean firstEventReached = false;
+      int failuresBefore = reactor.failures();
+      try {
+        onReactor(
+            () -> {
+              environment.begin(mixer, pair);
+              return null;
+            });
+        if (!awaitCondition(environment::warmUp, STEP_TIMEOUT)) {
+          reason = "the mixer did not serve before the events";
+        } else if (!triggered(trigger -> environment.sendFirstRequests(trigger))) {
+          reason = "no frame came of the first request";
+        } else if (!triggered(trigger -> environment.inject(pair.first(), trigger))) {
+          reason = "the point of " + pair.first() + " was not seen";
+          firstEventReached = true;
+        } else {
+          firstEventReached = true;
+          sleepMs(pair.drawBetween("offset", 0, 15));
+          if (!triggered(trigger -> environment.inject(pair.second(), trigger))) {
+            reason = "the point of " + pair.second() + " was not seen";
+          }
+        }
+        if (reason.isEmpty()) {
+          sleepMs(pair.resumeDelayMs());
+          onReactor(
+              () -> {
+                environment.resumeBoxes();
+                return null;
+              });
+          if (pair.endsMixer()) { // clients go on until the connections end
+            awaitCondition(environment::exited, Duration.ofSeconds(12));
+          } else {
+            sleepMs((int) observationTime(pair).toMillis());
+          }
+          onReactor(
+              () -> {
+                environment.stopRequests();
+                return null;
+              });
+          awaitCondition(() -> environment.unansweredRequests() == 0, Duration.ofSeconds(5));
+          sleepMs(
+              pair.endsMixer()
+                  ? 0
+                  : (int)
+                      InterleavingChecker.CANCEL_LIMIT
+                          .plus(InterleavingChecker.SCHEDULING_ALLOWANCE)
+                          .toMillis());
+        }
+        String undecidedReason =
+            reason.isEmpty() && reactor.failures() > failuresBefore
+                ? "the rig failed in an event"
+                : reason;
+        boolean reachedFirstEvent = firstEventReached;
+        return onReactor(
+            () -> {
+              List<String> findings = new ArrayList<>();
+              environment
+                  .checker()
+                  .violations()
+                  .forEach(violation -> findings.add(violation.toString()));
+              String verdict =
+                  !findings.isEmpty()
+                      ? "broken: "
+                          + String.join(
+                              " ",
+                              environment.checker().violations().stream()
+                                  .map(InterleavingChecker.Violation::rule)
+                                  .distinct()
+                                  .sorted()
+                                  .toList())
+                      : undecidedReason.isEmpty() ? KEPT : UNDECIDED;
+              if (!undecidedReason.isEmpty()) {
+                findings.add("undecided: " + undecidedReason);
+              }
+              Result result =
+                  new Result(
+                      pair,
+                      verdict,
+                      findings,
+                      environment.trace(),
+                      environment.checker().longestStall(),
+                      Duration.ofNanos(System.nanoTime() - startNanos),
+                      reachedFirstEvent);
+              environment.dismantle();
+              return result;
+            });
+      } catch (InterruptedException e) {
+        Thread.currentThread().interrupt();
+        throw new IOException("interrupted", e);
+      }
+    }
+
+    private <T> T onReactor(Callable<T> task) throws IOException, InterruptedException {
+      CompletableFuture<T> done = new CompletableFuture<>();
+      reactor.post(
+          () -> {
+            try {
+              done.complete(task.call());
+            } catch (Exception | Error e) {
+              done.completeExceptionally(e);
+            }
+          });
+      try {
+        return done.get(STEP_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS);
+      } catch (ExecutionException | TimeoutException e) {
+        throw new IOException("the rig failed", e);
+      }
+    }
+
+    private boolean awaitCondition(Callable<Boolean> condition, Duration timeout)
+        throws IOException, InterruptedException {
+      long deadlineNanos = System.nanoTime() + timeout.toNanos();
+      while (!onReactor(condition)) {
+        if (System.nanoTime() > deadlineNanos) {
+          return false;
+        }
+        Thread.sleep(POLL_INTERVAL_MS);
+      }
+      return true;
+    }
+
+    private interface TriggeringStep {
+      void run(Runnable trigger) throws IOException;
+    }
+
+    /** Runs a step and waits for its point; false where that is not seen in time. */
+    private boolean triggered(TriggeringStep step) throws IOException, InterruptedException {
+      CompletableFuture<Void> reached = new CompletableFuture<>();
+      onReactor(
+          () -> {
+            step.run(() -> reached.complete(null));
+            return null;
+          });
+      try {
+        reached.get(TRIGGER_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS);
+        return true;
+      } catch (ExecutionException | TimeoutException e) {
+        return false;
+      }
+    }
+
+    private static void sleepMs(int ms) throws InterruptedException {
+      Thread.sleep(ms);
+    }
+
+    @Override
+    public void close() {
+      mixer.close();
+      reactor.stop();
+    }
+  }
+
+  /** A table of pair, order, runs and verdict, in the order of their names. */
+  public static List<String> table(List<Result> results) {
+    Map<String, Map<String, Integer>> rows = new TreeMap<>();
+    for (Result result : results) {
+      EventPair eventPair = result.pair();
+      boolean inDeclaredOrder = eventPair.first().compareTo(eventPair.second()) <= 0;
+      String pairLabel =
+          inDeclaredOrder
+              ? eventPair.first() + " x " + eventPair.second()
+              : eventPair.second() + " x " + eventPair.first();
+      String order =
+          eventPair.first() == eventPair.second() ? "twice" : inDeclaredOrder ? "A,B" : "B,A";
+      rows.computeIfAbsent(pairLabel + " | " + order, row -> new TreeMap<>())
+          .merge(result.verdict(), 1, Integer::sum);
+    }
+    List<String> lines =
+        new ArrayList<>(
+            List.of("| pair A x B | order | runs | verdict |", "| --- | --- | --- | --- |"));
+    rows.forEach(
+        (row, countsByVerdict) -> {
+          int runs = countsByVerdict.values().stream().mapToInt(Integer::intValue).sum();
+          List<String> parts = new ArrayList<>();
+          countsByVerdict.forEach(
+              (verdict, count) ->
+                  parts.add(countsByVerdict.size() == 1 ? verdict : count + " " + verdict));
+          lines.add("| " + row + " | " + runs + " | " + String.join(", ", parts) + " |");
+        });
+    return lines;
+  }
+
+  /**
+   * {@code --seed N} plays that one and tells all, {@code --pair A,B} with this pair instead of the
+   * drawn one; {@code --seconds N} plays seeds from it on until the time is over; {@code --at-once
+   * N} mixers.
+   */
+  public static void main(String[] args) throws IOException {
+    System.exit(run(args, System.out));
+  }
+
+  static int run(String[] args, PrintStream out) throws IOException {
+    Map<String, String> options =
+        new TreeMap<>(Map.of("--seed", "1", "--pair", "", "--seconds", "0", "--at-once", "3"));
+    for (int i = 0; i + 1 < args.length; i += 2) {
+      if (options.put(args[i], args[i + 1]) == null) {
+        out.println("unknown: " + args[i] + "; known: " + options.keySet());
+        return 2;
+      }
+    }
+    long seed = Long.parseLong(options.get("--seed"));
+    int concurrency = Integer.parseInt(options.get("--at-once"));
+    long endNanos = System.nanoTime() + Long.parseLong(options.get("--seconds")) * 1_000_000_000L;
+    List<Result> results = new ArrayList<>();
+    Consumer<Result> failurePrinter =
+        result -> {
+          if (!result.kept()) {
+            out.println(result.report());
+          }
+        };
+    String[] pairOption = options.get("--pair").split(",");
+    LongFunction<EventPair> pairForSeed =
+        pairOption.length < 2
+            ? EventPair::fromSeed
+            : pairSeed ->
+                new EventPair(pairSeed, Event.valueOf(pairOption[0]), Event.valueOf(pairOption[1]));
+    if (options.get("--seconds").equals("0")) {
+      results.addAll(
+          play(List.of(pairForSeed.apply(seed)), 1, result -> out.println(result.report())));
+    }
+    while (System.nanoTime() < endNanos) {
+      List<EventPair> batch = new ArrayList<>();
+      for (int i = 0; i < 8 * concurrency; i++) {
+        batch.add(pairForSeed.apply(seed++));
+      }
+      results.addAll(play(batch, concurrency, failurePrinter));
+    }
+    table(results).forEach(out::println);
+    out.println(
+        results.size()
+            + " played, "
+            + results.stream().filter(Result::kept).count()
+            + " kept; the rig stood still for "
+            + results.stream()
+                .map(result -> result.stall().toMillis())
+                .max(Long::compare)
+                .orElse(0L)
+            + " ms at most");
+    return results.stream().allMatch(Result::kept) ? 0 : 1;
+  }
+}
--- /dev/null
+++ b/emulator/src/main/java/gingerring/emulator/interleaving/MixerEnvironment.java
@@ -0,0 +1,1378 @@
+package gingerring.emulator.interleaving;
+
+import gingerring.emulator.core.Box;
+import gingerring.emulator.core.Scenario;
+import gingerring.emulator.core.SeededDraw;
+import gingerring.emulator.experiment.MixerProcess;
+import gingerring.http.HttpException;
+import gingerring.http.MessageHead;
+import gingerring.traffic.scan.Answer;
+import gingerring.traffic.scan.ObservedScan;
+import gingerring.traffic.wire.HttpHandler;
+import gingerring.traffic.wire.Reactor;
+import gingerring.traffic.wire.ReactorConnection;
+import java.io.ByteArrayOutputStream;
+import java.io.IOException;
+import java.io.UncheckedIOException;
+import java.net.BindException;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.net.StandardSocketOptions;
+import java.nio.ByteBuffer;
+import java.nio.ByteOrder;
+import java.nio.channels.ServerSocketChannel;
+import java.nio.channels.SocketChannel;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Locale;
+import java.util.Map;
+import java.util.Set;
+import java.util.concurrent.LinkedBlockingQueue;
+import java.util.concurrent.ThreadPoolExecutor;
+import java.util.concurrent.TimeUnit;
+import java.util.concurrent.atomic.AtomicInteger;
+import java.util.stream.Collectors;
+
+/**
+ * The parties about one mixer: discovery's agents, four boxes, clients. Everything runs on the
+ * reactor's thread but the reading of the system's table of connections, which posts what it found.
+ * A crossing gets boxes of its own, under names that were not there before, and a judge of its own.
+ */
+final class MixerEnvironment {
+  private static final Duration TICK_INTERVAL = Duration.ofMillis(5);
+  private static final Duration WATCH_KEEPALIVE_INTERVAL = Duration.ofSeconds(2);
+
+  /**
+   * What a silent watch misses counts as told by then, and what a new discovery says after SIGHUP.
+   */
+  static final Duration MAX_WATCH_SILENCE = Duration.ofSeconds(6);
+
+  private static final Duration MAX_DISCOVERY_MOVE = Duration.ofSeconds(4);
+  private static final Duration BACKGROUND_INTERVAL = Duration.ofMillis(40);
+  private static final Duration WARM_UP_INTERVAL = Duration.ofMillis(60);
+  private static final int BACKGROUND_CLIENTS = 5;
+  private static final int BURST_CLIENTS = 40;
+  private static final int FLOOD_BYTES = 300_000;
+  private static final Duration TRIGGER_FALLBACK = Duration.ofMillis(300);
+  private static final Duration CONNECT_AFTER_SIGTERM = Duration.ofMillis(300);
+  private static final int MAX_FRAME_BYTES = 1 << 17;
+
+  /** What a box does with an answer that is ready. */
+  private enum AnswerMode {
+    SEND,
+    HOLD,
+    HANG
+  }
+
+  private static final AtomicInteger INSTANCES = new AtomicInteger();
+
+  private final Scenario scenario;
+  private final Reactor reactor;
+
+  /** Of this scene alone: a port that a box has left must not become another scene's. */
+  private final InetAddress address;
+
+  /**
+   * One look at a time at the system's table of connections, as long as the reactor's own would
+   * take.
+   */
+  private final ThreadPoolExecutor connectionTableReader =
+      new ThreadPoolExecutor(
+          0,
+          1,
+          1,
+          TimeUnit.SECONDS,
+          new LinkedBlockingQueue<>(),
+          task -> {
+            Thread thread = new Thread(task, "looks");
+            thread.setDaemon(true);
+            return thread;
+          });
+
+  private final List<String> trace = new ArrayList<>();
+  private final List<EmulatedBox> boxes = new ArrayList<>();
+  private final Set<EmulatedBox> unnotified = new LinkedHashSet<>();
+  private final List<TestClient> backgroundClients = new ArrayList<>();
+  private final Set<TestClient> clients = new LinkedHashSet<>();
+  private final Map<String, Runnable> triggersByFirstPart = new LinkedHashMap<>();
+  private DiscoveryAgent discoveryAgent;
+  private MixerProcess mixer;
+  private InterleavingChecker checker;
+  private EventPair pair;
+  private EmulatedBox targetBox;
+  private TestClient observedClient;
+  private TestClient secondClient;
+  private TestClient idleClient;
+  private Duration watchesMutedAt;
+  private Duration discoveryMovedAt;
+  private Duration terminatedAt;
+  private Runnable shutdownTrigger;
+  private boolean exited;
+  private boolean active;
+  private boolean requestsStopped;
+  private int generation;
+  private int requestCount;
+  private int revision = 1;
+  private Duration startedAt = Duration.ZERO;
+
+  MixerEnvironment(Scenario scenario, Reactor reactor) throws IOException {
+    this.scenario = scenario;
+    this.reactor = reactor;
+    long pid = ProcessHandle.current().pid();
+    address =
+        InetAddress.getByAddress(
+            new byte[] {
+              127,
+              (byte) (64 + pid % 128),
+              (byte) (pid >> 7),
+              (byte) (1 + INSTANCES.getAndIncrement() % 250)
+            });
+    discoveryAgent = new DiscoveryAgent();
+    tick();
+    keepWatchesAlive();
+  }
+
+  private InetSocketAddress localAddress(int port) {
+    return new InetSocketAddress(address, port);
+  }
+
+  InetSocketAddress discoveryAddress() {
+    return discoveryAgent.listener.address();
+  }
+
+  void record(String message) {
+    trace.add(
+        String.format(
+            Locale.ROOT, "%6d ms  %s", reactor.now().minus(startedAt).toMillis(), message));
+  }
+
+  List<String> trace() {
+    return List.copyOf(trace);
+  }
+
+  InterleavingChecker checker() {
+    return checker;
+  }
+
+  private Duration now() {
+    return reactor.now();
+  }
+
+  // ---- one crossing ----
+
+  /** New boxes, known to discovery, and clients of the crossing's own; the mixer may be another. */
+  void begin(MixerProcess process, EventPair eventPair) throws IOException {
+    mixer = process;
+    pair = eventPair;
+    checker = new InterleavingChecker(scenario);
+    trace.clear();
+    startedAt = now();
+    generation++;
+    watchesMutedAt = null;
+    discoveryMovedAt = null;
+    terminatedAt = null;
+    exited = false;
+    requestsStopped = false;
+    active = false;
+    targetBox = null;
+    triggersByFirstPart.clear();
+    shutdownTrigger = null;
+    for (int i = 0; i < scenario.boxes(); i++) {
+      boxes.add(new EmulatedBox(i, "g" + generation + "-box-" + i));
+    }
+    discoveryAgent.publishAll();
+    for (int i = 0; i < BACKGROUND_CLIENTS; i++) {
+      backgroundClients.add(new TestClient());
+    }
+    observedClient = new TestClient();
+    secondClient = new TestClient();
+    idleClient = new TestClient();
+  }
+
+  /**
+   * Whether each client has had a whole answer, asking until it has: the mixer knows the boxes
+   * then.
+   */
+  boolean warmUp() {
+    boolean allServed = true;
+    for (TestClient client : List.copyOf(clients)) {
+      if (!client.warmedUp) {
+        allServed = false;
+        // a mixer that is asked without a pause serves parts of what it is asked
+        if (!client.connection.closed()
+            && client.requestId == null
+            && client.connected
+            && (client.sentAt == null
+                || now().minus(client.sentAt).compareTo(WARM_UP_INTERVAL) > 0)) {
+          client.sendRequest(scenario.grades().get(0), 0, scenario.folios());
+        }
+      }
+    }
+    return allServed;
+  }
+
+  /** Two scans wait for boxes that hold their answers, and others come steadily. */
+  void sendFirstRequests(Runnable firstPartTrigger) {
+    active = true;
+    boxes.forEach(box -> box.answerMode = AnswerMode.HOLD);
+    Scenario.ServiceClass serviceClass =
+        scenario.grades().get(pair.serviceClassIndex(scenario.grades().size()));
+    String requestId =
+        observedClient.sendRequest(
+            serviceClass, pair.drawBetween("folio", 0, scenario.folios() - 1), 2);
+    triggersByFirstPart.put(
+        requestId,
+        () -> {
+          record("the first frame is at " + targetBox.id);
+          firstPartTrigger.run();
+        });
+    secondClient.sendRequest(scenario.grades().get(0), 0, scenario.folios());
+    sendBackgroundRequests(0);
+  }
+
+  /** Boxes go on with what they held, but for those that hang: by answers, or by resets. */
+  void resumeBoxes() {
+    if (pair.resumesByReset()) {
+      record("boxes reset what is out");
+      boxes.stream()
+          .filter(box -> box.answerMode == AnswerMode.HOLD)
+          .forEach(
+              box -> {
+                box.releaseAnswers(false);
+                List.copyOf(box.connections).stream()
+                    .filter(line -> line.partsInFlight > 0)
+                    .forEach(line -> line.connection.reset());
+              });
+    }
+    releaseAnswers();
+  }
+
+  /** Boxes answer what they held, but for those that hang. */
+  private void releaseAnswers() {
+    record("boxes answer again");
+    for (EmulatedBox box : boxes) {
+      if (box.answerMode == AnswerMode.HOLD) {
+        box.answerMode = AnswerMode.SEND;
+        box.releaseAnswers();
+      }
+    }
+  }
+
+  /** No more requests come. */
+  void stopRequests() {
+    requestsStopped = true;
+  }
+
+  long unansweredRequests() {
+    return checker.unansweredRequests();
+  }
+
+  boolean exited() {
+    return exited;
+  }
+
+  /** All parties of the crossing go. */
+  void dismantle() {
+    active = false;
+    requestsStopped = true;
+    List.copyOf(clients)
+        .forEach(
+            client -> {
+              client.leaving = true;
+              client.connection.close();
+            });
+    clients.clear();
+    backgroundClients.clear();
+    discoveryAgent.becomeAvailable();
+    List.copyOf(discoveryAgent.watches).stream()
+        .filter(watch -> watch.muted)
+        .forEach(watch -> watch.connection.reset());
+    boxes.forEach(EmulatedBox::dismantle);
+    boxes.clear();
+    unnotified.clear();
+  }
+
+  private void sendBackgroundRequests(int index) {
+    if (requestsStopped || !active) {
+      return;
+    }
+    backgroundClients.removeIf(client -> client.connection.closed() || client.mixerClosed);
+    boolean mayConnect =
+        terminatedAt == null || now().minus(terminatedAt).compareTo(CONNECT_AFTER_SIGTERM) < 0;
+    while (backgroundClients.size() < BACKGROUND_CLIENTS && mayConnect && !exited) {
+      backgroundClients.add(new TestClient());
+    }
+    for (TestClient client : backgroundClients) {
+      if (client.connected && client.requestId == null) {
+        Scenario.ServiceClass serviceClass =
+            scenario
+                .grades()
+                .get((int) (pair.drawFraction("steady grade", index) * scenario.grades().size()));
+        client.sendRequest(
+            serviceClass, (int) (pair.drawFraction("steady folio", index) * scenario.folios()), 1);
+        break;
+      }
+    }
+    int startGeneration = generation;
+    reactor.after(
+        BACKGROUND_INTERVAL,
+        () -> {
+          if (startGeneration == generation) {
+            sendBackgroundRequests(index + 1);
+          }
+        });
+  }
+
+  private void tick() {
+    reactor.after(
+        TICK_INTERVAL,
+        () -> {
+          if (checker != null) {
+            checker.heartbeat(now());
+            if (mixer != null) {
+              mixer.log().forEach(this::mixerLogged);
+              if (!mixer.alive() && !exited) {
+                exited = true;
+                record("the mixer has ended with " + mixer.exitCode());
+                checker.processExited(mixer.exitCode(), now());
+              }
+            }
+            if (active) {
+              checker.checkDeadlines(now(), !exited);
+            }
+            notifyIfDelivered();
+          }
+          tick();
+        });
+  }
+
+  private void mixerLogged(String line) {
+    record("log: " + line);
+    if (line.contains("ending:") && shutdownTrigger != null) {
+      Runnable trigger = shutdownTrigger;
+      shutdownTrigger = null;
+      trigger.run();
+    }
+  }
+
+  private void keepWatchesAlive() {
+    reactor.after(
+        WATCH_KEEPALIVE_INTERVAL,
+        () -> {
+          discoveryAgent.sendLine("");
+          keepWatchesAlive();
+        });
+  }
+
+  // ---- the events ----
+
+  /** Does what the event says; {@code seen} is run once its point has been reached. */
+  void inject(Event event, Runnable trigger) throws IOException {
+    record("event " + event);
+    switch (event) {
+      case SIGTERM -> {
+        checker.terminationSignalled(now());
+        terminatedAt = terminatedAt == null ? now() : terminatedAt;
+        boolean alreadyEnding =
+            shutdownTrigger == null && trace.stream().anyMatch(line -> line.contains("ending:"));
+        mixer.terminate();
+        if (alreadyEnding) {
+          trigger.run();
+        } else {
+          shutdownTrigger = trigger;
+        }
+      }
+      case SIGHUP_MOVES -> moveDiscovery(trigger);
+      case WATCH_SILENT -> {
+        discoveryAgent.watches.forEach(watch -> watch.muted = true);
+        watchesMutedAt = now();
+        trigger.run();
+      }
+      case WATCH_RESET -> {
+        List.copyOf(discoveryAgent.watches).forEach(watch -> watch.connection.reset());
+        trigger.run();
+      }
+      case DISCOVERY_DOWN, DISCOVERY_DOWN_FORGETS -> {
+        DiscoveryAgent unavailableAgent = discoveryAgent;
+        unavailableAgent.unavailable = true;
+        unavailableAgent.dropsPendingCalls = event == Event.DISCOVERY_DOWN_FORGETS;
+        reactor.after(Duration.ofMillis(pair.discoveryDownMs()), unavailableAgent::becomeAvailable);
+        trigger.run();
+      }
+      case LIST_DRAINS -> {
+        targetBox.box.drain();
+        targetBox.publishPhase("DRAINING");
+        trigger.run();
+      }
+      case LIST_GONE -> {
+        targetBox.publishPhase("DELETED");
+        trigger.run();
+      }
+      case LIST_BACK_COLD -> {
+        targetBox.crash();
+        targetBox.listen();
+        targetBox.upSinceMs = System.currentTimeMillis();
+        targetBox.box.start(true);
+        targetBox.publishPhase("SERVING");
+        trigger.run();
+      }
+      case LIST_MOVED -> {
+        targetBox.listener.close();
+        List<BoxConnection> previous = List.copyOf(targetBox.connections);
+        targetBox.listen();
+        targetBox.publishPhase("SERVING");
+        previous.forEach(line -> line.connection.close());
+        trigger.run();
+      }
+      case BOXES_CLOSE_IDLE -> {
+        for (EmulatedBox box : boxes) {
+          List.copyOf(box.connections).stream()
+              .filter(line -> line.partsInFlight == 0)
+              .forEach(line -> line.connection.close());
+        }
+        trigger.run();
+      }
+      case BOX_RESETS -> {
+        targetBox.releaseAnswers(false);
+        List.copyOf(targetBox.connections).stream()
+            .filter(line -> line.partsInFlight > 0)
+            .forEach(line -> line.connection.reset());
+        trigger.run();
+      }
+      case BOX_ENDS -> {
+        targetBox.releaseAnswers(false);
+        List.copyOf(targetBox.connections).stream()
+            .filter(line -> line.partsInFlight > 0)
+            .forEach(line -> line.connection.close());
+        trigger.run();
+      }
+      case BOX_HANGS -> {
+        targetBox.answerMode = AnswerMode.HANG;
+        trigger.run();
+      }
+      case BOX_TRICKLES -> targetBox.trickleAnswer(trigger);
+      case BOX_LATE -> targetBox.acceptLate(trigger);
+      case BOXES_LATE -> {
+        for (EmulatedBox box : boxes) {
+          if (box != targetBox) {
+            box.acceptLate(() -> {});
+          }
+        }
+        targetBox.acceptLate(trigger);
+      }
+      case ANSWER -> {
+        observedClient.answerTrigger = trigger;
+        releaseAnswers();
+        reactor.after(TRIGGER_FALLBACK, () -> triggerOnce(observedClient, trigger));
+      }
+      case CLIENT_CLOSES -> {
+        observedClient.leave(false);
+        trigger.run();
+      }
+      case CLIENT_RESETS -> {
+        observedClient.leave(true);
+        trigger.run();
+      }
+      case CLIENT_FLOODS -> {
+        secondClient.flood();
+        trigger.run();
+      }
+      case CLIENT_NEXT -> {
+        if (idleClient.connection.closed()
+            || idleClient.requestId != null
+            || idleClient.mixerClosed) {
+          trigger.run();
+        } else {
+          triggerOnFirstPart(
+              idleClient.sendRequest(scenario.grades().get(pair.drawBetween("next", 0, 2)), 0, 2),
+              trigger);
+        }
+      }
+      case CLIENT_ASKS_GOES -> {
+        if (idleClient.connection.closed()
+            || idleClient.requestId != null
+            || idleClient.mixerClosed) {
+          trigger.run();
+        } else {
+          idleClient.sendRequest(
+              scenario.grades().get(pair.drawBetween("next", 0, 2)),
+              pair.drawBetween("next folio", 0, 3),
+              2);
+          reactor.after(
+              Duration.ofMillis(pair.drawBetween("goes", 0, 60)),
+              () -> {
+                idleClient.leave(pair.drawFraction("goes by reset") < 0.5);
+                trigger.run();
+              });
+        }
+      }
+      case CLIENT_RESTS -> {
+        TestClient newIdleClient = new TestClient();
+        newIdleClient.sendsAfterClose = true;
+        newIdleClient.onConnected = trigger;
+      }
+      case CLIENTS_MANY -> {
+        Runnable[] pendingTrigger = {trigger};
+        for (int i = 0; i < BURST_CLIENTS; i++) {
+          TestClient client = new TestClient();
+          int partition = i % scenario.folios();
+          client.onConnected =
+              () -> {
+                String requestId = client.sendRequest(scenario.grades().get(0), partition, 2);
+                triggersByFirstPart.put(
+                    requestId,
+                    () -> {
+                      if (pendingTrigger[0] != null) {
+                        Runnable due = pendingTrigger[0];
+                        pendingTrigger[0] = null;
+                        due.run();
+                      }
+                    });
+              };
+        }
+        reactor.after(
+            TRIGGER_FALLBACK,
+            () -> {
+              if (pendingTrigger[0] != null) {
+                pendingTrigger[0].run();
+                pendingTrigger[0] = null;
+              }
+            });
+      }
+      default -> throw new IllegalStateException(event.toString());
+    }
+  }
+
+  /** Runs it at the first frame of a request, or after a while where none comes. */
+  private void triggerOnFirstPart(String requestId, Runnable trigger) {
+    Runnable[] pending = {trigger};
+    Runnable callback =
+        () -> {
+          if (pending[0] != null) {
+            pending[0] = null;
+            trigger.run();
+          }
+        };
+    triggersByFirstPart.put(requestId, callback);
+    reactor.after(TRIGGER_FALLBACK, callback);
+  }
+
+  private static void triggerOnce(TestClient client, Runnable trigger) {
+    if (client.answerTrigger == trigger) {
+      client.answerTrigger = null;
+      trigger.run();
+    }
+  }
+
+  private void moveDiscovery(Runnable trigger) throws IOException {
+    DiscoveryAgent previousAgent = discoveryAgent;
+    discoveryAgent = new DiscoveryAgent();
+    discoveryAgent.watchTrigger = trigger;
+    discoveryMovedAt = now();
+    watchesMutedAt = null;
+    String emptyMemberList = "{\"revision\":0,\"complete\":true,\"members\":[]}";
+    InetSocketAddress newAddress = discoveryAgent.listener.address();
+    Thread thread =
+        new Thread(
+            () -> { // the signal is another process's to send: the reactor does not wait
+              try {
+                mixer.reload(scenario, newAddress, emptyMemberList);
+              } catch (IOException e) {
+                throw new UncheckedIOException(e);
+              }
+            },
+            "reload");
+    thread.setDaemon(true);
+    thread.start();
+    reactor.after(Duration.ofSeconds(10), previousAgent.listener::close);
+  }
+
+  // ---- what counts as told ----
+
+  private void notifyIfDelivered() {
+    if (unnotified.isEmpty() || discoveryAgent.unavailable) {
+      return;
+    }
+    boolean watchesSilent =
+        watchesMutedAt != null && now().minus(watchesMutedAt).compareTo(MAX_WATCH_SILENCE) < 0;
+    boolean discoveryMoving =
+        discoveryMovedAt != null && now().minus(discoveryMovedAt).compareTo(MAX_DISCOVERY_MOVE) < 0;
+    if (!watchesSilent && !discoveryMoving) {
+      List.copyOf(unnotified).forEach(this::mixerNotified);
+    }
+  }
+
+  private void mixerNotified(EmulatedBox box) {
+    unnotified.remove(box);
+    record("told: " + box.id + " is " + box.phase);
+    checker.mixerNotified(box.number, box.phase.equals("SERVING") ? null : now());
+  }
+
+  /** A mixer's agent of discovery: one list, pushed to whoever watches. */
+  private final class DiscoveryAgent {
+    final Reactor.Listening listener;
+    final Set<DiscoveryCall> watches = new LinkedHashSet<>();
+    final List<DiscoveryCall> pendingCalls = new ArrayList<>();
+    boolean unavailable;
+    boolean dropsPendingCalls;
+    Runnable watchTrigger;
+
+    DiscoveryAgent() throws IOException {
+      listener = reactor.listen(localAddress(0), connection -> new DiscoveryCall(this, connection));
+    }
+
+    String memberListJson(boolean complete, List<EmulatedBox> members) {
+      return "{\"revision\":"
+          + revision
+          + ",\"complete\":"
+          + complete
+          + ",\"members\":["
+          + members.stream()
+              .filter(box -> !complete || !box.phase.equals("DELETED"))
+              .map(EmulatedBox::memberJson)
+              .collect(Collectors.joining(","))
+          + "]}";
+    }
+
+    void sendLine(String line) {
+      if (!unavailable) {
+        watches.stream().filter(watch -> !watch.muted).forEach(watch -> watch.sendLine(line));
+      }
+    }
+
+    void publishAll() {
+      revision++;
+      sendLine(memberListJson(true, boxes));
+    }
+
+    void publishChange(EmulatedBox box) {
+      revision++;
+      unnotified.add(box);
+      if (!unavailable) {
+        sendLine(memberListJson(false, List.of(box)));
+        if (watches.stream().anyMatch(watch -> !watch.muted)) {
+          mixerNotified(box);
+        }
+      }
+      notifyIfDelivered();
+    }
+
+    /**
+     * What it has been sent meanwhile, it says at once: to open watches, and to calls that still
+     * wait.
+     */
+    void becomeAvailable() {
+      if (!unavailable) {
+        return;
+      }
+      unavailable = false;
+      record("discovery is back");
+      sendLine(unnotified.isEmpty() ? "" : memberListJson(false, List.copyOf(unnotified)));
+      List<DiscoveryCall> calls = dropsPendingCalls ? List.of() : List.copyOf(pendingCalls);
+      pendingCalls.clear();
+      calls.stream().filter(call -> !call.connection.closed()).forEach(DiscoveryCall::respond);
+      notifyIfDelivered();
+    }
+  }
+
+  private final class DiscoveryCall implements ReactorConnection.Handler {
+    private final DiscoveryAgent agent;
+    private final ReactorConnection connection;
+    private final StringBuilder request = new StringBuilder();
+    private boolean isWatch;
+    private boolean muted;
+
+    DiscoveryCall(DiscoveryAgent agent, ReactorConnection connection) {
+      this.agent = agent;
+      this.connection = connection;
+    }
+
+    @Override
+    public void bytes(byte[] bytes, int length) {
+      request.append(new String(bytes, 0, length, StandardCharsets.ISO_8859_1));
+      if (request.indexOf("\r\n\r\n") < 0) {
+        return;
+      }
+      isWatch = request.indexOf("stream=1") >= 0;
+      request.setLength(0);
+      record(
+          "discovery is called"
+              + (isWatch ? " for a watch" : "")
+              + (agent.unavailable ? ", and is down" : ""));
+      if (agent.unavailable) {
+        agent.pendingCalls.add(this);
+      } else {
+        respond();
+      }
+      if (isWatch && agent.watchTrigger != null) {
+        Runnable trigger = agent.watchTrigger;
+        agent.watchTrigger = null;
+        trigger.run();
+      }
+    }
+
+    void respond() {
+      String memberList = agent.memberListJson(true, boxes);
+      if (isWatch) {
+        connection.put(
+            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+                .getBytes(StandardCharsets.US_ASCII));
+        agent.watches.add(this);
+        sendLine(memberList);
+        if (agent == discoveryAgent) {
+          watchesMutedAt = null;
+          discoveryMovedAt = null;
+          List.copyOf(unnotified).forEach(MixerEnvironment.this::mixerNotified);
+        }
+      } else {
+        connection.put(
+            ("HTTP/1.1 200 OK\r\nContent-Length: " + memberList.length() + "\r\n\r\n" + memberList)
+                .getBytes(StandardCharsets.US_ASCII));
+      }
+    }
+
+    void sendLine(String line) {
+      connection.put(
+          (Integer.toHexString(line.length() + 1) + "\r\n" + line + "\n\r\n")
+              .getBytes(StandardCharsets.US_ASCII));
+    }
+
+    @Override
+    public void closed() {
+      agent.watches.remove(this);
+      agent.pendingCalls.remove(this);
+    }
+  }
+
+  // ---- boxes ----
+
+  private final class EmulatedBox implements Box.Host {
+    final int number;
+    final String id;
+    final Box box;
+    final Set<BoxConnection> connections = new LinkedHashSet<>();
+    private final List<Runnable> heldAnswers = new ArrayList<>();
+    Reactor.Listening listener;
+    String phase = "SERVING";
+    long upSinceMs;
+    AnswerMode answerMode = AnswerMode.SEND;
+    private int port;
+
+    /**
+     * How often it has listened anew: what was to come up late does not, once its place is taken.
+     */
+    private int incarnation;
+
+    private boolean acceptsLate;
+    private ServerSocketChannel fullListener;
+    private final List<SocketChannel> backlogFillers = new ArrayList<>();
+
+    EmulatedBox(int number, String id) throws IOException {
+      this.number = number;
+      this.id = id;
+      box = new Box(scenario, number, this);
+      box.start(false);
+      listen();
+    }
+
+    void listen() throws IOException {
+      incarnation++;
+      acceptsLate = false;
+      freeBacklog();
+      listener = reactor.listen(localAddress(0), connection -> new BoxConnection(this, connection));
+      port = listener.address().getPort();
+    }
+
+    String memberJson() {
+      return "{\"id\":\""
+          + id
+          + "\",\"host_port\":\""
+          + address.getHostAddress()
+          + ':'
+          + port
+          + "\",\"locality\":\"a\",\"flavor\":\"emulated\",\"cell\":"
+          + number
+          + ",\"phase\":\""
+          + phase
+          + "\",\"size\":1.0,\"up_since_ms\":"
+          + upSinceMs
+          + "}";
+    }
+
+    void publishPhase(String newPhase) {
+      phase = newPhase;
+      discoveryAgent.publishChange(this);
+    }
+
+    void crash() {
+      box.stop();
+      heldAnswers.clear();
+      listener.close();
+      List.copyOf(connections).forEach(connection -> connection.connection.reset());
+    }
+
+    void dismantle() {
+      incarnation++;
+      crash();
+      freeBacklog();
+    }
+
+    void releaseAnswers() {
+      releaseAnswers(true);
+    }
+
+    /** Answers that were ready leave, or are lost. */
+    void releaseAnswers(boolean send) {
+      List<Runnable> answers = List.copyOf(heldAnswers);
+      heldAnswers.clear();
+      if (send) {
+        answers.forEach(Runnable::run);
+      }
+    }
+
+    /** An answer that has begun, of which a byte comes now and then and never the last. */
+    void trickleAnswer(Runnable trigger) {
+      BoxConnection connection =
+          connections.stream()
+              .filter(candidate -> candidate.partsInFlight > 0 && candidate.lastPartId != null)
+              .findFirst()
+              .orElse(null);
+      if (connection == null) {
+        trigger.run();
+        return;
+      }
+      answerMode = AnswerMode.HANG;
+      releaseAnswers(false);
+      byte[] answerStart =
+          ("R" + connection.lastPartId + " done 1 -\n").getBytes(StandardCharsets.US_ASCII);
+      connection.connection.put(
+          ByteBuffer.allocate(4 + answerStart.length)
+              .order(ByteOrder.LITTLE_ENDIAN)
+              .putInt(60_000)
+              .put(answerStart)
+              .array());
+      trickleByte(connection);
+      reactor.post(trigger);
+    }
+
+    private void trickleByte(BoxConnection connection) {
+      reactor.after(
+          Duration.ofMillis(30),
+          () -> {
+            if (!connection.connection.closed()) {
+              connection.connection.put(new byte[] {'x'});
+              trickleByte(connection);
+            }
+          });
+    }
+
+    /**
+     * Its connections are reset and its backlog is full: a new one comes up when the system asks
+     * again.
+     */
+    void acceptLate(Runnable trigger) throws IOException {
+      if (acceptsLate) { // it is already
+        trigger.run();
+        return;
+      }
+      acceptsLate = true;
+      int startIncarnation = incarnation;
+      releaseAnswers(false);
+      listener.close();
+      List.copyOf(connections).forEach(connection -> connection.connection.reset());
+      fillBacklog(startIncarnation, trigger);
+    }
+
+    private void fillBacklog(int startIncarnation, Runnable trigger) {
+      reactor.after(
+          TICK_INTERVAL,
+          () -> {
+            if (startIncarnation != incarnation) {
+              trigger.run();
+              return;
+            }
+            try {
+              fullListener = ServerSocketChannel.open();
+              fullListener.setOption(StandardSocketOptions.SO_REUSEADDR, true);
+              fullListener.bind(localAddress(port), 1);
+              for (int i = 0; i < 2; i++) {
+                SocketChannel filler = SocketChannel.open();
+                filler.configureBlocking(false); // the mixer may have come first
+                filler.connect(localAddress(port));
+                backlogFillers.add(filler);
+              }
+              record("the backlog of " + id + " is full");
+              awaitDial(now().plus(TRIGGER_FALLBACK), trigger);
+              reactor.after(
+                  Duration.ofMillis(pair.drawBetween("late", 150, 900)),
+                  () -> {
+                    if (startIncarnation == incarnation) {
+                      acceptAgain(startIncarnation);
+                    }
+                  });
+            } catch (
+                BindException e) { // the selector holds a closed channel's port until its next turn
+              freeBacklog();
+              fillBacklog(startIncarnation, trigger);
+            } catch (IOException e) {
+              throw new UncheckedIOException(e);
+            }
+          });
+    }
+
+    private void acceptAgain(int startIncarnation) {
+      freeBacklog();
+      if (startIncarnation != incarnation) {
+        return;
+      }
+      try {
+        listener =
+            reactor.listen(localAddress(port), connection -> new BoxConnection(this, connection));
+        acceptsLate = false;
+        record("the backlog of " + id + " is free");
+      } catch (BindException e) { // a connection of the full backlog still has it
+        reactor.after(TICK_INTERVAL, () -> acceptAgain(startIncarnation));
+      } catch (IOException e) {
+        throw new UncheckedIOException(e);
+      }
+    }
+
+    private void freeBacklog() {
+      try {
+        for (SocketChannel filler : backlogFillers) {
+          filler.close();
+        }
+        backlogFillers.clear();
+        if (fullListener != null) {
+          fullListener.close();
+        }
+        fullListener = null;
+      } catch (IOException e) {
+        throw new UncheckedIOException(e);
+      }
+    }
+
+    /** Waits until the system shows a connection being made to the port, or for a while. */
+    private void awaitDial(Duration deadline, Runnable trigger) {
+      byte[] ip = address.getAddress();
+      String tableEntry =
+          String.format("%02X%02X%02X%02X:%04X 02 ", ip[3], ip[2], ip[1], ip[0], port); // SYN_SENT
+      connectionTableReader.execute(
+          () -> { // thousands of lines take long to read: the reactor does not stand still for them
+            boolean dialled = isDialling(tableEntry);
+            reactor.post(
+                () -> {
+                  if (dialled) {
+                    record("a connection to " + id + " is being made");
+                  }
+                  if (dialled || now().compareTo(deadline) > 0) {
+                    trigger.run();
+                  } else {
+                    reactor.after(TICK_INTERVAL, () -> awaitDial(deadline, trigger));
+                  }
+                });
+          });
+    }
+
+    private boolean isDialling(String tableEntry) {
+      try {
+        for (String table : List.of("/proc/net/tcp", "/proc/net/tcp6")) {
+          if (Files.isReadable(Path.of(table))
+              && Files.readAllLines(Path.of(table)).stream()
+                  .anyMatch(connection -> connection.contains(tableEntry))) {
+            return true;
+          }
+        }
+      } catch (IOException e) {
+        reactor.post(() -> record("no table of connections: " + e.getMessage()));
+      }
+      return false;
+    }
+
+    // ---- Box.Host ----
+
+    @Override
+    public Duration now() {
+      return reactor.now();
+    }
+
+    @Override
+    public void after(Duration delay, Runnable task) {
+      reactor.after(delay, task);
+    }
+
+    @Override
+    public void answer(Box.Part part, String outcome) {
+      Runnable sendAnswer = () -> ((BoxConnection) part.link()).sendAnswer(part, outcome);
+      if (answerMode == AnswerMode.SEND || outcome.equals("full")) {
+        sendAnswer.run();
+      } else {
+        heldAnswers.add(sendAnswer);
+      }
+    }
+
+    @Override
+    public boolean runs(Box.Part part) {
+      return true;
+    }
+
+    @Override
+    public void fell(Box failedBox) {
+      checker.boxFailed(number, reactor.now());
+      record(id + " fell");
+    }
+  }
+
+  /** A connection to a box. */
+  private final class BoxConnection implements ReactorConnection.Handler {
+    private final EmulatedBox box;
+    private final ReactorConnection connection;
+    private final ByteArrayOutputStream buffer = new ByteArrayOutputStream();
+    private int partsInFlight;
+    private String lastPartId;
+
+    BoxConnection(EmulatedBox box, ReactorConnection connection) {
+      this.box = box;
+      this.connection = connection;
+      box.connections.add(this);
+    }
+
+    @Override
+    public void bytes(byte[] bytes, int length) {
+      buffer.write(bytes, 0, length);
+      ByteBuffer pending = ByteBuffer.wrap(buffer.toByteArray()).order(ByteOrder.LITTLE_ENDIAN);
+      while (pending.remaining() >= 4) {
+        int size = pending.getInt(pending.position());
+        if (size < 1 || size > MAX_FRAME_BYTES) {
+          record("a frame of " + size + " bytes at " + box.id);
+          connection.reset();
+          return;
+        }
+        if (pending.remaining() < 4 + size) {
+          break;
+        }
+        byte[] frame = new byte[size];
+        pending.position(pending.position() + 4);
+        pending.get(frame);
+        frameReceived(frame);
+      }
+      buffer.reset();
+      buffer.write(pending.array(), pending.position(), pending.remaining());
+    }
+
+    private void frameReceived(byte[] frame) {
+      switch (frame[0]) {
+        case 'S' -> scan(frame);
+        case 'C' ->
+            box.box.cancel(new String(frame, 1, frame.length - 1, StandardCharsets.US_ASCII));
+        case 'H' -> {
+          if (box.answerMode != AnswerMode.HANG) {
+            sendFrame("Hdone");
+          }
+        }
+        case 'M' -> {
+          if (box.answerMode != AnswerMode.HANG) {
+            sendFrame("M" + loadReport());
+          }
+        }
+        default -> connection.reset();
+      }
+    }
+
+    private void scan(byte[] frame) {
+      for (int offset = 1; offset < frame.length; ) {
+        int end = offset;
+        while (end < frame.length && frame[end] != '\n') {
+          end++;
+        }
+        String[] fields =
+            new String(frame, offset, end - offset, StandardCharsets.US_ASCII).split(" ");
+        int length = Integer.parseInt(fields[3]);
+        String text = new String(frame, end + 1, length, StandardCharsets.UTF_8);
+        offset = end + 1 + length;
+        String key = null;
+        for (String pair : fields[2].split(",")) {
+          key = pair.startsWith("k=") ? pair.substring(2) : key;
+        }
+        partReceived(fields[0], Integer.parseInt(fields[1]), key, text);
+      }
+    }
+
+    private void partReceived(String partId, int partition, String key, String text) {
+      String requestId = requestId(partId);
+      record("part " + partId + " at " + box.id);
+      checker.partReceived(requestId, partition, key, box.number, now());
+      partsInFlight++;
+      lastPartId = partId;
+      if (active
+          && targetBox == null
+          && observedClient.requestId != null
+          && observedClient.requestId.equals(requestId)) {
+        targetBox = box;
+      }
+      Runnable trigger = triggersByFirstPart.remove(requestId);
+      if (trigger != null) {
+        trigger.run();
+      }
+      box.box.part(new Box.Part(this, partId, partition, key, text));
+    }
+
+    private String requestId(String partId) {
+      return partId.substring(0, partId.lastIndexOf('.'));
+    }
+
+    private String loadReport() {
+      return "queue=" + box.box.queued() + ",inflight=" + box.box.inHand();
+    }
+
+    void sendAnswer(Box.Part part, String outcome) {
+      if (connection.closed()) {
+        return;
+      }
+      partsInFlight--;
+      String value = SeededDraw.value(scenario.seed(), part.text(), part.folio());
+      boolean done = outcome.equals("done");
+      checker.partAnswered(
+          requestId(part.id()), part.folio(), box.number, outcome, done ? value : null, now());
+      sendFrame(
+          "R"
+              + part.id()
+              + ' '
+              + outcome
+              + ' '
+              + (done ? SeededDraw.bits(0, value) >>> 33 : 0)
+              + ' '
+              + loadReport()
+              + '\n'
+              + (done ? value : ""));
+    }
+
+    private void sendFrame(String frame) {
+      byte[] bytes = frame.getBytes(StandardCharsets.UTF_8);
+      connection.put(
+          ByteBuffer.allocate(4 + bytes.length)
+              .order(ByteOrder.LITTLE_ENDIAN)
+              .putInt(bytes.length)
+              .put(bytes)
+              .array());
+    }
+
+    @Override
+    public void closed() {
+      box.connections.remove(this);
+    }
+  }
+
+  // ---- clients ----
+
+  /** One client's connection, a request at a time. */
+  private final class TestClient extends HttpHandler {
+    final ReactorConnection connection;
+    private final int ownGeneration = generation;
+    String requestId;
+    Duration sentAt;
+    boolean connected;
+    boolean mixerClosed;
+    boolean warmedUp;
+    boolean leaving;
+    boolean sendsAfterClose;
+    Runnable onConnected;
+    Runnable answerTrigger;
+
+    TestClient() {
+      super(false, 1 << 20);
+      clients.add(this);
+      connection = reactor.dial(mixer.address(), this);
+    }
+
+    @Override
+    public void opened() {
+      connected = true;
+      if (onConnected != null) {
+        onConnected.run();
+      }
+    }
+
+    private byte[] requestBytes(
+        String requestId, Scenario.ServiceClass serviceClass, Map<Integer, Double> shares) {
+      String text = serviceClass.name() + ':' + requestId;
+      String json =
+          "{\"targets\":["
+              + shares.entrySet().stream()
+                  .map(
+                      share ->
+                          "{\"partition\":"
+                              + share.getKey()
+                              + ",\"share\":"
+                              + share.getValue()
+                              + ",\"est_us\":3000}")
+                  .collect(Collectors.joining(","))
+              + "],\"query\":\""
+              + text
+              + "\"}";
+      return ("POST /api HTTP/1.1\r\nHost: mixer\r\nX-Txn: "
+              + requestId
+              + "\r\nX-Lane: "
+              + serviceClass.name()
+              + "\r\nX-Remaining-Ms: "
+              + serviceClass.patience().toMillis()
+              + (idempotencyKey(requestId, serviceClass) == null
+                  ? ""
+                  : "\r\nIdempotency-Key: " + idempotencyKey(requestId, serviceClass))
+              + "\r\nContent-Length: "
+              + json.length()
+              + "\r\n\r\n"
+              + json)
+          .getBytes(StandardCharsets.US_ASCII);
+    }
+
+    private static String idempotencyKey(String requestId, Scenario.ServiceClass serviceClass) {
+      return serviceClass.repeats() == Scenario.RetrySafety.KEYED
+          ? String.format("%032x", SeededDraw.bits(5, requestId) >>> 1)
+          : null;
+    }
+
+    private static Map<Integer, Double> partitionShares(
+        int firstPartition, int count, int partitionCount) {
+      Map<Integer, Double> shares = new LinkedHashMap<>();
+      for (int i = 0; i < count; i++) {
+        shares.put((firstPartition + i) % partitionCount, 1.0 / count);
+      }
+      return shares;
+    }
+
+    /** Asks for so many folios from a first one; returns the request's mark. */
+    String sendRequest(Scenario.ServiceClass serviceClass, int firstPartition, int count) {
+      requestId = String.format("%08x%08x", generation, requestCount++);
+      Map<Integer, Double> shares = partitionShares(firstPartition, count, scenario.folios());
+      connection.put(requestBytes(requestId, serviceClass, shares));
+      sentAt = now();
+      checker.requestSent(
+          requestId, serviceClass.name(), shares, idempotencyKey(requestId, serviceClass), sentAt);
+      record("asked " + requestId + ' ' + serviceClass.name());
+      return requestId;
+    }
+
+    /** Closes, in order or by a reset, whatever it waits for. */
+    void leave(boolean reset) {
+      leaving = true;
+      if (requestId != null) {
+        checker.clientLeft(requestId, now());
+        record(requestId + " has gone");
+      }
+      if (reset) {
+        connection.reset();
+      } else {
+        connection.close();
+      }
+    }
+
+    /** Sends the beginning of a long request behind the one at hand, and closes. */
+    void flood() {
+      if (connection.closed()) {
+        return;
+      }
+      connection.put(
+          ("POST /api HTTP/1.1\r\nHost: mixer\r\nX-Txn: f"
+                  + requestId
+                  + "\r\nX-Lane: "
+                  + scenario.grades().get(0).name()
+                  + "\r\nX-Remaining-Ms: 1000\r\nContent-Length: 60000\r\n\r\n")
+              .getBytes(StandardCharsets.US_ASCII));
+      connection.put(new byte[FLOOD_BYTES]);
+      leaving = true;
+      connection.close(); // once all has left, which closed() tells
+    }
+
+    @Override
+    public boolean keepsHalfOpen() {
+      mixerClosed = true;
+      record(
+          "the mixer has ended "
+              + (requestId == null
+                  ? "a resting client's connection"
+                  : "the connection of " + requestId));
+      if (!sendsAfterClose || requestId != null) {
+        return false;
+      }
+      requestId = String.format("%08x%08x", generation, requestCount++);
+      Scenario.ServiceClass serviceClass = scenario.grades().get(0);
+      Map<Integer, Double> shares = partitionShares(0, 2, scenario.folios());
+      checker.requestSentAfterClose(requestId, serviceClass.name(), shares, null, now());
+      connection.put(requestBytes(requestId, serviceClass, shares));
+      record("asked " + requestId + " after that");
+      reactor.after(Duration.ofMillis(200), connection::reset);
+      return true;
+    }
+
+    @Override
+    protected void malformed(HttpException e) {
+      record("the answer to " + requestId + " is no HTTP: " + e.getMessage());
+      connection.reset();
+    }
+
+    @Override
+    protected void message(MessageHead head, byte[] json) {
+      if (answerTrigger != null) {
+        Runnable trigger = answerTrigger;
+        answerTrigger = null;
+        trigger.run();
+      }
+      if (requestId == null) {
+        return;
+      }
+      Answer answer = Answer.read(head, json);
+      boolean served =
+          answer.fate() == ObservedScan.ScanOutcome.WHOLE
+              || answer.fate() == ObservedScan.ScanOutcome.PART;
+      record("answered " + requestId + ' ' + answer.status() + (served ? " " + answer.fate() : ""));
+      warmedUp |= answer.fate() == ObservedScan.ScanOutcome.WHOLE;
+      if (ownGeneration == generation && !leaving) {
+        checker.answered(
+            requestId,
+            now(),
+            answer.fate() == ObservedScan.ScanOutcome.NACKED,
+            answer.whole(),
+            served ? answer.values() : null);
+      }
+      requestId = null;
+      if (head.hasToken("connection", "close")) {
+        connection.close();
+      } else if (terminatedAt != null && backgroundClients.contains(this) && !leaving) {
+        // until the connection ends, so that its end crosses a request
+        sendRequest(
+            scenario.grades().get(requestCount % scenario.grades().size()),
+            requestCount % scenario.folios(),
+            1);
+      }
+    }
+
+    @Override
+    public void closed() {
+      clients.remove(this);
+      if (ownGeneration != generation || requestId == null) {
+        return;
+      }
+      if (leaving) {
+        checker.clientLeft(requestId, now());
+        record(requestId + " has gone");
+      } else if (!connected) {
+        checker.connectionRefused(requestId);
+      } else {
+        record(
+            "the connection of "
+                + requestId
+                + " was "
+                + (mixerClosed ? "ended" : "reset")
+                + " by the mixer");
+        checker.connectionEnded(requestId, now());
+      }
+    }
+  }
+}
--- a/emulator/src/test/java/gingerring/emulator/harness/FleetRigTest.java
+++ b/emulator/src/test/java/gingerring/emulator/harness/FleetHarnessTest.java
@@ -15,73 +15,73 @@
 /**
  * Eight real mixers and what breaks between them. What must hold holds whatever the machine's pace.
  */
-class FleetRigTest {
-  private static final String QUICK =
+class FleetHarnessTest {
+  private static final String FAST_PEER_SETTINGS =
       "\"settings\": {\"period_ms\": 200, \"ack_ms\": 60, \"say_ms\": 200, "
           + "\"reconnect_ms\": 500, \"round_ms\": 500, \"step_ms\": 100, \"witnesses\": 3}";
 
-  private static Fleet.Result play(String world, String fleet)
+  private static Fleet.Result run(String scenarioFields, String fleetFields)
       throws IOException, Scenario.InvalidScenario {
-    String usual =
-        (world.contains("rate") ? "" : "\"rate\": 30, ")
-            + (world.contains("lengthMs") ? "" : "\"lengthMs\": 8000, ");
+    String defaults =
+        (scenarioFields.contains("rate") ? "" : "\"rate\": 30, ")
+            + (scenarioFields.contains("lengthMs") ? "" : "\"lengthMs\": 8000, ");
     String json =
         "{\"boxes\": 9, \"folios\": 9, \"clients\": 32, "
-            + usual
-            + world
+            + defaults
+            + scenarioFields
             + "\"fleet\": {\"mixers\": 8, \"zones\": [\"a\", \"b\", \"c\"], "
-            + QUICK
-            + fleet
+            + FAST_PEER_SETTINGS
+            + fleetFields
             + "}}";
-    return Fleet.of(FleetScenario.read(json.getBytes()));
+    return Fleet.run(FleetScenario.read(json.getBytes()));
   }
 
-  private static void sound(Fleet.Result result) {
+  private static void assertNoViolation(Fleet.Result result) {
     assertEquals(
         List.of(),
         result.referee.shown(),
         "the rig itself stood still for " + result.referee.stall());
     assertEquals(List.of(), result.crashes);
-    assertEquals(0, result.failures);
+    assertEquals(0, result.eventFailures);
   }
 
-  private static void together(Fleet.Result result) {
-    sound(result);
-    assertEquals(Collections.nCopies(8, 7), result.present, "each takes all others for there");
+  private static void assertAllPeersVisible(Fleet.Result result) {
+    assertNoViolation(result);
+    assertEquals(Collections.nCopies(8, 7), result.visiblePeers, "each takes all others for there");
   }
 
   @Test
-  void aCalmFleetThatTalksKeepsTheRules() throws Exception {
-    Fleet.Result result = play("", ", \"peers\": true, \"uneven\": 10");
-    together(result);
+  void fleetWithPeersAndNoFaultsKeepsTheRules() throws Exception {
+    Fleet.Result result = run("", ", \"peers\": true, \"uneven\": 10");
+    assertAllPeersVisible(result);
     assertTrue(result.referee.judged() > 150);
-    double bytes = result.letters[1] / result.seconds / 8;
+    double bytes = result.datagramCounts[1] / result.elapsedSeconds / 8;
     assertTrue(bytes < 16_384, bytes + " bytes a second and mixer");
   }
 
   @Test
-  void sevenInTenAreKilledAndBackWithinASecond() throws Exception {
-    together(
-        play(
+  void seventyPercentOfMixersKilledAndRestarted() throws Exception {
+    assertAllPeersVisible(
+        run(
             "",
             ", \"peers\": true, \"faults\": [{\"kind\": \"kill\", \"atMs\": 2000, \"forMs\": 800, "
                 + "\"share\": 0.7}]"));
   }
 
   @Test
-  void aFleetIsRolledUnderLoad() throws Exception {
-    together(
-        play(
+  void rollingRestartUnderLoad() throws Exception {
+    assertAllPeersVisible(
+        run(
             "\"lengthMs\": 20000, ",
             ", \"peers\": true, \"faults\": [{\"kind\": \"roll\", \"atMs\": 500, "
                 + "\"forMs\": 13500, \"mixers\": [0, 3, 6]}]"));
   }
 
   @Test
-  void halvesThatAreCutGoOnAndMeetAgain() throws Exception {
+  void peerPartitionHeals() throws Exception {
     for (String kind : List.of("cut_peers", "cut_peers_one_way")) {
-      together(
-          play(
+      assertAllPeersVisible(
+          run(
               "\"lengthMs\": 14000, ",
               ", \"peers\": true, \"faults\": [{\"kind\": \""
                   + kind
@@ -90,9 +90,9 @@
   }
 
   @Test
-  void letterLossDoublingAndReorderingHarmNothing() throws Exception {
-    together(
-        play(
+  void datagramLossDuplicationAndReordering() throws Exception {
+    assertAllPeersVisible(
+        run(
             "",
             ", \"peers\": true, \"faults\": [{\"kind\": \"lose\", \"atMs\": 0, \"forMs\": 5000, "
                 + "\"size\": 0.2}, {\"kind\": \"double\", \"atMs\": 0, \"forMs\": 8000, \"size\": 0.2}, "
@@ -100,20 +100,20 @@
   }
 
   @Test
-  void whoIsStoppedComesBack() throws Exception {
+  void stoppedMixersRejoin() throws Exception {
     Fleet.Result result =
-        play(
+        run(
             "\"lengthMs\": 14000, ",
             ", \"peers\": true, \"faults\": [{\"kind\": \"stop\", "
                 + "\"atMs\": 2000, \"forMs\": 5000, \"mixers\": [2, 5]}]");
-    together(result);
+    assertAllPeersVisible(result);
   }
 
   /** A mixer cut from boxes and not from peers, slow and broken ways, and lists that come late. */
   @Test
-  void brokenWaysToBoxesBreakNoRule() throws Exception {
-    together(
-        play(
+  void faultyBoxLinksBreakNoRule() throws Exception {
+    assertAllPeersVisible(
+        run(
             "",
             ", \"peers\": true, \"faults\": [{\"kind\": \"cut\", \"atMs\": 1000, \"forMs\": 2000, "
                 + "\"mixers\": [1]}, {\"kind\": \"delay\", \"atMs\": 1000, \"forMs\": 3000, \"mixers\": [2], \"size\": 60}, "
@@ -125,37 +125,39 @@
 
   /** Three of nine boxes hang: with talk they are asked by turns, and without by each of eight. */
   @Test
-  void aBenchedBoxIsAskedByTurns() throws Exception {
-    String world =
+  void mixersShareProbesOfAnEjectedBox() throws Exception {
+    String scenarioFields =
         "\"lengthMs\": 16000, \"troubles\": [{\"kind\": \"hang\", \"atMs\": 1000, \"forMs\": 11000, "
             + "\"boxes\": 3}], ";
-    Fleet.Result alone = play(world, "");
-    Fleet.Result talking = play(world, ", \"peers\": true");
-    sound(alone);
-    together(talking);
+    Fleet.Result withoutPeers = run(scenarioFields, "");
+    Fleet.Result withPeers = run(scenarioFields, ", \"peers\": true");
+    assertNoViolation(withoutPeers);
+    assertAllPeersVisible(withPeers);
     // a round lasts 500 ms: one ask for each box, and one more where a word came late
-    assertTrue(talking.probes(4, 11) <= 3 * 2 * 16, talking.probes(4, 11) + " asks in 8 s");
-    assertTrue(talking.probes(4, 11) >= 8, "they are asked: " + talking.probes);
-    assertTrue(alone.probes(4, 11) >= 8, "and were before: " + alone.probes);
+    assertTrue(
+        withPeers.probeCount(4, 11) <= 3 * 2 * 16, withPeers.probeCount(4, 11) + " asks in 8 s");
+    assertTrue(withPeers.probeCount(4, 11) >= 8, "they are asked: " + withPeers.probesBySecond);
+    assertTrue(
+        withoutPeers.probeCount(4, 11) >= 8, "and were before: " + withoutPeers.probesBySecond);
   }
 
   /**
    * A third of the boxes, one zone, crash and are back cold at once: none is pushed over by eight.
    */
   @Test
-  void aZoneOfBoxesIsBackColdUnderAllMixers() throws Exception {
-    together(
-        play(
+  void zoneOfBoxesRestartsColdUnderAllMixers() throws Exception {
+    assertAllPeersVisible(
+        run(
             "\"rate\": 60, \"lengthMs\": 10000, \"troubles\": [{\"kind\": \"crash\", \"atMs\": 2000, "
                 + "\"forMs\": 2000, \"boxes\": 3}], ",
             ", \"peers\": true"));
   }
 
   @Test
-  void aPeerThatLiesBreaksNothing() throws Exception {
-    Fleet.Result result = play("", ", \"peers\": true, \"liars\": 1");
-    sound(result);
-    assertEquals(Collections.nCopies(8, 8), result.present, "the one that lies is there too");
+  void byzantinePeerBreaksNoRule() throws Exception {
+    Fleet.Result result = run("", ", \"peers\": true, \"liars\": 1");
+    assertNoViolation(result);
+    assertEquals(Collections.nCopies(8, 8), result.visiblePeers, "the one that lies is there too");
     assertTrue(result.tally.service() > 0.9, "service " + result.tally.service());
   }
 
@@ -165,21 +167,21 @@
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
-  void faultsThatOverlapBreakNoRule(long seed) throws Exception {
-    String plan = OverlappingFaults.of(seed, 5, 9, 8000);
-    assertEquals(plan, OverlappingFaults.of(seed, 5, 9, 8000));
-    Fleet.Result result = Fleet.of(FleetScenario.read(plan.getBytes()));
-    sound(result);
-    assertEquals(Fleet.Verdict.KEPT, result.verdict(), plan + result.errors);
+  void overlappingFaultsBreakNoRule(long seed) throws Exception {
+    String json = OverlappingFaults.generate(seed, 5, 9, 8000);
+    assertEquals(json, OverlappingFaults.generate(seed, 5, 9, 8000));
+    Fleet.Result result = Fleet.run(FleetScenario.read(json.getBytes()));
+    assertNoViolation(result);
+    assertEquals(Fleet.Verdict.KEPT, result.verdict(), json + result.errors);
   }
 
   /**
    * A mixer that is stopped, killed while it is, and rolled meanwhile, ends the run as any other.
    */
   @Test
-  void oneProcessIsStruckByAllAtOnce() throws Exception {
-    together(
-        play(
+  void stopKillAndRestartOfOneProcessOverlap() throws Exception {
+    assertAllPeersVisible(
+        run(
             "\"lengthMs\": 14000, ",
             ", \"peers\": true, \"faults\": ["
                 + "{\"kind\": \"stop\", \"atMs\": 1000, \"forMs\": 3000, \"mixers\": [2, 5]}, "
@@ -189,9 +191,9 @@
   }
 
   @Test
-  void aRunThatCannotEndSaysWhomItWaitsForAndIsStillTold() throws Exception {
+  void unfinishedRunReportsWhatItWaitsFor() throws Exception {
     Fleet.Result result =
-        play(
+        run(
             "\"lengthMs\": 1500, ",
             ", \"spareMs\": 0, \"faults\": [{\"kind\": \"stop\", "
                 + "\"atMs\": 500, \"forMs\": 60000}]");
@@ -201,14 +203,16 @@
     HarnessError error = result.errors.get(0);
     assertEquals("RIG_NOT_ENDED", error.code());
     assertTrue(
-        error.place().contains(" owes ") && error.place().contains("m0 is stopped by the schedule"),
+        error.subject().contains(" owes ")
+            && error.subject().contains("m0 is stopped by the schedule"),
         error.getMessage());
-    assertTrue(result.tally.asked > 0 && result.connections[0] > 0 && !error.remedy().isEmpty());
+    assertTrue(
+        result.tally.asked > 0 && result.connectionCounts[0] > 0 && !error.remedy().isEmpty());
   }
 
   @Test
-  void aDescriptionThatCannotBeIsRefusedByPlace() {
-    for (String[] each :
+  void invalidScenarioIsRejectedWithItsPath() {
+    for (String[] jsonAndMessage :
         new String[][] {
           {"{\"fleet\": {\"mixer\": 3}}", "fleet.mixer is unknown"},
           {
@@ -222,10 +226,12 @@
           {"{\"boxen\": 3}", "boxen is unknown"}
         }) {
       assertTrue(
-          assertThrows(Scenario.InvalidScenario.class, () -> FleetScenario.read(each[0].getBytes()))
+          assertThrows(
+                  Scenario.InvalidScenario.class,
+                  () -> FleetScenario.read(jsonAndMessage[0].getBytes()))
               .getMessage()
-              .startsWith(each[1]),
-          each[1]);
+              .startsWith(jsonAndMessage[1]),
+          jsonAndMessage[1]);
     }
   }
 }
--- /dev/null
+++ b/emulator/src/test/java/gingerring/emulator/interleaving/InterleavingCheckerTest.java
@@ -0,0 +1,337 @@
+package gingerring.emulator.interleaving;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import gingerring.emulator.core.Scenario;
+import java.time.Duration;
+import java.util.List;
+import java.util.Map;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+
+/**
+ * Doctored records: each check of the judge fails on its foul, and lets the nearest sound record
+ * by.
+ */
+class InterleavingCheckerTest {
+  private static final Map<Integer, Double> SHARES = Map.of(0, 0.5, 1, 0.5);
+  private static final int BOX = 1; // of folios 0 and 1
+
+  private InterleavingChecker checker;
+
+  @BeforeEach
+  void createChecker() throws Scenario.InvalidScenario {
+    checker = new InterleavingChecker(Scenario.read(InterleavingRunner.SCENARIO_JSON.getBytes()));
+  }
+
+  private static Duration ms(long ms) {
+    return Duration.ofMillis(ms);
+  }
+
+  private void requestSent(String requestId, String serviceClass, long at) {
+    checker.requestSent(
+        requestId,
+        serviceClass,
+        SHARES,
+        serviceClass.equals("post") ? "k" + requestId : null,
+        ms(at));
+  }
+
+  private void partReceived(String requestId, int partition, long at) {
+    checker.partReceived(
+        requestId, partition, requestId.startsWith("post") ? "k" + requestId : null, BOX, ms(at));
+  }
+
+  private void partDone(String requestId, int partition, long at) {
+    checker.partAnswered(requestId, partition, BOX, "done", "v" + partition, ms(at));
+  }
+
+  private void assertViolations(String... rules) {
+    assertEquals(
+        List.of(rules),
+        checker.violations().stream().map(InterleavingChecker.Violation::rule).toList(),
+        checker.violations().toString());
+  }
+
+  @Test
+  void correctScanHasNoViolation() {
+    requestSent("a", "search", 0);
+    partReceived("a", 0, 5);
+    partReceived("a", 1, 5);
+    partDone("a", 0, 10);
+    partDone("a", 1, 10);
+    checker.answered("a", ms(12), false, true, Map.of(0, "v0", 1, "v1"));
+    checker.checkDeadlines(ms(9000), true);
+    assertViolations();
+    assertEquals(0, checker.unansweredRequests());
+  }
+
+  @Test
+  void unansweredRequestIsLostHalfASecondAfterItsDeadline() {
+    requestSent("a", "search", 0);
+    checker.checkDeadlines(ms(2499), true);
+    assertViolations();
+    assertEquals(1, checker.unansweredRequests());
+    checker.checkDeadlines(ms(2501), true);
+    assertViolations("SCAN_LOST");
+    checker.checkDeadlines(ms(2600), true);
+    assertViolations("SCAN_LOST");
+  }
+
+  @Test
+  void answerMayBeAtMostHalfASecondLate() {
+    requestSent("a", "search", 0);
+    requestSent("b", "search", 0);
+    checker.answered("a", ms(2499), true, false, null);
+    assertViolations();
+    checker.answered("b", ms(2501), true, false, null);
+    assertViolations("SCAN_LOST");
+  }
+
+  @Test
+  void secondAnswerIsAViolation() {
+    requestSent("a", "search", 0);
+    checker.answered("a", ms(10), true, false, null);
+    checker.answered("a", ms(20), true, false, null);
+    assertViolations("SCAN_LOST");
+  }
+
+  @Test
+  void noAttemptStartsAfterTheClientLeft() {
+    requestSent("first", "search", 0);
+    checker.clientLeft("first", ms(100));
+    partReceived("first", 0, 349);
+    assertViolations();
+    partReceived("first", 1, 351); // a first attempt of this part, a further one of the request
+    assertViolations("GONE_CLIENT");
+    requestSent("waits", "search", 1000);
+    checker.clientLeft("waits", ms(1100));
+    partReceived("waits", 0, 1400);
+    assertViolations("GONE_CLIENT", "GONE_CLIENT");
+    assertTrue(
+        checker
+            .violations()
+            .get(1)
+            .description()
+            .contains("300 ms after its client went, as attempt 1"));
+  }
+
+  @Test
+  void departedClientIsOwedNoAnswer() {
+    requestSent("a", "search", 0);
+    partReceived("a", 0, 5);
+    checker.clientLeft("a", ms(100));
+    checker.connectionEnded("a", ms(110));
+    checker.checkDeadlines(ms(9000), true);
+    assertViolations();
+  }
+
+  @Test
+  void harnessStallIsNotCountedAfterTheClientLeft() {
+    checker.heartbeat(ms(0));
+    requestSent("a", "search", 0);
+    checker.clientLeft("a", ms(10));
+    checker.heartbeat(ms(10));
+    partReceived("a", 0, 500); // seen as the rig goes on
+    assertViolations();
+    checker.heartbeat(ms(505));
+    for (int at = 510; at <= 800; at += 10) {
+      checker.heartbeat(ms(at));
+    }
+    partReceived("a", 1, 800);
+    assertViolations("GONE_CLIENT");
+  }
+
+  @Test
+  void connectionClosedAfterPartsWereSentLosesTheRequest() {
+    requestSent("a", "search", 0);
+    partReceived("a", 0, 5);
+    checker.connectionEnded("a", ms(10));
+    assertViolations("SCAN_LOST");
+    checker.checkDeadlines(ms(9000), true);
+    assertViolations("SCAN_LOST");
+  }
+
+  @Test
+  void connectionClosedLongAfterTheRequestLosesIt() {
+    requestSent("a", "search", 0);
+    checker.connectionEnded("a", ms(251));
+    assertViolations("SCAN_LOST");
+  }
+
+  @Test
+  void closeThatRacesARequestIsAllowedUnlessPartsAreSent() {
+    requestSent("a", "search", 0);
+    checker.connectionEnded("a", ms(20));
+    checker.checkDeadlines(ms(9000), true);
+    assertViolations();
+    partReceived("a", 0, 9000);
+    assertTrue(
+        checker.violations().stream().anyMatch(violation -> violation.rule().equals("SHUTDOWN")));
+  }
+
+  @Test
+  void requestAfterCloseIsNotForwarded() {
+    checker.terminationSignalled(ms(0));
+    checker.requestSentAfterClose("a", "search", SHARES, null, ms(100));
+    checker.checkDeadlines(ms(9000), true);
+    assertEquals(
+        List.of("END"),
+        checker.violations().stream().map(InterleavingChecker.Violation::rule).toList());
+    partReceived("a", 0, 110);
+    assertViolations("END", "SHUTDOWN");
+  }
+
+  @Test
+  void requestOnARefusedConnectionIsNotForwarded() {
+    requestSent("a", "search", 0);
+    checker.connectionRefused("a");
+    checker.checkDeadlines(ms(9000), true);
+    assertViolations();
+    partReceived("a", 0, 10);
+    assertViolations("SHUTDOWN");
+  }
+
+  @Test
+  void mixerExitsInTimeWithCodeZero() {
+    checker.terminationSignalled(ms(0));
+    checker.checkDeadlines(ms(7699), true);
+    assertViolations();
+    checker.checkDeadlines(ms(7701), true);
+    checker.checkDeadlines(ms(7800), true);
+    assertViolations("END");
+    checker.processExited(1, ms(7900));
+    assertViolations("END", "CRASH");
+  }
+
+  @Test
+  void unrequestedExitIsACrash() {
+    checker.processExited(0, ms(10));
+    assertViolations("CRASH");
+  }
+
+  @Test
+  void drainAppliesFromTheNotification() {
+    checker.mixerNotified(BOX, ms(0));
+    requestSent("a", "search", 0);
+    partReceived("a", 0, 549);
+    assertViolations();
+    partReceived("a", 1, 551);
+    assertViolations("DRAIN");
+    checker.mixerNotified(BOX, null);
+    requestSent("b", "search", 600);
+    partReceived("b", 0, 600);
+    assertViolations("DRAIN");
+  }
+
+  @Test
+  void atMostOncePartIsNotSentTwice() {
+    requestSent("once", "once", 0);
+    partReceived("once", 0, 5);
+    partReceived("once", 0, 30); // the first may have run, as a reset says
+    assertViolations("EFFECT_TWICE");
+  }
+
+  @Test
+  void keyedPartIsNotRetriedAfterItsWindow() {
+    requestSent("post1", "post", 0);
+    partReceived("post1", 0, 5);
+    partReceived("post1", 0, 755); // the window of 700 ms, 50 ms for the way
+    assertViolations();
+    partReceived("post1", 0, 756);
+    assertViolations("EFFECT_TWICE");
+  }
+
+  /** The window has none of the 150 ms that a client's going has for the machine. */
+  @Test
+  void keyedRetryWindowHasNoSchedulingAllowance() {
+    requestSent("post1", "post", 0);
+    partReceived("post1", 0, 5);
+    heartbeats(5, 905);
+    partReceived("post1", 0, 905);
+    assertViolations("EFFECT_TWICE");
+  }
+
+  private void heartbeats(int from, int to) {
+    for (int at = from; at <= to; at += 5) {
+      checker.heartbeat(ms(at));
+    }
+  }
+
+  @Test
+  void keyedPartReadAfterAStallCountsFromItsStart() {
+    requestSent("post1", "post", 0);
+    partReceived("post1", 0, 5);
+    heartbeats(5, 600);
+    partReceived("post1", 0, 906); // may have come at 600 ms
+    assertViolations();
+  }
+
+  @Test
+  void keyedPartReadLongAfterAStallCountsWhenRead() {
+    requestSent("post1", "post", 0);
+    partReceived("post1", 0, 5);
+    heartbeats(5, 300);
+    heartbeats(600, 905); // what came before was read at 600 ms
+    partReceived("post1", 0, 906);
+    assertViolations("EFFECT_TWICE");
+  }
+
+  @Test
+  void keyedPartIsLateWhenTheStallBeganAfterItsWindow() {
+    requestSent("post1", "post", 0);
+    partReceived("post1", 0, 5);
+    heartbeats(5, 760); // 755 ms are allowed
+    partReceived("post1", 0, 906);
+    assertViolations("EFFECT_TWICE");
+  }
+
+  @Test
+  void atMostOncePartIsNotSentAgainDuringAStall() {
+    requestSent("once", "once", 0);
+    partReceived("once", 0, 5);
+    heartbeats(5, 600);
+    partReceived("once", 0, 906);
+    assertViolations("EFFECT_TWICE");
+  }
+
+  @Test
+  void rejectionRequiresThatNothingWasSent() {
+    requestSent("once", "once", 0);
+    partReceived("once", 0, 5);
+    checker.answered("once", ms(50), true, false, null);
+    assertViolations("EFFECT_TWICE");
+  }
+
+  @Test
+  void answerMatchesWhatTheBoxesReturned() {
+    requestSent("a", "search", 0);
+    partReceived("a", 0, 5);
+    partDone("a", 0, 6);
+    checker.answered("a", ms(7), false, true, Map.of(0, "v0"));
+    assertViolations("HONEST_ANSWER");
+    requestSent("b", "search", 0);
+    checker.answered("b", ms(7), false, true, Map.of(0, "v0", 1, "v1"));
+    assertViolations("HONEST_ANSWER", "HONEST_ANSWER", "HONEST_ANSWER");
+  }
+
+  @Test
+  void partsAreRequestedAndWithinTheTripLimit() {
+    requestSent("a", "search", 0);
+    for (int i = 0; i < 3; i++) {
+      partReceived("a", 0, 5 + i);
+    }
+    assertViolations();
+    partReceived("a", 0, 9);
+    assertViolations("TRIPS");
+    partReceived("nobody", 0, 9);
+    assertViolations("TRIPS", "STRANGE_PART");
+  }
+
+  @Test
+  void failedColdBoxIsAViolation() {
+    checker.boxFailed(BOX, ms(5));
+    assertViolations("COLD_BOX");
+  }
+}
--- a/emulator/src/test/java/gingerring/emulator/interleaving/CrossingsTest.java
+++ b/emulator/src/test/java/gingerring/emulator/interleaving/InterleavingRunnerTest.java
@@ -16,7 +16,7 @@
  * rule once or stand closest to a term, each in both orders; seeds of their own draw the small
  * spans. All others are drawn in long runs, whose tables are in docs/results/crossings.
  */
-class CrossingsTest {
+class InterleavingRunnerTest {
   private static final long FIRST_SEED = 3701;
   private static final int MIXERS = 2;
   private static final List<Event[]> PAIRS =
@@ -43,36 +43,39 @@
   }
 
   @Test
-  void theFixedPairsKeepEveryRuleInBothOrders() throws Exception {
-    List<Draw> draws = new ArrayList<>();
+  void fixedPairsKeepEveryRuleInBothOrders() throws Exception {
+    List<EventPair> pairs = new ArrayList<>();
     for (Event[] pair : PAIRS) {
-      draws.add(new Draw(FIRST_SEED + draws.size(), pair[0], pair[1]));
-      draws.add(new Draw(FIRST_SEED + draws.size(), pair[1], pair[0]));
+      pairs.add(new EventPair(FIRST_SEED + pairs.size(), pair[0], pair[1]));
+      pairs.add(new EventPair(FIRST_SEED + pairs.size(), pair[1], pair[0]));
     }
-    List<Crossings.Played> all = Crossings.play(draws, MIXERS, played -> {});
-    assertEquals(draws.size(), all.size(), "each was played");
+    List<InterleavingRunner.Result> results = InterleavingRunner.play(pairs, MIXERS, result -> {});
+    assertEquals(pairs.size(), results.size(), "each was played");
     assertEquals(
         "",
-        all.stream()
-            .filter(played -> !played.kept())
-            .map(Crossings.Played::told)
+        results.stream()
+            .filter(result -> !result.kept())
+            .map(InterleavingRunner.Result::report)
             .collect(Collectors.joining("\n")));
   }
 
   @Test
-  void aSeedDrawsTheSamePairWheneverItIsAskedAndAllPairsComeInBothOrders() {
-    assertEquals(Draw.of(7), Draw.of(7));
-    assertEquals(Draw.of(7).goOnMs(), Draw.of(7).goOnMs());
-    long drawn =
-        LongStream.range(0, 20_000).mapToObj(seed -> Draw.of(seed).toString()).distinct().count();
+  void seedDeterminesThePairAndAllOrderedPairsOccur() {
+    assertEquals(EventPair.fromSeed(7), EventPair.fromSeed(7));
+    assertEquals(EventPair.fromSeed(7).resumeDelayMs(), EventPair.fromSeed(7).resumeDelayMs());
+    long distinctPairs =
+        LongStream.range(0, 20_000)
+            .mapToObj(seed -> EventPair.fromSeed(seed).toString())
+            .distinct()
+            .count();
     int events = Event.values().length;
-    assertEquals(events * (events - 1) + 3, drawn);
+    assertEquals(events * (events - 1) + 3, distinctPairs);
   }
 
   @Test
-  void whoAsksForWhatIsNotThereIsToldWhatIs() throws Exception {
+  void unknownOptionListsTheKnownOnes() throws Exception {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
-    assertEquals(2, Crossings.run(new String[] {"--sed", "1"}, new PrintStream(out)));
+    assertEquals(2, InterleavingRunner.run(new String[] {"--sed", "1"}, new PrintStream(out)));
     assertTrue(out.toString().contains("--seed"), out.toString());
   }
 }
