--- a/bench/src/main/java/gingerring/bench/LayoutBench.java
+++ b/bench/src/main/java/gingerring/bench/LayoutBench.java
@@ -4,9 +4,9 @@
 import gingerring.layout.KeyRange;
 import gingerring.layout.Layout;
 import gingerring.layout.LayoutException;
+import gingerring.layout.LayoutStep;
 import gingerring.layout.Partition;
 import gingerring.layout.PartitionId;
-import gingerring.layout.Step;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
@@ -67,7 +67,7 @@
     int which = random.nextInt(folios);
     long from = which * EACH;
     return layout.apply(
-        new Step.Split(
+        new LayoutStep.Split(
             1,
             new PartitionId(which),
             List.of(
--- a/cli/src/main/java/gingerring/cli/LayoutCommand.java
+++ b/cli/src/main/java/gingerring/cli/LayoutCommand.java
@@ -3,9 +3,9 @@
 import gingerring.layout.BoxId;
 import gingerring.layout.Layout;
 import gingerring.layout.LayoutException;
+import gingerring.layout.LayoutPlanner;
+import gingerring.layout.LayoutStep;
 import gingerring.layout.Partition;
-import gingerring.layout.Planner;
-import gingerring.layout.Step;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.nio.file.Path;
@@ -52,7 +52,7 @@
         + folio.ranges()
         + " at "
         + folio.holders()
-        + (folio.moving() ? ", moving from " + folio.source() + " to " + folio.successor() : "")
+        + (folio.isMoving() ? ", moving from " + folio.source() + " to " + folio.successor() : "")
         + String.format(Locale.ROOT, ", weight %.4g", folio.weight());
   }
 
@@ -69,7 +69,7 @@
                 + ", "
                 + layout.keys()
                 + " keys, "
-                + layout.size()
+                + layout.partitionCount()
                 + " folios");
     sorted(layout).forEach(folio -> out().println("  " + text(folio)));
     for (BoxId box : layout.boxes().stream().sorted().toList()) {
@@ -98,7 +98,7 @@
                 + ": version "
                 + layout.version()
                 + ", "
-                + layout.size()
+                + layout.partitionCount()
                 + " folios: every key has one owner");
     return 0;
   }
@@ -149,7 +149,7 @@
     Layout one = LayoutFile.read(from);
     Layout other = LayoutFile.read(to);
     try {
-      List<Step> steps = Planner.plan(one, other, atOnce);
+      List<LayoutStep> steps = LayoutPlanner.plan(one, other, atOnce);
       steps.forEach(step -> out().println(text(step)));
       out().println(steps.size() + " steps, from version " + one.version());
       return 0;
@@ -159,27 +159,27 @@
     }
   }
 
-  private static String text(Step step) {
+  private static String text(LayoutStep step) {
     String what =
-        step instanceof Step.Split split
+        step instanceof LayoutStep.Split split
             ? "split "
                 + split.from()
                 + " into "
                 + split.into().stream()
                     .map(folio -> folio.id() + " " + folio.ranges())
                     .collect(Collectors.joining(", "))
-            : step instanceof Step.Merge merge
+            : step instanceof LayoutStep.Merge merge
                 ? "merge " + merge.from() + " into " + merge.into() + " at " + merge.holders()
-                : step instanceof Step.MoveBegins begins
+                : step instanceof LayoutStep.MoveBegins begins
                     ? "begin to move "
-                        + begins.folio()
+                        + begins.partition()
                         + " from "
                         + begins.source()
                         + " to "
                         + begins.successor()
-                    : step instanceof Step.MoveEnds ends
-                        ? "end the move of " + ends.folio()
-                        : "give up the move of " + ((Step.MoveFails) step).folio();
+                    : step instanceof LayoutStep.MoveEnds ends
+                        ? "end the move of " + ends.partition()
+                        : "give up the move of " + ((LayoutStep.MoveFails) step).partition();
     return step.version() + ": " + what;
   }
 }
--- a/layout/src/main/java/gingerring/layout/KeyRange.java
+++ b/layout/src/main/java/gingerring/layout/KeyRange.java
@@ -13,9 +13,9 @@
   }
 
   /** The part of it within a range; it weighs in proportion to its keys. */
-  KeyRange within(long low, long high) {
-    long start = Math.max(from, low);
-    long end = Math.min(to, high);
+  KeyRange intersect(long lowerBound, long upperBound) {
+    long start = Math.max(from, lowerBound);
+    long end = Math.min(to, upperBound);
     return start == from && end == to
         ? this
         : new KeyRange(start, end, weight * ((double) (end - start) / (double) (to - from)));
--- a/layout/src/main/java/gingerring/layout/Layout.java
+++ b/layout/src/main/java/gingerring/layout/Layout.java
@@ -19,267 +19,286 @@
  */
 public final class Layout {
   /** Folios and slices of a layout, at most. */
-  public static final int FOLIOS_MOST = 1 << 21;
+  public static final int MAX_PARTITIONS = 1 << 21;
 
-  private static final double ROUNDING = 1e-6;
+  private static final double WEIGHT_TOLERANCE = 1e-6;
 
   /** What stands at a slice's first key. */
-  private record Place(KeyRange slice, PartitionId folio) {}
+  private record OwnedRange(KeyRange range, PartitionId owner) {}
 
   private final long version;
   private final long keys;
-  private final TreePMap<Long, Place> places;
-  private final HashPMap<PartitionId, Partition> folios;
+  private final TreePMap<Long, OwnedRange> rangesByStart;
+  private final HashPMap<PartitionId, Partition> partitions;
 
   private Layout(
       long version,
       long keys,
-      TreePMap<Long, Place> places,
-      HashPMap<PartitionId, Partition> folios) {
+      TreePMap<Long, OwnedRange> rangesByStart,
+      HashPMap<PartitionId, Partition> partitions) {
     this.version = version;
     this.keys = keys;
-    this.places = places;
-    this.folios = folios;
+    this.rangesByStart = rangesByStart;
+    this.partitions = partitions;
   }
 
   /** A whole list; refused unless every key from 0 up to {@code keys} has one owner. */
-  public static Layout of(long version, long keys, Collection<Partition> list)
+  public static Layout of(long version, long keys, Collection<Partition> partitionList)
       throws LayoutException {
     if (version < 0 || keys <= 0) {
       throw new LayoutException("version " + version + " of " + keys + " keys cannot be");
     }
-    if (list.size() > FOLIOS_MOST) {
-      throw new LayoutException("more than " + FOLIOS_MOST + " folios");
+    if (partitionList.size() > MAX_PARTITIONS) {
+      throw new LayoutException("more than " + MAX_PARTITIONS + " folios");
     }
-    HashPMap<PartitionId, Partition> folios = HashTreePMap.empty();
-    List<Place> all = new ArrayList<>();
-    for (Partition folio : list) {
-      if (folios.containsKey(folio.id())) {
-        throw new LayoutException(folio.id() + " stands there twice");
+    HashPMap<PartitionId, Partition> partitions = HashTreePMap.empty();
+    List<OwnedRange> ownedRanges = new ArrayList<>();
+    for (Partition partition : partitionList) {
+      if (partitions.containsKey(partition.id())) {
+        throw new LayoutException(partition.id() + " stands there twice");
       }
-      check(folio);
-      folios = folios.plus(folio.id(), folio);
-      folio.ranges().forEach(slice -> all.add(new Place(slice, folio.id())));
+      validate(partition);
+      partitions = partitions.plus(partition.id(), partition);
+      partition.ranges().forEach(range -> ownedRanges.add(new OwnedRange(range, partition.id())));
     }
-    all.sort(Comparator.comparingLong(place -> place.slice.from()));
-    TreePMap<Long, Place> places = TreePMap.empty();
-    long at = 0;
-    for (Place place : all) {
-      if (place.slice.from() != at) {
+    ownedRanges.sort(Comparator.comparingLong(ownedRange -> ownedRange.range.from()));
+    TreePMap<Long, OwnedRange> rangesByStart = TreePMap.empty();
+    long expectedStart = 0;
+    for (OwnedRange ownedRange : ownedRanges) {
+      if (ownedRange.range.from() != expectedStart) {
         throw new LayoutException(
-            place.slice.from() > at
+            ownedRange.range.from() > expectedStart
                 ? "keys "
-                    + at
+                    + expectedStart
                     + " to "
-                    + place.slice.from()
+                    + ownedRange.range.from()
                     + " have no owner, before "
-                    + place.folio
-                : place.folio + ": keys " + place.slice.from() + " to " + at + " have two owners");
+                    + ownedRange.owner
+                : ownedRange.owner
+                    + ": keys "
+                    + ownedRange.range.from()
+                    + " to "
+                    + expectedStart
+                    + " have two owners");
       }
-      at = place.slice.to();
-      places = places.plus(place.slice.from(), place);
+      expectedStart = ownedRange.range.to();
+      rangesByStart = rangesByStart.plus(ownedRange.range.from(), ownedRange);
     }
-    if (at != keys) {
+    if (expectedStart != keys) {
       throw new LayoutException(
           "keys "
-              + Math.min(at, keys)
+              + Math.min(expectedStart, keys)
               + " to "
-              + Math.max(at, keys)
-              + (at < keys ? " have no owner" : " are beyond the last"));
+              + Math.max(expectedStart, keys)
+              + (expectedStart < keys ? " have no owner" : " are beyond the last"));
     }
-    return new Layout(version, keys, places, folios);
+    return new Layout(version, keys, rangesByStart, partitions);
   }
 
-  private static void check(Partition folio) throws LayoutException {
-    if (folio.ranges().isEmpty()) {
-      throw new LayoutException(folio.id() + " has no keys");
+  private static void validate(Partition partition) throws LayoutException {
+    if (partition.ranges().isEmpty()) {
+      throw new LayoutException(partition.id() + " has no keys");
     }
-    for (int i = 1; i < folio.ranges().size(); i++) {
-      if (folio.ranges().get(i).from() < folio.ranges().get(i - 1).to()) {
+    for (int i = 1; i < partition.ranges().size(); i++) {
+      if (partition.ranges().get(i).from() < partition.ranges().get(i - 1).to()) {
         throw new LayoutException(
-            folio.id()
+            partition.id()
                 + ": its slices "
-                + folio.ranges().get(i - 1)
+                + partition.ranges().get(i - 1)
                 + " and "
-                + folio.ranges().get(i)
+                + partition.ranges().get(i)
                 + " are out of order or overlap");
       }
     }
-    if (folio.holders().isEmpty()
-        || new HashSet<>(folio.holders()).size() != folio.holders().size()) {
-      throw new LayoutException(folio.id() + " has no holder, or one twice");
+    if (partition.holders().isEmpty()
+        || new HashSet<>(partition.holders()).size() != partition.holders().size()) {
+      throw new LayoutException(partition.id() + " has no holder, or one twice");
     }
-    if ((folio.source() == null) != (folio.successor() == null)
-        || folio.moving()
-            && (!folio.holders().contains(folio.source())
-                || folio.holders().contains(folio.successor()))) {
-      throw new LayoutException(folio.id() + " moves from no holder, or to one");
+    if ((partition.source() == null) != (partition.successor() == null)
+        || partition.isMoving()
+            && (!partition.holders().contains(partition.source())
+                || partition.holders().contains(partition.successor()))) {
+      throw new LayoutException(partition.id() + " moves from no holder, or to one");
     }
   }
 
   /** The next version; refused whole where a step does not fit this one. */
-  public Layout apply(Step step) throws LayoutException {
+  public Layout apply(LayoutStep step) throws LayoutException {
     if (step.version() != version + 1) {
       throw new LayoutException("step " + step.version() + " does not follow version " + version);
     }
-    if (step instanceof Step.Split split) {
+    if (step instanceof LayoutStep.Split split) {
       return split(split);
-    } else if (step instanceof Step.Merge merge) {
+    } else if (step instanceof LayoutStep.Merge merge) {
       return merge(merge);
-    } else if (step instanceof Step.MoveBegins begins) {
-      Partition folio = still(step, begins.folio());
-      return with(
+    } else if (step instanceof LayoutStep.MoveBegins begins) {
+      Partition partition = requireNotMoving(step, begins.partition());
+      return withPartition(
           step,
           new Partition(
-              folio.id(), folio.ranges(), folio.holders(), begins.source(), begins.successor()));
-    } else if (step instanceof Step.MoveEnds ends) {
-      Partition folio = moving(step, ends.folio());
-      List<BoxId> holders = new ArrayList<>(folio.holders());
-      holders.set(holders.indexOf(folio.source()), folio.successor());
-      return with(step, new Partition(folio.id(), folio.ranges(), holders));
+              partition.id(),
+              partition.ranges(),
+              partition.holders(),
+              begins.source(),
+              begins.successor()));
+    } else if (step instanceof LayoutStep.MoveEnds ends) {
+      Partition partition = requireMoving(step, ends.partition());
+      List<BoxId> holders = new ArrayList<>(partition.holders());
+      holders.set(holders.indexOf(partition.source()), partition.successor());
+      return withPartition(step, new Partition(partition.id(), partition.ranges(), holders));
     }
-    Partition folio = moving(step, ((Step.MoveFails) step).folio());
-    return with(step, new Partition(folio.id(), folio.ranges(), folio.holders()));
+    Partition partition = requireMoving(step, ((LayoutStep.MoveFails) step).partition());
+    return withPartition(
+        step, new Partition(partition.id(), partition.ranges(), partition.holders()));
   }
 
-  private Layout split(Step.Split split) throws LayoutException {
-    Partition from = still(split, split.from());
+  private Layout split(LayoutStep.Split split) throws LayoutException {
+    Partition original = requireNotMoving(split, split.from());
     if (split.into().size() < 2) {
       throw new LayoutException(
-          "step " + split.version() + ": a split of " + from.id() + " into fewer than two");
+          "step " + split.version() + ": a split of " + original.id() + " into fewer than two");
     }
-    HashPMap<PartitionId, Partition> next = folios.minus(from.id());
-    TreePMap<Long, Place> nextPlaces = places;
-    for (KeyRange slice : from.ranges()) {
-      nextPlaces = nextPlaces.minus(slice.from());
+    HashPMap<PartitionId, Partition> nextPartitions = partitions.minus(original.id());
+    TreePMap<Long, OwnedRange> nextRanges = rangesByStart;
+    for (KeyRange range : original.ranges()) {
+      nextRanges = nextRanges.minus(range.from());
     }
-    List<KeyRange> all = new ArrayList<>();
-    for (Partition folio : split.into()) {
-      check(folio);
-      if (folio.moving()) {
+    List<KeyRange> newRanges = new ArrayList<>();
+    for (Partition partition : split.into()) {
+      validate(partition);
+      if (partition.isMoving()) {
         throw new LayoutException(
-            "step " + split.version() + ": " + folio.id() + " moves before it is there");
+            "step " + split.version() + ": " + partition.id() + " moves before it is there");
       }
       // the old folio's number may go on with one of the new
-      if (next.containsKey(folio.id())) {
+      if (nextPartitions.containsKey(partition.id())) {
         throw new LayoutException(
-            "step " + split.version() + ": " + folio.id() + " is there already");
+            "step " + split.version() + ": " + partition.id() + " is there already");
       }
-      next = next.plus(folio.id(), folio);
-      for (KeyRange slice : folio.ranges()) {
-        nextPlaces = nextPlaces.plus(slice.from(), new Place(slice, folio.id()));
-        all.add(slice);
+      nextPartitions = nextPartitions.plus(partition.id(), partition);
+      for (KeyRange range : partition.ranges()) {
+        nextRanges = nextRanges.plus(range.from(), new OwnedRange(range, partition.id()));
+        newRanges.add(range);
       }
     }
-    same(split, from, all);
-    return new Layout(split.version(), keys, nextPlaces, next);
+    requireSameKeysAndWeight(split, original, newRanges);
+    return new Layout(split.version(), keys, nextRanges, nextPartitions);
   }
 
   /** The new slices cover the old ones' keys, each once, and weigh as much. */
-  private static void same(Step step, Partition from, List<KeyRange> into) throws LayoutException {
-    List<KeyRange> sorted = new ArrayList<>(into);
+  private static void requireSameKeysAndWeight(
+      LayoutStep step, Partition original, List<KeyRange> newRanges) throws LayoutException {
+    List<KeyRange> sorted = new ArrayList<>(newRanges);
     sorted.sort(Comparator.comparingLong(KeyRange::from));
-    int at = 0;
-    for (KeyRange old : from.ranges()) {
-      long key = old.from();
-      while (key < old.to()) {
-        if (at == sorted.size() || sorted.get(at).from() != key) {
+    int index = 0;
+    for (KeyRange oldRange : original.ranges()) {
+      long nextKey = oldRange.from();
+      while (nextKey < oldRange.to()) {
+        if (index == sorted.size() || sorted.get(index).from() != nextKey) {
           throw new LayoutException(
               "step "
                   + step.version()
                   + ": of "
-                  + from.id()
+                  + original.id()
                   + "'s keys, "
-                  + key
+                  + nextKey
                   + " to "
-                  + (at == sorted.size() ? old.to() : sorted.get(at).from())
+                  + (index == sorted.size() ? oldRange.to() : sorted.get(index).from())
                   + " would have no owner or two");
         }
-        key = sorted.get(at++).to();
+        nextKey = sorted.get(index++).to();
       }
-      if (key != old.to()) {
+      if (nextKey != oldRange.to()) {
         throw new LayoutException(
             "step "
                 + step.version()
                 + ": keys "
-                + old.to()
+                + oldRange.to()
                 + " to "
-                + key
+                + nextKey
                 + " are not "
-                + from.id()
+                + original.id()
                 + "'s");
       }
     }
-    if (at != sorted.size()) {
+    if (index != sorted.size()) {
       throw new LayoutException(
-          "step " + step.version() + ": keys " + sorted.get(at) + " are not " + from.id() + "'s");
+          "step "
+              + step.version()
+              + ": keys "
+              + sorted.get(index)
+              + " are not "
+              + original.id()
+              + "'s");
     }
-    double weight = into.stream().mapToDouble(KeyRange::weight).sum();
-    if (Math.abs(weight - from.weight()) > ROUNDING * from.weight()) {
+    double newWeight = newRanges.stream().mapToDouble(KeyRange::weight).sum();
+    if (Math.abs(newWeight - original.weight()) > WEIGHT_TOLERANCE * original.weight()) {
       throw new LayoutException(
           "step "
               + step.version()
               + ": "
-              + from.id()
+              + original.id()
               + " weighs "
-              + from.weight()
+              + original.weight()
               + ", what it becomes "
-              + weight);
+              + newWeight);
     }
   }
 
-  private Layout merge(Step.Merge merge) throws LayoutException {
+  private Layout merge(LayoutStep.Merge merge) throws LayoutException {
     if (merge.from().size() < 2 || new HashSet<>(merge.from()).size() != merge.from().size()) {
       throw new LayoutException(
           "step " + merge.version() + ": a merge of fewer than two folios, or of one twice");
     }
-    HashPMap<PartitionId, Partition> next = folios;
-    List<KeyRange> slices = new ArrayList<>();
+    HashPMap<PartitionId, Partition> nextPartitions = partitions;
+    List<KeyRange> ranges = new ArrayList<>();
     for (PartitionId id : merge.from()) {
-      slices.addAll(still(merge, id).ranges());
-      next = next.minus(id);
+      ranges.addAll(requireNotMoving(merge, id).ranges());
+      nextPartitions = nextPartitions.minus(id);
     }
-    slices.sort(Comparator.comparingLong(KeyRange::from));
-    if (next.containsKey(merge.into())) {
+    ranges.sort(Comparator.comparingLong(KeyRange::from));
+    if (nextPartitions.containsKey(merge.into())) {
       throw new LayoutException(
           "step " + merge.version() + ": " + merge.into() + " is there already");
     }
-    Partition folio = new Partition(merge.into(), slices, merge.holders());
-    check(folio);
-    TreePMap<Long, Place> nextPlaces = places;
-    for (KeyRange slice : slices) {
-      nextPlaces = nextPlaces.plus(slice.from(), new Place(slice, folio.id()));
+    Partition partition = new Partition(merge.into(), ranges, merge.holders());
+    validate(partition);
+    TreePMap<Long, OwnedRange> nextRanges = rangesByStart;
+    for (KeyRange range : ranges) {
+      nextRanges = nextRanges.plus(range.from(), new OwnedRange(range, partition.id()));
     }
-    return new Layout(merge.version(), keys, nextPlaces, next.plus(folio.id(), folio));
+    return new Layout(
+        merge.version(), keys, nextRanges, nextPartitions.plus(partition.id(), partition));
   }
 
-  private Layout with(Step step, Partition folio) throws LayoutException {
-    check(folio);
-    return new Layout(step.version(), keys, places, folios.plus(folio.id(), folio));
+  private Layout withPartition(LayoutStep step, Partition partition) throws LayoutException {
+    validate(partition);
+    return new Layout(
+        step.version(), keys, rangesByStart, partitions.plus(partition.id(), partition));
   }
 
-  private Partition there(Step step, PartitionId id) throws LayoutException {
-    Partition folio = folios.get(id);
-    if (folio == null) {
+  private Partition requirePartition(LayoutStep step, PartitionId id) throws LayoutException {
+    Partition partition = partitions.get(id);
+    if (partition == null) {
       throw new LayoutException("step " + step.version() + ": there is no " + id);
     }
-    return folio;
+    return partition;
   }
 
-  private Partition still(Step step, PartitionId id) throws LayoutException {
-    Partition folio = there(step, id);
-    if (folio.moving()) {
+  private Partition requireNotMoving(LayoutStep step, PartitionId id) throws LayoutException {
+    Partition partition = requirePartition(step, id);
+    if (partition.isMoving()) {
       throw new LayoutException("step " + step.version() + ": " + id + " is moving");
     }
-    return folio;
+    return partition;
   }
 
-  private Partition moving(Step step, PartitionId id) throws LayoutException {
-    Partition folio = there(step, id);
-    if (!folio.moving()) {
+  private Partition requireMoving(LayoutStep step, PartitionId id) throws LayoutException {
+    Partition partition = requirePartition(step, id);
+    if (!partition.isMoving()) {
       throw new LayoutException("step " + step.version() + ": " + id + " is not moving");
     }
-    return folio;
+    return partition;
   }
 
   public long version() {
@@ -291,16 +310,16 @@
     return keys;
   }
 
-  public int size() {
-    return folios.size();
+  public int partitionCount() {
+    return partitions.size();
   }
 
   public Optional<Partition> partition(PartitionId id) {
-    return Optional.ofNullable(folios.get(id));
+    return Optional.ofNullable(partitions.get(id));
   }
 
   public Collection<Partition> partitions() {
-    return folios.values();
+    return partitions.values();
   }
 
   /** The folio that holds a key. */
@@ -308,34 +327,34 @@
     if (key < 0 || key >= keys) {
       throw new IllegalArgumentException("key " + key + " is not one of " + keys);
     }
-    return places.floorEntry(key).getValue().folio;
+    return rangesByStart.floorEntry(key).getValue().owner;
   }
 
   /** The slices that a range of keys meets, in order, cut to it, each with its folio. */
-  public List<Map.Entry<KeyRange, PartitionId>> over(long from, long to) {
-    List<Map.Entry<KeyRange, PartitionId>> met = new ArrayList<>();
-    Map.Entry<Long, Place> first = places.floorEntry(Math.max(0, from));
+  public List<Map.Entry<KeyRange, PartitionId>> overlapping(long from, long to) {
+    List<Map.Entry<KeyRange, PartitionId>> overlaps = new ArrayList<>();
+    Map.Entry<Long, OwnedRange> first = rangesByStart.floorEntry(Math.max(0, from));
     if (first == null || to <= from) {
-      return met;
+      return overlaps;
     }
-    Place place = first.getValue();
-    for (long at = from; place != null && place.slice.from() < to; ) {
-      if (place.slice.to() > at) {
-        met.add(Map.entry(place.slice.within(from, to), place.folio));
+    OwnedRange ownedRange = first.getValue();
+    for (long coveredUpTo = from; ownedRange != null && ownedRange.range.from() < to; ) {
+      if (ownedRange.range.to() > coveredUpTo) {
+        overlaps.add(Map.entry(ownedRange.range.intersect(from, to), ownedRange.owner));
       }
-      at = place.slice.to();
-      place = places.get(at);
+      coveredUpTo = ownedRange.range.to();
+      ownedRange = rangesByStart.get(coveredUpTo);
     }
-    return met;
+    return overlaps;
   }
 
   /** Boxes that hold anything, or are to. */
   public Set<BoxId> boxes() {
     Set<BoxId> boxes = new HashSet<>();
-    for (Partition folio : folios.values()) {
-      boxes.addAll(folio.holders());
-      if (folio.moving()) {
-        boxes.add(folio.successor());
+    for (Partition partition : partitions.values()) {
+      boxes.addAll(partition.holders());
+      if (partition.isMoving()) {
+        boxes.add(partition.successor());
       }
     }
     return boxes;
--- a/layout/src/main/java/gingerring/layout/Partition.java
+++ b/layout/src/main/java/gingerring/layout/Partition.java
@@ -14,11 +14,11 @@
     holders = List.copyOf(holders);
   }
 
-  public Partition(PartitionId id, List<KeyRange> slices, List<BoxId> holders) {
-    this(id, slices, holders, null, null);
+  public Partition(PartitionId id, List<KeyRange> ranges, List<BoxId> holders) {
+    this(id, ranges, holders, null, null);
   }
 
-  public boolean moving() {
+  public boolean isMoving() {
     return successor != null;
   }
 
--- a/layout/src/test/java/gingerring/layout/LayoutTest.java
+++ b/layout/src/test/java/gingerring/layout/LayoutTest.java
@@ -8,8 +8,8 @@
 
 import com.tngtech.archunit.core.importer.ClassFileImporter;
 import com.tngtech.archunit.core.importer.ImportOption;
-import gingerring.layout.Histories.Model;
-import gingerring.layout.LayoutLog.Heard;
+import gingerring.layout.LayoutSequencer.UpdateResult;
+import gingerring.layout.RandomLayouts.KeyModel;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -22,47 +22,50 @@
   private static final int HISTORIES = 20_000;
 
   @Test
-  void takesAndRefusesAsThePlainModelDoes() {
-    int[] seen = new int[2];
+  void matchesPerKeyModel() {
+    int[] resultCounts = new int[2];
     for (int history = 0; history < HISTORIES; history++) {
       SplittableRandom random = new SplittableRandom(history);
-      Model model = new Model();
-      Layout layout = Histories.first(model);
-      int[] numbers = {4};
+      KeyModel model = new KeyModel();
+      Layout layout = RandomLayouts.initialLayout(model);
+      int[] nextId = {4};
       for (int i = 0; i < 12; i++) {
-        Step step = Histories.step(layout, numbers, random);
-        Model after = model.after(step);
+        LayoutStep step = RandomLayouts.randomStep(layout, nextId, random);
+        KeyModel nextModel = model.apply(step);
         Layout next = null;
-        String why = "";
+        String reason = "";
         try {
           next = layout.apply(step);
         } catch (LayoutException e) {
-          why = e.getMessage();
+          reason = e.getMessage();
         }
-        assertEquals(after != null, next != null, history + ": " + step + ": " + why);
-        seen[after == null ? 0 : 1]++;
-        if (after == null) {
-          assertTrue(why.contains("step " + step.version()) || why.contains("folio "), why);
+        assertEquals(nextModel != null, next != null, history + ": " + step + ": " + reason);
+        resultCounts[nextModel == null ? 0 : 1]++;
+        if (nextModel == null) {
+          assertTrue(
+              reason.contains("step " + step.version()) || reason.contains("folio "), reason);
           continue;
         }
-        int[] before = Histories.owners(layout);
-        model = after;
-        assertArrayEquals(model.owner, Histories.owners(next), history + ": " + step);
-        assertArrayEquals(before, Histories.owners(layout), "the version before has changed");
+        int[] ownersBefore = RandomLayouts.owners(layout);
+        model = nextModel;
+        assertArrayEquals(model.owner, RandomLayouts.owners(next), history + ": " + step);
+        assertArrayEquals(
+            ownersBefore, RandomLayouts.owners(layout), "the version before has changed");
         layout = next;
-        for (Partition folio : layout.partitions()) {
-          assertEquals(model.holders.get(folio.id().number()), new HashSet<>(folio.holders()));
-          assertEquals(model.moves.containsKey(folio.id().number()), folio.moving());
+        for (Partition partition : layout.partitions()) {
+          assertEquals(
+              model.holders.get(partition.id().number()), new HashSet<>(partition.holders()));
+          assertEquals(model.moves.containsKey(partition.id().number()), partition.isMoving());
         }
-        int from = random.nextInt(Histories.KEYS);
-        int to = from + random.nextInt(Histories.KEYS - from + 1);
+        int from = random.nextInt(RandomLayouts.KEYS);
+        int to = from + random.nextInt(RandomLayouts.KEYS - from + 1);
         int key = from;
         double weight = 0;
-        for (Map.Entry<KeyRange, PartitionId> each : layout.over(from, to)) {
-          assertEquals(key, each.getKey().from());
-          weight += each.getKey().weight();
-          for (; key < each.getKey().to(); key++) {
-            assertEquals(model.owner[key], each.getValue().number());
+        for (Map.Entry<KeyRange, PartitionId> overlap : layout.overlapping(from, to)) {
+          assertEquals(key, overlap.getKey().from());
+          weight += overlap.getKey().weight();
+          for (; key < overlap.getKey().to(); key++) {
+            assertEquals(model.owner[key], overlap.getValue().number());
             weight -= model.weight[key];
           }
         }
@@ -71,20 +74,21 @@
       }
     }
     assertTrue(
-        seen[0] > HISTORIES && seen[1] > HISTORIES, "refused " + seen[0] + ", taken " + seen[1]);
+        resultCounts[0] > HISTORIES && resultCounts[1] > HISTORIES,
+        "refused " + resultCounts[0] + ", taken " + resultCounts[1]);
   }
 
   /** Steps early, late, twice and lost, with lists between them: in the end all have the same. */
   @Test
-  void whateverTheOrderTheEndIsTheSame() throws Exception {
+  void anyStepOrderLeadsToTheSameLayout() throws Exception {
     for (int history = 0; history < 5000; history++) {
       SplittableRandom random = new SplittableRandom(history);
-      List<Layout> versions = new ArrayList<>(List.of(Histories.first(new Model())));
-      List<Step> steps = new ArrayList<>();
-      int[] numbers = {4};
+      List<Layout> versions = new ArrayList<>(List.of(RandomLayouts.initialLayout(new KeyModel())));
+      List<LayoutStep> steps = new ArrayList<>();
+      int[] nextId = {4};
       while (steps.size() < 20) {
         Layout last = versions.get(versions.size() - 1);
-        Step step = Histories.step(last, numbers, random);
+        LayoutStep step = RandomLayouts.randomStep(last, nextId, random);
         try {
           versions.add(last.apply(step));
           steps.add(step);
@@ -92,79 +96,88 @@
           // another
         }
       }
-      LayoutLog log = new LayoutLog(versions.get(0));
-      List<Step> heard = new ArrayList<>();
-      for (Step step : steps) {
+      LayoutSequencer sequencer = new LayoutSequencer(versions.get(0));
+      List<LayoutStep> delivered = new ArrayList<>();
+      for (LayoutStep step : steps) {
         for (int copies = random.nextInt(8) == 0 ? 0 : 1 + random.nextInt(2);
             copies > 0;
             copies--) {
-          heard.add(Math.max(0, heard.size() - random.nextInt(5)), step);
+          delivered.add(Math.max(0, delivered.size() - random.nextInt(5)), step);
         }
       }
-      for (Step step : heard) {
-        log.step(step);
+      for (LayoutStep step : delivered) {
+        sequencer.applyStep(step);
         if (random.nextInt(10) == 0) { // a list of any age
-          Layout list = versions.get(random.nextInt(versions.size()));
-          Heard how = log.list(list);
-          assertEquals(how == Heard.TAKEN, how != Heard.OLD && how != Heard.KNOWN);
+          Layout snapshot = versions.get(random.nextInt(versions.size()));
+          UpdateResult result = sequencer.applySnapshot(snapshot);
+          assertEquals(
+              result == UpdateResult.APPLIED,
+              result != UpdateResult.OUTDATED && result != UpdateResult.ALREADY_KNOWN);
         }
         assertArrayEquals(
-            Histories.owners(versions.get((int) log.inForce().version())),
-            Histories.owners(log.inForce()));
+            RandomLayouts.owners(versions.get((int) sequencer.current().version())),
+            RandomLayouts.owners(sequencer.current()));
       }
-      if (log.inForce().version() < 20) {
-        assertEquals(Heard.TAKEN, log.list(versions.get(20)));
+      if (sequencer.current().version() < 20) {
+        assertEquals(UpdateResult.APPLIED, sequencer.applySnapshot(versions.get(20)));
       }
-      assertEquals(20, log.inForce().version());
-      assertEquals(0, log.waiting());
-      assertEquals(0, log.refused());
-      assertTrue(!log.gap());
+      assertEquals(20, sequencer.current().version());
+      assertEquals(0, sequencer.queuedCount());
+      assertEquals(0, sequencer.rejectedCount());
+      assertTrue(!sequencer.needsSnapshot());
     }
   }
 
   @Test
-  void anOlderListChangesNothingAndARefusedStepWaitsForOne() throws Exception {
-    Layout zero = Histories.first(new Model());
-    Step.MoveBegins one =
-        new Step.MoveBegins(1, new PartitionId(0), Histories.box(0), Histories.box(7));
-    Step.MoveEnds two = new Step.MoveEnds(2, new PartitionId(1)); // it does not move
-    Step.MoveEnds right = new Step.MoveEnds(2, new PartitionId(0));
-    Step.MoveBegins three =
-        new Step.MoveBegins(3, new PartitionId(0), Histories.box(7), Histories.box(0));
-    LayoutLog log = new LayoutLog(zero);
-    assertEquals(Heard.WAITS, log.step(three));
-    assertEquals(Heard.TAKEN, log.step(one));
-    assertEquals(Heard.REFUSED, log.step(two));
-    assertTrue(log.gap());
-    assertEquals(List.of("step 2: folio 1 is not moving"), log.refusals());
-    assertEquals(1, log.inForce().version());
-    assertEquals(Heard.OLD, log.list(zero));
-    assertEquals(Heard.REFUSED, log.step(right)); // whom to believe, only a list can tell
-    assertEquals(Heard.TAKEN, log.list(zero.apply(one).apply(right)));
-    assertEquals(3, log.inForce().version());
-    assertTrue(!log.gap());
+  void rejectedStepIsResolvedOnlyByANewerSnapshot() throws Exception {
+    Layout initial = RandomLayouts.initialLayout(new KeyModel());
+    LayoutStep.MoveBegins step1 =
+        new LayoutStep.MoveBegins(
+            1, new PartitionId(0), RandomLayouts.box(0), RandomLayouts.box(7));
+    LayoutStep.MoveEnds invalidStep2 =
+        new LayoutStep.MoveEnds(2, new PartitionId(1)); // it does not move
+    LayoutStep.MoveEnds validStep2 = new LayoutStep.MoveEnds(2, new PartitionId(0));
+    LayoutStep.MoveBegins step3 =
+        new LayoutStep.MoveBegins(
+            3, new PartitionId(0), RandomLayouts.box(7), RandomLayouts.box(0));
+    LayoutSequencer sequencer = new LayoutSequencer(initial);
+    assertEquals(UpdateResult.QUEUED, sequencer.applyStep(step3));
+    assertEquals(UpdateResult.APPLIED, sequencer.applyStep(step1));
+    assertEquals(UpdateResult.REJECTED, sequencer.applyStep(invalidStep2));
+    assertTrue(sequencer.needsSnapshot());
+    assertEquals(List.of("step 2: folio 1 is not moving"), sequencer.rejectionReasons());
+    assertEquals(1, sequencer.current().version());
+    assertEquals(UpdateResult.OUTDATED, sequencer.applySnapshot(initial));
+    assertEquals(
+        UpdateResult.REJECTED,
+        sequencer.applyStep(validStep2)); // whom to believe, only a list can tell
+    assertEquals(
+        UpdateResult.APPLIED, sequencer.applySnapshot(initial.apply(step1).apply(validStep2)));
+    assertEquals(3, sequencer.current().version());
+    assertTrue(!sequencer.needsSnapshot());
   }
 
   @Test
-  void stepsWaitInBoundedNumber() {
-    LayoutLog log = new LayoutLog(Histories.first(new Model()));
-    for (int i = 0; i < 3 * LayoutLog.WAITING_MOST; i++) {
-      log.step(new Step.MoveEnds(2 + i, new PartitionId(0)));
+  void queuedStepsAreBounded() {
+    LayoutSequencer sequencer = new LayoutSequencer(RandomLayouts.initialLayout(new KeyModel()));
+    for (int i = 0; i < 3 * LayoutSequencer.MAX_QUEUED_STEPS; i++) {
+      sequencer.applyStep(new LayoutStep.MoveEnds(2 + i, new PartitionId(0)));
     }
-    assertEquals(LayoutLog.WAITING_MOST, log.waiting());
+    assertEquals(LayoutSequencer.MAX_QUEUED_STEPS, sequencer.queuedCount());
   }
 
   @Test
-  void badListsAreRefusedByTheirEntry() {
-    List<BoxId> holders = List.of(Histories.box(1));
-    Map<List<Partition>, String> wrong =
+  void invalidLayoutIsRejectedNamingTheEntry() {
+    List<BoxId> holders = List.of(RandomLayouts.box(1));
+    Map<List<Partition>, String> messageByLayout =
         Map.of(
-            List.of(folio(0, 0, 10), folio(1, 12, 20)),
+            List.of(partition(0, 0, 10), partition(1, 12, 20)),
                 "keys 10 to 12 have no owner, before folio 1",
-            List.of(folio(0, 0, 10), folio(1, 8, 20)), "folio 1: keys 8 to 10 have two owners",
-            List.of(folio(0, 0, 10)), "keys 10 to 20 have no owner",
-            List.of(folio(0, 0, 10), folio(0, 10, 20)), "folio 0 stands there twice",
-            List.of(folio(0, 0, 25)), "keys 20 to 25 are beyond the last",
+            List.of(partition(0, 0, 10), partition(1, 8, 20)),
+                "folio 1: keys 8 to 10 have two owners",
+            List.of(partition(0, 0, 10)), "keys 10 to 20 have no owner",
+            List.of(partition(0, 0, 10), partition(0, 10, 20)), "folio 0 stands there twice",
+            List.of(partition(0, 0, 25)), "keys 20 to 25 are beyond the last",
             List.of(new Partition(new PartitionId(3), List.of(), holders)), "folio 3 has no keys",
             List.of(new Partition(new PartitionId(3), List.of(new KeyRange(0, 20, 1)), List.of())),
                 "folio 3 has no holder",
@@ -173,20 +186,20 @@
                         new PartitionId(3),
                         List.of(new KeyRange(0, 20, 1)),
                         holders,
-                        Histories.box(2),
-                        Histories.box(4))),
+                        RandomLayouts.box(2),
+                        RandomLayouts.box(4))),
                 "folio 3 moves from no holder, or to one");
-    wrong.forEach(
-        (list, why) -> {
-          LayoutException refused =
-              assertThrows(LayoutException.class, () -> Layout.of(1, 20, list));
-          assertTrue(refused.getMessage().startsWith(why), refused.getMessage());
+    messageByLayout.forEach(
+        (partitions, message) -> {
+          LayoutException exception =
+              assertThrows(LayoutException.class, () -> Layout.of(1, 20, partitions));
+          assertTrue(exception.getMessage().startsWith(message), exception.getMessage());
         });
   }
 
-  private static Partition folio(int number, long from, long to) {
+  private static Partition partition(int number, long from, long to) {
     return new Partition(
-        new PartitionId(number), List.of(new KeyRange(from, to, 1)), List.of(Histories.box(1)));
+        new PartitionId(number), List.of(new KeyRange(from, to, 1)), List.of(RandomLayouts.box(1)));
   }
 
   /**
@@ -194,35 +207,35 @@
    * longer.
    */
   @Test
-  void versionsAreKeptForTheirScansAlone() throws Exception {
-    Versions versions = new Versions(Histories.first(new Model()));
+  void versionsAreRetainedOnlyWhileScansNeedThem() throws Exception {
+    LayoutVersions versions = new LayoutVersions(RandomLayouts.initialLayout(new KeyModel()));
     SplittableRandom random = new SplittableRandom(1);
-    List<Long> scans = new ArrayList<>();
-    int[] numbers = {4};
+    List<Long> scanVersions = new ArrayList<>();
+    int[] nextId = {4};
     for (int i = 0; i < 20_000; i++) {
-      Layout layout = versions.inForce();
+      Layout layout = versions.current();
       try {
-        versions.inForce(layout.apply(Histories.step(layout, numbers, random)));
+        versions.setCurrent(layout.apply(RandomLayouts.randomStep(layout, nextId, random)));
       } catch (LayoutException e) {
         continue;
       }
-      scans.add(versions.hold().version());
-      if (scans.size() > 50) {
-        versions.release(scans.remove(random.nextInt(scans.size())));
+      scanVersions.add(versions.retainCurrent().version());
+      if (scanVersions.size() > 50) {
+        versions.release(scanVersions.remove(random.nextInt(scanVersions.size())));
       }
-      for (long version : scans) {
+      for (long version : scanVersions) {
         assertEquals(version, versions.get(version).orElseThrow().version());
       }
-      assertTrue(versions.kept() <= 51, "kept: " + versions.kept());
+      assertTrue(versions.retainedCount() <= 51, "kept: " + versions.retainedCount());
     }
-    scans.forEach(versions::release);
-    assertEquals(0, versions.kept());
-    assertEquals(0, versions.pushedOut());
-    assertTrue(versions.inForce().version() > 3000, "versions: " + versions.inForce().version());
+    scanVersions.forEach(versions::release);
+    assertEquals(0, versions.retainedCount());
+    assertEquals(0, versions.evictedCount());
+    assertTrue(versions.current().version() > 3000, "versions: " + versions.current().version());
   }
 
   @Test
-  void theCoreKnowsNoInputClockOrThread() {
+  void moduleDoesNotUseIoOrThreads() {
     noClasses()
         .should()
         .dependOnClassesThat()
--- a/layout/src/test/java/gingerring/layout/Histories.java
+++ b/layout/src/test/java/gingerring/layout/RandomLayouts.java
@@ -14,19 +14,19 @@
  * Generated histories, and the slow plain model beside the layout: an owner for every key, written
  * out. The model takes a step apart key by key and knows nothing of slices.
  */
-final class Histories {
+final class RandomLayouts {
   static final int KEYS = 48;
 
   /** Every key with its folio and its weight, and every folio's holders. */
-  static final class Model {
+  static final class KeyModel {
     long version;
     final int[] owner = new int[KEYS];
     final double[] weight = new double[KEYS];
     final Map<Integer, Set<BoxId>> holders = new HashMap<>();
     final Map<Integer, BoxId[]> moves = new HashMap<>();
 
-    Model copy() {
-      Model copy = new Model();
+    KeyModel copy() {
+      KeyModel copy = new KeyModel();
       copy.version = version;
       System.arraycopy(owner, 0, copy.owner, 0, KEYS);
       System.arraycopy(weight, 0, copy.weight, 0, KEYS);
@@ -39,18 +39,18 @@
      * The model after a step, or null where it would leave a key with two owners or none, or does
      * not fit.
      */
-    Model after(Step step) {
-      Model next = copy();
+    KeyModel apply(LayoutStep step) {
+      KeyModel next = copy();
       next.version++;
       if (step.version() != next.version) {
         return null;
       }
-      if (step instanceof Step.Split split) {
+      if (step instanceof LayoutStep.Split split) {
         return next.split(split) ? next : null;
-      } else if (step instanceof Step.Merge merge) {
+      } else if (step instanceof LayoutStep.Merge merge) {
         return next.merge(merge) ? next : null;
-      } else if (step instanceof Step.MoveBegins begins) {
-        int id = begins.folio().number();
+      } else if (step instanceof LayoutStep.MoveBegins begins) {
+        int id = begins.partition().number();
         if (!holders.containsKey(id)
             || moves.containsKey(id)
             || !holders.get(id).contains(begins.source())
@@ -61,69 +61,69 @@
         return next;
       }
       int id =
-          step instanceof Step.MoveEnds ends
-              ? ends.folio().number()
-              : ((Step.MoveFails) step).folio().number();
+          step instanceof LayoutStep.MoveEnds ends
+              ? ends.partition().number()
+              : ((LayoutStep.MoveFails) step).partition().number();
       BoxId[] move = next.moves.remove(id);
       if (move == null) {
         return null;
       }
-      if (step instanceof Step.MoveEnds) {
-        Set<BoxId> now = new HashSet<>(holders.get(id));
-        now.remove(move[0]);
-        now.add(move[1]);
-        next.holders.put(id, now);
+      if (step instanceof LayoutStep.MoveEnds) {
+        Set<BoxId> newHolders = new HashSet<>(holders.get(id));
+        newHolders.remove(move[0]);
+        newHolders.add(move[1]);
+        next.holders.put(id, newHolders);
       }
       return next;
     }
 
-    private boolean split(Step.Split split) {
+    private boolean split(LayoutStep.Split split) {
       int from = split.from().number();
       if (!holders.containsKey(from) || moves.containsKey(from) || split.into().size() < 2) {
         return false;
       }
-      double before = 0;
+      double oldWeight = 0;
       for (int key = 0; key < KEYS; key++) {
-        before += owner[key] == from ? weight[key] : 0;
+        oldWeight += owner[key] == from ? weight[key] : 0;
       }
       holders.remove(from);
-      Set<Integer> given = new HashSet<>();
-      double after = 0;
-      for (Partition folio : split.into()) {
-        int id = folio.id().number();
+      Set<Integer> assignedKeys = new HashSet<>();
+      double newWeight = 0;
+      for (Partition partition : split.into()) {
+        int id = partition.id().number();
         if (holders.containsKey(id)
-            || folio.holders().isEmpty()
-            || new HashSet<>(folio.holders()).size() < folio.holders().size()
-            || folio.ranges().isEmpty()) {
+            || partition.holders().isEmpty()
+            || new HashSet<>(partition.holders()).size() < partition.holders().size()
+            || partition.ranges().isEmpty()) {
           return false;
         }
-        holders.put(id, new HashSet<>(folio.holders()));
-        for (KeyRange slice : folio.ranges()) {
-          for (long key = slice.from(); key < slice.to(); key++) {
-            if (key >= KEYS || owner[(int) key] != from || !given.add((int) key)) {
+        holders.put(id, new HashSet<>(partition.holders()));
+        for (KeyRange range : partition.ranges()) {
+          for (long key = range.from(); key < range.to(); key++) {
+            if (key >= KEYS || owner[(int) key] != from || !assignedKeys.add((int) key)) {
               return false;
             }
           }
         }
       }
-      for (Partition folio : split.into()) {
-        for (KeyRange slice : folio.ranges()) {
-          after += slice.weight();
-          for (long key = slice.from(); key < slice.to(); key++) {
-            owner[(int) key] = folio.id().number();
-            weight[(int) key] = slice.weight() / (slice.to() - slice.from());
+      for (Partition partition : split.into()) {
+        for (KeyRange range : partition.ranges()) {
+          newWeight += range.weight();
+          for (long key = range.from(); key < range.to(); key++) {
+            owner[(int) key] = partition.id().number();
+            weight[(int) key] = range.weight() / (range.to() - range.from());
           }
         }
       }
       for (int key = 0; key < KEYS; key++) {
-        if (owner[key] == from && !given.contains(key)) {
+        if (owner[key] == from && !assignedKeys.contains(key)) {
           return false;
         }
       }
-      return Math.abs(after - before) <= 1e-6 * before;
+      return Math.abs(newWeight - oldWeight) <= 1e-6 * oldWeight;
     }
 
-    private boolean merge(Step.Merge merge) {
+    private boolean merge(LayoutStep.Merge merge) {
       Set<PartitionId> from = new HashSet<>(merge.from());
       if (from.size() < 2
           || from.size() != merge.from().size()
@@ -149,13 +149,13 @@
     }
   }
 
-  private Histories() {}
+  private RandomLayouts() {}
 
   static BoxId box(int number) {
     return new BoxId("box-" + number);
   }
 
-  static List<BoxId> boxes(SplittableRandom random) {
+  static List<BoxId> randomHolders(SplittableRandom random) {
     Set<BoxId> boxes = new HashSet<>();
     while (boxes.size() < 3) {
       boxes.add(box(random.nextInt(8)));
@@ -164,13 +164,13 @@
   }
 
   /** Four folios that share the keys, and the model of that. */
-  static Layout first(Model model) {
-    List<Partition> folios = new ArrayList<>();
+  static Layout initialLayout(KeyModel model) {
+    List<Partition> partitions = new ArrayList<>();
     for (int i = 0; i < 4; i++) {
       int from = i * KEYS / 4;
       int to = (i + 1) * KEYS / 4;
       List<BoxId> holders = List.of(box(i), box(i + 1), box(i + 2));
-      folios.add(
+      partitions.add(
           new Partition(new PartitionId(i), List.of(new KeyRange(from, to, 1 + i)), holders));
       for (int key = from; key < to; key++) {
         model.owner[key] = i;
@@ -179,82 +179,84 @@
       model.holders.put(i, new HashSet<>(holders));
     }
     try {
-      return Layout.of(0, KEYS, folios);
+      return Layout.of(0, KEYS, partitions);
     } catch (LayoutException e) {
       throw new IllegalStateException(e);
     }
   }
 
   /** A step that may or may not fit; about one in three is spoilt in some way. */
-  static Step step(Layout layout, int[] numbers, SplittableRandom random) {
-    List<Partition> folios = new ArrayList<>(layout.partitions());
-    folios.sort(Comparator.comparing(Partition::id));
-    Partition one = folios.get(random.nextInt(folios.size()));
+  static LayoutStep randomStep(Layout layout, int[] nextId, SplittableRandom random) {
+    List<Partition> partitions = new ArrayList<>(layout.partitions());
+    partitions.sort(Comparator.comparing(Partition::id));
+    Partition partition = partitions.get(random.nextInt(partitions.size()));
     long version = layout.version() + (random.nextInt(20) == 0 ? random.nextInt(4) : 1);
     switch (random.nextInt(5)) {
       case 0:
-        return new Step.MoveBegins(
+        return new LayoutStep.MoveBegins(
             version,
-            one.id(),
+            partition.id(),
             random.nextInt(8) == 0
                 ? box(9)
-                : one.holders().get(random.nextInt(one.holders().size())),
+                : partition.holders().get(random.nextInt(partition.holders().size())),
             box(random.nextInt(10)));
       case 1:
         return random.nextBoolean()
-            ? new Step.MoveEnds(version, one.id())
-            : new Step.MoveFails(version, one.id());
+            ? new LayoutStep.MoveEnds(version, partition.id())
+            : new LayoutStep.MoveFails(version, partition.id());
       case 2:
         List<PartitionId> from = new ArrayList<>();
         for (int i = 0; i < 2; i++) {
-          from.add(folios.get(random.nextInt(folios.size())).id());
+          from.add(partitions.get(random.nextInt(partitions.size())).id());
         }
         PartitionId into =
-            new PartitionId(random.nextInt(4) == 0 ? one.id().number() : numbers[0]++);
-        return new Step.Merge(
-            version, from, into, random.nextInt(10) == 0 ? List.of() : boxes(random));
+            new PartitionId(random.nextInt(4) == 0 ? partition.id().number() : nextId[0]++);
+        return new LayoutStep.Merge(
+            version, from, into, random.nextInt(10) == 0 ? List.of() : randomHolders(random));
       default:
-        return split(version, one, numbers, random);
+        return randomSplit(version, partition, nextId, random);
     }
   }
 
-  private static Step split(long version, Partition one, int[] numbers, SplittableRandom random) {
+  private static LayoutStep randomSplit(
+      long version, Partition partition, int[] nextId, SplittableRandom random) {
     // each key goes to one of the new folios, in runs
     int count = 2 + random.nextInt(2);
-    List<List<KeyRange>> slices = new ArrayList<>();
+    List<List<KeyRange>> rangesByPart = new ArrayList<>();
     for (int i = 0; i < count; i++) {
-      slices.add(new ArrayList<>());
+      rangesByPart.add(new ArrayList<>());
     }
-    for (KeyRange slice : one.ranges()) {
-      long at = slice.from();
-      while (at < slice.to()) {
-        long end = Math.min(slice.to(), at + 1 + random.nextInt(8));
-        slices.get(random.nextInt(count)).add(slice.within(at, end));
-        at = end;
+    for (KeyRange range : partition.ranges()) {
+      long start = range.from();
+      while (start < range.to()) {
+        long end = Math.min(range.to(), start + 1 + random.nextInt(8));
+        rangesByPart.get(random.nextInt(count)).add(range.intersect(start, end));
+        start = end;
       }
     }
     if (random.nextInt(6) == 0
-        && !slices.get(0).isEmpty()) { // spoilt: a slice lost, doubled, or made longer
-      KeyRange last = slices.get(0).get(slices.get(0).size() - 1);
+        && !rangesByPart.get(0).isEmpty()) { // spoilt: a slice lost, doubled, or made longer
+      KeyRange last = rangesByPart.get(0).get(rangesByPart.get(0).size() - 1);
       switch (random.nextInt(3)) {
-        case 0 -> slices.get(0).remove(last);
-        case 1 -> slices.get(1).add(last);
+        case 0 -> rangesByPart.get(0).remove(last);
+        case 1 -> rangesByPart.get(1).add(last);
         default ->
-            slices
+            rangesByPart
                 .get(0)
                 .set(
-                    slices.get(0).size() - 1,
+                    rangesByPart.get(0).size() - 1,
                     new KeyRange(last.from(), last.to() + 1, last.weight()));
       }
     }
     List<Partition> into = new ArrayList<>();
     for (int i = 0; i < count; i++) {
-      List<KeyRange> mine = new ArrayList<>(slices.get(i));
-      mine.sort(Comparator.comparingLong(KeyRange::from));
-      PartitionId id = i == 0 && random.nextBoolean() ? one.id() : new PartitionId(numbers[0]++);
-      into.add(new Partition(id, mine, boxes(random)));
+      List<KeyRange> sortedRanges = new ArrayList<>(rangesByPart.get(i));
+      sortedRanges.sort(Comparator.comparingLong(KeyRange::from));
+      PartitionId id =
+          i == 0 && random.nextBoolean() ? partition.id() : new PartitionId(nextId[0]++);
+      into.add(new Partition(id, sortedRanges, randomHolders(random)));
     }
-    return new Step.Split(version, one.id(), into);
+    return new LayoutStep.Split(version, partition.id(), into);
   }
 
   static int[] owners(Layout layout) {
