--- a/lease/src/main/java/gingerring/lease/Candidate.java
+++ b/lease/src/main/java/gingerring/lease/Candidate.java
@@ -1,6 +1,6 @@
 package gingerring.lease;
 
-import gingerring.lease.Checks.Check;
+import gingerring.lease.SafetyChecks.Check;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -14,9 +14,10 @@
 
 /**
  * One mixer's side of one duty: asks electors for it where its rank is among the first, holds it by
- * its own clock for a shorter span than electors keep it ({@link Rules#held}), renews, hands over,
- * and steps down where it cannot renew. See {@link Elector} for why one holds at a time; that rests
- * on clocks whose rate is within the drift, and on nothing of how long words take.
+ * its own clock for a shorter span than electors keep it ({@link LeaseSettings#holderDuration}),
+ * renews, hands over, and steps down where it cannot renew. See {@link Elector} for why one holds
+ * at a time; that rests on clocks whose rate is within the drift, and on nothing of how long words
+ * take.
  *
  * <p><b>Handing over.</b> The holder invites the next; the invited stands in line with electors,
  * behind the holder's lease; when a majority keeps the duty for it, it tells the holder, who stops
@@ -38,108 +39,108 @@
     Duration now();
 
     /** Sends a word; tells the letter's number. */
-    long send(MixerId to, Word word);
+    long send(MixerId to, LeaseMessage message);
 
     /**
      * It holds from now on, by this token; also with a later token while it holds. Show it to the
      * gate.
      */
-    void took(DutyName duty, Token token);
+    void onAcquired(LeaseName lease, FencingToken token);
 
     /** It holds no more. */
-    void lost(DutyName duty, Token token);
+    void onLost(LeaseName lease, FencingToken token);
   }
 
   /** One round of asking all electors. */
-  private static final class Attempt {
-    final Token token;
-    final Token behind;
-    final Duration start;
-    final Duration span;
-    final Map<ElectorId, Long> asked = new HashMap<>();
-    final Set<ElectorId> granted = new HashSet<>();
-    final Map<ElectorId, Duration> refused = new HashMap<>();
+  private static final class Round {
+    final FencingToken token;
+    final FencingToken currentToken;
+    final Duration startedAt;
+    final Duration duration;
+    final Map<ElectorId, Long> requestNumbers = new HashMap<>();
+    final Set<ElectorId> grantedBy = new HashSet<>();
+    final Map<ElectorId, Duration> rejectedBy = new HashMap<>();
 
     /** A later term may do at once. */
-    boolean low;
+    boolean termTooLow;
 
-    final Set<Long> readies = new HashSet<>();
+    final Set<Long> readyNumbers = new HashSet<>();
 
-    Attempt(Token token, Token behind, Duration start, Duration span) {
+    Round(FencingToken token, FencingToken currentToken, Duration startedAt, Duration duration) {
       this.token = token;
-      this.behind = behind;
-      this.start = start;
-      this.span = span;
+      this.currentToken = currentToken;
+      this.startedAt = startedAt;
+      this.duration = duration;
     }
   }
 
-  private final DutyName duty;
-  private final MixerId me;
-  private final long life;
-  private final Rules rules;
+  private final LeaseName lease;
+  private final MixerId id;
+  private final long incarnation;
+  private final LeaseSettings settings;
   private final Host host;
-  private final RandomGenerator chance;
-  private final Checks checks;
-  private Electors electors;
-  private List<MixerId> ranks = List.of();
-  private Term seen = Term.NONE;
-  private Attempt attempt;
-  private Duration wake = NEVER;
-
-  private Token token;
-  private Duration until = Duration.ZERO;
-  private Duration last = Duration.ZERO;
+  private final RandomGenerator random;
+  private final SafetyChecks checks;
+  private ElectorSet electors;
+  private List<MixerId> ranking = List.of();
+  private Term highestTerm = Term.NONE;
+  private Round round;
+  private Duration nextRoundAt = NEVER;
+
+  private FencingToken token;
+  private Duration expiresAt = Duration.ZERO;
+  private Duration lastCallAt = Duration.ZERO;
   private Duration renewAt = NEVER;
-  private boolean raise;
-  private final Map<ElectorId, Long> granted = new HashMap<>();
+  private boolean raiseTerm;
+  private final Map<ElectorId, Long> grantRequests = new HashMap<>();
 
   /** The token that was yielded to it, and the letters that asked electors for it. */
-  private Token lined;
+  private FencingToken reservedToken;
 
-  private Map<ElectorId, Long> lines = Map.of();
+  private Map<ElectorId, Long> reservationRequests = Map.of();
 
-  private boolean forbidden;
-  private boolean leaving;
-  private Duration handAt = NEVER;
-  private int handTries;
-  private MixerId wished;
-  private MixerId invited;
-  private long invitation;
-  private Word.Yield yielded;
-  private MixerId yieldedTo;
+  private boolean prohibited;
+  private boolean resigning;
+  private Duration nextOfferAt = NEVER;
+  private int offerCount;
+  private MixerId requestedSuccessor;
+  private MixerId offeredTo;
+  private long offerNumber;
+  private LeaseMessage.HandoverConfirmed lastConfirmation;
+  private MixerId confirmedTo;
 
-  private MixerId inviter;
-  private long inviterLife;
-  private long inviteNumber;
-  private Duration readyAt = NEVER;
+  private MixerId offerer;
+  private long offererIncarnation;
+  private long receivedOfferNumber;
+  private Duration nextReadyAt = NEVER;
 
   public Candidate(
-      DutyName duty,
-      MixerId me,
-      long life,
-      Electors electors,
-      Rules rules,
+      LeaseName lease,
+      MixerId id,
+      long incarnation,
+      ElectorSet electors,
+      LeaseSettings settings,
       Host host,
-      RandomGenerator chance) {
-    this(duty, me, life, electors, rules, host, chance, Checks.ALL);
+      RandomGenerator random) {
+    this(lease, id, incarnation, electors, settings, host, random, SafetyChecks.ALL);
   }
 
   Candidate(
-      DutyName duty,
-      MixerId me,
-      long life,
-      Electors electors,
-      Rules rules,
+      LeaseName lease,
+      MixerId id,
+      long incarnation,
+      ElectorSet electors,
+      LeaseSettings settings,
       Host host,
-      RandomGenerator chance,
-      Checks checks) {
-    this.duty = duty;
-    this.me = me;
-    this.life = life;
+      RandomGenerator random,
+      SafetyChecks checks) {
+    this.lease = lease;
+    this.id = id;
+    this.incarnation = incarnation;
     this.electors = electors;
-    this.rules = rules;
+    this.settings = settings;
     this.host = host;
-    this.chance = chance;
+    this.random = random;
     this.checks = checks;
   }
 
@@ -147,418 +148,481 @@
    * Who is there, as this mixer believes; a holder who is not first any more hands over after a
    * lease.
    */
-  public void members(Collection<MixerId> members) {
+  public void updateMembers(Collection<MixerId> members) {
     Duration now = host.now();
-    List<MixerId> before = ranks;
-    ranks = Ranks.of(duty, members, rules.stand());
+    List<MixerId> previousRanking = ranking;
+    ranking = CandidateRanking.top(lease, members, settings.candidateCount());
     if (token != null) {
-      if (rank() == 0 && !leaving) {
-        handAt = NEVER;
-      } else if (handAt.equals(NEVER) && !ranks.equals(before)) {
-        handAt = now.plus(rules.lease());
-        handTries = 0;
+      if (rank() == 0 && !resigning) {
+        nextOfferAt = NEVER;
+      } else if (nextOfferAt.equals(NEVER) && !ranking.equals(previousRanking)) {
+        nextOfferAt = now.plus(settings.leaseDuration());
+        offerCount = 0;
       }
-    } else if (attempt == null && wake.equals(NEVER)) {
-      wake = now.plus(turn());
+    } else if (round == null && nextRoundAt.equals(NEVER)) {
+      nextRoundAt = now.plus(rankDelay());
     }
   }
 
   /** The set of electors now; an ask under way is given up, a lease goes on. */
-  public void electors(Electors next) {
+  public void updateElectors(ElectorSet next) {
     if (next.epoch() > electors.epoch()) {
       electors = next;
-      if (attempt != null) {
-        fail(host.now(), Duration.ZERO);
+      if (round != null) {
+        abandonRound(host.now(), Duration.ZERO);
       }
     }
   }
 
   /** The token to show with work, while it holds: to be asked before each piece of it. */
-  public Optional<Token> holds() {
+  public Optional<FencingToken> validToken() {
     Duration now = host.now();
     return token != null
-            && (now.compareTo(until) < 0 && now.compareTo(last) >= 0 || !checks.on(Check.OWN_CLOCK))
+            && (now.compareTo(expiresAt) < 0 && now.compareTo(lastCallAt) >= 0
+                || !checks.enabled(Check.HOLDER_EXPIRY))
         ? Optional.of(token)
         : Optional.empty();
   }
 
   /** Gives the duty up, to the next in rank, or to nobody; and asks for it no more. */
-  public void giveUp() {
-    leaving = true;
-    forbidden = true;
-    wished = null;
-    handAt = host.now();
-    handTries = 0;
-    if (token == null && attempt != null) {
-      fail(host.now(), Duration.ZERO);
+  public void resign() {
+    resigning = true;
+    prohibited = true;
+    requestedSuccessor = null;
+    nextOfferAt = host.now();
+    offerCount = 0;
+    if (token == null && round != null) {
+      abandonRound(host.now(), Duration.ZERO);
     }
-    act();
+    runDueActions();
   }
 
   /** Hands the duty to one mixer, if it holds it and that one takes it. */
-  public void hand(MixerId to) {
-    wished = to;
-    handAt = host.now();
-    handTries = 0;
-    act();
+  public void handOverTo(MixerId successor) {
+    requestedSuccessor = successor;
+    nextOfferAt = host.now();
+    offerCount = 0;
+    runDueActions();
   }
 
   /** May ask for the duty again, or not; who may not gives it up as it can. */
-  public void forbid(boolean no) {
-    if (no) {
-      giveUp();
+  public void setProhibited(boolean prohibit) {
+    if (prohibit) {
+      resign();
     } else {
-      forbidden = false;
-      leaving = false;
-      wake = host.now().plus(turn());
+      prohibited = false;
+      resigning = false;
+      nextRoundAt = host.now().plus(rankDelay());
     }
   }
 
   /** A gate has seen a later token: takes a term above it, as soon as it can. */
-  public void newest(Token other) {
-    if (other.fits(duty) && !other.term().leaps(seen, life)) {
-      seen = Term.later(seen, other.term());
-      raise |= token != null && other.compareTo(token) > 0;
+  public void observeToken(FencingToken observed) {
+    if (observed.belongsTo(lease) && !observed.term().isImplausible(highestTerm, incarnation)) {
+      highestTerm = Term.max(highestTerm, observed.term());
+      raiseTerm |= token != null && observed.compareTo(token) > 0;
     }
   }
 
   /** When {@link #tick} is due at the latest, by its own clock. */
-  public Duration due() {
-    Duration due = token != null ? earlier(until, earlier(renewAt, handAt)) : wake;
-    if (attempt != null) {
-      due =
-          earlier(
-              due,
-              attempt.start.plus(
-                  attempt.behind != null ? rules.held(attempt.span) : rules.patience()));
-      due = attempt.behind != null ? earlier(due, readyAt) : due;
+  public Duration nextTickAt() {
+    Duration dueAt = token != null ? min(expiresAt, min(renewAt, nextOfferAt)) : nextRoundAt;
+    if (round != null) {
+      dueAt =
+          min(
+              dueAt,
+              round.startedAt.plus(
+                  round.currentToken != null
+                      ? settings.holderDuration(round.duration)
+                      : settings.replyTimeout()));
+      dueAt = round.currentToken != null ? min(dueAt, nextReadyAt) : dueAt;
     }
-    return due;
+    return dueAt;
   }
 
-  private static Duration earlier(Duration one, Duration other) {
-    return one.compareTo(other) <= 0 ? one : other;
+  private static Duration min(Duration first, Duration second) {
+    return first.compareTo(second) <= 0 ? first : second;
   }
 
   /** What is due by the clock. */
   public void tick() {
-    act();
+    runDueActions();
   }
 
   private int rank() {
-    return ranks.indexOf(me);
+    return ranking.indexOf(id);
   }
 
-  private Duration turn() {
-    long spread = Math.max(1, rules.step().toNanos() / 2);
-    return rules.step().multipliedBy(Math.max(0, rank())).plusNanos(chance.nextLong(spread));
+  private Duration rankDelay() {
+    long jitterBound = Math.max(1, settings.rankDelay().toNanos() / 2);
+    return settings
+        .rankDelay()
+        .multipliedBy(Math.max(0, rank()))
+        .plusNanos(random.nextLong(jitterBound));
   }
 
-  private void act() {
+  private void runDueActions() {
     Duration now = host.now();
-    boolean back = now.compareTo(last) < 0; // a clock that went back: nothing dated by it holds
-    last = now;
-    if (back && attempt != null) {
-      fail(now, Duration.ZERO);
-    }
-    if (token != null && (back || now.compareTo(until) >= 0)) {
-      step(now);
-    }
-    if (attempt != null) {
-      Duration over =
-          attempt.start.plus(attempt.behind != null ? rules.held(attempt.span) : rules.patience());
-      if (now.compareTo(over) >= 0) {
-        fail(now, Duration.ZERO);
-      } else if (attempt.behind != null && now.compareTo(readyAt) >= 0) {
-        ready(now);
+    boolean clockWentBack =
+        now.compareTo(lastCallAt) < 0; // a clock that went back: nothing dated by it holds
+    lastCallAt = now;
+    if (clockWentBack && round != null) {
+      abandonRound(now, Duration.ZERO);
+    }
+    if (token != null && (clockWentBack || now.compareTo(expiresAt) >= 0)) {
+      stepDown(now);
+    }
+    if (round != null) {
+      Duration roundEndsAt =
+          round.startedAt.plus(
+              round.currentToken != null
+                  ? settings.holderDuration(round.duration)
+                  : settings.replyTimeout());
+      if (now.compareTo(roundEndsAt) >= 0) {
+        abandonRound(now, Duration.ZERO);
+      } else if (round.currentToken != null && now.compareTo(nextReadyAt) >= 0) {
+        sendReady(now);
       }
     }
     if (token != null) {
-      if (now.compareTo(renewAt) >= 0 && attempt == null) {
-        Token with = raise && invited == null ? Token.of(duty, later()) : token;
-        raise = false;
-        ask(with, now, rules.lease());
-        renewAt = now.plus(rules.renew());
+      if (now.compareTo(renewAt) >= 0 && round == null) {
+        FencingToken requestedToken =
+            raiseTerm && offeredTo == null ? FencingToken.of(lease, nextTerm()) : token;
+        raiseTerm = false;
+        requestGrants(requestedToken, now, settings.leaseDuration());
+        renewAt = now.plus(settings.renewInterval());
       }
-      if (now.compareTo(handAt) >= 0) {
-        invite(now);
+      if (now.compareTo(nextOfferAt) >= 0) {
+        offerHandover(now);
       }
-    } else if (attempt == null && now.compareTo(wake) >= 0) {
-      wake = NEVER;
-      if (rank() >= 0 && !forbidden) {
-        ask(Token.of(duty, later()), now, rules.vote());
+    } else if (round == null && now.compareTo(nextRoundAt) >= 0) {
+      nextRoundAt = NEVER;
+      if (rank() >= 0 && !prohibited) {
+        requestGrants(FencingToken.of(lease, nextTerm()), now, settings.initialDuration());
       }
     }
   }
 
-  private Term later() {
-    return (token == null ? seen : Term.later(seen, token.term())).next();
+  private Term nextTerm() {
+    return (token == null ? highestTerm : Term.max(highestTerm, token.term())).next();
   }
 
-  private void ask(Token with, Duration now, Duration span) {
-    seen = Term.later(seen, with.term()); // what was asked for once is not asked for anew
-    attempt = new Attempt(with, null, now, span);
-    for (ElectorId each : electors.members()) {
-      long line = with.equals(lined) ? lines.getOrDefault(each, 0L) : 0;
-      attempt.asked.put(
-          each, host.send(each.mixer(), new Word.Ask(duty, electors.epoch(), with, span, line)));
+  private void requestGrants(FencingToken requestedToken, Duration now, Duration duration) {
+    highestTerm =
+        Term.max(
+            highestTerm, requestedToken.term()); // what was asked for once is not asked for anew
+    round = new Round(requestedToken, null, now, duration);
+    for (ElectorId elector : electors.members()) {
+      long reservationNumber =
+          requestedToken.equals(reservedToken) ? reservationRequests.getOrDefault(elector, 0L) : 0;
+      round.requestNumbers.put(
+          elector,
+          host.send(
+              elector.mixer(),
+              new LeaseMessage.GrantRequest(
+                  lease, electors.epoch(), requestedToken, duration, reservationNumber)));
     }
   }
 
   /** It holds no more; asks again in its turn. */
-  private void step(Duration now) {
-    Token before = token;
+  private void stepDown(Duration now) {
+    FencingToken lostToken = token;
     token = null;
-    attempt = null;
-    raise = false;
-    granted.clear();
-    invited = null;
-    handAt = NEVER;
+    round = null;
+    raiseTerm = false;
+    grantRequests.clear();
+    offeredTo = null;
+    nextOfferAt = NEVER;
     renewAt = NEVER;
-    wake = now.plus(turn());
-    host.lost(duty, before);
+    nextRoundAt = now.plus(rankDelay());
+    host.onLost(lease, lostToken);
   }
 
-  private void fail(Duration now, Duration pause) {
-    Attempt failed = attempt;
-    attempt = null;
-    inviter = null;
-    readyAt = NEVER;
+  private void abandonRound(Duration now, Duration pause) {
+    Round abandoned = round;
+    round = null;
+    offerer = null;
+    nextReadyAt = NEVER;
     if (token == null) {
-      failed.asked.forEach(
-          (each, asked) -> {
-            if (!failed.refused.containsKey(each)) {
-              host.send(each.mixer(), new Word.Release(duty, failed.token, asked));
+      abandoned.requestNumbers.forEach(
+          (elector, requestNumber) -> {
+            if (!abandoned.rejectedBy.containsKey(elector)) {
+              host.send(
+                  elector.mixer(), new LeaseMessage.Release(lease, abandoned.token, requestNumber));
             }
           });
-      wake = now.plus(pause).plus(turn());
+      nextRoundAt = now.plus(pause).plus(rankDelay());
     }
   }
 
   /** What has come from another mixer; what is not for candidates does nothing. */
-  public void heard(Letter letter) {
-    Word word = letter.word();
-    if (!word.duty().equals(duty)) {
+  public void handle(Envelope envelope) {
+    LeaseMessage message = envelope.message();
+    if (!message.lease().equals(lease)) {
       return;
     }
-    act();
-    if (word instanceof Word.Answer answer) {
-      answer(new ElectorId(letter.author()), answer);
-    } else if (word instanceof Word.Invite invite) {
-      invited(letter, invite);
-    } else if (word instanceof Word.Ready ready) {
-      makeWay(letter, ready);
-    } else if (word instanceof Word.Yield yield) {
-      yielded(letter, yield);
+    runDueActions();
+    if (message instanceof LeaseMessage.ElectorReply reply) {
+      handleReply(new ElectorId(envelope.sender()), reply);
+    } else if (message instanceof LeaseMessage.HandoverOffer offer) {
+      handleOffer(envelope, offer);
+    } else if (message instanceof LeaseMessage.HandoverReady ready) {
+      handleReady(envelope, ready);
+    } else if (message instanceof LeaseMessage.HandoverConfirmed confirmation) {
+      handleConfirmation(envelope, confirmation);
     }
-    act();
+    runDueActions();
   }
 
-  private void answer(ElectorId from, Word.Answer answer) {
-    Long asked = attempt == null ? null : attempt.asked.get(from);
-    boolean cited = asked != null && asked == answer.asked();
-    boolean any = attempt != null && !checks.on(Check.CITES);
-    if (!cited && !any) {
+  private void handleReply(ElectorId elector, LeaseMessage.ElectorReply reply) {
+    Long requestNumber = round == null ? null : round.requestNumbers.get(elector);
+    boolean answersRequest = requestNumber != null && requestNumber == reply.requestNumber();
+    boolean checkDisabled = round != null && !checks.enabled(Check.REPLY_NUMBER);
+    if (!answersRequest && !checkDisabled) {
       return;
     }
-    if (answer.seen().leaps(seen, life)) {
+    if (reply.highestTerm().isImplausible(highestTerm, incarnation)) {
       return;
     }
-    seen = Term.later(seen, answer.seen());
-    Word.Lease lease = attempt.behind == null ? answer.held() : answer.next();
-    boolean mine = lease.holder().equals(me) || !checks.on(Check.OWN_LEASE);
-    boolean myLife = lease.life() == life || !checks.on(Check.OWN_LIFE);
-    boolean myToken = lease.token().equals(attempt.token) || !checks.on(Check.OWN_TOKEN);
-    boolean itsAsk = lease.asked() == answer.asked() || !checks.on(Check.LEASE_CITES);
-    boolean whole = lease.left().compareTo(attempt.span) >= 0 || !checks.on(Check.SPAN);
-    if (mine && myLife && myToken && itsAsk && whole && answer.epoch() == electors.epoch()) {
-      attempt.granted.add(from);
+    highestTerm = Term.max(highestTerm, reply.highestTerm());
+    LeaseMessage.GrantStatus grant =
+        round.currentToken == null ? reply.current() : reply.reserved();
+    boolean ownGrant = grant.holder().equals(id) || !checks.enabled(Check.GRANT_HOLDER);
+    boolean ownIncarnation =
+        grant.incarnation() == incarnation || !checks.enabled(Check.GRANT_INCARNATION);
+    boolean ownToken = grant.token().equals(round.token) || !checks.enabled(Check.GRANT_TOKEN);
+    boolean matchesRequest =
+        grant.requestNumber() == reply.requestNumber() || !checks.enabled(Check.GRANT_NUMBER);
+    boolean fullDuration =
+        grant.remaining().compareTo(round.duration) >= 0 || !checks.enabled(Check.SPAN);
+    if (ownGrant
+        && ownIncarnation
+        && ownToken
+        && matchesRequest
+        && fullDuration
+        && reply.epoch() == electors.epoch()) {
+      round.grantedBy.add(elector);
     } else {
-      attempt.low |= answer.seen().compareTo(attempt.token.term()) > 0;
-      raise |= token != null && answer.seen().compareTo(token.term()) > 0;
-      attempt.refused.put(
-          from, earlier(rules.lease(), longer(answer.held().left(), answer.next().left())));
-    }
-    int enough =
-        checks.on(Check.MAJORITY) ? electors.majority() : (electors.members().size() + 1) / 2 - 1;
-    if (attempt.granted.size() >= enough) {
-      if (attempt.behind == null) {
-        take(host.now());
-      } else if (readyAt.equals(NEVER)) {
-        ready(host.now());
+      round.termTooLow |= reply.highestTerm().compareTo(round.token.term()) > 0;
+      raiseTerm |= token != null && reply.highestTerm().compareTo(token.term()) > 0;
+      round.rejectedBy.put(
+          elector,
+          min(
+              settings.leaseDuration(),
+              max(reply.current().remaining(), reply.reserved().remaining())));
+    }
+    int requiredGrants =
+        checks.enabled(Check.MAJORITY)
+            ? electors.majority()
+            : (electors.members().size() + 1) / 2 - 1;
+    if (round.grantedBy.size() >= requiredGrants) {
+      if (round.currentToken == null) {
+        acquire(host.now());
+      } else if (nextReadyAt.equals(NEVER)) {
+        sendReady(host.now());
       }
-    } else if (electors.members().size() - attempt.refused.size() < electors.majority()) {
-      refused(host.now());
+    } else if (electors.members().size() - round.rejectedBy.size() < electors.majority()) {
+      handleMajorityRejection(host.now());
     }
   }
 
-  private static Duration longer(Duration one, Duration other) {
-    return one.compareTo(other) >= 0 ? one : other;
+  private static Duration max(Duration first, Duration second) {
+    return first.compareTo(second) >= 0 ? first : second;
   }
 
   /** A majority has refused: waits until one could be free, or asks at once with a later term. */
-  private void refused(Duration now) {
-    List<Duration> lefts = new ArrayList<>(attempt.refused.values());
-    while (lefts.size() < electors.members().size()) {
-      lefts.add(Duration.ZERO);
-    }
-    lefts.sort(null);
-    Duration left = lefts.get(electors.majority() - 1);
-    fail(now, attempt.low ? left : longer(left, rules.patience()));
-  }
-
-  private void take(Duration now) {
-    Attempt won = attempt;
-    attempt = null;
-    Duration base = checks.on(Check.FROM_ASKING) ? won.start : now;
-    Duration held = checks.on(Check.SHORTER) ? rules.held(won.span) : won.span.multipliedBy(2);
-    Duration end = base.plus(held);
-    if (end.compareTo(now) <= 0) {
-      wake = now.plus(turn());
+  private void handleMajorityRejection(Duration now) {
+    List<Duration> remainingDurations = new ArrayList<>(round.rejectedBy.values());
+    while (remainingDurations.size() < electors.members().size()) {
+      remainingDurations.add(Duration.ZERO);
+    }
+    remainingDurations.sort(null);
+    Duration pause = remainingDurations.get(electors.majority() - 1);
+    abandonRound(now, round.termTooLow ? pause : max(pause, settings.replyTimeout()));
+  }
+
+  private void acquire(Duration now) {
+    Round wonRound = round;
+    round = null;
+    Duration countedFrom = checks.enabled(Check.EXPIRY_FROM_REQUEST) ? wonRound.startedAt : now;
+    Duration duration =
+        checks.enabled(Check.SHORTER)
+            ? settings.holderDuration(wonRound.duration)
+            : wonRound.duration.multipliedBy(2);
+    Duration newExpiry = countedFrom.plus(duration);
+    if (newExpiry.compareTo(now) <= 0) {
+      nextRoundAt = now.plus(rankDelay());
       return;
     }
-    boolean taking = token == null;
-    boolean later = taking || !token.equals(won.token);
-    token = won.token;
-    until = later && !taking ? end : longer(until, end);
-    if (taking) {
-      until = end;
+    boolean newlyAcquired = token == null;
+    boolean newToken = newlyAcquired || !token.equals(wonRound.token);
+    token = wonRound.token;
+    expiresAt = newToken && !newlyAcquired ? newExpiry : max(expiresAt, newExpiry);
+    if (newlyAcquired) {
+      expiresAt = newExpiry;
       renewAt = now;
-      begin(now);
+      startHolding(now);
     }
-    granted.clear();
-    won.granted.forEach(each -> granted.put(each, won.asked.get(each)));
-    if (later) {
-      host.took(duty, token);
+    grantRequests.clear();
+    wonRound.grantedBy.forEach(
+        elector -> grantRequests.put(elector, wonRound.requestNumbers.get(elector)));
+    if (newToken) {
+      host.onAcquired(lease, token);
     }
   }
 
-  private void begin(Duration now) {
-    wake = NEVER;
-    invited = null;
-    handTries = 0;
-    wished = null;
-    boolean sent =
-        inviter != null
-            && ranks.contains(inviter)
+  private void startHolding(Duration now) {
+    nextRoundAt = NEVER;
+    offeredTo = null;
+    offerCount = 0;
+    requestedSuccessor = null;
+    boolean fromHigherRank =
+        offerer != null
+            && ranking.contains(offerer)
             && (rank() < 0
-                || ranks.indexOf(inviter) < rank()); // by one above: on purpose, so it stays
-    handAt = leaving ? now : rank() == 0 || sent ? NEVER : now.plus(rules.lease());
-    inviter = null;
-  }
-
-  private void invite(Duration now) {
-    List<MixerId> others = new ArrayList<>(ranks);
-    if (!leaving && rank() >= 0) {
-      others = new ArrayList<>(ranks.subList(0, rank()));
-    }
-    others.remove(me);
-    if (wished != null && !wished.equals(me)) {
-      others.add(0, wished);
-    }
-    if (others.isEmpty() || handTries >= 2 * Math.max(1, others.size())) {
-      if (leaving) {
-        end(now);
+                || ranking.indexOf(offerer) < rank()); // by one above: on purpose, so it stays
+    nextOfferAt =
+        resigning
+            ? now
+            : rank() == 0 || fromHigherRank ? NEVER : now.plus(settings.leaseDuration());
+    offerer = null;
+  }
+
+  private void offerHandover(Duration now) {
+    List<MixerId> successors = new ArrayList<>(ranking);
+    if (!resigning && rank() >= 0) {
+      successors = new ArrayList<>(ranking.subList(0, rank()));
+    }
+    successors.remove(id);
+    if (requestedSuccessor != null && !requestedSuccessor.equals(id)) {
+      successors.add(0, requestedSuccessor);
+    }
+    if (successors.isEmpty() || offerCount >= 2 * Math.max(1, successors.size())) {
+      if (resigning) {
+        releaseLease(now);
       } else {
-        wished = null;
-        invited = null;
-        handTries = 0;
-        handAt = others.isEmpty() ? NEVER : now.plus(rules.lease().multipliedBy(5));
+        requestedSuccessor = null;
+        offeredTo = null;
+        offerCount = 0;
+        nextOfferAt =
+            successors.isEmpty() ? NEVER : now.plus(settings.leaseDuration().multipliedBy(5));
       }
       return;
     }
-    invited = others.get(handTries++ % others.size());
-    invitation = host.send(invited, new Word.Invite(duty, token));
-    handAt = now.plus(rules.vote());
+    offeredTo = successors.get(offerCount++ % successors.size());
+    offerNumber = host.send(offeredTo, new LeaseMessage.HandoverOffer(lease, token));
+    nextOfferAt = now.plus(settings.initialDuration());
   }
 
   /** Gives the lease back to electors. */
-  private void end(Duration now) {
-    Map<ElectorId, Long> mine = new HashMap<>(granted);
-    if (attempt != null) {
-      mine.putAll(attempt.asked);
+  private void releaseLease(Duration now) {
+    Map<ElectorId, Long> requestNumbers = new HashMap<>(grantRequests);
+    if (round != null) {
+      requestNumbers.putAll(round.requestNumbers);
     }
-    Token before = token;
-    attempt = null;
-    step(now);
-    wake = NEVER;
-    mine.forEach((each, asked) -> host.send(each.mixer(), new Word.Release(duty, before, asked)));
+    FencingToken lostToken = token;
+    round = null;
+    stepDown(now);
+    nextRoundAt = NEVER;
+    requestNumbers.forEach(
+        (elector, requestNumber) ->
+            host.send(elector.mixer(), new LeaseMessage.Release(lease, lostToken, requestNumber)));
   }
 
-  private void invited(Letter letter, Word.Invite invite) {
+  private void handleOffer(Envelope envelope, LeaseMessage.HandoverOffer offer) {
     if (token != null
-        || forbidden
-        || attempt != null && attempt.behind != null
-        || !invite.token().fits(duty)
-        || invite.token().term().leaps(seen, life)) {
+        || prohibited
+        || round != null && round.currentToken != null
+        || !offer.token().belongsTo(lease)
+        || offer.token().term().isImplausible(highestTerm, incarnation)) {
       return;
     }
     Duration now = host.now();
-    if (attempt != null) {
-      fail(now, Duration.ZERO);
-    }
-    inviter = letter.author();
-    inviterLife = letter.life();
-    inviteNumber = letter.number();
-    seen = Term.later(seen, invite.token().term());
-    attempt = new Attempt(Token.of(duty, later()), invite.token(), now, rules.vote());
-    seen = Term.later(seen, attempt.token.term());
-    readyAt = NEVER;
-    for (ElectorId each : electors.members()) {
-      attempt.asked.put(
-          each,
+    if (round != null) {
+      abandonRound(now, Duration.ZERO);
+    }
+    offerer = envelope.sender();
+    offererIncarnation = envelope.incarnation();
+    receivedOfferNumber = envelope.sequenceNumber();
+    highestTerm = Term.max(highestTerm, offer.token().term());
+    round =
+        new Round(
+            FencingToken.of(lease, nextTerm()), offer.token(), now, settings.initialDuration());
+    highestTerm = Term.max(highestTerm, round.token.term());
+    nextReadyAt = NEVER;
+    for (ElectorId elector : electors.members()) {
+      round.requestNumbers.put(
+          elector,
           host.send(
-              each.mixer(),
-              new Word.Line(duty, electors.epoch(), attempt.token, invite.token(), rules.vote())));
-    }
-  }
-
-  private void ready(Duration now) {
-    attempt.readies.add(
-        host.send(inviter, new Word.Ready(duty, attempt.behind, attempt.token, inviteNumber)));
-    readyAt = now.plus(rules.step());
-  }
-
-  private void makeWay(Letter letter, Word.Ready ready) {
-    if (yielded != null
-        && letter.author().equals(yieldedTo)
-        && ready.token().equals(yielded.token())
-        && ready.next().equals(yielded.next())) {
-      host.send(yieldedTo, new Word.Yield(duty, yielded.token(), yielded.next(), letter.number()));
+              elector.mixer(),
+              new LeaseMessage.ReservationRequest(
+                  lease,
+                  electors.epoch(),
+                  round.token,
+                  offer.token(),
+                  settings.initialDuration())));
+    }
+  }
+
+  private void sendReady(Duration now) {
+    round.readyNumbers.add(
+        host.send(
+            offerer,
+            new LeaseMessage.HandoverReady(
+                lease, round.currentToken, round.token, receivedOfferNumber)));
+    nextReadyAt = now.plus(settings.rankDelay());
+  }
+
+  private void handleReady(Envelope envelope, LeaseMessage.HandoverReady ready) {
+    if (lastConfirmation != null
+        && envelope.sender().equals(confirmedTo)
+        && ready.token().equals(lastConfirmation.token())
+        && ready.successorToken().equals(lastConfirmation.successorToken())) {
+      host.send(
+          confirmedTo,
+          new LeaseMessage.HandoverConfirmed(
+              lease,
+              lastConfirmation.token(),
+              lastConfirmation.successorToken(),
+              envelope.sequenceNumber()));
       return;
     }
-    boolean asked = letter.author().equals(invited) && ready.invited() == invitation;
+    boolean answersOffer =
+        envelope.sender().equals(offeredTo) && ready.offerNumber() == offerNumber;
     if (token == null
-        || !asked && checks.on(Check.INVITED)
+        || !answersOffer && checks.enabled(Check.INVITED)
         || !ready.token().equals(token)
-        || ready.next().compareTo(token) <= 0
-        || !ready.next().fits(duty)) {
+        || ready.successorToken().compareTo(token) <= 0
+        || !ready.successorToken().belongsTo(lease)) {
       return;
     }
-    yielded = new Word.Yield(duty, token, ready.next(), letter.number());
-    yieldedTo = letter.author();
-    attempt = null;
-    if (checks.on(Check.STOP_FIRST)) {
-      step(host.now());
-      wake = host.now().plus(rules.lease());
+    lastConfirmation =
+        new LeaseMessage.HandoverConfirmed(
+            lease, token, ready.successorToken(), envelope.sequenceNumber());
+    confirmedTo = envelope.sender();
+    round = null;
+    if (checks.enabled(Check.STOP_FIRST)) {
+      stepDown(host.now());
+      nextRoundAt = host.now().plus(settings.leaseDuration());
     }
-    host.send(yieldedTo, yielded);
+    host.send(confirmedTo, lastConfirmation);
   }
 
-  private void yielded(Letter letter, Word.Yield yield) {
-    if (attempt == null || attempt.behind == null) {
+  private void handleConfirmation(Envelope envelope, LeaseMessage.HandoverConfirmed confirmation) {
+    if (round == null || round.currentToken == null) {
       return;
     }
-    boolean from = letter.author().equals(inviter) && letter.life() == inviterLife;
-    boolean cites =
-        attempt.readies.contains(yield.ready())
-            && yield.next().equals(attempt.token)
-            && yield.token().equals(attempt.behind);
-    if (from && (cites || !checks.on(Check.YIELD_CITES))) {
-      readyAt = NEVER;
-      lined = attempt.token;
-      lines = attempt.asked;
-      take(host.now());
+    boolean fromOfferer =
+        envelope.sender().equals(offerer) && envelope.incarnation() == offererIncarnation;
+    boolean answersReady =
+        round.readyNumbers.contains(confirmation.readyNumber())
+            && confirmation.successorToken().equals(round.token)
+            && confirmation.token().equals(round.currentToken);
+    if (fromOfferer && (answersReady || !checks.enabled(Check.HANDOVER_NUMBER))) {
+      nextReadyAt = NEVER;
+      reservedToken = round.token;
+      reservationRequests = round.requestNumbers;
+      acquire(host.now());
     }
   }
 }
--- a/lease/src/main/java/gingerring/lease/Ranks.java
+++ b/lease/src/main/java/gingerring/lease/CandidateRanking.java
@@ -14,25 +14,25 @@
  * goes moves its own duties alone, one that comes takes only those in which it is first. O(members)
  * for each duty.
  */
-public final class Ranks {
-  private Ranks() {}
+public final class CandidateRanking {
+  private CandidateRanking() {}
 
   /** The first so many of a duty, or fewer where there are fewer members. */
-  public static List<MixerId> of(DutyName duty, Collection<MixerId> members, int first) {
-    long hash = duty.hash();
+  public static List<MixerId> top(LeaseName lease, Collection<MixerId> members, int limit) {
+    long hash = lease.hash();
     record Drawn(long draw, MixerId mixer) {}
     Comparator<Drawn> order = Comparator.comparingLong(Drawn::draw).thenComparing(Drawn::mixer);
-    List<Drawn> best = new ArrayList<>(first + 1);
-    for (MixerId each : members) {
-      Drawn drawn = new Drawn(pairHash(hash, mix(each.number())), each);
-      if (best.size() < first || first > 0 && order.compare(drawn, best.get(first - 1)) < 0) {
-        int at = best.size();
-        while (at > 0 && order.compare(drawn, best.get(at - 1)) < 0) {
-          at--;
+    List<Drawn> best = new ArrayList<>(limit + 1);
+    for (MixerId member : members) {
+      Drawn scored = new Drawn(pairHash(hash, mix(member.number())), member);
+      if (best.size() < limit || limit > 0 && order.compare(scored, best.get(limit - 1)) < 0) {
+        int position = best.size();
+        while (position > 0 && order.compare(scored, best.get(position - 1)) < 0) {
+          position--;
         }
-        best.add(at, drawn);
-        if (best.size() > first) {
-          best.remove(first);
+        best.add(position, scored);
+        if (best.size() > limit) {
+          best.remove(limit);
         }
       }
     }
--- a/lease/src/main/java/gingerring/lease/Elector.java
+++ b/lease/src/main/java/gingerring/lease/Elector.java
@@ -1,6 +1,6 @@
 package gingerring.lease;
 
-import gingerring.lease.Checks.Check;
+import gingerring.lease.SafetyChecks.Check;
 import java.time.Duration;
 import java.util.HashMap;
 import java.util.Map;
@@ -15,275 +15,315 @@
  * phase: nothing has to be learnt of an earlier holder but its term, which refusals tell, and a
  * first lease is short, so that a split vote is soon over.
  *
- * <p><b>Memory lost.</b> One that starts grants nothing for {@link Rules#quiet()}: by then each
- * lease of its earlier life is over. What it knew of terms comes back through what it hears in that
- * time, and its own life (Unix time in ms) is its least term. So terms grow while, of any majority
- * that granted one, one elector has not forgotten; or else while clocks at starts grow over
- * electors. Past both a new holder may get a token that is too low: the gate refuses it, it is told
- * the newest (see {@link Candidate#newest}), and takes a later one.
+ * <p><b>Memory lost.</b> One that starts grants nothing for {@link LeaseSettings#quietPeriod()}: by
+ * then each lease of its earlier life is over. What it knew of terms comes back through what it
+ * hears in that time, and its own life (Unix time in ms) is its least term. So terms grow while, of
+ * any majority that granted one, one elector has not forgotten; or else while clocks at starts grow
+ * over electors. Past both a new holder may get a token that is too low: the gate refuses it, it is
+ * told the newest (see {@link Candidate#observeToken}), and takes a later one.
  *
  * <p><b>Woken.</b> One that was not called for half of its quiet span takes itself for one that may
- * have been replaced, and is quiet again; {@link #displaced()} makes it so for good.
+ * have been replaced, and is quiet again; {@link #markDisplaced()} makes it so for good.
  *
- * <p><b>The set of electors</b> changes one at a time ({@link #move}); asks of another epoch get an
- * answer but no lease.
+ * <p><b>The set of electors</b> changes one at a time ({@link #changeElectors}); asks of another
+ * epoch get an answer but no lease.
  *
  * <p>At most so many duties, some 200 bytes each; asks for more are left without an answer and
  * counted. Times are by its own clock, which must not go back; a jump ahead by more than the drift
  * ends leases too early.
  */
 public final class Elector {
-  private static final Word.Lease NOBODY =
-      new Word.Lease(new MixerId(0), 0, new Token(0), 0, Duration.ZERO);
+  private static final LeaseMessage.GrantStatus NO_GRANT =
+      new LeaseMessage.GrantStatus(new MixerId(0), 0, new FencingToken(0), 0, Duration.ZERO);
 
   private static final class Grant {
     MixerId holder;
-    long life;
-    Token token;
-    Duration until;
+    long incarnation;
+    FencingToken token;
+    Duration expiresAt;
 
     /** The letter that asked last. */
-    long asked;
+    long requestNumber;
 
-    Grant(MixerId holder, long life, Token token, Duration until, long asked) {
+    Grant(
+        MixerId holder,
+        long incarnation,
+        FencingToken token,
+        Duration expiresAt,
+        long requestNumber) {
       this.holder = holder;
-      this.life = life;
+      this.incarnation = incarnation;
       this.token = token;
-      this.until = until;
-      this.asked = asked;
+      this.expiresAt = expiresAt;
+      this.requestNumber = requestNumber;
     }
 
-    boolean of(MixerId mixer, long itsLife) {
-      return holder.equals(mixer) && life == itsLife;
+    boolean isHeldBy(MixerId mixer, long mixerIncarnation) {
+      return holder.equals(mixer) && incarnation == mixerIncarnation;
     }
 
-    Word.Lease left(Duration now) {
-      Duration left = until.minus(now);
-      return new Word.Lease(holder, life, token, asked, left.isNegative() ? Duration.ZERO : left);
+    LeaseMessage.GrantStatus statusAt(Duration now) {
+      Duration remaining = expiresAt.minus(now);
+      return new LeaseMessage.GrantStatus(
+          holder,
+          incarnation,
+          token,
+          requestNumber,
+          remaining.isNegative() ? Duration.ZERO : remaining);
     }
   }
 
-  private static final class Record {
-    Term seen;
-    Grant held;
-    Grant next;
+  private static final class LeaseRecord {
+    Term highestTerm;
+    Grant current;
+    Grant reserved;
   }
 
-  private final ElectorId me;
-  private final long life;
-  private final Rules rules;
-  private final int most;
-  private final Checks checks;
-  private final Map<DutyName, Record> records = new HashMap<>();
-  private final Map<ElectorId, Duration> settled = new HashMap<>();
-  private Electors electors;
-  private Duration quietUntil;
-  private Duration last;
+  private final ElectorId id;
+  private final long incarnation;
+  private final LeaseSettings settings;
+  private final int maxLeases;
+  private final SafetyChecks checks;
+  private final Map<LeaseName, LeaseRecord> records = new HashMap<>();
+  private final Map<ElectorId, Duration> epochReachedAt = new HashMap<>();
+  private ElectorSet electors;
+  private Duration quietEndsAt;
+  private Duration lastCallAt;
   private boolean displaced;
-  private long unanswered;
+  private long unansweredCount;
 
   /**
-   * @param life when this process started, as Unix time in ms
-   * @param most duties at once
+   * @param incarnation when this process started, as Unix time in ms
+   * @param maxLeases duties at once
    * @param now by the clock that all later calls tell; the quiet span begins here
    */
-  public Elector(ElectorId me, long life, Electors electors, Rules rules, int most, Duration now) {
-    this(me, life, electors, rules, most, now, Checks.ALL);
+  public Elector(
+      ElectorId id,
+      long incarnation,
+      ElectorSet electors,
+      LeaseSettings settings,
+      int maxLeases,
+      Duration now) {
+    this(id, incarnation, electors, settings, maxLeases, now, SafetyChecks.ALL);
   }
 
   Elector(
-      ElectorId me,
-      long life,
-      Electors electors,
-      Rules rules,
-      int most,
+      ElectorId id,
+      long incarnation,
+      ElectorSet electors,
+      LeaseSettings settings,
+      int maxLeases,
       Duration now,
-      Checks checks) {
-    this.me = me;
-    this.life = life;
+      SafetyChecks checks) {
+    this.id = id;
+    this.incarnation = incarnation;
     this.electors = electors;
-    this.rules = rules;
-    this.most = most;
+    this.settings = settings;
+    this.maxLeases = maxLeases;
     this.checks = checks;
-    this.last = now;
-    this.quietUntil = checks.on(Check.QUIET) ? now.plus(rules.quiet()) : now;
+    this.lastCallAt = now;
+    this.quietEndsAt = checks.enabled(Check.QUIET) ? now.plus(settings.quietPeriod()) : now;
   }
 
   /**
    * What it says to a letter's author, if anything. Words that are not for electors say nothing to
    * it.
    */
-  public Optional<Word> heard(Letter letter, Duration now) {
-    called(now);
-    if (displaced || !electors.members().contains(me)) {
+  public Optional<LeaseMessage> handle(Envelope envelope, Duration now) {
+    recordCall(now);
+    if (displaced || !electors.members().contains(id)) {
       return Optional.empty();
     }
-    if (letter.word() instanceof Word.Ask ask) {
-      return ask(letter, ask, now);
-    } else if (letter.word() instanceof Word.Line line) {
-      return line(letter, line, now);
-    } else if (letter.word() instanceof Word.Release release) {
-      release(letter, release, now);
+    if (envelope.message() instanceof LeaseMessage.GrantRequest request) {
+      return handleGrantRequest(envelope, request, now);
+    } else if (envelope.message() instanceof LeaseMessage.ReservationRequest request) {
+      return handleReservationRequest(envelope, request, now);
+    } else if (envelope.message() instanceof LeaseMessage.Release release) {
+      handleRelease(envelope, release, now);
     }
     return Optional.empty();
   }
 
-  private void called(Duration now) {
-    if (now.minus(last).compareTo(rules.quiet().dividedBy(2)) > 0 && checks.on(Check.QUIET)) {
-      quietUntil = now.plus(rules.quiet());
+  private void recordCall(Duration now) {
+    if (now.minus(lastCallAt).compareTo(settings.quietPeriod().dividedBy(2)) > 0
+        && checks.enabled(Check.QUIET)) {
+      quietEndsAt = now.plus(settings.quietPeriod());
     }
-    last = now;
+    lastCallAt = now;
   }
 
   /** To be called at least every fourth of a lease, so that it knows that it was not stopped. */
   public void tick(Duration now) {
-    called(now);
+    recordCall(now);
   }
 
   /** Another process with a later life runs under this name: grant nothing any more. */
-  public void displaced() {
+  public void markDisplaced() {
     displaced = true;
   }
 
-  private Record record(DutyName duty) {
-    Record record = records.get(duty);
-    if (record == null && records.size() < most) {
-      record = new Record();
-      record.seen =
-          checks.on(Check.LIFE_FLOOR) ? new Term(Math.floorMod(life, Term.END)) : Term.NONE;
-      records.put(duty, record);
+  private LeaseRecord recordFor(LeaseName lease) {
+    LeaseRecord record = records.get(lease);
+    if (record == null && records.size() < maxLeases) {
+      record = new LeaseRecord();
+      record.highestTerm =
+          checks.enabled(Check.INITIAL_TERM)
+              ? new Term(Math.floorMod(incarnation, Term.LIMIT))
+              : Term.NONE;
+      records.put(lease, record);
     }
     return record;
   }
 
-  private boolean sound(DutyName duty, Record record, Token token, Duration span) {
-    return token.number() >= 0
-        && (token.fits(duty) || !checks.on(Check.DUTY_TOKEN))
-        && !token.term().leaps(record.seen, life)
-        && !span.isNegative()
-        && !span.isZero()
-        && span.compareTo(rules.lease()) <= 0;
+  private boolean isValid(
+      LeaseName lease, LeaseRecord record, FencingToken token, Duration duration) {
+    return token.value() >= 0
+        && (token.belongsTo(lease) || !checks.enabled(Check.DUTY_TOKEN))
+        && !token.term().isImplausible(record.highestTerm, incarnation)
+        && !duration.isNegative()
+        && !duration.isZero()
+        && duration.compareTo(settings.leaseDuration()) <= 0;
   }
 
-  private boolean open(Record record, long epoch, Token token, Duration now) {
-    if (now.compareTo(quietUntil) < 0) {
-      record.seen = Term.later(record.seen, token.term());
+  private boolean mayGrant(LeaseRecord record, long epoch, FencingToken token, Duration now) {
+    if (now.compareTo(quietEndsAt) < 0) {
+      record.highestTerm = Term.max(record.highestTerm, token.term());
       return false;
     }
-    return epoch == electors.epoch() || !checks.on(Check.EPOCH);
+    return epoch == electors.epoch() || !checks.enabled(Check.EPOCH);
   }
 
-  private static boolean live(Grant grant, Duration now) {
-    return grant != null && grant.until.compareTo(now) > 0;
+  private static boolean isActive(Grant grant, Duration now) {
+    return grant != null && grant.expiresAt.compareTo(now) > 0;
   }
 
-  private static Duration later(Duration one, Duration other) {
-    return one.compareTo(other) >= 0 ? one : other;
+  private static Duration max(Duration first, Duration second) {
+    return first.compareTo(second) >= 0 ? first : second;
   }
 
-  private Optional<Word> ask(Letter letter, Word.Ask ask, Duration now) {
-    Record record = record(ask.duty());
-    if (record == null || !sound(ask.duty(), record, ask.token(), ask.span())) {
-      unanswered++;
+  private Optional<LeaseMessage> handleGrantRequest(
+      Envelope envelope, LeaseMessage.GrantRequest request, Duration now) {
+    LeaseRecord record = recordFor(request.lease());
+    if (record == null || !isValid(request.lease(), record, request.token(), request.duration())) {
+      unansweredCount++;
       return Optional.empty();
     }
-    if (open(record, ask.epoch(), ask.token(), now)) {
-      Grant held = record.held;
-      Grant next = record.next;
-      Duration until = now.plus(ask.span());
-      boolean mine = held != null && held.of(letter.author(), letter.life());
-      boolean free = !live(held, now) && !live(next, now) || mine && !live(next, now);
-      if (mine && held.token.equals(ask.token())) {
-        held.until = later(held.until, until);
-        held.asked = Math.max(held.asked, letter.number());
-      } else if (next != null
-          && next.of(letter.author(), letter.life())
-          && next.token.equals(ask.token())
-          && (next.asked == ask.lined() || !checks.on(Check.LINE_CITES))) {
-        record.held =
+    if (mayGrant(record, request.epoch(), request.token(), now)) {
+      Grant current = record.current;
+      Grant reserved = record.reserved;
+      Duration expiresAt = now.plus(request.duration());
+      boolean heldBySender =
+          current != null && current.isHeldBy(envelope.sender(), envelope.incarnation());
+      boolean available =
+          !isActive(current, now) && !isActive(reserved, now)
+              || heldBySender && !isActive(reserved, now);
+      if (heldBySender && current.token.equals(request.token())) {
+        current.expiresAt = max(current.expiresAt, expiresAt);
+        current.requestNumber = Math.max(current.requestNumber, envelope.sequenceNumber());
+      } else if (reserved != null
+          && reserved.isHeldBy(envelope.sender(), envelope.incarnation())
+          && reserved.token.equals(request.token())
+          && (reserved.requestNumber == request.reservationNumber()
+              || !checks.enabled(Check.RESERVATION_NUMBER))) {
+        record.current =
             new Grant(
-                next.holder, next.life, next.token, later(next.until, until), letter.number());
-        record.next = null;
-      } else if ((free || !checks.on(Check.ONE_LEASE))
-          && (ask.token().term().compareTo(record.seen) > 0 || !checks.on(Check.LATER_TOKEN))) {
-        Duration least = mine ? held.until : Duration.ZERO;
-        record.held =
+                reserved.holder,
+                reserved.incarnation,
+                reserved.token,
+                max(reserved.expiresAt, expiresAt),
+                envelope.sequenceNumber());
+        record.reserved = null;
+      } else if ((available || !checks.enabled(Check.SINGLE_GRANT))
+          && (request.token().term().compareTo(record.highestTerm) > 0
+              || !checks.enabled(Check.HIGHER_TERM))) {
+        Duration minExpiry = heldBySender ? current.expiresAt : Duration.ZERO;
+        record.current =
             new Grant(
-                letter.author(), letter.life(), ask.token(), later(least, until), letter.number());
-        record.next = null;
-        record.seen = Term.later(record.seen, ask.token().term());
+                envelope.sender(),
+                envelope.incarnation(),
+                request.token(),
+                max(minExpiry, expiresAt),
+                envelope.sequenceNumber());
+        record.reserved = null;
+        record.highestTerm = Term.max(record.highestTerm, request.token().term());
       }
     }
-    return answer(ask.duty(), record, letter.number(), now);
+    return reply(request.lease(), record, envelope.sequenceNumber(), now);
   }
 
-  private Optional<Word> line(Letter letter, Word.Line line, Duration now) {
-    Record record = record(line.duty());
-    if (record == null || !sound(line.duty(), record, line.token(), line.span())) {
-      unanswered++;
+  private Optional<LeaseMessage> handleReservationRequest(
+      Envelope envelope, LeaseMessage.ReservationRequest request, Duration now) {
+    LeaseRecord record = recordFor(request.lease());
+    if (record == null || !isValid(request.lease(), record, request.token(), request.duration())) {
+      unansweredCount++;
       return Optional.empty();
     }
-    if (open(record, line.epoch(), line.token(), now)) {
-      boolean behind = !live(record.held, now) || record.held.token.equals(line.behind());
-      boolean again =
-          record.next != null
-              && record.next.of(letter.author(), letter.life())
-              && record.next.token.equals(line.token());
-      boolean free = !live(record.next, now) && line.token().term().compareTo(record.seen) > 0;
-      if (behind && (again || free)) {
-        Duration least = again ? record.next.until : Duration.ZERO;
-        record.next =
+    if (mayGrant(record, request.epoch(), request.token(), now)) {
+      boolean currentMatches =
+          !isActive(record.current, now) || record.current.token.equals(request.currentToken());
+      boolean repeated =
+          record.reserved != null
+              && record.reserved.isHeldBy(envelope.sender(), envelope.incarnation())
+              && record.reserved.token.equals(request.token());
+      boolean available =
+          !isActive(record.reserved, now)
+              && request.token().term().compareTo(record.highestTerm) > 0;
+      if (currentMatches && (repeated || available)) {
+        Duration minExpiry = repeated ? record.reserved.expiresAt : Duration.ZERO;
+        record.reserved =
             new Grant(
-                letter.author(),
-                letter.life(),
-                line.token(),
-                later(least, now.plus(line.span())),
-                letter.number());
-        record.seen = Term.later(record.seen, line.token().term());
+                envelope.sender(),
+                envelope.incarnation(),
+                request.token(),
+                max(minExpiry, now.plus(request.duration())),
+                envelope.sequenceNumber());
+        record.highestTerm = Term.max(record.highestTerm, request.token().term());
       }
     }
-    return answer(line.duty(), record, letter.number(), now);
+    return reply(request.lease(), record, envelope.sequenceNumber(), now);
   }
 
-  private void release(Letter letter, Word.Release release, Duration now) {
-    Record record = records.get(release.duty());
+  private void handleRelease(Envelope envelope, LeaseMessage.Release release, Duration now) {
+    LeaseRecord record = records.get(release.lease());
     if (record == null) {
       return;
     }
-    if (named(record.held, letter, release)) {
-      record.held = null;
+    if (isNamedBy(record.current, envelope, release)) {
+      record.current = null;
     }
-    if (named(record.next, letter, release)) {
-      record.next = null;
+    if (isNamedBy(record.reserved, envelope, release)) {
+      record.reserved = null;
     }
   }
 
-  private boolean named(Grant grant, Letter letter, Word.Release release) {
+  private boolean isNamedBy(Grant grant, Envelope envelope, LeaseMessage.Release release) {
     return grant != null
-        && grant.of(letter.author(), letter.life())
-        && (grant.token.equals(release.token()) || !checks.on(Check.RELEASE_TOKEN))
-        && (grant.asked == release.asked() || !checks.on(Check.RELEASE_CITES));
+        && grant.isHeldBy(envelope.sender(), envelope.incarnation())
+        && (grant.token.equals(release.token()) || !checks.enabled(Check.RELEASE_TOKEN))
+        && (grant.requestNumber == release.requestNumber()
+            || !checks.enabled(Check.RELEASE_NUMBER));
   }
 
-  private Optional<Word> answer(DutyName duty, Record record, long asked, Duration now) {
+  private Optional<LeaseMessage> reply(
+      LeaseName lease, LeaseRecord record, long requestNumber, Duration now) {
     return Optional.of(
-        new Word.Answer(
-            duty,
+        new LeaseMessage.ElectorReply(
+            lease,
             electors.epoch(),
-            asked,
-            record.seen,
-            record.held == null ? NOBODY : record.held.left(now),
-            record.next == null ? NOBODY : record.next.left(now)));
+            requestNumber,
+            record.highestTerm,
+            record.current == null ? NO_GRANT : record.current.statusAt(now),
+            record.reserved == null ? NO_GRANT : record.reserved.statusAt(now)));
   }
 
   /** How much longer it grants nothing; zero once it does. */
-  public Duration quiet(Duration now) {
-    Duration left = quietUntil.minus(now);
-    return left.isNegative() ? Duration.ZERO : left;
+  public Duration remainingQuietPeriod(Duration now) {
+    Duration remaining = quietEndsAt.minus(now);
+    return remaining.isNegative() ? Duration.ZERO : remaining;
   }
 
   /** Who grants, as it knows. */
-  public Electors electors() {
+  public ElectorSet electors() {
     return electors;
   }
 
@@ -291,11 +331,11 @@
    * Notes that an elector (oneself too) says, as it does every fourth of a lease, in which epoch it
    * is. Where it falls behind, its time there begins anew.
    */
-  public void heardEpoch(ElectorId from, long epoch, Duration now) {
+  public void recordEpoch(ElectorId sender, long epoch, Duration now) {
     if (epoch < electors.epoch()) {
-      settled.remove(from);
+      epochReachedAt.remove(sender);
     } else {
-      settled.putIfAbsent(from, now);
+      epochReachedAt.putIfAbsent(sender, now);
     }
   }
 
@@ -304,27 +344,30 @@
    * meets none two sets on, it goes only once a majority of the present set was in the present
    * epoch for a quiet span: no lease of the epoch before is left then. Leases on record go on.
    *
-   * @throws DutyError.ElectorsApart for any but one more or one less in the next epoch
-   * @throws DutyError.ElectorsUnsettled too soon after the last change; never from epoch 0
+   * @throws LeaseException.ElectorsApart for any but one more or one less in the next epoch
+   * @throws LeaseException.ElectorsUnsettled too soon after the last change; never from epoch 0
    */
-  public void move(Electors next, Duration now) {
-    if (!electors.leadsTo(next)) {
-      throw new DutyError.ElectorsApart(electors, next);
+  public void changeElectors(ElectorSet next, Duration now) {
+    if (!electors.canChangeTo(next)) {
+      throw new LeaseException.UnsafeElectorChange(electors, next);
     }
-    Duration since = now.minus(rules.quiet());
-    long there =
+    Duration settledBefore = now.minus(settings.quietPeriod());
+    long settledCount =
         electors.members().stream()
-            .filter(each -> settled.containsKey(each) && settled.get(each).compareTo(since) <= 0)
+            .filter(
+                elector ->
+                    epochReachedAt.containsKey(elector)
+                        && epochReachedAt.get(elector).compareTo(settledBefore) <= 0)
             .count();
-    if (electors.epoch() > 0 && there < electors.majority()) {
-      throw new DutyError.ElectorsUnsettled(electors);
+    if (electors.epoch() > 0 && settledCount < electors.majority()) {
+      throw new LeaseException.ElectorChangeTooEarly(electors);
     }
     electors = next;
-    settled.clear();
+    epochReachedAt.clear();
   }
 
   /** Words left without an answer: out of range, or of a duty above the bound. */
-  public long unanswered() {
-    return unanswered;
+  public long unansweredCount() {
+    return unansweredCount;
   }
 }
--- a/lease/src/main/java/gingerring/lease/DutyError.java
+++ b/lease/src/main/java/gingerring/lease/LeaseException.java
@@ -1,17 +1,17 @@
 package gingerring.lease;
 
 /** What an operator can meet of duties: a stable code, the place, what happened, and what to do. */
-public abstract sealed class DutyError extends RuntimeException {
+public abstract sealed class LeaseException extends RuntimeException {
   private static final long serialVersionUID = 1;
   private final String code;
-  private final String place;
-  private final String todo;
+  private final String location;
+  private final String remedy;
 
-  private DutyError(String code, String place, String what, String todo) {
-    super(code + " at " + place + ": " + what + "; " + todo);
+  private LeaseException(String code, String location, String cause, String remedy) {
+    super(code + " at " + location + ": " + cause + "; " + remedy);
     this.code = code;
-    this.place = place;
-    this.todo = todo;
+    this.location = location;
+    this.remedy = remedy;
   }
 
   /** Never changes once given out, as {@code duty-name}. */
@@ -19,59 +19,59 @@
     return code;
   }
 
-  public String place() {
-    return place;
+  public String location() {
+    return location;
   }
 
   /** What an operator can do. */
-  public String todo() {
-    return todo;
+  public String remedy() {
+    return remedy;
   }
 
   /** A duty's name that cannot be. */
-  public static final class BadName extends DutyError {
+  public static final class InvalidLeaseName extends LeaseException {
     private static final long serialVersionUID = 1;
 
-    BadName(String text) {
+    InvalidLeaseName(String name) {
       super(
           "duty-name",
           "name of a duty",
-          "\"" + text + "\"",
+          "\"" + name + "\"",
           "give 1 to 64 of a-z, 0-9, hyphen, dot");
     }
   }
 
   /** Spans that do not go together. */
-  public static final class BadRules extends DutyError {
+  public static final class InvalidLeaseSettings extends LeaseException {
     private static final long serialVersionUID = 1;
 
-    BadRules(String what) {
+    InvalidLeaseSettings(String settings) {
       super(
           "duty-rules",
           "rules of leases",
-          what,
+          settings,
           "let patience < vote <= lease, renew + patience < lease, 0 <= drift < 0.5, all spans above zero");
     }
   }
 
   /** A set of electors that cannot be. */
-  public static final class BadElectors extends DutyError {
+  public static final class InvalidElectorSet extends LeaseException {
     private static final long serialVersionUID = 1;
 
-    BadElectors(String what) {
+    InvalidElectorSet(String set) {
       super(
           "duty-electors",
           "set of electors",
-          what,
+          set,
           "name 1 to 9 mixers, best 3, 5 or 7 in different zones");
     }
   }
 
   /** A change of electors by which two majorities might not meet. */
-  public static final class ElectorsApart extends DutyError {
+  public static final class UnsafeElectorChange extends LeaseException {
     private static final long serialVersionUID = 1;
 
-    ElectorsApart(Electors from, Electors to) {
+    UnsafeElectorChange(ElectorSet from, ElectorSet to) {
       super(
           "duty-electors-apart",
           "change of electors",
@@ -81,57 +81,60 @@
   }
 
   /** A change of electors before the last one is surely known to a majority for a lease. */
-  public static final class ElectorsUnsettled extends DutyError {
+  public static final class ElectorChangeTooEarly extends LeaseException {
     private static final long serialVersionUID = 1;
 
-    ElectorsUnsettled(Electors now) {
+    ElectorChangeTooEarly(ElectorSet current) {
       super(
           "duty-electors-unsettled",
           "change of electors",
-          now + " is not known to a majority for a lease yet",
+          current + " is not known to a majority for a lease yet",
           "wait for two leases and try again; look which electors of it are not there");
     }
   }
 
   /** A term outside of its range. */
-  public static final class BadTerm extends DutyError {
+  public static final class InvalidTerm extends LeaseException {
     private static final long serialVersionUID = 1;
 
-    BadTerm(long count) {
+    InvalidTerm(long value) {
       super(
           "duty-term",
           "term of a duty",
-          String.valueOf(count),
+          String.valueOf(value),
           "look for a mixer whose clock is far ahead");
     }
   }
 
   /** More duties than the bound. */
-  public static final class TooManyDuties extends DutyError {
+  public static final class TooManyLeases extends LeaseException {
     private static final long serialVersionUID = 1;
 
-    TooManyDuties(int most) {
+    TooManyLeases(int maxLeases) {
       super(
-          "duty-many", "table of duties", "more than " + most, "raise the bound, or retire duties");
+          "duty-many",
+          "table of duties",
+          "more than " + maxLeases,
+          "raise the bound, or retire duties");
     }
   }
 
   /** Work shown with the token of an earlier holder, or of another duty. */
-  public static final class OldToken extends DutyError {
+  public static final class StaleToken extends LeaseException {
     private static final long serialVersionUID = 1;
-    private final transient Token newest;
+    private final transient FencingToken newest;
 
-    OldToken(DutyName duty, Token shown, Token newest) {
+    StaleToken(LeaseName lease, FencingToken presented, FencingToken newest) {
       super(
           "duty-token",
-          "gate of " + duty.text(),
-          "shown " + shown.number() + ", newest " + newest.number(),
+          "gate of " + lease.value(),
+          "shown " + presented.value() + ", newest " + newest.value(),
           "nothing, if a mixer was slow or stopped; else look for two mixers with one name");
       this.newest = newest;
     }
 
     /** What the sender is to be told, so that it asks for a later term. */
-    public Token newest() {
+    public FencingToken newest() {
       return newest;
     }
   }
--- a/lease/src/main/java/gingerring/lease/Checks.java
+++ b/lease/src/main/java/gingerring/lease/SafetyChecks.java
@@ -1,34 +1,34 @@
 package gingerring.lease;
 
 /** Each check of this module, so that a test can take one out and see that it is missed. */
-record Checks(Check out) {
-  static final Checks ALL = new Checks(null);
+record SafetyChecks(Check disabled) {
+  static final SafetyChecks ALL = new SafetyChecks(null);
 
   enum Check {
     /** An elector that came back empty is quiet. */
     QUIET,
     /** An elector has one lease of a duty at a time. */
-    ONE_LEASE,
+    SINGLE_GRANT,
     /** Only a token later than all seen is granted anew. */
-    LATER_TOKEN,
+    HIGHER_TERM,
     /** A start at one's life. */
-    LIFE_FLOOR,
+    INITIAL_TERM,
     /** The holder counts from before it asked. */
-    FROM_ASKING,
+    EXPIRY_FROM_REQUEST,
     /** The holder's span is shorter than the elector's. */
     SHORTER,
     /** The holder looks at its clock before it acts. */
-    OWN_CLOCK,
+    HOLDER_EXPIRY,
     /** An answer cites what that elector was asked. */
-    CITES,
+    REPLY_NUMBER,
     /** ... and so does the lease on record. */
-    LEASE_CITES,
+    GRANT_NUMBER,
     /** The lease on record is one's own. */
-    OWN_LEASE,
+    GRANT_HOLDER,
     /** ... of one's own life. */
-    OWN_LIFE,
+    GRANT_INCARNATION,
     /** ... of the token asked for. */
-    OWN_TOKEN,
+    GRANT_TOKEN,
     /** ... for as long as asked for. */
     SPAN,
     /** A majority, not half. */
@@ -36,13 +36,13 @@
     /** Only who was invited and is ready is yielded to. */
     INVITED,
     /** A yield counts only when it cites one's own readiness. */
-    YIELD_CITES,
+    HANDOVER_NUMBER,
     /** The holder stops before it yields. */
     STOP_FIRST,
     /** An elector follows a yield only where the ask cites the line. */
-    LINE_CITES,
+    RESERVATION_NUMBER,
     /** A release names the lease that it ends. */
-    RELEASE_CITES,
+    RELEASE_NUMBER,
     /** A release names the token that it ends. */
     RELEASE_TOKEN,
     /** A token is of the duty it comes with. */
@@ -50,12 +50,12 @@
     /** Asks of another epoch get nothing. */
     EPOCH,
     /** The gate takes no older token. */
-    GATE_OLD,
+    GUARD_STALE_TOKEN,
     /** The gate takes no other duty's token. */
-    GATE_DUTY
+    GUARD_LEASE
   }
 
-  boolean on(Check check) {
-    return check != out;
+  boolean enabled(Check check) {
+    return check != disabled;
   }
 }
--- /dev/null
+++ b/lease/src/test/java/gingerring/lease/DisabledCheckTest.java
@@ -0,0 +1,107 @@
+package gingerring.lease;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+
+import gingerring.lease.SafetyChecks.Check;
+import java.util.Arrays;
+import java.util.EnumMap;
+import java.util.Map;
+import java.util.Set;
+import java.util.concurrent.ConcurrentSkipListMap;
+import org.junit.jupiter.api.Test;
+
+/**
+ * Each check taken out on purpose, and what finds that: here the world that is known to, in the
+ * long run ({@code -Dduty.planted=WORLDS -Dduty.changes=RUNS}) whichever comes first. {@link
+ * DutyTest} finds EPOCH and GATE_DUTY.
+ */
+class DisabledCheckTest {
+  private static final int RUNS = Integer.getInteger("duty.planted", 0);
+  private static final int MUTATIONS = Integer.getInteger("duty.changes", 0);
+
+  /** A world's seed; below zero of a slow one; above 1000 a change of run 2. */
+  private static final Map<Check, Integer> DETECTING_SEEDS =
+      new EnumMap<>(
+          Map.of(
+              Check.QUIET,
+              1,
+              Check.SINGLE_GRANT,
+              1,
+              Check.HIGHER_TERM,
+              -3,
+              Check.INITIAL_TERM,
+              1,
+              Check.EXPIRY_FROM_REQUEST,
+              -55,
+              Check.SHORTER,
+              1,
+              Check.HOLDER_EXPIRY,
+              2,
+              Check.GRANT_HOLDER,
+              18,
+              Check.MAJORITY,
+              1,
+              Check.STOP_FIRST,
+              -1));
+
+  static {
+    DETECTING_SEEDS.put(Check.GUARD_STALE_TOKEN, 2);
+    DETECTING_SEEDS.put(Check.SPAN, 25_014);
+  }
+
+  /** What is wrong in a world; empty where nothing is. */
+  private static String firstViolation(int seed, SafetyChecks checks) {
+    try {
+      Set<String> violations;
+      if (seed < 0) {
+        violations = MessageMutationTest.runSlowTight(-seed, checks);
+      } else if (seed > 1000) {
+        violations = MessageMutationTest.changed(seed, checks);
+      } else {
+        ClusterSimulation simulation = FaultSimulationTest.runFaulty(seed, 0.01, checks);
+        simulation.checkRecovery(10_000);
+        violations = simulation.violations;
+      }
+      String kind = seed < 0 ? "slow world " : seed > 1000 ? "change " : "world ";
+      return violations.isEmpty()
+          ? ""
+          : kind + Math.abs(seed) + ": " + violations.iterator().next();
+    } catch (LeaseException error) {
+      return "world " + seed + ": " + error.code();
+    }
+  }
+
+  private static String searchViolation(Check check) {
+    for (int seed = 1; seed <= RUNS; seed++) {
+      for (int each : new int[] {seed, -seed}) {
+        String violation = firstViolation(each, new SafetyChecks(check));
+        if (!violation.isEmpty()) {
+          return violation;
+        }
+      }
+    }
+    String found =
+        MUTATIONS == 0
+            ? null
+            : MessageMutationTest.searchViolation(new SafetyChecks(check), MUTATIONS);
+    return found == null ? "not found" : found;
+  }
+
+  @Test
+  void everyDisabledCheckIsDetected() {
+    DETECTING_SEEDS.forEach(
+        (check, seed) -> {
+          assertEquals("", firstViolation(seed, SafetyChecks.ALL), "nothing missing");
+          String violation = firstViolation(seed, new SafetyChecks(check));
+          System.out.println(check + " out, " + violation);
+          assertEquals(false, violation.isEmpty(), check + " out is not found by " + seed);
+        });
+    Map<Check, String> found = new ConcurrentSkipListMap<>();
+    if (RUNS > 0 || MUTATIONS > 0) {
+      Arrays.stream(Check.values())
+          .parallel()
+          .forEach(each -> found.put(each, searchViolation(each)));
+    }
+    found.forEach((check, violation) -> System.out.println(check + " out, searched: " + violation));
+  }
+}
--- a/lease/src/test/java/gingerring/lease/DutyLayoutTest.java
+++ b/lease/src/test/java/gingerring/lease/LeaseDependencyTest.java
@@ -6,13 +6,13 @@
 import com.tngtech.archunit.lang.syntax.ArchRuleDefinition;
 import org.junit.jupiter.api.Test;
 
-class DutyLayoutTest {
+class LeaseDependencyTest {
   /**
    * Cores decide alike everywhere: nothing of this machine, this moment or this program's other
    * modules.
    */
   @Test
-  void standsOnNothingButPlainData() {
+  void mainClassesUseOnlyPlainData() {
     JavaClasses classes =
         new ClassFileImporter()
             .withImportOption(new ImportOption.DoNotIncludeTests())
--- a/lease/src/test/java/gingerring/lease/LeaseExplorationTest.java
+++ b/lease/src/test/java/gingerring/lease/LeaseExplorationTest.java
@@ -26,10 +26,10 @@
  * in what time it is and how letters and terms are numbered are one state.
  */
 class LeaseExplorationTest {
-  private static final DutyName DUTY = new DutyName("clock");
-  private static final Duration PASS = Duration.ofMillis(500);
-  private static final Rules RULES =
-      new Rules(
+  private static final LeaseName LEASE = new LeaseName("clock");
+  private static final Duration TIME_STEP = Duration.ofMillis(500);
+  private static final LeaseSettings SETTINGS =
+      new LeaseSettings(
           Duration.ofMillis(1500),
           Duration.ofMillis(1000),
           0,
@@ -37,41 +37,43 @@
           Duration.ofMillis(999),
           Duration.ofMillis(100),
           2);
-  private static final int WAITING = Integer.getInteger("duty.waiting", 1);
+  private static final int MAX_MESSAGES_PER_LINK = Integer.getInteger("duty.waiting", 1);
 
-  private static final class Small {
-    final Checks checks;
-    final Electors electors = new Electors(0, Set.of(elector(0), elector(1), elector(2)));
-    final Elector[] granting = new Elector[3];
-    final Candidate[] standing = new Candidate[2];
-    final long[] numbers = {100, 100, 100, 100, 100};
-    final long[] lives = {0, 0, 0, 4, 5};
-    final Map<Integer, Deque<Letter>> ways = new TreeMap<>();
+  private static final class Model {
+    final SafetyChecks checks;
+    final ElectorSet electorSet = new ElectorSet(0, Set.of(elector(0), elector(1), elector(2)));
+    final Elector[] electors = new Elector[3];
+    final Candidate[] candidates = new Candidate[2];
+    final long[] sequenceNumbers = {100, 100, 100, 100, 100};
+    final long[] incarnations = {0, 0, 0, 4, 5};
+    final Map<Integer, Deque<Envelope>> links = new TreeMap<>();
     Duration now = Duration.ofSeconds(10);
-    Token newest;
-    String foul = "";
-    int crashes;
-    int stops;
-    int lost;
-    boolean stopped;
+    FencingToken newestToken;
+    String violation = "";
+    int crashCount;
+    int pauseCount;
+    int lostCount;
+    boolean paused;
 
-    Small(Checks checks) {
+    Model(SafetyChecks checks) {
       this.checks = checks;
       for (int i = 0; i < 3; i++) {
-        granting[i] = new Elector(elector(i), lives[i], electors, RULES, 9, Duration.ZERO, checks);
+        electors[i] =
+            new Elector(
+                elector(i), incarnations[i], electorSet, SETTINGS, 9, Duration.ZERO, checks);
         for (int ms = 0; ms <= 10_000; ms += 500) { // its quiet span goes by
-          granting[i].tick(Duration.ofMillis(ms));
+          electors[i].tick(Duration.ofMillis(ms));
         }
       }
       for (int i = 0; i < 2; i++) {
-        int who = 3 + i;
-        standing[i] =
+        int mixer = 3 + i;
+        candidates[i] =
             new Candidate(
-                DUTY,
-                new MixerId(who),
-                lives[who],
-                electors,
-                RULES,
+                LEASE,
+                new MixerId(mixer),
+                incarnations[mixer],
+                electorSet,
+                SETTINGS,
                 new Candidate.Host() {
                   @Override
                   public Duration now() {
@@ -79,142 +81,148 @@
                   }
 
                   @Override
-                  public long send(MixerId to, Word word) {
-                    return post(who, (int) to.number(), word);
+                  public long send(MixerId to, LeaseMessage message) {
+                    return sendFrom(mixer, (int) to.number(), message);
                   }
 
                   @Override
-                  public void took(DutyName duty, Token token) {
-                    if (newest != null && token.compareTo(newest) <= 0) {
-                      foul = "token does not grow";
+                  public void onAcquired(LeaseName lease, FencingToken token) {
+                    if (newestToken != null && token.compareTo(newestToken) <= 0) {
+                      violation = "token does not grow";
                     }
-                    newest = token;
+                    newestToken = token;
                   }
 
                   @Override
-                  public void lost(DutyName duty, Token token) {}
+                  public void onLost(LeaseName lease, FencingToken token) {}
                 },
                 () -> 0,
                 checks);
-        standing[i].members(List.of(new MixerId(3), new MixerId(4)));
+        candidates[i].updateMembers(List.of(new MixerId(3), new MixerId(4)));
       }
-      standing[1].newest(Token.of(DUTY, new Term(5))); // so that both may win with their first ask
-      act(0);
+      candidates[1].observeToken(
+          FencingToken.of(LEASE, new Term(5))); // so that both may win with their first ask
+      execute(0);
     }
 
     private static ElectorId elector(int index) {
       return new ElectorId(new MixerId(index));
     }
 
-    private long post(int from, int to, Word word) {
-      Letter letter = new Letter(new MixerId(from), lives[from], ++numbers[from], word);
-      Deque<Letter> way = ways.computeIfAbsent(from * 5 + to, any -> new ArrayDeque<>());
-      way.add(letter);
-      if (way.size() > WAITING) {
-        way.poll();
+    private long sendFrom(int from, int to, LeaseMessage message) {
+      Envelope envelope =
+          new Envelope(new MixerId(from), incarnations[from], ++sequenceNumbers[from], message);
+      Deque<Envelope> link = links.computeIfAbsent(from * 5 + to, any -> new ArrayDeque<>());
+      link.add(envelope);
+      if (link.size() > MAX_MESSAGES_PER_LINK) {
+        link.poll();
       }
-      return letter.number();
+      return envelope.sequenceNumber();
     }
 
-    private void deliver(int to, Letter letter) {
+    private void deliver(int to, Envelope envelope) {
       if (to >= 3) {
-        standing[to - 3].heard(letter);
+        candidates[to - 3].handle(envelope);
       } else {
-        granting[to]
-            .heard(letter, now)
+        electors[to]
+            .handle(envelope, now)
             .ifPresent(
-                word ->
-                    standing[(int) letter.author().number() - 3].heard(
-                        new Letter(new MixerId(to), lives[to], ++numbers[to], word)));
+                message ->
+                    candidates[(int) envelope.sender().number() - 3].handle(
+                        new Envelope(
+                            new MixerId(to), incarnations[to], ++sequenceNumbers[to], message)));
       }
     }
 
     /** 0: time passes; 1: a crash; 4: stop or go on; from 10 deliver, from 70 lose. */
-    List<Integer> choices() {
-      List<Integer> choices = new ArrayList<>(List.of(0));
-      if (crashes == 0) {
-        choices.add(1);
+    List<Integer> enabledEvents() {
+      List<Integer> events = new ArrayList<>(List.of(0));
+      if (crashCount == 0) {
+        events.add(1);
       }
-      if (stops == 0 || stopped) {
-        choices.add(4);
+      if (pauseCount == 0 || paused) {
+        events.add(4);
       }
-      ways.forEach(
-          (way, letters) -> {
-            if (!letters.isEmpty() && !(stopped && (way % 5 == 3 || way / 5 == 3))) {
-              choices.add(10 + way);
-              if (lost == 0) {
-                choices.add(70 + way);
+      links.forEach(
+          (link, envelopes) -> {
+            if (!envelopes.isEmpty() && !(paused && (link % 5 == 3 || link / 5 == 3))) {
+              events.add(10 + link);
+              if (lostCount == 0) {
+                events.add(70 + link);
               }
             }
           });
-      return choices;
+      return events;
     }
 
-    void act(int choice) {
-      if (choice == 0) {
-        now = now.plus(PASS);
+    void execute(int event) {
+      if (event == 0) {
+        now = now.plus(TIME_STEP);
         for (int i = 0; i < 3; i++) {
-          granting[i].tick(now);
+          electors[i].tick(now);
         }
         for (int i = 0; i < 2; i++) {
-          if (i > 0 || !stopped) {
-            standing[i].tick();
+          if (i > 0 || !paused) {
+            candidates[i].tick();
           }
         }
-      } else if (choice <= 3) {
-        crashes++;
-        lives[choice - 1] = 1;
-        granting[choice - 1] = new Elector(elector(choice - 1), 1, electors, RULES, 9, now, checks);
-      } else if (choice == 4) {
-        stops++;
-        stopped = !stopped;
-      } else if (choice >= 70) {
-        lost++;
-        Letter letter = ways.get(choice - 70).poll();
-        if (choice % 5 < 3) {
-          granting[choice % 5].heard(letter, now);
+      } else if (event <= 3) {
+        crashCount++;
+        incarnations[event - 1] = 1;
+        electors[event - 1] =
+            new Elector(elector(event - 1), 1, electorSet, SETTINGS, 9, now, checks);
+      } else if (event == 4) {
+        pauseCount++;
+        paused = !paused;
+      } else if (event >= 70) {
+        lostCount++;
+        Envelope envelope = links.get(event - 70).poll();
+        if (event % 5 < 3) {
+          electors[event % 5].handle(envelope, now);
         }
       } else {
-        deliver((choice - 10) % 5, ways.get(choice - 10).poll());
+        deliver((event - 10) % 5, links.get(event - 10).poll());
       }
-      if (standing[0].holds().isPresent() && standing[1].holds().isPresent()) {
-        foul = "two hold";
+      if (candidates[0].validToken().isPresent() && candidates[1].validToken().isPresent()) {
+        violation = "two hold";
       }
     }
 
     /** All that there is, with times from now, and numbers and terms by their order. */
-    String state() {
+    String stateKey() {
       StringBuilder out = new StringBuilder();
-      Map<Long, Integer> names = new HashMap<>();
+      Map<Long, Integer> numberNames = new HashMap<>();
       for (int i = 0; i < 3; i++) {
-        tell(granting[i], out, names);
+        appendState(electors[i], out, numberNames);
       }
       for (int i = 0; i < 2; i++) {
-        tell(standing[i], out, names);
+        appendState(candidates[i], out, numberNames);
       }
-      ways.forEach(
-          (way, letters) -> {
-            if (!letters.isEmpty()) {
-              out.append(way);
-              tell(letters, out, names);
+      links.forEach(
+          (link, envelopes) -> {
+            if (!envelopes.isEmpty()) {
+              out.append(link);
+              appendState(envelopes, out, numberNames);
             }
           });
-      return out.append(crashes).append(stops).append(stopped).append(lost).toString();
+      return out.append(crashCount).append(pauseCount).append(paused).append(lostCount).toString();
     }
 
-    private void tell(Object value, StringBuilder out, Map<Long, Integer> names) {
+    private void appendState(Object value, StringBuilder out, Map<Long, Integer> numberNames) {
       if (value == null
           || value instanceof Boolean
           || value instanceof Enum
           || value instanceof Integer
-          || value instanceof DutyName
-          || value instanceof Electors
-          || value instanceof Rules
-          || value instanceof Checks
+          || value instanceof LeaseName
+          || value instanceof ElectorSet
+          || value instanceof LeaseSettings
+          || value instanceof SafetyChecks
           || value instanceof MixerId
           || value instanceof ElectorId) {
         out.append(
-            value instanceof Rules || value instanceof Electors || value instanceof Checks
+            value instanceof LeaseSettings
+                    || value instanceof ElectorSet
+                    || value instanceof SafetyChecks
                 ? ""
                 : value);
       } else if (value instanceof Long number) {
@@ -222,20 +230,20 @@
             .append(
                 number < 10
                     ? number.toString()
-                    : names.computeIfAbsent(number, any -> names.size()).toString());
-      } else if (value instanceof Token token) {
-        out.append('t').append(token.term().count());
+                    : numberNames.computeIfAbsent(number, any -> numberNames.size()).toString());
+      } else if (value instanceof FencingToken token) {
+        out.append('t').append(token.term().value());
       } else if (value instanceof Term term) {
-        out.append('t').append(term.count());
+        out.append('t').append(term.value());
       } else if (value instanceof Duration time) {
         boolean never = time.getSeconds() > 1_000_000;
-        long apart = never ? 0 : time.minus(now).toMillis();
+        long remainingMs = never ? 0 : time.minus(now).toMillis();
         out.append(
             never
                 ? "never"
                 : time.compareTo(Duration.ofSeconds(5)) < 0
                     ? "d" + time.toMillis()
-                    : apart < -1000 ? "past" : String.valueOf(apart));
+                    : remainingMs < -1000 ? "past" : String.valueOf(remainingMs));
       } else if (value instanceof Map<?, ?> map) {
         new TreeMap<>(
                 map.entrySet().stream()
@@ -245,13 +253,13 @@
             .forEach(
                 (key, each) -> {
                   out.append(key.length() > 12 ? key.substring(key.length() - 4) : key).append('=');
-                  tell(each, out, names);
+                  appendState(each, out, numberNames);
                 });
       } else if (value instanceof Set<?> set) {
         new TreeSet<>(set.stream().map(Object::toString).toList())
             .forEach(each -> out.append(set.iterator().next() instanceof Long ? "n" : each));
-      } else if (value instanceof Collection<?> all) {
-        all.forEach(each -> tell(each, out.append(','), names));
+      } else if (value instanceof Collection<?> collection) {
+        collection.forEach(each -> appendState(each, out.append(','), numberNames));
       } else if (value.getClass().getName().startsWith("gingerring")
           && !(value instanceof Candidate.Host)) {
         out.append('{');
@@ -259,13 +267,13 @@
           try {
             each.setAccessible(true);
             if (!Modifier.isStatic(each.getModifiers())
-                && !each.getName().equals("number")
-                && !each.getName().equals("chance")
-                && !each.getName().equals("last")) {
-              tell(each.get(value), out.append(';'), names);
+                && !each.getName().equals("sequenceNumber")
+                && !each.getName().equals("random")
+                && !each.getName().equals("lastCallAt")) {
+              appendState(each.get(value), out.append(';'), numberNames);
             }
-          } catch (ReflectiveOperationException wrong) {
-            throw new AssertionError(wrong);
+          } catch (ReflectiveOperationException exception) {
+            throw new AssertionError(exception);
           }
         }
         out.append('}');
@@ -274,51 +282,52 @@
   }
 
   /** Goes breadth first; tells states and the first foul. */
-  private static String[] explore(Checks checks, int depth, int most) {
-    Set<String> known = new HashSet<>();
-    Deque<int[]> open = new ArrayDeque<>();
-    open.add(new int[0]);
-    long orders = 0;
-    int deep = 0;
-    while (!open.isEmpty() && known.size() < most) {
-      int[] prefix = open.poll();
-      Small world = play(checks, prefix);
-      deep = prefix.length;
-      for (int choice : world.choices()) {
-        Small next = play(checks, prefix);
-        next.act(choice);
-        orders++;
-        int[] longer = java.util.Arrays.copyOf(prefix, prefix.length + 1);
-        longer[prefix.length] = choice;
-        if (!next.foul.isEmpty()) {
+  private static String[] explore(SafetyChecks checks, int maxDepth, int maxStates) {
+    Set<String> knownStates = new HashSet<>();
+    Deque<int[]> unexplored = new ArrayDeque<>();
+    unexplored.add(new int[0]);
+    long stepCount = 0;
+    int deepest = 0;
+    while (!unexplored.isEmpty() && knownStates.size() < maxStates) {
+      int[] prefix = unexplored.poll();
+      Model model = replay(checks, prefix);
+      deepest = prefix.length;
+      for (int event : model.enabledEvents()) {
+        Model next = replay(checks, prefix);
+        next.execute(event);
+        stepCount++;
+        int[] extended = java.util.Arrays.copyOf(prefix, prefix.length + 1);
+        extended[prefix.length] = event;
+        if (!next.violation.isEmpty()) {
           return new String[] {
-            String.valueOf(known.size()), next.foul + " after " + java.util.Arrays.toString(longer)
+            String.valueOf(knownStates.size()),
+            next.violation + " after " + java.util.Arrays.toString(extended)
           };
         }
-        if (known.add(next.state()) && longer.length < depth) {
-          open.add(longer);
+        if (knownStates.add(next.stateKey()) && extended.length < maxDepth) {
+          unexplored.add(extended);
         }
       }
     }
     return new String[] {
-      known.size() + " states, " + orders + " steps, " + (deep + 1) + " deep", ""
+      knownStates.size() + " states, " + stepCount + " steps, " + (deepest + 1) + " deep", ""
     };
   }
 
-  private static Small play(Checks checks, int[] choices) {
-    Small world = new Small(checks);
-    for (int each : choices) {
-      world.act(each);
+  private static Model replay(SafetyChecks checks, int[] events) {
+    Model model = new Model(checks);
+    for (int each : events) {
+      model.execute(each);
     }
-    return world;
+    return model;
   }
 
   @Test
-  void noOrderHasTwoHolders() {
-    int most = Integer.getInteger("duty.states", 8_000);
-    String[] found = explore(Checks.ALL, 99, most);
-    System.out.println("explored " + found[0]);
-    assertEquals("", found[1]);
+  void noEventOrderLeadsToTwoHolders() {
+    int maxStates = Integer.getInteger("duty.states", 8_000);
+    String[] result = explore(SafetyChecks.ALL, 99, maxStates);
+    System.out.println("explored " + result[0]);
+    assertEquals("", result[1]);
   }
 
   /**
@@ -326,14 +335,17 @@
    * its clock.
    */
   @Test
-  void whatIsTakenOutIsFound() {
-    StringBuilder missed = new StringBuilder();
-    for (Checks.Check each :
-        List.of(Checks.Check.QUIET, Checks.Check.ONE_LEASE, Checks.Check.MAJORITY)) {
-      String[] found = explore(new Checks(each), 99, 20_000);
-      System.out.println(each + " out, explored: " + found[0] + " " + found[1]);
-      missed.append(found[1].isEmpty() ? each + " " : "");
+  void disabledChecksAreDetected() {
+    StringBuilder undetected = new StringBuilder();
+    for (SafetyChecks.Check each :
+        List.of(
+            SafetyChecks.Check.QUIET,
+            SafetyChecks.Check.SINGLE_GRANT,
+            SafetyChecks.Check.MAJORITY)) {
+      String[] result = explore(new SafetyChecks(each), 99, 20_000);
+      System.out.println(each + " out, explored: " + result[0] + " " + result[1]);
+      undetected.append(result[1].isEmpty() ? each + " " : "");
     }
-    assertEquals("", missed.toString());
+    assertEquals("", undetected.toString());
   }
 }
--- /dev/null
+++ b/lease/src/test/java/gingerring/lease/MessageMutationTest.java
@@ -0,0 +1,416 @@
+package gingerring.lease;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.lang.reflect.RecordComponent;
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Set;
+import java.util.function.UnaryOperator;
+import org.junit.jupiter.api.Test;
+
+/**
+ * One run, recorded, and played again once for each of its letters and each way to change it, one
+ * change a run. The long run plays all: {@code -Dduty.every=1}.
+ */
+class MessageMutationTest {
+  private static final int MUTATION_STRIDE = Integer.getInteger("duty.every", 197);
+  private static final int MAX_VALUES = 22;
+  private static final LeaseSettings TIGHT_SETTINGS =
+      new LeaseSettings(
+          Duration.ofSeconds(2),
+          Duration.ofMillis(800),
+          0.001,
+          Duration.ofMillis(500),
+          Duration.ofMillis(400),
+          Duration.ofMillis(2),
+          3);
+
+  /**
+   * To a leaf of a letter: a field that holds a number, a time or a name; or to the letter as a
+   * whole.
+   */
+  private enum ValueChange {
+    LOWERED,
+    RAISED,
+    RAISED_FAR,
+    HALVED,
+    FROM_EARLIER_MESSAGE,
+    FROM_LATER_MESSAGE,
+    ZEROED
+  }
+
+  private enum DeliveryChange {
+    DUPLICATED,
+    DROPPED,
+    DELAYED,
+    REPLACED_BY_OLDER,
+    CUT
+  }
+
+  private record SentMessage(Envelope envelope, MixerId to) {}
+
+  /** What is done to one letter. */
+  private interface Mutation {
+    /** What goes out in place of a letter; null for as it was. */
+    List<Envelope> apply(Envelope envelope, MixerId to);
+  }
+
+  private static Object mapValue(
+      Object record, int[] remainingIndex, UnaryOperator<Object> change) {
+    if (record instanceof Long || record instanceof Duration || record instanceof LeaseName) {
+      return remainingIndex[0]-- == 0 ? change.apply(record) : record;
+    }
+    try {
+      RecordComponent[] components = record.getClass().getRecordComponents();
+      Object[] values = new Object[components.length];
+      Class<?>[] types = new Class<?>[components.length];
+      for (int i = 0; i < components.length; i++) {
+        types[i] = components[i].getType();
+        components[i].getAccessor().setAccessible(true);
+        values[i] = mapValue(components[i].getAccessor().invoke(record), remainingIndex, change);
+      }
+      var constructor = record.getClass().getDeclaredConstructor(types);
+      constructor.setAccessible(true);
+      return constructor.newInstance(values);
+    } catch (java.lang.reflect.InvocationTargetException | IllegalArgumentException invalid) {
+      return null; // no such record can be made of bytes either
+    } catch (ReflectiveOperationException exception) {
+      throw new AssertionError(exception);
+    }
+  }
+
+  private static Object changed(Object leaf, ValueChange change, Object replacement) {
+    if (change == ValueChange.FROM_EARLIER_MESSAGE || change == ValueChange.FROM_LATER_MESSAGE) {
+      return replacement == null ? leaf : replacement;
+    } else if (leaf instanceof Long number) {
+      return switch (change) {
+        case LOWERED -> number - 1;
+        case RAISED -> number + 1;
+        case RAISED_FAR -> number + 65_536 * 3;
+        case HALVED -> number / 2;
+        default -> 0L;
+      };
+    } else if (leaf instanceof Duration time) {
+      return switch (change) {
+        case LOWERED -> time.minusMillis(300);
+        case RAISED -> time.plusMillis(300);
+        case RAISED_FAR -> time.plusSeconds(3600);
+        case HALVED -> time.dividedBy(2);
+        default -> Duration.ZERO;
+      };
+    }
+    return new LeaseName(((LeaseName) leaf).value().equals("duty-0") ? "duty-1" : "duty-0");
+  }
+
+  private static ClusterSimulation newSimulation(long seed, SafetyChecks checks) {
+    return seed % 2 == 0
+        ? new ClusterSimulation(seed, 5, 3, 2, TIGHT_SETTINGS, checks)
+        : new ClusterSimulation(seed, 4, 3, 2, LeaseSettings.defaults(), checks);
+  }
+
+  /** Hand-overs, a crash with loss of memory, a stop, a cut, a giving up, some loss: 9 s. */
+  private static ClusterSimulation runScenario(ClusterSimulation simulation) {
+    simulation.maxDelay = 8 * ClusterSimulation.MS;
+    simulation.lossRate = 0.03;
+    simulation.startAll(0.01);
+    LeaseName firstLease = simulation.leases.get(0);
+    LeaseName secondLease = simulation.leases.get(1);
+    simulation.scheduleAt(
+        2_600 * ClusterSimulation.MS,
+        () -> simulation.withHolder(secondLease, each -> each.handOverTo(new MixerId(2))));
+    simulation.scheduleAt(
+        3_000 * ClusterSimulation.MS,
+        () -> simulation.withHolder(firstLease, each -> each.handOverTo(new MixerId(4))));
+    simulation.scheduleAt(
+        3_600 * ClusterSimulation.MS,
+        () -> simulation.withHolder(secondLease, each -> each.handOverTo(new MixerId(1))));
+    simulation.scheduleAt(
+        3_900 * ClusterSimulation.MS,
+        () -> {
+          simulation.kill(simulation.nodes.get(0));
+          simulation.scheduleAt(
+              4_100 * ClusterSimulation.MS, () -> simulation.restart(simulation.nodes.get(0)));
+        });
+    simulation.scheduleAt(
+        4_600 * ClusterSimulation.MS,
+        () -> {
+          ClusterSimulation.Node holder = simulation.holder(firstLease);
+          if (holder != null) {
+            simulation.pause(holder);
+            simulation.scheduleAt(7_500 * ClusterSimulation.MS, () -> simulation.resume(holder));
+          }
+        });
+    simulation.scheduleAt(
+        7_000 * ClusterSimulation.MS, () -> simulation.withHolder(secondLease, Candidate::resign));
+    simulation.runUntil(9_000 * ClusterSimulation.MS);
+    return simulation;
+  }
+
+  /**
+   * Thin margins: five mixers, three of them electors; of the two who stand one never reaches the
+   * third elector, the other never the first, so that all hangs on the second; holders' clocks
+   * slow, electors' fast.
+   */
+  private static ClusterSimulation runTightScenario(ClusterSimulation simulation, long delayMs) {
+    simulation.separateElectors = true;
+    simulation.maxDelay = delayMs * ClusterSimulation.MS;
+    simulation.startAll(0.001);
+    simulation.nodes.forEach(each -> each.clockRate = each.elector == null ? 0.999 : 1.001);
+    for (int[] link : new int[][] {{3, 2}, {2, 3}, {4, 0}, {0, 4}}) {
+      simulation.blockedLinks.add(link[0] * 10_000L + link[1]);
+    }
+    for (LeaseName lease : simulation.leases) {
+      for (int second = 3; second < 13; second += 2) {
+        simulation.scheduleAt(
+            second * 1000 * ClusterSimulation.MS,
+            () -> {
+              ClusterSimulation.Node holder = simulation.holder(lease);
+              if (holder != null) {
+                holder.candidates.get(lease).handOverTo(new MixerId(holder.index == 3 ? 5 : 4));
+              }
+            });
+      }
+      int startOffsetMs = lease.equals(simulation.leases.get(0)) ? 0 : 700;
+      simulation.scheduleAt(
+          (4_300 + startOffsetMs) * ClusterSimulation.MS,
+          () -> simulation.withHolder(lease, Candidate::resign));
+      simulation.scheduleAt(
+          (4_900 + startOffsetMs) * ClusterSimulation.MS,
+          () -> simulation.nodes.forEach(each -> each.candidates.get(lease).setProhibited(false)));
+      simulation.scheduleAt(
+          (7_300 + startOffsetMs) * ClusterSimulation.MS,
+          () -> simulation.isolate(simulation.holder(lease), 2_500));
+    }
+    simulation.scheduleAt(
+        11_000 * ClusterSimulation.MS,
+        () -> {
+          ClusterSimulation.Node holder = simulation.holder(simulation.leases.get(0));
+          if (holder != null) {
+            simulation.kill(holder);
+            simulation.restart(holder);
+          }
+        });
+    simulation.runUntil(13_500 * ClusterSimulation.MS);
+    return simulation;
+  }
+
+  /** The world of thin margins with slow words, unchanged. */
+  static Set<String> runSlowTight(long seed, SafetyChecks checks) {
+    return runTightScenario(newSimulation(2 * seed, checks), 190).violations;
+  }
+
+  private static ClusterSimulation runBySeed(long seed, ClusterSimulation simulation) {
+    return seed % 2 == 0 ? runTightScenario(simulation, 30) : runScenario(simulation);
+  }
+
+  private static Set<String> violationsAfterRecovery(ClusterSimulation simulation) {
+    simulation.checkRecovery(9_000);
+    return simulation.violations;
+  }
+
+  private static List<SentMessage> recordMessages(long seed, SafetyChecks checks) {
+    List<SentMessage> sent = new ArrayList<>();
+    ClusterSimulation simulation = newSimulation(seed, checks);
+    simulation.messageFault =
+        (index, envelope, to) -> {
+          sent.add(new SentMessage(envelope, to));
+          return List.of(envelope);
+        };
+    runBySeed(seed, simulation);
+    if (checks == SafetyChecks.ALL) {
+      assertEquals(Set.of(), violationsAfterRecovery(simulation), "seed " + seed);
+    }
+    return sent;
+  }
+
+  private static Object findReplacement(
+      List<SentMessage> sent, int index, int direction, int valueIndex) {
+    for (int i = index + direction; i >= 0 && i < sent.size(); i += direction) {
+      if (sent.get(i).envelope.message().getClass()
+          == sent.get(index).envelope.message().getClass()) {
+        Object[] found = new Object[1];
+        mapValue(sent.get(i).envelope, new int[] {valueIndex}, value -> found[0] = value);
+        Object[] own = new Object[1];
+        mapValue(sent.get(index).envelope, new int[] {valueIndex}, value -> own[0] = value);
+        if (!found[0].equals(own[0])) {
+          return found[0];
+        }
+      }
+    }
+    return null;
+  }
+
+  /** All changes of one letter, by number; null where it is none. */
+  private static Mutation mutation(List<SentMessage> sent, int index, int mutationNumber) {
+    if (mutationNumber < DeliveryChange.values().length) {
+      DeliveryChange deliveryChange = DeliveryChange.values()[mutationNumber];
+      return (envelope, to) ->
+          switch (deliveryChange) {
+            case DUPLICATED -> List.of(envelope, envelope);
+            case DROPPED, CUT, DELAYED -> List.of();
+            case REPLACED_BY_OLDER -> {
+              for (int i = index - 1; i >= 0; i--) {
+                if (sent.get(i).envelope.sender().equals(envelope.sender())
+                    && sent.get(i).to.equals(to)
+                    && i < index - 20) {
+                  yield List.of(sent.get(i).envelope);
+                }
+              }
+              yield List.of();
+            }
+          };
+    }
+    int valueIndex =
+        (mutationNumber - DeliveryChange.values().length) / ValueChange.values().length;
+    ValueChange change =
+        ValueChange.values()[
+            (mutationNumber - DeliveryChange.values().length) % ValueChange.values().length];
+    Object replacement =
+        change == ValueChange.FROM_EARLIER_MESSAGE
+            ? replacementOrNull(sent, index, -1, valueIndex)
+            : change == ValueChange.FROM_LATER_MESSAGE
+                ? replacementOrNull(sent, index, 1, valueIndex)
+                : null;
+    int[] remainingIndex = {valueIndex};
+    mapValue(sent.get(index).envelope, remainingIndex, value -> value);
+    if (remainingIndex[0] >= 0) {
+      return null;
+    }
+    return (envelope, to) -> {
+      Object changed =
+          mapValue(envelope, new int[] {valueIndex}, value -> changed(value, change, replacement));
+      return changed == null
+          ? List.of()
+          : changed.equals(envelope) ? null : List.of((Envelope) changed);
+    };
+  }
+
+  private static Object replacementOrNull(
+      List<SentMessage> sent, int index, int direction, int valueIndex) {
+    int[] remainingIndex = {valueIndex};
+    mapValue(sent.get(index).envelope, remainingIndex, value -> value);
+    return remainingIndex[0] >= 0 ? null : findReplacement(sent, index, direction, valueIndex);
+  }
+
+  /** Plays one change; null where it changes nothing. */
+  private static Set<String> runMutated(
+      long seed,
+      List<SentMessage> sent,
+      int index,
+      int mutationNumber,
+      SafetyChecks checks,
+      boolean checkRecovery) {
+    Mutation mutation = mutation(sent, index, mutationNumber);
+    if (mutation == null) {
+      return null;
+    }
+    boolean delayed = mutationNumber == DeliveryChange.DELAYED.ordinal();
+    boolean[] unchanged = new boolean[1];
+    ClusterSimulation simulation = newSimulation(seed, checks);
+    simulation.messageFault =
+        (sentIndex, envelope, to) -> {
+          if (sentIndex == index) {
+            List<Envelope> delivered = mutation.apply(envelope, to);
+            unchanged[0] = delivered == null;
+            return delivered == null ? List.of(envelope) : delivered;
+          }
+          if (delayed && sentIndex == index + 5) {
+            simulation.scheduleAt(
+                simulation.now,
+                () ->
+                    simulation.deliver(
+                        simulation.nodes.get((int) sent.get(index).to.number() - 1),
+                        sent.get(index).envelope));
+          }
+          return List.of(envelope);
+        };
+    runBySeed(seed, simulation);
+    return unchanged[0]
+        ? null
+        : checkRecovery ? violationsAfterRecovery(simulation) : simulation.violations;
+  }
+
+  private static int mutationsPerMessage() {
+    return DeliveryChange.values().length + MAX_VALUES * ValueChange.values().length;
+  }
+
+  /** The first change by which a missing check shows, of so many; or null. */
+  static String searchViolation(SafetyChecks without, int maxRuns) {
+    for (long seed = 2, runCount = 0; runCount < maxRuns; seed++) {
+      List<SentMessage> sent = recordMessages(seed, without);
+      for (int i = (int) (seed % 13);
+          i < sent.size() * mutationsPerMessage() && runCount < maxRuns;
+          i += 13) {
+        try {
+          Set<String> violations =
+              runMutated(
+                  seed, sent, i / mutationsPerMessage(), i % mutationsPerMessage(), without, false);
+          runCount += violations == null ? 0 : 1;
+          if (violations != null && !violations.isEmpty()) {
+            return "run "
+                + seed
+                + ", change "
+                + i
+                + ", after "
+                + runCount
+                + " tries: "
+                + violations.iterator().next();
+          }
+        } catch (LeaseException error) {
+          return "run " + seed + ", change " + i + ": " + error.code();
+        }
+      }
+    }
+    return null;
+  }
+
+  /** One change of the run of thin margins, by its number over all letters. */
+  static Set<String> changed(int change, SafetyChecks without) {
+    Set<String> violations =
+        runMutated(
+            2,
+            recordMessages(2, without),
+            change / mutationsPerMessage(),
+            change % mutationsPerMessage(),
+            without,
+            false);
+    return violations == null ? Set.of() : violations;
+  }
+
+  @Test
+  void anyMutationOfOneMessageLeavesOneHolder() {
+    int runs = 0;
+    int messageCount = 0;
+    for (long seed = 1; seed <= 2; seed++) {
+      List<SentMessage> sent = recordMessages(seed, SafetyChecks.ALL);
+      messageCount += sent.size();
+      for (int i = 0; i < sent.size() * mutationsPerMessage(); i += MUTATION_STRIDE) {
+        Set<String> violations =
+            runMutated(
+                seed,
+                sent,
+                i / mutationsPerMessage(),
+                i % mutationsPerMessage(),
+                SafetyChecks.ALL,
+                true);
+        if (violations != null) {
+          runs++;
+          assertEquals(
+              Set.of(),
+              violations,
+              "seed "
+                  + seed
+                  + ", change "
+                  + i % mutationsPerMessage()
+                  + " of "
+                  + sent.get(i / mutationsPerMessage()));
+        }
+      }
+    }
+    System.out.println(messageCount + " letters, " + runs + " runs with one changed each");
+    assertTrue(runs > 300);
+  }
+}
