--- a/peering/src/main/java/gingerring/peering/PeerQueryClient.java
+++ b/peering/src/main/java/gingerring/peering/PeerQueryClient.java
@@ -17,37 +17,39 @@
 
 /**
  * Asks a running mixer what it knows of its peers, over its peers' socket and with the fleet's key,
- * without becoming one of them. For tools; blocks for {@value #TRIES} tries of {@value #TRY_MS} ms
- * at the most.
+ * without becoming one of them. For tools; blocks for {@value #ATTEMPTS} tries of {@value
+ * #ATTEMPT_TIMEOUT_MS} ms at the most.
  */
 public final class PeerQueryClient {
-  private static final int TRIES = 3;
-  private static final int TRY_MS = 700;
+  private static final int ATTEMPTS = 3;
+  private static final int ATTEMPT_TIMEOUT_MS = 700;
 
   private PeerQueryClient() {}
 
   /** {@code about}: as {@link Peering#explain} has it. */
   public static String query(InetSocketAddress mixer, List<byte[]> keys, char about, long box)
       throws IOException {
-    MessageCodec letters = new MessageCodec(MessageAuthenticator.of(keys));
-    PeerId self = new PeerId(new SplittableRandom().nextLong());
-    PeerAddress place = PeerSettings.toPeerAddress(mixer);
+    MessageCodec codec = new MessageCodec(MessageAuthenticator.of(keys));
+    PeerId senderId = new PeerId(new SplittableRandom().nextLong());
+    PeerAddress mixerAddress = PeerSettings.toPeerAddress(mixer);
     try (DatagramSocket socket = new DatagramSocket()) {
-      socket.setSoTimeout(TRY_MS);
-      byte[] bytes = new byte[MessageCodec.MAX_BYTES + 1];
-      for (int i = 1; i <= TRIES; i++) {
-        byte[] letter =
-            letters.encode(
+      socket.setSoTimeout(ATTEMPT_TIMEOUT_MS);
+      byte[] buffer = new byte[MessageCodec.MAX_BYTES + 1];
+      for (int attempt = 1; attempt <= ATTEMPTS; attempt++) {
+        byte[] datagram =
+            codec.encode(
                 new PeerMessage(
-                    self, 1, i, new MessageBody.Query(about, box), List.of(), List.of()));
-        socket.send(new DatagramPacket(letter, letter.length, PeerSettings.toSocketAddress(place)));
+                    senderId, 1, attempt, new MessageBody.Query(about, box), List.of(), List.of()));
+        socket.send(
+            new DatagramPacket(
+                datagram, datagram.length, PeerSettings.toSocketAddress(mixerAddress)));
         try {
-          long until = System.nanoTime() + TRY_MS * 1_000_000L;
-          while (System.nanoTime() < until) {
-            DatagramPacket packet = new DatagramPacket(bytes, bytes.length);
+          long deadlineNanos = System.nanoTime() + ATTEMPT_TIMEOUT_MS * 1_000_000L;
+          while (System.nanoTime() < deadlineNanos) {
+            DatagramPacket packet = new DatagramPacket(buffer, buffer.length);
             socket.receive(packet);
-            PeerMessage answer = letters.decode(Arrays.copyOf(bytes, packet.getLength()));
-            if (answer.body() instanceof MessageBody.Reply reply) {
+            PeerMessage message = codec.decode(Arrays.copyOf(buffer, packet.getLength()));
+            if (message.body() instanceof MessageBody.Reply reply) {
               return reply.text();
             }
           }
--- a/peering/src/main/java/gingerring/peering/PeerSettings.java
+++ b/peering/src/main/java/gingerring/peering/PeerSettings.java
@@ -38,12 +38,12 @@
   public static final class InvalidPeerSettings extends IOException {
     private static final long serialVersionUID = 1;
 
-    InvalidPeerSettings(Path file, List<String> complaints) {
-      super(file + ": " + String.join("\n" + file + ": ", complaints));
+    InvalidPeerSettings(Path file, List<String> errors) {
+      super(file + ": " + String.join("\n" + file + ": ", errors));
     }
   }
 
-  private static final List<String> NAMES =
+  private static final List<String> KNOWN_NAMES =
       List.of(
           "listen",
           "advertise",
@@ -68,52 +68,52 @@
           "bytes_per_second");
 
   /** One reading, with what it complains of. */
-  private static final class Reading {
+  private static final class Parser {
     final Path file;
-    final Map<String, Object> told;
-    final List<String> complaints = new ArrayList<>();
+    final Map<String, Object> values;
+    final List<String> errors = new ArrayList<>();
 
-    Reading(Path file, Map<String, Object> told) {
+    Parser(Path file, Map<String, Object> values) {
       this.file = file;
-      this.told = told;
+      this.values = values;
     }
 
-    double number(String name, double usual, double least, double most, boolean whole) {
-      if (!told.containsKey(name)) {
-        return usual;
+    double number(String name, double defaultValue, double min, double max, boolean integral) {
+      if (!values.containsKey(name)) {
+        return defaultValue;
       }
-      if (!(told.get(name) instanceof Double number)
-          || !(number >= least && number <= most)
-          || whole && number != Math.rint(number)) {
-        complaints.add(
+      if (!(values.get(name) instanceof Double number)
+          || !(number >= min && number <= max)
+          || integral && number != Math.rint(number)) {
+        errors.add(
             name
                 + " is "
-                + told.get(name)
+                + values.get(name)
                 + ", and has to be a "
-                + (whole ? "whole " : "")
+                + (integral ? "whole " : "")
                 + "number from "
-                + plain(least)
+                + format(min)
                 + " to "
-                + plain(most));
-        return usual;
+                + format(max));
+        return defaultValue;
       }
       return number;
     }
 
-    private static String plain(double number) {
+    private static String format(double number) {
       return number == Math.rint(number) ? String.valueOf((long) number) : String.valueOf(number);
     }
 
-    int count(String name, int usual, int least, int most) {
-      return (int) number(name, usual, least, most, true);
+    int integer(String name, int defaultValue, int min, int max) {
+      return (int) number(name, defaultValue, min, max, true);
     }
 
-    Duration span(String name, Duration usual, double leastMs) {
+    Duration duration(String name, Duration defaultValue, double minMs) {
       return Duration.ofNanos(
-          (long) (number(name, usual.toNanos() / 1e6, leastMs, 86_400_000, false) * 1e6));
+          (long) (number(name, defaultValue.toNanos() / 1e6, minMs, 86_400_000, false) * 1e6));
     }
 
-    InetSocketAddress address(String name, Object value, boolean anyPort) {
+    InetSocketAddress address(String name, Object value, boolean allowPortZero) {
       if (value instanceof String text) {
         int colon = text.lastIndexOf(':');
         try {
@@ -122,14 +122,14 @@
           if (colon > 0
               && text.substring(0, colon).matches("[0-9]{1,3}(\\.[0-9]{1,3}){3}")
               && port <= 0xFFFF
-              && port >= (anyPort ? 0 : 1)) {
+              && port >= (allowPortZero ? 0 : 1)) {
             return new InetSocketAddress(InetAddress.getByName(text.substring(0, colon)), port);
           }
         } catch (NumberFormatException | UnknownHostException e) {
           // said below
         }
       }
-      complaints.add(
+      errors.add(
           name
               + " is "
               + value
@@ -138,19 +138,19 @@
     }
 
     List<Object> list(String name) {
-      if (!told.containsKey(name)) {
+      if (!values.containsKey(name)) {
         return List.of();
       }
-      if (told.get(name) instanceof List<?> list) {
+      if (values.get(name) instanceof List<?> list) {
         return new ArrayList<>(list);
       }
-      complaints.add(name + " is no list");
+      errors.add(name + " is no list");
       return List.of();
     }
 
     byte[] key(String name, Object value) {
       if (!(value instanceof String text)) {
-        complaints.add(name + " is no file name");
+        errors.add(name + " is no file name");
         return null;
       }
       try {
@@ -158,104 +158,104 @@
         MessageAuthenticator.of(List.of(key));
         return key;
       } catch (IOException e) {
-        complaints.add(name + " names a file that cannot be read: " + text);
+        errors.add(name + " names a file that cannot be read: " + text);
       } catch (IllegalArgumentException e) {
-        complaints.add(name + ", " + text + ": " + e.getMessage());
+        errors.add(name + ", " + text + ": " + e.getMessage());
       }
       return null;
     }
   }
 
   public static PeerSettings read(Path file) throws IOException {
-    Map<String, Object> told;
+    Map<String, Object> values;
     try {
-      told = new LinkedHashMap<>(JsonFields.object(Json.parse(Files.readAllBytes(file)), "it"));
+      values = new LinkedHashMap<>(JsonFields.object(Json.parse(Files.readAllBytes(file)), "it"));
     } catch (Json.JsonException e) {
       throw new InvalidPeerSettings(file, List.of(e.getMessage()));
     }
-    Reading reading = new Reading(file, told);
-    for (String name : told.keySet()) {
-      if (!NAMES.contains(name)) {
-        reading.complaints.add(name + " is unknown; known are " + String.join(", ", NAMES));
+    Parser parser = new Parser(file, values);
+    for (String name : values.keySet()) {
+      if (!KNOWN_NAMES.contains(name)) {
+        parser.errors.add(name + " is unknown; known are " + String.join(", ", KNOWN_NAMES));
       }
     }
-    InetSocketAddress listen = reading.address("listen", told.get("listen"), true);
+    InetSocketAddress listen = parser.address("listen", values.get("listen"), true);
     InetSocketAddress advertise =
-        told.containsKey("advertise")
-            ? reading.address("advertise", told.get("advertise"), false)
+        values.containsKey("advertise")
+            ? parser.address("advertise", values.get("advertise"), false)
             : null;
     List<PeerAddress> seeds = new ArrayList<>();
-    for (Object each : reading.list("seeds")) {
-      InetSocketAddress seed = reading.address("seeds." + seeds.size(), each, false);
+    for (Object value : parser.list("seeds")) {
+      InetSocketAddress seed = parser.address("seeds." + seeds.size(), value, false);
       seeds.add(seed == null ? null : toPeerAddress(seed));
     }
     List<byte[]> keys = new ArrayList<>();
-    for (Object each : reading.list("key_files")) {
-      keys.add(reading.key("key_files." + keys.size(), each));
+    for (Object value : parser.list("key_files")) {
+      keys.add(parser.key("key_files." + keys.size(), value));
     }
     if (keys.isEmpty()) {
-      reading.complaints.add("key_files has to name a file with the fleet's key");
+      parser.errors.add("key_files has to name a file with the fleet's key");
     }
-    int prefer = reading.count("prefer", 0, 0, 1000);
-    PeerNode.Settings rules = rules(reading);
-    if (!reading.complaints.isEmpty()) {
-      throw new InvalidPeerSettings(file, reading.complaints);
+    int preferredHolders = parser.integer("prefer", 0, 0, 1000);
+    PeerNode.Settings nodeSettings = parseNodeSettings(parser);
+    if (!parser.errors.isEmpty()) {
+      throw new InvalidPeerSettings(file, parser.errors);
     }
     return new PeerSettings(
         listen,
         advertise == null ? null : toPeerAddress(advertise),
         List.copyOf(seeds),
         List.copyOf(keys),
-        prefer,
-        rules);
+        preferredHolders,
+        nodeSettings);
   }
 
-  private static PeerNode.Settings rules(Reading reading) {
-    PeerNode.Settings usual = PeerNode.Settings.defaults();
-    Membership.Settings known = usual.membership();
+  private static PeerNode.Settings parseNodeSettings(Parser parser) {
+    PeerNode.Settings defaults = PeerNode.Settings.defaults();
+    Membership.Settings membershipDefaults = defaults.membership();
     try {
       return new PeerNode.Settings(
           new Membership.Settings(
-              reading.span("period_ms", known.pingPeriod(), 10),
-              reading.span("ack_ms", known.ackTimeout(), 1),
-              reading.count("helpers", known.helperCount(), 0, 100),
-              reading.span("reconnect_ms", known.reconnectPeriod(), 10),
-              reading.span("forget_ms", known.forgetAfter(), 1000),
-              reading.count("peers_most", known.maxPeers(), 1, 10_000)),
-          reading.count("zone", usual.zone(), -1, 10_000),
-          reading.span("say_ms", usual.reportPeriod(), 50),
-          reading.count("say_to", usual.reportFanout(), 0, 1000),
-          reading.span("sees_ms", usual.observationSpan(), 100),
-          reading.span("believes_ms", usual.reportLifetime(), 100),
-          reading.count("witnesses", usual.minWitnesses(), 1, 1000),
-          reading.span("round_ms", usual.roundPeriod(), 100),
-          reading.span("step_ms", usual.roundStep(), 10),
-          reading.count("boxes_most", usual.maxBoxes(), 1, 100_000),
-          reading.count("bytes_per_second", usual.maxBytesPerSecond(), 1200, 100_000_000));
+              parser.duration("period_ms", membershipDefaults.pingPeriod(), 10),
+              parser.duration("ack_ms", membershipDefaults.ackTimeout(), 1),
+              parser.integer("helpers", membershipDefaults.helperCount(), 0, 100),
+              parser.duration("reconnect_ms", membershipDefaults.reconnectPeriod(), 10),
+              parser.duration("forget_ms", membershipDefaults.forgetAfter(), 1000),
+              parser.integer("peers_most", membershipDefaults.maxPeers(), 1, 10_000)),
+          parser.integer("zone", defaults.zone(), -1, 10_000),
+          parser.duration("say_ms", defaults.reportPeriod(), 50),
+          parser.integer("say_to", defaults.reportFanout(), 0, 1000),
+          parser.duration("sees_ms", defaults.observationSpan(), 100),
+          parser.duration("believes_ms", defaults.reportLifetime(), 100),
+          parser.integer("witnesses", defaults.minWitnesses(), 1, 1000),
+          parser.duration("round_ms", defaults.roundPeriod(), 100),
+          parser.duration("step_ms", defaults.roundStep(), 10),
+          parser.integer("boxes_most", defaults.maxBoxes(), 1, 100_000),
+          parser.integer("bytes_per_second", defaults.maxBytesPerSecond(), 1200, 100_000_000));
     } catch (IllegalArgumentException e) {
-      reading.complaints.add(e.getMessage()); // what does not go together
-      return usual;
+      parser.errors.add(e.getMessage()); // what does not go together
+      return defaults;
     }
   }
 
   static PeerAddress toPeerAddress(InetSocketAddress address) {
     byte[] bytes = ((Inet4Address) address.getAddress()).getAddress();
     int number = 0;
-    for (byte each : bytes) {
-      number = number << 8 | each & 0xFF;
+    for (byte octet : bytes) {
+      number = number << 8 | octet & 0xFF;
     }
     return new PeerAddress(number, address.getPort());
   }
 
-  static InetSocketAddress toSocketAddress(PeerAddress place) {
-    int number = place.address();
+  static InetSocketAddress toSocketAddress(PeerAddress peer) {
+    int number = peer.address();
     try {
       return new InetSocketAddress(
           InetAddress.getByAddress(
               new byte[] {
                 (byte) (number >> 24), (byte) (number >> 16), (byte) (number >> 8), (byte) number
               }),
-          place.port());
+          peer.port());
     } catch (UnknownHostException e) {
       throw new IllegalStateException("four bytes are an address", e);
     }
--- a/peering/src/main/java/gingerring/peering/PeerSocket.java
+++ b/peering/src/main/java/gingerring/peering/PeerSocket.java
@@ -18,32 +18,34 @@
 
 /**
  * The one datagram socket of a mixer's peers. A thread of its own waits for what comes and leaves
- * it with the loop; at most {@value #WAITING_MOST} datagrams wait there, more are dropped and
+ * it with the loop; at most {@value #MAX_QUEUED} datagrams wait there, more are dropped and
  * counted, as one that floods must not take the mixer's memory.
  */
 final class PeerSocket implements Closeable {
-  static final int WAITING_MOST = 256;
+  static final int MAX_QUEUED = 256;
   private static final Logger LOG = LoggerFactory.getLogger("gingerring.peers");
 
   private final DatagramChannel channel;
   private final Consumer<Runnable> inbox;
-  private final BiConsumer<PeerAddress, byte[]> received;
-  private final AtomicInteger waiting = new AtomicInteger();
+  private final BiConsumer<PeerAddress, byte[]> receiver;
+  private final AtomicInteger queued = new AtomicInteger();
   private final AtomicLong dropped = new AtomicLong();
-  private long unsent;
+  private long sendFailures;
 
   /** {@code received} is called by what is posted to the inbox. */
   PeerSocket(
-      InetSocketAddress listen, Consumer<Runnable> inbox, BiConsumer<PeerAddress, byte[]> received)
+      InetSocketAddress listenAddress,
+      Consumer<Runnable> inbox,
+      BiConsumer<PeerAddress, byte[]> receiver)
       throws IOException {
     this.inbox = inbox;
-    this.received = received;
+    this.receiver = receiver;
     channel = DatagramChannel.open();
     try {
-      channel.bind(listen);
+      channel.bind(listenAddress);
     } catch (IOException e) {
       channel.close();
-      throw new IOException("peers cannot listen at " + listen + ": " + e.getMessage(), e);
+      throw new IOException("peers cannot listen at " + listenAddress + ": " + e.getMessage(), e);
     }
   }
 
@@ -63,19 +65,19 @@
     while (channel.isOpen()) {
       try {
         buffer.clear();
-        InetSocketAddress from = (InetSocketAddress) channel.receive(buffer);
+        InetSocketAddress sender = (InetSocketAddress) channel.receive(buffer);
         buffer.flip();
-        if (waiting.get() >= WAITING_MOST) {
+        if (queued.get() >= MAX_QUEUED) {
           dropped.incrementAndGet();
           continue;
         }
         byte[] bytes = new byte[buffer.remaining()];
         buffer.get(bytes);
-        waiting.incrementAndGet();
+        queued.incrementAndGet();
         inbox.accept(
             () -> {
-              waiting.decrementAndGet();
-              received.accept(PeerSettings.toPeerAddress(from), bytes);
+              queued.decrementAndGet();
+              receiver.accept(PeerSettings.toPeerAddress(sender), bytes);
             });
       } catch (AsynchronousCloseException e) {
         return;
@@ -88,11 +90,11 @@
     }
   }
 
-  void send(PeerAddress to, byte[] letter) {
+  void send(PeerAddress recipient, byte[] datagram) {
     try {
-      channel.send(ByteBuffer.wrap(letter), PeerSettings.toSocketAddress(to));
+      channel.send(ByteBuffer.wrap(datagram), PeerSettings.toSocketAddress(recipient));
     } catch (IOException e) {
-      unsent++;
+      sendFailures++;
     }
   }
 
@@ -100,8 +102,8 @@
     return dropped.get();
   }
 
-  long unsent() {
-    return unsent;
+  long sendFailures() {
+    return sendFailures;
   }
 
   @Override
--- a/peering/src/main/java/gingerring/peering/Peering.java
+++ b/peering/src/main/java/gingerring/peering/Peering.java
@@ -37,90 +37,90 @@
  */
 public final class Peering implements PeerService, PeerNode.Host {
   private static final Logger LOG = LoggerFactory.getLogger("gingerring.peers");
-  private static final Duration TICK = Duration.ofMillis(100);
-  private static final int LINES = 24;
+  private static final Duration TICK_INTERVAL = Duration.ofMillis(100);
+  private static final int MAX_LINES = 24;
 
   private final PeerSettings settings;
-  private Context ground;
+  private Context context;
   private PeerSocket socket;
-  private PeerNode company;
-  private PreferredBoxes preference;
-  private PeerAddress here;
-  private boolean ended;
-  private boolean saidSuperseded;
+  private PeerNode node;
+  private PreferredBoxes preferredBoxes;
+  private PeerAddress ownAddress;
+  private boolean stopped;
+  private boolean supersededLogged;
 
   public Peering(PeerSettings settings) {
     this.settings = settings;
   }
 
   @Override
-  public void start(Context lent) {
-    ground = lent;
+  public void start(Context mixerContext) {
+    context = mixerContext;
     try {
       socket =
           new PeerSocket(
-              settings.listen(), lent::post, (from, bytes) -> company.received(from, bytes));
+              settings.listen(), mixerContext::post, (from, bytes) -> node.received(from, bytes));
       InetSocketAddress bound = socket.address();
-      here =
+      ownAddress =
           settings.advertised() != null ? settings.advertised() : PeerSettings.toPeerAddress(bound);
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
-    PeerNode.Settings told = settings.nodeSettings();
-    PeerNode.Settings rules =
-        told.zone() >= 0
-            ? told
+    PeerNode.Settings configured = settings.nodeSettings();
+    PeerNode.Settings nodeSettings =
+        configured.zone() >= 0
+            ? configured
             : new PeerNode.Settings(
-                told.membership(),
-                lent.zone(),
-                told.reportPeriod(),
-                told.reportFanout(),
-                told.observationSpan(),
-                told.reportLifetime(),
-                told.minWitnesses(),
-                told.roundPeriod(),
-                told.roundStep(),
-                told.maxBoxes(),
-                told.maxBytesPerSecond());
-    PeerId self = PeerId.named(lent.name());
-    company =
+                configured.membership(),
+                mixerContext.zone(),
+                configured.reportPeriod(),
+                configured.reportFanout(),
+                configured.observationSpan(),
+                configured.reportLifetime(),
+                configured.minWitnesses(),
+                configured.roundPeriod(),
+                configured.roundStep(),
+                configured.maxBoxes(),
+                configured.maxBytesPerSecond());
+    PeerId self = PeerId.named(mixerContext.name());
+    node =
         new PeerNode(
             self,
-            here,
-            lent.startEpochMs(),
-            rules,
+            ownAddress,
+            mixerContext.startEpochMs(),
+            nodeSettings,
             MessageAuthenticator.of(settings.keys()),
-            new SplittableRandom(self.number() ^ lent.startEpochMs()),
+            new SplittableRandom(self.number() ^ mixerContext.startEpochMs()),
             this);
     if (settings.preferredHolders() > 0) {
-      preference =
+      preferredBoxes =
           new PreferredBoxes(
               new MixerId(self.number()),
               settings.preferredHolders(),
-              lent.cellCount(),
-              lent.cellsPerShard());
+              mixerContext.cellCount(),
+              mixerContext.cellsPerShard());
     }
     LOG.info(
         "peers at {}, bound to port {}, as {}",
-        here,
+        ownAddress,
         address().getPort(),
         Long.toHexString(self.number()));
-    company.start(settings.seeds());
+    node.start(settings.seeds());
     socket.start();
     tick();
   }
 
   private void tick() {
-    ground.schedule(
-        TICK,
+    context.schedule(
+        TICK_INTERVAL,
         () -> {
-          if (!ended) {
-            company.tick();
-            if (company.membership().isSuperseded() && !saidSuperseded) {
-              saidSuperseded = true;
+          if (!stopped) {
+            node.tick();
+            if (node.membership().isSuperseded() && !supersededLogged) {
+              supersededLogged = true;
               LOG.warn(
                   "another mixer has started under the name {}: this one says nothing to peers any more",
-                  ground.name());
+                  context.name());
             }
             tick();
           }
@@ -131,90 +131,90 @@
 
   @Override
   public void membersChanged(Collection<MemberEntry> searchers) {
-    company.boxesListed(searchers.stream().map(each -> each.searcher().address()).toList());
-    if (preference != null) {
-      preference.update(
+    node.boxesListed(searchers.stream().map(member -> member.searcher().address()).toList());
+    if (preferredBoxes != null) {
+      preferredBoxes.update(
           searchers.stream()
-              .filter(each -> each.status() == MemberEntry.Status.READY)
+              .filter(member -> member.status() == MemberEntry.Status.READY)
               .map(
-                  each ->
+                  member ->
                       new PreferredBoxes.ListedBox(
                           new Box(
-                              id(each.searcher().address()),
-                              each.zone(),
-                              each.size() > 0 ? each.size() : 1),
-                          each.cell()))
+                              boxId(member.searcher().address()),
+                              member.zone(),
+                              member.size() > 0 ? member.size() : 1),
+                          member.cell()))
               .toList());
     }
   }
 
-  private static BoxId id(long searcher) {
+  private static BoxId boxId(long searcher) {
     return new BoxId(searcher);
   }
 
   @Override
   public void attemptEnded(long searcher, Outcome outcome) {
     switch (outcome) {
-      case SUCCEEDED -> company.attemptEnded(searcher, true);
-      case ERROR, BROKEN, UNREACHABLE -> company.attemptEnded(searcher, false);
+      case SUCCEEDED -> node.attemptEnded(searcher, true);
+      case ERROR, BROKEN, UNREACHABLE -> node.attemptEnded(searcher, false);
       default -> {} // full or late tells of load, and not of the box
     }
   }
 
   @Override
   public void ejected(long searcher) {
-    company.ejected(searcher);
-    if (preference != null) {
-      preference.exclude(id(searcher));
+    node.ejected(searcher);
+    if (preferredBoxes != null) {
+      preferredBoxes.exclude(boxId(searcher));
     }
   }
 
   @Override
   public boolean shouldProbe(long searcher) {
-    return company.shouldProbe(searcher);
+    return node.shouldProbe(searcher);
   }
 
   @Override
   public void probeStarted(long searcher) {
-    company.probeStarted(searcher);
+    node.probeStarted(searcher);
   }
 
   @Override
   public void probeEnded(long searcher, boolean answered) {
-    company.probeEnded(searcher, answered);
-    if (answered && preference != null) {
-      preference.include(id(searcher));
+    node.probeEnded(searcher, answered);
+    if (answered && preferredBoxes != null) {
+      preferredBoxes.include(boxId(searcher));
     }
   }
 
   @Override
   public double failureShare(long searcher) {
-    return company.failureShare(searcher);
+    return node.failureShare(searcher);
   }
 
   @Override
   public boolean isPreferred(long searcher) {
-    return preference == null || preference.prefers(id(searcher));
+    return preferredBoxes == null || preferredBoxes.prefers(boxId(searcher));
   }
 
   @Override
   public String statusLine() {
     return "peers: "
-        + company.membership().present().size()
+        + node.membership().present().size()
         + " there, health "
-        + company.membership().healthScore()
+        + node.membership().healthScore()
         + ", "
-        + company.bytesSent()
+        + node.bytesSent()
         + " bytes sent, "
         + socket.dropped()
         + " datagrams dropped; counts: "
-        + new TreeMap<>(company.counts());
+        + new TreeMap<>(node.counts());
   }
 
   @Override
   public void shutDown(Duration within) {
-    company.leave();
-    ended = true;
+    node.leave();
+    stopped = true;
     LOG.info("{}", statusLine());
   }
 
@@ -235,26 +235,26 @@
 
   @Override
   public Duration now() {
-    return ground.now();
+    return context.now();
   }
 
   @Override
-  public void send(PeerAddress to, byte[] letter) {
-    socket.send(to, letter);
+  public void send(PeerAddress recipient, byte[] datagram) {
+    socket.send(recipient, datagram);
   }
 
   @Override
   public void boxAnswered(long box) {
-    ground.answeredElsewhere(box);
+    context.answeredElsewhere(box);
   }
 
   @Override
-  public void peerChanged(PeerRecord now) {
+  public void peerChanged(PeerRecord record) {
     LOG.info(
         "peer {} at {}: {}",
-        Long.toHexString(now.peer().number()),
-        now.address(),
-        now.state().name().toLowerCase(Locale.ROOT));
+        Long.toHexString(record.peer().number()),
+        record.address(),
+        record.state().name().toLowerCase(Locale.ROOT));
   }
 
   /**
@@ -265,69 +265,69 @@
   public String answerQuery(MessageBody.Query query) {
     List<String> lines = new ArrayList<>();
     switch (query.about()) {
-      case 'p' -> peers(lines);
-      case 'w' -> why(query.box(), lines);
-      case 's' -> shares(lines);
+      case 'p' -> describePeers(lines);
+      case 'w' -> describeBox(query.box(), lines);
+      case 's' -> describeShares(lines);
       case 'c' -> lines.add(statusLine());
       default -> lines.add("asked about " + query.about() + ", which this mixer does not know");
     }
     return String.join("\n", lines);
   }
 
-  private void peers(List<String> lines) {
-    List<PeerRecord> all = company.membership().records();
+  private void describePeers(List<String> lines) {
+    List<PeerRecord> records = node.membership().records();
     lines.add(
-        ground.name()
+        context.name()
             + " life "
-            + ground.startEpochMs()
+            + context.startEpochMs()
             + " health "
-            + company.membership().healthScore()
+            + node.membership().healthScore()
             + ", "
-            + company.membership().present().size()
+            + node.membership().present().size()
             + " of "
-            + all.size()
+            + records.size()
             + " there");
-    for (PeerRecord each : all.subList(0, Math.min(LINES, all.size()))) {
+    for (PeerRecord record : records.subList(0, Math.min(MAX_LINES, records.size()))) {
       lines.add(
-          Long.toHexString(each.peer().number())
+          Long.toHexString(record.peer().number())
               + " "
-              + each.address()
+              + record.address()
               + " "
-              + each.state().name().toLowerCase(Locale.ROOT)
+              + record.state().name().toLowerCase(Locale.ROOT)
               + " life "
-              + each.incarnation()
+              + record.incarnation()
               + " rise "
-              + each.refutations());
+              + record.refutations());
     }
-    if (all.size() > LINES) {
-      lines.add("and " + (all.size() - LINES) + " more");
+    if (records.size() > MAX_LINES) {
+      lines.add("and " + (records.size() - MAX_LINES) + " more");
     }
   }
 
-  private void why(long box, List<String> lines) {
-    BoxObservation own = company.ownObservation(box);
+  private void describeBox(long box, List<String> lines) {
+    BoxObservation own = node.ownObservation(box);
     lines.add(
         String.format(
             Locale.ROOT,
             "own: %.0f answered, %.0f failed; others: doubt %.2f; preferred: %s",
             own.answered(),
             own.failed(),
-            company.failureShare(box),
+            node.failureShare(box),
             isPreferred(box)));
-    String matter = company.describeTurn(box);
-    lines.add(matter.isEmpty() ? "nobody asks about it" : matter);
-    for (PeerReports.TimedReport each : company.reports()) {
-      BoxObservation seen = each.report().boxes().get(box);
-      if (seen != null && lines.size() < LINES) {
+    String turn = node.describeTurn(box);
+    lines.add(turn.isEmpty() ? "nobody asks about it" : turn);
+    for (PeerReports.TimedReport timed : node.reports()) {
+      BoxObservation observation = timed.report().boxes().get(box);
+      if (observation != null && lines.size() < MAX_LINES) {
         lines.add(
             String.format(
                 Locale.ROOT,
                 "%x (zone %d, %d ms ago): %.0f answered, %.0f failed",
-                each.report().author().number(),
-                each.report().zone(),
-                now().minus(each.receivedAt()).toMillis(),
-                seen.answered(),
-                seen.failed()));
+                timed.report().author().number(),
+                timed.report().zone(),
+                now().minus(timed.receivedAt()).toMillis(),
+                observation.answered(),
+                observation.failed()));
       }
     }
   }
@@ -336,27 +336,28 @@
    * What each asks for a second, and what would be its due of all that is asked if a tenth of it
    * had to go.
    */
-  private void shares(List<String> lines) {
+  private void describeShares(List<String> lines) {
     Map<Long, Double> demands = new TreeMap<>();
-    company
-        .reports()
-        .forEach(each -> demands.put(each.report().author().number(), each.report().demand()));
-    demands.put(PeerId.named(ground.name()).number(), company.ownDemand());
-    double[] wanted = demands.values().stream().mapToDouble(Double::doubleValue).toArray();
-    double[] even = new double[wanted.length];
-    Arrays.fill(even, 1);
-    double all = Arrays.stream(wanted).sum();
-    double[] shares = FairShares.allocate(0.9 * all, wanted, even);
+    node.reports()
+        .forEach(timed -> demands.put(timed.report().author().number(), timed.report().demand()));
+    demands.put(PeerId.named(context.name()).number(), node.ownDemand());
+    double[] demandValues = demands.values().stream().mapToDouble(Double::doubleValue).toArray();
+    double[] weights = new double[demandValues.length];
+    Arrays.fill(weights, 1);
+    double totalDemand = Arrays.stream(demandValues).sum();
+    double[] shares = FairShares.allocate(0.9 * totalDemand, demandValues, weights);
     lines.add(
         String.format(
             Locale.ROOT,
             "%.1f parts a second heard of, by %d mixers; of nine tenths of it:",
-            all,
-            wanted.length));
+            totalDemand,
+            demandValues.length));
     int i = 0;
-    for (long who : demands.keySet()) {
-      if (i < LINES) {
-        lines.add(String.format(Locale.ROOT, "%x asks %.1f, due %.1f", who, wanted[i], shares[i]));
+    for (long mixer : demands.keySet()) {
+      if (i < MAX_LINES) {
+        lines.add(
+            String.format(
+                Locale.ROOT, "%x asks %.1f, due %.1f", mixer, demandValues[i], shares[i]));
       }
       i++;
     }
--- a/peers/src/main/java/gingerring/peers/BandwidthLimiter.java
+++ b/peers/src/main/java/gingerring/peers/BandwidthLimiter.java
@@ -8,10 +8,10 @@
  * can do without them for longer: they may use half of it.
  */
 final class BandwidthLimiter {
-  private final double perNano;
-  private final double most;
-  private double left;
-  private Duration at = Duration.ZERO;
+  private final double bytesPerNano;
+  private final double burstBytes;
+  private double availableBytes;
+  private Duration updatedAt = Duration.ZERO;
   private long refused;
 
   BandwidthLimiter(int bytesPerSecond) {
@@ -22,22 +22,23 @@
               + " bytes a second is under one letter of "
               + MessageCodec.MAX_BYTES);
     }
-    perNano = bytesPerSecond / 1e9;
-    most = bytesPerSecond;
-    left = bytesPerSecond;
+    bytesPerNano = bytesPerSecond / 1e9;
+    burstBytes = bytesPerSecond;
+    availableBytes = bytesPerSecond;
   }
 
   /** Whether so many bytes may go now; they count from now on. */
-  boolean take(int bytes, boolean word, Duration now) {
-    if (now.compareTo(at) > 0) {
-      left = Math.min(most, left + perNano * now.minus(at).toNanos());
-      at = now;
+  boolean tryTake(int bytes, boolean lowPriority, Duration now) {
+    if (now.compareTo(updatedAt) > 0) {
+      availableBytes =
+          Math.min(burstBytes, availableBytes + bytesPerNano * now.minus(updatedAt).toNanos());
+      updatedAt = now;
     }
-    if (left - bytes < (word ? most / 2 : 0)) {
+    if (availableBytes - bytes < (lowPriority ? burstBytes / 2 : 0)) {
       refused++;
       return false;
     }
-    left -= bytes;
+    availableBytes -= bytes;
     return true;
   }
 
--- a/peers/src/main/java/gingerring/peers/GossipQueue.java
+++ b/peers/src/main/java/gingerring/peers/GossipQueue.java
@@ -13,57 +13,59 @@
  * what was passed on most often goes for what is new, and is counted.
  */
 final class GossipQueue<S, N> {
-  private static final class Item<N> {
-    final N news;
-    final long since;
-    int sent;
+  private static final class QueuedUpdate<N> {
+    final N update;
+    final long sequence;
+    int sendCount;
 
-    Item(N news, long since) {
-      this.news = news;
-      this.since = since;
+    QueuedUpdate(N update, long sequence) {
+      this.update = update;
+      this.sequence = sequence;
     }
   }
 
-  private final int most;
-  private final double times;
-  private final Map<S, Item<N>> items = new HashMap<>();
-  private long count;
+  private final int capacity;
+  private final double retransmitFactor;
+  private final Map<S, QueuedUpdate<N>> items = new HashMap<>();
+  private long nextSequence;
   private long dropped;
 
   /** {@code times}: how often each is passed on for each power of ten of the fleet. */
-  GossipQueue(int most, double times) {
-    this.most = most;
-    this.times = times;
+  GossipQueue(int capacity, double retransmitFactor) {
+    this.capacity = capacity;
+    this.retransmitFactor = retransmitFactor;
   }
 
-  void add(S subject, N news) {
-    if (!items.containsKey(subject) && items.size() >= most) {
-      S oldest =
+  void add(S subject, N update) {
+    if (!items.containsKey(subject) && items.size() >= capacity) {
+      S mostSent =
           items.entrySet().stream()
-              .max(Comparator.comparingInt(each -> each.getValue().sent))
+              .max(Comparator.comparingInt(entry -> entry.getValue().sendCount))
               .orElseThrow()
               .getKey();
-      items.remove(oldest);
+      items.remove(mostSent);
       dropped++;
     }
-    items.put(subject, new Item<>(news, count++));
+    items.put(subject, new QueuedUpdate<>(update, nextSequence++));
   }
 
   /** What the next letter carries, so many at most; counts as passed on. */
-  List<N> take(int atMost, int fleet) {
+  List<N> take(int maxUpdates, int fleetSize) {
     if (items.isEmpty()) {
       return List.of();
     }
-    List<Map.Entry<S, Item<N>>> order = new ArrayList<>(items.entrySet());
-    order.sort(
-        Comparator.<Map.Entry<S, Item<N>>>comparingInt(each -> each.getValue().sent)
-            .thenComparingLong(each -> -each.getValue().since));
+    List<Map.Entry<S, QueuedUpdate<N>>> bySendCount = new ArrayList<>(items.entrySet());
+    bySendCount.sort(
+        Comparator.<Map.Entry<S, QueuedUpdate<N>>>comparingInt(entry -> entry.getValue().sendCount)
+            .thenComparingLong(entry -> -entry.getValue().sequence));
     List<N> taken = new ArrayList<>();
-    int limit = (int) Math.ceil(times * Math.max(1, Math.ceil(Math.log10(fleet + 1.0))));
-    for (Map.Entry<S, Item<N>> each : order.subList(0, Math.min(atMost, order.size()))) {
-      taken.add(each.getValue().news);
-      if (++each.getValue().sent >= limit) {
-        items.remove(each.getKey());
+    int maxSends =
+        (int) Math.ceil(retransmitFactor * Math.max(1, Math.ceil(Math.log10(fleetSize + 1.0))));
+    for (Map.Entry<S, QueuedUpdate<N>> entry :
+        bySendCount.subList(0, Math.min(maxUpdates, bySendCount.size()))) {
+      taken.add(entry.getValue().update);
+      if (++entry.getValue().sendCount >= maxSends) {
+        items.remove(entry.getKey());
       }
     }
     return taken;
--- a/peers/src/main/java/gingerring/peers/Membership.java
+++ b/peers/src/main/java/gingerring/peers/Membership.java
@@ -39,13 +39,13 @@
     Duration now();
 
     /** Sends a letter, which may be lost. */
-    void send(PeerAddress to, MessageBody body);
+    void send(PeerAddress recipient, MessageBody body);
 
     /**
      * What is believed of one peer is new: it came, is suspected, is trusted again, has gone or
      * left.
      */
-    void peerChanged(PeerRecord now);
+    void peerChanged(PeerRecord record);
   }
 
   /**
@@ -115,21 +115,21 @@
   }
 
   private static final class Member {
-    PeerRecord standing;
-    Duration since;
+    PeerRecord record;
+    Duration stateSince;
 
     /** While suspected: who says so, and when it is gone. */
-    final Set<PeerId> accusers = new HashSet<>();
+    final Set<PeerId> suspectedBy = new HashSet<>();
 
     /** When its suspicion ran out and it was asked one last time; null before that. */
-    Duration lastAsked;
+    Duration finalPingAt;
 
     /** When it was told that it is taken for gone. */
-    Duration lastTold;
+    Duration goneNoticeAt;
 
-    Member(PeerRecord standing, Duration since) {
-      this.standing = standing;
-      this.since = since;
+    Member(PeerRecord record, Duration stateSince) {
+      this.record = record;
+      this.stateSince = stateSince;
     }
   }
 
@@ -137,110 +137,116 @@
   private static final class PendingPing {
     final PeerId peer;
     final int number;
-    final Duration at;
-    final int health;
+    final Duration sentAt;
+    final int sentHealthScore;
     final Set<PeerAddress> helpers = new HashSet<>();
-    int nacked;
-    boolean helped;
+    int nackCount;
+    boolean indirect;
 
-    PendingPing(PeerId peer, int number, Duration at, int health) {
+    PendingPing(PeerId peer, int number, Duration sentAt, int sentHealthScore) {
       this.peer = peer;
       this.number = number;
-      this.at = at;
-      this.health = health;
+      this.sentAt = sentAt;
+      this.sentHealthScore = sentHealthScore;
     }
   }
 
   /** An ask on another's behalf. */
-  private record IndirectPing(PeerAddress back, int number, Duration at) {}
+  private record IndirectPing(PeerAddress requester, int requestNumber, Duration startedAt) {}
 
-  private static final int HEALTH_MOST = 8;
+  private static final int MAX_HEALTH_SCORE = 8;
 
   /**
    * Lifeguard's alpha and beta: the least and the most of a suspicion, in periods by the fleet's
    * logarithm.
    */
-  private static final double SUSPICION_LEAST = 4;
+  private static final double MIN_SUSPICION_PERIODS = 4;
 
-  private static final double SUSPICION_MOST = 6;
+  private static final double MAX_SUSPICION_FACTOR = 6;
 
   /** So many others who suspect the same make a suspicion as short as it gets. */
-  private static final int CONFIRMERS = 2;
+  private static final int MAX_CONFIRMATIONS = 2;
 
-  private static final double PASSED_ON = 4;
-  private static final int PAGE = 20;
-  private static final int ERRANDS_MOST = 64;
-  private static final int ERRANDS_EACH = 4;
-  private static final double NACK_AT = 0.8;
+  private static final double RETRANSMIT_FACTOR = 4;
+  private static final int PAGE_RECORDS = 20;
+  private static final int MAX_INDIRECT_PINGS = 64;
+  private static final int MAX_INDIRECT_PINGS_PER_PEER = 4;
+  private static final double NACK_TIMEOUT_SHARE = 0.8;
 
   /** Asks for the end of the list: each page begins with who sends it. */
-  private static final long STRANGER = -1;
+  private static final long OWN_RECORD_ONLY = -1;
 
   private final PeerId self;
-  private final PeerAddress here;
-  private final long life;
-  private final Settings rules;
-  private final RandomGenerator chance;
+  private final PeerAddress ownAddress;
+  private final long incarnation;
+  private final Settings settings;
+  private final RandomGenerator random;
   private final Host host;
   private final NavigableMap<Long, Member> members = new TreeMap<>(Long::compareUnsigned);
-  private final Set<Member> suspects = new LinkedHashSet<>();
-  private final List<PeerId> order = new ArrayList<>();
-  private final GossipQueue<PeerId, PeerRecord> spread;
-  private final Map<Integer, IndirectPing> errands = new HashMap<>();
+  private final Set<Member> suspectedMembers = new LinkedHashSet<>();
+  private final List<PeerId> pingOrder = new ArrayList<>();
+  private final GossipQueue<PeerId, PeerRecord> gossip;
+  private final Map<Integer, IndirectPing> indirectPings = new HashMap<>();
   private final Map<Count, Long> counts = new HashMap<>();
   private List<PeerAddress> seeds = List.of();
-  private int there;
-  private int rise;
+  private int presentCount;
+  private int refutations;
   private int healthScore;
-  private int numbers;
-  private PendingPing asking;
-  private Duration askNext;
-  private Duration reconnectNext;
+  private int lastPingNumber;
+  private PendingPing pendingPing;
+  private Duration nextPingAt;
+  private Duration nextReconnectAt;
 
   /** Whose pages are followed to their end. */
-  private PeerAddress askedWhole;
+  private PeerAddress listSource;
 
   private boolean superseded;
   private boolean left;
 
   /** {@code life}: as in {@link PeerRecord}; {@code here}: where the others reach this mixer. */
   public Membership(
-      PeerId self, PeerAddress here, long life, Settings rules, RandomGenerator chance, Host host) {
+      PeerId self,
+      PeerAddress ownAddress,
+      long incarnation,
+      Settings settings,
+      RandomGenerator random,
+      Host host) {
     this.self = self;
-    this.here = here;
-    this.life = life;
-    this.rules = rules;
-    this.chance = chance;
+    this.ownAddress = ownAddress;
+    this.incarnation = incarnation;
+    this.settings = settings;
+    this.random = random;
     this.host = host;
-    spread = new GossipQueue<>(rules.maxPeers, PASSED_ON);
+    gossip = new GossipQueue<>(settings.maxPeers, RETRANSMIT_FACTOR);
   }
 
   /**
    * Joins by asking at some places whom they know; it goes on to ask there while nobody is known.
    */
-  public void start(List<PeerAddress> places) {
-    seeds = places.stream().filter(place -> !place.equals(here)).toList();
+  public void start(List<PeerAddress> seedAddresses) {
+    seeds = seedAddresses.stream().filter(seed -> !seed.equals(ownAddress)).toList();
     Duration now = host.now();
-    askNext = now.plus(part(rules.pingPeriod));
-    reconnectNext = now.plus(part(rules.pingPeriod));
-    spread.add(self, own());
+    nextPingAt = now.plus(randomDelay(settings.pingPeriod));
+    nextReconnectAt = now.plus(randomDelay(settings.pingPeriod));
+    gossip.add(self, ownRecord());
     if (!seeds.isEmpty()) {
-      askWhole(seeds.get(chance.nextInt(seeds.size())));
+      requestMemberList(seeds.get(random.nextInt(seeds.size())));
     }
   }
 
   /** All that one knows, page by page. */
-  private void askWhole(PeerAddress place) {
-    askedWhole = place;
-    host.send(place, new MessageBody.MembersRequest(0));
+  private void requestMemberList(PeerAddress source) {
+    listSource = source;
+    host.send(source, new MessageBody.MembersRequest(0));
   }
 
-  private Duration part(Duration span) {
-    return Duration.ofNanos(chance.nextLong(span.toNanos()));
+  private Duration randomDelay(Duration span) {
+    return Duration.ofNanos(random.nextLong(span.toNanos()));
   }
 
-  private PeerRecord own() {
-    return new PeerRecord(self, here, life, rise, left ? State.LEFT : State.HERE, self);
+  private PeerRecord ownRecord() {
+    return new PeerRecord(
+        self, ownAddress, incarnation, refutations, left ? State.LEFT : State.HERE, self);
   }
 
   /** Time has passed. */
@@ -249,25 +255,28 @@
       return;
     }
     Duration now = host.now();
-    for (Member each : List.copyOf(suspects)) {
-      if (now.minus(each.since).compareTo(suspicion(each)) >= 0) {
-        runOut(each, now);
+    for (Member member : List.copyOf(suspectedMembers)) {
+      if (now.minus(member.stateSince).compareTo(suspicionTimeout(member)) >= 0) {
+        suspicionExpired(member, now);
       }
     }
-    errands
+    indirectPings
         .values()
         .removeIf(
-            errand -> {
-              boolean late = now.minus(errand.at).toNanos() >= NACK_AT * rules.ackTimeout.toNanos();
-              if (late) {
-                host.send(errand.back, new MessageBody.Nack(errand.number));
+            ping -> {
+              boolean expired =
+                  now.minus(ping.startedAt).toNanos()
+                      >= NACK_TIMEOUT_SHARE * settings.ackTimeout.toNanos();
+              if (expired) {
+                host.send(ping.requester, new MessageBody.Nack(ping.requestNumber));
               }
-              return late;
+              return expired;
             });
-    ask(now);
-    if (now.compareTo(reconnectNext) >= 0) {
-      reconnectNext =
-          now.plus(rules.reconnectPeriod.dividedBy(2)).plus(part(rules.reconnectPeriod));
+    pingPeriodically(now);
+    if (now.compareTo(nextReconnectAt) >= 0) {
+      nextReconnectAt =
+          now.plus(settings.reconnectPeriod.dividedBy(2))
+              .plus(randomDelay(settings.reconnectPeriod));
       reconnect(now);
     }
   }
@@ -277,97 +286,101 @@
    * and nobody is taken for gone by one who hears it: it is told of its suspicion again, against
    * which it can speak.
    */
-  private void runOut(Member member, Duration now) {
-    if (member.lastAsked == null) {
-      member.lastAsked = now;
-      spread.add(member.standing.peer(), member.standing);
-      host.send(member.standing.address(), new MessageBody.Ping(++numbers, member.standing.peer()));
-    } else if (now.minus(member.lastAsked).compareTo(rules.pingPeriod) >= 0) {
+  private void suspicionExpired(Member member, Duration now) {
+    if (member.finalPingAt == null) {
+      member.finalPingAt = now;
+      gossip.add(member.record.peer(), member.record);
+      host.send(
+          member.record.address(), new MessageBody.Ping(++lastPingNumber, member.record.peer()));
+    } else if (now.minus(member.finalPingAt).compareTo(settings.pingPeriod) >= 0) {
       count(Count.GONE);
-      take(member.standing.as(State.GONE, self), now);
+      applyRecord(member.record.withState(State.GONE, self), now);
     }
   }
 
   /** The periodic ask: first straight, then through helpers, then a suspicion. */
-  private void ask(Duration now) {
-    if (asking != null) {
-      Duration allowed = rules.ackTimeout.multipliedBy(1L + asking.health);
-      if (!asking.helped && now.minus(asking.at).compareTo(allowed) >= 0) {
-        asking.helped = true;
+  private void pingPeriodically(Duration now) {
+    if (pendingPing != null) {
+      Duration ackTimeout = settings.ackTimeout.multipliedBy(1L + pendingPing.sentHealthScore);
+      if (!pendingPing.indirect && now.minus(pendingPing.sentAt).compareTo(ackTimeout) >= 0) {
+        pendingPing.indirect = true;
         PeerRecord target =
-            members.get(asking.peer.number()) == null
+            members.get(pendingPing.peer.number()) == null
                 ? null
-                : members.get(asking.peer.number()).standing;
+                : members.get(pendingPing.peer.number()).record;
         if (target != null) {
-          for (PeerRecord helper : randomPeers(rules.helperCount, asking.peer)) {
-            asking.helpers.add(helper.address());
+          for (PeerRecord helper : randomPeers(settings.helperCount, pendingPing.peer)) {
+            pendingPing.helpers.add(helper.address());
             host.send(
                 helper.address(),
-                new MessageBody.PingRequest(asking.number, target.peer(), target.address()));
+                new MessageBody.PingRequest(pendingPing.number, target.peer(), target.address()));
           }
         }
       }
-      if (now.minus(asking.at).compareTo(rules.pingPeriod.multipliedBy(1L + asking.health)) >= 0) {
-        PendingPing failed = asking;
-        asking = null;
+      if (now.minus(pendingPing.sentAt)
+              .compareTo(settings.pingPeriod.multipliedBy(1L + pendingPing.sentHealthScore))
+          >= 0) {
+        PendingPing unanswered = pendingPing;
+        pendingPing = null;
         count(Count.UNANSWERED);
         // helpers that say nothing either are a sign that it is this mixer that hears late
-        worse(failed.helpers.isEmpty() ? 1 : failed.helpers.size() - failed.nacked);
-        suspect(failed.peer, now);
+        adjustHealth(
+            unanswered.helpers.isEmpty() ? 1 : unanswered.helpers.size() - unanswered.nackCount);
+        suspect(unanswered.peer, now);
       }
     }
-    if (asking == null && now.compareTo(askNext) >= 0) {
-      askNext = now.plus(rules.pingPeriod);
-      PeerRecord next = next();
-      if (next != null) {
-        asking = new PendingPing(next.peer(), ++numbers, now, healthScore);
-        if (next.state() == State.SUSPECTED) {
-          spread.add(next.peer(), next); // it is to hear of it first from whom it can answer
+    if (pendingPing == null && now.compareTo(nextPingAt) >= 0) {
+      nextPingAt = now.plus(settings.pingPeriod);
+      PeerRecord target = nextPingTarget();
+      if (target != null) {
+        pendingPing = new PendingPing(target.peer(), ++lastPingNumber, now, healthScore);
+        if (target.state() == State.SUSPECTED) {
+          gossip.add(target.peer(), target); // it is to hear of it first from whom it can answer
         }
-        host.send(next.address(), new MessageBody.Ping(asking.number, next.peer()));
+        host.send(target.address(), new MessageBody.Ping(pendingPing.number, target.peer()));
       }
     }
   }
 
   /** Each in turn, in an order that is drawn anew when all have been asked. */
-  private PeerRecord next() {
-    for (int tries = members.size() + 1; tries > 0; tries--) {
-      if (order.isEmpty()) {
-        members.values().forEach(each -> order.add(each.standing.peer()));
-        for (int i = order.size() - 1; i > 0; i--) {
-          PeerId last = order.get(i);
-          int other = chance.nextInt(i + 1);
-          order.set(i, order.get(other));
-          order.set(other, last);
+  private PeerRecord nextPingTarget() {
+    for (int attempts = members.size() + 1; attempts > 0; attempts--) {
+      if (pingOrder.isEmpty()) {
+        members.values().forEach(each -> pingOrder.add(each.record.peer()));
+        for (int i = pingOrder.size() - 1; i > 0; i--) {
+          PeerId swapped = pingOrder.get(i);
+          int other = random.nextInt(i + 1);
+          pingOrder.set(i, pingOrder.get(other));
+          pingOrder.set(other, swapped);
         }
       }
-      if (order.isEmpty()) {
+      if (pingOrder.isEmpty()) {
         return null;
       }
-      Member member = members.get(order.remove(order.size() - 1).number());
-      if (member != null && member.standing.isPresent()) {
-        return member.standing;
+      Member member = members.get(pingOrder.remove(pingOrder.size() - 1).number());
+      if (member != null && member.record.isPresent()) {
+        return member.record;
       }
     }
     return null;
   }
 
   /** So many of those who are here, by chance, but that one. */
-  private List<PeerRecord> randomPeers(int count, PeerId but) {
-    List<PeerRecord> here = new ArrayList<>();
+  private List<PeerRecord> randomPeers(int count, PeerId excluded) {
+    List<PeerRecord> candidates = new ArrayList<>();
     members
         .values()
         .forEach(
-            each -> {
-              if (each.standing.state() == State.HERE && !each.standing.peer().equals(but)) {
-                here.add(each.standing);
+            member -> {
+              if (member.record.state() == State.HERE && !member.record.peer().equals(excluded)) {
+                candidates.add(member.record);
               }
             });
-    List<PeerRecord> some = new ArrayList<>();
-    while (some.size() < count && !here.isEmpty()) {
-      some.add(here.remove(chance.nextInt(here.size())));
+    List<PeerRecord> selected = new ArrayList<>();
+    while (selected.size() < count && !candidates.isEmpty()) {
+      selected.add(candidates.remove(random.nextInt(candidates.size())));
     }
-    return some;
+    return selected;
   }
 
   /** So many of those who are here, by chance, for a word. */
@@ -377,28 +390,31 @@
 
   private void suspect(PeerId peer, Duration now) {
     Member member = members.get(peer.number());
-    if (member != null && member.standing.isPresent()) {
-      if (member.standing.state() == State.HERE) {
+    if (member != null && member.record.isPresent()) {
+      if (member.record.state() == State.HERE) {
         count(Count.SUSPECTED);
       }
-      take(member.standing.as(State.SUSPECTED, self), now);
+      applyRecord(member.record.withState(State.SUSPECTED, self), now);
     }
   }
 
   /**
    * Between the least and the most, the shorter the more others suspect the same (Lifeguard, IV.B).
    */
-  private Duration suspicion(Member member) {
-    double least =
-        SUSPICION_LEAST * Math.max(1, Math.log10(Math.max(1, there))) * rules.pingPeriod.toNanos();
-    int wanted = Math.min(CONFIRMERS, there - 2);
-    if (wanted < 1) {
-      return Duration.ofNanos((long) least);
-    }
-    double share =
-        Math.log(member.accusers.size())
-            / Math.log(wanted + 1.0); // the first accuser is no confirmer
-    return Duration.ofNanos((long) Math.max(least, least * SUSPICION_MOST * (1 - share)));
+  private Duration suspicionTimeout(Member member) {
+    double minNanos =
+        MIN_SUSPICION_PERIODS
+            * Math.max(1, Math.log10(Math.max(1, presentCount)))
+            * settings.pingPeriod.toNanos();
+    int maxConfirmations = Math.min(MAX_CONFIRMATIONS, presentCount - 2);
+    if (maxConfirmations < 1) {
+      return Duration.ofNanos((long) minNanos);
+    }
+    double confirmedShare =
+        Math.log(member.suspectedBy.size())
+            / Math.log(maxConfirmations + 1.0); // the first accuser is no confirmer
+    return Duration.ofNanos(
+        (long) Math.max(minNanos, minNanos * MAX_SUSPICION_FACTOR * (1 - confirmedShare)));
   }
 
   /**
@@ -411,67 +427,68 @@
     members
         .values()
         .removeIf(
-            each ->
-                !each.standing.isPresent()
-                    && now.minus(each.since).compareTo(rules.forgetAfter) > 0);
-    List<PeerAddress> gone = new ArrayList<>();
+            member ->
+                !member.record.isPresent()
+                    && now.minus(member.stateSince).compareTo(settings.forgetAfter) > 0);
+    List<PeerAddress> candidates = new ArrayList<>();
     members
         .values()
         .forEach(
-            each -> {
-              if (each.standing.state() == State.GONE) {
-                gone.add(each.standing.address());
+            member -> {
+              if (member.record.state() == State.GONE) {
+                candidates.add(member.record.address());
               }
             });
     // one that nobody known stands at may be the heart of another island of this fleet
-    Set<PeerAddress> known = new HashSet<>();
-    members.values().forEach(each -> known.add(each.standing.address()));
-    seeds.stream().filter(seed -> !known.contains(seed)).forEach(gone::add);
-    if (!gone.isEmpty()) {
-      askWhole(gone.get(chance.nextInt(gone.size())));
+    Set<PeerAddress> knownAddresses = new HashSet<>();
+    members.values().forEach(member -> knownAddresses.add(member.record.address()));
+    seeds.stream().filter(seed -> !knownAddresses.contains(seed)).forEach(candidates::add);
+    if (!candidates.isEmpty()) {
+      requestMemberList(candidates.get(random.nextInt(candidates.size())));
     } else {
       randomPeers(1, self)
           .forEach(
-              each -> host.send(each.address(), new MessageBody.MembersRequest(chance.nextLong())));
+              member ->
+                  host.send(member.address(), new MessageBody.MembersRequest(random.nextLong())));
     }
   }
 
-  private void worse(int steps) {
-    healthScore = Math.max(0, Math.min(HEALTH_MOST, healthScore + steps));
+  private void adjustHealth(int steps) {
+    healthScore = Math.max(0, Math.min(MAX_HEALTH_SCORE, healthScore + steps));
   }
 
   /** A letter of a mixer in that life has come that was proved to be of the fleet. */
   public void messageReceived(
       PeerId author,
-      long authorLife,
+      long authorIncarnation,
       PeerAddress from,
       MessageBody body,
-      Collection<PeerRecord> news) {
+      Collection<PeerRecord> updates) {
     if (superseded || left) {
       return;
     }
     Duration now = host.now();
-    news.forEach(each -> take(each, now));
+    updates.forEach(update -> applyRecord(update, now));
     Member sender = members.get(author.number());
-    if (sender != null && sender.lastAsked != null) {
-      sender.since = now;
-      sender.lastAsked = null;
+    if (sender != null && sender.finalPingAt != null) {
+      sender.stateSince = now;
+      sender.finalPingAt = null;
     }
     if (sender != null
-        && sender.standing.state() == State.GONE
-        && (sender.lastTold == null
-            || now.minus(sender.lastTold).compareTo(rules.pingPeriod) >= 0)) {
+        && sender.record.state() == State.GONE
+        && (sender.goneNoticeAt == null
+            || now.minus(sender.goneNoticeAt).compareTo(settings.pingPeriod) >= 0)) {
       // it lives, and does not know what is believed of it: told, it speaks against that
-      sender.lastTold = now;
-      host.send(from, new MessageBody.MembersPage(List.of(sender.standing), 0));
+      sender.goneNoticeAt = now;
+      host.send(from, new MessageBody.MembersPage(List.of(sender.record), 0));
     }
-    if ((sender == null || authorLife > sender.standing.incarnation())
+    if ((sender == null || authorIncarnation > sender.record.incarnation())
         && !(body instanceof MessageBody.MembersRequest)
         && !(body instanceof MessageBody.MembersPage)
         && !(body instanceof MessageBody.Query)) {
       // whose own word was lost, or has been forgotten, or was of an earlier life: it is to say who
       // it is
-      host.send(from, new MessageBody.MembersRequest(STRANGER));
+      host.send(from, new MessageBody.MembersRequest(OWN_RECORD_ONLY));
     }
     if (body instanceof MessageBody.Ping ping) {
       if (ping.peer().equals(self)) {
@@ -480,169 +497,175 @@
         count(Count.NOT_ME); // the place was another's before
       }
     } else if (body instanceof MessageBody.Ack ack) {
-      acked(author, ack, now);
+      ackReceived(author, ack, now);
     } else if (body instanceof MessageBody.Nack nack) {
-      if (asking != null && nack.number() == asking.number && asking.helpers.remove(from)) {
-        asking.nacked++;
+      if (pendingPing != null
+          && nack.number() == pendingPing.number
+          && pendingPing.helpers.remove(from)) {
+        pendingPing.nackCount++;
       }
-    } else if (body instanceof MessageBody.PingRequest help) {
-      help(from, help, now);
-    } else if (body instanceof MessageBody.MembersRequest question) {
-      host.send(from, page(question.fromPeer()));
+    } else if (body instanceof MessageBody.PingRequest request) {
+      pingOnBehalf(from, request, now);
+    } else if (body instanceof MessageBody.MembersRequest membersRequest) {
+      host.send(from, membersPage(membersRequest.fromPeer()));
     } else if (body instanceof MessageBody.MembersPage page) {
-      page.records().forEach(each -> take(each, now));
-      if (page.nextPeer() != 0 && from.equals(askedWhole)) {
+      page.records().forEach(update -> applyRecord(update, now));
+      if (page.nextPeer() != 0 && from.equals(listSource)) {
         host.send(from, new MessageBody.MembersRequest(page.nextPeer()));
       }
     }
   }
 
-  private void acked(PeerId author, MessageBody.Ack ack, Duration now) {
-    IndirectPing errand = errands.remove(ack.number());
-    if (errand != null) {
-      host.send(errand.back, new MessageBody.Ack(errand.number));
+  private void ackReceived(PeerId author, MessageBody.Ack ack, Duration now) {
+    IndirectPing indirectPing = indirectPings.remove(ack.number());
+    if (indirectPing != null) {
+      host.send(indirectPing.requester, new MessageBody.Ack(indirectPing.requestNumber));
     }
     // through a helper the number alone tells: a helper that lies can hide that a peer is gone, for
     // a while
-    if (asking != null && ack.number() == asking.number) {
-      if (asking.peer.equals(author) || asking.helped) {
-        asking = null;
-        worse(-1);
+    if (pendingPing != null && ack.number() == pendingPing.number) {
+      if (pendingPing.peer.equals(author) || pendingPing.indirect) {
+        pendingPing = null;
+        adjustHealth(-1);
       }
     }
   }
 
-  private void help(PeerAddress from, MessageBody.PingRequest help, Duration now) {
-    long his = errands.values().stream().filter(errand -> errand.back.equals(from)).count();
-    if (errands.size() >= ERRANDS_MOST || his >= ERRANDS_EACH) {
+  private void pingOnBehalf(PeerAddress from, MessageBody.PingRequest request, Duration now) {
+    long openForRequester =
+        indirectPings.values().stream().filter(ping -> ping.requester.equals(from)).count();
+    if (indirectPings.size() >= MAX_INDIRECT_PINGS
+        || openForRequester >= MAX_INDIRECT_PINGS_PER_PEER) {
       count(Count.TOO_BUSY);
       return;
     }
-    errands.put(++numbers, new IndirectPing(from, help.number(), now));
-    host.send(help.address(), new MessageBody.Ping(numbers, help.peer()));
+    indirectPings.put(++lastPingNumber, new IndirectPing(from, request.number(), now));
+    host.send(request.address(), new MessageBody.Ping(lastPingNumber, request.peer()));
   }
 
-  private MessageBody.MembersPage page(long from) {
-    List<PeerRecord> page = new ArrayList<>();
-    page.add(own());
-    long next = 0;
-    for (Member each : members.tailMap(from, true).values()) {
-      if (page.size() > PAGE) {
-        next = each.standing.peer().number();
+  private MessageBody.MembersPage membersPage(long fromPeer) {
+    List<PeerRecord> records = new ArrayList<>();
+    records.add(ownRecord());
+    long nextPeer = 0;
+    for (Member member : members.tailMap(fromPeer, true).values()) {
+      if (records.size() > PAGE_RECORDS) {
+        nextPeer = member.record.peer().number();
         break;
       }
-      page.add(each.standing);
+      records.add(member.record);
     }
-    return new MessageBody.MembersPage(page, next);
+    return new MessageBody.MembersPage(records, nextPeer);
   }
 
   /** Takes in what is believed of one peer, if it holds over what was. */
-  private void take(PeerRecord told, Duration now) {
-    if (told.peer().equals(self)) {
-      aboutSelf(told);
+  private void applyRecord(PeerRecord update, Duration now) {
+    if (update.peer().equals(self)) {
+      applyOwnRecord(update);
       return;
     }
-    Member member = members.get(told.peer().number());
+    Member member = members.get(update.peer().number());
     if (member == null) {
-      if (members.size() >= rules.maxPeers && !makeRoom()) {
+      if (members.size() >= settings.maxPeers && !evictAbsentMember()) {
         count(Count.NO_ROOM);
         return;
       }
-      member = new Member(told, now);
-      members.put(told.peer().number(), member);
-      moved(member, null, now);
+      member = new Member(update, now);
+      members.put(update.peer().number(), member);
+      recordChanged(member, null, now);
       return;
     }
-    PeerRecord before = member.standing;
+    PeerRecord known = member.record;
     boolean sameSuspicion =
-        told.state() == State.SUSPECTED
-            && before.state() == State.SUSPECTED
-            && told.incarnation() == before.incarnation()
-            && told.refutations() == before.refutations();
+        update.state() == State.SUSPECTED
+            && known.state() == State.SUSPECTED
+            && update.incarnation() == known.incarnation()
+            && update.refutations() == known.refutations();
     if (sameSuspicion) {
-      if (member.accusers.size() <= CONFIRMERS && member.accusers.add(told.source())) {
-        spread.add(told.peer(), told); // a further accuser is news
+      if (member.suspectedBy.size() <= MAX_CONFIRMATIONS
+          && member.suspectedBy.add(update.source())) {
+        gossip.add(update.peer(), update); // a further accuser is news
       }
-    } else if (told.supersedes(before)) {
-      member.standing = told;
-      moved(member, before, now);
-    } else if (!told.equals(before)) {
+    } else if (update.supersedes(known)) {
+      member.record = update;
+      recordChanged(member, known, now);
+    } else if (!update.equals(known)) {
       count(Count.STALE);
     }
   }
 
   /** The one gone or left for longest makes room for a newcomer. */
-  private boolean makeRoom() {
+  private boolean evictAbsentMember() {
     Member oldest = null;
-    for (Member each : members.values()) {
-      if (!each.standing.isPresent()
-          && (oldest == null || each.since.compareTo(oldest.since) < 0)) {
-        oldest = each;
+    for (Member member : members.values()) {
+      if (!member.record.isPresent()
+          && (oldest == null || member.stateSince.compareTo(oldest.stateSince) < 0)) {
+        oldest = member;
       }
     }
-    return oldest != null && members.remove(oldest.standing.peer().number()) != null;
+    return oldest != null && members.remove(oldest.record.peer().number()) != null;
   }
 
-  private void moved(Member member, PeerRecord before, Duration now) {
-    PeerRecord standing = member.standing;
-    member.since = now;
-    member.lastAsked = null;
-    member.lastTold = null;
-    member.accusers.clear();
-    if (standing.state() == State.SUSPECTED) {
-      suspects.add(member);
-      member.accusers.add(standing.source());
+  private void recordChanged(Member member, PeerRecord previous, Duration now) {
+    PeerRecord record = member.record;
+    member.stateSince = now;
+    member.finalPingAt = null;
+    member.goneNoticeAt = null;
+    member.suspectedBy.clear();
+    if (record.state() == State.SUSPECTED) {
+      suspectedMembers.add(member);
+      member.suspectedBy.add(record.source());
     } else {
-      suspects.remove(member);
+      suspectedMembers.remove(member);
     }
-    there += (standing.isPresent() ? 1 : 0) - (before != null && before.isPresent() ? 1 : 0);
-    if (before == null && standing.isPresent()) {
-      order.add(order.isEmpty() ? 0 : chance.nextInt(order.size()), standing.peer());
+    presentCount +=
+        (record.isPresent() ? 1 : 0) - (previous != null && previous.isPresent() ? 1 : 0);
+    if (previous == null && record.isPresent()) {
+      pingOrder.add(pingOrder.isEmpty() ? 0 : random.nextInt(pingOrder.size()), record.peer());
     }
-    spread.add(standing.peer(), standing);
-    if (before == null
-        || before.state() != standing.state()
-        || before.incarnation() != standing.incarnation()) {
-      host.peerChanged(standing);
+    gossip.add(record.peer(), record);
+    if (previous == null
+        || previous.state() != record.state()
+        || previous.incarnation() != record.incarnation()) {
+      host.peerChanged(record);
     }
   }
 
-  private void aboutSelf(PeerRecord told) {
-    if (told.incarnation() > life) {
+  private void applyOwnRecord(PeerRecord update) {
+    if (update.incarnation() > incarnation) {
       superseded = true;
-    } else if (told.incarnation() == life
-        && told.state() != State.HERE
-        && told.refutations() >= rise) {
-      rise = told.refutations() + 1;
+    } else if (update.incarnation() == incarnation
+        && update.state() != State.HERE
+        && update.refutations() >= refutations) {
+      refutations = update.refutations() + 1;
       count(Count.REFUTED);
-      worse(1); // suspected though it lives: it may hear late
-      spread.add(self, own());
+      adjustHealth(1); // suspected though it lives: it may hear late
+      gossip.add(self, ownRecord());
     }
   }
 
   /** It ends on purpose: says so to some, who pass it on. */
   public void leave() {
     left = true;
-    spread.add(self, own());
-    for (PeerRecord each : randomPeers(rules.helperCount + 1, self)) {
-      host.send(each.address(), new MessageBody.MembersPage(List.of(own()), 0));
+    gossip.add(self, ownRecord());
+    for (PeerRecord peer : randomPeers(settings.helperCount + 1, self)) {
+      host.send(peer.address(), new MessageBody.MembersPage(List.of(ownRecord()), 0));
     }
   }
 
   /** News for the next letter, so many at most. */
-  public List<PeerRecord> takeUpdates(int most) {
-    return spread.take(most, there + 1);
+  public List<PeerRecord> takeUpdates(int maxUpdates) {
+    return gossip.take(maxUpdates, presentCount + 1);
   }
 
   /** All that is known of the others, by their numbers. */
   public List<PeerRecord> records() {
-    return members.values().stream().map(each -> each.standing).toList();
+    return members.values().stream().map(member -> member.record).toList();
   }
 
   /** Those who are there, suspected ones among them: who may hold a turn. */
   public List<PeerId> present() {
     return members.values().stream()
-        .map(each -> each.standing)
+        .map(member -> member.record)
         .filter(PeerRecord::isPresent)
         .map(PeerRecord::peer)
         .toList();
@@ -651,7 +674,7 @@
   /** The life that is believed of one who is there; 0 for others. */
   public long incarnation(PeerId peer) {
     Member member = members.get(peer.number());
-    return member != null && member.standing.isPresent() ? member.standing.incarnation() : 0;
+    return member != null && member.record.isPresent() ? member.record.incarnation() : 0;
   }
 
   /** Whether a later life under the own name is about. */
@@ -659,16 +682,16 @@
     return superseded;
   }
 
-  /** From 0, hears in time, to {@value #HEALTH_MOST}. */
+  /** From 0, hears in time, to {@value #MAX_HEALTH_SCORE}. */
   public int healthScore() {
     return healthScore;
   }
 
-  public long count(Enum<Count> which) {
-    return counts.getOrDefault(which, 0L);
+  public long count(Enum<Count> cause) {
+    return counts.getOrDefault(cause, 0L);
   }
 
-  private void count(Count which) {
-    counts.merge(which, 1L, Long::sum);
+  private void count(Count cause) {
+    counts.merge(cause, 1L, Long::sum);
   }
 }
--- a/peers/src/main/java/gingerring/peers/MessageAuthenticator.java
+++ b/peers/src/main/java/gingerring/peers/MessageAuthenticator.java
@@ -14,14 +14,14 @@
  * cannot be changed or made by who does not. One that is sent again as it was is proved too: {@link
  * Numbers} drops it.
  *
- * <p>Keys change without a gap: {@link #seal} proves with the first key, {@link #open} believes any
+ * <p>Keys change without a gap: {@link #sign} proves with the first key, {@link #open} believes any
  * of them. Not for use by several threads at once.
  */
 public final class MessageAuthenticator {
   /** Bytes of a proof. */
-  static final int PROOF = 16;
+  static final int TAG_BYTES = 16;
 
-  private static final int KEY_LEAST = 16;
+  private static final int MIN_KEY_BYTES = 16;
   private static final String ALGORITHM = "HmacSHA256";
 
   private final List<Mac> macs;
@@ -32,8 +32,8 @@
 
   /** Keys of 16 bytes or more, the one to prove with first. */
   public static MessageAuthenticator of(List<byte[]> keys) {
-    if (keys.isEmpty() || keys.stream().anyMatch(key -> key.length < KEY_LEAST)) {
-      throw new IllegalArgumentException("a key of at least " + KEY_LEAST + " bytes is needed");
+    if (keys.isEmpty() || keys.stream().anyMatch(key -> key.length < MIN_KEY_BYTES)) {
+      throw new IllegalArgumentException("a key of at least " + MIN_KEY_BYTES + " bytes is needed");
     }
     return new MessageAuthenticator(keys.stream().map(MessageAuthenticator::mac).toList());
   }
@@ -49,23 +49,23 @@
   }
 
   /** Puts the proof behind the first {@code length} bytes, which have to leave room for it. */
-  void seal(byte[] bytes, int length) {
-    ByteBuffer.wrap(bytes, length, PROOF).put(proof(macs.get(0), bytes, length));
+  void sign(byte[] bytes, int length) {
+    ByteBuffer.wrap(bytes, length, TAG_BYTES).put(tag(macs.get(0), bytes, length));
   }
 
-  private static byte[] proof(Mac mac, byte[] bytes, int length) {
+  private static byte[] tag(Mac mac, byte[] bytes, int length) {
     mac.update(bytes, 0, length);
-    return Arrays.copyOf(mac.doFinal(), PROOF);
+    return Arrays.copyOf(mac.doFinal(), TAG_BYTES);
   }
 
   /** Whether the last 16 bytes prove those before them; the count of those, or -1. */
-  int proved(byte[] bytes) {
-    int length = bytes.length - PROOF;
+  int verify(byte[] bytes) {
+    int length = bytes.length - TAG_BYTES;
     if (length <= 0) {
       return -1;
     }
-    byte[] proof = Arrays.copyOfRange(bytes, length, bytes.length);
-    return macs.stream().anyMatch(mac -> MessageDigest.isEqual(proof, proof(mac, bytes, length)))
+    byte[] tag = Arrays.copyOfRange(bytes, length, bytes.length);
+    return macs.stream().anyMatch(mac -> MessageDigest.isEqual(tag, tag(mac, bytes, length)))
         ? length
         : -1;
   }
--- a/peers/src/main/java/gingerring/peers/MessageCodec.java
+++ b/peers/src/main/java/gingerring/peers/MessageCodec.java
@@ -34,164 +34,168 @@
   /** A letter's bytes at most. */
   public static final int MAX_BYTES = 1200;
 
-  private static final byte FORM = 2;
-  private static final int HEAD = 26;
-  private static final int STANDING = 35;
-  private static final int NOTE = 33;
-  private static final int WORD = 10;
-  private static final int BOX = 12;
-  private static final int PARTS_MOST = 0xFFFF;
-  private static final int TEXT_MOST = 1100;
-  private static final int COUNT_MOST = 0xFF;
+  private static final byte FORMAT_VERSION = 2;
+  private static final int HEADER_BYTES = 26;
+  private static final int RECORD_BYTES = 35;
+  private static final int NOTICE_BYTES = 33;
+  private static final int REPORT_HEADER_BYTES = 10;
+  private static final int BOX_BYTES = 12;
+  private static final int MAX_PARTS = 0xFFFF;
+  private static final int MAX_TEXT_BYTES = 1100;
+  private static final int MAX_COUNT = 0xFF;
   private static final PeerRecord.State[] STATES = PeerRecord.State.values();
 
-  private final MessageAuthenticator seal;
-  private final byte[] bytes = new byte[MAX_BYTES];
+  private final MessageAuthenticator authenticator;
+  private final byte[] buffer = new byte[MAX_BYTES];
 
-  public MessageCodec(MessageAuthenticator seal) {
-    this.seal = seal;
+  public MessageCodec(MessageAuthenticator authenticator) {
+    this.authenticator = authenticator;
   }
 
   /** How many boxes a word may tell of so that so many news and notes still fit beside it. */
-  static int boxes(int news, int notes) {
+  static int maxBoxes(int updates, int notices) {
     return (MAX_BYTES
-            - HEAD
-            - WORD
+            - HEADER_BYTES
+            - REPORT_HEADER_BYTES
             - 2
-            - news * STANDING
-            - notes * NOTE
-            - MessageAuthenticator.PROOF)
-        / BOX;
+            - updates * RECORD_BYTES
+            - notices * NOTICE_BYTES
+            - MessageAuthenticator.TAG_BYTES)
+        / BOX_BYTES;
   }
 
   /** How much fits beside a body of that kind: room in standings, where no notes go along. */
-  static int newsBeside(MessageBody body) {
-    int taken = HEAD + 2 + MessageAuthenticator.PROOF + size(body);
-    return Math.max(0, Math.min(COUNT_MOST, (MAX_BYTES - taken) / STANDING));
+  static int maxUpdates(MessageBody body) {
+    int usedBytes = HEADER_BYTES + 2 + MessageAuthenticator.TAG_BYTES + bodyBytes(body);
+    return Math.max(0, Math.min(MAX_COUNT, (MAX_BYTES - usedBytes) / RECORD_BYTES));
   }
 
-  private static int size(MessageBody body) {
+  private static int bodyBytes(MessageBody body) {
     if (body instanceof MessageBody.MembersPage page) {
-      return 9 + page.records().size() * STANDING;
+      return 9 + page.records().size() * RECORD_BYTES;
     }
     if (body instanceof MessageBody.Reply reply) {
       return 3 + text(reply).length;
     }
-    return body instanceof MessageBody.Report say ? WORD + BOX * say.report().boxes().size() : 18;
+    return body instanceof MessageBody.Report report
+        ? REPORT_HEADER_BYTES + BOX_BYTES * report.report().boxes().size()
+        : 18;
   }
 
   /** The bytes of a letter; one that is too large is a fault of its writer. */
-  public byte[] encode(PeerMessage letter) {
-    ByteBuffer to = ByteBuffer.wrap(bytes, 0, MAX_BYTES - MessageAuthenticator.PROOF);
-    to.put(FORM)
-        .putLong(letter.author().number())
-        .putLong(letter.incarnation())
-        .putLong(letter.number());
-    body(to, letter.body());
-    to.put((byte) letter.updates().size());
-    letter.updates().forEach(each -> standing(to, each));
-    to.put((byte) letter.notices().size());
-    letter
+  public byte[] encode(PeerMessage message) {
+    ByteBuffer out = ByteBuffer.wrap(buffer, 0, MAX_BYTES - MessageAuthenticator.TAG_BYTES);
+    out.put(FORMAT_VERSION)
+        .putLong(message.author().number())
+        .putLong(message.incarnation())
+        .putLong(message.number());
+    body(out, message.body());
+    out.put((byte) message.updates().size());
+    message.updates().forEach(item -> putRecord(out, item));
+    out.put((byte) message.notices().size());
+    message
         .notices()
         .forEach(
-            each ->
-                to.putLong(each.author().number())
-                    .putLong(each.incarnation())
-                    .putLong(each.box())
-                    .putLong(each.round())
-                    .put((byte) (each.answered() ? 1 : 0)));
-    int length = to.position();
-    seal.seal(bytes, length);
-    return Arrays.copyOf(bytes, length + MessageAuthenticator.PROOF);
+            item ->
+                out.putLong(item.author().number())
+                    .putLong(item.incarnation())
+                    .putLong(item.box())
+                    .putLong(item.round())
+                    .put((byte) (item.answered() ? 1 : 0)));
+    int length = out.position();
+    authenticator.sign(buffer, length);
+    return Arrays.copyOf(buffer, length + MessageAuthenticator.TAG_BYTES);
   }
 
-  private static void body(ByteBuffer to, MessageBody body) {
+  private static void body(ByteBuffer out, MessageBody body) {
     if (body instanceof MessageBody.Ping ping) {
-      to.put((byte) 'p').putInt(ping.number()).putLong(ping.peer().number());
+      out.put((byte) 'p').putInt(ping.number()).putLong(ping.peer().number());
     } else if (body instanceof MessageBody.Ack ack) {
-      to.put((byte) 'a').putInt(ack.number());
+      out.put((byte) 'a').putInt(ack.number());
     } else if (body instanceof MessageBody.Nack nack) {
-      to.put((byte) 'n').putInt(nack.number());
-    } else if (body instanceof MessageBody.PingRequest help) {
-      to.put((byte) 'h').putInt(help.number()).putLong(help.peer().number());
-      place(to, help.address());
-    } else if (body instanceof MessageBody.MembersRequest ask) {
-      to.put((byte) 'q').putLong(ask.fromPeer());
+      out.put((byte) 'n').putInt(nack.number());
+    } else if (body instanceof MessageBody.PingRequest pingRequest) {
+      out.put((byte) 'h').putInt(pingRequest.number()).putLong(pingRequest.peer().number());
+      address(out, pingRequest.address());
+    } else if (body instanceof MessageBody.MembersRequest request) {
+      out.put((byte) 'q').putLong(request.fromPeer());
     } else if (body instanceof MessageBody.MembersPage page) {
-      to.put((byte) 'r').putLong(page.nextPeer()).put((byte) page.records().size());
-      page.records().forEach(each -> standing(to, each));
-    } else if (body instanceof MessageBody.Report say) {
-      PeerReport word = say.report();
-      to.put((byte) 's')
-          .putInt(word.zone())
-          .putFloat((float) Math.min(Float.MAX_VALUE, word.demand()))
-          .putShort((short) word.boxes().size());
-      new TreeMap<>(word.boxes())
+      out.put((byte) 'r').putLong(page.nextPeer()).put((byte) page.records().size());
+      page.records().forEach(item -> putRecord(out, item));
+    } else if (body instanceof MessageBody.Report reportBody) {
+      PeerReport report = reportBody.report();
+      out.put((byte) 's')
+          .putInt(report.zone())
+          .putFloat((float) Math.min(Float.MAX_VALUE, report.demand()))
+          .putShort((short) report.boxes().size());
+      new TreeMap<>(report.boxes())
           .forEach(
-              (box, seen) ->
-                  to.putLong(box).putShort(parts(seen.answered())).putShort(parts(seen.failed())));
+              (box, observation) ->
+                  out.putLong(box)
+                      .putShort(parts(observation.answered()))
+                      .putShort(parts(observation.failed())));
     } else if (body instanceof MessageBody.Query query) {
-      to.put((byte) 'w').put((byte) query.about()).putLong(query.box());
+      out.put((byte) 'w').put((byte) query.about()).putLong(query.box());
     } else if (body instanceof MessageBody.Reply reply) {
       byte[] text = text(reply);
-      to.put((byte) 'x').putShort((short) text.length).put(text);
+      out.put((byte) 'x').putShort((short) text.length).put(text);
     } else {
-      to.put((byte) 'v');
+      out.put((byte) 'v');
     }
   }
 
   private static byte[] text(MessageBody.Reply reply) {
     byte[] text = reply.text().getBytes(StandardCharsets.UTF_8);
-    return Arrays.copyOf(text, Math.min(text.length, TEXT_MOST));
+    return Arrays.copyOf(text, Math.min(text.length, MAX_TEXT_BYTES));
   }
 
   private static short parts(double parts) {
-    return (short) Math.min(PARTS_MOST, Math.round(parts));
+    return (short) Math.min(MAX_PARTS, Math.round(parts));
   }
 
-  private static void place(ByteBuffer to, PeerAddress place) {
-    to.putInt(place.address()).putShort((short) place.port());
+  private static void address(ByteBuffer out, PeerAddress address) {
+    out.putInt(address.address()).putShort((short) address.port());
   }
 
-  private static void standing(ByteBuffer to, PeerRecord standing) {
-    to.putLong(standing.peer().number());
-    place(to, standing.address());
-    to.putLong(standing.incarnation())
-        .putInt(standing.refutations())
-        .put((byte) standing.state().ordinal())
-        .putLong(standing.source().number());
+  private static void putRecord(ByteBuffer out, PeerRecord record) {
+    out.putLong(record.peer().number());
+    address(out, record.address());
+    out.putLong(record.incarnation())
+        .putInt(record.refutations())
+        .put((byte) record.state().ordinal())
+        .putLong(record.source().number());
   }
 
   /** Proves bytes first, and only then reads them. */
-  public PeerMessage decode(byte[] from) throws InvalidMessage {
-    int length = seal.proved(from);
+  public PeerMessage decode(byte[] datagram) throws InvalidMessage {
+    int length = authenticator.verify(datagram);
     if (length < 0) {
       throw new InvalidMessage(
-          from.length <= HEAD + MessageAuthenticator.PROOF
-              ? "too short for a letter: " + from.length + " bytes"
+          datagram.length <= HEADER_BYTES + MessageAuthenticator.TAG_BYTES
+              ? "too short for a letter: " + datagram.length + " bytes"
               : "not proved by a key that holds here");
     }
-    ByteBuffer in = ByteBuffer.wrap(from, 0, length);
+    ByteBuffer in = ByteBuffer.wrap(datagram, 0, length);
     try {
-      byte form = in.get();
-      if (form != FORM) {
-        throw new InvalidMessage("of form " + form + ", this is form " + FORM);
+      byte version = in.get();
+      if (version != FORMAT_VERSION) {
+        throw new InvalidMessage("of form " + version + ", this is form " + FORMAT_VERSION);
       }
       PeerId author = new PeerId(in.getLong());
-      long life = in.getLong();
+      long incarnation = in.getLong();
       long number = in.getLong();
-      MessageBody body = body(in, author, life, number);
-      List<PeerRecord> news = standings(in);
-      List<ProbeNotice> notes = new ArrayList<>();
+      MessageBody body = body(in, author, incarnation, number);
+      List<PeerRecord> updates = getRecords(in);
+      List<ProbeNotice> notices = new ArrayList<>();
       for (int i = Byte.toUnsignedInt(in.get()); i > 0; i--) {
-        notes.add(
+        notices.add(
             new ProbeNotice(
                 new PeerId(in.getLong()), in.getLong(), in.getLong(), in.getLong(), in.get() == 1));
       }
       if (in.hasRemaining()) {
         throw new InvalidMessage("proved, and no letter: " + in.remaining() + " bytes over");
       }
-      return new PeerMessage(author, life, number, body, news, notes);
+      return new PeerMessage(author, incarnation, number, body, updates, notices);
     } catch (BufferUnderflowException e) {
       throw new InvalidMessage("proved, and no letter: it ends early");
     } catch (IllegalArgumentException e) {
@@ -199,24 +203,24 @@
     }
   }
 
-  private static MessageBody body(ByteBuffer in, PeerId author, long life, long number)
+  private static MessageBody body(ByteBuffer in, PeerId author, long incarnation, long number)
       throws InvalidMessage {
     byte kind = in.get();
     return switch (kind) {
       case 'p' -> new MessageBody.Ping(in.getInt(), new PeerId(in.getLong()));
       case 'a' -> new MessageBody.Ack(in.getInt());
       case 'n' -> new MessageBody.Nack(in.getInt());
-      case 'h' -> new MessageBody.PingRequest(in.getInt(), new PeerId(in.getLong()), place(in));
+      case 'h' -> new MessageBody.PingRequest(in.getInt(), new PeerId(in.getLong()), address(in));
       case 'q' -> new MessageBody.MembersRequest(in.getLong());
       case 'r' -> {
         long next = in.getLong();
-        yield new MessageBody.MembersPage(standings(in), next);
+        yield new MessageBody.MembersPage(getRecords(in), next);
       }
-      case 's' -> new MessageBody.Report(word(in, author, life, number));
+      case 's' -> new MessageBody.Report(getReport(in, author, incarnation, number));
       case 'v' -> new MessageBody.Empty();
       case 'w' -> new MessageBody.Query((char) Byte.toUnsignedInt(in.get()), in.getLong());
       case 'x' -> {
-        byte[] text = new byte[Math.min(TEXT_MOST, Short.toUnsignedInt(in.getShort()))];
+        byte[] text = new byte[Math.min(MAX_TEXT_BYTES, Short.toUnsignedInt(in.getShort()))];
         in.get(text);
         yield new MessageBody.Reply(new String(text, StandardCharsets.UTF_8));
       }
@@ -224,28 +228,29 @@
     };
   }
 
-  private static PeerAddress place(ByteBuffer in) {
+  private static PeerAddress address(ByteBuffer in) {
     return new PeerAddress(in.getInt(), Short.toUnsignedInt(in.getShort()));
   }
 
-  private static List<PeerRecord> standings(ByteBuffer in) {
-    List<PeerRecord> standings = new ArrayList<>();
+  private static List<PeerRecord> getRecords(ByteBuffer in) {
+    List<PeerRecord> records = new ArrayList<>();
     for (int i = Byte.toUnsignedInt(in.get()); i > 0; i--) {
       PeerId peer = new PeerId(in.getLong());
-      PeerAddress place = place(in);
-      long life = in.getLong();
-      int rise = in.getInt();
+      PeerAddress address = address(in);
+      long incarnation = in.getLong();
+      int refutations = in.getInt();
       int state = Byte.toUnsignedInt(in.get());
       if (state >= STATES.length) {
         throw new IllegalArgumentException("a standing of " + state);
       }
-      standings.add(
-          new PeerRecord(peer, place, life, rise, STATES[state], new PeerId(in.getLong())));
+      records.add(
+          new PeerRecord(
+              peer, address, incarnation, refutations, STATES[state], new PeerId(in.getLong())));
     }
-    return standings;
+    return records;
   }
 
-  private static PeerReport word(ByteBuffer in, PeerId author, long life, long number)
+  private static PeerReport getReport(ByteBuffer in, PeerId author, long incarnation, long number)
       throws InvalidMessage {
     int zone = in.getInt();
     double demand = in.getFloat();
@@ -260,6 +265,6 @@
     if (boxes.size() != count) {
       throw new InvalidMessage("proved, and no letter: a box stands there twice");
     }
-    return new PeerReport(author, life, number, zone, demand, boxes);
+    return new PeerReport(author, incarnation, number, zone, demand, boxes);
   }
 }
--- a/peers/src/main/java/gingerring/peers/ObservationWindow.java
+++ b/peers/src/main/java/gingerring/peers/ObservationWindow.java
@@ -21,35 +21,35 @@
     long newest = Long.MIN_VALUE;
   }
 
-  private final long width;
-  private final int boxesMost;
+  private final long bucketNanos;
+  private final int maxBoxes;
   private final Map<Long, Ring> rings = new HashMap<>();
-  private long unkept;
+  private long dropped;
 
   /** {@code span}: how far back it sees. */
-  ObservationWindow(Duration span, int boxesMost) {
-    width = Math.max(1, span.toNanos() / BUCKETS);
-    this.boxesMost = boxesMost;
+  ObservationWindow(Duration span, int maxBoxes) {
+    bucketNanos = Math.max(1, span.toNanos() / BUCKETS);
+    this.maxBoxes = maxBoxes;
   }
 
   void add(long box, double answered, double failed, Duration now) {
     Ring ring = rings.get(box);
     if (ring == null) {
-      if (rings.size() >= boxesMost) {
-        unkept++;
+      if (rings.size() >= maxBoxes) {
+        dropped++;
         return;
       }
       ring = new Ring();
       rings.put(box, ring);
     }
-    turn(ring, now);
+    advance(ring, now);
     int bucket = (int) Math.floorMod(ring.newest, (long) BUCKETS);
     ring.answered[bucket] += answered;
     ring.failed[bucket] += failed;
   }
 
-  private void turn(Ring ring, Duration now) {
-    long bucket = now.toNanos() / width;
+  private void advance(Ring ring, Duration now) {
+    long bucket = now.toNanos() / bucketNanos;
     for (long next = Math.max(ring.newest + 1, bucket - BUCKETS + 1); next <= bucket; next++) {
       ring.answered[(int) Math.floorMod(next, (long) BUCKETS)] = 0;
       ring.failed[(int) Math.floorMod(next, (long) BUCKETS)] = 0;
@@ -58,12 +58,12 @@
   }
 
   /** Of one box; nothing where nothing was seen. */
-  BoxObservation of(long box, Duration now) {
+  BoxObservation observation(long box, Duration now) {
     Ring ring = rings.get(box);
     if (ring == null) {
       return new BoxObservation(0, 0);
     }
-    turn(ring, now);
+    advance(ring, now);
     double answered = 0;
     double failed = 0;
     for (int i = 0; i < BUCKETS; i++) {
@@ -74,39 +74,39 @@
   }
 
   /** What to tell, of so many boxes at most; what was seen of none is forgotten. */
-  Map<Long, BoxObservation> worth(int boxes, Duration now) {
+  Map<Long, BoxObservation> mostRelevant(int maxReported, Duration now) {
     Map<Long, BoxObservation> all = new HashMap<>();
     rings
         .keySet()
         .removeIf(
             box -> {
-              BoxObservation seen = of(box, now);
-              if (seen.parts() > 0) {
-                all.put(box, seen);
+              BoxObservation observation = observation(box, now);
+              if (observation.parts() > 0) {
+                all.put(box, observation);
               }
-              return seen.parts() == 0;
+              return observation.parts() == 0;
             });
-    if (all.size() <= boxes) {
+    if (all.size() <= maxReported) {
       return all;
     }
-    List<Map.Entry<Long, BoxObservation>> order = new ArrayList<>(all.entrySet());
-    order.sort(
+    List<Map.Entry<Long, BoxObservation>> ranked = new ArrayList<>(all.entrySet());
+    ranked.sort(
         Comparator.<Map.Entry<Long, BoxObservation>>comparingDouble(
-                each -> -each.getValue().failed())
-            .thenComparingDouble(each -> -each.getValue().answered())
+                entry -> -entry.getValue().failed())
+            .thenComparingDouble(entry -> -entry.getValue().answered())
             .thenComparing(Map.Entry::getKey));
-    Map<Long, BoxObservation> first = new HashMap<>();
-    order.subList(0, boxes).forEach(each -> first.put(each.getKey(), each.getValue()));
-    return first;
+    Map<Long, BoxObservation> selected = new HashMap<>();
+    ranked.subList(0, maxReported).forEach(entry -> selected.put(entry.getKey(), entry.getValue()));
+    return selected;
   }
 
   /** Parts ended a second, over what it sees back. */
   double demand(Duration now) {
-    double parts = rings.keySet().stream().mapToDouble(box -> of(box, now).parts()).sum();
-    return parts / (width * BUCKETS / 1e9);
+    double parts = rings.keySet().stream().mapToDouble(box -> observation(box, now).parts()).sum();
+    return parts / (bucketNanos * BUCKETS / 1e9);
   }
 
-  long unkept() {
-    return unkept;
+  long dropped() {
+    return dropped;
   }
 }
--- a/peers/src/main/java/gingerring/peers/PeerNode.java
+++ b/peers/src/main/java/gingerring/peers/PeerNode.java
@@ -38,13 +38,13 @@
     Duration now();
 
     /** Sends a datagram, which may be lost. */
-    void send(PeerAddress to, byte[] letter);
+    void send(PeerAddress recipient, byte[] datagram);
 
     /** Another mixer had an answer of a benched box: it may be asked. */
     void boxAnswered(long box);
 
     /** A peer came, went or is in doubt. */
-    void peerChanged(PeerRecord now);
+    void peerChanged(PeerRecord record);
 
     /** What to answer an operator who asks. */
     default String answerQuery(MessageBody.Query query) {
@@ -131,120 +131,122 @@
     MISLED
   }
 
-  private static final double PARTS_LEAST = 1;
-  private static final double LENT = 4;
-  private static final double DEMAND_MOST = 4;
-  private static final int NEWS = 6;
-  private static final int NOTES = 4;
-  private static final int PASS_TO = 3;
-  private static final double NOTES_PASSED_ON = 4;
+  private static final double MIN_WITNESS_PARTS = 1;
+  private static final double REPORTS_WEIGHT_PARTS = 4;
+  private static final double MAX_DEMAND_RATIO = 4;
+  private static final int MAX_UPDATES = 6;
+  private static final int MAX_NOTICES = 4;
+  private static final int NOTICE_FANOUT = 3;
+  private static final double NOTICE_RETRANSMIT_FACTOR = 4;
 
   /** So much later asks of their own each further mixer draws, after one had an answer. */
-  private static final Duration AFTER_ANSWER = Duration.ofMillis(5);
+  private static final Duration PROBE_SPREAD_STEP = Duration.ofMillis(5);
 
   /**
    * A box of which others see less fail is sound; how often their words alone may lead to an ask.
    */
-  private static final double SOUND = 0.5;
+  private static final double HEALTHY_FAILURE_SHARE = 0.5;
 
-  private static final Duration BY_WORDS = Duration.ofSeconds(5);
+  private static final Duration REPORT_PROBE_INTERVAL = Duration.ofSeconds(5);
 
   /**
    * How long who was wrong of an answer is not believed in one: an honest one may be wrong of a box
    * that falls.
    */
-  private static final Duration MISLED = Duration.ofSeconds(10);
+  private static final Duration DISTRUST_TIME = Duration.ofSeconds(10);
 
-  private static final int MISLED_DOUBLED = 8;
+  private static final int MAX_DISTRUST_DOUBLINGS = 8;
 
   /** What a bench for silence counts for in one's word, in parts that failed. */
-  private static final double SILENCE_PARTS = 3;
+  private static final double EJECTION_FAILED_PARTS = 3;
 
   /** A box that this mixer asks about, or hears of. */
   private static final class ProbeState {
-    final TurnSchedule rota;
+    final TurnSchedule schedule;
 
     /** From when on it may ask by itself since another had an answer; null where none had. */
-    Duration answered;
+    Duration probeAllowedAt;
 
     /** The round that it acts for, while its ask is out. */
-    Long round;
+    Long pendingRound;
 
     /** Whose note was believed last. */
-    ProbeNotice last;
+    ProbeNotice lastNotice;
 
     /** Whose word of an answer the ask that is out goes by; null where it is a turn. */
-    PeerId onWordOf;
+    PeerId answerSource;
 
     /** When others' words may next lead to an ask. */
-    Duration byWords = Duration.ZERO;
+    Duration nextReportProbeAt = Duration.ZERO;
 
-    ProbeState(TurnSchedule rota) {
-      this.rota = rota;
+    ProbeState(TurnSchedule schedule) {
+      this.schedule = schedule;
     }
   }
 
-  private record Distrust(Duration until, int times) {}
+  private record Distrust(Duration until, int doublings) {}
 
   private final PeerId self;
-  private final long life;
-  private final Settings rules;
+  private final long incarnation;
+  private final Settings settings;
   private final Host host;
-  private final MessageCodec letters;
+  private final MessageCodec codec;
   private final Membership membership;
-  private final ReplayFilter numbers;
-  private final PeerReports words;
-  private final ReportAggregator hearsay;
-  private final ObservationWindow sight;
-  private final BandwidthLimiter budget;
-  private final GossipQueue<Long, ProbeNotice> notes;
-  private final Map<Long, ProbeState> matters = new LinkedHashMap<>(16, 0.75f, true);
+  private final ReplayFilter replayFilter;
+  private final PeerReports reports;
+  private final ReportAggregator aggregator;
+  private final ObservationWindow observations;
+  private final BandwidthLimiter limiter;
+  private final GossipQueue<Long, ProbeNotice> notices;
+  private final Map<Long, ProbeState> probeStates = new LinkedHashMap<>(16, 0.75f, true);
 
   /**
    * Who said of a box that it answers, and it did not: until when nothing of that is believed, and
    * how often.
    */
-  private final Map<PeerId, Distrust> misled = new LinkedHashMap<>();
+  private final Map<PeerId, Distrust> distrusted = new LinkedHashMap<>();
 
   private final Map<Count, Long> counts = new TreeMap<>();
-  private Set<Long> listed = Set.of();
-  private long number;
-  private Duration sayNext = Duration.ZERO;
+  private Set<Long> listedBoxes = Set.of();
+  private long lastMessageNumber;
+  private Duration nextReportAt = Duration.ZERO;
   private long bytesSent;
 
   /** {@code life}: Unix time in milliseconds at which {@link Host#now} was zero. */
   public PeerNode(
       PeerId self,
-      PeerAddress here,
-      long life,
-      Settings rules,
-      MessageAuthenticator seal,
-      RandomGenerator chance,
+      PeerAddress ownAddress,
+      long incarnation,
+      Settings settings,
+      MessageAuthenticator authenticator,
+      RandomGenerator random,
       Host host) {
     this.self = self;
-    this.life = life;
-    this.rules = rules;
+    this.incarnation = incarnation;
+    this.settings = settings;
     this.host = host;
-    letters = new MessageCodec(seal);
-    numbers = new ReplayFilter(2 * rules.membership.maxPeers());
-    words =
+    codec = new MessageCodec(authenticator);
+    replayFilter = new ReplayFilter(2 * settings.membership.maxPeers());
+    reports =
         new PeerReports(
             self,
-            rules.membership.maxPeers(),
-            MessageCodec.boxes(0, 0),
-            rules.reportPeriod.dividedBy(2),
-            rules.reportLifetime);
-    hearsay = new ReportAggregator(rules.minWitnesses, PARTS_LEAST, LENT, DEMAND_MOST);
-    sight = new ObservationWindow(rules.observationSpan, rules.maxBoxes);
-    budget = new BandwidthLimiter(rules.maxBytesPerSecond);
-    notes = new GossipQueue<>(rules.maxBoxes, NOTES_PASSED_ON);
+            settings.membership.maxPeers(),
+            MessageCodec.maxBoxes(0, 0),
+            settings.reportPeriod.dividedBy(2),
+            settings.reportLifetime);
+    aggregator =
+        new ReportAggregator(
+            settings.minWitnesses, MIN_WITNESS_PARTS, REPORTS_WEIGHT_PARTS, MAX_DEMAND_RATIO);
+    observations = new ObservationWindow(settings.observationSpan, settings.maxBoxes);
+    limiter = new BandwidthLimiter(settings.maxBytesPerSecond);
+    notices = new GossipQueue<>(settings.maxBoxes, NOTICE_RETRANSMIT_FACTOR);
     membership =
         new Membership(
             self,
-            here,
-            life,
-            rules.membership,
-            chance,
+            ownAddress,
+            incarnation,
+            settings.membership,
+            random,
             new Membership.Host() {
               @Override
               public Duration now() {
@@ -252,8 +254,8 @@
               }
 
               @Override
-              public void send(PeerAddress to, MessageBody body) {
-                PeerNode.this.send(to, body, false);
+              public void send(PeerAddress recipient, MessageBody body) {
+                PeerNode.this.send(recipient, body, false);
               }
 
               @Override
@@ -261,179 +263,188 @@
                 if (now.state()
                     == PeerRecord.State
                         .LEFT) { // what one who is gone said ages by itself: it may be back
-                  words.peerLeft(now.peer(), now.incarnation(), host.now());
+                  reports.peerLeft(now.peer(), now.incarnation(), host.now());
                 }
                 host.peerChanged(now);
               }
             });
   }
 
-  public void start(List<PeerAddress> places) {
-    membership.start(places);
+  public void start(List<PeerAddress> seeds) {
+    membership.start(seeds);
   }
 
   /** Time has passed. */
   public void tick() {
     membership.tick();
     Duration now = host.now();
-    if (now.compareTo(sayNext) >= 0) {
-      sayNext = now.plus(rules.reportPeriod);
-      PeerReport word =
+    if (now.compareTo(nextReportAt) >= 0) {
+      nextReportAt = now.plus(settings.reportPeriod);
+      PeerReport report =
           new PeerReport(
               self,
-              life,
-              number,
-              rules.zone,
-              sight.demand(now),
-              sight.worth(MessageCodec.boxes(NEWS, NOTES), now));
+              incarnation,
+              lastMessageNumber,
+              settings.zone,
+              observations.demand(now),
+              observations.mostRelevant(MessageCodec.maxBoxes(MAX_UPDATES, MAX_NOTICES), now));
       membership
-          .randomPeers(rules.reportFanout)
-          .forEach(each -> send(each.address(), new MessageBody.Report(word), true));
+          .randomPeers(settings.reportFanout)
+          .forEach(peer -> send(peer.address(), new MessageBody.Report(report), true));
     }
   }
 
-  private void send(PeerAddress to, MessageBody body, boolean word) {
+  private void send(PeerAddress recipient, MessageBody body, boolean lowPriority) {
     if (membership.isSuperseded()) {
       return;
     }
-    int room = MessageCodec.newsBeside(body);
-    List<ProbeNotice> passed =
-        room < 2 * NOTES ? List.of() : notes.take(NOTES, membership.present().size() + 1);
-    List<PeerRecord> news = membership.takeUpdates(Math.min(NEWS, room - passed.size()));
-    byte[] letter = letters.encode(new PeerMessage(self, life, ++number, body, news, passed));
-    if (!budget.take(letter.length, word, host.now())) {
+    int maxUpdates = MessageCodec.maxUpdates(body);
+    List<ProbeNotice> sentNotices =
+        maxUpdates < 2 * MAX_NOTICES
+            ? List.of()
+            : notices.take(MAX_NOTICES, membership.present().size() + 1);
+    List<PeerRecord> updates =
+        membership.takeUpdates(Math.min(MAX_UPDATES, maxUpdates - sentNotices.size()));
+    byte[] datagram =
+        codec.encode(
+            new PeerMessage(self, incarnation, ++lastMessageNumber, body, updates, sentNotices));
+    if (!limiter.tryTake(datagram.length, lowPriority, host.now())) {
       count(Count.OVER_CEILING);
       return;
     }
-    bytesSent += letter.length;
+    bytesSent += datagram.length;
     count(Count.SENT);
-    host.send(to, letter);
+    host.send(recipient, datagram);
   }
 
   /** A datagram has come. */
   public void received(PeerAddress from, byte[] datagram) {
-    PeerMessage letter;
+    PeerMessage message;
     try {
-      letter = letters.decode(datagram);
+      message = codec.decode(datagram);
     } catch (MessageCodec.InvalidMessage e) {
       count(Count.REFUSED);
       return;
     }
-    if (letter.author().equals(self) && letter.incarnation() == life
-        || !numbers.take(letter.author(), letter.incarnation(), letter.number())) {
+    if (message.author().equals(self) && message.incarnation() == incarnation
+        || !replayFilter.accept(message.author(), message.incarnation(), message.number())) {
       count(Count.REPEATED);
       return;
     }
     count(Count.TAKEN);
     membership.messageReceived(
-        letter.author(), letter.incarnation(), from, letter.body(), letter.updates());
-    if (letter.body() instanceof MessageBody.Report say) {
+        message.author(), message.incarnation(), from, message.body(), message.updates());
+    if (message.body() instanceof MessageBody.Report reportBody) {
       count(
-          words.accept(say.report(), host.now()) == PeerReports.Verdict.TAKEN
+          reports.accept(reportBody.report(), host.now()) == PeerReports.Verdict.TAKEN
               ? Count.WORDS
               : Count.WORDS_DROPPED);
-    } else if (letter.body() instanceof MessageBody.Query query) {
+    } else if (message.body() instanceof MessageBody.Query query) {
       send(from, new MessageBody.Reply(host.answerQuery(query)), true);
     }
-    letter.notices().forEach(this::noted);
+    message.notices().forEach(this::noticeReceived);
   }
 
   /** A note that came, perhaps by others: believed only of one whose turn had come. */
-  private void noted(ProbeNotice note) {
-    if (note.author().equals(self)) {
+  private void noticeReceived(ProbeNotice notice) {
+    if (notice.author().equals(self)) {
       return;
     }
-    if (!listed.contains(note.box())) {
+    if (!listedBoxes.contains(notice.box())) {
       count(Count.STRANGE_BOX);
       return;
     }
-    ProbeState matter = matter(note.box());
-    long before = matter.rota.rejectedClaims();
+    ProbeState state = probeState(notice.box());
+    long rejectedBefore = state.schedule.rejectedClaims();
     // who had asked in this round has had its answer
-    boolean more =
-        note.answered()
-            && matter.last != null
-            && !matter.last.answered()
-            && matter.last.author().equals(note.author())
-            && matter.last.round() == note.round();
-    boolean itsLife = note.incarnation() == membership.incarnation(note.author());
-    if (!itsLife
-        || !more
-            && !matter.rota.receiveClaim(id(note.author()), note.round(), mixers(), common())) {
-      if (!itsLife || matter.rota.rejectedClaims() > before) {
+    boolean answersLastNotice =
+        notice.answered()
+            && state.lastNotice != null
+            && !state.lastNotice.answered()
+            && state.lastNotice.author().equals(notice.author())
+            && state.lastNotice.round() == notice.round();
+    boolean currentIncarnation = notice.incarnation() == membership.incarnation(notice.author());
+    if (!currentIncarnation
+        || !answersLastNotice
+            && !state.schedule.receiveClaim(
+                mixerId(notice.author()), notice.round(), mixers(), wallClock())) {
+      if (!currentIncarnation || state.schedule.rejectedClaims() > rejectedBefore) {
         count(Count.NOTES_DISBELIEVED);
       }
       return;
     }
-    matter.last = note;
+    state.lastNotice = notice;
     count(Count.NOTES);
-    Distrust liar = misled.get(note.author());
-    if (note.answered() && (liar == null || liar.until.compareTo(host.now()) <= 0)) {
-      matter.onWordOf = note.author();
+    Distrust authorDistrust = distrusted.get(notice.author());
+    if (notice.answered()
+        && (authorDistrust == null || authorDistrust.until.compareTo(host.now()) <= 0)) {
+      state.answerSource = notice.author();
       // all are to ask it now, and not all in one moment
-      Duration wait =
-          new TurnOrder(id(self), AFTER_ANSWER)
-              .randomDelay(note.box(), note.round(), mixers().size());
-      matter.answered = host.now().plus(wait);
-      host.boxAnswered(note.box());
+      Duration delay =
+          new TurnOrder(mixerId(self), PROBE_SPREAD_STEP)
+              .randomDelay(notice.box(), notice.round(), mixers().size());
+      state.probeAllowedAt = host.now().plus(delay);
+      host.boxAnswered(notice.box());
     }
-    pass(note);
+    sendNotice(notice);
   }
 
   /**
    * News that does not bear waiting for the next letter: to some at once, each of whom does the
    * same.
    */
-  private void pass(ProbeNotice note) {
-    notes.add(note.box(), note);
+  private void sendNotice(ProbeNotice notice) {
+    notices.add(notice.box(), notice);
     membership
-        .randomPeers(PASS_TO)
-        .forEach(each -> send(each.address(), new MessageBody.Empty(), false));
+        .randomPeers(NOTICE_FANOUT)
+        .forEach(peer -> send(peer.address(), new MessageBody.Empty(), false));
   }
 
-  private ProbeState matter(long box) {
-    ProbeState matter = matters.get(box);
-    if (matter == null) {
-      if (matters.size() >= rules.maxBoxes) {
-        matters.remove(matters.keySet().iterator().next());
+  private ProbeState probeState(long box) {
+    ProbeState state = probeStates.get(box);
+    if (state == null) {
+      if (probeStates.size() >= settings.maxBoxes) {
+        probeStates.remove(probeStates.keySet().iterator().next());
       }
-      matter = new ProbeState(new TurnSchedule(id(self), box, rules.roundPeriod, rules.roundStep));
-      matters.put(box, matter);
+      state =
+          new ProbeState(
+              new TurnSchedule(mixerId(self), box, settings.roundPeriod, settings.roundStep));
+      probeStates.put(box, state);
     }
-    return matter;
+    return state;
   }
 
-  private static MixerId id(PeerId peer) {
+  private static MixerId mixerId(PeerId peer) {
     return new MixerId(peer.number());
   }
 
   private Collection<MixerId> mixers() {
     List<MixerId> mixers = new ArrayList<>();
-    membership.present().forEach(each -> mixers.add(id(each)));
-    mixers.add(id(self));
+    membership.present().forEach(peer -> mixers.add(mixerId(peer)));
+    mixers.add(mixerId(self));
     return mixers;
   }
 
-  private Duration common() {
-    return host.now().plusMillis(life);
+  private Duration wallClock() {
+    return host.now().plusMillis(incarnation);
   }
 
   // ---- what the mixer meets, and what it asks ----
 
   /** Discovery's list: of other boxes nothing is taken in. */
   public void boxesListed(Collection<Long> boxes) {
-    listed = new HashSet<>(boxes);
-    matters.keySet().retainAll(listed);
+    listedBoxes = new HashSet<>(boxes);
+    probeStates.keySet().retainAll(listedBoxes);
   }
 
   /** A trip ended: answered, or failed in a way that tells against the box. */
   public void attemptEnded(long box, boolean answered) {
-    sight.add(box, answered ? 1 : 0, answered ? 0 : 1, host.now());
+    observations.add(box, answered ? 1 : 0, answered ? 0 : 1, host.now());
   }
 
   /** This mixer has benched a box, as it is silent. */
   public void ejected(long box) {
-    sight.add(box, 0, SILENCE_PARTS, host.now());
+    observations.add(box, 0, EJECTION_FAILED_PARTS, host.now());
   }
 
   /**
@@ -445,58 +456,61 @@
     if (present.isEmpty() || membership.isSuperseded()) {
       return true;
     }
-    ProbeState matter = matter(box);
-    if (matter.answered != null) {
-      return matter.answered.compareTo(host.now()) <= 0;
+    ProbeState state = probeState(box);
+    if (state.probeAllowedAt != null) {
+      return state.probeAllowedAt.compareTo(host.now()) <= 0;
     }
     // a note may have been missed: then others' words tell that they are served there
-    if (host.now().compareTo(matter.byWords) >= 0 && answersOthers(box)) {
+    if (host.now().compareTo(state.nextReportProbeAt) >= 0 && servesOthers(box)) {
       return true;
     }
-    return matter.rota.nextTurn(mixers(), common()).compareTo(common()) <= 0;
+    return state.schedule.nextTurn(mixers(), wallClock()).compareTo(wallClock()) <= 0;
   }
 
-  private boolean answersOthers(long box) {
-    return hearsay.failing(box, new BoxObservation(0, 0), words.current(host.now())) < SOUND;
+  private boolean servesOthers(long box) {
+    return aggregator.failureShare(box, new BoxObservation(0, 0), reports.current(host.now()))
+        < HEALTHY_FAILURE_SHARE;
   }
 
   /** This mixer asks a benched box now. */
   public void probeStarted(long box) {
-    ProbeState matter = matter(box);
-    if (matter.answered == null) {
-      matter.onWordOf = null;
+    ProbeState state = probeState(box);
+    if (state.probeAllowedAt == null) {
+      state.answerSource = null;
     }
-    matter.answered = null;
-    matter.byWords = host.now().plus(BY_WORDS);
-    matter.round = matter.rota.claimRound(common());
+    state.probeAllowedAt = null;
+    state.nextReportProbeAt = host.now().plus(REPORT_PROBE_INTERVAL);
+    state.pendingRound = state.schedule.claimRound(wallClock());
     count(Count.ASKED);
-    pass(new ProbeNotice(self, life, box, matter.round, false));
+    sendNotice(new ProbeNotice(self, incarnation, box, state.pendingRound, false));
   }
 
   /** What came of it. */
   public void probeEnded(long box, boolean answered) {
-    ProbeState matter = matters.get(box);
-    if (matter != null && matter.round != null) {
+    ProbeState state = probeStates.get(box);
+    if (state != null && state.pendingRound != null) {
       if (answered) {
-        pass(new ProbeNotice(self, life, box, matter.round, true));
-      } else if (matter.onWordOf != null) {
-        misledBy(matter.onWordOf);
+        sendNotice(new ProbeNotice(self, incarnation, box, state.pendingRound, true));
+      } else if (state.answerSource != null) {
+        distrust(state.answerSource);
       }
-      matter.onWordOf = null;
-      matter.round = null;
+      state.answerSource = null;
+      state.pendingRound = null;
     }
   }
 
   /**
    * Who says falsely that a box answers is not believed in it for a while, twice as long each time.
    */
-  private void misledBy(PeerId author) {
-    Distrust before = misled.remove(author);
-    int times = before == null ? 0 : Math.min(before.times + 1, MISLED_DOUBLED);
-    if (misled.size() >= rules.maxBoxes) {
-      misled.remove(misled.keySet().iterator().next());
+  private void distrust(PeerId author) {
+    Distrust previous = distrusted.remove(author);
+    int doublings = previous == null ? 0 : Math.min(previous.doublings + 1, MAX_DISTRUST_DOUBLINGS);
+    if (distrusted.size() >= settings.maxBoxes) {
+      distrusted.remove(distrusted.keySet().iterator().next());
     }
-    misled.put(author, new Distrust(host.now().plus(MISLED.multipliedBy(1L << times)), times));
+    distrusted.put(
+        author,
+        new Distrust(host.now().plus(DISTRUST_TIME.multipliedBy(1L << doublings)), doublings));
     count(Count.MISLED);
   }
 
@@ -504,28 +518,29 @@
    * The share of a box's parts that fail as others see it: 0 where too few tell, or nothing does.
    */
   public double failureShare(long box) {
-    double failing = hearsay.failing(box, new BoxObservation(0, 0), words.current(host.now()));
-    return Double.isNaN(failing) ? 0 : failing;
+    double failureShare =
+        aggregator.failureShare(box, new BoxObservation(0, 0), reports.current(host.now()));
+    return Double.isNaN(failureShare) ? 0 : failureShare;
   }
 
   /** Parts a second that the whole fleet's clients ask for, as far as it is heard. */
   public double fleetDemand() {
-    return hearsay.demand(sight.demand(host.now()), words.current(host.now()));
+    return aggregator.totalDemand(observations.demand(host.now()), reports.current(host.now()));
   }
 
   /** Parts a second that this mixer's own clients ask for. */
   public double ownDemand() {
-    return sight.demand(host.now());
+    return observations.demand(host.now());
   }
 
   /** What this mixer saw of a box, as its next word would tell it. */
   public BoxObservation ownObservation(long box) {
-    return sight.of(box, host.now());
+    return observations.observation(box, host.now());
   }
 
   /** The words that count now. */
   public List<PeerReports.TimedReport> reports() {
-    return words.current(host.now());
+    return reports.current(host.now());
   }
 
   /** It ends on purpose. */
@@ -538,19 +553,19 @@
    * hand.
    */
   public String describeTurn(long box) {
-    ProbeState matter = matters.get(box);
-    if (matter == null) {
+    ProbeState state = probeStates.get(box);
+    if (state == null) {
       return "";
     }
-    Duration due = matter.rota.nextTurn(mixers(), common()).minus(common());
+    Duration untilTurn = state.schedule.nextTurn(mixers(), wallClock()).minus(wallClock());
     return "own turn in "
-        + due.toMillis()
+        + untilTurn.toMillis()
         + " ms"
-        + (matter.last == null
+        + (state.lastNotice == null
             ? ""
             : ", last asked by "
-                + Long.toHexString(matter.last.author().number())
-                + (matter.last.answered() ? ": answered" : ": no answer yet"));
+                + Long.toHexString(state.lastNotice.author().number())
+                + (state.lastNotice.answered() ? ": answered" : ": no answer yet"));
   }
 
   public Membership membership() {
@@ -566,7 +581,7 @@
     return new HashMap<>(counts);
   }
 
-  private void count(Count which) {
-    counts.merge(which, 1L, Long::sum);
+  private void count(Count cause) {
+    counts.merge(cause, 1L, Long::sum);
   }
 }
--- a/peers/src/main/java/gingerring/peers/PeerRecord.java
+++ b/peers/src/main/java/gingerring/peers/PeerRecord.java
@@ -38,8 +38,8 @@
         : state.compareTo(before.state) > 0;
   }
 
-  PeerRecord as(State other, PeerId says) {
-    return new PeerRecord(peer, address, incarnation, refutations, other, says);
+  PeerRecord withState(State newState, PeerId newSource) {
+    return new PeerRecord(peer, address, incarnation, refutations, newState, newSource);
   }
 
   /** Whether one can send to it and expect an answer. */
--- a/peers/src/main/java/gingerring/peers/PeerReports.java
+++ b/peers/src/main/java/gingerring/peers/PeerReports.java
@@ -36,98 +36,105 @@
   public record TimedReport(PeerReport report, Duration receivedAt) {}
 
   private final PeerId self;
-  private final int peersMost;
-  private final int boxesMost;
-  private final Duration apart;
-  private final Duration age;
+  private final int maxPeers;
+  private final int maxBoxes;
+  private final Duration minInterval;
+  private final Duration lifetime;
 
   /** The one heard longest ago first. */
-  private final Map<PeerId, TimedReport> kept = new LinkedHashMap<>();
+  private final Map<PeerId, TimedReport> latest = new LinkedHashMap<>();
 
   private final Map<Verdict, Long> counts = new EnumMap<>(Verdict.class);
 
   /** {@code age}: how long a word counts. */
-  public PeerReports(PeerId self, int peersMost, int boxesMost, Duration apart, Duration age) {
-    if (peersMost < 1 || boxesMost < 1 || apart.isNegative() || age.compareTo(apart) <= 0) {
+  public PeerReports(
+      PeerId self, int maxPeers, int maxBoxes, Duration minInterval, Duration lifetime) {
+    if (maxPeers < 1
+        || maxBoxes < 1
+        || minInterval.isNegative()
+        || lifetime.compareTo(minInterval) <= 0) {
       throw new IllegalArgumentException(
           "peers "
-              + peersMost
+              + maxPeers
               + ", boxes "
-              + boxesMost
+              + maxBoxes
               + ", words "
-              + apart
+              + minInterval
               + " apart that count for "
-              + age);
+              + lifetime);
     }
     this.self = self;
-    this.peersMost = peersMost;
-    this.boxesMost = boxesMost;
-    this.apart = apart;
-    this.age = age;
+    this.maxPeers = maxPeers;
+    this.maxBoxes = maxBoxes;
+    this.minInterval = minInterval;
+    this.lifetime = lifetime;
   }
 
   /** A word has come. */
-  public Verdict accept(PeerReport word, Duration now) {
-    Verdict verdict = judge(word, now);
+  public Verdict accept(PeerReport report, Duration now) {
+    Verdict verdict = check(report, now);
     counts.merge(verdict, 1L, Long::sum);
     if (verdict == Verdict.TAKEN) {
-      kept.remove(word.author()); // so that it stands last
-      if (kept.size() >= peersMost) {
-        kept.remove(kept.keySet().iterator().next());
+      latest.remove(report.author()); // so that it stands last
+      if (latest.size() >= maxPeers) {
+        latest.remove(latest.keySet().iterator().next());
       }
-      kept.put(word.author(), new TimedReport(word, now));
+      latest.put(report.author(), new TimedReport(report, now));
     }
     return verdict;
   }
 
-  private Verdict judge(PeerReport word, Duration now) {
-    TimedReport last = kept.get(word.author());
-    if (word.author().equals(self)
-        || last != null && word.incarnation() < last.report.incarnation()) {
+  private Verdict check(PeerReport report, Duration now) {
+    TimedReport previous = latest.get(report.author());
+    if (report.author().equals(self)
+        || previous != null && report.incarnation() < previous.report.incarnation()) {
       return Verdict.OLD_LIFE;
     }
-    boolean sameLife = last != null && word.incarnation() == last.report.incarnation();
-    if (sameLife && word.number() <= last.report.number()) {
+    boolean sameIncarnation =
+        previous != null && report.incarnation() == previous.report.incarnation();
+    if (sameIncarnation && report.number() <= previous.report.number()) {
       return Verdict.OLD_NUMBER;
     }
     // of a new life too: who claims one life after the other is not heard more often than others
-    if (last != null && now.minus(last.receivedAt).compareTo(apart) < 0) {
+    if (previous != null && now.minus(previous.receivedAt).compareTo(minInterval) < 0) {
       return Verdict.TOO_SOON;
     }
-    if (word.boxes().size() > boxesMost) {
+    if (report.boxes().size() > maxBoxes) {
       return Verdict.TOO_LARGE;
     }
-    boolean room =
-        last != null
-            || kept.size() < peersMost
-            || now.minus(kept.values().iterator().next().receivedAt).compareTo(age) >= 0;
-    return room ? Verdict.TAKEN : Verdict.NO_ROOM;
+    boolean hasRoom =
+        previous != null
+            || latest.size() < maxPeers
+            || now.minus(latest.values().iterator().next().receivedAt).compareTo(lifetime) >= 0;
+    return hasRoom ? Verdict.TAKEN : Verdict.NO_ROOM;
   }
 
   /**
    * The peer has said that it leaves: what it said counts no more. Its life is remembered until it
    * is forgotten.
    */
-  public void peerLeft(PeerId peer, long life, Duration now) {
-    TimedReport last = kept.get(peer);
-    if (last != null && last.report.incarnation() <= life) {
-      kept.put(
+  public void peerLeft(PeerId peer, long incarnation, Duration now) {
+    TimedReport previous = latest.get(peer);
+    if (previous != null && previous.report.incarnation() <= incarnation) {
+      latest.put(
           peer,
           new TimedReport(
-              new PeerReport(peer, life, Long.MAX_VALUE, last.report.zone(), 0, Map.of()),
-              last.receivedAt));
+              new PeerReport(
+                  peer, incarnation, Long.MAX_VALUE, previous.report.zone(), 0, Map.of()),
+              previous.receivedAt));
     }
   }
 
   /** The words that still count, the oldest first. */
   public List<TimedReport> current(Duration now) {
-    List<TimedReport> fresh = new ArrayList<>();
-    for (TimedReport each : kept.values()) {
-      if (now.minus(each.receivedAt).compareTo(age) < 0 && each.report.number() != Long.MAX_VALUE) {
-        fresh.add(each);
+    List<TimedReport> reports = new ArrayList<>();
+    for (TimedReport timed : latest.values()) {
+      if (now.minus(timed.receivedAt).compareTo(lifetime) < 0
+          && timed.report.number() != Long.MAX_VALUE) {
+        reports.add(timed);
       }
     }
-    return fresh;
+    return reports;
   }
 
   public long count(Verdict verdict) {
--- a/peers/src/main/java/gingerring/peers/ReplayFilter.java
+++ b/peers/src/main/java/gingerring/peers/ReplayFilter.java
@@ -9,54 +9,54 @@
  * most so many authors, the one heard longest ago goes first; some 100 bytes each.
  */
 final class ReplayFilter {
-  private static final int WIDE = 64;
+  private static final int WINDOW_BITS = 64;
 
-  private static final class Window {
-    long life;
+  private static final class AuthorWindow {
+    long incarnation;
     long highest;
 
     /** Bit i: the number that is i below the highest has come. */
-    long come;
+    long receivedBits;
   }
 
-  private final int most;
-  private final Map<PeerId, Window> windows = new LinkedHashMap<>(16, 0.75f, true);
+  private final int maxAuthors;
+  private final Map<PeerId, AuthorWindow> windows = new LinkedHashMap<>(16, 0.75f, true);
 
-  ReplayFilter(int most) {
-    this.most = most;
+  ReplayFilter(int maxAuthors) {
+    this.maxAuthors = maxAuthors;
   }
 
   /** Whether this letter is new; it has come from now on. */
-  boolean take(PeerId author, long life, long number) {
-    Window window = windows.get(author);
+  boolean accept(PeerId author, long incarnation, long number) {
+    AuthorWindow window = windows.get(author);
     if (window == null) {
-      if (windows.size() >= most) {
+      if (windows.size() >= maxAuthors) {
         windows.remove(windows.keySet().iterator().next());
       }
-      window = new Window();
-      window.life = Long.MIN_VALUE;
+      window = new AuthorWindow();
+      window.incarnation = Long.MIN_VALUE;
       windows.put(author, window);
     }
-    if (life < window.life) {
+    if (incarnation < window.incarnation) {
       return false;
     }
-    if (life > window.life) {
-      window.life = life;
+    if (incarnation > window.incarnation) {
+      window.incarnation = incarnation;
       window.highest = number;
-      window.come = 1;
+      window.receivedBits = 1;
       return true;
     }
     if (number > window.highest) {
       long step = number - window.highest;
-      window.come = step >= WIDE || step < 0 ? 1 : window.come << step | 1;
+      window.receivedBits = step >= WINDOW_BITS || step < 0 ? 1 : window.receivedBits << step | 1;
       window.highest = number;
       return true;
     }
     long behind = window.highest - number;
-    if (behind >= WIDE || behind < 0 || (window.come >>> behind & 1) == 1) {
+    if (behind >= WINDOW_BITS || behind < 0 || (window.receivedBits >>> behind & 1) == 1) {
       return false;
     }
-    window.come |= 1L << behind;
+    window.receivedBits |= 1L << behind;
     return true;
   }
 
--- a/peers/src/main/java/gingerring/peers/ReportAggregator.java
+++ b/peers/src/main/java/gingerring/peers/ReportAggregator.java
@@ -16,10 +16,10 @@
  * their median.
  */
 public final class ReportAggregator {
-  private final int witnesses;
-  private final double partsLeast;
-  private final double lent;
-  private final double demandMost;
+  private final int minWitnesses;
+  private final double minWitnessParts;
+  private final double reportsWeight;
+  private final double maxDemandRatio;
 
   /**
    * {@code witnesses}: so many are needed before others are believed, half of all who are heard
@@ -27,56 +27,64 @@
    * parts of a box is no witness; {@code lent}: what all of them together count for, in own parts;
    * {@code demandMost}: how many times the median demand one peer may claim.
    */
-  public ReportAggregator(int witnesses, double partsLeast, double lent, double demandMost) {
-    if (witnesses < 1 || !(partsLeast > 0) || !(lent >= 0) || !(demandMost >= 1)) {
+  public ReportAggregator(
+      int minWitnesses, double minWitnessParts, double reportsWeight, double maxDemandRatio) {
+    if (minWitnesses < 1
+        || !(minWitnessParts > 0)
+        || !(reportsWeight >= 0)
+        || !(maxDemandRatio >= 1)) {
       throw new IllegalArgumentException(
           "witnesses "
-              + witnesses
+              + minWitnesses
               + ", parts "
-              + partsLeast
+              + minWitnessParts
               + ", lent "
-              + lent
+              + reportsWeight
               + ", demand "
-              + demandMost);
+              + maxDemandRatio);
     }
-    this.witnesses = witnesses;
-    this.partsLeast = partsLeast;
-    this.lent = lent;
-    this.demandMost = demandMost;
+    this.minWitnesses = minWitnesses;
+    this.minWitnessParts = minWitnessParts;
+    this.reportsWeight = reportsWeight;
+    this.maxDemandRatio = maxDemandRatio;
   }
 
   /**
    * The share of parts that fail at a box, 0 to 1: own sight, and what others saw lent to it. NaN
    * where neither tells anything.
    */
-  public double failing(long box, BoxObservation own, Collection<PeerReports.TimedReport> words) {
-    List<Double> told = new ArrayList<>();
-    Set<Integer> zones = new HashSet<>();
+  public double failureShare(
+      long box, BoxObservation own, Collection<PeerReports.TimedReport> reports) {
+    List<Double> failureShares = new ArrayList<>();
+    Set<Integer> witnessZones = new HashSet<>();
     Set<Integer> allZones = new HashSet<>();
-    for (PeerReports.TimedReport each : words) {
-      BoxObservation seen = each.report().boxes().get(box);
-      allZones.add(each.report().zone());
-      if (seen != null && seen.parts() >= partsLeast) {
-        told.add(seen.failed() / seen.parts());
-        zones.add(each.report().zone());
+    for (PeerReports.TimedReport timed : reports) {
+      BoxObservation observation = timed.report().boxes().get(box);
+      allZones.add(timed.report().zone());
+      if (observation != null && observation.parts() >= minWitnessParts) {
+        failureShares.add(observation.failed() / observation.parts());
+        witnessZones.add(timed.report().zone());
       }
     }
-    boolean believed =
-        told.size() >= witnesses
-            && 2 * told.size() >= words.size()
-            && zones.size() >= Math.min(2, allZones.size());
-    double weight = believed ? lent : 0;
-    double all = own.parts() + weight;
-    return all == 0 ? Double.NaN : (own.failed() + (believed ? weight * median(told) : 0)) / all;
+    boolean trusted =
+        failureShares.size() >= minWitnesses
+            && 2 * failureShares.size() >= reports.size()
+            && witnessZones.size() >= Math.min(2, allZones.size());
+    double weight = trusted ? reportsWeight : 0;
+    double totalWeight = own.parts() + weight;
+    return totalWeight == 0
+        ? Double.NaN
+        : (own.failed() + (trusted ? weight * median(failureShares) : 0)) / totalWeight;
   }
 
   /** The demand of the whole fleet in parts a second: the own, and each other's up to its bound. */
-  public double demand(double own, Collection<PeerReports.TimedReport> words) {
-    List<Double> all = new ArrayList<>();
-    words.forEach(each -> all.add(each.report().demand()));
-    all.add(own);
-    double most = demandMost * median(all);
-    return own + words.stream().mapToDouble(each -> Math.min(most, each.report().demand())).sum();
+  public double totalDemand(double own, Collection<PeerReports.TimedReport> reports) {
+    List<Double> demands = new ArrayList<>();
+    reports.forEach(timed -> demands.add(timed.report().demand()));
+    demands.add(own);
+    double maxDemand = maxDemandRatio * median(demands);
+    return own
+        + reports.stream().mapToDouble(timed -> Math.min(maxDemand, timed.report().demand())).sum();
   }
 
   /** The middle one, or the mean of the two in the middle. */
--- a/peers/src/test/java/gingerring/peers/BoundsTest.java
+++ b/peers/src/test/java/gingerring/peers/BoundsTest.java
@@ -33,7 +33,7 @@
     for (int i = 0; i < 400; i++) {
       now += chance.nextInt(200);
       int bytes = chance.nextInt(1, MessageCodec.MAX_BYTES + 1);
-      if (budget.take(bytes, chance.nextBoolean(), ms(now))) {
+      if (budget.tryTake(bytes, chance.nextBoolean(), ms(now))) {
         sent.add(new long[] {now, bytes});
       } else {
         refused++;
@@ -53,11 +53,11 @@
   void wordsLeaveHalfOfTheCeilingToTheRest() {
     BandwidthLimiter budget = new BandwidthLimiter(4000);
     int words = 0;
-    while (budget.take(500, true, Duration.ZERO)) {
+    while (budget.tryTake(500, true, Duration.ZERO)) {
       words++;
     }
     assertEquals(4, words);
-    assertTrue(budget.take(1200, false, Duration.ZERO));
+    assertTrue(budget.tryTake(1200, false, Duration.ZERO));
     assertThrows(
         IllegalArgumentException.class, () -> new BandwidthLimiter(MessageCodec.MAX_BYTES - 1));
   }
@@ -80,12 +80,12 @@
       long asked = chance.nextInt(4);
       long answers = all.stream().filter(each -> each[1] == asked && each[2] == 1).count();
       long failures = all.stream().filter(each -> each[1] == asked && each[2] == 0).count();
-      assertEquals(new BoxObservation(answers, failures), sight.of(asked, ms(now)));
+      assertEquals(new BoxObservation(answers, failures), sight.observation(asked, ms(now)));
       assertEquals(all.size() / 5.0, sight.demand(ms(now)), 1e-9);
     }
     sight.add(9, 1, 0, ms(now));
-    assertEquals(1, sight.unkept());
-    assertEquals(Map.of(), sight.worth(4, ms(now + 6000)));
+    assertEquals(1, sight.dropped());
+    assertEquals(Map.of(), sight.mostRelevant(4, ms(now + 6000)));
   }
 
   @Test
@@ -94,7 +94,7 @@
     for (long box = 0; box < 50; box++) {
       sight.add(box, box, box == 3 ? 1 : 0, Duration.ZERO);
     }
-    Map<Long, BoxObservation> told = sight.worth(3, Duration.ZERO);
+    Map<Long, BoxObservation> told = sight.mostRelevant(3, Duration.ZERO);
     assertEquals(
         Map.of(
             3L,
--- a/peers/src/test/java/gingerring/peers/MessageCodecTest.java
+++ b/peers/src/test/java/gingerring/peers/MessageCodecTest.java
@@ -60,7 +60,7 @@
           case 5 -> new MessageBody.MembersPage(standings(chance, 20), chance.nextLong());
           case 6 -> {
             Map<Long, BoxObservation> boxes = new HashMap<>();
-            for (int i = chance.nextInt(MessageCodec.boxes(6, 4) + 1); i > 0; i--) {
+            for (int i = chance.nextInt(MessageCodec.maxBoxes(6, 4) + 1); i > 0; i--) {
               boxes.put(
                   chance.nextLong(),
                   new BoxObservation(chance.nextInt(65_536), chance.nextInt(65_536)));
@@ -124,7 +124,7 @@
   void provedNonsenseIsRefused(@ForAll long seed) throws Exception {
     SplittableRandom chance = new SplittableRandom(seed);
     byte[] bytes = with(KEY).encode(letter(chance));
-    int length = bytes.length - MessageAuthenticator.PROOF;
+    int length = bytes.length - MessageAuthenticator.TAG_BYTES;
     int cut = chance.nextInt(2) == 0 ? chance.nextInt(1, length) : length;
     byte[] plain = Arrays.copyOf(bytes, cut);
     for (int i = chance.nextInt(4); i >= 0; i--) {
@@ -132,9 +132,9 @@
     }
     Mac mac = Mac.getInstance("HmacSHA256");
     mac.init(new SecretKeySpec(KEY, "HmacSHA256"));
-    byte[] proof = Arrays.copyOf(mac.doFinal(plain), MessageAuthenticator.PROOF);
+    byte[] proof = Arrays.copyOf(mac.doFinal(plain), MessageAuthenticator.TAG_BYTES);
     byte[] sealed =
-        ByteBuffer.allocate(plain.length + MessageAuthenticator.PROOF)
+        ByteBuffer.allocate(plain.length + MessageAuthenticator.TAG_BYTES)
             .put(plain)
             .put(proof)
             .array();
--- a/peers/src/test/java/gingerring/peers/ReplayFilterTest.java
+++ b/peers/src/test/java/gingerring/peers/ReplayFilterTest.java
@@ -35,8 +35,8 @@
       boolean expected =
           highest == Long.MIN_VALUE || number > highest - 64 && !come.contains(number);
       assertEquals(
-          expected, numbers.take(AUTHOR, life, number), "number " + number + " after " + highest);
-      assertFalse(numbers.take(AUTHOR, life - 1, number + 1000), "an earlier life");
+          expected, numbers.accept(AUTHOR, life, number), "number " + number + " after " + highest);
+      assertFalse(numbers.accept(AUTHOR, life - 1, number + 1000), "an earlier life");
       come.add(number);
       highest = Math.max(highest, number);
     }
@@ -46,7 +46,7 @@
   void keepsSoManyAuthors() {
     ReplayFilter numbers = new ReplayFilter(3);
     for (int i = 0; i < 100; i++) {
-      assertTrue(numbers.take(new PeerId(i), 1, 1));
+      assertTrue(numbers.accept(new PeerId(i), 1, 1));
     }
     assertEquals(3, numbers.size());
   }
--- a/peers/src/test/java/gingerring/peers/ReportAggregatorTest.java
+++ b/peers/src/test/java/gingerring/peers/ReportAggregatorTest.java
@@ -48,11 +48,11 @@
       words.add(kept(100 + i, i % 3, 1, dead ? 0 : 1e9, dead ? 1e9 : 0));
     }
     ReportAggregator hearsay = new ReportAggregator(3, 1, 4, 3);
-    double told = hearsay.failing(5, NOTHING, words);
+    double told = hearsay.failureShare(5, NOTHING, words);
     assertTrue(
         told >= low - 1e-12 && told <= high + 1e-12, () -> "brought out of range to " + told);
     // and own sight comes first: 16 own parts without a failure, and they all count as four
-    assertTrue(hearsay.failing(5, new BoxObservation(16, 0), words) <= 0.2 * high + 1e-12);
+    assertTrue(hearsay.failureShare(5, new BoxObservation(16, 0), words) <= 0.2 * high + 1e-12);
   }
 
   @Test
@@ -60,17 +60,18 @@
     ReportAggregator hearsay = new ReportAggregator(3, 5, 4, 3);
     List<PeerReports.TimedReport> words =
         new ArrayList<>(List.of(kept(1, 0, 1, 0, 10), kept(2, 1, 1, 0, 10)));
-    assertEquals(Double.NaN, hearsay.failing(5, NOTHING, words));
+    assertEquals(Double.NaN, hearsay.failureShare(5, NOTHING, words));
     words.add(kept(3, 1, 1, 0, 4)); // it saw too little
-    assertEquals(0, hearsay.failing(5, new BoxObservation(2, 0), words));
+    assertEquals(0, hearsay.failureShare(5, new BoxObservation(2, 0), words));
     words.add(kept(4, 1, 1, 0, 10));
-    assertEquals(1, hearsay.failing(5, NOTHING, words), 1e-12);
-    assertEquals(Double.NaN, hearsay.failing(6, NOTHING, words), "nobody told of that one");
+    assertEquals(1, hearsay.failureShare(5, NOTHING, words), 1e-12);
+    assertEquals(Double.NaN, hearsay.failureShare(6, NOTHING, words), "nobody told of that one");
     List<PeerReports.TimedReport> near =
         new ArrayList<>(List.of(kept(1, 0, 1, 0, 10), kept(2, 0, 1, 0, 10), kept(3, 0, 1, 0, 10)));
-    assertEquals(1, hearsay.failing(5, NOTHING, near), 1e-12, "all there are stand in one zone");
+    assertEquals(
+        1, hearsay.failureShare(5, NOTHING, near), 1e-12, "all there are stand in one zone");
     near.add(kept(4, 1, 1, 1, 0)); // there is another zone, and nobody there saw enough
-    assertEquals(Double.NaN, hearsay.failing(5, NOTHING, near));
+    assertEquals(Double.NaN, hearsay.failureShare(5, NOTHING, near));
   }
 
   /** Guards against one that claims endless demand: it is held to a multiple of the middle one. */
@@ -81,8 +82,8 @@
     for (int i = 0; i < 15; i++) {
       words.add(kept(i, 0, i == 0 ? 1e12 : 10, 1, 0));
     }
-    assertEquals(10 + 14 * 10 + 30, hearsay.demand(10, words), 1e-9);
-    assertEquals(7, hearsay.demand(7, List.of()), 1e-12);
+    assertEquals(10 + 14 * 10 + 30, hearsay.totalDemand(10, words), 1e-9);
+    assertEquals(7, hearsay.totalDemand(7, List.of()), 1e-12);
   }
 
   @Test
--- a/share/src/main/java/gingerring/share/CapacityEstimator.java
+++ b/share/src/main/java/gingerring/share/CapacityEstimator.java
@@ -21,41 +21,44 @@
  */
 public final class CapacityEstimator {
   /** Shares refused below this are chance. */
-  private static final double REFUSED = 0.01;
+  private static final double MIN_REFUSED_SHARE = 0.01;
 
   /** The room binds where so much of it is used. */
-  private static final double BINDS = 0.97;
+  private static final double BINDING_USAGE = 0.97;
 
-  private record Bore(Duration at, double answered) {}
+  private record Sample(Duration at, double answered) {}
 
-  private static final double TRY_LEAST = 0.002;
-  private static final double FASTER = 1.25;
+  private static final double MIN_STEP = 0.002;
+  private static final double STEP_GROWTH = 1.25;
 
   private final double gain;
-  private final double most;
-  private final Duration hold;
+  private final double maxStep;
+  private final Duration holdAfterRefusal;
   private final Duration window;
 
   /** Falling from the most on: what may yet be the most of the window. */
-  private final Deque<Bore> bore = new ArrayDeque<>();
+  private final Deque<Sample> samples = new ArrayDeque<>();
 
-  private double room = Double.POSITIVE_INFINITY;
-  private double larger = TRY_LEAST;
-  private Duration refusedAt;
+  private double capacity = Double.POSITIVE_INFINITY;
+  private double step = MIN_STEP;
+  private Duration lastRefusalAt;
 
   /**
    * {@code gain}: how much of the way to what was measured it goes at once, above 0 to 1; {@code
    * most}: the largest step up, as a share; {@code hold}: how long it is not tried larger after a
    * refusal, twice the reports' delay or more.
    */
-  public CapacityEstimator(double gain, double most, Duration hold) {
-    if (!(gain > 0 && gain <= 1) || !(most >= TRY_LEAST && most <= 1) || hold.isNegative()) {
-      throw new IllegalArgumentException("gain " + gain + ", most " + most + ", hold " + hold);
+  public CapacityEstimator(double gain, double maxStep, Duration holdAfterRefusal) {
+    if (!(gain > 0 && gain <= 1)
+        || !(maxStep >= MIN_STEP && maxStep <= 1)
+        || holdAfterRefusal.isNegative()) {
+      throw new IllegalArgumentException(
+          "gain " + gain + ", most " + maxStep + ", hold " + holdAfterRefusal);
     }
     this.gain = gain;
-    this.most = most;
-    this.hold = hold;
-    this.window = hold;
+    this.maxStep = maxStep;
+    this.holdAfterRefusal = holdAfterRefusal;
+    this.window = holdAfterRefusal;
   }
 
   /** What the fleet is told to have had of this box, in parts a second, over one span. */
@@ -63,43 +66,43 @@
     if (!(answered >= 0) || !(refused >= 0)) {
       throw new IllegalArgumentException(answered + " answered, " + refused + " refused");
     }
-    double all = answered + refused;
-    if (all > 0 && refused > REFUSED * all) {
-      refusedAt = now;
-      larger = TRY_LEAST;
-      double bore = measured(answered, now);
-      room = Double.isInfinite(room) ? bore : room + gain * (bore - room);
-    } else if (!Double.isInfinite(room)
-        && answered >= BINDS * room
-        && (refusedAt == null || now.minus(refusedAt).compareTo(hold) >= 0)) {
-      room = Math.max(room, answered) * (1 + larger);
-      larger = Math.min(most, larger * FASTER);
+    double total = answered + refused;
+    if (total > 0 && refused > MIN_REFUSED_SHARE * total) {
+      lastRefusalAt = now;
+      step = MIN_STEP;
+      double measured = maxAnswered(answered, now);
+      capacity = Double.isInfinite(capacity) ? measured : capacity + gain * (measured - capacity);
+    } else if (!Double.isInfinite(capacity)
+        && answered >= BINDING_USAGE * capacity
+        && (lastRefusalAt == null || now.minus(lastRefusalAt).compareTo(holdAfterRefusal) >= 0)) {
+      capacity = Math.max(capacity, answered) * (1 + step);
+      step = Math.min(maxStep, step * STEP_GROWTH);
     }
   }
 
   /**
    * The most that was answered of late: sums of reports of unlike age fall short of what it bears.
    */
-  private double measured(double answered, Duration now) {
-    while (!bore.isEmpty() && bore.peekLast().answered <= answered) {
-      bore.removeLast();
+  private double maxAnswered(double answered, Duration now) {
+    while (!samples.isEmpty() && samples.peekLast().answered <= answered) {
+      samples.removeLast();
     }
-    bore.addLast(new Bore(now, answered));
-    while (now.minus(bore.peekFirst().at).compareTo(window) > 0) {
-      bore.removeFirst();
+    samples.addLast(new Sample(now, answered));
+    while (now.minus(samples.peekFirst().at).compareTo(window) > 0) {
+      samples.removeFirst();
     }
-    return bore.peekFirst().answered;
+    return samples.peekFirst().answered;
   }
 
   /** Parts a second that it is believed to bear; infinite while nothing was ever refused. */
   public double capacity() {
-    return room;
+    return capacity;
   }
 
   /** This mixer's due, in parts a second, of all demands and weights, its own at {@code self}. */
   public double share(double[] demands, double[] weights, int self) {
-    return Double.isInfinite(room)
+    return Double.isInfinite(capacity)
         ? demands[self]
-        : FairShares.allocate(room, demands, weights)[self];
+        : FairShares.allocate(capacity, demands, weights)[self];
   }
 }
--- a/share/src/main/java/gingerring/share/FairShares.java
+++ b/share/src/main/java/gingerring/share/FairShares.java
@@ -19,8 +19,8 @@
    * @throws IllegalArgumentException naming the place, for a room, demand or weight that is below
    *     zero or no number
    */
-  public static double[] allocate(double room, double[] demands, double[] weights) {
-    check("room", room);
+  public static double[] allocate(double capacity, double[] demands, double[] weights) {
+    check("room", capacity);
     if (demands.length != weights.length) {
       throw new IllegalArgumentException(
           demands.length + " demands and " + weights.length + " weights");
@@ -30,15 +30,15 @@
       check("weight " + i, weights[i]);
     }
     double[] shares = new double[demands.length];
-    double left = fill(room, demands, weights, shares);
-    if (left > 0) {
-      double[] even = new double[demands.length];
-      double[] wanted = new double[demands.length];
+    double remaining = fill(capacity, demands, weights, shares);
+    if (remaining > 0) {
+      double[] unweightedWeights = new double[demands.length];
+      double[] unweightedDemands = new double[demands.length];
       for (int i = 0; i < demands.length; i++) {
-        even[i] = weights[i] > 0 ? 0 : 1;
-        wanted[i] = weights[i] > 0 ? 0 : demands[i];
+        unweightedWeights[i] = weights[i] > 0 ? 0 : 1;
+        unweightedDemands[i] = weights[i] > 0 ? 0 : demands[i];
       }
-      fill(left, wanted, even, shares);
+      fill(remaining, unweightedDemands, unweightedWeights, shares);
     }
     return shares;
   }
@@ -47,7 +47,7 @@
    * Fills from the least demand for its weight on; adds to the shares, returns the room that nobody
    * wanted.
    */
-  private static double fill(double room, double[] demands, double[] weights, double[] shares) {
+  private static double fill(double capacity, double[] demands, double[] weights, double[] shares) {
     int[] order =
         IntStream.range(0, demands.length)
             .filter(i -> weights[i] > 0 && demands[i] > 0)
@@ -55,20 +55,20 @@
             .sorted(Comparator.comparingDouble(i -> demands[i] / weights[i]))
             .mapToInt(Integer::intValue)
             .toArray();
-    double left = room;
-    double weight = Arrays.stream(order).mapToDouble(i -> weights[i]).sum();
+    double remaining = capacity;
+    double remainingWeight = Arrays.stream(order).mapToDouble(i -> weights[i]).sum();
     for (int i : order) {
-      double share = Math.min(demands[i], left * Math.min(1, weights[i] / weight));
+      double share = Math.min(demands[i], remaining * Math.min(1, weights[i] / remainingWeight));
       shares[i] += share;
-      left = Math.max(0, left - share);
-      weight -= weights[i];
+      remaining = Math.max(0, remaining - share);
+      remainingWeight -= weights[i];
     }
-    return left;
+    return remaining;
   }
 
-  private static void check(String what, double value) {
+  private static void check(String name, double value) {
     if (!(value >= 0) || Double.isInfinite(value)) {
-      throw new IllegalArgumentException("a " + what + " of " + value);
+      throw new IllegalArgumentException("a " + name + " of " + value);
     }
   }
 }
--- a/share/src/main/java/gingerring/share/PreferredBoxes.java
+++ b/share/src/main/java/gingerring/share/PreferredBoxes.java
@@ -19,69 +19,72 @@
   public record ListedBox(Box box, int cell) {}
 
   private final MixerId self;
-  private final int keep;
-  private final int places;
-  private final int reach;
+  private final int holdersPerPartition;
+  private final int cellCount;
+  private final int cellsPerPartition;
   private Collection<ListedBox> listed = List.of();
-  private final Set<BoxId> distrusted = new HashSet<>();
+  private final Set<BoxId> excluded = new HashSet<>();
   private Set<BoxId> preferred;
-  private long moved;
+  private long added;
 
   /**
    * {@code keep}: holders preferred of each folio; {@code places}: cells of the ring; {@code
    * reach}: how many cells from a folio's own on hold it.
    */
-  public PreferredBoxes(MixerId self, int keep, int places, int reach) {
-    if (keep < 1 || places < 1 || reach < 1) {
+  public PreferredBoxes(
+      MixerId self, int holdersPerPartition, int cellCount, int cellsPerPartition) {
+    if (holdersPerPartition < 1 || cellCount < 1 || cellsPerPartition < 1) {
       throw new IllegalArgumentException(
-          "keep " + keep + ", places " + places + ", reach " + reach);
+          "keep " + holdersPerPartition + ", places " + cellCount + ", reach " + cellsPerPartition);
     }
     this.self = self;
-    this.keep = keep;
-    this.places = places;
-    this.reach = reach;
+    this.holdersPerPartition = holdersPerPartition;
+    this.cellCount = cellCount;
+    this.cellsPerPartition = cellsPerPartition;
   }
 
   public void update(Collection<ListedBox> boxes) {
     listed = List.copyOf(boxes);
-    distrusted.retainAll(listed.stream().map(each -> each.box().id()).toList());
-    chooseAnew();
+    excluded.retainAll(listed.stream().map(each -> each.box().id()).toList());
+    reselect();
   }
 
   public void exclude(BoxId box) {
-    if (distrusted.add(box)) {
-      chooseAnew();
+    if (excluded.add(box)) {
+      reselect();
     }
   }
 
   public void include(BoxId box) {
-    if (distrusted.remove(box)) {
-      chooseAnew();
+    if (excluded.remove(box)) {
+      reselect();
     }
   }
 
-  private void chooseAnew() {
-    Map<Integer, List<BoxId>> cells = new TreeMap<>();
-    List<Box> trusted =
+  private void reselect() {
+    Map<Integer, List<BoxId>> holders = new TreeMap<>();
+    List<Box> candidates =
         listed.stream()
-            .filter(each -> !distrusted.contains(each.box().id()))
+            .filter(each -> !excluded.contains(each.box().id()))
             .map(ListedBox::box)
             .toList();
-    for (int folio = 0; folio < places; folio++) {
-      int first = folio;
-      cells.put(
-          folio,
+    for (int partition = 0; partition < cellCount; partition++) {
+      int firstCell = partition;
+      holders.put(
+          partition,
           listed.stream()
-              .filter(each -> Math.floorMod(each.cell() - first, places) < reach)
+              .filter(each -> Math.floorMod(each.cell() - firstCell, cellCount) < cellsPerPartition)
               .map(each -> each.box().id())
               .toList());
     }
-    Set<BoxId> chosen =
-        trusted.isEmpty() ? null : new SubsetSelector(trusted, cells.values(), keep).select(self);
-    if (preferred != null && chosen != null) {
-      moved += chosen.stream().filter(each -> !preferred.contains(each)).count();
+    Set<BoxId> selected =
+        candidates.isEmpty()
+            ? null
+            : new SubsetSelector(candidates, holders.values(), holdersPerPartition).select(self);
+    if (preferred != null && selected != null) {
+      added += selected.stream().filter(each -> !preferred.contains(each)).count();
     }
-    preferred = chosen;
+    preferred = selected;
   }
 
   public boolean prefers(BoxId box) {
@@ -94,7 +97,7 @@
   }
 
   /** Boxes taken up over all changes: connections that had to be made for them. */
-  public long moved() {
-    return moved;
+  public long added() {
+    return added;
   }
 }
--- a/share/src/main/java/gingerring/share/RendezvousHash.java
+++ b/share/src/main/java/gingerring/share/RendezvousHash.java
@@ -6,7 +6,7 @@
  * compute alike. When one side's member comes or goes, no pair of others changes.
  */
 public final class RendezvousHash {
-  private static final long STRIDE = 0x9E3779B97F4A7C15L;
+  private static final long GOLDEN_GAMMA = 0x9E3779B97F4A7C15L;
 
   private RendezvousHash() {}
 
@@ -21,13 +21,13 @@
   }
 
   /** A draw for a pair, even over all longs. */
-  public static long pairHash(long one, long other) {
-    return mix(mix(one + STRIDE) + STRIDE * 3 + other);
+  public static long pairHash(long first, long second) {
+    return mix(mix(first + GOLDEN_GAMMA) + GOLDEN_GAMMA * 3 + second);
   }
 
   /** A draw for a pair, above 0 and under 1. */
-  static double unitHash(long one, long other) {
-    return ((pairHash(one, other) >>> 11) + 0.5) * 0x1p-53;
+  static double unitHash(long first, long second) {
+    return ((pairHash(first, second) >>> 11) + 0.5) * 0x1p-53;
   }
 
   /**
@@ -35,7 +35,7 @@
    * Spirakis, "Weighted random sampling with a reservoir", Information Processing Letters 97,
    * 2006).
    */
-  static double weightedHash(long one, long other, double weight) {
-    return -Math.log(unitHash(one, other)) / weight;
+  static double weightedHash(long first, long second, double weight) {
+    return -Math.log(unitHash(first, second)) / weight;
   }
 }
--- a/share/src/main/java/gingerring/share/SubsetSelector.java
+++ b/share/src/main/java/gingerring/share/SubsetSelector.java
@@ -26,10 +26,10 @@
  * same order.
  */
 public final class SubsetSelector {
-  private final int keep;
+  private final int holdersPerPartition;
   private final Map<BoxId, Box> boxes = new HashMap<>();
-  private final List<List<BoxId>> folios = new ArrayList<>();
-  private final Map<BoxId, List<Integer>> held = new HashMap<>();
+  private final List<List<BoxId>> partitions = new ArrayList<>();
+  private final Map<BoxId, List<Integer>> partitionsByBox = new HashMap<>();
 
   /**
    * {@code folios}: the holders of each, of which those that are not among the boxes are passed
@@ -37,78 +37,87 @@
    * least one.
    */
   public SubsetSelector(
-      Collection<Box> boxes, Collection<? extends Collection<BoxId>> folios, int keep) {
-    if (keep < 1) {
-      throw new IllegalArgumentException("keep is " + keep + ", and has to be 1 or more");
+      Collection<Box> boxes,
+      Collection<? extends Collection<BoxId>> partitions,
+      int holdersPerPartition) {
+    if (holdersPerPartition < 1) {
+      throw new IllegalArgumentException(
+          "keep is " + holdersPerPartition + ", and has to be 1 or more");
     }
-    this.keep = keep;
+    this.holdersPerPartition = holdersPerPartition;
     for (Box box : boxes) {
       if (this.boxes.put(box.id(), box) != null) {
         throw new IllegalArgumentException("box " + box.id().number() + " stands there twice");
       }
     }
-    for (Collection<BoxId> holders : folios) {
+    for (Collection<BoxId> holders : partitions) {
       List<BoxId> known = holders.stream().filter(this.boxes::containsKey).distinct().toList();
       for (BoxId holder : known) {
-        held.computeIfAbsent(holder, id -> new ArrayList<>()).add(this.folios.size());
+        partitionsByBox
+            .computeIfAbsent(holder, id -> new ArrayList<>())
+            .add(this.partitions.size());
       }
-      this.folios.add(known);
+      this.partitions.add(known);
     }
   }
 
   /** The boxes that a mixer prefers, the first drawn first. */
   public Set<BoxId> select(MixerId mixer) {
-    List<BoxId> order = new ArrayList<>(held.keySet());
-    Map<BoxId, Double> draws = new HashMap<>();
+    List<BoxId> order = new ArrayList<>(partitionsByBox.keySet());
+    Map<BoxId, Double> hashes = new HashMap<>();
     order.forEach(
         id ->
-            draws.put(
+            hashes.put(
                 id,
                 RendezvousHash.weightedHash(mixer.number(), id.number(), boxes.get(id).size())));
-    order.sort(Comparator.<BoxId>comparingDouble(draws::get).thenComparingLong(BoxId::number));
-    Set<BoxId> chosen = new LinkedHashSet<>();
+    order.sort(Comparator.<BoxId>comparingDouble(hashes::get).thenComparingLong(BoxId::number));
+    Set<BoxId> selected = new LinkedHashSet<>();
     for (BoxId id : order) {
-      if (held.get(id).stream().anyMatch(folio -> wants(folios.get(folio), chosen, id))) {
-        chosen.add(id);
+      if (partitionsByBox.get(id).stream()
+          .anyMatch(partition -> needs(partitions.get(partition), selected, id))) {
+        selected.add(id);
       }
     }
     for (int i = order.size() - 1; i >= 0; i--) {
       BoxId id = order.get(i);
-      if (chosen.remove(id)
-          && !held.get(id).stream().allMatch(folio -> served(folios.get(folio), chosen))) {
-        chosen.add(id);
+      if (selected.remove(id)
+          && !partitionsByBox.get(id).stream()
+              .allMatch(partition -> isCovered(partitions.get(partition), selected))) {
+        selected.add(id);
       }
     }
-    order.retainAll(chosen);
+    order.retainAll(selected);
     return new LinkedHashSet<>(order);
   }
 
   /** Whether one more of its holders would bring the folio nearer to what it is to have. */
-  private boolean wants(List<BoxId> holders, Set<BoxId> chosen, BoxId next) {
+  private boolean needs(List<BoxId> holders, Set<BoxId> selected, BoxId candidate) {
     int count = 0;
     Set<Integer> zones = new HashSet<>();
     for (BoxId holder : holders) {
-      if (chosen.contains(holder)) {
+      if (selected.contains(holder)) {
         count++;
         zones.add(boxes.get(holder).zone());
       }
     }
-    boolean newZone = zones.size() < zonesOf(holders) && !zones.contains(boxes.get(next).zone());
-    return count < Math.min(keep, holders.size()) || newZone;
+    boolean newZone =
+        zones.size() < requiredZones(holders) && !zones.contains(boxes.get(candidate).zone());
+    return count < Math.min(holdersPerPartition, holders.size()) || newZone;
   }
 
-  private boolean served(List<BoxId> holders, Set<BoxId> chosen) {
-    List<BoxId> mine = holders.stream().filter(chosen::contains).toList();
-    long zones = mine.stream().map(id -> boxes.get(id).zone()).distinct().count();
-    return mine.size() >= Math.min(keep, holders.size()) && zones >= zonesOf(holders);
+  private boolean isCovered(List<BoxId> holders, Set<BoxId> selected) {
+    List<BoxId> selectedHolders = holders.stream().filter(selected::contains).toList();
+    long zones = selectedHolders.stream().map(id -> boxes.get(id).zone()).distinct().count();
+    return selectedHolders.size() >= Math.min(holdersPerPartition, holders.size())
+        && zones >= requiredZones(holders);
   }
 
   /**
    * In how many zones a folio's preferred holders have to stand: two where it can be, one for a
    * single one.
    */
-  private int zonesOf(List<BoxId> holders) {
-    long there = holders.stream().map(id -> boxes.get(id).zone()).distinct().count();
-    return (int) Math.min(Math.min(2, keep), there);
+  private int requiredZones(List<BoxId> holders) {
+    long zones = holders.stream().map(id -> boxes.get(id).zone()).distinct().count();
+    return (int) Math.min(Math.min(2, holdersPerPartition), zones);
   }
 }
--- a/share/src/main/java/gingerring/share/TurnOrder.java
+++ b/share/src/main/java/gingerring/share/TurnOrder.java
@@ -37,28 +37,29 @@
    * matter} names what is to be done and for whom, {@code round} counts up so that no mixer owns a
    * matter for good.
    */
-  public int rank(long matter, long round, Collection<MixerId> members) {
-    long key = RendezvousHash.pairHash(matter, round);
-    long mine = RendezvousHash.pairHash(key, self.number());
-    int before = 0;
+  public int rank(long taskId, long round, Collection<MixerId> members) {
+    long key = RendezvousHash.pairHash(taskId, round);
+    long ownHash = RendezvousHash.pairHash(key, self.number());
+    int rank = 0;
     for (MixerId member : members) {
-      long its = RendezvousHash.pairHash(key, member.number());
-      before += its < mine || its == mine && member.number() < self.number() ? 1 : 0;
+      long memberHash = RendezvousHash.pairHash(key, member.number());
+      rank +=
+          memberHash < ownHash || memberHash == ownHash && member.number() < self.number() ? 1 : 0;
     }
-    return before;
+    return rank;
   }
 
   /** How long after it fell due the matter is left to the members who come first. */
-  public Duration delay(long matter, long round, Collection<MixerId> members) {
-    return step.multipliedBy(rank(matter, round, members));
+  public Duration delay(long taskId, long round, Collection<MixerId> members) {
+    return step.multipliedBy(rank(taskId, round, members));
   }
 
   /**
    * The same where nobody is heard: a time of its own, at most {@code size} steps, even over the
    * fleet.
    */
-  public Duration randomDelay(long matter, long round, int size) {
-    double share = RendezvousHash.unitHash(RendezvousHash.pairHash(matter, round), self.number());
-    return Duration.ofNanos((long) (step.toNanos() * share * Math.max(1, size)));
+  public Duration randomDelay(long taskId, long round, int fleetSize) {
+    double share = RendezvousHash.unitHash(RendezvousHash.pairHash(taskId, round), self.number());
+    return Duration.ofNanos((long) (step.toNanos() * share * Math.max(1, fleetSize)));
   }
 }
--- a/share/src/main/java/gingerring/share/TurnSchedule.java
+++ b/share/src/main/java/gingerring/share/TurnSchedule.java
@@ -21,35 +21,35 @@
  * first among those there. State: two numbers.
  */
 public final class TurnSchedule {
-  private final TurnOrder turns;
+  private final TurnOrder order;
   private final MixerId self;
-  private final long matter;
-  private final Duration every;
+  private final long taskId;
+  private final Duration roundPeriod;
   private final Duration step;
 
   /** The last round that is known to have been done. */
-  private long done = Long.MIN_VALUE;
+  private long lastDoneRound = Long.MIN_VALUE;
 
-  private long disbelieved;
+  private long rejectedClaims;
 
   /**
    * {@code every}: a round's span; {@code step}: how long one who acts takes until the others know.
    */
-  public TurnSchedule(MixerId self, long matter, Duration every, Duration step) {
-    if (every.compareTo(step) < 0) {
+  public TurnSchedule(MixerId self, long taskId, Duration roundPeriod, Duration step) {
+    if (roundPeriod.compareTo(step) < 0) {
       throw new IllegalArgumentException(
-          "a round of " + every + " is shorter than a step of " + step);
+          "a round of " + roundPeriod + " is shorter than a step of " + step);
     }
-    turns = new TurnOrder(self, step);
+    order = new TurnOrder(self, step);
     this.self = self;
-    this.matter = matter;
-    this.every = every;
+    this.taskId = taskId;
+    this.roundPeriod = roundPeriod;
     this.step = step;
   }
 
   /** The round that a moment is in. */
   public long roundAt(Duration now) {
-    return Math.floorDiv(now.toNanos(), every.toNanos());
+    return Math.floorDiv(now.toNanos(), roundPeriod.toNanos());
   }
 
   /**
@@ -57,46 +57,51 @@
    * unused.
    */
   public Duration nextTurn(Collection<MixerId> members, Duration now) {
-    long next = Math.max(roundAt(now), done == Long.MIN_VALUE ? Long.MIN_VALUE : done + 1);
-    Duration wait = turns.delay(matter, next, members);
-    while (wait.compareTo(every) >= 0) { // so many come first that the round is over before
-      next++;
-      wait = turns.delay(matter, next, members);
+    long round =
+        Math.max(
+            roundAt(now), lastDoneRound == Long.MIN_VALUE ? Long.MIN_VALUE : lastDoneRound + 1);
+    Duration delay = order.delay(taskId, round, members);
+    while (delay.compareTo(roundPeriod) >= 0) { // so many come first that the round is over before
+      round++;
+      delay = order.delay(taskId, round, members);
     }
-    Duration turn = every.multipliedBy(next).plus(wait);
+    Duration turn = roundPeriod.multipliedBy(round).plus(delay);
     return turn.compareTo(now) > 0 ? turn : now;
   }
 
   /** This mixer acts; returns the round to tell. */
   public long claimRound(Duration now) {
-    done = Math.max(done, roundAt(now));
-    return done;
+    lastDoneRound = Math.max(lastDoneRound, roundAt(now));
+    return lastDoneRound;
   }
 
   /** Another says that it has done a round; returns whether that is believed and new. */
   public boolean receiveClaim(
-      MixerId author, long told, Collection<MixerId> members, Duration now) {
-    if (told <= done) {
+      MixerId author, long claimedRound, Collection<MixerId> members, Duration now) {
+    if (claimedRound <= lastDoneRound) {
       return false;
     }
-    Duration turn = step.multipliedBy(new TurnOrder(author, step).rank(matter, told, members) - 1L);
-    boolean round =
-        told == roundAt(now) || told == roundAt(now.plus(step)) || told == roundAt(now.minus(step));
-    boolean its =
+    Duration turnOffset =
+        step.multipliedBy(new TurnOrder(author, step).rank(taskId, claimedRound, members) - 1L);
+    boolean currentRound =
+        claimedRound == roundAt(now)
+            || claimedRound == roundAt(now.plus(step))
+            || claimedRound == roundAt(now.minus(step));
+    boolean valid =
         members.contains(author)
             && !author.equals(self)
-            && round
-            && now.minus(every.multipliedBy(told)).compareTo(turn) >= 0;
-    if (!its) {
-      disbelieved++;
+            && currentRound
+            && now.minus(roundPeriod.multipliedBy(claimedRound)).compareTo(turnOffset) >= 0;
+    if (!valid) {
+      rejectedClaims++;
       return false;
     }
-    done = told;
+    lastDoneRound = claimedRound;
     return true;
   }
 
   /** Claims that were not believed. */
   public long rejectedClaims() {
-    return disbelieved;
+    return rejectedClaims;
   }
 }
