--- a/cli/src/main/java/gingerring/cli/FleetCommand.java
+++ b/cli/src/main/java/gingerring/cli/FleetCommand.java
@@ -296,7 +296,7 @@
                 .filter(s -> !Double.isNaN(s))
                 .max()
                 .orElse(0),
-            result.falselyGone,
+            result.falselyMarkedGone,
             result.unknownPairs,
             asks,
             result.recoveryTimesMs.stream()
--- a/emulator/src/main/java/gingerring/emulator/core/Box.java
+++ b/emulator/src/main/java/gingerring/emulator/core/Box.java
@@ -20,10 +20,10 @@
   public interface Host {
     Duration now();
 
-    void schedule(Duration span, Runnable task);
+    void schedule(Duration delay, Runnable task);
 
     /** {@code end} is done, failed, full, or spoilt: an answer that is not of the protocol. */
-    void answer(Part part, String end);
+    void answer(Part part, String outcome);
 
     /** Runs a numbered part unless its mark is known; false where it is. */
     boolean beginExecution(Part part);
@@ -57,16 +57,16 @@
   private long partsDone;
   private double workDoneMs;
 
-  public Box(Scenario world, int number, Host host) {
-    this.scenario = world;
+  public Box(Scenario scenario, int number, Host host) {
+    this.scenario = scenario;
     this.number = number;
     this.host = host;
-    boolean slow = SeededDraw.draw(world.seed(), "slow", number) < world.slowShare();
-    double spread = SeededDraw.draw(world.seed(), "speed", number);
+    boolean slow = SeededDraw.draw(scenario.seed(), "slow", number) < scenario.slowShare();
+    double spread = SeededDraw.draw(scenario.seed(), "speed", number);
     speed = slow ? 0.69 + 0.12 * spread : 0.92 + 0.18 * spread;
-    for (BoxFault trouble : world.faults()) {
-      if (world.affectedBoxes(trouble).contains(number)) {
-        faults.add(trouble);
+    for (BoxFault fault : scenario.faults()) {
+      if (scenario.affectedBoxes(fault).contains(number)) {
+        faults.add(fault);
       }
     }
   }
@@ -141,19 +141,19 @@
     if (!up) {
       return;
     }
-    BoxFault errors = activeFault(BoxFault.Kind.ERRORS);
-    boolean bad =
+    BoxFault errorFault = activeFault(BoxFault.Kind.ERRORS);
+    boolean alwaysFails =
         SeededDraw.draw(scenario.seed(), "bad " + part.query, part.partition)
             < scenario.failingPartShare();
-    if (bad
-        || errors != null
+    if (alwaysFails
+        || errorFault != null
             && SeededDraw.draw(scenario.seed(), "error " + part.query, part.partition, number)
-                < errors.magnitude()) {
-      int mine = incarnation;
+                < errorFault.magnitude()) {
+      int startedIn = incarnation;
       host.schedule(
           ERROR_DELAY,
           () -> {
-            if (incarnation == mine) {
+            if (incarnation == startedIn) {
               host.answer(part, "failed");
             }
           });
@@ -173,32 +173,33 @@
   }
 
   private double workMs(Part part) {
-    Scenario.ServiceClass grade = scenario.serviceClass(part.query.replaceAll(":.*", ""));
-    Scenario.Range range = grade == null ? new Scenario.Range(10, 20) : grade.workMs();
+    Scenario.ServiceClass serviceClass = scenario.serviceClass(part.query.replaceAll(":.*", ""));
+    Scenario.Range range =
+        serviceClass == null ? new Scenario.Range(10, 20) : serviceClass.workMs();
     return range.interpolate(
         SeededDraw.draw(scenario.seed(), "work " + part.query, part.partition));
   }
 
   /** Takes note of work sent while cold; too much of it for too long brings the box down. */
-  private void recordColdWork(double millis) {
+  private void recordColdWork(double workMs) {
     Duration now = host.now();
     while (now.minus(bucketStart).compareTo(BUCKET) >= 0) {
       checkOverload(bucketStart.plus(BUCKET));
       bucketWorkMs = 0;
       bucketStart = bucketStart.plus(BUCKET);
     }
-    bucketWorkMs += millis;
+    bucketWorkMs += workMs;
   }
 
-  private void checkOverload(Duration at) {
-    double can = scenario.cores() * speed * capacityShare() * BUCKET.toMillis();
-    if (capacityShare() >= 1 || bucketWorkMs <= scenario.overloadMultiple() * can) {
+  private void checkOverload(Duration bucketEnd) {
+    double capacityMs = scenario.cores() * speed * capacityShare() * BUCKET.toMillis();
+    if (capacityShare() >= 1 || bucketWorkMs <= scenario.overloadMultiple() * capacityMs) {
       overloadSince = null;
     } else if (overloadSince == null) {
-      overloadSince = at.minus(BUCKET);
+      overloadSince = bucketEnd.minus(BUCKET);
     }
     if (overloadSince != null
-        && at.minus(overloadSince).compareTo(scenario.overloadDuration()) >= 0) {
+        && bucketEnd.minus(overloadSince).compareTo(scenario.overloadDuration()) >= 0) {
       overloaded = true;
       stop();
       host.overloaded(this);
@@ -210,72 +211,74 @@
       Part part = queue.poll();
       queuedById.remove(part.id);
       running++;
-      boolean runs = host.beginExecution(part);
-      double millis = runs ? workMs(part) : 1;
-      BoxFault slow = activeFault(BoxFault.Kind.SLOW);
-      double takes =
-          millis / (speed * capacityShare()) * (slow == null ? 1 : Math.max(1, slow.magnitude()));
-      Duration span = Duration.ofNanos((long) (takes * 1e6));
-      int mine = incarnation;
+      boolean execute = host.beginExecution(part);
+      double workMs = execute ? workMs(part) : 1;
+      BoxFault slowFault = activeFault(BoxFault.Kind.SLOW);
+      double durationMs =
+          workMs
+              / (speed * capacityShare())
+              * (slowFault == null ? 1 : Math.max(1, slowFault.magnitude()));
+      Duration duration = Duration.ofNanos((long) (durationMs * 1e6));
+      int startedIn = incarnation;
       host.schedule(
-          span.plus(pauseTime(host.now(), span)),
+          duration.plus(pauseTime(host.now(), duration)),
           () -> {
-            if (incarnation != mine) {
+            if (incarnation != startedIn) {
               return;
             }
             running--;
             partsDone++;
-            workDoneMs += millis;
-            BoxFault spoil = activeFault(BoxFault.Kind.SPOIL);
-            boolean spoilt =
-                spoil != null
+            workDoneMs += workMs;
+            BoxFault spoilFault = activeFault(BoxFault.Kind.SPOIL);
+            boolean spoiled =
+                spoilFault != null
                     && SeededDraw.draw(
                             scenario.seed(), "spoil " + part.query, part.partition, number)
-                        < spoil.magnitude();
-            host.answer(part, spoilt ? "spoilt" : "done");
+                        < spoilFault.magnitude();
+            host.answer(part, spoiled ? "spoilt" : "done");
             startQueued();
           });
     }
   }
 
   /** How long the box stands still between now and then, and whatever that adds. */
-  private Duration pauseTime(Duration from, Duration span) {
+  private Duration pauseTime(Duration start, Duration duration) {
     if (scenario.pauseIntervalMs().high() <= 0 || scenario.pauseMs().high() <= 0) {
       return Duration.ZERO;
     }
-    double every =
+    double intervalMs =
         Math.max(
             100,
             scenario
                 .pauseIntervalMs()
                 .interpolate(SeededDraw.draw(scenario.seed(), "every", number)));
-    double length =
+    double pauseMs =
         Math.min(
-            every / 2,
+            intervalMs / 2,
             scenario.pauseMs().interpolate(SeededDraw.draw(scenario.seed(), "pause", number)));
-    double offset = SeededDraw.draw(scenario.seed(), "offset", number) * every;
-    double at = from.toNanos() / 1e6;
-    double left = span.toNanos() / 1e6;
-    double added = 0;
-    double phase = (at + offset) % every;
-    if (phase < length) {
-      added += length - phase;
-      phase = length;
+    double offset = SeededDraw.draw(scenario.seed(), "offset", number) * intervalMs;
+    double startMs = start.toNanos() / 1e6;
+    double remainingMs = duration.toNanos() / 1e6;
+    double addedMs = 0;
+    double phaseMs = (startMs + offset) % intervalMs;
+    if (phaseMs < pauseMs) {
+      addedMs += pauseMs - phaseMs;
+      phaseMs = pauseMs;
     }
-    while (phase + left > every) {
-      added += length;
-      left -= every - phase;
-      phase = length;
+    while (phaseMs + remainingMs > intervalMs) {
+      addedMs += pauseMs;
+      remainingMs -= intervalMs - phaseMs;
+      phaseMs = pauseMs;
     }
-    return Duration.ofNanos((long) (added * 1e6));
+    return Duration.ofNanos((long) (addedMs * 1e6));
   }
 
   /** The trouble of a kind that is on at this box now, or null. */
   public BoxFault activeFault(BoxFault.Kind kind) {
     Duration now = host.now();
-    for (BoxFault trouble : faults) {
-      if (trouble.kind() == kind && trouble.isActive(now)) {
-        return trouble;
+    for (BoxFault fault : faults) {
+      if (fault.kind() == kind && fault.isActive(now)) {
+        return fault;
       }
     }
     return null;
--- a/emulator/src/main/java/gingerring/emulator/core/RuleChecker.java
+++ b/emulator/src/main/java/gingerring/emulator/core/RuleChecker.java
@@ -67,17 +67,17 @@
     boolean rejected;
 
     Scan(
-        ServiceClass grade,
+        ServiceClass serviceClass,
         Map<Integer, Double> shares,
         String key,
-        Duration since,
-        Duration until,
+        Duration sentAt,
+        Duration dueAt,
         int mixer) {
-      this.serviceClass = grade;
+      this.serviceClass = serviceClass;
       this.shares = shares;
       this.key = key;
-      this.sentAt = since;
-      this.dueAt = until;
+      this.sentAt = sentAt;
+      this.dueAt = dueAt;
       this.mixer = mixer;
     }
   }
@@ -89,15 +89,15 @@
     Duration endedAt;
     String value;
 
-    Trip(int box, Duration sent) {
+    Trip(int box, Duration sentAt) {
       this.box = box;
-      this.sentAt = sent;
+      this.sentAt = sentAt;
     }
 
     /** Whether it may have run, for all that its sender could know then. */
-    boolean mayHaveRun(Duration then) {
+    boolean mayHaveRun(Duration asOf) {
       return !("full".equals(outcome) || "unreached".equals(outcome))
-          || endedAt.compareTo(then) > 0;
+          || endedAt.compareTo(asOf) > 0;
     }
   }
 
@@ -128,50 +128,52 @@
   private long exemptedCount;
   private long delayedCount;
 
-  public RuleChecker(Scenario world) {
-    this.scenario = world;
+  public RuleChecker(Scenario scenario) {
+    this.scenario = scenario;
   }
 
-  private void addViolation(Rule rule, int mixer, Duration at, String what) {
+  private void addViolation(Rule rule, int mixer, Duration time, String description) {
     countsByRule.merge(rule, 1, Integer::sum);
     countsByMixer.merge(mixer, 1, Integer::sum);
     if (violations.size() < MAX_LISTED_VIOLATIONS) {
-      violations.add(new Foul(rule, mixer, at, what));
+      violations.add(new Foul(rule, mixer, time, description));
     }
   }
 
   /** A client has sent a request whole. */
   public void requestSent(
-      String mark,
-      String grade,
+      String scanId,
+      String serviceClass,
       Map<Integer, Double> shares,
       String key,
-      Duration at,
-      Duration patience) {
-    requestSent(0, mark, grade, shares, key, at, patience);
+      Duration time,
+      Duration deadline) {
+    requestSent(0, scanId, serviceClass, shares, key, time, deadline);
   }
 
   /** A client has sent a request whole to one of several mixers. */
   public void requestSent(
       int mixer,
-      String mark,
-      String grade,
+      String scanId,
+      String serviceClass,
       Map<Integer, Double> shares,
       String key,
-      Duration at,
-      Duration patience) {
+      Duration time,
+      Duration deadline) {
     requestCount++;
     scans.put(
-        mark, new Scan(scenario.serviceClass(grade), shares, key, at, at.plus(patience), mixer));
-    removeExpired(at);
+        scanId,
+        new Scan(
+            scenario.serviceClass(serviceClass), shares, key, time, time.plus(deadline), mixer));
+    removeExpired(time);
   }
 
   /**
    * A mixer was made to stand still, or ended, from then to then: its scans of that time may be
    * lost.
    */
-  public void addExemption(int mixer, Duration from, Duration to) {
-    exemptions.computeIfAbsent(mixer, m -> new ArrayList<>()).add(new Duration[] {from, to});
+  public void addExemption(int mixer, Duration start, Duration end) {
+    exemptions.computeIfAbsent(mixer, m -> new ArrayList<>()).add(new Duration[] {start, end});
   }
 
   /**
@@ -194,15 +196,16 @@
     return longestStall;
   }
 
-  private boolean exempted(Scan scan, Duration at) {
-    if (lastHeartbeat != null && at.compareTo(lastHeartbeat) > 0) {
-      heartbeat(at);
+  private boolean exempted(Scan scan, Duration time) {
+    if (lastHeartbeat != null && time.compareTo(lastHeartbeat) > 0) {
+      heartbeat(time);
     }
-    boolean excused =
+    boolean exempt =
         Stream.concat(stalls.stream(), exemptions.getOrDefault(scan.mixer, List.of()).stream())
-            .anyMatch(span -> scan.sentAt.compareTo(span[1]) <= 0 && at.compareTo(span[0]) >= 0);
-    this.exemptedCount += excused ? 1 : 0;
-    return excused;
+            .anyMatch(
+                period -> scan.sentAt.compareTo(period[1]) <= 0 && time.compareTo(period[0]) >= 0);
+    this.exemptedCount += exempt ? 1 : 0;
+    return exempt;
   }
 
   /**
@@ -214,166 +217,197 @@
   }
 
   /** A client has closed its connection before its answer. */
-  public void clientLeft(String mark, Duration at) {
-    Scan scan = scans.get(mark);
+  public void clientLeft(String scanId, Duration time) {
+    Scan scan = scans.get(scanId);
     if (scan != null && scan.endedAt == null) {
       scan.clientLeft = true;
-      scan.endedAt = at;
+      scan.endedAt = time;
     }
   }
 
   /** A client never had its answer, though it waited to the end. */
-  public void answerMissing(String mark, Duration at) {
-    Scan scan = scans.get(mark);
+  public void answerMissing(String scanId, Duration time) {
+    Scan scan = scans.get(scanId);
     if (scan != null && scan.endedAt == null) {
-      scan.endedAt = at;
-      if (!exempted(scan, at)) {
-        addViolation(Rule.SCAN_LOST, scan.mixer, at, mark + " had no answer in its client's time");
+      scan.endedAt = time;
+      if (!exempted(scan, time)) {
+        addViolation(
+            Rule.SCAN_LOST, scan.mixer, time, scanId + " had no answer in its client's time");
       }
     }
   }
 
   /** An answer's last byte came; {@code values} are null for one that refuses or gives up. */
   public void requestAnswered(
-      String mark, Duration at, boolean nacked, boolean whole, Map<Integer, String> values) {
-    Scan scan = scans.get(mark);
+      String scanId, Duration time, boolean rejected, boolean whole, Map<Integer, String> values) {
+    Scan scan = scans.get(scanId);
     if (scan == null) {
-      addViolation(Rule.SCAN_LOST, UNKNOWN_MIXER, at, mark + " was answered and not asked");
+      addViolation(Rule.SCAN_LOST, UNKNOWN_MIXER, time, scanId + " was answered and not asked");
       return;
     }
     if (scan.endedAt != null) {
       if (!scan.clientLeft) {
-        addViolation(Rule.SCAN_LOST, scan.mixer, at, mark + " was answered twice");
+        addViolation(Rule.SCAN_LOST, scan.mixer, time, scanId + " was answered twice");
       }
       return;
     }
-    scan.endedAt = at;
-    if (at.compareTo(scan.dueAt.plus(SLACK)) > 0 && !exempted(scan, at)) {
-      addViolation(Rule.SCAN_LOST, scan.mixer, at, mark + " was answered after its client's time");
+    scan.endedAt = time;
+    if (time.compareTo(scan.dueAt.plus(SLACK)) > 0 && !exempted(scan, time)) {
+      addViolation(
+          Rule.SCAN_LOST, scan.mixer, time, scanId + " was answered after its client's time");
     }
-    scan.rejected = nacked;
-    if (nacked
+    scan.rejected = rejected;
+    if (rejected
         && scan.serviceClass.retrySafety() == RetrySafety.AT_MOST_ONCE
         && scan.tripsByPartition.values().stream()
             .flatMap(List::stream)
-            .anyMatch(trip -> trip.mayHaveRun(at))) {
+            .anyMatch(trip -> trip.mayHaveRun(time))) {
       addViolation(
-          Rule.EFFECT_TWICE, scan.mixer, at, mark + " was nacked though a part may have run");
+          Rule.EFFECT_TWICE, scan.mixer, time, scanId + " was nacked though a part may have run");
     }
     if (values != null) {
-      checkAnswer(mark, scan, at, whole, values);
+      checkAnswer(scanId, scan, time, whole, values);
     }
   }
 
   private void checkAnswer(
-      String mark, Scan scan, Duration at, boolean whole, Map<Integer, String> values) {
-    double weight = 0;
+      String scanId, Scan scan, Duration time, boolean whole, Map<Integer, String> values) {
+    double coverage = 0;
     for (Map.Entry<Integer, String> value : values.entrySet()) {
       Double share = scan.shares.get(value.getKey());
-      boolean given =
+      boolean returnedByBox =
           scan.tripsByPartition.getOrDefault(value.getKey(), List.of()).stream()
               .anyMatch(trip -> value.getValue().equals(trip.value));
-      if (share == null || !given) {
+      if (share == null || !returnedByBox) {
         addViolation(
             Rule.HONEST_ANSWER,
             scan.mixer,
-            at,
-            mark + " has a value of folio " + value.getKey() + " that no box gave");
+            time,
+            scanId + " has a value of folio " + value.getKey() + " that no box gave");
       }
-      weight += share == null ? 0 : share;
+      coverage += share == null ? 0 : share;
     }
-    double all = scan.shares.values().stream().mapToDouble(Double::doubleValue).sum();
+    double totalShare = scan.shares.values().stream().mapToDouble(Double::doubleValue).sum();
     if (whole && values.size() < scan.shares.size()) {
       addViolation(
           Rule.HONEST_ANSWER,
           scan.mixer,
-          at,
-          mark + " is marked whole with " + values.size() + " of " + scan.shares.size() + " parts");
+          time,
+          scanId
+              + " is marked whole with "
+              + values.size()
+              + " of "
+              + scan.shares.size()
+              + " parts");
     }
-    if (weight < scan.serviceClass.minCoverage() * all - 1e-6) {
+    if (coverage < scan.serviceClass.minCoverage() * totalShare - 1e-6) {
       addViolation(
           Rule.HONEST_ANSWER,
           scan.mixer,
-          at,
-          mark
+          time,
+          scanId
               + " is answered from "
-              + weight
+              + coverage
               + " of its weight, under the floor "
               + scan.serviceClass.minCoverage());
     }
   }
 
   /** A part has arrived at a box whole, just when it was sent by the mixer that was asked. */
-  public void partReceived(String mark, int folio, String key, int box, Duration at) {
-    Scan scan = scans.get(mark);
-    partReceived(scan == null ? UNKNOWN_MIXER : scan.mixer, mark, folio, key, box, at, at);
+  public void partReceived(String scanId, int partition, String key, int box, Duration receivedAt) {
+    Scan scan = scans.get(scanId);
+    partReceived(
+        scan == null ? UNKNOWN_MIXER : scan.mixer,
+        scanId,
+        partition,
+        key,
+        box,
+        receivedAt,
+        receivedAt);
   }
 
   /** A part has arrived at a box whole that a mixer had {@code sent} before. */
   public void partReceived(
-      int mixer, String mark, int folio, String key, int box, Duration sent, Duration at) {
+      int mixer,
+      String scanId,
+      int partition,
+      String key,
+      int box,
+      Duration sentAt,
+      Duration receivedAt) {
     tripCount++;
-    delayedCount += at.minus(sent).compareTo(SLACK) > 0 ? 1 : 0;
-    recordPart(mixer, box, sent);
-    Scan scan = scans.get(mark);
-    String what = mark + '.' + folio;
-    if (scan == null || !scan.shares.containsKey(folio) || scan.mixer != mixer) {
-      addViolation(Rule.STRANGE_PART, mixer, sent, what + " was sent and not asked for");
+    delayedCount += receivedAt.minus(sentAt).compareTo(SLACK) > 0 ? 1 : 0;
+    recordPart(mixer, box, sentAt);
+    Scan scan = scans.get(scanId);
+    String partName = scanId + '.' + partition;
+    if (scan == null || !scan.shares.containsKey(partition) || scan.mixer != mixer) {
+      addViolation(Rule.STRANGE_PART, mixer, sentAt, partName + " was sent and not asked for");
       return;
     }
-    if (!scenario.holders(folio).contains(box)) {
+    if (!scenario.holders(partition).contains(box)) {
       addViolation(
           Rule.STRANGE_PART,
           mixer,
-          sent,
-          what + " was sent to box " + box + ", which does not hold it");
+          sentAt,
+          partName + " was sent to box " + box + ", which does not hold it");
     }
     if (scan.key != null
         && scan.serviceClass.retrySafety() == RetrySafety.KEYED
         && !scan.key.equals(key)) {
-      addViolation(Rule.STRANGE_PART, mixer, sent, what + " was sent without its key");
+      addViolation(Rule.STRANGE_PART, mixer, sentAt, partName + " was sent without its key");
     }
     if (scan.endedAt != null
-        && sent.compareTo(scan.endedAt.plus(SLACK)) > 0
-        && !exempted(scan, sent)) {
-      addViolation(Rule.SCAN_LOST, mixer, sent, what + " was sent after the answer");
+        && sentAt.compareTo(scan.endedAt.plus(SLACK)) > 0
+        && !exempted(scan, sentAt)) {
+      addViolation(Rule.SCAN_LOST, mixer, sentAt, partName + " was sent after the answer");
     }
     if (scan.rejected
-        && sent.compareTo(scan.endedAt) <= 0
+        && sentAt.compareTo(scan.endedAt) <= 0
         && scan.serviceClass.retrySafety() == RetrySafety.AT_MOST_ONCE) {
       addViolation(
-          Rule.EFFECT_TWICE, mixer, sent, mark + " was nacked though a part was on its way");
+          Rule.EFFECT_TWICE, mixer, sentAt, scanId + " was nacked though a part was on its way");
     }
-    Duration since = drainNotices.get(mixerAndBox(mixer, box));
-    if (since != null
-        && sent.compareTo(since.plus(scenario.drainGrace()).plus(SLACK)) > 0
-        && !exempted(scan, sent)) {
+    Duration drainedAt = drainNotices.get(mixerAndBox(mixer, box));
+    if (drainedAt != null
+        && sentAt.compareTo(drainedAt.plus(scenario.drainGrace()).plus(SLACK)) > 0
+        && !exempted(scan, sentAt)) {
       addViolation(
           Rule.DRAIN,
           mixer,
-          sent,
-          what + " was sent to box " + box + ", told as drained at " + since.toMillis() + " ms");
+          sentAt,
+          partName
+              + " was sent to box "
+              + box
+              + ", told as drained at "
+              + drainedAt.toMillis()
+              + " ms");
     }
-    List<Trip> others = scan.tripsByPartition.computeIfAbsent(folio, f -> new ArrayList<>());
-    if (others.size() >= scenario.maxTrips()) {
-      addViolation(Rule.TRIPS, mixer, sent, what + " was sent " + (others.size() + 1) + " times");
+    List<Trip> earlierTrips =
+        scan.tripsByPartition.computeIfAbsent(partition, f -> new ArrayList<>());
+    if (earlierTrips.size() >= scenario.maxTrips()) {
+      addViolation(
+          Rule.TRIPS,
+          mixer,
+          sentAt,
+          partName + " was sent " + (earlierTrips.size() + 1) + " times");
     }
-    Trip mine = new Trip(box, sent);
-    for (Trip other : others) {
-      boolean late = other.sentAt.compareTo(sent) > 0; // sent before one that came before it
-      if (effectRepeated(scan, late ? mine : other, late ? other : mine)) {
+    Trip trip = new Trip(box, sentAt);
+    for (Trip earlierTrip : earlierTrips) {
+      boolean outOfOrder =
+          earlierTrip.sentAt.compareTo(sentAt) > 0; // sent before one that came before it
+      if (effectRepeated(scan, outOfOrder ? trip : earlierTrip, outOfOrder ? earlierTrip : trip)) {
         addViolation(
             Rule.EFFECT_TWICE,
             mixer,
-            sent,
-            what
+            sentAt,
+            partName
                 + (scan.serviceClass.retrySafety() == RetrySafety.AT_MOST_ONCE
                     ? " was sent again though it may have run"
                     : " was sent again after its mark was forgotten"));
         break;
       }
     }
-    others.add(mine);
+    earlierTrips.add(trip);
   }
 
   /** Whether a later trip may have done what an earlier one had done. */
@@ -386,12 +420,13 @@
 
   /** Whether a numbered part was sent again after its mark was forgotten. */
   private boolean sentAfterWindow(Scan scan, Duration earlier, Duration later) {
-    Duration over = later.minus(earlier).minus(scan.serviceClass.idempotencyWindow()).minus(SLACK);
-    if (over.compareTo(Duration.ZERO) <= 0) {
+    Duration excess =
+        later.minus(earlier).minus(scan.serviceClass.idempotencyWindow()).minus(SLACK);
+    if (excess.compareTo(Duration.ZERO) <= 0) {
       return false;
     }
     // or the mixer is blamed for a frame that lay unread until the rig went on
-    boolean explained = over.compareTo(stallBefore(later)) <= 0;
+    boolean explained = excess.compareTo(stallBefore(later)) <= 0;
     exemptedCount += explained ? 1 : 0;
     return !explained;
   }
@@ -400,45 +435,49 @@
    * How long the rig had stood still when it read a frame, which may have come at any moment since.
    * A stall that had ended before does not count, for what came in it was read at its end.
    */
-  private Duration stallBefore(Duration read) {
-    if (lastHeartbeat != null && read.compareTo(lastHeartbeat) > 0) {
-      heartbeat(read);
+  private Duration stallBefore(Duration readAt) {
+    if (lastHeartbeat != null && readAt.compareTo(lastHeartbeat) > 0) {
+      heartbeat(readAt);
     }
-    Duration still = Duration.ZERO;
-    Duration begin = read;
+    Duration stalled = Duration.ZERO;
+    Duration stallStart = readAt;
     for (int i = stalls.size() - 1; i >= 0; i--) {
-      Duration[] span = stalls.get(i);
+      Duration[] stall = stalls.get(i);
       // the last may have ended a little before; of earlier ones only those count that it follows
       // at once
-      Duration end = begin.equals(read) ? span[1].plus(READ_DELAY) : span[1];
-      if (span[0].compareTo(begin) < 0 && end.compareTo(begin) >= 0) {
-        still = still.plus((span[1].compareTo(begin) < 0 ? span[1] : begin).minus(span[0]));
-        begin = span[0];
+      Duration end = stallStart.equals(readAt) ? stall[1].plus(READ_DELAY) : stall[1];
+      if (stall[0].compareTo(stallStart) < 0 && end.compareTo(stallStart) >= 0) {
+        stalled =
+            stalled.plus(
+                (stall[1].compareTo(stallStart) < 0 ? stall[1] : stallStart).minus(stall[0]));
+        stallStart = stall[0];
       }
     }
-    return still;
+    return stalled;
   }
 
-  private void recordPart(int mixer, int box, Duration sent) {
-    Deque<RecentPart> lately = recentParts.computeIfAbsent(box, b -> new ArrayDeque<>());
-    lately.add(new RecentPart(mixer, sent));
-    while (sent.minus(lately.peek().sentAt)
+  private void recordPart(int mixer, int box, Duration sentAt) {
+    Deque<RecentPart> recent = recentParts.computeIfAbsent(box, b -> new ArrayDeque<>());
+    recent.add(new RecentPart(mixer, sentAt));
+    while (sentAt
+            .minus(recent.peek().sentAt)
             .compareTo(scenario.overloadDuration().plus(RECENT_PART_MARGIN))
         > 0) {
-      lately.poll();
+      recent.poll();
     }
   }
 
   /** What a box said of a part: its latest there that had no end. */
-  public void partAnswered(String mark, int folio, int box, String end, String value, Duration at) {
-    Scan scan = scans.get(mark);
+  public void partAnswered(
+      String scanId, int partition, int box, String outcome, String value, Duration time) {
+    Scan scan = scans.get(scanId);
     if (scan != null) {
-      List<Trip> mine = scan.tripsByPartition.getOrDefault(folio, List.of());
-      for (int i = mine.size() - 1; i >= 0; i--) {
-        Trip trip = mine.get(i);
+      List<Trip> trips = scan.tripsByPartition.getOrDefault(partition, List.of());
+      for (int i = trips.size() - 1; i >= 0; i--) {
+        Trip trip = trips.get(i);
         if (trip.box == box && trip.outcome == null) {
-          trip.outcome = end;
-          trip.endedAt = at;
+          trip.outcome = outcome;
+          trip.endedAt = time;
           trip.value = value;
           return;
         }
@@ -447,16 +486,16 @@
   }
 
   /** A mixer was told that a box drains or is gone, or (null) that it serves. */
-  public void boxStateNotified(int box, Duration since) {
-    boxStateNotified(0, box, since);
+  public void boxStateNotified(int box, Duration drainedAt) {
+    boxStateNotified(0, box, drainedAt);
   }
 
   /** That one of several mixers was told so. */
-  public void boxStateNotified(int mixer, int box, Duration since) {
-    if (since == null) {
+  public void boxStateNotified(int mixer, int box, Duration drainedAt) {
+    if (drainedAt == null) {
       drainNotices.remove(mixerAndBox(mixer, box));
     } else {
-      drainNotices.putIfAbsent(mixerAndBox(mixer, box), since);
+      drainNotices.putIfAbsent(mixerAndBox(mixer, box), drainedAt);
     }
   }
 
@@ -465,21 +504,21 @@
   }
 
   /** A box fell; blamed is the mixer that sent it most of its last parts. */
-  public void boxOverloaded(int box, Duration at) {
-    Map<Integer, Integer> shares = new TreeMap<>();
+  public void boxOverloaded(int box, Duration time) {
+    Map<Integer, Integer> partsByMixer = new TreeMap<>();
     recentParts
         .getOrDefault(box, new ArrayDeque<>())
-        .forEach(load -> shares.merge(load.mixer, 1, Integer::sum));
-    int most =
-        shares.entrySet().stream()
+        .forEach(part -> partsByMixer.merge(part.mixer, 1, Integer::sum));
+    int mixer =
+        partsByMixer.entrySet().stream()
             .max(Map.Entry.comparingByValue())
             .map(Map.Entry::getKey)
             .orElse(UNKNOWN_MIXER);
     addViolation(
         Rule.COLD_BOX,
-        most,
-        at,
-        "box " + box + " was pushed over while cold; its last parts by mixer: " + shares);
+        mixer,
+        time,
+        "box " + box + " was pushed over while cold; its last parts by mixer: " + partsByMixer);
   }
 
   private void removeExpired(Duration now) {
--- a/emulator/src/main/java/gingerring/emulator/core/Scenario.java
+++ b/emulator/src/main/java/gingerring/emulator/core/Scenario.java
@@ -44,8 +44,8 @@
     List<BoxFault> faults) {
   /** A range that is drawn from evenly. */
   public record Range(double low, double high) {
-    double interpolate(double share) {
-      return low + (high - low) * share;
+    double interpolate(double fraction) {
+      return low + (high - low) * fraction;
     }
   }
 
@@ -122,9 +122,9 @@
   }
 
   /** The same, of an object that has been read. */
-  public static Scenario read(Map<String, Object> told) throws InvalidScenario {
+  public static Scenario read(Map<String, Object> json) throws InvalidScenario {
     try {
-      return new Reading(told, "").world();
+      return new FieldReader(json, "").scenario();
     } catch (Json.JsonException e) {
       throw new InvalidScenario(e.getMessage());
     }
@@ -140,30 +140,31 @@
   }
 
   /** Reads one object of the description, and refuses what is left over. */
-  private static final class Reading {
-    private final Map<String, Object> from;
-    private final String place;
+  private static final class FieldReader {
+    private final Map<String, Object> remaining;
+    private final String path;
 
-    Reading(Map<String, Object> from, String place) {
-      this.from = new LinkedHashMap<>(from);
-      this.place = place;
+    FieldReader(Map<String, Object> fields, String place) {
+      this.remaining = new LinkedHashMap<>(fields);
+      this.path = place;
     }
 
-    Scenario world() throws InvalidScenario, Json.JsonException {
-      List<ServiceClass> grades = new ArrayList<>();
+    Scenario scenario() throws InvalidScenario, Json.JsonException {
+      List<ServiceClass> serviceClasses = new ArrayList<>();
       for (Object each : list("grades")) {
-        grades.add(
-            new Reading(JsonFields.object(each, "a grade"), "grades." + grades.size() + ".")
-                .grade());
+        serviceClasses.add(
+            new FieldReader(
+                    JsonFields.object(each, "a grade"), "grades." + serviceClasses.size() + ".")
+                .serviceClass());
       }
       int boxes = (int) number("boxes", 12, 1, 2000);
-      List<BoxFault> troubles = new ArrayList<>();
+      List<BoxFault> faults = new ArrayList<>();
       for (Object each : list("troubles")) {
-        troubles.add(
-            new Reading(JsonFields.object(each, "a trouble"), "troubles." + troubles.size() + ".")
-                .trouble(boxes));
+        faults.add(
+            new FieldReader(JsonFields.object(each, "a trouble"), "troubles." + faults.size() + ".")
+                .fault(boxes));
       }
-      Scenario world =
+      Scenario scenario =
           new Scenario(
               (long) number("seed", 1, 0, 1L << 53),
               boxes,
@@ -173,29 +174,29 @@
               number("slowShare", 0.3, 0, 1),
               (int) number("queueMost", 40, 1, 1 << 20),
               number("coldFrom", 0.19, 0.01, 1),
-              span("warmUpMs", 18_000),
+              duration("warmUpMs", 18_000),
               number("tipMultiple", 4, 1, 1000),
-              span("tipAfterMs", 2000),
-              span("drainGraceMs", 1000),
-              span("listLagMs", 1500),
-              span("handshakeMs", 0),
-              span("idleMs", 30_000),
+              duration("tipAfterMs", 2000),
+              duration("drainGraceMs", 1000),
+              duration("listLagMs", 1500),
+              duration("handshakeMs", 0),
+              duration("idleMs", 30_000),
               (int) number("linesMost", 1000, 1, 1 << 20),
               range("pauseMs", 60, 290),
               range("pauseEveryMs", 3000, 9500),
               number("badParts", 0, 0, 1),
-              span("lengthMs", 20_000),
+              duration("lengthMs", 20_000),
               number("rate", 10, 0.01, 1e5),
               (int) number("clients", 40, 1, 50_000),
               (int) number("retries", 3, 0, 100),
               (int) number("trips", 3, 1, 100),
-              grades.isEmpty() ? usualGrades() : grades,
-              troubles);
-      nothingLeft();
-      return world;
+              serviceClasses.isEmpty() ? defaultClasses() : serviceClasses,
+              faults);
+      requireNoneLeft();
+      return scenario;
     }
 
-    private static List<ServiceClass> usualGrades() {
+    private static List<ServiceClass> defaultClasses() {
       return List.of(
           new ServiceClass(
               "skill-search",
@@ -238,139 +239,142 @@
               false));
     }
 
-    private ServiceClass grade() throws InvalidScenario, Json.JsonException {
-      String repeats = text("repeats", "reissuable");
-      RetrySafety kind =
-          switch (repeats) {
+    private ServiceClass serviceClass() throws InvalidScenario, Json.JsonException {
+      String retrySafetyName = text("repeats", "reissuable");
+      RetrySafety retrySafety =
+          switch (retrySafetyName) {
             case "reissuable" -> RetrySafety.IDEMPOTENT;
             case "numbered" -> RetrySafety.KEYED;
             case "at-most-once" -> RetrySafety.AT_MOST_ONCE;
-            default -> throw new InvalidScenario(place + "repeats is unknown: " + repeats);
+            default -> throw new InvalidScenario(path + "repeats is unknown: " + retrySafetyName);
           };
-      ServiceClass grade =
+      ServiceClass serviceClass =
           new ServiceClass(
               text("name", null),
               number("share", 1, 0, 1e6),
-              span("quotedMs", 2000),
-              span("patienceMs", 4000),
-              kind,
-              span("windowMs", 5000),
+              duration("quotedMs", 2000),
+              duration("patienceMs", 4000),
+              retrySafety,
+              duration("windowMs", 5000),
               number("floor", 1, 0, 1),
               number("folios", 1, 0, 1),
               range("workMs", 10, 20),
               number("earnings", 1, 0, 1e9),
               number("late", 0, 0, 1),
               flag("skewed"));
-      nothingLeft();
-      return grade;
+      requireNoneLeft();
+      return serviceClass;
     }
 
-    private BoxFault trouble(int boxes) throws InvalidScenario, Json.JsonException {
+    private BoxFault fault(int boxes) throws InvalidScenario, Json.JsonException {
       String kind = text("kind", null);
       for (BoxFault.Kind each : BoxFault.Kind.values()) {
         if (each.name().equalsIgnoreCase(kind)) {
-          BoxFault trouble =
+          BoxFault fault =
               new BoxFault(
                   each,
-                  span("atMs", 0),
-                  span("forMs", 5000),
+                  duration("atMs", 0),
+                  duration("forMs", 5000),
                   (int) number("boxes", 1, 0, boxes),
                   number("size", 0.5, 0, 1000));
-          nothingLeft();
-          return trouble;
+          requireNoneLeft();
+          return fault;
         }
       }
-      throw new InvalidScenario(place + "kind is unknown: " + kind);
+      throw new InvalidScenario(path + "kind is unknown: " + kind);
     }
 
-    private double number(String name, double usual, double least, double most)
+    private double number(String name, double defaultValue, double min, double max)
         throws InvalidScenario, Json.JsonException {
-      if (!from.containsKey(name)) {
-        return usual;
+      if (!remaining.containsKey(name)) {
+        return defaultValue;
       }
-      double value = JsonFields.number(from, name);
-      from.remove(name);
-      if (value < least || value > most) {
+      double value = JsonFields.number(remaining, name);
+      remaining.remove(name);
+      if (value < min || value > max) {
         throw new InvalidScenario(
-            place + name + " is out of range: " + value + " is not " + least + " to " + most);
+            path + name + " is out of range: " + value + " is not " + min + " to " + max);
       }
       return value;
     }
 
-    private Duration span(String name, double usual) throws InvalidScenario, Json.JsonException {
-      return Duration.ofNanos((long) (number(name, usual, 0, 1e9) * 1e6));
+    private Duration duration(String name, double defaultValue)
+        throws InvalidScenario, Json.JsonException {
+      return Duration.ofNanos((long) (number(name, defaultValue, 0, 1e9) * 1e6));
     }
 
-    private Range range(String name, double low, double high)
+    private Range range(String name, double defaultLow, double defaultHigh)
         throws InvalidScenario, Json.JsonException {
-      if (!from.containsKey(name)) {
-        return new Range(low, high);
+      if (!remaining.containsKey(name)) {
+        return new Range(defaultLow, defaultHigh);
       }
-      List<Object> pair = JsonFields.list(from, name);
-      from.remove(name);
+      List<Object> pair = JsonFields.list(remaining, name);
+      remaining.remove(name);
       if (pair.size() != 2
-          || !(pair.get(0) instanceof Double one)
-          || !(pair.get(1) instanceof Double other)
-          || one < 0
-          || other < one) {
-        throw new InvalidScenario(place + name + " is no pair of numbers from low to high");
+          || !(pair.get(0) instanceof Double low)
+          || !(pair.get(1) instanceof Double high)
+          || low < 0
+          || high < low) {
+        throw new InvalidScenario(path + name + " is no pair of numbers from low to high");
       }
-      return new Range(one, other);
+      return new Range(low, high);
     }
 
-    private String text(String name, String usual) throws InvalidScenario, Json.JsonException {
-      if (!from.containsKey(name)) {
-        if (usual == null) {
-          throw new InvalidScenario(place + name + " is missing");
+    private String text(String name, String defaultValue)
+        throws InvalidScenario, Json.JsonException {
+      if (!remaining.containsKey(name)) {
+        if (defaultValue == null) {
+          throw new InvalidScenario(path + name + " is missing");
         }
-        return usual;
+        return defaultValue;
       }
-      String value = JsonFields.string(from, name);
-      from.remove(name);
+      String value = JsonFields.string(remaining, name);
+      remaining.remove(name);
       return value;
     }
 
     private boolean flag(String name) throws Json.JsonException {
-      boolean value = from.containsKey(name) && JsonFields.booleanValue(from, name);
-      from.remove(name);
+      boolean value = remaining.containsKey(name) && JsonFields.booleanValue(remaining, name);
+      remaining.remove(name);
       return value;
     }
 
     private List<Object> list(String name) throws Json.JsonException {
-      List<Object> value = from.containsKey(name) ? JsonFields.list(from, name) : List.of();
-      from.remove(name);
+      List<Object> value =
+          remaining.containsKey(name) ? JsonFields.list(remaining, name) : List.of();
+      remaining.remove(name);
       return value;
     }
 
-    private void nothingLeft() throws InvalidScenario {
-      if (!from.isEmpty()) {
-        throw new InvalidScenario(place + from.keySet().iterator().next() + " is unknown");
+    private void requireNoneLeft() throws InvalidScenario {
+      if (!remaining.isEmpty()) {
+        throw new InvalidScenario(path + remaining.keySet().iterator().next() + " is unknown");
       }
     }
   }
 
   /** Which boxes hold a folio: the one at which it begins on the ring, and those after. */
-  public List<Integer> holders(int folio) {
+  public List<Integer> holders(int partition) {
     List<Integer> holders = new ArrayList<>();
     for (int i = 0; i < replicas; i++) {
-      holders.add((folio + i) % boxes);
+      holders.add((partition + i) % boxes);
     }
     return holders;
   }
 
   /** Which boxes a trouble strikes; the same whatever the pace. */
-  public Set<Integer> affectedBoxes(BoxFault trouble) {
-    Set<Integer> struck = new TreeSet<>();
-    int number = faults.indexOf(trouble);
-    for (long i = 0; struck.size() < Math.min(boxes, trouble.boxCount); i++) {
-      struck.add((int) (SeededDraw.draw(seed, "struck", number, i) * boxes));
+  public Set<Integer> affectedBoxes(BoxFault fault) {
+    Set<Integer> affected = new TreeSet<>();
+    int index = faults.indexOf(fault);
+    for (long i = 0; affected.size() < Math.min(boxes, fault.boxCount); i++) {
+      affected.add((int) (SeededDraw.draw(seed, "struck", index, i) * boxes));
     }
-    return struck;
+    return affected;
   }
 
   public ServiceClass serviceClass(String name) {
     return serviceClasses.stream()
-        .filter(grade -> grade.name.equals(name))
+        .filter(serviceClass -> serviceClass.name.equals(name))
         .findFirst()
         .orElse(null);
   }
--- a/emulator/src/main/java/gingerring/emulator/core/SeededDraw.java
+++ b/emulator/src/main/java/gingerring/emulator/core/SeededDraw.java
@@ -8,18 +8,18 @@
   private SeededDraw() {}
 
   /** From 0 up to, but not, 1. */
-  public static double draw(long seed, String what, long... more) {
-    return (bits(seed, what, more) >>> 11) * 0x1.0p-53;
+  public static double draw(long seed, String label, long... indexes) {
+    return (bits(seed, label, indexes) >>> 11) * 0x1.0p-53;
   }
 
   /** 64 bits; the mixing is SplitMix64's (Steele, Lea and Flood 2014). */
-  public static long bits(long seed, String what, long... more) {
+  public static long bits(long seed, String label, long... indexes) {
     long z = seed;
-    for (int i = 0; i < what.length(); i++) {
-      z = mix(z + what.charAt(i));
+    for (int i = 0; i < label.length(); i++) {
+      z = mix(z + label.charAt(i));
     }
-    for (long each : more) {
-      z = mix(z ^ each);
+    for (long index : indexes) {
+      z = mix(z ^ index);
     }
     return mix(z);
   }
@@ -32,7 +32,7 @@
   }
 
   /** What a part's answer says: of its text and folio, whichever box gives it. */
-  public static String value(long seed, String text, int folio) {
-    return String.format("%016x", bits(seed, text, folio));
+  public static String value(long seed, String query, int partition) {
+    return String.format("%016x", bits(seed, query, partition));
   }
 }
--- a/emulator/src/main/java/gingerring/emulator/core/Workload.java
+++ b/emulator/src/main/java/gingerring/emulator/core/Workload.java
@@ -19,22 +19,22 @@
       String key,
       String query) {
     /** The body of its request, with a rough guess at each part's work. */
-    public byte[] body(Scenario world) {
+    public byte[] body(Scenario scenario) {
       StringBuilder json = new StringBuilder("{\"targets\":[");
-      String between = "";
-      for (Map.Entry<Integer, Double> share : shares.entrySet()) {
-        double guess =
+      String separator = "";
+      for (Map.Entry<Integer, Double> entry : shares.entrySet()) {
+        double estimateMs =
             serviceClass.workMs().interpolate(0.5)
-                * (0.7 + 0.6 * SeededDraw.draw(world.seed(), query, share.getKey(), 7));
-        json.append(between)
+                * (0.7 + 0.6 * SeededDraw.draw(scenario.seed(), query, entry.getKey(), 7));
+        json.append(separator)
             .append("{\"partition\":")
-            .append(share.getKey())
+            .append(entry.getKey())
             .append(",\"share\":")
-            .append(share.getValue())
+            .append(entry.getValue())
             .append(",\"est_us\":")
-            .append((long) (guess * 1000))
+            .append((long) (estimateMs * 1000))
             .append('}');
-        between = ",";
+        separator = ",";
       }
       return json.append("],\"query\":\"").append(query).append("\"}").toString().getBytes();
     }
@@ -43,59 +43,63 @@
   private Workload() {}
 
   /** All wishes of a run, in the order of their times: a Poisson stream. */
-  public static List<ClientRequest> generate(Scenario world) {
-    SplittableRandom random = new SplittableRandom(world.seed());
-    List<ClientRequest> wishes = new ArrayList<>();
-    double total = world.serviceClasses().stream().mapToDouble(ServiceClass::trafficShare).sum();
-    double at = 0;
+  public static List<ClientRequest> generate(Scenario scenario) {
+    SplittableRandom random = new SplittableRandom(scenario.seed());
+    List<ClientRequest> requests = new ArrayList<>();
+    double totalShare =
+        scenario.serviceClasses().stream().mapToDouble(ServiceClass::trafficShare).sum();
+    double seconds = 0;
     while (true) {
-      at += -Math.log(1 - random.nextDouble()) / world.requestsPerSecond();
-      if (at > world.length().toNanos() / 1e9) {
-        return wishes;
+      seconds += -Math.log(1 - random.nextDouble()) / scenario.requestsPerSecond();
+      if (seconds > scenario.length().toNanos() / 1e9) {
+        return requests;
       }
-      double pick = random.nextDouble() * total;
-      ServiceClass grade = world.serviceClasses().get(world.serviceClasses().size() - 1);
-      for (ServiceClass each : world.serviceClasses()) {
-        if (pick < each.trafficShare()) {
-          grade = each;
+      double remaining = random.nextDouble() * totalShare;
+      ServiceClass serviceClass =
+          scenario.serviceClasses().get(scenario.serviceClasses().size() - 1);
+      for (ServiceClass each : scenario.serviceClasses()) {
+        if (remaining < each.trafficShare()) {
+          serviceClass = each;
           break;
         }
-        pick -= each.trafficShare();
+        remaining -= each.trafficShare();
       }
-      int number = wishes.size();
-      String text =
-          grade.name()
+      int number = requests.size();
+      String query =
+          serviceClass.name()
               + ':'
-              + String.format("%08x", (int) SeededDraw.bits(world.seed(), "text", number));
-      String key = String.format("%016x", SeededDraw.bits(world.seed(), "key", number));
-      wishes.add(
+              + String.format("%08x", (int) SeededDraw.bits(scenario.seed(), "text", number));
+      String key = String.format("%016x", SeededDraw.bits(scenario.seed(), "key", number));
+      requests.add(
           new ClientRequest(
               number,
-              Duration.ofNanos((long) (at * 1e9)),
-              grade,
-              shares(world, grade, random),
+              Duration.ofNanos((long) (seconds * 1e9)),
+              serviceClass,
+              shares(scenario, serviceClass, random),
               key,
-              text));
+              query));
     }
   }
 
   private static Map<Integer, Double> shares(
-      Scenario world, ServiceClass grade, SplittableRandom random) {
-    int count = Math.max(1, (int) Math.round(grade.partitionShare() * world.partitions()));
-    int first = random.nextInt(world.partitions());
+      Scenario scenario, ServiceClass serviceClass, SplittableRandom random) {
+    int count =
+        Math.max(1, (int) Math.round(serviceClass.partitionShare() * scenario.partitions()));
+    int first = random.nextInt(scenario.partitions());
     double[] weights = new double[count];
     double sum = 0;
     for (int i = 0; i < count; i++) {
       weights[i] =
-          grade.skewed() ? 1 / (1.0 + random.nextInt(count)) : 1 + 0.1 * random.nextDouble();
+          serviceClass.skewed() ? 1 / (1.0 + random.nextInt(count)) : 1 + 0.1 * random.nextDouble();
       sum += weights[i];
     }
     Map<Integer, Double> shares = new LinkedHashMap<>();
-    double left = 1;
+    double remaining = 1;
     for (int i = 0; i < count; i++) {
-      double share = i == count - 1 ? left : Math.round(weights[i] / sum * 1e6) / 1e6;
-      left -= share;
-      shares.put((first + i) % world.partitions(), Math.round(Math.max(share, 1e-6) * 1e6) / 1e6);
+      double share = i == count - 1 ? remaining : Math.round(weights[i] / sum * 1e6) / 1e6;
+      remaining -= share;
+      shares.put(
+          (first + i) % scenario.partitions(), Math.round(Math.max(share, 1e-6) * 1e6) / 1e6);
     }
     return shares;
   }
--- a/emulator/src/main/java/gingerring/emulator/experiment/ClientStatistics.java
+++ b/emulator/src/main/java/gingerring/emulator/experiment/ClientStatistics.java
@@ -36,48 +36,51 @@
   /** Tries that found no connection idle. */
   public long waitedForConnection;
 
-  void attemptEnded(ClientRequest wish, Answer answer, Duration took, Duration now) {
-    classStatistics(wish.serviceClass()).attemptOutcomes.merge(answer.fate(), 1L, Long::sum);
+  void attemptEnded(ClientRequest request, Answer answer, Duration duration, Duration now) {
+    classStatistics(request.serviceClass()).attemptOutcomes.merge(answer.fate(), 1L, Long::sum);
   }
 
-  void requestEnded(ClientRequest wish, Answer answer, Duration took) {
-    ServiceClass grade = wish.serviceClass();
-    ClassStatistics mine = classStatistics(grade);
-    mine.requestOutcomes.merge(answer.fate(), 1L, Long::sum);
+  void requestEnded(ClientRequest request, Answer answer, Duration duration) {
+    ServiceClass serviceClass = request.serviceClass();
+    ClassStatistics classStatistics = classStatistics(serviceClass);
+    classStatistics.requestOutcomes.merge(answer.fate(), 1L, Long::sum);
     double share = 0;
     if (answer.fate() == ScanOutcome.WHOLE || answer.fate() == ScanOutcome.PART) {
-      mine.latencyMicros.recordValue(Math.min(600_000_000L, took.toNanos() / 1000));
+      classStatistics.latencyMicros.recordValue(Math.min(600_000_000L, duration.toNanos() / 1000));
       share =
           answer.fate() == ScanOutcome.WHOLE
               ? 1
               : answer.values().keySet().stream()
-                  .mapToDouble(folio -> wish.shares().getOrDefault(folio, 0.0))
+                  .mapToDouble(folio -> request.shares().getOrDefault(folio, 0.0))
                   .sum();
-      share *= took.compareTo(grade.latencyTarget()) <= 0 ? 1 : grade.lateValueShare();
+      share *=
+          duration.compareTo(serviceClass.latencyTarget()) <= 0 ? 1 : serviceClass.lateValueShare();
     }
-    mine.offeredValue += grade.value();
-    mine.earnedValue += grade.value() * share;
-    double[] second =
-        valueBySecond.computeIfAbsent((int) wish.sendAt().toSeconds(), s -> new double[2]);
-    second[0] += grade.value();
-    second[1] += grade.value() * share;
+    classStatistics.offeredValue += serviceClass.value();
+    classStatistics.earnedValue += serviceClass.value() * share;
+    double[] totals =
+        valueBySecond.computeIfAbsent((int) request.sendAt().toSeconds(), s -> new double[2]);
+    totals[0] += serviceClass.value();
+    totals[1] += serviceClass.value() * share;
   }
 
-  private ClassStatistics classStatistics(ServiceClass grade) {
-    return byClass.computeIfAbsent(grade.name(), name -> new ClassStatistics());
+  private ClassStatistics classStatistics(ServiceClass serviceClass) {
+    return byClass.computeIfAbsent(serviceClass.name(), key -> new ClassStatistics());
   }
 
   public double serviceLevel() {
-    double all = byClass.values().stream().mapToDouble(grade -> grade.offeredValue).sum();
-    return all == 0
+    double offered =
+        byClass.values().stream().mapToDouble(serviceClass -> serviceClass.offeredValue).sum();
+    return offered == 0
         ? 1
-        : byClass.values().stream().mapToDouble(grade -> grade.earnedValue).sum() / all;
+        : byClass.values().stream().mapToDouble(serviceClass -> serviceClass.earnedValue).sum()
+            / offered;
   }
 
   /** Of tries, how many ended so. */
-  public long attemptsWith(ScanOutcome fate) {
+  public long attemptsWith(ScanOutcome outcome) {
     return byClass.values().stream()
-        .mapToLong(grade -> grade.attemptOutcomes.getOrDefault(fate, 0L))
+        .mapToLong(serviceClass -> serviceClass.attemptOutcomes.getOrDefault(outcome, 0L))
         .sum();
   }
 }
--- a/emulator/src/main/java/gingerring/emulator/experiment/EmulatedClients.java
+++ b/emulator/src/main/java/gingerring/emulator/experiment/EmulatedClients.java
@@ -64,115 +64,119 @@
   private record ClientAttempt(ClientRequest request, int number, Duration firstSentAt) {}
 
   EmulatedClients(
-      Scenario world,
+      Scenario scenario,
       Reactor reactor,
-      RuleChecker referee,
-      InetSocketAddress mixer,
-      double pace,
-      ClientStatistics tally,
-      Runnable over) {
+      RuleChecker ruleChecker,
+      InetSocketAddress mixerAddress,
+      double speedFactor,
+      ClientStatistics statistics,
+      Runnable onCompletion) {
     this(
-        world,
+        scenario,
         reactor,
-        referee,
+        ruleChecker,
         new MixerSelector() {
           @Override
-          public int mixer(int client) {
+          public int mixer(int connection) {
             return 0;
           }
 
           @Override
           public InetSocketAddress address(int number) {
-            return mixer;
+            return mixerAddress;
           }
         },
-        pace,
-        tally,
-        over);
+        speedFactor,
+        statistics,
+        onCompletion);
   }
 
   /** Clients of several mixers. */
   public EmulatedClients(
-      Scenario world,
+      Scenario scenario,
       Reactor reactor,
-      RuleChecker referee,
-      MixerSelector way,
-      double pace,
-      ClientStatistics tally,
-      Runnable over) {
-    this.scenario = world;
+      RuleChecker ruleChecker,
+      MixerSelector mixerSelector,
+      double speedFactor,
+      ClientStatistics statistics,
+      Runnable onCompletion) {
+    this.scenario = scenario;
     this.reactor = reactor;
-    this.ruleChecker = referee;
-    this.mixerSelector = way;
-    this.speedFactor = pace;
-    this.statistics = tally;
-    this.onCompletion = over;
+    this.ruleChecker = ruleChecker;
+    this.mixerSelector = mixerSelector;
+    this.speedFactor = speedFactor;
+    this.statistics = statistics;
+    this.onCompletion = onCompletion;
     retries =
         new Retries(
-            new Retries.Rule(world.maxRetries(), Duration.ofMillis(200), 2, 0.5),
-            new SplittableRandom(world.seed() + 1));
+            new Retries.Rule(scenario.maxRetries(), Duration.ofMillis(200), 2, 0.5),
+            new SplittableRandom(scenario.seed() + 1));
   }
 
-  public void start(List<ClientRequest> wishes) {
-    openRequests = wishes.size();
+  public void start(List<ClientRequest> requests) {
+    openRequests = requests.size();
     if (openRequests == 0) {
       onCompletion.run();
     }
-    for (ClientRequest wish : wishes) {
+    for (ClientRequest request : requests) {
       reactor.after(
-          Duration.ofNanos((long) (wish.sendAt().toNanos() / speedFactor)),
-          () -> send(new ClientAttempt(wish, 0, reactor.now())));
+          Duration.ofNanos((long) (request.sendAt().toNanos() / speedFactor)),
+          () -> send(new ClientAttempt(request, 0, reactor.now())));
     }
   }
 
-  private void send(ClientAttempt next) {
-    int who =
+  private void send(ClientAttempt attempt) {
+    int clientNumber =
         (int)
-            (SeededDraw.draw(scenario.seed(), "client", next.request.number())
+            (SeededDraw.draw(scenario.seed(), "client", attempt.request.number())
                 * scenario.clients());
-    Deque<ClientConnection> mine = idleByClient.computeIfAbsent(who, w -> new ArrayDeque<>());
-    ClientConnection client = mine.pollFirst();
-    while (client != null && !client.connection.open()) {
-      client = mine.pollFirst();
+    Deque<ClientConnection> idle =
+        idleByClient.computeIfAbsent(clientNumber, w -> new ArrayDeque<>());
+    ClientConnection connection = idle.pollFirst();
+    while (connection != null && !connection.socket.open()) {
+      connection = idle.pollFirst();
     }
-    if (client == null && connectionCount >= 2 * scenario.clients() && !idleConnections.isEmpty()) {
+    if (connection == null
+        && connectionCount >= 2 * scenario.clients()
+        && !idleConnections.isEmpty()) {
       idleConnections.iterator().next().close();
     }
-    if (client == null && connectionCount < 2 * scenario.clients()) {
-      client = new ClientConnection(who);
+    if (connection == null && connectionCount < 2 * scenario.clients()) {
+      connection = new ClientConnection(clientNumber);
     }
-    if (client == null) {
+    if (connection == null) {
       statistics.waitedForConnection++;
-      waitingAttempts.add(next);
+      waitingAttempts.add(attempt);
     } else {
-      client.send(next);
+      connection.send(attempt);
     }
   }
 
   /** A connection is idle or gone: whoever waits longest is next. */
   private void sendWaiting() {
-    ClientAttempt next = waitingAttempts.poll();
-    if (next != null) {
-      send(next);
+    ClientAttempt attempt = waitingAttempts.poll();
+    if (attempt != null) {
+      send(attempt);
     }
   }
 
-  private void attemptEnded(ClientAttempt which, Answer answer) {
-    Duration took = reactor.now().minus(which.firstSentAt);
-    Optional<Duration> again =
+  private void attemptEnded(ClientAttempt attempt, Answer answer) {
+    Duration elapsed = reactor.now().minus(attempt.firstSentAt);
+    Optional<Duration> retryDelay =
         answer.fate() == ObservedScan.ScanOutcome.WHOLE
                 || answer.fate() == ObservedScan.ScanOutcome.PART
             ? Optional.empty()
-            : retries.next(which.number, answer.comeBack());
-    statistics.attemptEnded(which.request, answer, took, reactor.now());
-    if (again.isPresent()
-        && took.plus(again.get()).compareTo(which.request.serviceClass().deadline()) < 0) {
+            : retries.next(attempt.number, answer.comeBack());
+    statistics.attemptEnded(attempt.request, answer, elapsed, reactor.now());
+    if (retryDelay.isPresent()
+        && elapsed.plus(retryDelay.get()).compareTo(attempt.request.serviceClass().deadline())
+            < 0) {
       statistics.retries++;
       reactor.after(
-          again.get(),
-          () -> send(new ClientAttempt(which.request, which.number + 1, which.firstSentAt)));
+          retryDelay.get(),
+          () -> send(new ClientAttempt(attempt.request, attempt.number + 1, attempt.firstSentAt)));
     } else {
-      statistics.requestEnded(which.request, answer, took);
+      statistics.requestEnded(attempt.request, answer, elapsed);
       if (--openRequests == 0) {
         onCompletion.run();
       }
@@ -184,10 +188,10 @@
    * What the wishes that have no end yet wait for, one line each party; empty once all have theirs.
    */
   public List<String> describePending() {
-    Map<Integer, Integer> asked = new TreeMap<>();
-    busyConnections.forEach(client -> asked.merge(client.mixer, 1, Integer::sum));
+    Map<Integer, Integer> busyByMixer = new TreeMap<>();
+    busyConnections.forEach(connection -> busyByMixer.merge(connection.mixer, 1, Integer::sum));
     List<String> lines = new ArrayList<>();
-    asked.forEach(
+    busyByMixer.forEach(
         (mixer, count) -> lines.add("m" + mixer + " owes " + count + " clients an answer"));
     if (!waitingAttempts.isEmpty()) {
       lines.add(
@@ -200,9 +204,9 @@
               + idleConnections.size()
               + " idle");
     }
-    int rest = openRequests - busyConnections.size() - waitingAttempts.size();
-    if (rest > 0) {
-      lines.add(rest + " wishes are to be asked later, or are asked no more");
+    int notSentYet = openRequests - busyConnections.size() - waitingAttempts.size();
+    if (notSentYet > 0) {
+      lines.add(notSentYet + " wishes are to be asked later, or are asked no more");
     }
     return lines;
   }
@@ -211,77 +215,77 @@
   private final class ClientConnection extends HttpHandler {
     private final int client;
     private final int mixer;
-    private final ReactorConnection connection;
+    private final ReactorConnection socket;
     private ClientAttempt attempt;
     private String scanId;
     private boolean removed;
 
-    ClientConnection(int who) {
+    ClientConnection(int client) {
       super(false, 1 << 20);
-      this.client = who;
+      this.client = client;
       connectionCount++;
-      mixer = mixerSelector.mixer(who);
-      connection = reactor.dial(mixerSelector.address(mixer), this);
+      mixer = mixerSelector.mixer(client);
+      socket = reactor.dial(mixerSelector.address(mixer), this);
     }
 
     void send(ClientAttempt next) {
       attempt = next;
       idleConnections.remove(this);
       busyConnections.add(this);
-      String mine = String.format("%08x", attemptNumber++) + '-' + next.number;
-      scanId = mine;
-      Scenario.ServiceClass grade = next.request.serviceClass();
-      byte[] json = next.request.body(scenario);
-      String text =
+      String sentScanId = String.format("%08x", attemptNumber++) + '-' + next.number;
+      scanId = sentScanId;
+      Scenario.ServiceClass serviceClass = next.request.serviceClass();
+      byte[] body = next.request.body(scenario);
+      String head =
           "POST /api HTTP/1.1\r\nHost: mixer\r\nX-Txn: "
               + scanId
               + "\r\nX-Lane: "
-              + grade.name()
+              + serviceClass.name()
               + "\r\nX-Remaining-Ms: "
-              + grade.deadline().toMillis()
+              + serviceClass.deadline().toMillis()
               + (next.number > 0 ? "\r\nX-Resent: 1" : "")
-              + (grade.retrySafety() == Scenario.RetrySafety.KEYED
+              + (serviceClass.retrySafety() == Scenario.RetrySafety.KEYED
                   ? "\r\nIdempotency-Key: " + next.request.key()
                   : "")
               + "\r\nContent-Length: "
-              + json.length
+              + body.length
               + "\r\n\r\n";
-      connection.put(text.getBytes(StandardCharsets.US_ASCII));
-      connection.put(json);
+      socket.put(head.getBytes(StandardCharsets.US_ASCII));
+      socket.put(body);
       statistics.attempts++;
       ruleChecker.requestSent(
           mixer,
           scanId,
-          grade.name(),
+          serviceClass.name(),
           next.request.shares(),
-          grade.retrySafety() == Scenario.RetrySafety.KEYED ? next.request.key() : null,
+          serviceClass.retrySafety() == Scenario.RetrySafety.KEYED ? next.request.key() : null,
           reactor.now(),
-          grade.deadline());
+          serviceClass.deadline());
       reactor.after(
-          grade.deadline().plus(RuleChecker.SLACK),
+          serviceClass.deadline().plus(RuleChecker.SLACK),
           () -> {
-            if (mine.equals(scanId) && attempt != null) {
+            if (sentScanId.equals(scanId) && attempt != null) {
               ruleChecker.answerMissing(scanId, reactor.now());
-              connection.reset();
+              socket.reset();
             }
           });
     }
 
     @Override
     protected void malformed(HttpException e) {
-      connection.reset();
+      socket.reset();
     }
 
     @Override
-    protected void message(MessageHead head, byte[] json) {
-      ClientAttempt ended = attempt;
-      if (ended == null) {
+    protected void message(MessageHead head, byte[] body) {
+      ClientAttempt endedAttempt = attempt;
+      if (endedAttempt == null) {
         return;
       }
       attempt = null;
       busyConnections.remove(this);
-      Answer answer = Answer.read(head, json);
-      boolean served =
+      Answer answer = Answer.read(head, body);
+      boolean hasValues =
           answer.fate() == ObservedScan.ScanOutcome.WHOLE
               || answer.fate() == ObservedScan.ScanOutcome.PART;
       ruleChecker.requestAnswered(
@@ -289,14 +293,14 @@
           reactor.now(),
           answer.fate() == ObservedScan.ScanOutcome.NACKED,
           answer.whole(),
-          served ? answer.values() : null);
+          hasValues ? answer.values() : null);
       if (head.hasToken("connection", "close")) {
         close();
       } else {
         idleByClient.get(client).addFirst(this);
         idleConnections.add(this);
       }
-      attemptEnded(ended, answer);
+      attemptEnded(endedAttempt, answer);
     }
 
     private void remove() {
@@ -310,24 +314,24 @@
 
     private void close() {
       remove();
-      connection.close();
+      socket.close();
     }
 
     @Override
     public void closed() {
-      boolean first = !removed;
+      boolean wasOpen = !removed;
       remove();
       if (attempt == null) {
-        if (first) {
+        if (wasOpen) {
           sendWaiting();
         }
       } else {
-        ClientAttempt ended = attempt;
+        ClientAttempt endedAttempt = attempt;
         attempt = null;
         busyConnections.remove(this);
         ruleChecker.clientLeft(scanId, reactor.now());
         attemptEnded(
-            ended,
+            endedAttempt,
             new Answer(
                 ObservedScan.ScanOutcome.LEFT,
                 0,
@@ -338,8 +342,8 @@
       }
     }
 
-    private void attemptEnded(ClientAttempt which, Answer answer) {
-      EmulatedClients.this.attemptEnded(which, answer);
+    private void attemptEnded(ClientAttempt attempt, Answer answer) {
+      EmulatedClients.this.attemptEnded(attempt, answer);
     }
   }
 }
--- a/emulator/src/main/java/gingerring/emulator/experiment/EmulatedStore.java
+++ b/emulator/src/main/java/gingerring/emulator/experiment/EmulatedStore.java
@@ -59,7 +59,7 @@
       return "box-" + box.number + (replacements == 0 ? "" : "-" + replacements);
     }
 
-    String memberJson(String as, MixerView view) {
+    String memberJson(String asPhase, MixerView view) {
       return "{\"id\":\""
           + id()
           + "\",\"host_port\":\"127.0.0.1:"
@@ -69,7 +69,7 @@
           + "\",\"flavor\":\"emulated\",\"cell\":"
           + box.number
           + ",\"phase\":\""
-          + as
+          + asPhase
           + "\",\"size\":1.0,\"up_since_ms\":"
           + upSinceMs
           + "}";
@@ -89,10 +89,11 @@
     private final List<Runnable> pendingUpdates = new ArrayList<>();
     private IntConsumer closedPortListener = port -> {};
 
-    MixerView(int mixer, IntBinaryOperator way) throws IOException {
+    MixerView(int mixer, IntBinaryOperator portMapping) throws IOException {
       this.mixer = mixer;
-      this.portMapping = way;
-      listening = reactor.listen(loopback(0), wire -> new DiscoveryConnection(this, wire));
+      this.portMapping = portMapping;
+      listening =
+          reactor.listen(loopback(0), connection -> new DiscoveryConnection(this, connection));
     }
 
     public InetSocketAddress discoveryAddress() {
@@ -105,9 +106,9 @@
     }
 
     /** Its agent says nothing, and then all that it held back. */
-    public void setSilent(boolean on) {
-      silent = on;
-      if (!on) {
+    public void setSilent(boolean isSilent) {
+      silent = isSilent;
+      if (!isSilent) {
         List<Runnable> due = new ArrayList<>(pendingUpdates);
         pendingUpdates.clear();
         due.forEach(Runnable::run);
@@ -115,12 +116,12 @@
     }
 
     /** Whom to tell of a box's port that has closed. */
-    public void onPortClosed(IntConsumer told) {
-      closedPortListener = told;
+    public void onPortClosed(IntConsumer listener) {
+      closedPortListener = listener;
     }
 
-    private void sendLine(String text) {
-      watchers.forEach(watch -> watch.sendLine(text));
+    private void sendLine(String line) {
+      watchers.forEach(watcher -> watcher.sendLine(line));
     }
   }
 
@@ -152,25 +153,30 @@
   private Duration firstPartTime;
 
   /** Starts at once; {@code referee} is told of all that the boxes see. */
-  public EmulatedStore(Scenario world, Reactor reactor, RuleChecker referee, double pace)
+  public EmulatedStore(
+      Scenario scenario, Reactor reactor, RuleChecker ruleChecker, double speedFactor)
       throws IOException {
-    this(world, reactor, referee, pace, List.of("a"));
+    this(scenario, reactor, ruleChecker, speedFactor, List.of("a"));
   }
 
   /** The same, with boxes in turn in these zones. */
   public EmulatedStore(
-      Scenario world, Reactor reactor, RuleChecker referee, double pace, List<String> zones)
+      Scenario scenario,
+      Reactor reactor,
+      RuleChecker ruleChecker,
+      double speedFactor,
+      List<String> zones)
       throws IOException {
     this.zones = zones;
-    this.scenario = world;
+    this.scenario = scenario;
     this.reactor = reactor;
-    this.ruleChecker = referee;
-    this.speedFactor = pace;
-    for (int i = 0; i < world.boxes(); i++) {
-      BoxServer seat = new BoxServer(new Box(world, i, this));
-      servers.add(seat);
-      seat.box.start(false);
-      listen(seat);
+    this.ruleChecker = ruleChecker;
+    this.speedFactor = speedFactor;
+    for (int i = 0; i < scenario.boxes(); i++) {
+      BoxServer server = new BoxServer(new Box(scenario, i, this));
+      servers.add(server);
+      server.box.start(false);
+      listen(server);
     }
     views.add(new MixerView(0, (box, port) -> port));
     sendKeepAlives();
@@ -181,22 +187,22 @@
    * A mixer's sight of this store, in the place of any that it had; before the reactor runs, or on
    * its thread.
    */
-  public MixerView addView(int mixer, IntBinaryOperator way) throws IOException {
+  public MixerView addView(int mixer, IntBinaryOperator portMapping) throws IOException {
     views.stream().filter(each -> each.mixer == mixer).forEach(each -> each.listening.close());
     views.removeIf(each -> each.mixer == mixer);
-    MixerView view = new MixerView(mixer, way);
+    MixerView view = new MixerView(mixer, portMapping);
     views.add(view);
     return view;
   }
 
   /** A link tells what it knows of a connection that it makes. */
-  public void registerSendTimes(ReactorConnection made, SendTimes passage) {
-    sendTimesByPorts.put(portPair(made.local(), made.remote()), passage);
+  public void registerSendTimes(ReactorConnection connection, SendTimes sendTimes) {
+    sendTimesByPorts.put(portPair(connection.local(), connection.remote()), sendTimes);
   }
 
   /** One port of a machine may be the near end of connections to several far ones. */
-  private static long portPair(InetSocketAddress from, InetSocketAddress to) {
-    return (long) from.getPort() << 16 | to.getPort();
+  private static long portPair(InetSocketAddress near, InetSocketAddress far) {
+    return (long) near.getPort() << 16 | far.getPort();
   }
 
   public static InetSocketAddress loopback(int port) {
@@ -214,9 +220,9 @@
 
   private String memberList(MixerView view) {
     List<String> members = new ArrayList<>();
-    for (BoxServer seat : servers) {
-      if (!seat.phase.equals("DELETED")) {
-        members.add(seat.memberJson(seat.phase, view));
+    for (BoxServer server : servers) {
+      if (!server.phase.equals("DELETED")) {
+        members.add(server.memberJson(server.phase, view));
       }
     }
     return "{\"revision\":"
@@ -230,8 +236,8 @@
    * The run begins with the first part that comes, which is taken to come at this time of the
    * world.
    */
-  public void startOnFirstPart(Duration at) {
-    firstPartTime = at;
+  public void startOnFirstPart(Duration scenarioTime) {
+    firstPartTime = scenarioTime;
   }
 
   /** The run begins now: troubles come at their times from here on. */
@@ -239,24 +245,24 @@
     start(Duration.ZERO);
   }
 
-  private void start(Duration at) {
-    scenarioStart = reactor.now().minus(toRealTime(at));
-    for (BoxFault trouble : scenario.faults()) {
-      for (int number : scenario.affectedBoxes(trouble)) {
-        BoxServer seat = servers.get(number);
-        scheduleAt(trouble.start(), () -> beginFault(trouble, seat));
-        scheduleAt(trouble.start().plus(trouble.duration()), () -> endFault(trouble, seat));
+  private void start(Duration scenarioTime) {
+    scenarioStart = reactor.now().minus(toRealTime(scenarioTime));
+    for (BoxFault fault : scenario.faults()) {
+      for (int number : scenario.affectedBoxes(fault)) {
+        BoxServer server = servers.get(number);
+        scheduleAt(fault.start(), () -> beginFault(fault, server));
+        scheduleAt(fault.start().plus(fault.duration()), () -> endFault(fault, server));
       }
     }
   }
 
-  private void scheduleAt(Duration worldTime, Runnable task) {
-    Duration wait = toRealTime(worldTime).minus(reactor.now().minus(scenarioStart));
-    reactor.after(wait.isNegative() ? Duration.ZERO : wait, task);
+  private void scheduleAt(Duration scenarioTime, Runnable task) {
+    Duration delay = toRealTime(scenarioTime).minus(reactor.now().minus(scenarioStart));
+    reactor.after(delay.isNegative() ? Duration.ZERO : delay, task);
   }
 
-  private Duration toRealTime(Duration worldTime) {
-    return Duration.ofNanos((long) (worldTime.toNanos() / speedFactor));
+  private Duration toRealTime(Duration scenarioTime) {
+    return Duration.ofNanos((long) (scenarioTime.toNanos() / speedFactor));
   }
 
   // ---- Box.Host ----
@@ -267,31 +273,38 @@
   }
 
   @Override
-  public void schedule(Duration span, Runnable task) {
-    reactor.after(span, task);
+  public void schedule(Duration delay, Runnable task) {
+    reactor.after(delay, task);
   }
 
   @Override
-  public void answer(Box.Part part, String end) {
-    ((BoxConnection) part.connection()).answer(part, end);
+  public void answer(Box.Part part, String outcome) {
+    ((BoxConnection) part.connection()).answer(part, outcome);
   }
 
   @Override
   public boolean beginExecution(Box.Part part) {
-    Scenario.ServiceClass grade = scenario.serviceClass(part.query().replaceAll(":.*", ""));
-    if (part.key() == null || grade == null || grade.retrySafety() != Scenario.RetrySafety.KEYED) {
+    Scenario.ServiceClass serviceClass = scenario.serviceClass(part.query().replaceAll(":.*", ""));
+    if (part.key() == null
+        || serviceClass == null
+        || serviceClass.retrySafety() != Scenario.RetrySafety.KEYED) {
       return true;
     }
     Duration now = reactor.now();
     if (executedKeys.size() > MAX_STORED_KEYS) {
-      executedKeys.values().removeIf(at -> now.minus(at).compareTo(grade.idempotencyWindow()) > 0);
-    }
-    Duration before = executedKeys.putIfAbsent(part.key() + '.' + part.partition(), now);
-    if (before != null && now.minus(before).compareTo(grade.idempotencyWindow()) > 0) {
+      executedKeys
+          .values()
+          .removeIf(
+              scenarioTime ->
+                  now.minus(scenarioTime).compareTo(serviceClass.idempotencyWindow()) > 0);
+    }
+    Duration firstExecution = executedKeys.putIfAbsent(part.key() + '.' + part.partition(), now);
+    if (firstExecution != null
+        && now.minus(firstExecution).compareTo(serviceClass.idempotencyWindow()) > 0) {
       executedKeys.put(part.key() + '.' + part.partition(), now);
       return true;
     }
-    return before == null;
+    return firstExecution == null;
   }
 
   @Override
@@ -302,61 +315,61 @@
 
   // ---- troubles ----
 
-  private void beginFault(BoxFault trouble, BoxServer seat) {
-    switch (trouble.kind()) {
+  private void beginFault(BoxFault fault, BoxServer server) {
+    switch (fault.kind()) {
       case CRASH -> {
-        seat.box.stop();
-        closeSockets(seat);
-        publishPhase(seat, "DELETED");
+        server.box.stop();
+        closeSockets(server);
+        publishPhase(server, "DELETED");
       }
       case VANISH -> {
-        seat.box.stop();
-        seat.unresponsive = true;
-        seat.connections.forEach(line -> line.connection.pauseReading(true));
-        publishPhase(seat, "DELETED");
+        server.box.stop();
+        server.unresponsive = true;
+        server.connections.forEach(connection -> connection.connection.pauseReading(true));
+        publishPhase(server, "DELETED");
       }
       case DRAIN -> {
-        seat.box.drain();
-        publishPhase(seat, "DRAINING");
+        server.box.drain();
+        publishPhase(server, "DRAINING");
         reactor.after(
             toRealTime(DRAIN_DURATION),
             () -> {
-              seat.box.stop();
-              closeSockets(seat);
-              publishPhase(seat, "DELETED");
+              server.box.stop();
+              closeSockets(server);
+              publishPhase(server, "DELETED");
             });
       }
-      case BREAK -> breakConnections(trouble, seat);
+      case BREAK -> breakConnections(fault, server);
       default -> {} // the box looks for itself
     }
   }
 
-  private void breakConnections(BoxFault trouble, BoxServer seat) {
-    if (trouble.isActive(now())) {
-      for (BoxConnection line : List.copyOf(seat.connections)) {
-        if (SeededDraw.draw(scenario.seed(), "break", seat.box.number, breakDraws++)
-            < trouble.magnitude()) {
-          line.connection.reset();
+  private void breakConnections(BoxFault fault, BoxServer server) {
+    if (fault.isActive(now())) {
+      for (BoxConnection connection : List.copyOf(server.connections)) {
+        if (SeededDraw.draw(scenario.seed(), "break", server.box.number, breakDraws++)
+            < fault.magnitude()) {
+          connection.connection.reset();
         }
       }
-      reactor.after(toRealTime(Duration.ofSeconds(1)), () -> breakConnections(trouble, seat));
+      reactor.after(toRealTime(Duration.ofSeconds(1)), () -> breakConnections(fault, server));
     }
   }
 
-  private void endFault(BoxFault trouble, BoxServer seat) {
-    switch (trouble.kind()) {
+  private void endFault(BoxFault fault, BoxServer server) {
+    switch (fault.kind()) {
       case CRASH, VANISH, DRAIN -> {
-        closeSockets(seat);
-        if (!seat.box.isOverloaded()) {
-          seat.unresponsive = false;
-          seat.upSinceMs = System.currentTimeMillis();
-          seat.box.start(true);
-          if (trouble.kind() == BoxFault.Kind.DRAIN) {
-            seat.replacements++;
+        closeSockets(server);
+        if (!server.box.isOverloaded()) {
+          server.unresponsive = false;
+          server.upSinceMs = System.currentTimeMillis();
+          server.box.start(true);
+          if (fault.kind() == BoxFault.Kind.DRAIN) {
+            server.replacements++;
           }
           try {
-            listen(seat);
-            publishPhase(seat, "SERVING");
+            listen(server);
+            publishPhase(server, "SERVING");
           } catch (IOException e) {
             throw new UncheckedIOException(e);
           }
@@ -366,50 +379,50 @@
     }
   }
 
-  private void listen(BoxServer seat) throws IOException {
-    seat.listening = reactor.listen(loopback(0), wire -> new BoxConnection(seat, wire));
+  private void listen(BoxServer server) throws IOException {
+    server.listening = reactor.listen(loopback(0), wire -> new BoxConnection(server, wire));
   }
 
-  private void closeSockets(BoxServer seat) {
-    if (seat.listening.channel().isOpen()) {
-      int port = seat.listening.address().getPort();
+  private void closeSockets(BoxServer server) {
+    if (server.listening.channel().isOpen()) {
+      int port = server.listening.address().getPort();
       views.forEach(view -> view.closedPortListener.accept(port));
     }
-    seat.listening.close();
-    List.copyOf(seat.connections).forEach(line -> line.connection.reset());
+    server.listening.close();
+    List.copyOf(server.connections).forEach(connection -> connection.connection.reset());
   }
 
   /** The list learns of it after its lag, and tells all watches. */
-  private void publishPhase(BoxServer seat, String phase) {
-    Map<MixerView, String> before = new LinkedHashMap<>();
-    views.forEach(view -> before.put(view, seat.memberJson(phase, view)));
-    double lag =
+  private void publishPhase(BoxServer server, String phase) {
+    Map<MixerView, String> membersByView = new LinkedHashMap<>();
+    views.forEach(view -> membersByView.put(view, server.memberJson(phase, view)));
+    double extraLagFactor =
         scenario.faults().stream()
-            .filter(trouble -> trouble.kind() == BoxFault.Kind.STALE && trouble.isActive(now()))
+            .filter(fault -> fault.kind() == BoxFault.Kind.STALE && fault.isActive(now()))
             .mapToDouble(BoxFault::magnitude)
             .max()
             .orElse(0);
-    Duration wait = toRealTime(scenario.discoveryLag()).multipliedBy((long) (1 + lag));
+    Duration delay = toRealTime(scenario.discoveryLag()).multipliedBy((long) (1 + extraLagFactor));
     reactor.after(
-        wait,
+        delay,
         () -> {
-          seat.phase = phase;
+          server.phase = phase;
           revision++;
-          String head = "{\"revision\":" + revision + ",\"complete\":false,\"members\":[";
-          before.forEach(
+          String prefix = "{\"revision\":" + revision + ",\"complete\":false,\"members\":[";
+          membersByView.forEach(
               (view, member) -> {
-                Runnable tell =
+                Runnable notification =
                     () -> {
                       ruleChecker.boxStateNotified(
                           view.mixer,
-                          seat.box.number,
+                          server.box.number,
                           phase.equals("SERVING") ? null : reactor.now());
-                      view.sendLine(head + member + "]}");
+                      view.sendLine(prefix + member + "]}");
                     };
                 if (view.silent) {
-                  view.pendingUpdates.add(tell);
+                  view.pendingUpdates.add(notification);
                 } else {
-                  tell.run();
+                  notification.run();
                 }
               });
         });
@@ -421,13 +434,13 @@
         Duration.ofSeconds(1),
         () -> {
           Duration now = reactor.now();
-          for (BoxServer seat : servers) {
-            List.copyOf(seat.connections).stream()
+          for (BoxServer server : servers) {
+            List.copyOf(server.connections).stream()
                 .filter(
-                    line ->
-                        line.partsInFlight == 0
-                            && now.minus(line.lastUsed).compareTo(scenario.idleTimeout()) > 0)
-                .forEach(line -> line.connection.close());
+                    connection ->
+                        connection.partsInFlight == 0
+                            && now.minus(connection.lastUsed).compareTo(scenario.idleTimeout()) > 0)
+                .forEach(connection -> connection.connection.close());
           }
           closeIdleConnections();
         });
@@ -448,8 +461,9 @@
   public Map<Integer, double[]> loadByBox() {
     Map<Integer, double[]> load = new TreeMap<>();
     servers.forEach(
-        seat ->
-            load.put(seat.box.number, new double[] {seat.box.partsDone(), seat.box.workDoneMs()}));
+        server ->
+            load.put(
+                server.box.number, new double[] {server.box.partsDone(), server.box.workDoneMs()}));
     return load;
   }
 
@@ -470,7 +484,7 @@
 
   /** Breaks every connection of a box, as when its machine's network starts anew. */
   public void resetConnections(int box) {
-    List.copyOf(servers.get(box).connections).forEach(line -> line.connection.reset());
+    List.copyOf(servers.get(box).connections).forEach(connection -> connection.connection.reset());
   }
 
   // ---- a connection to a box ----
@@ -491,17 +505,17 @@
 
     private long bytesRead;
 
-    BoxConnection(BoxServer seat, ReactorConnection wire) {
-      this.server = seat;
-      this.connection = wire;
-      if (seat.connections.size() >= scenario.maxConnections()) {
-        wire.close();
+    BoxConnection(BoxServer server, ReactorConnection connection) {
+      this.server = server;
+      this.connection = connection;
+      if (server.connections.size() >= scenario.maxConnections()) {
+        connection.close();
       }
-      seat.connections.add(this);
+      server.connections.add(this);
       connectionsOpened++;
-      maxConnectionsPerBox = Math.max(maxConnectionsPerBox, seat.connections.size());
-      if (seat.unresponsive) {
-        wire.pauseReading(true);
+      maxConnectionsPerBox = Math.max(maxConnectionsPerBox, server.connections.size());
+      if (server.unresponsive) {
+        connection.pauseReading(true);
       }
     }
 
@@ -511,25 +525,25 @@
         sendTimes = sendTimesByPorts.get(portPair(connection.remote(), connection.local()));
       }
       received.write(bytes, 0, length);
-      ByteBuffer all = ByteBuffer.wrap(received.toByteArray()).order(ByteOrder.LITTLE_ENDIAN);
-      while (all.remaining() >= 4) {
-        int size = all.getInt(all.position());
-        if (size < 1 || size > MAX_FRAME_BYTES) {
-          sendFrame("Fa frame of " + size + " bytes");
+      ByteBuffer buffer = ByteBuffer.wrap(received.toByteArray()).order(ByteOrder.LITTLE_ENDIAN);
+      while (buffer.remaining() >= 4) {
+        int frameLength = buffer.getInt(buffer.position());
+        if (frameLength < 1 || frameLength > MAX_FRAME_BYTES) {
+          sendFrame("Fa frame of " + frameLength + " bytes");
           connection.close();
           return;
         }
-        if (all.remaining() < 4 + size) {
+        if (buffer.remaining() < 4 + frameLength) {
           break;
         }
-        byte[] frame = new byte[size];
-        all.position(all.position() + 4);
-        all.get(frame);
-        bytesRead += 4 + size;
+        byte[] frame = new byte[frameLength];
+        buffer.position(buffer.position() + 4);
+        buffer.get(frame);
+        bytesRead += 4 + frameLength;
         handleFrame(frame);
       }
       received.reset();
-      received.write(all.array(), all.position(), all.remaining());
+      received.write(buffer.array(), buffer.position(), buffer.remaining());
     }
 
     private void handleFrame(byte[] frame) {
@@ -557,40 +571,42 @@
         start(firstPartTime);
         firstPartTime = null;
       }
-      for (int at = 1; at < frame.length; ) {
-        int end = at;
-        while (end < frame.length && frame[end] != '\n') {
-          end++;
+      for (int start = 1; start < frame.length; ) {
+        int lineEnd = start;
+        while (lineEnd < frame.length && frame[lineEnd] != '\n') {
+          lineEnd++;
         }
-        String[] words = new String(frame, at, end - at, StandardCharsets.US_ASCII).split(" ");
-        if (end == frame.length || words.length != 4) {
+        String[] fields =
+            new String(frame, start, lineEnd - start, StandardCharsets.US_ASCII).split(" ");
+        if (lineEnd == frame.length || fields.length != 4) {
           sendFrame("Fno part's line");
           connection.close();
           return;
         }
-        int length = Integer.parseInt(words[3]);
-        String text = new String(frame, end + 1, length, StandardCharsets.UTF_8);
-        at = end + 1 + length;
-        String key = null;
-        for (String pair : words[2].split(",")) {
-          key = pair.startsWith("k=") ? pair.substring(2) : key;
+        int length = Integer.parseInt(fields[3]);
+        String query = new String(frame, lineEnd + 1, length, StandardCharsets.UTF_8);
+        start = lineEnd + 1 + length;
+        String idempotencyKey = null;
+        for (String option : fields[2].split(",")) {
+          idempotencyKey = option.startsWith("k=") ? option.substring(2) : idempotencyKey;
         }
-        int folio = Integer.parseInt(words[1]);
+        int partition = Integer.parseInt(fields[1]);
         Duration now = reactor.now();
         if (sendTimes == null) {
-          ruleChecker.partReceived(scanId(words[0]), folio, key, server.box.number, now);
+          ruleChecker.partReceived(
+              scanId(fields[0]), partition, idempotencyKey, server.box.number, now);
         } else {
           ruleChecker.partReceived(
               sendTimes.mixer(),
-              scanId(words[0]),
-              folio,
-              key,
+              scanId(fields[0]),
+              partition,
+              idempotencyKey,
               server.box.number,
               sendTimes.sentAt(bytesRead),
               now);
         }
         partsInFlight++;
-        Box.Part part = new Box.Part(this, words[0], folio, key, text);
+        Box.Part part = new Box.Part(this, fields[0], partition, idempotencyKey, query);
         if (firstCallSeen || scenario.handshake().isZero()) {
           server.box.receive(part);
         } else {
@@ -601,37 +617,37 @@
       firstCallSeen = true;
     }
 
-    private String scanId(String id) {
-      return id.substring(0, id.lastIndexOf('.'));
+    private String scanId(String partId) {
+      return partId.substring(0, partId.lastIndexOf('.'));
     }
 
     private String loadReport() {
       return "queue=" + server.box.queueLength() + ",inflight=" + server.box.inFlight();
     }
 
-    void answer(Box.Part part, String end) {
+    void answer(Box.Part part, String outcome) {
       if (connection.closed() || server.unresponsive) {
         return;
       }
       partsInFlight--;
       lastUsed = reactor.now();
       String value = SeededDraw.value(scenario.seed(), part.query(), part.partition());
-      boolean done = end.equals("done");
+      boolean done = outcome.equals("done");
       ruleChecker.partAnswered(
           scanId(part.id()),
           part.partition(),
           server.box.number,
-          end,
+          outcome,
           done ? value : null,
           lastUsed);
-      if (end.equals("spoilt")) {
+      if (outcome.equals("spoilt")) {
         sendFrame("R" + part.id() + " strange 0 -\nspoilt");
       } else {
         sendFrame(
             "R"
                 + part.id()
                 + ' '
-                + end
+                + outcome
                 + ' '
                 + (done ? SeededDraw.bits(0, value) >>> 33 : 0)
                 + ' '
@@ -641,8 +657,8 @@
       }
     }
 
-    private void sendFrame(String frame) {
-      byte[] bytes = frame.getBytes(StandardCharsets.UTF_8);
+    private void sendFrame(String text) {
+      byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
       connection.put(
           ByteBuffer.allocate(4 + bytes.length)
               .order(ByteOrder.LITTLE_ENDIAN)
@@ -665,9 +681,9 @@
     private final ReactorConnection connection;
     private final StringBuilder request = new StringBuilder();
 
-    DiscoveryConnection(MixerView view, ReactorConnection wire) {
+    DiscoveryConnection(MixerView view, ReactorConnection connection) {
       this.view = view;
-      this.connection = wire;
+      this.connection = connection;
     }
 
     @Override
@@ -696,9 +712,9 @@
       }
     }
 
-    void sendLine(String text) {
+    void sendLine(String line) {
       connection.put(
-          (Integer.toHexString(text.length() + 1) + "\r\n" + text + "\n\r\n")
+          (Integer.toHexString(line.length() + 1) + "\r\n" + line + "\n\r\n")
               .getBytes(StandardCharsets.US_ASCII));
     }
 
--- a/emulator/src/main/java/gingerring/emulator/experiment/ExperimentRun.java
+++ b/emulator/src/main/java/gingerring/emulator/experiment/ExperimentRun.java
@@ -45,12 +45,12 @@
    * Runs until every wish has had its end; {@code record} names a capture file for the mixer, or is
    * null.
    */
-  public static Result run(Scenario world, Router router, double pace, Path record)
+  public static Result run(Scenario scenario, Router router, double speedFactor, Path recordFile)
       throws IOException {
     Reactor reactor = new Reactor();
-    RuleChecker referee = new RuleChecker(world);
-    EmulatedStore store = new EmulatedStore(world, reactor, referee, pace);
-    ClientStatistics tally = new ClientStatistics();
+    RuleChecker ruleChecker = new RuleChecker(scenario);
+    EmulatedStore store = new EmulatedStore(scenario, reactor, ruleChecker, speedFactor);
+    ClientStatistics statistics = new ClientStatistics();
     Thread thread = new Thread(reactor::run, "emulator");
     thread.setDaemon(true);
     MixerProcess mixer = null;
@@ -58,15 +58,16 @@
       InetSocketAddress address;
       if (router == Router.MIXER) {
         thread.start();
-        mixer = MixerProcess.start(world, store.discoveryAddress(), store.memberList(), record);
+        mixer =
+            MixerProcess.start(scenario, store.discoveryAddress(), store.memberList(), recordFile);
         address = mixer.address();
       } else {
-        address = new RandomRouter(world, reactor, store.memberList()).address();
+        address = new RandomRouter(scenario, reactor, store.memberList()).address();
         thread.start();
       }
       double cpuBefore = mixer == null ? Double.NaN : mixer.cpuSeconds();
-      CountDownLatch over = new CountDownLatch(1);
-      AtomicReference<Duration> took = new AtomicReference<>(Duration.ZERO);
+      CountDownLatch completed = new CountDownLatch(1);
+      AtomicReference<Duration> duration = new AtomicReference<>(Duration.ZERO);
       reactor.post(
           () -> {
             Duration start = reactor.now().plus(START_DELAY);
@@ -75,27 +76,34 @@
                 () -> {
                   store.start();
                   new EmulatedClients(
-                          world,
+                          scenario,
                           reactor,
-                          referee,
+                          ruleChecker,
                           address,
-                          pace,
-                          tally,
+                          speedFactor,
+                          statistics,
                           () -> {
-                            took.set(reactor.now().minus(start));
-                            over.countDown();
+                            duration.set(reactor.now().minus(start));
+                            completed.countDown();
                           })
-                      .start(Workload.generate(world));
+                      .start(Workload.generate(scenario));
                 });
           });
-      long most = (long) (world.length().toMillis() / pace) + END_TIMEOUT.toMillis();
-      if (!over.await(most, TimeUnit.MILLISECONDS)) {
-        throw new IOException("the run did not end within " + most + " ms");
+      long timeoutMs = (long) (scenario.length().toMillis() / speedFactor) + END_TIMEOUT.toMillis();
+      if (!completed.await(timeoutMs, TimeUnit.MILLISECONDS)) {
+        throw new IOException("the run did not end within " + timeoutMs + " ms");
       }
-      double cpu = mixer == null ? Double.NaN : mixer.cpuSeconds() - cpuBefore;
-      int code = mixer == null ? 0 : mixer.stop();
+      double cpuSeconds = mixer == null ? Double.NaN : mixer.cpuSeconds() - cpuBefore;
+      int exitCode = mixer == null ? 0 : mixer.stop();
       return new Result(
-          router, tally, referee, store.loadByBox(), took.get(), cpu, code, reactor.failures());
+          router,
+          statistics,
+          ruleChecker,
+          store.loadByBox(),
+          duration.get(),
+          cpuSeconds,
+          exitCode,
+          reactor.failures());
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
       throw new IOException("interrupted", e);
--- a/emulator/src/main/java/gingerring/emulator/experiment/LineCharts.java
+++ b/emulator/src/main/java/gingerring/emulator/experiment/LineCharts.java
@@ -20,9 +20,9 @@
 
   /** Each series by second; all are of emulated boxes, which the title says. */
   public static void write(
-      Path file, String title, String what, Map<String, Map<Integer, Double>> series)
+      Path file, String title, String valueLabel, Map<String, Map<Integer, Double>> series)
       throws IOException {
-    write(file, title + " (emulated boxes)", "second", what, series);
+    write(file, title + " (emulated boxes)", "second", valueLabel, series);
   }
 
   /**
@@ -30,17 +30,21 @@
    * of.
    */
   public static void write(
-      Path file, String title, String by, String what, Map<String, Map<Integer, Double>> series)
+      Path file,
+      String title,
+      String xLabel,
+      String valueLabel,
+      Map<String, Map<Integer, Double>> series)
       throws IOException {
     System.setProperty("java.awt.headless", "true");
-    XYSeriesCollection all = new XYSeriesCollection();
+    XYSeriesCollection dataset = new XYSeriesCollection();
     series.forEach(
         (name, points) -> {
           XYSeries line = new XYSeries(name);
           points.forEach(line::add);
-          all.addSeries(line);
+          dataset.addSeries(line);
         });
-    JFreeChart chart = ChartFactory.createXYLineChart(title, by, what, all);
+    JFreeChart chart = ChartFactory.createXYLineChart(title, xLabel, valueLabel, dataset);
     if (file.toAbsolutePath().getParent() != null) {
       Files.createDirectories(file.toAbsolutePath().getParent());
     }
@@ -53,7 +57,8 @@
     result
         .statistics()
         .valueBySecond
-        .forEach((second, its) -> points.put(second, its[0] == 0 ? 1 : its[1] / its[0]));
+        .forEach(
+            (second, values) -> points.put(second, values[0] == 0 ? 1 : values[1] / values[0]));
     return points;
   }
 }
--- a/emulator/src/main/java/gingerring/emulator/experiment/MixerProcess.java
+++ b/emulator/src/main/java/gingerring/emulator/experiment/MixerProcess.java
@@ -52,9 +52,9 @@
   private UnaryOperator<String> configEdit = UnaryOperator.identity();
   private InetSocketAddress address;
 
-  private MixerProcess(Process process, Path config) {
+  private MixerProcess(Process process, Path configFile) {
     this.process = process;
-    this.configFile = config;
+    this.configFile = configFile;
     Thread reader =
         new Thread(
             () -> {
@@ -77,52 +77,63 @@
    * null.
    */
   public static MixerProcess start(
-      Scenario world, InetSocketAddress discovery, String known, Path record) throws IOException {
-    return start(world, discovery, known, record, FleetMember.STANDALONE);
+      Scenario scenario, InetSocketAddress discovery, String memberListJson, Path recordFile)
+      throws IOException {
+    return start(scenario, discovery, memberListJson, recordFile, FleetMember.STANDALONE);
   }
 
   /** Starts one of a fleet. */
   public static MixerProcess start(
-      Scenario world, InetSocketAddress discovery, String known, Path record, FleetMember member)
+      Scenario scenario,
+      InetSocketAddress discovery,
+      String memberListJson,
+      Path recordFile,
+      FleetMember member)
       throws IOException {
-    return start(world, discovery, known, record, member, UnaryOperator.identity());
+    return start(scenario, discovery, memberListJson, recordFile, member, UnaryOperator.identity());
   }
 
   /** Starts one alone, with its configuration edited: for settings that a world does not tell. */
   public static MixerProcess startEdited(
-      Scenario world, InetSocketAddress discovery, String known, UnaryOperator<String> edit)
+      Scenario scenario,
+      InetSocketAddress discovery,
+      String memberListJson,
+      UnaryOperator<String> configEdit)
       throws IOException {
-    return start(world, discovery, known, null, FleetMember.STANDALONE, edit);
+    return start(scenario, discovery, memberListJson, null, FleetMember.STANDALONE, configEdit);
   }
 
   private static MixerProcess start(
-      Scenario world,
+      Scenario scenario,
       InetSocketAddress discovery,
-      String known,
-      Path record,
+      String memberListJson,
+      Path recordFile,
       FleetMember member,
-      UnaryOperator<String> edit)
+      UnaryOperator<String> configEdit)
       throws IOException {
-    Path config = Files.createTempFile("gingerring-mixer", ".json");
-    Files.writeString(config, edit.apply(config(world, discovery, known, member)));
+    Path configFile = Files.createTempFile("gingerring-mixer", ".json");
+    Files.writeString(
+        configFile, configEdit.apply(config(scenario, discovery, memberListJson, member)));
     List<String> command =
         new ArrayList<>(
             List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString()));
     command.addAll(JVM_FLAGS);
     command.add(
-        "-Xmx" + (BASE_HEAP_MB + (int) ((long) world.clients() * HEAP_KB_PER_CLIENT >> 10)) + "m");
+        "-Xmx"
+            + (BASE_HEAP_MB + (int) ((long) scenario.clients() * HEAP_KB_PER_CLIENT >> 10))
+            + "m");
     command.addAll(List.of("-cp", System.getProperty("java.class.path")));
     command.addAll(
         member.peersFile() != null
             ? List.of("gingerring.peering.Main", "serve", "--peers", member.peersFile().toString())
-            : record == null
+            : recordFile == null
                 ? List.of("gingerring.Main", "serve")
-                : List.of("gingerring.cli.Gingerring", "serve", "--record", record.toString()));
+                : List.of("gingerring.cli.Gingerring", "serve", "--record", recordFile.toString()));
     ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
     builder.environment().remove("GINGERRING_LOG"); // its lines are read here as plain ones
-    builder.environment().put("LB_CONFIG", config.toString());
-    MixerProcess mixer = new MixerProcess(builder.start(), config);
-    mixer.configEdit = edit;
+    builder.environment().put("LB_CONFIG", configFile.toString());
+    MixerProcess mixer = new MixerProcess(builder.start(), configFile);
+    mixer.configEdit = configEdit;
     try {
       mixer.awaitStart();
       return mixer;
@@ -133,9 +144,9 @@
   }
 
   private void awaitStart() throws IOException {
-    long until = System.currentTimeMillis() + START_TIMEOUT_MS;
+    long deadlineMs = System.currentTimeMillis() + START_TIMEOUT_MS;
     try {
-      while (System.currentTimeMillis() < until) {
+      while (System.currentTimeMillis() < deadlineMs) {
         String line = unreadLines.poll(100, TimeUnit.MILLISECONDS);
         if (line != null) {
           readLines.add(line);
@@ -181,9 +192,11 @@
   /**
    * Has it read its configuration again (SIGHUP), which differs from before in where discovery is.
    */
-  public void reload(Scenario world, InetSocketAddress discovery, String known) throws IOException {
+  public void reload(Scenario scenario, InetSocketAddress discovery, String memberListJson)
+      throws IOException {
     Files.writeString(
-        configFile, configEdit.apply(config(world, discovery, known, FleetMember.STANDALONE)));
+        configFile,
+        configEdit.apply(config(scenario, discovery, memberListJson, FleetMember.STANDALONE)));
     signal("HUP");
   }
 
@@ -200,8 +213,8 @@
   }
 
   /** Waits for a line that matches and returns its first group; null where none comes in time. */
-  public String awaitLine(Pattern pattern, long ms) {
-    long until = System.currentTimeMillis() + ms;
+  public String awaitLine(Pattern pattern, long timeoutMs) {
+    long deadlineMs = System.currentTimeMillis() + timeoutMs;
     try {
       for (String line : readLines) {
         Matcher matcher = pattern.matcher(line);
@@ -209,7 +222,7 @@
           return matcher.group(1);
         }
       }
-      while (System.currentTimeMillis() < until) {
+      while (System.currentTimeMillis() < deadlineMs) {
         String line = unreadLines.poll(50, TimeUnit.MILLISECONDS);
         if (line != null) {
           readLines.add(line);
@@ -268,9 +281,9 @@
 
   /** The configuration of a mixer before this world's store, in the deployment's form. */
   static String config(
-      Scenario world, InetSocketAddress discovery, String known, FleetMember member) {
-    String grades =
-        world.serviceClasses().stream()
+      Scenario scenario, InetSocketAddress discovery, String memberListJson, FleetMember member) {
+    String classesJson =
+        scenario.serviceClasses().stream()
             .map(MixerProcess::serviceClassJson)
             .collect(Collectors.joining(",\n      "));
     return String.format(
@@ -294,36 +307,36 @@
         member.name(),
         discovery.getAddress().getHostAddress(),
         discovery.getPort(),
-        world.seed(),
-        known,
-        grades,
-        joinClasses(world, grade -> "0"),
-        joinClasses(world, grade -> String.valueOf(grade.minCoverage())),
-        joinClasses(world, grade -> "0.95"),
-        joinClasses(world, grade -> "1.0"),
-        world.boxes(),
-        world.replicas(),
-        world.partitions(),
+        scenario.seed(),
+        memberListJson,
+        classesJson,
+        joinClasses(scenario, serviceClass -> "0"),
+        joinClasses(scenario, serviceClass -> String.valueOf(serviceClass.minCoverage())),
+        joinClasses(scenario, serviceClass -> "0.95"),
+        joinClasses(scenario, serviceClass -> "1.0"),
+        scenario.boxes(),
+        scenario.replicas(),
+        scenario.partitions(),
         member.fleetSize(),
         member.number(),
-        millis(world.idleTimeout()),
-        world.maxTrips(),
-        world.coldCapacityShare(),
-        millis(world.drainGrace()),
-        millis(world.overloadDuration()),
-        world.overloadMultiple(),
-        millis(world.warmUp()),
+        millis(scenario.idleTimeout()),
+        scenario.maxTrips(),
+        scenario.coldCapacityShare(),
+        millis(scenario.drainGrace()),
+        millis(scenario.overloadDuration()),
+        scenario.overloadMultiple(),
+        millis(scenario.warmUp()),
         member.zone(),
         String.join("\", \"", member.zones()));
   }
 
-  private static String joinClasses(Scenario world, Function<ServiceClass, String> value) {
-    return world.serviceClasses().stream().map(value).collect(Collectors.joining(", "));
+  private static String joinClasses(Scenario scenario, Function<ServiceClass, String> toText) {
+    return scenario.serviceClasses().stream().map(toText).collect(Collectors.joining(", "));
   }
 
-  private static String serviceClassJson(ServiceClass grade) {
-    String repeats =
-        switch (grade.retrySafety()) {
+  private static String serviceClassJson(ServiceClass serviceClass) {
+    String idempotency =
+        switch (serviceClass.retrySafety()) {
           case IDEMPOTENT -> "idempotent";
           case KEYED -> "deduplicated";
           case AT_MOST_ONCE -> "at_most_once";
@@ -332,16 +345,16 @@
         Locale.ROOT,
         "{\"Name\": \"%s\", \"AimMs\": %f, \"HardLimitMs\": %f, "
             + "\"Idempotency\": \"%s\", \"LateWorth\": %f, \"WindowMs\": %f, \"Worth\": %f}",
-        grade.name(),
-        millis(grade.latencyTarget()),
-        millis(grade.deadline()),
-        repeats,
-        grade.lateValueShare(),
-        millis(grade.idempotencyWindow()),
-        grade.value());
+        serviceClass.name(),
+        millis(serviceClass.latencyTarget()),
+        millis(serviceClass.deadline()),
+        idempotency,
+        serviceClass.lateValueShare(),
+        millis(serviceClass.idempotencyWindow()),
+        serviceClass.value());
   }
 
-  private static double millis(Duration span) {
-    return span.toNanos() / 1e6;
+  private static double millis(Duration duration) {
+    return duration.toNanos() / 1e6;
   }
 }
--- a/emulator/src/main/java/gingerring/emulator/experiment/RandomRouter.java
+++ b/emulator/src/main/java/gingerring/emulator/experiment/RandomRouter.java
@@ -40,13 +40,14 @@
   private final Reactor.Listening listening;
 
   /** {@code list}: the store's list, in discovery's form. */
-  RandomRouter(Scenario world, Reactor reactor, String list) throws IOException {
-    this.scenario = world;
+  RandomRouter(Scenario scenario, Reactor reactor, String memberList) throws IOException {
+    this.scenario = scenario;
     this.reactor = reactor;
-    random = new SplittableRandom(world.seed() + 2);
+    random = new SplittableRandom(scenario.seed() + 2);
     try {
-      for (Object each : JsonFields.list(JsonFields.object(Json.parse(list), "list"), "members")) {
-        Map<String, Object> member = JsonFields.object(each, "member");
+      for (Object json :
+          JsonFields.list(JsonFields.object(Json.parse(memberList), "list"), "members")) {
+        Map<String, Object> member = JsonFields.object(json, "member");
         String address = JsonFields.string(member, "host_port");
         boxAddresses.put(
             (int) JsonFields.nonNegativeInteger(member, "cell"),
@@ -70,10 +71,10 @@
     final Map<Integer, String> values = new TreeMap<>();
     int settledParts;
 
-    Scan(ClientConnection asker, String mark, ServiceClass grade) {
-      this.client = asker;
-      this.id = mark;
-      this.serviceClass = grade;
+    Scan(ClientConnection client, String id, ServiceClass serviceClass) {
+      this.client = client;
+      this.id = id;
+      this.serviceClass = serviceClass;
     }
 
     double coverage() {
@@ -81,9 +82,9 @@
     }
   }
 
-  private void finishIfSettled(Scan scan, boolean last) {
-    boolean whole = scan.values.size() == scan.shares.size();
-    if (!last && scan.settledParts < scan.shares.size()) {
+  private void finishIfSettled(Scan scan, boolean deadlineReached) {
+    boolean complete = scan.values.size() == scan.shares.size();
+    if (!deadlineReached && scan.settledParts < scan.shares.size()) {
       return;
     }
     if (scans.remove(scan.id) == null) {
@@ -93,20 +94,20 @@
         scan.serviceClass.retrySafety() == Scenario.RetrySafety.IDEMPOTENT
             && !scan.values.isEmpty()
             && scan.coverage() >= scan.serviceClass.minCoverage();
-    if (!whole && !partial) {
+    if (!complete && !partial) {
       scan.client.send(HttpWriter.response(500, false, "", new byte[0]));
       return;
     }
-    StringBuilder json = new StringBuilder("{\"whole\":" + whole + ",\"results\":[");
-    String between = "";
+    StringBuilder json = new StringBuilder("{\"whole\":" + complete + ",\"results\":[");
+    String separator = "";
     for (Map.Entry<Integer, String> value : scan.values.entrySet()) {
-      json.append(between)
+      json.append(separator)
           .append("{\"partition\":")
           .append(value.getKey())
           .append(",\"value\":\"")
           .append(value.getValue())
           .append("\"}");
-      between = ",";
+      separator = ",";
     }
     scan.client.send(
         HttpWriter.response(
@@ -117,13 +118,13 @@
   private final class ClientConnection extends HttpHandler {
     private final ReactorConnection connection;
 
-    ClientConnection(ReactorConnection wire) {
+    ClientConnection(ReactorConnection connection) {
       super(true, 1 << 16);
-      this.connection = wire;
+      this.connection = connection;
     }
 
-    void send(byte[] answer) {
-      connection.put(answer);
+    void send(byte[] response) {
+      connection.put(response);
     }
 
     @Override
@@ -132,12 +133,12 @@
     }
 
     @Override
-    protected void message(MessageHead head, byte[] json) throws HttpException {
+    protected void message(MessageHead head, byte[] body) throws HttpException {
       try {
-        Map<String, Object> asked = JsonFields.object(Json.parse(json), "the body");
+        Map<String, Object> request = JsonFields.object(Json.parse(body), "the body");
         Scan scan =
             new Scan(this, head.header("X-Txn"), scenario.serviceClass(head.header("X-Lane")));
-        for (Object each : JsonFields.list(asked, "targets")) {
+        for (Object each : JsonFields.list(request, "targets")) {
           Map<String, Object> target = JsonFields.object(each, "a target");
           scan.shares.put(
               (int) JsonFields.nonNegativeInteger(target, "partition"),
@@ -145,10 +146,10 @@
         }
         scans.put(scan.id, scan);
         String key = head.header("Idempotency-Key");
-        for (int folio : scan.shares.keySet()) {
-          List<Integer> holders = scenario.holders(folio);
+        for (int partition : scan.shares.keySet()) {
+          List<Integer> holders = scenario.holders(partition);
           connection(holders.get(random.nextInt(holders.size())))
-              .send(scan, folio, key, JsonFields.string(asked, "query"));
+              .send(scan, partition, key, JsonFields.string(request, "query"));
         }
         reactor.after(
             scan.serviceClass.latencyTarget(),
@@ -157,8 +158,8 @@
                 finishIfSettled(scan, true);
               }
             });
-        Duration end = scan.serviceClass.deadline().minusMillis(20);
-        reactor.after(end, () -> finishIfSettled(scan, true));
+        Duration deadline = scan.serviceClass.deadline().minusMillis(20);
+        reactor.after(deadline, () -> finishIfSettled(scan, true));
       } catch (Json.JsonException e) {
         throw new HttpException(400, e.getMessage());
       }
@@ -170,13 +171,13 @@
     }
   }
 
-  private BoxConnection connection(int number) {
-    BoxConnection box = connections.get(number);
-    if (box == null || box.connection.closed()) {
-      box = new BoxConnection(number);
-      connections.put(number, box);
+  private BoxConnection connection(int boxNumber) {
+    BoxConnection connection = connections.get(boxNumber);
+    if (connection == null || connection.connection.closed()) {
+      connection = new BoxConnection(boxNumber);
+      connections.put(boxNumber, connection);
     }
-    return box;
+    return connection;
   }
 
   /** A connection to a box. */
@@ -185,27 +186,27 @@
     private final Map<String, Integer> partsInFlight = new LinkedHashMap<>();
     private final ByteArrayOutputStream received = new ByteArrayOutputStream();
 
-    BoxConnection(int number) {
-      connection = reactor.dial(boxAddresses.get(number), this);
+    BoxConnection(int boxNumber) {
+      connection = reactor.dial(boxAddresses.get(boxNumber), this);
     }
 
-    void send(Scan scan, int folio, String key, String text) {
-      partsInFlight.put(scan.id + '.' + folio, folio);
-      String line =
+    void send(Scan scan, int partition, String key, String query) {
+      partsInFlight.put(scan.id + '.' + partition, partition);
+      String frameText =
           "S"
               + scan.id
               + '.'
-              + folio
+              + partition
               + ' '
-              + folio
+              + partition
               + " d="
               + scan.serviceClass.deadline().toMillis()
               + (key == null ? "" : ",k=" + key)
               + ' '
-              + text.length()
+              + query.length()
               + '\n'
-              + text;
-      byte[] bytes = line.getBytes(StandardCharsets.US_ASCII);
+              + query;
+      byte[] bytes = frameText.getBytes(StandardCharsets.US_ASCII);
       connection.put(
           ByteBuffer.allocate(4 + bytes.length)
               .order(ByteOrder.LITTLE_ENDIAN)
@@ -217,28 +218,29 @@
     @Override
     public void bytes(byte[] bytes, int length) {
       received.write(bytes, 0, length);
-      ByteBuffer all = ByteBuffer.wrap(received.toByteArray()).order(ByteOrder.LITTLE_ENDIAN);
-      while (all.remaining() >= 4 && all.remaining() >= 4 + all.getInt(all.position())) {
-        byte[] frame = new byte[all.getInt()];
-        all.get(frame);
-        String text = new String(frame, StandardCharsets.US_ASCII);
-        int end = text.indexOf('\n');
-        if (frame[0] == 'R' && end > 0) {
-          String[] words = text.substring(1, end).split(" ");
-          partEnded(words[0], words[1].equals("done") ? text.substring(end + 1) : null);
+      ByteBuffer buffer = ByteBuffer.wrap(received.toByteArray()).order(ByteOrder.LITTLE_ENDIAN);
+      while (buffer.remaining() >= 4
+          && buffer.remaining() >= 4 + buffer.getInt(buffer.position())) {
+        byte[] frame = new byte[buffer.getInt()];
+        buffer.get(frame);
+        String query = new String(frame, StandardCharsets.US_ASCII);
+        int lineEnd = query.indexOf('\n');
+        if (frame[0] == 'R' && lineEnd > 0) {
+          String[] fields = query.substring(1, lineEnd).split(" ");
+          partEnded(fields[0], fields[1].equals("done") ? query.substring(lineEnd + 1) : null);
         }
       }
       received.reset();
-      received.write(all.array(), all.position(), all.remaining());
+      received.write(buffer.array(), buffer.position(), buffer.remaining());
     }
 
-    private void partEnded(String id, String value) {
-      Integer folio = partsInFlight.remove(id);
-      Scan scan = scans.get(id.substring(0, id.lastIndexOf('.')));
-      if (folio != null && scan != null) {
+    private void partEnded(String partId, String value) {
+      Integer partition = partsInFlight.remove(partId);
+      Scan scan = scans.get(partId.substring(0, partId.lastIndexOf('.')));
+      if (partition != null && scan != null) {
         scan.settledParts++;
         if (value != null) {
-          scan.values.put(folio, value);
+          scan.values.put(partition, value);
         }
         finishIfSettled(scan, false);
       }
@@ -246,8 +248,8 @@
 
     @Override
     public void closed() {
-      for (String id : List.copyOf(partsInFlight.keySet())) {
-        partEnded(id, null);
+      for (String partId : List.copyOf(partsInFlight.keySet())) {
+        partEnded(partId, null);
       }
     }
   }
--- a/emulator/src/main/java/gingerring/emulator/experiment/ResultTables.java
+++ b/emulator/src/main/java/gingerring/emulator/experiment/ResultTables.java
@@ -13,17 +13,17 @@
 
   public static String text(ExperimentRun.Result result) {
     StringBuilder text = new StringBuilder();
-    ClientStatistics tally = result.statistics();
+    ClientStatistics statistics = result.statistics();
     text.append(
         String.format(
             Locale.ROOT,
             "%s before emulated boxes: service %.3f, %d tries of which %d retries, "
                 + "%.2f trips a scan%n",
             result.router() == ExperimentRun.Router.MIXER ? "mixer" : "plain random choice",
-            tally.serviceLevel(),
-            tally.attempts,
-            tally.retries,
-            (double) result.ruleChecker().tripCount() / Math.max(1, tally.attempts)));
+            statistics.serviceLevel(),
+            statistics.attempts,
+            statistics.retries,
+            (double) result.ruleChecker().tripCount() / Math.max(1, statistics.attempts)));
     text.append(
         String.format(
             Locale.ROOT,
@@ -37,21 +37,24 @@
             "left",
             "p50 ms",
             "p99 ms"));
-    for (Map.Entry<String, ClientStatistics.ClassStatistics> each : tally.byClass.entrySet()) {
-      ClientStatistics.ClassStatistics grade = each.getValue();
+    for (Map.Entry<String, ClientStatistics.ClassStatistics> entry :
+        statistics.byClass.entrySet()) {
+      ClientStatistics.ClassStatistics classStatistics = entry.getValue();
       text.append(
           String.format(
               Locale.ROOT,
               "%-16s %8.3f %7d %6d %7d %8d %6d %9.1f %9.1f%n",
-              each.getKey(),
-              grade.offeredValue == 0 ? 1 : grade.earnedValue / grade.offeredValue,
-              countOf(grade.attemptOutcomes, ScanOutcome.WHOLE),
-              countOf(grade.attemptOutcomes, ScanOutcome.PART),
-              countOf(grade.attemptOutcomes, ScanOutcome.NACKED),
-              countOf(grade.attemptOutcomes, ScanOutcome.SCRAPPED),
-              countOf(grade.attemptOutcomes, ScanOutcome.LEFT),
-              grade.latencyMicros.getValueAtPercentile(50) / 1e3,
-              grade.latencyMicros.getValueAtPercentile(99) / 1e3));
+              entry.getKey(),
+              classStatistics.offeredValue == 0
+                  ? 1
+                  : classStatistics.earnedValue / classStatistics.offeredValue,
+              countOf(classStatistics.attemptOutcomes, ScanOutcome.WHOLE),
+              countOf(classStatistics.attemptOutcomes, ScanOutcome.PART),
+              countOf(classStatistics.attemptOutcomes, ScanOutcome.NACKED),
+              countOf(classStatistics.attemptOutcomes, ScanOutcome.SCRAPPED),
+              countOf(classStatistics.attemptOutcomes, ScanOutcome.LEFT),
+              classStatistics.latencyMicros.getValueAtPercentile(50) / 1e3,
+              classStatistics.latencyMicros.getValueAtPercentile(99) / 1e3));
     }
     text.append("rules: ")
         .append(
@@ -62,60 +65,61 @@
     result.ruleChecker().violations().stream()
         .limit(5)
         .forEach(
-            foul ->
+            violation ->
                 text.append("  ")
-                    .append(foul.rule())
+                    .append(violation.rule())
                     .append(": ")
-                    .append(foul.what())
+                    .append(violation.what())
                     .append('\n'));
     return text.toString();
   }
 
-  private static long countOf(Map<ScanOutcome, Long> counts, ScanOutcome fate) {
-    return counts.getOrDefault(fate, 0L);
+  private static long countOf(Map<ScanOutcome, Long> counts, ScanOutcome outcome) {
+    return counts.getOrDefault(outcome, 0L);
   }
 
   /** Writes {@code NAME-grades.csv}, {@code NAME-seconds.csv} and {@code NAME-boxes.csv}. */
-  public static void writeCsv(ExperimentRun.Result result, Path folder, String name)
+  public static void writeCsv(ExperimentRun.Result result, Path directory, String name)
       throws IOException {
-    Files.createDirectories(folder);
-    StringBuilder grades =
+    Files.createDirectories(directory);
+    StringBuilder classRows =
         new StringBuilder("router,grade,service,whole,part,nacked,scrapped,left,p50_ms,p99_ms\n");
     result
         .statistics()
         .byClass
         .forEach(
-            (grade, its) ->
-                grades.append(
+            (statistics, values) ->
+                classRows.append(
                     String.format(
                         Locale.ROOT,
                         "%s,%s,%.4f,%d,%d,%d,%d,%d,%.2f,%.2f%n",
                         result.router(),
-                        grade,
-                        its.offeredValue == 0 ? 1 : its.earnedValue / its.offeredValue,
-                        countOf(its.attemptOutcomes, ScanOutcome.WHOLE),
-                        countOf(its.attemptOutcomes, ScanOutcome.PART),
-                        countOf(its.attemptOutcomes, ScanOutcome.NACKED),
-                        countOf(its.attemptOutcomes, ScanOutcome.SCRAPPED),
-                        countOf(its.attemptOutcomes, ScanOutcome.LEFT),
-                        its.latencyMicros.getValueAtPercentile(50) / 1e3,
-                        its.latencyMicros.getValueAtPercentile(99) / 1e3)));
-    Files.writeString(folder.resolve(name + "-grades.csv"), grades);
-    StringBuilder seconds = new StringBuilder("second,asked,earned\n");
+                        statistics,
+                        values.offeredValue == 0 ? 1 : values.earnedValue / values.offeredValue,
+                        countOf(values.attemptOutcomes, ScanOutcome.WHOLE),
+                        countOf(values.attemptOutcomes, ScanOutcome.PART),
+                        countOf(values.attemptOutcomes, ScanOutcome.NACKED),
+                        countOf(values.attemptOutcomes, ScanOutcome.SCRAPPED),
+                        countOf(values.attemptOutcomes, ScanOutcome.LEFT),
+                        values.latencyMicros.getValueAtPercentile(50) / 1e3,
+                        values.latencyMicros.getValueAtPercentile(99) / 1e3)));
+    Files.writeString(directory.resolve(name + "-grades.csv"), classRows);
+    StringBuilder secondRows = new StringBuilder("second,asked,earned\n");
     result
         .statistics()
         .valueBySecond
         .forEach(
-            (second, its) ->
-                seconds.append(
-                    String.format(Locale.ROOT, "%d,%.2f,%.2f%n", second, its[0], its[1])));
-    Files.writeString(folder.resolve(name + "-seconds.csv"), seconds);
-    StringBuilder boxes = new StringBuilder("box,parts,work_ms\n");
+            (second, values) ->
+                secondRows.append(
+                    String.format(Locale.ROOT, "%d,%.2f,%.2f%n", second, values[0], values[1])));
+    Files.writeString(directory.resolve(name + "-seconds.csv"), secondRows);
+    StringBuilder boxRows = new StringBuilder("box,parts,work_ms\n");
     result
         .loadByBox()
         .forEach(
-            (box, its) ->
-                boxes.append(String.format(Locale.ROOT, "%d,%.0f,%.0f%n", box, its[0], its[1])));
-    Files.writeString(folder.resolve(name + "-boxes.csv"), boxes);
+            (box, values) ->
+                boxRows.append(
+                    String.format(Locale.ROOT, "%d,%.0f,%.0f%n", box, values[0], values[1])));
+    Files.writeString(directory.resolve(name + "-boxes.csv"), boxRows);
   }
 }
--- a/emulator/src/main/java/gingerring/emulator/experiment/SendTimes.java
+++ b/emulator/src/main/java/gingerring/emulator/experiment/SendTimes.java
@@ -24,9 +24,9 @@
   }
 
   /** The sender has handed over so many bytes more. */
-  public void recordSent(int length, Duration at) {
+  public void recordSent(int length, Duration time) {
     totalBytes += length;
-    segments.add(new Segment(totalBytes, at));
+    segments.add(new Segment(totalBytes, time));
   }
 
   /**
--- a/emulator/src/main/java/gingerring/emulator/simulation/CapacitySharingSimulation.java
+++ b/emulator/src/main/java/gingerring/emulator/simulation/CapacitySharingSimulation.java
@@ -41,90 +41,93 @@
   private CapacitySharingSimulation() {}
 
   public static Result run(Setup setup) {
-    SplittableRandom chance = new SplittableRandom(setup.seed);
+    SplittableRandom random = new SplittableRandom(setup.seed);
     int n = setup.mixers;
     double[] demand = new double[n];
-    boolean[] there = new boolean[n];
-    CapacityEstimator[] beliefs = new CapacityEstimator[n];
+    boolean[] active = new boolean[n];
+    CapacityEstimator[] estimators = new CapacityEstimator[n];
     Deque<Report>[] reports = emptyQueues(n);
-    int[] late = new int[n];
+    int[] delaySteps = new int[n];
     for (int i = 0; i < n; i++) {
-      demand[i] = CAPACITY / n * (0.4 + 2 * chance.nextDouble());
-      there[i] = i < n - Math.max(1, n / 5); // a fifth comes later
-      beliefs[i] = newEstimator(setup);
-      late[i] = (int) Math.round(setup.delayMs * (0.5 + chance.nextDouble()) / STEP_MS);
+      demand[i] = CAPACITY / n * (0.4 + 2 * random.nextDouble());
+      active[i] = i < n - Math.max(1, n / 5); // a fifth comes later
+      estimators[i] = newEstimator(setup);
+      delaySteps[i] = (int) Math.round(setup.delayMs * (0.5 + random.nextDouble()) / STEP_MS);
     }
     double[] errors = new double[5];
-    double refusedSum = 0;
+    double rejectedSum = 0;
     double sentSum = 0;
     double swing = 0;
-    double least = Double.POSITIVE_INFINITY;
-    double largest = 0;
+    double minSent = Double.POSITIVE_INFINITY;
+    double maxSent = 0;
     double capacity = CAPACITY;
     int steps = 6 * CHANGE_INTERVAL_MS / STEP_MS;
     for (int step = 0; step < steps; step++) {
-      int at = step * STEP_MS;
-      int change = at / CHANGE_INTERVAL_MS - 1;
-      if (at % CHANGE_INTERVAL_MS == 0 && change >= 0) {
-        capacity = applyChange(change, demand, there, beliefs, setup, chance, capacity);
-        least = Double.POSITIVE_INFINITY;
-        largest = 0;
+      int timeMs = step * STEP_MS;
+      int change = timeMs / CHANGE_INTERVAL_MS - 1;
+      if (timeMs % CHANGE_INTERVAL_MS == 0 && change >= 0) {
+        capacity = applyChange(change, demand, active, estimators, setup, random, capacity);
+        minSent = Double.POSITIVE_INFINITY;
+        maxSent = 0;
       }
       double[] sent = new double[n];
-      double all = 0;
+      double totalSent = 0;
       for (int i = 0; i < n; i++) {
-        if (there[i]) {
-          double[] heard = new double[n];
-          double answered = 0;
-          double refused = 0;
+        if (active[i]) {
+          double[] knownDemands = new double[n];
+          double totalAnswered = 0;
+          double totalRejected = 0;
           for (int j = 0; j < n; j++) {
             // its own at once, the others' as late as they are heard
-            Report report = there[j] ? reportAt(reports[j], j == i ? 0 : late[j]) : Report.NONE;
-            heard[j] = j == i ? demand[i] : report.demand;
-            answered += report.answered;
-            refused += report.rejected;
+            Report report =
+                active[j] ? reportAt(reports[j], j == i ? 0 : delaySteps[j]) : Report.NONE;
+            knownDemands[j] = j == i ? demand[i] : report.demand;
+            totalAnswered += report.answered;
+            totalRejected += report.rejected;
           }
-          beliefs[i].update(answered, refused, Duration.ofMillis(at));
-          double[] even = new double[n];
-          Arrays.fill(even, 1);
-          sent[i] = Math.min(demand[i], beliefs[i].share(heard, even, i));
-          all += sent[i];
+          estimators[i].update(totalAnswered, totalRejected, Duration.ofMillis(timeMs));
+          double[] equalWeights = new double[n];
+          Arrays.fill(equalWeights, 1);
+          sent[i] = Math.min(demand[i], estimators[i].share(knownDemands, equalWeights, i));
+          totalSent += sent[i];
         }
       }
-      double served = Math.min(1, capacity / Math.max(1e-9, all));
+      double servedShare = Math.min(1, capacity / Math.max(1e-9, totalSent));
       for (int i = 0; i < n; i++) {
         reports[i].addFirst(
-            new Report(there[i] ? demand[i] : 0, sent[i] * served, sent[i] * (1 - served)));
+            new Report(
+                active[i] ? demand[i] : 0, sent[i] * servedShare, sent[i] * (1 - servedShare)));
         if (reports[i].size() > 100) {
           reports[i].removeLast();
         }
       }
-      if (change >= 0 && at % CHANGE_INTERVAL_MS >= SETTLING_MS) {
-        double[] wanted = new double[n];
-        double[] even = new double[n];
-        int count = 0;
+      if (change >= 0 && timeMs % CHANGE_INTERVAL_MS >= SETTLING_MS) {
+        double[] demands = new double[n];
+        double[] equalWeights = new double[n];
+        int activeMixers = 0;
         for (int i = 0; i < n; i++) {
-          wanted[i] = there[i] ? demand[i] : 0;
-          even[i] = 1;
-          count += there[i] ? 1 : 0;
+          demands[i] = active[i] ? demand[i] : 0;
+          equalWeights[i] = 1;
+          activeMixers += active[i] ? 1 : 0;
         }
-        double[] due = FairShares.allocate(capacity, wanted, even);
+        double[] fairShares = FairShares.allocate(capacity, demands, equalWeights);
         for (int i = 0; i < n; i++) {
-          if (there[i]) {
+          if (active[i]) {
             errors[change] =
                 Math.max(
                     errors[change],
-                    Math.abs(sent[i] - due[i]) / Math.max(due[i], capacity / count));
+                    Math.abs(sent[i] - fairShares[i])
+                        / Math.max(fairShares[i], capacity / activeMixers));
           }
         }
-        refusedSum += all * (1 - served);
-        sentSum += all;
-        least = Math.min(least, all);
-        largest = Math.max(largest, all);
-        swing = Math.max(swing, (largest - least) / capacity);
+        rejectedSum += totalSent * (1 - servedShare);
+        sentSum += totalSent;
+        minSent = Math.min(minSent, totalSent);
+        maxSent = Math.max(maxSent, totalSent);
+        swing = Math.max(swing, (maxSent - minSent) / capacity);
       }
     }
-    return new Result(errors, refusedSum / Math.max(1e-9, sentSum), swing);
+    return new Result(errors, rejectedSum / Math.max(1e-9, sentSum), swing);
   }
 
   private static CapacityEstimator newEstimator(Setup setup) {
@@ -133,33 +136,33 @@
   }
 
   private static double applyChange(
-      int which,
+      int change,
       double[] demand,
-      boolean[] there,
-      CapacityEstimator[] beliefs,
+      boolean[] active,
+      CapacityEstimator[] estimators,
       Setup setup,
-      SplittableRandom chance,
+      SplittableRandom random,
       double capacity) {
     int n = demand.length;
-    switch (which) {
+    switch (change) {
       case 0 -> { // what one half asked for, the other asks for now
         for (int i = 0; i < n / 2; i++) {
-          double mine = demand[i];
+          double swapped = demand[i];
           demand[i] = demand[n - 1 - i];
-          demand[n - 1 - i] = mine;
+          demand[n - 1 - i] = swapped;
         }
         demand[0] *= 10;
       }
       case 1 -> {
         for (int i = 1; i < n; i += 5) {
-          there[i] = false;
+          active[i] = false;
         }
       }
       case 2 -> { // all who are away come, and know nothing
         for (int i = 0; i < n; i++) {
-          if (!there[i]) {
-            there[i] = true;
-            beliefs[i] = newEstimator(setup);
+          if (!active[i]) {
+            active[i] = true;
+            estimators[i] = newEstimator(setup);
           }
         }
       }
@@ -180,11 +183,11 @@
     return deques;
   }
 
-  private static Report reportAt(Deque<Report> reports, int back) {
+  private static Report reportAt(Deque<Report> reports, int steps) {
     int i = 0;
-    for (Report each : reports) {
-      if (i++ == back) {
-        return each;
+    for (Report report : reports) {
+      if (i++ == steps) {
+        return report;
       }
     }
     return Report.NONE;
--- a/emulator/src/main/java/gingerring/emulator/simulation/EventScheduler.java
+++ b/emulator/src/main/java/gingerring/emulator/simulation/EventScheduler.java
@@ -28,12 +28,12 @@
   }
 
   /** Does all that is due up to a time. */
-  void runUntil(double end) {
-    while (!events.isEmpty() && events.peek().time <= end) {
-      Event next = events.poll();
-      now = next.time;
-      next.task.run();
+  void runUntil(double endTime) {
+    while (!events.isEmpty() && events.peek().time <= endTime) {
+      Event event = events.poll();
+      now = event.time;
+      event.task.run();
     }
-    now = end;
+    now = endTime;
   }
 }
--- a/emulator/src/main/java/gingerring/emulator/simulation/PeerSimulation.java
+++ b/emulator/src/main/java/gingerring/emulator/simulation/PeerSimulation.java
@@ -106,7 +106,7 @@
     public final List<double[]> bytesBySecond = new ArrayList<>();
 
     /** Living mixers taken for gone by others who could hear them, over the run. */
-    public int falselyGone;
+    public int falselyMarkedGone;
 
     /** For each kill: when the last of the others knew. */
     public final List<Double> detectionTimesMs = new ArrayList<>();
@@ -184,20 +184,20 @@
       probing.clear();
       // the first few places are told to all, as a file would tell them
       peerNode.start(List.of(address(0), address(1 % setup.mixers), address(2 % setup.mixers)));
-      PeerNode mine = peerNode;
-      runLater(random.nextDouble() * TICK_MS, mine, this::tick);
-      runLater(1000 * random.nextDouble() / partsPerSecond, mine, this::sendPart);
+      PeerNode owner = peerNode;
+      runLater(random.nextDouble() * TICK_MS, owner, this::tick);
+      runLater(1000 * random.nextDouble() / partsPerSecond, owner, this::sendPart);
     }
 
     /**
      * Something of this process, later; not if it has ended, and when it goes on if it is stopped.
      */
-    void runLater(double span, PeerNode mine, Runnable task) {
-      scheduler.schedule(scheduler.now() + span, () -> run(mine, task));
+    void runLater(double delayMs, PeerNode owner, Runnable task) {
+      scheduler.schedule(scheduler.now() + delayMs, () -> run(owner, task));
     }
 
-    private void run(PeerNode mine, Runnable task) {
-      if (alive && peerNode == mine) {
+    private void run(PeerNode owner, Runnable task) {
+      if (alive && peerNode == owner) {
         if (isActive(Fault.Kind.STOP, number)) {
           suspendedTasks.add(task);
         } else {
@@ -208,9 +208,9 @@
 
     void tick() {
       peerNode.tick();
-      for (Map.Entry<Long, Double> each : List.copyOf(ejectedUntil.entrySet())) {
-        long box = each.getKey();
-        if (each.getValue() <= scheduler.now()
+      for (Map.Entry<Long, Double> entry : List.copyOf(ejectedUntil.entrySet())) {
+        long box = entry.getKey();
+        if (entry.getValue() <= scheduler.now()
             && !probing.contains(box)
             && peerNode.shouldProbe(box)) {
           probe(box);
@@ -218,9 +218,9 @@
       }
       if (isActive(Fault.Kind.REPEAT, number) && !recordedMessages.isEmpty()) {
         for (int i = 0; i < 5; i++) {
-          byte[] again = recordedMessages.poll();
-          recordedMessages.add(again);
-          send(address(random.nextInt(setup.mixers)), again);
+          byte[] message = recordedMessages.poll();
+          recordedMessages.add(message);
+          send(address(random.nextInt(setup.mixers)), message);
         }
       }
       if (isActive(Fault.Kind.CLAIM, number)) {
@@ -235,24 +235,24 @@
     private void probe(long box) {
       probing.add(box);
       peerNode.probeStarted(box);
-      boolean answers = !isDead(box);
-      if (!answers) {
+      boolean responds = !isDead(box);
+      if (!responds) {
         result.deadBoxProbes.merge((int) (scheduler.now() / 1000), 1, Integer::sum);
       } else {
-        for (BoxRecovery each : recoveries) {
-          if (each.box == box && scheduler.now() >= each.recoveredAt) {
-            each.firstProbe = Math.min(each.firstProbe, scheduler.now());
-            each.lastProbe = Math.max(each.lastProbe, scheduler.now());
+        for (BoxRecovery recovery : recoveries) {
+          if (recovery.box == box && scheduler.now() >= recovery.recoveredAt) {
+            recovery.firstProbe = Math.min(recovery.firstProbe, scheduler.now());
+            recovery.lastProbe = Math.max(recovery.lastProbe, scheduler.now());
           }
         }
       }
       runLater(
-          answers ? 2 : 250,
+          responds ? 2 : 250,
           peerNode,
           () -> {
             probing.remove(box);
-            peerNode.probeEnded(box, answers);
-            if (answers) {
+            peerNode.probeEnded(box, responds);
+            if (responds) {
               ejectedUntil.remove(box);
               consecutiveFailures.remove(box);
             } else {
@@ -294,7 +294,7 @@
     }
 
     @Override
-    public void send(PeerAddress to, byte[] letter) {
+    public void send(PeerAddress to, byte[] message) {
       int other = to.port() - 1;
       if (random.nextDouble() < setup.lossShare || isCut(number, other)) {
         return;
@@ -302,20 +302,20 @@
       for (int copies = random.nextDouble() < setup.duplicateShare ? 2 : 1; copies > 0; copies--) {
         scheduler.schedule(
             scheduler.now() + 0.1 + random.nextDouble() * setup.maxDelayMs,
-            () -> nodes.get(other).receive(number, letter));
+            () -> nodes.get(other).receive(number, message));
       }
     }
 
-    private void receive(int from, byte[] letter) {
+    private void receive(int from, byte[] message) {
       if (alive && (!isActive(Fault.Kind.STOP, number) || suspendedTasks.size() < BUFFER_LIMIT)) {
         if (isActive(Fault.Kind.REPEAT, number)
             || recordedMessages.size() < BUFFER_LIMIT && hostileMixers.contains(number)) {
-          recordedMessages.add(letter);
+          recordedMessages.add(message);
           if (recordedMessages.size() > BUFFER_LIMIT) {
             recordedMessages.poll();
           }
         }
-        run(peerNode, () -> peerNode.received(address(from), letter));
+        run(peerNode, () -> peerNode.received(address(from), message));
       }
     }
 
@@ -329,16 +329,17 @@
       if (now.state() != PeerRecord.State.GONE) {
         return;
       }
-      int who = (int) now.peer().number() - 1;
-      Node node = nodes.get(who);
-      if (node.alive && now.incarnation() == node.peerNode.membership().incarnation(peer(who))) {
+      int changedMixer = (int) now.peer().number() - 1;
+      Node node = nodes.get(changedMixer);
+      if (node.alive
+          && now.incarnation() == node.peerNode.membership().incarnation(peer(changedMixer))) {
         return;
       }
-      for (Restart death : restarts) {
-        if (death.mixer == who
-            && scheduler.now() >= death.killedAt
-            && scheduler.now() < death.killedAt + death.downMs) {
-          death.detectedAt = scheduler.now();
+      for (Restart restart : restarts) {
+        if (restart.mixer == changedMixer
+            && scheduler.now() >= restart.killedAt
+            && scheduler.now() < restart.killedAt + restart.downMs) {
+          restart.detectedAt = scheduler.now();
           return;
         }
       }
@@ -349,12 +350,12 @@
                       scheduler.now() >= fault.startMs
                           && scheduler.now() < fault.startMs + fault.durationMs + 10_000
                           && fault.kind != Fault.Kind.BOXES_DEAD
-                          && (fault.targets.contains(who)
+                          && (fault.targets.contains(changedMixer)
                               || fault.targets.contains(number)
-                              || fault.others.contains(who)
+                              || fault.others.contains(changedMixer)
                               || fault.others.contains(number)));
       if (!excused) {
-        result.falselyGone++;
+        result.falselyMarkedGone++;
       }
     }
   }
@@ -365,10 +366,10 @@
     final double downMs;
     double detectedAt = Double.NaN;
 
-    Restart(int who, double at, double away) {
-      this.mixer = who;
-      this.killedAt = at;
-      this.downMs = away;
+    Restart(int mixer, double killedAt, double downMs) {
+      this.mixer = mixer;
+      this.killedAt = killedAt;
+      this.downMs = downMs;
     }
   }
 
@@ -378,9 +379,9 @@
     double firstProbe = Double.POSITIVE_INFINITY;
     double lastProbe = Double.NEGATIVE_INFINITY;
 
-    BoxRecovery(long box, double at) {
+    BoxRecovery(long box, double recoveredAt) {
       this.box = box;
-      this.recoveredAt = at;
+      this.recoveredAt = recoveredAt;
     }
   }
 
@@ -403,20 +404,20 @@
   }
 
   /** So many numbers from one on, for a fault. */
-  public static Set<Integer> range(int from, int count) {
-    Set<Integer> some = new LinkedHashSet<>();
-    for (int i = from; i < from + count; i++) {
-      some.add(i);
+  public static Set<Integer> range(int from, int aliveMixers) {
+    Set<Integer> numbers = new LinkedHashSet<>();
+    for (int i = from; i < from + aliveMixers; i++) {
+      numbers.add(i);
     }
-    return some;
+    return numbers;
   }
 
-  private static PeerId peer(int number) {
-    return new PeerId(number + 1L);
+  private static PeerId peer(int mixer) {
+    return new PeerId(mixer + 1L);
   }
 
-  private static PeerAddress address(int number) {
-    return new PeerAddress(0x7F000001, number + 1);
+  private static PeerAddress address(int mixer) {
+    return new PeerAddress(0x7F000001, mixer + 1);
   }
 
   private static PeerNode.Settings withZone(PeerNode.Settings rules, int zone) {
@@ -434,9 +435,9 @@
         rules.maxBytesPerSecond());
   }
 
-  private boolean isActive(Fault.Kind kind, int number) {
+  private boolean isActive(Fault.Kind kind, int target) {
     for (Fault fault : setup.faults) {
-      if (fault.kind == kind && fault.isActive(scheduler.now()) && fault.targets.contains(number)) {
+      if (fault.kind == kind && fault.isActive(scheduler.now()) && fault.targets.contains(target)) {
         return true;
       }
     }
@@ -446,10 +447,10 @@
   private boolean isCut(int from, int to) {
     for (Fault fault : setup.faults) {
       if (fault.isActive(scheduler.now())) {
-        boolean forth = fault.targets.contains(from) && fault.others.contains(to);
-        boolean back = fault.targets.contains(to) && fault.others.contains(from);
-        if (fault.kind == Fault.Kind.CUT && (forth || back)
-            || fault.kind == Fault.Kind.CUT_ONE_WAY && forth) {
+        boolean forward = fault.targets.contains(from) && fault.others.contains(to);
+        boolean backward = fault.targets.contains(to) && fault.others.contains(from);
+        if (fault.kind == Fault.Kind.CUT && (forward || backward)
+            || fault.kind == Fault.Kind.CUT_ONE_WAY && forward) {
           return true;
         }
       }
@@ -475,23 +476,28 @@
     }
     restarts.forEach(death -> result.detectionTimesMs.add(death.detectedAt - death.killedAt));
     recoveries.forEach(
-        each ->
+        recovery ->
             result.recoveryTimesMs.add(
                 new double[] {
-                  each.firstProbe - each.recoveredAt, each.lastProbe - each.recoveredAt
+                  recovery.firstProbe - recovery.recoveredAt,
+                  recovery.lastProbe - recovery.recoveredAt
                 }));
-    for (Node one : nodes) {
-      for (Node other : nodes) {
-        boolean both = one != other && one.alive && other.alive;
+    for (Node node : nodes) {
+      for (Node otherNode : nodes) {
+        boolean bothAlive = node != otherNode && node.alive && otherNode.alive;
         result.unknownPairs +=
-            both && one.peerNode.membership().incarnation(peer(other.number)) == 0 ? 1 : 0;
+            bothAlive && node.peerNode.membership().incarnation(peer(otherNode.number)) == 0
+                ? 1
+                : 0;
       }
-      if (one.alive) {
-        one.peerNode
+      if (node.alive) {
+        node.peerNode
             .counts()
-            .forEach((which, count) -> result.peerCounts.merge(which, count, Long::sum));
-        for (Membership.Count which : Membership.Count.values()) {
-          result.membershipCounts.merge(which, one.peerNode.membership().count(which), Long::sum);
+            .forEach(
+                (counter, aliveMixers) -> result.peerCounts.merge(counter, aliveMixers, Long::sum));
+        for (Membership.Count counter : Membership.Count.values()) {
+          result.membershipCounts.merge(
+              counter, node.peerNode.membership().count(counter), Long::sum);
         }
       }
     }
@@ -502,26 +508,27 @@
     switch (fault.kind) {
       case KILL ->
           fault.targets.forEach(
-              who -> {
-                restarts.add(new Restart(who, fault.startMs, fault.durationMs));
+              mixer -> {
+                restarts.add(new Restart(mixer, fault.startMs, fault.durationMs));
                 scheduler.schedule(
                     fault.startMs,
                     () -> {
-                      nodes.get(who).alive = false;
-                      nodes.get(who).suspendedTasks.clear();
+                      nodes.get(mixer).alive = false;
+                      nodes.get(mixer).suspendedTasks.clear();
                     });
-                scheduler.schedule(fault.startMs + fault.durationMs, () -> nodes.get(who).start());
+                scheduler.schedule(
+                    fault.startMs + fault.durationMs, () -> nodes.get(mixer).start());
               });
       case STOP ->
           fault.targets.forEach(
-              who ->
+              mixer ->
                   scheduler.schedule(
                       fault.startMs + fault.durationMs,
                       () -> {
-                        Node node = nodes.get(who);
-                        List<Runnable> due = new ArrayList<>(node.suspendedTasks);
+                        Node node = nodes.get(mixer);
+                        List<Runnable> tasks = new ArrayList<>(node.suspendedTasks);
                         node.suspendedTasks.clear();
-                        due.forEach(task -> node.run(node.peerNode, task));
+                        tasks.forEach(task -> node.run(node.peerNode, task));
                       }));
       case BOXES_DEAD ->
           fault.targets.forEach(
@@ -532,46 +539,49 @@
   }
 
   private void measure() {
-    double most = 0;
-    double sum = 0;
-    double asked = 0;
-    int count = 0;
+    double maxBytes = 0;
+    double totalBytes = 0;
+    double demandPerSecond = 0;
+    int aliveMixers = 0;
     for (Node node : nodes) {
       if (node.alive) {
-        double sent = node.peerNode.bytesSent() - node.bytesAtLastMeasure;
+        double bytes = node.peerNode.bytesSent() - node.bytesAtLastMeasure;
         node.bytesAtLastMeasure = node.peerNode.bytesSent();
-        most = Math.max(most, sent);
-        sum += sent;
-        count++;
-        asked += hostileMixers.contains(node.number) ? 0 : node.partsPerSecond;
+        maxBytes = Math.max(maxBytes, bytes);
+        totalBytes += bytes;
+        aliveMixers++;
+        demandPerSecond += hostileMixers.contains(node.number) ? 0 : node.partsPerSecond;
       }
     }
-    result.bytesBySecond.add(new double[] {most, sum / Math.max(1, count)});
+    result.bytesBySecond.add(new double[] {maxBytes, totalBytes / Math.max(1, aliveMixers)});
     for (Node node : nodes) {
       if (node.alive && !hostileMixers.contains(node.number)) {
         for (long box = 0; box < setup.boxes; box++) {
-          double doubt = node.peerNode.failureShare(box);
+          double failureShare = node.peerNode.failureShare(box);
           if (hasBeenAliveFor(box, 15_000)) {
-            result.maxFailureShareOfLiveBox = Math.max(result.maxFailureShareOfLiveBox, doubt);
+            result.maxFailureShareOfLiveBox =
+                Math.max(result.maxFailureShareOfLiveBox, failureShare);
           }
         }
         if (scheduler.now() > 15_000) {
           // what is heard is a sample of the fleet: the sum of what it tells, over what those would
           // ask
           result.maxDemandRatio =
-              Math.max(result.maxDemandRatio, node.peerNode.fleetDemand() / Math.max(1, asked));
+              Math.max(
+                  result.maxDemandRatio,
+                  node.peerNode.fleetDemand() / Math.max(1, demandPerSecond));
         }
       }
     }
   }
 
-  private boolean hasBeenAliveFor(long box, double span) {
+  private boolean hasBeenAliveFor(long box, double durationMs) {
     return setup.faults.stream()
         .noneMatch(
             fault ->
                 fault.kind == Fault.Kind.BOXES_DEAD
                     && fault.targets.contains((int) box)
                     && scheduler.now() >= fault.startMs
-                    && scheduler.now() < fault.startMs + fault.durationMs + span);
+                    && scheduler.now() < fault.startMs + fault.durationMs + durationMs);
   }
 }
--- a/emulator/src/main/java/gingerring/emulator/simulation/ProbeSimulation.java
+++ b/emulator/src/main/java/gingerring/emulator/simulation/ProbeSimulation.java
@@ -50,9 +50,9 @@
   private final List<Double> probeTimes = new ArrayList<>();
   private double detectedAt = Double.NaN;
 
-  private ProbeSimulation(Setup setup, Strategy way) {
+  private ProbeSimulation(Setup setup, Strategy strategy) {
     this.setup = setup;
-    this.strategy = way;
+    this.strategy = strategy;
     random = new SplittableRandom(setup.seed);
     for (int i = 0; i < setup.mixers; i++) {
       members.add(new MixerId(random.nextLong()));
@@ -61,37 +61,37 @@
     }
   }
 
-  public static Result run(Setup setup, Strategy way) {
-    return new ProbeSimulation(setup, way).simulate();
+  public static Result run(Setup setup, Strategy strategy) {
+    return new ProbeSimulation(setup, strategy).simulate();
   }
 
   private Result simulate() {
-    int there = (int) Math.max(1, setup.mixers * (1 - setup.stoppedShare));
-    for (int m = 0; m < there; m++) {
+    int runningMixers = (int) Math.max(1, setup.mixers * (1 - setup.stoppedShare));
+    for (int m = 0; m < runningMixers; m++) {
       int mixer = m;
-      double benched = random.nextDouble() * 500; // each finds out by its own parts
+      double ejectedAt = random.nextDouble() * 500; // each finds out by its own parts
       switch (strategy) {
-        case ALONE -> scheduler.schedule(benched + EJECTION_MS[0], () -> probeAlone(mixer, 1));
-        case TURNS -> scheduler.schedule(benched, () -> scheduleTurn(mixer));
-        default -> scheduler.schedule(benched, () -> scheduleSpread(mixer, 1));
+        case ALONE -> scheduler.schedule(ejectedAt + EJECTION_MS[0], () -> probeAlone(mixer, 1));
+        case TURNS -> scheduler.schedule(ejectedAt, () -> scheduleTurn(mixer));
+        default -> scheduler.schedule(ejectedAt, () -> scheduleSpread(mixer, 1));
       }
     }
-    double end = setup.recoverySeconds * 1000;
-    while (Double.isNaN(detectedAt) && scheduler.now() < end + 600_000) {
+    double recoveryMs = setup.recoverySeconds * 1000;
+    while (Double.isNaN(detectedAt) && scheduler.now() < recoveryMs + 600_000) {
       scheduler.runUntil(scheduler.now() + 1000);
     }
     int[] bySecond = new int[(int) setup.recoverySeconds + 1];
-    long before = 0;
-    for (double at : probeTimes) {
-      if (at < end) {
-        before++;
-        bySecond[(int) (at / 1000)]++;
+    long probesBeforeRecovery = 0;
+    for (double probeTime : probeTimes) {
+      if (probeTime < recoveryMs) {
+        probesBeforeRecovery++;
+        bySecond[(int) (probeTime / 1000)]++;
       }
     }
     return new Result(
-        before / setup.recoverySeconds,
+        probesBeforeRecovery / setup.recoverySeconds,
         Arrays.stream(bySecond).max().orElse(0),
-        (detectedAt - end) / 1000);
+        (detectedAt - recoveryMs) / 1000);
   }
 
   private void probe() {
@@ -101,31 +101,31 @@
     }
   }
 
-  private void probeAlone(int mixer, int times) {
+  private void probeAlone(int mixer, int probeCount) {
     probe();
     scheduler.schedule(
-        scheduler.now() + EJECTION_MS[Math.min(times, EJECTION_MS.length - 1)],
-        () -> probeAlone(mixer, times + 1));
+        scheduler.now() + EJECTION_MS[Math.min(probeCount, EJECTION_MS.length - 1)],
+        () -> probeAlone(mixer, probeCount + 1));
   }
 
   /** The rota of each decides; what one tells arrives after a while at the others, or is lost. */
   private void scheduleTurn(int mixer) {
-    Duration due = schedules.get(mixer).nextTurn(members, time());
+    Duration turnAt = schedules.get(mixer).nextTurn(members, time());
     scheduler.schedule(
-        due.toNanos() / 1e6,
+        turnAt.toNanos() / 1e6,
         () -> {
-          TurnSchedule rota = schedules.get(mixer);
-          if (rota.nextTurn(members, time()).compareTo(time()) <= 0) {
-            long round = rota.claimRound(time());
+          TurnSchedule schedule = schedules.get(mixer);
+          if (schedule.nextTurn(members, time()).compareTo(time()) <= 0) {
+            long round = schedule.claimRound(time());
             probe();
             for (int other = 0; other < setup.mixers; other++) {
-              int told = other;
+              int receiver = other;
               if (other != mixer && random.nextDouble() >= setup.lossShare) {
                 scheduler.schedule(
                     scheduler.now() + MESSAGE_DELAY_MS,
                     () ->
                         schedules
-                            .get(told)
+                            .get(receiver)
                             .receiveClaim(members.get(mixer), round, members, time()));
               }
             }
@@ -138,12 +138,13 @@
     return Duration.ofNanos((long) Math.ceil(scheduler.now() * 1e6));
   }
 
-  private void scheduleSpread(int mixer, long which) {
-    TurnOrder turns = new TurnOrder(members.get(mixer), Duration.ofMillis((long) ROUND_MS));
-    double length = ROUND_MS * setup.mixers;
-    double begun = scheduler.now();
+  private void scheduleSpread(int mixer, long roundNumber) {
+    TurnOrder turnOrder = new TurnOrder(members.get(mixer), Duration.ofMillis((long) ROUND_MS));
+    double roundMs = ROUND_MS * setup.mixers;
+    double startedAt = scheduler.now();
     scheduler.schedule(
-        begun + turns.randomDelay(TURN_KEY, which, setup.mixers).toMillis(), this::probe);
-    scheduler.schedule(begun + length, () -> scheduleSpread(mixer, which + 1));
+        startedAt + turnOrder.randomDelay(TURN_KEY, roundNumber, setup.mixers).toMillis(),
+        this::probe);
+    scheduler.schedule(startedAt + roundMs, () -> scheduleSpread(mixer, roundNumber + 1));
   }
 }
--- a/emulator/src/main/java/gingerring/emulator/simulation/RoutingSimulation.java
+++ b/emulator/src/main/java/gingerring/emulator/simulation/RoutingSimulation.java
@@ -83,7 +83,7 @@
     random = new SplittableRandom(setup.seed);
     partsInFlight = new int[setup.mixers][setup.boxes];
     List<Box> boxes = new ArrayList<>();
-    List<List<BoxId>> folios = new ArrayList<>();
+    List<List<BoxId>> holdersByPartition = new ArrayList<>();
     for (int i = 0; i < setup.boxes; i++) {
       boxQueues.add(new BoxQueue());
       boxes.add(new Box(new BoxId(i), i % ZONES, 1));
@@ -91,17 +91,20 @@
       for (int j = 0; j < setup.replicas; j++) {
         holders.add(new BoxId((i + j) % setup.boxes));
       }
-      folios.add(holders);
+      holdersByPartition.add(holders);
     }
-    SubsetSelector cover = new SubsetSelector(boxes, folios, setup.preferredReplicas);
+    SubsetSelector subsetSelector =
+        new SubsetSelector(boxes, holdersByPartition, setup.preferredReplicas);
     for (int m = 0; m < setup.mixers; m++) {
-      boolean[] mine = new boolean[setup.boxes];
+      boolean[] preferredBoxes = new boolean[setup.boxes];
       if (policy == Policy.COVER) {
-        cover.select(new MixerId(m)).forEach(id -> mine[(int) id.number()] = true);
+        subsetSelector
+            .select(new MixerId(m))
+            .forEach(id -> preferredBoxes[(int) id.number()] = true);
       } else {
-        Arrays.fill(mine, true);
+        Arrays.fill(preferredBoxes, true);
       }
-      preferredByMixer.add(mine);
+      preferredByMixer.add(preferredBoxes);
     }
   }
 
@@ -111,25 +114,25 @@
   }
 
   private Result simulate() {
-    int busyOnes = Math.max(1, setup.mixers / 10);
-    double weights = 10.0 * busyOnes + setup.mixers - busyOnes;
+    int highDemandMixers = Math.max(1, setup.mixers / 10);
+    double totalWeight = 10.0 * highDemandMixers + setup.mixers - highDemandMixers;
     // a millisecond
-    double scans =
+    double scansPerMs =
         setup.utilization
             * setup.boxes
             * CORES_PER_BOX
             / MEAN_WORK_MS
             / (PARTITION_SHARE_PER_SCAN * setup.boxes);
     for (int m = 0; m < setup.mixers; m++) {
-      scheduleScan(m, scans * (m < busyOnes ? 10 : 1) / weights);
+      scheduleScan(m, scansPerMs * (m < highDemandMixers ? 10 : 1) / totalWeight);
     }
     scheduler.runUntil(setup.seconds * 1000);
-    double sum = boxQueues.stream().mapToDouble(each -> each.busyMs).sum();
-    double most = boxQueues.stream().mapToDouble(each -> each.busyMs).max().orElse(0);
+    double totalBusyMs = boxQueues.stream().mapToDouble(queue -> queue.busyMs).sum();
+    double maxBusyMs = boxQueues.stream().mapToDouble(queue -> queue.busyMs).max().orElse(0);
     return new Result(
-        most / (sum / setup.boxes),
-        boxQueues.stream().mapToInt(each -> each.connectedMixers.size()).average().orElse(0),
-        boxQueues.stream().mapToInt(each -> each.connectedMixers.size()).max().orElse(0),
+        maxBusyMs / (totalBusyMs / setup.boxes),
+        boxQueues.stream().mapToInt(queue -> queue.connectedMixers.size()).average().orElse(0),
+        boxQueues.stream().mapToInt(queue -> queue.connectedMixers.size()).max().orElse(0),
         latencyMicros.getValueAtPercentile(50) / 1e3,
         latencyMicros.getValueAtPercentile(99) / 1e3,
         partCount);
@@ -139,66 +142,66 @@
     return -mean * Math.log(1 - random.nextDouble());
   }
 
-  private void scheduleScan(int mixer, double rate) {
+  private void scheduleScan(int mixer, double scansPerMs) {
     scheduler.schedule(
-        scheduler.now() + exponential(1 / rate),
+        scheduler.now() + exponential(1 / scansPerMs),
         () -> {
-          int first = random.nextInt(setup.boxes);
-          int home = random.nextInt(setup.replicas);
+          int firstPartition = random.nextInt(setup.boxes);
+          int firstHolder = random.nextInt(setup.replicas);
           for (int i = 0; i < Math.max(1, (int) (PARTITION_SHARE_PER_SCAN * setup.boxes)); i++) {
-            send(mixer, selectBox(mixer, (first + i) % setup.boxes, home));
+            send(mixer, selectBox(mixer, (firstPartition + i) % setup.boxes, firstHolder));
           }
-          scheduleScan(mixer, rate);
+          scheduleScan(mixer, scansPerMs);
         });
   }
 
-  private int selectBox(int mixer, int folio, int home) {
+  private int selectBox(int mixer, int partition, int firstHolder) {
     if (policy == Policy.RANDOM) {
-      return (folio + random.nextInt(setup.replicas)) % setup.boxes;
+      return (partition + random.nextInt(setup.replicas)) % setup.boxes;
     }
     if (policy == Policy.TWO) {
-      int one = (folio + random.nextInt(setup.replicas)) % setup.boxes;
-      int other = (folio + random.nextInt(setup.replicas)) % setup.boxes;
-      return partsInFlight[mixer][other] < partsInFlight[mixer][one] ? other : one;
+      int first = (partition + random.nextInt(setup.replicas)) % setup.boxes;
+      int second = (partition + random.nextInt(setup.replicas)) % setup.boxes;
+      return partsInFlight[mixer][second] < partsInFlight[mixer][first] ? second : first;
     }
-    int best = -1;
+    int bestBox = -1;
     for (int j = 0; j < setup.replicas; j++) {
-      int box = (folio + (home + j) % setup.replicas) % setup.boxes;
+      int box = (partition + (firstHolder + j) % setup.replicas) % setup.boxes;
       if (preferredByMixer.get(mixer)[box]
-          && (best < 0 || partsInFlight[mixer][box] < partsInFlight[mixer][best])) {
-        best = box;
+          && (bestBox < 0 || partsInFlight[mixer][box] < partsInFlight[mixer][bestBox])) {
+        bestBox = box;
       }
     }
-    return best;
+    return bestBox;
   }
 
   private void send(int mixer, int box) {
-    BoxQueue station = boxQueues.get(box);
-    station.connectedMixers.add(mixer);
+    BoxQueue queue = boxQueues.get(box);
+    queue.connectedMixers.add(mixer);
     partsInFlight[mixer][box]++;
     partCount++;
-    double sent = scheduler.now();
-    double work = exponential(MEAN_WORK_MS);
-    Runnable part =
+    double sentAt = scheduler.now();
+    double workMs = exponential(MEAN_WORK_MS);
+    Runnable execution =
         () -> {
-          station.running++;
-          station.busyMs += work;
+          queue.running++;
+          queue.busyMs += workMs;
           scheduler.schedule(
-              scheduler.now() + work,
+              scheduler.now() + workMs,
               () -> {
-                station.running--;
+                queue.running--;
                 partsInFlight[mixer][box]--;
                 latencyMicros.recordValue(
-                    Math.min(3_600_000_000L, (long) ((scheduler.now() - sent) * 1000)));
-                if (!station.waiting.isEmpty()) {
-                  station.waiting.poll().run();
+                    Math.min(3_600_000_000L, (long) ((scheduler.now() - sentAt) * 1000)));
+                if (!queue.waiting.isEmpty()) {
+                  queue.waiting.poll().run();
                 }
               });
         };
-    if (station.running < CORES_PER_BOX) {
-      part.run();
+    if (queue.running < CORES_PER_BOX) {
+      execution.run();
     } else {
-      station.waiting.add(part);
+      queue.waiting.add(execution);
     }
   }
 }
--- a/emulator/src/test/java/gingerring/emulator/core/BoxTest.java
+++ b/emulator/src/test/java/gingerring/emulator/core/BoxTest.java
@@ -16,19 +16,19 @@
 /** Boxes in a time of their own. */
 class BoxTest {
   /** A host whose time moves from wake to wake. */
-  private static final class Time implements Box.Host {
-    private record Wake(Duration at, long number, Runnable task) {}
+  private static final class SimulatedHost implements Box.Host {
+    private record ScheduledTask(Duration time, long number, Runnable task) {}
 
-    final PriorityQueue<Wake> wakes =
+    final PriorityQueue<ScheduledTask> tasks =
         new PriorityQueue<>(
             (one, other) ->
-                one.at.equals(other.at)
+                one.time.equals(other.time)
                     ? Long.compare(one.number, other.number)
-                    : one.at.compareTo(other.at));
-    final Map<String, String> ends = new TreeMap<>();
-    final List<Integer> fell = new ArrayList<>();
+                    : one.time.compareTo(other.time));
+    final Map<String, String> outcomes = new TreeMap<>();
+    final List<Integer> overloadedBoxes = new ArrayList<>();
     Duration now = Duration.ZERO;
-    long wakeNumber;
+    long taskNumber;
 
     @Override
     public Duration now() {
@@ -36,13 +36,13 @@
     }
 
     @Override
-    public void schedule(Duration span, Runnable task) {
-      wakes.add(new Wake(now.plus(span), wakeNumber++, task));
+    public void schedule(Duration delay, Runnable task) {
+      tasks.add(new ScheduledTask(now.plus(delay), taskNumber++, task));
     }
 
     @Override
-    public void answer(Box.Part part, String end) {
-      ends.put(part.id(), end);
+    public void answer(Box.Part part, String outcome) {
+      outcomes.put(part.id(), outcome);
     }
 
     @Override
@@ -52,20 +52,20 @@
 
     @Override
     public void overloaded(Box box) {
-      fell.add(box.number);
+      overloadedBoxes.add(box.number);
     }
 
-    void run(Duration until) {
-      while (!wakes.isEmpty() && wakes.peek().at.compareTo(until) <= 0) {
-        Wake wake = wakes.poll();
-        now = wake.at;
+    void runUntil(Duration end) {
+      while (!tasks.isEmpty() && tasks.peek().time.compareTo(end) <= 0) {
+        ScheduledTask wake = tasks.poll();
+        now = wake.time;
         wake.task.run();
       }
-      now = until;
+      now = end;
     }
   }
 
-  private static Scenario world(String json) throws Scenario.InvalidScenario {
+  private static Scenario scenario(String json) throws Scenario.InvalidScenario {
     return Scenario.read(json.getBytes());
   }
 
@@ -74,40 +74,41 @@
   }
 
   @Test
-  void workTakesItsTimeAndTheQueueHasAnEnd() throws Exception {
-    Scenario world = world("{\"boxes\": 3, \"cores\": 1, \"queueMost\": 3, \"pauseMs\": [0, 0]}");
-    Time time = new Time();
-    Box box = new Box(world, 0, time);
+  void partsTakeTheirWorkTimeAndAFullQueueRejects() throws Exception {
+    Scenario scenario =
+        scenario("{\"boxes\": 3, \"cores\": 1, \"queueMost\": 3, \"pauseMs\": [0, 0]}");
+    SimulatedHost host = new SimulatedHost();
+    Box box = new Box(scenario, 0, host);
     box.start(false);
     for (int i = 0; i < 6; i++) {
       box.receive(part(i));
     }
-    assertEquals(Map.of("p4", "full", "p5", "full"), time.ends);
+    assertEquals(Map.of("p4", "full", "p5", "full"), host.outcomes);
     box.cancel("p3");
-    time.run(Duration.ofSeconds(1));
-    assertEquals("done", time.ends.get("p2"));
-    assertFalse(time.ends.containsKey("p3"));
+    host.runUntil(Duration.ofSeconds(1));
+    assertEquals("done", host.outcomes.get("p2"));
+    assertFalse(host.outcomes.containsKey("p3"));
     assertEquals(3, box.partsDone());
   }
 
   @Test
-  void aColdBoxSentTooMuchFallsAndOneSentLittleGetsWarm() throws Exception {
-    Scenario world =
-        world(
+  void coldBoxFailsUnderOverloadAndWarmsUpUnderLightLoad() throws Exception {
+    Scenario scenario =
+        scenario(
             "{\"boxes\": 3, \"warmUpMs\": 10000, \"tipMultiple\": 3, \"tipAfterMs\": 1000, "
                 + "\"queueMost\": 100000, \"slowShare\": 0}");
     for (int perSecond : new int[] {15, 400}) {
-      Time time = new Time();
-      Box box = new Box(world, 0, time);
+      SimulatedHost host = new SimulatedHost();
+      Box box = new Box(scenario, 0, host);
       box.start(true);
       assertEquals(0.19, box.capacityShare(), 1e-9);
       for (int i = 0; i < perSecond * 3; i++) {
-        time.run(Duration.ofMillis(1000L * i / perSecond));
+        host.runUntil(Duration.ofMillis(1000L * i / perSecond));
         box.receive(part(i));
       }
-      time.run(Duration.ofSeconds(11));
+      host.runUntil(Duration.ofSeconds(11));
       assertEquals(perSecond > 100, box.isOverloaded(), perSecond + " a second");
-      assertEquals(perSecond > 100 ? List.of(0) : List.of(), time.fell);
+      assertEquals(perSecond > 100 ? List.of(0) : List.of(), host.overloadedBoxes);
       assertTrue(perSecond > 100 || box.capacityShare() == 1);
     }
   }
@@ -116,23 +117,23 @@
    * The same part meets the same at the same box, in whatever order and at whatever time it comes.
    */
   @Test
-  void fatesDoNotDependOnOrderOrTime() throws Exception {
-    Scenario world =
-        world(
+  void outcomesDoNotDependOnOrderOrTime() throws Exception {
+    Scenario scenario =
+        scenario(
             "{\"boxes\": 3, \"seed\": 5, \"queueMost\": 100000, \"badParts\": 0.1, \"troubles\": ["
                 + "{\"kind\": \"errors\", \"atMs\": 0, \"forMs\": 1000000, \"boxes\": 3, \"size\": 0.2},"
                 + "{\"kind\": \"spoil\", \"atMs\": 0, \"forMs\": 1000000, \"boxes\": 3, \"size\": 0.2}]}");
     List<Map<String, String>> runs = new ArrayList<>();
     for (int gap : new int[] {1, 50}) {
-      Time time = new Time();
-      Box box = new Box(world, 1, time);
+      SimulatedHost host = new SimulatedHost();
+      Box box = new Box(scenario, 1, host);
       box.start(false);
       for (int i = 0; i < 200; i++) {
-        time.run(Duration.ofMillis((long) i * gap));
+        host.runUntil(Duration.ofMillis((long) i * gap));
         box.receive(part(gap == 1 ? i : 199 - i));
       }
-      time.run(Duration.ofSeconds(100));
-      runs.add(time.ends);
+      host.runUntil(Duration.ofSeconds(100));
+      runs.add(host.outcomes);
     }
     assertEquals(runs.get(0), runs.get(1));
     assertEquals(3, runs.get(0).values().stream().distinct().count());
@@ -140,21 +141,21 @@
   }
 
   @Test
-  void aBoxThatDiesForgetsWhatItHad() throws Exception {
-    Time time = new Time();
-    Box box = new Box(world("{\"boxes\": 3}"), 0, time);
+  void restartedBoxAnswersNoEarlierPart() throws Exception {
+    SimulatedHost host = new SimulatedHost();
+    Box box = new Box(scenario("{\"boxes\": 3}"), 0, host);
     box.start(false);
     box.receive(part(1));
     box.stop();
     box.start(true);
-    time.run(Duration.ofSeconds(5));
-    assertEquals(Map.of(), time.ends);
+    host.runUntil(Duration.ofSeconds(5));
+    assertEquals(Map.of(), host.outcomes);
     assertEquals(0, box.inFlight());
   }
 
   @Test
-  void aDescriptionThatCannotBeIsRefusedByName() {
-    Map<String, String> wrong =
+  void invalidScenarioIsRejectedWithTheFieldName() {
+    Map<String, String> messageByJson =
         Map.of(
             "{\"boxes\": 0}",
             "boxes is out of range: 0.0 is not 1.0 to 2000.0",
@@ -168,22 +169,23 @@
             "grades.0.name is missing",
             "[",
             "unexpected end of input");
-    wrong.forEach(
-        (json, why) -> {
-          Scenario.InvalidScenario unfit =
-              assertThrows(Scenario.InvalidScenario.class, () -> world(json));
-          assertTrue(unfit.getMessage().contains(why), unfit.getMessage());
+    messageByJson.forEach(
+        (json, expectedMessage) -> {
+          Scenario.InvalidScenario exception =
+              assertThrows(Scenario.InvalidScenario.class, () -> scenario(json));
+          assertTrue(exception.getMessage().contains(expectedMessage), exception.getMessage());
         });
   }
 
   @Test
-  void theScriptIsTheSameEveryTimeAndItsWeightsSumToOne() {
-    Scenario world = Scenario.defaults();
-    List<Workload.ClientRequest> wishes = Workload.generate(world);
-    assertEquals(wishes, Workload.generate(world));
-    assertTrue(wishes.size() > 120 && wishes.size() < 280, "wishes: " + wishes.size());
-    for (Workload.ClientRequest wish : wishes) {
-      assertEquals(1, wish.shares().values().stream().mapToDouble(Double::doubleValue).sum(), 1e-3);
+  void workloadIsReproducibleAndSharesSumToOne() {
+    Scenario scenario = Scenario.defaults();
+    List<Workload.ClientRequest> requests = Workload.generate(scenario);
+    assertEquals(requests, Workload.generate(scenario));
+    assertTrue(requests.size() > 120 && requests.size() < 280, "wishes: " + requests.size());
+    for (Workload.ClientRequest request : requests) {
+      assertEquals(
+          1, request.shares().values().stream().mapToDouble(Double::doubleValue).sum(), 1e-3);
     }
   }
 }
--- a/emulator/src/test/java/gingerring/emulator/experiment/EmulatedClientsTest.java
+++ b/emulator/src/test/java/gingerring/emulator/experiment/EmulatedClientsTest.java
@@ -12,7 +12,7 @@
    * good.
    */
   @Test
-  void aClientThatWaitsGetsAnothersIdleConnection() throws Exception {
+  void waitingRequestReusesAnIdleConnectionSlot() throws Exception {
     ExperimentRun.Result result =
         ExperimentRun.run(
             Scenario.read(
--- a/emulator/src/test/java/gingerring/emulator/simulation/CapacitySharingSimulationTest.java
+++ b/emulator/src/test/java/gingerring/emulator/simulation/CapacitySharingSimulationTest.java
@@ -12,25 +12,25 @@
   @Test
   void sharesFollowDemandWithinFiveSeconds() {
     for (int mixers : new int[] {3, 30, 100}) {
-      for (double delay : new double[] {50, 250}) {
+      for (double delayMs : new double[] {50, 250}) {
         for (long seed = 1; seed <= 3; seed++) {
           CapacitySharingSimulation.Result result =
               CapacitySharingSimulation.run(
-                  new CapacitySharingSimulation.Setup(mixers, delay, 1, 0.02, 2000, seed));
-          String which = mixers + " mixers, delay " + delay + ": ";
+                  new CapacitySharingSimulation.Setup(mixers, delayMs, 1, 0.02, 2000, seed));
+          String label = mixers + " mixers, delay " + delayMs + ": ";
           for (int change :
               new int[] {0, 2, 3}) { // demand shifts, some join, the box's capacity is halved
             assertTrue(
                 result.errors()[change] <= 0.05,
-                which + change + " off by " + result.errors()[change]);
+                label + change + " off by " + result.errors()[change]);
           }
           // what those who left had, one with ten times the others' demand takes up as the room is
           // tried
           // larger
           assertTrue(
               result.errors()[1] <= 0.12,
-              which + "off by " + result.errors()[1] + " after some left");
-          assertTrue(result.rejectedShare() <= 0.01, which + "refused " + result.rejectedShare());
+              label + "off by " + result.errors()[1] + " after some left");
+          assertTrue(result.rejectedShare() <= 0.01, label + "refused " + result.rejectedShare());
         }
       }
     }
@@ -40,7 +40,7 @@
    * Reports a second old: no longer within the bound, and still no swing between all and nothing.
    */
   @Test
-  void lateReportsCostAccuracyAndNoStability() {
+  void lateReportsCostAccuracyButNotStability() {
     for (long seed = 1; seed <= 3; seed++) {
       CapacitySharingSimulation.Result result =
           CapacitySharingSimulation.run(
--- a/emulator/src/test/java/gingerring/emulator/simulation/FleetSimulationTest.java
+++ b/emulator/src/test/java/gingerring/emulator/simulation/FleetSimulationTest.java
@@ -8,12 +8,13 @@
 
 class FleetSimulationTest {
   private static ProbeSimulation.Result probes(
-      int mixers, double stopped, long seed, ProbeSimulation.Strategy way) {
-    return ProbeSimulation.run(new ProbeSimulation.Setup(mixers, stopped, 0.05, 30, seed), way);
+      int mixers, double stoppedShare, long seed, ProbeSimulation.Strategy strategy) {
+    return ProbeSimulation.run(
+        new ProbeSimulation.Setup(mixers, stoppedShare, 0.05, 30, seed), strategy);
   }
 
   @Test
-  void theSameSeedGivesTheSameRun() {
+  void sameSeedGivesSameResult() {
     RoutingSimulation.Setup setup = new RoutingSimulation.Setup(40, 30, 3, 2, 0.5, 5, 7);
     for (RoutingSimulation.Policy policy : RoutingSimulation.Policy.values()) {
       assertEquals(RoutingSimulation.run(setup, policy), RoutingSimulation.run(setup, policy));
@@ -26,18 +27,18 @@
 
   /** Guards against a hundred mixers that all probe one benched box, each for a good reason. */
   @Test
-  void probesInTurnsDoNotGrowWithTheFleet() {
+  void coordinatedProbesDoNotGrowWithTheFleet() {
     for (long seed = 1; seed <= 3; seed++) {
       for (int mixers : new int[] {10, 100, 1000}) {
-        for (double stopped : new double[] {0, 0.3}) {
+        for (double stoppedShare : new double[] {0, 0.3}) {
           ProbeSimulation.Result turns =
-              probes(mixers, stopped, seed, ProbeSimulation.Strategy.TURNS);
+              probes(mixers, stoppedShare, seed, ProbeSimulation.Strategy.TURNS);
           assertTrue(
               turns.probesPerSecond() <= 1.2 && turns.maxInOneSecond() <= 5,
               () -> mixers + " mixers: " + turns);
           assertTrue(turns.detectionSeconds() <= 6, () -> mixers + " mixers: " + turns);
           ProbeSimulation.Result spread =
-              probes(mixers, stopped, seed, ProbeSimulation.Strategy.SPREAD);
+              probes(mixers, stoppedShare, seed, ProbeSimulation.Strategy.SPREAD);
           assertTrue(spread.probesPerSecond() <= 1.2, () -> mixers + " mixers: " + spread);
           assertTrue(spread.detectionSeconds() <= 30, () -> mixers + " mixers: " + spread);
         }
@@ -52,12 +53,15 @@
    * A cover bounds connections where a folio has many holders; each part still goes to a holder.
    */
   @Test
-  void coversTakeFewerConnections() {
+  void subsetsNeedFewerConnections() {
     RoutingSimulation.Setup setup = new RoutingSimulation.Setup(60, 60, 12, 2, 0.5, 20, 3);
-    RoutingSimulation.Result all = RoutingSimulation.run(setup, RoutingSimulation.Policy.LEAST_OWN);
-    RoutingSimulation.Result some = RoutingSimulation.run(setup, RoutingSimulation.Policy.COVER);
-    assertEquals(all.parts(), some.parts());
+    RoutingSimulation.Result withoutSubsets =
+        RoutingSimulation.run(setup, RoutingSimulation.Policy.LEAST_OWN);
+    RoutingSimulation.Result withSubsets =
+        RoutingSimulation.run(setup, RoutingSimulation.Policy.COVER);
+    assertEquals(withoutSubsets.parts(), withSubsets.parts());
     assertTrue(
-        some.meanConnections() < 0.4 * all.meanConnections(), () -> some + " against " + all);
+        withSubsets.meanConnections() < 0.4 * withoutSubsets.meanConnections(),
+        () -> withSubsets + " against " + withoutSubsets);
   }
 }
