--- a/emulator/src/main/java/gingerring/emulator/core/Box.java
+++ b/emulator/src/main/java/gingerring/emulator/core/Box.java
@@ -10,29 +10,35 @@
 import java.util.Set;
 
 /**
- * One box: cores that work off a queue, pauses, a warm-up in which it can do only part of its work,
- * and the fall when it is sent too much of that. Call {@link #receive} and {@link #cancel} as
- * frames come, {@link #start} and {@link #stop} as its process lives and dies; it answers through
- * {@link Host}.
+ * An emulated box: cores that execute parts from a queue, periodic pauses, a warm-up during which
+ * the box has only part of its capacity, and the failure of a cold box that is overloaded. The
+ * caller passes frames to {@link #receive} and {@link #cancel} and reports the start and the end of
+ * the box's process with {@link #start} and {@link #stop}. The box answers through {@link Host}.
  */
 public final class Box {
-  /** What a box can do, and the clock it does it by. */
+  /** The clock, the timers and the connections of a box. */
   public interface Host {
     Duration now();
 
     void schedule(Duration delay, Runnable task);
 
-    /** {@code end} is done, failed, full, or spoilt: an answer that is not of the protocol. */
+    /**
+     * Answers a part. {@code outcome} is "done", "failed", "full" or "spoilt"; a spoilt answer
+     * violates the protocol.
+     */
     void answer(Part part, String outcome);
 
-    /** Runs a numbered part unless its mark is known; false where it is. */
+    /**
+     * Returns whether the part is to be executed. A keyed part is not executed again while its
+     * idempotency key is stored; otherwise its key is stored by this call.
+     */
     boolean beginExecution(Part part);
 
-    /** It was sent too much while cold, and stays down. */
+    /** Reports that the box was overloaded while cold; it stays down for the rest of the run. */
     void overloaded(Box box);
   }
 
-  /** A part as a box has it; {@code link} is for whoever sent it. */
+  /** A part received by a box; {@code connection} identifies the sender for {@link Host#answer}. */
   public record Part(Object connection, String id, int partition, String key, String query) {}
 
   private static final Duration BUCKET = Duration.ofMillis(250);
@@ -62,8 +68,8 @@
     this.number = number;
     this.host = host;
     boolean slow = SeededDraw.draw(scenario.seed(), "slow", number) < scenario.slowShare();
-    double spread = SeededDraw.draw(scenario.seed(), "speed", number);
-    speed = slow ? 0.69 + 0.12 * spread : 0.92 + 0.18 * spread;
+    double speedDraw = SeededDraw.draw(scenario.seed(), "speed", number);
+    speed = slow ? 0.69 + 0.12 * speedDraw : 0.92 + 0.18 * speedDraw;
     for (BoxFault fault : scenario.faults()) {
       if (scenario.affectedBoxes(fault).contains(number)) {
         faults.add(fault);
@@ -71,7 +77,7 @@
     }
   }
 
-  /** Its process starts: warm where it began long ago. */
+  /** Starts the process of the box, either cold or already warm. */
   public void start(boolean cold) {
     up = !overloaded;
     draining = false;
@@ -82,7 +88,7 @@
     overloadSince = null;
   }
 
-  /** Its process dies, with all it had. */
+  /** Ends the process; parts that are queued or running are lost. */
   public void stop() {
     up = false;
     incarnation++;
@@ -111,7 +117,7 @@
     return queue.size() + running;
   }
 
-  /** Parts it has done, and the milliseconds of work in them. */
+  /** Returns the number of parts that the box has executed. */
   public long partsDone() {
     return partsDone;
   }
@@ -120,7 +126,10 @@
     return workDoneMs;
   }
 
-  /** What share of its full work it can do now. */
+  /**
+   * Returns the share of the full capacity that the box has now; it grows linearly during the
+   * warm-up.
+   */
   public double capacityShare() {
     if (coldSince == null || scenario.warmUp().isZero()) {
       return 1;
@@ -164,7 +173,7 @@
     startQueued();
   }
 
-  /** Waiting work is dropped; what runs goes on, and is answered. */
+  /** Drops a part that is still queued. A running part is finished and answered. */
   public void cancel(String id) {
     Part part = queuedById.remove(id);
     if (part != null) {
@@ -180,7 +189,7 @@
         SeededDraw.draw(scenario.seed(), "work " + part.query, part.partition));
   }
 
-  /** Takes note of work sent while cold; too much of it for too long brings the box down. */
+  /** Records work that arrives while the box is cold; too much of it for too long fails the box. */
   private void recordColdWork(double workMs) {
     Duration now = host.now();
     while (now.minus(bucketStart).compareTo(BUCKET) >= 0) {
@@ -241,7 +250,10 @@
     }
   }
 
-  /** How long the box stands still between now and then, and whatever that adds. */
+  /**
+   * Returns for how long the box pauses while it executes work of the given duration from {@code
+   * start} on, including pauses that fall into the time added by earlier ones.
+   */
   private Duration pauseTime(Duration start, Duration duration) {
     if (scenario.pauseIntervalMs().high() <= 0 || scenario.pauseMs().high() <= 0) {
       return Duration.ZERO;
@@ -273,7 +285,7 @@
     return Duration.ofNanos((long) (addedMs * 1e6));
   }
 
-  /** The trouble of a kind that is on at this box now, or null. */
+  /** Returns the active fault of a kind at this box, or null. */
   public BoxFault activeFault(BoxFault.Kind kind) {
     Duration now = host.now();
     for (BoxFault fault : faults) {
--- a/emulator/src/main/java/gingerring/emulator/core/RuleChecker.java
+++ b/emulator/src/main/java/gingerring/emulator/core/RuleChecker.java
@@ -13,31 +13,31 @@
 import java.util.stream.Stream;
 
 /**
- * Judges the rules of a scan from outside: told of every request, answer, part and return as the
- * stand-ins see them, it says where a mixer broke one, and which. A part is judged by when it was
- * sent, which is not when it arrives where a link holds it. Times allow {@link #SLACK} for the way
- * over sockets. Scans are forgotten {@link #RETENTION} after their end, so that memory is bounded
- * by the rate.
+ * Checks the rules of a scan from outside the mixers. The emulated clients and boxes report every
+ * request, answer, part and part's answer; the checker records each violation and the mixer that
+ * caused it. A part is checked by the time at which it was sent, since a link may delay its
+ * arrival. Time limits allow {@link #SLACK} for the transport over sockets. Scans are removed
+ * {@link #RETENTION} after their end, which bounds memory by the request rate.
  */
 public final class RuleChecker {
   public static final Duration SLACK = Duration.ofMillis(50);
   static final Duration RETENTION = Duration.ofSeconds(30);
 
   /**
-   * A frame that came while the rig stood still is read this soon after: in its first turn or the
-   * next.
+   * The longest time between the end of a stall of the test harness and the reading of a frame that
+   * arrived during the stall: it is read in the first or the second iteration of the event loop.
    */
   static final Duration READ_DELAY = Duration.ofMillis(10);
 
   private static final int MAX_LISTED_VIOLATIONS = 100;
 
-  /** How long before a box's overload what came to it still counts. */
+  /** Parts sent up to this long before the overload window still count when a box is overloaded. */
   private static final Duration RECENT_PART_MARGIN = Duration.ofSeconds(1);
 
-  /** Blamed where it can't be told which mixer it was. */
+  /** Stands for the mixer of a violation that cannot be attributed. */
   static final int UNKNOWN_MIXER = -1;
 
-  /** The rules, and what only a mixer gone wrong does: parts that nobody asked for. */
+  /** The rules of a scan; {@link #STRANGE_PART} is a part that no client requested. */
   public enum Rule {
     SCAN_LOST,
     EFFECT_TWICE,
@@ -48,10 +48,13 @@
     STRANGE_PART
   }
 
-  /** A rule broken, and by which mixer. */
+  /**
+   * A violation of a rule and the mixer that caused it. Its string form is printed, so the names of
+   * the record and its components are part of the output.
+   */
   public record Foul(Rule rule, int mixer, Duration at, String what) {}
 
-  /** A part on its way to a box: who sent it and when. */
+  /** The sender of a part and the time at which the part was sent. */
   private record RecentPart(int mixer, Duration sentAt) {}
 
   private static final class Scan {
@@ -94,7 +97,10 @@
       this.sentAt = sentAt;
     }
 
-    /** Whether it may have run, for all that its sender could know then. */
+    /**
+     * Returns whether the part may have been executed, as far as its sender could tell at the given
+     * time.
+     */
     boolean mayHaveRun(Duration asOf) {
       return !("full".equals(outcome) || "unreached".equals(outcome))
           || endedAt.compareTo(asOf) > 0;
@@ -104,13 +110,16 @@
   private final Scenario scenario;
   private final Map<String, Scan> scans = new HashMap<>();
 
-  /** By mixer and box: since when that one has been told. */
+  /** For each mixer and box, when the mixer was notified that the box drains or is gone. */
   private final Map<Long, Duration> drainNotices = new HashMap<>();
 
-  /** By mixer: spans in which it was stopped, cut off or killed, and owed no answer in time. */
+  /**
+   * For each mixer, the periods in which it was stopped, cut off or killed and is exempt from
+   * deadlines.
+   */
   private final Map<Integer, List<Duration[]>> exemptions = new HashMap<>();
 
-  /** Spans in which whoever tells the referee stood still, and when it last said that it runs. */
+  /** Periods in which the test harness itself made no progress. */
   private final List<Duration[]> stalls = new ArrayList<>();
 
   private Duration lastHeartbeat;
@@ -119,7 +128,7 @@
   private final Map<Integer, Integer> countsByMixer = new TreeMap<>();
   private final List<Foul> violations = new ArrayList<>();
 
-  /** By box, what came to it lately. */
+  /** For each box, the parts sent to it recently. */
   private final Map<Integer, Deque<RecentPart>> recentParts = new HashMap<>();
 
   private Duration lastSweep = Duration.ZERO;
@@ -140,7 +149,7 @@
     }
   }
 
-  /** A client has sent a request whole. */
+  /** Records that a client has sent a complete request to the only mixer. */
   public void requestSent(
       String scanId,
       String serviceClass,
@@ -151,7 +160,7 @@
     requestSent(0, scanId, serviceClass, shares, key, time, deadline);
   }
 
-  /** A client has sent a request whole to one of several mixers. */
+  /** Records that a client has sent a complete request to one of several mixers. */
   public void requestSent(
       int mixer,
       String scanId,
@@ -168,17 +177,15 @@
     removeExpired(time);
   }
 
-  /**
-   * A mixer was made to stand still, or ended, from then to then: its scans of that time may be
-   * lost.
-   */
+  /** Records that a mixer was stopped or ended in a period; scans of that period may be lost. */
   public void addExemption(int mixer, Duration start, Duration end) {
     exemptions.computeIfAbsent(mixer, m -> new ArrayList<>()).add(new Duration[] {start, end});
   }
 
   /**
-   * Whoever tells the referee says often that it runs itself. Where it stood still for longer than
-   * the slack, all it saw of that time is late by its own doing, and no mixer owes it.
+   * Records that the test harness is running. The harness calls this method often; if the time
+   * between two calls exceeds {@link #SLACK}, the harness itself stood still, and what it observed
+   * late in that period is not held against any mixer.
    */
   public void heartbeat(Duration now) {
     if (lastHeartbeat != null && now.minus(lastHeartbeat).compareTo(SLACK) > 0) {
@@ -191,7 +198,7 @@
     lastHeartbeat = now;
   }
 
-  /** The longest time for which whoever tells the referee stood still; zero where it never did. */
+  /** Returns the longest period for which the test harness made no progress, or zero. */
   public Duration longestStall() {
     return longestStall;
   }
@@ -209,14 +216,14 @@
   }
 
   /**
-   * What was lost, late or sent again while its mixer, or the rig itself, had been made to stand
-   * still.
+   * Returns the number of events that were not counted as violations because the mixer, or the test
+   * harness itself, stood still.
    */
   public long exempted() {
     return exemptedCount;
   }
 
-  /** A client has closed its connection before its answer. */
+  /** Records that a client closed its connection before the answer. */
   public void clientLeft(String scanId, Duration time) {
     Scan scan = scans.get(scanId);
     if (scan != null && scan.endedAt == null) {
@@ -225,24 +232,28 @@
     }
   }
 
-  /** A client never had its answer, though it waited to the end. */
+  /** Records that a client waited until its deadline and received no answer. */
   public void answerMissing(String scanId, Duration time) {
     Scan scan = scans.get(scanId);
     if (scan != null && scan.endedAt == null) {
       scan.endedAt = time;
       if (!exempted(scan, time)) {
         addViolation(
-            Rule.SCAN_LOST, scan.mixer, time, scanId + " had no answer in its client's time");
+            Rule.SCAN_LOST, scan.mixer, time, scanId + " had no answer before its deadline");
       }
     }
   }
 
-  /** An answer's last byte came; {@code values} are null for one that refuses or gives up. */
+  /**
+   * Records that an answer was received completely; {@code values} is null for a rejection or a
+   * failure.
+   */
   public void requestAnswered(
       String scanId, Duration time, boolean rejected, boolean whole, Map<Integer, String> values) {
     Scan scan = scans.get(scanId);
     if (scan == null) {
-      addViolation(Rule.SCAN_LOST, UNKNOWN_MIXER, time, scanId + " was answered and not asked");
+      addViolation(
+          Rule.SCAN_LOST, UNKNOWN_MIXER, time, scanId + " was answered but never requested");
       return;
     }
     if (scan.endedAt != null) {
@@ -283,7 +294,7 @@
             Rule.HONEST_ANSWER,
             scan.mixer,
             time,
-            scanId + " has a value of folio " + value.getKey() + " that no box gave");
+            scanId + " has a value of partition " + value.getKey() + " that no box gave");
       }
       coverage += share == null ? 0 : share;
     }
@@ -308,12 +319,15 @@
           scanId
               + " is answered from "
               + coverage
-              + " of its weight, under the floor "
+              + " of its weight, below the minimum coverage "
               + scan.serviceClass.minCoverage());
     }
   }
 
-  /** A part has arrived at a box whole, just when it was sent by the mixer that was asked. */
+  /**
+   * Records that a box received a complete part from the mixer of its scan, without delay on the
+   * way.
+   */
   public void partReceived(String scanId, int partition, String key, int box, Duration receivedAt) {
     Scan scan = scans.get(scanId);
     partReceived(
@@ -326,7 +340,7 @@
         receivedAt);
   }
 
-  /** A part has arrived at a box whole that a mixer had {@code sent} before. */
+  /** Records that a box received a complete part which a mixer had sent at {@code sentAt}. */
   public void partReceived(
       int mixer,
       String scanId,
@@ -341,7 +355,7 @@
     Scan scan = scans.get(scanId);
     String partName = scanId + '.' + partition;
     if (scan == null || !scan.shares.containsKey(partition) || scan.mixer != mixer) {
-      addViolation(Rule.STRANGE_PART, mixer, sentAt, partName + " was sent and not asked for");
+      addViolation(Rule.STRANGE_PART, mixer, sentAt, partName + " was sent but not requested");
       return;
     }
     if (!scenario.holders(partition).contains(box)) {
@@ -365,7 +379,10 @@
         && sentAt.compareTo(scan.endedAt) <= 0
         && scan.serviceClass.retrySafety() == RetrySafety.AT_MOST_ONCE) {
       addViolation(
-          Rule.EFFECT_TWICE, mixer, sentAt, scanId + " was nacked though a part was on its way");
+          Rule.EFFECT_TWICE,
+          mixer,
+          sentAt,
+          scanId + " was rejected although a part was on its way");
     }
     Duration drainedAt = drainNotices.get(mixerAndBox(mixer, box));
     if (drainedAt != null
@@ -378,7 +395,7 @@
           partName
               + " was sent to box "
               + box
-              + ", told as drained at "
+              + ", which was announced as draining at "
               + drainedAt.toMillis()
               + " ms");
     }
@@ -394,7 +411,8 @@
     Trip trip = new Trip(box, sentAt);
     for (Trip earlierTrip : earlierTrips) {
       boolean outOfOrder =
-          earlierTrip.sentAt.compareTo(sentAt) > 0; // sent before one that came before it
+          earlierTrip.sentAt.compareTo(sentAt)
+              > 0; // it was sent before a trip that arrived earlier
       if (effectRepeated(scan, outOfOrder ? trip : earlierTrip, outOfOrder ? earlierTrip : trip)) {
         addViolation(
             Rule.EFFECT_TWICE,
@@ -402,15 +420,15 @@
             sentAt,
             partName
                 + (scan.serviceClass.retrySafety() == RetrySafety.AT_MOST_ONCE
-                    ? " was sent again though it may have run"
-                    : " was sent again after its mark was forgotten"));
+                    ? " was sent again although it may have run"
+                    : " was sent again after its idempotency window"));
         break;
       }
     }
     earlierTrips.add(trip);
   }
 
-  /** Whether a later trip may have done what an earlier one had done. */
+  /** Returns whether a later trip may have repeated the effect of an earlier one. */
   private boolean effectRepeated(Scan scan, Trip earlier, Trip later) {
     return earlier.mayHaveRun(later.sentAt)
         && (scan.serviceClass.retrySafety() == RetrySafety.AT_MOST_ONCE
@@ -418,22 +436,23 @@
                 && sentAfterWindow(scan, earlier.sentAt, later.sentAt));
   }
 
-  /** Whether a numbered part was sent again after its mark was forgotten. */
+  /** Returns whether a keyed part was sent again after its idempotency window. */
   private boolean sentAfterWindow(Scan scan, Duration earlier, Duration later) {
     Duration excess =
         later.minus(earlier).minus(scan.serviceClass.idempotencyWindow()).minus(SLACK);
     if (excess.compareTo(Duration.ZERO) <= 0) {
       return false;
     }
-    // or the mixer is blamed for a frame that lay unread until the rig went on
+    // The harness may have read the later frame only after a stall; that delay is not the mixer's.
     boolean explained = excess.compareTo(stallBefore(later)) <= 0;
     exemptedCount += explained ? 1 : 0;
     return !explained;
   }
 
   /**
-   * How long the rig had stood still when it read a frame, which may have come at any moment since.
-   * A stall that had ended before does not count, for what came in it was read at its end.
+   * Returns for how long the test harness had stood still before it read a frame; the frame may
+   * have arrived at any time during the stall. An earlier stall does not count, because frames that
+   * arrived during it were read at its end.
    */
   private Duration stallBefore(Duration readAt) {
     if (lastHeartbeat != null && readAt.compareTo(lastHeartbeat) > 0) {
@@ -443,10 +462,11 @@
     Duration stallStart = readAt;
     for (int i = stalls.size() - 1; i >= 0; i--) {
       Duration[] stall = stalls.get(i);
-      // the last may have ended a little before; of earlier ones only those count that it follows
-      // at once
-      Duration end = stallStart.equals(readAt) ? stall[1].plus(READ_DELAY) : stall[1];
-      if (stall[0].compareTo(stallStart) < 0 && end.compareTo(stallStart) >= 0) {
+      // The last stall may have ended up to READ_DELAY before the read. An earlier stall counts
+      // only if the
+      // next one followed immediately.
+      Duration stallEnd = stallStart.equals(readAt) ? stall[1].plus(READ_DELAY) : stall[1];
+      if (stall[0].compareTo(stallStart) < 0 && stallEnd.compareTo(stallStart) >= 0) {
         stalled =
             stalled.plus(
                 (stall[1].compareTo(stallStart) < 0 ? stall[1] : stallStart).minus(stall[0]));
@@ -467,7 +487,9 @@
     }
   }
 
-  /** What a box said of a part: its latest there that had no end. */
+  /**
+   * Records a box's answer to a part. It belongs to the latest trip to that box without an outcome.
+   */
   public void partAnswered(
       String scanId, int partition, int box, String outcome, String value, Duration time) {
     Scan scan = scans.get(scanId);
@@ -485,12 +507,18 @@
     }
   }
 
-  /** A mixer was told that a box drains or is gone, or (null) that it serves. */
+  /**
+   * Records that the only mixer was notified that a box drains or is gone, or (null) that it
+   * serves.
+   */
   public void boxStateNotified(int box, Duration drainedAt) {
     boxStateNotified(0, box, drainedAt);
   }
 
-  /** That one of several mixers was told so. */
+  /**
+   * Records that one of several mixers was notified that a box drains or is gone, or (null) that it
+   * serves.
+   */
   public void boxStateNotified(int mixer, int box, Duration drainedAt) {
     if (drainedAt == null) {
       drainNotices.remove(mixerAndBox(mixer, box));
@@ -503,7 +531,10 @@
     return (long) mixer << 32 | box;
   }
 
-  /** A box fell; blamed is the mixer that sent it most of its last parts. */
+  /**
+   * Records that a cold box was overloaded. The violation is attributed to the mixer that sent most
+   * of the recent parts.
+   */
   public void boxOverloaded(int box, Duration time) {
     Map<Integer, Integer> partsByMixer = new TreeMap<>();
     recentParts
@@ -518,7 +549,7 @@
         Rule.COLD_BOX,
         mixer,
         time,
-        "box " + box + " was pushed over while cold; its last parts by mixer: " + partsByMixer);
+        "box " + box + " was overloaded while cold; its recent parts by mixer: " + partsByMixer);
   }
 
   private void removeExpired(Duration now) {
@@ -539,12 +570,15 @@
     return countsByRule;
   }
 
-  /** Fouls by mixer. */
+  /** Returns the number of violations by mixer. */
   public Map<Integer, Integer> countsByMixer() {
     return countsByMixer;
   }
 
-  /** Parts that a link delivered more than the slack after they were sent. */
+  /**
+   * Returns the number of parts that a link delivered more than {@link #SLACK} after they were
+   * sent.
+   */
   public long delayedCount() {
     return delayedCount;
   }
--- a/emulator/src/main/java/gingerring/emulator/core/Scenario.java
+++ b/emulator/src/main/java/gingerring/emulator/core/Scenario.java
@@ -11,9 +11,10 @@
 import java.util.TreeSet;
 
 /**
- * A described run: the fleet, the service grades, the clients and the troubles at their times. Read
- * from JSON, where everything has a usual value; what is unknown, or out of its range, is refused
- * with its name. Times stand in milliseconds there, and a pair is a range that a seed draws from.
+ * A scenario of an emulated run: the boxes, the service classes, the clients and the scheduled
+ * faults. It is read from JSON, where every field has a default; an unknown field, or a value out
+ * of range, is rejected by name. Times in JSON are in milliseconds; a pair of numbers is a range
+ * from which a value is drawn.
  */
 public record Scenario(
     long seed,
@@ -42,14 +43,17 @@
     int maxTrips,
     List<ServiceClass> serviceClasses,
     List<BoxFault> faults) {
-  /** A range that is drawn from evenly. */
+  /** A range of a uniform distribution. */
   public record Range(double low, double high) {
     double interpolate(double fraction) {
       return low + (high - low) * fraction;
     }
   }
 
-  /** What a repeat does: nothing, nothing while its mark is known, or harm. */
+  /**
+   * The effect of executing a request twice: none, none while the idempotency key is stored, or
+   * harmful.
+   */
   public enum RetrySafety {
     IDEMPOTENT,
     KEYED,
@@ -57,8 +61,9 @@
   }
 
   /**
-   * A service grade; {@code folios} is the share of all folios that a scan asks for, {@code late}
-   * what an answer after the quoted time still earns, {@code skewed} that a few parts weigh most.
+   * A service class. {@code partitionShare} is the share of all partitions that a scan requests,
+   * {@code lateValueShare} the share of the value that an answer after the latency target still
+   * has, and {@code skewed} gives a few parts most of the weight.
    */
   public record ServiceClass(
       String name,
@@ -74,28 +79,30 @@
       double lateValueShare,
       boolean skewed) {}
 
-  /** What goes wrong with so many boxes; {@code size} is a share or a factor, by kind. */
+  /**
+   * A fault at a number of boxes; {@code magnitude} is a share or a factor, depending on the kind.
+   */
   public record BoxFault(
       Kind kind, Duration start, Duration duration, int boxCount, double magnitude) {
-    /** What goes wrong. */
+    /** The kinds of faults. */
     public enum Kind {
-      /** The process dies and comes back cold. */
+      /** The process ends and is restarted cold. */
       CRASH,
-      /** The machine says nothing more, and comes back cold. */
+      /** The machine stops responding without closing connections and comes back cold. */
       VANISH,
-      /** It takes parts and answers none. */
+      /** The box accepts parts and answers none. */
       HANG,
-      /** It fails a share of its parts at once. */
+      /** The box fails a share of its parts immediately. */
       ERRORS,
-      /** It spoils a share of its answers. */
+      /** The box corrupts a share of its answers. */
       SPOIL,
-      /** It works slower by a factor. */
+      /** The box works slower by a factor. */
       SLOW,
-      /** It drains, goes, and a cold successor comes. */
+      /** The box drains and ends, and a cold replacement starts. */
       DRAIN,
-      /** The list lags by a factor more. */
+      /** The member list lags behind by an additional factor. */
       STALE,
-      /** Its connections break, a share of them each second. */
+      /** A share of the connections is reset each second. */
       BREAK
     }
 
@@ -104,7 +111,7 @@
     }
   }
 
-  /** A description that cannot be; the message names the place. */
+  /** Reports an invalid scenario; the message names the field. */
   public static final class InvalidScenario extends Exception {
     private static final long serialVersionUID = 1;
 
@@ -115,13 +122,13 @@
 
   public static Scenario read(byte[] json) throws InvalidScenario {
     try {
-      return read(JsonFields.object(Json.parse(json), "the description"));
+      return read(JsonFields.object(Json.parse(json), "the scenario"));
     } catch (Json.JsonException e) {
       throw new InvalidScenario(e.getMessage());
     }
   }
 
-  /** The same, of an object that has been read. */
+  /** Reads a scenario from a parsed JSON object. */
   public static Scenario read(Map<String, Object> json) throws InvalidScenario {
     try {
       return new FieldReader(json, "").scenario();
@@ -130,7 +137,7 @@
     }
   }
 
-  /** The usual one, with nothing set. */
+  /** Returns the default scenario. */
   public static Scenario defaults() {
     try {
       return read("{}".getBytes());
@@ -139,7 +146,7 @@
     }
   }
 
-  /** Reads one object of the description, and refuses what is left over. */
+  /** Reads the fields of one JSON object; {@link #requireNoneLeft} rejects unknown ones. */
   private static final class FieldReader {
     private final Map<String, Object> remaining;
     private final String path;
@@ -151,17 +158,18 @@
 
     Scenario scenario() throws InvalidScenario, Json.JsonException {
       List<ServiceClass> serviceClasses = new ArrayList<>();
-      for (Object each : list("grades")) {
+      for (Object entry : list("grades")) {
         serviceClasses.add(
             new FieldReader(
-                    JsonFields.object(each, "a grade"), "grades." + serviceClasses.size() + ".")
+                    JsonFields.object(entry, "a service class"),
+                    "grades." + serviceClasses.size() + ".")
                 .serviceClass());
       }
       int boxes = (int) number("boxes", 12, 1, 2000);
       List<BoxFault> faults = new ArrayList<>();
-      for (Object each : list("troubles")) {
+      for (Object entry : list("troubles")) {
         faults.add(
-            new FieldReader(JsonFields.object(each, "a trouble"), "troubles." + faults.size() + ".")
+            new FieldReader(JsonFields.object(entry, "a fault"), "troubles." + faults.size() + ".")
                 .fault(boxes));
       }
       Scenario scenario =
@@ -268,11 +276,11 @@
 
     private BoxFault fault(int boxes) throws InvalidScenario, Json.JsonException {
       String kind = text("kind", null);
-      for (BoxFault.Kind each : BoxFault.Kind.values()) {
-        if (each.name().equalsIgnoreCase(kind)) {
+      for (BoxFault.Kind candidate : BoxFault.Kind.values()) {
+        if (candidate.name().equalsIgnoreCase(kind)) {
           BoxFault fault =
               new BoxFault(
-                  each,
+                  candidate,
                   duration("atMs", 0),
                   duration("forMs", 5000),
                   (int) number("boxes", 1, 0, boxes),
@@ -315,7 +323,7 @@
           || !(pair.get(1) instanceof Double high)
           || low < 0
           || high < low) {
-        throw new InvalidScenario(path + name + " is no pair of numbers from low to high");
+        throw new InvalidScenario(path + name + " is not a pair of numbers from low to high");
       }
       return new Range(low, high);
     }
@@ -353,7 +361,10 @@
     }
   }
 
-  /** Which boxes hold a folio: the one at which it begins on the ring, and those after. */
+  /**
+   * Returns the boxes that hold a partition: the box with its number on the ring and those after
+   * it.
+   */
   public List<Integer> holders(int partition) {
     List<Integer> holders = new ArrayList<>();
     for (int i = 0; i < replicas; i++) {
@@ -362,7 +373,7 @@
     return holders;
   }
 
-  /** Which boxes a trouble strikes; the same whatever the pace. */
+  /** Returns the boxes that a fault affects; they depend on the seed alone. */
   public Set<Integer> affectedBoxes(BoxFault fault) {
     Set<Integer> affected = new TreeSet<>();
     int index = faults.indexOf(fault);
--- a/emulator/src/main/java/gingerring/emulator/core/SeededDraw.java
+++ b/emulator/src/main/java/gingerring/emulator/core/SeededDraw.java
@@ -1,18 +1,19 @@
 package gingerring.emulator.core;
 
 /**
- * What is drawn once and for all for a thing, from the seed and what names it: the same part meets
- * the same at the same box in every run, in whatever order and at whatever pace things happen.
+ * Random values that depend only on the seed and on the name of the thing they are drawn for. The
+ * same part has the same outcome at the same box in every run, whatever the order and the speed of
+ * events.
  */
 public final class SeededDraw {
   private SeededDraw() {}
 
-  /** From 0 up to, but not, 1. */
+  /** Returns a value from 0 (inclusive) to 1 (exclusive). */
   public static double draw(long seed, String label, long... indexes) {
     return (bits(seed, label, indexes) >>> 11) * 0x1.0p-53;
   }
 
-  /** 64 bits; the mixing is SplitMix64's (Steele, Lea and Flood 2014). */
+  /** Returns 64 random bits, mixed with SplitMix64 (Steele, Lea and Flood 2014). */
   public static long bits(long seed, String label, long... indexes) {
     long z = seed;
     for (int i = 0; i < label.length(); i++) {
@@ -31,7 +32,10 @@
     return z ^ z >>> 31;
   }
 
-  /** What a part's answer says: of its text and folio, whichever box gives it. */
+  /**
+   * Returns the value of a part's answer; it depends on the query and the partition, not on the
+   * box.
+   */
   public static String value(long seed, String query, int partition) {
     return String.format("%016x", bits(seed, query, partition));
   }
--- a/emulator/src/main/java/gingerring/emulator/core/Workload.java
+++ b/emulator/src/main/java/gingerring/emulator/core/Workload.java
@@ -8,9 +8,12 @@
 import java.util.Map;
 import java.util.SplittableRandom;
 
-/** What clients ask, drawn from the seed: when, of which grade, which folios with which weights. */
+/**
+ * Generates the requests of the clients from the seed: their times, service classes, partitions and
+ * weights.
+ */
 public final class Workload {
-  /** A wish of a client; its tries share text and key. */
+  /** A request of a client; all of its attempts share the query and the idempotency key. */
   public record ClientRequest(
       int number,
       Duration sendAt,
@@ -18,7 +21,7 @@
       Map<Integer, Double> shares,
       String key,
       String query) {
-    /** The body of its request, with a rough guess at each part's work. */
+    /** Returns the JSON body of the request, with a rough estimate of the work of each part. */
     public byte[] body(Scenario scenario) {
       StringBuilder json = new StringBuilder("{\"targets\":[");
       String separator = "";
@@ -42,7 +45,7 @@
 
   private Workload() {}
 
-  /** All wishes of a run, in the order of their times: a Poisson stream. */
+  /** Returns all requests of a run in the order of their times, which form a Poisson process. */
   public static List<ClientRequest> generate(Scenario scenario) {
     SplittableRandom random = new SplittableRandom(scenario.seed());
     List<ClientRequest> requests = new ArrayList<>();
@@ -57,12 +60,12 @@
       double remaining = random.nextDouble() * totalShare;
       ServiceClass serviceClass =
           scenario.serviceClasses().get(scenario.serviceClasses().size() - 1);
-      for (ServiceClass each : scenario.serviceClasses()) {
-        if (remaining < each.trafficShare()) {
-          serviceClass = each;
+      for (ServiceClass candidate : scenario.serviceClasses()) {
+        if (remaining < candidate.trafficShare()) {
+          serviceClass = candidate;
           break;
         }
-        remaining -= each.trafficShare();
+        remaining -= candidate.trafficShare();
       }
       int number = requests.size();
       String query =
--- a/emulator/src/main/java/gingerring/emulator/core/package-info.java
+++ b/emulator/src/main/java/gingerring/emulator/core/package-info.java
@@ -1,6 +1,7 @@
 /**
- * A stand-in store as plain state: its description, its boxes, what each part's fate is, what
- * clients ask, and the referee of the six rules. No socket, no thread, no clock: time and wakes
- * come from a host. The same description gives the same fates whatever the pace.
+ * The state of an emulated store without I/O: the scenario, the boxes, the outcome of each part,
+ * the clients' workload and the checker of the six rules. There are no sockets, threads or clocks:
+ * the caller supplies the time and the timers. The same scenario gives the same outcomes at any
+ * speed.
  */
 package gingerring.emulator.core;
--- a/emulator/src/main/java/gingerring/emulator/experiment/ClientStatistics.java
+++ b/emulator/src/main/java/gingerring/emulator/experiment/ClientStatistics.java
@@ -11,12 +11,12 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * What clients saw of a run. Service is the earnings answered within the quoted time, counted from
- * a wish's first try, over the earnings asked for; an answer in part earns its weight, a late one
- * the grade's late share.
+ * The results of a run as the clients saw them. The service level is the value answered within the
+ * latency target, counted from a request's first attempt, over the value of all requests. A partial
+ * answer has the value of its weight, a late answer the late share of its service class.
  */
 public final class ClientStatistics {
-  /** Of one grade. */
+  /** The results of one service class. */
   public static final class ClassStatistics {
     public double offeredValue;
     public double earnedValue;
@@ -27,13 +27,13 @@
 
   public final Map<String, ClassStatistics> byClass = new TreeMap<>();
 
-  /** By the second of the wish, as the world counts it: what was asked, and what was earned. */
+  /** By second of the request's scheduled time: the value requested and the value answered. */
   public final Map<Integer, double[]> valueBySecond = new TreeMap<>();
 
   public long attempts;
   public long retries;
 
-  /** Tries that found no connection idle. */
+  /** Attempts that had to wait for a connection. */
   public long waitedForConnection;
 
   void attemptEnded(ClientRequest request, Answer answer, Duration duration, Duration now) {
@@ -51,7 +51,7 @@
           answer.fate() == ScanOutcome.WHOLE
               ? 1
               : answer.values().keySet().stream()
-                  .mapToDouble(folio -> request.shares().getOrDefault(folio, 0.0))
+                  .mapToDouble(partition -> request.shares().getOrDefault(partition, 0.0))
                   .sum();
       share *=
           duration.compareTo(serviceClass.latencyTarget()) <= 0 ? 1 : serviceClass.lateValueShare();
@@ -77,7 +77,7 @@
             / offered;
   }
 
-  /** Of tries, how many ended so. */
+  /** Returns the number of attempts with an outcome. */
   public long attemptsWith(ScanOutcome outcome) {
     return byClass.values().stream()
         .mapToLong(serviceClass -> serviceClass.attemptOutcomes.getOrDefault(outcome, 0L))
--- a/emulator/src/main/java/gingerring/emulator/experiment/EmulatedClients.java
+++ b/emulator/src/main/java/gingerring/emulator/experiment/EmulatedClients.java
@@ -28,13 +28,14 @@
 import java.util.TreeMap;
 
 /**
- * The clients of a run. Each wish belongs to one of the world's clients, drawn from the seed, and
- * is asked at its time on a connection of that client that is idle, or on a new one; with twice as
- * many connections as clients open, another's that has been idle longest makes room, and where none
- * is idle it waits for the next that ends. A wish that was not answered is tried again.
+ * The clients of a run. A request belongs to one of the scenario's clients, drawn from the seed. It
+ * is sent at its time on an idle connection of that client or on a new one. At the limit of twice
+ * as many connections as clients, the connection of any client that has been idle longest is closed
+ * to make room; if none is idle, the request waits until a connection becomes free. A request that
+ * was not answered is retried.
  */
 public final class EmulatedClients {
-  /** Which of several mixers a client's next connection goes to, and where that one is now. */
+  /** Selects the mixer of a client's next connection and resolves the address of a mixer. */
   public interface MixerSelector {
     int mixer(int client);
 
@@ -50,7 +51,7 @@
   private final Retries retries;
   private final Map<Integer, Deque<ClientConnection>> idleByClient = new HashMap<>();
 
-  /** All that are idle, the one idle longest first. */
+  /** All idle connections, the longest idle first. */
   private final Set<ClientConnection> idleConnections = new LinkedHashSet<>();
 
   private final Deque<ClientAttempt> waitingAttempts = new ArrayDeque<>();
@@ -60,7 +61,7 @@
   private int openRequests;
   private int attemptNumber;
 
-  /** One try of a wish. {@code first} is when its wish was first asked. */
+  /** An attempt of a request; {@code firstSentAt} is the time of the request's first attempt. */
   private record ClientAttempt(ClientRequest request, int number, Duration firstSentAt) {}
 
   EmulatedClients(
@@ -91,7 +92,7 @@
         onCompletion);
   }
 
-  /** Clients of several mixers. */
+  /** Creates clients of several mixers. */
   public EmulatedClients(
       Scenario scenario,
       Reactor reactor,
@@ -152,7 +153,7 @@
     }
   }
 
-  /** A connection is idle or gone: whoever waits longest is next. */
+  /** Sends the attempt that has waited longest, after a connection became idle or was closed. */
   private void sendWaiting() {
     ClientAttempt attempt = waitingAttempts.poll();
     if (attempt != null) {
@@ -185,7 +186,8 @@
   }
 
   /**
-   * What the wishes that have no end yet wait for, one line each party; empty once all have theirs.
+   * Describes what the unfinished requests wait for, one line for each cause; empty if all have
+   * finished.
    */
   public List<String> describePending() {
     Map<Integer, Integer> busyByMixer = new TreeMap<>();
@@ -196,22 +198,22 @@
     if (!waitingAttempts.isEmpty()) {
       lines.add(
           waitingAttempts.size()
-              + " wishes wait for a client's connection, with "
+              + " requests wait for a client connection; "
               + connectionCount
               + " of "
               + 2 * scenario.clients()
-              + " open and "
+              + " connections are open and "
               + idleConnections.size()
               + " idle");
     }
     int notSentYet = openRequests - busyConnections.size() - waitingAttempts.size();
     if (notSentYet > 0) {
-      lines.add(notSentYet + " wishes are to be asked later, or are asked no more");
+      lines.add(notSentYet + " requests are not sent yet or will not be sent again");
     }
     return lines;
   }
 
-  /** One connection, a request at a time. */
+  /** A connection of a client, which carries one request at a time. */
   private final class ClientConnection extends HttpHandler {
     private final int client;
     private final int mixer;
@@ -338,7 +340,7 @@
                 false,
                 Map.of(),
                 Duration.ZERO,
-                "its connection ended"));
+                "the connection was closed"));
       }
     }
 
--- a/emulator/src/main/java/gingerring/emulator/experiment/EmulatedStore.java
+++ b/emulator/src/main/java/gingerring/emulator/experiment/EmulatedStore.java
@@ -28,9 +28,9 @@
 import java.util.function.IntConsumer;
 
 /**
- * The boxes of a world and the discovery that lists them, on ephemeral ports of 127.0.0.1, in one
- * reactor. {@code pace} makes the world's own times (troubles, warm-up, the list's lag) run faster;
- * work does not.
+ * The boxes of a scenario and the discovery service that lists them, on ephemeral ports of
+ * 127.0.0.1, in one reactor. {@code speedFactor} shortens the scenario's own times (faults,
+ * warm-up, discovery lag); the work of parts takes its full time.
  */
 public final class EmulatedStore implements Box.Host {
   private static final int MAX_FRAME_BYTES = (1 << 16) + 1024;
@@ -38,14 +38,14 @@
   private static final Duration DRAIN_DURATION = Duration.ofSeconds(3);
   private static final int MAX_STORED_KEYS = 1 << 17;
 
-  /** A box's sockets. */
+  /** The listening socket and the connections of a box. */
   private final class BoxServer {
     final Box box;
     Reactor.Listening listening;
     String phase = "SERVING";
     long upSinceMs;
 
-    /** How often it was replaced: a successor goes by another name. */
+    /** How often the box was replaced; each replacement has a new member id. */
     int replacements;
 
     final Set<BoxConnection> connections = new LinkedHashSet<>();
@@ -77,8 +77,9 @@
   }
 
   /**
-   * One mixer's sight of the store: its own discovery, which tells it its own addresses of the
-   * boxes. {@code way} makes of a box's number and port the port that this mixer is told.
+   * The store as one mixer sees it: a discovery service of its own that lists the boxes under
+   * addresses of its own. {@code portMapping} maps a box's number and port to the port that this
+   * mixer is given.
    */
   public final class MixerView {
     private final int mixer;
@@ -100,12 +101,15 @@
       return listening.address();
     }
 
-    /** The list as this mixer is told it. */
+    /** Returns the member list as this mixer receives it. */
     public String memberList() {
       return EmulatedStore.this.memberList(this);
     }
 
-    /** Its agent says nothing, and then all that it held back. */
+    /**
+     * Stops the discovery service from answering; switching back sends the updates that were held
+     * back.
+     */
     public void setSilent(boolean isSilent) {
       silent = isSilent;
       if (!isSilent) {
@@ -115,7 +119,7 @@
       }
     }
 
-    /** Whom to tell of a box's port that has closed. */
+    /** Sets the listener for the ports of boxes that have closed. */
     public void onPortClosed(IntConsumer listener) {
       closedPortListener = listener;
     }
@@ -133,17 +137,14 @@
   private final List<String> zones;
   private final List<MixerView> views = new ArrayList<>();
 
-  /**
-   * Asks of boxes by second since the start of the reactor, connections made, the most at one box,
-   * list calls.
-   */
+  /** Probes of boxes by second since the start of the reactor. */
   private final Map<Integer, Integer> probesBySecond = new TreeMap<>();
 
   private long connectionsOpened;
   private int maxConnectionsPerBox;
   private long discoveryCalls;
 
-  /** By the ports of both its ends, what the link knows of a connection's bytes. */
+  /** Send times of the connections that a link made, by the ports of both ends. */
   private final Map<Long, SendTimes> sendTimesByPorts = new HashMap<>();
 
   private final Map<String, Duration> executedKeys = new HashMap<>();
@@ -152,14 +153,14 @@
   private long breakDraws;
   private Duration firstPartTime;
 
-  /** Starts at once; {@code referee} is told of all that the boxes see. */
+  /** Starts the store in one zone; {@code ruleChecker} receives all that the boxes observe. */
   public EmulatedStore(
       Scenario scenario, Reactor reactor, RuleChecker ruleChecker, double speedFactor)
       throws IOException {
     this(scenario, reactor, ruleChecker, speedFactor, List.of("a"));
   }
 
-  /** The same, with boxes in turn in these zones. */
+  /** Starts the store with the boxes assigned to the zones in rotation. */
   public EmulatedStore(
       Scenario scenario,
       Reactor reactor,
@@ -184,23 +185,25 @@
   }
 
   /**
-   * A mixer's sight of this store, in the place of any that it had; before the reactor runs, or on
-   * its thread.
+   * Adds the view of a mixer and replaces an earlier one. It has to be called before the reactor
+   * runs or on its thread.
    */
   public MixerView addView(int mixer, IntBinaryOperator portMapping) throws IOException {
-    views.stream().filter(each -> each.mixer == mixer).forEach(each -> each.listening.close());
-    views.removeIf(each -> each.mixer == mixer);
+    views.stream()
+        .filter(existing -> existing.mixer == mixer)
+        .forEach(existing -> existing.listening.close());
+    views.removeIf(existing -> existing.mixer == mixer);
     MixerView view = new MixerView(mixer, portMapping);
     views.add(view);
     return view;
   }
 
-  /** A link tells what it knows of a connection that it makes. */
+  /** Registers the send times of a connection that a link has made. */
   public void registerSendTimes(ReactorConnection connection, SendTimes sendTimes) {
     sendTimesByPorts.put(portPair(connection.local(), connection.remote()), sendTimes);
   }
 
-  /** One port of a machine may be the near end of connections to several far ones. */
+  /** Returns a key of both ports, since one local port may connect to several remote ones. */
   private static long portPair(InetSocketAddress near, InetSocketAddress far) {
     return (long) near.getPort() << 16 | far.getPort();
   }
@@ -213,7 +216,7 @@
     return views.get(0).discoveryAddress();
   }
 
-  /** The list as it is now, in discovery's form. */
+  /** Returns the current member list in the format of the discovery service. */
   public String memberList() {
     return memberList(views.get(0));
   }
@@ -233,14 +236,14 @@
   }
 
   /**
-   * The run begins with the first part that comes, which is taken to come at this time of the
-   * world.
+   * Starts the run when the first part arrives, which is taken to arrive at the given scenario
+   * time.
    */
   public void startOnFirstPart(Duration scenarioTime) {
     firstPartTime = scenarioTime;
   }
 
-  /** The run begins now: troubles come at their times from here on. */
+  /** Starts the run now: faults occur at their times from here on. */
   public void start() {
     start(Duration.ZERO);
   }
@@ -313,7 +316,7 @@
     closeSockets(servers.get(box.number));
   }
 
-  // ---- troubles ----
+  // ---- faults ----
 
   private void beginFault(BoxFault fault, BoxServer server) {
     switch (fault.kind()) {
@@ -340,7 +343,7 @@
             });
       }
       case BREAK -> breakConnections(fault, server);
-      default -> {} // the box looks for itself
+      default -> {} // the box itself applies the other kinds
     }
   }
 
@@ -392,7 +395,7 @@
     List.copyOf(server.connections).forEach(connection -> connection.connection.reset());
   }
 
-  /** The list learns of it after its lag, and tells all watches. */
+  /** Publishes a new phase of a box to all watchers after the discovery lag. */
   private void publishPhase(BoxServer server, String phase) {
     Map<MixerView, String> membersByView = new LinkedHashMap<>();
     views.forEach(view -> membersByView.put(view, server.memberJson(phase, view)));
@@ -428,7 +431,7 @@
         });
   }
 
-  /** Connections that have stood idle for their time are closed, as the protocol has it. */
+  /** Closes connections that have exceeded the idle timeout, as the protocol requires. */
   private void closeIdleConnections() {
     reactor.after(
         Duration.ofSeconds(1),
@@ -455,9 +458,9 @@
         });
   }
 
-  // ---- figures ----
+  // ---- statistics ----
 
-  /** Parts done and milliseconds of work, by box. */
+  /** Returns the parts executed and the milliseconds of work, by box. */
   public Map<Integer, double[]> loadByBox() {
     Map<Integer, double[]> load = new TreeMap<>();
     servers.forEach(
@@ -467,22 +470,22 @@
     return load;
   }
 
-  /** Asks of boxes whether they are there, by second of the reactor's time. */
+  /** Returns the number of probes by second of the reactor's time. */
   public Map<Integer, Integer> probesBySecond() {
     return probesBySecond;
   }
 
-  /** Connections made to all boxes, and the most that one held at once. */
+  /** Returns the number of connections made to all boxes and the most that one box had at once. */
   public long[] connectionCounts() {
     return new long[] {connectionsOpened, maxConnectionsPerBox};
   }
 
-  /** Calls of discovery. */
+  /** Returns the number of calls of the discovery service. */
   public long discoveryCalls() {
     return discoveryCalls;
   }
 
-  /** Breaks every connection of a box, as when its machine's network starts anew. */
+  /** Resets every connection of a box, as a restart of its machine's network does. */
   public void resetConnections(int box) {
     List.copyOf(servers.get(box).connections).forEach(connection -> connection.connection.reset());
   }
@@ -494,13 +497,13 @@
     private final ReactorConnection connection;
     private final ByteArrayOutputStream received = new ByteArrayOutputStream();
 
-    /** Parts that are out on it, and when it last carried anything. */
+    /** Parts of this connection that are not answered yet. */
     private int partsInFlight;
 
     private Duration lastUsed = reactor.now();
     private boolean firstCallSeen;
 
-    /** The link that it came by; null where there is none between. */
+    /** Send times recorded by the link that made the connection; null if there is no link. */
     private SendTimes sendTimes;
 
     private long bytesRead;
@@ -611,7 +614,10 @@
           server.box.receive(part);
         } else {
           reactor.after(
-              scenario.handshake(), () -> server.box.receive(part)); // the first call on it waits
+              scenario.handshake(),
+              () ->
+                  server.box.receive(
+                      part)); // the first call of a connection waits for the handshake
         }
       }
       firstCallSeen = true;
--- a/emulator/src/main/java/gingerring/emulator/experiment/ExperimentRun.java
+++ b/emulator/src/main/java/gingerring/emulator/experiment/ExperimentRun.java
@@ -13,18 +13,21 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicReference;
 
-/** One run: a world's store, a router before it, its clients; and what came of it. */
+/**
+ * Runs an experiment: the store of a scenario, a router in front of it, the clients, and the
+ * result.
+ */
 public final class ExperimentRun {
-  /** Which router stands before the store. */
+  /** The router in front of the store. */
   public enum Router {
     MIXER,
     RANDOM
   }
 
   /**
-   * What came of a run; {@code load} by box: parts done, and milliseconds of work. {@code
-   * mixerCpu}: seconds of CPU that the mixer used from its start to the last answer, NaN where
-   * there was none.
+   * The result of a run. {@code loadByBox} has the parts executed and the milliseconds of work of
+   * each box; {@code mixerCpuSeconds} is the CPU time of the mixer from its start to the last
+   * answer, or NaN without a mixer.
    */
   public record Result(
       Router router,
@@ -42,7 +45,7 @@
   private ExperimentRun() {}
 
   /**
-   * Runs until every wish has had its end; {@code record} names a capture file for the mixer, or is
+   * Runs until every request has ended; {@code recordFile} is the capture file of the mixer, or
    * null.
    */
   public static Result run(Scenario scenario, Router router, double speedFactor, Path recordFile)
--- a/emulator/src/main/java/gingerring/emulator/experiment/LineCharts.java
+++ b/emulator/src/main/java/gingerring/emulator/experiment/LineCharts.java
@@ -11,14 +11,16 @@
 import org.jfree.data.xy.XYSeries;
 import org.jfree.data.xy.XYSeriesCollection;
 
-/** Lines over seconds, as PNG files. */
+/** Line charts as PNG files. */
 public final class LineCharts {
   private static final int WIDTH = 960;
   private static final int HEIGHT = 420;
 
   private LineCharts() {}
 
-  /** Each series by second; all are of emulated boxes, which the title says. */
+  /**
+   * Writes a chart of series over seconds; the title says that the figures are of emulated boxes.
+   */
   public static void write(
       Path file, String title, String valueLabel, Map<String, Map<Integer, Double>> series)
       throws IOException {
@@ -26,7 +28,7 @@
   }
 
   /**
-   * Each series by whatever the points are counted by; the title has to say what the figures are
+   * Writes a chart of series over any quantity; the caller's title has to say what the figures are
    * of.
    */
   public static void write(
@@ -51,7 +53,7 @@
     ChartUtils.saveChartAsPNG(file.toFile(), chart, WIDTH, HEIGHT);
   }
 
-  /** Service by second of a run. */
+  /** Returns the service level of a run by second. */
   public static Map<Integer, Double> serviceLevelBySecond(ExperimentRun.Result result) {
     Map<Integer, Double> points = new TreeMap<>();
     result
--- a/emulator/src/main/java/gingerring/emulator/experiment/MixerProcess.java
+++ b/emulator/src/main/java/gingerring/emulator/experiment/MixerProcess.java
@@ -21,11 +21,9 @@
 import java.util.regex.Pattern;
 import java.util.stream.Collectors;
 
-/** A real mixer as a child of this process, from the same class path, configured for a world. */
+/** A real mixer as a child process on the same class path, configured for a scenario. */
 public final class MixerProcess implements AutoCloseable {
-  /**
-   * Which of a fleet a mixer is; {@code peers} is the file of its peers, or null where it has none.
-   */
+  /** The place of a mixer in a fleet; {@code peersFile} is null for a mixer without peers. */
   public record FleetMember(
       String name, int number, int fleetSize, List<String> zones, int zone, Path peersFile) {
     static final FleetMember STANDALONE = new FleetMember("emulated", 0, 1, List.of("a"), 0, null);
@@ -39,7 +37,8 @@
           "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-XX:-UsePerfData", "-Xms24m", "-Xss512k");
 
   /**
-   * The deployment's heap, in MB, and what a client's two connections may take on top of it, in KB.
+   * The heap of the deployment. {@link #HEAP_KB_PER_CLIENT} is added for each client, which may
+   * open two connections.
    */
   private static final int BASE_HEAP_MB = 64;
 
@@ -64,7 +63,7 @@
                   unreadLines.offer(line);
                 }
               } catch (IOException e) {
-                unreadLines.offer("the mixer's output ended: " + e.getMessage());
+                unreadLines.offer("reading the mixer's output failed: " + e.getMessage());
               }
             },
             "mixer-log");
@@ -73,8 +72,8 @@
   }
 
   /**
-   * Starts one; {@code known} is the list it begins with, {@code record} a file to record to, or
-   * null.
+   * Starts a mixer without peers. {@code memberListJson} is its initial member list; {@code
+   * recordFile} is the capture file to write, or null.
    */
   public static MixerProcess start(
       Scenario scenario, InetSocketAddress discovery, String memberListJson, Path recordFile)
@@ -82,7 +81,7 @@
     return start(scenario, discovery, memberListJson, recordFile, FleetMember.STANDALONE);
   }
 
-  /** Starts one of a fleet. */
+  /** Starts a mixer of a fleet. */
   public static MixerProcess start(
       Scenario scenario,
       InetSocketAddress discovery,
@@ -93,7 +92,10 @@
     return start(scenario, discovery, memberListJson, recordFile, member, UnaryOperator.identity());
   }
 
-  /** Starts one alone, with its configuration edited: for settings that a world does not tell. */
+  /**
+   * Starts a mixer without peers and with an edited configuration, for settings that a scenario
+   * does not contain.
+   */
   public static MixerProcess startEdited(
       Scenario scenario,
       InetSocketAddress discovery,
@@ -130,7 +132,7 @@
                 ? List.of("gingerring.Main", "serve")
                 : List.of("gingerring.cli.Gingerring", "serve", "--record", recordFile.toString()));
     ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
-    builder.environment().remove("GINGERRING_LOG"); // its lines are read here as plain ones
+    builder.environment().remove("GINGERRING_LOG"); // the log lines are parsed here as plain text
     builder.environment().put("LB_CONFIG", configFile.toString());
     MixerProcess mixer = new MixerProcess(builder.start(), configFile);
     mixer.configEdit = configEdit;
@@ -173,12 +175,12 @@
     return process.pid();
   }
 
-  /** Whether it still runs. */
+  /** Returns whether the process is running. */
   public boolean isAlive() {
     return process.isAlive();
   }
 
-  /** Sends a signal by its name, as STOP or CONT. */
+  /** Sends a signal by its name, for example STOP or CONT. */
   public void signal(String name) throws IOException {
     try {
       new ProcessBuilder("kill", "-" + name, String.valueOf(process.pid()))
@@ -189,9 +191,7 @@
     }
   }
 
-  /**
-   * Has it read its configuration again (SIGHUP), which differs from before in where discovery is.
-   */
+  /** Writes a configuration with a new discovery address and makes the mixer reload it (SIGHUP). */
   public void reload(Scenario scenario, InetSocketAddress discovery, String memberListJson)
       throws IOException {
     Files.writeString(
@@ -201,18 +201,19 @@
   }
 
   /**
-   * Asks it to end (SIGTERM), as a planned restart does, and does not wait. Its output is read on.
+   * Requests termination (SIGTERM), as a planned restart does, without waiting. The output is still
+   * read.
    */
   public void terminate() {
-    process.toHandle().destroy(); // the process's own would close its streams
+    process.toHandle().destroy(); // Process.destroy() would close the streams of the process
   }
 
-  /** The code that it ended with; null while it runs. */
+  /** Returns the exit code, or null while the process runs. */
   public Integer exitCode() {
     return process.isAlive() ? null : Integer.valueOf(process.exitValue());
   }
 
-  /** Waits for a line that matches and returns its first group; null where none comes in time. */
+  /** Waits for a log line that matches and returns its first group, or null on timeout. */
   public String awaitLine(Pattern pattern, long timeoutMs) {
     long deadlineMs = System.currentTimeMillis() + timeoutMs;
     try {
@@ -238,24 +239,24 @@
     return null;
   }
 
-  /** Kills it outright. */
+  /** Kills the process (SIGKILL). */
   public void kill() {
     process.destroyForcibly();
   }
 
-  /** CPU time used so far, in seconds; NaN where the system does not tell. */
+  /** Returns the CPU seconds used so far, or NaN if the system does not report them. */
   public double cpuSeconds() {
     return process.info().totalCpuDuration().map(cpu -> cpu.toNanos() / 1e9).orElse(Double.NaN);
   }
 
-  /** What it has logged and was not read yet. */
+  /** Returns the log lines that have not been read yet. */
   public List<String> drainLog() {
     List<String> log = new ArrayList<>();
     unreadLines.drainTo(log);
     return log;
   }
 
-  /** Ends it by the usual signal, and for good where it does not go; returns its exit code. */
+  /** Terminates the process, kills it after a timeout, and returns its exit code. */
   public int stop() {
     process.destroy();
     try {
@@ -279,7 +280,7 @@
     }
   }
 
-  /** The configuration of a mixer before this world's store, in the deployment's form. */
+  /** Returns the configuration of a mixer in front of the store of this scenario, as deployed. */
   static String config(
       Scenario scenario, InetSocketAddress discovery, String memberListJson, FleetMember member) {
     String classesJson =
--- a/emulator/src/main/java/gingerring/emulator/experiment/RandomRouter.java
+++ b/emulator/src/main/java/gingerring/emulator/experiment/RandomRouter.java
@@ -25,10 +25,10 @@
 import java.util.TreeMap;
 
 /**
- * The baseline: a router without judgement. Each part goes once, to a holder chosen by plain chance
- * from the list at the start; the scan is answered once all parts are in, in part at the quoted
- * time where the floor is met, and given up otherwise. It keeps no drains and spares no cold box:
- * the referee shows that.
+ * The baseline router. Each part is sent once, to a holder chosen at random from the member list at
+ * the start. A scan is answered when all parts have ended, or partially at the latency target if
+ * the minimum coverage is reached; otherwise it fails. The router ignores drains and the limits of
+ * cold boxes, which the rule checker reports.
  */
 final class RandomRouter {
   private final Scenario scenario;
@@ -39,7 +39,7 @@
   private final Map<String, Scan> scans = new HashMap<>();
   private final Reactor.Listening listening;
 
-  /** {@code list}: the store's list, in discovery's form. */
+  /** Creates a router; {@code memberList} is in the format of the discovery service. */
   RandomRouter(Scenario scenario, Reactor reactor, String memberList) throws IOException {
     this.scenario = scenario;
     this.reactor = reactor;
@@ -114,7 +114,7 @@
             200, false, "", json.append("]}").toString().getBytes(StandardCharsets.US_ASCII)));
   }
 
-  /** A client's connection. */
+  /** A connection of a client. */
   private final class ClientConnection extends HttpHandler {
     private final ReactorConnection connection;
 
--- a/emulator/src/main/java/gingerring/emulator/experiment/ResultTables.java
+++ b/emulator/src/main/java/gingerring/emulator/experiment/ResultTables.java
@@ -7,7 +7,7 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** A run's figures as text for a terminal and as CSV files. */
+/** Formats the result of a run as text for a terminal and as CSV files. */
 public final class ResultTables {
   private ResultTables() {}
 
@@ -88,13 +88,13 @@
         .statistics()
         .byClass
         .forEach(
-            (statistics, values) ->
+            (className, values) ->
                 classRows.append(
                     String.format(
                         Locale.ROOT,
                         "%s,%s,%.4f,%d,%d,%d,%d,%d,%.2f,%.2f%n",
                         result.router(),
-                        statistics,
+                        className,
                         values.offeredValue == 0 ? 1 : values.earnedValue / values.offeredValue,
                         countOf(values.attemptOutcomes, ScanOutcome.WHOLE),
                         countOf(values.attemptOutcomes, ScanOutcome.PART),
--- a/emulator/src/main/java/gingerring/emulator/experiment/SendTimes.java
+++ b/emulator/src/main/java/gingerring/emulator/experiment/SendTimes.java
@@ -5,8 +5,9 @@
 import java.util.Deque;
 
 /**
- * What a link knows of the bytes that it carries to a box: whose they are, and when they left the
- * sender. A link that holds bytes back delivers them late, and that is not the sender's doing.
+ * Records, for one connection to a box, the mixer that sends and the times at which it sent the
+ * bytes. A link that holds bytes back delivers them late; the rule checker needs the time of
+ * sending.
  */
 public final class SendTimes {
   private record Segment(long endOffset, Duration sentAt) {}
@@ -23,15 +24,15 @@
     return mixer;
   }
 
-  /** The sender has handed over so many bytes more. */
+  /** Records that the sender has passed on a number of further bytes. */
   public void recordSent(int length, Duration time) {
     totalBytes += length;
     segments.add(new Segment(totalBytes, time));
   }
 
   /**
-   * When the sender had handed over so many bytes; asked in order, as what lies before is
-   * forgotten.
+   * Returns the time by which the sender had passed on the given number of bytes. The numbers must
+   * not decrease from call to call, because earlier segments are dropped.
    */
   Duration sentAt(long bytes) {
     while (segments.size() > 1 && segments.peek().endOffset < bytes) {
--- a/emulator/src/main/java/gingerring/emulator/experiment/package-info.java
+++ b/emulator/src/main/java/gingerring/emulator/experiment/package-info.java
@@ -1,6 +1,6 @@
 /**
- * The emulator on sockets of 127.0.0.1: a store of boxes with its discovery, clients, a mixer as a
- * child, the baseline, and experiments that put them together and keep tables and charts. All
- * figures that come from here are of emulated boxes.
+ * The emulator on sockets of 127.0.0.1: a store of emulated boxes with its discovery service,
+ * clients, a mixer as a child process, a random router as the baseline, and experiments that
+ * combine them and write tables and charts. All figures of this package are of emulated boxes.
  */
 package gingerring.emulator.experiment;
--- a/emulator/src/main/java/gingerring/emulator/simulation/CapacitySharingSimulation.java
+++ b/emulator/src/main/java/gingerring/emulator/simulation/CapacitySharingSimulation.java
@@ -9,23 +9,24 @@
 import java.util.SplittableRandom;
 
 /**
- * One box's room shared by mixers that hear each other's demands, answers and refusals late, in
- * simulated time. In its course demand shifts, some leave, new ones come, and the box's capacity
- * halves and comes back.
+ * Simulates mixers that share the capacity of one box in simulated time; each receives the demands,
+ * answers and rejections of the others late. During the run the demand shifts, some mixers leave,
+ * new ones join, and the capacity of the box is halved and restored.
  */
 public final class CapacitySharingSimulation {
   /**
-   * {@code delayMs}: the mean age at which a report counts, each between a half and one and a half
-   * of it.
+   * Parameters; {@code delayMs} is the mean age at which a report takes effect, and the age for
+   * each mixer lies between a half and one and a half of it.
    */
   public record Setup(
       int mixers, double delayMs, double gain, double maxGrowth, double holdMs, long seed) {}
 
   /**
-   * {@code errors}: by change (shift, leave, join, halved, back), the largest distance of any mixer
-   * from its due, over that or the even part if larger, from 5 s after the change to the next;
-   * {@code refused}: share refused from 5 s after a change on; {@code swing}: largest less least
-   * sum sent then, over the capacity.
+   * The result. {@code errors} has for each change (shift, leave, join, halved, restored) the
+   * largest difference of any mixer from its fair share, relative to that share or to the equal
+   * share if larger, from 5 s after the change to the next one; {@code rejectedShare} is the share
+   * rejected in those periods, and {@code swing} the largest minus the smallest total sent in one
+   * of them, relative to the capacity.
    */
   public record Result(double[] errors, double rejectedShare, double swing) {}
 
@@ -50,7 +51,7 @@
     int[] delaySteps = new int[n];
     for (int i = 0; i < n; i++) {
       demand[i] = CAPACITY / n * (0.4 + 2 * random.nextDouble());
-      active[i] = i < n - Math.max(1, n / 5); // a fifth comes later
+      active[i] = i < n - Math.max(1, n / 5); // a fifth of the mixers joins later
       estimators[i] = newEstimator(setup);
       delaySteps[i] = (int) Math.round(setup.delayMs * (0.5 + random.nextDouble()) / STEP_MS);
     }
@@ -78,7 +79,7 @@
           double totalAnswered = 0;
           double totalRejected = 0;
           for (int j = 0; j < n; j++) {
-            // its own at once, the others' as late as they are heard
+            // a mixer's own report counts at once, those of the others with their delay
             Report report =
                 active[j] ? reportAt(reports[j], j == i ? 0 : delaySteps[j]) : Report.NONE;
             knownDemands[j] = j == i ? demand[i] : report.demand;
@@ -145,7 +146,7 @@
       double capacity) {
     int n = demand.length;
     switch (change) {
-      case 0 -> { // what one half asked for, the other asks for now
+      case 0 -> { // the two halves of the mixers swap their demands
         for (int i = 0; i < n / 2; i++) {
           double swapped = demand[i];
           demand[i] = demand[n - 1 - i];
@@ -158,7 +159,7 @@
           active[i] = false;
         }
       }
-      case 2 -> { // all who are away come, and know nothing
+      case 2 -> { // all absent mixers join with new estimators
         for (int i = 0; i < n; i++) {
           if (!active[i]) {
             active[i] = true;
@@ -176,7 +177,7 @@
     return capacity;
   }
 
-  @SuppressWarnings({"unchecked", "rawtypes"}) // no arrays of generic type
+  @SuppressWarnings({"unchecked", "rawtypes"}) // Java has no arrays of generic types
   private static Deque<Report>[] emptyQueues(int n) {
     Deque<Report>[] deques = new Deque[n];
     Arrays.setAll(deques, i -> new ArrayDeque<>());
--- a/emulator/src/main/java/gingerring/emulator/simulation/EventScheduler.java
+++ b/emulator/src/main/java/gingerring/emulator/simulation/EventScheduler.java
@@ -3,8 +3,8 @@
 import java.util.PriorityQueue;
 
 /**
- * Simulated time in milliseconds: what is due is done in the order of its times, and of asking
- * where they are equal.
+ * Runs events in simulated time, in milliseconds: in the order of their times, and of scheduling
+ * where times are equal.
  */
 final class EventScheduler {
   private record Event(double time, long number, Runnable task) implements Comparable<Event> {
@@ -27,7 +27,7 @@
     events.add(new Event(Math.max(now, time), scheduledCount++, task));
   }
 
-  /** Does all that is due up to a time. */
+  /** Runs all events up to a time and sets the clock to that time. */
   void runUntil(double endTime) {
     while (!events.isEmpty() && events.peek().time <= endTime) {
       Event event = events.poll();
--- a/emulator/src/main/java/gingerring/emulator/simulation/PeerSimulation.java
+++ b/emulator/src/main/java/gingerring/emulator/simulation/PeerSimulation.java
@@ -21,16 +21,20 @@
 import java.util.TreeMap;
 
 /**
- * Mixers that talk, in simulated time: the cores of {@code peers} as a mixer runs them, with faults
- * by message (loss, delay, doubled and reordered, cut both ways or one way), processes stopped,
- * killed and started anew, clocks set off, and hostile ones. The same setup plays the same.
+ * Simulates the peer protocol of a fleet in simulated time. The nodes of {@code peers} run as in a
+ * mixer, with faults of messages (loss, delay, duplication, reordering, cuts in both directions or
+ * one), stopped, killed and restarted processes, clock offsets, and hostile peers. The same
+ * parameters give the same run.
  *
- * <p>Boxes are alive or dead by the schedule; each mixer sends them parts at its own rate, benches
- * one that fails it twice in a row, and asks it when it is its turn. What the mixer's own module
- * does is left out: only what talk adds is played here.
+ * <p>Boxes are alive or dead by the schedule. Each mixer sends parts at its own rate, ejects a box
+ * that fails twice in a row, and probes it when it is the mixer's turn. The rest of a mixer is left
+ * out: only the effect of the peer protocol is simulated.
  */
 public final class PeerSimulation {
-  /** What goes wrong; {@code some} are those it befalls, {@code others} the far side of a cut. */
+  /**
+   * A fault; {@code targets} are the mixers or boxes affected, {@code others} the far side of a
+   * cut.
+   */
   public record Fault(
       Kind kind,
       double startMs,
@@ -38,25 +42,25 @@
       Set<Integer> targets,
       Set<Integer> others,
       double magnitude) {
-    /** What goes wrong. */
+    /** The kinds of faults. */
     public enum Kind {
-      /** Nothing goes between some and others. */
+      /** No message passes between targets and others. */
       CUT,
-      /** Nothing goes from some to others. */
+      /** No message passes from targets to others. */
       CUT_ONE_WAY,
-      /** Processes stand still, and what comes for them waits, so much at most. */
+      /** The processes are stopped; a limited number of received messages waits for them. */
       STOP,
-      /** Processes end, and new ones start empty under their names. */
+      /** The processes are killed and restarted without state under the same ids. */
       KILL,
-      /** They say that all boxes fail. */
+      /** The mixers report that all boxes fail. */
       LIE,
-      /** They claim an endless demand. */
+      /** The mixers report an enormous demand. */
       GREED,
-      /** They send again what was sent to them before. */
+      /** The mixers resend messages that they received before. */
       REPEAT,
-      /** They claim turns that are not theirs, and that the dead box answers. */
+      /** The mixers claim turns of others and report that dead boxes answer. */
       CLAIM,
-      /** So many boxes are dead. */
+      /** The target boxes are dead. */
       BOXES_DEAD
     }
 
@@ -66,9 +70,9 @@
   }
 
   /**
-   * {@code loss}, {@code twice}: shares of letters lost and doubled; {@code delayMs}: the most of
-   * an even delay; {@code clockMs}: clocks are off by as much at the most; {@code rate}: parts a
-   * second and mixer.
+   * Parameters. {@code lossShare} and {@code duplicateShare} are the shares of messages lost and
+   * duplicated; {@code maxDelayMs} is the largest of a uniform delay; {@code maxClockOffsetMs} the
+   * largest clock offset; {@code partsPerSecond} the parts a second of each mixer.
    */
   public record Setup(
       int mixers,
@@ -100,30 +104,33 @@
     }
   }
 
-  /** What came of it. Times in ms, bytes of letters without datagrams' heads. */
+  /** The result. Times are in ms; bytes are those of messages without datagram headers. */
   public static final class Result {
-    /** By second: the most and the mean bytes that one mixer sent. */
+    /** By second, the largest and the mean number of bytes that a mixer sent. */
     public final List<double[]> bytesBySecond = new ArrayList<>();
 
-    /** Living mixers taken for gone by others who could hear them, over the run. */
+    /** How often a live, reachable mixer was marked as gone. */
     public int falselyMarkedGone;
 
-    /** For each kill: when the last of the others knew. */
+    /** For each kill, the time until the last of the other mixers detected it. */
     public final List<Double> detectionTimesMs = new ArrayList<>();
 
-    /** Asks of dead boxes by second, and of boxes alive. */
+    /** Probes of dead boxes by second. */
     public final Map<Integer, Integer> deadBoxProbes = new TreeMap<>();
 
-    /** For each box that came back: when the first, and when all who had benched it, asked it. */
+    /**
+     * For each recovered box, the time to the first probe and to the last probe by a mixer that had
+     * ejected it.
+     */
     public final List<double[]> recoveryTimesMs = new ArrayList<>();
 
-    /** The largest doubt that an honest mixer had of a box that was alive. */
+    /** The largest failure share that an honest mixer estimated for a box that was alive. */
     public double maxFailureShareOfLiveBox;
 
-    /** The largest demand believed over the true one. */
+    /** The largest ratio of the estimated fleet demand to the true one. */
     public double maxDemandRatio;
 
-    /** Pairs of living mixers that do not know each other as there, at the end. */
+    /** Ordered pairs of live mixers of which one does not list the other as present at the end. */
     public int unknownPairs;
 
     public final Map<PeerNode.Count, Long> peerCounts = new TreeMap<>();
@@ -137,7 +144,7 @@
   private static final byte[] SHARED_KEY =
       "a key for play alone".getBytes(StandardCharsets.US_ASCII);
 
-  /** One mixer's process. */
+  /** The process of one mixer. */
   private final class Node implements PeerNode.Host {
     final int number;
     final int zone;
@@ -158,7 +165,8 @@
       zone = number % Math.max(1, setup.zones);
       clockOffsetMs = (random.nextDouble() * 2 - 1) * setup.maxClockOffsetMs;
       partsPerSecond =
-          setup.partsPerSecond * (number == 0 ? 10 : 1); // one has ten times what the others have
+          setup.partsPerSecond
+              * (number == 0 ? 10 : 1); // one mixer has ten times the demand of each other one
     }
 
     void start() {
@@ -182,7 +190,7 @@
       consecutiveFailures.clear();
       ejectedUntil.clear();
       probing.clear();
-      // the first few places are told to all, as a file would tell them
+      // the first three addresses are given to all nodes, as a peers file does
       peerNode.start(List.of(address(0), address(1 % setup.mixers), address(2 % setup.mixers)));
       PeerNode owner = peerNode;
       runLater(random.nextDouble() * TICK_MS, owner, this::tick);
@@ -190,7 +198,8 @@
     }
 
     /**
-     * Something of this process, later; not if it has ended, and when it goes on if it is stopped.
+     * Runs a task of this process after a delay: not at all if the process has ended by then, and
+     * once it continues if the process is stopped.
      */
     void runLater(double delayMs, PeerNode owner, Runnable task) {
       scheduler.schedule(scheduler.now() + delayMs, () -> run(owner, task));
@@ -294,19 +303,19 @@
     }
 
     @Override
-    public void send(PeerAddress to, byte[] message) {
-      int other = to.port() - 1;
-      if (random.nextDouble() < setup.lossShare || isCut(number, other)) {
+    public void send(PeerAddress target, byte[] message) {
+      int receiver = target.port() - 1;
+      if (random.nextDouble() < setup.lossShare || isCut(number, receiver)) {
         return;
       }
       for (int copies = random.nextDouble() < setup.duplicateShare ? 2 : 1; copies > 0; copies--) {
         scheduler.schedule(
             scheduler.now() + 0.1 + random.nextDouble() * setup.maxDelayMs,
-            () -> nodes.get(other).receive(number, message));
+            () -> nodes.get(receiver).receive(number, message));
       }
     }
 
-    private void receive(int from, byte[] message) {
+    private void receive(int sender, byte[] message) {
       if (alive && (!isActive(Fault.Kind.STOP, number) || suspendedTasks.size() < BUFFER_LIMIT)) {
         if (isActive(Fault.Kind.REPEAT, number)
             || recordedMessages.size() < BUFFER_LIMIT && hostileMixers.contains(number)) {
@@ -315,13 +324,13 @@
             recordedMessages.poll();
           }
         }
-        run(peerNode, () -> peerNode.received(address(from), message));
+        run(peerNode, () -> peerNode.received(address(sender), message));
       }
     }
 
     @Override
     public void boxAnswered(long box) {
-      ejectedUntil.computeIfPresent(box, (each, until) -> scheduler.now());
+      ejectedUntil.computeIfPresent(box, (ejectedBox, until) -> scheduler.now());
     }
 
     @Override
@@ -403,10 +412,10 @@
     return new PeerSimulation(setup).simulate();
   }
 
-  /** So many numbers from one on, for a fault. */
-  public static Set<Integer> range(int from, int aliveMixers) {
+  /** Returns consecutive numbers for the targets of a fault. */
+  public static Set<Integer> range(int first, int aliveMixers) {
     Set<Integer> numbers = new LinkedHashSet<>();
-    for (int i = from; i < from + aliveMixers; i++) {
+    for (int i = first; i < first + aliveMixers; i++) {
       numbers.add(i);
     }
     return numbers;
@@ -444,11 +453,11 @@
     return false;
   }
 
-  private boolean isCut(int from, int to) {
+  private boolean isCut(int sender, int receiver) {
     for (Fault fault : setup.faults) {
       if (fault.isActive(scheduler.now())) {
-        boolean forward = fault.targets.contains(from) && fault.others.contains(to);
-        boolean backward = fault.targets.contains(to) && fault.others.contains(from);
+        boolean forward = fault.targets.contains(sender) && fault.others.contains(receiver);
+        boolean backward = fault.targets.contains(receiver) && fault.others.contains(sender);
         if (fault.kind == Fault.Kind.CUT && (forward || backward)
             || fault.kind == Fault.Kind.CUT_ONE_WAY && forward) {
           return true;
@@ -564,8 +573,9 @@
           }
         }
         if (scheduler.now() > 15_000) {
-          // what is heard is a sample of the fleet: the sum of what it tells, over what those would
-          // ask
+          // a node receives reports from a sample of the fleet; the ratio compares the demand that
+          // the
+          // node derives from them with the true demand of the honest mixers
           result.maxDemandRatio =
               Math.max(
                   result.maxDemandRatio,
--- a/emulator/src/main/java/gingerring/emulator/simulation/ProbeSimulation.java
+++ b/emulator/src/main/java/gingerring/emulator/simulation/ProbeSimulation.java
@@ -9,29 +9,36 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** A box that all mixers have benched, and who asks whether it is back. */
+/**
+ * Simulates a box that all mixers have ejected, and the probes by which they detect its recovery.
+ */
 public final class ProbeSimulation {
-  /** How a mixer decides that it is to probe. */
+  /** The strategy by which a mixer decides when to probe. */
   public enum Strategy {
-    /** Each for itself, after 2 s, then 4, then every 8: what a mixer does today. */
+    /**
+     * Each mixer probes independently: after 2 s, then 4 s, then every 8 s, as a mixer does today.
+     */
     ALONE,
-    /** In turns, each hearing of others' probes after a while, or not. */
+    /** The mixers take turns; each learns of the others' probes after a delay, or not at all. */
     TURNS,
-    /** At moments of its own drawn by the size of the fleet; nobody hears of others'. */
+    /**
+     * Each mixer probes at random times scaled to the fleet size and does not learn of the others'
+     * probes.
+     */
     SPREAD
   }
 
   /**
-   * {@code stopped}: the share of the mixers that are gone and that the others still count on;
-   * {@code lost}: the share of words that do not arrive; {@code back}: when the box answers again,
-   * in seconds from its bench.
+   * Parameters. {@code stoppedShare} is the share of the mixers that have stopped but are still
+   * counted as members; {@code lossShare} the share of messages that are lost; {@code
+   * recoverySeconds} the time from the ejection until the box answers again.
    */
   public record Setup(
       int mixers, double stoppedShare, double lossShare, double recoverySeconds, long seed) {}
 
   /**
-   * Probes a second until the box was back, the most in any one second, and how late the first
-   * found it back.
+   * The result: probes a second until the recovery, the most in any one second, and the seconds
+   * from the recovery to the first probe that detected it.
    */
   public record Result(double probesPerSecond, int maxInOneSecond, double detectionSeconds) {}
 
@@ -67,9 +74,10 @@
 
   private Result simulate() {
     int runningMixers = (int) Math.max(1, setup.mixers * (1 - setup.stoppedShare));
-    for (int m = 0; m < runningMixers; m++) {
-      int mixer = m;
-      double ejectedAt = random.nextDouble() * 500; // each finds out by its own parts
+    for (int index = 0; index < runningMixers; index++) {
+      int mixer = index;
+      double ejectedAt =
+          random.nextDouble() * 500; // each mixer detects the failure by its own parts
       switch (strategy) {
         case ALONE -> scheduler.schedule(ejectedAt + EJECTION_MS[0], () -> probeAlone(mixer, 1));
         case TURNS -> scheduler.schedule(ejectedAt, () -> scheduleTurn(mixer));
@@ -108,7 +116,10 @@
         () -> probeAlone(mixer, probeCount + 1));
   }
 
-  /** The rota of each decides; what one tells arrives after a while at the others, or is lost. */
+  /**
+   * Probes at the mixer's next turn; the claim of the turn reaches the others after a delay, or is
+   * lost.
+   */
   private void scheduleTurn(int mixer) {
     Duration turnAt = schedules.get(mixer).nextTurn(members, time());
     scheduler.schedule(
--- a/emulator/src/main/java/gingerring/emulator/simulation/RoutingSimulation.java
+++ b/emulator/src/main/java/gingerring/emulator/simulation/RoutingSimulation.java
@@ -14,25 +14,32 @@
 import java.util.SplittableRandom;
 import org.HdrHistogram.Histogram;
 
-/** Which box each of many mixers gives its parts to, and what that adds up to at the boxes. */
+/** Simulates how many mixers choose boxes for their parts, and the resulting load of the boxes. */
 public final class RoutingSimulation {
-  /** How a mixer picks among a folio's holders. */
+  /** The policy by which a mixer selects among the holders of a partition. */
   public enum Policy {
-    /** Any. */
+    /** A holder at random. */
     RANDOM,
-    /** Fewest own parts out, ties from the scan's home on: what a mixer does today. */
+    /**
+     * The holder with the fewest parts in flight from this mixer; ties go to the first one in ring
+     * order from the scan's home holder. This is the mixer's current policy.
+     */
     LEAST_OWN,
-    /** The one of two with fewer own parts out. */
+    /** The one of two random holders with fewer parts in flight from this mixer. */
     TWO,
-    /** Fewest own parts out among those that its cover prefers. */
+    /**
+     * The holder with the fewest parts in flight from this mixer among the mixer's preferred subset
+     * of boxes.
+     */
     COVER
   }
 
   /**
-   * {@code use}: the share of the boxes' capacity that is asked for; {@code copies}: holders of a
-   * folio, next to each other on the ring; {@code keep}: how many of them a cover prefers; {@code
-   * seconds} of simulated time. Demand is uneven: one mixer in ten asks for ten times what each
-   * other one does.
+   * Parameters. {@code utilization} is the share of the boxes' capacity that is requested; {@code
+   * replicas} the number of holders of a partition, next to each other on the ring; {@code
+   * preferredReplicas} how many of them the subset of a mixer contains; {@code seconds} the
+   * simulated time. Demand is uneven: one mixer in ten requests ten times as much as each of the
+   * others.
    */
   public record Setup(
       int mixers,
@@ -44,8 +51,8 @@
       long seed) {}
 
   /**
-   * What came of it: a box's busy time, the largest over the mean; connections at a box, mean and
-   * most; how long parts took, in milliseconds.
+   * The result: the largest busy time of a box over the mean; the mean and the largest number of
+   * mixers connected to a box; percentiles of the parts' response times.
    */
   public record Result(
       double maxOverMeanBusyTime,
@@ -95,11 +102,11 @@
     }
     SubsetSelector subsetSelector =
         new SubsetSelector(boxes, holdersByPartition, setup.preferredReplicas);
-    for (int m = 0; m < setup.mixers; m++) {
+    for (int mixer = 0; mixer < setup.mixers; mixer++) {
       boolean[] preferredBoxes = new boolean[setup.boxes];
       if (policy == Policy.COVER) {
         subsetSelector
-            .select(new MixerId(m))
+            .select(new MixerId(mixer))
             .forEach(id -> preferredBoxes[(int) id.number()] = true);
       } else {
         Arrays.fill(preferredBoxes, true);
@@ -108,7 +115,7 @@
     }
   }
 
-  /** Plays it; the same setup and policy give the same result. */
+  /** Runs the simulation; the same parameters and policy give the same result. */
   public static Result run(Setup setup, Policy policy) {
     return new RoutingSimulation(setup, policy).simulate();
   }
@@ -116,15 +123,15 @@
   private Result simulate() {
     int highDemandMixers = Math.max(1, setup.mixers / 10);
     double totalWeight = 10.0 * highDemandMixers + setup.mixers - highDemandMixers;
-    // a millisecond
+    // scans per millisecond
     double scansPerMs =
         setup.utilization
             * setup.boxes
             * CORES_PER_BOX
             / MEAN_WORK_MS
             / (PARTITION_SHARE_PER_SCAN * setup.boxes);
-    for (int m = 0; m < setup.mixers; m++) {
-      scheduleScan(m, scansPerMs * (m < highDemandMixers ? 10 : 1) / totalWeight);
+    for (int mixer = 0; mixer < setup.mixers; mixer++) {
+      scheduleScan(mixer, scansPerMs * (mixer < highDemandMixers ? 10 : 1) / totalWeight);
     }
     scheduler.runUntil(setup.seconds * 1000);
     double totalBusyMs = boxQueues.stream().mapToDouble(queue -> queue.busyMs).sum();
--- a/emulator/src/main/java/gingerring/emulator/simulation/package-info.java
+++ b/emulator/src/main/java/gingerring/emulator/simulation/package-info.java
@@ -1,6 +1,7 @@
 /**
- * Many mixers' decision cores in simulated time: no sockets, no threads, one seed, the same run
- * each time. It shows what single right choices add up to; a box here is a line with so many
- * servers and nothing more. Called by the command line and by tests; meets no real mixer.
+ * Simulations of fleets of mixers in simulated time, without sockets or threads; the same seed
+ * gives the same run. They run the decision code of many mixers and show its combined effect on the
+ * boxes. A box is modelled as a queue with a number of cores. The command line and the tests run
+ * the simulations; no real mixer takes part.
  */
 package gingerring.emulator.simulation;
--- a/emulator/src/test/java/gingerring/emulator/core/BoxTest.java
+++ b/emulator/src/test/java/gingerring/emulator/core/BoxTest.java
@@ -13,18 +13,18 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-/** Boxes in a time of their own. */
+/** Tests a box in simulated time. */
 class BoxTest {
-  /** A host whose time moves from wake to wake. */
+  /** A host whose clock advances from task to task. */
   private static final class SimulatedHost implements Box.Host {
     private record ScheduledTask(Duration time, long number, Runnable task) {}
 
     final PriorityQueue<ScheduledTask> tasks =
         new PriorityQueue<>(
-            (one, other) ->
-                one.time.equals(other.time)
-                    ? Long.compare(one.number, other.number)
-                    : one.time.compareTo(other.time));
+            (first, second) ->
+                first.time.equals(second.time)
+                    ? Long.compare(first.number, second.number)
+                    : first.time.compareTo(second.time));
     final Map<String, String> outcomes = new TreeMap<>();
     final List<Integer> overloadedBoxes = new ArrayList<>();
     Duration now = Duration.ZERO;
@@ -57,9 +57,9 @@
 
     void runUntil(Duration end) {
       while (!tasks.isEmpty() && tasks.peek().time.compareTo(end) <= 0) {
-        ScheduledTask wake = tasks.poll();
-        now = wake.time;
-        wake.task.run();
+        ScheduledTask task = tasks.poll();
+        now = task.time;
+        task.task.run();
       }
       now = end;
     }
@@ -113,9 +113,7 @@
     }
   }
 
-  /**
-   * The same part meets the same at the same box, in whatever order and at whatever time it comes.
-   */
+  /** The outcome of a part at a box depends neither on the order nor on the time of its arrival. */
   @Test
   void outcomesDoNotDependOnOrderOrTime() throws Exception {
     Scenario scenario =
@@ -123,21 +121,21 @@
             "{\"boxes\": 3, \"seed\": 5, \"queueMost\": 100000, \"badParts\": 0.1, \"troubles\": ["
                 + "{\"kind\": \"errors\", \"atMs\": 0, \"forMs\": 1000000, \"boxes\": 3, \"size\": 0.2},"
                 + "{\"kind\": \"spoil\", \"atMs\": 0, \"forMs\": 1000000, \"boxes\": 3, \"size\": 0.2}]}");
-    List<Map<String, String>> runs = new ArrayList<>();
-    for (int gap : new int[] {1, 50}) {
+    List<Map<String, String>> outcomesByRun = new ArrayList<>();
+    for (int gapMs : new int[] {1, 50}) {
       SimulatedHost host = new SimulatedHost();
       Box box = new Box(scenario, 1, host);
       box.start(false);
       for (int i = 0; i < 200; i++) {
-        host.runUntil(Duration.ofMillis((long) i * gap));
-        box.receive(part(gap == 1 ? i : 199 - i));
+        host.runUntil(Duration.ofMillis((long) i * gapMs));
+        box.receive(part(gapMs == 1 ? i : 199 - i));
       }
       host.runUntil(Duration.ofSeconds(100));
-      runs.add(host.outcomes);
+      outcomesByRun.add(host.outcomes);
     }
-    assertEquals(runs.get(0), runs.get(1));
-    assertEquals(3, runs.get(0).values().stream().distinct().count());
-    assertEquals(200, runs.get(0).size());
+    assertEquals(outcomesByRun.get(0), outcomesByRun.get(1));
+    assertEquals(3, outcomesByRun.get(0).values().stream().distinct().count());
+    assertEquals(200, outcomesByRun.get(0).size());
   }
 
   @Test
@@ -162,7 +160,7 @@
             "{\"boxen\": 3}",
             "boxen is unknown",
             "{\"pauseMs\": [5, 2]}",
-            "pauseMs is no pair",
+            "pauseMs is not a pair",
             "{\"troubles\": [{\"kind\": \"flood\"}]}",
             "troubles.0.kind is unknown: flood",
             "{\"grades\": [{\"share\": 1}]}",
@@ -182,7 +180,7 @@
     Scenario scenario = Scenario.defaults();
     List<Workload.ClientRequest> requests = Workload.generate(scenario);
     assertEquals(requests, Workload.generate(scenario));
-    assertTrue(requests.size() > 120 && requests.size() < 280, "wishes: " + requests.size());
+    assertTrue(requests.size() > 120 && requests.size() < 280, "requests: " + requests.size());
     for (Workload.ClientRequest request : requests) {
       assertEquals(
           1, request.shares().values().stream().mapToDouble(Double::doubleValue).sum(), 1e-3);
--- a/emulator/src/test/java/gingerring/emulator/core/RuleCheckerTest.java
+++ b/emulator/src/test/java/gingerring/emulator/core/RuleCheckerTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The referee sees each rule broken, and nothing in a run that keeps them. */
+/** Checks that each broken rule is reported once, and that a correct run has no violations. */
 class RuleCheckerTest {
   private static final Map<Integer, Double> SHARES = Map.of(0, 0.5, 1, 0.3, 2, 0.2);
 
@@ -35,7 +35,7 @@
     ruleChecker.requestSent(scanId, serviceClass, SHARES, "key", ms(0), ms(2000));
   }
 
-  /** A part goes to the box at which its folio begins, and is done there. */
+  /** Sends a part to the first holder of its partition, which answers it. */
   private void completePart(String scanId, int partition) {
     ruleChecker.partReceived(scanId, partition, "key", partition, ms(10));
     ruleChecker.partAnswered(scanId, partition, partition, "done", "v" + partition, ms(12));
@@ -51,7 +51,7 @@
       sendRequest(serviceClass, serviceClass);
       ruleChecker.partReceived(serviceClass, 0, "key", 0, ms(5));
       ruleChecker.partAnswered(
-          serviceClass, 0, 0, "full", null, ms(6)); // it never ran: free to go again
+          serviceClass, 0, 0, "full", null, ms(6)); // it was not executed, so it may be sent again
       ruleChecker.partReceived(serviceClass, 0, "key", 1, ms(6));
       ruleChecker.partAnswered(serviceClass, 0, 1, "done", "v0", ms(8));
       completePart(serviceClass, 1);
@@ -69,7 +69,7 @@
     ruleChecker.requestAnswered("gone", ms(120), false, false, null);
     ruleChecker.boxStateNotified(3, ms(0));
     sendRequest("drains", "search");
-    ruleChecker.partReceived("drains", 2, "key", 3, ms(1000)); // within the grace
+    ruleChecker.partReceived("drains", 2, "key", 3, ms(1000)); // within the grace period
     ruleChecker.boxStateNotified(3, null);
     assertEquals(Map.of(), ruleChecker.countsByRule());
   }
@@ -95,7 +95,7 @@
     assertSingleViolation(Rule.SCAN_LOST);
   }
 
-  /** A link held it: what its sender did is judged, not when it came. */
+  /** A part that a link delayed is checked by the time at which it was sent. */
   @Test
   void delayedPartIsCheckedBySendTime() {
     sendRequest("a", "once");
@@ -105,14 +105,14 @@
     ruleChecker.partReceived(0, "a", 0, "key", 0, ms(15), ms(6000));
     assertEquals(Map.of(), ruleChecker.countsByRule());
     ruleChecker.partReceived(
-        0, "a", 0, "key", 1, ms(12), ms(7000)); // sent before the one that has come
+        0, "a", 0, "key", 1, ms(12), ms(7000)); // sent before the one that has arrived
     assertSingleViolation(Rule.EFFECT_TWICE);
     assertEquals(3, ruleChecker.delayedCount());
   }
 
   /**
-   * What tells the referee stood still over the time by which an answer was due; another scan's is
-   * late.
+   * The harness stood still over the deadline of a scan, which is exempted; a later scan is late
+   * without a stall.
    */
   @Test
   void lateAnswerDuringCheckerStallIsExempted() {
@@ -176,14 +176,14 @@
     }
   }
 
-  /** Its first part is read at 5 ms; its window, the slack in it, ends at 1055 ms. */
+  /** Sends a keyed part that is read at 5 ms; its window, including the slack, ends at 1055 ms. */
   private void sendKeyedPart() {
     sendRequest("a", "post");
     ruleChecker.partReceived("a", 0, "key", 0, ms(5));
   }
 
-  private void resendKeyedPart(int at) {
-    ruleChecker.partReceived("a", 0, "key", 1, ms(at));
+  private void resendKeyedPart(int timeMs) {
+    ruleChecker.partReceived("a", 0, "key", 1, ms(timeMs));
   }
 
   @Test
@@ -195,7 +195,7 @@
     assertEquals(1, ruleChecker.exempted());
   }
 
-  /** Seen by another's part first, and read a turn later. */
+  /** The stall ended before, and the frame was read one iteration of the event loop later. */
   @Test
   void keyedPartReadOneIterationAfterAStallMayHaveArrivedDuringIt() {
     sendKeyedPart();
@@ -223,14 +223,14 @@
     assertEquals(Map.of(), ruleChecker.countsByRule());
     ruleChecker.requestSent("b", "post", SHARES, "key", ms(1300), ms(2000));
     ruleChecker.partReceived("b", 0, "key", 0, ms(1300));
-    heartbeats(1305, 2355); // 2350 ms are allowed
+    heartbeats(1305, 2355); // sending is allowed until 2350 ms
     ruleChecker.partReceived("b", 0, "key", 1, ms(2600));
     assertSingleViolation(Rule.EFFECT_TWICE);
   }
 
   /**
-   * Two stalls without a turn between are one; with a turn between the first one's frames were
-   * read.
+   * Consecutive stalls count as one. If an iteration of the event loop ran between them, frames of
+   * the first stall were read at its end.
    */
   @Test
   void keyedPartReadAfterTwoStalls() {
@@ -291,7 +291,7 @@
   void valueThatNoBoxReturned() {
     sendRequest("a", "search");
     completePart("a", 0);
-    ruleChecker.partReceived("a", 1, "key", 1, ms(10)); // out, and not back
+    ruleChecker.partReceived("a", 1, "key", 1, ms(10)); // sent, but not answered
     ruleChecker.requestAnswered("a", ms(20), false, false, Map.of(0, "v0", 1, "v1"));
     assertSingleViolation(Rule.HONEST_ANSWER);
   }
--- a/emulator/src/test/java/gingerring/emulator/experiment/EmulatedClientsTest.java
+++ b/emulator/src/test/java/gingerring/emulator/experiment/EmulatedClientsTest.java
@@ -8,8 +8,8 @@
 
 class EmulatedClientsTest {
   /**
-   * All connections that may be were idle, other clients' own, and who waited for one waited for
-   * good.
+   * Guards against a request that waits forever: all connections up to the limit were idle and
+   * belonged to other clients, and none was closed to make room.
    */
   @Test
   void waitingRequestReusesAnIdleConnectionSlot() throws Exception {
@@ -24,12 +24,13 @@
             ExperimentRun.Router.RANDOM,
             1,
             null);
-    assertTrue(result.statistics().waitedForConnection > 0, "some have to wait");
+    assertTrue(
+        result.statistics().waitedForConnection > 0, "no request had to wait for a connection");
     assertEquals(
         result.statistics().attempts,
         result.statistics().byClass.get("search").requestOutcomes.values().stream()
             .mapToLong(Long::longValue)
             .sum(),
-        "each wish has its end");
+        "not every request ended");
   }
 }
--- a/emulator/src/test/java/gingerring/emulator/simulation/CapacitySharingSimulationTest.java
+++ b/emulator/src/test/java/gingerring/emulator/simulation/CapacitySharingSimulationTest.java
@@ -5,8 +5,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Shares of one box's room under late reports: within their bounds up to a delay, and no swing at
- * any.
+ * Sharing of one box's capacity under late reports: accurate up to a bounded delay, and without
+ * oscillation at any delay.
  */
 class CapacitySharingSimulationTest {
   @Test
@@ -19,14 +19,16 @@
                   new CapacitySharingSimulation.Setup(mixers, delayMs, 1, 0.02, 2000, seed));
           String label = mixers + " mixers, delay " + delayMs + ": ";
           for (int change :
-              new int[] {0, 2, 3}) { // demand shifts, some join, the box's capacity is halved
+              new int[] {
+                0, 2, 3
+              }) { // demand shifts, mixers join, the capacity of the box is halved
             assertTrue(
                 result.errors()[change] <= 0.05,
                 label + change + " off by " + result.errors()[change]);
           }
-          // what those who left had, one with ten times the others' demand takes up as the room is
-          // tried
-          // larger
+          // The mixer with ten times the demand of the others takes up the capacity of those that
+          // left, as the
+          // estimated capacity grows.
           assertTrue(
               result.errors()[1] <= 0.12,
               label + "off by " + result.errors()[1] + " after some left");
@@ -36,9 +38,7 @@
     }
   }
 
-  /**
-   * Reports a second old: no longer within the bound, and still no swing between all and nothing.
-   */
+  /** Reports that are a second old exceed the accuracy bound but cause no oscillation. */
   @Test
   void lateReportsCostAccuracyButNotStability() {
     for (long seed = 1; seed <= 3; seed++) {
--- a/emulator/src/test/java/gingerring/emulator/simulation/FleetSimulationTest.java
+++ b/emulator/src/test/java/gingerring/emulator/simulation/FleetSimulationTest.java
@@ -25,32 +25,36 @@
             new RoutingSimulation.Setup(40, 30, 3, 2, 0.5, 5, 8), RoutingSimulation.Policy.TWO));
   }
 
-  /** Guards against a hundred mixers that all probe one benched box, each for a good reason. */
+  /**
+   * Guards against probe storms: if every mixer probes an ejected box on its own, the box receives
+   * a number of probes that grows with the fleet.
+   */
   @Test
   void coordinatedProbesDoNotGrowWithTheFleet() {
     for (long seed = 1; seed <= 3; seed++) {
       for (int mixers : new int[] {10, 100, 1000}) {
         for (double stoppedShare : new double[] {0, 0.3}) {
-          ProbeSimulation.Result turns =
+          ProbeSimulation.Result coordinated =
               probes(mixers, stoppedShare, seed, ProbeSimulation.Strategy.TURNS);
           assertTrue(
-              turns.probesPerSecond() <= 1.2 && turns.maxInOneSecond() <= 5,
-              () -> mixers + " mixers: " + turns);
-          assertTrue(turns.detectionSeconds() <= 6, () -> mixers + " mixers: " + turns);
-          ProbeSimulation.Result spread =
+              coordinated.probesPerSecond() <= 1.2 && coordinated.maxInOneSecond() <= 5,
+              () -> mixers + " mixers: " + coordinated);
+          assertTrue(coordinated.detectionSeconds() <= 6, () -> mixers + " mixers: " + coordinated);
+          ProbeSimulation.Result randomized =
               probes(mixers, stoppedShare, seed, ProbeSimulation.Strategy.SPREAD);
-          assertTrue(spread.probesPerSecond() <= 1.2, () -> mixers + " mixers: " + spread);
-          assertTrue(spread.detectionSeconds() <= 30, () -> mixers + " mixers: " + spread);
+          assertTrue(randomized.probesPerSecond() <= 1.2, () -> mixers + " mixers: " + randomized);
+          assertTrue(randomized.detectionSeconds() <= 30, () -> mixers + " mixers: " + randomized);
         }
       }
       assertTrue(
           probes(100, 0, seed, ProbeSimulation.Strategy.ALONE).probesPerSecond() > 10,
-          "what turns are for");
+          "independent probes are expected to exceed 10 a second");
     }
   }
 
   /**
-   * A cover bounds connections where a folio has many holders; each part still goes to a holder.
+   * Subsets bound the connections where a partition has many holders; every part still goes to a
+   * holder.
    */
   @Test
   void subsetsNeedFewerConnections() {
--- a/emulator/src/test/java/gingerring/emulator/simulation/PeerSimulationTest.java
+++ b/emulator/src/test/java/gingerring/emulator/simulation/PeerSimulationTest.java
@@ -13,14 +13,14 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Fleets that talk, in simulated time, with the hard cases of many mixers. */
+/** Simulated fleets with the peer protocol, under the faults that are hard for many mixers. */
 class PeerSimulationTest {
   private static Result simulate(int mixers, double seconds, long seed, Fault... faults) {
     return PeerSimulation.run(Setup.defaults(mixers, seconds, seed, List.of(faults)));
   }
 
-  private static Fault fault(Kind kind, double atMs, double forMs, Set<Integer> targets) {
-    return new Fault(kind, atMs, forMs, targets, Set.of(), 0);
+  private static Fault fault(Kind kind, double startMs, double durationMs, Set<Integer> targets) {
+    return new Fault(kind, startMs, durationMs, targets, Set.of(), 0);
   }
 
   private static double maxBytesPerSecond(Result result) {
@@ -48,7 +48,8 @@
   }
 
   /**
-   * Seven in ten at once, back within a second: their new lives take over, and nobody is left out.
+   * Seven of ten mixers restart at once within a second: their new incarnations replace the old
+   * ones, and none is missing afterwards.
    */
   @Test
   void massRestartWithinASecondRecoversFully() {
@@ -66,19 +67,19 @@
       Result result = simulate(30, 60, seed, fault(Kind.KILL, 20_000, 60_000, Set.of(5, 6)));
       assertEquals(0, result.falselyMarkedGone);
       result.detectionTimesMs.forEach(
-          after -> assertTrue(after < 30_000, "known after " + after + " ms"));
+          after -> assertTrue(after < 30_000, "detected after " + after + " ms"));
     }
   }
 
   @Test
   void partitionedHalvesRejoin() {
-    Fault even =
+    Fault evenCut =
         new Fault(
             Kind.CUT, 20_000, 40_000, PeerSimulation.range(0, 15), PeerSimulation.range(15, 15), 0);
-    Fault uneven =
+    Fault unevenCut =
         new Fault(
             Kind.CUT, 20_000, 40_000, PeerSimulation.range(3, 4), PeerSimulation.range(7, 23), 0);
-    Fault oneWay =
+    Fault oneWayCut =
         new Fault(
             Kind.CUT_ONE_WAY,
             20_000,
@@ -86,7 +87,7 @@
             PeerSimulation.range(0, 15),
             PeerSimulation.range(15, 15),
             0);
-    for (Fault cut : List.of(even, uneven, oneWay)) {
+    for (Fault cut : List.of(evenCut, unevenCut, oneWayCut)) {
       for (long seed = 3; seed <= 5; seed++) {
         Result result = simulate(30, 120, seed, cut);
         assertEquals(
@@ -97,7 +98,8 @@
   }
 
   /**
-   * It wakes and believes what it did: others took it for gone, and it comes back in the same life.
+   * A resumed process still has its old state, while the others have marked it as gone; it rejoins
+   * in the same incarnation.
    */
   @Test
   void processStoppedForTenSecondsRejoins() {
@@ -115,20 +117,23 @@
   }
 
   /**
-   * Asks of dead boxes do not grow with the fleet, and the box is found back by all who benched it.
+   * Probes of dead boxes do not grow with the fleet, and all mixers that ejected a box detect its
+   * recovery.
    */
   @Test
   void probesOfDeadBoxesDoNotGrowWithTheFleet() {
     for (int mixers : new int[] {8, 32, 100}) {
       Result result =
           simulate(mixers, 80, 6, fault(Kind.BOXES_DEAD, 15_000, 40_000, Set.of(2, 3, 4)));
-      // from when all have benched them: at most two in a round of 2 s, for each of three boxes
-      int asks = 0;
+      // counted once all mixers have ejected the boxes: at most two probes in a round of 2 s for
+      // each of three
+      // boxes
+      int probes = 0;
       for (int second = 25; second < 55; second++) {
-        asks += result.deadBoxProbes.getOrDefault(second, 0);
+        probes += result.deadBoxProbes.getOrDefault(second, 0);
       }
-      assertTrue(asks <= 3 * 2 * 15, asks + " asks in 30 s with " + mixers);
-      assertTrue(asks >= 3 * 15 / 2, asks + " asks in 30 s with " + mixers);
+      assertTrue(probes <= 3 * 2 * 15, probes + " probes in 30 s with " + mixers);
+      assertTrue(probes >= 3 * 15 / 2, probes + " asks in 30 s with " + mixers);
       for (double[] found : result.recoveryTimesMs) {
         assertTrue(
             found[0] < 4000 && found[1] < 9000,
@@ -141,11 +146,11 @@
   void singleHostilePeerHasNoEffect() {
     Set<Integer> first = Set.of(3);
     Result lying = simulate(16, 60, 7, fault(Kind.LIE, 10_000, 50_000, first));
-    assertEquals(0, lying.maxFailureShareOfLiveBox, "one who calls healthy boxes dead");
+    assertEquals(0, lying.maxFailureShareOfLiveBox, "a peer that reports healthy boxes as dead");
     Result greedy = simulate(16, 60, 7, fault(Kind.GREED, 10_000, 50_000, first));
     assertTrue(
         greedy.maxDemandRatio < 2,
-        "a demand of " + greedy.maxDemandRatio + " times the true one is believed");
+        "a demand of " + greedy.maxDemandRatio + " times the true one is assumed");
     Result repeated = simulate(16, 60, 7, fault(Kind.REPEAT, 10_000, 50_000, first));
     assertEquals(0, repeated.unknownPairs);
     assertEquals(0, repeated.falselyMarkedGone);
@@ -153,8 +158,8 @@
   }
 
   /**
-   * Three of sixteen, that say the same: where more honest ones are heard than them, the median
-   * holds.
+   * Three colluding peers of sixteen: the median holds as long as more honest reports than hostile
+   * ones are received.
    */
   @Test
   void threeColludingPeersHaveBoundedEffect() {
@@ -162,18 +167,18 @@
         simulate(16, 60, 8, fault(Kind.LIE, 10_000, 50_000, PeerSimulation.range(3, 3)));
     assertTrue(
         result.maxFailureShareOfLiveBox <= 0.5,
-        "doubt of a box alive: " + result.maxFailureShareOfLiveBox);
+        "failure share of a live box: " + result.maxFailureShareOfLiveBox);
   }
 
   /**
-   * False claims of turns, and that a dead box answers, cost asks of those who believe them, and no
-   * more.
+   * False claims of turns, and false reports that a dead box answers, cost only probes by the
+   * mixers that believe them.
    */
   @Test
   void falseClaimsDoNotDelayDetection() {
-    Fault dead = fault(Kind.BOXES_DEAD, 15_000, 30_000, Set.of(2));
-    Result honest = simulate(16, 70, 9, dead);
-    Result withClaims = simulate(16, 70, 9, dead, fault(Kind.CLAIM, 10_000, 60_000, Set.of(3)));
+    Fault deadBox = fault(Kind.BOXES_DEAD, 15_000, 30_000, Set.of(2));
+    Result honest = simulate(16, 70, 9, deadBox);
+    Result withClaims = simulate(16, 70, 9, deadBox, fault(Kind.CLAIM, 10_000, 60_000, Set.of(3)));
     assertTrue(
         withClaims.recoveryTimesMs.get(0)[0] < 8000,
         "found after "
@@ -183,44 +188,53 @@
     assertTrue(withClaims.peerCounts.get(PeerNode.Count.NOTES_DISBELIEVED) > 1000);
   }
 
-  /** Many that begin at once at three places do not end as islands round each. */
+  /**
+   * Guards against a fleet that splits: many mixers that start at once from three addresses must
+   * not end as separate groups around each address.
+   */
   @Test
   void largeFleetStartedAtOnceIsFullyConnected() {
     Result result = simulate(100, 40, 2);
     assertEquals(0, result.unknownPairs);
     assertTrue(
         result.bytesBySecond.stream().skip(15).allMatch(cut -> cut[0] < 8192),
-        "calm, and over 8 KB a second");
+        "over 8 KB a second without faults");
   }
 
-  /** A mixer that missed the word of an answer hears from others that they are served. */
+  /**
+   * A mixer that missed the report of a recovery learns from other mixers that the box serves them.
+   */
   @Test
   void lostRecoveryMessageDoesNotDelayDetection() {
-    // by turns alone the last of a hundred would ask after 25 s
-    Setup usual =
+    // by turns alone the last of a hundred mixers would probe after 25 s
+    Setup defaults =
         Setup.defaults(100, 70, 3, List.of(fault(Kind.BOXES_DEAD, 15_000, 30_000, Set.of(2))));
-    Setup lossy = new Setup(100, 3, 6, 0.35, 0, 20, 50, 8, 70, 3, usual.faults(), usual.rules());
+    Setup lossy =
+        new Setup(100, 3, 6, 0.35, 0, 20, 50, 8, 70, 3, defaults.faults(), defaults.rules());
     Result result = PeerSimulation.run(lossy);
     assertTrue(
         result.recoveryTimesMs.get(0)[1] < 15_000,
-        "the last one after " + result.recoveryTimesMs.get(0)[1] + " ms");
+        "the last detection after " + result.recoveryTimesMs.get(0)[1] + " ms");
   }
 
   /**
-   * Who claims that dead boxes answer is believed less each time, so that its claims cost few asks.
+   * A peer that falsely reports that dead boxes answer loses credibility, so that its claims cause
+   * fewer probes over time.
    */
   @Test
   void repeatedFalseClaimsCostFewerProbes() {
-    Fault dead = fault(Kind.BOXES_DEAD, 15_000, 100_000, Set.of(2));
-    Result result = simulate(32, 110, 4, dead, fault(Kind.CLAIM, 10_000, 200_000, Set.of(3)));
-    int early = 0;
-    int late = 0;
+    Fault deadBox = fault(Kind.BOXES_DEAD, 15_000, 100_000, Set.of(2));
+    Result result = simulate(32, 110, 4, deadBox, fault(Kind.CLAIM, 10_000, 200_000, Set.of(3)));
+    int earlyProbes = 0;
+    int lateProbes = 0;
     for (int second = 20; second < 40; second++) {
-      early += result.deadBoxProbes.getOrDefault(second, 0);
-      late += result.deadBoxProbes.getOrDefault(second + 60, 0);
+      earlyProbes += result.deadBoxProbes.getOrDefault(second, 0);
+      lateProbes += result.deadBoxProbes.getOrDefault(second + 60, 0);
     }
     assertTrue(result.peerCounts.get(PeerNode.Count.MISLED) > 0);
-    assertTrue(late < early / 2, early + " asks in 20 s at first, " + late + " later");
+    assertTrue(
+        lateProbes < earlyProbes / 2,
+        earlyProbes + " probes in the first 20 s, " + lateProbes + " later");
   }
 
   @Test
