--- a/lease/src/main/java/gingerring/lease/Candidate.java
+++ b/lease/src/main/java/gingerring/lease/Candidate.java
@@ -13,45 +13,53 @@
 import java.util.random.RandomGenerator;
 
 /**
- * One mixer's side of one duty: asks electors for it where its rank is among the first, holds it by
- * its own clock for a shorter span than electors keep it ({@link LeaseSettings#holderDuration}),
- * renews, hands over, and steps down where it cannot renew. See {@link Elector} for why one holds
- * at a time; that rests on clocks whose rate is within the drift, and on nothing of how long words
- * take.
+ * One mixer's part in one lease. A candidate requests the lease from the electors if the mixer
+ * ranks high enough, holds it by the mixer's own clock for a shorter time than the electors keep
+ * the grant ({@link LeaseSettings#holderDuration}), renews it, hands it over, and steps down if it
+ * cannot renew. {@link Elector} explains why there is at most one holder; that depends on clock
+ * rates within the drift bound and does not depend on message delays.
  *
- * <p><b>Handing over.</b> The holder invites the next; the invited stands in line with electors,
- * behind the holder's lease; when a majority keeps the duty for it, it tells the holder, who stops
- * and says so. In between nobody holds for as long as that one word takes; if it is lost, until the
- * next one, or at most a vote's span and an ask. One that gives up and finds nobody releases its
- * lease.
+ * <p><b>Handover.</b> The holder offers the lease to a successor. The successor asks the electors
+ * for a reservation behind the holder's grant. Once a majority has reserved the lease, the
+ * successor sends a ready message; the holder then stops and confirms the handover. Nobody holds
+ * the lease while that confirmation is under way; if the confirmation is lost, nobody holds the
+ * lease until the successor repeats its ready message, or at most for {@link
+ * LeaseSettings#initialDuration} and one round of requests. A holder that resigns and finds no
+ * successor releases the lease.
  *
- * <p><b>Two hold</b> only where clocks drift past the bound, jump, or an elector was replaced
- * unseen; for no longer than the excess over a lease. <b>Nobody holds</b> after a holder's end for
- * a lease with drift, an ask and the steps of ranks; longer with a majority of electors away or
- * quiet.
+ * <p><b>Two holders</b> are possible only if clocks drift past the bound or jump, or if an elector
+ * was replaced unnoticed. With drifting clocks the overlap lasts at most {@link
+ * LeaseSettings#maxOverlap}.
+ *
+ * <p><b>No holder</b> exists for some time after a holder fails: for one lease duration with drift,
+ * one round of requests and the rank delays; longer if a majority of electors is unreachable or in
+ * its quiet period.
  */
 public final class Candidate {
   private static final Duration NEVER = Duration.ofSeconds(Long.MAX_VALUE / 4);
 
-  /** The shell or simulation around it; calls back into a candidate from here are not allowed. */
+  /** The environment that drives a candidate. Its methods must not call back into the candidate. */
   public interface Host {
-    /** By this mixer's own clock; where it goes back, leases held are given up. */
+    /**
+     * Returns the time by this mixer's clock. If that clock goes back, the candidate gives up its
+     * lease.
+     */
     Duration now();
 
-    /** Sends a word; tells the letter's number. */
+    /** Sends a message and returns its sequence number. */
     long send(MixerId to, LeaseMessage message);
 
     /**
-     * It holds from now on, by this token; also with a later token while it holds. Show it to the
-     * gate.
+     * The candidate now holds the lease with this token; also called if a holder gets a newer
+     * token. Present the token to the guard at once.
      */
     void onAcquired(LeaseName lease, FencingToken token);
 
-    /** It holds no more. */
+    /** The candidate no longer holds the lease. */
     void onLost(LeaseName lease, FencingToken token);
   }
 
-  /** One round of asking all electors. */
+  /** One round of requests to all electors. */
   private static final class Round {
     final FencingToken token;
     final FencingToken currentToken;
@@ -61,7 +69,7 @@
     final Set<ElectorId> grantedBy = new HashSet<>();
     final Map<ElectorId, Duration> rejectedBy = new HashMap<>();
 
-    /** A later term may do at once. */
+    /** Whether a request with a higher term may succeed at once. */
     boolean termTooLow;
 
     final Set<Long> readyNumbers = new HashSet<>();
@@ -94,7 +102,10 @@
   private boolean raiseTerm;
   private final Map<ElectorId, Long> grantRequests = new HashMap<>();
 
-  /** The token that was yielded to it, and the letters that asked electors for it. */
+  /**
+   * Token of the confirmed handover; {@code reservationRequests} has the sequence numbers of the
+   * requests that reserved the lease for it.
+   */
   private FencingToken reservedToken;
 
   private Map<ElectorId, Long> reservationRequests = Map.of();
@@ -145,8 +156,8 @@
   }
 
   /**
-   * Who is there, as this mixer believes; a holder who is not first any more hands over after a
-   * lease.
+   * Updates the member list as this mixer knows it. A holder that no longer ranks first hands the
+   * lease over after one lease duration.
    */
   public void updateMembers(Collection<MixerId> members) {
     Duration now = host.now();
@@ -164,7 +175,10 @@
     }
   }
 
-  /** The set of electors now; an ask under way is given up, a lease goes on. */
+  /**
+   * Changes to a newer set of electors. A round of requests is abandoned; a lease that is held
+   * stays in force.
+   */
   public void updateElectors(ElectorSet next) {
     if (next.epoch() > electors.epoch()) {
       electors = next;
@@ -174,7 +188,10 @@
     }
   }
 
-  /** The token to show with work, while it holds: to be asked before each piece of it. */
+  /**
+   * Returns the token to present with work while the candidate holds the lease. Call this before
+   * each piece of work.
+   */
   public Optional<FencingToken> validToken() {
     Duration now = host.now();
     return token != null
@@ -184,7 +201,7 @@
         : Optional.empty();
   }
 
-  /** Gives the duty up, to the next in rank, or to nobody; and asks for it no more. */
+  /** Gives the lease up, to the next mixer in rank or to nobody, and stops requesting it. */
   public void resign() {
     resigning = true;
     prohibited = true;
@@ -197,7 +214,9 @@
     runDueActions();
   }
 
-  /** Hands the duty to one mixer, if it holds it and that one takes it. */
+  /**
+   * Hands the lease over to one mixer, if this candidate holds the lease and that mixer accepts it.
+   */
   public void handOverTo(MixerId successor) {
     requestedSuccessor = successor;
     nextOfferAt = host.now();
@@ -205,7 +224,7 @@
     runDueActions();
   }
 
-  /** May ask for the duty again, or not; who may not gives it up as it can. */
+  /** Prohibits or allows requests for the lease. A holder that is prohibited gives the lease up. */
   public void setProhibited(boolean prohibit) {
     if (prohibit) {
       resign();
@@ -216,7 +235,10 @@
     }
   }
 
-  /** A gate has seen a later token: takes a term above it, as soon as it can. */
+  /**
+   * Records a token that a guard has seen. If it is newer than the candidate's own token, the
+   * candidate takes a higher term as soon as possible.
+   */
   public void observeToken(FencingToken observed) {
     if (observed.belongsTo(lease) && !observed.term().isImplausible(highestTerm, incarnation)) {
       highestTerm = Term.max(highestTerm, observed.term());
@@ -224,7 +246,7 @@
     }
   }
 
-  /** When {@link #tick} is due at the latest, by its own clock. */
+  /** Returns when {@link #tick} has to be called at the latest, by this mixer's clock. */
   public Duration nextTickAt() {
     Duration dueAt = token != null ? min(expiresAt, min(renewAt, nextOfferAt)) : nextRoundAt;
     if (round != null) {
@@ -244,7 +266,7 @@
     return first.compareTo(second) <= 0 ? first : second;
   }
 
-  /** What is due by the clock. */
+  /** Performs the actions that are due by the clock. */
   public void tick() {
     runDueActions();
   }
@@ -264,7 +286,7 @@
   private void runDueActions() {
     Duration now = host.now();
     boolean clockWentBack =
-        now.compareTo(lastCallAt) < 0; // a clock that went back: nothing dated by it holds
+        now.compareTo(lastCallAt) < 0; // times taken from a clock that went back are invalid
     lastCallAt = now;
     if (clockWentBack && round != null) {
       abandonRound(now, Duration.ZERO);
@@ -309,8 +331,7 @@
 
   private void requestGrants(FencingToken requestedToken, Duration now, Duration duration) {
     highestTerm =
-        Term.max(
-            highestTerm, requestedToken.term()); // what was asked for once is not asked for anew
+        Term.max(highestTerm, requestedToken.term()); // never requests the same term twice
     round = new Round(requestedToken, null, now, duration);
     for (ElectorId elector : electors.members()) {
       long reservationNumber =
@@ -324,7 +345,7 @@
     }
   }
 
-  /** It holds no more; asks again in its turn. */
+  /** Stops holding the lease; the candidate requests it again after its rank delay. */
   private void stepDown(Duration now) {
     FencingToken lostToken = token;
     token = null;
@@ -355,7 +376,10 @@
     }
   }
 
-  /** What has come from another mixer; what is not for candidates does nothing. */
+  /**
+   * Handles a message from another mixer. Messages that are not meant for candidates have no
+   * effect.
+   */
   public void handle(Envelope envelope) {
     LeaseMessage message = envelope.message();
     if (!message.lease().equals(lease)) {
@@ -430,7 +454,10 @@
     return first.compareTo(second) >= 0 ? first : second;
   }
 
-  /** A majority has refused: waits until one could be free, or asks at once with a later term. */
+  /**
+   * Handles rejections from a majority: waits until a majority could be free of other grants, or
+   * requests the lease at once with a higher term.
+   */
   private void handleMajorityRejection(Duration now) {
     List<Duration> remainingDurations = new ArrayList<>(round.rejectedBy.values());
     while (remainingDurations.size() < electors.members().size()) {
@@ -480,7 +507,8 @@
         offerer != null
             && ranking.contains(offerer)
             && (rank() < 0
-                || ranking.indexOf(offerer) < rank()); // by one above: on purpose, so it stays
+                || ranking.indexOf(offerer)
+                    < rank()); // a deliberate handover from a higher rank is not reverted
     nextOfferAt =
         resigning
             ? now
@@ -514,7 +542,7 @@
     nextOfferAt = now.plus(settings.initialDuration());
   }
 
-  /** Gives the lease back to electors. */
+  /** Tells the electors that the lease is no longer used. */
   private void releaseLease(Duration now) {
     Map<ElectorId, Long> requestNumbers = new HashMap<>(grantRequests);
     if (round != null) {
--- a/lease/src/main/java/gingerring/lease/CandidateRanking.java
+++ b/lease/src/main/java/gingerring/lease/CandidateRanking.java
@@ -9,22 +9,25 @@
 import java.util.List;
 
 /**
- * Who is to hold a duty, first to last, by rendezvous (Thaler and Ravishankar, IEEE/ACM
- * Transactions on Networking 6(1), 1998): all who know the same members rank alike; a member that
- * goes moves its own duties alone, one that comes takes only those in which it is first. O(members)
- * for each duty.
+ * Ranks the mixers that should hold a lease, by rendezvous hashing (Thaler and Ravishankar,
+ * IEEE/ACM Transactions on Networking 6(1), 1998). All mixers with the same member list compute the
+ * same ranking. If a member leaves, only its own leases move; if a member joins, only the leases
+ * for which it ranks first move. The cost is O(members) per lease.
  */
 public final class CandidateRanking {
   private CandidateRanking() {}
 
-  /** The first so many of a duty, or fewer where there are fewer members. */
+  /**
+   * Returns the {@code limit} highest-ranked members for the lease, or all members if there are
+   * fewer.
+   */
   public static List<MixerId> top(LeaseName lease, Collection<MixerId> members, int limit) {
     long hash = lease.hash();
-    record Drawn(long draw, MixerId mixer) {}
-    Comparator<Drawn> order = Comparator.comparingLong(Drawn::draw).thenComparing(Drawn::mixer);
-    List<Drawn> best = new ArrayList<>(limit + 1);
+    record Scored(long score, MixerId mixer) {}
+    Comparator<Scored> order = Comparator.comparingLong(Scored::score).thenComparing(Scored::mixer);
+    List<Scored> best = new ArrayList<>(limit + 1);
     for (MixerId member : members) {
-      Drawn scored = new Drawn(pairHash(hash, mix(member.number())), member);
+      Scored scored = new Scored(pairHash(hash, mix(member.number())), member);
       if (best.size() < limit || limit > 0 && order.compare(scored, best.get(limit - 1)) < 0) {
         int position = best.size();
         while (position > 0 && order.compare(scored, best.get(position - 1)) < 0) {
@@ -36,6 +39,6 @@
         }
       }
     }
-    return best.stream().map(Drawn::mixer).toList();
+    return best.stream().map(Scored::mixer).toList();
   }
 }
--- a/lease/src/main/java/gingerring/lease/Elector.java
+++ b/lease/src/main/java/gingerring/lease/Elector.java
@@ -7,30 +7,35 @@
 import java.util.Optional;
 
 /**
- * Grants leases of duties, one of each at a time, from memory alone. After Gray and Cheriton,
- * "Leases: an efficient fault-tolerant mechanism for distributed file cache consistency" (SOSP
- * 1989), and Trencseni, Gazso and Reinhardt, "PaxosLease: diskless Paxos for leases"
- * (arXiv:1209.4187, 2012): whoever has the leases of a majority holds; since majorities meet in one
- * elector, and that one has one lease at a time, one holds. Unlike PaxosLease it needs no first
- * phase: nothing has to be learnt of an earlier holder but its term, which refusals tell, and a
- * first lease is short, so that a split vote is soon over.
+ * Grants leases from memory alone, with at most one active grant per lease.
  *
- * <p><b>Memory lost.</b> One that starts grants nothing for {@link LeaseSettings#quietPeriod()}: by
- * then each lease of its earlier life is over. What it knew of terms comes back through what it
- * hears in that time, and its own life (Unix time in ms) is its least term. So terms grow while, of
- * any majority that granted one, one elector has not forgotten; or else while clocks at starts grow
- * over electors. Past both a new holder may get a token that is too low: the gate refuses it, it is
- * told the newest (see {@link Candidate#observeToken}), and takes a later one.
+ * <p>The design follows Gray and Cheriton, "Leases: an efficient fault-tolerant mechanism for
+ * distributed file cache consistency" (SOSP 1989), and Trencseni, Gazso and Reinhardt, "PaxosLease:
+ * diskless Paxos for leases" (arXiv:1209.4187, 2012). A mixer holds a lease if a majority of
+ * electors has granted it. Any two majorities share an elector, and that elector has one active
+ * grant, so there is at most one holder. Unlike PaxosLease, the protocol needs no prepare phase:
+ * the only thing to learn about a former holder is its term, which rejections carry, and the first
+ * grant is short, so that a split vote is soon resolved.
  *
- * <p><b>Woken.</b> One that was not called for half of its quiet span takes itself for one that may
- * have been replaced, and is quiet again; {@link #markDisplaced()} makes it so for good.
+ * <p><b>Lost memory.</b> An elector that has just started grants nothing for {@link
+ * LeaseSettings#quietPeriod()}; after that all grants of its previous incarnation have expired.
+ * During that time it learns terms again from the requests that it receives, and its incarnation
+ * (Unix time in ms) is its lowest term. Terms therefore grow as long as, of any majority that
+ * granted a term, one elector still remembers it, or else as long as the start times of electors
+ * increase. If both fail, a new holder may get a token that is too low: the guard rejects the token
+ * and reports the newest one (see {@link Candidate#observeToken}), and the holder takes a higher
+ * term.
  *
- * <p><b>The set of electors</b> changes one at a time ({@link #changeElectors}); asks of another
- * epoch get an answer but no lease.
+ * <p><b>Pauses.</b> An elector that was not called for half of its quiet period assumes that
+ * another process may have replaced it, and starts a new quiet period. {@link #markDisplaced()}
+ * makes it stop granting for good.
  *
- * <p>At most so many duties, some 200 bytes each; asks for more are left without an answer and
- * counted. Times are by its own clock, which must not go back; a jump ahead by more than the drift
- * ends leases too early.
+ * <p><b>The set of electors</b> changes by one member at a time ({@link #changeElectors}). A
+ * request from another epoch gets a reply but no grant.
+ *
+ * <p>An elector tracks a bounded number of leases, about 200 bytes each; it counts requests for
+ * further leases and leaves them unanswered. All times are by the elector's own clock, which must
+ * not go back. If that clock jumps ahead by more than the drift, grants expire too early.
  */
 public final class Elector {
   private static final LeaseMessage.GrantStatus NO_GRANT =
@@ -42,7 +47,7 @@
     FencingToken token;
     Duration expiresAt;
 
-    /** The letter that asked last. */
+    /** Sequence number of the latest request for this grant. */
     long requestNumber;
 
     Grant(
@@ -94,8 +99,8 @@
 
   /**
    * @param incarnation when this process started, as Unix time in ms
-   * @param maxLeases duties at once
-   * @param now by the clock that all later calls tell; the quiet span begins here
+   * @param maxLeases how many leases the elector tracks
+   * @param now the time by the clock that all later calls use; the quiet period starts here
    */
   public Elector(
       ElectorId id,
@@ -126,8 +131,8 @@
   }
 
   /**
-   * What it says to a letter's author, if anything. Words that are not for electors say nothing to
-   * it.
+   * Handles a message and returns the reply to its sender, if there is one. Messages that are not
+   * meant for electors have no effect.
    */
   public Optional<LeaseMessage> handle(Envelope envelope, Duration now) {
     recordCall(now);
@@ -152,12 +157,18 @@
     lastCallAt = now;
   }
 
-  /** To be called at least every fourth of a lease, so that it knows that it was not stopped. */
+  /**
+   * Records that the elector is running. Call this at least four times per lease duration;
+   * otherwise the elector assumes that it was paused.
+   */
   public void tick(Duration now) {
     recordCall(now);
   }
 
-  /** Another process with a later life runs under this name: grant nothing any more. */
+  /**
+   * Stops all granting for good, because a process with a later incarnation runs under the same
+   * name.
+   */
   public void markDisplaced() {
     displaced = true;
   }
@@ -316,20 +327,21 @@
             record.reserved == null ? NO_GRANT : record.reserved.statusAt(now)));
   }
 
-  /** How much longer it grants nothing; zero once it does. */
+  /** Returns how much longer the elector grants nothing; zero if it grants already. */
   public Duration remainingQuietPeriod(Duration now) {
     Duration remaining = quietEndsAt.minus(now);
     return remaining.isNegative() ? Duration.ZERO : remaining;
   }
 
-  /** Who grants, as it knows. */
+  /** Returns the current set of electors as this elector knows it. */
   public ElectorSet electors() {
     return electors;
   }
 
   /**
-   * Notes that an elector (oneself too) says, as it does every fourth of a lease, in which epoch it
-   * is. Where it falls behind, its time there begins anew.
+   * Records the epoch that an elector (this one included) reports four times per lease duration. If
+   * the reported epoch is behind, the time that the elector has spent in the current epoch is
+   * counted anew.
    */
   public void recordEpoch(ElectorId sender, long epoch, Duration now) {
     if (epoch < electors.epoch()) {
@@ -340,12 +352,14 @@
   }
 
   /**
-   * Goes to the next set of electors. Any majority of one set meets any of the next; so that none
-   * meets none two sets on, it goes only once a majority of the present set was in the present
-   * epoch for a quiet span: no lease of the epoch before is left then. Leases on record go on.
+   * Changes to the next set of electors. Any majority of one set intersects any majority of the
+   * next set, but not of the set after that. The change is therefore allowed only once a majority
+   * of the current set has been in the current epoch for a quiet period, because then all grants of
+   * the previous epoch have expired. Recorded grants stay in force.
    *
-   * @throws LeaseException.ElectorsApart for any but one more or one less in the next epoch
-   * @throws LeaseException.ElectorsUnsettled too soon after the last change; never from epoch 0
+   * @throws LeaseException.UnsafeElectorChange unless the next set has the next epoch and one
+   *     member more or less
+   * @throws LeaseException.ElectorChangeTooEarly if the last change is too recent; never in epoch 0
    */
   public void changeElectors(ElectorSet next, Duration now) {
     if (!electors.canChangeTo(next)) {
@@ -366,7 +380,10 @@
     epochReachedAt.clear();
   }
 
-  /** Words left without an answer: out of range, or of a duty above the bound. */
+  /**
+   * Returns how many requests were left unanswered because they were invalid or exceeded the
+   * maximum number of leases.
+   */
   public long unansweredCount() {
     return unansweredCount;
   }
--- a/lease/src/main/java/gingerring/lease/ElectorId.java
+++ b/lease/src/main/java/gingerring/lease/ElectorId.java
@@ -1,6 +1,6 @@
 package gingerring.lease;
 
-/** A mixer in its part as an elector. */
+/** Identifies a mixer in its role as an elector. */
 public record ElectorId(MixerId mixer) implements Comparable<ElectorId> {
   @Override
   public int compareTo(ElectorId other) {
--- a/lease/src/main/java/gingerring/lease/ElectorSet.java
+++ b/lease/src/main/java/gingerring/lease/ElectorSet.java
@@ -5,16 +5,17 @@
 import java.util.TreeSet;
 
 /**
- * Who grants.
+ * The mixers that grant leases.
  *
- * @param epoch counts up by one with each change of the set
- * @param members 1 to 9 of them
+ * @param epoch increases by one with each change of the set
+ * @param members 1 to 9 electors
  */
 public record ElectorSet(long epoch, Set<ElectorId> members) {
   private static final int MAX_MEMBERS = 9;
 
   /**
-   * @throws LeaseException.BadElectors for none, too many, or an epoch below zero
+   * @throws LeaseException.InvalidElectorSet if the set is empty or too large, or the epoch is
+   *     negative
    */
   public ElectorSet {
     members = Collections.unmodifiableSet(new TreeSet<>(members));
@@ -28,8 +29,9 @@
   }
 
   /**
-   * Whether another set is the next one: one epoch on, and one member more or less, so that
-   * majorities meet.
+   * Returns whether {@code next} may follow this set: its epoch is one higher and it has exactly
+   * one member more or one member less, so that any majority of one set intersects any majority of
+   * the other.
    */
   public boolean canChangeTo(ElectorSet next) {
     Set<ElectorId> difference = new TreeSet<>(members);
--- a/lease/src/main/java/gingerring/lease/Envelope.java
+++ b/lease/src/main/java/gingerring/lease/Envelope.java
@@ -1,10 +1,11 @@
 package gingerring.lease;
 
 /**
- * A word on its way.
+ * A message with its sender and a sequence number.
  *
- * @param incarnation when its author's process started, as Unix time in ms
- * @param sequenceNumber counts up within its author's life, over all letters to whomever
+ * @param incarnation when the sender's process started, as Unix time in ms
+ * @param sequenceNumber counts all messages that the sender has sent to any receiver in this
+ *     incarnation
  */
 public record Envelope(
     MixerId sender, long incarnation, long sequenceNumber, LeaseMessage message) {}
--- a/lease/src/main/java/gingerring/lease/FencingGuard.java
+++ b/lease/src/main/java/gingerring/lease/FencingGuard.java
@@ -4,10 +4,13 @@
 import java.util.Map;
 
 /**
- * The receiver of duties' work: takes it only with the newest token that it has seen, so that an
- * old holder that wakes changes nothing (fencing; Burrows, "The Chubby lock service", OSDI 2006,
- * 2.4). Keep the newest token beside what the work writes: a gate that has forgotten takes the
- * first that comes. At most so many duties, some 100 bytes each; no more are taken then.
+ * Checks fencing tokens where work under a lease is received. The guard admits only the newest
+ * token that it has seen, so that a former holder that resumes after a pause changes nothing
+ * (fencing; Burrows, "The Chubby lock service", OSDI 2006, 2.4).
+ *
+ * <p>Store the newest token beside the data that the work writes: a guard that has lost its state
+ * admits the first token that arrives. The guard tracks a bounded number of leases, about 100 bytes
+ * each, and rejects further leases.
  */
 public final class FencingGuard {
   private final int maxLeases;
@@ -25,11 +28,12 @@
   }
 
   /**
-   * Takes a piece of work, or not. A new holder shows its token at once, also where it has no work
-   * yet: from then on the earlier is shut out.
+   * Admits a piece of work or rejects it. A new holder should present its token at once, even if it
+   * has no work yet: from then on the guard rejects the former holder.
    *
-   * @throws LeaseException.OldToken where a later holder was here, or the token is another duty's
-   * @throws LeaseException.TooManyDuties
+   * @throws LeaseException.StaleToken if a newer token was presented before, or the token belongs
+   *     to another lease
+   * @throws LeaseException.TooManyLeases if the guard already tracks its maximum number of leases
    */
   public void admit(LeaseName lease, FencingToken token) {
     FencingToken newest = newestTokens.get(lease);
@@ -49,7 +53,7 @@
     newestTokens.put(lease, token);
   }
 
-  /** Pieces of work not taken. */
+  /** Returns how many pieces of work were rejected. */
   public long rejectedCount() {
     return rejectedCount;
   }
--- a/lease/src/main/java/gingerring/lease/FencingToken.java
+++ b/lease/src/main/java/gingerring/lease/FencingToken.java
@@ -1,11 +1,11 @@
 package gingerring.lease;
 
 /**
- * What a holder shows with each piece of a duty's work, as Chubby's sequencer (Burrows, OSDI 2006):
- * of two holders of a duty the later has the greater number.
+ * A fencing token, which the holder of a lease presents with each piece of work, like a sequencer
+ * in Chubby (Burrows, OSDI 2006). Of two holders of a lease the later one has the greater token.
  *
- * @param value the term in the upper 48 bits, 16 bits of the duty's name below, by which a token
- *     that was meant for another duty is told (all but one in 65,536 of such)
+ * @param value the term in the upper 48 bits and 16 bits of the lease name's hash in the lower
+ *     bits. The hash bits detect a token of another lease, except for one in 65,536.
  */
 public record FencingToken(long value) implements Comparable<FencingToken> {
   public static FencingToken of(LeaseName lease, Term term) {
@@ -16,7 +16,7 @@
     return new Term(value >>> 16);
   }
 
-  /** Whether this can be a token of a duty. */
+  /** Returns whether this token can belong to the lease, judged by the hash bits. */
   public boolean belongsTo(LeaseName lease) {
     return value >= 0 && (value & 0xFFFF) == (lease.hash() & 0xFFFF);
   }
--- a/lease/src/main/java/gingerring/lease/LeaseException.java
+++ b/lease/src/main/java/gingerring/lease/LeaseException.java
@@ -1,6 +1,9 @@
 package gingerring.lease;
 
-/** What an operator can meet of duties: a stable code, the place, what happened, and what to do. */
+/**
+ * An error of the lease module that an operator can see: a stable code, the location, the cause and
+ * a remedy.
+ */
 public abstract sealed class LeaseException extends RuntimeException {
   private static final long serialVersionUID = 1;
   private final String code;
@@ -14,7 +17,7 @@
     this.remedy = remedy;
   }
 
-  /** Never changes once given out, as {@code duty-name}. */
+  /** Returns the error's code, such as {@code duty-name}. A published code never changes. */
   public String code() {
     return code;
   }
@@ -23,38 +26,40 @@
     return location;
   }
 
-  /** What an operator can do. */
+  /** Returns what an operator can do about the error. */
   public String remedy() {
     return remedy;
   }
 
-  /** A duty's name that cannot be. */
+  /** An invalid lease name. */
   public static final class InvalidLeaseName extends LeaseException {
     private static final long serialVersionUID = 1;
 
     InvalidLeaseName(String name) {
       super(
           "duty-name",
-          "name of a duty",
+          "name of a lease",
           "\"" + name + "\"",
-          "give 1 to 64 of a-z, 0-9, hyphen, dot");
+          "use 1 to 64 characters out of a-z, 0-9, hyphen and dot");
     }
   }
 
-  /** Spans that do not go together. */
+  /** Lease settings that are out of range or contradict each other. */
   public static final class InvalidLeaseSettings extends LeaseException {
     private static final long serialVersionUID = 1;
 
     InvalidLeaseSettings(String settings) {
       super(
           "duty-rules",
-          "rules of leases",
+          "lease settings",
           settings,
-          "let patience < vote <= lease, renew + patience < lease, 0 <= drift < 0.5, all spans above zero");
+          "required: replyTimeout < initialDuration <= leaseDuration, "
+              + "renewInterval + replyTimeout < leaseDuration, 0 <= maxClockDrift < 0.5, "
+              + "candidateCount >= 1, all durations above zero");
     }
   }
 
-  /** A set of electors that cannot be. */
+  /** An invalid set of electors. */
   public static final class InvalidElectorSet extends LeaseException {
     private static final long serialVersionUID = 1;
 
@@ -63,11 +68,11 @@
           "duty-electors",
           "set of electors",
           set,
-          "name 1 to 9 mixers, best 3, 5 or 7 in different zones");
+          "name 1 to 9 mixers, preferably 3, 5 or 7 in different zones");
     }
   }
 
-  /** A change of electors by which two majorities might not meet. */
+  /** A change of electors after which two majorities might not intersect. */
   public static final class UnsafeElectorChange extends LeaseException {
     private static final long serialVersionUID = 1;
 
@@ -76,11 +81,13 @@
           "duty-electors-apart",
           "change of electors",
           "from " + from + " to " + to,
-          "add or remove one at a time, each with the next epoch");
+          "add or remove one elector at a time and increase the epoch by one each time");
     }
   }
 
-  /** A change of electors before the last one is surely known to a majority for a lease. */
+  /**
+   * A change of electors before a majority is known to have had the previous set for a full lease.
+   */
   public static final class ElectorChangeTooEarly extends LeaseException {
     private static final long serialVersionUID = 1;
 
@@ -88,38 +95,39 @@
       super(
           "duty-electors-unsettled",
           "change of electors",
-          current + " is not known to a majority for a lease yet",
-          "wait for two leases and try again; look which electors of it are not there");
+          current + " has not been known to a majority of electors for a full lease yet",
+          "wait for two lease durations and try again; "
+              + "check which of these electors are unreachable");
     }
   }
 
-  /** A term outside of its range. */
+  /** A term that is out of range. */
   public static final class InvalidTerm extends LeaseException {
     private static final long serialVersionUID = 1;
 
     InvalidTerm(long value) {
       super(
           "duty-term",
-          "term of a duty",
+          "term of a lease",
           String.valueOf(value),
-          "look for a mixer whose clock is far ahead");
+          "check for a mixer whose clock is far ahead");
     }
   }
 
-  /** More duties than the bound. */
+  /** More leases than the configured maximum. */
   public static final class TooManyLeases extends LeaseException {
     private static final long serialVersionUID = 1;
 
     TooManyLeases(int maxLeases) {
       super(
           "duty-many",
-          "table of duties",
+          "lease table",
           "more than " + maxLeases,
-          "raise the bound, or retire duties");
+          "raise the maximum or remove leases");
     }
   }
 
-  /** Work shown with the token of an earlier holder, or of another duty. */
+  /** Work that was presented with the token of a former holder or of another lease. */
   public static final class StaleToken extends LeaseException {
     private static final long serialVersionUID = 1;
     private final transient FencingToken newest;
@@ -127,13 +135,17 @@
     StaleToken(LeaseName lease, FencingToken presented, FencingToken newest) {
       super(
           "duty-token",
-          "gate of " + lease.value(),
-          "shown " + presented.value() + ", newest " + newest.value(),
-          "nothing, if a mixer was slow or stopped; else look for two mixers with one name");
+          "fencing guard of " + lease.value(),
+          "presented token " + presented.value() + ", newest token " + newest.value(),
+          "no action is needed if a mixer was slow or paused; "
+              + "otherwise check for two mixers with the same name");
       this.newest = newest;
     }
 
-    /** What the sender is to be told, so that it asks for a later term. */
+    /**
+     * Returns the newest token that the guard has seen, so that the sender can request a higher
+     * term.
+     */
     public FencingToken newest() {
       return newest;
     }
--- a/lease/src/main/java/gingerring/lease/LeaseMessage.java
+++ b/lease/src/main/java/gingerring/lease/LeaseMessage.java
@@ -3,16 +3,17 @@
 import java.time.Duration;
 
 /**
- * What one mixer says to another about duties; each says what its author asks for or has itself
- * recorded. What comes back cites the number of the letter that it answers, so that a word of
- * another time, way or author settles nothing.
+ * A message between two mixers about a lease. It carries only the sender's request or state that
+ * the sender itself has recorded. A reply cites the sequence number of the envelope that it
+ * answers, so that a late, foreign or misdirected reply has no effect.
  */
 public sealed interface LeaseMessage {
   LeaseName lease();
 
   /**
-   * A lease that an elector has on record; of nobody with a token of zero. {@code asked} is the
-   * letter that asked for it last, {@code left} by the elector's clock.
+   * A grant as an elector has recorded it; the token is zero if there is no grant. {@code
+   * requestNumber} is the sequence number of the latest request for the grant, and {@code
+   * remaining} is the time until the grant expires by the elector's clock.
    */
   record GrantStatus(
       MixerId holder,
@@ -22,24 +23,32 @@
       Duration remaining) {}
 
   /**
-   * A candidate or holder to an elector: grant, or grant anew, the duty for a span from now. {@code
-   * lined} is the number of its line there, where the duty was yielded to it; else 0.
+   * Asks an elector to grant or renew the lease for a duration that starts when the elector handles
+   * the request. {@code reservationNumber} is the sequence number of the {@link ReservationRequest}
+   * that the elector accepted, if the holder has handed the lease over; otherwise 0.
    */
   record GrantRequest(
       LeaseName lease, long epoch, FencingToken token, Duration duration, long reservationNumber)
       implements LeaseMessage {}
 
-  /** One who was invited to an elector: keep the duty for me behind the one who has it now. */
+  /**
+   * Asks an elector to reserve the lease for the sender, which the current holder has offered the
+   * lease to. The reservation takes effect after the grant with {@code currentToken}.
+   */
   record ReservationRequest(
       LeaseName lease, long epoch, FencingToken token, FencingToken currentToken, Duration duration)
       implements LeaseMessage {}
 
   /**
-   * To an elector: of the lease that it granted to letter {@code asked}, nothing is used any more.
+   * Tells an elector that the sender no longer uses the grant that it got for request {@code
+   * requestNumber}.
    */
   record Release(LeaseName lease, FencingToken token, long requestNumber) implements LeaseMessage {}
 
-  /** An elector's answer to an ask or a line: what it has on record now. */
+  /**
+   * An elector's reply to a grant request or a reservation request, with the grants that the
+   * elector has recorded.
+   */
   record ElectorReply(
       LeaseName lease,
       long epoch,
@@ -49,15 +58,18 @@
       GrantStatus reserved)
       implements LeaseMessage {}
 
-  /** A holder to the one who is to have the duty after it. */
+  /** The holder offers the lease to its chosen successor. */
   record HandoverOffer(LeaseName lease, FencingToken token) implements LeaseMessage {}
 
-  /** The invited to the holder: a majority keeps the duty for me. */
+  /**
+   * The successor tells the holder that a majority of electors has reserved the lease for the
+   * successor.
+   */
   record HandoverReady(
       LeaseName lease, FencingToken token, FencingToken successorToken, long offerNumber)
       implements LeaseMessage {}
 
-  /** The holder, who holds no more, to the one who is ready. */
+  /** The former holder tells the successor that it has stopped using the lease. */
   record HandoverConfirmed(
       LeaseName lease, FencingToken token, FencingToken successorToken, long readyNumber)
       implements LeaseMessage {}
--- a/lease/src/main/java/gingerring/lease/LeaseName.java
+++ b/lease/src/main/java/gingerring/lease/LeaseName.java
@@ -3,10 +3,10 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * What only one mixer is to do at a time.
+ * Names a lease: a piece of work that one mixer at a time may do.
  *
- * @param value 1 to 64 of a to z, 0 to 9, hyphen, dot
- * @throws LeaseException.BadName for any other
+ * @param value 1 to 64 characters out of a to z, 0 to 9, hyphen and dot
+ * @throws LeaseException.InvalidLeaseName for any other text
  */
 public record LeaseName(String value) {
   public LeaseName {
@@ -15,11 +15,11 @@
     }
   }
 
-  /** FNV-1a of the name (Fowler, Noll, Vo). */
+  /** Returns the FNV-1a hash (Fowler, Noll, Vo) of the name, mixed for rendezvous hashing. */
   long hash() {
     long hash = 0xcbf29ce484222325L;
-    for (byte each : value.getBytes(StandardCharsets.UTF_8)) {
-      hash = (hash ^ (each & 0xFF)) * 0x100000001b3L;
+    for (byte next : value.getBytes(StandardCharsets.UTF_8)) {
+      hash = (hash ^ (next & 0xFF)) * 0x100000001b3L;
     }
     return gingerring.share.RendezvousHash.mix(hash);
   }
--- a/lease/src/main/java/gingerring/lease/LeaseSettings.java
+++ b/lease/src/main/java/gingerring/lease/LeaseSettings.java
@@ -3,17 +3,17 @@
 import java.time.Duration;
 
 /**
- * Spans of a lease, alike at all mixers.
+ * Timing of leases. All mixers must use the same settings.
  *
- * @param leaseDuration the longest that an elector grants at once
- * @param initialDuration what a candidate asks for until it has a majority, so that a split vote is
- *     soon over
- * @param maxClockDrift by how much a clock may run fast or slow against true time, as a share: two
- *     may differ by twice
- * @param renewInterval how often a holder asks for a whole lease again
- * @param replyTimeout how long answers are waited for
- * @param rankDelay by how much a lower rank lets a higher one go first
- * @param candidateCount how many ranks ask for a duty
+ * @param leaseDuration the longest duration that an elector grants at once
+ * @param initialDuration the duration that a candidate requests until it has a majority; short, so
+ *     that a split vote is soon resolved
+ * @param maxClockDrift the ratio by which a clock may run fast or slow against true time; two
+ *     clocks may differ by twice that
+ * @param renewInterval how often a holder requests the full lease duration again
+ * @param replyTimeout how long a candidate waits for replies
+ * @param rankDelay how long a candidate waits for each candidate that ranks above it
+ * @param candidateCount how many of the highest-ranked mixers request a lease
  */
 public record LeaseSettings(
     Duration leaseDuration,
@@ -24,7 +24,8 @@
     Duration rankDelay,
     int candidateCount) {
   /**
-   * @throws LeaseException.BadRules where a span or share cannot be
+   * @throws LeaseException.InvalidLeaseSettings if a duration or ratio is out of range or the
+   *     durations contradict each other
    */
   public LeaseSettings {
     boolean consistent =
@@ -38,24 +39,27 @@
         || candidateCount < 1
         || renewInterval.plus(replyTimeout).compareTo(leaseDuration) >= 0) {
       throw new LeaseException.InvalidLeaseSettings(
-          "lease "
+          "leaseDuration "
               + leaseDuration
-              + ", vote "
+              + ", initialDuration "
               + initialDuration
-              + ", drift "
+              + ", maxClockDrift "
               + maxClockDrift
-              + ", renew "
+              + ", renewInterval "
               + renewInterval
-              + ", patience "
+              + ", replyTimeout "
               + replyTimeout
-              + ", step "
+              + ", rankDelay "
               + rankDelay
-              + ", stand "
+              + ", candidateCount "
               + candidateCount);
     }
   }
 
-  /** A lease of 2 s, clocks within 1% of true time (a quartz is within 0.01%). */
+  /**
+   * Returns the default settings: a lease of 2 s, with clocks within 1% of true time (a quartz
+   * clock is within 0.01%).
+   */
   public static LeaseSettings defaults() {
     return new LeaseSettings(
         Duration.ofSeconds(2),
@@ -68,23 +72,27 @@
   }
 
   /**
-   * How long, by its own clock, from before it asked, one holds who was granted a span: with both
-   * clocks within the drift it is over before the elector's is. span / (1 + drift) of true time is
-   * the least that the elector waits, and held / (1 - drift) the most that the holder takes.
+   * Returns how long a holder may use a grant, by its own clock and counted from before it sent the
+   * request. If both clocks are within the drift bound, the holder stops before the elector's grant
+   * expires: grantedDuration / (1 + drift) of true time is the least that the elector waits, and
+   * holderDuration / (1 - drift) is the most that the holder uses.
    */
   public Duration holderDuration(Duration grantedDuration) {
     return Duration.ofNanos(
         (long) (grantedDuration.toNanos() * ((1 - maxClockDrift) / (1 + maxClockDrift))));
   }
 
-  /** For how long, of true time, two may hold at most where clocks drift so much. */
+  /**
+   * Returns for how long, in true time, two holders may overlap at most if clocks drift by {@code
+   * actualDrift}.
+   */
   public Duration maxOverlap(double actualDrift) {
     double overlapRatio =
         (1 - maxClockDrift) / ((1 + maxClockDrift) * (1 - actualDrift)) - 1 / (1 + actualDrift);
     return Duration.ofNanos((long) (leaseDuration.toNanos() * Math.max(0, overlapRatio)));
   }
 
-  /** How long, by its own clock, an elector that came back empty grants nothing. */
+  /** Returns how long, by its own clock, an elector grants nothing after a restart. */
   public Duration quietPeriod() {
     return Duration.ofNanos(
         (long) (leaseDuration.toNanos() * ((1 + maxClockDrift) / (1 - maxClockDrift))) + 1);
--- a/lease/src/main/java/gingerring/lease/MixerId.java
+++ b/lease/src/main/java/gingerring/lease/MixerId.java
@@ -1,7 +1,8 @@
 package gingerring.lease;
 
 /**
- * A mixer, by the number that every mixer makes of its name: the same after it has started anew.
+ * Identifies a mixer by a number that is derived from its name. A restart does not change the
+ * number.
  */
 public record MixerId(long number) implements Comparable<MixerId> {
   @Override
--- a/lease/src/main/java/gingerring/lease/SafetyChecks.java
+++ b/lease/src/main/java/gingerring/lease/SafetyChecks.java
@@ -1,57 +1,60 @@
 package gingerring.lease;
 
-/** Each check of this module, so that a test can take one out and see that it is missed. */
+/**
+ * Switches for the safety checks of this module. A test disables one check and verifies that the
+ * violation is detected.
+ */
 record SafetyChecks(Check disabled) {
   static final SafetyChecks ALL = new SafetyChecks(null);
 
   enum Check {
-    /** An elector that came back empty is quiet. */
+    /** An elector grants nothing for a while after a restart. */
     QUIET,
-    /** An elector has one lease of a duty at a time. */
+    /** An elector has at most one active grant per lease. */
     SINGLE_GRANT,
-    /** Only a token later than all seen is granted anew. */
+    /** A new grant needs a term above all terms that the elector has seen. */
     HIGHER_TERM,
-    /** A start at one's life. */
+    /** An elector's first term is its incarnation. */
     INITIAL_TERM,
-    /** The holder counts from before it asked. */
+    /** The holder counts the lease duration from before it sent the request. */
     EXPIRY_FROM_REQUEST,
-    /** The holder's span is shorter than the elector's. */
+    /** The holder uses the lease for a shorter time than the elector keeps the grant. */
     SHORTER,
-    /** The holder looks at its clock before it acts. */
+    /** The holder checks its clock before it uses the lease. */
     HOLDER_EXPIRY,
-    /** An answer cites what that elector was asked. */
+    /** A reply cites the request that the elector got. */
     REPLY_NUMBER,
-    /** ... and so does the lease on record. */
+    /** The grant in a reply cites the same request. */
     GRANT_NUMBER,
-    /** The lease on record is one's own. */
+    /** The grant in a reply names the candidate as its holder. */
     GRANT_HOLDER,
-    /** ... of one's own life. */
+    /** The grant in a reply names the candidate's incarnation. */
     GRANT_INCARNATION,
-    /** ... of the token asked for. */
+    /** The grant in a reply has the requested token. */
     GRANT_TOKEN,
-    /** ... for as long as asked for. */
+    /** The grant in a reply lasts for the requested duration. */
     SPAN,
-    /** A majority, not half. */
+    /** A candidate needs grants from a majority of electors; half is not enough. */
     MAJORITY,
-    /** Only who was invited and is ready is yielded to. */
+    /** The holder hands the lease over only to the mixer that it made the offer to. */
     INVITED,
-    /** A yield counts only when it cites one's own readiness. */
+    /** A handover confirmation counts only if it cites the candidate's own ready message. */
     HANDOVER_NUMBER,
-    /** The holder stops before it yields. */
+    /** The holder stops using the lease before it confirms the handover. */
     STOP_FIRST,
-    /** An elector follows a yield only where the ask cites the line. */
+    /** An elector turns a reservation into a grant only if the request cites the reservation. */
     RESERVATION_NUMBER,
-    /** A release names the lease that it ends. */
+    /** A release cites the request of the grant that it ends. */
     RELEASE_NUMBER,
-    /** A release names the token that it ends. */
+    /** A release names the token of the grant that it ends. */
     RELEASE_TOKEN,
-    /** A token is of the duty it comes with. */
+    /** A token belongs to the lease that it is sent for. */
     DUTY_TOKEN,
-    /** Asks of another epoch get nothing. */
+    /** An elector grants nothing to a request from another epoch. */
     EPOCH,
-    /** The gate takes no older token. */
+    /** The guard rejects a token older than the newest one. */
     GUARD_STALE_TOKEN,
-    /** The gate takes no other duty's token. */
+    /** The guard rejects a token of another lease. */
     GUARD_LEASE
   }
 
--- a/lease/src/main/java/gingerring/lease/Term.java
+++ b/lease/src/main/java/gingerring/lease/Term.java
@@ -1,11 +1,11 @@
 package gingerring.lease;
 
 /**
- * How far a duty's leases have come: counts up with each lease that is asked for, never back.
+ * A lease's term: a counter that increases with each new request for the lease and never decreases.
  *
- * @param value zero or more, under 2^47; an elector starts at its life (Unix time in ms), so that
- *     terms grow even over electors who have all forgotten, if they start less often than once a ms
- *     and start times grow
+ * @param value at least zero and below 2^47. An elector starts at its incarnation (Unix time in
+ *     ms), so that terms grow even if all electors have lost their memory, provided that electors
+ *     restart less often than once per ms and that their start times increase.
  */
 public record Term(long value) implements Comparable<Term> {
   static final long LIMIT = 1L << 47;
@@ -26,8 +26,8 @@
   }
 
   /**
-   * Whether this is too far above all that is known for a word to be believed: 2^40, as ms 35
-   * years.
+   * Returns whether this term is too far above all known terms to be accepted: by more than 2^40,
+   * which is 35 years in ms.
    */
   boolean isImplausible(Term highestTerm, long incarnation) {
     return value - Math.max(highestTerm.value, Math.floorMod(incarnation, LIMIT)) > 1L << 40;
--- a/lease/src/test/java/gingerring/lease/ClusterSimulation.java
+++ b/lease/src/test/java/gingerring/lease/ClusterSimulation.java
@@ -14,13 +14,16 @@
 import java.util.TreeSet;
 
 /**
- * Mixers with duties in simulated time, a gate, and the faults between them; looks after each event
- * whether two hold. Times are in ns of true time; each mixer has a clock of its own.
+ * Simulates mixers with leases, a fencing guard, message faults and process faults in simulated
+ * time. After each event the simulation checks that no lease has two holders. Simulated time is
+ * true time in ns; each mixer has its own clock.
  */
 final class ClusterSimulation {
   static final long MS = 1_000_000;
 
-  /** What becomes of a letter on its way: a list of those that arrive. */
+  /**
+   * Decides what happens to a message in transit: returns the messages that are sent in its place.
+   */
   interface MessageFault {
     Collection<Envelope> deliver(int index, Envelope envelope, MixerId to);
   }
@@ -71,10 +74,10 @@
   private final Map<LeaseName, Long> overlapSince = new HashMap<>();
   private final PriorityQueue<ScheduledTask> schedule =
       new PriorityQueue<>(
-          (first, other) ->
-              first.dueAt != other.dueAt
-                  ? Long.compare(first.dueAt, other.dueAt)
-                  : Long.compare(first.order, other.order));
+          (first, second) ->
+              first.dueAt != second.dueAt
+                  ? Long.compare(first.dueAt, second.dueAt)
+                  : Long.compare(first.order, second.order));
   MessageFault messageFault = (index, envelope, to) -> List.of(envelope);
   long now;
   private long taskCount;
@@ -83,7 +86,7 @@
   int acquisitionCount;
   int admittedCount;
 
-  /** Electors do not stand for duties. */
+  /** Whether electors are excluded from holding leases. */
   boolean separateElectors;
 
   double lossRate;
@@ -133,7 +136,7 @@
     now = end;
   }
 
-  /** All start, the clocks drawn within so much of true time. */
+  /** Starts all mixers, with clock rates drawn within {@code drift} of true time. */
   ClusterSimulation startAll(double drift) {
     for (Node node : nodes) {
       double position = random.nextInt(3) == 0 ? random.nextInt(2) : random.nextDouble();
@@ -210,7 +213,7 @@
     }
   }
 
-  /** Ticks a candidate when it is due, but within 5 s. */
+  /** Ticks a candidate when it is due, and after 5 s at the latest. */
   private void tickCandidate(Node node, long incarnation, LeaseName lease) {
     if (!node.up || node.incarnation != incarnation) {
       return;
@@ -250,7 +253,7 @@
   private void recordAcquired(Node node, LeaseName lease, FencingToken token) {
     FencingToken previous = lastAcquiredTokens.get(lease);
     if (previous != null && token.compareTo(previous) <= 0) {
-      violations.add("token of " + lease.value() + " does not grow");
+      violations.add("token of " + lease.value() + " did not increase");
     }
     lastAcquiredTokens.put(lease, token);
     acquisitionCount++;
@@ -284,7 +287,7 @@
             });
   }
 
-  /** The gate's side. */
+  /** Presents a token to the guard. */
   void presentToken(Node node, long incarnation, LeaseName lease, FencingToken token) {
     try {
       guard.admit(lease, token);
@@ -294,7 +297,7 @@
       if (previous != null
           && (token.compareTo(previous) < 0
               || token.equals(previous) && !sender.equals(lastAdmittedSenders.get(lease)))) {
-        violations.add("an old holder's effect on " + lease.value());
+        violations.add("stale work was admitted for " + lease.value());
       }
       lastAdmittedTokens.put(lease, token);
       lastAdmittedSenders.put(lease, sender);
@@ -305,7 +308,10 @@
     }
   }
 
-  /** Whether two hold at this moment; what is over by its own clock does not count. */
+  /**
+   * Checks whether a lease has two holders now. A lease that has expired by its holder's own clock
+   * does not count.
+   */
   private void checkOverlaps() {
     for (Map.Entry<LeaseName, Set<Node>> entry : holdersByLease.entrySet()) {
       if (entry.getValue().size() > 1) {
@@ -319,7 +325,7 @@
           long since = overlapSince.computeIfAbsent(entry.getKey(), any -> now);
           longestOverlap = Math.max(longestOverlap, now - since);
           if (!allowOverlap) {
-            violations.add("two hold " + entry.getKey().value());
+            violations.add("two holders of " + entry.getKey().value());
           } else if (schedule.isEmpty() || schedule.peek().dueAt > now + MS) {
             scheduleAt(now + MS, () -> {});
           }
@@ -345,7 +351,7 @@
 
   void transmit(Node from, Envelope envelope, MixerId to, SplittableRandom messageRandom) {
     if (to.number() < 1 || to.number() > nodes.size()) {
-      return; // no such mixer
+      return; // a mutated message can name an unknown mixer
     }
     Node receiver = nodes.get((int) to.number() - 1);
     boolean lost = messageRandom.nextDouble() < lossRate;
@@ -359,7 +365,6 @@
   }
 
   void deliver(Node node, Envelope envelope) {
-
     if (!node.up) {
       return;
     }
@@ -400,7 +405,7 @@
       return;
     }
     node.paused = false;
-    // it had looked at its clock before it was stopped: what it meant to send then goes out now
+    // the holder checked its clock before the pause, so its work is sent only now
     node.lastUsedTokens.forEach(
         (lease, token) -> presentToken(node, node.incarnation, lease, token));
     List<Envelope> delivered = new ArrayList<>(node.pendingMessages);
@@ -409,7 +414,10 @@
     broadcastMembers();
   }
 
-  /** No fault any more; what is wrong after so long. */
+  /**
+   * Ends all faults, waits, and records a violation for each lease that does not have exactly one
+   * holder then.
+   */
   void checkRecovery(long durationMs) {
     lossRate = 0;
     blockedLinks.clear();
@@ -423,16 +431,16 @@
     broadcastMembers();
     runUntil(now + durationMs * MS);
     if (leases.stream().anyMatch(lease -> holderCount(lease) != 1)) {
-      runUntil(now + 150 * MS); // one may just be on its way from a holder to the next
+      runUntil(now + 150 * MS); // a handover may just be in progress
     }
     for (LeaseName lease : leases) {
       if (holderCount(lease) != 1) {
-        violations.add(holderCount(lease) + " hold " + lease.value() + " in the end");
+        violations.add(holderCount(lease) + " holders of " + lease.value() + " after recovery");
       }
     }
   }
 
-  /** One mixer is cut off from all others, but not from the gate. */
+  /** Cuts one mixer off from all other mixers, but not from the guard. */
   void isolate(Node node, long durationMs) {
     if (node != null) {
       Set<Long> links = new TreeSet<>();
@@ -466,7 +474,7 @@
     }
   }
 
-  /** Faults drawn for so long. */
+  /** Runs for the given time with randomly drawn faults. */
   void runWithRandomFaults(long durationMs) {
     lossRate = random.nextInt(3) * 0.1;
     duplicateRate = random.nextInt(2) * 0.1;
--- a/lease/src/test/java/gingerring/lease/DisabledCheckTest.java
+++ b/lease/src/test/java/gingerring/lease/DisabledCheckTest.java
@@ -11,15 +11,19 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Each check taken out on purpose, and what finds that: here the world that is known to, in the
- * long run ({@code -Dduty.planted=WORLDS -Dduty.changes=RUNS}) whichever comes first. {@link
- * DutyTest} finds EPOCH and GATE_DUTY.
+ * Guards against a safety check that has no effect: each check is disabled, and a run that is known
+ * to detect that must report a violation. The long search ({@code -Dduty.planted=RUNS
+ * -Dduty.changes=MUTATIONS}) reports the first run that detects it. {@link LeaseTest} covers EPOCH
+ * and GUARD_LEASE.
  */
 class DisabledCheckTest {
   private static final int RUNS = Integer.getInteger("duty.planted", 0);
   private static final int MUTATIONS = Integer.getInteger("duty.changes", 0);
 
-  /** A world's seed; below zero of a slow one; above 1000 a change of run 2. */
+  /**
+   * Seed of the run that detects the disabled check. A negative seed selects the slow tight
+   * scenario; a seed above 1000 is the number of a message mutation of run 2.
+   */
   private static final Map<Check, Integer> DETECTING_SEEDS =
       new EnumMap<>(
           Map.of(
@@ -49,7 +53,7 @@
     DETECTING_SEEDS.put(Check.SPAN, 25_014);
   }
 
-  /** What is wrong in a world; empty where nothing is. */
+  /** Returns the first violation in a run, or an empty string. */
   private static String firstViolation(int seed, SafetyChecks checks) {
     try {
       Set<String> violations;
@@ -62,12 +66,12 @@
         simulation.checkRecovery(10_000);
         violations = simulation.violations;
       }
-      String kind = seed < 0 ? "slow world " : seed > 1000 ? "change " : "world ";
+      String kind = seed < 0 ? "slow simulation " : seed > 1000 ? "mutation " : "simulation ";
       return violations.isEmpty()
           ? ""
           : kind + Math.abs(seed) + ": " + violations.iterator().next();
     } catch (LeaseException error) {
-      return "world " + seed + ": " + error.code();
+      return "simulation " + seed + ": " + error.code();
     }
   }
 
@@ -84,17 +88,17 @@
         MUTATIONS == 0
             ? null
             : MessageMutationTest.searchViolation(new SafetyChecks(check), MUTATIONS);
-    return found == null ? "not found" : found;
+    return found == null ? "not detected" : found;
   }
 
   @Test
   void everyDisabledCheckIsDetected() {
     DETECTING_SEEDS.forEach(
         (check, seed) -> {
-          assertEquals("", firstViolation(seed, SafetyChecks.ALL), "nothing missing");
+          assertEquals("", firstViolation(seed, SafetyChecks.ALL), "no check disabled");
           String violation = firstViolation(seed, new SafetyChecks(check));
-          System.out.println(check + " out, " + violation);
-          assertEquals(false, violation.isEmpty(), check + " out is not found by " + seed);
+          System.out.println(check + " disabled, " + violation);
+          assertEquals(false, violation.isEmpty(), check + " disabled is not detected by " + seed);
         });
     Map<Check, String> found = new ConcurrentSkipListMap<>();
     if (RUNS > 0 || MUTATIONS > 0) {
@@ -102,6 +106,7 @@
           .parallel()
           .forEach(each -> found.put(each, searchViolation(each)));
     }
-    found.forEach((check, violation) -> System.out.println(check + " out, searched: " + violation));
+    found.forEach(
+        (check, violation) -> System.out.println(check + " disabled, searched: " + violation));
   }
 }
--- a/lease/src/test/java/gingerring/lease/FailoverMeasurement.java
+++ b/lease/src/test/java/gingerring/lease/FailoverMeasurement.java
@@ -10,8 +10,9 @@
 import java.util.stream.LongStream;
 
 /**
- * The figures of docs/duty.md, in simulated time: {@code FailoverMeasurement [hand-overs]}. Words
- * take 0.5 to 5.5 ms, one in fifty up to 100 ms more; clocks within 1%; five electors.
+ * Measures the figures of docs/duty.md in simulated time: {@code FailoverMeasurement [handovers]}.
+ * Messages take 0.5 to 5.5 ms, and one in fifty takes up to 100 ms more; clocks are within 1%;
+ * there are five electors.
  */
 final class FailoverMeasurement {
   private enum Fault {
@@ -24,7 +25,10 @@
 
   private FailoverMeasurement() {}
 
-  /** Seconds from a fault to the next holder, of all duties of the mixers that it strikes. */
+  /**
+   * Returns the times, in ns, from a fault to the next holder, for all leases of the affected
+   * mixers.
+   */
   private static List<Long> measureGaps(int mixerCount, Fault fault, long seed) {
     ClusterSimulation simulation =
         new ClusterSimulation(
@@ -104,7 +108,7 @@
   }
 
   public static void main(String[] args) {
-    System.out.println("| mixers | fault | samples | 50% | 90% | 99% | most |");
+    System.out.println("| mixers | fault | samples | 50% | 90% | 99% | max |");
     for (int mixerCount : new int[] {10, 32, 100, 1000}) {
       for (Fault fault : Fault.values()) {
         List<Long> gaps =
@@ -123,17 +127,22 @@
     int before = quietRun.messageCount;
     quietRun.runUntil(30_000 * ClusterSimulation.MS);
     double messageRate = (quietRun.messageCount - before) / 10.0 / 20;
-    System.out.println("calm, five electors: " + messageRate + " letters a second and duty");
+    System.out.println(
+        "no faults, five electors: " + messageRate + " messages per second and lease");
     long handovers = args.length > 0 ? Long.parseLong(args[0]) : 20_000;
     long[] sums = new long[3];
     LongStream.rangeClosed(1, Math.max(1, handovers / 20_000))
         .parallel()
         .mapToObj(FailoverMeasurement::runHandovers)
         .forEachOrdered(each -> Arrays.setAll(sums, i -> sums[i] + each[i]));
-    System.out.println("hand-overs " + sums[0] + ", works " + sums[1] + ", fouls " + sums[2]);
+    System.out.println(
+        "handovers " + sums[0] + ", pieces of work " + sums[1] + ", violations " + sums[2]);
   }
 
-  /** Duties handed on about every 300 ms, a hundredth of words lost and doubled. */
+  /**
+   * Hands each lease over about every 300 ms, with 1% of messages lost and 1% duplicated. Returns
+   * the numbers of acquisitions, admitted pieces of work and violations.
+   */
   private static long[] runHandovers(long seed) {
     ClusterSimulation simulation =
         new ClusterSimulation(seed, 6, 3, 20, LeaseSettings.defaults(), SafetyChecks.ALL);
--- a/lease/src/test/java/gingerring/lease/FaultSimulationTest.java
+++ b/lease/src/test/java/gingerring/lease/FaultSimulationTest.java
@@ -21,8 +21,9 @@
   }
 
   /**
-   * Loss, doubling, delay, reordering, stops, lost memory, cuts, hand-overs; clocks within the
-   * bound.
+   * Guards against two holders, and against stale tokens, under message loss, duplication, delay
+   * and reordering, pauses, restarts with lost memory, network cuts and handovers, with clocks
+   * within the drift bound.
    */
   @Test
   void atMostOneHolderUnderFaults() {
@@ -35,12 +36,19 @@
       acquisitions += simulation.acquisitionCount;
       admitted += simulation.admittedCount;
     }
-    System.out.println(RUNS + " worlds: " + acquisitions + " times taken, " + admitted + " works");
+    System.out.println(
+        RUNS
+            + " simulations: "
+            + acquisitions
+            + " acquisitions, "
+            + admitted
+            + " pieces of work admitted");
     assertTrue(acquisitions > 10 * RUNS);
   }
 
   /**
-   * Clocks past the bound: two hold for no longer than is said, and an old holder changes nothing.
+   * Guards against an overlap longer than {@link LeaseSettings#maxOverlap}, and against effects of
+   * a former holder, when clocks drift past the bound.
    */
   @Test
   void overlapStaysWithinBoundWhenClocksDriftTooFar() {
@@ -88,9 +96,9 @@
       System.out.println(
           "drift "
               + drift
-              + ": two held for "
+              + ": two holders for "
               + longestOverlap / 1e6
-              + " ms at most, said "
+              + " ms at most, bound "
               + defaults.maxOverlap(drift).toNanos() / 1e6);
       assertTrue(
           longestOverlap <= defaults.maxOverlap(drift).toNanos()
@@ -98,7 +106,10 @@
     }
   }
 
-  /** Clocks that jump up to 3 s ahead or back. */
+  /**
+   * Guards against admitted stale work, and against an overlap longer than a lease, when clocks
+   * jump up to 3 s ahead or back.
+   */
   @Test
   void guardRejectsStaleTokensWhenClocksJump() {
     long longestOverlap = 0;
@@ -118,10 +129,12 @@
       simulation.checkRecovery(12_000);
       longestOverlap = Math.max(longestOverlap, simulation.longestOverlap);
       simulation.violations.removeIf(
-          each -> each.startsWith("token")); // of two at once the earlier may learn it later
+          each ->
+              each.startsWith(
+                  "token")); // of two simultaneous holders the earlier may get its token later
       assertEquals(Set.of(), simulation.violations, "seed " + seed);
     }
-    System.out.println("clocks that jump: two held for " + longestOverlap / 1e6 + " ms at most");
+    System.out.println("jumping clocks: two holders for " + longestOverlap / 1e6 + " ms at most");
     assertTrue(longestOverlap <= LeaseSettings.defaults().leaseDuration().toNanos());
   }
 }
--- a/lease/src/test/java/gingerring/lease/LeaseDependencyTest.java
+++ b/lease/src/test/java/gingerring/lease/LeaseDependencyTest.java
@@ -8,8 +8,8 @@
 
 class LeaseDependencyTest {
   /**
-   * Cores decide alike everywhere: nothing of this machine, this moment or this program's other
-   * modules.
+   * Guards against code in the lease module that depends on this machine, the current time or other
+   * modules, because all mixers must decide alike from the same input.
    */
   @Test
   void mainClassesUseOnlyPlainData() {
--- a/lease/src/test/java/gingerring/lease/LeaseExplorationTest.java
+++ b/lease/src/test/java/gingerring/lease/LeaseExplorationTest.java
@@ -19,11 +19,14 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A small world in every order: three electors, two who stand for one duty, one crash of an elector
- * with loss of its memory, one stop, one letter lost. An ask and its answer come and go as one
- * step, or the answer is the one lost; an ask waits for as long as any, until a later one on its
- * way pushes it out. Electors are alike, so it is the first that crashes. Worlds that differ only
- * in what time it is and how letters and terms are numbered are one state.
+ * Guards against two holders in any event order of a small model: three electors and two candidates
+ * for one lease, one crash of an elector with lost memory, one pause of a candidate and one lost
+ * message.
+ *
+ * <p>To keep the number of states small, a request and its reply are delivered as one step, or the
+ * reply is the lost message; a request stays in transit until a later one on its link displaces it.
+ * Electors are interchangeable, so only the first one crashes. States that differ only in the
+ * absolute time and in the numbers of messages and terms count as one.
  */
 class LeaseExplorationTest {
   private static final LeaseName LEASE = new LeaseName("clock");
@@ -61,7 +64,7 @@
         electors[i] =
             new Elector(
                 elector(i), incarnations[i], electorSet, SETTINGS, 9, Duration.ZERO, checks);
-        for (int ms = 0; ms <= 10_000; ms += 500) { // its quiet span goes by
+        for (int ms = 0; ms <= 10_000; ms += 500) { // the quiet period passes
           electors[i].tick(Duration.ofMillis(ms));
         }
       }
@@ -88,7 +91,7 @@
                   @Override
                   public void onAcquired(LeaseName lease, FencingToken token) {
                     if (newestToken != null && token.compareTo(newestToken) <= 0) {
-                      violation = "token does not grow";
+                      violation = "token did not increase";
                     }
                     newestToken = token;
                   }
@@ -101,7 +104,8 @@
         candidates[i].updateMembers(List.of(new MixerId(3), new MixerId(4)));
       }
       candidates[1].observeToken(
-          FencingToken.of(LEASE, new Term(5))); // so that both may win with their first ask
+          FencingToken.of(
+              LEASE, new Term(5))); // so that both candidates can win with their first request
       execute(0);
     }
 
@@ -134,7 +138,10 @@
       }
     }
 
-    /** 0: time passes; 1: a crash; 4: stop or go on; from 10 deliver, from 70 lose. */
+    /**
+     * Returns the enabled events. 0: time passes; 1: an elector crashes; 4: a candidate pauses or
+     * resumes; from 10: deliver a message on the link; from 70: lose one.
+     */
     List<Integer> enabledEvents() {
       List<Integer> events = new ArrayList<>(List.of(0));
       if (crashCount == 0) {
@@ -184,11 +191,14 @@
         deliver((event - 10) % 5, links.get(event - 10).poll());
       }
       if (candidates[0].validToken().isPresent() && candidates[1].validToken().isPresent()) {
-        violation = "two hold";
+        violation = "two holders";
       }
     }
 
-    /** All that there is, with times from now, and numbers and terms by their order. */
+    /**
+     * Returns the complete state as text, with times relative to now and with numbers and terms
+     * replaced by their order.
+     */
     String stateKey() {
       StringBuilder out = new StringBuilder();
       Map<Long, Integer> numberNames = new HashMap<>();
@@ -281,7 +291,7 @@
     }
   }
 
-  /** Goes breadth first; tells states and the first foul. */
+  /** Explores event orders breadth first. Returns the number of states and the first violation. */
   private static String[] explore(SafetyChecks checks, int maxDepth, int maxStates) {
     Set<String> knownStates = new HashSet<>();
     Deque<int[]> unexplored = new ArrayDeque<>();
@@ -331,8 +341,8 @@
   }
 
   /**
-   * Planted: an elector that comes back empty and grants at once; a holder that does not look at
-   * its clock.
+   * Guards against an exploration that cannot detect violations: it must find one with each of
+   * three checks disabled.
    */
   @Test
   void disabledChecksAreDetected() {
@@ -343,7 +353,7 @@
             SafetyChecks.Check.SINGLE_GRANT,
             SafetyChecks.Check.MAJORITY)) {
       String[] result = explore(new SafetyChecks(each), 99, 20_000);
-      System.out.println(each + " out, explored: " + result[0] + " " + result[1]);
+      System.out.println(each + " disabled, explored: " + result[0] + " " + result[1]);
       undetected.append(result[1].isEmpty() ? each + " " : "");
     }
     assertEquals("", undetected.toString());
--- a/lease/src/test/java/gingerring/lease/LeaseTest.java
+++ b/lease/src/test/java/gingerring/lease/LeaseTest.java
@@ -77,7 +77,8 @@
         () -> guard.admit(other, FencingToken.of(other, new Term(1))));
     assertEquals(2, guard.rejectedCount());
     new FencingGuard(1, new SafetyChecks(SafetyChecks.Check.GUARD_LEASE))
-        .admit(LEASE, FencingToken.of(other, new Term(9))); // planted
+        .admit(
+            LEASE, FencingToken.of(other, new Term(9))); // does not throw with the check disabled
   }
 
   @Test
@@ -137,7 +138,7 @@
   void pausedOrDisplacedElectorGrantsNothing() {
     Elector elector = grantingElector(1, electors(0, 1, 2, 3), SafetyChecks.ALL);
     assertTrue(isGranted(elector, 7, 0, new Term(5), 10_000));
-    assertFalse(isGranted(elector, 8, 0, new Term(6), 20_000), "it was not called for 10 s");
+    assertFalse(isGranted(elector, 8, 0, new Term(6), 20_000), "elector was not called for 10 s");
     elector.tick(Duration.ofMillis(21_000));
     elector.tick(Duration.ofMillis(21_900));
     assertTrue(isGranted(elector, 8, 0, new Term(7), 22_100));
@@ -146,8 +147,8 @@
   }
 
   /**
-   * From 1, 2, 3 to 1 to 5: an asker who missed both changes has a majority of the first set, which
-   * is none.
+   * Changes the electors from {1, 2, 3} to {1, ..., 5} in two steps. A candidate that missed both
+   * changes then has the grants of a majority of the first set, which must not count.
    */
   private static int holdersOverTwoChanges(SafetyChecks checks) {
     ElectorSet[] sets = {electors(0, 1, 2, 3), electors(1, 1, 2, 3, 4), electors(2, 1, 2, 3, 4, 5)};
@@ -188,7 +189,8 @@
   @Test
   void majoritiesIntersectAcrossElectorChanges() {
     assertEquals(1, holdersOverTwoChanges(SafetyChecks.ALL));
-    assertEquals(2, holdersOverTwoChanges(new SafetyChecks(SafetyChecks.Check.EPOCH)), "planted");
+    assertEquals(
+        2, holdersOverTwoChanges(new SafetyChecks(SafetyChecks.Check.EPOCH)), "EPOCH disabled");
   }
 
   @Test
@@ -212,7 +214,7 @@
     assertThrows(
         LeaseException.ElectorChangeTooEarly.class,
         () -> elector.changeElectors(next, now.plusSeconds(61)));
-    elector.recordEpoch(elector(3), 0, now.plusSeconds(61)); // it says now that it is behind
+    elector.recordEpoch(elector(3), 0, now.plusSeconds(61)); // elector 3 reports an older epoch
     assertThrows(
         LeaseException.ElectorChangeTooEarly.class,
         () -> elector.changeElectors(next, now.plusSeconds(63)));
@@ -236,14 +238,14 @@
         leaseCounts[(int) first.number()]++;
         moved += first.equals(firstAfterRemoval) ? 0 : 1;
       }
-      assertEquals(leaseCounts[0], moved, "only those of the one that went");
+      assertEquals(leaseCounts[0], moved, "only leases of the removed mixer move");
       System.out.println(
           mixerCount
-              + " mixers, ten duties each: at most "
+              + " mixers, ten leases each: at most "
               + IntStream.of(leaseCounts).max().getAsInt()
-              + "; one goes: "
+              + "; one leaves: "
               + moved
-              + " moved, least possible "
+              + " moved, minimum "
               + leaseCounts[0]);
     }
     Set<MixerId> members3 = Set.of(new MixerId(1), new MixerId(2), new MixerId(3));
--- a/lease/src/test/java/gingerring/lease/MessageMutationTest.java
+++ b/lease/src/test/java/gingerring/lease/MessageMutationTest.java
@@ -12,8 +12,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * One run, recorded, and played again once for each of its letters and each way to change it, one
- * change a run. The long run plays all: {@code -Dduty.every=1}.
+ * Guards against corrupt, replayed or lost messages that lead to two holders. A run is recorded,
+ * and then replayed once for each message and each way to change that message. The default plays a
+ * sample of the mutations; {@code -Dduty.every=1} plays all.
  */
 class MessageMutationTest {
   private static final int MUTATION_STRIDE = Integer.getInteger("duty.every", 197);
@@ -28,10 +29,7 @@
           Duration.ofMillis(2),
           3);
 
-  /**
-   * To a leaf of a letter: a field that holds a number, a time or a name; or to the letter as a
-   * whole.
-   */
+  /** Changes of one value in a message: a number, a duration or a lease name. */
   private enum ValueChange {
     LOWERED,
     RAISED,
@@ -52,9 +50,9 @@
 
   private record SentMessage(Envelope envelope, MixerId to) {}
 
-  /** What is done to one letter. */
+  /** A change of one message. */
   private interface Mutation {
-    /** What goes out in place of a letter; null for as it was. */
+    /** Returns the messages to send in place of one message, or null if nothing changes. */
     List<Envelope> apply(Envelope envelope, MixerId to);
   }
 
@@ -76,7 +74,7 @@
       constructor.setAccessible(true);
       return constructor.newInstance(values);
     } catch (java.lang.reflect.InvocationTargetException | IllegalArgumentException invalid) {
-      return null; // no such record can be made of bytes either
+      return null; // the message decoder rejects such a record too
     } catch (ReflectiveOperationException exception) {
       throw new AssertionError(exception);
     }
@@ -111,7 +109,10 @@
         : new ClusterSimulation(seed, 4, 3, 2, LeaseSettings.defaults(), checks);
   }
 
-  /** Hand-overs, a crash with loss of memory, a stop, a cut, a giving up, some loss: 9 s. */
+  /**
+   * Runs 9 s with handovers, a crash with lost memory, a pause, a network cut, a resignation and
+   * some message loss.
+   */
   private static ClusterSimulation runScenario(ClusterSimulation simulation) {
     simulation.maxDelay = 8 * ClusterSimulation.MS;
     simulation.lossRate = 0.03;
@@ -150,9 +151,9 @@
   }
 
   /**
-   * Thin margins: five mixers, three of them electors; of the two who stand one never reaches the
-   * third elector, the other never the first, so that all hangs on the second; holders' clocks
-   * slow, electors' fast.
+   * Runs a scenario with tight timing: five mixers, three of them electors. Of the two candidates,
+   * one never reaches the third elector and the other never reaches the first, so that both depend
+   * on the second. Holders' clocks run slow and electors' clocks run fast.
    */
   private static ClusterSimulation runTightScenario(ClusterSimulation simulation, long delayMs) {
     simulation.separateElectors = true;
@@ -197,7 +198,7 @@
     return simulation;
   }
 
-  /** The world of thin margins with slow words, unchanged. */
+  /** Runs the tight scenario with slow messages and without mutations. */
   static Set<String> runSlowTight(long seed, SafetyChecks checks) {
     return runTightScenario(newSimulation(2 * seed, checks), 190).violations;
   }
@@ -243,7 +244,7 @@
     return null;
   }
 
-  /** All changes of one letter, by number; null where it is none. */
+  /** Returns the mutation of one message with the given number, or null if there is none. */
   private static Mutation mutation(List<SentMessage> sent, int index, int mutationNumber) {
     if (mutationNumber < DeliveryChange.values().length) {
       DeliveryChange deliveryChange = DeliveryChange.values()[mutationNumber];
@@ -295,7 +296,10 @@
     return remainingIndex[0] >= 0 ? null : findReplacement(sent, index, direction, valueIndex);
   }
 
-  /** Plays one change; null where it changes nothing. */
+  /**
+   * Replays the run with one mutation. Returns the violations, or null if the mutation changes
+   * nothing.
+   */
   private static Set<String> runMutated(
       long seed,
       List<SentMessage> sent,
@@ -337,7 +341,10 @@
     return DeliveryChange.values().length + MAX_VALUES * ValueChange.values().length;
   }
 
-  /** The first change by which a missing check shows, of so many; or null. */
+  /**
+   * Returns the first mutation, out of at most {@code maxRuns}, that detects a disabled check; or
+   * null.
+   */
   static String searchViolation(SafetyChecks without, int maxRuns) {
     for (long seed = 2, runCount = 0; runCount < maxRuns; seed++) {
       List<SentMessage> sent = recordMessages(seed, without);
@@ -352,22 +359,22 @@
           if (violations != null && !violations.isEmpty()) {
             return "run "
                 + seed
-                + ", change "
+                + ", mutation "
                 + i
                 + ", after "
                 + runCount
-                + " tries: "
+                + " runs: "
                 + violations.iterator().next();
           }
         } catch (LeaseException error) {
-          return "run " + seed + ", change " + i + ": " + error.code();
+          return "run " + seed + ", mutation " + i + ": " + error.code();
         }
       }
     }
     return null;
   }
 
-  /** One change of the run of thin margins, by its number over all letters. */
+  /** Runs one mutation of the tight scenario, numbered over all messages. */
   static Set<String> changed(int change, SafetyChecks without) {
     Set<String> violations =
         runMutated(
@@ -403,14 +410,14 @@
               violations,
               "seed "
                   + seed
-                  + ", change "
+                  + ", mutation "
                   + i % mutationsPerMessage()
                   + " of "
                   + sent.get(i / mutationsPerMessage()));
         }
       }
     }
-    System.out.println(messageCount + " letters, " + runs + " runs with one changed each");
+    System.out.println(messageCount + " messages, " + runs + " runs with one mutation each");
     assertTrue(runs > 300);
   }
 }
