--- a/cli/src/test/java/gingerring/cli/GingerringTest.java
+++ b/cli/src/test/java/gingerring/cli/GingerringTest.java
@@ -175,7 +175,7 @@
     assertEquals("gingerring experiment: " + world + ": boxen is unknown", err.strip());
     assertEquals(1, gingerring("fleet", "run", world, none)); // each file of a call has its word
     assertTrue(
-        err.contains("world: RIG_UNFIT at " + world + ": boxen is unknown; mend the file")
+        err.contains("world: RIG_UNFIT at " + world + ": boxen is unknown; correct the file")
             && err.contains("none.pcap: RIG_UNFIT at " + none + ": no such file"),
         err);
     assertEquals(0, gingerring("--help"));
--- a/emulator/src/main/java/gingerring/emulator/harness/ByzantinePeer.java
+++ b/emulator/src/main/java/gingerring/emulator/harness/ByzantinePeer.java
@@ -13,9 +13,9 @@
 import java.util.SplittableRandom;
 
 /**
- * A peer that holds the fleet's key and says what is false: that every box fails, that it has asked
- * each of them and had an answer, and that its clients want endlessly much. It calls no box and
- * serves no client.
+ * Peer that has the fleet's key and sends false reports: that it has ejected every box, that its
+ * probe of each box succeeded, and that it handles a very large number of attempts. It neither
+ * calls boxes nor serves clients.
  */
 final class ByzantinePeer implements PeerNode.Host {
   private static final Duration TICK_INTERVAL = Duration.ofMillis(100);
--- a/emulator/src/main/java/gingerring/emulator/harness/DatagramRelay.java
+++ b/emulator/src/main/java/gingerring/emulator/harness/DatagramRelay.java
@@ -13,12 +13,12 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * All links between peers: each mixer tells the others a place of the hub as its own, and what
- * comes there goes on to it as from the sender's place. So each link between two, and each
- * direction of it, can be cut by itself.
+ * Relay for the datagrams between peers. Each mixer advertises a socket of the relay as its own
+ * address, and the relay forwards what arrives there from the sender's advertised socket. Each
+ * direction of each link can therefore be cut independently.
  */
 final class DatagramRelay {
-  /** Whether nothing goes from one to another now. */
+  /** Decides which links are cut. */
   interface LinkCuts {
     boolean blocks(int from, int to);
   }
@@ -49,19 +49,19 @@
     }
   }
 
-  /** Where the others reach a mixer. */
+  /** Returns the address at which the other mixers reach a mixer. */
   InetSocketAddress advertisedAddress(int mixer) {
     return advertisedSockets.get(mixer).address();
   }
 
-  /** A mixer has bound its socket, or a new one after a restart. */
+  /** Records the port of a mixer's own socket, at its start and after each restart. */
   void setBoundPort(int mixer, int port) {
     mixerByPort.values().removeIf(index -> index == mixer);
     mixerByPort.put(port, mixer);
     boundAddresses.put(mixer, Store.loopback(port));
   }
 
-  /** Where a mixer's own socket is. */
+  /** Returns the address of a mixer's own socket, or null before it is bound. */
   InetSocketAddress boundAddress(int mixer) {
     return boundAddresses.get(mixer);
   }
@@ -88,7 +88,10 @@
     }
   }
 
-  /** Letters, their bytes, and those lost by faults or sent before a mixer was known. */
+  /**
+   * Returns the number of datagrams, their total bytes, and the number of dropped ones: dropped by
+   * faults, or sent before both mixers had bound their sockets.
+   */
   long[] counts() {
     return new long[] {datagrams, bytes, dropped};
   }
--- a/emulator/src/main/java/gingerring/emulator/harness/Fleet.java
+++ b/emulator/src/main/java/gingerring/emulator/harness/Fleet.java
@@ -41,57 +41,60 @@
 import java.util.stream.Stream;
 
 /**
- * Plays a {@link FleetScenario}: starts the mixers, the store, the links and the clients, lets
- * things break at their times, and says what came of it. Blocks until every wish has had its end,
- * within bounds.
+ * Executes a {@link FleetScenario}: starts the mixers, the store, the relays and the clients,
+ * injects the faults as scheduled, and returns the result. Blocks until every request has completed
+ * or the completion timeout has passed.
  */
 public final class Fleet implements AutoCloseable {
-  /** What a run says of the rules; undecided where some of it is missing. */
+  /** Whether a run kept the rules; undecided if parts of its result are missing. */
   public enum Verdict {
     KEPT,
     BROKEN,
     UNDECIDED
   }
 
-  /** What came of a run. */
+  /** Result of a run. */
   public static final class Result {
     public Tally tally;
     public Referee referee;
 
-    /** Mixers that ended by themselves, or with another code than 0 when told to end. */
+    /** Mixers that exited unexpectedly, or with a code other than 0 when terminated. */
     public final List<String> crashes = Collections.synchronizedList(new ArrayList<>());
 
-    /** By mixer, how many others it takes for there at the end; empty without peers. */
+    /**
+     * For each running mixer, the number of other peers that it considers present at the end, or -1
+     * if it did not report it; empty without peers.
+     */
     public final List<Integer> visiblePeers = new ArrayList<>();
 
-    /** Asks of boxes by second from the start. */
+    /** Probes of boxes, by second since the start of the workload. */
     public final Map<Integer, Integer> probesBySecond = new TreeMap<>();
 
-    /** Connections made to boxes, and the most that one box held. */
+    /** Number of connections made to boxes, and the largest number open at one box. */
     public long[] connectionCounts = new long[2];
 
     public long discoveryCalls;
 
-    /** Letters between peers, their bytes, and those lost. */
+    /** Datagrams between peers: their number, their bytes, and how many were dropped. */
     public long[] datagramCounts = new long[3];
 
-    /** Parts done by box. */
+    /** Completed parts by box. */
     public final Map<Integer, Double> partsByBox = new TreeMap<>();
 
     public int eventFailures;
     public double elapsedSeconds;
 
-    /** Why there is no verdict on all of it; empty where there is. */
+    /** Errors that leave the verdict incomplete; empty if there are none. */
     public final List<HarnessError> errors = Collections.synchronizedList(new ArrayList<>());
 
-    /** A rule that was broken is that whatever else is missing. */
+    /** Returns the verdict; a violation makes it BROKEN even if other results are missing. */
     public Verdict verdict() {
       return referee.fouls() > 0 || !crashes.isEmpty()
           ? Verdict.BROKEN
           : errors.isEmpty() ? Verdict.KEPT : Verdict.UNDECIDED;
     }
 
-    /** The busiest box over the mean, by parts. */
+    /** Returns the completed parts of the busiest box relative to the mean of all boxes. */
     public double peakToMeanLoad() {
       double mean =
           partsByBox.values().stream().mapToDouble(Double::doubleValue).average().orElse(0);
@@ -99,7 +102,7 @@
           / Math.max(1e-9, mean);
     }
 
-    /** Asks between two seconds, both within. */
+    /** Returns the number of probes from the first to the last second, both inclusive. */
     public int probeCount(int firstSecond, int lastSecond) {
       return probesBySecond.entrySet().stream()
           .filter(entry -> entry.getKey() >= firstSecond && entry.getKey() <= lastSecond)
@@ -125,22 +128,22 @@
   private final List<Store.View> discoveryViews = new ArrayList<>();
   private final Map<Integer, Map<Integer, TcpRelay>> relaysByMixer = new HashMap<>();
 
-  /** By mixer and box. */
+  /** Indexed by mixer and box. */
   private final TcpRelay.LinkFaults[][] linkFaults;
 
-  /** The faults that are on now. */
+  /** Faults that are active now. */
   private final List<Fault> activeFaults = new ArrayList<>();
 
   private final DatagramRelay peerRelay;
   private final List<MixerSupervisor> supervisors = new ArrayList<>();
 
-  /** Every process ever started, for the end; guarded by itself. */
+  /** All processes ever started, to be closed at the end; guarded by itself. */
   private final List<MixerProcess> startedProcesses = new ArrayList<>();
 
   private boolean closed;
   private final Thread shutdownHook = new Thread(this::killAll);
 
-  /** Mixers whose first start has come to an end. */
+  /** Counts the mixers whose first start is still pending. */
   private final CountDownLatch pendingStarts;
 
   private final Path tempDirectory;
@@ -157,7 +160,7 @@
   private Duration startedAt = Duration.ZERO;
 
   private static Thread daemonThread(Runnable task) {
-    Thread thread = new Thread(task, "rig");
+    Thread thread = new Thread(task, "harness");
     thread.setDaemon(true);
     return thread;
   }
@@ -228,7 +231,7 @@
   }
 
   private Result runToEnd() throws IOException {
-    Thread reactorThread = new Thread(reactor::run, "rig-reactor");
+    Thread reactorThread = new Thread(reactor::run, "harness-reactor");
     reactorThread.setDaemon(true);
     reactorThread.start();
     Runtime.getRuntime().addShutdownHook(shutdownHook);
@@ -244,7 +247,8 @@
       }
       collectResult();
       reactor.stop();
-      reactorThread.join(STEP_TIMEOUT_MS); // what it wrote is read from here on
+      reactorThread.join(
+          STEP_TIMEOUT_MS); // joined so that the result it wrote is visible to this thread
       return result;
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
@@ -283,7 +287,9 @@
           () -> {
             result.errors.add(new HarnessError.NotEnded(timeoutMs, unfinished()));
             for (int i = 0; i < fleetScenario.mixers(); i++) {
-              excuse(i, startedAt, UNBOUNDED); // what is lost from here on is the rig's end
+              excuse(
+                  i, startedAt,
+                  UNBOUNDED); // what is lost from here on is caused by the end of the run
             }
           });
     }
@@ -304,7 +310,7 @@
     }
   }
 
-  /** Whom a run that does not end waits for. */
+  /** Returns the parties that a run beyond its timeout still waits for. */
   private List<String> unfinished() {
     List<String> unfinished = new ArrayList<>(clients.waitsFor());
     for (int i = 0; i < fleetScenario.mixers(); i++) {
@@ -316,7 +322,7 @@
     return unfinished;
   }
 
-  /** Starts a mixer, or starts it anew under its name; on a thread that may wait. */
+  /** Starts or restarts a mixer under its name. Called on a thread that may block. */
   private MixerProcess startMixer(int mixer) throws Exception {
     Path peersFile = null;
     if (fleetScenario.peersEnabled()) {
@@ -349,7 +355,7 @@
       String port = process.await(BOUND_PORT, STEP_TIMEOUT_MS);
       if (port == null) {
         process.kill();
-        throw new IOException("it told no port of its peers: " + process.log());
+        throw new IOException("it logged no port of its peer socket: " + process.log());
       }
       reactor.post(() -> peerRelay.setBoundPort(mixer, Integer.parseInt(port)));
     }
@@ -378,7 +384,10 @@
     return json.append('}').toString();
   }
 
-  /** Peers that lie; their boxes' numbers are those that mixers make of the boxes' names. */
+  /**
+   * Starts the byzantine peers. They identify boxes by the numbers that mixers derive from the
+   * boxes' names.
+   */
   private void startByzantinePeers() {
     List<Long> boxIds = new ArrayList<>();
     for (int i = 0; i < scenario.boxes(); i++) {
@@ -411,8 +420,8 @@
   }
 
   /**
-   * Which mixer a client's connection goes to: its own by a draw, or the next while that is known
-   * to be away.
+   * Assigns each client connection to a mixer: the client's own, drawn from the seed, or the next
+   * available one while that mixer has been unavailable for longer than the failover delay.
    */
   private final class LoadBalancer implements Clients.Way {
     @Override
@@ -497,13 +506,16 @@
           rollingRestart(
               new ArrayList<>(fault.mixers()), fault.duration().dividedBy(fault.mixers().size()));
       case RESET -> resetConnections(fault, now.plus(fault.duration()));
-      default -> {} // cuts between peers look for themselves
+      default -> {} // peersCut checks the schedule for cuts between peers
     }
     activeFaults.add(fault);
     applyActiveFaults();
   }
 
-  /** Sets every link as all the faults have it that are on now: one's end is not another's. */
+  /**
+   * Recomputes the faults of every link from all active faults, so that the end of one fault does
+   * not end another.
+   */
   private void applyActiveFaults() {
     for (TcpRelay.LinkFaults[] mixerLinks : linkFaults) {
       for (TcpRelay.LinkFaults link : mixerLinks) {
@@ -536,7 +548,10 @@
         .orElse(0);
   }
 
-  /** Scans that were there when a mixer was made to fail, up to the longest patience back. */
+  /**
+   * Excuses lost scans of a mixer that a fault makes fail: those in progress during the given
+   * interval.
+   */
   private void excuse(int mixer, Duration from, Duration to) {
     referee.excuse(mixer, from, to);
   }
@@ -561,13 +576,13 @@
     }
   }
 
-  /** Each is told to end, and started anew once it has; the next follows after a while. */
+  /** Restarts the first of the remaining mixers, and schedules the next one after the interval. */
   private void rollingRestart(List<Integer> remaining, Duration interval) {
     if (remaining.isEmpty()) {
       return;
     }
     int mixer = remaining.remove(0);
-    // planned: the front knows at once
+    // a planned restart: the load balancer knows it at once
     supervisors
         .get(mixer)
         .restart(
@@ -622,7 +637,9 @@
         recordExit(
             i,
             processes.get(i),
-            exitCodes.get(i).join()); // it waits no longer than the process's own end
+            exitCodes
+                .get(i)
+                .join()); // the process bounds its own termination, so the join is bounded
       }
     }
     if (result.eventFailures > 0) {
@@ -636,7 +653,10 @@
     }
   }
 
-  /** Whom a mixer takes for there. A guest goes past the hub, which would not know it. */
+  /**
+   * Queries how many peers a mixer considers present. The query goes to the mixer's own socket,
+   * because the relay drops datagrams of unknown senders.
+   */
   private void queryVisiblePeers(int mixer) throws InterruptedException {
     CompletableFuture<InetSocketAddress> address = new CompletableFuture<>();
     reactor.post(() -> address.complete(peerRelay.boundAddress(mixer)));
@@ -665,7 +685,7 @@
     try {
       Runtime.getRuntime().removeShutdownHook(shutdownHook);
     } catch (IllegalStateException e) {
-      // it runs already
+      // the JVM is already shutting down
     }
     blockingExecutor.shutdownNow();
     signalExecutor.shutdownNow();
--- a/emulator/src/main/java/gingerring/emulator/harness/FleetScenario.java
+++ b/emulator/src/main/java/gingerring/emulator/harness/FleetScenario.java
@@ -14,15 +14,20 @@
 import java.util.TreeSet;
 
 /**
- * A described run of a fleet: the world, and in {@code fleet} the mixers, their talk and the faults
- * at their times. Everything has a usual value; what is unknown or out of range is refused with its
- * place.
+ * Description of a run of several mixer processes: the base scenario and, under the key {@code
+ * fleet}, the mixers, their peer settings and the scheduled faults. Every key has a default;
+ * unknown keys and values out of range are rejected with their path.
  *
- * @param peersEnabled whether mixers talk; {@code settings} goes into the file of their peers as it
- *     is
- * @param firstMixerWeight how many times the others' clients the first mixer has
- * @param completionTimeout how long after the run's time its last wishes may have their ends
- * @param byzantinePeers so many further peers that hold the key and say what is false
+ * @param peersEnabled whether the mixers exchange peer datagrams
+ * @param peerSettings key {@code settings}: copied unchanged into each mixer's peers file
+ * @param firstMixerWeight key {@code uneven}: the first mixer's number of clients relative to that
+ *     of each other mixer
+ * @param completionTimeout key {@code spareMs}: how long after the end of the run's length the
+ *     remaining requests may still complete
+ * @param byzantinePeers key {@code liars}: number of additional peers that have the fleet's key and
+ *     send false reports
+ * @param failoverDelay key {@code frontMs}: time after which the emulated load balancer sends the
+ *     connections of an unavailable mixer to the next one
  */
 public record FleetScenario(
     Scenario scenario,
@@ -35,7 +40,11 @@
     Duration failoverDelay,
     Duration completionTimeout,
     List<Fault> faults) {
-  /** One thing that goes wrong; {@code size} by kind. */
+  /**
+   * One scheduled fault.
+   *
+   * @param magnitude key {@code size}; its meaning depends on the kind
+   */
   public record Fault(
       Kind kind,
       Duration start,
@@ -43,35 +52,37 @@
       Set<Integer> mixers,
       Set<Integer> boxes,
       double magnitude) {
-    /** What goes wrong. */
+    /** Kind of fault; scenario files name it in lower case. */
     public enum Kind {
-      /** Processes are killed, and new ones start empty after the span. */
+      /** Kills the mixers' processes and starts new ones, without state, after the duration. */
       KILL,
-      /** Processes are stopped, and go on after the span. */
+      /** Suspends the processes (SIGSTOP) and resumes them after the duration. */
       STOP,
-      /** Processes are ended and started anew by turns over the span. */
+      /** Restarts the processes in order, one at a time, spread over the duration. */
       ROLL,
-      /** Mixers and boxes hear nothing of each other. */
+      /** Cuts the links between the mixers and the boxes in both directions. */
       CUT,
-      /** The mixers hear nothing of the other mixers, nor those of them. */
+      /** Cuts the peer links between these mixers and all others in both directions. */
       CUT_PEERS,
-      /** The other mixers hear nothing of these. */
+      /** Drops the peer datagrams that these mixers send to the others. */
       CUT_PEERS_ONE_WAY,
-      /** What goes between mixers and boxes takes so many ms more, each way. */
+      /** Adds {@code size} ms to the links between mixers and boxes, in each direction. */
       DELAY,
-      /** What boxes send to mixers comes at so many bytes a second. */
+      /** Limits what boxes send to mixers to {@code size} bytes per second. */
       DRIP,
-      /** Connections between mixers and boxes are reset, such a share of them each second. */
+      /** Resets the share {@code size} of the connections between mixers and boxes each second. */
       RESET,
-      /** Of such a share of what boxes send to mixers half is cut out, and the connection ends. */
+      /**
+       * Truncates the share {@code size} of the reads from a box to half and closes the connection.
+       */
       CUT_BYTES,
-      /** Such a share of datagrams is lost. */
+      /** Drops the share {@code size} of peer datagrams. */
       LOSE,
-      /** Such a share of datagrams comes twice. */
+      /** Duplicates the share {@code size} of peer datagrams. */
       DOUBLE,
-      /** Datagrams come up to so many ms late, and so in another order. */
+      /** Delays each peer datagram by up to {@code size} ms, which reorders them. */
       REORDER,
-      /** Discovery says nothing to the mixers, and then all. */
+      /** Discovery sends the mixers no updates during the fault and all of them afterwards. */
       LIST_SILENT
     }
   }
@@ -93,7 +104,7 @@
   public static FleetScenario read(byte[] json) throws InvalidScenario {
     try {
       Map<String, Object> root =
-          new LinkedHashMap<>(JsonFields.object(Json.parse(json), "the description"));
+          new LinkedHashMap<>(JsonFields.object(Json.parse(json), "the scenario"));
       Object fleet = root.remove("fleet");
       return read(
           Scenario.read(root), fleet == null ? Map.of() : JsonFields.object(fleet, "fleet"));
@@ -111,12 +122,12 @@
         fleet.containsKey("zones") ? JsonFields.list(fleet, "zones") : List.of("a")) {
       if (!(element instanceof String zone) || !zone.matches("[a-z0-9-]{1,20}")) {
         throw new InvalidScenario(
-            "fleet.zones." + zones.size() + " is no name of a zone: " + element);
+            "fleet.zones." + zones.size() + " is not a valid zone name: " + element);
       }
       zones.add(zone);
     }
     if (zones.isEmpty()) {
-      throw new InvalidScenario("fleet.zones names none");
+      throw new InvalidScenario("fleet.zones is empty");
     }
     List<Fault> faults = new ArrayList<>();
     for (Object element :
@@ -217,7 +228,7 @@
           || number < 0
           || number >= limit) {
         throw new InvalidScenario(
-            path + key + " has " + element + ", and there are " + limit + " from 0 on");
+            path + key + " has " + element + ", but there are " + limit + " indexes, from 0 on");
       }
       indexes.add(number.intValue());
     }
--- a/emulator/src/main/java/gingerring/emulator/harness/HarnessError.java
+++ b/emulator/src/main/java/gingerring/emulator/harness/HarnessError.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /**
- * Why a run of the rig has no verdict: a stable code, the party it is about, and what an operator
- * can do. The message has all three.
+ * Reason why a run of the harness has no verdict: a stable code, the subject concerned and a remedy
+ * for the operator. The message contains all three.
  */
 public abstract sealed class HarnessError extends IOException {
   private static final long serialVersionUID = 1;
@@ -19,14 +19,15 @@
     this.remedy = remedy;
   }
 
+  /** Returns the stable code. */
   public abstract String code();
 
-  /** Which file, process or party it is about. */
+  /** Returns the file, process or other party concerned. */
   public String subject() {
     return subject;
   }
 
-  /** What an operator can do. */
+  /** Returns what an operator can do about the error. */
   public String remedy() {
     return remedy;
   }
@@ -36,7 +37,7 @@
     return code() + " at " + subject + ": " + super.getMessage() + "; " + remedy;
   }
 
-  /** A file that describes no run. */
+  /** A scenario file that is missing or invalid. */
   public static final class InvalidScenarioFile extends HarnessError {
     private static final long serialVersionUID = 1;
 
@@ -44,7 +45,7 @@
       super(
           file.toString(),
           cause instanceof NoSuchFileException ? "no such file" : cause.getMessage(),
-          "mend the file (docs/emulator.md)",
+          "correct the file (docs/emulator.md)",
           cause);
     }
 
@@ -54,7 +55,7 @@
     }
   }
 
-  /** A process that did not come up. */
+  /** A mixer process that did not start. */
   public static final class NotStarted extends HarnessError {
     private static final long serialVersionUID = 1;
 
@@ -62,7 +63,7 @@
       super(
           "m" + mixer,
           "did not start: " + problem,
-          "read its lines here; with many mixers look at free memory",
+          "read its log lines in this message; with many mixers, check the free memory",
           cause);
     }
 
@@ -72,7 +73,10 @@
     }
   }
 
-  /** Wishes that had no end within the run's time and a minute; the place is whom they wait for. */
+  /**
+   * Requests that did not complete within the run's length and the completion timeout. The subject
+   * lists the parties that they wait for.
+   */
   public static final class NotEnded extends HarnessError {
     private static final long serialVersionUID = 1;
 
@@ -80,7 +84,7 @@
       super(
           String.join(", ", unfinished),
           "the run did not end within " + timeoutMs + " ms",
-          "the table tells of what ended; play the schedule again without the faults on that party",
+          "the table covers the requests that completed; run the scenario again without the faults of that party",
           null);
     }
 
@@ -90,15 +94,15 @@
     }
   }
 
-  /** A mixer that does not say whom it takes for there. */
+  /** A mixer that does not report which peers it considers present. */
   public static final class PeersNotReported extends HarnessError {
     private static final long serialVersionUID = 1;
 
     PeersNotReported(int mixer, Throwable cause) {
       super(
           "m" + mixer,
-          "did not say who is there: " + cause.getMessage(),
-          "ask it by hand: gingerring peers show",
+          "did not report the peers that are present: " + cause.getMessage(),
+          "query it by hand: gingerring peers show",
           cause);
     }
 
@@ -108,12 +112,13 @@
     }
   }
 
-  /** The rig's own events failed, and what they would have done is missing. */
+  /** Failed events of the harness itself; their effects are missing from the run. */
   public static final class HarnessFailure extends HarnessError {
     private static final long serialVersionUID = 1;
 
     HarnessFailure(int failures) {
-      super("rig", failures + " of its own events failed", "report it with the log's lines", null);
+      super(
+          "harness", failures + " of its own events failed", "report it with the log lines", null);
     }
 
     @Override
--- a/emulator/src/main/java/gingerring/emulator/harness/MixerSupervisor.java
+++ b/emulator/src/main/java/gingerring/emulator/harness/MixerSupervisor.java
@@ -12,15 +12,16 @@
 import java.util.function.IntConsumer;
 
 /**
- * One mixer over its processes, whatever faults strike it at once: the one owner of whether a
- * process is to be there. For the reactor's thread; what waits goes to other threads. Kills add up,
- * and the last to end starts it anew; a stop strikes the process that is there, and ends with it.
+ * Supervises the successive processes of one mixer under overlapping faults; it alone decides
+ * whether a process should run. All methods are called on the reactor's thread; blocking work runs
+ * on other threads. Overlapping kills are counted, and the mixer is restarted when the last one
+ * ends. A stop applies to the current process and ends with that process.
  */
 final class MixerSupervisor {
   private final Reactor reactor;
   private final ExecutorService blockingExecutor;
 
-  /** One thread, so that signals come in the order in which they were sent. */
+  /** Single-threaded, so that signals arrive in the order in which they were sent. */
   private final ExecutorService signalExecutor;
 
   private final Callable<MixerProcess> launcher;
@@ -49,8 +50,8 @@
   }
 
   /**
-   * Starts a process unless there is one, or it is to stay down; {@code up} is told once it is
-   * there.
+   * Starts a process unless one exists or a fault keeps the mixer down. Calls {@code onStarted}
+   * once the process runs.
    */
   void start(Runnable onStarted) {
     if (finished || starting || activeKills > 0 || process != null || terminating != null) {
@@ -101,16 +102,14 @@
     }
   }
 
-  /** A kill's time is over. */
+  /** Ends a kill fault and restarts the mixer if no other kill is active. */
   void endKill() {
     if (--activeKills == 0) {
       start(() -> {});
     }
   }
 
-  /**
-   * Stops the process that is there and returns it, for {@link #endStop}; null where there is none.
-   */
+  /** Suspends the current process and returns it for {@link #endStop}; null if there is none. */
   MixerProcess beginStop() {
     if (!finished && process != null && activeStops++ == 0) {
       sendSignal(process, "STOP");
@@ -118,7 +117,7 @@
     return process;
   }
 
-  /** A stop's time is over. */
+  /** Ends a stop fault and resumes the process if no other stop is active. */
   void endStop(MixerProcess target) {
     if (!finished && target != null && target == process && activeStops > 0 && --activeStops == 0) {
       sendSignal(process, "CONT");
@@ -126,8 +125,8 @@
   }
 
   /**
-   * Ends the process as an operator does, and starts another; {@code crash} is told a code other
-   * than 0.
+   * Terminates the process with SIGTERM, as an operator does, and starts another. An exit code
+   * other than 0 is passed to {@code crashHandler}.
    */
   void restart(Duration unavailableFrom, IntConsumer crashHandler) {
     if (finished || process == null) {
@@ -153,8 +152,8 @@
   }
 
   /**
-   * The run is over: no fault strikes, and nothing is started, any more. Returns the process that
-   * is to be there, or null.
+   * Ends the run: no fault applies and no process is started from now on. Returns the process that
+   * should be running, or null.
    */
   MixerProcess finish() {
     finished = true;
@@ -179,34 +178,37 @@
           } catch (IOException e) {
             reactor.post(
                 () -> {
-                  throw new UncheckedIOException(e); // counted as a failure of the rig
+                  throw new UncheckedIOException(e); // counted as a failed event of the harness
                 });
           }
         });
   }
 
-  /** Since when the front sees it away; null while it is there. */
+  /**
+   * Returns the time since which the load balancer sees the mixer as unavailable; null while it is
+   * available.
+   */
   Duration unavailableSince() {
     return unavailableSince;
   }
 
-  /** Where it listens, or listened last. */
+  /** Returns the address at which the mixer listens or last listened. */
   InetSocketAddress address() {
     return address;
   }
 
-  /** What keeps it from serving; empty where nothing does. */
+  /** Returns the reason why the mixer does not serve; empty if it does. */
   String unavailableReason() {
     return activeKills > 0
         ? "killed by the schedule"
         : starting
             ? "starting"
             : terminating != null
-                ? "ending"
+                ? "terminating"
                 : process == null
-                    ? "not there"
+                    ? "not running"
                     : activeStops > 0
                         ? "stopped by the schedule"
-                        : process.alive() ? "" : "ended by itself";
+                        : process.alive() ? "" : "exited unexpectedly";
   }
 }
--- a/emulator/src/main/java/gingerring/emulator/harness/OverlappingFaults.java
+++ b/emulator/src/main/java/gingerring/emulator/harness/OverlappingFaults.java
@@ -9,12 +9,12 @@
 import java.util.TreeSet;
 
 /**
- * Draws from a seed a run whose faults overlap: two to four of them, each of which begins while the
- * one before it lasts, and the first two strike one mixer both. It is a description as others are,
- * to be kept and played again.
+ * Generates from a seed a fleet scenario with overlapping faults: two to four faults, each of which
+ * starts before the previous one ends, and the first two of which affect a common mixer. The result
+ * is an ordinary scenario file that can be stored and replayed.
  */
 public final class OverlappingFaults {
-  /** What strikes a process, and what strikes the ways to and from it. */
+  /** Faults of a process; the first fault is one of these. */
   private static final List<Kind> PROCESS_FAULTS = List.of(Kind.KILL, Kind.STOP, Kind.ROLL);
 
   private static final List<Kind> PEER_FAULTS =
@@ -23,9 +23,7 @@
 
   private OverlappingFaults() {}
 
-  /**
-   * The run's description in JSON; {@code ms} is its length, of which the faults take the middle.
-   */
+  /** Returns the scenario in JSON. The faults lie in the middle of the run's {@code lengthMs}. */
   public static String generate(long seed, int mixers, int boxes, long lengthMs) {
     SplittableRandom random = new SplittableRandom(seed);
     List<String> faults = new ArrayList<>();
--- a/emulator/src/main/java/gingerring/emulator/harness/TcpRelay.java
+++ b/emulator/src/main/java/gingerring/emulator/harness/TcpRelay.java
@@ -17,20 +17,20 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * One link between two parties over TCP: what comes at its own place goes on to the far one, as
- * {@link Faults} have it. Cut off, bytes wait as in a sender's buffer, up to a bound at which the
- * connection is reset, and go on once the cut has ended.
+ * TCP relay for one link from a mixer to a box. It forwards bytes in both directions subject to
+ * {@link LinkFaults}. While the link is cut, bytes are buffered as in a sender's socket buffer and
+ * forwarded after the cut; a connection whose buffer exceeds {@link #MAX_BUFFERED_BYTES} is reset.
  */
 final class TcpRelay {
-  /** What holds for this link now; changed while it runs. */
+  /** Faults currently applied to a link. They change while the relay runs. */
   static final class LinkFaults {
     boolean cut;
     Duration delay = Duration.ZERO;
 
-    /** Bytes a second from the far side; 0 for as fast as they come. */
+    /** Rate limit in bytes per second from the box to the mixer; 0 for no limit. */
     double bytesPerSecond;
 
-    /** Share of what the far side sends of which half is cut out. */
+    /** Share of the reads from the box that are truncated to half. */
     double truncationRate;
 
     void clear() {
@@ -40,7 +40,7 @@
       truncationRate = 0;
     }
 
-    /** One fault more; of two of a kind the worse holds. */
+    /** Adds a fault. Of two faults of the same kind the more severe one applies. */
     void add(FleetScenario.Fault fault) {
       switch (fault.kind()) {
         case CUT -> cut = true;
@@ -68,7 +68,11 @@
   private final Reactor.Listening listener;
   private final Set<ProxiedConnection> connections = new LinkedHashSet<>();
 
-  /** {@code passages} is told of each connection made to the far side. */
+  /**
+   * Creates the relay and listens on a free port.
+   *
+   * @param connectionListener is called with each established connection to the box
+   */
   TcpRelay(
       Reactor reactor,
       InetSocketAddress target,
@@ -90,12 +94,12 @@
     return listener.address().getPort();
   }
 
-  /** The far side listens no more: neither does this. */
+  /** Stops listening, because the box no longer listens. Open connections remain. */
   void close() {
     listener.close();
   }
 
-  /** Resets a share of the connections. */
+  /** Resets each connection with the probability {@code share}. */
   void reset(double share) {
     for (ProxiedConnection connection : List.copyOf(connections)) {
       if (random.getAsDouble() < share) {
@@ -104,12 +108,12 @@
     }
   }
 
-  /** Bytes that came from the near side and are held. */
+  /** Returns how many bytes from the mixer are buffered. */
   int bufferedBytes() {
     return connections.stream().mapToInt(connection -> connection.toBox.bufferedBytes).sum();
   }
 
-  /** The cut has ended: what was held goes on. */
+  /** Forwards what was buffered, after the faults of the link changed. */
   void resume() {
     List.copyOf(connections)
         .forEach(
@@ -119,7 +123,7 @@
             });
   }
 
-  /** One connection, near and far. */
+  /** A connection from the mixer and the connection to the box that belongs to it. */
   private final class ProxiedConnection implements ReactorConnection.Handler {
     private final ReactorConnection mixerConnection;
     private final ReactorConnection boxConnection;
@@ -162,8 +166,9 @@
     }
 
     /**
-     * The far side may ask from the first byte on; opened within the dial itself, it is known just
-     * after.
+     * Reports the connection to the box once it is open, before the box reads the first byte. If it
+     * opened during the call to dial, the field is not yet assigned, and the constructor reports
+     * it.
      */
     private void reportConnected() {
       if (boxConnection != null && boxConnection.open()) {
@@ -188,7 +193,7 @@
       boxConnection.reset();
     }
 
-    /** One direction: in order, each piece at its time. */
+    /** One direction of the connection: forwards the bytes in order, each read at its due time. */
     private final class Direction {
       private final ReactorConnection destination;
       private final boolean towardsBox;
--- a/emulator/src/main/java/gingerring/emulator/harness/package-info.java
+++ b/emulator/src/main/java/gingerring/emulator/harness/package-info.java
@@ -1,9 +1,9 @@
 /**
- * The fleet rig: many real mixers as processes before one emulated store, with every link between
- * them through a layer of faults, and a schedule of what breaks. {@link
- * gingerring.emulator.harness.FleetScenario} describes a run, {@link
- * gingerring.emulator.harness.Fleet} plays it. It meets mixers on sockets alone. The same
- * description and seed give the same schedule; the verdict comes from the referee and from what
- * must hold over all processes.
+ * Test harness that runs many real mixer processes against one emulated store. Every link between
+ * them passes through a relay that injects faults by a schedule. {@link
+ * gingerring.emulator.harness.FleetScenario} describes a run and {@link
+ * gingerring.emulator.harness.Fleet} executes it. The harness communicates with the mixers over
+ * sockets only. The same scenario and seed give the same fault schedule. The verdict combines the
+ * violations of the protocol's rules with crashed processes and errors of the harness.
  */
 package gingerring.emulator.harness;
--- a/emulator/src/main/java/gingerring/emulator/interleaving/Event.java
+++ b/emulator/src/main/java/gingerring/emulator/interleaving/Event.java
@@ -1,66 +1,101 @@
 package gingerring.emulator.interleaving;
 
 /**
- * What may cross something else at a mixer. Its point is what releases the event that comes second.
+ * An event that can be injected at a mixer at the same moment as another one. Its trigger point is
+ * the observation that releases the next step; if none is named, the event is at its trigger point
+ * as soon as it has been injected.
  */
 public enum Event {
-  /** The process is told to end; point: its line that it ends. */
+  /** The mixer gets SIGTERM; trigger point: its log line that it shuts down. */
   SIGTERM,
-  /** The configuration names another discovery, and SIGHUP; point: a watch is asked for there. */
+  /**
+   * The configuration names another discovery address, and the mixer gets SIGHUP; trigger point:
+   * the mixer requests a watch there.
+   */
   SIGHUP_MOVES,
-  /** All open watches fall silent, new ones are served. */
+  /** All open watches get no further data; new ones are served. */
   WATCH_SILENT,
   /** All open watches are reset. */
   WATCH_RESET,
-  /** Discovery takes calls and says nothing, for 0.4 to 5 s, then all that it has. */
+  /**
+   * Discovery accepts calls without an answer for 0.4 to 5 s, then answers them and sends the
+   * missed changes.
+   */
   DISCOVERY_DOWN,
-  /** The same, but calls that came meanwhile are never answered. */
+  /** As DISCOVERY_DOWN, but calls that arrive meanwhile are never answered. */
   DISCOVERY_DOWN_FORGETS,
-  /** The box that holds the first part begins to drain; point: discovery has written it. */
+  /**
+   * The box that received the first part starts to drain; trigger point: discovery has sent the
+   * change.
+   */
   LIST_DRAINS,
-  /** That box has left the list. */
+  /** The box that received the first part leaves the member list. */
   LIST_GONE,
-  /** Its process is dead, and another is there by the same name at another address, cold. */
+  /** That box's process crashes, and a cold one with the same name starts at another address. */
   LIST_BACK_COLD,
-  /** It goes on by the same name and start at another address, and the old connections end. */
+  /**
+   * That box keeps its name and start time but listens at another address; the old connections are
+   * closed.
+   */
   LIST_MOVED,
-  /** Boxes end all connections on which nothing is out. */
+  /** The boxes close all connections without outstanding parts. */
   BOXES_CLOSE_IDLE,
-  /** The box resets its connections under what is out. */
+  /** The box resets its connections that have outstanding parts. */
   BOX_RESETS,
-  /** The box ends its connections in order under what is out. */
+  /** The box closes its connections that have outstanding parts, without a reset. */
   BOX_ENDS,
-  /** The box answers nothing more. */
+  /** The box sends no further answers. */
   BOX_HANGS,
-  /** The box begins an answer that comes a byte at a time and never ends; point: its first byte. */
+  /**
+   * The box starts an answer that arrives byte by byte and never completes; trigger point: its
+   * first bytes have been sent.
+   */
   BOX_TRICKLES,
-  /** The box resets, and new connections come up late; point: one is being made, where one is. */
+  /**
+   * The box resets its connections and accepts new ones late; trigger point: a connection is being
+   * established, or 300 ms have passed.
+   */
   BOX_LATE,
-  /** The same of all boxes, so that a request has to wait for its first attempt. */
+  /** As BOX_LATE for all boxes, so that a request has to wait for its first attempt. */
   BOXES_LATE,
-  /** All boxes answer what they hold; point: the first client has its answer. */
+  /** All boxes send the answers they held back; trigger point: the first client has its answer. */
   ANSWER,
-  /** The client closes in order. */
+  /** The client closes its connection without a reset. */
   CLIENT_CLOSES,
-  /** The client resets. */
+  /** The client resets its connection. */
   CLIENT_RESETS,
-  /** The client sends much behind its request, and closes once that has left. */
+  /**
+   * The client sends a large amount of data after its request and closes its connection once that
+   * is sent.
+   */
   CLIENT_FLOODS,
-  /** A client that rested sends its next request; point: its first frame at a box. */
+  /**
+   * An idle client sends its next request; trigger point: the first part of that request arrives at
+   * a box.
+   */
   CLIENT_NEXT,
-  /** A client that rested sends a request and closes or resets within 60 ms; point: it has gone. */
+  /**
+   * An idle client sends a request and closes or resets its connection within 60 ms; trigger point:
+   * it has done so.
+   */
   CLIENT_ASKS_GOES,
-  /** A client connects and rests; when the mixer ends that, it sends a request all the same. */
+  /**
+   * A client connects and stays idle; when the mixer closes the connection, the client still sends
+   * a request. Trigger point: it has connected.
+   */
   CLIENT_RESTS,
-  /** Forty clients come at once; point: the first frame of one. */
+  /**
+   * Forty clients connect at once and send requests; trigger point: the first part of one of these
+   * arrives at a box.
+   */
   CLIENTS_MANY;
 
-  /** Whether the list of boxes changes by it. */
+  /** Returns whether the event changes the member list. */
   boolean changesMemberList() {
     return this == LIST_DRAINS || this == LIST_GONE || this == LIST_BACK_COLD || this == LIST_MOVED;
   }
 
-  /** Whether a client goes while it waits for its answer. */
+  /** Returns whether a client leaves before its answer arrives. */
   boolean clientLeaves() {
     return this == CLIENT_CLOSES
         || this == CLIENT_RESETS
--- a/emulator/src/main/java/gingerring/emulator/interleaving/EventPair.java
+++ b/emulator/src/main/java/gingerring/emulator/interleaving/EventPair.java
@@ -2,12 +2,15 @@
 
 import gingerring.emulator.core.SeededDraw;
 
-/** What a seed draws: two events in their order, and the small spans and choices about them. */
+/**
+ * Two events in the order in which they are injected, and the seed from which the delays and
+ * choices around them are drawn.
+ */
 public record EventPair(long seed, Event first, Event second) {
   private static final int SHORT_DIAL_TIMEOUT_MS = 250;
   private static final int LONG_DIAL_TIMEOUT_MS = 1600;
 
-  /** Two events that a seed draws; both may be the same where that can come twice. */
+  /** Draws a pair from a seed. Both events can be the same only for events that can occur twice. */
   public static EventPair fromSeed(long seed) {
     Event[] events = Event.values();
     for (long attempt = 0; ; attempt++) {
@@ -30,46 +33,48 @@
     return first == event || second == event;
   }
 
-  /** Whether a client goes in it while it waits. */
+  /** Returns whether one of the events makes a client leave before its answer arrives. */
   boolean clientLeaves() {
     return first.clientLeaves() || second.clientLeaves();
   }
 
   /**
-   * How long after both events the boxes go on: where a client has gone, late enough for an attempt
-   * that begins then to be a foul.
+   * Returns the delay in ms between the second event and the time at which the boxes send their
+   * answers again. If a client has left, the delay is long enough that an attempt started after it
+   * is a violation.
    */
   int resumeDelayMs() {
     return clientLeaves() ? drawBetween("go on", 280, 450) : drawBetween("go on", 10, 150);
   }
 
   /**
-   * Which of so many grades the first scan is of: where its client goes, of the first, which is
-   * sent again.
+   * Returns the index of the first scan's service class. If the client leaves, it is the first
+   * class, whose scans are retried.
    */
   int serviceClassIndex(int classCount) {
     return clientLeaves() ? 0 : drawBetween("grade", 0, classCount - 1);
   }
 
   /**
-   * How long discovery is down where it is: its return falls into any part of what a mixer does
-   * meanwhile.
+   * Returns for how many ms discovery is unavailable; the range is wide so that its return can
+   * coincide with any phase of the mixer's reconnection.
    */
   int discoveryDownMs() {
     return drawBetween("down", 400, 5000);
   }
 
   /**
-   * Whether they go on by resets under all that is out, so that what is still wanted is sent again:
-   * always where a client has gone, as nothing else would show that the mixer has not seen it.
+   * Returns whether the boxes resume with a reset of all connections that have outstanding parts,
+   * so that the mixer retries what it still needs. That is always so if a client has left: only a
+   * retry shows that the mixer has missed it.
    */
   boolean resumesByReset() {
     return clientLeaves() || drawFraction("resets") < 0.3;
   }
 
   /**
-   * The mixer's own bound of a dial, in ms: where boxes come up late, half of the draws wait for
-   * them.
+   * Returns the mixer's dial timeout in ms. If boxes accept late, half of the pairs get one that is
+   * long enough to wait for them.
    */
   int dialTimeoutMs() {
     return (includes(Event.BOX_LATE) || includes(Event.BOXES_LATE)) && drawFraction("dial") < 0.5
@@ -85,7 +90,7 @@
     return min + (int) (drawFraction(purpose) * (max - min + 1));
   }
 
-  /** How to play it alone. */
+  /** Returns the command that runs this pair alone. */
   public String replayCommand() {
     return "java -cp cli/target/gingerring-cli.jar gingerring.emulator.interleaving.InterleavingRunner --seed "
         + seed
--- a/emulator/src/main/java/gingerring/emulator/interleaving/InterleavingChecker.java
+++ b/emulator/src/main/java/gingerring/emulator/interleaving/InterleavingChecker.java
@@ -9,41 +9,43 @@
 import java.util.Map;
 
 /**
- * Judges one crossing by what its parties' sockets saw: the {@link Referee}'s rules, and what holds
- * when a client goes and when a process ends. Times are the reactor's; each is judged from the
- * moment seen at a party's socket.
+ * Detects violations in one run of an event pair from what the parties' sockets received: the rules
+ * of the {@link Referee}, and those for clients that leave and for the mixer's shutdown. Times are
+ * those of the reactor, taken when an event is seen at a party's socket.
  */
 final class InterleavingChecker {
-  /** Of a request whose client has gone no attempt, first or further, begins later than this. */
+  /**
+   * Maximum time after a client has left at which an attempt for its request may start, first or
+   * later.
+   */
   static final Duration CANCEL_LIMIT = Duration.ofMillis(100);
 
   /**
-   * What a busy machine may add to that: a process may stand still between its look at the clock
-   * and its write. With it no first attempt is let by 0.3 s after its client went. The window in
-   * which a numbered part may be sent again gets none of it, or parts sent past that window would
-   * be let by.
+   * Allowance on top of {@link #CANCEL_LIMIT} for a busy machine, on which a process can be
+   * preempted between its check of the clock and its write. Even with it, a first attempt 0.3 s
+   * after its client left is a violation. The retry window of a keyed part gets no such allowance,
+   * because parts sent after that window would then pass.
    */
   static final Duration SCHEDULING_ALLOWANCE = Duration.ofMillis(150);
 
-  /**
-   * An answer is late for its client, and not lost, up to half a second after the client's time.
-   */
+  /** Time after the client's deadline within which an answer counts as late instead of lost. */
   static final Duration ANSWER_GRACE = Duration.ofMillis(500);
 
   /**
-   * A connection that ends this long after a request was written to it may not have had it read.
+   * If the mixer closes a connection within this time after a request was written to it, the mixer
+   * may not have read the request.
    */
   static final Duration CLOSE_RACE_WINDOW = Duration.ofMillis(250);
 
   /**
-   * A process ends by the longest patience and this after SIGTERM, or is killed; beyond this as
-   * well it hangs.
+   * After SIGTERM a process exits within the longest deadline and this time, or kills itself. If
+   * {@link #EXIT_ALLOWANCE} passes as well, it hangs.
    */
   static final Duration KILL_GRACE = Duration.ofMillis(700);
 
   static final Duration EXIT_ALLOWANCE = Duration.ofSeconds(5);
 
-  /** A rule that was broken. */
+  /** A violation of a rule. */
   record Violation(String rule, Duration at, String description) {
     @Override
     public String toString() {
@@ -58,8 +60,8 @@
     Duration answeredAt;
 
     /**
-     * It came to a connection that had ended, or ended just then: it was never taken, and is not
-     * sent on.
+     * The request arrived on a connection that the mixer had closed or was closing. The mixer did
+     * not accept it and must not send parts for it.
      */
     boolean notAccepted;
 
@@ -85,7 +87,8 @@
   }
 
   /**
-   * The rig runs: told often. Where it stood still, what it saw late is not held against the mixer.
+   * Records that the harness is running; called often. What the harness saw late because it was
+   * stalled itself is not counted against the mixer.
    */
   void heartbeat(Duration now) {
     if (lastHeartbeat != null && now.minus(lastHeartbeat).compareTo(Referee.SLACK) > 0) {
@@ -105,7 +108,7 @@
     return total;
   }
 
-  /** A client has written a request whole to a connection that is open for all that it has seen. */
+  /** A client has written a whole request to a connection that it considers open. */
   void requestSent(
       String requestId, String serviceClass, Map<Integer, Double> shares, String key, Duration at) {
     Duration timeout = scenario.grade(serviceClass).patience().plus(ANSWER_GRACE);
@@ -113,14 +116,17 @@
     referee.asked(requestId, serviceClass, shares, key, at, timeout.minus(Referee.SLACK));
   }
 
-  /** The mixer had ended that connection before; the request is owed nothing, and not sent on. */
+  /**
+   * A client has written a request to a connection that the mixer had closed. The request needs no
+   * answer, and no part may be sent for it.
+   */
   void requestSentAfterClose(
       String requestId, String serviceClass, Map<Integer, Double> shares, String key, Duration at) {
     requestSent(requestId, serviceClass, shares, key, at);
     requests.get(requestId).notAccepted = true;
   }
 
-  /** The client closed its connection, in whatever way, while it waited. */
+  /** The client closed or reset its connection while it waited for the answer. */
   void clientLeft(String requestId, Duration at) {
     Request request = requests.get(requestId);
     if (request != null && request.answeredAt == null) {
@@ -137,12 +143,12 @@
     referee.answered(requestId, at, rejected, whole, values);
   }
 
-  /** The connection never came up, so that the request was not taken. */
+  /** The connection was never established, so the mixer did not accept the request. */
   void connectionRefused(String requestId) {
     requests.get(requestId).notAccepted = true;
   }
 
-  /** The mixer ended the connection under a request. */
+  /** The mixer closed the connection while a request on it had no answer. */
   void connectionEnded(String requestId, Duration at) {
     Request request = requests.get(requestId);
     if (request.notAccepted || request.clientLeftAt != null || request.answeredAt != null) {
@@ -157,18 +163,18 @@
               "SCAN_LOST",
               at,
               requestId
-                  + " had its connection ended by the mixer "
+                  + " had its connection closed by the mixer "
                   + at.minus(request.sentAt).toMillis()
                   + " ms after it was written, with "
                   + request.partsSent
-                  + " parts sent on and no answer"));
+                  + " parts sent to boxes and no answer"));
       request.answeredAt = at;
     } else {
       request.notAccepted = true;
     }
   }
 
-  /** Part of a frame's whole bytes have come to a box. */
+  /** A box has received a whole part. */
   void partReceived(String requestId, int partition, String key, int box, Duration at) {
     if (lastHeartbeat != null) {
       heartbeat(at);
@@ -192,7 +198,7 @@
                     + box
                     + ' '
                     + at.minus(request.clientLeftAt).toMillis()
-                    + " ms after its client went, as attempt "
+                    + " ms after its client left, as attempt "
                     + request.partsSent));
       }
       if (request.notAccepted) {
@@ -205,7 +211,7 @@
                     + partition
                     + " was sent to box "
                     + box
-                    + " though it came to a connection that had ended"));
+                    + " though its request arrived on a closed connection"));
       }
     }
     referee.part(requestId, partition, key, box, at);
@@ -216,7 +222,10 @@
     referee.returned(requestId, partition, box, outcome, value, at);
   }
 
-  /** The mixer counts as told since then that a box drains or is gone, or (null) that it serves. */
+  /**
+   * The mixer counts as notified, since the given time, that a box drains or has left the member
+   * list; null if the box serves.
+   */
   void mixerNotified(int box, Duration since) {
     referee.told(box, since);
   }
@@ -229,18 +238,21 @@
     terminatedAt = terminatedAt == null ? at : terminatedAt;
   }
 
-  /** The process has ended. */
+  /** The mixer process has exited. */
   void processExited(int code, Duration at) {
     if (terminatedAt == null) {
       ownViolations.add(
-          new Violation("CRASH", at, "the mixer ended with " + code + " and was not told to"));
+          new Violation("CRASH", at, "the mixer exited with " + code + " without SIGTERM"));
     } else if (code != 0) {
       ownViolations.add(
-          new Violation("CRASH", at, "the mixer ended with " + code + " after SIGTERM"));
+          new Violation("CRASH", at, "the mixer exited with " + code + " after SIGTERM"));
     }
   }
 
-  /** The longest that a process may go on after SIGTERM, the machine's share in it. */
+  /**
+   * Returns the time by which the process must have exited after SIGTERM, including the allowance
+   * for the machine.
+   */
   Duration exitDeadline() {
     Duration longestDeadline =
         scenario.grades().stream()
@@ -250,10 +262,7 @@
     return terminatedAt.plus(longestDeadline).plus(KILL_GRACE).plus(EXIT_ALLOWANCE);
   }
 
-  /**
-   * Looks at what is due: requests that have had no answer in time, a process that should have
-   * ended.
-   */
+  /** Reports requests without an answer in time, and a process that should have exited. */
   void checkDeadlines(Duration now, boolean processAlive) {
     requests.forEach(
         (requestId, request) -> {
@@ -270,7 +279,7 @@
           new Violation(
               "END",
               now,
-              "the mixer had not ended "
+              "the mixer had not exited "
                   + now.minus(terminatedAt).toMillis()
                   + " ms after SIGTERM"));
     }
@@ -280,7 +289,7 @@
     return request.answeredAt == null && request.clientLeftAt == null && !request.notAccepted;
   }
 
-  /** How many requests are owed an answer. */
+  /** Returns the number of requests that still need an answer. */
   long unansweredRequests() {
     return requests.values().stream().filter(InterleavingChecker::awaitsAnswer).count();
   }
@@ -300,7 +309,7 @@
     return violations;
   }
 
-  /** The longest time for which the rig stood still. */
+  /** Returns the longest stall of the harness. */
   Duration longestStall() {
     return referee.stall();
   }
--- a/emulator/src/main/java/gingerring/emulator/interleaving/InterleavingRunner.java
+++ b/emulator/src/main/java/gingerring/emulator/interleaving/InterleavingRunner.java
@@ -22,13 +22,17 @@
 import java.util.function.LongFunction;
 
 /**
- * Plays crossings of two events, each drawn from its seed, at real mixer processes: several one
- * after the other at one process, until one of them ends it or breaks a rule.
+ * Runs pairs of events, each drawn from its seed, at real mixer processes. One process serves
+ * several pairs in sequence, until a pair shuts it down or has another verdict than kept.
  */
 public final class InterleavingRunner {
   /**
-   * What came of one; {@code trail} is what its parties saw, in order, and {@code began} says that
-   * the first event was reached.
+   * Result of one pair.
+   *
+   * @param findings the violations, and why the run is undecided
+   * @param trace what the parties saw, in order
+   * @param stall the longest stall of the harness
+   * @param firstEventReached whether the first event was injected
    */
   public record Result(
       EventPair pair,
@@ -42,7 +46,10 @@
       return verdict.equals(KEPT);
     }
 
-    /** Seed, pair, order, what was broken and how to play it alone. */
+    /**
+     * Returns the seed, the ordered pair, the findings, the command that runs the pair alone, and
+     * the trace.
+     */
     public String report() {
       return "seed "
           + pair.seed()
@@ -62,8 +69,8 @@
   }
 
   /**
-   * Short in all that makes a crossing long; the drain grace is the shortest that is asked of a
-   * mixer.
+   * Scenario with short timeouts, to keep each run short; the drain grace is the shortest that a
+   * mixer has to support.
    */
   static final String SCENARIO_JSON =
       """
@@ -77,7 +84,10 @@
 
   private static final String KEPT = "kept";
 
-  /** A point was not seen, or the mixer did not serve before: nothing is known of the crossing. */
+  /**
+   * A trigger point was not observed, or the mixer did not serve before the events: the run has no
+   * verdict.
+   */
   private static final String UNDECIDED = "undecided";
 
   private static final String EMPTY_MEMBER_LIST =
@@ -86,7 +96,10 @@
   private static final Duration TRIGGER_TIMEOUT = Duration.ofSeconds(5);
   private static final long POLL_INTERVAL_MS = 10;
 
-  /** After the drain grace, long enough for steady requests to show a box that is still sent to. */
+  /**
+   * Observation time after the drain grace, long enough for the background requests to reveal a box
+   * that still gets parts.
+   */
   private static final Duration OBSERVATION_AFTER_GRACE = Duration.ofMillis(400);
 
   private final Scenario scenario;
@@ -104,14 +117,16 @@
   }
 
   /**
-   * Plays these, so many mixers at a time; tells of each as it ends. Failures of the rig are
-   * thrown.
+   * Runs the pairs on several mixers concurrently and passes each result to the listener as it
+   * completes.
+   *
+   * @throws IOException if the harness itself fails
    */
   public static List<Result> play(
       List<EventPair> pairs, int concurrency, Consumer<Result> resultListener) throws IOException {
     InterleavingRunner runner = create();
-    // those that end their mixer come last at each; long ones first, that no worker is left with
-    // them
+    // pairs that shut their mixer down come last; longer ones come first, so that no worker is left
+    // with them at the end
     Map<Integer, Deque<EventPair>> pairsByDialTimeout = new TreeMap<>();
     pairs.stream()
         .sorted(
@@ -158,12 +173,15 @@
       Thread.currentThread().interrupt();
     }
     if (!failures.isEmpty()) {
-      throw new IOException("the rig failed", failures.get(0));
+      throw new IOException("the harness failed", failures.get(0));
     }
     return results;
   }
 
-  /** The next draw for a mixer with this bound of dials, else of any; null where none is left. */
+  /**
+   * Returns the next pair with this dial timeout or, if {@code anyTimeout} is set and none is left,
+   * with any other; null if there is none.
+   */
   private static EventPair nextPair(
       Map<Integer, Deque<EventPair>> pairsByDialTimeout, int dialTimeoutMs, boolean anyTimeout) {
     synchronized (pairsByDialTimeout) {
@@ -197,8 +215,7 @@
         for (boolean freshMixer = true; pair != null; freshMixer = false) {
           Result result = mixerUnderTest.play(pair);
           if (!freshMixer && !result.firstEventReached() && result.verdict().equals(UNDECIDED)) {
-            // what came before had left the mixer short of boxes: the crossing is played at a fresh
-            // one
+            // the previous pair left the mixer short of boxes: run this pair on a new mixer
             synchronized (pairsByDialTimeout) {
               pairsByDialTimeout.get(dialTimeoutMs).addFirst(pair);
             }
@@ -214,7 +231,7 @@
     }
   }
 
-  /** How long requests go on after both events: until what was broken would show. */
+  /** Returns how long requests continue after both events, so that a violation becomes visible. */
   private Duration observationTime(EventPair pair) {
     boolean changesMemberList =
         pair.first().changesMemberList() || pair.second().changesMemberList();
@@ -231,7 +248,7 @@
         : OBSERVATION_AFTER_GRACE;
   }
 
-  /** One mixer and its parties. */
+  /** A mixer process and its environment. */
   private final class MixerUnderTest implements AutoCloseable {
     private final Reactor reactor = new Reactor();
     private final MixerEnvironment environment;
@@ -271,15 +288,15 @@
         if (!awaitCondition(environment::warmUp, STEP_TIMEOUT)) {
           reason = "the mixer did not serve before the events";
         } else if (!triggered(trigger -> environment.sendFirstRequests(trigger))) {
-          reason = "no frame came of the first request";
+          reason = "no part of the first request arrived at a box";
         } else if (!triggered(trigger -> environment.inject(pair.first(), trigger))) {
-          reason = "the point of " + pair.first() + " was not seen";
+          reason = "the trigger point of " + pair.first() + " was not observed";
           firstEventReached = true;
         } else {
           firstEventReached = true;
           sleepMs(pair.drawBetween("offset", 0, 15));
           if (!triggered(trigger -> environment.inject(pair.second(), trigger))) {
-            reason = "the point of " + pair.second() + " was not seen";
+            reason = "the trigger point of " + pair.second() + " was not observed";
           }
         }
         if (reason.isEmpty()) {
@@ -289,7 +306,7 @@
                 environment.resumeBoxes();
                 return null;
               });
-          if (pair.endsMixer()) { // clients go on until the connections end
+          if (pair.endsMixer()) { // clients continue until the mixer closes their connections
             awaitCondition(environment::exited, Duration.ofSeconds(12));
           } else {
             sleepMs((int) observationTime(pair).toMillis());
@@ -310,7 +327,7 @@
         }
         String undecidedReason =
             reason.isEmpty() && reactor.failures() > failuresBefore
-                ? "the rig failed in an event"
+                ? "an event of the harness failed"
                 : reason;
         boolean reachedFirstEvent = firstEventReached;
         return onReactor(
@@ -365,7 +382,7 @@
       try {
         return done.get(STEP_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS);
       } catch (ExecutionException | TimeoutException e) {
-        throw new IOException("the rig failed", e);
+        throw new IOException("the harness failed", e);
       }
     }
 
@@ -385,7 +402,7 @@
       void run(Runnable trigger) throws IOException;
     }
 
-    /** Runs a step and waits for its point; false where that is not seen in time. */
+    /** Runs a step and waits for its trigger point. Returns false if it is not observed in time. */
     private boolean triggered(TriggeringStep step) throws IOException, InterruptedException {
       CompletableFuture<Void> reached = new CompletableFuture<>();
       onReactor(
@@ -412,7 +429,7 @@
     }
   }
 
-  /** A table of pair, order, runs and verdict, in the order of their names. */
+  /** Returns a table of pair, order, runs and verdict, sorted by pair and order. */
   public static List<String> table(List<Result> results) {
     Map<String, Map<String, Integer>> rows = new TreeMap<>();
     for (Result result : results) {
@@ -443,9 +460,9 @@
   }
 
   /**
-   * {@code --seed N} plays that one and tells all, {@code --pair A,B} with this pair instead of the
-   * drawn one; {@code --seconds N} plays seeds from it on until the time is over; {@code --at-once
-   * N} mixers.
+   * Command line. {@code --seed N} runs the pair of that seed and prints its trace; {@code --pair
+   * A,B} replaces the drawn pair; {@code --seconds N} runs the seeds from N on until the time has
+   * passed; {@code --at-once N} sets the number of concurrent mixers.
    */
   public static void main(String[] args) throws IOException {
     System.exit(run(args, System.out));
--- a/emulator/src/main/java/gingerring/emulator/interleaving/MixerEnvironment.java
+++ b/emulator/src/main/java/gingerring/emulator/interleaving/MixerEnvironment.java
@@ -40,20 +40,26 @@
 import java.util.stream.Collectors;
 
 /**
- * The parties about one mixer: discovery's agents, four boxes, clients. Everything runs on the
- * reactor's thread but the reading of the system's table of connections, which posts what it found.
- * A crossing gets boxes of its own, under names that were not there before, and a judge of its own.
+ * The emulated parties around one mixer: discovery agents, boxes and clients. Everything runs on
+ * the reactor's thread except the reading of the system's connection table, which posts its result
+ * to the reactor. Each event pair gets new boxes, under names not used before, and its own {@link
+ * InterleavingChecker}.
  */
 final class MixerEnvironment {
   private static final Duration TICK_INTERVAL = Duration.ofMillis(5);
   private static final Duration WATCH_KEEPALIVE_INTERVAL = Duration.ofSeconds(2);
 
   /**
-   * What a silent watch misses counts as told by then, and what a new discovery says after SIGHUP.
+   * Time after which the mixer counts as notified of a change that a silent watch did not deliver.
    */
   static final Duration MAX_WATCH_SILENCE = Duration.ofSeconds(6);
 
+  /**
+   * Time after SIGHUP after which the mixer counts as notified of all that its new discovery
+   * address serves.
+   */
   private static final Duration MAX_DISCOVERY_MOVE = Duration.ofSeconds(4);
+
   private static final Duration BACKGROUND_INTERVAL = Duration.ofMillis(40);
   private static final Duration WARM_UP_INTERVAL = Duration.ofMillis(60);
   private static final int BACKGROUND_CLIENTS = 5;
@@ -63,7 +69,7 @@
   private static final Duration CONNECT_AFTER_SIGTERM = Duration.ofMillis(300);
   private static final int MAX_FRAME_BYTES = 1 << 17;
 
-  /** What a box does with an answer that is ready. */
+  /** How a box treats an answer that is ready. */
   private enum AnswerMode {
     SEND,
     HOLD,
@@ -75,13 +81,13 @@
   private final Scenario scenario;
   private final Reactor reactor;
 
-  /** Of this scene alone: a port that a box has left must not become another scene's. */
-  private final InetAddress address;
-
   /**
-   * One look at a time at the system's table of connections, as long as the reactor's own would
-   * take.
+   * Loopback address of this environment alone, so that no other environment gets a port that a box
+   * has released.
    */
+  private final InetAddress address;
+
+  /** Reads the system's connection table, one reading at a time, outside the reactor's thread. */
   private final ThreadPoolExecutor connectionTableReader =
       new ThreadPoolExecutor(
           0,
@@ -164,9 +170,12 @@
     return reactor.now();
   }
 
-  // ---- one crossing ----
+  // ---- one event pair ----
 
-  /** New boxes, known to discovery, and clients of the crossing's own; the mixer may be another. */
+  /**
+   * Creates new boxes, publishes them through discovery, and creates clients for a pair. The mixer
+   * may differ from that of the pair before.
+   */
   void begin(MixerProcess process, EventPair eventPair) throws IOException {
     mixer = process;
     pair = eventPair;
@@ -196,15 +205,15 @@
   }
 
   /**
-   * Whether each client has had a whole answer, asking until it has: the mixer knows the boxes
-   * then.
+   * Returns whether each client has received a whole answer, which shows that the mixer has the
+   * boxes. Sends requests for the clients that have not.
    */
   boolean warmUp() {
     boolean allServed = true;
     for (TestClient client : List.copyOf(clients)) {
       if (!client.warmedUp) {
         allServed = false;
-        // a mixer that is asked without a pause serves parts of what it is asked
+        // without a pause between requests the mixer answers some of them only in part
         if (!client.connection.closed()
             && client.requestId == null
             && client.connected
@@ -217,7 +226,7 @@
     return allServed;
   }
 
-  /** Two scans wait for boxes that hold their answers, and others come steadily. */
+  /** Sends two requests whose answers the boxes hold back, and starts the background requests. */
   void sendFirstRequests(Runnable firstPartTrigger) {
     active = true;
     boxes.forEach(box -> box.answerMode = AnswerMode.HOLD);
@@ -229,17 +238,21 @@
     triggersByFirstPart.put(
         requestId,
         () -> {
-          record("the first frame is at " + targetBox.id);
+          record("the first part arrived at " + targetBox.id);
           firstPartTrigger.run();
         });
     secondClient.sendRequest(scenario.grades().get(0), 0, scenario.folios());
     sendBackgroundRequests(0);
   }
 
-  /** Boxes go on with what they held, but for those that hang: by answers, or by resets. */
+  /**
+   * Ends the holding back of answers. If the pair resumes by reset, the boxes drop the answers held
+   * so far and reset the connections that have outstanding parts; otherwise they send the answers.
+   * Boxes that hang stay as they are.
+   */
   void resumeBoxes() {
     if (pair.resumesByReset()) {
-      record("boxes reset what is out");
+      record("boxes reset the connections with outstanding parts");
       boxes.stream()
           .filter(box -> box.answerMode == AnswerMode.HOLD)
           .forEach(
@@ -253,7 +266,7 @@
     releaseAnswers();
   }
 
-  /** Boxes answer what they held, but for those that hang. */
+  /** Makes all boxes that hold back answers send them; boxes that hang stay as they are. */
   private void releaseAnswers() {
     record("boxes answer again");
     for (EmulatedBox box : boxes) {
@@ -264,7 +277,7 @@
     }
   }
 
-  /** No more requests come. */
+  /** Stops the background requests. */
   void stopRequests() {
     requestsStopped = true;
   }
@@ -277,7 +290,7 @@
     return exited;
   }
 
-  /** All parties of the crossing go. */
+  /** Removes all clients and boxes of the pair and makes discovery available again. */
   void dismantle() {
     active = false;
     requestsStopped = true;
@@ -339,7 +352,7 @@
               mixer.log().forEach(this::mixerLogged);
               if (!mixer.alive() && !exited) {
                 exited = true;
-                record("the mixer has ended with " + mixer.exitCode());
+                record("the mixer exited with " + mixer.exitCode());
                 checker.processExited(mixer.exitCode(), now());
               }
             }
@@ -372,7 +385,7 @@
 
   // ---- the events ----
 
-  /** Does what the event says; {@code seen} is run once its point has been reached. */
+  /** Injects an event. {@code trigger} runs once the event's trigger point is reached. */
   void inject(Event event, Runnable trigger) throws IOException {
     record("event " + event);
     switch (event) {
@@ -549,7 +562,10 @@
     }
   }
 
-  /** Runs it at the first frame of a request, or after a while where none comes. */
+  /**
+   * Runs the trigger when the first part of a request arrives at a box, or after {@link
+   * #TRIGGER_FALLBACK} if none does.
+   */
   private void triggerOnFirstPart(String requestId, Runnable trigger) {
     Runnable[] pending = {trigger};
     Runnable callback =
@@ -580,7 +596,8 @@
     InetSocketAddress newAddress = discoveryAgent.listener.address();
     Thread thread =
         new Thread(
-            () -> { // the signal is another process's to send: the reactor does not wait
+            () -> { // the signal is sent by an external process, so the reactor must not wait for
+              // it
               try {
                 mixer.reload(scenario, newAddress, emptyMemberList);
               } catch (IOException e) {
@@ -593,7 +610,7 @@
     reactor.after(Duration.ofSeconds(10), previousAgent.listener::close);
   }
 
-  // ---- what counts as told ----
+  // ---- notification of the mixer ----
 
   private void notifyIfDelivered() {
     if (unnotified.isEmpty() || discoveryAgent.unavailable) {
@@ -610,11 +627,11 @@
 
   private void mixerNotified(EmulatedBox box) {
     unnotified.remove(box);
-    record("told: " + box.id + " is " + box.phase);
+    record("notified: " + box.id + " is " + box.phase);
     checker.mixerNotified(box.number, box.phase.equals("SERVING") ? null : now());
   }
 
-  /** A mixer's agent of discovery: one list, pushed to whoever watches. */
+  /** Discovery agent: serves one member list and pushes its changes to all watches. */
   private final class DiscoveryAgent {
     final Reactor.Listening listener;
     final Set<DiscoveryCall> watches = new LinkedHashSet<>();
@@ -664,15 +681,15 @@
     }
 
     /**
-     * What it has been sent meanwhile, it says at once: to open watches, and to calls that still
-     * wait.
+     * Makes discovery available again and sends the missed changes at once: to open watches, and to
+     * pending calls unless these are dropped.
      */
     void becomeAvailable() {
       if (!unavailable) {
         return;
       }
       unavailable = false;
-      record("discovery is back");
+      record("discovery is available again");
       sendLine(unnotified.isEmpty() ? "" : memberListJson(false, List.copyOf(unnotified)));
       List<DiscoveryCall> calls = dropsPendingCalls ? List.of() : List.copyOf(pendingCalls);
       pendingCalls.clear();
@@ -704,7 +721,7 @@
       record(
           "discovery is called"
               + (isWatch ? " for a watch" : "")
-              + (agent.unavailable ? ", and is down" : ""));
+              + (agent.unavailable ? ", and is unavailable" : ""));
       if (agent.unavailable) {
         agent.pendingCalls.add(this);
       } else {
@@ -764,9 +781,7 @@
     AnswerMode answerMode = AnswerMode.SEND;
     private int port;
 
-    /**
-     * How often it has listened anew: what was to come up late does not, once its place is taken.
-     */
+    /** Incremented at each new listener, so that a delayed start of an earlier one does nothing. */
     private int incarnation;
 
     private boolean acceptsLate;
@@ -827,7 +842,7 @@
       releaseAnswers(true);
     }
 
-    /** Answers that were ready leave, or are lost. */
+    /** Sends the held answers, or drops them. */
     void releaseAnswers(boolean send) {
       List<Runnable> answers = List.copyOf(heldAnswers);
       heldAnswers.clear();
@@ -836,7 +851,7 @@
       }
     }
 
-    /** An answer that has begun, of which a byte comes now and then and never the last. */
+    /** Starts an answer and sends it byte by byte without ever completing it. */
     void trickleAnswer(Runnable trigger) {
       BoxConnection connection =
           connections.stream()
@@ -873,11 +888,11 @@
     }
 
     /**
-     * Its connections are reset and its backlog is full: a new one comes up when the system asks
-     * again.
+     * Resets all connections and fills the listen backlog, so that a new connection is established
+     * only when the system retransmits its SYN.
      */
     void acceptLate(Runnable trigger) throws IOException {
-      if (acceptsLate) { // it is already
+      if (acceptsLate) { // the backlog is already full
         trigger.run();
         return;
       }
@@ -903,7 +918,9 @@
               fullListener.bind(localAddress(port), 1);
               for (int i = 0; i < 2; i++) {
                 SocketChannel filler = SocketChannel.open();
-                filler.configureBlocking(false); // the mixer may have come first
+                filler.configureBlocking(
+                    false); // non-blocking, as the mixer's connection may have filled the backlog
+                // first
                 filler.connect(localAddress(port));
                 backlogFillers.add(filler);
               }
@@ -917,7 +934,8 @@
                     }
                   });
             } catch (
-                BindException e) { // the selector holds a closed channel's port until its next turn
+                BindException
+                    e) { // the selector keeps a closed channel's port until its next iteration
               freeBacklog();
               fillBacklog(startIncarnation, trigger);
             } catch (IOException e) {
@@ -936,7 +954,7 @@
             reactor.listen(localAddress(port), connection -> new BoxConnection(this, connection));
         acceptsLate = false;
         record("the backlog of " + id + " is free");
-      } catch (BindException e) { // a connection of the full backlog still has it
+      } catch (BindException e) { // a connection of the full backlog still holds the port
         reactor.after(TICK_INTERVAL, () -> acceptAgain(startIncarnation));
       } catch (IOException e) {
         throw new UncheckedIOException(e);
@@ -958,18 +976,21 @@
       }
     }
 
-    /** Waits until the system shows a connection being made to the port, or for a while. */
+    /**
+     * Waits until the system's connection table shows a connection attempt to the port, or until
+     * the deadline.
+     */
     private void awaitDial(Duration deadline, Runnable trigger) {
       byte[] ip = address.getAddress();
       String tableEntry =
           String.format("%02X%02X%02X%02X:%04X 02 ", ip[3], ip[2], ip[1], ip[0], port); // SYN_SENT
       connectionTableReader.execute(
-          () -> { // thousands of lines take long to read: the reactor does not stand still for them
+          () -> { // the table can have thousands of lines; reading it here would stall the reactor
             boolean dialled = isDialling(tableEntry);
             reactor.post(
                 () -> {
                   if (dialled) {
-                    record("a connection to " + id + " is being made");
+                    record("a connection to " + id + " is being established");
                   }
                   if (dialled || now().compareTo(deadline) > 0) {
                     trigger.run();
@@ -990,7 +1011,7 @@
           }
         }
       } catch (IOException e) {
-        reactor.post(() -> record("no table of connections: " + e.getMessage()));
+        reactor.post(() -> record("cannot read the connection table: " + e.getMessage()));
       }
       return false;
     }
@@ -1025,11 +1046,11 @@
     @Override
     public void fell(Box failedBox) {
       checker.boxFailed(number, reactor.now());
-      record(id + " fell");
+      record(id + " failed under load while cold");
     }
   }
 
-  /** A connection to a box. */
+  /** A connection from the mixer to a box. */
   private final class BoxConnection implements ReactorConnection.Handler {
     private final EmulatedBox box;
     private final ReactorConnection connection;
@@ -1171,7 +1192,7 @@
 
   // ---- clients ----
 
-  /** One client's connection, a request at a time. */
+  /** A client with one connection, which sends one request at a time. */
   private final class TestClient extends HttpHandler {
     final ReactorConnection connection;
     private final int ownGeneration = generation;
@@ -1247,7 +1268,7 @@
       return shares;
     }
 
-    /** Asks for so many folios from a first one; returns the request's mark. */
+    /** Sends a request for consecutive partitions and returns its id. */
     String sendRequest(Scenario.ServiceClass serviceClass, int firstPartition, int count) {
       requestId = String.format("%08x%08x", generation, requestCount++);
       Map<Integer, Double> shares = partitionShares(firstPartition, count, scenario.folios());
@@ -1255,16 +1276,16 @@
       sentAt = now();
       checker.requestSent(
           requestId, serviceClass.name(), shares, idempotencyKey(requestId, serviceClass), sentAt);
-      record("asked " + requestId + ' ' + serviceClass.name());
+      record("sent request " + requestId + ' ' + serviceClass.name());
       return requestId;
     }
 
-    /** Closes, in order or by a reset, whatever it waits for. */
+    /** Closes or resets the connection, even if an answer is pending. */
     void leave(boolean reset) {
       leaving = true;
       if (requestId != null) {
         checker.clientLeft(requestId, now());
-        record(requestId + " has gone");
+        record(requestId + ": the client has left");
       }
       if (reset) {
         connection.reset();
@@ -1273,7 +1294,7 @@
       }
     }
 
-    /** Sends the beginning of a long request behind the one at hand, and closes. */
+    /** Sends the start of a long request after the current one, and closes the connection. */
     void flood() {
       if (connection.closed()) {
         return;
@@ -1287,16 +1308,16 @@
               .getBytes(StandardCharsets.US_ASCII));
       connection.put(new byte[FLOOD_BYTES]);
       leaving = true;
-      connection.close(); // once all has left, which closed() tells
+      connection.close(); // closes once everything is sent; closed() then reports it
     }
 
     @Override
     public boolean keepsHalfOpen() {
       mixerClosed = true;
       record(
-          "the mixer has ended "
+          "the mixer has closed "
               + (requestId == null
-                  ? "a resting client's connection"
+                  ? "an idle client's connection"
                   : "the connection of " + requestId));
       if (!sendsAfterClose || requestId != null) {
         return false;
@@ -1306,14 +1327,14 @@
       Map<Integer, Double> shares = partitionShares(0, 2, scenario.folios());
       checker.requestSentAfterClose(requestId, serviceClass.name(), shares, null, now());
       connection.put(requestBytes(requestId, serviceClass, shares));
-      record("asked " + requestId + " after that");
+      record("sent request " + requestId + " on the closed connection");
       reactor.after(Duration.ofMillis(200), connection::reset);
       return true;
     }
 
     @Override
     protected void malformed(HttpException e) {
-      record("the answer to " + requestId + " is no HTTP: " + e.getMessage());
+      record("the answer to " + requestId + " is not valid HTTP: " + e.getMessage());
       connection.reset();
     }
 
@@ -1345,7 +1366,8 @@
       if (head.hasToken("connection", "close")) {
         connection.close();
       } else if (terminatedAt != null && backgroundClients.contains(this) && !leaving) {
-        // until the connection ends, so that its end crosses a request
+        // sends the next request at once until the mixer closes the connection, so that the close
+        // coincides with a request
         sendRequest(
             scenario.grades().get(requestCount % scenario.grades().size()),
             requestCount % scenario.folios(),
@@ -1361,7 +1383,7 @@
       }
       if (leaving) {
         checker.clientLeft(requestId, now());
-        record(requestId + " has gone");
+        record(requestId + ": the client has left");
       } else if (!connected) {
         checker.connectionRefused(requestId);
       } else {
@@ -1369,7 +1391,7 @@
             "the connection of "
                 + requestId
                 + " was "
-                + (mixerClosed ? "ended" : "reset")
+                + (mixerClosed ? "closed" : "reset")
                 + " by the mixer");
         checker.connectionEnded(requestId, now());
       }
--- a/emulator/src/main/java/gingerring/emulator/interleaving/package-info.java
+++ b/emulator/src/main/java/gingerring/emulator/interleaving/package-info.java
@@ -1,5 +1,7 @@
 /**
- * Crossings of two events at one mixer over real sockets: the second is released by a point that
- * was seen in the first, in either order, and the rules are judged from outside.
+ * Tests of pairs of events that happen at the same moment at one real mixer process, over sockets
+ * and in either order. The second event is injected when the trigger point of the first one has
+ * been observed. Violations are detected from what the sockets of the other parties receive. {@link
+ * gingerring.emulator.interleaving.InterleavingRunner} is the main class.
  */
 package gingerring.emulator.interleaving;
--- a/emulator/src/test/java/gingerring/emulator/harness/FleetHarnessTest.java
+++ b/emulator/src/test/java/gingerring/emulator/harness/FleetHarnessTest.java
@@ -13,7 +13,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Eight real mixers and what breaks between them. What must hold holds whatever the machine's pace.
+ * Runs eight real mixer processes with injected faults. No assertion depends on the speed of the
+ * machine.
  */
 class FleetHarnessTest {
   private static final String FAST_PEER_SETTINGS =
@@ -40,14 +41,15 @@
     assertEquals(
         List.of(),
         result.referee.shown(),
-        "the rig itself stood still for " + result.referee.stall());
+        "the harness itself stalled for " + result.referee.stall());
     assertEquals(List.of(), result.crashes);
     assertEquals(0, result.eventFailures);
   }
 
   private static void assertAllPeersVisible(Fleet.Result result) {
     assertNoViolation(result);
-    assertEquals(Collections.nCopies(8, 7), result.visiblePeers, "each takes all others for there");
+    assertEquals(
+        Collections.nCopies(8, 7), result.visiblePeers, "each mixer considers all others present");
   }
 
   @Test
@@ -56,7 +58,7 @@
     assertAllPeersVisible(result);
     assertTrue(result.referee.judged() > 150);
     double bytes = result.datagramCounts[1] / result.elapsedSeconds / 8;
-    assertTrue(bytes < 16_384, bytes + " bytes a second and mixer");
+    assertTrue(bytes < 16_384, bytes + " bytes per second and mixer");
   }
 
   @Test
@@ -109,7 +111,10 @@
     assertAllPeersVisible(result);
   }
 
-  /** A mixer cut from boxes and not from peers, slow and broken ways, and lists that come late. */
+  /**
+   * One mixer is cut off from the boxes but not from its peers; other links are slow, reset or
+   * truncated, and one member list is late.
+   */
   @Test
   void faultyBoxLinksBreakNoRule() throws Exception {
     assertAllPeersVisible(
@@ -123,7 +128,10 @@
                 + "{\"kind\": \"list_silent\", \"atMs\": 1000, \"forMs\": 3000, \"mixers\": [6]}]"));
   }
 
-  /** Three of nine boxes hang: with talk they are asked by turns, and without by each of eight. */
+  /**
+   * Three of nine boxes hang. With peers, the mixers take turns to probe them; without, each of the
+   * eight mixers probes them by itself.
+   */
   @Test
   void mixersShareProbesOfAnEjectedBox() throws Exception {
     String scenarioFields =
@@ -133,16 +141,18 @@
     Fleet.Result withPeers = run(scenarioFields, ", \"peers\": true");
     assertNoViolation(withoutPeers);
     assertAllPeersVisible(withPeers);
-    // a round lasts 500 ms: one ask for each box, and one more where a word came late
+    // a round lasts 500 ms: one probe for each box, and one more if a peer's datagram was late
     assertTrue(
-        withPeers.probeCount(4, 11) <= 3 * 2 * 16, withPeers.probeCount(4, 11) + " asks in 8 s");
-    assertTrue(withPeers.probeCount(4, 11) >= 8, "they are asked: " + withPeers.probesBySecond);
+        withPeers.probeCount(4, 11) <= 3 * 2 * 16, withPeers.probeCount(4, 11) + " probes in 8 s");
+    assertTrue(withPeers.probeCount(4, 11) >= 8, "probes with peers: " + withPeers.probesBySecond);
     assertTrue(
-        withoutPeers.probeCount(4, 11) >= 8, "and were before: " + withoutPeers.probesBySecond);
+        withoutPeers.probeCount(4, 11) >= 8,
+        "probes without peers: " + withoutPeers.probesBySecond);
   }
 
   /**
-   * A third of the boxes, one zone, crash and are back cold at once: none is pushed over by eight.
+   * A third of the boxes, one zone, crash and restart cold at the same time. The eight mixers
+   * together must overload none of them.
    */
   @Test
   void zoneOfBoxesRestartsColdUnderAllMixers() throws Exception {
@@ -157,13 +167,14 @@
   void byzantinePeerBreaksNoRule() throws Exception {
     Fleet.Result result = run("", ", \"peers\": true, \"liars\": 1");
     assertNoViolation(result);
-    assertEquals(Collections.nCopies(8, 8), result.visiblePeers, "the one that lies is there too");
+    assertEquals(
+        Collections.nCopies(8, 8), result.visiblePeers, "the byzantine peer is present too");
     assertTrue(result.tally.service() > 0.9, "service " + result.tally.service());
   }
 
   /**
-   * Drawn schedules whose faults strike one process at a time with others; the same verdict each
-   * time.
+   * Generated schedules with overlapping faults, of which two affect the same process; each seed
+   * gives the same schedule.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
@@ -176,7 +187,8 @@
   }
 
   /**
-   * A mixer that is stopped, killed while it is, and rolled meanwhile, ends the run as any other.
+   * A mixer that is killed while it is stopped, and restarted meanwhile, must complete the run like
+   * any other.
    */
   @Test
   void stopKillAndRestartOfOneProcessOverlap() throws Exception {
@@ -198,7 +210,7 @@
             ", \"spareMs\": 0, \"faults\": [{\"kind\": \"stop\", "
                 + "\"atMs\": 500, \"forMs\": 60000}]");
     assertEquals(List.of(), result.referee.shown());
-    assertEquals(List.of(), result.crashes, "who was stopped on purpose has not crashed");
+    assertEquals(List.of(), result.crashes, "a mixer that the schedule stopped has not crashed");
     assertEquals(Fleet.Verdict.UNDECIDED, result.verdict());
     HarnessError error = result.errors.get(0);
     assertEquals("RIG_NOT_ENDED", error.code());
@@ -221,7 +233,7 @@
           },
           {
             "{\"fleet\": {\"mixers\": 2, \"faults\": [{\"kind\": \"kill\", \"mixers\": [2]}]}}",
-            "fleet.faults.0.mixers has 2.0, and there are 2 from 0 on"
+            "fleet.faults.0.mixers has 2.0, but there are 2 indexes, from 0 on"
           },
           {"{\"boxen\": 3}", "boxen is unknown"}
         }) {
--- a/emulator/src/test/java/gingerring/emulator/harness/ViolationAttributionTest.java
+++ b/emulator/src/test/java/gingerring/emulator/harness/ViolationAttributionTest.java
@@ -26,9 +26,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Mixer 1 breaks one rule on purpose, 0 and 2 keep them, all through the rig's links to boxes: each
- * foul is booked once and on mixer 1, whichever links are cut between. The test plays the mixers
- * and their clients.
+ * Mixer 1 violates one rule on purpose while mixers 0 and 2 keep all rules. Each violation must be
+ * counted once and attributed to mixer 1, whichever links are cut. The test itself acts as the
+ * mixers and their clients, and sends through the harness's relays.
  */
 class ViolationAttributionTest {
   private static final int FAULTY_MIXER = 1;
@@ -72,7 +72,7 @@
               })
           .list();
     }
-    Thread thread = new Thread(reactor::run, "planted");
+    Thread thread = new Thread(reactor::run, "violation-attribution");
     thread.setDaemon(true);
     thread.start();
   }
@@ -107,7 +107,9 @@
   private void awaitCondition(Callable<Boolean> condition) throws Exception {
     long deadlineNanos = System.nanoTime() + 20_000_000_000L;
     while (!onReactor(condition)) {
-      assertTrue(System.nanoTime() < deadlineNanos, "in time; parts " + onReactor(referee::trips));
+      assertTrue(
+          System.nanoTime() < deadlineNanos,
+          "condition not met in time; parts " + onReactor(referee::trips));
       Thread.sleep(5);
     }
   }
@@ -131,7 +133,8 @@
   }
 
   /**
-   * Sends a part of each scan as a mixer does, and waits until the link holds it or the box has it.
+   * Sends a part of each scan as a mixer does, and waits until the relay has buffered it or the box
+   * has received it.
    */
   private void sendParts(int mixer, int partition, int box, String... requestIds) throws Exception {
     sentParts += requestIds.length;
@@ -188,7 +191,8 @@
     recordRequest(FAULTY_MIXER, "bad", serviceClass);
     switch (violation) {
       case "SCAN_LOST" -> {
-        sendParts(FAULTY_MIXER, 0, 0, "bad"); // one in time goes before it on the same way
+        sendParts(
+            FAULTY_MIXER, 0, 0, "bad"); // a part sent in time precedes it on the same connection
         recordAnswer("bad", true, null);
         Thread.sleep(PAST_SLACK_MS);
         sendParts(FAULTY_MIXER, 0, 0, "bad");
@@ -212,7 +216,7 @@
         Thread.sleep(PAST_SLACK_MS);
         sendParts(FAULTY_MIXER, 0, 0, "bad");
       }
-      case "HONEST_ANSWER" -> recordAnswer("bad", false, Map.of(0, "made up"));
+      case "HONEST_ANSWER" -> recordAnswer("bad", false, Map.of(0, "not from a box"));
       case "TRIPS" -> sendParts(FAULTY_MIXER, 0, 0, "bad", "bad", "bad");
       case "STRANGE_PART" -> sendParts(FAULTY_MIXER, 1, 1, "good0");
       default -> throw new IllegalArgumentException(violation);
@@ -220,8 +224,8 @@
   }
 
   /**
-   * Mixers 0 and 2 send parts in time and end their scans; what a cut link holds arrives long
-   * after.
+   * Mixers 0 and 2 send parts in time and complete their scans; parts buffered at a cut link arrive
+   * long afterwards.
    */
   @ParameterizedTest
   @CsvSource({
@@ -261,7 +265,7 @@
     }
   }
 
-  /** A cold box falls by what one mixer sends it, though others sent it parts as well. */
+  /** A cold box fails because of the load from one mixer, although others sent it parts as well. */
   @ParameterizedTest
   @CsvSource({"''", "02", "1"})
   void coldBoxFailureIsAttributedToTheHeaviestSender(String cutMixers) throws Exception {
@@ -286,8 +290,8 @@
     setCut(cutMixers, false);
     awaitCondition(() -> referee.trips() == sentParts || referee.fouls() > 0);
     Thread.sleep(
-        300); // longer than a box's bucket: the next part has it judged, if that was not done
-    // before
+        300); // longer than the box's load interval, so that the next part triggers its check if
+    // none has yet
     if (onReactor(referee::fouls) == 0) {
       sendParts(FAULTY_MIXER, 0, 0, "bad");
     }
--- a/emulator/src/test/java/gingerring/emulator/interleaving/InterleavingCheckerTest.java
+++ b/emulator/src/test/java/gingerring/emulator/interleaving/InterleavingCheckerTest.java
@@ -11,12 +11,12 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Doctored records: each check of the judge fails on its foul, and lets the nearest sound record
- * by.
+ * Feeds the checker with constructed records. Each check must report its violation and accept the
+ * closest correct record.
  */
 class InterleavingCheckerTest {
   private static final Map<Integer, Double> SHARES = Map.of(0, 0.5, 1, 0.5);
-  private static final int BOX = 1; // of folios 0 and 1
+  private static final int BOX = 1; // a box that serves partitions 0 and 1
 
   private InterleavingChecker checker;
 
@@ -103,7 +103,7 @@
     checker.clientLeft("first", ms(100));
     partReceived("first", 0, 349);
     assertViolations();
-    partReceived("first", 1, 351); // a first attempt of this part, a further one of the request
+    partReceived("first", 1, 351); // the first attempt of this part, but the second of the request
     assertViolations("GONE_CLIENT");
     requestSent("waits", "search", 1000);
     checker.clientLeft("waits", ms(1100));
@@ -114,7 +114,7 @@
             .violations()
             .get(1)
             .description()
-            .contains("300 ms after its client went, as attempt 1"));
+            .contains("300 ms after its client left, as attempt 1"));
   }
 
   @Test
@@ -133,7 +133,7 @@
     requestSent("a", "search", 0);
     checker.clientLeft("a", ms(10));
     checker.heartbeat(ms(10));
-    partReceived("a", 0, 500); // seen as the rig goes on
+    partReceived("a", 0, 500); // read when the harness resumes after its stall
     assertViolations();
     checker.heartbeat(ms(505));
     for (int at = 510; at <= 800; at += 10) {
@@ -229,7 +229,7 @@
   void atMostOncePartIsNotSentTwice() {
     requestSent("once", "once", 0);
     partReceived("once", 0, 5);
-    partReceived("once", 0, 30); // the first may have run, as a reset says
+    partReceived("once", 0, 30); // the first attempt may have taken effect, as after a reset
     assertViolations("EFFECT_TWICE");
   }
 
@@ -237,13 +237,13 @@
   void keyedPartIsNotRetriedAfterItsWindow() {
     requestSent("post1", "post", 0);
     partReceived("post1", 0, 5);
-    partReceived("post1", 0, 755); // the window of 700 ms, 50 ms for the way
+    partReceived("post1", 0, 755); // the window of 700 ms and 50 ms for the transfer
     assertViolations();
     partReceived("post1", 0, 756);
     assertViolations("EFFECT_TWICE");
   }
 
-  /** The window has none of the 150 ms that a client's going has for the machine. */
+  /** The retry window has no scheduling allowance, unlike the 150 ms after a client has left. */
   @Test
   void keyedRetryWindowHasNoSchedulingAllowance() {
     requestSent("post1", "post", 0);
@@ -264,7 +264,7 @@
     requestSent("post1", "post", 0);
     partReceived("post1", 0, 5);
     heartbeats(5, 600);
-    partReceived("post1", 0, 906); // may have come at 600 ms
+    partReceived("post1", 0, 906); // may have arrived at 600 ms
     assertViolations();
   }
 
@@ -273,7 +273,7 @@
     requestSent("post1", "post", 0);
     partReceived("post1", 0, 5);
     heartbeats(5, 300);
-    heartbeats(600, 905); // what came before was read at 600 ms
+    heartbeats(600, 905); // what arrived during the stall was read at 600 ms
     partReceived("post1", 0, 906);
     assertViolations("EFFECT_TWICE");
   }
@@ -282,7 +282,7 @@
   void keyedPartIsLateWhenTheStallBeganAfterItsWindow() {
     requestSent("post1", "post", 0);
     partReceived("post1", 0, 5);
-    heartbeats(5, 760); // 755 ms are allowed
+    heartbeats(5, 760); // up to 755 ms is allowed
     partReceived("post1", 0, 906);
     assertViolations("EFFECT_TWICE");
   }
--- a/emulator/src/test/java/gingerring/emulator/interleaving/InterleavingRunnerTest.java
+++ b/emulator/src/test/java/gingerring/emulator/interleaving/InterleavingRunnerTest.java
@@ -12,9 +12,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Crossings of two events at real mixer processes. The fixed part is those pairs that have broken a
- * rule once or stand closest to a term, each in both orders; seeds of their own draw the small
- * spans. All others are drawn in long runs, whose tables are in docs/results/crossings.
+ * Runs pairs of simultaneous events at real mixer processes. The fixed pairs are those that once
+ * violated a rule or come closest to a time limit, each in both orders and with its own seed for
+ * the delays. All other pairs are drawn in long runs, whose tables are in docs/results/crossings.
  */
 class InterleavingRunnerTest {
   private static final long FIRST_SEED = 3701;
@@ -50,7 +50,7 @@
       pairs.add(new EventPair(FIRST_SEED + pairs.size(), pair[1], pair[0]));
     }
     List<InterleavingRunner.Result> results = InterleavingRunner.play(pairs, MIXERS, result -> {});
-    assertEquals(pairs.size(), results.size(), "each was played");
+    assertEquals(pairs.size(), results.size(), "number of pairs run");
     assertEquals(
         "",
         results.stream()
