--- a/emulator/src/main/java/gingerring/emulator/harness/MixerSupervisor.java
+++ b/emulator/src/main/java/gingerring/emulator/harness/MixerSupervisor.java
@@ -139,7 +139,7 @@
     resumeIfStopped(terminating);
     blockingExecutor.execute(
         () -> {
-          int code = terminating.end();
+          int code = terminating.stop();
           reactor.post(
               () -> {
                 terminating = null;
@@ -209,6 +209,6 @@
                     ? "not running"
                     : activeStops > 0
                         ? "stopped by the schedule"
-                        : process.alive() ? "" : "exited unexpectedly";
+                        : process.isAlive() ? "" : "exited unexpectedly";
   }
 }
--- a/emulator/src/main/java/gingerring/emulator/harness/TcpRelay.java
+++ b/emulator/src/main/java/gingerring/emulator/harness/TcpRelay.java
@@ -1,7 +1,7 @@
 package gingerring.emulator.harness;
 
-import gingerring.emulator.experiment.Passage;
-import gingerring.emulator.experiment.Store;
+import gingerring.emulator.experiment.EmulatedStore;
+import gingerring.emulator.experiment.SendTimes;
 import gingerring.traffic.wire.Reactor;
 import gingerring.traffic.wire.ReactorConnection;
 import java.io.IOException;
@@ -64,7 +64,7 @@
   private final LinkFaults faults;
   private final DoubleSupplier random;
   private final int mixer;
-  private final BiConsumer<ReactorConnection, Passage> connectionListener;
+  private final BiConsumer<ReactorConnection, SendTimes> connectionListener;
   private final Reactor.Listening listener;
   private final Set<ProxiedConnection> connections = new LinkedHashSet<>();
 
@@ -79,7 +79,7 @@
       LinkFaults faults,
       DoubleSupplier random,
       int mixer,
-      BiConsumer<ReactorConnection, Passage> connectionListener)
+      BiConsumer<ReactorConnection, SendTimes> connectionListener)
       throws IOException {
     this.reactor = reactor;
     this.mixer = mixer;
@@ -87,7 +87,7 @@
     this.target = target;
     this.faults = faults;
     this.random = random;
-    listener = reactor.listen(Store.loopback(0), ProxiedConnection::new);
+    listener = reactor.listen(EmulatedStore.loopback(0), ProxiedConnection::new);
   }
 
   int port() {
@@ -129,7 +129,7 @@
     private final ReactorConnection boxConnection;
     private final Direction toBox;
     private final Direction toMixer;
-    private final Passage deliveryLog = new Passage(mixer);
+    private final SendTimes deliveryLog = new SendTimes(mixer);
 
     ProxiedConnection(ReactorConnection mixerConnection) {
       this.mixerConnection = mixerConnection;
@@ -178,7 +178,7 @@
 
     @Override
     public void bytes(byte[] bytes, int length) {
-      deliveryLog.took(length, reactor.now());
+      deliveryLog.recordSent(length, reactor.now());
       toBox.add(Arrays.copyOf(bytes, length));
     }
 
--- a/emulator/src/main/java/gingerring/emulator/interleaving/InterleavingChecker.java
+++ b/emulator/src/main/java/gingerring/emulator/interleaving/InterleavingChecker.java
@@ -1,6 +1,6 @@
 package gingerring.emulator.interleaving;
 
-import gingerring.emulator.core.Referee;
+import gingerring.emulator.core.RuleChecker;
 import gingerring.emulator.core.Scenario;
 import java.time.Duration;
 import java.util.ArrayList;
@@ -10,8 +10,8 @@
 
 /**
  * Detects violations in one run of an event pair from what the parties' sockets received: the rules
- * of the {@link Referee}, and those for clients that leave and for the mixer's shutdown. Times are
- * those of the reactor, taken when an event is seen at a party's socket.
+ * of the {@link RuleChecker}, and those for clients that leave and for the mixer's shutdown. Times
+ * are those of the reactor, taken when an event is seen at a party's socket.
  */
 final class InterleavingChecker {
   /**
@@ -74,7 +74,7 @@
   }
 
   private final Scenario scenario;
-  private final Referee referee;
+  private final RuleChecker referee;
   private final Map<String, Request> requests = new HashMap<>();
   private final List<Violation> ownViolations = new ArrayList<>();
   private final List<Duration[]> stalls = new ArrayList<>();
@@ -83,7 +83,7 @@
 
   InterleavingChecker(Scenario scenario) {
     this.scenario = scenario;
-    referee = new Referee(scenario);
+    referee = new RuleChecker(scenario);
   }
 
   /**
@@ -91,11 +91,11 @@
    * stalled itself is not counted against the mixer.
    */
   void heartbeat(Duration now) {
-    if (lastHeartbeat != null && now.minus(lastHeartbeat).compareTo(Referee.SLACK) > 0) {
+    if (lastHeartbeat != null && now.minus(lastHeartbeat).compareTo(RuleChecker.SLACK) > 0) {
       stalls.add(new Duration[] {lastHeartbeat, now});
     }
     lastHeartbeat = now;
-    referee.beat(now);
+    referee.heartbeat(now);
   }
 
   private Duration stalledTime(Duration from, Duration to) {
@@ -111,9 +111,9 @@
   /** A client has written a whole request to a connection that it considers open. */
   void requestSent(
       String requestId, String serviceClass, Map<Integer, Double> shares, String key, Duration at) {
-    Duration timeout = scenario.grade(serviceClass).patience().plus(ANSWER_GRACE);
+    Duration timeout = scenario.serviceClass(serviceClass).deadline().plus(ANSWER_GRACE);
     requests.put(requestId, new Request(at, at.plus(timeout)));
-    referee.asked(requestId, serviceClass, shares, key, at, timeout.minus(Referee.SLACK));
+    referee.requestSent(requestId, serviceClass, shares, key, at, timeout.minus(RuleChecker.SLACK));
   }
 
   /**
@@ -140,7 +140,7 @@
     if (request != null) {
       request.answeredAt = at;
     }
-    referee.answered(requestId, at, rejected, whole, values);
+    referee.requestAnswered(requestId, at, rejected, whole, values);
   }
 
   /** The connection was never established, so the mixer did not accept the request. */
@@ -214,12 +214,12 @@
                     + " though its request arrived on a closed connection"));
       }
     }
-    referee.part(requestId, partition, key, box, at);
+    referee.partReceived(requestId, partition, key, box, at);
   }
 
   void partAnswered(
       String requestId, int partition, int box, String outcome, String value, Duration at) {
-    referee.returned(requestId, partition, box, outcome, value, at);
+    referee.partAnswered(requestId, partition, box, outcome, value, at);
   }
 
   /**
@@ -227,11 +227,11 @@
    * list; null if the box serves.
    */
   void mixerNotified(int box, Duration since) {
-    referee.told(box, since);
+    referee.boxStateNotified(box, since);
   }
 
   void boxFailed(int box, Duration at) {
-    referee.fell(box, at);
+    referee.boxOverloaded(box, at);
   }
 
   void terminationSignalled(Duration at) {
@@ -255,8 +255,8 @@
    */
   Duration exitDeadline() {
     Duration longestDeadline =
-        scenario.grades().stream()
-            .map(Scenario.ServiceClass::patience)
+        scenario.serviceClasses().stream()
+            .map(Scenario.ServiceClass::deadline)
             .max(Duration::compareTo)
             .get();
     return terminatedAt.plus(longestDeadline).plus(KILL_GRACE).plus(EXIT_ALLOWANCE);
@@ -268,7 +268,7 @@
         (requestId, request) -> {
           if (awaitsAnswer(request) && now.compareTo(request.answerDeadline) > 0) {
             request.answeredAt = now;
-            referee.lost(requestId, now);
+            referee.answerMissing(requestId, now);
           }
         });
     if (terminatedAt != null
@@ -301,7 +301,7 @@
   List<Violation> violations() {
     List<Violation> violations = new ArrayList<>(ownViolations);
     referee
-        .shown()
+        .violations()
         .forEach(
             violation ->
                 violations.add(
@@ -311,6 +311,6 @@
 
   /** Returns the longest stall of the harness. */
   Duration longestStall() {
-    return referee.stall();
+    return referee.longestStall();
   }
 }
--- a/emulator/src/main/java/gingerring/emulator/interleaving/MixerEnvironment.java
+++ b/emulator/src/main/java/gingerring/emulator/interleaving/MixerEnvironment.java
@@ -219,7 +219,7 @@
             && client.connected
             && (client.sentAt == null
                 || now().minus(client.sentAt).compareTo(WARM_UP_INTERVAL) > 0)) {
-          client.sendRequest(scenario.grades().get(0), 0, scenario.folios());
+          client.sendRequest(scenario.serviceClasses().get(0), 0, scenario.partitions());
         }
       }
     }
@@ -231,17 +231,17 @@
     active = true;
     boxes.forEach(box -> box.answerMode = AnswerMode.HOLD);
     Scenario.ServiceClass serviceClass =
-        scenario.grades().get(pair.serviceClassIndex(scenario.grades().size()));
+        scenario.serviceClasses().get(pair.serviceClassIndex(scenario.serviceClasses().size()));
     String requestId =
         observedClient.sendRequest(
-            serviceClass, pair.drawBetween("folio", 0, scenario.folios() - 1), 2);
+            serviceClass, pair.drawBetween("folio", 0, scenario.partitions() - 1), 2);
     triggersByFirstPart.put(
         requestId,
         () -> {
           record("the first part arrived at " + targetBox.id);
           firstPartTrigger.run();
         });
-    secondClient.sendRequest(scenario.grades().get(0), 0, scenario.folios());
+    secondClient.sendRequest(scenario.serviceClasses().get(0), 0, scenario.partitions());
     sendBackgroundRequests(0);
   }
 
@@ -325,10 +325,15 @@
       if (client.connected && client.requestId == null) {
         Scenario.ServiceClass serviceClass =
             scenario
-                .grades()
-                .get((int) (pair.drawFraction("steady grade", index) * scenario.grades().size()));
+                .serviceClasses()
+                .get(
+                    (int)
+                        (pair.drawFraction("steady grade", index)
+                            * scenario.serviceClasses().size()));
         client.sendRequest(
-            serviceClass, (int) (pair.drawFraction("steady folio", index) * scenario.folios()), 1);
+            serviceClass,
+            (int) (pair.drawFraction("steady folio", index) * scenario.partitions()),
+            1);
         break;
       }
     }
@@ -349,8 +354,8 @@
           if (checker != null) {
             checker.heartbeat(now());
             if (mixer != null) {
-              mixer.log().forEach(this::mixerLogged);
-              if (!mixer.alive() && !exited) {
+              mixer.drainLog().forEach(this::mixerLogged);
+              if (!mixer.isAlive() && !exited) {
                 exited = true;
                 record("the mixer exited with " + mixer.exitCode());
                 checker.processExited(mixer.exitCode(), now());
@@ -503,7 +508,8 @@
           trigger.run();
         } else {
           triggerOnFirstPart(
-              idleClient.sendRequest(scenario.grades().get(pair.drawBetween("next", 0, 2)), 0, 2),
+              idleClient.sendRequest(
+                  scenario.serviceClasses().get(pair.drawBetween("next", 0, 2)), 0, 2),
               trigger);
         }
       }
@@ -514,7 +520,7 @@
           trigger.run();
         } else {
           idleClient.sendRequest(
-              scenario.grades().get(pair.drawBetween("next", 0, 2)),
+              scenario.serviceClasses().get(pair.drawBetween("next", 0, 2)),
               pair.drawBetween("next folio", 0, 3),
               2);
           reactor.after(
@@ -534,10 +540,11 @@
         Runnable[] pendingTrigger = {trigger};
         for (int i = 0; i < BURST_CLIENTS; i++) {
           TestClient client = new TestClient();
-          int partition = i % scenario.folios();
+          int partition = i % scenario.partitions();
           client.onConnected =
               () -> {
-                String requestId = client.sendRequest(scenario.grades().get(0), partition, 2);
+                String requestId =
+                    client.sendRequest(scenario.serviceClasses().get(0), partition, 2);
                 triggersByFirstPart.put(
                     requestId,
                     () -> {
@@ -1024,13 +1031,13 @@
     }
 
     @Override
-    public void after(Duration delay, Runnable task) {
+    public void schedule(Duration delay, Runnable task) {
       reactor.after(delay, task);
     }
 
     @Override
     public void answer(Box.Part part, String outcome) {
-      Runnable sendAnswer = () -> ((BoxConnection) part.link()).sendAnswer(part, outcome);
+      Runnable sendAnswer = () -> ((BoxConnection) part.connection()).sendAnswer(part, outcome);
       if (answerMode == AnswerMode.SEND || outcome.equals("full")) {
         sendAnswer.run();
       } else {
@@ -1039,12 +1046,12 @@
     }
 
     @Override
-    public boolean runs(Box.Part part) {
+    public boolean beginExecution(Box.Part part) {
       return true;
     }
 
     @Override
-    public void fell(Box failedBox) {
+    public void overloaded(Box failedBox) {
       checker.boxFailed(number, reactor.now());
       record(id + " failed under load while cold");
     }
@@ -1141,7 +1148,7 @@
       if (trigger != null) {
         trigger.run();
       }
-      box.box.part(new Box.Part(this, partId, partition, key, text));
+      box.box.receive(new Box.Part(this, partId, partition, key, text));
     }
 
     private String requestId(String partId) {
@@ -1149,7 +1156,7 @@
     }
 
     private String loadReport() {
-      return "queue=" + box.box.queued() + ",inflight=" + box.box.inHand();
+      return "queue=" + box.box.queueLength() + ",inflight=" + box.box.inFlight();
     }
 
     void sendAnswer(Box.Part part, String outcome) {
@@ -1157,10 +1164,10 @@
         return;
       }
       partsInFlight--;
-      String value = SeededDraw.value(scenario.seed(), part.text(), part.folio());
+      String value = SeededDraw.value(scenario.seed(), part.query(), part.partition());
       boolean done = outcome.equals("done");
       checker.partAnswered(
-          requestId(part.id()), part.folio(), box.number, outcome, done ? value : null, now());
+          requestId(part.id()), part.partition(), box.number, outcome, done ? value : null, now());
       sendFrame(
           "R"
               + part.id()
@@ -1242,7 +1249,7 @@
               + "\r\nX-Lane: "
               + serviceClass.name()
               + "\r\nX-Remaining-Ms: "
-              + serviceClass.patience().toMillis()
+              + serviceClass.deadline().toMillis()
               + (idempotencyKey(requestId, serviceClass) == null
                   ? ""
                   : "\r\nIdempotency-Key: " + idempotencyKey(requestId, serviceClass))
@@ -1254,7 +1261,7 @@
     }
 
     private static String idempotencyKey(String requestId, Scenario.ServiceClass serviceClass) {
-      return serviceClass.repeats() == Scenario.RetrySafety.KEYED
+      return serviceClass.retrySafety() == Scenario.RetrySafety.KEYED
           ? String.format("%032x", SeededDraw.bits(5, requestId) >>> 1)
           : null;
     }
@@ -1271,7 +1278,7 @@
     /** Sends a request for consecutive partitions and returns its id. */
     String sendRequest(Scenario.ServiceClass serviceClass, int firstPartition, int count) {
       requestId = String.format("%08x%08x", generation, requestCount++);
-      Map<Integer, Double> shares = partitionShares(firstPartition, count, scenario.folios());
+      Map<Integer, Double> shares = partitionShares(firstPartition, count, scenario.partitions());
       connection.put(requestBytes(requestId, serviceClass, shares));
       sentAt = now();
       checker.requestSent(
@@ -1303,7 +1310,7 @@
           ("POST /api HTTP/1.1\r\nHost: mixer\r\nX-Txn: f"
                   + requestId
                   + "\r\nX-Lane: "
-                  + scenario.grades().get(0).name()
+                  + scenario.serviceClasses().get(0).name()
                   + "\r\nX-Remaining-Ms: 1000\r\nContent-Length: 60000\r\n\r\n")
               .getBytes(StandardCharsets.US_ASCII));
       connection.put(new byte[FLOOD_BYTES]);
@@ -1323,8 +1330,8 @@
         return false;
       }
       requestId = String.format("%08x%08x", generation, requestCount++);
-      Scenario.ServiceClass serviceClass = scenario.grades().get(0);
-      Map<Integer, Double> shares = partitionShares(0, 2, scenario.folios());
+      Scenario.ServiceClass serviceClass = scenario.serviceClasses().get(0);
+      Map<Integer, Double> shares = partitionShares(0, 2, scenario.partitions());
       checker.requestSentAfterClose(requestId, serviceClass.name(), shares, null, now());
       connection.put(requestBytes(requestId, serviceClass, shares));
       record("sent request " + requestId + " on the closed connection");
@@ -1369,8 +1376,8 @@
         // sends the next request at once until the mixer closes the connection, so that the close
         // coincides with a request
         sendRequest(
-            scenario.grades().get(requestCount % scenario.grades().size()),
-            requestCount % scenario.folios(),
+            scenario.serviceClasses().get(requestCount % scenario.serviceClasses().size()),
+            requestCount % scenario.partitions(),
             1);
       }
     }
