--- a/peering/src/main/java/gingerring/peering/Main.java
+++ b/peering/src/main/java/gingerring/peering/Main.java
@@ -5,8 +5,8 @@
 import java.nio.file.Path;
 
 /**
- * A real mixer with peers: {@code serve --peers FILE}, on a class path of the mixer's and this
- * alone.
+ * Entry point of a mixer with peers, {@code serve --peers FILE}, for a class path of only the mixer
+ * and this module.
  */
 public final class Main {
   private Main() {}
--- a/peering/src/main/java/gingerring/peering/PeerQueryClient.java
+++ b/peering/src/main/java/gingerring/peering/PeerQueryClient.java
@@ -16,9 +16,9 @@
 import java.util.SplittableRandom;
 
 /**
- * Asks a running mixer what it knows of its peers, over its peers' socket and with the fleet's key,
- * without becoming one of them. For tools; blocks for {@value #ATTEMPTS} tries of {@value
- * #ATTEMPT_TIMEOUT_MS} ms at the most.
+ * Queries a running mixer about its peers, over its peer socket and with the fleet's key, without
+ * joining the group. For tools; blocks for at most {@value #ATTEMPTS} attempts of {@value
+ * #ATTEMPT_TIMEOUT_MS} ms.
  */
 public final class PeerQueryClient {
   private static final int ATTEMPTS = 3;
@@ -26,7 +26,7 @@
 
   private PeerQueryClient() {}
 
-  /** {@code about}: as {@link Peering#explain} has it. */
+  /** Sends a query and returns the answer. {@code about}: see {@link Peering#answerQuery}. */
   public static String query(InetSocketAddress mixer, List<byte[]> keys, char about, long box)
       throws IOException {
     MessageCodec codec = new MessageCodec(MessageAuthenticator.of(keys));
@@ -54,9 +54,9 @@
             }
           }
         } catch (SocketTimeoutException e) {
-          // asked again
+          // the next attempt sends the query again
         } catch (MessageCodec.InvalidMessage e) {
-          throw new IOException(mixer + " answered what is " + e.getMessage(), e);
+          throw new IOException(mixer + " sent an invalid answer: " + e.getMessage(), e);
         }
       }
     }
--- a/peering/src/main/java/gingerring/peering/PeerSettings.java
+++ b/peering/src/main/java/gingerring/peering/PeerSettings.java
@@ -20,12 +20,12 @@
 import java.util.Map;
 
 /**
- * What a mixer is told of its peers, from a JSON file, checked as a whole: all that is wrong with
- * it is said at once, with the name of each place, and then nothing of it is taken.
+ * Peer settings of a mixer, read from a JSON file and validated as a whole: all errors are reported
+ * at once, each with the name of its setting, and a file with any error is rejected.
  *
- * @param listen where datagrams come in; port 0 takes any
- * @param advertised where the others reach it, null for the place listened at
- * @param preferredHolders holders preferred of each folio, 0 to prefer none
+ * @param listen the address to receive datagrams at; port 0 takes any free port
+ * @param advertised the address at which the peers reach this mixer, null for the bound address
+ * @param preferredHolders preferred holders of each partition, 0 for no preference
  */
 public record PeerSettings(
     InetSocketAddress listen,
@@ -34,7 +34,7 @@
     List<byte[]> keys,
     int preferredHolders,
     PeerNode.Settings nodeSettings) {
-  /** A file that cannot be used; a line for each thing that is wrong. */
+  /** Thrown for a file that cannot be used; the message has a line for each error. */
   public static final class InvalidPeerSettings extends IOException {
     private static final long serialVersionUID = 1;
 
@@ -67,7 +67,7 @@
           "boxes_most",
           "bytes_per_second");
 
-  /** One reading, with what it complains of. */
+  /** Reads values of one file and collects the errors. */
   private static final class Parser {
     final Path file;
     final Map<String, Object> values;
@@ -89,7 +89,7 @@
             name
                 + " is "
                 + values.get(name)
-                + ", and has to be a "
+                + ", must be a "
                 + (integral ? "whole " : "")
                 + "number from "
                 + format(min)
@@ -118,7 +118,7 @@
         int colon = text.lastIndexOf(':');
         try {
           int port = Integer.parseInt(text.substring(colon + 1));
-          // an address as digits is not looked up
+          // numeric addresses are not looked up in DNS
           if (colon > 0
               && text.substring(0, colon).matches("[0-9]{1,3}(\\.[0-9]{1,3}){3}")
               && port <= 0xFFFF
@@ -126,14 +126,14 @@
             return new InetSocketAddress(InetAddress.getByName(text.substring(0, colon)), port);
           }
         } catch (NumberFormatException | UnknownHostException e) {
-          // said below
+          // reported below
         }
       }
       errors.add(
           name
               + " is "
               + value
-              + ", and has to be an IPv4 address and a port, as \"127.0.0.1:7100\"");
+              + ", must be an IPv4 address and a port, for example \"127.0.0.1:7100\"");
       return null;
     }
 
@@ -144,13 +144,13 @@
       if (values.get(name) instanceof List<?> list) {
         return new ArrayList<>(list);
       }
-      errors.add(name + " is no list");
+      errors.add(name + " is not a list");
       return List.of();
     }
 
     byte[] key(String name, Object value) {
       if (!(value instanceof String text)) {
-        errors.add(name + " is no file name");
+        errors.add(name + " is not a file name");
         return null;
       }
       try {
@@ -194,7 +194,7 @@
       keys.add(parser.key("key_files." + keys.size(), value));
     }
     if (keys.isEmpty()) {
-      parser.errors.add("key_files has to name a file with the fleet's key");
+      parser.errors.add("key_files must name a file with the fleet's key");
     }
     int preferredHolders = parser.integer("prefer", 0, 0, 1000);
     PeerNode.Settings nodeSettings = parseNodeSettings(parser);
@@ -233,7 +233,7 @@
           parser.integer("boxes_most", defaults.maxBoxes(), 1, 100_000),
           parser.integer("bytes_per_second", defaults.maxBytesPerSecond(), 1200, 100_000_000));
     } catch (IllegalArgumentException e) {
-      parser.errors.add(e.getMessage()); // what does not go together
+      parser.errors.add(e.getMessage()); // settings that contradict each other
       return defaults;
     }
   }
@@ -257,7 +257,7 @@
               }),
           peer.port());
     } catch (UnknownHostException e) {
-      throw new IllegalStateException("four bytes are an address", e);
+      throw new IllegalStateException("four bytes are always an IPv4 address", e);
     }
   }
 }
--- a/peering/src/main/java/gingerring/peering/PeerSocket.java
+++ b/peering/src/main/java/gingerring/peering/PeerSocket.java
@@ -17,9 +17,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The one datagram socket of a mixer's peers. A thread of its own waits for what comes and leaves
- * it with the loop; at most {@value #MAX_QUEUED} datagrams wait there, more are dropped and
- * counted, as one that floods must not take the mixer's memory.
+ * The datagram socket of a mixer's peer group. A thread of its own receives datagrams and posts
+ * them to the loop; at most {@value #MAX_QUEUED} datagrams wait there, and more are dropped and
+ * counted, so that a flood cannot exhaust the mixer's memory.
  */
 final class PeerSocket implements Closeable {
   static final int MAX_QUEUED = 256;
@@ -32,7 +32,7 @@
   private final AtomicLong dropped = new AtomicLong();
   private long sendFailures;
 
-  /** {@code received} is called by what is posted to the inbox. */
+  /** {@code receiver} is called on the loop, by the tasks posted to {@code inbox}. */
   PeerSocket(
       InetSocketAddress listenAddress,
       Consumer<Runnable> inbox,
@@ -61,7 +61,8 @@
 
   private void run() {
     ByteBuffer buffer =
-        ByteBuffer.allocateDirect(MessageCodec.MAX_BYTES + 1); // what is longer is no letter
+        ByteBuffer.allocateDirect(
+            MessageCodec.MAX_BYTES + 1); // a longer datagram fills the extra byte and is rejected
     while (channel.isOpen()) {
       try {
         buffer.clear();
@@ -85,7 +86,8 @@
         return;
       } catch (IOException e) {
         LOG.debug(
-            "a datagram could not be taken: {}", e.toString()); // as where a peer's port is closed
+            "failed to receive a datagram: {}",
+            e.toString()); // for example when a peer's port is closed
       }
     }
   }
@@ -111,7 +113,7 @@
     try {
       channel.close();
     } catch (IOException e) {
-      LOG.debug("closing: {}", e.toString());
+      LOG.debug("failed to close the peer socket: {}", e.toString());
     }
   }
 }
--- a/peering/src/main/java/gingerring/peering/Peering.java
+++ b/peering/src/main/java/gingerring/peering/Peering.java
@@ -32,8 +32,8 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The peers of one mixer's process: their socket and their company, between {@code Serve} and the
- * core.
+ * Connects the peer group to the process of one mixer: owns the peer socket and the {@link
+ * PeerNode}, and links both with the mixer's process and its core.
  */
 public final class Peering implements PeerService, PeerNode.Host {
   private static final Logger LOG = LoggerFactory.getLogger("gingerring.peers");
@@ -157,7 +157,7 @@
     switch (outcome) {
       case SUCCEEDED -> node.attemptEnded(searcher, true);
       case ERROR, BROKEN, UNREACHABLE -> node.attemptEnded(searcher, false);
-      default -> {} // full or late tells of load, and not of the box
+      default -> {} // a full or late box indicates load rather than a faulty box
     }
   }
 
@@ -218,7 +218,7 @@
     LOG.info("{}", statusLine());
   }
 
-  /** Where datagrams come in. */
+  /** The address the socket is bound to. */
   InetSocketAddress address() {
     try {
       return socket.address();
@@ -258,8 +258,8 @@
   }
 
   /**
-   * What operators ask: {@code p} peers, {@code w} why of a box, {@code s} shares, {@code c}
-   * counts.
+   * Answers an operator's query: {@code p} lists the peers, {@code w} explains the state of a box,
+   * {@code s} lists demands and fair shares, {@code c} the counts.
    */
   @Override
   public String answerQuery(MessageBody.Query query) {
@@ -333,8 +333,8 @@
   }
 
   /**
-   * What each asks for a second, and what would be its due of all that is asked if a tenth of it
-   * had to go.
+   * Lists each mixer's demand per second, and its fair share if a tenth of the total demand had to
+   * be shed.
    */
   private void describeShares(List<String> lines) {
     Map<Long, Double> demands = new TreeMap<>();
--- a/peering/src/main/java/gingerring/peering/package-info.java
+++ b/peering/src/main/java/gingerring/peering/package-info.java
@@ -1,8 +1,8 @@
 /**
- * A mixer's side of its peers: reads their settings ({@link gingerring.peering.PeerSettings}), owns
- * their one datagram socket, and stands between the mixer's process and {@link
- * gingerring.peers.PeerNode}, which decides. Given to {@code MixerServer} by the command line where
- * a file names peers; the mixer must never depend on it. It holds no tuned value and decides
- * nothing.
+ * The mixer's side of its peer group: reads the settings ({@link gingerring.peering.PeerSettings}),
+ * owns the datagram socket, and connects the mixer's process with {@link
+ * gingerring.peers.PeerNode}, which makes the decisions. The command line passes it to {@code
+ * MixerServer} if a peers' file is given; the mixer must never depend on it. The package holds no
+ * tuned value and decides nothing.
  */
 package gingerring.peering;
--- a/peering/src/test/java/gingerring/peering/PeerSettingsTest.java
+++ b/peering/src/test/java/gingerring/peering/PeerSettingsTest.java
@@ -61,7 +61,7 @@
             "key_files.1 names a file that cannot be read: missing",
             "witness is unknown",
             "say_ms is often",
-            "say_to is 2.5, and has to be a whole number",
+            "say_to is 2.5, must be a whole number",
             "prefer is -1")) {
       assertTrue(message.contains(file + ": " + each), () -> each + " is not in " + message);
     }
@@ -74,12 +74,12 @@
     assertTrue(
         assertThrows(PeerSettings.InvalidPeerSettings.class, () -> PeerSettings.read(file))
             .getMessage()
-            .contains("answers in PT0.9S"));
+            .contains("an ack timeout of PT0.9S"));
     Path none = file("{\"listen\": \"127.0.0.1:0\"}");
     assertTrue(
         assertThrows(PeerSettings.InvalidPeerSettings.class, () -> PeerSettings.read(none))
             .getMessage()
-            .contains("key_files has to name"));
+            .contains("key_files must name"));
     Path broken = file("{\"listen\": ");
     assertThrows(PeerSettings.InvalidPeerSettings.class, () -> PeerSettings.read(broken));
   }
--- a/peers/src/main/java/gingerring/peers/BandwidthLimiter.java
+++ b/peers/src/main/java/gingerring/peers/BandwidthLimiter.java
@@ -3,9 +3,10 @@
 import java.time.Duration;
 
 /**
- * A ceiling on the bytes that a mixer sends its peers: so many a second over any span, and one
- * second's worth at once. What would go over it is not sent and counted; words go first, as others
- * can do without them for longer: they may use half of it.
+ * Token bucket that limits the bytes a mixer sends to its peers: a constant rate with a burst of
+ * one second's worth. A message over the limit is not sent, and is counted. Reports and query
+ * replies have low priority and may use only half of the burst, because peers can do without them
+ * for longer than without membership messages.
  */
 final class BandwidthLimiter {
   private final double bytesPerNano;
@@ -17,9 +18,9 @@
   BandwidthLimiter(int bytesPerSecond) {
     if (bytesPerSecond < MessageCodec.MAX_BYTES) {
       throw new IllegalArgumentException(
-          "a ceiling of "
+          "a limit of "
               + bytesPerSecond
-              + " bytes a second is under one letter of "
+              + " bytes per second is less than one message of "
               + MessageCodec.MAX_BYTES);
     }
     bytesPerNano = bytesPerSecond / 1e9;
@@ -27,7 +28,7 @@
     availableBytes = bytesPerSecond;
   }
 
-  /** Whether so many bytes may go now; they count from now on. */
+  /** Consumes the bytes and returns true if they may be sent now; otherwise counts a refusal. */
   boolean tryTake(int bytes, boolean lowPriority, Duration now) {
     if (now.compareTo(updatedAt) > 0) {
       availableBytes =
--- a/peers/src/main/java/gingerring/peers/BoxObservation.java
+++ b/peers/src/main/java/gingerring/peers/BoxObservation.java
@@ -1,8 +1,9 @@
 package gingerring.peers;
 
 /**
- * What an author saw of one box over its last span: parts answered, and parts that failed there
- * (silence, error or refusal). Counts, zero or more; whoever reads them judges for itself.
+ * Parts that a mixer saw at one box during its observation span: parts answered, and parts that
+ * failed there (silence, error or refusal). Both counts are finite and not negative. The receiver
+ * decides what to conclude from them.
  */
 public record BoxObservation(double answered, double failed) {
   public BoxObservation {
@@ -11,7 +12,7 @@
         || Double.isInfinite(answered)
         || Double.isInfinite(failed)) {
       throw new IllegalArgumentException(
-          "seen " + answered + " answered and " + failed + " failed");
+          "invalid observation: " + answered + " answered, " + failed + " failed");
     }
   }
 
--- a/peers/src/main/java/gingerring/peers/GossipQueue.java
+++ b/peers/src/main/java/gingerring/peers/GossipQueue.java
@@ -7,10 +7,11 @@
 import java.util.Map;
 
 /**
- * News that each mixer passes on a few times beside whatever it sends (Das, Gupta and Motivala,
- * "SWIM", DSN 2002, 4.1): of each subject the newest alone, what was passed on least often first,
- * each so many times as the logarithm of the fleet's size asks for. At most {@code most} subjects:
- * what was passed on most often goes for what is new, and is counted.
+ * Updates that a mixer attaches to the messages it sends, a limited number of times each
+ * (piggybacked dissemination: Das, Gupta and Motivala, "SWIM", DSN 2002, 4.1). The queue keeps only
+ * the newest update of each subject and takes the least often sent first; the send limit grows with
+ * the logarithm of the fleet's size. At most {@code capacity} subjects are kept: the most often
+ * sent update is dropped for a new one, and counted.
  */
 final class GossipQueue<S, N> {
   private static final class QueuedUpdate<N> {
@@ -30,7 +31,10 @@
   private long nextSequence;
   private long dropped;
 
-  /** {@code times}: how often each is passed on for each power of ten of the fleet. */
+  /**
+   * {@code retransmitFactor}: how often each update is sent for each power of ten of the fleet's
+   * size.
+   */
   GossipQueue(int capacity, double retransmitFactor) {
     this.capacity = capacity;
     this.retransmitFactor = retransmitFactor;
@@ -49,7 +53,7 @@
     items.put(subject, new QueuedUpdate<>(update, nextSequence++));
   }
 
-  /** What the next letter carries, so many at most; counts as passed on. */
+  /** Takes at most {@code maxUpdates} updates for the next message, and counts them as sent. */
   List<N> take(int maxUpdates, int fleetSize) {
     if (items.isEmpty()) {
       return List.of();
--- a/peers/src/main/java/gingerring/peers/Membership.java
+++ b/peers/src/main/java/gingerring/peers/Membership.java
@@ -15,44 +15,44 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Who the other mixers are: SWIM (Das, Gupta and Motivala, DSN 2002) with the local health, the
- * growing confidence in a suspicion and the word to the suspected first of Lifeguard (Dadgar,
- * Phillips and Currey, DSN-W 2018). Its host calls {@link #start} once, {@link #tick} some times
- * within {@code Rules.ackIn}, {@link #messageReceived} for each letter that was proved, {@link
- * #takeUpdates} for what the next letter is to carry; it acts by {@link Host}.
+ * Group membership by SWIM (Das, Gupta and Motivala, DSN 2002) with three extensions of Lifeguard
+ * (Dadgar, Phillips and Currey, DSN-W 2018): the local health score, suspicion timeouts that
+ * shorten with independent confirmations, and notifying the suspected member first. The host calls
+ * {@link #start} once, {@link #tick} several times within {@code Settings.ackTimeout}, {@link
+ * #messageReceived} for each authenticated message, and {@link #takeUpdates} for the updates of the
+ * next message; the class acts through {@link Host}.
  *
- * <p>What a mixer does alone, at once: it asks one other each period, through helpers where that is
- * silent, and suspects it where these are too. Who is suspected and lives says so with a higher
- * rise. What is suspected long enough is gone, and comes back under the same name with a higher
- * rise or a later life; words of an earlier life never count. Each half of a cut fleet takes the
- * other for gone and asks one of the gone now and then, by which they find each other again. A
- * process that learns of a later life under its own name is {@link #isSuperseded}: it falls silent,
- * so that of two with one name only the later speaks.
+ * <p>Each period a mixer pings one other member. Without an ack it asks helpers to ping that
+ * member, and suspects the member if they get no ack either. A suspected member that is alive
+ * refutes the suspicion with a higher refutation number. A member suspected for the whole suspicion
+ * timeout is gone, and returns under the same name with a higher refutation number or a later
+ * incarnation; records of an earlier incarnation never count. Each side of a network partition
+ * considers the other side gone, and both sides contact gone members from time to time, by which
+ * they merge again. A process that learns of a later incarnation under its own name is {@link
+ * #isSuperseded}: it stops sending, so that of two processes with one name only the later one takes
+ * part.
  *
- * <p>Bounds: {@code Rules.peersMost} peers, newcomers beyond are turned away and counted; as much
- * news; four errands for others at once from any one peer, 64 in all. Memory: some 300 bytes a
- * peer.
+ * <p>Bounds: {@code Settings.maxPeers} members, where new ones beyond are rejected and counted; as
+ * many queued updates; four indirect pings at once for any one peer, 64 in all. Memory: some 300
+ * bytes a peer.
  */
 public final class Membership {
-  /** How it sends and what it tells its owner. */
+  /** Transport, clock and listener of a membership. */
   public interface Host {
     Duration now();
 
-    /** Sends a letter, which may be lost. */
+    /** Sends a message, which may be lost. */
     void send(PeerAddress recipient, MessageBody body);
 
-    /**
-     * What is believed of one peer is new: it came, is suspected, is trusted again, has gone or
-     * left.
-     */
+    /** Called when a member becomes known, changes its state or restarts. */
     void peerChanged(PeerRecord record);
   }
 
   /**
-   * {@code period}: between two asks; {@code ackIn}: how long an answer may take before helpers are
-   * asked; {@code helpers}: so many are; {@code reconnect}: how often one of the gone, or a place
-   * told at the start, is tried; {@code forget}: how long the gone are remembered; {@code
-   * peersMost}: how many are known at most.
+   * {@code pingPeriod}: the time between two pings; {@code ackTimeout}: how long an ack may take
+   * before helpers are asked; {@code helperCount}: the number of helpers; {@code reconnectPeriod}:
+   * how often a gone member, or a seed address, is contacted; {@code forgetAfter}: how long gone
+   * members are kept; {@code maxPeers}: the most members that are kept.
    */
   public record Settings(
       Duration pingPeriod,
@@ -69,17 +69,17 @@
           || reconnectPeriod.compareTo(pingPeriod) < 0
           || maxPeers < 1) {
         throw new IllegalArgumentException(
-            "a period of "
+            "a ping period of "
                 + pingPeriod
-                + ", answers in "
+                + ", an ack timeout of "
                 + ackTimeout
                 + ", "
                 + helperCount
-                + " helpers, one gone tried each "
+                + " helpers, a reconnect period of "
                 + reconnectPeriod
                 + ", "
                 + maxPeers
-                + " peers");
+                + " peers at most");
       }
     }
 
@@ -94,23 +94,23 @@
     }
   }
 
-  /** What happened, by cause. */
+  /** Counted events; the names of the constants are printed. */
   public enum Count {
-    /** Asks without any answer. */
+    /** Pings without a direct or indirect ack. */
     UNANSWERED,
-    /** Suspicions raised here. */
+    /** Suspicions raised by this mixer. */
     SUSPECTED,
-    /** Taken for gone here. */
+    /** Members declared gone by this mixer. */
     GONE,
-    /** Own suspicion spoken against. */
+    /** Suspicions of this mixer that it refuted. */
     REFUTED,
-    /** Words of an earlier life or rise. */
+    /** Records of an earlier incarnation or refutation number. */
     STALE,
-    /** Newcomers beyond the bound. */
+    /** New members rejected at the limit. */
     NO_ROOM,
-    /** Asks meant for another at this place. */
+    /** Pings meant for another mixer at this address. */
     NOT_ME,
-    /** Errands beyond the bound. */
+    /** Ping requests rejected at the limit. */
     TOO_BUSY
   }
 
@@ -118,13 +118,13 @@
     PeerRecord record;
     Duration stateSince;
 
-    /** While suspected: who says so, and when it is gone. */
+    /** While suspected: the mixers that raised the suspicion. */
     final Set<PeerId> suspectedBy = new HashSet<>();
 
-    /** When its suspicion ran out and it was asked one last time; null before that. */
+    /** When the suspicion timeout passed and a final ping was sent; null before that. */
     Duration finalPingAt;
 
-    /** When it was told that it is taken for gone. */
+    /** When the member was last notified that it is considered gone. */
     Duration goneNoticeAt;
 
     Member(PeerRecord record, Duration stateSince) {
@@ -133,7 +133,7 @@
     }
   }
 
-  /** The ask that is out. */
+  /** The periodic ping that awaits its ack. */
   private static final class PendingPing {
     final PeerId peer;
     final int number;
@@ -151,20 +151,21 @@
     }
   }
 
-  /** An ask on another's behalf. */
+  /** A ping sent on behalf of another mixer. */
   private record IndirectPing(PeerAddress requester, int requestNumber, Duration startedAt) {}
 
   private static final int MAX_HEALTH_SCORE = 8;
 
   /**
-   * Lifeguard's alpha and beta: the least and the most of a suspicion, in periods by the fleet's
-   * logarithm.
+   * Lifeguard's alpha: the shortest suspicion timeout, in ping periods times the logarithm of the
+   * fleet's size. {@link #MAX_SUSPICION_FACTOR} is its beta: the longest timeout, as a multiple of
+   * the shortest.
    */
   private static final double MIN_SUSPICION_PERIODS = 4;
 
   private static final double MAX_SUSPICION_FACTOR = 6;
 
-  /** So many others who suspect the same make a suspicion as short as it gets. */
+  /** With this many confirmations by other mixers a suspicion timeout is at its shortest. */
   private static final int MAX_CONFIRMATIONS = 2;
 
   private static final double RETRANSMIT_FACTOR = 4;
@@ -173,7 +174,7 @@
   private static final int MAX_INDIRECT_PINGS_PER_PEER = 4;
   private static final double NACK_TIMEOUT_SHARE = 0.8;
 
-  /** Asks for the end of the list: each page begins with who sends it. */
+  /** Requests the end of the member list: each page begins with the sender's own record. */
   private static final long OWN_RECORD_ONLY = -1;
 
   private final PeerId self;
@@ -197,13 +198,16 @@
   private Duration nextPingAt;
   private Duration nextReconnectAt;
 
-  /** Whose pages are followed to their end. */
+  /** The mixer whose member list is being fetched page by page. */
   private PeerAddress listSource;
 
   private boolean superseded;
   private boolean left;
 
-  /** {@code life}: as in {@link PeerRecord}; {@code here}: where the others reach this mixer. */
+  /**
+   * {@code incarnation}: as in {@link PeerRecord}; {@code ownAddress}: where the peers reach this
+   * mixer.
+   */
   public Membership(
       PeerId self,
       PeerAddress ownAddress,
@@ -221,7 +225,8 @@
   }
 
   /**
-   * Joins by asking at some places whom they know; it goes on to ask there while nobody is known.
+   * Joins the group by requesting the member list of a seed; seeds are tried again while no known
+   * member has their address.
    */
   public void start(List<PeerAddress> seedAddresses) {
     seeds = seedAddresses.stream().filter(seed -> !seed.equals(ownAddress)).toList();
@@ -234,7 +239,7 @@
     }
   }
 
-  /** All that one knows, page by page. */
+  /** Requests the complete member list of one mixer, page by page. */
   private void requestMemberList(PeerAddress source) {
     listSource = source;
     host.send(source, new MessageBody.MembersRequest(0));
@@ -249,7 +254,10 @@
         self, ownAddress, incarnation, refutations, left ? State.LEFT : State.HERE, self);
   }
 
-  /** Time has passed. */
+  /**
+   * Handles all timeouts that have expired; to be called several times within {@code
+   * Settings.ackTimeout}.
+   */
   public void tick() {
     if (superseded || left) {
       return;
@@ -282,9 +290,9 @@
   }
 
   /**
-   * A suspicion has run out. It may be of a cut that has ended since, so it is asked one last time,
-   * and nobody is taken for gone by one who hears it: it is told of its suspicion again, against
-   * which it can speak.
+   * Handles an expired suspicion. It may stem from a network partition that has ended, so the
+   * member is pinged a final time and its suspicion is gossiped again, so that the member can
+   * refute it. A member from which any message arrives is not declared gone.
    */
   private void suspicionExpired(Member member, Duration now) {
     if (member.finalPingAt == null) {
@@ -298,7 +306,9 @@
     }
   }
 
-  /** The periodic ask: first straight, then through helpers, then a suspicion. */
+  /**
+   * Runs the periodic ping: a direct ping, then indirect pings through helpers, then a suspicion.
+   */
   private void pingPeriodically(Duration now) {
     if (pendingPing != null) {
       Duration ackTimeout = settings.ackTimeout.multipliedBy(1L + pendingPing.sentHealthScore);
@@ -323,7 +333,7 @@
         PendingPing unanswered = pendingPing;
         pendingPing = null;
         count(Count.UNANSWERED);
-        // helpers that say nothing either are a sign that it is this mixer that hears late
+        // helpers that send no nack either suggest that this mixer itself is slow to receive
         adjustHealth(
             unanswered.helpers.isEmpty() ? 1 : unanswered.helpers.size() - unanswered.nackCount);
         suspect(unanswered.peer, now);
@@ -335,14 +345,18 @@
       if (target != null) {
         pendingPing = new PendingPing(target.peer(), ++lastPingNumber, now, healthScore);
         if (target.state() == State.SUSPECTED) {
-          gossip.add(target.peer(), target); // it is to hear of it first from whom it can answer
+          gossip.add(
+              target.peer(),
+              target); // notifies the suspected member first, which can refute the suspicion
         }
         host.send(target.address(), new MessageBody.Ping(pendingPing.number, target.peer()));
       }
     }
   }
 
-  /** Each in turn, in an order that is drawn anew when all have been asked. */
+  /**
+   * The next member to ping: round robin in a random order that is drawn again after each round.
+   */
   private PeerRecord nextPingTarget() {
     for (int attempts = members.size() + 1; attempts > 0; attempts--) {
       if (pingOrder.isEmpty()) {
@@ -365,7 +379,9 @@
     return null;
   }
 
-  /** So many of those who are here, by chance, but that one. */
+  /**
+   * Draws up to {@code count} members that are present and not suspected, without {@code excluded}.
+   */
   private List<PeerRecord> randomPeers(int count, PeerId excluded) {
     List<PeerRecord> candidates = new ArrayList<>();
     members
@@ -383,7 +399,10 @@
     return selected;
   }
 
-  /** So many of those who are here, by chance, for a word. */
+  /**
+   * Draws up to {@code count} members that are present and not suspected, to send them a message;
+   * none once this mixer has left or is superseded.
+   */
   public List<PeerRecord> randomPeers(int count) {
     return superseded || left ? List.of() : randomPeers(count, self);
   }
@@ -399,7 +418,8 @@
   }
 
   /**
-   * Between the least and the most, the shorter the more others suspect the same (Lifeguard, IV.B).
+   * The suspicion timeout: between the shortest and the longest, the shorter the more other mixers
+   * confirm the suspicion (Lifeguard, IV.B).
    */
   private Duration suspicionTimeout(Member member) {
     double minNanos =
@@ -412,16 +432,19 @@
     }
     double confirmedShare =
         Math.log(member.suspectedBy.size())
-            / Math.log(maxConfirmations + 1.0); // the first accuser is no confirmer
+            / Math.log(
+                maxConfirmations
+                    + 1.0); // the mixer that raised the suspicion first is not a confirmation
     return Duration.ofNanos(
         (long) Math.max(minNanos, minNanos * MAX_SUSPICION_FACTOR * (1 - confirmedShare)));
   }
 
   /**
-   * One of the gone is asked whom it knows, or a place told at the start at which nobody known
-   * stands: so halves of a fleet meet again, and islands that began at several such places. Else
-   * one who is there is asked for a page from anywhere in its list, which mends what news did not
-   * bring; a page alone, so that its cost is the same in a fleet of any size.
+   * Requests the member list of one gone member, or of a seed address at which no member is known:
+   * by this the sides of a network partition merge again, and so do separate groups that started
+   * from different seeds. If there is none, requests one page of the list of a present member, from
+   * a random identifier on, which repairs what gossip has missed. It is a single page so that the
+   * cost is the same in a fleet of any size.
    */
   private void reconnect(Duration now) {
     members
@@ -439,7 +462,7 @@
                 candidates.add(member.record.address());
               }
             });
-    // one that nobody known stands at may be the heart of another island of this fleet
+    // a seed address without a known member may belong to a separate group of this fleet
     Set<PeerAddress> knownAddresses = new HashSet<>();
     members.values().forEach(member -> knownAddresses.add(member.record.address()));
     seeds.stream().filter(seed -> !knownAddresses.contains(seed)).forEach(candidates::add);
@@ -457,7 +480,7 @@
     healthScore = Math.max(0, Math.min(MAX_HEALTH_SCORE, healthScore + steps));
   }
 
-  /** A letter of a mixer in that life has come that was proved to be of the fleet. */
+  /** Handles an authenticated message of a mixer in the given incarnation. */
   public void messageReceived(
       PeerId author,
       long authorIncarnation,
@@ -478,7 +501,7 @@
         && sender.record.state() == State.GONE
         && (sender.goneNoticeAt == null
             || now.minus(sender.goneNoticeAt).compareTo(settings.pingPeriod) >= 0)) {
-      // it lives, and does not know what is believed of it: told, it speaks against that
+      // the sender is alive and does not know that it is considered gone: notified, it refutes that
       sender.goneNoticeAt = now;
       host.send(from, new MessageBody.MembersPage(List.of(sender.record), 0));
     }
@@ -486,15 +509,15 @@
         && !(body instanceof MessageBody.MembersRequest)
         && !(body instanceof MessageBody.MembersPage)
         && !(body instanceof MessageBody.Query)) {
-      // whose own word was lost, or has been forgotten, or was of an earlier life: it is to say who
-      // it is
+      // the sender's own record was lost, was forgotten, or is of an earlier incarnation: request
+      // it
       host.send(from, new MessageBody.MembersRequest(OWN_RECORD_ONLY));
     }
     if (body instanceof MessageBody.Ping ping) {
       if (ping.peer().equals(self)) {
         host.send(from, new MessageBody.Ack(ping.number()));
       } else {
-        count(Count.NOT_ME); // the place was another's before
+        count(Count.NOT_ME); // the address belonged to another mixer before
       }
     } else if (body instanceof MessageBody.Ack ack) {
       ackReceived(author, ack, now);
@@ -521,8 +544,8 @@
     if (indirectPing != null) {
       host.send(indirectPing.requester, new MessageBody.Ack(indirectPing.requestNumber));
     }
-    // through a helper the number alone tells: a helper that lies can hide that a peer is gone, for
-    // a while
+    // through a helper only the ping's number identifies the ack: a helper that lies can hide for a
+    // while that a peer is gone
     if (pendingPing != null && ack.number() == pendingPing.number) {
       if (pendingPing.peer.equals(author) || pendingPing.indirect) {
         pendingPing = null;
@@ -557,7 +580,7 @@
     return new MessageBody.MembersPage(records, nextPeer);
   }
 
-  /** Takes in what is believed of one peer, if it holds over what was. */
+  /** Merges a received record into the member list, if it supersedes the known one. */
   private void applyRecord(PeerRecord update, Duration now) {
     if (update.peer().equals(self)) {
       applyOwnRecord(update);
@@ -583,7 +606,7 @@
     if (sameSuspicion) {
       if (member.suspectedBy.size() <= MAX_CONFIRMATIONS
           && member.suspectedBy.add(update.source())) {
-        gossip.add(update.peer(), update); // a further accuser is news
+        gossip.add(update.peer(), update); // another mixer's suspicion is an update worth gossiping
       }
     } else if (update.supersedes(known)) {
       member.record = update;
@@ -593,7 +616,7 @@
     }
   }
 
-  /** The one gone or left for longest makes room for a newcomer. */
+  /** Evicts the member that has been gone or left for longest, to make room for a new one. */
   private boolean evictAbsentMember() {
     Member oldest = null;
     for (Member member : members.values()) {
@@ -638,12 +661,12 @@
         && update.refutations() >= refutations) {
       refutations = update.refutations() + 1;
       count(Count.REFUTED);
-      adjustHealth(1); // suspected though it lives: it may hear late
+      adjustHealth(1); // suspected though it is alive: this mixer may be slow to receive
       gossip.add(self, ownRecord());
     }
   }
 
-  /** It ends on purpose: says so to some, who pass it on. */
+  /** Leaves the group: notifies a few members, which gossip it on. */
   public void leave() {
     left = true;
     gossip.add(self, ownRecord());
@@ -652,17 +675,17 @@
     }
   }
 
-  /** News for the next letter, so many at most. */
+  /** Takes up to {@code maxUpdates} membership updates for the next message. */
   public List<PeerRecord> takeUpdates(int maxUpdates) {
     return gossip.take(maxUpdates, presentCount + 1);
   }
 
-  /** All that is known of the others, by their numbers. */
+  /** The records of all other members, in the order of their identifiers. */
   public List<PeerRecord> records() {
     return members.values().stream().map(member -> member.record).toList();
   }
 
-  /** Those who are there, suspected ones among them: who may hold a turn. */
+  /** The members that are present, suspected ones included: these take turns in schedules. */
   public List<PeerId> present() {
     return members.values().stream()
         .map(member -> member.record)
@@ -671,18 +694,21 @@
         .toList();
   }
 
-  /** The life that is believed of one who is there; 0 for others. */
+  /** The known incarnation of a present member; 0 for others. */
   public long incarnation(PeerId peer) {
     Member member = members.get(peer.number());
     return member != null && member.record.isPresent() ? member.record.incarnation() : 0;
   }
 
-  /** Whether a later life under the own name is about. */
+  /** Whether a later incarnation runs under this mixer's name. */
   public boolean isSuperseded() {
     return superseded;
   }
 
-  /** From 0, hears in time, to {@value #MAX_HEALTH_SCORE}. */
+  /**
+   * Lifeguard's local health score, from 0 for a mixer that receives in time to {@value
+   * #MAX_HEALTH_SCORE}.
+   */
   public int healthScore() {
     return healthScore;
   }
--- a/peers/src/main/java/gingerring/peers/MessageAuthenticator.java
+++ b/peers/src/main/java/gingerring/peers/MessageAuthenticator.java
@@ -9,16 +9,16 @@
 import javax.crypto.spec.SecretKeySpec;
 
 /**
- * The proof that a letter's author knows the fleet's key: HMAC-SHA256 (RFC 2104, FIPS 180-4) cut to
- * 16 bytes, over all that comes before it. Whoever knows the key can speak for any peer; a letter
- * cannot be changed or made by who does not. One that is sent again as it was is proved too: {@link
- * Numbers} drops it.
+ * Authenticates messages with the fleet's key: HMAC-SHA256 (RFC 2104, FIPS 180-4) truncated to a
+ * tag of 16 bytes, over all bytes before the tag. Anyone with the key can send messages in the name
+ * of any peer; without the key no message can be forged or altered. A replayed message verifies
+ * too: {@link ReplayFilter} drops it.
  *
- * <p>Keys change without a gap: {@link #sign} proves with the first key, {@link #open} believes any
- * of them. Not for use by several threads at once.
+ * <p>Keys can be rotated without interruption: {@link #sign} uses the first key, {@link #verify}
+ * accepts any of them. Not safe for use by several threads at once.
  */
 public final class MessageAuthenticator {
-  /** Bytes of a proof. */
+  /** Length of the authentication tag. */
   static final int TAG_BYTES = 16;
 
   private static final int MIN_KEY_BYTES = 16;
@@ -30,7 +30,7 @@
     this.macs = macs;
   }
 
-  /** Keys of 16 bytes or more, the one to prove with first. */
+  /** Creates an authenticator from keys of 16 bytes or more, the signing key first. */
   public static MessageAuthenticator of(List<byte[]> keys) {
     if (keys.isEmpty() || keys.stream().anyMatch(key -> key.length < MIN_KEY_BYTES)) {
       throw new IllegalArgumentException("a key of at least " + MIN_KEY_BYTES + " bytes is needed");
@@ -44,11 +44,13 @@
       mac.init(new SecretKeySpec(key, ALGORITHM));
       return mac;
     } catch (GeneralSecurityException e) {
-      throw new IllegalStateException("every Java platform has " + ALGORITHM, e);
+      throw new IllegalStateException("every Java platform provides " + ALGORITHM, e);
     }
   }
 
-  /** Puts the proof behind the first {@code length} bytes, which have to leave room for it. */
+  /**
+   * Writes the tag after the first {@code length} bytes, where the array has to have room for it.
+   */
   void sign(byte[] bytes, int length) {
     ByteBuffer.wrap(bytes, length, TAG_BYTES).put(tag(macs.get(0), bytes, length));
   }
@@ -58,7 +60,10 @@
     return Arrays.copyOf(mac.doFinal(), TAG_BYTES);
   }
 
-  /** Whether the last 16 bytes prove those before them; the count of those, or -1. */
+  /**
+   * Verifies the tag in the last 16 bytes; returns the number of bytes before it, or -1 if the tag
+   * is not valid.
+   */
   int verify(byte[] bytes) {
     int length = bytes.length - TAG_BYTES;
     if (length <= 0) {
--- a/peers/src/main/java/gingerring/peers/MessageBody.java
+++ b/peers/src/main/java/gingerring/peers/MessageBody.java
@@ -2,27 +2,36 @@
 
 import java.util.List;
 
-/** What one letter between two mixers is about; news of others goes beside it. */
+/**
+ * The body of a message between two mixers; membership updates and probe notices travel beside it
+ * in {@link PeerMessage}.
+ */
 public sealed interface MessageBody {
-  /**
-   * Are you there? {@code peer} is whom the sender means: another at that place does not answer.
-   */
+  /** Checks whether {@code peer} is present; another mixer at the same address does not answer. */
   record Ping(int number, PeerId peer) implements MessageBody {}
 
-  /** I am. */
+  /** Answers a ping. */
   record Ack(int number) implements MessageBody {}
 
-  /** Whom you asked me to ask has not answered yet; I myself am there. */
+  /**
+   * Answers a ping request whose target has not answered yet, to show that the helper itself is
+   * present.
+   */
   record Nack(int number) implements MessageBody {}
 
-  /** Ask that one for me. */
+  /** Asks the recipient to ping {@code peer} on the sender's behalf. */
   record PingRequest(int number, PeerId peer, PeerAddress address) implements MessageBody {}
 
-  /** Tell me whom you know, from this number on (as unsigned). */
+  /**
+   * Requests the membership records whose identifiers, as unsigned numbers, are {@code fromPeer} or
+   * more.
+   */
   record MembersRequest(long fromPeer) implements MessageBody {}
 
   /**
-   * Whom I know, in the order of their numbers; {@code next} is where the rest begins, 0 for none.
+   * A page of the sender's own record and those of other members, in the order of their
+   * identifiers; {@code nextPeer} is the identifier at which the next page begins, 0 on the last
+   * page.
    */
   record MembersPage(List<PeerRecord> records, long nextPeer) implements MessageBody {
     public MembersPage {
@@ -30,15 +39,18 @@
     }
   }
 
-  /** What I have seen. */
+  /** Carries the sender's load report. */
   record Report(PeerReport report) implements MessageBody {}
 
-  /** Nothing but what goes beside it. */
+  /** Carries only the updates and notices beside it. */
   record Empty() implements MessageBody {}
 
-  /** An operator asks: what of ({@code about}, a letter), and of which box where it is of one. */
+  /**
+   * An operator's query; {@code about} selects the topic (see {@link PeerNode.Host#answerQuery})
+   * and {@code box} the box where the topic is one box.
+   */
   record Query(char about, long box) implements MessageBody {}
 
-  /** The answer, in plain lines. */
+  /** The answer to a query, as lines of plain text. */
   record Reply(String text) implements MessageBody {}
 }
--- a/peers/src/main/java/gingerring/peers/MessageCodec.java
+++ b/peers/src/main/java/gingerring/peers/MessageCodec.java
@@ -11,18 +11,19 @@
 import java.util.TreeMap;
 
 /**
- * Letters as bytes, most significant byte first: form 2 (1 byte), author, life, number (8 each),
- * kind (1), the body, a count of news (1) with 35 bytes each, a count of notes (1) with 33 each,
- * and the proof ({@link MessageAuthenticator}). At most {@value #MAX_BYTES} bytes, so that a letter
- * is one packet on any usual way.
+ * Encodes messages, big-endian: format version 2 (1 byte), author, incarnation, number (8 each),
+ * kind (1), the body, a count of membership records (1) with 35 bytes each, a count of probe
+ * notices (1) with 33 each, and the authentication tag ({@link MessageAuthenticator}). At most
+ * {@value #MAX_BYTES} bytes, so that a message fits into one packet on any common path.
  *
- * <p>Bodies: ping number (4), peer (8); ack and nack number (4); help number (4), peer (8), place
- * (6); ask from (8); page next (8), count (1), standings; say zone (4), demand (4, a float), count
- * (2), then by number box (8), answered, failed (2 each, whole parts, 65,535 at most); pass
- * nothing; query about (1), box (8); reply length (2), text in UTF-8.
+ * <p>Bodies: ping number (4), peer (8); ack and nack number (4); ping request number (4), peer (8),
+ * address (6); members request from (8); members page next (8), count (1), records; report zone
+ * (4), demand (4, a float), count (2), then in the order of the boxes' numbers box (8), answered,
+ * failed (2 each, whole parts, 65,535 at most); empty nothing; query about (1), box (8); reply
+ * length (2), text in UTF-8.
  */
 public final class MessageCodec {
-  /** Bytes that are no letter, or not proved; the message says which. */
+  /** Thrown for bytes that are not authenticated or not a well-formed message. */
   public static final class InvalidMessage extends Exception {
     private static final long serialVersionUID = 1;
 
@@ -31,7 +32,7 @@
     }
   }
 
-  /** A letter's bytes at most. */
+  /** The largest message, in bytes. */
   public static final int MAX_BYTES = 1200;
 
   private static final byte FORMAT_VERSION = 2;
@@ -52,7 +53,10 @@
     this.authenticator = authenticator;
   }
 
-  /** How many boxes a word may tell of so that so many news and notes still fit beside it. */
+  /**
+   * The number of boxes that a report may cover so that the given numbers of membership updates and
+   * notices still fit beside it.
+   */
   static int maxBoxes(int updates, int notices) {
     return (MAX_BYTES
             - HEADER_BYTES
@@ -64,7 +68,7 @@
         / BOX_BYTES;
   }
 
-  /** How much fits beside a body of that kind: room in standings, where no notes go along. */
+  /** The number of membership updates that fit beside a body, where no notices are sent along. */
   static int maxUpdates(MessageBody body) {
     int usedBytes = HEADER_BYTES + 2 + MessageAuthenticator.TAG_BYTES + bodyBytes(body);
     return Math.max(0, Math.min(MAX_COUNT, (MAX_BYTES - usedBytes) / RECORD_BYTES));
@@ -82,7 +86,7 @@
         : 18;
   }
 
-  /** The bytes of a letter; one that is too large is a fault of its writer. */
+  /** Encodes a message. The caller has to keep it within {@link #MAX_BYTES}. */
   public byte[] encode(PeerMessage message) {
     ByteBuffer out = ByteBuffer.wrap(buffer, 0, MAX_BYTES - MessageAuthenticator.TAG_BYTES);
     out.put(FORMAT_VERSION)
@@ -166,20 +170,21 @@
         .putLong(record.source().number());
   }
 
-  /** Proves bytes first, and only then reads them. */
+  /** Verifies the authentication tag first, and only then decodes the message. */
   public PeerMessage decode(byte[] datagram) throws InvalidMessage {
     int length = authenticator.verify(datagram);
     if (length < 0) {
       throw new InvalidMessage(
           datagram.length <= HEADER_BYTES + MessageAuthenticator.TAG_BYTES
-              ? "too short for a letter: " + datagram.length + " bytes"
-              : "not proved by a key that holds here");
+              ? "too short for a message: " + datagram.length + " bytes"
+              : "not authenticated by any key of this fleet");
     }
     ByteBuffer in = ByteBuffer.wrap(datagram, 0, length);
     try {
       byte version = in.get();
       if (version != FORMAT_VERSION) {
-        throw new InvalidMessage("of form " + version + ", this is form " + FORMAT_VERSION);
+        throw new InvalidMessage(
+            "unsupported format version " + version + ", expected " + FORMAT_VERSION);
       }
       PeerId author = new PeerId(in.getLong());
       long incarnation = in.getLong();
@@ -193,13 +198,13 @@
                 new PeerId(in.getLong()), in.getLong(), in.getLong(), in.getLong(), in.get() == 1));
       }
       if (in.hasRemaining()) {
-        throw new InvalidMessage("proved, and no letter: " + in.remaining() + " bytes over");
+        throw new InvalidMessage("authenticated but malformed: " + in.remaining() + " extra bytes");
       }
       return new PeerMessage(author, incarnation, number, body, updates, notices);
     } catch (BufferUnderflowException e) {
-      throw new InvalidMessage("proved, and no letter: it ends early");
+      throw new InvalidMessage("authenticated but malformed: message is truncated");
     } catch (IllegalArgumentException e) {
-      throw new InvalidMessage("proved, and no letter: " + e.getMessage());
+      throw new InvalidMessage("authenticated but malformed: " + e.getMessage());
     }
   }
 
@@ -224,7 +229,8 @@
         in.get(text);
         yield new MessageBody.Reply(new String(text, StandardCharsets.UTF_8));
       }
-      default -> throw new InvalidMessage("proved, and no letter: of kind " + kind);
+      default ->
+          throw new InvalidMessage("authenticated but malformed: unknown message kind " + kind);
     };
   }
 
@@ -241,7 +247,7 @@
       int refutations = in.getInt();
       int state = Byte.toUnsignedInt(in.get());
       if (state >= STATES.length) {
-        throw new IllegalArgumentException("a standing of " + state);
+        throw new IllegalArgumentException("unknown member state " + state);
       }
       records.add(
           new PeerRecord(
@@ -263,7 +269,7 @@
               Short.toUnsignedInt(in.getShort()), Short.toUnsignedInt(in.getShort())));
     }
     if (boxes.size() != count) {
-      throw new InvalidMessage("proved, and no letter: a box stands there twice");
+      throw new InvalidMessage("authenticated but malformed: duplicate box");
     }
     return new PeerReport(author, incarnation, number, zone, demand, boxes);
   }
--- a/peers/src/main/java/gingerring/peers/ObservationWindow.java
+++ b/peers/src/main/java/gingerring/peers/ObservationWindow.java
@@ -8,9 +8,10 @@
 import java.util.Map;
 
 /**
- * What this mixer itself saw of each box of late, in buckets of a ring, and which of it is worth
- * telling first: the boxes that failed, then those that answered most. At most {@code boxesMost}
- * boxes: what was seen of others is not kept, and counted. 16 bytes a box and bucket.
+ * Sliding window of this mixer's own observations of each box, as a ring of buckets. It also
+ * selects the observations to report: boxes with failures first, then those that answered most
+ * parts. At most {@code maxBoxes} boxes are kept; observations of further boxes are dropped and
+ * counted. 16 bytes for each box and bucket.
  */
 final class ObservationWindow {
   private static final int BUCKETS = 5;
@@ -26,7 +27,7 @@
   private final Map<Long, Ring> rings = new HashMap<>();
   private long dropped;
 
-  /** {@code span}: how far back it sees. */
+  /** {@code span}: the length of the window. */
   ObservationWindow(Duration span, int maxBoxes) {
     bucketNanos = Math.max(1, span.toNanos() / BUCKETS);
     this.maxBoxes = maxBoxes;
@@ -57,7 +58,7 @@
     ring.newest = Math.max(ring.newest, bucket);
   }
 
-  /** Of one box; nothing where nothing was seen. */
+  /** The observation of one box over the window; zero parts where nothing was observed. */
   BoxObservation observation(long box, Duration now) {
     Ring ring = rings.get(box);
     if (ring == null) {
@@ -73,7 +74,10 @@
     return new BoxObservation(answered, failed);
   }
 
-  /** What to tell, of so many boxes at most; what was seen of none is forgotten. */
+  /**
+   * Selects the observations to report, at most {@code maxReported}; boxes without parts in the
+   * window are removed.
+   */
   Map<Long, BoxObservation> mostRelevant(int maxReported, Duration now) {
     Map<Long, BoxObservation> all = new HashMap<>();
     rings
@@ -100,7 +104,7 @@
     return selected;
   }
 
-  /** Parts ended a second, over what it sees back. */
+  /** Parts that ended per second, over the window. */
   double demand(Duration now) {
     double parts = rings.keySet().stream().mapToDouble(box -> observation(box, now).parts()).sum();
     return parts / (bucketNanos * BUCKETS / 1e9);
--- a/peers/src/main/java/gingerring/peers/PeerAddress.java
+++ b/peers/src/main/java/gingerring/peers/PeerAddress.java
@@ -1,10 +1,10 @@
 package gingerring.peers;
 
-/** Where a mixer hears the others: an IPv4 address and a port. */
+/** The IPv4 address and port at which a mixer receives messages of its peers. */
 public record PeerAddress(int address, int port) {
   public PeerAddress {
     if (port < 1 || port > 0xFFFF) {
-      throw new IllegalArgumentException("port " + port);
+      throw new IllegalArgumentException("invalid port: " + port);
     }
   }
 
--- a/peers/src/main/java/gingerring/peers/PeerId.java
+++ b/peers/src/main/java/gingerring/peers/PeerId.java
@@ -3,11 +3,13 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Another mixer, by the number that every mixer makes of its name: the same after it has started
- * anew.
+ * Identifier of a mixer, derived from its name: every mixer computes the same identifier, and it
+ * stays the same after a restart.
  */
 public record PeerId(long number) {
-  /** FNV-1a of the name's bytes (Fowler, Noll, Vo; IETF draft-eastlake-fnv). */
+  /**
+   * Computes the FNV-1a hash of the name's UTF-8 bytes (Fowler, Noll, Vo; IETF draft-eastlake-fnv).
+   */
   public static PeerId named(String name) {
     long hash = 0xcbf29ce484222325L;
     for (byte each : name.getBytes(StandardCharsets.UTF_8)) {
--- a/peers/src/main/java/gingerring/peers/PeerMessage.java
+++ b/peers/src/main/java/gingerring/peers/PeerMessage.java
@@ -5,9 +5,9 @@
 /**
  * One datagram from a mixer to another.
  *
- * @param number counts up within its author's life, over all letters to whomever
- * @param updates what is believed of the members, passed on
- * @param notices what was asked of benched boxes for all, passed on
+ * @param number counts up within the author's incarnation, over the messages to all recipients
+ * @param updates membership records, gossiped along with the body
+ * @param notices probe notices, gossiped along with the body
  */
 public record PeerMessage(
     PeerId author,
--- a/peers/src/main/java/gingerring/peers/PeerNode.java
+++ b/peers/src/main/java/gingerring/peers/PeerNode.java
@@ -16,48 +16,50 @@
 import java.util.random.RandomGenerator;
 
 /**
- * One mixer among its peers: who they are ({@link Membership}), what they say and how much it
- * weighs ({@link PeerReports}, {@link ReportAggregator}), and whose turn it is to ask a benched box
- * for all ({@link TurnSchedule}). Its owner calls {@link #start} once, {@link #tick} ten times a
- * second, {@link #received} for each datagram, {@link #attemptEnded}, {@link #ejected}, {@link
- * #probeStarted} and {@link #probeEnded} for what the mixer meets, and asks {@link #shouldProbe}
- * and {@link #failureShare} when the mixer wants to know; it acts by {@link Host}.
+ * One mixer among its peers: group membership ({@link Membership}), load reports and their
+ * aggregation ({@link PeerReports}, {@link ReportAggregator}), and the turns in which mixers probe
+ * an ejected box on behalf of all ({@link TurnSchedule}). The owner calls {@link #start} once,
+ * {@link #tick} ten times a second, {@link #received} for each datagram, {@link #attemptEnded},
+ * {@link #ejected}, {@link #probeStarted} and {@link #probeEnded} for events of the mixer, and
+ * {@link #shouldProbe} and {@link #failureShare} for decisions; the class acts through {@link
+ * Host}.
  *
- * <p>Nothing that others say is an order. A note that a box has answered lets this mixer ask it
- * too, sooner than it would have; a word that a box fails shortens how long its silence is borne.
- * What any one peer can move is so much and no more, and with nobody heard every answer is what it
- * would be without peers.
+ * <p>Messages of peers are never commands. A notice that a box has answered lets this mixer probe
+ * that box sooner than it would have; a report that a box fails shortens how long the mixer waits
+ * for that box. The influence of any one peer is bounded, and without peers every answer is the
+ * same as without this class.
  *
- * <p>Bounds: as of its parts; {@link Rules#maxBoxes} boxes in hand; one note a box is passed on,
- * the newest; and {@link Rules#maxBytesPerSecond} sent at the most.
+ * <p>Bounds: those of the classes it uses; {@link Settings#maxBoxes} boxes with a probe state; one
+ * notice of a box is gossiped, the newest; and {@link Settings#maxBytesPerSecond} sent at most.
  */
 public final class PeerNode {
-  /** How it acts, and the clock. */
+  /** Transport, clock and listener of a node. */
   public interface Host {
-    /** Time since the start of this mixer. */
+    /** The time since the start of this mixer. */
     Duration now();
 
     /** Sends a datagram, which may be lost. */
     void send(PeerAddress recipient, byte[] datagram);
 
-    /** Another mixer had an answer of a benched box: it may be asked. */
+    /** Another mixer has received an answer of an ejected box, so this mixer may probe it. */
     void boxAnswered(long box);
 
-    /** A peer came, went or is in doubt. */
+    /** Called when a peer becomes known, changes its state or restarts. */
     void peerChanged(PeerRecord record);
 
-    /** What to answer an operator who asks. */
+    /** Answers an operator's query. */
     default String answerQuery(MessageBody.Query query) {
       return "";
     }
   }
 
   /**
-   * {@code zone}: where this mixer stands, -1 where that is not told; {@code sayEvery} and {@code
-   * sayTo}: how often its word goes out, and to how many drawn by chance; {@code sees}: what span a
-   * word tells of; {@code believes}: how long one counts; {@code witnesses}: how many are needed,
-   * see {@link ReportAggregator} (2f + 1 stand against f that lie together); {@code roundEvery} and
-   * {@code roundStep}: the rota of asks; {@code bytesPerSecond}: the ceiling.
+   * {@code zone}: the mixer's zone, -1 where unknown; {@code reportPeriod} and {@code
+   * reportFanout}: how often a report is sent, and to how many randomly drawn peers; {@code
+   * observationSpan}: the time that a report covers; {@code reportLifetime}: how long a report
+   * counts; {@code minWitnesses}: see {@link ReportAggregator} (2f + 1 withstand f that lie
+   * together); {@code roundPeriod} and {@code roundStep}: the schedule of probes; {@code maxBoxes}:
+   * the most boxes observed and probed; {@code maxBytesPerSecond}: the limit on bytes sent.
    */
   public record Settings(
       Membership.Settings membership,
@@ -78,13 +80,13 @@
           || maxBoxes < 1
           || reportLifetime.compareTo(reportPeriod) <= 0) {
         throw new IllegalArgumentException(
-            "a word each "
+            "a report every "
                 + reportPeriod
                 + " to "
                 + reportFanout
-                + ", believed for "
+                + " peers, valid for "
                 + reportLifetime
-                + ", of "
+                + ", about up to "
                 + maxBoxes
                 + " boxes");
       }
@@ -106,28 +108,28 @@
     }
   }
 
-  /** What happened, by cause. */
+  /** Counted events; the names of the constants are printed. */
   public enum Count {
-    /** Letters sent, and taken. */
+    /** Messages sent, and accepted. */
     SENT,
     TAKEN,
-    /** Not proved, or no letter. */
+    /** Not authenticated, or malformed. */
     REFUSED,
-    /** Came before, far behind, or of an earlier life. */
+    /** Repeated, too far behind the newest, or of an earlier incarnation. */
     REPEATED,
-    /** Not sent for the ceiling. */
+    /** Not sent because of the byte limit. */
     OVER_CEILING,
-    /** Words taken, and not. */
+    /** Reports accepted, and rejected. */
     WORDS,
     WORDS_DROPPED,
-    /** Notes believed, and not. */
+    /** Probe notices accepted, and rejected. */
     NOTES,
     NOTES_DISBELIEVED,
-    /** Of boxes that no list names. */
+    /** Notices of boxes that are not on the member list. */
     STRANGE_BOX,
-    /** Asked a box for all. */
+    /** Probes of an ejected box on behalf of all mixers. */
     ASKED,
-    /** Asked one on another's word, in vain. */
+    /** Probes without an answer after another mixer had announced one. */
     MISLED
   }
 
@@ -139,44 +141,53 @@
   private static final int NOTICE_FANOUT = 3;
   private static final double NOTICE_RETRANSMIT_FACTOR = 4;
 
-  /** So much later asks of their own each further mixer draws, after one had an answer. */
+  /**
+   * After one mixer had an answer, the others spread their own probes randomly, one in each step of
+   * this length on average.
+   */
   private static final Duration PROBE_SPREAD_STEP = Duration.ofMillis(5);
 
   /**
-   * A box of which others see less fail is sound; how often their words alone may lead to an ask.
+   * A box whose reported failure share is below this is considered healthy; {@link
+   * #REPORT_PROBE_INTERVAL} is how often reports alone may lead to a probe.
    */
   private static final double HEALTHY_FAILURE_SHARE = 0.5;
 
   private static final Duration REPORT_PROBE_INTERVAL = Duration.ofSeconds(5);
 
   /**
-   * How long who was wrong of an answer is not believed in one: an honest one may be wrong of a box
-   * that falls.
+   * For how long notices of an answer are ignored from a mixer whose last one was wrong. The time
+   * is short at first because an honest mixer may be wrong about a box that is just failing.
    */
   private static final Duration DISTRUST_TIME = Duration.ofSeconds(10);
 
   private static final int MAX_DISTRUST_DOUBLINGS = 8;
 
-  /** What a bench for silence counts for in one's word, in parts that failed. */
+  /** The number of failed parts that the ejection of a silent box counts as in a report. */
   private static final double EJECTION_FAILED_PARTS = 3;
 
-  /** A box that this mixer asks about, or hears of. */
+  /** Probe state of a box that this mixer probes, or receives notices of. */
   private static final class ProbeState {
     final TurnSchedule schedule;
 
-    /** From when on it may ask by itself since another had an answer; null where none had. */
+    /**
+     * From when on this mixer may probe because another mixer had an answer; null where none had.
+     */
     Duration probeAllowedAt;
 
-    /** The round that it acts for, while its ask is out. */
+    /** The round of the pending probe; null while there is none. */
     Long pendingRound;
 
-    /** Whose note was believed last. */
+    /** The notice accepted last. */
     ProbeNotice lastNotice;
 
-    /** Whose word of an answer the ask that is out goes by; null where it is a turn. */
+    /**
+     * The mixer whose notice of an answer led to the pending probe; null where the probe is by
+     * turn.
+     */
     PeerId answerSource;
 
-    /** When others' words may next lead to an ask. */
+    /** When reports of others may next lead to a probe. */
     Duration nextReportProbeAt = Duration.ZERO;
 
     ProbeState(TurnSchedule schedule) {
@@ -201,8 +212,8 @@
   private final Map<Long, ProbeState> probeStates = new LinkedHashMap<>(16, 0.75f, true);
 
   /**
-   * Who said of a box that it answers, and it did not: until when nothing of that is believed, and
-   * how often.
+   * Mixers that announced an answer of a box that then did not answer: until when their notices of
+   * answers are ignored, and how often that has happened.
    */
   private final Map<PeerId, Distrust> distrusted = new LinkedHashMap<>();
 
@@ -212,7 +223,7 @@
   private Duration nextReportAt = Duration.ZERO;
   private long bytesSent;
 
-  /** {@code life}: Unix time in milliseconds at which {@link Host#now} was zero. */
+  /** {@code incarnation}: Unix time in milliseconds at which {@link Host#now} was zero. */
   public PeerNode(
       PeerId self,
       PeerAddress ownAddress,
@@ -262,7 +273,8 @@
               public void peerChanged(PeerRecord now) {
                 if (now.state()
                     == PeerRecord.State
-                        .LEFT) { // what one who is gone said ages by itself: it may be back
+                        .LEFT) { // reports of a mixer that is gone expire by themselves, as it may
+                  // return
                   reports.peerLeft(now.peer(), now.incarnation(), host.now());
                 }
                 host.peerChanged(now);
@@ -274,7 +286,10 @@
     membership.start(seeds);
   }
 
-  /** Time has passed. */
+  /**
+   * Runs the membership's timeouts, and sends a report when one is due; to be called ten times a
+   * second.
+   */
   public void tick() {
     membership.tick();
     Duration now = host.now();
@@ -317,7 +332,7 @@
     host.send(recipient, datagram);
   }
 
-  /** A datagram has come. */
+  /** Handles a received datagram. */
   public void received(PeerAddress from, byte[] datagram) {
     PeerMessage message;
     try {
@@ -345,7 +360,10 @@
     message.notices().forEach(this::noticeReceived);
   }
 
-  /** A note that came, perhaps by others: believed only of one whose turn had come. */
+  /**
+   * Handles a probe notice, perhaps forwarded by others: accepted only from a mixer whose turn has
+   * come.
+   */
   private void noticeReceived(ProbeNotice notice) {
     if (notice.author().equals(self)) {
       return;
@@ -356,7 +374,7 @@
     }
     ProbeState state = probeState(notice.box());
     long rejectedBefore = state.schedule.rejectedClaims();
-    // who had asked in this round has had its answer
+    // the mixer that probed in this round has received its answer
     boolean answersLastNotice =
         notice.answered()
             && state.lastNotice != null
@@ -379,7 +397,7 @@
     if (notice.answered()
         && (authorDistrust == null || authorDistrust.until.compareTo(host.now()) <= 0)) {
       state.answerSource = notice.author();
-      // all are to ask it now, and not all in one moment
+      // all mixers probe the box now, but not at the same moment
       Duration delay =
           new TurnOrder(mixerId(self), PROBE_SPREAD_STEP)
               .randomDelay(notice.box(), notice.round(), mixers().size());
@@ -390,8 +408,8 @@
   }
 
   /**
-   * News that does not bear waiting for the next letter: to some at once, each of whom does the
-   * same.
+   * Gossips a notice at once instead of with the next message: sends it to a few peers, each of
+   * which does the same.
    */
   private void sendNotice(ProbeNotice notice) {
     notices.add(notice.box(), notice);
@@ -429,27 +447,27 @@
     return host.now().plusMillis(incarnation);
   }
 
-  // ---- what the mixer meets, and what it asks ----
+  // ---- events of the mixer, and its queries ----
 
-  /** Discovery's list: of other boxes nothing is taken in. */
+  /** Sets the boxes that discovery lists; notices of other boxes are ignored. */
   public void boxesListed(Collection<Long> boxes) {
     listedBoxes = new HashSet<>(boxes);
     probeStates.keySet().retainAll(listedBoxes);
   }
 
-  /** A trip ended: answered, or failed in a way that tells against the box. */
+  /** Records the end of a trip: answered, or failed in a way that speaks against the box. */
   public void attemptEnded(long box, boolean answered) {
     observations.add(box, answered ? 1 : 0, answered ? 0 : 1, host.now());
   }
 
-  /** This mixer has benched a box, as it is silent. */
+  /** Records that this mixer has ejected a silent box. */
   public void ejected(long box) {
     observations.add(box, 0, EJECTION_FAILED_PARTS, host.now());
   }
 
   /**
-   * Whether this mixer may ask a benched box now: where its turn has come and nobody was heard to
-   * have asked in this round, or another had an answer. Alone, always.
+   * Whether this mixer may probe an ejected box now: its turn has come and no other mixer is known
+   * to have probed in this round, or another mixer had an answer. Without peers it always may.
    */
   public boolean shouldProbe(long box) {
     List<PeerId> present = membership.present();
@@ -460,7 +478,7 @@
     if (state.probeAllowedAt != null) {
       return state.probeAllowedAt.compareTo(host.now()) <= 0;
     }
-    // a note may have been missed: then others' words tell that they are served there
+    // a notice may have been lost: the reports of others then show that the box serves them
     if (host.now().compareTo(state.nextReportProbeAt) >= 0 && servesOthers(box)) {
       return true;
     }
@@ -472,7 +490,7 @@
         < HEALTHY_FAILURE_SHARE;
   }
 
-  /** This mixer asks a benched box now. */
+  /** Records that this mixer probes an ejected box now, and notifies the peers. */
   public void probeStarted(long box) {
     ProbeState state = probeState(box);
     if (state.probeAllowedAt == null) {
@@ -485,7 +503,7 @@
     sendNotice(new ProbeNotice(self, incarnation, box, state.pendingRound, false));
   }
 
-  /** What came of it. */
+  /** Records the result of a probe, and notifies the peers of an answer. */
   public void probeEnded(long box, boolean answered) {
     ProbeState state = probeStates.get(box);
     if (state != null && state.pendingRound != null) {
@@ -499,9 +517,7 @@
     }
   }
 
-  /**
-   * Who says falsely that a box answers is not believed in it for a while, twice as long each time.
-   */
+  /** Ignores notices of answers from this mixer for a while, twice as long each time. */
   private void distrust(PeerId author) {
     Distrust previous = distrusted.remove(author);
     int doublings = previous == null ? 0 : Math.min(previous.doublings + 1, MAX_DISTRUST_DOUBLINGS);
@@ -515,7 +531,8 @@
   }
 
   /**
-   * The share of a box's parts that fail as others see it: 0 where too few tell, or nothing does.
+   * The share of a box's parts that fail as reported by the peers; 0 where too few of them report
+   * the box.
    */
   public double failureShare(long box) {
     double failureShare =
@@ -523,34 +540,34 @@
     return Double.isNaN(failureShare) ? 0 : failureShare;
   }
 
-  /** Parts a second that the whole fleet's clients ask for, as far as it is heard. */
+  /** Parts per second that the clients of the whole fleet request, as far as reported. */
   public double fleetDemand() {
     return aggregator.totalDemand(observations.demand(host.now()), reports.current(host.now()));
   }
 
-  /** Parts a second that this mixer's own clients ask for. */
+  /** Parts per second that this mixer's own clients request. */
   public double ownDemand() {
     return observations.demand(host.now());
   }
 
-  /** What this mixer saw of a box, as its next word would tell it. */
+  /** This mixer's own observation of a box, as its next report would state it. */
   public BoxObservation ownObservation(long box) {
     return observations.observation(box, host.now());
   }
 
-  /** The words that count now. */
+  /** The reports that have not expired. */
   public List<PeerReports.TimedReport> reports() {
     return reports.current(host.now());
   }
 
-  /** It ends on purpose. */
+  /** Leaves the group. */
   public void leave() {
     membership.leave();
   }
 
   /**
-   * Which asks of a box are told, and by whom last: a line for operators; empty where none is in
-   * hand.
+   * Describes this mixer's next turn to probe a box and the last notice of it, as a line for
+   * operators; empty if the box has no probe state.
    */
   public String describeTurn(long box) {
     ProbeState state = probeStates.get(box);
@@ -572,7 +589,7 @@
     return membership;
   }
 
-  /** Bytes sent so far, without those of the datagrams' own heads. */
+  /** Bytes sent so far, without the datagrams' own headers. */
   public long bytesSent() {
     return bytesSent;
   }
--- a/peers/src/main/java/gingerring/peers/PeerRecord.java
+++ b/peers/src/main/java/gingerring/peers/PeerRecord.java
@@ -1,14 +1,15 @@
 package gingerring.peers;
 
 /**
- * What one mixer is believed to be. Of two words about it the one of the later life holds; within a
- * life that it has left is final; else the higher rise; else the worse news. This is an order, so
- * that all who hear the same words, in whatever order and however often, believe the same.
+ * Membership record of one mixer. Of two records of the same mixer the one with the later
+ * incarnation wins; within an incarnation {@code LEFT} is final; else the higher refutation number
+ * wins; else the worse state. This is an order, so all mixers that receive the same records, in any
+ * sequence and however often, reach the same result.
  *
- * @param incarnation when its process started, as Unix time in milliseconds
- * @param refutations counts up each time it speaks against being suspected; only it itself raises
- *     it
- * @param source who says so first of a suspicion; else the mixer itself
+ * @param incarnation when the mixer's process started, as Unix time in milliseconds
+ * @param refutations counts up each time the mixer refutes a suspicion of itself; only that mixer
+ *     raises it
+ * @param source of a suspicion, the mixer that raised it; else the mixer itself
  */
 public record PeerRecord(
     PeerId peer,
@@ -17,7 +18,7 @@
     int refutations,
     State state,
     PeerId source) {
-  /** From good news to bad. */
+  /** Ordered from best to worst; the ordinal is sent on the wire. */
   public enum State {
     HERE,
     SUSPECTED,
@@ -25,7 +26,7 @@
     LEFT
   }
 
-  /** Whether this holds over what was believed before. */
+  /** Whether this record replaces the one known before. */
   public boolean supersedes(PeerRecord before) {
     if (incarnation != before.incarnation) {
       return incarnation > before.incarnation;
@@ -42,7 +43,7 @@
     return new PeerRecord(peer, address, incarnation, refutations, newState, newSource);
   }
 
-  /** Whether one can send to it and expect an answer. */
+  /** Whether the mixer can be sent messages and be expected to answer. */
   public boolean isPresent() {
     return state == State.HERE || state == State.SUSPECTED;
   }
--- a/peers/src/main/java/gingerring/peers/PeerReport.java
+++ b/peers/src/main/java/gingerring/peers/PeerReport.java
@@ -3,14 +3,14 @@
 import java.util.Map;
 
 /**
- * All that one mixer says at one moment; it replaces all that it said before.
+ * Load report of one mixer; it replaces all earlier reports of that mixer.
  *
- * @param incarnation when its process started, as Unix time in milliseconds: a later life under the
- *     same name wins
- * @param number counts up within a life
- * @param zone where it stands, -1 where that is not told
- * @param demand parts a second that its clients ask for
- * @param boxes what it saw, by the box's number
+ * @param incarnation when the mixer's process started, as Unix time in milliseconds; a later
+ *     incarnation under the same name wins
+ * @param number counts up within an incarnation
+ * @param zone the mixer's zone, -1 where unknown
+ * @param demand parts per second that the mixer's clients request
+ * @param boxes observations by the box's number
  */
 public record PeerReport(
     PeerId author,
@@ -21,7 +21,7 @@
     Map<Long, BoxObservation> boxes) {
   public PeerReport {
     if (!(demand >= 0) || Double.isInfinite(demand)) {
-      throw new IllegalArgumentException("a demand of " + demand);
+      throw new IllegalArgumentException("invalid demand: " + demand);
     }
     boxes = Map.copyOf(boxes);
   }
--- a/peers/src/main/java/gingerring/peers/PeerReports.java
+++ b/peers/src/main/java/gingerring/peers/PeerReports.java
@@ -8,31 +8,31 @@
 import java.util.Map;
 
 /**
- * The latest word of each peer. Call {@link #accept} for each word that came and whose sender was
- * proved; {@link #current} for those that still count.
+ * Keeps the latest report of each peer. Call {@link #accept} for each report whose sender was
+ * authenticated; {@link #current} returns the reports that have not expired.
  *
- * <p>Bounds: {@code peersMost} peers, of whom the one silent longest goes for a newcomer once its
- * word has aged, and a newcomer is turned away while none has; {@code boxesMost} boxes a word; one
- * word a peer in each {@code apart}. What is not taken is counted by cause ({@link #count}).
- * Memory: the words kept, and some 100 bytes a peer.
+ * <p>Bounds: {@code maxPeers} peers, where the peer silent for longest is evicted for a new one
+ * once its report has expired, and a new peer is rejected while no report has; {@code maxBoxes}
+ * boxes in a report; one report of a peer in each {@code minInterval}. Rejected reports are counted
+ * by cause ({@link #count}). Memory: the reports kept, and some 100 bytes a peer.
  */
 public final class PeerReports {
-  /** What became of a word. */
+  /** Result of {@link #accept}. */
   public enum Verdict {
     TAKEN,
-    /** Its author has since started anew, or it is an own word that came back. */
+    /** The author has restarted since, or the report is this mixer's own. */
     OLD_LIFE,
-    /** Its author has said something newer, or the same word came twice. */
+    /** The author has sent a newer report, or this report is a duplicate. */
     OLD_NUMBER,
-    /** Its author speaks too often. */
+    /** The author sends reports too often. */
     TOO_SOON,
-    /** It tells of more boxes than one word may. */
+    /** The report covers more boxes than one report may. */
     TOO_LARGE,
-    /** There are as many peers as are kept, and none of them has fallen silent. */
+    /** The maximum number of peers is kept, and none of their reports has expired. */
     NO_ROOM
   }
 
-  /** A word and when it came. */
+  /** A report and when it arrived. */
   public record TimedReport(PeerReport report, Duration receivedAt) {}
 
   private final PeerId self;
@@ -41,12 +41,15 @@
   private final Duration minInterval;
   private final Duration lifetime;
 
-  /** The one heard longest ago first. */
+  /** Ordered by arrival, the oldest report first. */
   private final Map<PeerId, TimedReport> latest = new LinkedHashMap<>();
 
   private final Map<Verdict, Long> counts = new EnumMap<>(Verdict.class);
 
-  /** {@code age}: how long a word counts. */
+  /**
+   * {@code minInterval}: the shortest time between two reports of one peer; {@code lifetime}: how
+   * long a report counts.
+   */
   public PeerReports(
       PeerId self, int maxPeers, int maxBoxes, Duration minInterval, Duration lifetime) {
     if (maxPeers < 1
@@ -58,9 +61,9 @@
               + maxPeers
               + ", boxes "
               + maxBoxes
-              + ", words "
+              + ", interval between reports "
               + minInterval
-              + " apart that count for "
+              + ", lifetime "
               + lifetime);
     }
     this.self = self;
@@ -70,12 +73,12 @@
     this.lifetime = lifetime;
   }
 
-  /** A word has come. */
+  /** Checks a report and keeps it if it is accepted. */
   public Verdict accept(PeerReport report, Duration now) {
     Verdict verdict = check(report, now);
     counts.merge(verdict, 1L, Long::sum);
     if (verdict == Verdict.TAKEN) {
-      latest.remove(report.author()); // so that it stands last
+      latest.remove(report.author()); // reinserted at the end of the order
       if (latest.size() >= maxPeers) {
         latest.remove(latest.keySet().iterator().next());
       }
@@ -95,7 +98,8 @@
     if (sameIncarnation && report.number() <= previous.report.number()) {
       return Verdict.OLD_NUMBER;
     }
-    // of a new life too: who claims one life after the other is not heard more often than others
+    // applies to a new incarnation too: a peer that claims one incarnation after another must not
+    // be accepted more often than others
     if (previous != null && now.minus(previous.receivedAt).compareTo(minInterval) < 0) {
       return Verdict.TOO_SOON;
     }
@@ -110,8 +114,8 @@
   }
 
   /**
-   * The peer has said that it leaves: what it said counts no more. Its life is remembered until it
-   * is forgotten.
+   * Handles a peer that leaves: its report no longer counts. Its incarnation is kept until the peer
+   * is evicted.
    */
   public void peerLeft(PeerId peer, long incarnation, Duration now) {
     TimedReport previous = latest.get(peer);
@@ -125,7 +129,7 @@
     }
   }
 
-  /** The words that still count, the oldest first. */
+  /** The reports that have not expired, the oldest first. */
   public List<TimedReport> current(Duration now) {
     List<TimedReport> reports = new ArrayList<>();
     for (TimedReport timed : latest.values()) {
--- a/peers/src/main/java/gingerring/peers/ProbeNotice.java
+++ b/peers/src/main/java/gingerring/peers/ProbeNotice.java
@@ -1,8 +1,8 @@
 package gingerring.peers;
 
 /**
- * That a mixer has asked a benched box for all, in that round of its turns, and whether the box
- * answered. Passed on by others as it is.
+ * Notice that a mixer probed an ejected box on behalf of all mixers, in which round of that box's
+ * turn schedule, and whether the box answered. Peers forward it unchanged.
  */
 public record ProbeNotice(
     PeerId author, long incarnation, long box, long round, boolean answered) {}
--- a/peers/src/main/java/gingerring/peers/ReplayFilter.java
+++ b/peers/src/main/java/gingerring/peers/ReplayFilter.java
@@ -4,9 +4,10 @@
 import java.util.Map;
 
 /**
- * Which letters have come already: a window of 64 numbers for each author, as of IPsec (RFC 4303,
- * 3.4.3). A letter of an earlier life, one that came before, and one far behind are not taken. At
- * most so many authors, the one heard longest ago goes first; some 100 bytes each.
+ * Detects repeated messages with a window of 64 message numbers for each author, as the anti-replay
+ * window of IPsec does (RFC 4303, 3.4.3). A message of an earlier incarnation, a repeated one, and
+ * one more than 63 numbers behind the highest are rejected. At most {@code maxAuthors} authors are
+ * kept, some 100 bytes each; the author least recently received is evicted first.
  */
 final class ReplayFilter {
   private static final int WINDOW_BITS = 64;
@@ -15,7 +16,7 @@
     long incarnation;
     long highest;
 
-    /** Bit i: the number that is i below the highest has come. */
+    /** Bit i is set if the number i below the highest was received. */
     long receivedBits;
   }
 
@@ -26,7 +27,7 @@
     this.maxAuthors = maxAuthors;
   }
 
-  /** Whether this letter is new; it has come from now on. */
+  /** Returns whether the message is new, and records it as received. */
   boolean accept(PeerId author, long incarnation, long number) {
     AuthorWindow window = windows.get(author);
     if (window == null) {
--- a/peers/src/main/java/gingerring/peers/ReportAggregator.java
+++ b/peers/src/main/java/gingerring/peers/ReportAggregator.java
@@ -8,12 +8,12 @@
 import java.util.Set;
 
 /**
- * How much the others' words weigh. Own sight comes first: what others saw counts as so many own
- * parts at most. What they saw is taken as the median over witnesses, each with one voice however
- * much it claims, so that of 2f + 1 witnesses any f that lie, alone or together, cannot bring it
- * outside of what the others saw (the median's breakdown point; Rousseeuw and Leroy, "Robust
- * Regression and Outlier Detection", 1987). Demands are summed with each held to a multiple of
- * their median.
+ * Combines the reports of other mixers with this mixer's own observations. Own observations come
+ * first: all reports together weigh as much as a fixed number of own parts. The reported failure
+ * share is the median over witnesses, where each witness has one vote however many parts it claims,
+ * so that of 2f + 1 witnesses any f that lie, alone or together, cannot move the result outside the
+ * range that the others saw (the median's breakdown point; Rousseeuw and Leroy, "Robust Regression
+ * and Outlier Detection", 1987). Demands are summed, each capped at a multiple of their median.
  */
 public final class ReportAggregator {
   private final int minWitnesses;
@@ -22,10 +22,12 @@
   private final double maxDemandRatio;
 
   /**
-   * {@code witnesses}: so many are needed before others are believed, half of all who are heard
-   * among them, in two zones where they stand in more than one; {@code partsLeast}: who saw fewer
-   * parts of a box is no witness; {@code lent}: what all of them together count for, in own parts;
-   * {@code demandMost}: how many times the median demand one peer may claim.
+   * Creates an aggregator. {@code minWitnesses}: reports of a box are used only from this many
+   * witnesses on, which also have to be at least half of all reporting mixers and, where those span
+   * several zones, stand in two zones or more; {@code minWitnessParts}: a mixer that saw fewer
+   * parts of a box is not a witness for that box; {@code reportsWeight}: weight of all witnesses
+   * together, in own parts; {@code maxDemandRatio}: the largest multiple of the median demand that
+   * one peer may claim.
    */
   public ReportAggregator(
       int minWitnesses, double minWitnessParts, double reportsWeight, double maxDemandRatio) {
@@ -34,13 +36,13 @@
         || !(reportsWeight >= 0)
         || !(maxDemandRatio >= 1)) {
       throw new IllegalArgumentException(
-          "witnesses "
+          "minimum witnesses "
               + minWitnesses
-              + ", parts "
+              + ", minimum parts "
               + minWitnessParts
-              + ", lent "
+              + ", weight of reports "
               + reportsWeight
-              + ", demand "
+              + ", maximum demand ratio "
               + maxDemandRatio);
     }
     this.minWitnesses = minWitnesses;
@@ -50,8 +52,8 @@
   }
 
   /**
-   * The share of parts that fail at a box, 0 to 1: own sight, and what others saw lent to it. NaN
-   * where neither tells anything.
+   * The share of parts that fail at a box, 0 to 1, from own observations and those of the other
+   * mixers. NaN where neither is available.
    */
   public double failureShare(
       long box, BoxObservation own, Collection<PeerReports.TimedReport> reports) {
@@ -77,7 +79,10 @@
         : (own.failed() + (trusted ? weight * median(failureShares) : 0)) / totalWeight;
   }
 
-  /** The demand of the whole fleet in parts a second: the own, and each other's up to its bound. */
+  /**
+   * The demand of the whole fleet in parts per second: the own demand, and each peer's demand up to
+   * its cap.
+   */
   public double totalDemand(double own, Collection<PeerReports.TimedReport> reports) {
     List<Double> demands = new ArrayList<>();
     reports.forEach(timed -> demands.add(timed.report().demand()));
@@ -87,7 +92,7 @@
         + reports.stream().mapToDouble(timed -> Math.min(maxDemand, timed.report().demand())).sum();
   }
 
-  /** The middle one, or the mean of the two in the middle. */
+  /** The middle value, or the mean of the two middle values. */
   private static double median(List<Double> values) {
     double[] sorted = values.stream().mapToDouble(Double::doubleValue).toArray();
     Arrays.sort(sorted);
--- a/peers/src/main/java/gingerring/peers/package-info.java
+++ b/peers/src/main/java/gingerring/peers/package-info.java
@@ -1,12 +1,13 @@
 /**
- * Who the other mixers are, what they say, and how much it weighs. {@link
- * gingerring.peers.PeerNode} is one mixer among its peers, and what a program calls; it stands on
- * {@link gingerring.peers.Membership} (who is there), {@link gingerring.peers.PeerReports} and
- * {@link gingerring.peers.ReportAggregator} (what they say), {@link gingerring.peers.MessageCodec}
- * and {@link gingerring.peers.MessageAuthenticator} (bytes and their proof), and on the turns of
- * {@code share}. A word says what its author saw, never what its reader is to do; it carries the
- * author's life and number, and it ages. Each reader bounds what any few of them can move. No I/O,
- * thread or clock: datagrams come in as bytes and leave through a host. It must never depend on a
+ * Peer group of mixers: membership, load reports and their aggregation. {@link
+ * gingerring.peers.PeerNode} is the entry point: one mixer among its peers. It uses {@link
+ * gingerring.peers.Membership} (which mixers are present), {@link gingerring.peers.PeerReports} and
+ * {@link gingerring.peers.ReportAggregator} (load reports), {@link gingerring.peers.MessageCodec}
+ * and {@link gingerring.peers.MessageAuthenticator} (wire format and authentication), and the turn
+ * schedules of {@code share}. A report states what its author observed and never what the receiver
+ * is to do; it carries the author's incarnation and a number, and it expires. Each receiver bounds
+ * how much a small number of peers can influence it. The package does no I/O, starts no thread and
+ * reads no clock: datagrams come in as bytes and leave through a host. It must never depend on a
  * mixer.
  */
 package gingerring.peers;
--- a/peers/src/test/java/gingerring/peers/MessageCodecTest.java
+++ b/peers/src/test/java/gingerring/peers/MessageCodecTest.java
@@ -142,8 +142,8 @@
       with(KEY).decode(sealed); // some changes make another letter
     } catch (MessageCodec.InvalidMessage e) {
       assertTrue(
-          e.getMessage().startsWith("proved, and no letter")
-              || e.getMessage().startsWith("of form"));
+          e.getMessage().startsWith("authenticated but malformed")
+              || e.getMessage().startsWith("unsupported format version"));
     }
   }
 
--- a/share/src/main/java/gingerring/share/BoxId.java
+++ b/share/src/main/java/gingerring/share/BoxId.java
@@ -1,4 +1,4 @@
 package gingerring.share;
 
-/** A box, by the number that every mixer makes of its name. */
+/** Identifier of a box, derived from its name; every mixer computes the same number. */
 public record BoxId(long number) {}
--- a/share/src/main/java/gingerring/share/CapacityEstimator.java
+++ b/share/src/main/java/gingerring/share/CapacityEstimator.java
@@ -5,25 +5,25 @@
 import java.util.Deque;
 
 /**
- * How much a box is believed to bear, in parts a second, by what the whole fleet is told to have
- * had answered and refused there; each mixer keeps its own belief, and its portion is its due of
- * that ({@link FairShares}). Call {@link #update} with the fleet's sums each time that reports are
- * looked at, then {@link #share}.
+ * Estimates the capacity of a box, in parts per second, from the reported sums of parts that the
+ * whole fleet had answered and refused there. Each mixer keeps its own estimate, and its share is
+ * its max-min fair share of that ({@link FairShares}). Call {@link #update} with the fleet's sums
+ * each time that reports are evaluated, then {@link #share}.
  *
- * <p>Where parts are refused the room is what was answered: measured, not searched for, so that
- * late reports bring no swing of their own. Where nothing is refused and the room binds, it is
- * tried a little larger, faster the longer that goes well, and not again for a while after a
- * refusal, so that what the last try led to has been heard. Where the room does not bind nothing is
- * learnt and nothing moves.
+ * <p>Where parts are refused, the capacity is the rate that was answered: it is measured rather
+ * than searched for, so that late reports cause no oscillation. Where nothing is refused and the
+ * capacity is the limit, the estimate is raised in small steps that grow while no refusal follows,
+ * and not raised for a while after a refusal, so that the effect of the last step has been reported
+ * by then. Where the capacity is not the limit, the estimate stays as it is.
  *
- * <p>The belief overshoots by what it is tried larger while a refusal is on its way: {@code most}
- * times the reports' delay over {@code every} at the worst.
+ * <p>The estimate overshoots by the steps taken while a refusal is not yet reported: at worst
+ * {@code maxStep} times the delay of reports over the interval between updates.
  */
 public final class CapacityEstimator {
-  /** Shares refused below this are chance. */
+  /** Refused shares below this are noise. */
   private static final double MIN_REFUSED_SHARE = 0.01;
 
-  /** The room binds where so much of it is used. */
+  /** The capacity is the limit where at least this share of it is used. */
   private static final double BINDING_USAGE = 0.97;
 
   private record Sample(Duration at, double answered) {}
@@ -36,7 +36,7 @@
   private final Duration holdAfterRefusal;
   private final Duration window;
 
-  /** Falling from the most on: what may yet be the most of the window. */
+  /** Decreasing from the maximum on: the samples that may yet become the maximum of the window. */
   private final Deque<Sample> samples = new ArrayDeque<>();
 
   private double capacity = Double.POSITIVE_INFINITY;
@@ -44,16 +44,17 @@
   private Duration lastRefusalAt;
 
   /**
-   * {@code gain}: how much of the way to what was measured it goes at once, above 0 to 1; {@code
-   * most}: the largest step up, as a share; {@code hold}: how long it is not tried larger after a
-   * refusal, twice the reports' delay or more.
+   * {@code gain}: the share of the difference to the measured rate that one update takes in, above
+   * 0 to 1; {@code maxStep}: the largest increase of the estimate, as a share; {@code
+   * holdAfterRefusal}: how long the estimate is not raised after a refusal, twice the delay of
+   * reports or more.
    */
   public CapacityEstimator(double gain, double maxStep, Duration holdAfterRefusal) {
     if (!(gain > 0 && gain <= 1)
         || !(maxStep >= MIN_STEP && maxStep <= 1)
         || holdAfterRefusal.isNegative()) {
       throw new IllegalArgumentException(
-          "gain " + gain + ", most " + maxStep + ", hold " + holdAfterRefusal);
+          "gain " + gain + ", max step " + maxStep + ", hold after refusal " + holdAfterRefusal);
     }
     this.gain = gain;
     this.maxStep = maxStep;
@@ -61,7 +62,10 @@
     this.window = holdAfterRefusal;
   }
 
-  /** What the fleet is told to have had of this box, in parts a second, over one span. */
+  /**
+   * Takes in the parts per second that the fleet had answered and refused at this box over one
+   * interval.
+   */
   public void update(double answered, double refused, Duration now) {
     if (!(answered >= 0) || !(refused >= 0)) {
       throw new IllegalArgumentException(answered + " answered, " + refused + " refused");
@@ -81,7 +85,8 @@
   }
 
   /**
-   * The most that was answered of late: sums of reports of unlike age fall short of what it bears.
+   * The largest answered rate of the window. The latest one alone would be too low: sums of reports
+   * of unequal age fall short of the capacity.
    */
   private double maxAnswered(double answered, Duration now) {
     while (!samples.isEmpty() && samples.peekLast().answered <= answered) {
@@ -94,12 +99,15 @@
     return samples.peekFirst().answered;
   }
 
-  /** Parts a second that it is believed to bear; infinite while nothing was ever refused. */
+  /** The estimated capacity in parts per second; infinite while nothing was ever refused. */
   public double capacity() {
     return capacity;
   }
 
-  /** This mixer's due, in parts a second, of all demands and weights, its own at {@code self}. */
+  /**
+   * This mixer's share, in parts per second, by all mixers' demands and weights; {@code self} is
+   * the index of this mixer.
+   */
   public double share(double[] demands, double[] weights, int self) {
     return Double.isInfinite(capacity)
         ? demands[self]
--- a/share/src/main/java/gingerring/share/FairShares.java
+++ b/share/src/main/java/gingerring/share/FairShares.java
@@ -5,19 +5,19 @@
 import java.util.stream.IntStream;
 
 /**
- * A box's room shared by demand, weighted max-min (Bertsekas and Gallager, "Data Networks", 6.5.2):
- * nobody gets more than it asks for, what that leaves goes to the others by weight, and nobody's
- * share can grow but at the cost of one who has no more for its weight.
+ * Divides the capacity of a box by demand, weighted max-min fair (Bertsekas and Gallager, "Data
+ * Networks", 6.5.2): no mixer gets more than its demand, the remainder goes to the others by
+ * weight, and no share can grow without reducing another that has no more for its weight.
  */
 public final class FairShares {
   private FairShares() {}
 
   /**
-   * The shares, in the order of the demands, in the demands' unit. Demands and weights are zero or
-   * more; one of weight zero gets only what nobody of weight wants. O(n log n).
+   * Computes the shares, in the order and the unit of the demands. Demands and weights are zero or
+   * more; a mixer of weight zero gets only what the mixers with a weight leave. O(n log n).
    *
-   * @throws IllegalArgumentException naming the place, for a room, demand or weight that is below
-   *     zero or no number
+   * @throws IllegalArgumentException naming the argument, for a capacity, demand or weight that is
+   *     below zero, infinite or not a number
    */
   public static double[] allocate(double capacity, double[] demands, double[] weights) {
     check("room", capacity);
@@ -44,8 +44,8 @@
   }
 
   /**
-   * Fills from the least demand for its weight on; adds to the shares, returns the room that nobody
-   * wanted.
+   * Fills the demands from the smallest for its weight on; adds to the shares, and returns the
+   * capacity left over.
    */
   private static double fill(double capacity, double[] demands, double[] weights, double[] shares) {
     int[] order =
@@ -68,7 +68,7 @@
 
   private static void check(String name, double value) {
     if (!(value >= 0) || Double.isInfinite(value)) {
-      throw new IllegalArgumentException("a " + name + " of " + value);
+      throw new IllegalArgumentException("invalid " + name + ": " + value);
     }
   }
 }
--- a/share/src/main/java/gingerring/share/MixerId.java
+++ b/share/src/main/java/gingerring/share/MixerId.java
@@ -1,4 +1,4 @@
 package gingerring.share;
 
-/** A mixer, by the number that every mixer makes of its name. */
+/** Identifier of a mixer, derived from its name; every mixer computes the same number. */
 public record MixerId(long number) {}
--- a/share/src/main/java/gingerring/share/PreferredBoxes.java
+++ b/share/src/main/java/gingerring/share/PreferredBoxes.java
@@ -8,14 +8,15 @@
 import java.util.TreeMap;
 
 /**
- * The boxes that one mixer prefers, as its list and its trust move: a {@link SubsetSelector} of all
- * that it trusts. Call {@link #update} for each list, {@link #exclude} and {@link #include} when a
- * box is benched and back, and ask {@link #prefers}. Where a box that it preferred fails, others of
- * that box's folios stand in at once; when it is back, so is the old choice. Before the first list,
- * and with nothing trusted, all are preferred.
+ * The boxes that one mixer prefers, kept up to date as the member list and the set of ejected boxes
+ * change: a {@link SubsetSelector} over all boxes that are not excluded. Call {@link #update} for
+ * each member list, {@link #exclude} and {@link #include} when a box is ejected and back, and
+ * {@link #prefers} for each decision. Where a preferred box fails, other holders of its partitions
+ * replace it at once; when that box is back, so is the earlier selection. Before the first list,
+ * and with every box excluded, all boxes are preferred.
  */
 public final class PreferredBoxes {
-  /** A box, and the cell of the ring that it stands in. */
+  /** A box and the cell of the ring that it stands in. */
   public record ListedBox(Box box, int cell) {}
 
   private final MixerId self;
@@ -28,14 +29,20 @@
   private long added;
 
   /**
-   * {@code keep}: holders preferred of each folio; {@code places}: cells of the ring; {@code
-   * reach}: how many cells from a folio's own on hold it.
+   * {@code holdersPerPartition}: preferred holders of each partition; {@code cellCount}: cells of
+   * the ring; {@code cellsPerPartition}: the number of cells, from a partition's own on, that hold
+   * the partition.
    */
   public PreferredBoxes(
       MixerId self, int holdersPerPartition, int cellCount, int cellsPerPartition) {
     if (holdersPerPartition < 1 || cellCount < 1 || cellsPerPartition < 1) {
       throw new IllegalArgumentException(
-          "keep " + holdersPerPartition + ", places " + cellCount + ", reach " + cellsPerPartition);
+          "holders per partition "
+              + holdersPerPartition
+              + ", cells "
+              + cellCount
+              + ", cells per partition "
+              + cellsPerPartition);
     }
     this.self = self;
     this.holdersPerPartition = holdersPerPartition;
@@ -91,12 +98,12 @@
     return preferred == null || preferred.contains(box);
   }
 
-  /** How many are preferred now; -1 while all are. */
+  /** The number of preferred boxes; -1 while all are preferred. */
   public int size() {
     return preferred == null ? -1 : preferred.size();
   }
 
-  /** Boxes taken up over all changes: connections that had to be made for them. */
+  /** Boxes added to the selection over all changes, each of which cost new connections. */
   public long added() {
     return added;
   }
--- a/share/src/main/java/gingerring/share/SubsetSelector.java
+++ b/share/src/main/java/gingerring/share/SubsetSelector.java
@@ -11,19 +11,19 @@
 import java.util.Set;
 
 /**
- * Which boxes a mixer prefers: few enough that connections are bounded, and of each folio so many
- * holders as retries need, in two zones where that can be had. Each mixer takes the boxes in an
- * order of its own, drawn by size for each pair of mixer and box; takes each that some folio still
- * wants; and then drops, the last first, what no folio misses. So over many mixers a box is
- * preferred in proportion to its size, and a box that comes or goes moves little, since the order
- * of all others stays.
+ * Selects the boxes that a mixer prefers: few enough to bound its connections, and of each
+ * partition as many holders as retries need, in two zones where possible. Each mixer visits the
+ * boxes in an order of its own, from a weighted hash of mixer and box by the box's size; adds each
+ * box that some partition still needs; and then removes, in reverse order, each box that no
+ * partition needs. Over many mixers a box is preferred roughly in proportion to its size, and a box
+ * that joins or leaves changes few selections, since the order of all others stays.
  *
- * <p>A mixer widens by leaving out of {@code boxes} what it does not trust: the others of that
- * folio stand in. A box that no folio lists is never preferred; a folio whose holders are all left
- * out stays without one.
+ * <p>To replace boxes that it does not trust, a mixer leaves them out of {@code boxes}: other
+ * holders of the same partitions are selected instead. A box that holds no partition is never
+ * preferred; a partition whose holders are all left out has no preferred holder.
  *
- * <p>Cost: O(b log b + sum over boxes of the folios each holds, times their holders); memory of the
- * same order.
+ * <p>Cost: O(b log b + sum over boxes of the partitions each holds, times their holders); memory of
+ * the same order.
  */
 public final class SubsetSelector {
   private final int holdersPerPartition;
@@ -32,9 +32,9 @@
   private final Map<BoxId, List<Integer>> partitionsByBox = new HashMap<>();
 
   /**
-   * {@code folios}: the holders of each, of which those that are not among the boxes are passed
-   * over. {@code keep}: so many holders of each folio are preferred, or all where it has fewer; at
-   * least one.
+   * {@code partitions}: the holders of each partition; holders that are not among the boxes are
+   * ignored. {@code holdersPerPartition}: how many holders of each partition are preferred, or all
+   * where the partition has fewer; at least one.
    */
   public SubsetSelector(
       Collection<Box> boxes,
@@ -42,12 +42,12 @@
       int holdersPerPartition) {
     if (holdersPerPartition < 1) {
       throw new IllegalArgumentException(
-          "keep is " + holdersPerPartition + ", and has to be 1 or more");
+          "holders per partition is " + holdersPerPartition + ", must be 1 or more");
     }
     this.holdersPerPartition = holdersPerPartition;
     for (Box box : boxes) {
       if (this.boxes.put(box.id(), box) != null) {
-        throw new IllegalArgumentException("box " + box.id().number() + " stands there twice");
+        throw new IllegalArgumentException("box " + box.id().number() + " is listed twice");
       }
     }
     for (Collection<BoxId> holders : partitions) {
@@ -61,7 +61,7 @@
     }
   }
 
-  /** The boxes that a mixer prefers, the first drawn first. */
+  /** Selects the boxes that a mixer prefers, in that mixer's order. */
   public Set<BoxId> select(MixerId mixer) {
     List<BoxId> order = new ArrayList<>(partitionsByBox.keySet());
     Map<BoxId, Double> hashes = new HashMap<>();
@@ -90,7 +90,7 @@
     return new LinkedHashSet<>(order);
   }
 
-  /** Whether one more of its holders would bring the folio nearer to what it is to have. */
+  /** Whether adding the candidate brings the partition closer to its required holders or zones. */
   private boolean needs(List<BoxId> holders, Set<BoxId> selected, BoxId candidate) {
     int count = 0;
     Set<Integer> zones = new HashSet<>();
@@ -113,8 +113,8 @@
   }
 
   /**
-   * In how many zones a folio's preferred holders have to stand: two where it can be, one for a
-   * single one.
+   * The number of zones that a partition's preferred holders have to span: two where possible, one
+   * if a single holder is preferred.
    */
   private int requiredZones(List<BoxId> holders) {
     long zones = holders.stream().map(id -> boxes.get(id).zone()).distinct().count();
--- a/share/src/main/java/gingerring/share/TurnSchedule.java
+++ b/share/src/main/java/gingerring/share/TurnSchedule.java
@@ -4,21 +4,22 @@
 import java.util.Collection;
 
 /**
- * One matter that is done once in each span by one mixer for all, as one mixer knows it. All times
- * are of the common clock: since a moment that all know. Ask {@link #nextTurn} when this mixer acts
- * if it hears of nobody who has; call {@link #claimRound} when it does, and tell the others the
- * round that it returns; {@link #receiveClaim} when another tells so. Rounds are numbered by the
- * clock, so that one who starts anew, or wakes after a stop, knows the round at once and needs
- * nobody's word for it.
+ * Schedule of a task that one mixer performs in each round on behalf of all, as one mixer knows it.
+ * All times are those of a common clock: the time since a moment that all mixers know. {@link
+ * #nextTurn} returns when this mixer acts if it receives no claim of another before; call {@link
+ * #claimRound} when it acts, and send the returned round to the others; call {@link #receiveClaim}
+ * for a claim of another mixer. Rounds are numbered by the clock, so a mixer that restarts, or
+ * resumes after a pause, knows the round at once without any message.
  *
- * <p>Two act in a round: one more for each mixer that a word did not reach within its step, and one
- * more for each whose clock is off by more than a step. Nobody acts: those who come first and are
- * not there take a step each, and where they fill a whole span the next round has another order.
+ * <p>Several mixers act in a round: one more for each mixer that a claim did not reach within its
+ * step, and one more for each mixer whose clock is off by more than a step. No mixer acts for a
+ * while: absent mixers that come first take a step each, and where they fill a whole round the next
+ * round has another order.
  *
- * <p>Who claims rounds that it did not do holds up only its own: a claim is believed only from a
- * member whose place has come, by this mixer's own order and clock, give or take a step. So of n
- * members f that claim falsely, alone or together, hold up no round in which none of them comes
- * first among those there. State: two numbers.
+ * <p>A mixer that claims rounds falsely delays only its own: a claim is accepted only from a member
+ * whose turn has come, by the receiver's order and clock, give or take a step. So of n members f
+ * that claim falsely, alone or together, delay no round in which none of them comes first among the
+ * present members. State: two numbers.
  */
 public final class TurnSchedule {
   private final TurnOrder order;
@@ -27,18 +28,19 @@
   private final Duration roundPeriod;
   private final Duration step;
 
-  /** The last round that is known to have been done. */
+  /** The last round known to be done. */
   private long lastDoneRound = Long.MIN_VALUE;
 
   private long rejectedClaims;
 
   /**
-   * {@code every}: a round's span; {@code step}: how long one who acts takes until the others know.
+   * {@code roundPeriod}: the length of a round; {@code step}: the time from a mixer's action until
+   * the others have its claim.
    */
   public TurnSchedule(MixerId self, long taskId, Duration roundPeriod, Duration step) {
     if (roundPeriod.compareTo(step) < 0) {
       throw new IllegalArgumentException(
-          "a round of " + roundPeriod + " is shorter than a step of " + step);
+          "round period " + roundPeriod + " is shorter than step " + step);
     }
     order = new TurnOrder(self, step);
     this.self = self;
@@ -47,21 +49,22 @@
     this.step = step;
   }
 
-  /** The round that a moment is in. */
+  /** The round at the given time. */
   public long roundAt(Duration now) {
     return Math.floorDiv(now.toNanos(), roundPeriod.toNanos());
   }
 
   /**
-   * When this mixer next acts, unless it hears of another before: now, where its turn has passed
-   * unused.
+   * When this mixer next acts unless another mixer's claim arrives before: {@code now} where its
+   * turn has passed unused.
    */
   public Duration nextTurn(Collection<MixerId> members, Duration now) {
     long round =
         Math.max(
             roundAt(now), lastDoneRound == Long.MIN_VALUE ? Long.MIN_VALUE : lastDoneRound + 1);
     Duration delay = order.delay(taskId, round, members);
-    while (delay.compareTo(roundPeriod) >= 0) { // so many come first that the round is over before
+    while (delay.compareTo(roundPeriod)
+        >= 0) { // so many mixers come first that the round ends before this mixer's turn
       round++;
       delay = order.delay(taskId, round, members);
     }
@@ -69,13 +72,15 @@
     return turn.compareTo(now) > 0 ? turn : now;
   }
 
-  /** This mixer acts; returns the round to tell. */
+  /** Records that this mixer acts now; returns the round to send to the others. */
   public long claimRound(Duration now) {
     lastDoneRound = Math.max(lastDoneRound, roundAt(now));
     return lastDoneRound;
   }
 
-  /** Another says that it has done a round; returns whether that is believed and new. */
+  /**
+   * Handles another mixer's claim to have done a round; returns whether the claim is valid and new.
+   */
   public boolean receiveClaim(
       MixerId author, long claimedRound, Collection<MixerId> members, Duration now) {
     if (claimedRound <= lastDoneRound) {
@@ -100,7 +105,7 @@
     return true;
   }
 
-  /** Claims that were not believed. */
+  /** The number of claims that were rejected. */
   public long rejectedClaims() {
     return rejectedClaims;
   }
--- a/share/src/main/java/gingerring/share/package-info.java
+++ b/share/src/main/java/gingerring/share/package-info.java
@@ -1,9 +1,10 @@
 /**
- * What each of many mixers chooses by itself so that the choices of all add up: which of a folio's
- * holders it prefers ({@link gingerring.share.SubsetSelector}), whose turn a thing is that one is
- * to do for all ({@link gingerring.share.TurnOrder}), and how much of a box's room is whose ({@link
- * gingerring.share.FairShares}). No I/O, thread or clock; the same inputs give the same choice at
- * every mixer. Anyone may call it, a decision module through its host among them; it knows nothing
- * of mixers' connections, and must never depend on one.
+ * Choices that each mixer makes by itself so that the choices of all mixers add up: the preferred
+ * holders of each partition ({@link gingerring.share.SubsetSelector}), turns at tasks that one
+ * mixer performs on behalf of all ({@link gingerring.share.TurnOrder}), and the division of a box's
+ * capacity ({@link gingerring.share.FairShares}). The package does no I/O, starts no thread and
+ * reads no clock; the same inputs give the same choice at every mixer. Any module may call it, a
+ * decision module through its host among them; it knows nothing of mixers' connections, and must
+ * never depend on a mixer.
  */
 package gingerring.share;
