--- a/emulator/src/main/java/gingerring/emulator/harness/DatagramRelay.java
+++ b/emulator/src/main/java/gingerring/emulator/harness/DatagramRelay.java
@@ -1,6 +1,6 @@
 package gingerring.emulator.harness;
 
-import gingerring.emulator.experiment.Store;
+import gingerring.emulator.experiment.EmulatedStore;
 import gingerring.traffic.wire.Datagrams;
 import gingerring.traffic.wire.Reactor;
 import java.io.IOException;
@@ -45,7 +45,7 @@
       int to = i;
       advertisedSockets.add(
           reactor.datagrams(
-              Store.loopback(0), (from, datagram) -> relay(from.getPort(), to, datagram)));
+              EmulatedStore.loopback(0), (from, datagram) -> relay(from.getPort(), to, datagram)));
     }
   }
 
@@ -58,7 +58,7 @@
   void setBoundPort(int mixer, int port) {
     mixerByPort.values().removeIf(index -> index == mixer);
     mixerByPort.put(port, mixer);
-    boundAddresses.put(mixer, Store.loopback(port));
+    boundAddresses.put(mixer, EmulatedStore.loopback(port));
   }
 
   /** Where a mixer's own socket is. */
--- a/emulator/src/test/java/gingerring/emulator/harness/FleetHarnessTest.java
+++ b/emulator/src/test/java/gingerring/emulator/harness/FleetHarnessTest.java
@@ -39,8 +39,8 @@
   private static void assertNoViolation(Fleet.Result result) {
     assertEquals(
         List.of(),
-        result.referee.shown(),
-        "the rig itself stood still for " + result.referee.stall());
+        result.referee.violations(),
+        "the rig itself stood still for " + result.referee.longestStall());
     assertEquals(List.of(), result.crashes);
     assertEquals(0, result.eventFailures);
   }
@@ -54,7 +54,7 @@
   void fleetWithPeersAndNoFaultsKeepsTheRules() throws Exception {
     Fleet.Result result = run("", ", \"peers\": true, \"uneven\": 10");
     assertAllPeersVisible(result);
-    assertTrue(result.referee.judged() > 150);
+    assertTrue(result.referee.requestCount() > 150);
     double bytes = result.datagramCounts[1] / result.elapsedSeconds / 8;
     assertTrue(bytes < 16_384, bytes + " bytes a second and mixer");
   }
@@ -158,7 +158,7 @@
     Fleet.Result result = run("", ", \"peers\": true, \"liars\": 1");
     assertNoViolation(result);
     assertEquals(Collections.nCopies(8, 8), result.visiblePeers, "the one that lies is there too");
-    assertTrue(result.tally.service() > 0.9, "service " + result.tally.service());
+    assertTrue(result.tally.serviceLevel() > 0.9, "service " + result.tally.serviceLevel());
   }
 
   /**
@@ -197,7 +197,7 @@
             "\"lengthMs\": 1500, ",
             ", \"spareMs\": 0, \"faults\": [{\"kind\": \"stop\", "
                 + "\"atMs\": 500, \"forMs\": 60000}]");
-    assertEquals(List.of(), result.referee.shown());
+    assertEquals(List.of(), result.referee.violations());
     assertEquals(List.of(), result.crashes, "who was stopped on purpose has not crashed");
     assertEquals(Fleet.Verdict.UNDECIDED, result.verdict());
     HarnessError error = result.errors.get(0);
@@ -207,7 +207,7 @@
             && error.subject().contains("m0 is stopped by the schedule"),
         error.getMessage());
     assertTrue(
-        result.tally.asked > 0 && result.connectionCounts[0] > 0 && !error.remedy().isEmpty());
+        result.tally.attempts > 0 && result.connectionCounts[0] > 0 && !error.remedy().isEmpty());
   }
 
   @Test
--- a/emulator/src/test/java/gingerring/emulator/harness/ViolationAttributionTest.java
+++ b/emulator/src/test/java/gingerring/emulator/harness/ViolationAttributionTest.java
@@ -3,10 +3,10 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gingerring.emulator.core.Referee;
-import gingerring.emulator.core.Referee.Rule;
+import gingerring.emulator.core.RuleChecker;
+import gingerring.emulator.core.RuleChecker.Rule;
 import gingerring.emulator.core.Scenario;
-import gingerring.emulator.experiment.Store;
+import gingerring.emulator.experiment.EmulatedStore;
 import gingerring.traffic.wire.Reactor;
 import gingerring.traffic.wire.ReactorConnection;
 import java.io.IOException;
@@ -32,7 +32,7 @@
  */
 class ViolationAttributionTest {
   private static final int FAULTY_MIXER = 1;
-  private static final long PAST_SLACK_MS = 2 * Referee.SLACK.toMillis() + 20;
+  private static final long PAST_SLACK_MS = 2 * RuleChecker.SLACK.toMillis() + 20;
   private static final Map<Integer, Double> SHARES = Map.of(0, 0.5, 1, 0.5);
 
   private final Reactor reactor = new Reactor();
@@ -42,8 +42,8 @@
   private final TcpRelay[][] relays = new TcpRelay[3][3];
   private final Map<String, TcpRelay> relaysByMixerAndPort = new HashMap<>();
   private final ReactorConnection[][] connections = new ReactorConnection[3][3];
-  private Referee referee;
-  private Store store;
+  private RuleChecker referee;
+  private EmulatedStore store;
   private int sentParts;
 
   @BeforeEach
@@ -57,12 +57,12 @@
          "grades": [{"name": "search", "floor": 0.4, "patienceMs": 60000},
           {"name": "once", "repeats": "at-most-once", "patienceMs": 60000}]}"""
                 .getBytes());
-    referee = new Referee(scenario);
-    store = new Store(scenario, reactor, referee, 1);
+    referee = new RuleChecker(scenario);
+    store = new EmulatedStore(scenario, reactor, referee, 1);
     for (int i = 0; i < 3; i++) {
       int mixer = i;
       store
-          .view(
+          .addView(
               mixer,
               (box, port) -> {
                 relays[mixer][box] =
@@ -70,7 +70,7 @@
                         mixer + "." + port, p -> openRelay(mixer, port));
                 return relays[mixer][box].port();
               })
-          .list();
+          .memberList();
     }
     Thread thread = new Thread(reactor::run, "planted");
     thread.setDaemon(true);
@@ -80,7 +80,12 @@
   private TcpRelay openRelay(int mixer, int port) {
     try {
       return new TcpRelay(
-          reactor, Store.loopback(port), linkFaults[mixer], () -> 1, mixer, store::passes);
+          reactor,
+          EmulatedStore.loopback(port),
+          linkFaults[mixer],
+          () -> 1,
+          mixer,
+          store::registerSendTimes);
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
@@ -107,7 +112,8 @@
   private void awaitCondition(Callable<Boolean> condition) throws Exception {
     long deadlineNanos = System.nanoTime() + 20_000_000_000L;
     while (!onReactor(condition)) {
-      assertTrue(System.nanoTime() < deadlineNanos, "in time; parts " + onReactor(referee::trips));
+      assertTrue(
+          System.nanoTime() < deadlineNanos, "in time; parts " + onReactor(referee::tripCount));
       Thread.sleep(5);
     }
   }
@@ -115,7 +121,7 @@
   private void recordRequest(int mixer, String requestId, String serviceClass) throws Exception {
     onReactor(
         () -> {
-          referee.asked(
+          referee.requestSent(
               mixer, requestId, serviceClass, SHARES, null, reactor.now(), Duration.ofMinutes(1));
           return null;
         });
@@ -125,7 +131,7 @@
       throws Exception {
     onReactor(
         () -> {
-          referee.answered(requestId, reactor.now(), rejected, false, values);
+          referee.requestAnswered(requestId, reactor.now(), rejected, false, values);
           return null;
         });
   }
@@ -141,7 +147,7 @@
               if (connections[mixer][box] == null || !connections[mixer][box].open()) {
                 connections[mixer][box] =
                     reactor.dial(
-                        Store.loopback(relays[mixer][box].port()),
+                        EmulatedStore.loopback(relays[mixer][box].port()),
                         new ReactorConnection.Handler() {
                           @Override
                           public void bytes(byte[] bytes, int length) {}
@@ -159,13 +165,13 @@
                         .put(frame)
                         .array());
               }
-              return referee.trips() + requestIds.length;
+              return referee.tripCount() + requestIds.length;
             });
     awaitCondition(
         () ->
             linkFaults[mixer].cut
                 ? relays[mixer][box].bufferedBytes() > 0
-                : referee.trips() == expectedTrips || referee.fouls() > 0);
+                : referee.tripCount() == expectedTrips || referee.violationCount() > 0);
   }
 
   private void setCut(String mixers, boolean isCut) throws Exception {
@@ -205,7 +211,7 @@
         onReactor(
             () -> {
               for (int mixer = 0; mixer < 3; mixer++) {
-                referee.told(mixer, 0, reactor.now());
+                referee.boxStateNotified(mixer, 0, reactor.now());
               }
               return null;
             });
@@ -248,14 +254,14 @@
       run.recordAnswer("good2", true, null);
       Thread.sleep(PAST_SLACK_MS);
       run.setCut(cutMixers, false);
-      run.awaitCondition(() -> run.referee.trips() == run.sentParts);
+      run.awaitCondition(() -> run.referee.tripCount() == run.sentParts);
       String context =
-          violation + ", cut off: " + cutMixers + ": " + run.onReactor(run.referee::shown);
+          violation + ", cut off: " + cutMixers + ": " + run.onReactor(run.referee::violations);
       Rule rule = Rule.valueOf(violation.replace("NACKED", "TWICE"));
-      assertEquals(Map.of(rule, 1), run.onReactor(run.referee::counts), context);
-      assertEquals(Map.of(FAULTY_MIXER, 1), run.onReactor(run.referee::blamed), context);
+      assertEquals(Map.of(rule, 1), run.onReactor(run.referee::countsByRule), context);
+      assertEquals(Map.of(FAULTY_MIXER, 1), run.onReactor(run.referee::countsByMixer), context);
       assertTrue(
-          cutMixers.isEmpty() || run.onReactor(run.referee::held) > 0 || run.sentParts == 2,
+          cutMixers.isEmpty() || run.onReactor(run.referee::delayedCount) > 0 || run.sentParts == 2,
           context);
       run.stopReactor();
     }
@@ -268,7 +274,7 @@
     TcpRelay relayBeforeCrash = relays[0][0];
     onReactor(
         () -> {
-          store.begin();
+          store.start();
           return null;
         });
     awaitCondition(() -> relays[0][0] != relayBeforeCrash);
@@ -284,16 +290,18 @@
     }
     sendParts(FAULTY_MIXER, 0, 0, requestIds);
     setCut(cutMixers, false);
-    awaitCondition(() -> referee.trips() == sentParts || referee.fouls() > 0);
+    awaitCondition(() -> referee.tripCount() == sentParts || referee.violationCount() > 0);
     Thread.sleep(
         300); // longer than a box's bucket: the next part has it judged, if that was not done
     // before
-    if (onReactor(referee::fouls) == 0) {
+    if (onReactor(referee::violationCount) == 0) {
       sendParts(FAULTY_MIXER, 0, 0, "bad");
     }
-    awaitCondition(() -> referee.fouls() > 0);
+    awaitCondition(() -> referee.violationCount() > 0);
     assertEquals(
-        Map.of(Rule.COLD_BOX, 1), onReactor(referee::counts), onReactor(referee::shown).toString());
-    assertEquals(Map.of(FAULTY_MIXER, 1), onReactor(referee::blamed));
+        Map.of(Rule.COLD_BOX, 1),
+        onReactor(referee::countsByRule),
+        onReactor(referee::violations).toString());
+    assertEquals(Map.of(FAULTY_MIXER, 1), onReactor(referee::countsByMixer));
   }
 }
