--- a/emulator/src/test/java/gingerring/emulator/harness/ViolationAttributionTest.java
+++ b/emulator/src/test/java/gingerring/emulator/harness/ViolationAttributionTest.java
@@ -3,10 +3,10 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gingerring.emulator.core.Referee;
-import gingerring.emulator.core.Referee.Rule;
+import gingerring.emulator.core.RuleChecker;
+import gingerring.emulator.core.RuleChecker.Rule;
 import gingerring.emulator.core.Scenario;
-import gingerring.emulator.experiment.Store;
+import gingerring.emulator.experiment.EmulatedStore;
 import gingerring.traffic.wire.Reactor;
 import gingerring.traffic.wire.ReactorConnection;
 import java.io.IOException;
@@ -26,13 +26,13 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Mixer 1 breaks one rule on purpose, 0 and 2 keep them, all through the rig's links to boxes: each
- * foul is booked once and on mixer 1, whichever links are cut between. The test plays the mixers
- * and their clients.
+ * Mixer 1 violates one rule on purpose while mixers 0 and 2 keep all rules. Each violation must be
+ * counted once and attributed to mixer 1, whichever links are cut. The test itself acts as the
+ * mixers and their clients, and sends through the harness's relays.
  */
 class ViolationAttributionTest {
   private static final int FAULTY_MIXER = 1;
-  private static final long PAST_SLACK_MS = 2 * Referee.SLACK.toMillis() + 20;
+  private static final long PAST_SLACK_MS = 2 * RuleChecker.SLACK.toMillis() + 20;
   private static final Map<Integer, Double> SHARES = Map.of(0, 0.5, 1, 0.5);
 
   private final Reactor reactor = new Reactor();
@@ -42,8 +42,8 @@
   private final TcpRelay[][] relays = new TcpRelay[3][3];
   private final Map<String, TcpRelay> relaysByMixerAndPort = new HashMap<>();
   private final ReactorConnection[][] connections = new ReactorConnection[3][3];
-  private Referee referee;
-  private Store store;
+  private RuleChecker referee;
+  private EmulatedStore store;
   private int sentParts;
 
   @BeforeEach
@@ -57,12 +57,12 @@
          "grades": [{"name": "search", "floor": 0.4, "patienceMs": 60000},
           {"name": "once", "repeats": "at-most-once", "patienceMs": 60000}]}"""
                 .getBytes());
-    referee = new Referee(scenario);
-    store = new Store(scenario, reactor, referee, 1);
+    referee = new RuleChecker(scenario);
+    store = new EmulatedStore(scenario, reactor, referee, 1);
     for (int i = 0; i < 3; i++) {
       int mixer = i;
       store
-          .view(
+          .addView(
               mixer,
               (box, port) -> {
                 relays[mixer][box] =
@@ -70,9 +70,9 @@
                         mixer + "." + port, p -> openRelay(mixer, port));
                 return relays[mixer][box].port();
               })
-          .list();
+          .memberList();
     }
-    Thread thread = new Thread(reactor::run, "planted");
+    Thread thread = new Thread(reactor::run, "violation-attribution");
     thread.setDaemon(true);
     thread.start();
   }
@@ -80,7 +80,12 @@
   private TcpRelay openRelay(int mixer, int port) {
     try {
       return new TcpRelay(
-          reactor, Store.loopback(port), linkFaults[mixer], () -> 1, mixer, store::passes);
+          reactor,
+          EmulatedStore.loopback(port),
+          linkFaults[mixer],
+          () -> 1,
+          mixer,
+          store::registerSendTimes);
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
@@ -107,7 +112,9 @@
   private void awaitCondition(Callable<Boolean> condition) throws Exception {
     long deadlineNanos = System.nanoTime() + 20_000_000_000L;
     while (!onReactor(condition)) {
-      assertTrue(System.nanoTime() < deadlineNanos, "in time; parts " + onReactor(referee::trips));
+      assertTrue(
+          System.nanoTime() < deadlineNanos,
+          "condition not met in time; parts " + onReactor(referee::tripCount));
       Thread.sleep(5);
     }
   }
@@ -115,7 +122,7 @@
   private void recordRequest(int mixer, String requestId, String serviceClass) throws Exception {
     onReactor(
         () -> {
-          referee.asked(
+          referee.requestSent(
               mixer, requestId, serviceClass, SHARES, null, reactor.now(), Duration.ofMinutes(1));
           return null;
         });
@@ -125,13 +132,14 @@
       throws Exception {
     onReactor(
         () -> {
-          referee.answered(requestId, reactor.now(), rejected, false, values);
+          referee.requestAnswered(requestId, reactor.now(), rejected, false, values);
           return null;
         });
   }
 
   /**
-   * Sends a part of each scan as a mixer does, and waits until the link holds it or the box has it.
+   * Sends a part of each scan as a mixer does, and waits until the relay has buffered it or the box
+   * has received it.
    */
   private void sendParts(int mixer, int partition, int box, String... requestIds) throws Exception {
     sentParts += requestIds.length;
@@ -141,7 +149,7 @@
               if (connections[mixer][box] == null || !connections[mixer][box].open()) {
                 connections[mixer][box] =
                     reactor.dial(
-                        Store.loopback(relays[mixer][box].port()),
+                        EmulatedStore.loopback(relays[mixer][box].port()),
                         new ReactorConnection.Handler() {
                           @Override
                           public void bytes(byte[] bytes, int length) {}
@@ -159,13 +167,13 @@
                         .put(frame)
                         .array());
               }
-              return referee.trips() + requestIds.length;
+              return referee.tripCount() + requestIds.length;
             });
     awaitCondition(
         () ->
             linkFaults[mixer].cut
                 ? relays[mixer][box].bufferedBytes() > 0
-                : referee.trips() == expectedTrips || referee.fouls() > 0);
+                : referee.tripCount() == expectedTrips || referee.violationCount() > 0);
   }
 
   private void setCut(String mixers, boolean isCut) throws Exception {
@@ -188,7 +196,8 @@
     recordRequest(FAULTY_MIXER, "bad", serviceClass);
     switch (violation) {
       case "SCAN_LOST" -> {
-        sendParts(FAULTY_MIXER, 0, 0, "bad"); // one in time goes before it on the same way
+        sendParts(
+            FAULTY_MIXER, 0, 0, "bad"); // a part sent in time precedes it on the same connection
         recordAnswer("bad", true, null);
         Thread.sleep(PAST_SLACK_MS);
         sendParts(FAULTY_MIXER, 0, 0, "bad");
@@ -205,14 +214,14 @@
         onReactor(
             () -> {
               for (int mixer = 0; mixer < 3; mixer++) {
-                referee.told(mixer, 0, reactor.now());
+                referee.boxStateNotified(mixer, 0, reactor.now());
               }
               return null;
             });
         Thread.sleep(PAST_SLACK_MS);
         sendParts(FAULTY_MIXER, 0, 0, "bad");
       }
-      case "HONEST_ANSWER" -> recordAnswer("bad", false, Map.of(0, "made up"));
+      case "HONEST_ANSWER" -> recordAnswer("bad", false, Map.of(0, "not from a box"));
       case "TRIPS" -> sendParts(FAULTY_MIXER, 0, 0, "bad", "bad", "bad");
       case "STRANGE_PART" -> sendParts(FAULTY_MIXER, 1, 1, "good0");
       default -> throw new IllegalArgumentException(violation);
@@ -220,8 +229,8 @@
   }
 
   /**
-   * Mixers 0 and 2 send parts in time and end their scans; what a cut link holds arrives long
-   * after.
+   * Mixers 0 and 2 send parts in time and complete their scans; parts buffered at a cut link arrive
+   * long afterwards.
    */
   @ParameterizedTest
   @CsvSource({
@@ -248,27 +257,27 @@
       run.recordAnswer("good2", true, null);
       Thread.sleep(PAST_SLACK_MS);
       run.setCut(cutMixers, false);
-      run.awaitCondition(() -> run.referee.trips() == run.sentParts);
+      run.awaitCondition(() -> run.referee.tripCount() == run.sentParts);
       String context =
-          violation + ", cut off: " + cutMixers + ": " + run.onReactor(run.referee::shown);
+          violation + ", cut off: " + cutMixers + ": " + run.onReactor(run.referee::violations);
       Rule rule = Rule.valueOf(violation.replace("NACKED", "TWICE"));
-      assertEquals(Map.of(rule, 1), run.onReactor(run.referee::counts), context);
-      assertEquals(Map.of(FAULTY_MIXER, 1), run.onReactor(run.referee::blamed), context);
+      assertEquals(Map.of(rule, 1), run.onReactor(run.referee::countsByRule), context);
+      assertEquals(Map.of(FAULTY_MIXER, 1), run.onReactor(run.referee::countsByMixer), context);
       assertTrue(
-          cutMixers.isEmpty() || run.onReactor(run.referee::held) > 0 || run.sentParts == 2,
+          cutMixers.isEmpty() || run.onReactor(run.referee::delayedCount) > 0 || run.sentParts == 2,
           context);
       run.stopReactor();
     }
   }
 
-  /** A cold box falls by what one mixer sends it, though others sent it parts as well. */
+  /** A cold box fails because of the load from one mixer, although others sent it parts as well. */
   @ParameterizedTest
   @CsvSource({"''", "02", "1"})
   void coldBoxFailureIsAttributedToTheHeaviestSender(String cutMixers) throws Exception {
     TcpRelay relayBeforeCrash = relays[0][0];
     onReactor(
         () -> {
-          store.begin();
+          store.start();
           return null;
         });
     awaitCondition(() -> relays[0][0] != relayBeforeCrash);
@@ -284,16 +293,18 @@
     }
     sendParts(FAULTY_MIXER, 0, 0, requestIds);
     setCut(cutMixers, false);
-    awaitCondition(() -> referee.trips() == sentParts || referee.fouls() > 0);
+    awaitCondition(() -> referee.tripCount() == sentParts || referee.violationCount() > 0);
     Thread.sleep(
-        300); // longer than a box's bucket: the next part has it judged, if that was not done
-    // before
-    if (onReactor(referee::fouls) == 0) {
+        300); // longer than the box's load interval, so that the next part triggers its check if
+    // none has yet
+    if (onReactor(referee::violationCount) == 0) {
       sendParts(FAULTY_MIXER, 0, 0, "bad");
     }
-    awaitCondition(() -> referee.fouls() > 0);
+    awaitCondition(() -> referee.violationCount() > 0);
     assertEquals(
-        Map.of(Rule.COLD_BOX, 1), onReactor(referee::counts), onReactor(referee::shown).toString());
-    assertEquals(Map.of(FAULTY_MIXER, 1), onReactor(referee::blamed));
+        Map.of(Rule.COLD_BOX, 1),
+        onReactor(referee::countsByRule),
+        onReactor(referee::violations).toString());
+    assertEquals(Map.of(FAULTY_MIXER, 1), onReactor(referee::countsByMixer));
   }
 }
