--- a/layout/src/main/java/gingerring/layout/BoxId.java
+++ b/layout/src/main/java/gingerring/layout/BoxId.java
@@ -1,6 +1,6 @@
 package gingerring.layout;
 
-/** Names a box, as discovery does. */
+/** Identifies a box by its name in discovery. */
 public record BoxId(String name) implements Comparable<BoxId> {
   @Override
   public int compareTo(BoxId other) {
--- a/layout/src/main/java/gingerring/layout/DisownedRanges.java
+++ b/layout/src/main/java/gingerring/layout/DisownedRanges.java
@@ -6,13 +6,16 @@
 import java.util.Iterator;
 
 /**
- * What boxes say of themselves ahead of discovery: that they no longer hold some keys, as of a
- * version. One such answer teaches at once, and cautiously: it takes the box that says it out of
- * the choice for those keys, and nothing else. No box can move a layout, or speak for another; a
- * lying one harms its own load alone.
+ * Records that a box has answered that it no longer holds some keys as of a layout version, before
+ * discovery has reported that version.
  *
- * <p>A hint ends when the version that it names is in force, or after {@link #MAX_AGE}, so that a
- * version that never comes is not waited for. {@link #MAX_ENTRIES} are kept; the eldest goes.
+ * <p>An entry has a deliberately small effect: it excludes the box that sent the answer from the
+ * choice for those keys, and nothing else. A box cannot change the layout or speak for another box,
+ * so a box that answers wrongly reduces only its own load.
+ *
+ * <p>An entry expires once the named version is current, or after {@link #MAX_AGE}, so that a
+ * version that never arrives has no lasting effect. At most {@link #MAX_ENTRIES} are kept; the
+ * oldest is evicted first.
  */
 public final class DisownedRanges {
   public static final Duration MAX_AGE = Duration.ofSeconds(10);
@@ -23,7 +26,7 @@
   private final Deque<DisownedRange> entries = new ArrayDeque<>();
   private long evictedCount;
 
-  /** A box has answered that it does not hold these keys from this version on. */
+  /** Records that a box does not hold the keys from {@code from} to {@code to} as of a version. */
   public void add(BoxId box, long from, long to, long version, Duration now) {
     if (entries.size() == MAX_ENTRIES) {
       entries.pollFirst();
@@ -32,7 +35,9 @@
     entries.addLast(new DisownedRange(box, from, to, version, now));
   }
 
-  /** Whether a box is to be asked for these keys, as far as it has said anything of them. */
+  /**
+   * Returns whether a box may be asked for these keys; false if the box has disowned any of them.
+   */
   public boolean mayHold(BoxId box, long from, long to, Layout current, Duration now) {
     removeExpired(current, now);
     for (DisownedRange entry : entries) {
@@ -43,7 +48,10 @@
     return true;
   }
 
-  /** Whether some box knows a newer version than is in force: time to ask for the list. */
+  /**
+   * Returns whether a box knows a newer version than the current layout, so that a snapshot should
+   * be requested.
+   */
   public boolean isLayoutOutdated(Layout current, Duration now) {
     removeExpired(current, now);
     return !entries.isEmpty();
@@ -63,6 +71,7 @@
     return entries.size();
   }
 
+  /** Returns how many entries were evicted because the limit was reached. */
   public long evictedCount() {
     return evictedCount;
   }
--- a/layout/src/main/java/gingerring/layout/KeyRange.java
+++ b/layout/src/main/java/gingerring/layout/KeyRange.java
@@ -1,8 +1,9 @@
 package gingerring.layout;
 
 /**
- * Provider keys from {@code from} up to, but not, {@code to}, and how much they weigh among all:
- * the ledger's measure of what is in.
+ * The provider keys from {@code from} (inclusive) to {@code to} (exclusive), with their weight
+ * among all keys. {@link ScanCoverage} measures a scan's progress by weight. Layout files call a
+ * key range a slice.
  */
 public record KeyRange(long from, long to, double weight) {
   public KeyRange {
@@ -12,7 +13,10 @@
     }
   }
 
-  /** The part of it within a range; it weighs in proportion to its keys. */
+  /**
+   * Returns the part of this range within the bounds, with the weight in proportion to its number
+   * of keys.
+   */
   KeyRange intersect(long lowerBound, long upperBound) {
     long start = Math.max(from, lowerBound);
     long end = Math.min(to, upperBound);
--- a/layout/src/main/java/gingerring/layout/Layout.java
+++ b/layout/src/main/java/gingerring/layout/Layout.java
@@ -13,17 +13,18 @@
 import org.pcollections.TreePMap;
 
 /**
- * One version of which folio holds which keys: immutable. Every key from 0 up to {@link #keys} has
- * one owner. A step makes the next version, sharing all but what it changes: a change costs O(log
- * n) time and memory for each folio that it names, and {@link #owner} O(log n).
+ * One immutable version of the layout: which partition holds which keys. Every key from 0
+ * (inclusive) to {@link #keys} (exclusive) has exactly one owner. A step creates the next version,
+ * which shares all unchanged data: a step costs O(log n) time and memory for each partition that it
+ * names, and {@link #owner} costs O(log n).
  */
 public final class Layout {
-  /** Folios and slices of a layout, at most. */
+  /** Maximum number of partitions in a layout. */
   public static final int MAX_PARTITIONS = 1 << 21;
 
   private static final double WEIGHT_TOLERANCE = 1e-6;
 
-  /** What stands at a slice's first key. */
+  /** A key range with the partition that owns it. */
   private record OwnedRange(KeyRange range, PartitionId owner) {}
 
   private final long version;
@@ -42,7 +43,11 @@
     this.partitions = partitions;
   }
 
-  /** A whole list; refused unless every key from 0 up to {@code keys} has one owner. */
+  /**
+   * Creates a layout.
+   *
+   * @throws LayoutException unless every key from 0 to {@code keys} has exactly one owner
+   */
   public static Layout of(long version, long keys, Collection<Partition> partitionList)
       throws LayoutException {
     if (version < 0 || keys <= 0) {
@@ -122,7 +127,11 @@
     }
   }
 
-  /** The next version; refused whole where a step does not fit this one. */
+  /**
+   * Returns the next version.
+   *
+   * @throws LayoutException if the step does not fit this version; no part of it is applied then
+   */
   public Layout apply(LayoutStep step) throws LayoutException {
     if (step.version() != version + 1) {
       throw new LayoutException("step " + step.version() + " does not follow version " + version);
@@ -170,7 +179,7 @@
         throw new LayoutException(
             "step " + split.version() + ": " + partition.id() + " moves before it is there");
       }
-      // the old folio's number may go on with one of the new
+      // one of the new partitions may keep the original's number
       if (nextPartitions.containsKey(partition.id())) {
         throw new LayoutException(
             "step " + split.version() + ": " + partition.id() + " is there already");
@@ -185,7 +194,10 @@
     return new Layout(split.version(), keys, nextRanges, nextPartitions);
   }
 
-  /** The new slices cover the old ones' keys, each once, and weigh as much. */
+  /**
+   * Requires that the new ranges cover the original partition's keys exactly once and have the same
+   * total weight.
+   */
   private static void requireSameKeysAndWeight(
       LayoutStep step, Partition original, List<KeyRange> newRanges) throws LayoutException {
     List<KeyRange> sorted = new ArrayList<>(newRanges);
@@ -305,7 +317,7 @@
     return version;
   }
 
-  /** Keys are from 0 up to, but not, this. */
+  /** Returns the number of keys; keys are numbered from 0. */
   public long keys() {
     return keys;
   }
@@ -322,7 +334,7 @@
     return partitions.values();
   }
 
-  /** The folio that holds a key. */
+  /** Returns the partition that holds a key. */
   public PartitionId owner(long key) {
     if (key < 0 || key >= keys) {
       throw new IllegalArgumentException("key " + key + " is not one of " + keys);
@@ -330,7 +342,10 @@
     return rangesByStart.floorEntry(key).getValue().owner;
   }
 
-  /** The slices that a range of keys meets, in order, cut to it, each with its folio. */
+  /**
+   * Returns the parts of all key ranges that overlap the keys from {@code from} to {@code to}, in
+   * key order, each with its partition.
+   */
   public List<Map.Entry<KeyRange, PartitionId>> overlapping(long from, long to) {
     List<Map.Entry<KeyRange, PartitionId>> overlaps = new ArrayList<>();
     Map.Entry<Long, OwnedRange> first = rangesByStart.floorEntry(Math.max(0, from));
@@ -348,7 +363,7 @@
     return overlaps;
   }
 
-  /** Boxes that hold anything, or are to. */
+  /** Returns the boxes that hold a partition or are the successor in a move. */
   public Set<BoxId> boxes() {
     Set<BoxId> boxes = new HashSet<>();
     for (Partition partition : partitions.values()) {
--- a/layout/src/main/java/gingerring/layout/LayoutException.java
+++ b/layout/src/main/java/gingerring/layout/LayoutException.java
@@ -1,7 +1,8 @@
 package gingerring.layout;
 
 /**
- * A change or a list that cannot be taken; the message names the entry. Nothing of it was taken.
+ * A layout step or a whole layout is invalid; the message names the entry. Nothing of it was
+ * applied.
  */
 public final class LayoutException extends Exception {
   private static final long serialVersionUID = 1;
--- a/layout/src/main/java/gingerring/layout/LayoutPlanner.java
+++ b/layout/src/main/java/gingerring/layout/LayoutPlanner.java
@@ -12,21 +12,25 @@
 import java.util.TreeMap;
 
 /**
- * Plans the steps from one layout to another: first splits, then moves in waves, then merges. Every
- * step is applied as it is planned, so no key is ever without an owner; no box is copied to by more
- * than so many moves at a time, which is what a cold successor can take; and folios are merged only
- * where the same boxes hold them.
+ * Plans the steps from one layout to another: first splits, then moves in waves, then merges.
  *
- * <p>Weights stay as they were: a plan changes who holds what, not how it weighs. What no steps can
- * do is refused: a number that would name other keys, a folio that would only change its number,
- * another number of holders.
+ * <p>Each step is applied as it is planned, so that every key has an owner at any time. The number
+ * of simultaneous moves to one box is limited to what a cold successor can sustain. Partitions are
+ * merged only if the same boxes hold them.
+ *
+ * <p>A plan changes which boxes hold which keys; it does not change weights. Targets that steps
+ * cannot reach are rejected: a partition number that would get other keys, a partition that would
+ * only change its number, or a different number of holders.
  */
 public final class LayoutPlanner {
   private final Layout target;
   private final int maxConcurrentMoves;
   private final List<LayoutStep> steps = new ArrayList<>();
 
-  /** Folios as they stand between splits and merges, with what they are to be part of. */
+  /**
+   * For each partition between the splits and the merges, the partition of the target layout that
+   * it becomes a part of.
+   */
   private final Map<PartitionId, PartitionId> targetIds = new TreeMap<>();
 
   private Layout current;
@@ -43,7 +47,12 @@
     }
   }
 
-  /** {@code atOnce}: moves that copy to one box at a time, 1 or more. */
+  /**
+   * Plans the steps between two layouts.
+   *
+   * @param maxConcurrentMoves the maximum number of simultaneous moves to one box, 1 or more
+   * @throws LayoutException if steps cannot reach the target or a partition is moving
+   */
   public static List<LayoutStep> plan(Layout from, Layout target, int maxConcurrentMoves)
       throws LayoutException {
     if (maxConcurrentMoves < 1) {
@@ -82,7 +91,7 @@
     return partitions;
   }
 
-  /** Cuts each folio where its keys go to different ones. */
+  /** Splits each partition whose keys go to different target partitions. */
   private void planSplits() throws LayoutException {
     Map<PartitionId, Integer> pieceCounts = new HashMap<>();
     Map<PartitionId, Map<PartitionId, List<KeyRange>>> rangesByPartition = new TreeMap<>();
@@ -118,7 +127,7 @@
       List<Partition> into = new ArrayList<>();
       for (Map.Entry<PartitionId, List<KeyRange>> piece : entry.getValue().entrySet()) {
         PartitionId targetId = piece.getKey();
-        // what stays keeps its number; what is alone in its target has that one's at once
+        // a piece that stays keeps its number; the only piece of a target gets the target's number
         PartitionId id =
             targetId.equals(partition.id()) || pieceCounts.get(targetId) == 1
                 ? targetId
@@ -130,7 +139,7 @@
     }
   }
 
-  /** Moves holders in waves, each box copied to by so many at a time. */
+  /** Moves holders in waves, with at most {@code maxConcurrentMoves} moves to one box in a wave. */
   private void planMoves() throws LayoutException {
     Map<PartitionId, Deque<BoxId[]>> movesByPartition = new TreeMap<>();
     for (Partition partition : sortedById(current)) {
--- a/layout/src/main/java/gingerring/layout/LayoutSequencer.java
+++ b/layout/src/main/java/gingerring/layout/LayoutSequencer.java
@@ -5,16 +5,16 @@
 import java.util.TreeMap;
 
 /**
- * Brings changes into their order. Steps may come early, late, twice, or not at all; a whole list
- * closes a gap. Call {@link #applyStep} and {@link #applySnapshot} with what is heard, {@link
- * #needsSnapshot} to learn whether to ask for a list.
+ * Applies layout steps in version order. Steps may arrive early, late, twice or not at all; a
+ * snapshot of the whole layout closes a gap. Call {@link #applyStep} and {@link #applySnapshot}
+ * with what arrives, and {@link #needsSnapshot} to learn whether to request a snapshot.
  *
- * <p>A step that does not fit is refused and kept out for good: what follows waits for a list. A
- * list older than what is in force changes nothing, so that a source behind the others cannot turn
- * time back.
+ * <p>A step that does not fit is rejected, and so is any other step with its version: the steps
+ * after it wait for a snapshot. A snapshot older than the current version changes nothing, so that
+ * a source that lags behind cannot roll the layout back.
  */
 public final class LayoutSequencer {
-  /** What became of what was heard. */
+  /** How a step or a snapshot was handled. */
   public enum UpdateResult {
     APPLIED,
     QUEUED,
@@ -24,7 +24,7 @@
     QUEUE_FULL
   }
 
-  /** Steps that may wait for one that is missing. */
+  /** Maximum number of steps that wait for a missing one. */
   public static final int MAX_QUEUED_STEPS = 1024;
 
   private final TreeMap<Long, LayoutStep> queued = new TreeMap<>();
@@ -33,7 +33,7 @@
   private long rejectedVersion = -1;
   private long rejectedCount;
 
-  /** Begins with a list that was checked. */
+  /** Starts with a validated layout. */
   public LayoutSequencer(Layout initial) {
     current = initial;
   }
@@ -42,6 +42,7 @@
     return current;
   }
 
+  /** Applies a step, or queues it until the steps before it have arrived. */
   public UpdateResult applyStep(LayoutStep step) {
     if (step.version() <= current.version()) {
       return UpdateResult.ALREADY_KNOWN;
@@ -54,7 +55,7 @@
         return UpdateResult.REJECTED;
       }
       if (queued.size() == MAX_QUEUED_STEPS) {
-        return UpdateResult.QUEUE_FULL; // a list will close so wide a gap
+        return UpdateResult.QUEUE_FULL; // a snapshot closes a gap of this size
       }
       queued.put(step.version(), step);
       return UpdateResult.QUEUED;
@@ -62,7 +63,10 @@
     return applyWithQueued(step) ? UpdateResult.APPLIED : UpdateResult.REJECTED;
   }
 
-  /** Takes a step and all that waited for it; false where the step itself does not fit. */
+  /**
+   * Applies a step and the queued steps that follow it. Returns false if the first step does not
+   * fit.
+   */
   private boolean applyWithQueued(LayoutStep first) {
     boolean applied = false;
     for (LayoutStep next = first; next != null; next = queued.remove(current.version() + 1)) {
@@ -78,7 +82,7 @@
     return applied;
   }
 
-  /** A whole list was heard. */
+  /** Handles a snapshot of the whole layout. */
   public UpdateResult applySnapshot(Layout snapshot) {
     if (snapshot.version() < current.version()) {
       return UpdateResult.OUTDATED;
@@ -113,10 +117,7 @@
     }
   }
 
-  /**
-   * Whether something is missing between what is in force and what waits, or was refused: ask for a
-   * list.
-   */
+  /** Returns whether a step is missing or was rejected, so that a snapshot should be requested. */
   public boolean needsSnapshot() {
     return !queued.isEmpty() || rejectedVersion >= 0;
   }
@@ -129,7 +130,7 @@
     return rejectedCount;
   }
 
-  /** Why changes were refused; the first {@link #MAX_QUEUED_STEPS}. */
+  /** Returns the reasons of the first {@link #MAX_QUEUED_STEPS} rejections. */
   public List<String> rejectionReasons() {
     return rejectionReasons;
   }
--- a/layout/src/main/java/gingerring/layout/LayoutStep.java
+++ b/layout/src/main/java/gingerring/layout/LayoutStep.java
@@ -2,18 +2,18 @@
 
 import java.util.List;
 
-/** One change of a layout: it makes {@link #version} out of the version before. */
+/** One change of a layout: it turns the version before {@link #version} into {@link #version}. */
 public sealed interface LayoutStep {
   long version();
 
-  /** One folio becomes several, which together have its keys. */
+  /** Splits one partition into several that together have the same keys. */
   record Split(long version, PartitionId from, List<Partition> into) implements LayoutStep {
     public Split {
       into = List.copyOf(into);
     }
   }
 
-  /** Several folios become one, which has their keys and these holders. */
+  /** Merges several partitions into one, which has all their keys and the given holders. */
   record Merge(long version, List<PartitionId> from, PartitionId into, List<BoxId> holders)
       implements LayoutStep {
     public Merge {
@@ -22,13 +22,16 @@
     }
   }
 
-  /** A holder's copy begins to move to a box that is none: until it has, the holder goes on. */
+  /**
+   * Starts a move of a holder's copy to a box that is not a holder. The source remains a holder
+   * until the move ends.
+   */
   record MoveBegins(long version, PartitionId partition, BoxId source, BoxId successor)
       implements LayoutStep {}
 
-  /** The successor holds the folio now, and the source does not. */
+  /** Completes a move: the successor replaces the source as a holder. */
   record MoveEnds(long version, PartitionId partition) implements LayoutStep {}
 
-  /** A move was given up: the holders stay as they are. */
+  /** Cancels a move: the holders do not change. */
   record MoveFails(long version, PartitionId partition) implements LayoutStep {}
 }
--- a/layout/src/main/java/gingerring/layout/LayoutVersions.java
+++ b/layout/src/main/java/gingerring/layout/LayoutVersions.java
@@ -4,11 +4,11 @@
 import java.util.TreeMap;
 
 /**
- * The versions that scans still need. A scan {@link #retainCurrent}s the one in force when it
- * begins and {@link #release}s it once no trip of it is out; a version that nobody holds and that
- * is not in force is forgotten at once. At {@link #MAX_RETAINED} versions the oldest is forgotten
- * though held: its scans can no more be translated, which {@link #get} tells, and {@link
- * #evictedCount} counts.
+ * Retains the layout versions that scans still need. A scan calls {@link #retainCurrent} when it
+ * starts and {@link #release} once it has no open trip. A version that no scan needs and that is
+ * not current is dropped at once. Above {@link #MAX_RETAINED} versions the oldest is evicted
+ * although scans still need it; {@link #get} then returns nothing for it, so that these scans can
+ * no longer be mapped to the current layout, and {@link #evictedCount} counts it.
  */
 public final class LayoutVersions {
   public static final int MAX_RETAINED = 4096;
@@ -30,11 +30,11 @@
     current = initial;
   }
 
-  /** A newer version is in force. */
+  /** Makes a newer version the current one. */
   public void setCurrent(Layout layout) {
     if (layout.version() <= current.version()) {
       throw new IllegalArgumentException(
-          "version " + layout.version() + " after " + current.version());
+          "version " + layout.version() + " is not newer than " + current.version());
     }
     current = layout;
   }
@@ -43,6 +43,7 @@
     return current;
   }
 
+  /** Retains the current version for one more scan and returns it. */
   public Layout retainCurrent() {
     RetainedLayout entry =
         retained.computeIfAbsent(current.version(), version -> new RetainedLayout(current));
@@ -54,6 +55,7 @@
     return current;
   }
 
+  /** Ends one scan's use of a version. */
   public void release(long version) {
     RetainedLayout entry = retained.get(version);
     if (entry != null && --entry.scanCount == 0) {
@@ -67,11 +69,12 @@
         : Optional.ofNullable(retained.get(version)).map(entry -> entry.layout);
   }
 
-  /** Old versions that are kept. */
+  /** Returns how many versions are retained for scans. */
   public int retainedCount() {
     return retained.size();
   }
 
+  /** Returns how many versions were evicted although scans needed them. */
   public long evictedCount() {
     return evictedCount;
   }
--- a/layout/src/main/java/gingerring/layout/Partition.java
+++ b/layout/src/main/java/gingerring/layout/Partition.java
@@ -3,9 +3,9 @@
 import java.util.List;
 
 /**
- * A folio of one version: its slices in the order of their keys, who holds it, and what is being
- * done to it. {@code successor} is the box that a move copies to, and {@code source} the one that
- * it takes it from; both are null unless it moves.
+ * A partition in one layout version: its key ranges in ascending order, the boxes that hold it, and
+ * a move that is in progress. A move copies the partition from {@code source}, one of the holders,
+ * to {@code successor}; both are null if the partition is not moving.
  */
 public record Partition(
     PartitionId id, List<KeyRange> ranges, List<BoxId> holders, BoxId source, BoxId successor) {
--- a/layout/src/main/java/gingerring/layout/PartitionId.java
+++ b/layout/src/main/java/gingerring/layout/PartitionId.java
@@ -1,6 +1,9 @@
 package gingerring.layout;
 
-/** Names a folio. A number is not used again for another folio. */
+/**
+ * Identifies a partition. A number is never reused for another partition. Layout files and printed
+ * output call a partition a folio.
+ */
 public record PartitionId(int number) implements Comparable<PartitionId> {
   @Override
   public int compareTo(PartitionId other) {
--- a/layout/src/main/java/gingerring/layout/RetryGuard.java
+++ b/layout/src/main/java/gingerring/layout/RetryGuard.java
@@ -7,16 +7,19 @@
 import java.util.Map;
 
 /**
- * What of a scan may still be sent, by range of keys. A trip belongs to its keys and not to a
- * folio: the halves of a part that was split have had its trips, and what may have run of it may
- * have run of them.
+ * Decides by key range whether another trip of a scan is allowed. Trips are counted per key and not
+ * per partition: if a partition is split, the new partitions inherit the trips that their keys have
+ * had and any execution that may have happened.
  *
- * <p>Call {@link #recordSent} for each trip, {@link #recordNotExecuted} once one is known not to
- * have run, and ask {@link #maySend}. Which box, and whether it is wise, is decided elsewhere; this
- * is what is allowed.
+ * <p>Call {@link #recordSent} for each trip and {@link #recordNotExecuted} once a trip is known not
+ * to have been executed; {@link #maySend} tells whether a trip is allowed. Other classes decide
+ * which box to use and whether a retry is worthwhile.
  */
 public final class RetryGuard {
-  /** What a repeat does: nothing, nothing while its mark is known, or harm. */
+  /**
+   * How safe it is to execute a scan again: always, while the idempotency key is remembered, or
+   * never.
+   */
   public enum RetrySafety {
     IDEMPOTENT,
     KEYED,
@@ -24,8 +27,8 @@
   }
 
   /**
-   * Of some keys: trips so far, how many of these may have run, and when the first of them was
-   * sent.
+   * Number of trips for a key range, how many of them may have been executed, and when the first of
+   * those was sent.
    */
   private record TripHistory(int tripCount, int possibleExecutions, Duration firstSentAt) {}
 
@@ -34,14 +37,19 @@
   private final Duration idempotencyWindow;
   private final TreeRangeMap<Long, TripHistory> historyByRange = TreeRangeMap.create();
 
-  /** {@code most} trips for a key; {@code window}: how long a numbered one's mark is known. */
+  /**
+   * Creates a guard.
+   *
+   * @param maxTrips the maximum number of trips for a key
+   * @param idempotencyWindow how long the key of a {@link RetrySafety#KEYED} scan is remembered
+   */
   public RetryGuard(int maxTrips, RetrySafety retrySafety, Duration idempotencyWindow) {
     this.maxTrips = maxTrips;
     this.retrySafety = retrySafety;
     this.idempotencyWindow = idempotencyWindow;
   }
 
-  /** Whether a trip for these keys, all of them, is allowed now. */
+  /** Returns whether a trip for all of these keys is allowed now. */
   public boolean maySend(long from, long to, Duration now) {
     for (TripHistory history :
         historyByRange.subRangeMap(Range.closedOpen(from, to)).asMapOfRanges().values()) {
@@ -59,7 +67,7 @@
     return true;
   }
 
-  /** A trip for these keys leaves. */
+  /** Records that a trip for these keys is sent. */
   public void recordSent(long from, long to, Duration now) {
     Range<Long> keys = Range.closedOpen(from, to);
     List<Map.Entry<Range<Long>, TripHistory>> previousEntries =
@@ -77,9 +85,9 @@
   }
 
   /**
-   * One trip for these keys is known not to have run; it counts as a trip all the same. Where
-   * several may have run, the time of the first stays: of two, which one never ran is not told
-   * apart.
+   * Records that one trip for these keys was not executed; it still counts as a trip. If several
+   * trips may have been executed, the send time of the first one is kept, because the guard does
+   * not know which of them was not executed.
    */
   public void recordNotExecuted(long from, long to) {
     for (Map.Entry<Range<Long>, TripHistory> entry :
@@ -95,7 +103,7 @@
     }
   }
 
-  /** Whether any of these keys may have run. */
+  /** Returns whether a trip for any of these keys may have been executed. */
   public boolean mayHaveExecuted(long from, long to) {
     return historyByRange.subRangeMap(Range.closedOpen(from, to)).asMapOfRanges().values().stream()
         .anyMatch(history -> history.possibleExecutions > 0);
--- a/layout/src/main/java/gingerring/layout/ScanCoverage.java
+++ b/layout/src/main/java/gingerring/layout/ScanCoverage.java
@@ -10,19 +10,22 @@
 import java.util.TreeMap;
 
 /**
- * One scan's account by range of keys: what it asked, what is in, what is missing. A key counts
- * once, whichever folio brought it under whichever version; {@link #isComplete} and {@link
- * #receivedWeight} are judged on keys alone.
+ * Tracks by key range which keys of one scan have been requested, received and are missing. A key
+ * counts once, whichever partition and layout version delivered it; {@link #isComplete} and {@link
+ * #receivedWeight} depend on keys alone.
  *
- * <p>A box answers for ranges, and may tell its parts apart: then what is in already is left out
- * and the rest counts. Where it cannot, an answer that overlaps what is in is set aside, and the
- * rest has to be asked anew.
+ * <p>A box answers with values for key ranges. If the values are separable, those for keys that
+ * were received before are skipped and the rest is accepted. If they are not, an answer that
+ * overlaps received keys is discarded, and its other keys have to be requested again.
  */
 public final class ScanCoverage {
-  /** One value that a box gave for a range of keys. */
+  /** The value that a box returned for a key range. */
   public record RangeValue(long from, long to, long value) {}
 
-  /** What became of an answer: all of it counts, some, nothing new, or it cannot be cut. */
+  /**
+   * How an answer was handled: accepted in full, accepted in part, already received, discarded
+   * because it overlaps received keys, or invalid.
+   */
   public enum AnswerResult {
     ACCEPTED,
     PARTLY_ACCEPTED,
@@ -34,7 +37,7 @@
   private final RangeSet<Long> requested = TreeRangeSet.create();
   private final RangeSet<Long> received = TreeRangeSet.create();
 
-  /** Weight by key: each range's share of the scan, as finely as it is known. */
+  /** Weight per key, as a share of the scan, for each segment in which the weight is uniform. */
   private final TreeRangeMap<Long, Double> weightPerKey = TreeRangeMap.create();
 
   private final Map<Long, RangeValue> acceptedByStart = new TreeMap<>();
@@ -46,14 +49,16 @@
   }
 
   /**
-   * The scan asks for this folio of the version that it began under, with this share of its weight.
+   * Adds a partition of the scan's initial layout version to the request.
+   *
+   * @param share the partition's share of the scan's weight
    */
   public void request(Partition partition, double share) {
     double partitionWeight = partition.weight();
     for (KeyRange range : partition.ranges()) {
       Range<Long> keys = keyRange(range.from(), range.to());
       if (requested.intersects(keys)) {
-        throw new IllegalArgumentException("keys " + range + " asked twice");
+        throw new IllegalArgumentException("keys " + range + " requested twice");
       }
       requested.add(keys);
       weightPerKey.put(
@@ -63,9 +68,9 @@
   }
 
   /**
-   * A newer version knows better how what is missing weighs: of each range asked, the weight is
-   * divided as that layout's slices have it. The sum stays; what is in keeps the weight that it
-   * came with.
+   * Refines the weights of the missing keys by a newer layout: the weight of each requested segment
+   * is distributed as the layout's key ranges have it. The sum does not change, and received keys
+   * keep the weight that they were counted with.
    */
   public void refineWeights(Layout layout) {
     for (Map.Entry<Range<Long>, Double> segment :
@@ -90,7 +95,7 @@
     }
   }
 
-  /** Folios of a layout that hold what is missing, each with the ranges to ask of it. */
+  /** Returns the partitions of a layout that hold missing keys, each with the missing ranges. */
   public Map<PartitionId, List<Range<Long>>> missing(Layout layout) {
     Map<PartitionId, List<Range<Long>>> rangesByPartition = new TreeMap<>();
     for (Range<Long> keys : missing().asRanges()) {
@@ -111,8 +116,11 @@
   }
 
   /**
-   * A box has answered. {@code apart}: its entries can be counted one by one; else all of them or
-   * none. An entry that is partly in is never cut itself, as its value is of all its keys.
+   * Handles an answer from a box. A value that is partly received is never split, because it covers
+   * all of its keys.
+   *
+   * @param separable whether the values can be accepted one by one; otherwise either all are
+   *     accepted or none
    */
   public AnswerResult acceptAnswer(List<RangeValue> values, boolean separable) {
     RangeSet<Long> answered = TreeRangeSet.create();
@@ -120,7 +128,7 @@
       if (value.from >= value.to
           || answered.intersects(keyRange(value.from, value.to))
           || !requested.encloses(keyRange(value.from, value.to))) {
-        return AnswerResult.INVALID; // it answers what was not asked, or one thing twice
+        return AnswerResult.INVALID; // contains unrequested keys, or a key twice
       }
       answered.add(keyRange(value.from, value.to));
     }
@@ -154,22 +162,22 @@
     return allUnseen ? AnswerResult.ACCEPTED : AnswerResult.PARTLY_ACCEPTED;
   }
 
-  /** The share of the scan's weight that is in. */
+  /** Returns the share of the scan's weight that has been received. */
   public double receivedWeight() {
     return isComplete() ? requestedWeight : receivedWeight;
   }
 
-  /** Every key that was asked is in. */
+  /** Returns whether every requested key has been received. */
   public boolean isComplete() {
     return received.enclosesAll(requested);
   }
 
-  /** What counts, in the order of keys. */
+  /** Returns the accepted values in key order. */
   public List<RangeValue> acceptedValues() {
     return List.copyOf(acceptedByStart.values());
   }
 
-  /** The sum of what counts: each provider's hours once. */
+  /** Returns the sum of the accepted values; each provider's hours count once. */
   public long sum() {
     return acceptedByStart.values().stream().mapToLong(RangeValue::value).sum();
   }
--- a/layout/src/test/java/gingerring/layout/LayoutExplorationTest.java
+++ b/layout/src/test/java/gingerring/layout/LayoutExplorationTest.java
@@ -20,9 +20,10 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Every order of events in a small world: two boxes, one scan, one split or none, one move, one
- * time-out with its retry, one lost message, one list from a source that is behind. All states are
- * visited, and in each the rules are looked at; faults planted on purpose have to be found.
+ * Guards against event orders that break an invariant in a small model: two boxes, one scan, at
+ * most one split, one move, one timeout with a retry, one lost message and one snapshot from an
+ * outdated source. The test visits every reachable state and checks the invariants in each; it must
+ * also detect injected faults.
  */
 class LayoutExplorationTest {
   private static final int KEYS = 4;
@@ -30,7 +31,7 @@
   private static final BoxId A = new BoxId("a");
   private static final BoxId B = new BoxId("b");
 
-  /** What is planted. */
+  /** The fault that is injected. */
   private enum Fault {
     NONE,
     COUNT_RECEIVED_KEYS_AGAIN,
@@ -53,14 +54,14 @@
     }
   }
 
-  /** One run along a path of choices. */
+  /** One run along a path of events. */
   private static final class Simulation {
     final List<Layout> versions;
     final RetrySafety retrySafety;
     final boolean separable;
     final Fault fault;
     final int[] boxVersions = new int[2];
-    final TreeSet<Integer> stepsInTransit = new TreeSet<>(); // told and not heard
+    final TreeSet<Integer> stepsInTransit = new TreeSet<>(); // sent but not yet received
     final List<Message> messages = new ArrayList<>();
     final Map<Integer, List<Range<Long>>> openTrips = new HashMap<>();
     final ScanCoverage coverage = new ScanCoverage();
@@ -94,11 +95,15 @@
       return versions.size() - 1;
     }
 
-    /** What can happen next, by name. */
+    /**
+     * Returns the enabled events by name. "box": a box learns the next layout version; "hear": a
+     * step arrives; "deliver": a message arrives; "lose" and "miss": a message or a step is lost;
+     * "time": a trip times out; "list" and "old": a current or an outdated snapshot arrives.
+     */
     List<String> enabledEvents() {
       List<String> events = new ArrayList<>();
       for (int box = 0; box < 2; box++) {
-        // whom a folio moves to has it before the source lets go
+        // the successor has the partition before the source drops it
         if (boxVersions[box] < lastVersion()
             && (box == 1
                 || boxVersions[0] + 1 < lastVersion()
@@ -112,7 +117,7 @@
       Set<String> distinctMessages = new HashSet<>();
       for (int i = 0; i < messages.size(); i++) {
         if (distinctMessages.add(messages.get(i).toString())) {
-          events.add("carry " + i);
+          events.add("deliver " + i);
           if (!messageLost) {
             events.add("lose " + i);
           }
@@ -190,7 +195,7 @@
             version,
             new PartitionId(0),
             layout.partitions().stream()
-                .sorted((one, other) -> one.id().compareTo(other.id()))
+                .sorted((first, second) -> first.id().compareTo(second.id()))
                 .toList());
       }
       return layout.partition(new PartitionId(2)).orElseThrow().isMoving()
@@ -274,7 +279,7 @@
     }
 
     /**
-     * Sends for what is missing and not out, to the folio's holder as the layout in force has it.
+     * Sends trips for the missing keys that are not in flight, to the holder in the current layout.
      */
     private void sendMissing() {
       coverage
@@ -332,17 +337,17 @@
               .sum();
       long received = (1L << KEYS) - 1 - missing;
       if (sum != received) {
-        violation = "the sum is " + sum + ", of what is in " + received;
+        violation = "the sum is " + sum + ", of the received keys " + received;
       } else if (coverage.isComplete() != (missing == 0)) {
-        violation = "whole is " + coverage.isComplete() + " with " + missing + " missing";
+        violation = "isComplete is " + coverage.isComplete() + " with " + missing + " missing";
       } else if (sequencer.current().version() < versionBefore) {
-        violation = "the layout went back";
+        violation = "the layout version decreased";
       }
       for (int key = 0; key < KEYS; key++) {
         if (tripCounts[key] > MAX_TRIPS) {
           violation = "key " + key + " had " + tripCounts[key] + " trips";
         } else if (retrySafety == RetrySafety.AT_MOST_ONCE && executionCounts[key] > 1) {
-          violation = "key " + key + " ran " + executionCounts[key] + " times";
+          violation = "key " + key + " was executed " + executionCounts[key] + " times";
         }
       }
     }
@@ -422,14 +427,14 @@
       if (events.isEmpty()) {
         endStateCount++;
         completeCount += simulation.coverage.isComplete() ? 1 : 0;
-        // whoever may try again and is not yet whole must not stand still
+        // an incomplete scan that may be retried must have used all its trips
         if (!simulation.coverage.isComplete() && retrySafety == RetrySafety.IDEMPOTENT) {
           for (int key = 0; key < KEYS; key++) {
             boolean missing = !simulation.coverage.missing(versions.get(0)).isEmpty();
             assertTrue(
                 !missing
                     || Arrays.stream(simulation.tripCounts).anyMatch(trips -> trips == MAX_TRIPS),
-                "stands still after " + path);
+                "stuck after " + path);
           }
         }
       }
@@ -457,9 +462,9 @@
                 + result.states
                 + " states, "
                 + result.endStates
-                + " ends, "
+                + " end states, "
                 + result.completeStates
-                + " of them whole");
+                + " of them complete");
         assertEquals("", result.violation, result.path::toString);
         assertTrue(result.states > 1000 && result.completeStates > 0);
       }
@@ -475,9 +480,9 @@
             Fault.RESET_TRIPS_AFTER_SPLIT,
             "trips",
             Fault.EXECUTE_BUT_DISOWN,
-            "ran 2 times",
+            "was executed 2 times",
             Fault.ACCEPT_OUTDATED_SNAPSHOT,
-            "the layout went back");
+            "the layout version decreased");
     for (Map.Entry<Fault, String> fault : faults.entrySet()) {
       ExplorationResult result =
           explore(
--- a/layout/src/test/java/gingerring/layout/LayoutPlannerTest.java
+++ b/layout/src/test/java/gingerring/layout/LayoutPlannerTest.java
@@ -16,7 +16,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Plans between layouts that histories lead to: every step fits, and the end is what was wanted.
+ * Guards against plans that leave a key without an owner, exceed the limit of simultaneous moves,
+ * or do not reach the target, with random layouts as targets.
  */
 class LayoutPlannerTest {
   @Test
@@ -35,7 +36,7 @@
             target = target.apply(step);
           }
         } catch (LayoutException e) {
-          // another
+          // an invalid random step; the next one is tried
         }
       }
       int maxConcurrentMoves = 1 + random.nextInt(3);
@@ -54,7 +55,7 @@
           movesInProgress.merge(
               current.partition(ends.partition()).orElseThrow().successor(), -1, Integer::sum);
         }
-        current = current.apply(step); // refuses whatever would leave a key unowned
+        current = current.apply(step); // throws if a key would have no owner
         if (step instanceof LayoutStep.MoveBegins begins) {
           assertTrue(
               movesInProgress.merge(begins.successor(), 1, Integer::sum) <= maxConcurrentMoves,
@@ -70,7 +71,7 @@
             new HashSet<>(current.partition(partition.id()).orElseThrow().holders()));
       }
     }
-    assertTrue(planCount > 2000, planCount + " planned; " + refusals);
+    assertTrue(planCount > 2000, planCount + " plans; " + refusals);
   }
 
   @Test
--- a/layout/src/test/java/gingerring/layout/LayoutTest.java
+++ b/layout/src/test/java/gingerring/layout/LayoutTest.java
@@ -17,7 +17,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Layouts against the plain model of every key. */
+/** Compares layouts with a reference model of every key. */
 class LayoutTest {
   private static final int HISTORIES = 20_000;
 
@@ -50,7 +50,7 @@
         model = nextModel;
         assertArrayEquals(model.owner, RandomLayouts.owners(next), history + ": " + step);
         assertArrayEquals(
-            ownersBefore, RandomLayouts.owners(layout), "the version before has changed");
+            ownersBefore, RandomLayouts.owners(layout), "apply changed the previous version");
         layout = next;
         for (Partition partition : layout.partitions()) {
           assertEquals(
@@ -75,10 +75,13 @@
     }
     assertTrue(
         resultCounts[0] > HISTORIES && resultCounts[1] > HISTORIES,
-        "refused " + resultCounts[0] + ", taken " + resultCounts[1]);
+        "rejected " + resultCounts[0] + ", applied " + resultCounts[1]);
   }
 
-  /** Steps early, late, twice and lost, with lists between them: in the end all have the same. */
+  /**
+   * Guards against a final layout that depends on the order of events: steps arrive early, late,
+   * twice or never, with snapshots of any age between them.
+   */
   @Test
   void anyStepOrderLeadsToTheSameLayout() throws Exception {
     for (int history = 0; history < 5000; history++) {
@@ -93,7 +96,7 @@
           versions.add(last.apply(step));
           steps.add(step);
         } catch (LayoutException e) {
-          // another
+          // an invalid random step; the next one is tried
         }
       }
       LayoutSequencer sequencer = new LayoutSequencer(versions.get(0));
@@ -107,7 +110,7 @@
       }
       for (LayoutStep step : delivered) {
         sequencer.applyStep(step);
-        if (random.nextInt(10) == 0) { // a list of any age
+        if (random.nextInt(10) == 0) { // a snapshot of any age
           Layout snapshot = versions.get(random.nextInt(versions.size()));
           UpdateResult result = sequencer.applySnapshot(snapshot);
           assertEquals(
@@ -135,7 +138,7 @@
         new LayoutStep.MoveBegins(
             1, new PartitionId(0), RandomLayouts.box(0), RandomLayouts.box(7));
     LayoutStep.MoveEnds invalidStep2 =
-        new LayoutStep.MoveEnds(2, new PartitionId(1)); // it does not move
+        new LayoutStep.MoveEnds(2, new PartitionId(1)); // partition 1 is not moving
     LayoutStep.MoveEnds validStep2 = new LayoutStep.MoveEnds(2, new PartitionId(0));
     LayoutStep.MoveBegins step3 =
         new LayoutStep.MoveBegins(
@@ -150,7 +153,7 @@
     assertEquals(UpdateResult.OUTDATED, sequencer.applySnapshot(initial));
     assertEquals(
         UpdateResult.REJECTED,
-        sequencer.applyStep(validStep2)); // whom to believe, only a list can tell
+        sequencer.applyStep(validStep2)); // only a snapshot tells which of the two steps is right
     assertEquals(
         UpdateResult.APPLIED, sequencer.applySnapshot(initial.apply(step1).apply(validStep2)));
     assertEquals(3, sequencer.current().version());
@@ -203,8 +206,8 @@
   }
 
   /**
-   * Old versions are kept as long as a scan needs them, through thousands of reshapes, and no
-   * longer.
+   * Guards against versions that are dropped while a scan needs them, or retained longer, through
+   * thousands of layout changes.
    */
   @Test
   void versionsAreRetainedOnlyWhileScansNeedThem() throws Exception {
@@ -226,7 +229,7 @@
       for (long version : scanVersions) {
         assertEquals(version, versions.get(version).orElseThrow().version());
       }
-      assertTrue(versions.retainedCount() <= 51, "kept: " + versions.retainedCount());
+      assertTrue(versions.retainedCount() <= 51, "retained: " + versions.retainedCount());
     }
     scanVersions.forEach(versions::release);
     assertEquals(0, versions.retainedCount());
--- a/layout/src/test/java/gingerring/layout/RandomLayouts.java
+++ b/layout/src/test/java/gingerring/layout/RandomLayouts.java
@@ -11,13 +11,13 @@
 import java.util.SplittableRandom;
 
 /**
- * Generated histories, and the slow plain model beside the layout: an owner for every key, written
- * out. The model takes a step apart key by key and knows nothing of slices.
+ * Generates random layout steps, and provides a slow reference model that stores the owner of every
+ * key and applies steps key by key, without key ranges.
  */
 final class RandomLayouts {
   static final int KEYS = 48;
 
-  /** Every key with its folio and its weight, and every folio's holders. */
+  /** Reference model: the owner and weight of every key, and the holders of every partition. */
   static final class KeyModel {
     long version;
     final int[] owner = new int[KEYS];
@@ -36,8 +36,8 @@
     }
 
     /**
-     * The model after a step, or null where it would leave a key with two owners or none, or does
-     * not fit.
+     * Returns the model after a step, or null if the step does not fit or would leave a key with
+     * two owners or none.
      */
     KeyModel apply(LayoutStep step) {
       KeyModel next = copy();
@@ -163,7 +163,10 @@
     return boxes.stream().sorted().toList();
   }
 
-  /** Four folios that share the keys, and the model of that. */
+  /**
+   * Returns a layout of four partitions with equal numbers of keys, and initialises the model to
+   * match.
+   */
   static Layout initialLayout(KeyModel model) {
     List<Partition> partitions = new ArrayList<>();
     for (int i = 0; i < 4; i++) {
@@ -185,7 +188,7 @@
     }
   }
 
-  /** A step that may or may not fit; about one in three is spoilt in some way. */
+  /** Returns a random step. About one step in three is invalid. */
   static LayoutStep randomStep(Layout layout, int[] nextId, SplittableRandom random) {
     List<Partition> partitions = new ArrayList<>(layout.partitions());
     partitions.sort(Comparator.comparing(Partition::id));
@@ -220,7 +223,7 @@
 
   private static LayoutStep randomSplit(
       long version, Partition partition, int[] nextId, SplittableRandom random) {
-    // each key goes to one of the new folios, in runs
+    // runs of keys go to randomly chosen new partitions
     int count = 2 + random.nextInt(2);
     List<List<KeyRange>> rangesByPart = new ArrayList<>();
     for (int i = 0; i < count; i++) {
@@ -235,7 +238,7 @@
       }
     }
     if (random.nextInt(6) == 0
-        && !rangesByPart.get(0).isEmpty()) { // spoilt: a slice lost, doubled, or made longer
+        && !rangesByPart.get(0).isEmpty()) { // invalid: a range is missing, duplicated or too long
       KeyRange last = rangesByPart.get(0).get(rangesByPart.get(0).size() - 1);
       switch (random.nextInt(3)) {
         case 0 -> rangesByPart.get(0).remove(last);
--- a/layout/src/test/java/gingerring/layout/RetryGuardTest.java
+++ b/layout/src/test/java/gingerring/layout/RetryGuardTest.java
@@ -11,7 +11,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** What is allowed by range, against counters for every key; and hints. */
+/** Compares the retry guard with counters for every key, and tests disowned ranges. */
 class RetryGuardTest {
   private static final int KEYS = 24;
 
@@ -72,7 +72,9 @@
         decisionCounts[0] + " " + decisionCounts[1]);
   }
 
-  /** Guards against two halves that each begin anew what their whole has had already. */
+  /**
+   * Guards against new partitions that start without the trips that their keys had before a split.
+   */
   @Test
   void splitPartitionsInheritTripsOfTheOriginal() {
     RetryGuard retryGuard = new RetryGuard(2, RetrySafety.IDEMPOTENT, ms(0));
@@ -102,7 +104,7 @@
                 1, new PartitionId(0), RandomLayouts.box(0), RandomLayouts.box(7)));
     assertTrue(disownedRanges.mayHold(RandomLayouts.box(1), 0, 12, next, ms(2)));
     disownedRanges.add(
-        RandomLayouts.box(1), 0, 12, Long.MAX_VALUE, ms(0)); // a version that never comes
+        RandomLayouts.box(1), 0, 12, Long.MAX_VALUE, ms(0)); // a version that never arrives
     assertFalse(disownedRanges.mayHold(RandomLayouts.box(1), 0, 12, next, ms(10_000)));
     assertTrue(disownedRanges.mayHold(RandomLayouts.box(1), 0, 12, next, ms(10_001)));
     for (int i = 0; i < 3 * DisownedRanges.MAX_ENTRIES; i++) {
--- a/layout/src/test/java/gingerring/layout/ScanCoverageTest.java
+++ b/layout/src/test/java/gingerring/layout/ScanCoverageTest.java
@@ -14,9 +14,12 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** A scan's account through layouts that change under it, against a mark for every key. */
+/**
+ * Guards against keys that count twice or get lost while the layout changes during a scan; compares
+ * the coverage with a flag for every key.
+ */
 class ScanCoverageTest {
-  /** Hours of every provider: the truth. */
+  /** Returns the value of a key in the test data. */
   private static long expectedValue(long key) {
     return 1L << key % 40;
   }
@@ -57,8 +60,7 @@
           addRandomVersions(versions, nextId, random, 1);
           coverage.refineWeights(versions.get(versions.size() - 1));
         }
-        // a box answers for a folio of some version that it believes in, late or not, for what the
-        // scan asked there
+        // a box answers by its own, possibly outdated layout version, on time or late
         Layout boxLayout =
             versions.get(versions.size() - 1 - random.nextInt(Math.min(3, versions.size())));
         Map<PartitionId, List<Range<Long>>> missing = coverage.missing(boxLayout);
@@ -69,7 +71,7 @@
             answersMissing
                 ? missing.get(partition)
                 : requestedRanges(boxLayout, partition, requested);
-        boolean perKey = random.nextBoolean(); // it tells its providers apart, or not
+        boolean perKey = random.nextBoolean(); // one value per key, or one per range
         for (Range<Long> range : ranges) {
           long from = range.lowerEndpoint();
           long to = range.upperEndpoint();
@@ -122,7 +124,7 @@
     }
     assertTrue(
         completeCount > 10_000 && discardedCount > 1000,
-        "whole " + completeCount + ", set aside " + discardedCount);
+        "complete " + completeCount + ", discarded " + discardedCount);
   }
 
   private static void addRandomVersions(
@@ -133,7 +135,7 @@
         versions.add(last.apply(RandomLayouts.randomStep(last, nextId, random)));
         i++;
       } catch (LayoutException e) {
-        // another
+        // an invalid random step; the next one is tried
       }
     }
   }
@@ -181,8 +183,8 @@
   }
 
   /**
-   * The first trip timed out, the folio split, a half came, and then the first trip's answer comes
-   * late.
+   * Guards against double counting when a trip times out, its partition is split, one new partition
+   * answers, and then the first trip's answer arrives late.
    */
   @Test
   void lateOverlappingAnswerIsPartlyAcceptedOrDiscarded() throws Exception {
