--- a/bench/src/main/java/gingerring/bench/ReadingBench.java
+++ b/bench/src/main/java/gingerring/bench/ReadingBench.java
@@ -1,12 +1,12 @@
 package gingerring.bench;
 
-import gingerring.traffic.flow.Bounds;
+import gingerring.traffic.flow.ReassemblyLimits;
 import gingerring.traffic.pcap.CaptureReader;
-import gingerring.traffic.pcap.Layers;
 import gingerring.traffic.pcap.Packet;
+import gingerring.traffic.pcap.PacketDecoder;
 import gingerring.traffic.pcap.Segment;
 import gingerring.traffic.scan.ObservedScan;
-import gingerring.traffic.scan.Recording;
+import gingerring.traffic.scan.RecordingReader;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.DataOutputStream;
@@ -64,7 +64,7 @@
   }
 
   private CaptureReader reader() throws IOException {
-    return CaptureReader.of("it", new ByteArrayInputStream(file));
+    return CaptureReader.fromStream("it", new ByteArrayInputStream(file));
   }
 
   @Benchmark
@@ -85,10 +85,10 @@
     CaptureReader reader = reader();
     Packet packet = new Packet();
     Segment segment = new Segment();
-    Layers layers = new Layers();
+    PacketDecoder layers = new PacketDecoder();
     long bytes = 0;
     while (reader.next(packet)) {
-      bytes += layers.read(packet, segment) ? segment.length : 0;
+      bytes += layers.decode(packet, segment) ? segment.payloadLength : 0;
     }
     return bytes;
   }
@@ -97,17 +97,18 @@
   @OperationsPerInvocation(PACKETS)
   public long fates() throws IOException {
     long[] whole = {0};
-    Recording.skim(
+    RecordingReader.readExchanges(
         reader(),
-        Bounds.USUAL,
+        ReassemblyLimits.DEFAULT,
         segment -> true,
-        exchange -> whole[0] += exchange.fate() == ObservedScan.ScanOutcome.WHOLE ? 1 : 0);
+        exchange -> whole[0] += exchange.outcome() == ObservedScan.ScanOutcome.WHOLE ? 1 : 0);
     return whole[0];
   }
 
   @Benchmark
   @OperationsPerInvocation(PACKETS)
   public long scans() throws IOException {
-    return Recording.read(reader(), Bounds.USUAL, segment -> true, seen -> {}).scans();
+    return RecordingReader.read(reader(), ReassemblyLimits.DEFAULT, segment -> true, seen -> {})
+        .scans();
   }
 }
--- a/bench/src/main/java/gingerring/bench/ReadingSpeed.java
+++ b/bench/src/main/java/gingerring/bench/ReadingSpeed.java
@@ -1,11 +1,11 @@
 package gingerring.bench;
 
-import gingerring.traffic.flow.Bounds;
+import gingerring.traffic.flow.ReassemblyLimits;
 import gingerring.traffic.pcap.CaptureReader;
 import gingerring.traffic.pcap.CaptureWriter;
 import gingerring.traffic.record.PacketSynthesizer;
 import gingerring.traffic.scan.ObservedScan;
-import gingerring.traffic.scan.Recording;
+import gingerring.traffic.scan.RecordingReader;
 import java.io.IOException;
 import java.io.InputStream;
 import java.lang.management.ManagementFactory;
@@ -32,13 +32,13 @@
     for (long bytes : new long[] {most / 8, most / 2, most}) {
       Path file = folder.resolve("speed.pcap");
       long scans;
-      try (CaptureWriter out = new CaptureWriter(file, PacketSynthesizer.LINK)) {
+      try (CaptureWriter out = new CaptureWriter(file, PacketSynthesizer.LINK_TYPE_RAW)) {
         scans =
             new Traffic()
                 .write(
                     CONNECTIONS,
                     bytes,
-                    (nanos, packet, length) -> out.packet(nanos, packet, 0, length, length));
+                    (nanos, packet, length) -> out.writePacket(nanos, packet, 0, length, length));
       }
       double size = Files.size(file) / 1048576.0;
       long start = System.nanoTime();
@@ -54,14 +54,15 @@
       long[] whole = {0};
       long cpu = ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime();
       start = System.nanoTime();
-      Recording.Summary summary;
+      RecordingReader.Summary summary;
       try (CaptureReader capture = CaptureReader.open(file)) {
         summary =
-            Recording.skim(
+            RecordingReader.readExchanges(
                 capture,
-                Bounds.USUAL,
+                ReassemblyLimits.DEFAULT,
                 s -> true,
-                exchange -> whole[0] += exchange.fate() == ObservedScan.ScanOutcome.WHOLE ? 1 : 0);
+                exchange ->
+                    whole[0] += exchange.outcome() == ObservedScan.ScanOutcome.WHOLE ? 1 : 0);
       }
       double took = (System.nanoTime() - start) / 1e9;
       cpu = ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime() - cpu;
--- a/bench/src/main/java/gingerring/bench/Traffic.java
+++ b/bench/src/main/java/gingerring/bench/Traffic.java
@@ -57,7 +57,7 @@
     PacketSynthesizer[] forges = new PacketSynthesizer[connections];
     long[] written = {0};
     IOException[] failed = {null};
-    PacketSynthesizer.Out counted =
+    PacketSynthesizer.PacketConsumer counted =
         (nanos, packet, length) -> {
           try {
             out.packet(nanos, packet, length);
@@ -76,12 +76,12 @@
                 new InetSocketAddress("127.0.0." + (1 + which / 50_000), 10_000 + which % 50_000),
                 new InetSocketAddress("127.1.0.1", 8081),
                 which * 77_777_777L);
-        forges[which].open(now, counted);
+        forges[which].writeHandshake(now, counted);
       }
-      forges[which].data(now += 20_000, 0, request, 0, request.length, counted);
-      forges[which].acknowledge(now += 1000, 1, counted);
-      forges[which].data(now += 20_000, 1, answer, 0, answer.length, counted);
-      forges[which].acknowledge(now += 1000, 0, counted);
+      forges[which].writeData(now += 20_000, 0, request, 0, request.length, counted);
+      forges[which].writeAcknowledgement(now += 1000, 1, counted);
+      forges[which].writeData(now += 20_000, 1, answer, 0, answer.length, counted);
+      forges[which].writeAcknowledgement(now += 1000, 0, counted);
       scans++;
     }
     if (failed[0] != null) {
--- a/cli/src/main/java/gingerring/cli/PcapCommand.java
+++ b/cli/src/main/java/gingerring/cli/PcapCommand.java
@@ -1,13 +1,13 @@
 package gingerring.cli;
 
-import gingerring.traffic.flow.Bounds;
+import gingerring.traffic.flow.ReassemblyLimits;
 import gingerring.traffic.pcap.CaptureEditor;
 import gingerring.traffic.pcap.CaptureReader;
 import gingerring.traffic.pcap.NetworkFilter;
 import gingerring.traffic.record.Anonymiser;
 import gingerring.traffic.scan.ObservedScan;
-import gingerring.traffic.scan.Recording;
-import gingerring.traffic.scan.Trips;
+import gingerring.traffic.scan.RecordingReader;
+import gingerring.traffic.scan.SearcherTraffic;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.nio.file.Files;
@@ -65,8 +65,8 @@
   }
 
   /** 0 where the file was whole, else the verdict's code: what could be read was. */
-  private int verdict(Recording.Summary summary) {
-    return summary.end() == CaptureReader.End.WHOLE ? 0 : Gingerring.VERDICT;
+  private int verdict(RecordingReader.Summary summary) {
+    return summary.endState() == CaptureReader.EndState.WHOLE ? 0 : Gingerring.VERDICT;
   }
 
   private PrintWriter out() {
@@ -79,14 +79,14 @@
       description = "What is in a file, and what could not be read.")
   int info(@Parameters(paramLabel = "FILE") Path file, @Mixin Wanted wanted) throws IOException {
     Map<ObservedScan.ScanOutcome, Long> fates = new EnumMap<>(ObservedScan.ScanOutcome.class);
-    Recording.Summary it;
+    RecordingReader.Summary it;
     try (CaptureReader capture = CaptureReader.open(file)) {
       it =
-          Recording.skim(
+          RecordingReader.readExchanges(
               capture,
-              Bounds.USUAL,
+              ReassemblyLimits.DEFAULT,
               wanted.nets(),
-              exchange -> fates.merge(exchange.fate(), 1L, Long::sum));
+              exchange -> fates.merge(exchange.outcome(), 1L, Long::sum));
     }
     PrintWriter out = out();
     double seconds = (it.lastNanos() - it.firstNanos()) / 1e9;
@@ -95,14 +95,14 @@
         "%s: %d packets, %d bytes, %.3f s from %s%n",
         file,
         it.packets(),
-        it.bytes(),
+        it.capturedBytes(),
         seconds,
         it.packets() == 0 ? "nowhen" : Instant.ofEpochSecond(0, it.firstNanos()));
     out.printf(
         "%d TCP segments in %d connections; %d scans %s%n",
         it.segments(), it.flows(), it.scans(), fates);
-    it.read().forEach((what, many) -> out.println("  " + many + ' ' + what));
-    Trips trips = it.trips();
+    it.messageCounts().forEach((what, many) -> out.println("  " + many + ' ' + what));
+    SearcherTraffic trips = it.searcherTraffic();
     if (trips.parts > 0) {
       out.printf(
           Locale.ROOT,
@@ -110,21 +110,22 @@
               + "%d probes, %d unanswered%n",
           trips.parts,
           trips.calls,
-          trips.bySearcher.size(),
-          trips.ends,
-          trips.returned == 0 ? 0 : trips.waited / 1e6 / trips.returned,
-          trips.recalls,
+          trips.partsBySearcher.size(),
+          trips.returnsByStatus,
+          trips.matchedReturns == 0 ? 0 : trips.totalWaitNanos / 1e6 / trips.matchedReturns,
+          trips.cancellations,
           trips.probes,
           trips.unanswered);
     }
-    if (!it.notRead().isEmpty() || it.drops() > 0) {
+    if (!it.skippedCounts().isEmpty() || it.droppedPackets() > 0) {
       out.println("not read:");
-      it.notRead().forEach((what, many) -> out.println("  " + many + ' ' + what));
-      if (it.drops() > 0) {
-        out.println("  " + it.drops() + " packets that the recorder dropped, as the file says");
+      it.skippedCounts().forEach((what, many) -> out.println("  " + many + ' ' + what));
+      if (it.droppedPackets() > 0) {
+        out.println(
+            "  " + it.droppedPackets() + " packets that the recorder dropped, as the file says");
       }
     }
-    out.println(it.why().isEmpty() ? "the file is whole" : it.why());
+    out.println(it.endReason().isEmpty() ? "the file is whole" : it.endReason());
     return verdict(it);
   }
 
@@ -137,35 +138,37 @@
     out.println(
         "number,connection,client,asked_at,mark,grade,remaining_ms,resent,parts,fate,status,weight,took_ms,"
             + "missing");
-    Recording.Summary it =
-        Recording.read(
+    RecordingReader.Summary it =
+        RecordingReader.read(
             file,
-            Bounds.USUAL,
+            ReassemblyLimits.DEFAULT,
             wanted.nets(),
             seen ->
                 out.printf(
                     Locale.ROOT,
                     "%d,%d,%s,%s,%s,%s,%d,%s,%d,%s,%d,%.4f,%s,%s%n",
                     seen.number(),
-                    seen.connection(),
+                    seen.connectionNumber(),
                     seen.client(),
-                    Instant.ofEpochSecond(0, seen.askedAt()),
-                    quoted(seen.mark()),
-                    quoted(seen.grade()),
+                    Instant.ofEpochSecond(0, seen.requestStartNanos()),
+                    quoted(seen.transactionId()),
+                    quoted(seen.serviceClass()),
                     seen.remainingMs(),
                     seen.resent(),
                     seen.targets().size(),
                     seen.outcome(),
                     seen.status(),
-                    seen.weight(),
-                    seen.answeredAt() == 0
+                    seen.answeredShare(),
+                    seen.responseEndNanos() == 0
                         ? ""
                         : String.format(
-                            Locale.ROOT, "%.3f", (seen.answeredAt() - seen.wholeAt()) / 1e6),
-                    quoted(seen.missing())));
+                            Locale.ROOT,
+                            "%.3f",
+                            (seen.responseEndNanos() - seen.requestEndNanos()) / 1e6),
+                    quoted(seen.problem())));
     out.flush();
-    if (!it.why().isEmpty()) {
-      spec.commandLine().getErr().println("gingerring pcap scans: " + it.why());
+    if (!it.endReason().isEmpty()) {
+      spec.commandLine().getErr().println("gingerring pcap scans: " + it.endReason());
     }
     return verdict(it);
   }
@@ -193,7 +196,9 @@
       @Mixin Wanted wanted)
       throws IOException {
     different(List.of(file), to);
-    long first = Recording.read(file, Bounds.USUAL, segment -> false, seen -> {}).firstNanos();
+    long first =
+        RecordingReader.read(file, ReassemblyLimits.DEFAULT, segment -> false, seen -> {})
+            .firstNanos();
     long since = when(from, first);
     long before = until == null ? Long.MAX_VALUE : when(until, first);
     return done(CaptureEditor.cut(file, to, since, before, wanted.nets(), wanted.all()), to);
@@ -254,9 +259,10 @@
     }
   }
 
-  private int done(CaptureEditor.Done done, Path to) {
-    out().println(to + ": " + done.taken() + " of " + done.of() + " packets");
-    done.notes().forEach(note -> spec.commandLine().getErr().println("gingerring pcap: " + note));
-    return done.notes().isEmpty() ? 0 : Gingerring.VERDICT;
+  private int done(CaptureEditor.EditResult done, Path to) {
+    out().println(to + ": " + done.packetsWritten() + " of " + done.packetsRead() + " packets");
+    done.warnings()
+        .forEach(note -> spec.commandLine().getErr().println("gingerring pcap: " + note));
+    return done.warnings().isEmpty() ? 0 : Gingerring.VERDICT;
   }
 }
--- a/cli/src/main/java/gingerring/cli/ReplayCommand.java
+++ b/cli/src/main/java/gingerring/cli/ReplayCommand.java
@@ -1,17 +1,17 @@
 package gingerring.cli;
 
 import gingerring.emulator.experiment.Charts;
-import gingerring.traffic.flow.Bounds;
+import gingerring.traffic.flow.ReassemblyLimits;
 import gingerring.traffic.pcap.CaptureReader;
 import gingerring.traffic.replay.Comparison;
+import gingerring.traffic.replay.OutcomeTimeline;
 import gingerring.traffic.replay.Pacer;
 import gingerring.traffic.replay.ReplayPlan;
 import gingerring.traffic.replay.Replayer;
 import gingerring.traffic.replay.Retries;
-import gingerring.traffic.replay.Timeline;
 import gingerring.traffic.scan.ObservedScan;
 import gingerring.traffic.scan.ObservedScan.ScanOutcome;
-import gingerring.traffic.scan.Recording;
+import gingerring.traffic.scan.RecordingReader;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.net.InetAddress;
@@ -105,13 +105,13 @@
     InetSocketAddress mixer = address(to);
     double times = paceOf(pace);
     List<ObservedScan> scans = new ArrayList<>();
-    Recording.Summary read =
-        Recording.read(
+    RecordingReader.Summary read =
+        RecordingReader.read(
             file,
-            Bounds.USUAL,
+            ReassemblyLimits.DEFAULT,
             wanted.nets(),
             seen -> {
-              if (scans.size() <= ReplayPlan.MOST) {
+              if (scans.size() <= ReplayPlan.MAX_SCANS) {
                 scans.add(seen);
               }
             });
@@ -123,11 +123,13 @@
     Replayer.Result result =
         Replayer.run(
             plan,
-            new Replayer.Wish(
+            new Replayer.Options(
                 mixer,
                 times,
                 Duration.ofMillis(lateMost),
-                anew ? new Retries(Retries.Rule.USUAL, new SplittableRandom(seed)) : null));
+                anew
+                    ? new Retries(Retries.RetryPolicy.DEFAULT, new SplittableRandom(seed))
+                    : null));
     PrintWriter print = spec.commandLine().getOut();
     print(print, read, result);
     if (out != null) {
@@ -135,14 +137,14 @@
       print.println("written to " + out);
     }
     print.flush();
-    return result.pacing().valid() && result.comparison().agreement() >= atLeast
+    return result.pacingReport().valid() && result.comparison().agreement() >= atLeast
         ? 0
         : Gingerring.VERDICT;
   }
 
   private static double paceOf(String text) {
     if (text.equals("max")) {
-      return ReplayPlan.AT_ONCE;
+      return ReplayPlan.UNPACED;
     }
     try {
       double pace = Double.parseDouble(text);
@@ -167,47 +169,47 @@
         Integer.parseInt(text.substring(colon + 1)));
   }
 
-  private void print(PrintWriter print, Recording.Summary read, Replayer.Result result) {
+  private void print(PrintWriter print, RecordingReader.Summary read, Replayer.Result result) {
     Comparison compared = result.comparison();
-    Pacer.Report pacing = result.pacing();
-    if (read.end() != CaptureReader.End.WHOLE) {
-      print.println("the recording is not whole: " + read.why());
+    Pacer.Report pacing = result.pacingReport();
+    if (read.endState() != CaptureReader.EndState.WHOLE) {
+      print.println("the recording is not whole: " + read.endReason());
     }
     print.printf(
         Locale.ROOT,
         "%d scans sent on %d connections in %.1f s, %d retries made anew, %d left out as their "
             + "request is not whole%n",
         pacing.sent(),
-        result.lanes(),
-        result.took().toNanos() / 1e9,
-        result.retriesMade(),
-        result.leftOut());
+        result.connectionCount(),
+        result.duration().toNanos() / 1e9,
+        result.generatedRetries(),
+        result.omittedScans());
     print.printf(
         Locale.ROOT,
         "pace: the tool sent %.2f ms late in the median, %.2f ms at the 99th percentile, "
             + "%.2f ms at most; %d sends were held by the answer before, %.1f ms at the 99th percentile%n",
-        millis(pacing.lateP50()),
-        millis(pacing.lateP99()),
-        millis(pacing.lateMost()),
-        pacing.held(),
-        millis(pacing.heldP99()));
+        millis(pacing.latenessP50()),
+        millis(pacing.latenessP99()),
+        millis(pacing.maxLateness()),
+        pacing.heldSteps(),
+        millis(pacing.holdDelayP99()));
     if (!pacing.valid()) {
-      print.println("NOT VALID: " + pacing.why());
+      print.println("NOT VALID: " + pacing.invalidReason());
     }
     print.printf(
         Locale.ROOT,
         "%d of %d scans agree: %.4f; %d not compared%n",
-        compared.agreed(),
-        compared.compared(),
+        compared.agreedCount(),
+        compared.comparedCount(),
         compared.agreement(),
-        compared.notCompared());
+        compared.notComparedCount());
     print.printf("%-12s", "recorded");
     for (ScanOutcome fate : ScanOutcome.values()) {
       print.printf(" %10s", fate.name().toLowerCase(Locale.ROOT));
     }
     print.println("   <- replayed");
     compared
-        .table()
+        .outcomeTable()
         .forEach(
             (recorded, replayed) -> {
               print.printf("%-12s", recorded.name().toLowerCase(Locale.ROOT));
@@ -216,7 +218,9 @@
               }
               print.println();
             });
-    compared.causes().forEach((cause, many) -> print.println("  " + many + " differ: " + cause));
+    compared
+        .countsByCause()
+        .forEach((cause, many) -> print.println("  " + many + " differ: " + cause));
   }
 
   private static double millis(Duration span) {
@@ -233,16 +237,16 @@
           String.format(
               Locale.ROOT,
               "%s,%s,%s,%s,%.4f,%.4f,%.2f,%.2f,%.2f,%.2f,\"%s\"%n",
-              each.mark(),
-              each.grade(),
-              each.recorded().fate(),
-              each.replayed().fate(),
-              each.recorded().weight(),
-              each.replayed().weight(),
-              millis(each.recorded().took()),
-              millis(each.replayed().took()),
-              millis(each.replayed().late()),
-              millis(each.replayed().held()),
+              each.transactionId(),
+              each.serviceClass(),
+              each.recorded().outcome(),
+              each.replayed().outcome(),
+              each.recorded().answeredShare(),
+              each.replayed().answeredShare(),
+              millis(each.recorded().responseTime()),
+              millis(each.replayed().responseTime()),
+              millis(each.replayed().sendLateness()),
+              millis(each.replayed().holdDelay()),
               each.cause()));
     }
     Files.writeString(out.resolve("differences.csv"), differences);
@@ -251,18 +255,18 @@
       seconds.append(',').append(fate.name().toLowerCase(Locale.ROOT));
     }
     seconds.append('\n');
-    append(seconds, "recorded", result.recorded());
-    append(seconds, "replayed", result.replayed());
+    append(seconds, "recorded", result.recordedTimeline());
+    append(seconds, "replayed", result.replayedTimeline());
     Files.writeString(out.resolve("seconds.csv"), seconds);
     Map<String, Map<Integer, Double>> series = new LinkedHashMap<>();
-    series.put("recorded", answered(result.recorded()));
-    series.put("replayed", answered(result.replayed()));
+    series.put("recorded", answered(result.recordedTimeline()));
+    series.put("replayed", answered(result.replayedTimeline()));
     Charts.lines(
         out.resolve("timelines.png"), "answered scans", "answered, whole or in part", series);
   }
 
-  private static void append(StringBuilder text, String run, Timeline timeline) {
-    for (int second = 0; second < timeline.length(); second++) {
+  private static void append(StringBuilder text, String run, OutcomeTimeline timeline) {
+    for (int second = 0; second < timeline.seconds(); second++) {
       text.append(second).append(',').append(run);
       for (ScanOutcome fate : ScanOutcome.values()) {
         text.append(',').append(timeline.count(second, fate));
@@ -271,9 +275,9 @@
     }
   }
 
-  private static Map<Integer, Double> answered(Timeline timeline) {
+  private static Map<Integer, Double> answered(OutcomeTimeline timeline) {
     Map<Integer, Double> points = new TreeMap<>();
-    for (int second = 0; second < timeline.length(); second++) {
+    for (int second = 0; second < timeline.seconds(); second++) {
       points.put(
           second,
           (double) timeline.count(second, ScanOutcome.WHOLE)
--- a/emulator/src/main/java/gingerring/emulator/experiment/Clients.java
+++ b/emulator/src/main/java/gingerring/emulator/experiment/Clients.java
@@ -7,9 +7,9 @@
 import gingerring.http.HttpException;
 import gingerring.http.MessageHead;
 import gingerring.traffic.replay.Retries;
-import gingerring.traffic.scan.Answer;
 import gingerring.traffic.scan.ObservedScan;
-import gingerring.traffic.wire.HttpHandler;
+import gingerring.traffic.scan.ScanResponse;
+import gingerring.traffic.wire.HttpConnectionHandler;
 import gingerring.traffic.wire.Reactor;
 import gingerring.traffic.wire.ReactorConnection;
 import java.net.InetSocketAddress;
@@ -109,7 +109,7 @@
     this.over = over;
     retries =
         new Retries(
-            new Retries.Rule(world.retries(), Duration.ofMillis(200), 2, 0.5),
+            new Retries.RetryPolicy(world.retries(), Duration.ofMillis(200), 2, 0.5),
             new SplittableRandom(world.seed() + 1));
   }
 
@@ -119,7 +119,7 @@
       over.run();
     }
     for (ClientRequest wish : wishes) {
-      reactor.after(
+      reactor.schedule(
           Duration.ofNanos((long) (wish.at().toNanos() / pace)),
           () -> ask(new Try(wish, 0, reactor.now())));
     }
@@ -129,7 +129,7 @@
     int who = (int) (SeededDraw.draw(world.seed(), "client", next.wish.number()) * world.clients());
     Deque<Client> mine = idle.computeIfAbsent(who, w -> new ArrayDeque<>());
     Client client = mine.pollFirst();
-    while (client != null && !client.wire.open()) {
+    while (client != null && !client.wire.isOpen()) {
       client = mine.pollFirst();
     }
     if (client == null && connections >= 2 * world.clients() && !resting.isEmpty()) {
@@ -154,17 +154,17 @@
     }
   }
 
-  private void ended(Try which, Answer answer) {
+  private void ended(Try which, ScanResponse answer) {
     Duration took = reactor.now().minus(which.first);
     Optional<Duration> again =
-        answer.fate() == ObservedScan.ScanOutcome.WHOLE
-                || answer.fate() == ObservedScan.ScanOutcome.PART
+        answer.outcome() == ObservedScan.ScanOutcome.WHOLE
+                || answer.outcome() == ObservedScan.ScanOutcome.PART
             ? Optional.empty()
-            : retries.next(which.number, answer.comeBack());
+            : retries.nextDelay(which.number, answer.retryAfter());
     tally.ended(which.wish, answer, took, reactor.now());
     if (again.isPresent() && took.plus(again.get()).compareTo(which.wish.grade().patience()) < 0) {
       tally.retries++;
-      reactor.after(again.get(), () -> ask(new Try(which.wish, which.number + 1, which.first)));
+      reactor.schedule(again.get(), () -> ask(new Try(which.wish, which.number + 1, which.first)));
     } else {
       tally.met(which.wish, answer, took);
       if (--open == 0) {
@@ -202,7 +202,7 @@
   }
 
   /** One connection, a request at a time. */
-  private final class Client extends HttpHandler {
+  private final class Client extends HttpConnectionHandler {
     private final int who;
     private final int mixer;
     private final ReactorConnection wire;
@@ -215,7 +215,7 @@
       this.who = who;
       connections++;
       mixer = way.mixer(who);
-      wire = reactor.dial(way.address(mixer), this);
+      wire = reactor.connect(way.address(mixer), this);
     }
 
     void ask(Try next) {
@@ -240,8 +240,8 @@
               + "\r\nContent-Length: "
               + json.length
               + "\r\n\r\n";
-      wire.put(text.getBytes(StandardCharsets.US_ASCII));
-      wire.put(json);
+      wire.send(text.getBytes(StandardCharsets.US_ASCII));
+      wire.send(json);
       tally.asked++;
       referee.asked(
           mixer,
@@ -251,7 +251,7 @@
           grade.repeats() == Scenario.RetrySafety.KEYED ? next.wish.key() : null,
           reactor.now(),
           grade.patience());
-      reactor.after(
+      reactor.schedule(
           grade.patience().plus(Referee.SLACK),
           () -> {
             if (mine.equals(mark) && now != null) {
@@ -262,28 +262,28 @@
     }
 
     @Override
-    protected void malformed(HttpException e) {
+    protected void onMalformed(HttpException e) {
       wire.reset();
     }
 
     @Override
-    protected void message(MessageHead head, byte[] json) {
+    protected void onMessage(MessageHead head, byte[] json) {
       Try ended = now;
       if (ended == null) {
         return;
       }
       now = null;
       asking.remove(this);
-      Answer answer = Answer.read(head, json);
+      ScanResponse answer = ScanResponse.parse(head, json);
       boolean served =
-          answer.fate() == ObservedScan.ScanOutcome.WHOLE
-              || answer.fate() == ObservedScan.ScanOutcome.PART;
+          answer.outcome() == ObservedScan.ScanOutcome.WHOLE
+              || answer.outcome() == ObservedScan.ScanOutcome.PART;
       referee.answered(
           mark,
           reactor.now(),
-          answer.fate() == ObservedScan.ScanOutcome.NACKED,
+          answer.outcome() == ObservedScan.ScanOutcome.NACKED,
           answer.whole(),
-          served ? answer.values() : null);
+          served ? answer.valuesByPartition() : null);
       if (head.hasToken("connection", "close")) {
         end();
       } else {
@@ -304,11 +304,11 @@
 
     private void end() {
       leave();
-      wire.close();
+      wire.closeAfterFlush();
     }
 
     @Override
-    public void closed() {
+    public void onClosed() {
       boolean first = !gone;
       leave();
       if (now == null) {
@@ -322,7 +322,7 @@
         referee.left(mark, reactor.now());
         ended(
             ended,
-            new Answer(
+            new ScanResponse(
                 ObservedScan.ScanOutcome.LEFT,
                 0,
                 false,
@@ -332,7 +332,7 @@
       }
     }
 
-    private void ended(Try which, Answer answer) {
+    private void ended(Try which, ScanResponse answer) {
       Clients.this.ended(which, answer);
     }
   }
--- a/emulator/src/main/java/gingerring/emulator/experiment/RandomRouter.java
+++ b/emulator/src/main/java/gingerring/emulator/experiment/RandomRouter.java
@@ -7,7 +7,7 @@
 import gingerring.http.MessageHead;
 import gingerring.json.Json;
 import gingerring.json.JsonFields;
-import gingerring.traffic.wire.HttpHandler;
+import gingerring.traffic.wire.HttpConnectionHandler;
 import gingerring.traffic.wire.Reactor;
 import gingerring.traffic.wire.ReactorConnection;
 import java.io.ByteArrayOutputStream;
@@ -37,7 +37,7 @@
   private final Map<Integer, InetSocketAddress> boxes = new HashMap<>();
   private final Map<Integer, Box> lines = new HashMap<>();
   private final Map<String, Scan> scans = new HashMap<>();
-  private final Reactor.Listening listening;
+  private final Reactor.ListeningSocket listening;
 
   /** {@code list}: the store's list, in discovery's form. */
   RandomRouter(Scenario world, Reactor reactor, String list) throws IOException {
@@ -114,7 +114,7 @@
   }
 
   /** A client's connection. */
-  private final class Asker extends HttpHandler {
+  private final class Asker extends HttpConnectionHandler {
     private final ReactorConnection wire;
 
     Asker(ReactorConnection wire) {
@@ -123,16 +123,16 @@
     }
 
     void put(byte[] answer) {
-      wire.put(answer);
+      wire.send(answer);
     }
 
     @Override
-    protected void malformed(HttpException e) {
+    protected void onMalformed(HttpException e) {
       wire.reset();
     }
 
     @Override
-    protected void message(MessageHead head, byte[] json) throws HttpException {
+    protected void onMessage(MessageHead head, byte[] json) throws HttpException {
       try {
         Map<String, Object> asked = JsonFields.object(Json.parse(json), "the body");
         Scan scan = new Scan(this, head.header("X-Txn"), world.grade(head.header("X-Lane")));
@@ -149,7 +149,7 @@
           line(holders.get(random.nextInt(holders.size())))
               .send(scan, folio, key, JsonFields.string(asked, "query"));
         }
-        reactor.after(
+        reactor.schedule(
             scan.grade.quoted(),
             () -> {
               if (scan.weight() >= scan.grade.floor()) {
@@ -157,21 +157,21 @@
               }
             });
         Duration end = scan.grade.patience().minusMillis(20);
-        reactor.after(end, () -> settle(scan, true));
+        reactor.schedule(end, () -> settle(scan, true));
       } catch (Json.JsonException e) {
         throw new HttpException(400, e.getMessage());
       }
     }
 
     @Override
-    public void closed() {
+    public void onClosed() {
       scans.values().removeIf(scan -> scan.asker == this);
     }
   }
 
   private Box line(int number) {
     Box box = lines.get(number);
-    if (box == null || box.wire.closed()) {
+    if (box == null || box.wire.isClosed()) {
       box = new Box(number);
       lines.put(number, box);
     }
@@ -185,7 +185,7 @@
     private final ByteArrayOutputStream kept = new ByteArrayOutputStream();
 
     Box(int number) {
-      wire = reactor.dial(boxes.get(number), this);
+      wire = reactor.connect(boxes.get(number), this);
     }
 
     void send(Scan scan, int folio, String key, String text) {
@@ -205,7 +205,7 @@
               + '\n'
               + text;
       byte[] bytes = line.getBytes(StandardCharsets.US_ASCII);
-      wire.put(
+      wire.send(
           ByteBuffer.allocate(4 + bytes.length)
               .order(ByteOrder.LITTLE_ENDIAN)
               .putInt(bytes.length)
@@ -214,7 +214,7 @@
     }
 
     @Override
-    public void bytes(byte[] bytes, int length) {
+    public void onData(byte[] bytes, int length) {
       kept.write(bytes, 0, length);
       ByteBuffer all = ByteBuffer.wrap(kept.toByteArray()).order(ByteOrder.LITTLE_ENDIAN);
       while (all.remaining() >= 4 && all.remaining() >= 4 + all.getInt(all.position())) {
@@ -244,7 +244,7 @@
     }
 
     @Override
-    public void closed() {
+    public void onClosed() {
       for (String id : List.copyOf(out.keySet())) {
         returned(id, null);
       }
--- a/emulator/src/main/java/gingerring/emulator/experiment/Run.java
+++ b/emulator/src/main/java/gingerring/emulator/experiment/Run.java
@@ -70,7 +70,7 @@
       reactor.post(
           () -> {
             Duration start = reactor.now().plus(SETTLE);
-            reactor.after(
+            reactor.schedule(
                 SETTLE,
                 () -> {
                   store.begin();
@@ -95,7 +95,7 @@
       double cpu = mixer == null ? Double.NaN : mixer.cpuSeconds() - cpuBefore;
       int code = mixer == null ? 0 : mixer.end();
       return new Result(
-          router, tally, referee, store.load(), took.get(), cpu, code, reactor.failures());
+          router, tally, referee, store.load(), took.get(), cpu, code, reactor.failureCount());
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
       throw new IOException("interrupted", e);
--- a/emulator/src/main/java/gingerring/emulator/experiment/Store.java
+++ b/emulator/src/main/java/gingerring/emulator/experiment/Store.java
@@ -41,7 +41,7 @@
   /** A box's sockets. */
   private final class Seat {
     final Box box;
-    Reactor.Listening listening;
+    Reactor.ListeningSocket listening;
     String phase = "SERVING";
     long upSinceMs;
 
@@ -84,7 +84,7 @@
     private final int mixer;
     private final IntBinaryOperator way;
     private final Set<Discovery> watches = new LinkedHashSet<>();
-    private final Reactor.Listening listening;
+    private final Reactor.ListeningSocket listening;
     private boolean silent;
     private final List<Runnable> heldBack = new ArrayList<>();
     private IntConsumer closed = port -> {};
@@ -189,7 +189,7 @@
 
   /** A link tells what it knows of a connection that it makes. */
   public void passes(ReactorConnection made, Passage passage) {
-    passages.put(ends(made.local(), made.remote()), passage);
+    passages.put(ends(made.localAddress(), made.remoteAddress()), passage);
   }
 
   /** One port of a machine may be the near end of connections to several far ones. */
@@ -250,7 +250,7 @@
 
   private void at(Duration worldTime, Runnable task) {
     Duration wait = scaled(worldTime).minus(reactor.now().minus(zero));
-    reactor.after(wait.isNegative() ? Duration.ZERO : wait, task);
+    reactor.schedule(wait.isNegative() ? Duration.ZERO : wait, task);
   }
 
   private Duration scaled(Duration worldTime) {
@@ -266,7 +266,7 @@
 
   @Override
   public void after(Duration span, Runnable task) {
-    reactor.after(span, task);
+    reactor.schedule(span, task);
   }
 
   @Override
@@ -316,7 +316,7 @@
       case DRAIN -> {
         seat.box.drain();
         told(seat, "DRAINING");
-        reactor.after(
+        reactor.schedule(
             scaled(DRAIN_TAKES),
             () -> {
               seat.box.stop();
@@ -336,7 +336,7 @@
           line.wire.reset();
         }
       }
-      reactor.after(scaled(Duration.ofSeconds(1)), () -> breakSome(trouble, seat));
+      reactor.schedule(scaled(Duration.ofSeconds(1)), () -> breakSome(trouble, seat));
     }
   }
 
@@ -387,7 +387,7 @@
             .max()
             .orElse(0);
     Duration wait = scaled(world.listLag()).multipliedBy((long) (1 + lag));
-    reactor.after(
+    reactor.schedule(
         wait,
         () -> {
           seat.phase = phase;
@@ -414,21 +414,21 @@
 
   /** Connections that have stood idle for their time are closed, as the protocol has it. */
   private void sweep() {
-    reactor.after(
+    reactor.schedule(
         Duration.ofSeconds(1),
         () -> {
           Duration now = reactor.now();
           for (Seat seat : seats) {
             List.copyOf(seat.lines).stream()
                 .filter(line -> line.out == 0 && now.minus(line.used).compareTo(world.idle()) > 0)
-                .forEach(line -> line.wire.close());
+                .forEach(line -> line.wire.closeAfterFlush());
           }
           sweep();
         });
   }
 
   private void stillHere() {
-    reactor.after(
+    reactor.schedule(
         STILL_HERE,
         () -> {
           views.stream().filter(view -> !view.silent).forEach(view -> view.line(""));
@@ -488,7 +488,7 @@
       this.seat = seat;
       this.wire = wire;
       if (seat.lines.size() >= world.linesMost()) {
-        wire.close();
+        wire.closeAfterFlush();
       }
       seat.lines.add(this);
       linesMade++;
@@ -499,9 +499,9 @@
     }
 
     @Override
-    public void bytes(byte[] bytes, int length) {
+    public void onData(byte[] bytes, int length) {
       if (read == 0) {
-        passage = passages.get(ends(wire.remote(), wire.local()));
+        passage = passages.get(ends(wire.remoteAddress(), wire.localAddress()));
       }
       kept.write(bytes, 0, length);
       ByteBuffer all = ByteBuffer.wrap(kept.toByteArray()).order(ByteOrder.LITTLE_ENDIAN);
@@ -509,7 +509,7 @@
         int size = all.getInt(all.position());
         if (size < 1 || size > FRAME_MOST) {
           put("Fa frame of " + size + " bytes");
-          wire.close();
+          wire.closeAfterFlush();
           return;
         }
         if (all.remaining() < 4 + size) {
@@ -540,7 +540,7 @@
         case 'M' -> put("M" + report());
         default -> {
           put("Funknown letter");
-          wire.close();
+          wire.closeAfterFlush();
         }
       }
     }
@@ -558,7 +558,7 @@
         String[] words = new String(frame, at, end - at, StandardCharsets.US_ASCII).split(" ");
         if (end == frame.length || words.length != 4) {
           put("Fno part's line");
-          wire.close();
+          wire.closeAfterFlush();
           return;
         }
         int length = Integer.parseInt(words[3]);
@@ -587,7 +587,8 @@
         if (greeted || world.handshake().isZero()) {
           seat.box.part(part);
         } else {
-          reactor.after(world.handshake(), () -> seat.box.part(part)); // the first call on it waits
+          reactor.schedule(
+              world.handshake(), () -> seat.box.part(part)); // the first call on it waits
         }
       }
       greeted = true;
@@ -602,7 +603,7 @@
     }
 
     void answer(Box.Part part, String end) {
-      if (wire.closed() || seat.silent) {
+      if (wire.isClosed() || seat.silent) {
         return;
       }
       out--;
@@ -630,7 +631,7 @@
 
     private void put(String frame) {
       byte[] bytes = frame.getBytes(StandardCharsets.UTF_8);
-      wire.put(
+      wire.send(
           ByteBuffer.allocate(4 + bytes.length)
               .order(ByteOrder.LITTLE_ENDIAN)
               .putInt(bytes.length)
@@ -639,7 +640,7 @@
     }
 
     @Override
-    public void closed() {
+    public void onClosed() {
       seat.lines.remove(this);
       passages.values().remove(passage);
     }
@@ -658,7 +659,7 @@
     }
 
     @Override
-    public void bytes(byte[] bytes, int length) {
+    public void onData(byte[] bytes, int length) {
       request.append(new String(bytes, 0, length, StandardCharsets.ISO_8859_1));
       if (request.indexOf("\r\n\r\n") < 0) {
         return;
@@ -670,27 +671,27 @@
         return;
       }
       if (stream) {
-        wire.put(
+        wire.send(
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                 .getBytes(StandardCharsets.US_ASCII));
         view.watches.add(this);
         line(view.list());
       } else {
         String list = view.list();
-        wire.put(
+        wire.send(
             ("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list)
                 .getBytes(StandardCharsets.US_ASCII));
       }
     }
 
     void line(String text) {
-      wire.put(
+      wire.send(
           (Integer.toHexString(text.length() + 1) + "\r\n" + text + "\n\r\n")
               .getBytes(StandardCharsets.US_ASCII));
     }
 
     @Override
-    public void closed() {
+    public void onClosed() {
       view.watches.remove(this);
     }
   }
--- a/emulator/src/main/java/gingerring/emulator/experiment/Tally.java
+++ b/emulator/src/main/java/gingerring/emulator/experiment/Tally.java
@@ -2,8 +2,8 @@
 
 import gingerring.emulator.core.Scenario.ServiceClass;
 import gingerring.emulator.core.Workload.ClientRequest;
-import gingerring.traffic.scan.Answer;
 import gingerring.traffic.scan.ObservedScan.ScanOutcome;
+import gingerring.traffic.scan.ScanResponse;
 import java.time.Duration;
 import java.util.EnumMap;
 import java.util.Map;
@@ -36,21 +36,21 @@
   /** Tries that found no connection idle. */
   public long waited;
 
-  void ended(ClientRequest wish, Answer answer, Duration took, Duration now) {
-    grade(wish.grade()).tries.merge(answer.fate(), 1L, Long::sum);
+  void ended(ClientRequest wish, ScanResponse answer, Duration took, Duration now) {
+    grade(wish.grade()).tries.merge(answer.outcome(), 1L, Long::sum);
   }
 
-  void met(ClientRequest wish, Answer answer, Duration took) {
+  void met(ClientRequest wish, ScanResponse answer, Duration took) {
     ServiceClass grade = wish.grade();
     ByGrade mine = grade(grade);
-    mine.wishes.merge(answer.fate(), 1L, Long::sum);
+    mine.wishes.merge(answer.outcome(), 1L, Long::sum);
     double share = 0;
-    if (answer.fate() == ScanOutcome.WHOLE || answer.fate() == ScanOutcome.PART) {
+    if (answer.outcome() == ScanOutcome.WHOLE || answer.outcome() == ScanOutcome.PART) {
       mine.micros.recordValue(Math.min(600_000_000L, took.toNanos() / 1000));
       share =
-          answer.fate() == ScanOutcome.WHOLE
+          answer.outcome() == ScanOutcome.WHOLE
               ? 1
-              : answer.values().keySet().stream()
+              : answer.valuesByPartition().keySet().stream()
                   .mapToDouble(folio -> wish.shares().getOrDefault(folio, 0.0))
                   .sum();
       share *= took.compareTo(grade.quoted()) <= 0 ? 1 : grade.late();
--- a/emulator/src/main/java/gingerring/emulator/harness/Fleet.java
+++ b/emulator/src/main/java/gingerring/emulator/harness/Fleet.java
@@ -12,7 +12,7 @@
 import gingerring.peering.PeerQueryClient;
 import gingerring.peers.PeerAddress;
 import gingerring.peers.PeerId;
-import gingerring.traffic.wire.Datagrams;
+import gingerring.traffic.wire.DatagramEndpoint;
 import gingerring.traffic.wire.Reactor;
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -246,7 +246,7 @@
     reactor.post(
         () -> {
           liars();
-          reactor.after(
+          reactor.schedule(
               SETTLE,
               () -> {
                 zero = reactor.now();
@@ -272,7 +272,7 @@
 
   private void beat() {
     referee.beat(reactor.now());
-    reactor.after(BEAT, this::beat);
+    reactor.schedule(BEAT, this::beat);
   }
 
   private void notUp() {
@@ -367,8 +367,8 @@
       int number = plan.mixers() + i;
       Liar liar = new Liar(i, reactor, place(number), seeds, keys, boxes);
       try {
-        Datagrams socket =
-            reactor.datagrams(
+        DatagramEndpoint socket =
+            reactor.openDatagramEndpoint(
                 Store.loopback(0),
                 (from, letter) ->
                     liar.received(new PeerAddress(0x7F000001, from.getPort()), letter));
@@ -429,8 +429,8 @@
   }
 
   private void schedule(Fault fault) {
-    reactor.after(fault.at(), () -> begins(fault));
-    reactor.after(fault.at().plus(fault.span()), () -> ends(fault));
+    reactor.schedule(fault.at(), () -> begins(fault));
+    reactor.schedule(fault.at().plus(fault.span()), () -> ends(fault));
   }
 
   private Stream<Relay.Faults> links(Fault fault) {
@@ -456,7 +456,7 @@
                   mixer -> {
                     excuse(mixer, now, now.plus(fault.span()).plusMillis(500));
                     MixerProcess struck = mixers.get(mixer).stop();
-                    reactor.after(fault.span(), () -> mixers.get(mixer).go(struck));
+                    reactor.schedule(fault.span(), () -> mixers.get(mixer).go(struck));
                   });
       case ROLL ->
           roll(new ArrayList<>(fault.mixers()), fault.span().dividedBy(fault.mixers().size()));
@@ -521,7 +521,7 @@
               mixer ->
                   List.copyOf(relays.get(mixer).values())
                       .forEach(relay -> relay.reset(fault.size())));
-      reactor.after(Duration.ofSeconds(1), () -> resetSome(fault, until));
+      reactor.schedule(Duration.ofSeconds(1), () -> resetSome(fault, until));
     }
   }
 
@@ -537,7 +537,7 @@
         .roll(
             reactor.now().minus(plan.front()),
             code -> result.crashes.add("m" + mixer + " ended with " + code));
-    reactor.after(apart.compareTo(ROLL_END) > 0 ? apart : ROLL_END, () -> roll(left, apart));
+    reactor.schedule(apart.compareTo(ROLL_END) > 0 ? apart : ROLL_END, () -> roll(left, apart));
   }
 
   private void finish() throws InterruptedException {
@@ -555,14 +555,14 @@
           result.listCalls = store.calls();
           result.letters = hub.counts();
           store.load().forEach((box, load) -> result.load.put(box, load[0]));
-          result.failures = reactor.failures();
+          result.failures = reactor.failureCount();
           there.complete(mixers.stream().map(Keep::over).toList());
         });
     List<MixerProcess> left;
     try {
       left = there.get(END_MS, TimeUnit.MILLISECONDS);
     } catch (ExecutionException | TimeoutException e) {
-      result.errors.add(new HarnessError.Stumbled(reactor.failures()));
+      result.errors.add(new HarnessError.Stumbled(reactor.failureCount()));
       return;
     }
     signals.shutdown();
--- a/emulator/src/main/java/gingerring/emulator/harness/Hub.java
+++ b/emulator/src/main/java/gingerring/emulator/harness/Hub.java
@@ -1,7 +1,7 @@
 package gingerring.emulator.harness;
 
 import gingerring.emulator.experiment.Store;
-import gingerring.traffic.wire.Datagrams;
+import gingerring.traffic.wire.DatagramEndpoint;
 import gingerring.traffic.wire.Reactor;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -26,7 +26,7 @@
   private final Reactor reactor;
   private final DoubleSupplier draw;
   private final Cut cut;
-  private final List<Datagrams> places = new ArrayList<>();
+  private final List<DatagramEndpoint> places = new ArrayList<>();
   private final Map<Integer, Integer> byPort = new HashMap<>();
   private final Map<Integer, InetSocketAddress> bound = new HashMap<>();
   double lose;
@@ -43,7 +43,8 @@
     for (int i = 0; i < mixers; i++) {
       int to = i;
       places.add(
-          reactor.datagrams(Store.loopback(0), (from, letter) -> came(from.getPort(), to, letter)));
+          reactor.openDatagramEndpoint(
+              Store.loopback(0), (from, letter) -> came(from.getPort(), to, letter)));
     }
   }
 
@@ -78,7 +79,7 @@
     for (int copies = draw.getAsDouble() < twice ? 2 : 1; copies > 0; copies--) {
       Runnable go = () -> places.get(from).send(bound.get(to), letter);
       if (reorderMs > 0) {
-        reactor.after(Duration.ofNanos((long) (draw.getAsDouble() * reorderMs * 1e6)), go);
+        reactor.schedule(Duration.ofNanos((long) (draw.getAsDouble() * reorderMs * 1e6)), go);
       } else {
         go.run();
       }
--- a/emulator/src/main/java/gingerring/emulator/harness/Liar.java
+++ b/emulator/src/main/java/gingerring/emulator/harness/Liar.java
@@ -5,7 +5,7 @@
 import gingerring.peers.PeerId;
 import gingerring.peers.PeerNode;
 import gingerring.peers.PeerRecord;
-import gingerring.traffic.wire.Datagrams;
+import gingerring.traffic.wire.DatagramEndpoint;
 import gingerring.traffic.wire.Reactor;
 import java.net.InetSocketAddress;
 import java.time.Duration;
@@ -25,7 +25,7 @@
   private final PeerNode company;
   private final List<Long> boxes;
   private final Duration start;
-  private Datagrams socket;
+  private DatagramEndpoint socket;
 
   Liar(
       int number,
@@ -51,7 +51,7 @@
     company.begin(seeds);
   }
 
-  void begin(Datagrams through) {
+  void begin(DatagramEndpoint through) {
     socket = through;
     tick();
   }
@@ -70,7 +70,7 @@
       company.attemptEnded(boxes.get(i % boxes.size()), false);
     }
     company.tick();
-    reactor.after(TICK, this::tick);
+    reactor.schedule(TICK, this::tick);
   }
 
   @Override
--- a/emulator/src/main/java/gingerring/emulator/harness/Relay.java
+++ b/emulator/src/main/java/gingerring/emulator/harness/Relay.java
@@ -61,7 +61,7 @@
   private final DoubleSupplier draw;
   private final int mixer;
   private final BiConsumer<ReactorConnection, Passage> passages;
-  private final Reactor.Listening listening;
+  private final Reactor.ListeningSocket listening;
   private final Set<Pair> pairs = new LinkedHashSet<>();
 
   /** {@code passages} is told of each connection made to the far side. */
@@ -128,16 +128,16 @@
       pairs.add(this);
       back = new Flow(near, false);
       far =
-          reactor.dial(
+          reactor.connect(
               target,
               new ReactorConnection.Handler() {
                 @Override
-                public void opened() {
+                public void onOpened() {
                   known();
                 }
 
                 @Override
-                public void bytes(byte[] bytes, int length) {
+                public void onData(byte[] bytes, int length) {
                   if (faults.cutBytes > 0 && draw.getAsDouble() < faults.cutBytes) {
                     back.add(Arrays.copyOf(bytes, length / 2));
                     back.ends = true;
@@ -148,7 +148,7 @@
                 }
 
                 @Override
-                public void closed() {
+                public void onClosed() {
                   back.ends = true;
                   back.go();
                 }
@@ -162,19 +162,19 @@
      * after.
      */
     private void known() {
-      if (far != null && far.open()) {
+      if (far != null && far.isOpen()) {
         passages.accept(far, passage);
       }
     }
 
     @Override
-    public void bytes(byte[] bytes, int length) {
+    public void onData(byte[] bytes, int length) {
       passage.took(length, reactor.now());
       forth.add(Arrays.copyOf(bytes, length));
     }
 
     @Override
-    public void closed() {
+    public void onClosed() {
       pairs.remove(this);
       far.reset();
     }
@@ -229,7 +229,7 @@
           }
           next = at.compareTo(next) > 0 ? at : next;
           waiting = true;
-          reactor.after(
+          reactor.schedule(
               next.minus(now),
               () -> {
                 waiting = false;
@@ -245,14 +245,14 @@
               });
         }
         if (ends && held.isEmpty() && !waiting) {
-          to.close();
+          to.closeAfterFlush();
         }
       }
 
       private void put() {
         byte[] bytes = held.poll();
         size -= bytes.length;
-        to.put(bytes);
+        to.send(bytes);
       }
     }
   }
--- a/emulator/src/main/java/gingerring/emulator/interleaving/Crossings.java
+++ b/emulator/src/main/java/gingerring/emulator/interleaving/Crossings.java
@@ -242,7 +242,7 @@
       long start = System.nanoTime();
       String undecided = "";
       boolean began = false;
-      int failures = reactor.failures();
+      int failures = reactor.failureCount();
       try {
         on(
             () -> {
@@ -284,7 +284,7 @@
           wait(draw.ends() ? 0 : (int) Judge.GONE.plus(Judge.SCHEDULING).toMillis());
         }
         String why =
-            undecided.isEmpty() && reactor.failures() > failures
+            undecided.isEmpty() && reactor.failureCount() > failures
                 ? "the rig failed in an event"
                 : undecided;
         boolean hasBegun = began;
--- a/emulator/src/main/java/gingerring/emulator/interleaving/Scene.java
+++ b/emulator/src/main/java/gingerring/emulator/interleaving/Scene.java
@@ -6,9 +6,9 @@
 import gingerring.emulator.experiment.MixerProcess;
 import gingerring.http.HttpException;
 import gingerring.http.MessageHead;
-import gingerring.traffic.scan.Answer;
 import gingerring.traffic.scan.ObservedScan;
-import gingerring.traffic.wire.HttpHandler;
+import gingerring.traffic.scan.ScanResponse;
+import gingerring.traffic.wire.HttpConnectionHandler;
 import gingerring.traffic.wire.Reactor;
 import gingerring.traffic.wire.ReactorConnection;
 import java.io.ByteArrayOutputStream;
@@ -203,7 +203,7 @@
       if (!asker.warm) {
         all = false;
         // a mixer that is asked without a pause serves parts of what it is asked
-        if (!asker.wire.closed()
+        if (!asker.wire.isClosed()
             && asker.mark == null
             && asker.opened
             && (asker.asked == null || now().minus(asker.asked).compareTo(WARM_EVERY) > 0)) {
@@ -279,7 +279,7 @@
         .forEach(
             asker -> {
               asker.left = true;
-              asker.wire.close();
+              asker.wire.closeAfterFlush();
             });
     askers.clear();
     steady.clear();
@@ -296,7 +296,7 @@
     if (over || !playing) {
       return;
     }
-    steady.removeIf(asker -> asker.wire.closed() || asker.orderly);
+    steady.removeIf(asker -> asker.wire.isClosed() || asker.orderly);
     boolean comes = terminatedAt == null || now().minus(terminatedAt).compareTo(NEW_AFTER_END) < 0;
     while (steady.size() < STEADY && comes && !exited) {
       steady.add(new Asker());
@@ -310,7 +310,7 @@
       }
     }
     int mine = generation;
-    reactor.after(
+    reactor.schedule(
         STEADY_EVERY,
         () -> {
           if (mine == generation) {
@@ -320,7 +320,7 @@
   }
 
   private void tick() {
-    reactor.after(
+    reactor.schedule(
         TICK,
         () -> {
           if (judge != null) {
@@ -352,7 +352,7 @@
   }
 
   private void stillHere() {
-    reactor.after(
+    reactor.schedule(
         STILL_HERE,
         () -> {
           agent.line("");
@@ -392,7 +392,7 @@
         Agent which = agent;
         which.down = true;
         which.forgets = event == Event.DISCOVERY_DOWN_FORGETS;
-        reactor.after(Duration.ofMillis(draw.downMs()), which::returns);
+        reactor.schedule(Duration.ofMillis(draw.downMs()), which::returns);
         seen.run();
       }
       case LIST_DRAINS -> {
@@ -417,14 +417,14 @@
         List<Line> before = List.copyOf(target.lines);
         target.open();
         target.tell("SERVING");
-        before.forEach(line -> line.wire.close());
+        before.forEach(line -> line.wire.closeAfterFlush());
         seen.run();
       }
       case BOXES_CLOSE_IDLE -> {
         for (Seat seat : seats) {
           List.copyOf(seat.lines).stream()
               .filter(line -> line.out == 0)
-              .forEach(line -> line.wire.close());
+              .forEach(line -> line.wire.closeAfterFlush());
         }
         seen.run();
       }
@@ -439,7 +439,7 @@
         target.release(false);
         List.copyOf(target.lines).stream()
             .filter(line -> line.out > 0)
-            .forEach(line -> line.wire.close());
+            .forEach(line -> line.wire.closeAfterFlush());
         seen.run();
       }
       case BOX_HANGS -> {
@@ -459,7 +459,7 @@
       case ANSWER -> {
         subject.atByte = seen;
         release();
-        reactor.after(UNSEEN, () -> fire(subject, seen));
+        reactor.schedule(UNSEEN, () -> fire(subject, seen));
       }
       case CLIENT_CLOSES -> {
         subject.leave(false);
@@ -474,19 +474,19 @@
         seen.run();
       }
       case CLIENT_NEXT -> {
-        if (rested.wire.closed() || rested.mark != null || rested.orderly) {
+        if (rested.wire.isClosed() || rested.mark != null || rested.orderly) {
           seen.run();
         } else {
           once(rested.ask(world.grades().get(draw.between("next", 0, 2)), 0, 2), seen);
         }
       }
       case CLIENT_ASKS_GOES -> {
-        if (rested.wire.closed() || rested.mark != null || rested.orderly) {
+        if (rested.wire.isClosed() || rested.mark != null || rested.orderly) {
           seen.run();
         } else {
           rested.ask(
               world.grades().get(draw.between("next", 0, 2)), draw.between("next folio", 0, 3), 2);
-          reactor.after(
+          reactor.schedule(
               Duration.ofMillis(draw.between("goes", 0, 60)),
               () -> {
                 rested.leave(draw.chance("goes by reset") < 0.5);
@@ -518,7 +518,7 @@
                     });
               };
         }
-        reactor.after(
+        reactor.schedule(
             UNSEEN,
             () -> {
               if (first[0] != null) {
@@ -542,7 +542,7 @@
           }
         };
     atFirstPart.put(mark, fires);
-    reactor.after(UNSEEN, fires);
+    reactor.schedule(UNSEEN, fires);
   }
 
   private static void fire(Asker asker, Runnable seen) {
@@ -572,7 +572,7 @@
             "reload");
     thread.setDaemon(true);
     thread.start();
-    reactor.after(Duration.ofSeconds(10), before.listening::close);
+    reactor.schedule(Duration.ofSeconds(10), before.listening::close);
   }
 
   // ---- what counts as told ----
@@ -596,7 +596,7 @@
 
   /** A mixer's agent of discovery: one list, pushed to whoever watches. */
   private final class Agent {
-    final Reactor.Listening listening;
+    final Reactor.ListeningSocket listening;
     final Set<Call> watches = new LinkedHashSet<>();
     final List<Call> waiting = new ArrayList<>();
     boolean down;
@@ -656,7 +656,7 @@
       line(untold.isEmpty() ? "" : list(false, List.copyOf(untold)));
       List<Call> due = forgets ? List.of() : List.copyOf(waiting);
       waiting.clear();
-      due.stream().filter(call -> !call.wire.closed()).forEach(Call::answer);
+      due.stream().filter(call -> !call.wire.isClosed()).forEach(Call::answer);
       settle();
     }
   }
@@ -674,7 +674,7 @@
     }
 
     @Override
-    public void bytes(byte[] bytes, int length) {
+    public void onData(byte[] bytes, int length) {
       request.append(new String(bytes, 0, length, StandardCharsets.ISO_8859_1));
       if (request.indexOf("\r\n\r\n") < 0) {
         return;
@@ -700,7 +700,7 @@
     void answer() {
       String list = of.list(true, seats);
       if (streams) {
-        wire.put(
+        wire.send(
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                 .getBytes(StandardCharsets.US_ASCII));
         of.watches.add(this);
@@ -711,20 +711,20 @@
           List.copyOf(untold).forEach(Scene.this::told);
         }
       } else {
-        wire.put(
+        wire.send(
             ("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list)
                 .getBytes(StandardCharsets.US_ASCII));
       }
     }
 
     void line(String text) {
-      wire.put(
+      wire.send(
           (Integer.toHexString(text.length() + 1) + "\r\n" + text + "\n\r\n")
               .getBytes(StandardCharsets.US_ASCII));
     }
 
     @Override
-    public void closed() {
+    public void onClosed() {
       of.watches.remove(this);
       of.waiting.remove(this);
     }
@@ -738,7 +738,7 @@
     final Box box;
     final Set<Line> lines = new LinkedHashSet<>();
     private final List<Runnable> held = new ArrayList<>();
-    Reactor.Listening listening;
+    Reactor.ListeningSocket listening;
     String phase = "SERVING";
     long upSinceMs;
     Mode mode = Mode.ANSWERS;
@@ -830,7 +830,7 @@
       mode = Mode.HANGS;
       release(false);
       byte[] begin = ("R" + line.lastId + " done 1 -\n").getBytes(StandardCharsets.US_ASCII);
-      line.wire.put(
+      line.wire.send(
           ByteBuffer.allocate(4 + begin.length)
               .order(ByteOrder.LITTLE_ENDIAN)
               .putInt(60_000)
@@ -841,11 +841,11 @@
     }
 
     private void drip(Line line) {
-      reactor.after(
+      reactor.schedule(
           Duration.ofMillis(30),
           () -> {
-            if (!line.wire.closed()) {
-              line.wire.put(new byte[] {'x'});
+            if (!line.wire.isClosed()) {
+              line.wire.send(new byte[] {'x'});
               drip(line);
             }
           });
@@ -869,7 +869,7 @@
     }
 
     private void fill(int life, Runnable seen) {
-      reactor.after(
+      reactor.schedule(
           TICK,
           () -> {
             if (life != lives) {
@@ -888,7 +888,7 @@
               }
               note("the backlog of " + id + " is full");
               awaitDial(now().plus(UNSEEN), seen);
-              reactor.after(
+              reactor.schedule(
                   Duration.ofMillis(draw.between("late", 150, 900)),
                   () -> {
                     if (life == lives) {
@@ -915,7 +915,7 @@
         late = false;
         note("the backlog of " + id + " is free");
       } catch (BindException e) { // a connection of the full backlog still has it
-        reactor.after(TICK, () -> comesUp(life));
+        reactor.schedule(TICK, () -> comesUp(life));
       } catch (IOException e) {
         throw new UncheckedIOException(e);
       }
@@ -952,7 +952,7 @@
                   if (dialled || now().compareTo(until) > 0) {
                     seen.run();
                   } else {
-                    reactor.after(TICK, () -> awaitDial(until, seen));
+                    reactor.schedule(TICK, () -> awaitDial(until, seen));
                   }
                 });
           });
@@ -981,7 +981,7 @@
 
     @Override
     public void after(Duration span, Runnable task) {
-      reactor.after(span, task);
+      reactor.schedule(span, task);
     }
 
     @Override
@@ -1021,7 +1021,7 @@
     }
 
     @Override
-    public void bytes(byte[] bytes, int length) {
+    public void onData(byte[] bytes, int length) {
       kept.write(bytes, 0, length);
       ByteBuffer all = ByteBuffer.wrap(kept.toByteArray()).order(ByteOrder.LITTLE_ENDIAN);
       while (all.remaining() >= 4) {
@@ -1105,7 +1105,7 @@
     }
 
     void answer(Box.Part part, String end) {
-      if (wire.closed()) {
+      if (wire.isClosed()) {
         return;
       }
       out--;
@@ -1127,7 +1127,7 @@
 
     private void put(String frame) {
       byte[] bytes = frame.getBytes(StandardCharsets.UTF_8);
-      wire.put(
+      wire.send(
           ByteBuffer.allocate(4 + bytes.length)
               .order(ByteOrder.LITTLE_ENDIAN)
               .putInt(bytes.length)
@@ -1136,7 +1136,7 @@
     }
 
     @Override
-    public void closed() {
+    public void onClosed() {
       seat.lines.remove(this);
     }
   }
@@ -1144,7 +1144,7 @@
   // ---- clients ----
 
   /** One client's connection, a request at a time. */
-  private final class Asker extends HttpHandler {
+  private final class Asker extends HttpConnectionHandler {
     final ReactorConnection wire;
     private final int mine = generation;
     String mark;
@@ -1160,11 +1160,11 @@
     Asker() {
       super(false, 1 << 20);
       askers.add(this);
-      wire = reactor.dial(mixer.address(), this);
+      wire = reactor.connect(mixer.address(), this);
     }
 
     @Override
-    public void opened() {
+    public void onOpened() {
       opened = true;
       if (atOpen != null) {
         atOpen.run();
@@ -1219,7 +1219,7 @@
     String ask(Scenario.ServiceClass grade, int first, int count) {
       mark = String.format("%08x%08x", generation, marks++);
       Map<Integer, Double> shares = shares(first, count, world.folios());
-      wire.put(request(mark, grade, shares));
+      wire.send(request(mark, grade, shares));
       asked = now();
       judge.asked(mark, grade.name(), shares, key(mark, grade), asked);
       note("asked " + mark + ' ' + grade.name());
@@ -1236,25 +1236,25 @@
       if (reset) {
         wire.reset();
       } else {
-        wire.close();
+        wire.closeAfterFlush();
       }
     }
 
     /** Sends the beginning of a long request behind the one at hand, and closes. */
     void flood() {
-      if (wire.closed()) {
+      if (wire.isClosed()) {
         return;
       }
-      wire.put(
+      wire.send(
           ("POST /api HTTP/1.1\r\nHost: mixer\r\nX-Txn: f"
                   + mark
                   + "\r\nX-Lane: "
                   + world.grades().get(0).name()
                   + "\r\nX-Remaining-Ms: 1000\r\nContent-Length: 60000\r\n\r\n")
               .getBytes(StandardCharsets.US_ASCII));
-      wire.put(new byte[FLOOD]);
+      wire.send(new byte[FLOOD]);
       left = true;
-      wire.close(); // once all has left, which closed() tells
+      wire.closeAfterFlush(); // once all has left, which closed() tells
     }
 
     @Override
@@ -1270,20 +1270,20 @@
       Scenario.ServiceClass grade = world.grades().get(0);
       Map<Integer, Double> shares = shares(0, 2, world.folios());
       judge.askedAfterEnd(mark, grade.name(), shares, null, now());
-      wire.put(request(mark, grade, shares));
+      wire.send(request(mark, grade, shares));
       note("asked " + mark + " after that");
-      reactor.after(Duration.ofMillis(200), wire::reset);
+      reactor.schedule(Duration.ofMillis(200), wire::reset);
       return true;
     }
 
     @Override
-    protected void malformed(HttpException e) {
+    protected void onMalformed(HttpException e) {
       note("the answer to " + mark + " is no HTTP: " + e.getMessage());
       wire.reset();
     }
 
     @Override
-    protected void message(MessageHead head, byte[] json) {
+    protected void onMessage(MessageHead head, byte[] json) {
       if (atByte != null) {
         Runnable due = atByte;
         atByte = null;
@@ -1292,23 +1292,23 @@
       if (mark == null) {
         return;
       }
-      Answer answer = Answer.read(head, json);
+      ScanResponse answer = ScanResponse.parse(head, json);
       boolean served =
-          answer.fate() == ObservedScan.ScanOutcome.WHOLE
-              || answer.fate() == ObservedScan.ScanOutcome.PART;
-      note("answered " + mark + ' ' + answer.status() + (served ? " " + answer.fate() : ""));
-      warm |= answer.fate() == ObservedScan.ScanOutcome.WHOLE;
+          answer.outcome() == ObservedScan.ScanOutcome.WHOLE
+              || answer.outcome() == ObservedScan.ScanOutcome.PART;
+      note("answered " + mark + ' ' + answer.status() + (served ? " " + answer.outcome() : ""));
+      warm |= answer.outcome() == ObservedScan.ScanOutcome.WHOLE;
       if (mine == generation && !left) {
         judge.answered(
             mark,
             now(),
-            answer.fate() == ObservedScan.ScanOutcome.NACKED,
+            answer.outcome() == ObservedScan.ScanOutcome.NACKED,
             answer.whole(),
-            served ? answer.values() : null);
+            served ? answer.valuesByPartition() : null);
       }
       mark = null;
       if (head.hasToken("connection", "close")) {
-        wire.close();
+        wire.closeAfterFlush();
       } else if (terminatedAt != null && steady.contains(this) && !left) {
         // until the connection ends, so that its end crosses a request
         ask(world.grades().get(marks % world.grades().size()), marks % world.folios(), 1);
@@ -1316,7 +1316,7 @@
     }
 
     @Override
-    public void closed() {
+    public void onClosed() {
       askers.remove(this);
       if (mine != generation || mark == null) {
         return;
--- a/emulator/src/test/java/gingerring/emulator/harness/PlantedFoulsTest.java
+++ b/emulator/src/test/java/gingerring/emulator/harness/PlantedFoulsTest.java
@@ -132,21 +132,21 @@
     long due =
         on(
             () -> {
-              if (wires[mixer][box] == null || !wires[mixer][box].open()) {
+              if (wires[mixer][box] == null || !wires[mixer][box].isOpen()) {
                 wires[mixer][box] =
-                    reactor.dial(
+                    reactor.connect(
                         Store.loopback(relays[mixer][box].port()),
                         new ReactorConnection.Handler() {
                           @Override
-                          public void bytes(byte[] bytes, int length) {}
+                          public void onData(byte[] bytes, int length) {}
 
                           @Override
-                          public void closed() {}
+                          public void onClosed() {}
                         });
               }
               for (String mark : marks) {
                 byte[] frame = ("S" + mark + ".1 " + folio + " - 8\nsearch:x").getBytes();
-                wires[mixer][box].put(
+                wires[mixer][box].send(
                     ByteBuffer.allocate(4 + frame.length)
                         .order(ByteOrder.LITTLE_ENDIAN)
                         .putInt(frame.length)
--- a/traffic/src/main/java/gingerring/traffic/flow/Flow.java
+++ b/traffic/src/main/java/gingerring/traffic/flow/Flow.java
@@ -10,52 +10,58 @@
    * How it ended: both sides said so, one broke it off, its ports were used again, it fell silent,
    * the file ended.
    */
-  public enum How {
+  public enum CloseReason {
     FINISHED,
     RESET,
-    REUSED,
+    PORTS_REUSED,
     IDLE,
-    PUSHED_OUT,
-    FILE_ENDED
+    EVICTED,
+    END_OF_FILE
   }
 
   /** Addresses in two halves, IPv4 as mapped; side 0 comes first. */
-  record Key(long highA, long lowA, int portA, long highB, long lowB, int portB) {}
+  record Key(
+      long addressHigh0,
+      long addressLow0,
+      int port0,
+      long addressHigh1,
+      long addressLow1,
+      int port1) {}
 
   public final long number;
-  public final long since;
+  public final long firstSeenNanos;
 
   /** The first segment seen opened it: what came before is not missing. */
-  public boolean whole;
+  public boolean openingSeen;
 
   /** What the reader of this flow keeps for it. */
-  public Object owner;
+  public Object attachment;
 
   final Key key;
-  final Direction[] directions = {new Direction(), new Direction()};
-  long seen;
+  final StreamReassembler[] streams = {new StreamReassembler(), new StreamReassembler()};
+  long lastSeenNanos;
 
   /** Segments that came before it was sure where its streams begin. */
-  int unsettled;
+  int segmentsBeforeStart;
 
-  boolean over;
+  boolean closed;
 
   Flow(long number, Key key, long since) {
     this.number = number;
     this.key = key;
-    this.since = since;
-    seen = since;
+    this.firstSeenNanos = since;
+    lastSeenNanos = since;
   }
 
   public int port(int side) {
-    return side == 0 ? key.portA : key.portB;
+    return side == 0 ? key.port0 : key.port1;
   }
 
   public InetAddress address(int side) {
     byte[] bytes =
         ByteBuffer.allocate(16)
-            .putLong(side == 0 ? key.highA : key.highB)
-            .putLong(side == 0 ? key.lowA : key.lowB)
+            .putLong(side == 0 ? key.addressHigh0 : key.addressHigh1)
+            .putLong(side == 0 ? key.addressLow0 : key.addressLow1)
             .array();
     try {
       return InetAddress.getByAddress(bytes); // a mapped one becomes IPv4
@@ -65,12 +71,12 @@
   }
 
   /** How many bytes of this side's stream its peer was seen to acknowledge; a floor. */
-  public long acknowledged(int side) {
-    return directions[side].acknowledged;
+  public long acknowledgedBytes(int side) {
+    return streams[side].acknowledgedOffset;
   }
 
   /** How many bytes of this side's stream have been passed on or given up. */
-  public long position(int side) {
-    return directions[side].next;
+  public long deliveredBytes(int side) {
+    return streams[side].nextOffset;
   }
 }
--- a/traffic/src/main/java/gingerring/traffic/flow/FlowTable.java
+++ b/traffic/src/main/java/gingerring/traffic/flow/FlowTable.java
@@ -8,8 +8,8 @@
 import java.util.TreeMap;
 
 /**
- * Call {@link #segment} for each segment in the order of the file, then {@link #end}. What is in
- * order goes to the {@link Sink} at once. The same segments give the same calls.
+ * Call {@link #process} for each segment in the order of the file, then {@link #endAllFlows}. What
+ * is in order goes to the {@link Sink} at once. The same segments give the same calls.
  *
  * <p>A flow that was not seen to open begins with the lowest byte among its first segments, or
  * where its peer waited for more; until that is sure they are held. A SYN with another number on
@@ -17,216 +17,238 @@
  */
 public final class FlowTable {
   /** Who is told of flows. Sides are 0, which opened it or was seen first, and 1. */
-  public interface Sink {
-    void opened(Flow flow);
+  public interface FlowListener {
+    void onFlowOpened(Flow flow);
 
     /**
      * Bytes next in the stream of a side; they are to be copied if kept. {@code nanos} is when they
      * were captured, {@code taken} how much of the other side's stream their sender had
      * acknowledged by then.
      */
-    void bytes(Flow flow, int side, long nanos, long taken, byte[] bytes, int at, int length);
+    void onData(Flow flow, int side, long nanos, long taken, byte[] bytes, int at, int length);
 
     /** So many bytes of the stream never came. */
-    void gap(Flow flow, int side, long nanos, long missing);
+    void onGap(Flow flow, int side, long nanos, long missing);
 
     /** This side ended its stream. */
-    void finished(Flow flow, int side, long nanos);
+    void onEndOfStream(Flow flow, int side, long nanos);
 
-    void closed(Flow flow, Flow.How how, long nanos);
+    void onFlowClosed(Flow flow, Flow.CloseReason how, long nanos);
   }
 
   /** After so many segments of a flow it is taken to begin with what was seen of it by then. */
-  private static final int UNSETTLED_MOST = 32;
+  private static final int MAX_SEGMENTS_BEFORE_START = 32;
 
-  private final Bounds bounds;
-  private final Sink sink;
+  private final ReassemblyLimits limits;
+  private final FlowListener sink;
   private final LinkedHashMap<Flow.Key, Flow> flows = new LinkedHashMap<>(1024, 0.75f, true);
   private final Map<String, Long> counts = new TreeMap<>();
-  private long numbers;
-  private long held;
-  private long now;
-  private final Out out = new Out();
-  private Flow last;
-  private int side;
+  private long flowsOpened;
+  private long bufferedBytes;
+  private long nowNanos;
+  private final SinkAdapter sinkAdapter = new SinkAdapter();
+  private Flow lastFlow;
+  private int currentSide;
 
-  public FlowTable(Bounds bounds, Sink sink) {
-    this.bounds = bounds;
+  public FlowTable(ReassemblyLimits bounds, FlowListener sink) {
+    this.limits = bounds;
     this.sink = sink;
   }
 
-  public void segment(Segment s) {
-    now = Math.max(now, s.nanos);
+  public void process(Segment s) {
+    nowNanos = Math.max(nowNanos, s.timestampNanos);
     Flow flow = find(s);
-    if (flow != null && s.has(Segment.SYN) && opensAnew(flow, s)) {
-      close(flow, Flow.How.REUSED);
+    if (flow != null && s.has(Segment.SYN) && opensNewFlow(flow, s)) {
+      close(flow, Flow.CloseReason.PORTS_REUSED);
       flow = null;
     }
     if (flow == null) {
       flow = open(s);
     }
-    flow.seen = now;
-    if (flow.over) {
-      if (s.length > 0) {
+    flow.lastSeenNanos = nowNanos;
+    if (flow.closed) {
+      if (s.payloadLength > 0) {
         count("segments after the end of their flow");
       }
       return;
     }
-    Direction mine = flow.directions[side];
-    Direction peers = flow.directions[1 - side];
-    if (!mine.known) {
-      mine.begin(s.has(Segment.SYN) ? s.sequence + 1 : s.sequence);
+    StreamReassembler mine = flow.streams[currentSide];
+    StreamReassembler peers = flow.streams[1 - currentSide];
+    if (!mine.hasStart) {
+      mine.setProvisionalStart(s.has(Segment.SYN) ? s.sequenceNumber + 1 : s.sequenceNumber);
     }
     if (s.has(Segment.SYN)) {
-      mine.settleAt(s.sequence + 1);
-      flow.whole = true;
+      mine.setStart(s.sequenceNumber + 1);
+      flow.openingSeen = true;
     }
     if (s.has(Segment.ACK)) {
-      if (!peers.known) {
-        peers.begin(s.acknowledged);
+      if (!peers.hasStart) {
+        peers.setProvisionalStart(s.ackNumber);
       }
-      peers.taken(s.acknowledged);
+      peers.onAcknowledged(s.ackNumber);
     }
-    if (!mine.flowing) {
-      begin(flow, ++flow.unsettled >= UNSETTLED_MOST);
+    if (!mine.delivering) {
+      startDelivery(flow, ++flow.segmentsBeforeStart >= MAX_SEGMENTS_BEFORE_START);
     }
-    long offset = mine.offset(s.has(Segment.SYN) ? s.sequence + 1 : s.sequence);
-    if (mine.far(offset)) {
+    long offset = mine.offsetOf(s.has(Segment.SYN) ? s.sequenceNumber + 1 : s.sequenceNumber);
+    if (mine.isOutsideWindow(offset)) {
       count("segments far outside their window");
       return;
     }
-    data(flow, mine, offset, s);
-    if (s.has(Segment.FIN) && mine.finAt < 0) {
-      mine.finAt = offset + s.length + s.missing;
+    acceptPayload(flow, mine, offset, s);
+    if (s.has(Segment.FIN) && mine.finOffset < 0) {
+      mine.finOffset = offset + s.payloadLength + s.truncatedBytes;
     }
     for (int which = 0; which < 2; which++) {
-      if (flow.directions[which].finished() && !flow.directions[which].finTold) {
-        flow.directions[which].finTold = true;
-        sink.finished(flow, which, now);
+      if (flow.streams[which].isComplete() && !flow.streams[which].finReported) {
+        flow.streams[which].finReported = true;
+        sink.onEndOfStream(flow, which, nowNanos);
       }
     }
     if (s.has(Segment.RST)) {
-      end(flow, Flow.How.RESET);
-    } else if (mine.finTold && peers.finTold) {
-      end(flow, Flow.How.FINISHED);
+      endFlow(flow, Flow.CloseReason.RESET);
+    } else if (mine.finReported && peers.finReported) {
+      endFlow(flow, Flow.CloseReason.FINISHED);
     }
   }
 
   /** Both directions flow once it is sure where they begin, or {@code at once}. */
-  private void begin(Flow flow, boolean atOnce) {
-    Direction one = flow.directions[0];
-    Direction other = flow.directions[1];
+  private void startDelivery(Flow flow, boolean atOnce) {
+    StreamReassembler one = flow.streams[0];
+    StreamReassembler other = flow.streams[1];
     if (atOnce) {
-      one.settle();
-      other.settle();
+      one.settleStart();
+      other.settleStart();
     }
-    if (one.settled && other.settled && !one.flowing) {
-      one.flowing = true;
-      other.flowing = true;
-      drain(flow, 0);
-      drain(flow, 1);
+    if (one.startSettled && other.startSettled && !one.delivering) {
+      one.delivering = true;
+      other.delivering = true;
+      deliverContiguous(flow, 0);
+      deliverContiguous(flow, 1);
     }
   }
 
-  private void drain(Flow flow, int which) {
-    Direction direction = flow.directions[which];
-    int before = direction.held;
-    direction.drain(out.of(flow, which));
-    held += direction.held - before;
+  private void deliverContiguous(Flow flow, int which) {
+    StreamReassembler direction = flow.streams[which];
+    int before = direction.bufferedBytes;
+    direction.deliverContiguous(sinkAdapter.forStream(flow, which));
+    bufferedBytes += direction.bufferedBytes - before;
   }
 
-  private void data(Flow flow, Direction mine, long offset, Segment s) {
-    int before = mine.held;
-    long conflicts = mine.conflicting;
-    if (s.length > 0) {
-      mine.add(offset, s.bytes, s.at, s.length, s.nanos, s.acknowledged, out.of(flow, side));
+  private void acceptPayload(Flow flow, StreamReassembler mine, long offset, Segment s) {
+    int before = mine.bufferedBytes;
+    long conflicts = mine.conflictingBlocks;
+    if (s.payloadLength > 0) {
+      mine.accept(
+          offset,
+          s.buffer,
+          s.payloadOffset,
+          s.payloadLength,
+          s.timestampNanos,
+          s.ackNumber,
+          sinkAdapter.forStream(flow, currentSide));
     }
-    if (mine.conflicting > conflicts) {
+    if (mine.conflictingBlocks > conflicts) {
       count("segments that contradict what came before");
     }
-    held += mine.held - before;
-    while (mine.gapped()
-        && (mine.held > bounds.heldPerDirection()
-            || held > bounds.heldInAll()
-            || now - mine.gapSince > bounds.patience().toNanos())) {
-      if (mine.flowing) {
-        giveUp(flow, side);
+    bufferedBytes += mine.bufferedBytes - before;
+    while (mine.hasGap()
+        && (mine.bufferedBytes > limits.maxBufferedPerDirection()
+            || bufferedBytes > limits.maxBufferedTotal()
+            || nowNanos - mine.gapSinceNanos > limits.gapTimeout().toNanos())) {
+      if (mine.delivering) {
+        skipGap(flow, currentSide);
       } else {
-        begin(flow, true);
+        startDelivery(flow, true);
       }
     }
   }
 
-  private void giveUp(Flow flow, int which) {
-    Direction direction = flow.directions[which];
-    int before = direction.held;
-    direction.giveUp(now, out.of(flow, which));
-    held += direction.held - before;
+  private void skipGap(Flow flow, int which) {
+    StreamReassembler direction = flow.streams[which];
+    int before = direction.bufferedBytes;
+    direction.skipGap(nowNanos, sinkAdapter.forStream(flow, which));
+    bufferedBytes += direction.bufferedBytes - before;
   }
 
   /** Passes on to the sink; one is enough, as nothing keeps it. */
-  private final class Out implements Direction.Out {
+  private final class SinkAdapter implements StreamReassembler.StreamSink {
     private Flow flow;
     private int side;
 
-    Out of(Flow whose, int which) {
+    SinkAdapter forStream(Flow whose, int which) {
       flow = whose;
       side = which;
       return this;
     }
 
     @Override
-    public void bytes(byte[] bytes, int at, int length, long nanos, int acknowledged) {
-      sink.bytes(
-          flow, side, nanos, flow.directions[1 - side].offset(acknowledged), bytes, at, length);
+    public void onData(byte[] bytes, int at, int length, long nanos, int acknowledged) {
+      sink.onData(
+          flow, side, nanos, flow.streams[1 - side].offsetOf(acknowledged), bytes, at, length);
     }
 
     @Override
-    public void gap(long missing) {
+    public void onGap(long missing) {
       count("gaps that never filled");
-      sink.gap(flow, side, now, missing);
+      sink.onGap(flow, side, nowNanos, missing);
     }
   }
 
   /** A SYN that is no repeat of the one that opened this flow. */
-  private boolean opensAnew(Flow flow, Segment s) {
+  private boolean opensNewFlow(Flow flow, Segment s) {
     return !s.has(Segment.ACK)
-        && (flow.over || !flow.directions[side].mayBeginAt(s.sequence + 1, flow.whole));
+        && (flow.closed
+            || !flow.streams[currentSide].canStartAt(s.sequenceNumber + 1, flow.openingSeen));
   }
 
   private Flow find(Segment s) {
-    if (last != null && matches(last.key, s)) {
-      return last;
+    if (lastFlow != null && matches(lastFlow.key, s)) {
+      return lastFlow;
     }
     Flow flow =
-        flows.get(new Flow.Key(s.fromHigh, s.fromLow, s.fromPort, s.toHigh, s.toLow, s.toPort));
-    side = 0;
+        flows.get(
+            new Flow.Key(
+                s.sourceHigh,
+                s.sourceLow,
+                s.sourcePort,
+                s.destinationHigh,
+                s.destinationLow,
+                s.destinationPort));
+    currentSide = 0;
     if (flow == null) {
       flow =
-          flows.get(new Flow.Key(s.toHigh, s.toLow, s.toPort, s.fromHigh, s.fromLow, s.fromPort));
-      side = 1;
+          flows.get(
+              new Flow.Key(
+                  s.destinationHigh,
+                  s.destinationLow,
+                  s.destinationPort,
+                  s.sourceHigh,
+                  s.sourceLow,
+                  s.sourcePort));
+      currentSide = 1;
     }
-    last = flow;
+    lastFlow = flow;
     return flow;
   }
 
   private boolean matches(Flow.Key key, Segment s) {
-    if (key.portA() == s.fromPort
-        && key.portB() == s.toPort
-        && key.lowA() == s.fromLow
-        && key.lowB() == s.toLow
-        && key.highA() == s.fromHigh
-        && key.highB() == s.toHigh) {
-      side = 0;
+    if (key.port0() == s.sourcePort
+        && key.port1() == s.destinationPort
+        && key.addressLow0() == s.sourceLow
+        && key.addressLow1() == s.destinationLow
+        && key.addressHigh0() == s.sourceHigh
+        && key.addressHigh1() == s.destinationHigh) {
+      currentSide = 0;
       return true;
     }
-    if (key.portB() == s.fromPort
-        && key.portA() == s.toPort
-        && key.lowB() == s.fromLow
-        && key.lowA() == s.toLow
-        && key.highB() == s.fromHigh
-        && key.highA() == s.toHigh) {
-      side = 1;
+    if (key.port1() == s.sourcePort
+        && key.port0() == s.destinationPort
+        && key.addressLow1() == s.sourceLow
+        && key.addressLow0() == s.destinationLow
+        && key.addressHigh1() == s.sourceHigh
+        && key.addressHigh0() == s.destinationHigh) {
+      currentSide = 1;
       return true;
     }
     return false;
@@ -235,89 +257,101 @@
   private Flow open(Segment s) {
     for (Iterator<Flow> eldest = flows.values().iterator(); eldest.hasNext(); ) {
       Flow flow = eldest.next();
-      boolean idle = now - flow.seen > bounds.idle().toNanos();
-      if (!idle && flows.size() < bounds.flows()) {
+      boolean idle = nowNanos - flow.lastSeenNanos > limits.idleTimeout().toNanos();
+      if (!idle && flows.size() < limits.maxFlows()) {
         break;
       }
       eldest.remove();
-      finish(flow, idle ? Flow.How.IDLE : Flow.How.PUSHED_OUT);
+      remove(flow, idle ? Flow.CloseReason.IDLE : Flow.CloseReason.EVICTED);
     }
     // who answers a SYN did not open the flow
     boolean answers = s.has(Segment.SYN) && s.has(Segment.ACK);
-    side = answers ? 1 : 0;
+    currentSide = answers ? 1 : 0;
     Flow flow =
         new Flow(
-            numbers++,
+            flowsOpened++,
             answers
-                ? new Flow.Key(s.toHigh, s.toLow, s.toPort, s.fromHigh, s.fromLow, s.fromPort)
-                : new Flow.Key(s.fromHigh, s.fromLow, s.fromPort, s.toHigh, s.toLow, s.toPort),
-            now);
-    flow.whole = s.has(Segment.SYN);
+                ? new Flow.Key(
+                    s.destinationHigh,
+                    s.destinationLow,
+                    s.destinationPort,
+                    s.sourceHigh,
+                    s.sourceLow,
+                    s.sourcePort)
+                : new Flow.Key(
+                    s.sourceHigh,
+                    s.sourceLow,
+                    s.sourcePort,
+                    s.destinationHigh,
+                    s.destinationLow,
+                    s.destinationPort),
+            nowNanos);
+    flow.openingSeen = s.has(Segment.SYN);
     flows.put(flow.key, flow);
-    last = flow;
-    sink.opened(flow);
+    lastFlow = flow;
+    sink.onFlowOpened(flow);
     return flow;
   }
 
   /** It has ended, and stays a while so that late segments of it open no new one. */
-  private void end(Flow flow, Flow.How how) {
-    if (!flow.over) {
-      begin(flow, true);
+  private void endFlow(Flow flow, Flow.CloseReason how) {
+    if (!flow.closed) {
+      startDelivery(flow, true);
       for (int which = 0; which < 2; which++) {
-        while (flow.directions[which].gapped()) {
-          giveUp(flow, which);
+        while (flow.streams[which].hasGap()) {
+          skipGap(flow, which);
         }
-        long missing = flow.directions[which].missingAtEnd();
+        long missing = flow.streams[which].undeliveredBytes();
         if (missing > 0) {
-          flow.directions[which].next += missing;
+          flow.streams[which].nextOffset += missing;
           count("gaps that never filled");
-          sink.gap(flow, which, now, missing);
+          sink.onGap(flow, which, nowNanos, missing);
         }
       }
-      flow.over = true;
-      sink.closed(flow, how, now);
+      flow.closed = true;
+      sink.onFlowClosed(flow, how, nowNanos);
     }
   }
 
-  private void finish(Flow flow, Flow.How how) {
-    end(flow, how);
-    if (last == flow) {
-      last = null;
+  private void remove(Flow flow, Flow.CloseReason how) {
+    endFlow(flow, how);
+    if (lastFlow == flow) {
+      lastFlow = null;
     }
-    for (Direction direction : flow.directions) {
-      held -= direction.held;
-      if (direction.repeated > 0) {
-        counts.merge("bytes that came again", direction.repeated, Long::sum);
+    for (StreamReassembler direction : flow.streams) {
+      bufferedBytes -= direction.bufferedBytes;
+      if (direction.repeatedBytes > 0) {
+        counts.merge("bytes that came again", direction.repeatedBytes, Long::sum);
       }
     }
-    if (how == Flow.How.PUSHED_OUT) {
+    if (how == Flow.CloseReason.EVICTED) {
       count("flows pushed out by newer ones");
     }
   }
 
-  private void close(Flow flow, Flow.How how) {
+  private void close(Flow flow, Flow.CloseReason how) {
     flows.remove(flow.key);
-    finish(flow, how);
+    remove(flow, how);
   }
 
   /** The file has ended: so has every flow. */
-  public void end() {
+  public void endAllFlows() {
     for (Flow flow : List.copyOf(flows.values())) {
-      close(flow, Flow.How.FILE_ENDED);
+      close(flow, Flow.CloseReason.END_OF_FILE);
     }
   }
 
-  public int flows() {
+  public int activeFlows() {
     return flows.size();
   }
 
   /** Bytes held for gaps to fill, over all flows. */
-  public long held() {
-    return held;
+  public long bufferedBytes() {
+    return bufferedBytes;
   }
 
-  public long flowsSeen() {
-    return numbers;
+  public long totalFlows() {
+    return flowsOpened;
   }
 
   public Map<String, Long> counts() {
--- a/traffic/src/main/java/gingerring/traffic/flow/Bounds.java
+++ b/traffic/src/main/java/gingerring/traffic/flow/ReassemblyLimits.java
@@ -8,8 +8,13 @@
  * up; a gap is given up too after {@code patience}, and a flow ended after {@code idle}, both in
  * the capture's time.
  */
-public record Bounds(
-    int flows, int heldPerDirection, long heldInAll, Duration patience, Duration idle) {
-  public static final Bounds USUAL =
-      new Bounds(1 << 16, 1 << 20, 64L << 20, Duration.ofSeconds(10), Duration.ofMinutes(10));
+public record ReassemblyLimits(
+    int maxFlows,
+    int maxBufferedPerDirection,
+    long maxBufferedTotal,
+    Duration gapTimeout,
+    Duration idleTimeout) {
+  public static final ReassemblyLimits DEFAULT =
+      new ReassemblyLimits(
+          1 << 16, 1 << 20, 64L << 20, Duration.ofSeconds(10), Duration.ofMinutes(10));
 }
--- a/traffic/src/main/java/gingerring/traffic/pcap/CaptureReader.java
+++ b/traffic/src/main/java/gingerring/traffic/pcap/CaptureReader.java
@@ -14,9 +14,9 @@
 
 /**
  * Reads pcap (both byte orders, microseconds and nanoseconds) and pcapng, plain or compressed by
- * gzip or zstd, packet by packet in one buffer of {@link #BUFFER} bytes however long the file is.
- * After the last packet {@link #end} tells whether the file was whole; what stands before a cut or
- * a fault is read all the same.
+ * gzip or zstd, packet by packet in one buffer of {@link #BUFFER_BYTES} bytes however long the file
+ * is. After the last packet {@link #endState} tells whether the file was whole; what stands before
+ * a cut or a fault is read all the same.
  *
  * <p>Formats: draft-ietf-opsawg-pcap and draft-ietf-opsawg-pcapng.
  */
@@ -24,94 +24,96 @@
   /**
    * How the file ended: not yet, whole, in the midst of a record, or where no record can be read.
    */
-  public enum End {
+  public enum EndState {
     GOING,
     WHOLE,
     CUT,
     BROKEN
   }
 
-  static final int BUFFER = 1 << 20;
+  static final int BUFFER_BYTES = 1 << 20;
 
   /** The longest packet that tcpdump writes; a length beyond it is taken for a fault. */
-  static final int PACKET_MOST = 1 << 18;
+  static final int MAX_PACKET_BYTES = 1 << 18;
 
-  private static final int BLOCK_MOST = PACKET_MOST + (1 << 16);
-  private static final int INTERFACES_MOST = 1024;
-  private static final int MICROS = 0xa1b2c3d4;
-  private static final int NANOS = 0xa1b23c4d;
-  private static final int SECTION = 0x0a0d0d0a;
-  private static final int ORDER = 0x1a2b3c4d;
+  private static final int MAX_BLOCK_BYTES = MAX_PACKET_BYTES + (1 << 16);
+  private static final int MAX_INTERFACES = 1024;
+  private static final int PCAP_MICROS_MAGIC = 0xa1b2c3d4;
+  private static final int PCAP_NANOS_MAGIC = 0xa1b23c4d;
+  private static final int SECTION_HEADER_BLOCK = 0x0a0d0d0a;
+  private static final int BYTE_ORDER_MAGIC = 0x1a2b3c4d;
 
   /** What a pcapng file says of an interface: its link, and how its times count. */
-  private record Interface(int link, int snap, long unitsPerSecond, long offsetSeconds) {}
+  private record Interface(int linkType, int snapLength, long unitsPerSecond, long offsetSeconds) {}
 
-  private final String name;
-  private final InputStream in;
-  private byte[] buffer = new byte[BUFFER];
-  private int at;
-  private int filled;
+  private final String fileName;
+  private final InputStream input;
+  private byte[] buffer = new byte[BUFFER_BYTES];
+  private int position;
+  private int limit;
 
   /** Where the buffer's first byte stands in the file once unpacked. */
-  private long base;
+  private long bufferOffset;
 
-  private boolean section;
-  private boolean swapped;
-  private boolean nanos;
-  private int link;
+  private boolean isPcapng;
+  private boolean littleEndian;
+  private boolean nanosecondFractions;
+  private int linkType;
   private List<Interface> interfaces = new ArrayList<>();
-  private End end = End.GOING;
-  private String why = "";
-  private long drops;
+  private EndState endState = EndState.GOING;
+  private String endReason = "";
+  private long droppedPackets;
 
   private CaptureReader(String name, InputStream in) throws IOException {
-    this.name = name;
-    this.in = in;
-    if (!has(4)) {
-      throw new NotReadable(
+    this.fileName = name;
+    this.input = in;
+    if (!ensureBuffered(4)) {
+      throw new UnreadableCaptureException(
           name,
-          filled,
-          end != End.GOING
+          limit,
+          endState != EndState.GOING
               ? "it cannot be unpacked"
-              : filled == 0 ? "the file is empty" : "too short for a capture file");
+              : limit == 0 ? "the file is empty" : "too short for a capture file");
     }
-    int magic = u32raw(at);
-    if (magic == SECTION) {
-      section = true;
+    int magic = u32BigEndian(position);
+    if (magic == SECTION_HEADER_BLOCK) {
+      isPcapng = true;
     } else {
-      swapped = magic == Integer.reverseBytes(MICROS) || magic == Integer.reverseBytes(NANOS);
-      int told = swapped ? Integer.reverseBytes(magic) : magic;
-      if (told != MICROS && told != NANOS) {
-        throw new NotReadable(name, 0, "neither pcap nor pcapng");
+      littleEndian =
+          magic == Integer.reverseBytes(PCAP_MICROS_MAGIC)
+              || magic == Integer.reverseBytes(PCAP_NANOS_MAGIC);
+      int told = littleEndian ? Integer.reverseBytes(magic) : magic;
+      if (told != PCAP_MICROS_MAGIC && told != PCAP_NANOS_MAGIC) {
+        throw new UnreadableCaptureException(name, 0, "neither pcap nor pcapng");
       }
-      if (!has(24)) {
-        throw new NotReadable(name, filled, "the file ends in its header");
+      if (!ensureBuffered(24)) {
+        throw new UnreadableCaptureException(name, limit, "the file ends in its header");
       }
-      nanos = told == NANOS;
-      link = u32(at + 20) & 0xFFFF;
-      at += 24;
+      nanosecondFractions = told == PCAP_NANOS_MAGIC;
+      linkType = u32(position + 20) & 0xFFFF;
+      position += 24;
     }
   }
 
   public static CaptureReader open(Path file) throws IOException {
     InputStream raw = Files.newInputStream(file);
     try {
-      return new CaptureReader(file.toString(), unpacked(raw));
-    } catch (NotReadable e) {
+      return new CaptureReader(file.toString(), decompress(raw));
+    } catch (UnreadableCaptureException e) {
       raw.close();
       throw e;
     } catch (IOException e) {
       raw.close();
-      throw new NotReadable(file.toString(), 0, String.valueOf(e.getMessage()));
+      throw new UnreadableCaptureException(file.toString(), 0, String.valueOf(e.getMessage()));
     }
   }
 
   /** Reads from a stream that is not compressed; {@code name} is what complaints call it. */
-  public static CaptureReader of(String name, InputStream in) throws IOException {
+  public static CaptureReader fromStream(String name, InputStream in) throws IOException {
     return new CaptureReader(name, in);
   }
 
-  private static InputStream unpacked(InputStream raw) throws IOException {
+  private static InputStream decompress(InputStream raw) throws IOException {
     PushbackInputStream peeked = new PushbackInputStream(raw, 4);
     byte[] head = peeked.readNBytes(4);
     peeked.unread(head);
@@ -128,105 +130,105 @@
     return peeked;
   }
 
-  /** Reads the next packet; false once there is none, and {@link #end} tells why. */
+  /** Reads the next packet; false once there is none, and {@link #endState} tells why. */
   public boolean next(Packet packet) {
-    while (end == End.GOING) {
-      if (!has(1)) {
-        over(End.WHOLE, "");
-      } else if (section ? block(packet) : plain(packet)) {
+    while (endState == EndState.GOING) {
+      if (!ensureBuffered(1)) {
+        endAs(EndState.WHOLE, "");
+      } else if (isPcapng ? readBlock(packet) : readPcapRecord(packet)) {
         return true;
       }
     }
     return false;
   }
 
-  public End end() {
-    return end;
+  public EndState endState() {
+    return endState;
   }
 
   /** Why the file ended as it did: empty where it was whole, else file, offset and cause. */
-  public String why() {
-    return why;
+  public String endReason() {
+    return endReason;
   }
 
   /** Where in the file, once unpacked, reading stands. */
   public long offset() {
-    return base + at;
+    return bufferOffset + position;
   }
 
   /** How many packets the file itself says its writer dropped; pcapng alone can tell. */
-  public long drops() {
-    return drops;
+  public long droppedPackets() {
+    return droppedPackets;
   }
 
-  private boolean plain(Packet packet) {
-    if (!has(16)) {
-      return over(End.CUT, "the file ends in a packet's header");
+  private boolean readPcapRecord(Packet packet) {
+    if (!ensureBuffered(16)) {
+      return endAs(EndState.CUT, "the file ends in a packet's header");
     }
-    long seconds = u32(at) & 0xFFFFFFFFL;
-    long fraction = u32(at + 4) & 0xFFFFFFFFL;
-    int length = u32(at + 8);
-    int original = u32(at + 12);
-    if (length < 0 || length > PACKET_MOST) {
-      return over(End.BROKEN, "a packet of " + (length & 0xFFFFFFFFL) + " bytes");
+    long seconds = u32(position) & 0xFFFFFFFFL;
+    long fraction = u32(position + 4) & 0xFFFFFFFFL;
+    int length = u32(position + 8);
+    int original = u32(position + 12);
+    if (length < 0 || length > MAX_PACKET_BYTES) {
+      return endAs(EndState.BROKEN, "a packet of " + (length & 0xFFFFFFFFL) + " bytes");
     }
-    if (!has(16 + length)) {
-      return over(End.CUT, "the file ends in a packet");
+    if (!ensureBuffered(16 + length)) {
+      return endAs(EndState.CUT, "the file ends in a packet");
     }
-    packet.nanos = seconds * 1_000_000_000L + fraction * (nanos ? 1 : 1000);
-    packet.link = link;
-    fill(packet, at + 16, length, original);
-    at += 16 + length;
+    packet.timestampNanos = seconds * 1_000_000_000L + fraction * (nanosecondFractions ? 1 : 1000);
+    packet.linkType = linkType;
+    setData(packet, position + 16, length, original);
+    position += 16 + length;
     return true;
   }
 
-  private void fill(Packet packet, int from, int length, int original) {
-    packet.bytes = buffer;
-    packet.at = from;
+  private void setData(Packet packet, int from, int length, int original) {
+    packet.buffer = buffer;
+    packet.offset = from;
     packet.length = length;
-    packet.original = Math.max(original, length);
+    packet.originalLength = Math.max(original, length);
   }
 
   /** One block; false where it holds no packet. */
-  private boolean block(Packet packet) {
-    if (!has(12)) {
-      return over(End.CUT, "the file ends in a block's header");
+  private boolean readBlock(Packet packet) {
+    if (!ensureBuffered(12)) {
+      return endAs(EndState.CUT, "the file ends in a block's header");
     }
-    int type = u32raw(at);
-    if (type == SECTION) {
-      int order = u32raw(at + 8);
-      if (order != ORDER && order != Integer.reverseBytes(ORDER)) {
-        return over(End.BROKEN, "a section of no byte order");
+    int type = u32BigEndian(position);
+    if (type == SECTION_HEADER_BLOCK) {
+      int order = u32BigEndian(position + 8);
+      if (order != BYTE_ORDER_MAGIC && order != Integer.reverseBytes(BYTE_ORDER_MAGIC)) {
+        return endAs(EndState.BROKEN, "a section of no byte order");
       }
-      swapped = order != ORDER;
+      littleEndian = order != BYTE_ORDER_MAGIC;
       interfaces = new ArrayList<>();
     }
-    type = u32(at);
-    int length = u32(at + 4);
-    if (length < 12 || length % 4 != 0 || length > BLOCK_MOST) {
-      return over(End.BROKEN, "a block of " + (length & 0xFFFFFFFFL) + " bytes");
+    type = u32(position);
+    int length = u32(position + 4);
+    if (length < 12 || length % 4 != 0 || length > MAX_BLOCK_BYTES) {
+      return endAs(EndState.BROKEN, "a block of " + (length & 0xFFFFFFFFL) + " bytes");
     }
-    if (!has(length)) {
-      return over(End.CUT, "the file ends in a block");
+    if (!ensureBuffered(length)) {
+      return endAs(EndState.CUT, "the file ends in a block");
     }
-    if (u32(at + length - 4) != length) {
-      return over(End.BROKEN, "a block whose two lengths differ");
+    if (u32(position + length - 4) != length) {
+      return endAs(EndState.BROKEN, "a block whose two lengths differ");
     }
-    int body = at + 8;
+    int body = position + 8;
     int most = length - 12;
-    at += length;
+    position += length;
     return switch (type) {
-      case 1 -> described(body, most);
-      case 2, 6 -> enhanced(packet, type, body, most);
-      case 3 -> simple(packet, body, most);
-      case 5 -> statistics(body, most);
+      case 1 -> readInterfaceBlock(body, most);
+      case 2, 6 -> readPacketBlock(packet, type, body, most);
+      case 3 -> readSimplePacketBlock(packet, body, most);
+      case 5 -> readStatisticsBlock(body, most);
       default -> false; // names, decryption secrets, blocks of other makers
     };
   }
 
-  private boolean described(int body, int most) {
-    if (most < 8 || interfaces.size() == INTERFACES_MOST) {
-      return over(End.BROKEN, "an interface that cannot be");
+  private boolean readInterfaceBlock(int body, int most) {
+    if (most < 8 || interfaces.size() == MAX_INTERFACES) {
+      return endAs(EndState.BROKEN, "an interface that cannot be");
     }
     long units = 1_000_000;
     long offset = 0;
@@ -240,9 +242,9 @@
         int resolution = buffer[option + 4];
         int power = resolution & 0x7F;
         if (resolution < 0 ? power > 62 : power > 18) {
-          return over(End.BROKEN, "an interface whose times count in no known unit");
+          return endAs(EndState.BROKEN, "an interface whose times count in no known unit");
         }
-        units = resolution < 0 ? 1L << power : pow10(power);
+        units = resolution < 0 ? 1L << power : powerOfTen(power);
       } else if (code == 14 && size >= 8) {
         offset = u64(option + 4);
       }
@@ -252,47 +254,47 @@
     return false;
   }
 
-  private boolean enhanced(Packet packet, int type, int body, int most) {
+  private boolean readPacketBlock(Packet packet, int type, int body, int most) {
     if (most < 20) {
-      return over(End.BROKEN, "a packet's block too short for one");
+      return endAs(EndState.BROKEN, "a packet's block too short for one");
     }
     int number = type == 2 ? u16(body) : u32(body);
     int length = u32(body + 12);
     if (number < 0 || number >= interfaces.size()) {
-      return over(End.BROKEN, "a packet of an interface that is not described");
+      return endAs(EndState.BROKEN, "a packet of an interface that is not described");
     }
     if (length < 0 || length > most - 20) {
-      return over(End.BROKEN, "a packet longer than its block");
+      return endAs(EndState.BROKEN, "a packet longer than its block");
     }
     Interface from = interfaces.get(number);
     long time = (u32(body + 4) & 0xFFFFFFFFL) << 32 | u32(body + 8) & 0xFFFFFFFFL;
     long seconds = Long.divideUnsigned(time, from.unitsPerSecond);
     long rest = Long.remainderUnsigned(time, from.unitsPerSecond);
-    packet.nanos =
+    packet.timestampNanos =
         (seconds + from.offsetSeconds) * 1_000_000_000L
             + (long) (rest * (1e9 / from.unitsPerSecond) + 0.5);
-    packet.link = from.link;
-    fill(packet, body + 20, length, u32(body + 16));
+    packet.linkType = from.linkType;
+    setData(packet, body + 20, length, u32(body + 16));
     return true;
   }
 
   /** A simple block has no time of its own: it keeps that of the packet before. */
-  private boolean simple(Packet packet, int body, int most) {
+  private boolean readSimplePacketBlock(Packet packet, int body, int most) {
     if (interfaces.isEmpty() || most < 4) {
-      return over(End.BROKEN, "a packet of an interface that is not described");
+      return endAs(EndState.BROKEN, "a packet of an interface that is not described");
     }
     int original = u32(body);
-    int snap = interfaces.get(0).snap;
+    int snap = interfaces.get(0).snapLength;
     int length =
         (int)
             Math.min(
                 Math.min(original & 0xFFFFFFFFL, most - 4), snap > 0 ? snap : Integer.MAX_VALUE);
-    packet.link = interfaces.get(0).link;
-    fill(packet, body + 4, length, original);
+    packet.linkType = interfaces.get(0).linkType;
+    setData(packet, body + 4, length, original);
     return true;
   }
 
-  private boolean statistics(int body, int most) {
+  private boolean readStatisticsBlock(int body, int most) {
     for (int option = body + 12; option + 4 <= body + most; ) {
       int code = u16(option);
       int size = u16(option + 2);
@@ -300,14 +302,14 @@
         break;
       }
       if (code == 5 && size == 8) {
-        drops += u64(option + 4);
+        droppedPackets += u64(option + 4);
       }
       option += 4 + (size + 3 & ~3);
     }
     return false;
   }
 
-  private static long pow10(int power) {
+  private static long powerOfTen(int power) {
     long value = 1;
     for (int i = 0; i < power; i++) {
       value *= 10;
@@ -315,12 +317,12 @@
     return value;
   }
 
-  private boolean over(End how, String cause) {
-    if (end != End.GOING) {
+  private boolean endAs(EndState how, String cause) {
+    if (endState != EndState.GOING) {
       return false; // the first cause is the true one
     }
-    end = how;
-    why = how == End.WHOLE ? "" : name + ": offset " + offset() + ": " + cause;
+    endState = how;
+    endReason = how == EndState.WHOLE ? "" : fileName + ": offset " + offset() + ": " + cause;
     return false;
   }
 
@@ -328,38 +330,38 @@
    * Whether so many bytes stand in the buffer from {@code at} on, once more have been read if need
    * be.
    */
-  private boolean has(int count) {
-    if (filled - at >= count) {
+  private boolean ensureBuffered(int count) {
+    if (limit - position >= count) {
       return true;
     }
-    System.arraycopy(buffer, at, buffer, 0, filled - at);
-    base += at;
-    filled -= at;
-    at = 0;
+    System.arraycopy(buffer, position, buffer, 0, limit - position);
+    bufferOffset += position;
+    limit -= position;
+    position = 0;
     try {
-      while (filled < count) {
-        int read = in.read(buffer, filled, buffer.length - filled);
+      while (limit < count) {
+        int read = input.read(buffer, limit, buffer.length - limit);
         if (read < 0) {
           return false;
         }
-        filled += read;
+        limit += read;
       }
       return true;
     } catch (EOFException e) {
-      over(End.CUT, "the compressed file ends early");
+      endAs(EndState.CUT, "the compressed file ends early");
     } catch (IOException e) {
-      over(End.CUT, "the file cannot be read on: " + e.getMessage());
+      endAs(EndState.CUT, "the file cannot be read on: " + e.getMessage());
     }
     return false;
   }
 
   /** In the file's own byte order, which is big endian unless {@code swapped}. */
   private int u32(int from) {
-    int raw = u32raw(from);
-    return swapped ? Integer.reverseBytes(raw) : raw;
+    int raw = u32BigEndian(from);
+    return littleEndian ? Integer.reverseBytes(raw) : raw;
   }
 
-  private int u32raw(int from) {
+  private int u32BigEndian(int from) {
     return (buffer[from] & 0xFF) << 24
         | (buffer[from + 1] & 0xFF) << 16
         | (buffer[from + 2] & 0xFF) << 8
@@ -369,17 +371,17 @@
   private int u16(int from) {
     int one = buffer[from] & 0xFF;
     int other = buffer[from + 1] & 0xFF;
-    return swapped ? other << 8 | one : one << 8 | other;
+    return littleEndian ? other << 8 | one : one << 8 | other;
   }
 
   private long u64(int from) {
     long one = u32(from) & 0xFFFFFFFFL;
     long other = u32(from + 4) & 0xFFFFFFFFL;
-    return swapped ? other << 32 | one : one << 32 | other;
+    return littleEndian ? other << 32 | one : one << 32 | other;
   }
 
   @Override
   public void close() throws IOException {
-    in.close();
+    input.close();
   }
 }
--- a/traffic/src/main/java/gingerring/traffic/pcap/CaptureWriter.java
+++ b/traffic/src/main/java/gingerring/traffic/pcap/CaptureWriter.java
@@ -18,60 +18,61 @@
  * name is half written.
  */
 public final class CaptureWriter implements Closeable {
-  private static final int NANOS = 0xa1b23c4d;
-  private static final int SNAP = CaptureReader.PACKET_MOST;
+  private static final int PCAP_NANOS_MAGIC = 0xa1b23c4d;
+  private static final int SNAP_LENGTH = CaptureReader.MAX_PACKET_BYTES;
 
   private final Path file;
-  private final Path part;
-  private final OutputStream out;
-  private final boolean blocks;
-  private final int link;
+  private final Path partialFile;
+  private final OutputStream output;
+  private final boolean isPcapng;
+  private final int linkType;
   private final byte[] head = new byte[64];
-  private long written;
+  private long bytesWritten;
   private boolean closed;
 
   /** All packets of the file are of one link type. */
   public CaptureWriter(Path file, int link) throws IOException {
     this.file = file;
-    this.link = link;
+    this.linkType = link;
     String name = file.getFileName().toString();
-    part = file.resolveSibling(name + ".part");
-    OutputStream raw = Files.newOutputStream(part);
+    partialFile = file.resolveSibling(name + ".part");
+    OutputStream raw = Files.newOutputStream(partialFile);
     OutputStream packed =
         name.endsWith(".gz")
             ? new GZIPOutputStream(raw, 1 << 16)
             : name.endsWith(".zst") ? new ZstdOutputStream(raw) : raw;
-    out = new BufferedOutputStream(packed, 1 << 18);
-    blocks = name.contains(".pcapng");
-    if (blocks) {
-      int at = put(0, 0x0a0d0d0a, 28, 0x1a2b3c4d, 1, -1, -1, 28);
-      at = put(at, 1, 32, link << 16, SNAP);
-      at = put(at, 9 << 16 | 1, 9 << 24, 0, 32); // times in nanoseconds; the end of options
-      flushHead(at);
+    output = new BufferedOutputStream(packed, 1 << 18);
+    isPcapng = name.contains(".pcapng");
+    if (isPcapng) {
+      int at = putInts(0, 0x0a0d0d0a, 28, 0x1a2b3c4d, 1, -1, -1, 28);
+      at = putInts(at, 1, 32, link << 16, SNAP_LENGTH);
+      at = putInts(at, 9 << 16 | 1, 9 << 24, 0, 32); // times in nanoseconds; the end of options
+      writeHead(at);
     } else {
-      flushHead(put(0, NANOS, 2 << 16 | 4, 0, 0, SNAP, link));
+      writeHead(putInts(0, PCAP_NANOS_MAGIC, 2 << 16 | 4, 0, 0, SNAP_LENGTH, link));
     }
   }
 
   /** How many bytes the packets so far take, before compression. */
-  public long written() {
-    return written;
+  public long bytesWritten() {
+    return bytesWritten;
   }
 
-  public void packet(long nanos, byte[] bytes, int at, int length, int original)
+  public void writePacket(long nanos, byte[] bytes, int at, int length, int original)
       throws IOException {
-    if (blocks) {
+    if (isPcapng) {
       int padded = length + 3 & ~3;
-      flushHead(put(0, 6, 32 + padded, 0, (int) (nanos >>> 32), (int) nanos, length, original));
-      out.write(bytes, at, length);
-      out.write(head, 48, padded - length); // never written to, so zero
-      flushHead(put(0, 32 + padded));
-      written += 32 + padded;
+      writeHead(putInts(0, 6, 32 + padded, 0, (int) (nanos >>> 32), (int) nanos, length, original));
+      output.write(bytes, at, length);
+      output.write(head, 48, padded - length); // never written to, so zero
+      writeHead(putInts(0, 32 + padded));
+      bytesWritten += 32 + padded;
     } else {
-      flushHead(
-          put(0, (int) (nanos / 1_000_000_000L), (int) (nanos % 1_000_000_000L), length, original));
-      out.write(bytes, at, length);
-      written += 16 + length;
+      writeHead(
+          putInts(
+              0, (int) (nanos / 1_000_000_000L), (int) (nanos % 1_000_000_000L), length, original));
+      output.write(bytes, at, length);
+      bytesWritten += 16 + length;
     }
   }
 
@@ -79,23 +80,23 @@
    * Marks that packets were dropped here; pcap without blocks has no place for that, and says
    * nothing.
    */
-  public void drops(long nanos, long many) throws IOException {
-    if (blocks && many > 0) {
+  public void writeDropCount(long nanos, long many) throws IOException {
+    if (isPcapng && many > 0) {
       byte[] comment = (many + " packets dropped before this").getBytes(StandardCharsets.US_ASCII);
       int padded = comment.length + 3 & ~3;
       int length = 12 + 12 + 12 + 4 + padded + 4;
-      int at = put(0, 5, length, 0, (int) (nanos >>> 32), (int) nanos);
-      at = put(at, 5 << 16 | 8, (int) (many >>> 32), (int) many);
-      at = put(at, 1 << 16 | comment.length);
-      flushHead(at);
-      out.write(comment);
-      out.write(head, 60, padded - comment.length);
-      flushHead(put(0, 0, length));
-      written += length;
+      int at = putInts(0, 5, length, 0, (int) (nanos >>> 32), (int) nanos);
+      at = putInts(at, 5 << 16 | 8, (int) (many >>> 32), (int) many);
+      at = putInts(at, 1 << 16 | comment.length);
+      writeHead(at);
+      output.write(comment);
+      output.write(head, 60, padded - comment.length);
+      writeHead(putInts(0, 0, length));
+      bytesWritten += length;
     }
   }
 
-  private int put(int at, int... values) {
+  private int putInts(int at, int... values) {
     for (int value : values) {
       head[at] = (byte) (value >>> 24);
       head[at + 1] = (byte) (value >>> 16);
@@ -106,12 +107,12 @@
     return at;
   }
 
-  private void flushHead(int length) throws IOException {
-    out.write(head, 0, length);
+  private void writeHead(int length) throws IOException {
+    output.write(head, 0, length);
   }
 
-  public int link() {
-    return link;
+  public int linkType() {
+    return linkType;
   }
 
   /** Ends the file and gives it its name. */
@@ -119,8 +120,8 @@
   public void close() throws IOException {
     if (!closed) {
       closed = true;
-      out.close();
-      Files.move(part, file, StandardCopyOption.REPLACE_EXISTING);
+      output.close();
+      Files.move(partialFile, file, StandardCopyOption.REPLACE_EXISTING);
     }
   }
 
@@ -128,8 +129,8 @@
   public void abandon() throws IOException {
     if (!closed) {
       closed = true;
-      out.close();
-      Files.deleteIfExists(part);
+      output.close();
+      Files.deleteIfExists(partialFile);
     }
   }
 }
--- /dev/null
+++ b/traffic/src/main/java/gingerring/traffic/pcap/FragmentReassembler.java
@@ -0,0 +1,85 @@
+package gingerring.traffic.pcap;
+
+import java.util.Arrays;
+import java.util.BitSet;
+import java.util.Iterator;
+import java.util.LinkedHashMap;
+import java.util.Map;
+
+/**
+ * Puts IP fragments together. Holds {@link #MAX_DATAGRAMS} datagrams of 64 KiB at most, each for
+ * {@link #TIMEOUT_NANOS} of the capture's time; the oldest goes when another comes. Of bytes that
+ * come twice the first are taken.
+ */
+final class FragmentReassembler {
+  static final int MAX_DATAGRAMS = 64;
+  static final long TIMEOUT_NANOS = 30_000_000_000L;
+  private static final int MAX_DATAGRAM_BYTES = 1 << 16;
+
+  private record Key(long fromHigh, long fromLow, long toHigh, long toLow, int id) {}
+
+  private static final class Datagram {
+    final long firstSeenNanos;
+    byte[] bytes = new byte[2048];
+    final BitSet received = new BitSet();
+    int totalLength = -1;
+
+    Datagram(long since) {
+      this.firstSeenNanos = since;
+    }
+  }
+
+  private final Map<Key, Datagram> pending = new LinkedHashMap<>();
+  private long discarded;
+
+  long incompleteDatagrams() {
+    return discarded + pending.size();
+  }
+
+  /** The whole datagram's payload once its last fragment has come, else null. */
+  byte[] add(Segment of, int id, int offset, boolean more, byte[] b, int at, int length) {
+    for (Iterator<Datagram> each = pending.values().iterator(); each.hasNext(); ) {
+      if (of.timestampNanos - each.next().firstSeenNanos <= TIMEOUT_NANOS) {
+        break;
+      }
+      each.remove();
+      discarded++;
+    }
+    if (offset + length > MAX_DATAGRAM_BYTES || length == 0 || more && length % 8 != 0) {
+      discarded++;
+      return null;
+    }
+    Key key = new Key(of.sourceHigh, of.sourceLow, of.destinationHigh, of.destinationLow, id);
+    Datagram datagram = pending.get(key);
+    if (datagram == null) {
+      if (pending.size() == MAX_DATAGRAMS) {
+        Iterator<Datagram> eldest = pending.values().iterator();
+        eldest.next();
+        eldest.remove();
+        discarded++;
+      }
+      datagram = new Datagram(of.timestampNanos);
+      pending.put(key, datagram);
+    }
+    if (datagram.bytes.length < offset + length) {
+      datagram.bytes =
+          Arrays.copyOf(
+              datagram.bytes,
+              Math.min(MAX_DATAGRAM_BYTES, Math.max(offset + length, 2 * datagram.bytes.length)));
+    }
+    for (int i = 0; i < length; i++) {
+      if (!datagram.received.get(offset + i)) {
+        datagram.bytes[offset + i] = b[at + i];
+      }
+    }
+    datagram.received.set(offset, offset + length);
+    if (!more && datagram.totalLength < 0) {
+      datagram.totalLength = offset + length;
+    }
+    if (datagram.totalLength < 0 || datagram.received.nextClearBit(0) < datagram.totalLength) {
+      return null;
+    }
+    pending.remove(key);
+    return Arrays.copyOf(datagram.bytes, datagram.totalLength);
+  }
+}
--- a/traffic/src/main/java/gingerring/traffic/pcap/NetworkFilter.java
+++ b/traffic/src/main/java/gingerring/traffic/pcap/NetworkFilter.java
@@ -16,11 +16,11 @@
  * want all.
  */
 public final class NetworkFilter implements Predicate<Segment> {
-  private static final long MAPPED = 0xFFFF00000000L;
+  private static final long IPV4_MAPPED_PREFIX = 0xFFFF00000000L;
 
-  private final IPv4AddressTrie four = new IPv4AddressTrie();
-  private final IPv6AddressTrie six = new IPv6AddressTrie();
-  private final boolean any;
+  private final IPv4AddressTrie ipv4Networks = new IPv4AddressTrie();
+  private final IPv6AddressTrie ipv6Networks = new IPv6AddressTrie();
+  private final boolean matchesAnyNetwork;
   private final List<Integer> ports;
 
   /**
@@ -28,15 +28,15 @@
    * by name.
    */
   public NetworkFilter(List<String> networks, List<Integer> ports) {
-    any = networks.isEmpty();
+    matchesAnyNetwork = networks.isEmpty();
     this.ports = List.copyOf(ports);
     for (String network : networks) {
       try {
         IPAddress address = new IPAddressString(network).toAddress().toPrefixBlock();
         if (address.isIPv4()) {
-          four.add(address.toIPv4());
+          ipv4Networks.add(address.toIPv4());
         } else {
-          six.add(address.toIPv6());
+          ipv6Networks.add(address.toIPv6());
         }
       } catch (AddressStringException e) {
         throw new IllegalArgumentException("no network: " + network);
@@ -46,15 +46,19 @@
 
   @Override
   public boolean test(Segment segment) {
-    return (any || in(segment.fromHigh, segment.fromLow) || in(segment.toHigh, segment.toLow))
-        && (ports.isEmpty() || ports.contains(segment.fromPort) || ports.contains(segment.toPort));
+    return (matchesAnyNetwork
+            || isInNetworks(segment.sourceHigh, segment.sourceLow)
+            || isInNetworks(segment.destinationHigh, segment.destinationLow))
+        && (ports.isEmpty()
+            || ports.contains(segment.sourcePort)
+            || ports.contains(segment.destinationPort));
   }
 
-  private boolean in(long high, long low) {
-    if (high == 0 && low >>> 32 == MAPPED >>> 32) {
-      return four.elementContains(new IPv4Address((int) low));
+  private boolean isInNetworks(long high, long low) {
+    if (high == 0 && low >>> 32 == IPV4_MAPPED_PREFIX >>> 32) {
+      return ipv4Networks.elementContains(new IPv4Address((int) low));
     }
     byte[] bytes = ByteBuffer.allocate(16).putLong(high).putLong(low).array();
-    return six.elementContains(new IPv6Address(bytes));
+    return ipv6Networks.elementContains(new IPv6Address(bytes));
   }
 }
--- a/traffic/src/main/java/gingerring/traffic/pcap/Packet.java
+++ b/traffic/src/main/java/gingerring/traffic/pcap/Packet.java
@@ -6,20 +6,20 @@
  */
 public final class Packet {
   /** Unix time, nanoseconds. */
-  public long nanos;
+  public long timestampNanos;
 
   /** The link type, by the numbers of the tcpdump group's registry. */
-  public int link;
+  public int linkType;
 
-  public byte[] bytes;
+  public byte[] buffer;
 
   /** Where the captured bytes begin, and how many they are. */
-  public int at;
+  public int offset;
 
   public int length;
 
   /**
    * How long the packet was on the wire: {@code length}, or more where the capture cut it short.
    */
-  public int original;
+  public int originalLength;
 }
--- a/traffic/src/main/java/gingerring/traffic/pcap/NotReadable.java
+++ b/traffic/src/main/java/gingerring/traffic/pcap/UnreadableCaptureException.java
@@ -5,10 +5,10 @@
 /**
  * A file that cannot be read at all; the message names the file, the offset in it and the cause.
  */
-public final class NotReadable extends IOException {
+public final class UnreadableCaptureException extends IOException {
   private static final long serialVersionUID = 1;
 
-  public NotReadable(String file, long offset, String cause) {
+  public UnreadableCaptureException(String file, long offset, String cause) {
     super(file + ": offset " + offset + ": " + cause);
   }
 }
--- a/traffic/src/main/java/gingerring/traffic/record/Anonymiser.java
+++ b/traffic/src/main/java/gingerring/traffic/record/Anonymiser.java
@@ -4,13 +4,13 @@
 import gingerring.http.HttpParser;
 import gingerring.http.MessageHead;
 import gingerring.net.ByteRing;
-import gingerring.traffic.flow.Bounds;
 import gingerring.traffic.flow.Flow;
 import gingerring.traffic.flow.FlowTable;
+import gingerring.traffic.flow.ReassemblyLimits;
 import gingerring.traffic.pcap.CaptureReader;
 import gingerring.traffic.pcap.CaptureWriter;
-import gingerring.traffic.pcap.Layers;
 import gingerring.traffic.pcap.Packet;
+import gingerring.traffic.pcap.PacketDecoder;
 import gingerring.traffic.pcap.Segment;
 import java.io.ByteArrayOutputStream;
 import java.io.IOException;
@@ -24,81 +24,83 @@
 import java.util.TreeMap;
 
 /**
- * Makes a capture in which texts, values and keys are hidden (see {@link Blanks}): streams are read
- * into messages, these are written anew, and packets are forged for them. What is not read as a
- * whole message, and what speaks another protocol, could hold anything and is left out, counted by
- * cause. Addresses, times, marks, grades and weights stay.
+ * Makes a capture in which texts, values and keys are hidden (see {@link Pseudonymizer}): streams
+ * are read into messages, these are written anew, and packets are forged for them. What is not read
+ * as a whole message, and what speaks another protocol, could hold anything and is left out,
+ * counted by cause. Addresses, times, marks, grades and weights stay.
  */
-public final class Anonymiser implements FlowTable.Sink {
-  private static final int PIECE = 1 << 12;
-  private static final int BODY_MOST = 1 << 20;
-  private static final int FRAME_MOST = (1 << 16) + 1024;
+public final class Anonymiser implements FlowTable.FlowListener {
+  private static final int CHUNK_BYTES = 1 << 12;
+  private static final int MAX_BODY_BYTES = 1 << 20;
+  private static final int MAX_FRAME_BYTES = (1 << 16) + 1024;
 
   /** A flow being written anew. */
-  private final class Anew {
-    final PacketSynthesizer forge;
-    final Side[] sides = new Side[2];
-    boolean open;
+  private final class RewrittenFlow {
+    final PacketSynthesizer synthesizer;
+    final StreamRewriter[] streams = new StreamRewriter[2];
+    boolean opened;
 
-    Anew(Flow flow) {
-      forge = new PacketSynthesizer(end(flow, 0), end(flow, 1), flow.number * 0x9e3779b97f4a7c15L);
-      sides[0] = new Side(this, 0);
-      sides[1] = new Side(this, 1);
+    RewrittenFlow(Flow flow) {
+      synthesizer =
+          new PacketSynthesizer(
+              endpoint(flow, 0), endpoint(flow, 1), flow.number * 0x9e3779b97f4a7c15L);
+      streams[0] = new StreamRewriter(this, 0);
+      streams[1] = new StreamRewriter(this, 1);
     }
 
-    void put(long nanos, int side, byte[] bytes) {
-      if (!open) {
-        open = true;
-        forge.open(nanos, Anonymiser.this::packet);
+    void write(long nanos, int side, byte[] bytes) {
+      if (!opened) {
+        opened = true;
+        synthesizer.writeHandshake(nanos, Anonymiser.this::writePacket);
       }
-      forge.data(nanos, side, bytes, 0, bytes.length, Anonymiser.this::packet);
+      synthesizer.writeData(nanos, side, bytes, 0, bytes.length, Anonymiser.this::writePacket);
     }
   }
 
   /** One direction: HTTP messages, frames, or neither. */
-  private final class Side implements HttpParser.Handler {
-    private final Anew flow;
-    private final int number;
-    private final ByteRing ring = new ByteRing(PIECE, 2 * PIECE);
+  private final class StreamRewriter implements HttpParser.Handler {
+    private final RewrittenFlow flow;
+    private final int side;
+    private final ByteRing ring = new ByteRing(CHUNK_BYTES, 2 * CHUNK_BYTES);
     private HttpParser parser;
     private MessageHead head;
-    private ByteArrayOutputStream kept = new ByteArrayOutputStream();
-    private boolean frames;
-    private boolean lost;
-    private long nanos;
+    private ByteArrayOutputStream buffered = new ByteArrayOutputStream();
+    private boolean carriesFrames;
+    private boolean givenUp;
+    private long lastNanos;
 
-    Side(Anew flow, int number) {
+    StreamRewriter(RewrittenFlow flow, int number) {
       this.flow = flow;
-      this.number = number;
+      this.side = number;
     }
 
-    void add(long at, byte[] bytes, int from, int length) {
-      nanos = at;
-      if (lost) {
+    void accept(long at, byte[] bytes, int from, int length) {
+      lastNanos = at;
+      if (givenUp) {
         return;
       }
-      if (parser == null && !frames) {
+      if (parser == null && !carriesFrames) {
         // the first bytes tell; a segment holds a whole first line in all that we write and nearly
         // all else
         String first = new String(bytes, from, Math.min(length, 8), StandardCharsets.ISO_8859_1);
         boolean answers = first.startsWith("HTTP/1.");
         if (answers || first.matches("(?s)[A-Z]{3,7} .*")) {
-          parser = new HttpParser(!answers, BODY_MOST, this);
+          parser = new HttpParser(!answers, MAX_BODY_BYTES, this);
         } else if (length >= 5 && "SCHMRF".indexOf(bytes[from + 4]) >= 0) {
-          frames = true;
+          carriesFrames = true;
         } else {
-          lose("directions that speak something else");
+          giveUp("directions that speak something else");
           return;
         }
       }
-      if (frames) {
-        kept.write(bytes, from, length);
-        frames();
+      if (carriesFrames) {
+        buffered.write(bytes, from, length);
+        rewriteFrames();
         return;
       }
       try {
         for (int done = 0; done < length; ) {
-          int count = Math.min(PIECE, length - done);
+          int count = Math.min(CHUNK_BYTES, length - done);
           ring.put(bytes, from + done, count);
           done += count;
           while (ring.size() > 0 && parser.parse(ring)) {
@@ -106,13 +108,13 @@
           }
         }
       } catch (HttpException e) {
-        lose("directions that are not HTTP/1.1");
+        giveUp("directions that are not HTTP/1.1");
       }
     }
 
-    void lose(String why) {
-      if (!lost) {
-        lost = true;
+    void giveUp(String why) {
+      if (!givenUp) {
+        givenUp = true;
         count(why);
       }
     }
@@ -124,13 +126,16 @@
 
     @Override
     public void onBody(byte[] bytes, int length) {
-      kept.write(bytes, 0, length);
+      buffered.write(bytes, 0, length);
     }
 
     @Override
     public void onMessageEnd() {
-      String body = kept.size() == 0 ? "" : blanks.body(kept.toString(StandardCharsets.UTF_8));
-      kept = new ByteArrayOutputStream();
+      String body =
+          buffered.size() == 0
+              ? ""
+              : pseudonymizer.pseudonymizeBody(buffered.toString(StandardCharsets.UTF_8));
+      buffered = new ByteArrayOutputStream();
       byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
       StringBuilder text =
           new StringBuilder(
@@ -152,18 +157,20 @@
       }
       ByteArrayOutputStream out = new ByteArrayOutputStream();
       out.writeBytes(
-          blanks.headers(text.append("\r\n").toString()).getBytes(StandardCharsets.ISO_8859_1));
+          pseudonymizer
+              .pseudonymizeHeaders(text.append("\r\n").toString())
+              .getBytes(StandardCharsets.ISO_8859_1));
       out.writeBytes(bytes);
       messages++;
-      flow.put(nanos, number, out.toByteArray());
+      flow.write(lastNanos, side, out.toByteArray());
     }
 
-    private void frames() {
-      ByteBuffer all = ByteBuffer.wrap(kept.toByteArray()).order(ByteOrder.LITTLE_ENDIAN);
+    private void rewriteFrames() {
+      ByteBuffer all = ByteBuffer.wrap(buffered.toByteArray()).order(ByteOrder.LITTLE_ENDIAN);
       while (all.remaining() >= 4) {
         int size = all.getInt(all.position());
-        if (size < 1 || size > FRAME_MOST) {
-          lose("directions that are not frames");
+        if (size < 1 || size > MAX_FRAME_BYTES) {
+          giveUp("directions that are not frames");
           return;
         }
         if (all.remaining() < 4 + size) {
@@ -172,43 +179,43 @@
         byte[] frame = new byte[size];
         all.position(all.position() + 4);
         all.get(frame);
-        byte[] hidden = frame(frame);
+        byte[] hidden = rewriteFrame(frame);
         if (hidden == null) {
-          lose("directions that are not frames");
+          giveUp("directions that are not frames");
           return;
         }
         messages++;
-        flow.put(
-            nanos,
-            number,
+        flow.write(
+            lastNanos,
+            side,
             ByteBuffer.allocate(4 + hidden.length)
                 .order(ByteOrder.LITTLE_ENDIAN)
                 .putInt(hidden.length)
                 .put(hidden)
                 .array());
       }
-      kept.reset();
-      kept.write(all.array(), all.position(), all.remaining());
+      buffered.reset();
+      buffered.write(all.array(), all.position(), all.remaining());
     }
 
     /** A frame with its texts, keys or value hidden; null where it is none of the protocol. */
-    private byte[] frame(byte[] frame) {
+    private byte[] rewriteFrame(byte[] frame) {
       if (frame[0] == 'R') {
-        int end = line(frame, 1);
+        int end = endOfLine(frame, 1);
         if (end < 0) {
           return null;
         }
         String value = new String(frame, end + 1, frame.length - end - 1, StandardCharsets.UTF_8);
-        return joined(
+        return concatenate(
             new String(frame, 0, end + 1, StandardCharsets.ISO_8859_1),
-            value.isEmpty() ? "" : blanks.hidden(value));
+            value.isEmpty() ? "" : pseudonymizer.pseudonym(value));
       }
       if (frame[0] != 'S') {
         return frame[0] == 'F' ? new byte[] {'F'} : frame;
       }
       StringBuilder call = new StringBuilder("S");
       for (int at = 1; at < frame.length; ) {
-        int end = line(frame, at);
+        int end = endOfLine(frame, at);
         String[] words =
             end < 0
                 ? new String[0]
@@ -219,11 +226,13 @@
           return null;
         }
         int length = Integer.parseInt(words[3]);
-        String text = blanks.hidden(new String(frame, end + 1, length, StandardCharsets.UTF_8));
+        String text =
+            pseudonymizer.pseudonym(new String(frame, end + 1, length, StandardCharsets.UTF_8));
         StringBuilder list = new StringBuilder();
         for (String pair : words[2].split(",")) {
           list.append(list.length() == 0 ? "" : ",")
-              .append(pair.startsWith("k=") ? "k=" + blanks.hidden(pair.substring(2)) : pair);
+              .append(
+                  pair.startsWith("k=") ? "k=" + pseudonymizer.pseudonym(pair.substring(2)) : pair);
         }
         call.append(words[0])
             .append(' ')
@@ -239,11 +248,11 @@
       return call.toString().getBytes(StandardCharsets.ISO_8859_1);
     }
 
-    private static byte[] joined(String line, String rest) {
+    private static byte[] concatenate(String line, String rest) {
       return (line + rest).getBytes(StandardCharsets.ISO_8859_1);
     }
 
-    private static int line(byte[] frame, int at) {
+    private static int endOfLine(byte[] frame, int at) {
       for (int i = at; i < frame.length; i++) {
         if (frame[i] == '\n') {
           return i;
@@ -253,37 +262,37 @@
     }
   }
 
-  private final Blanks blanks;
-  private final CaptureWriter out;
+  private final Pseudonymizer pseudonymizer;
+  private final CaptureWriter writer;
   private final Map<String, Long> counts = new TreeMap<>();
   private long messages;
 
-  private Anonymiser(Blanks blanks, CaptureWriter out) {
-    this.blanks = blanks;
-    this.out = out;
+  private Anonymiser(Pseudonymizer blanks, CaptureWriter out) {
+    this.pseudonymizer = blanks;
+    this.writer = out;
   }
 
   /** What was left out, by cause; under "messages" how many were written. */
   public static Map<String, Long> run(Path from, Path to, String secret) throws IOException {
     CaptureWriter out = null;
     try (CaptureReader capture = CaptureReader.open(from)) {
-      out = new CaptureWriter(to, PacketSynthesizer.LINK);
-      Anonymiser anonymiser = new Anonymiser(new Blanks(secret), out);
-      FlowTable table = new FlowTable(Bounds.USUAL, anonymiser);
-      Layers layers = new Layers();
+      out = new CaptureWriter(to, PacketSynthesizer.LINK_TYPE_RAW);
+      Anonymiser anonymiser = new Anonymiser(new Pseudonymizer(secret), out);
+      FlowTable table = new FlowTable(ReassemblyLimits.DEFAULT, anonymiser);
+      PacketDecoder layers = new PacketDecoder();
       Packet packet = new Packet();
       Segment segment = new Segment();
       while (capture.next(packet)) {
-        if (layers.read(packet, segment)) {
-          table.segment(segment);
+        if (layers.decode(packet, segment)) {
+          table.process(segment);
         }
       }
-      table.end();
+      table.endAllFlows();
       out.close();
       out = null;
       anonymiser.counts.put("messages", anonymiser.messages);
-      if (!capture.why().isEmpty()) {
-        anonymiser.counts.put(capture.why(), 1L);
+      if (!capture.endReason().isEmpty()) {
+        anonymiser.counts.put(capture.endReason(), 1L);
       }
       return anonymiser.counts;
     } catch (UncheckedIOException e) {
@@ -295,13 +304,13 @@
     }
   }
 
-  private static InetSocketAddress end(Flow flow, int side) {
+  private static InetSocketAddress endpoint(Flow flow, int side) {
     return new InetSocketAddress(flow.address(side), flow.port(side));
   }
 
-  private void packet(long nanos, byte[] bytes, int length) {
+  private void writePacket(long nanos, byte[] bytes, int length) {
     try {
-      out.packet(nanos, bytes, 0, length, length);
+      writer.writePacket(nanos, bytes, 0, length, length);
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
@@ -312,29 +321,30 @@
   }
 
   @Override
-  public void opened(Flow flow) {
-    flow.owner = new Anew(flow);
+  public void onFlowOpened(Flow flow) {
+    flow.attachment = new RewrittenFlow(flow);
   }
 
   @Override
-  public void bytes(Flow flow, int side, long nanos, long taken, byte[] bytes, int at, int length) {
-    ((Anew) flow.owner).sides[side].add(nanos, bytes, at, length);
+  public void onData(
+      Flow flow, int side, long nanos, long taken, byte[] bytes, int at, int length) {
+    ((RewrittenFlow) flow.attachment).streams[side].accept(nanos, bytes, at, length);
   }
 
   @Override
-  public void gap(Flow flow, int side, long nanos, long missing) {
-    ((Anew) flow.owner).sides[side].lose("directions with a hole, from there on");
+  public void onGap(Flow flow, int side, long nanos, long missing) {
+    ((RewrittenFlow) flow.attachment).streams[side].giveUp("directions with a hole, from there on");
   }
 
   @Override
-  public void finished(Flow flow, int side, long nanos) {}
+  public void onEndOfStream(Flow flow, int side, long nanos) {}
 
   @Override
-  public void closed(Flow flow, Flow.How how, long nanos) {
-    Anew anew = (Anew) flow.owner;
-    if (anew.open && (how == Flow.How.FINISHED || how == Flow.How.RESET)) {
-      anew.forge.close(nanos, how == Flow.How.RESET, 0, this::packet);
+  public void onFlowClosed(Flow flow, Flow.CloseReason how, long nanos) {
+    RewrittenFlow anew = (RewrittenFlow) flow.attachment;
+    if (anew.opened && (how == Flow.CloseReason.FINISHED || how == Flow.CloseReason.RESET)) {
+      anew.synthesizer.writeClose(nanos, how == Flow.CloseReason.RESET, 0, this::writePacket);
     }
-    flow.owner = null;
+    flow.attachment = null;
   }
 }
--- a/traffic/src/main/java/gingerring/traffic/record/PacketSynthesizer.java
+++ b/traffic/src/main/java/gingerring/traffic/record/PacketSynthesizer.java
@@ -6,17 +6,17 @@
 
 /**
  * One connection's bytes as the packets that could have carried them: raw IP (link type 101),
- * handshake, data in segments of {@link #SEGMENT} bytes with what each side has taken, an end;
- * checksums and sequence numbers as other tools expect them.
+ * handshake, data in segments of {@link #MAX_SEGMENT_BYTES} bytes with what each side has taken, an
+ * end; checksums and sequence numbers as other tools expect them.
  */
 public final class PacketSynthesizer {
   /** Who takes the packets; {@code bytes} are used again. */
-  public interface Out {
-    void packet(long nanos, byte[] bytes, int length);
+  public interface PacketConsumer {
+    void onPacket(long nanos, byte[] bytes, int length);
   }
 
-  public static final int LINK = 101;
-  public static final int SEGMENT = 1448;
+  public static final int LINK_TYPE_RAW = 101;
+  public static final int MAX_SEGMENT_BYTES = 1448;
   private static final int FIN = 1;
   private static final int SYN = 2;
   private static final int RST = 4;
@@ -28,29 +28,29 @@
   private final int[] ports = new int[2];
 
   /** The next sequence number of each side. */
-  private final int[] next = new int[2];
+  private final int[] nextSequence = new int[2];
 
-  private final byte[] packet = new byte[60 + SEGMENT];
-  private int ids;
+  private final byte[] packet = new byte[60 + MAX_SEGMENT_BYTES];
+  private int nextPacketId;
 
   /** Side 0 opens the connection; {@code seed} gives the first sequence numbers. */
   public PacketSynthesizer(InetSocketAddress opener, InetSocketAddress listener, long seed) {
-    place(0, opener, (int) seed);
-    place(1, listener, (int) (seed >>> 32));
+    setEndpoint(0, opener, (int) seed);
+    setEndpoint(1, listener, (int) (seed >>> 32));
     if (addresses[0].length != addresses[1].length) {
-      addresses[0] = sixteen(addresses[0]);
-      addresses[1] = sixteen(addresses[1]);
+      addresses[0] = toIpv6(addresses[0]);
+      addresses[1] = toIpv6(addresses[1]);
     }
   }
 
-  private void place(int side, InetSocketAddress where, int first) {
+  private void setEndpoint(int side, InetSocketAddress where, int first) {
     InetAddress address = where.getAddress();
     addresses[side] = address.getAddress();
     ports[side] = where.getPort();
-    next[side] = first;
+    nextSequence[side] = first;
   }
 
-  private static byte[] sixteen(byte[] address) {
+  private static byte[] toIpv6(byte[] address) {
     if (address.length == 16) {
       return address;
     }
@@ -61,45 +61,47 @@
     return mapped;
   }
 
-  public void open(long nanos, Out out) {
-    send(nanos, 0, SYN, null, 0, 0, out);
-    next[0]++;
-    send(nanos, 1, SYN | ACK, null, 0, 0, out);
-    next[1]++;
-    send(nanos, 0, ACK, null, 0, 0, out);
+  public void writeHandshake(long nanos, PacketConsumer out) {
+    writePacket(nanos, 0, SYN, null, 0, 0, out);
+    nextSequence[0]++;
+    writePacket(nanos, 1, SYN | ACK, null, 0, 0, out);
+    nextSequence[1]++;
+    writePacket(nanos, 0, ACK, null, 0, 0, out);
   }
 
-  public void data(long nanos, int side, byte[] bytes, int at, int length, Out out) {
-    for (int i = 0; i < length; i += SEGMENT) {
-      int count = Math.min(SEGMENT, length - i);
-      send(nanos, side, ACK | (i + count == length ? PUSH : 0), bytes, at + i, count, out);
-      next[side] += count;
+  public void writeData(
+      long nanos, int side, byte[] bytes, int at, int length, PacketConsumer out) {
+    for (int i = 0; i < length; i += MAX_SEGMENT_BYTES) {
+      int count = Math.min(MAX_SEGMENT_BYTES, length - i);
+      writePacket(nanos, side, ACK | (i + count == length ? PUSH : 0), bytes, at + i, count, out);
+      nextSequence[side] += count;
     }
   }
 
   /** A bare acknowledgement, as a side sends one that has nothing to say yet. */
-  public void acknowledge(long nanos, int side, Out out) {
-    send(nanos, side, ACK, null, 0, 0, out);
+  public void writeAcknowledgement(long nanos, int side, PacketConsumer out) {
+    writePacket(nanos, side, ACK, null, 0, 0, out);
   }
 
   /** Bytes that went by unrecorded: their place in the stream stays empty. */
-  public void skip(int side, long length) {
-    next[side] += (int) length;
+  public void skipBytes(int side, long length) {
+    nextSequence[side] += (int) length;
   }
 
-  public void close(long nanos, boolean reset, int side, Out out) {
+  public void writeClose(long nanos, boolean reset, int side, PacketConsumer out) {
     if (reset) {
-      send(nanos, side, RST | ACK, null, 0, 0, out);
+      writePacket(nanos, side, RST | ACK, null, 0, 0, out);
       return;
     }
-    send(nanos, side, FIN | ACK, null, 0, 0, out);
-    next[side]++;
-    send(nanos, 1 - side, FIN | ACK, null, 0, 0, out);
-    next[1 - side]++;
-    send(nanos, side, ACK, null, 0, 0, out);
+    writePacket(nanos, side, FIN | ACK, null, 0, 0, out);
+    nextSequence[side]++;
+    writePacket(nanos, 1 - side, FIN | ACK, null, 0, 0, out);
+    nextSequence[1 - side]++;
+    writePacket(nanos, side, ACK, null, 0, 0, out);
   }
 
-  private void send(long nanos, int side, int flags, byte[] bytes, int at, int length, Out out) {
+  private void writePacket(
+      long nanos, int side, int flags, byte[] bytes, int at, int length, PacketConsumer out) {
     byte[] from = addresses[side];
     byte[] to = addresses[1 - side];
     boolean four = from.length == 4;
@@ -109,7 +111,7 @@
     if (four) {
       packet[0] = 0x45;
       put16(2, ip + tcp);
-      put16(4, ids++);
+      put16(4, nextPacketId++);
       packet[6] = 0x40; // not to be cut
       packet[8] = 64;
       packet[9] = 6;
@@ -126,8 +128,8 @@
     }
     put16(ip, ports[side]);
     put16(ip + 2, ports[1 - side]);
-    put32(ip + 4, next[side]);
-    put32(ip + 8, (flags & ACK) == 0 ? 0 : next[1 - side]);
+    put32(ip + 4, nextSequence[side]);
+    put32(ip + 8, (flags & ACK) == 0 ? 0 : nextSequence[1 - side]);
     packet[ip + 12] = 0x50;
     packet[ip + 13] = (byte) flags;
     put16(ip + 14, WINDOW);
@@ -136,7 +138,7 @@
     }
     long pseudo = sum(from, 0, from.length) + sum(to, 0, to.length) + 6 + tcp;
     put16(ip + 16, fold(pseudo + sum(packet, ip, tcp)));
-    out.packet(nanos, packet, ip + tcp);
+    out.onPacket(nanos, packet, ip + tcp);
   }
 
   private void put16(int at, int value) {
--- a/traffic/src/main/java/gingerring/traffic/record/Blanks.java
+++ b/traffic/src/main/java/gingerring/traffic/record/Pseudonymizer.java
@@ -18,24 +18,25 @@
  * Everything keeps its length where that is 16 or more; what is shorter becomes 16 hex digits, and
  * the body's length follows.
  */
-public final class Blanks {
-  private static final int DIGITS = 16;
-  private static final Pattern KEY = Pattern.compile("(?im)^(idempotency-key:[ \t]*)([^\r\n]*)");
+public final class Pseudonymizer {
+  private static final int MIN_DIGITS = 16;
+  private static final Pattern IDEMPOTENCY_KEY_HEADER =
+      Pattern.compile("(?im)^(idempotency-key:[ \t]*)([^\r\n]*)");
 
   private final SecretKeySpec secret;
 
-  public Blanks(String secret) {
+  public Pseudonymizer(String secret) {
     this.secret = new SecretKeySpec(secret.getBytes(StandardCharsets.UTF_8), "HmacSHA256");
   }
 
   /** What stands for a text. */
-  public String hidden(String text) {
+  public String pseudonym(String text) {
     try {
       Mac mac = Mac.getInstance("HmacSHA256");
       mac.init(secret);
       String hash = HexFormat.of().formatHex(mac.doFinal(text.getBytes(StandardCharsets.UTF_8)));
       StringBuilder hidden = new StringBuilder();
-      int length = Math.max(DIGITS, text.length());
+      int length = Math.max(MIN_DIGITS, text.length());
       while (hidden.length() < length) {
         hidden.append(hash, 0, Math.min(hash.length(), length - hidden.length()));
       }
@@ -46,30 +47,30 @@
   }
 
   /** The headers of a request, its key hidden. */
-  public String headers(String headers) {
-    Matcher key = KEY.matcher(headers);
+  public String pseudonymizeHeaders(String headers) {
+    Matcher key = IDEMPOTENCY_KEY_HEADER.matcher(headers);
     return key.replaceAll(
-        found -> Matcher.quoteReplacement(found.group(1) + hidden(found.group(2))));
+        found -> Matcher.quoteReplacement(found.group(1) + pseudonym(found.group(2))));
   }
 
   /** The body of a request or of an answer; what is no such body is hidden whole. */
-  public String body(String json) {
+  public String pseudonymizeBody(String json) {
     try {
       Map<String, Object> object = JsonFields.object(Json.parse(json), "it");
       if (object.get("query") instanceof String) {
-        return replaced(json, "query", this::hidden);
+        return replaceStrings(json, "query", this::pseudonym);
       }
       if (object.containsKey("results")) {
-        return replaced(json, "value", this::hidden);
+        return replaceStrings(json, "value", this::pseudonym);
       }
       return json;
     } catch (Json.JsonException e) {
-      return hidden(json);
+      return pseudonym(json);
     }
   }
 
   /** Every string under this name, whatever its escapes. */
-  private static String replaced(String json, String name, UnaryOperator<String> with) {
+  private static String replaceStrings(String json, String name, UnaryOperator<String> with) {
     Pattern found =
         Pattern.compile("(\"" + name + "\"\\s*:\\s*\")((?:[^\"\\\\]|\\\\.)*)\"", Pattern.DOTALL);
     return found
--- a/traffic/src/main/java/gingerring/traffic/record/Recorder.java
+++ b/traffic/src/main/java/gingerring/traffic/record/Recorder.java
@@ -30,89 +30,89 @@
  */
 public final class Recorder implements TrafficListener, Closeable {
   /** When a file is ended and the next begun, and how many are kept; the eldest goes. */
-  public record Rotation(long bytes, Duration age, int files) {
-    public static final Rotation USUAL = new Rotation(256L << 20, Duration.ofHours(1), 24);
+  public record Rotation(long maxFileBytes, Duration maxFileAge, int maxFiles) {
+    public static final Rotation DEFAULT = new Rotation(256L << 20, Duration.ofHours(1), 24);
   }
 
-  static final int EVENTS_MOST = 1 << 14;
-  static final int BYTES_MOST = 32 << 20;
+  static final int MAX_QUEUED_EVENTS = 1 << 14;
+  static final int MAX_QUEUED_BYTES = 32 << 20;
   private static final Logger LOG = LoggerFactory.getLogger("gingerring.record");
-  private static final long END_WAIT_MS = 5000;
+  private static final long CLOSE_TIMEOUT_MS = 5000;
 
-  private enum What {
+  private enum EventType {
     OPENED,
     DATA,
     CLOSED
   }
 
   private record Event(
-      What what,
+      EventType type,
       long connection,
       long nanos,
       InetSocketAddress opener,
       InetSocketAddress listener,
       int side,
       byte[] bytes,
-      long[] hole) {}
+      long[] droppedBytes) {}
 
-  private final Path file;
+  private final Path firstFile;
   private final Rotation rotation;
   private final long seed;
   private final ArrayBlockingQueue<Event> queue;
-  private final AtomicLong queued = new AtomicLong();
-  private final AtomicLong dropped = new AtomicLong();
+  private final AtomicLong queuedBytes = new AtomicLong();
+  private final AtomicLong droppedEvents = new AtomicLong();
 
   /** Bytes dropped since the last that were queued, by connection and side. */
-  private final Map<Long, long[]> holes = new HashMap<>();
+  private final Map<Long, long[]> droppedBytesByConnection = new HashMap<>();
 
   /** Connections whose end was dropped; under the holes' lock. */
-  private final Set<Long> gone = new HashSet<>();
+  private final Set<Long> connectionsWithDroppedClose = new HashSet<>();
 
-  private final Map<Long, PacketSynthesizer> forges = new HashMap<>();
+  private final Map<Long, PacketSynthesizer> synthesizers = new HashMap<>();
   private final Deque<Path> files = new ArrayDeque<>();
-  private final Thread writer;
-  private CaptureWriter out;
-  private long began;
-  private long marked;
-  private int number;
-  private volatile boolean ending;
+  private final Thread writerThread;
+  private CaptureWriter writer;
+  private long fileStartNanos;
+  private long reportedDrops;
+  private int nextFileNumber;
+  private volatile boolean closing;
   private volatile boolean failed;
-  private volatile boolean holed;
+  private volatile boolean hasDrops;
 
   /** {@code file} names the first; the next ones carry a number before its ending. */
   public Recorder(Path file, Rotation rotation, long seed) throws IOException {
-    this(file, rotation, seed, EVENTS_MOST);
+    this(file, rotation, seed, MAX_QUEUED_EVENTS);
   }
 
   Recorder(Path file, Rotation rotation, long seed, int events) throws IOException {
-    this.file = file;
+    this.firstFile = file;
     this.rotation = rotation;
     this.seed = seed;
     queue = new ArrayBlockingQueue<>(events);
-    begin(System.currentTimeMillis() * 1_000_000);
-    writer = new Thread(this::run, "record");
-    writer.setDaemon(true);
+    openNextFile(System.currentTimeMillis() * 1_000_000);
+    writerThread = new Thread(this::writeLoop, "record");
+    writerThread.setDaemon(true);
   }
 
   public Recorder start() {
-    writer.start();
+    writerThread.start();
     return this;
   }
 
   /** Events that found the queue full. */
-  public long dropped() {
-    return dropped.get();
+  public long droppedEvents() {
+    return droppedEvents.get();
   }
 
   /** Events that wait to be written. */
-  int queued() {
+  int queuedEvents() {
     return queue.size();
   }
 
   /** Connections that something is kept for. */
-  int kept() {
-    synchronized (holes) {
-      return Math.max(forges.size(), holes.size());
+  int trackedConnections() {
+    synchronized (droppedBytesByConnection) {
+      return Math.max(synthesizers.size(), droppedBytesByConnection.size());
     }
   }
 
@@ -120,88 +120,115 @@
 
   @Override
   public void onOpened(long connection, InetSocketAddress opener, InetSocketAddress listener) {
-    offer(new Event(What.OPENED, connection, now(), opener, listener, 0, null, hole(connection)));
+    enqueue(
+        new Event(
+            EventType.OPENED,
+            connection,
+            nowNanos(),
+            opener,
+            listener,
+            0,
+            null,
+            takeDroppedBytes(connection)));
   }
 
   @Override
   public void onData(long connection, int side, byte[] bytes) {
-    offer(new Event(What.DATA, connection, now(), null, null, side, bytes, hole(connection)));
+    enqueue(
+        new Event(
+            EventType.DATA,
+            connection,
+            nowNanos(),
+            null,
+            null,
+            side,
+            bytes,
+            takeDroppedBytes(connection)));
   }
 
   @Override
   public void onClosed(long connection, int side) {
-    offer(new Event(What.CLOSED, connection, now(), null, null, side, null, hole(connection)));
+    enqueue(
+        new Event(
+            EventType.CLOSED,
+            connection,
+            nowNanos(),
+            null,
+            null,
+            side,
+            null,
+            takeDroppedBytes(connection)));
   }
 
-  private static long now() {
+  private static long nowNanos() {
     Instant now = Instant.now();
     return now.getEpochSecond() * 1_000_000_000L + now.getNano();
   }
 
-  private void offer(Event event) {
+  private void enqueue(Event event) {
     int size = event.bytes == null ? 0 : event.bytes.length;
     if (failed) {
       return;
     }
-    boolean fits = queued.addAndGet(size) <= BYTES_MOST;
+    boolean fits = queuedBytes.addAndGet(size) <= MAX_QUEUED_BYTES;
     if (!fits || !queue.offer(event)) {
-      queued.addAndGet(-size);
-      dropped.incrementAndGet();
-      synchronized (holes) {
-        if (event.what == What.CLOSED) {
+      queuedBytes.addAndGet(-size);
+      droppedEvents.incrementAndGet();
+      synchronized (droppedBytesByConnection) {
+        if (event.type == EventType.CLOSED) {
           // nothing follows that could carry the hole, or end the forge
-          holes.remove(event.connection);
-          gone.add(event.connection);
-          holed = true;
+          droppedBytesByConnection.remove(event.connection);
+          connectionsWithDroppedClose.add(event.connection);
+          hasDrops = true;
           return;
         }
-        long[] hole = holes.computeIfAbsent(event.connection, c -> new long[2]);
+        long[] hole = droppedBytesByConnection.computeIfAbsent(event.connection, c -> new long[2]);
         hole[event.side] += size;
-        if (event.hole != null) {
-          hole[0] += event.hole[0];
-          hole[1] += event.hole[1];
+        if (event.droppedBytes != null) {
+          hole[0] += event.droppedBytes[0];
+          hole[1] += event.droppedBytes[1];
         }
-        holed = true;
+        hasDrops = true;
       }
     }
   }
 
   /** What was dropped of a connection before the event at hand: that event carries it along. */
-  private long[] hole(long connection) {
-    if (!holed) {
+  private long[] takeDroppedBytes(long connection) {
+    if (!hasDrops) {
       return null;
     }
-    synchronized (holes) {
-      long[] hole = holes.remove(connection);
-      holed = !holes.isEmpty() || !gone.isEmpty();
+    synchronized (droppedBytesByConnection) {
+      long[] hole = droppedBytesByConnection.remove(connection);
+      hasDrops = !droppedBytesByConnection.isEmpty() || !connectionsWithDroppedClose.isEmpty();
       return hole;
     }
   }
 
   // ---- the writer's thread ----
 
-  private void run() {
+  private void writeLoop() {
     try {
-      while (!ending || !queue.isEmpty()) {
+      while (!closing || !queue.isEmpty()) {
         Event event = queue.poll(100, TimeUnit.MILLISECONDS);
         if (event != null) {
-          take(event);
+          process(event);
         }
-        if (holed
+        if (hasDrops
             && queue.isEmpty()) { // whatever came before an end that was dropped has been taken
-          synchronized (holes) {
-            gone.forEach(forges::remove);
-            gone.clear();
+          synchronized (droppedBytesByConnection) {
+            connectionsWithDroppedClose.forEach(synthesizers::remove);
+            connectionsWithDroppedClose.clear();
           }
         }
       }
-      out.drops(now(), dropped.get() - marked);
-      out.close();
+      writer.writeDropCount(nowNanos(), droppedEvents.get() - reportedDrops);
+      writer.close();
     } catch (IOException | RuntimeException e) {
       failed = true;
       queue.clear();
       LOG.atError()
-          .addKeyValue("file", file)
+          .addKeyValue("file", firstFile)
           .addKeyValue("cause", e.toString())
           .log("recording ended");
     } catch (InterruptedException e) {
@@ -209,72 +236,74 @@
     }
   }
 
-  private void take(Event event) throws IOException {
-    queued.addAndGet(event.bytes == null ? 0 : -event.bytes.length);
-    rotate(event.nanos);
-    if (dropped.get() > marked) {
-      long many = dropped.get();
-      out.drops(event.nanos, many - marked);
-      marked = many;
+  private void process(Event event) throws IOException {
+    queuedBytes.addAndGet(event.bytes == null ? 0 : -event.bytes.length);
+    rotateIfDue(event.nanos);
+    if (droppedEvents.get() > reportedDrops) {
+      long many = droppedEvents.get();
+      writer.writeDropCount(event.nanos, many - reportedDrops);
+      reportedDrops = many;
     }
-    PacketSynthesizer.Out into = (nanos, bytes, length) -> write(nanos, bytes, length);
-    if (event.what == What.OPENED) {
+    PacketSynthesizer.PacketConsumer into =
+        (nanos, bytes, length) -> writePacket(nanos, bytes, length);
+    if (event.type == EventType.OPENED) {
       PacketSynthesizer forge =
           new PacketSynthesizer(event.opener, event.listener, mix(seed + event.connection));
-      forges.put(event.connection, forge);
-      forge.open(event.nanos, into);
+      synthesizers.put(event.connection, forge);
+      forge.writeHandshake(event.nanos, into);
       return;
     }
-    PacketSynthesizer forge = forges.get(event.connection);
+    PacketSynthesizer forge = synthesizers.get(event.connection);
     if (forge == null) {
       return;
     }
-    if (event.hole != null) {
-      forge.skip(0, event.hole[0]);
-      forge.skip(1, event.hole[1]);
+    if (event.droppedBytes != null) {
+      forge.skipBytes(0, event.droppedBytes[0]);
+      forge.skipBytes(1, event.droppedBytes[1]);
     }
-    if (event.what == What.DATA) {
-      forge.data(event.nanos, event.side, event.bytes, 0, event.bytes.length, into);
+    if (event.type == EventType.DATA) {
+      forge.writeData(event.nanos, event.side, event.bytes, 0, event.bytes.length, into);
     } else {
-      forge.close(event.nanos, false, event.side, into);
-      forges.remove(event.connection);
+      forge.writeClose(event.nanos, false, event.side, into);
+      synthesizers.remove(event.connection);
     }
   }
 
-  private void write(long nanos, byte[] bytes, int length) {
+  private void writePacket(long nanos, byte[] bytes, int length) {
     try {
-      out.packet(nanos, bytes, 0, length, length);
+      writer.writePacket(nanos, bytes, 0, length, length);
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
   }
 
-  private void rotate(long nanos) throws IOException {
-    if (out.written() >= rotation.bytes || nanos - began >= rotation.age.toNanos()) {
-      out.close();
-      begin(nanos);
-      while (files.size() > rotation.files) {
+  private void rotateIfDue(long nanos) throws IOException {
+    if (writer.bytesWritten() >= rotation.maxFileBytes
+        || nanos - fileStartNanos >= rotation.maxFileAge.toNanos()) {
+      writer.close();
+      openNextFile(nanos);
+      while (files.size() > rotation.maxFiles) {
         Files.deleteIfExists(files.poll());
       }
     }
   }
 
-  private void begin(long nanos) throws IOException {
-    Path next = file;
-    if (number > 0) {
-      String name = file.getFileName().toString();
+  private void openNextFile(long nanos) throws IOException {
+    Path next = firstFile;
+    if (nextFileNumber > 0) {
+      String name = firstFile.getFileName().toString();
       int dot = name.indexOf('.');
       next =
-          file.resolveSibling(
+          firstFile.resolveSibling(
               (dot < 0 ? name : name.substring(0, dot))
                   + '-'
-                  + number
+                  + nextFileNumber
                   + (dot < 0 ? "" : name.substring(dot)));
     }
-    number++;
-    out = new CaptureWriter(next, PacketSynthesizer.LINK);
+    nextFileNumber++;
+    writer = new CaptureWriter(next, PacketSynthesizer.LINK_TYPE_RAW);
     files.add(next);
-    began = nanos;
+    fileStartNanos = nanos;
   }
 
   private static long mix(long z) {
@@ -291,9 +320,9 @@
   /** Writes what is queued and ends the file; waits some seconds at most. */
   @Override
   public void close() {
-    ending = true;
+    closing = true;
     try {
-      writer.join(END_WAIT_MS);
+      writerThread.join(CLOSE_TIMEOUT_MS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
--- a/traffic/src/main/java/gingerring/traffic/replay/Comparison.java
+++ b/traffic/src/main/java/gingerring/traffic/replay/Comparison.java
@@ -13,65 +13,71 @@
 /**
  * Compares outcomes scan by scan. Two agree where both were answered whole, or from the same parts,
  * or nacked, or scrapped, or left by their client, and no value that both have differs. Each
- * difference gets one cause, the first that fits of the list in {@link #cause}. What the recording
- * does not show is not compared.
+ * difference gets one cause, the first that fits of the list in {@link #findCause}. What the
+ * recording does not show is not compared.
  */
 public final class Comparison {
   /** A scan whose outcomes differ. */
   public record Difference(
-      String mark, String grade, Outcome recorded, Outcome replayed, String cause) {}
+      String transactionId,
+      String serviceClass,
+      ScanResult recorded,
+      ScanResult replayed,
+      String cause) {}
 
   /** Differences kept to be shown; all are counted. */
-  public static final int SHOWN_MOST = 1000;
+  public static final int MAX_DIFFERENCES = 1000;
 
   /** From this share of its client's time on an answer is close to its limit. */
-  private static final double CLOSE = 0.9;
+  private static final double NEAR_DEADLINE_SHARE = 0.9;
 
-  private final Duration lateMost;
-  private final Map<ScanOutcome, Map<ScanOutcome, Long>> table = new EnumMap<>(ScanOutcome.class);
-  private final Map<String, Long> causes = new TreeMap<>();
-  private final List<Difference> shown = new ArrayList<>();
-  private long compared;
-  private long agreed;
-  private long notCompared;
+  private final Duration maxLateness;
+  private final Map<ScanOutcome, Map<ScanOutcome, Long>> outcomeTable =
+      new EnumMap<>(ScanOutcome.class);
+  private final Map<String, Long> countsByCause = new TreeMap<>();
+  private final List<Difference> differences = new ArrayList<>();
+  private long comparedCount;
+  private long agreedCount;
+  private long notComparedCount;
 
   /** {@code lateMost}: the tool's own lateness from which a difference is put down to the tool. */
   public Comparison(Duration lateMost) {
-    this.lateMost = lateMost;
+    this.maxLateness = lateMost;
   }
 
-  public void add(ObservedScan scan, Outcome recorded, Outcome replayed) {
-    if (recorded.fate() == ScanOutcome.INCOMPLETE) {
-      notCompared++;
+  public void add(ObservedScan scan, ScanResult recorded, ScanResult replayed) {
+    if (recorded.outcome() == ScanOutcome.INCOMPLETE) {
+      notComparedCount++;
       return;
     }
-    compared++;
-    table
-        .computeIfAbsent(recorded.fate(), f -> new EnumMap<>(ScanOutcome.class))
-        .merge(replayed.fate(), 1L, Long::sum);
-    if (agree(recorded, replayed)) {
-      agreed++;
+    comparedCount++;
+    outcomeTable
+        .computeIfAbsent(recorded.outcome(), f -> new EnumMap<>(ScanOutcome.class))
+        .merge(replayed.outcome(), 1L, Long::sum);
+    if (agrees(recorded, replayed)) {
+      agreedCount++;
       return;
     }
-    String cause = cause(scan, recorded, replayed);
-    causes.merge(cause, 1L, Long::sum);
-    if (shown.size() < SHOWN_MOST) {
-      shown.add(new Difference(scan.mark(), scan.grade(), recorded, replayed, cause));
+    String cause = findCause(scan, recorded, replayed);
+    countsByCause.merge(cause, 1L, Long::sum);
+    if (differences.size() < MAX_DIFFERENCES) {
+      differences.add(
+          new Difference(scan.transactionId(), scan.serviceClass(), recorded, replayed, cause));
     }
   }
 
-  static boolean agree(Outcome one, Outcome other) {
-    return one.fate() == other.fate()
-        && one.shards().equals(other.shards())
-        && differing(one, other).isEmpty();
+  static boolean agrees(ScanResult one, ScanResult other) {
+    return one.outcome() == other.outcome()
+        && one.partitions().equals(other.partitions())
+        && differingPartitions(one, other).isEmpty();
   }
 
-  private static TreeSet<Integer> differing(Outcome one, Outcome other) {
+  private static TreeSet<Integer> differingPartitions(ScanResult one, ScanResult other) {
     TreeSet<Integer> shards = new TreeSet<>();
-    one.values()
+    one.valuesByPartition()
         .forEach(
             (shard, value) -> {
-              String its = other.values().get(shard);
+              String its = other.valuesByPartition().get(shard);
               if (its != null && !its.equals(value)) {
                 shards.add(shard);
               }
@@ -79,73 +85,74 @@
     return shards;
   }
 
-  private String cause(ObservedScan scan, Outcome recorded, Outcome replayed) {
-    if (!differing(recorded, replayed).isEmpty()) {
+  private String findCause(ObservedScan scan, ScanResult recorded, ScanResult replayed) {
+    if (!differingPartitions(recorded, replayed).isEmpty()) {
       return "a value differs: the store is not in the recorded state";
     }
-    if (replayed.fate() == ScanOutcome.INCOMPLETE) {
+    if (replayed.outcome() == ScanOutcome.INCOMPLETE) {
       return "the replay ended before its answer";
     }
-    if (replayed.late().compareTo(lateMost) > 0) {
+    if (replayed.sendLateness().compareTo(maxLateness) > 0) {
       return "the tool sent it late";
     }
     Duration patience = Duration.ofMillis(scan.remainingMs());
-    if (close(recorded, patience) || close(replayed, patience)) {
+    if (isNearDeadline(recorded, patience) || isNearDeadline(replayed, patience)) {
       return "an answer close to the end of its client's time: open by nature";
     }
-    if (replayed.held().compareTo(lateMost) > 0) {
+    if (replayed.holdDelay().compareTo(maxLateness) > 0) {
       return "held back by the answer before it on its connection";
     }
-    if (replayed.fate() == ScanOutcome.NACKED) {
+    if (replayed.outcome() == ScanOutcome.NACKED) {
       return "turned away in the replay: more load or less trust than recorded";
     }
-    if (recorded.fate() == ScanOutcome.NACKED) {
+    if (recorded.outcome() == ScanOutcome.NACKED) {
       return "turned away when recorded, and taken in the replay";
     }
-    if (replayed.fate() == ScanOutcome.SCRAPPED) {
+    if (replayed.outcome() == ScanOutcome.SCRAPPED) {
       return "given up in the replay: its parts or their holders failed";
     }
-    if (recorded.fate() == ScanOutcome.SCRAPPED) {
+    if (recorded.outcome() == ScanOutcome.SCRAPPED) {
       return "given up when recorded, and answered in the replay";
     }
-    if (recorded.fate() == ScanOutcome.LEFT || replayed.fate() == ScanOutcome.LEFT) {
+    if (recorded.outcome() == ScanOutcome.LEFT || replayed.outcome() == ScanOutcome.LEFT) {
       return "its client left in one of the two";
     }
     return "answered from other parts: some came or were sent in one run alone";
   }
 
-  private static boolean close(Outcome outcome, Duration patience) {
-    return !patience.isZero() && outcome.took().toNanos() > CLOSE * patience.toNanos();
+  private static boolean isNearDeadline(ScanResult outcome, Duration patience) {
+    return !patience.isZero()
+        && outcome.responseTime().toNanos() > NEAR_DEADLINE_SHARE * patience.toNanos();
   }
 
-  public long compared() {
-    return compared;
+  public long comparedCount() {
+    return comparedCount;
   }
 
-  public long agreed() {
-    return agreed;
+  public long agreedCount() {
+    return agreedCount;
   }
 
   /** Scans whose outcome the recording does not show. */
-  public long notCompared() {
-    return notCompared;
+  public long notComparedCount() {
+    return notComparedCount;
   }
 
   /** The share that agrees; 1 where nothing was compared. */
   public double agreement() {
-    return compared == 0 ? 1 : (double) agreed / compared;
+    return comparedCount == 0 ? 1 : (double) agreedCount / comparedCount;
   }
 
   /** Recorded fates, and for each the fates of the replay with how many. */
-  public Map<ScanOutcome, Map<ScanOutcome, Long>> table() {
-    return table;
+  public Map<ScanOutcome, Map<ScanOutcome, Long>> outcomeTable() {
+    return outcomeTable;
   }
 
-  public Map<String, Long> causes() {
-    return causes;
+  public Map<String, Long> countsByCause() {
+    return countsByCause;
   }
 
   public List<Difference> differences() {
-    return shown;
+    return differences;
   }
 }
--- /dev/null
+++ b/traffic/src/main/java/gingerring/traffic/replay/OutcomeTimeline.java
@@ -0,0 +1,34 @@
+package gingerring.traffic.replay;
+
+import gingerring.traffic.scan.ObservedScan.ScanOutcome;
+import java.time.Duration;
+import java.util.ArrayList;
+import java.util.EnumMap;
+import java.util.List;
+import java.util.Map;
+
+/**
+ * Fates by the second of their asking, in the recording's time. Holds {@link #MAX_SECONDS} seconds;
+ * later ones count as the last.
+ */
+public final class OutcomeTimeline {
+  public static final int MAX_SECONDS = 100_000;
+
+  private final List<Map<ScanOutcome, Integer>> countsBySecond = new ArrayList<>();
+
+  public void add(Duration at, ScanOutcome fate) {
+    int second = (int) Math.max(0, Math.min(MAX_SECONDS - 1, at.toSeconds()));
+    while (countsBySecond.size() <= second) {
+      countsBySecond.add(new EnumMap<>(ScanOutcome.class));
+    }
+    countsBySecond.get(second).merge(fate, 1, Integer::sum);
+  }
+
+  public int seconds() {
+    return countsBySecond.size();
+  }
+
+  public int count(int second, ScanOutcome fate) {
+    return second < countsBySecond.size() ? countsBySecond.get(second).getOrDefault(fate, 0) : 0;
+  }
+}
--- a/traffic/src/main/java/gingerring/traffic/replay/ReplayPlan.java
+++ b/traffic/src/main/java/gingerring/traffic/replay/ReplayPlan.java
@@ -13,96 +13,98 @@
 
 /**
  * What a replay sends: every scan whose request the recording holds whole, on a connection for each
- * recorded one, at recorded times divided by the pace. Holds {@link #MOST} scans at most.
+ * recorded one, at recorded times divided by the pace. Holds {@link #MAX_SCANS} scans at most.
  */
 public final class ReplayPlan {
-  public static final int MOST = 1_000_000;
+  public static final int MAX_SCANS = 1_000_000;
 
   /** How long after an end a retry may follow and still be taken for one. */
   public static final Duration RETRY_WINDOW = Duration.ofSeconds(60);
 
   /** A pace that does not wait for any recorded time. */
-  public static final double AT_ONCE = Double.POSITIVE_INFINITY;
+  public static final double UNPACED = Double.POSITIVE_INFINITY;
 
-  private final List<Step> steps = new ArrayList<>();
-  private final List<Chain> chains;
-  private final int lanes;
-  private final int leftOut;
-  private final boolean marked;
+  private final List<ReplayStep> steps = new ArrayList<>();
+  private final List<RetryChain> chains;
+  private final int connectionCount;
+  private final int omittedScans;
+  private final boolean marksRetries;
 
   /** {@code anew}: only first tries are planned, since a replay makes its retries itself. */
   public ReplayPlan(List<ObservedScan> scans, double pace, boolean anew) {
     if (!(pace > 0)) {
       throw new IllegalArgumentException("the pace has to be above 0: " + pace);
     }
-    if (scans.size() > MOST) {
-      throw new IllegalArgumentException("more than " + MOST + " scans: cut the recording");
+    if (scans.size() > MAX_SCANS) {
+      throw new IllegalArgumentException("more than " + MAX_SCANS + " scans: cut the recording");
     }
-    chains = Retries.chains(scans, RETRY_WINDOW);
-    marked = scans.stream().anyMatch(ObservedScan::resent);
+    chains = Retries.findChains(scans, RETRY_WINDOW);
+    marksRetries = scans.stream().anyMatch(ObservedScan::resent);
     List<ObservedScan> wanted = new ArrayList<>();
-    Map<ObservedScan, Chain> of = new IdentityHashMap<>();
+    Map<ObservedScan, RetryChain> of = new IdentityHashMap<>();
     int all = 0;
-    for (Chain chain : chains) {
-      all += chain.tries().size();
-      wanted.addAll(anew ? List.of(chain.first()) : chain.tries());
-      chain.tries().forEach(seen -> of.put(seen, chain));
+    for (RetryChain chain : chains) {
+      all += chain.attempts().size();
+      wanted.addAll(anew ? List.of(chain.first()) : chain.attempts());
+      chain.attempts().forEach(seen -> of.put(seen, chain));
     }
-    leftOut = scans.size() - all;
+    omittedScans = scans.size() - all;
     wanted.sort(
-        Comparator.comparingLong(ObservedScan::askedAt).thenComparingLong(ObservedScan::number));
-    long start = wanted.isEmpty() ? 0 : wanted.get(0).askedAt();
+        Comparator.comparingLong(ObservedScan::requestStartNanos)
+            .thenComparingLong(ObservedScan::number));
+    long start = wanted.isEmpty() ? 0 : wanted.get(0).requestStartNanos();
     Map<Long, Integer> laneOf = new HashMap<>();
     for (ObservedScan seen : wanted) {
-      int lane = laneOf.computeIfAbsent(seen.connection(), c -> laneOf.size());
-      long due = pace == AT_ONCE ? 0 : Math.round((seen.askedAt() - start) / pace);
-      Chain chain = of.get(seen);
+      int lane = laneOf.computeIfAbsent(seen.connectionNumber(), c -> laneOf.size());
+      long due = pace == UNPACED ? 0 : Math.round((seen.requestStartNanos() - start) / pace);
+      RetryChain chain = of.get(seen);
       steps.add(
-          new Step(
+          new ReplayStep(
               steps.size(),
               lane,
               Duration.ofNanos(due),
               seen,
               chain,
-              chain.tries().indexOf(seen),
-              seen.request()));
+              chain.attempts().indexOf(seen),
+              seen.requestBytes()));
     }
-    lanes = laneOf.size();
+    connectionCount = laneOf.size();
   }
 
-  public List<Step> steps() {
+  public List<ReplayStep> steps() {
     return steps;
   }
 
-  public List<Chain> chains() {
+  public List<RetryChain> chains() {
     return chains;
   }
 
   /** How many connections the recording used for them. */
-  public int lanes() {
-    return lanes;
+  public int connectionCount() {
+    return connectionCount;
   }
 
   /** Scans whose request is not in the recording whole. */
-  public int leftOut() {
-    return leftOut;
+  public int omittedScans() {
+    return omittedScans;
   }
 
   /** The step that tries again what {@code step} did not get, under a fresh mark. */
-  public Step again(Step step, int number, Duration due) {
+  public ReplayStep createRetry(ReplayStep step, int number, Duration due) {
     int attempt = step.attempt() + 1;
-    return new Step(
+    return new ReplayStep(
         number,
-        step.lane(),
+        step.connection(),
         due,
         step.scan(),
         step.chain(),
         attempt,
-        remarked(step.scan().request(), step.scan().mark() + '~' + attempt, marked));
+        withTransactionId(
+            step.scan().requestBytes(), step.scan().transactionId() + '~' + attempt, marksRetries));
   }
 
   /** A request under another mark; {@code resent} tells that it is a retry. */
-  static byte[] remarked(byte[] request, String mark, boolean resent) {
+  static byte[] withTransactionId(byte[] request, String mark, boolean resent) {
     String text = new String(request, StandardCharsets.ISO_8859_1);
     int body = text.indexOf("\r\n\r\n");
     StringBuilder head = new StringBuilder();
--- a/traffic/src/main/java/gingerring/traffic/replay/Step.java
+++ b/traffic/src/main/java/gingerring/traffic/replay/ReplayStep.java
@@ -7,11 +7,11 @@
  * One sending of a replay: on which connection, when (from the replay's start, at its pace), and
  * what.
  */
-public record Step(
+public record ReplayStep(
     int number,
-    int lane,
-    Duration due,
+    int connection,
+    Duration dueTime,
     ObservedScan scan,
-    Chain chain,
+    RetryChain chain,
     int attempt,
-    byte[] request) {}
+    byte[] requestBytes) {}
--- a/traffic/src/main/java/gingerring/traffic/replay/Replayer.java
+++ b/traffic/src/main/java/gingerring/traffic/replay/Replayer.java
@@ -2,10 +2,10 @@
 
 import gingerring.http.HttpException;
 import gingerring.http.MessageHead;
-import gingerring.traffic.scan.Answer;
 import gingerring.traffic.scan.ObservedScan;
 import gingerring.traffic.scan.ObservedScan.ScanOutcome;
-import gingerring.traffic.wire.HttpHandler;
+import gingerring.traffic.scan.ScanResponse;
+import gingerring.traffic.wire.HttpConnectionHandler;
 import gingerring.traffic.wire.Reactor;
 import gingerring.traffic.wire.ReactorConnection;
 import java.net.InetSocketAddress;
@@ -21,256 +21,266 @@
  */
 public final class Replayer {
   /** What is wanted of a run. {@code retries} is null where they are sent as recorded. */
-  public record Wish(InetSocketAddress to, double pace, Duration lateMost, Retries retries) {}
+  public record Options(
+      InetSocketAddress mixer, double speed, Duration maxLateness, Retries generatedRetries) {}
 
   /** What came of it. */
   public record Result(
       Comparison comparison,
-      Timeline recorded,
-      Timeline replayed,
-      Pacer.Report pacing,
-      Duration took,
-      long retriesMade,
-      int leftOut,
-      int lanes) {}
+      OutcomeTimeline recordedTimeline,
+      OutcomeTimeline replayedTimeline,
+      Pacer.Report pacingReport,
+      Duration duration,
+      long generatedRetries,
+      int omittedScans,
+      int connectionCount) {}
 
   /** A client gives an answer this much longer than its time, for the way back. */
-  private static final Duration SLACK = Duration.ofMillis(50);
+  private static final Duration RESPONSE_GRACE = Duration.ofMillis(50);
 
-  private static final Duration LEAD = Duration.ofMillis(100);
-  private static final int ANSWER_MOST = 1 << 20;
+  private static final Duration START_DELAY = Duration.ofMillis(100);
+  private static final int MAX_RESPONSE_BYTES = 1 << 20;
 
-  private final Wish wish;
+  private final Options options;
   private final ReplayPlan plan;
   private final Reactor reactor = new Reactor();
-  private final Map<Integer, Lane> lanes = new HashMap<>();
+  private final Map<Integer, ReplayConnection> connections = new HashMap<>();
   private final Comparison comparison;
-  private final Timeline recorded = new Timeline();
-  private final Timeline replayed = new Timeline();
-  private final Map<Integer, Step> open = new HashMap<>();
-  private final long start;
+  private final OutcomeTimeline recordedTimeline = new OutcomeTimeline();
+  private final OutcomeTimeline replayedTimeline = new OutcomeTimeline();
+  private final Map<Integer, ReplayStep> stepsInFlight = new HashMap<>();
+  private final long recordingStartNanos;
   private Pacer pacer;
-  private Duration zero;
-  private Duration armed;
-  private int numbers;
-  private long retriesMade;
+  private Duration replayStart;
+  private Duration nextWakeup;
+  private int nextStepNumber;
+  private long generatedRetries;
 
-  private Replayer(ReplayPlan plan, Wish wish) {
+  private Replayer(ReplayPlan plan, Options wish) {
     this.plan = plan;
-    this.wish = wish;
-    comparison = new Comparison(wish.lateMost);
-    start = plan.steps().isEmpty() ? 0 : plan.steps().get(0).scan().askedAt();
-    numbers = plan.steps().size();
+    this.options = wish;
+    comparison = new Comparison(wish.maxLateness);
+    recordingStartNanos =
+        plan.steps().isEmpty() ? 0 : plan.steps().get(0).scan().requestStartNanos();
+    nextStepNumber = plan.steps().size();
   }
 
   /** Runs on the calling thread until the last answer. */
-  public static Result run(ReplayPlan plan, Wish wish) {
+  public static Result run(ReplayPlan plan, Options wish) {
     return new Replayer(plan, wish).run();
   }
 
   private Result run() {
     pacer =
         new Pacer(
-            plan.steps(), plan.lanes(), wish.lateMost, wish.pace != ReplayPlan.AT_ONCE, this::send);
-    for (Step step : plan.steps()) {
-      recorded.add(Duration.ofNanos(step.scan().askedAt() - start), step.scan().outcome());
+            plan.steps(),
+            plan.connectionCount(),
+            options.maxLateness,
+            options.speed != ReplayPlan.UNPACED,
+            this::send);
+    for (ReplayStep step : plan.steps()) {
+      recordedTimeline.add(
+          Duration.ofNanos(step.scan().requestStartNanos() - recordingStartNanos),
+          step.scan().outcome());
     }
-    zero = reactor.now().plus(LEAD);
-    reactor.after(LEAD, this::turn);
+    replayStart = reactor.now().plus(START_DELAY);
+    reactor.schedule(START_DELAY, this::sendDueSteps);
     reactor.run();
     return new Result(
         comparison,
-        recorded,
-        replayed,
+        recordedTimeline,
+        replayedTimeline,
         pacer.report(),
-        reactor.now().minus(zero),
-        retriesMade,
-        plan.leftOut(),
-        plan.lanes());
+        reactor.now().minus(replayStart),
+        generatedRetries,
+        plan.omittedScans(),
+        plan.connectionCount());
   }
 
-  private Duration now() {
-    return reactor.now().minus(zero);
+  private Duration elapsed() {
+    return reactor.now().minus(replayStart);
   }
 
-  private void turn() {
-    armed = null;
-    pacer.turn(now());
-    arm();
+  private void sendDueSteps() {
+    nextWakeup = null;
+    pacer.sendDueSteps(elapsed());
+    scheduleNextSend();
   }
 
   /** Wakes for the next step, and stops once there is nothing left to come. */
-  private void arm() {
-    Duration next = pacer.next();
+  private void scheduleNextSend() {
+    Duration next = pacer.nextDueTime();
     if (next == null) {
-      if (pacer.waiting() == 0 && open.isEmpty()) {
+      if (pacer.unsentSteps() == 0 && stepsInFlight.isEmpty()) {
         reactor.stop();
       }
       return;
     }
-    if (armed == null || next.compareTo(armed) < 0) {
-      armed = next;
-      Duration wait = next.minus(now());
-      reactor.after(wait.isNegative() ? Duration.ZERO : wait, this::turn);
+    if (nextWakeup == null || next.compareTo(nextWakeup) < 0) {
+      nextWakeup = next;
+      Duration wait = next.minus(elapsed());
+      reactor.schedule(wait.isNegative() ? Duration.ZERO : wait, this::sendDueSteps);
     }
   }
 
-  private void send(Step step) {
-    open.put(step.number(), step);
-    lanes.computeIfAbsent(step.lane(), lane -> new Lane()).send(step);
+  private void send(ReplayStep step) {
+    stepsInFlight.put(step.number(), step);
+    connections.computeIfAbsent(step.connection(), lane -> new ReplayConnection()).send(step);
   }
 
-  private void ended(Step step, Outcome outcome, Duration comeBack) {
-    open.remove(step.number());
-    Duration now = now();
-    pacer.ended(step.lane(), now);
+  private void onStepCompleted(ReplayStep step, ScanResult outcome, Duration comeBack) {
+    stepsInFlight.remove(step.number());
+    Duration now = elapsed();
+    pacer.onCompleted(step.connection(), now);
     boolean unmet =
-        outcome.fate() == ScanOutcome.NACKED
-            || outcome.fate() == ScanOutcome.SCRAPPED
-            || outcome.fate() == ScanOutcome.LEFT;
+        outcome.outcome() == ScanOutcome.NACKED
+            || outcome.outcome() == ScanOutcome.SCRAPPED
+            || outcome.outcome() == ScanOutcome.LEFT;
     Optional<Duration> again =
-        wish.retries == null || !unmet
+        options.generatedRetries == null || !unmet
             ? Optional.empty()
-            : wish.retries.next(step.attempt(), comeBack);
+            : options.generatedRetries.nextDelay(step.attempt(), comeBack);
     if (again.isPresent()) {
-      retriesMade++;
-      pacer.add(plan.again(step, numbers++, now.plus(again.get())));
+      generatedRetries++;
+      pacer.add(plan.createRetry(step, nextStepNumber++, now.plus(again.get())));
     } else {
       // of retries made anew the last counts, against the last that was recorded
-      ObservedScan scan = wish.retries == null ? step.scan() : step.chain().last();
-      comparison.add(scan, Outcome.of(scan, start), outcome);
-      replayed.add(Duration.ofNanos(step.scan().askedAt() - start), outcome.fate());
+      ObservedScan scan = options.generatedRetries == null ? step.scan() : step.chain().last();
+      comparison.add(scan, ScanResult.of(scan, recordingStartNanos), outcome);
+      replayedTimeline.add(
+          Duration.ofNanos(step.scan().requestStartNanos() - recordingStartNanos),
+          outcome.outcome());
     }
-    arm();
+    scheduleNextSend();
   }
 
   /** One recorded connection, played again. */
-  private final class Lane {
-    private Call call;
-    private Step step;
+  private final class ReplayConnection {
+    private HttpClientConnection client;
+    private ReplayStep step;
     private Duration sentAt;
-    private Duration due;
-    private Duration free = Duration.ZERO;
+    private Duration readyTime;
+    private Duration idleSince = Duration.ZERO;
     private boolean retried;
 
-    void send(Step next) {
+    void send(ReplayStep next) {
       step = next;
-      sentAt = now();
-      due = next.due().compareTo(free) > 0 ? next.due() : free;
+      sentAt = elapsed();
+      readyTime = next.dueTime().compareTo(idleSince) > 0 ? next.dueTime() : idleSince;
       retried = false;
-      put();
-      reactor.after(
-          Duration.ofMillis(next.scan().remainingMs()).plus(SLACK),
+      sendRequest();
+      reactor.schedule(
+          Duration.ofMillis(next.scan().remainingMs()).plus(RESPONSE_GRACE),
           () -> {
             if (step == next) {
-              drop();
-              end(new Answer(ScanOutcome.LEFT, 0, false, Map.of(), Duration.ZERO, ""));
+              abandonConnection();
+              complete(new ScanResponse(ScanOutcome.LEFT, 0, false, Map.of(), Duration.ZERO, ""));
             }
           });
     }
 
-    private void put() {
-      if (call == null || !call.wire.open() && call.asked) {
-        call = new Call(this);
+    private void sendRequest() {
+      if (client == null || !client.connection.isOpen() && client.requestSent) {
+        client = new HttpClientConnection(this);
       }
-      call.ask(step.request());
+      client.send(step.requestBytes());
     }
 
     /** Closes the connection; whatever it still says is of no request. */
-    private void drop() {
-      Call old = call;
-      call = null;
+    private void abandonConnection() {
+      HttpClientConnection old = client;
+      client = null;
       if (old != null) {
-        old.wire.reset();
+        old.connection.reset();
       }
     }
 
-    void answered(Call from, Answer answer, boolean last) {
-      if (from == call) {
+    void onResponse(HttpClientConnection from, ScanResponse answer, boolean last) {
+      if (from == client) {
         if (last) {
-          call = null;
-          from.wire.close();
+          client = null;
+          from.connection.closeAfterFlush();
         }
-        end(answer);
+        complete(answer);
       }
     }
 
-    void lost(Call from, boolean begun) {
-      if (from != call) {
+    void onConnectionLost(HttpClientConnection from, boolean begun) {
+      if (from != client) {
         return;
       }
-      call = null;
+      client = null;
       if (step != null && !retried && !begun) {
         // it may have crossed the mixer's closing of an idle connection: once more on a new one
         retried = true;
-        put();
+        sendRequest();
       } else {
-        end(
-            new Answer(
+        complete(
+            new ScanResponse(
                 ScanOutcome.SCRAPPED, 0, false, Map.of(), Duration.ZERO, "its connection ended"));
       }
     }
 
-    private void end(Answer answer) {
-      Step ended = step;
+    private void complete(ScanResponse answer) {
+      ReplayStep ended = step;
       if (ended == null) {
         return; // an answer that nobody asked for, or the end of an idle connection
       }
       step = null;
-      free = now();
+      idleSince = elapsed();
       double weight =
           ended.scan().targets().stream()
-              .filter(target -> answer.values().containsKey(target.shard()))
+              .filter(target -> answer.valuesByPartition().containsKey(target.partition()))
               .mapToDouble(ObservedScan.Target::share)
               .sum();
-      ended(
+      onStepCompleted(
           ended,
-          new Outcome(
-              answer.fate(),
+          new ScanResult(
+              answer.outcome(),
               answer.status(),
-              answer.values(),
+              answer.valuesByPartition(),
               weight,
               sentAt,
-              free.minus(sentAt),
-              sentAt.minus(due),
-              due.minus(ended.due())),
-          answer.comeBack());
+              idleSince.minus(sentAt),
+              sentAt.minus(readyTime),
+              readyTime.minus(ended.dueTime())),
+          answer.retryAfter());
     }
   }
 
   /** A connection of a lane, as long as it lasts. */
-  private final class Call extends HttpHandler {
-    private final Lane lane;
-    private final ReactorConnection wire;
-    private boolean asked;
+  private final class HttpClientConnection extends HttpConnectionHandler {
+    private final ReplayConnection owner;
+    private final ReactorConnection connection;
+    private boolean requestSent;
 
-    Call(Lane lane) {
-      super(false, ANSWER_MOST);
-      this.lane = lane;
-      wire = reactor.dial(wish.to, this);
+    HttpClientConnection(ReplayConnection lane) {
+      super(false, MAX_RESPONSE_BYTES);
+      this.owner = lane;
+      connection = reactor.connect(options.mixer, this);
     }
 
-    void ask(byte[] request) {
-      asked = true;
-      wire.put(request);
+    void send(byte[] request) {
+      requestSent = true;
+      connection.send(request);
     }
 
     @Override
-    protected void message(MessageHead head, byte[] body) {
-      lane.answered(this, Answer.read(head, body), head.hasToken("connection", "close"));
+    protected void onMessage(MessageHead head, byte[] body) {
+      owner.onResponse(this, ScanResponse.parse(head, body), head.hasToken("connection", "close"));
     }
 
     @Override
-    protected void malformed(HttpException e) {
-      lane.answered(
+    protected void onMalformed(HttpException e) {
+      owner.onResponse(
           this,
-          new Answer(ScanOutcome.SCRAPPED, 0, false, Map.of(), Duration.ZERO, e.getMessage()),
+          new ScanResponse(ScanOutcome.SCRAPPED, 0, false, Map.of(), Duration.ZERO, e.getMessage()),
           true);
     }
 
     @Override
-    public void closed() {
-      lane.lost(this, midway());
+    public void onClosed() {
+      owner.onConnectionLost(this, isMidMessage());
     }
   }
 }
--- a/traffic/src/main/java/gingerring/traffic/replay/Retries.java
+++ b/traffic/src/main/java/gingerring/traffic/replay/Retries.java
@@ -20,55 +20,61 @@
   /**
    * How clients retry: so many times, after a wait that grows by a factor and is spread by chance.
    */
-  public record Rule(int most, Duration pause, double factor, double spread) {
-    public static final Rule USUAL = new Rule(3, Duration.ofMillis(200), 2, 0.5);
+  public record RetryPolicy(
+      int maxRetries, Duration initialDelay, double backoffFactor, double jitter) {
+    public static final RetryPolicy DEFAULT = new RetryPolicy(3, Duration.ofMillis(200), 2, 0.5);
 
-    public Rule {
-      if (most < 0 || pause.isNegative() || !(factor >= 1) || !(spread >= 0 && spread <= 1)) {
+    public RetryPolicy {
+      if (maxRetries < 0
+          || initialDelay.isNegative()
+          || !(backoffFactor >= 1)
+          || !(jitter >= 0 && jitter <= 1)) {
         throw new IllegalArgumentException(
             "retries: most and pause from 0, factor from 1, spread 0 to 1 are needed");
       }
     }
   }
 
-  private final Rule rule;
-  private final RandomGenerator chance;
+  private final RetryPolicy policy;
+  private final RandomGenerator random;
 
-  public Retries(Rule rule, RandomGenerator chance) {
-    this.rule = rule;
-    this.chance = chance;
+  public Retries(RetryPolicy rule, RandomGenerator chance) {
+    this.policy = rule;
+    this.random = chance;
   }
 
   /**
    * The recording's scans, in the order of their asking, as chains; a retry follows within {@code
    * window}.
    */
-  public static List<Chain> chains(List<ObservedScan> scans, Duration window) {
-    List<Chain> chains = new ArrayList<>();
-    Map<String, List<Chain>> unmet = new HashMap<>();
+  public static List<RetryChain> findChains(List<ObservedScan> scans, Duration window) {
+    List<RetryChain> chains = new ArrayList<>();
+    Map<String, List<RetryChain>> unmet = new HashMap<>();
     List<ObservedScan> ordered = new ArrayList<>(scans);
     ordered.sort(
-        Comparator.comparingLong(ObservedScan::askedAt).thenComparingLong(ObservedScan::number));
+        Comparator.comparingLong(ObservedScan::requestStartNanos)
+            .thenComparingLong(ObservedScan::number));
     for (ObservedScan seen : ordered) {
-      if (seen.request().length == 0) {
+      if (seen.requestBytes().length == 0) {
         continue; // it never came whole
       }
-      List<Chain> same = unmet.computeIfAbsent(wish(seen), w -> new ArrayList<>());
+      List<RetryChain> same = unmet.computeIfAbsent(retryKey(seen), w -> new ArrayList<>());
       same.removeIf(
           chain ->
-              seen.askedAt() - Math.max(chain.last().answeredAt(), chain.last().askedAt())
+              seen.requestStartNanos()
+                      - Math.max(chain.last().responseEndNanos(), chain.last().requestStartNanos())
                   > window.toNanos());
-      Optional<Chain> mine =
+      Optional<RetryChain> mine =
           same.stream()
               .filter(
                   chain ->
-                      chain.open(seen, window.toNanos())
-                          && chain.last().answeredAt() <= seen.askedAt())
-              .max(Comparator.comparingLong(chain -> chain.last().answeredAt()));
+                      chain.acceptsRetry(seen, window.toNanos())
+                          && chain.last().responseEndNanos() <= seen.requestStartNanos())
+              .max(Comparator.comparingLong(chain -> chain.last().responseEndNanos()));
       if (mine.isPresent()) {
         mine.get().add(seen);
       } else {
-        Chain chain = new Chain(chains.size(), seen);
+        RetryChain chain = new RetryChain(chains.size(), seen);
         chains.add(chain);
         same.add(chain);
       }
@@ -76,22 +82,24 @@
     return chains;
   }
 
-  private static String wish(ObservedScan seen) {
-    return seen.grade()
+  private static String retryKey(ObservedScan seen) {
+    return seen.serviceClass()
         + '\n'
-        + (seen.key() != null ? seen.key() : seen.text() + '\n' + seen.targets());
+        + (seen.idempotencyKey() != null
+            ? seen.idempotencyKey()
+            : seen.queryText() + '\n' + seen.targets());
   }
 
   /**
    * When the try after this one is due, counted from the end of this; empty where the client gives
    * up. Try 0 is the first. {@code comeBack} is what it was told, zero for nothing; it is followed.
    */
-  public Optional<Duration> next(int number, Duration comeBack) {
-    if (number >= rule.most) {
+  public Optional<Duration> nextDelay(int number, Duration comeBack) {
+    if (number >= policy.maxRetries) {
       return Optional.empty();
     }
-    double wait = rule.pause.toNanos() * Math.pow(rule.factor, number);
-    wait *= 1 + rule.spread * (2 * chance.nextDouble() - 1);
+    double wait = policy.initialDelay.toNanos() * Math.pow(policy.backoffFactor, number);
+    wait *= 1 + policy.jitter * (2 * random.nextDouble() - 1);
     return Optional.of(Duration.ofNanos(Math.max(comeBack.toNanos(), (long) wait)));
   }
 }
