--- a/traffic/src/main/java/gingerring/traffic/scan/FrameTalk.java
+++ b/traffic/src/main/java/gingerring/traffic/scan/FrameDecoder.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 
 /** A mixer's connection to a searcher: calls and their returns, matched by the parts' ids. */
-final class FrameTalk implements Talk {
+final class FrameDecoder implements ProtocolDecoder {
   /**
    * More parts than this are not out on one connection; the eldest is forgotten, and counted
    * unanswered.
@@ -14,24 +14,24 @@
   private static final int OUT_MOST = 1 << 16;
 
   private final ScanReader reader;
-  private final Trips trips;
+  private final SearcherTraffic trips;
   private final int mixer;
   private final String searcher;
-  private final Frames[] frames = {new Frames(), new Frames()};
+  private final FrameSplitter[] frames = {new FrameSplitter(), new FrameSplitter()};
   private final Map<String, Long> out = new LinkedHashMap<>();
   private boolean complained;
 
-  FrameTalk(ScanReader reader, Flow flow, int mixer) {
+  FrameDecoder(ScanReader reader, Flow flow, int mixer) {
     this.reader = reader;
     this.mixer = mixer;
-    trips = reader.trips();
+    trips = reader.searcherTraffic();
     searcher = flow.address(1 - mixer).getHostAddress() + ':' + flow.port(1 - mixer);
     reader.count("connections to searchers");
   }
 
   @Override
-  public void bytes(int side, long nanos, long taken, byte[] bytes, int at, int length) {
-    if (!frames[side].add(bytes, at, length, nanos, side == mixer ? this::said : this::heard)) {
+  public void onData(int side, long nanos, long taken, byte[] bytes, int at, int length) {
+    if (!frames[side].append(bytes, at, length, nanos, side == mixer ? this::said : this::heard)) {
       lost();
     }
   }
@@ -46,7 +46,7 @@
   private void said(byte[] frame, long nanos) {
     switch (frame[0]) {
       case 'S' -> call(frame, nanos);
-      case 'C' -> trips.recalls++;
+      case 'C' -> trips.cancellations++;
       case 'H', 'M' -> trips.probes++;
       default -> reader.count("frames that are not of the protocol");
     }
@@ -65,7 +65,7 @@
         return;
       }
       trips.parts++;
-      trips.bySearcher.merge(searcher, 1L, Long::sum);
+      trips.partsBySearcher.merge(searcher, 1L, Long::sum);
       out.put(words[0], nanos);
       if (out.size() > OUT_MOST) {
         out.remove(out.keySet().iterator().next());
@@ -92,24 +92,25 @@
       return;
     }
     Long since = out.remove(words[0]);
-    trips.ends.merge(words[1].matches("done|failed|full") ? words[1] : "other", 1L, Long::sum);
+    trips.returnsByStatus.merge(
+        words[1].matches("done|failed|full") ? words[1] : "other", 1L, Long::sum);
     if (since != null) {
-      trips.returned++;
-      trips.waited += nanos - since;
+      trips.matchedReturns++;
+      trips.totalWaitNanos += nanos - since;
     }
   }
 
   @Override
-  public void gap(int side, long nanos, long missing) {
-    frames[side].lose();
+  public void onGap(int side, long nanos, long missing) {
+    frames[side].markUndecodable();
     lost();
   }
 
   @Override
-  public void finished(int side, long nanos) {}
+  public void onEndOfStream(int side, long nanos) {}
 
   @Override
-  public void closed(Flow.How how, long nanos) {
+  public void onClosed(Flow.CloseReason how, long nanos) {
     trips.unanswered += out.size();
   }
 }
--- a/traffic/src/main/java/gingerring/traffic/scan/HttpTalk.java
+++ b/traffic/src/main/java/gingerring/traffic/scan/HttpDecoder.java
@@ -19,7 +19,7 @@
  * that one lost in a hole shifts no other, and one that the capture shows before its request finds
  * it all the same. After a hole, reading goes on at the next line that begins a message.
  */
-final class HttpTalk implements Talk {
+final class HttpDecoder implements ProtocolDecoder {
   private static final int REQUEST_MOST = 64 << 10;
   private static final int ANSWER_MOST = 1 << 20;
 
@@ -38,21 +38,21 @@
   private static final String NO_ANSWER = "bytes of its answer were not captured";
 
   /** An answer as it was read: where in its stream it began, and when its last byte came. */
-  private record Answered(Message message, long begin, long at) {}
+  private record Answered(HttpMessage message, long begin, long at) {}
 
   private final ScanReader reader;
   private final Flow flow;
   private final String name;
   private final int client;
   private final Half[] halves = new Half[2];
-  private final Message.Found found = new Message.Found();
-  private final Deque<Exchange> pending = new ArrayDeque<>();
+  private final HttpMessage.MessageExtent found = new HttpMessage.MessageExtent();
+  private final Deque<ScanExchange> pending = new ArrayDeque<>();
   private final Deque<Answered> early = new ArrayDeque<>();
 
   /**
    * {@code begin}: where in the stream of {@code side} the first bytes stand that this is given.
    */
-  HttpTalk(ScanReader reader, Flow flow, int client, int side, long begin) {
+  HttpDecoder(ScanReader reader, Flow flow, int client, int side, long begin) {
     this.reader = reader;
     this.flow = flow;
     this.client = client;
@@ -60,8 +60,8 @@
     halves[client] = new Half(true);
     halves[1 - client] = new Half(false);
     halves[side].offset = begin;
-    halves[1 - side].offset = flow.position(1 - side);
-    halves[1 - side].astray = flow.position(1 - side) > 0;
+    halves[1 - side].offset = flow.deliveredBytes(1 - side);
+    halves[1 - side].astray = flow.deliveredBytes(1 - side) > 0;
     reader.count("connections of clients");
   }
 
@@ -197,28 +197,29 @@
         if (end - first < wanted) {
           return;
         }
-        Message.Skim skim = Message.Skim.WHOLE;
+        HttpMessage.FastParseResult skim = HttpMessage.FastParseResult.COMPLETE;
         if (wanted > 0) { // its head was looked at before
-          found.end = first + wanted;
-          found.bodyAt = first + wantedBody;
+          found.endOffset = first + wanted;
+          found.bodyOffset = first + wantedBody;
         } else {
-          skim = Message.skim(kept, first, end, requests, bodyMost, found);
+          skim = HttpMessage.parseFast(kept, first, end, requests, bodyMost, found);
         }
-        if (skim == Message.Skim.MORE) {
-          wanted = found.end - first;
-          wantedBody = found.bodyAt - first;
+        if (skim == HttpMessage.FastParseResult.NEEDS_MORE) {
+          wanted = found.endOffset - first;
+          wantedBody = found.bodyOffset - first;
           return;
         }
         wanted = 0;
-        if (skim == Message.Skim.UNUSUAL) {
+        if (skim == HttpMessage.FastParseResult.UNSUPPORTED) {
           parser = new HttpParser(requests, bodyMost, this);
           ring = new ByteRing(PIECE, 2 * PIECE);
           body = new ByteArrayOutputStream();
           continue;
         }
-        Message message =
-            new Message(Arrays.copyOfRange(kept, first, found.end), found.bodyAt - first);
-        first = found.end;
+        HttpMessage message =
+            new HttpMessage(
+                Arrays.copyOfRange(kept, first, found.endOffset), found.bodyOffset - first);
+        first = found.endOffset;
         begun = false;
         tell(message);
       }
@@ -269,13 +270,14 @@
     public void onMessageEnd() {
       MessageHead whole = head;
       head = null;
-      tell(Message.of(whole, body.toByteArray()));
+      tell(HttpMessage.fromParsed(whole, body.toByteArray()));
     }
 
-    private void tell(Message message) {
+    private void tell(HttpMessage message) {
       if (requests) {
         asked(
-            new Exchange(reader.number(), flow.number, name, message, beginAt, nanos, beginTaken));
+            new ScanExchange(
+                reader.nextNumber(), flow.number, name, message, beginAt, nanos, beginTaken));
       } else if (message.status() / 100 != 1) { // 100 Continue is no answer yet
         answered(new Answered(message, begin, nanos));
       }
@@ -283,36 +285,36 @@
   }
 
   @Override
-  public void bytes(int side, long nanos, long taken, byte[] bytes, int at, int length) {
+  public void onData(int side, long nanos, long taken, byte[] bytes, int at, int length) {
     Half half = halves[side];
     half.nanos = nanos;
     half.taken = taken;
     half.add(bytes, at, length);
   }
 
-  private void asked(Exchange asked) {
-    if (!asked.scan()) {
+  private void asked(ScanExchange asked) {
+    if (!asked.isScan()) {
       reader.count("requests that are no scans");
     }
-    while (!early.isEmpty() && early.peek().begin < asked.taken) {
+    while (!early.isEmpty() && early.peek().begin < asked.acknowledgedResponseBytes) {
       early.poll();
       reader.count("answers whose request was not captured");
     }
     if (pending.isEmpty() && !early.isEmpty()) {
       Answered answer = early.poll();
-      tell(asked.answered(answer.message, answer.at));
+      tell(asked.completeWith(answer.message, answer.at));
       return;
     }
     pending.add(asked);
     if (pending.size() > PENDING_MOST) {
       reader.count("requests pushed out by newer ones");
-      tell(pending.poll().incomplete("too many requests without answers"));
+      tell(pending.poll().markIncomplete("too many requests without answers"));
     }
   }
 
   private void answered(Answered answer) {
-    if (!pending.isEmpty() && pending.peek().taken <= answer.begin) {
-      tell(pending.poll().answered(answer.message, answer.at));
+    if (!pending.isEmpty() && pending.peek().acknowledgedResponseBytes <= answer.begin) {
+      tell(pending.poll().completeWith(answer.message, answer.at));
       return;
     }
     early.add(answer);
@@ -322,14 +324,14 @@
     }
   }
 
-  private void tell(Exchange exchange) {
-    if (exchange.scan()) {
-      reader.scan(exchange);
+  private void tell(ScanExchange exchange) {
+    if (exchange.isScan()) {
+      reader.deliver(exchange);
     }
   }
 
   @Override
-  public void gap(int side, long nanos, long missing) {
+  public void onGap(int side, long nanos, long missing) {
     Half half = halves[side];
     boolean midway = half.begun;
     long begin = midway ? half.begin : half.offset;
@@ -345,19 +347,20 @@
    * The answers' stream has a hole: every request that may have been answered in it is incomplete.
    */
   private void lost(long from, long to, String why) {
-    while (!pending.isEmpty() && pending.peek().taken < to) {
-      tell(pending.poll().incomplete(why));
+    while (!pending.isEmpty() && pending.peek().acknowledgedResponseBytes < to) {
+      tell(pending.poll().markIncomplete(why));
     }
   }
 
   private void incomplete(Half half, String why) {
     reader.count("requests that are incomplete");
     tell(
-        new Exchange(reader.number(), flow.number, name, null, half.beginAt, 0, 0).incomplete(why));
+        new ScanExchange(reader.nextNumber(), flow.number, name, null, half.beginAt, 0, 0)
+            .markIncomplete(why));
   }
 
   @Override
-  public void finished(int side, long nanos) {
+  public void onEndOfStream(int side, long nanos) {
     Half half = halves[side];
     // an answer that tells no length ends with its connection
     if (side != client
@@ -372,16 +375,16 @@
   }
 
   @Override
-  public void closed(Flow.How how, long nanos) {
-    boolean seenToEnd = how == Flow.How.FINISHED || how == Flow.How.RESET;
+  public void onClosed(Flow.CloseReason how, long nanos) {
+    boolean seenToEnd = how == Flow.CloseReason.FINISHED || how == Flow.CloseReason.RESET;
     String why =
         switch (how) {
           case FINISHED, RESET -> "";
-          case FILE_ENDED -> "the file ends before its answer";
+          case END_OF_FILE -> "the file ends before its answer";
           default -> "its connection was lost sight of before its answer";
         };
     while (!pending.isEmpty()) {
-      tell(seenToEnd ? pending.poll().left(nanos) : pending.poll().incomplete(why));
+      tell(seenToEnd ? pending.poll().markClientLeft(nanos) : pending.poll().markIncomplete(why));
     }
     Half half = halves[client];
     if (half.begun) {
--- a/traffic/src/main/java/gingerring/traffic/scan/Message.java
+++ b/traffic/src/main/java/gingerring/traffic/scan/HttpMessage.java
@@ -10,50 +10,54 @@
 
 /**
  * An HTTP/1.1 message that came whole, as its bytes; taken apart when it is asked for. {@link
- * #skim} tells plain messages from a buffer without making anything, and leaves all others to the
- * parser.
+ * #parseFast} tells plain messages from a buffer without making anything, and leaves all others to
+ * the parser.
  */
-final class Message {
-  /** What {@link #skim} found. */
-  enum Skim {
-    WHOLE,
-    MORE,
-    UNUSUAL
+final class HttpMessage {
+  /** What {@link #parseFast} found. */
+  enum FastParseResult {
+    COMPLETE,
+    NEEDS_MORE,
+    UNSUPPORTED
   }
 
-  private static final int HEAD_MOST = 8192;
-  private static final byte[] LENGTH = "content-length:".getBytes(StandardCharsets.US_ASCII);
-  private static final byte[] CODING = "transfer-encoding:".getBytes(StandardCharsets.US_ASCII);
-  private static final boolean[] TOKEN = new boolean[128];
-  private static final boolean[] PLAIN = new boolean[256];
-  private static final byte[] ANSWER = "{\"whole\":".getBytes(StandardCharsets.US_ASCII);
-  private static final byte[] WHOLE = "true,\"results\":[".getBytes(StandardCharsets.US_ASCII);
-  private static final byte[] PART = "false,\"results\":[".getBytes(StandardCharsets.US_ASCII);
-  private static final byte[] FOLIO = "{\"partition\":".getBytes(StandardCharsets.US_ASCII);
-  private static final byte[] VALUE = ",\"value\":\"".getBytes(StandardCharsets.US_ASCII);
+  private static final int MAX_HEAD_BYTES = 8192;
+  private static final byte[] CONTENT_LENGTH =
+      "content-length:".getBytes(StandardCharsets.US_ASCII);
+  private static final byte[] TRANSFER_ENCODING =
+      "transfer-encoding:".getBytes(StandardCharsets.US_ASCII);
+  private static final boolean[] IS_TOKEN_CHARACTER = new boolean[128];
+  private static final boolean[] IS_FIELD_CHARACTER = new boolean[256];
+  private static final byte[] WHOLE_KEY = "{\"whole\":".getBytes(StandardCharsets.US_ASCII);
+  private static final byte[] WHOLE_RESULTS =
+      "true,\"results\":[".getBytes(StandardCharsets.US_ASCII);
+  private static final byte[] PARTIAL_RESULTS =
+      "false,\"results\":[".getBytes(StandardCharsets.US_ASCII);
+  private static final byte[] PARTITION_KEY = "{\"partition\":".getBytes(StandardCharsets.US_ASCII);
+  private static final byte[] VALUE_KEY = ",\"value\":\"".getBytes(StandardCharsets.US_ASCII);
 
   static {
     for (char c = '!'; c < 127; c++) {
-      TOKEN[c] =
+      IS_TOKEN_CHARACTER[c] =
           c >= 'a' && c <= 'z'
               || c >= 'A' && c <= 'Z'
               || c >= '0' && c <= '9'
               || "!#$%&'*+-.^_`|~".indexOf(c) >= 0;
     }
-    Arrays.fill(PLAIN, ' ', 127, true);
-    PLAIN['\t'] = true;
+    Arrays.fill(IS_FIELD_CHARACTER, ' ', 127, true);
+    IS_FIELD_CHARACTER['\t'] = true;
   }
 
   final byte[] bytes;
-  final int bodyAt;
+  final int bodyOffset;
 
-  Message(byte[] bytes, int bodyAt) {
+  HttpMessage(byte[] bytes, int bodyAt) {
     this.bytes = bytes;
-    this.bodyAt = bodyAt;
+    this.bodyOffset = bodyAt;
   }
 
   /** One that the parser read. */
-  static Message of(MessageHead head, byte[] body) {
+  static HttpMessage fromParsed(MessageHead head, byte[] body) {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     StringBuilder text =
         new StringBuilder(head.methodOrVersion()).append(' ').append(head.targetOrStatus());
@@ -64,13 +68,13 @@
     out.writeBytes(text.append("\r\n").toString().getBytes(StandardCharsets.ISO_8859_1));
     int bodyAt = out.size();
     out.writeBytes(body);
-    return new Message(out.toByteArray(), bodyAt);
+    return new HttpMessage(out.toByteArray(), bodyAt);
   }
 
   /** Where a skimmed message ends, and where its body begins. */
-  static final class Found {
-    int bodyAt;
-    int end;
+  static final class MessageExtent {
+    int bodyOffset;
+    int endOffset;
   }
 
   /**
@@ -78,68 +82,72 @@
    * {@code at} on. What it takes the parser takes too, with the same ends; whatever it does not
    * know is unusual.
    */
-  static Skim skim(byte[] b, int at, int end, boolean request, int bodyMost, Found found) {
-    found.end = at; // not known
+  static FastParseResult parseFast(
+      byte[] b, int at, int end, boolean request, int bodyMost, MessageExtent found) {
+    found.endOffset = at; // not known
     int line = at;
     long length = -1;
     boolean first = true;
     for (int i = at; i < end; i++) {
       int c = b[i];
-      if (PLAIN[c & 0xFF]) {
+      if (IS_FIELD_CHARACTER[c & 0xFF]) {
         continue;
       }
       if (c == '\r') {
         if (i + 1 < end && b[i + 1] != '\n') {
-          return Skim.UNUSUAL;
+          return FastParseResult.UNSUPPORTED;
         }
         continue;
       }
       // other control characters, and all beyond ASCII
-      if (c != '\n' || i == line || b[i - 1] != '\r' || i - at > HEAD_MOST) {
-        return Skim.UNUSUAL;
+      if (c != '\n' || i == line || b[i - 1] != '\r' || i - at > MAX_HEAD_BYTES) {
+        return FastParseResult.UNSUPPORTED;
       }
       int stop = i - 1;
       if (stop == line) {
         if (first) {
-          return Skim.UNUSUAL;
+          return FastParseResult.UNSUPPORTED;
         }
         if (length > bodyMost || length < 0 && !request) {
-          return Skim.UNUSUAL; // to the end of the connection, or none: the parser knows
+          return FastParseResult
+              .UNSUPPORTED; // to the end of the connection, or none: the parser knows
         }
-        found.bodyAt = i + 1;
-        found.end = (int) (i + 1 + Math.max(0, length));
-        return found.end <= end ? Skim.WHOLE : Skim.MORE;
+        found.bodyOffset = i + 1;
+        found.endOffset = (int) (i + 1 + Math.max(0, length));
+        return found.endOffset <= end ? FastParseResult.COMPLETE : FastParseResult.NEEDS_MORE;
       }
       if (first) {
-        if (!firstLine(b, line, stop, request)) {
-          return Skim.UNUSUAL;
+        if (!isSupportedStartLine(b, line, stop, request)) {
+          return FastParseResult.UNSUPPORTED;
         }
         first = false;
       } else {
         int colon = line;
-        while (colon < stop && b[colon] > 0 && TOKEN[b[colon]]) {
+        while (colon < stop && b[colon] > 0 && IS_TOKEN_CHARACTER[b[colon]]) {
           colon++;
         }
         if (colon == line
             || colon == stop
             || b[colon] != ':'
-            || colon - line == CODING.length - 1 && says(b, line, stop, CODING)) {
-          return Skim.UNUSUAL;
+            || colon - line == TRANSFER_ENCODING.length - 1
+                && startsWithIgnoringCase(b, line, stop, TRANSFER_ENCODING)) {
+          return FastParseResult.UNSUPPORTED;
         }
-        if (colon - line == LENGTH.length - 1 && says(b, line, stop, LENGTH)) {
-          long told = number(b, line + LENGTH.length, stop);
+        if (colon - line == CONTENT_LENGTH.length - 1
+            && startsWithIgnoringCase(b, line, stop, CONTENT_LENGTH)) {
+          long told = parseContentLength(b, line + CONTENT_LENGTH.length, stop);
           if (told < 0 || length >= 0) {
-            return Skim.UNUSUAL;
+            return FastParseResult.UNSUPPORTED;
           }
           length = told;
         }
       }
       line = i + 1;
     }
-    return end - at > HEAD_MOST ? Skim.UNUSUAL : Skim.MORE;
+    return end - at > MAX_HEAD_BYTES ? FastParseResult.UNSUPPORTED : FastParseResult.NEEDS_MORE;
   }
 
-  private static boolean firstLine(byte[] b, int line, int stop, boolean request) {
+  private static boolean isSupportedStartLine(byte[] b, int line, int stop, boolean request) {
     int version = request ? stop - 8 : line;
     if (version < line
         || stop - version < 8
@@ -156,9 +164,9 @@
     if (!request) {
       return stop - line >= 12
           && b[line + 8] == ' '
-          && digit(b[line + 9])
-          && digit(b[line + 10])
-          && digit(b[line + 11])
+          && isDigit(b[line + 9])
+          && isDigit(b[line + 10])
+          && isDigit(b[line + 11])
           && (stop - line == 12 || b[line + 12] == ' ')
           && b[line + 9] != '1'
           && !(b[line + 9] == '2' && b[line + 10] == '0' && b[line + 11] == '4')
@@ -171,11 +179,11 @@
     return spaces == 2 && b[line] != ' ' && b[version - 1] == ' ' && b[version - 2] != ' ';
   }
 
-  private static boolean digit(byte b) {
+  private static boolean isDigit(byte b) {
     return b >= '0' && b <= '9';
   }
 
-  private static boolean says(byte[] b, int line, int stop, byte[] name) {
+  private static boolean startsWithIgnoringCase(byte[] b, int line, int stop, byte[] name) {
     if (stop - line < name.length) {
       return false;
     }
@@ -188,7 +196,7 @@
     return true;
   }
 
-  private static long number(byte[] b, int at, int stop) {
+  private static long parseContentLength(byte[] b, int at, int stop) {
     while (at < stop && (b[at] == ' ' || b[at] == '\t')) {
       at++;
     }
@@ -200,7 +208,7 @@
     }
     long value = 0;
     for (; at < stop; at++) {
-      if (!digit(b[at])) {
+      if (!isDigit(b[at])) {
         return -1;
       }
       value = 10 * value + b[at] - '0';
@@ -210,13 +218,13 @@
 
   /** The status of an answer. */
   int status() {
-    return bytes.length >= 12 && digit(bytes[9]) && digit(bytes[10]) && digit(bytes[11])
+    return bytes.length >= 12 && isDigit(bytes[9]) && isDigit(bytes[10]) && isDigit(bytes[11])
         ? (bytes[9] - '0') * 100 + (bytes[10] - '0') * 10 + bytes[11] - '0'
         : 0;
   }
 
   /** Whether this is a request for a scan. */
-  boolean scan() {
+  boolean isScanRequest() {
     byte[] start = {'P', 'O', 'S', 'T', ' ', '/', 'a', 'p', 'i'};
     return bytes.length > start.length
         && Arrays.equals(bytes, 0, start.length, start, 0, start.length)
@@ -224,12 +232,13 @@
   }
 
   byte[] body() {
-    return Arrays.copyOfRange(bytes, bodyAt, bytes.length);
+    return Arrays.copyOfRange(bytes, bodyOffset, bytes.length);
   }
 
   MessageHead head() {
     String[] lines =
-        new String(bytes, 0, Math.max(0, bodyAt - 4), StandardCharsets.ISO_8859_1).split("\r\n");
+        new String(bytes, 0, Math.max(0, bodyOffset - 4), StandardCharsets.ISO_8859_1)
+            .split("\r\n");
     String[] words = lines[0].split(" ", 3);
     Map<String, String> headers = new LinkedHashMap<>();
     for (int i = 1; i < lines.length; i++) {
@@ -246,25 +255,26 @@
    * Whether the body is an answer in the form in which the mixer writes it: 1 where it is marked
    * whole, 0 where not, -1 where the form is another and has to be read.
    */
-  int skimWhole() {
-    int at = after(bodyAt, ANSWER);
-    int whole = after(at, WHOLE) >= 0 ? 1 : after(at, PART) >= 0 ? 0 : -1;
+  int parseWholeFlag() {
+    int at = endOfMatch(bodyOffset, WHOLE_KEY);
+    int whole =
+        endOfMatch(at, WHOLE_RESULTS) >= 0 ? 1 : endOfMatch(at, PARTIAL_RESULTS) >= 0 ? 0 : -1;
     if (at < 0 || whole < 0) {
       return -1;
     }
-    at = after(at, whole == 1 ? WHOLE : PART);
+    at = endOfMatch(at, whole == 1 ? WHOLE_RESULTS : PARTIAL_RESULTS);
     for (boolean first = true; at >= 0 && at < bytes.length && bytes[at] != ']'; first = false) {
       if (!first && bytes[at++] != ',') {
         return -1;
       }
-      int digits = after(at, FOLIO);
-      for (at = digits; at >= 0 && at < bytes.length && digit(bytes[at]); ) {
+      int digits = endOfMatch(at, PARTITION_KEY);
+      for (at = digits; at >= 0 && at < bytes.length && isDigit(bytes[at]); ) {
         at++;
       }
       if (at <= digits || at - digits > 9 || bytes[digits] == '0' && at - digits > 1) {
         return -1;
       }
-      at = after(at, VALUE);
+      at = endOfMatch(at, VALUE_KEY);
       while (at >= 0
           && at < bytes.length
           && bytes[at] >= ' '
@@ -283,7 +293,7 @@
   }
 
   /** Where what follows this text begins, or -1 where it does not stand here. */
-  private int after(int at, byte[] text) {
+  private int endOfMatch(int at, byte[] text) {
     if (at < 0 || at + text.length > bytes.length) {
       return -1;
     }
--- a/traffic/src/main/java/gingerring/traffic/scan/ObservedScan.java
+++ b/traffic/src/main/java/gingerring/traffic/scan/ObservedScan.java
@@ -11,27 +11,27 @@
  */
 public record ObservedScan(
     long number,
-    long connection,
+    long connectionNumber,
     String client,
-    long askedAt,
-    long wholeAt,
-    long answeredAt,
-    String mark,
-    String grade,
+    long requestStartNanos,
+    long requestEndNanos,
+    long responseEndNanos,
+    String transactionId,
+    String serviceClass,
     long remainingMs,
     boolean resent,
-    String key,
+    String idempotencyKey,
     List<Target> targets,
-    String text,
-    byte[] request,
+    String queryText,
+    byte[] requestBytes,
     ScanOutcome outcome,
     int status,
     boolean whole,
-    Map<Integer, String> values,
-    double comeBack,
-    String missing) {
+    Map<Integer, String> valuesByPartition,
+    double retryAfterSeconds,
+    String problem) {
   /** One part of what was asked. */
-  public record Target(int shard, double share) {}
+  public record Target(int partition, double share) {}
 
   /**
    * What became of a scan: answered whole or in part, sent back, given up; its client left before;
@@ -47,9 +47,9 @@
   }
 
   /** The weight of the parts that are in, of all that was asked. */
-  public double weight() {
+  public double answeredShare() {
     return targets.stream()
-        .filter(target -> values.containsKey(target.shard))
+        .filter(target -> valuesByPartition.containsKey(target.partition))
         .mapToDouble(Target::share)
         .sum();
   }
--- a/traffic/src/main/java/gingerring/traffic/scan/Recording.java
+++ b/traffic/src/main/java/gingerring/traffic/scan/RecordingReader.java
@@ -1,10 +1,10 @@
 package gingerring.traffic.scan;
 
-import gingerring.traffic.flow.Bounds;
 import gingerring.traffic.flow.FlowTable;
+import gingerring.traffic.flow.ReassemblyLimits;
 import gingerring.traffic.pcap.CaptureReader;
-import gingerring.traffic.pcap.Layers;
 import gingerring.traffic.pcap.Packet;
+import gingerring.traffic.pcap.PacketDecoder;
 import gingerring.traffic.pcap.Segment;
 import java.io.IOException;
 import java.nio.file.Path;
@@ -14,31 +14,31 @@
 import java.util.function.Predicate;
 
 /** A capture file read from end to end, in one pass and bounded memory. */
-public final class Recording {
+public final class RecordingReader {
   /**
    * What there was in it. {@code notRead} is by cause; {@code why} is empty where the file was
    * whole.
    */
   public record Summary(
       long packets,
-      long bytes,
+      long capturedBytes,
       long segments,
       long flows,
       long scans,
       long firstNanos,
       long lastNanos,
-      long drops,
-      CaptureReader.End end,
-      String why,
-      Map<String, Long> read,
-      Map<String, Long> notRead,
-      Trips trips) {}
+      long droppedPackets,
+      CaptureReader.EndState endState,
+      String endReason,
+      Map<String, Long> messageCounts,
+      Map<String, Long> skippedCounts,
+      SearcherTraffic searcherTraffic) {}
 
-  private Recording() {}
+  private RecordingReader() {}
 
   /** Tells each scan once it has ended; {@code wanted} picks the segments that are looked at. */
   public static Summary read(
-      Path file, Bounds bounds, Predicate<Segment> wanted, Consumer<ObservedScan> scans)
+      Path file, ReassemblyLimits bounds, Predicate<Segment> wanted, Consumer<ObservedScan> scans)
       throws IOException {
     try (CaptureReader capture = CaptureReader.open(file)) {
       return read(capture, bounds, wanted, scans);
@@ -47,15 +47,19 @@
 
   public static Summary read(
       CaptureReader capture,
-      Bounds bounds,
+      ReassemblyLimits bounds,
       Predicate<Segment> wanted,
       Consumer<ObservedScan> scans) {
-    return skim(capture, bounds, wanted, exchange -> scans.accept(exchange.seen()));
+    return readExchanges(
+        capture, bounds, wanted, exchange -> scans.accept(exchange.toObservedScan()));
   }
 
   /** The same for those who need not know everything of each scan. */
-  public static Summary skim(
-      CaptureReader capture, Bounds bounds, Predicate<Segment> wanted, Consumer<Exchange> scans) {
+  public static Summary readExchanges(
+      CaptureReader capture,
+      ReassemblyLimits bounds,
+      Predicate<Segment> wanted,
+      Consumer<ScanExchange> scans) {
     long[] told = {0};
     ScanReader reader =
         new ScanReader(
@@ -64,7 +68,7 @@
               scans.accept(exchange);
             });
     FlowTable table = new FlowTable(bounds, reader);
-    Layers layers = new Layers();
+    PacketDecoder layers = new PacketDecoder();
     Packet packet = new Packet();
     Segment segment = new Segment();
     long packets = 0;
@@ -73,31 +77,31 @@
     long first = 0;
     long last = 0;
     while (capture.next(packet)) {
-      first = packets == 0 ? packet.nanos : first;
-      last = Math.max(last, packet.nanos);
+      first = packets == 0 ? packet.timestampNanos : first;
+      last = Math.max(last, packet.timestampNanos);
       packets++;
       bytes += packet.length;
-      if (layers.read(packet, segment) && wanted.test(segment)) {
+      if (layers.decode(packet, segment) && wanted.test(segment)) {
         segments++;
-        table.segment(segment);
+        table.process(segment);
       }
     }
-    table.end();
+    table.endAllFlows();
     Map<String, Long> notRead = new TreeMap<>(layers.counts());
     notRead.putAll(table.counts());
     return new Summary(
         packets,
         bytes,
         segments,
-        table.flowsSeen(),
+        table.totalFlows(),
         told[0],
         first,
         last,
-        capture.drops(),
-        capture.end(),
-        capture.why(),
+        capture.droppedPackets(),
+        capture.endState(),
+        capture.endReason(),
         reader.counts(),
         notRead,
-        reader.trips());
+        reader.searcherTraffic());
   }
 }
--- a/traffic/src/main/java/gingerring/traffic/scan/Exchange.java
+++ b/traffic/src/main/java/gingerring/traffic/scan/ScanExchange.java
@@ -13,92 +13,94 @@
 import java.util.Map;
 
 /**
- * A request for a scan and what became of it, still as bytes. {@link #fate} costs a look over them,
- * {@link #seen} reads them whole. A request that did not come whole has none.
+ * A request for a scan and what became of it, still as bytes. {@link #outcome} costs a look over
+ * them, {@link #toObservedScan} reads them whole. A request that did not come whole has none.
  */
-public final class Exchange {
-  private static final long MILLIS_MOST = 86_400_000;
+public final class ScanExchange {
+  private static final long MAX_REMAINING_MS = 86_400_000;
 
   private final long number;
-  private final long connection;
+  private final long connectionNumber;
   private final String client;
-  private final Message request;
-  private final long firstAt;
-  private final long wholeAt;
+  private final HttpMessage request;
+  private final long requestStartNanos;
+  private final long requestEndNanos;
 
   /** How much of the answers the client had taken when it asked. */
-  final long taken;
+  final long acknowledgedResponseBytes;
 
-  private Message answer;
-  private long answeredAt;
-  private ScanOutcome fate;
-  private String missing = "";
+  private HttpMessage response;
+  private long responseEndNanos;
+  private ScanOutcome outcome;
+  private String problem = "";
 
-  Exchange(
+  ScanExchange(
       long number,
       long connection,
       String client,
-      Message request,
+      HttpMessage request,
       long firstAt,
       long wholeAt,
       long taken) {
     this.number = number;
-    this.connection = connection;
+    this.connectionNumber = connection;
     this.client = client;
     this.request = request;
-    this.firstAt = firstAt;
-    this.wholeAt = wholeAt;
-    this.taken = taken;
+    this.requestStartNanos = firstAt;
+    this.requestEndNanos = wholeAt;
+    this.acknowledgedResponseBytes = taken;
   }
 
-  boolean scan() {
-    return request == null || request.scan();
+  boolean isScan() {
+    return request == null || request.isScanRequest();
   }
 
-  Exchange answered(Message whole, long at) {
-    answer = whole;
-    answeredAt = at;
+  ScanExchange completeWith(HttpMessage whole, long at) {
+    response = whole;
+    responseEndNanos = at;
     return this;
   }
 
-  Exchange left(long at) {
-    fate = ScanOutcome.LEFT;
-    answeredAt = at;
+  ScanExchange markClientLeft(long at) {
+    outcome = ScanOutcome.LEFT;
+    responseEndNanos = at;
     return this;
   }
 
-  Exchange incomplete(String why) {
-    fate = ScanOutcome.INCOMPLETE;
-    missing = why;
+  ScanExchange markIncomplete(String why) {
+    outcome = ScanOutcome.INCOMPLETE;
+    problem = why;
     return this;
   }
 
-  public ScanOutcome fate() {
-    if (fate == null) {
-      int status = answer.status();
-      int whole = status == 200 ? answer.skimWhole() : 0;
-      fate =
+  public ScanOutcome outcome() {
+    if (outcome == null) {
+      int status = response.status();
+      int whole = status == 200 ? response.parseWholeFlag() : 0;
+      outcome =
           status == 429 || status == 503
               ? ScanOutcome.NACKED
               : status != 200
                   ? ScanOutcome.SCRAPPED
-                  : whole > 0 ? ScanOutcome.WHOLE : whole == 0 ? ScanOutcome.PART : read().fate();
+                  : whole > 0
+                      ? ScanOutcome.WHOLE
+                      : whole == 0 ? ScanOutcome.PART : parseResponse().outcome();
     }
-    return fate;
+    return outcome;
   }
 
-  private Answer read() {
-    return Answer.read(answer.head(), answer.body());
+  private ScanResponse parseResponse() {
+    return ScanResponse.parse(response.head(), response.body());
   }
 
   /** Everything there is to know of it. */
-  public ObservedScan seen() {
+  public ObservedScan toObservedScan() {
     if (request == null) {
       return new ObservedScan(
           number,
-          connection,
+          connectionNumber,
           client,
-          firstAt,
+          requestStartNanos,
           0,
           0,
           "",
@@ -114,15 +116,17 @@
           false,
           Map.of(),
           0,
-          missing);
+          problem);
     }
-    Answer read =
-        answer == null ? new Answer(fate, 0, false, Map.of(), Duration.ZERO, missing) : read();
+    ScanResponse read =
+        response == null
+            ? new ScanResponse(outcome, 0, false, Map.of(), Duration.ZERO, problem)
+            : parseResponse();
     MessageHead head = request.head();
     byte[] body = request.body();
     List<Target> targets = new ArrayList<>();
     String text = "";
-    String wrong = read.wrong();
+    String wrong = read.error();
     try {
       Map<String, Object> object = JsonFields.object(Json.parse(body), "the body");
       text = JsonFields.string(object, "query");
@@ -136,37 +140,37 @@
     } catch (Json.JsonException e) {
       wrong = wrong.isEmpty() ? "no scan's body: " + e.getMessage() : wrong;
     }
-    String remaining = header(head, "X-Remaining-Ms");
+    String remaining = headerOrEmpty(head, "X-Remaining-Ms");
     return new ObservedScan(
         number,
-        connection,
+        connectionNumber,
         client,
-        firstAt,
-        wholeAt,
-        answeredAt,
-        header(head, "X-Txn"),
-        header(head, "X-Lane"),
-        remaining.matches("[0-9]{1,9}") ? Math.min(MILLIS_MOST, Long.parseLong(remaining)) : 0,
-        header(head, "X-Resent").equals("1"),
+        requestStartNanos,
+        requestEndNanos,
+        responseEndNanos,
+        headerOrEmpty(head, "X-Txn"),
+        headerOrEmpty(head, "X-Lane"),
+        remaining.matches("[0-9]{1,9}") ? Math.min(MAX_REMAINING_MS, Long.parseLong(remaining)) : 0,
+        headerOrEmpty(head, "X-Resent").equals("1"),
         head.header("Idempotency-Key"),
         targets,
         text,
-        again(head, body),
-        read.fate(),
+        rebuildRequest(head, body),
+        read.outcome(),
         read.status(),
         read.whole(),
-        read.values(),
-        read.comeBack().toNanos() / 1e9,
+        read.valuesByPartition(),
+        read.retryAfter().toNanos() / 1e9,
         wrong);
   }
 
-  private static String header(MessageHead head, String name) {
+  private static String headerOrEmpty(MessageHead head, String name) {
     String value = head.header(name);
     return value == null ? "" : value;
   }
 
   /** The request anew, its body framed by its length. */
-  private static byte[] again(MessageHead head, byte[] body) {
+  private static byte[] rebuildRequest(MessageHead head, byte[] body) {
     StringBuilder text =
         new StringBuilder(head.methodOrVersion())
             .append(' ')
--- a/traffic/src/main/java/gingerring/traffic/scan/ScanReader.java
+++ b/traffic/src/main/java/gingerring/traffic/scan/ScanReader.java
@@ -14,65 +14,65 @@
  * which is not always the order in which they were asked: {@link ObservedScan#number} counts by
  * their asking.
  */
-public final class ScanReader implements FlowTable.Sink {
+public final class ScanReader implements FlowTable.FlowListener {
   /** What a flow's owner is until enough of it was seen to tell. */
-  private static final class Unknown {
+  private static final class UndetectedProtocol {
     final byte[] head = new byte[8];
-    int size;
-    int side = -1;
-    long nanos;
-    long taken;
+    int headSize;
+    int headSide = -1;
+    long headNanos;
+    long headAcknowledgedPeerBytes;
 
     /** Some of its bytes were passed over: any that follow may begin a message. */
-    boolean amidst;
+    boolean midStream;
 
-    void forget() {
-      size = 0;
-      side = -1;
-      amidst = true;
+    void discardHead() {
+      headSize = 0;
+      headSide = -1;
+      midStream = true;
     }
   }
 
-  private static final Talk FOREIGN =
-      new Talk() {
+  private static final ProtocolDecoder IGNORING_DECODER =
+      new ProtocolDecoder() {
         @Override
-        public void bytes(int side, long nanos, long taken, byte[] bytes, int at, int length) {}
+        public void onData(int side, long nanos, long taken, byte[] bytes, int at, int length) {}
 
         @Override
-        public void gap(int side, long nanos, long missing) {}
+        public void onGap(int side, long nanos, long missing) {}
 
         @Override
-        public void finished(int side, long nanos) {}
+        public void onEndOfStream(int side, long nanos) {}
 
         @Override
-        public void closed(Flow.How how, long nanos) {}
+        public void onClosed(Flow.CloseReason how, long nanos) {}
       };
 
-  private static final Pattern REQUEST = Pattern.compile("(?s)[A-Z]{3,7} .*");
+  private static final Pattern REQUEST_START = Pattern.compile("(?s)[A-Z]{3,7} .*");
 
-  private final Consumer<Exchange> scans;
-  private final Trips trips = new Trips();
+  private final Consumer<ScanExchange> exchangeConsumer;
+  private final SearcherTraffic searcherTraffic = new SearcherTraffic();
   private final Map<String, Long> counts = new TreeMap<>();
-  private long numbers;
+  private long exchangesNumbered;
 
-  public ScanReader(Consumer<Exchange> scans) {
-    this.scans = scans;
+  public ScanReader(Consumer<ScanExchange> scans) {
+    this.exchangeConsumer = scans;
   }
 
   public Map<String, Long> counts() {
     return counts;
   }
 
-  public Trips trips() {
-    return trips;
+  public SearcherTraffic searcherTraffic() {
+    return searcherTraffic;
   }
 
-  long number() {
-    return numbers++;
+  long nextNumber() {
+    return exchangesNumbered++;
   }
 
-  void scan(Exchange exchange) {
-    scans.accept(exchange);
+  void deliver(ScanExchange exchange) {
+    exchangeConsumer.accept(exchange);
   }
 
   void count(String what) {
@@ -80,93 +80,102 @@
   }
 
   @Override
-  public void opened(Flow flow) {
-    flow.owner = new Unknown();
+  public void onFlowOpened(Flow flow) {
+    flow.attachment = new UndetectedProtocol();
   }
 
   @Override
-  public void bytes(Flow flow, int side, long nanos, long taken, byte[] bytes, int at, int length) {
-    if (flow.owner instanceof Unknown unknown) {
-      if (unknown.side >= 0 && unknown.side != side) {
-        unknown.forget();
+  public void onData(
+      Flow flow, int side, long nanos, long taken, byte[] bytes, int at, int length) {
+    if (flow.attachment instanceof UndetectedProtocol unknown) {
+      if (unknown.headSide >= 0 && unknown.headSide != side) {
+        unknown.discardHead();
       }
-      int used = Math.min(length, unknown.head.length - unknown.size);
-      System.arraycopy(bytes, at, unknown.head, unknown.size, used);
-      if (unknown.size == 0) {
-        unknown.nanos = nanos;
-        unknown.taken = taken;
+      int used = Math.min(length, unknown.head.length - unknown.headSize);
+      System.arraycopy(bytes, at, unknown.head, unknown.headSize, used);
+      if (unknown.headSize == 0) {
+        unknown.headNanos = nanos;
+        unknown.headAcknowledgedPeerBytes = taken;
       }
-      unknown.side = side;
-      unknown.size += used;
-      if (unknown.size < unknown.head.length && !ended(unknown)) {
+      unknown.headSide = side;
+      unknown.headSize += used;
+      if (unknown.headSize < unknown.head.length && !holdsWholeFrame(unknown)) {
         return;
       }
-      long begin = flow.position(side) - (length - used) - unknown.size;
-      Talk talk = talk(flow, side, unknown, begin);
+      long begin = flow.deliveredBytes(side) - (length - used) - unknown.headSize;
+      ProtocolDecoder talk = createDecoder(flow, side, unknown, begin);
       if (talk == null) {
         // a capture that begins in the midst of a message: the next segment may begin another
-        unknown.forget();
+        unknown.discardHead();
         return;
       }
-      flow.owner = talk;
-      talk.bytes(side, unknown.nanos, unknown.taken, unknown.head, 0, unknown.size);
+      flow.attachment = talk;
+      talk.onData(
+          side,
+          unknown.headNanos,
+          unknown.headAcknowledgedPeerBytes,
+          unknown.head,
+          0,
+          unknown.headSize);
       at += used;
       length -= used;
     }
     if (length > 0) {
-      ((Talk) flow.owner).bytes(side, nanos, taken, bytes, at, length);
+      ((ProtocolDecoder) flow.attachment).onData(side, nanos, taken, bytes, at, length);
     }
   }
 
   /** A probe's frame is shorter than what tells an HTTP request. */
-  private static boolean ended(Unknown unknown) {
-    return unknown.size >= 5
-        && Frames.length(unknown.head) >= 1
-        && unknown.size >= 4 + Frames.length(unknown.head);
+  private static boolean holdsWholeFrame(UndetectedProtocol unknown) {
+    return unknown.headSize >= 5
+        && FrameSplitter.frameLength(unknown.head) >= 1
+        && unknown.headSize >= 4 + FrameSplitter.frameLength(unknown.head);
   }
 
-  private Talk talk(Flow flow, int side, Unknown unknown, long begin) {
-    String head = new String(unknown.head, 0, unknown.size, StandardCharsets.ISO_8859_1);
+  private ProtocolDecoder createDecoder(
+      Flow flow, int side, UndetectedProtocol unknown, long begin) {
+    String head = new String(unknown.head, 0, unknown.headSize, StandardCharsets.ISO_8859_1);
     if (head.startsWith("HTTP/1.")) {
-      return new HttpTalk(this, flow, 1 - side, side, begin);
+      return new HttpDecoder(this, flow, 1 - side, side, begin);
     }
-    if (REQUEST.matcher(head).matches()) {
-      return new HttpTalk(this, flow, side, side, begin);
+    if (REQUEST_START.matcher(head).matches()) {
+      return new HttpDecoder(this, flow, side, side, begin);
     }
-    if (Frames.looksLike(unknown.head, unknown.size)) {
-      return new FrameTalk(
+    if (FrameSplitter.startsWithFrame(unknown.head, unknown.headSize)) {
+      return new FrameDecoder(
           this, flow, unknown.head[4] == 'R' || unknown.head[4] == 'F' ? 1 - side : side);
     }
-    if (!flow.whole || unknown.amidst) {
+    if (!flow.openingSeen || unknown.midStream) {
       return null;
     }
     count("connections that speak something else");
-    return FOREIGN;
+    return IGNORING_DECODER;
   }
 
   @Override
-  public void gap(Flow flow, int side, long nanos, long missing) {
-    if (flow.owner instanceof Talk talk) {
-      talk.gap(side, nanos, missing);
+  public void onGap(Flow flow, int side, long nanos, long missing) {
+    if (flow.attachment instanceof ProtocolDecoder talk) {
+      talk.onGap(side, nanos, missing);
     } else {
-      ((Unknown) flow.owner).forget();
+      ((UndetectedProtocol) flow.attachment).discardHead();
     }
   }
 
   @Override
-  public void finished(Flow flow, int side, long nanos) {
-    if (flow.owner instanceof Talk talk) {
-      talk.finished(side, nanos);
+  public void onEndOfStream(Flow flow, int side, long nanos) {
+    if (flow.attachment instanceof ProtocolDecoder talk) {
+      talk.onEndOfStream(side, nanos);
     }
   }
 
   @Override
-  public void closed(Flow flow, Flow.How how, long nanos) {
-    if (flow.owner instanceof Talk talk) {
-      talk.closed(how, nanos);
-    } else if (flow.owner instanceof Unknown unknown && (unknown.size > 0 || unknown.amidst)) {
+  public void onFlowClosed(Flow flow, Flow.CloseReason how, long nanos) {
+    if (flow.attachment instanceof ProtocolDecoder talk) {
+      talk.onClosed(how, nanos);
+    } else if (flow.attachment instanceof UndetectedProtocol unknown
+        && (unknown.headSize > 0 || unknown.midStream)) {
       count("connections of which no message was seen to begin");
     }
-    flow.owner = FOREIGN;
+    flow.attachment = IGNORING_DECODER;
   }
 }
--- a/traffic/src/main/java/gingerring/traffic/scan/Answer.java
+++ b/traffic/src/main/java/gingerring/traffic/scan/ScanResponse.java
@@ -12,14 +12,14 @@
  * What a mixer answered; {@code comeBack} is zero where it did not say, {@code wrong} empty where
  * all is well.
  */
-public record Answer(
-    ScanOutcome fate,
+public record ScanResponse(
+    ScanOutcome outcome,
     int status,
     boolean whole,
-    Map<Integer, String> values,
-    Duration comeBack,
-    String wrong) {
-  public static Answer read(MessageHead head, byte[] body) {
+    Map<Integer, String> valuesByPartition,
+    Duration retryAfter,
+    String error) {
+  public static ScanResponse parse(MessageHead head, byte[] body) {
     int status =
         head.targetOrStatus().matches("[0-9]{3}") ? Integer.parseInt(head.targetOrStatus()) : 0;
     String told = head.header("retry-after");
@@ -28,7 +28,7 @@
             ? Duration.ofNanos((long) (Double.parseDouble(told) * 1e9))
             : Duration.ZERO;
     if (status != 200) {
-      return new Answer(
+      return new ScanResponse(
           status == 429 || status == 503 ? ScanOutcome.NACKED : ScanOutcome.SCRAPPED,
           status,
           false,
@@ -46,10 +46,10 @@
             JsonFields.string(result, "value"));
       }
       boolean whole = JsonFields.booleanValue(object, "whole");
-      return new Answer(
+      return new ScanResponse(
           whole ? ScanOutcome.WHOLE : ScanOutcome.PART, status, whole, values, comeBack, "");
     } catch (Json.JsonException e) {
-      return new Answer(
+      return new ScanResponse(
           ScanOutcome.SCRAPPED, status, false, Map.of(), comeBack, "an answer without results");
     }
   }
--- a/traffic/src/main/java/gingerring/traffic/wire/Datagrams.java
+++ b/traffic/src/main/java/gingerring/traffic/wire/DatagramEndpoint.java
@@ -10,16 +10,16 @@
 /**
  * One datagram socket of a {@link Reactor}; what cannot be sent at once is lost, as datagrams are.
  */
-public final class Datagrams {
-  private static final int MOST = 1 << 16;
+public final class DatagramEndpoint {
+  private static final int MAX_DATAGRAM_BYTES = 1 << 16;
 
   /** So many a turn, so that one socket's flood does not keep the others waiting. */
-  private static final int EACH_TURN = 64;
+  private static final int MAX_READS_PER_EVENT = 64;
 
   private final DatagramChannel channel;
-  private final ByteBuffer buffer = ByteBuffer.allocate(MOST);
+  private final ByteBuffer buffer = ByteBuffer.allocate(MAX_DATAGRAM_BYTES);
 
-  Datagrams(
+  DatagramEndpoint(
       Reactor reactor, InetSocketAddress address, BiConsumer<InetSocketAddress, byte[]> received)
       throws IOException {
     channel = DatagramChannel.open();
@@ -31,7 +31,7 @@
 
   private void read(BiConsumer<InetSocketAddress, byte[]> received) {
     try {
-      for (int i = 0; i < EACH_TURN; i++) {
+      for (int i = 0; i < MAX_READS_PER_EVENT; i++) {
         buffer.clear();
         InetSocketAddress from = (InetSocketAddress) channel.receive(buffer);
         if (from == null) {
--- a/traffic/src/main/java/gingerring/traffic/wire/HttpHandler.java
+++ b/traffic/src/main/java/gingerring/traffic/wire/HttpConnectionHandler.java
@@ -10,15 +10,15 @@
  * Who owns a wire that carries HTTP/1.1, requests or answers: told of each message once it is
  * whole.
  */
-public abstract class HttpHandler implements ReactorConnection.Handler {
-  private static final int PIECE = 1 << 13;
+public abstract class HttpConnectionHandler implements ReactorConnection.Handler {
+  private static final int CHUNK_BYTES = 1 << 13;
 
-  private final ByteRing ring = new ByteRing(PIECE, 2 * PIECE);
+  private final ByteRing ring = new ByteRing(CHUNK_BYTES, 2 * CHUNK_BYTES);
   private final HttpParser parser;
   private MessageHead head;
   private ByteArrayOutputStream body = new ByteArrayOutputStream();
 
-  protected HttpHandler(boolean requests, int bodyMost) {
+  protected HttpConnectionHandler(boolean requests, int bodyMost) {
     parser =
         new HttpParser(
             requests,
@@ -42,27 +42,27 @@
                 body = new ByteArrayOutputStream();
                 if (requests
                     || !whole.targetOrStatus().startsWith("1")) { // 100 Continue is no answer yet
-                  message(whole, bytes);
+                  onMessage(whole, bytes);
                 }
               }
             });
   }
 
-  protected abstract void message(MessageHead head, byte[] body) throws HttpException;
+  protected abstract void onMessage(MessageHead head, byte[] body) throws HttpException;
 
   /** What came is not HTTP/1.1, or the message was refused: nothing that follows can be read. */
-  protected abstract void malformed(HttpException e);
+  protected abstract void onMalformed(HttpException e);
 
   /** Whether some of a message has come, and not all of it. */
-  protected final boolean midway() {
+  protected final boolean isMidMessage() {
     return parser.isMidMessage();
   }
 
   @Override
-  public final void bytes(byte[] bytes, int length) {
+  public final void onData(byte[] bytes, int length) {
     try {
       for (int at = 0; at < length; ) {
-        int count = Math.min(length - at, PIECE);
+        int count = Math.min(length - at, CHUNK_BYTES);
         ring.put(bytes, at, count);
         at += count;
         while (ring.size() > 0 && parser.parse(ring)) {
@@ -71,7 +71,7 @@
       }
     } catch (HttpException e) {
       ring.clear();
-      malformed(e);
+      onMalformed(e);
     }
   }
 }
--- a/traffic/src/main/java/gingerring/traffic/wire/Reactor.java
+++ b/traffic/src/main/java/gingerring/traffic/wire/Reactor.java
@@ -26,28 +26,30 @@
  * everything but {@link #post} and {@link #stop} is for that thread, or for before it runs.
  */
 public final class Reactor implements Closeable {
-  private record Timer(long at, long number, Runnable task) implements Comparable<Timer> {
+  private record Timer(long dueNanos, long number, Runnable task) implements Comparable<Timer> {
     @Override
     public int compareTo(Timer other) {
-      return at != other.at ? Long.compare(at, other.at) : Long.compare(number, other.number);
+      return dueNanos != other.dueNanos
+          ? Long.compare(dueNanos, other.dueNanos)
+          : Long.compare(number, other.number);
     }
   }
 
   private static final Logger LOG = LoggerFactory.getLogger("gingerring.wire");
   private static final int BACKLOG = 1024;
-  static final int READ = 1 << 16;
+  static final int READ_BUFFER_BYTES = 1 << 16;
 
   final Selector selector;
-  private final long start = System.nanoTime();
+  private final long startNanos = System.nanoTime();
   private final PriorityQueue<Timer> timers = new PriorityQueue<>();
-  private final ConcurrentLinkedQueue<Runnable> posted = new ConcurrentLinkedQueue<>();
-  private final ByteBuffer read = ByteBuffer.allocateDirect(READ);
-  private final byte[] bytes = new byte[READ];
-  private List<ReactorConnection> dirty = new ArrayList<>();
-  private long timerNumber;
+  private final ConcurrentLinkedQueue<Runnable> postedTasks = new ConcurrentLinkedQueue<>();
+  private final ByteBuffer readBuffer = ByteBuffer.allocateDirect(READ_BUFFER_BYTES);
+  private final byte[] readBytes = new byte[READ_BUFFER_BYTES];
+  private List<ReactorConnection> flushRequests = new ArrayList<>();
+  private long nextTimerNumber;
   private volatile boolean running = true;
-  private int wires;
-  private int failures;
+  private int connectionCount;
+  private int failureCount;
 
   public Reactor() {
     try {
@@ -58,25 +60,25 @@
   }
 
   public Duration now() {
-    return Duration.ofNanos(System.nanoTime() - start);
+    return Duration.ofNanos(System.nanoTime() - startNanos);
   }
 
   /** How many connections there are. */
-  public int connections() {
-    return wires;
+  public int connectionCount() {
+    return connectionCount;
   }
 
   /** How many tasks and events failed; each is logged. */
-  public int failures() {
-    return failures;
+  public int failureCount() {
+    return failureCount;
   }
 
-  public void after(Duration span, Runnable task) {
-    timers.add(new Timer(System.nanoTime() - start + span.toNanos(), timerNumber++, task));
+  public void schedule(Duration span, Runnable task) {
+    timers.add(new Timer(System.nanoTime() - startNanos + span.toNanos(), nextTimerNumber++, task));
   }
 
   public void post(Runnable task) {
-    posted.add(task);
+    postedTasks.add(task);
     selector.wakeup();
   }
 
@@ -86,17 +88,17 @@
   }
 
   /** Takes connections at a loopback address; {@code owner} is asked for whom each is. */
-  public Listening listen(
+  public ListeningSocket listen(
       InetSocketAddress address, Function<ReactorConnection, ReactorConnection.Handler> owner)
       throws IOException {
-    loopback(address);
+    requireLoopback(address);
     ServerSocketChannel channel = ServerSocketChannel.open();
     try {
       channel.setOption(StandardSocketOptions.SO_REUSEADDR, true);
       channel.bind(address, BACKLOG);
       channel.configureBlocking(false);
       SelectionKey key = channel.register(selector, SelectionKey.OP_ACCEPT);
-      Listening listening = new Listening(channel, key);
+      ListeningSocket listening = new ListeningSocket(channel, key);
       key.attach((Runnable) () -> accept(channel, owner));
       return listening;
     } catch (IOException e) {
@@ -109,21 +111,21 @@
    * A datagram socket at a loopback address; {@code received} is told of what comes, on this
    * thread.
    */
-  public Datagrams datagrams(
+  public DatagramEndpoint openDatagramEndpoint(
       InetSocketAddress address, BiConsumer<InetSocketAddress, byte[]> received)
       throws IOException {
-    loopback(address);
-    return new Datagrams(this, address, received);
+    requireLoopback(address);
+    return new DatagramEndpoint(this, address, received);
   }
 
-  private static void loopback(InetSocketAddress address) {
+  private static void requireLoopback(InetSocketAddress address) {
     if (!address.getAddress().isLoopbackAddress()) {
       throw new IllegalArgumentException("not a loopback address: " + address);
     }
   }
 
   /** A place where connections come in. */
-  public record Listening(ServerSocketChannel channel, SelectionKey key) {
+  public record ListeningSocket(ServerSocketChannel channel, SelectionKey key) {
     public InetSocketAddress address() {
       return (InetSocketAddress) channel.socket().getLocalSocketAddress();
     }
@@ -142,8 +144,8 @@
     try {
       for (SocketChannel channel = server.accept(); channel != null; channel = server.accept()) {
         ReactorConnection wire = new ReactorConnection(this, channel);
-        wires++;
-        wire.begin(owner.apply(wire), true);
+        connectionCount++;
+        wire.register(owner.apply(wire), true);
       }
     } catch (IOException e) {
       LOG.warn("a connection could not be taken: {}", e.toString());
@@ -151,18 +153,18 @@
   }
 
   /** Calls an address. The owner is told once it is up, or that it never came up. */
-  public ReactorConnection dial(InetSocketAddress to, ReactorConnection.Handler owner) {
-    loopback(to);
+  public ReactorConnection connect(InetSocketAddress to, ReactorConnection.Handler owner) {
+    requireLoopback(to);
     try {
       SocketChannel channel = SocketChannel.open();
       ReactorConnection wire = new ReactorConnection(this, channel);
-      wires++;
+      connectionCount++;
       try {
         channel.configureBlocking(false);
         boolean up = channel.connect(to);
-        wire.begin(owner, up);
+        wire.register(owner, up);
       } catch (IOException e) {
-        wire.fail(owner);
+        wire.failLater(owner);
       }
       return wire;
     } catch (IOException e) {
@@ -170,12 +172,12 @@
     }
   }
 
-  void gone() {
-    wires--;
+  void connectionClosed() {
+    connectionCount--;
   }
 
-  void dirty(ReactorConnection wire) {
-    dirty.add(wire);
+  void requestFlush(ReactorConnection wire) {
+    flushRequests.add(wire);
   }
 
   /** Turns until it is stopped. */
@@ -186,8 +188,10 @@
             timers.isEmpty()
                 ? 1000
                 : Math.max(
-                    0, (timers.peek().at - (System.nanoTime() - start) + 999_999) / 1_000_000);
-        if (wait == 0 || !posted.isEmpty() || !dirty.isEmpty()) {
+                    0,
+                    (timers.peek().dueNanos - (System.nanoTime() - startNanos) + 999_999)
+                        / 1_000_000);
+        if (wait == 0 || !postedTasks.isEmpty() || !flushRequests.isEmpty()) {
           selector.selectNow();
         } else {
           selector.select(wait);
@@ -199,30 +203,30 @@
         SelectionKey key = keys.next();
         keys.remove();
         if (key.attachment() instanceof ReactorConnection wire) {
-          guard(() -> wire.ready(key, read, bytes));
+          runGuarded(() -> wire.onReady(key, readBuffer, readBytes));
         } else if (key.isValid()) {
-          guard((Runnable) key.attachment());
+          runGuarded((Runnable) key.attachment());
         }
       }
-      for (Runnable task = posted.poll(); task != null; task = posted.poll()) {
-        guard(task);
+      for (Runnable task = postedTasks.poll(); task != null; task = postedTasks.poll()) {
+        runGuarded(task);
       }
-      long now = System.nanoTime() - start;
-      while (!timers.isEmpty() && timers.peek().at <= now) {
-        guard(timers.poll().task);
+      long now = System.nanoTime() - startNanos;
+      while (!timers.isEmpty() && timers.peek().dueNanos <= now) {
+        runGuarded(timers.poll().task);
       }
-      List<ReactorConnection> flushed = dirty;
-      dirty = new ArrayList<>();
-      flushed.forEach(wire -> guard(wire::flush));
+      List<ReactorConnection> flushed = flushRequests;
+      flushRequests = new ArrayList<>();
+      flushed.forEach(wire -> runGuarded(wire::flush));
     }
     close();
   }
 
-  private void guard(Runnable task) {
+  private void runGuarded(Runnable task) {
     try {
       task.run();
     } catch (RuntimeException | Error e) {
-      failures++;
+      failureCount++;
       LOG.error("an event failed", e);
     }
   }
--- a/traffic/src/main/java/gingerring/traffic/wire/ReactorConnection.java
+++ b/traffic/src/main/java/gingerring/traffic/wire/ReactorConnection.java
@@ -10,18 +10,18 @@
 
 /**
  * One connection of a {@link Reactor}. What is put leaves in one write a turn; more than {@link
- * #OUT_MOST} bytes unsent end the connection, as a peer that does not read would else take all
- * memory.
+ * #MAX_UNSENT_BYTES} bytes unsent end the connection, as a peer that does not read would else take
+ * all memory.
  */
 public final class ReactorConnection {
-  static final int OUT_MOST = 4 << 20;
+  static final int MAX_UNSENT_BYTES = 4 << 20;
 
   /** Who owns it; called on the reactor's thread. */
   public interface Handler {
-    default void opened() {}
+    default void onOpened() {}
 
     /** Bytes that came; the array is used again. */
-    void bytes(byte[] bytes, int length);
+    void onData(byte[] bytes, int length);
 
     /** The other side sends no more. The connection ends unless this says to keep it. */
     default boolean keepsHalfOpen() {
@@ -29,184 +29,185 @@
     }
 
     /** It never came up, or has ended; nothing follows. */
-    void closed();
+    void onClosed();
   }
 
   private final Reactor reactor;
   private final SocketChannel channel;
-  private Handler owner;
+  private Handler handler;
   private SelectionKey key;
-  private byte[] out = new byte[1024];
-  private int first;
-  private int end;
-  private boolean up;
+  private byte[] unsent = new byte[1024];
+  private int unsentStart;
+  private int unsentEnd;
+  private boolean connected;
   private boolean closing;
   private boolean closed;
-  private boolean marked;
-  private boolean deaf;
+  private boolean flushRequested;
+  private boolean readingPaused;
 
   ReactorConnection(Reactor reactor, SocketChannel channel) {
     this.reactor = reactor;
     this.channel = channel;
   }
 
-  void begin(Handler whose, boolean isUp) {
-    owner = whose;
+  void register(Handler whose, boolean isUp) {
+    handler = whose;
     try {
       channel.configureBlocking(false);
       channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
-      up = isUp;
+      connected = isUp;
       key =
           channel.register(
               reactor.selector, isUp ? SelectionKey.OP_READ : SelectionKey.OP_CONNECT, this);
       if (isUp) {
-        owner.opened();
+        handler.onOpened();
       }
     } catch (IOException e) {
-      ended();
+      closeNow();
     }
   }
 
-  void fail(Handler whose) {
-    owner = whose;
-    reactor.post(this::ended);
+  void failLater(Handler whose) {
+    handler = whose;
+    reactor.post(this::closeNow);
   }
 
-  public boolean open() {
-    return up && !closed && !closing;
+  public boolean isOpen() {
+    return connected && !closed && !closing;
   }
 
-  public boolean closed() {
+  public boolean isClosed() {
     return closed;
   }
 
-  public InetSocketAddress local() {
+  public InetSocketAddress localAddress() {
     return (InetSocketAddress) channel.socket().getLocalSocketAddress();
   }
 
-  public InetSocketAddress remote() {
+  public InetSocketAddress remoteAddress() {
     return (InetSocketAddress) channel.socket().getRemoteSocketAddress();
   }
 
-  void ready(SelectionKey ready, ByteBuffer read, byte[] bytes) {
+  void onReady(SelectionKey ready, ByteBuffer read, byte[] bytes) {
     if (closed || !ready.isValid()) {
       return;
     }
     try {
       if (ready.isConnectable()) {
         channel.finishConnect();
-        up = true;
-        interest();
-        owner.opened();
-        mark();
+        connected = true;
+        updateInterest();
+        handler.onOpened();
+        requestFlush();
       }
       if (!closed && ready.isValid() && ready.isReadable()) {
         read.clear();
         int count = channel.read(read);
         if (count < 0) {
-          if (owner.keepsHalfOpen()) {
-            deaf = true;
-            interest();
+          if (handler.keepsHalfOpen()) {
+            readingPaused = true;
+            updateInterest();
           } else {
-            ended();
+            closeNow();
           }
         } else {
           read.flip();
           read.get(bytes, 0, count);
-          owner.bytes(bytes, count);
+          handler.onData(bytes, count);
         }
       }
       if (!closed && ready.isValid() && ready.isWritable()) {
         flush();
       }
     } catch (IOException e) {
-      ended();
+      closeNow();
     }
   }
 
-  public void put(byte[] bytes) {
-    put(bytes, 0, bytes.length);
+  public void send(byte[] bytes) {
+    send(bytes, 0, bytes.length);
   }
 
-  public void put(byte[] bytes, int at, int length) {
+  public void send(byte[] bytes, int at, int length) {
     if (closed || closing) {
       return;
     }
-    if (end - first + length > OUT_MOST) {
+    if (unsentEnd - unsentStart + length > MAX_UNSENT_BYTES) {
       reset();
       return;
     }
-    if (end + length > out.length) {
+    if (unsentEnd + length > unsent.length) {
       byte[] larger =
-          end - first + length > out.length / 2
-              ? new byte[Math.max(2 * out.length, end - first + length)]
-              : out;
-      System.arraycopy(out, first, larger, 0, end - first);
-      out = larger;
-      end -= first;
-      first = 0;
+          unsentEnd - unsentStart + length > unsent.length / 2
+              ? new byte[Math.max(2 * unsent.length, unsentEnd - unsentStart + length)]
+              : unsent;
+      System.arraycopy(unsent, unsentStart, larger, 0, unsentEnd - unsentStart);
+      unsent = larger;
+      unsentEnd -= unsentStart;
+      unsentStart = 0;
     }
-    System.arraycopy(bytes, at, out, end, length);
-    end += length;
-    mark();
+    System.arraycopy(bytes, at, unsent, unsentEnd, length);
+    unsentEnd += length;
+    requestFlush();
   }
 
   /** Nothing more is read, as of a machine that has gone silent; or reading goes on. */
   public void pauseReading(boolean on) {
-    deaf = on;
-    interest();
+    readingPaused = on;
+    updateInterest();
   }
 
-  private void mark() {
-    if (!marked) {
-      marked = true;
-      reactor.dirty(this);
+  private void requestFlush() {
+    if (!flushRequested) {
+      flushRequested = true;
+      reactor.requestFlush(this);
     }
   }
 
-  private void interest() {
+  private void updateInterest() {
     if (key != null && key.isValid()) {
       key.interestOps(
-          !up
+          !connected
               ? SelectionKey.OP_CONNECT
-              : (deaf ? 0 : SelectionKey.OP_READ) | (end > first ? SelectionKey.OP_WRITE : 0));
+              : (readingPaused ? 0 : SelectionKey.OP_READ)
+                  | (unsentEnd > unsentStart ? SelectionKey.OP_WRITE : 0));
     }
   }
 
   void flush() {
-    marked = false;
-    if (closed || !up) {
+    flushRequested = false;
+    if (closed || !connected) {
       return;
     }
     try {
-      if (end > first) {
-        first += channel.write(ByteBuffer.wrap(out, first, end - first));
+      if (unsentEnd > unsentStart) {
+        unsentStart += channel.write(ByteBuffer.wrap(unsent, unsentStart, unsentEnd - unsentStart));
       }
-      if (end == first) {
-        first = 0;
-        end = 0;
-        if (out.length > 1 << 16) {
-          out = Arrays.copyOf(out, 1024);
+      if (unsentEnd == unsentStart) {
+        unsentStart = 0;
+        unsentEnd = 0;
+        if (unsent.length > 1 << 16) {
+          unsent = Arrays.copyOf(unsent, 1024);
         }
         if (closing) {
-          ended();
+          closeNow();
           return;
         }
       }
-      interest();
+      updateInterest();
     } catch (IOException e) {
-      ended();
+      closeNow();
     }
   }
 
   /** Ends it once what was put has left. */
-  public void close() {
+  public void closeAfterFlush() {
     if (!closed) {
       closing = true;
-      if (up) {
-        mark();
+      if (connected) {
+        requestFlush();
       } else {
-        reactor.post(this::ended);
+        reactor.post(this::closeNow);
       }
     }
   }
@@ -219,21 +220,21 @@
       } catch (IOException e) {
         // it ends all the same
       }
-      ended();
+      closeNow();
     }
   }
 
-  private void ended() {
+  private void closeNow() {
     if (closed) {
       return;
     }
     closed = true;
-    reactor.gone();
+    reactor.connectionClosed();
     try {
       channel.close();
     } catch (IOException e) {
       // it is gone
     }
-    owner.closed();
+    handler.onClosed();
   }
 }
--- a/traffic/src/test/java/gingerring/traffic/Talks.java
+++ b/traffic/src/test/java/gingerring/traffic/Conversations.java
@@ -1,11 +1,11 @@
 package gingerring.traffic;
 
-import gingerring.traffic.flow.Bounds;
+import gingerring.traffic.flow.ReassemblyLimits;
 import gingerring.traffic.pcap.CaptureReader;
 import gingerring.traffic.pcap.CaptureWriter;
 import gingerring.traffic.record.PacketSynthesizer;
 import gingerring.traffic.scan.ObservedScan;
-import gingerring.traffic.scan.Recording;
+import gingerring.traffic.scan.RecordingReader;
 import java.io.ByteArrayInputStream;
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -18,13 +18,13 @@
 import java.util.List;
 
 /** Conversations of clients with a mixer as packets, for the tests of this module. */
-public final class Talks {
+public final class Conversations {
   public static final long START = 1_790_000_000_000_000_000L;
 
   /** A packet in hand. */
-  public record Piece(long nanos, byte[] bytes) {}
+  public record TimedPacket(long timestampNanos, byte[] bytes) {}
 
-  private Talks() {}
+  private Conversations() {}
 
   public static String body(String text) {
     return "{\"targets\":[{\"partition\":0,\"share\":0.75},{\"partition\":3,\"share\":0.25}],\"query\":\""
@@ -76,14 +76,14 @@
    * A connection that asks so many scans a millisecond apart, marks from {@code mark}0 on, and
    * ends.
    */
-  public static List<Piece> conversation(
+  public static List<TimedPacket> ofScans(
       int port, long seed, String mark, int scans, boolean opens) {
-    List<Piece> pieces = new ArrayList<>();
+    List<TimedPacket> pieces = new ArrayList<>();
     PacketSynthesizer forge = new PacketSynthesizer(client(port), mixer(), seed);
-    PacketSynthesizer.Out out =
-        (nanos, bytes, length) -> pieces.add(new Piece(nanos, Arrays.copyOf(bytes, length)));
+    PacketSynthesizer.PacketConsumer out =
+        (nanos, bytes, length) -> pieces.add(new TimedPacket(nanos, Arrays.copyOf(bytes, length)));
     long now = START;
-    forge.open(now, out);
+    forge.writeHandshake(now, out);
     if (!opens) {
       pieces.clear();
     }
@@ -91,15 +91,15 @@
       byte[] request =
           request(mark + i, "t" + i + "x".repeat(i * 700 % 4000), "")
               .getBytes(StandardCharsets.US_ASCII);
-      forge.data(now += 1_000_000, 0, request, 0, request.length, out);
+      forge.writeData(now += 1_000_000, 0, request, 0, request.length, out);
       byte[] answer = answer(mark + i).getBytes(StandardCharsets.US_ASCII);
-      forge.data(now += 1_000_000, 1, answer, 0, answer.length, out);
+      forge.writeData(now += 1_000_000, 1, answer, 0, answer.length, out);
     }
-    forge.close(now + 1_000_000, false, 0, out);
+    forge.writeClose(now + 1_000_000, false, 0, out);
     return pieces;
   }
 
-  public static byte[] pcap(List<Piece> pieces) {
+  public static byte[] pcap(List<TimedPacket> pieces) {
     ByteBuffer file =
         ByteBuffer.allocate(24 + pieces.stream().mapToInt(piece -> 16 + piece.bytes.length).sum());
     file.putInt(0xa1b23c4d)
@@ -107,10 +107,10 @@
         .putInt(0)
         .putInt(0)
         .putInt(1 << 18)
-        .putInt(PacketSynthesizer.LINK);
-    for (Piece piece : pieces) {
-      file.putInt((int) (piece.nanos / 1_000_000_000))
-          .putInt((int) (piece.nanos % 1_000_000_000))
+        .putInt(PacketSynthesizer.LINK_TYPE_RAW);
+    for (TimedPacket piece : pieces) {
+      file.putInt((int) (piece.timestampNanos / 1_000_000_000))
+          .putInt((int) (piece.timestampNanos % 1_000_000_000))
           .putInt(piece.bytes.length)
           .putInt(piece.bytes.length)
           .put(piece.bytes);
@@ -118,23 +118,25 @@
     return file.array();
   }
 
-  public static void write(Path file, List<Piece> pieces) throws IOException {
-    try (CaptureWriter out = new CaptureWriter(file, PacketSynthesizer.LINK)) {
-      for (Piece piece : pieces) {
-        out.packet(piece.nanos, piece.bytes, 0, piece.bytes.length, piece.bytes.length);
+  public static void write(Path file, List<TimedPacket> pieces) throws IOException {
+    try (CaptureWriter out = new CaptureWriter(file, PacketSynthesizer.LINK_TYPE_RAW)) {
+      for (TimedPacket piece : pieces) {
+        out.writePacket(
+            piece.timestampNanos, piece.bytes, 0, piece.bytes.length, piece.bytes.length);
       }
     }
   }
 
-  public static Recording.Summary read(byte[] file, List<ObservedScan> scans) throws IOException {
-    return Recording.read(
-        CaptureReader.of("it", new ByteArrayInputStream(file)),
-        Bounds.USUAL,
+  public static RecordingReader.Summary read(byte[] file, List<ObservedScan> scans)
+      throws IOException {
+    return RecordingReader.read(
+        CaptureReader.fromStream("it", new ByteArrayInputStream(file)),
+        ReassemblyLimits.DEFAULT,
         s -> true,
         scans::add);
   }
 
-  public static List<ObservedScan> read(List<Piece> pieces) {
+  public static List<ObservedScan> read(List<TimedPacket> pieces) {
     List<ObservedScan> scans = new ArrayList<>();
     try {
       read(pcap(pieces), scans);
--- a/traffic/src/test/java/gingerring/traffic/LayoutTest.java
+++ b/traffic/src/test/java/gingerring/traffic/LayoutTest.java
@@ -24,10 +24,10 @@
         .resideInAPackage("gingerring.traffic.flow..")
         .or()
         .haveNameMatching(
-            "gingerring\\.traffic\\.replay\\.(Plan|Pacer|Retries|Chain|Comparison|Timeline).*")
+            "gingerring\\.traffic\\.replay\\.(ReplayPlan|Pacer|Retries|RetryChain|Comparison|OutcomeTimeline).*")
         .or()
         .haveNameMatching(
-            "gingerring\\.traffic\\.scan\\.(ScanReader|HttpTalk|FrameTalk|Frames|Exchange|Message).*")
+            "gingerring\\.traffic\\.scan\\.(ScanReader|HttpDecoder|FrameDecoder|FrameSplitter|ScanExchange|HttpMessage).*")
         .should()
         .dependOnClassesThat()
         .resideInAnyPackage(
--- a/traffic/src/test/java/gingerring/traffic/flow/BoundsTest.java
+++ b/traffic/src/test/java/gingerring/traffic/flow/ReassemblyLimitsTest.java
@@ -10,8 +10,8 @@
 import org.junit.jupiter.api.Test;
 
 /** What a table holds stays within its bounds, whatever comes. */
-class BoundsTest {
-  private static class Told implements FlowTable.Sink {
+class ReassemblyLimitsTest {
+  private static class Told implements FlowTable.FlowListener {
     final List<String> said = new ArrayList<>();
     long bytes;
     long missing;
@@ -19,26 +19,26 @@
     int openMost;
 
     @Override
-    public void opened(Flow flow) {
+    public void onFlowOpened(Flow flow) {
       openMost = Math.max(openMost, ++open);
     }
 
     @Override
-    public void bytes(
+    public void onData(
         Flow flow, int side, long nanos, long taken, byte[] bytes, int at, int length) {
       this.bytes += length;
     }
 
     @Override
-    public void gap(Flow flow, int side, long nanos, long missing) {
+    public void onGap(Flow flow, int side, long nanos, long missing) {
       this.missing += missing;
     }
 
     @Override
-    public void finished(Flow flow, int side, long nanos) {}
+    public void onEndOfStream(Flow flow, int side, long nanos) {}
 
     @Override
-    public void closed(Flow flow, Flow.How how, long nanos) {
+    public void onFlowClosed(Flow flow, Flow.CloseReason how, long nanos) {
       open--;
       said.add(flow.number + " " + how);
     }
@@ -46,25 +46,25 @@
 
   private static Segment segment(int port, int sequence, int flags, int length, long ms) {
     Segment s = new Segment();
-    s.nanos = ms * 1_000_000;
-    s.fromLow = 1;
-    s.toLow = 2;
-    s.fromPort = port;
-    s.toPort = 80;
-    s.sequence = sequence;
+    s.timestampNanos = ms * 1_000_000;
+    s.sourceLow = 1;
+    s.destinationLow = 2;
+    s.sourcePort = port;
+    s.destinationPort = 80;
+    s.sequenceNumber = sequence;
     s.flags = flags;
-    s.bytes = new byte[length];
-    s.length = length;
+    s.buffer = new byte[length];
+    s.payloadLength = length;
     return s;
   }
 
   private static Segment answered(int port) {
     Segment s = segment(port, 900, Segment.SYN | Segment.ACK, 0, 0);
-    s.fromLow = 2;
-    s.toLow = 1;
-    s.fromPort = 80;
-    s.toPort = port;
-    s.acknowledged = 101;
+    s.sourceLow = 2;
+    s.destinationLow = 1;
+    s.sourcePort = 80;
+    s.destinationPort = port;
+    s.ackNumber = 101;
     return s;
   }
 
@@ -73,11 +73,12 @@
     Told told = new Told();
     FlowTable table =
         new FlowTable(
-            new Bounds(10, 1000, 10_000, Duration.ofSeconds(1), Duration.ofSeconds(60)), told);
+            new ReassemblyLimits(10, 1000, 10_000, Duration.ofSeconds(1), Duration.ofSeconds(60)),
+            told);
     for (int port = 1; port <= 1000; port++) {
-      table.segment(segment(port, 100, Segment.SYN, 0, port));
+      table.process(segment(port, 100, Segment.SYN, 0, port));
       if (port > 1) {
-        table.segment(segment(1, 101, 0, 1, port)); // the first stays busy
+        table.process(segment(1, 101, 0, 1, port)); // the first stays busy
       }
     }
     assertTrue(told.openMost <= 10, "open: " + told.openMost);
@@ -89,20 +90,23 @@
   @Test
   void bytesHeldForGapsStayWithinTheBounds() {
     Told told = new Told();
-    Bounds bounds = new Bounds(1000, 5000, 20_000, Duration.ofHours(1), Duration.ofHours(1));
+    ReassemblyLimits bounds =
+        new ReassemblyLimits(1000, 5000, 20_000, Duration.ofHours(1), Duration.ofHours(1));
     FlowTable table = new FlowTable(bounds, told);
     long sent = 0;
     for (int port = 1; port <= 50; port++) {
-      table.segment(segment(port, 100, Segment.SYN, 0, 0));
-      table.segment(answered(port));
+      table.process(segment(port, 100, Segment.SYN, 0, 0));
+      table.process(answered(port));
       for (int i = 0; i < 20; i++) {
-        table.segment(segment(port, 102 + i * 400, 0, 400, 1)); // the byte at 101 never comes
+        table.process(segment(port, 102 + i * 400, 0, 400, 1)); // the byte at 101 never comes
         sent += 400;
-        assertTrue(table.held() <= bounds.heldInAll() + 400, "held: " + table.held());
+        assertTrue(
+            table.bufferedBytes() <= bounds.maxBufferedTotal() + 400,
+            "held: " + table.bufferedBytes());
       }
     }
-    table.end();
-    assertEquals(0, table.held());
+    table.endAllFlows();
+    assertEquals(0, table.bufferedBytes());
     assertEquals(sent, told.bytes);
     assertEquals(50, told.missing);
   }
@@ -112,16 +116,17 @@
     Told told = new Told();
     FlowTable table =
         new FlowTable(
-            new Bounds(10, 5000, 20_000, Duration.ofSeconds(2), Duration.ofSeconds(60)), told);
-    table.segment(segment(1, 100, Segment.SYN, 0, 0));
-    table.segment(answered(1));
-    table.segment(segment(1, 111, 0, 10, 0));
-    table.segment(segment(1, 121, 0, 10, 1900));
+            new ReassemblyLimits(10, 5000, 20_000, Duration.ofSeconds(2), Duration.ofSeconds(60)),
+            told);
+    table.process(segment(1, 100, Segment.SYN, 0, 0));
+    table.process(answered(1));
+    table.process(segment(1, 111, 0, 10, 0));
+    table.process(segment(1, 121, 0, 10, 1900));
     assertEquals(0, told.bytes);
-    table.segment(segment(1, 131, 0, 10, 2100));
+    table.process(segment(1, 131, 0, 10, 2100));
     assertEquals(30, told.bytes);
     assertEquals(10, told.missing);
-    table.segment(segment(2, 100, Segment.SYN, 0, 70_000));
+    table.process(segment(2, 100, Segment.SYN, 0, 70_000));
     assertEquals(List.of("0 IDLE"), told.said);
   }
 
@@ -130,21 +135,21 @@
     List<String> read = new ArrayList<>();
     FlowTable table =
         new FlowTable(
-            Bounds.USUAL,
+            ReassemblyLimits.DEFAULT,
             new Told() {
               @Override
-              public void bytes(
+              public void onData(
                   Flow flow, int side, long nanos, long taken, byte[] bytes, int at, int length) {
                 read.add(new String(bytes, at, length));
               }
             });
-    table.segment(segment(1, 100, Segment.SYN, 0, 0));
-    table.segment(answered(1));
+    table.process(segment(1, 100, Segment.SYN, 0, 0));
+    table.process(answered(1));
     for (String text : List.of("bcd", "xcde", "a")) {
       Segment s = segment(1, text.equals("a") ? 101 : 102, 0, 0, 1);
-      s.bytes = text.getBytes();
-      s.length = s.bytes.length;
-      table.segment(s);
+      s.buffer = text.getBytes();
+      s.payloadLength = s.buffer.length;
+      table.process(s);
     }
     assertEquals("abcde", String.join("", read));
     assertEquals(1L, table.counts().get("segments that contradict what came before"));
--- a/traffic/src/test/java/gingerring/traffic/pcap/FormsTest.java
+++ b/traffic/src/test/java/gingerring/traffic/pcap/CaptureFormatTest.java
@@ -5,11 +5,11 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gingerring.traffic.Talks;
-import gingerring.traffic.Talks.Piece;
-import gingerring.traffic.flow.Bounds;
+import gingerring.traffic.Conversations;
+import gingerring.traffic.Conversations.TimedPacket;
+import gingerring.traffic.flow.ReassemblyLimits;
 import gingerring.traffic.scan.ObservedScan;
-import gingerring.traffic.scan.Recording;
+import gingerring.traffic.scan.RecordingReader;
 import java.io.ByteArrayInputStream;
 import java.nio.ByteBuffer;
 import java.nio.ByteOrder;
@@ -22,31 +22,33 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** File forms, link types, fragments and headers. */
-class FormsTest {
+class CaptureFormatTest {
   @TempDir Path folder;
 
   @Test
   void readsWhatItWrites() throws Exception {
-    List<Piece> pieces = Talks.conversation(4000, 3, "m", 5, true);
+    List<TimedPacket> pieces = Conversations.ofScans(4000, 3, "m", 5, true);
     for (String name : List.of("a.pcap", "a.pcapng", "a.pcap.gz", "a.pcapng.zst")) {
       Path file = folder.resolve(name);
-      Talks.write(file, pieces);
+      Conversations.write(file, pieces);
       assertFalse(Files.exists(folder.resolve(name + ".part")));
       List<ObservedScan> scans = new ArrayList<>();
-      Recording.Summary summary = Recording.read(file, Bounds.USUAL, s -> true, scans::add);
+      RecordingReader.Summary summary =
+          RecordingReader.read(file, ReassemblyLimits.DEFAULT, s -> true, scans::add);
       assertEquals(5, scans.size(), name);
       assertEquals(pieces.size(), summary.packets(), name);
-      assertEquals(Talks.START, summary.firstNanos(), name);
-      assertEquals("v-m4", scans.get(4).values().get(0), name);
+      assertEquals(Conversations.START, summary.firstNanos(), name);
+      assertEquals("v-m4", scans.get(4).valuesByPartition().get(0), name);
       byte[] bytes = Files.readAllBytes(file);
       Files.write(file, Arrays.copyOf(bytes, bytes.length - 30));
       if (name.endsWith(".zst")) { // one frame of it is unpacked whole or not at all
         assertThrows(
-            NotReadable.class, () -> Recording.read(file, Bounds.USUAL, s -> true, seen -> {}));
+            UnreadableCaptureException.class,
+            () -> RecordingReader.read(file, ReassemblyLimits.DEFAULT, s -> true, seen -> {}));
       } else {
         assertEquals(
-            CaptureReader.End.CUT,
-            Recording.read(file, Bounds.USUAL, s -> true, s -> {}).end(),
+            CaptureReader.EndState.CUT,
+            RecordingReader.read(file, ReassemblyLimits.DEFAULT, s -> true, s -> {}).endState(),
             name);
       }
     }
@@ -56,10 +58,13 @@
   void marksDropsInTheFile() throws Exception {
     Path file = folder.resolve("d.pcapng");
     try (CaptureWriter out = new CaptureWriter(file, 101)) {
-      out.drops(Talks.START, 7);
-      out.drops(Talks.START, 5);
+      out.writeDropCount(Conversations.START, 7);
+      out.writeDropCount(Conversations.START, 5);
     }
-    assertEquals(12, Recording.read(file, Bounds.USUAL, s -> true, seen -> {}).drops());
+    assertEquals(
+        12,
+        RecordingReader.read(file, ReassemblyLimits.DEFAULT, s -> true, seen -> {})
+            .droppedPackets());
   }
 
   private static byte[] file(ByteOrder order, int magic, int link, byte[]... packets) {
@@ -82,7 +87,7 @@
   }
 
   private static byte[] data() {
-    return Talks.conversation(4000, 3, "m", 1, true).get(3).bytes();
+    return Conversations.ofScans(4000, 3, "m", 1, true).get(3).bytes();
   }
 
   private static byte[] framed(int... head) {
@@ -96,26 +101,26 @@
   }
 
   private static Segment only(byte[] file) throws Exception {
-    CaptureReader reader = CaptureReader.of("it", new ByteArrayInputStream(file));
+    CaptureReader reader = CaptureReader.fromStream("it", new ByteArrayInputStream(file));
     Packet packet = new Packet();
-    Layers layers = new Layers();
+    PacketDecoder layers = new PacketDecoder();
     Segment found = null;
     while (reader.next(packet)) {
       Segment segment = new Segment();
-      if (layers.read(packet, segment)) {
+      if (layers.decode(packet, segment)) {
         found = segment;
       }
     }
-    assertEquals(CaptureReader.End.WHOLE, reader.end(), reader.why());
+    assertEquals(CaptureReader.EndState.WHOLE, reader.endState(), reader.endReason());
     return found;
   }
 
   private static void same(Segment segment) {
-    assertEquals(4000, segment.fromPort);
-    assertEquals(8081, segment.toPort);
-    assertEquals(data().length - 40, segment.length);
-    assertEquals('P', segment.bytes[segment.at]);
-    assertEquals(0xFFFF7F000001L, segment.fromLow);
+    assertEquals(4000, segment.sourcePort);
+    assertEquals(8081, segment.destinationPort);
+    assertEquals(data().length - 40, segment.payloadLength);
+    assertEquals('P', segment.buffer[segment.payloadOffset]);
+    assertEquals(0xFFFF7F000001L, segment.sourceLow);
   }
 
   @Test
@@ -123,8 +128,9 @@
     for (ByteOrder order : List.of(ByteOrder.BIG_ENDIAN, ByteOrder.LITTLE_ENDIAN)) {
       Segment micros = only(file(order, 0xa1b2c3d4, 101, data()));
       same(micros);
-      assertEquals(1_790_000_000_500_000_000L, micros.nanos);
-      assertEquals(1_790_000_000_000_500_000L, only(file(order, 0xa1b23c4d, 101, data())).nanos);
+      assertEquals(1_790_000_000_500_000_000L, micros.timestampNanos);
+      assertEquals(
+          1_790_000_000_000_500_000L, only(file(order, 0xa1b23c4d, 101, data())).timestampNanos);
     }
   }
 
@@ -178,7 +184,7 @@
     file.putInt(32 + padded);
     Segment segment = only(Arrays.copyOf(file.array(), file.position()));
     same(segment);
-    assertEquals(1_790_000_000_375_000_000L, segment.nanos);
+    assertEquals(1_790_000_000_375_000_000L, segment.timestampNanos);
   }
 
   @Test
@@ -215,9 +221,9 @@
     six[48] = 6;
     System.arraycopy(whole, 20, six, 56, whole.length - 20);
     Segment segment = only(file(ByteOrder.BIG_ENDIAN, 0xa1b2c3d4, 229, six));
-    assertEquals(4000, segment.fromPort);
-    assertEquals(1, segment.fromLow);
-    assertEquals(whole.length - 40, segment.length);
+    assertEquals(4000, segment.sourcePort);
+    assertEquals(1, segment.sourceLow);
+    assertEquals(whole.length - 40, segment.payloadLength);
   }
 
   @Test
@@ -227,8 +233,8 @@
     file.putInt(0xa1b2c3d4).putInt(2 << 16 | 4).putInt(0).putInt(0).putInt(96).putInt(101);
     file.putInt(1).putInt(0).putInt(96).putInt(whole.length).put(whole, 0, 96);
     Segment segment = only(Arrays.copyOf(file.array(), file.position()));
-    assertEquals(56, segment.length);
-    assertEquals(whole.length - 96, segment.missing);
-    assertTrue(segment.missing > 0);
+    assertEquals(56, segment.payloadLength);
+    assertEquals(whole.length - 96, segment.truncatedBytes);
+    assertTrue(segment.truncatedBytes > 0);
   }
 }
--- a/traffic/src/test/java/gingerring/traffic/record/RecorderTest.java
+++ b/traffic/src/test/java/gingerring/traffic/record/RecorderTest.java
@@ -4,15 +4,15 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gingerring.traffic.Talks;
-import gingerring.traffic.flow.Bounds;
+import gingerring.traffic.Conversations;
+import gingerring.traffic.flow.ReassemblyLimits;
 import gingerring.traffic.pcap.CaptureEditor;
 import gingerring.traffic.pcap.CaptureReader;
 import gingerring.traffic.pcap.NetworkFilter;
 import gingerring.traffic.pcap.Packet;
 import gingerring.traffic.scan.ObservedScan;
 import gingerring.traffic.scan.ObservedScan.ScanOutcome;
-import gingerring.traffic.scan.Recording;
+import gingerring.traffic.scan.RecordingReader;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -34,7 +34,7 @@
     recorder.onData(
         connection,
         0,
-        Talks.request(
+        Conversations.request(
                 "m" + connection + '.' + scan,
                 "secret-" + scan,
                 "Idempotency-Key: hush-" + scan + "\r\n")
@@ -42,14 +42,14 @@
     recorder.onData(
         connection,
         1,
-        Talks.answer("m" + connection + '.' + scan).getBytes(StandardCharsets.US_ASCII));
+        Conversations.answer("m" + connection + '.' + scan).getBytes(StandardCharsets.US_ASCII));
   }
 
   private Path recorded(int connections, int scans) throws Exception {
     Path file = folder.resolve("r.pcapng");
     try (Recorder recorder = new Recorder(file, ONE, 1).start()) {
       for (long c = 1; c <= connections; c++) {
-        recorder.onOpened(c, Talks.client(4000 + (int) c), Talks.mixer());
+        recorder.onOpened(c, Conversations.client(4000 + (int) c), Conversations.mixer());
         for (int i = 0; i < scans; i++) {
           say(recorder, c, i);
         }
@@ -61,7 +61,7 @@
 
   private static List<ObservedScan> scans(Path file) throws Exception {
     List<ObservedScan> scans = new ArrayList<>();
-    Recording.read(file, Bounds.USUAL, s -> true, scans::add);
+    RecordingReader.read(file, ReassemblyLimits.DEFAULT, s -> true, scans::add);
     return scans;
   }
 
@@ -70,7 +70,7 @@
     List<ObservedScan> scans = scans(recorded(20, 10));
     assertEquals(200, scans.size());
     assertTrue(scans.stream().allMatch(seen -> seen.outcome() == ScanOutcome.WHOLE));
-    assertEquals("hush-3", scans.get(3).key());
+    assertEquals("hush-3", scans.get(3).idempotencyKey());
   }
 
   @Test
@@ -81,10 +81,10 @@
       int packets = 0;
       while (reader.next(packet)) {
         packets++;
-        byte[] b = packet.bytes;
-        assertEquals(0xFFFF, sum(0, b, packet.at, 20), "IP");
-        long pseudo = sum(6 + packet.length - 20, b, packet.at + 12, 8);
-        assertEquals(0xFFFF, sum(pseudo, b, packet.at + 20, packet.length - 20), "TCP");
+        byte[] b = packet.buffer;
+        assertEquals(0xFFFF, sum(0, b, packet.offset, 20), "IP");
+        long pseudo = sum(6 + packet.length - 20, b, packet.offset + 12, 8);
+        assertEquals(0xFFFF, sum(pseudo, b, packet.offset + 20, packet.length - 20), "TCP");
       }
       assertTrue(packets > 20);
     }
@@ -106,25 +106,26 @@
   void aFullQueueDropsAndTheFileSaysSo() throws Exception {
     Path file = folder.resolve("full.pcapng");
     Recorder recorder = new Recorder(file, ONE, 1, 40);
-    recorder.onOpened(1, Talks.client(4001), Talks.mixer());
+    recorder.onOpened(1, Conversations.client(4001), Conversations.mixer());
     for (int i = 0; i < 30; i++) {
       say(recorder, 1, i); // nothing takes from the queue yet
     }
-    assertEquals(21, recorder.dropped());
+    assertEquals(21, recorder.droppedEvents());
     recorder.start();
-    for (int i = 0; i < 200 && recorder.queued() > 0; i++) {
+    for (int i = 0; i < 200 && recorder.queuedEvents() > 0; i++) {
       Thread.sleep(10);
     }
     say(recorder, 1, 30);
     recorder.onClosed(1, 0);
     recorder.close();
     List<ObservedScan> scans = new ArrayList<>();
-    Recording.Summary summary = Recording.read(file, Bounds.USUAL, s -> true, scans::add);
-    assertEquals(21, summary.drops());
+    RecordingReader.Summary summary =
+        RecordingReader.read(file, ReassemblyLimits.DEFAULT, s -> true, scans::add);
+    assertEquals(21, summary.droppedPackets());
     List<String> whole =
         scans.stream()
             .filter(seen -> seen.outcome() == ScanOutcome.WHOLE)
-            .map(ObservedScan::mark)
+            .map(ObservedScan::transactionId)
             .toList();
     assertEquals(20, whole.size());
     assertEquals("m1.30", whole.get(19)); // what follows the hole is read again
@@ -136,19 +137,19 @@
   void connectionsWhoseEndWasDroppedAreForgotten() throws Exception {
     Recorder recorder = new Recorder(folder.resolve("gone.pcapng"), ONE, 1, 40);
     for (int i = 0; i < 200; i++) {
-      recorder.onOpened(i, Talks.client(4001 + i), Talks.mixer());
+      recorder.onOpened(i, Conversations.client(4001 + i), Conversations.mixer());
     }
     for (int i = 0; i < 200; i++) {
       recorder.onClosed(i, 0);
     }
     recorder.start();
-    for (int i = 0; i < 200 && recorder.queued() > 0; i++) {
+    for (int i = 0; i < 200 && recorder.queuedEvents() > 0; i++) {
       Thread.sleep(10);
     }
-    recorder.onOpened(1000, Talks.client(9000), Talks.mixer());
+    recorder.onOpened(1000, Conversations.client(9000), Conversations.mixer());
     recorder.onClosed(1000, 0);
     recorder.close();
-    assertEquals(0, recorder.kept());
+    assertEquals(0, recorder.trackedConnections());
   }
 
   @Test
@@ -156,7 +157,7 @@
     Path file = folder.resolve("rot.pcap");
     try (Recorder recorder =
         new Recorder(file, new Recorder.Rotation(4000, Duration.ofHours(1), 3), 1).start()) {
-      recorder.onOpened(1, Talks.client(4001), Talks.mixer());
+      recorder.onOpened(1, Conversations.client(4001), Conversations.mixer());
       for (int i = 0; i < 100; i++) {
         say(recorder, 1, i);
       }
@@ -212,15 +213,15 @@
     List<ObservedScan> after = scans(hidden);
     assertEquals(before.size(), after.size());
     for (int i = 0; i < after.size(); i++) {
-      assertEquals(before.get(i).mark(), after.get(i).mark());
+      assertEquals(before.get(i).transactionId(), after.get(i).transactionId());
       assertEquals(before.get(i).outcome(), after.get(i).outcome());
       for (int j = 0; j < after.size(); j++) {
         assertEquals(
-            before.get(i).text().equals(before.get(j).text()),
-            after.get(i).text().equals(after.get(j).text()));
+            before.get(i).queryText().equals(before.get(j).queryText()),
+            after.get(i).queryText().equals(after.get(j).queryText()));
         assertEquals(
-            before.get(i).key().equals(before.get(j).key()),
-            after.get(i).key().equals(after.get(j).key()));
+            before.get(i).idempotencyKey().equals(before.get(j).idempotencyKey()),
+            after.get(i).idempotencyKey().equals(after.get(j).idempotencyKey()));
       }
     }
   }
--- a/traffic/src/test/java/gingerring/traffic/replay/ComparisonTest.java
+++ b/traffic/src/test/java/gingerring/traffic/replay/ComparisonTest.java
@@ -12,9 +12,9 @@
   private static final ObservedScan SCAN =
       RetriesTest.seen(0, 1, 0, 10, "a", null, ScanOutcome.WHOLE);
 
-  private static Outcome outcome(
+  private static ScanResult outcome(
       ScanOutcome fate, Map<Integer, String> values, long tookMs, long lateMs, long heldMs) {
-    return new Outcome(
+    return new ScanResult(
         fate,
         200,
         values,
@@ -25,21 +25,23 @@
         Duration.ofMillis(heldMs));
   }
 
-  private static String cause(Outcome recorded, Outcome replayed) {
+  private static String cause(ScanResult recorded, ScanResult replayed) {
     Comparison comparison = new Comparison(Duration.ofMillis(20));
     comparison.add(SCAN, recorded, replayed);
-    return comparison.causes().isEmpty() ? "agree" : comparison.causes().keySet().iterator().next();
+    return comparison.countsByCause().isEmpty()
+        ? "agree"
+        : comparison.countsByCause().keySet().iterator().next();
   }
 
   @Test
   void whatAgreesAndWhyNot() {
-    Outcome whole = outcome(ScanOutcome.WHOLE, Map.of(0, "v", 1, "w"), 10, 0, 0);
+    ScanResult whole = outcome(ScanOutcome.WHOLE, Map.of(0, "v", 1, "w"), 10, 0, 0);
     assertEquals(
         "agree", cause(whole, outcome(ScanOutcome.WHOLE, Map.of(0, "v", 1, "w"), 900, 50, 50)));
     assertEquals(
         "a value differs: the store is not in the recorded state",
         cause(whole, outcome(ScanOutcome.WHOLE, Map.of(0, "v", 1, "x"), 10, 0, 0)));
-    Outcome part = outcome(ScanOutcome.PART, Map.of(0, "v"), 10, 0, 0);
+    ScanResult part = outcome(ScanOutcome.PART, Map.of(0, "v"), 10, 0, 0);
     assertEquals("agree", cause(part, part));
     assertEquals(
         "answered from other parts: some came or were sent in one run alone", cause(part, whole));
@@ -70,8 +72,8 @@
         SCAN,
         outcome(ScanOutcome.INCOMPLETE, Map.of(), 0, 0, 0),
         outcome(ScanOutcome.WHOLE, Map.of(), 1, 0, 0));
-    assertEquals(0, comparison.compared());
-    assertEquals(1, comparison.notCompared());
+    assertEquals(0, comparison.comparedCount());
+    assertEquals(1, comparison.notComparedCount());
     comparison.add(
         SCAN,
         outcome(ScanOutcome.NACKED, Map.of(), 0, 0, 0),
--- a/traffic/src/test/java/gingerring/traffic/replay/PacerTest.java
+++ b/traffic/src/test/java/gingerring/traffic/replay/PacerTest.java
@@ -22,8 +22,8 @@
  * has ended.
  */
 class PacerTest {
-  private static Step step(int number, int lane, long dueMs) {
-    return new Step(number, lane, Duration.ofMillis(dueMs), null, null, 0, new byte[0]);
+  private static ReplayStep step(int number, int lane, long dueMs) {
+    return new ReplayStep(number, lane, Duration.ofMillis(dueMs), null, null, 0, new byte[0]);
   }
 
   @Property(tries = 500, seed = "7")
@@ -32,7 +32,7 @@
       @ForAll @IntRange(min = 1, max = 40) int count,
       @ForAll @IntRange(min = 1, max = 6) int lanes) {
     SplittableRandom random = new SplittableRandom(seed);
-    List<Step> steps = new ArrayList<>();
+    List<ReplayStep> steps = new ArrayList<>();
     long due = 0;
     Map<Integer, Integer> takes = new HashMap<>();
     for (int i = 0; i < count; i++) {
@@ -43,10 +43,10 @@
     // the model: by connection, in order
     Map<Integer, Long> expected = new TreeMap<>();
     Map<Integer, Long> free = new HashMap<>();
-    for (Step step : steps) {
-      long at = Math.max(step.due().toMillis(), free.getOrDefault(step.lane(), 0L));
+    for (ReplayStep step : steps) {
+      long at = Math.max(step.dueTime().toMillis(), free.getOrDefault(step.connection(), 0L));
       expected.put(step.number(), at);
-      free.put(step.lane(), at + takes.get(step.number()));
+      free.put(step.connection(), at + takes.get(step.number()));
     }
     // the pacer, driven by the moments at which something happens
     Map<Integer, Long> sent = new TreeMap<>();
@@ -61,50 +61,52 @@
             step -> {
               sent.put(step.number(), now[0]);
               ends.computeIfAbsent(now[0] + takes.get(step.number()), t -> new ArrayList<>())
-                  .add(step.lane());
+                  .add(step.connection());
             });
-    while (pacer.next() != null || !ends.isEmpty()) {
+    while (pacer.nextDueTime() != null || !ends.isEmpty()) {
       long next =
           Math.min(
-              pacer.next() == null ? Long.MAX_VALUE : pacer.next().toMillis(),
+              pacer.nextDueTime() == null ? Long.MAX_VALUE : pacer.nextDueTime().toMillis(),
               ends.isEmpty() ? Long.MAX_VALUE : ends.firstKey());
       now[0] = Math.max(now[0], next);
       List<Integer> ended = ends.remove(now[0]);
       if (ended != null) {
-        ended.forEach(lane -> pacer.ended(lane, Duration.ofMillis(now[0])));
+        ended.forEach(lane -> pacer.onCompleted(lane, Duration.ofMillis(now[0])));
       }
-      pacer.turn(Duration.ofMillis(now[0]));
+      pacer.sendDueSteps(Duration.ofMillis(now[0]));
     }
     assertEquals(expected, sent);
-    assertEquals(0, pacer.waiting());
+    assertEquals(0, pacer.unsentSteps());
     assertTrue(pacer.report().valid());
-    long held = steps.stream().filter(s -> sent.get(s.number()) - s.due().toMillis() > 1).count();
-    assertEquals(held, pacer.report().held());
+    long held =
+        steps.stream().filter(s -> sent.get(s.number()) - s.dueTime().toMillis() > 1).count();
+    assertEquals(held, pacer.report().heldSteps());
   }
 
   /** Guards against a slow tool whose run looks like a slow mixer's. */
   @Test
   void aSlowToolMakesTheRunInvalidAndASlowMixerDoesNot() {
-    List<Step> steps = new ArrayList<>();
+    List<ReplayStep> steps = new ArrayList<>();
     for (int i = 0; i < 100; i++) {
       steps.add(step(i, i, 10 * i));
     }
     Pacer slow = new Pacer(steps, 100, Duration.ofMillis(20), true, step -> {});
-    slow.turn(Duration.ofMillis(2000));
+    slow.sendDueSteps(Duration.ofMillis(2000));
     assertFalse(slow.report().valid());
-    assertTrue(slow.report().why().startsWith("the tool sent"), slow.report().why());
+    assertTrue(
+        slow.report().invalidReason().startsWith("the tool sent"), slow.report().invalidReason());
 
-    List<Step> one = new ArrayList<>();
+    List<ReplayStep> one = new ArrayList<>();
     for (int i = 0; i < 100; i++) {
       one.add(step(i, 0, 10 * i));
     }
     Pacer held = new Pacer(one, 1, Duration.ofMillis(20), true, step -> {});
-    for (long now = 0; held.waiting() > 0; now += 50) { // every answer takes 50 ms
-      held.ended(0, Duration.ofMillis(now));
-      held.turn(Duration.ofMillis(now));
+    for (long now = 0; held.unsentSteps() > 0; now += 50) { // every answer takes 50 ms
+      held.onCompleted(0, Duration.ofMillis(now));
+      held.sendDueSteps(Duration.ofMillis(now));
     }
     assertTrue(held.report().valid());
-    assertTrue(held.report().held() > 90);
+    assertTrue(held.report().heldSteps() > 90);
   }
 
   @Test
@@ -117,14 +119,14 @@
             Duration.ofMillis(5),
             true,
             step -> sent.add(step.number()));
-    pacer.turn(Duration.ZERO);
+    pacer.sendDueSteps(Duration.ZERO);
     pacer.add(step(3, 0, 50));
-    assertNull(pacer.next()); // the connection is busy
-    pacer.ended(0, Duration.ofMillis(10));
-    assertEquals(Duration.ofMillis(50), pacer.next());
+    assertNull(pacer.nextDueTime()); // the connection is busy
+    pacer.onCompleted(0, Duration.ofMillis(10));
+    assertEquals(Duration.ofMillis(50), pacer.nextDueTime());
     for (int ms = 50; ms <= 300; ms += 50) {
-      pacer.turn(Duration.ofMillis(ms));
-      pacer.ended(0, Duration.ofMillis(ms));
+      pacer.sendDueSteps(Duration.ofMillis(ms));
+      pacer.onCompleted(0, Duration.ofMillis(ms));
     }
     assertEquals(List.of(0, 3, 1, 2), sent);
   }
--- a/traffic/src/test/java/gingerring/traffic/replay/RetriesTest.java
+++ b/traffic/src/test/java/gingerring/traffic/replay/RetriesTest.java
@@ -59,14 +59,15 @@
       List<ObservedScan> best = null;
       for (List<ObservedScan> chain : chains) {
         ObservedScan last = chain.get(chain.size() - 1);
-        long end = Math.max(last.answeredAt(), last.askedAt());
-        boolean same = last.text().equals(seen.text());
+        long end = Math.max(last.responseEndNanos(), last.requestStartNanos());
+        boolean same = last.queryText().equals(seen.queryText());
         boolean unmet = last.outcome() != ScanOutcome.WHOLE && last.outcome() != ScanOutcome.PART;
         if (same
             && unmet
-            && last.answeredAt() <= seen.askedAt()
-            && seen.askedAt() - end <= windowNanos
-            && (best == null || best.get(best.size() - 1).answeredAt() < last.answeredAt())) {
+            && last.responseEndNanos() <= seen.requestStartNanos()
+            && seen.requestStartNanos() - end <= windowNanos
+            && (best == null
+                || best.get(best.size() - 1).responseEndNanos() < last.responseEndNanos())) {
           best = chain;
         }
       }
@@ -105,37 +106,38 @@
     }
     Duration window = Duration.ofMillis(900);
     List<List<Long>> found =
-        Retries.chains(scans, window).stream()
-            .map(chain -> chain.tries().stream().map(ObservedScan::number).toList())
+        Retries.findChains(scans, window).stream()
+            .map(chain -> chain.attempts().stream().map(ObservedScan::number).toList())
             .toList();
     assertEquals(model(scans, window.toNanos()), found);
   }
 
   @Test
   void aRetryOnAnotherConnectionBelongsToItsFirstTry() {
-    List<Chain> chains =
-        Retries.chains(
+    List<RetryChain> chains =
+        Retries.findChains(
             List.of(
                 seen(0, 1, 0, 10, "a", "k1", ScanOutcome.NACKED),
                 seen(1, 2, 100, 10, "a", "k2", ScanOutcome.WHOLE),
                 seen(2, 3, 200, 10, "a", "k1", ScanOutcome.WHOLE),
                 seen(3, 4, 300, 10, "a", "k1", ScanOutcome.WHOLE)),
             Duration.ofSeconds(60));
-    assertEquals(List.of(2, 1, 1), chains.stream().map(chain -> chain.tries().size()).toList());
+    assertEquals(List.of(2, 1, 1), chains.stream().map(chain -> chain.attempts().size()).toList());
   }
 
   @Test
   void waitsGrowAndFollowWhatTheClientWasTold() {
     Retries retries =
-        new Retries(new Retries.Rule(3, Duration.ofMillis(100), 2, 0.5), new SplittableRandom(1));
+        new Retries(
+            new Retries.RetryPolicy(3, Duration.ofMillis(100), 2, 0.5), new SplittableRandom(1));
     for (int number = 0; number < 3; number++) {
-      Duration wait = retries.next(number, Duration.ZERO).orElseThrow();
+      Duration wait = retries.nextDelay(number, Duration.ZERO).orElseThrow();
       double usual = 100 * Math.pow(2, number);
       assertTrue(
           wait.toMillis() >= usual / 2 - 1 && wait.toMillis() <= usual * 1.5, number + ": " + wait);
     }
-    assertEquals(Duration.ofSeconds(5), retries.next(0, Duration.ofSeconds(5)).orElseThrow());
-    assertTrue(retries.next(3, Duration.ofSeconds(5)).isEmpty());
+    assertEquals(Duration.ofSeconds(5), retries.nextDelay(0, Duration.ofSeconds(5)).orElseThrow());
+    assertTrue(retries.nextDelay(3, Duration.ofSeconds(5)).isEmpty());
   }
 
   @Test
@@ -148,10 +150,10 @@
             10,
             true);
     assertEquals(1, plan.steps().size());
-    Step again = plan.again(plan.steps().get(0), 1, Duration.ofMillis(5));
+    ReplayStep again = plan.createRetry(plan.steps().get(0), 1, Duration.ofMillis(5));
     assertEquals(
         "POST /api HTTP/1.1\r\nhost: x\r\nx-txn: m0~1\r\n\r\n{}",
-        new String(again.request(), StandardCharsets.US_ASCII));
+        new String(again.requestBytes(), StandardCharsets.US_ASCII));
     assertEquals(1, again.attempt());
   }
 
@@ -166,7 +168,7 @@
             false);
     assertEquals(
         List.of(Duration.ZERO, Duration.ofMillis(200)),
-        plan.steps().stream().map(Step::due).toList());
-    assertEquals(2, plan.lanes());
+        plan.steps().stream().map(ReplayStep::dueTime).toList());
+    assertEquals(2, plan.connectionCount());
   }
 }
--- a/traffic/src/test/java/gingerring/traffic/scan/CutsTest.java
+++ b/traffic/src/test/java/gingerring/traffic/scan/DamagedCaptureTest.java
@@ -4,10 +4,10 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gingerring.traffic.Talks;
-import gingerring.traffic.Talks.Piece;
+import gingerring.traffic.Conversations;
+import gingerring.traffic.Conversations.TimedPacket;
 import gingerring.traffic.pcap.CaptureReader;
-import gingerring.traffic.pcap.NotReadable;
+import gingerring.traffic.pcap.UnreadableCaptureException;
 import gingerring.traffic.scan.ObservedScan.ScanOutcome;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -16,16 +16,16 @@
 import org.junit.jupiter.api.Test;
 
 /** Files cut at every offset, and files of mutated and of random bytes. */
-class CutsTest {
+class DamagedCaptureTest {
   @Test
   void aFileCutAnywhereKeepsTheScansBeforeTheCut() throws Exception {
-    List<Piece> pieces = Talks.conversation(4000, 9, "m", 3, true);
-    byte[] file = Talks.pcap(pieces);
+    List<TimedPacket> pieces = Conversations.ofScans(4000, 9, "m", 3, true);
+    byte[] file = Conversations.pcap(pieces);
     // where the last packet of each scan's answer ends
     List<Integer> ends = new ArrayList<>();
     int at = 24;
     boolean inAnswer = false;
-    for (Piece piece : pieces) {
+    for (TimedPacket piece : pieces) {
       boolean answers = piece.bytes().length > 40 && piece.bytes()[15] == 2;
       if (inAnswer && !answers) {
         ends.add(at);
@@ -37,11 +37,12 @@
     for (int cut = 0; cut <= file.length; cut++) {
       byte[] some = Arrays.copyOf(file, cut);
       if (cut < 24) {
-        assertThrows(NotReadable.class, () -> Talks.read(some, new ArrayList<>()));
+        assertThrows(
+            UnreadableCaptureException.class, () -> Conversations.read(some, new ArrayList<>()));
         continue;
       }
       List<ObservedScan> scans = new ArrayList<>();
-      Recording.Summary summary = Talks.read(some, scans);
+      RecordingReader.Summary summary = Conversations.read(some, scans);
       int here = cut;
       long expected = ends.stream().filter(end -> end <= here).count();
       assertEquals(
@@ -52,15 +53,15 @@
       for (ObservedScan seen : scans.subList((int) expected, scans.size())) {
         assertEquals(ScanOutcome.INCOMPLETE, seen.outcome(), "cut at " + cut);
       }
-      boolean onEdge = summary.end() == CaptureReader.End.WHOLE;
-      assertEquals(onEdge, summary.why().isEmpty());
+      boolean onEdge = summary.endState() == CaptureReader.EndState.WHOLE;
+      assertEquals(onEdge, summary.endReason().isEmpty());
     }
   }
 
   /** Whatever the bytes, reading ends and nothing is thrown; the same bytes give the same. */
   @Test
   void mutatedFilesAreReadToTheirEnd() throws Exception {
-    byte[] file = Talks.pcap(Talks.conversation(4000, 9, "m", 4, true));
+    byte[] file = Conversations.pcap(Conversations.ofScans(4000, 9, "m", 4, true));
     for (int i = 0; i < 4000; i++) {
       SplittableRandom random = new SplittableRandom(i);
       byte[] mutated = file.clone();
@@ -71,8 +72,8 @@
       }
       List<ObservedScan> once = new ArrayList<>();
       List<ObservedScan> twice = new ArrayList<>();
-      Recording.Summary summary = Talks.read(mutated, once);
-      assertEquals(summary.packets(), Talks.read(mutated, twice).packets());
+      RecordingReader.Summary summary = Conversations.read(mutated, once);
+      assertEquals(summary.packets(), Conversations.read(mutated, twice).packets());
       assertEquals(once.size(), twice.size());
     }
   }
@@ -91,8 +92,8 @@
       byte[] head = heads[i % 3];
       System.arraycopy(head, 0, bytes, 0, Math.min(head.length, bytes.length));
       try {
-        Talks.read(bytes, new ArrayList<>());
-      } catch (NotReadable e) {
+        Conversations.read(bytes, new ArrayList<>());
+      } catch (UnreadableCaptureException e) {
         assertTrue(e.getMessage().startsWith("it: offset "), e.getMessage());
       }
     }
--- a/traffic/src/test/java/gingerring/traffic/scan/MessageTest.java
+++ b/traffic/src/test/java/gingerring/traffic/scan/HttpMessageTest.java
@@ -8,7 +8,7 @@
 import gingerring.http.HttpParser;
 import gingerring.http.MessageHead;
 import gingerring.net.ByteRing;
-import gingerring.traffic.Talks;
+import gingerring.traffic.Conversations;
 import gingerring.traffic.scan.ObservedScan.ScanOutcome;
 import java.io.ByteArrayOutputStream;
 import java.nio.charset.StandardCharsets;
@@ -20,19 +20,19 @@
  * The quick look over a message against the parser: what the one takes, the other takes, with the
  * same result.
  */
-class MessageTest {
+class HttpMessageTest {
   private static final String[] REQUESTS = {
-    Talks.request("m1", "text", "Idempotency-Key: k\r\n"),
+    Conversations.request("m1", "text", "Idempotency-Key: k\r\n"),
     "GET /ready HTTP/1.1\r\nHost: x\r\n\r\n",
     "POST /api HTTP/1.0\r\nA:b\r\nContent-length:  3 \r\n\r\nabc",
     "POST /api HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"
   };
   private static final String[] ANSWERS = {
-    Talks.answer("m1"),
-    Talks.answer(503, "Retry-After: 0.5\r\n", ""),
+    Conversations.answer("m1"),
+    Conversations.answer(503, "Retry-After: 0.5\r\n", ""),
     "HTTP/1.1 204 None\r\nA: b\r\n\r\n",
-    "HTTP/1.1 100 Continue\r\n\r\n" + Talks.answer("m2"),
-    Talks.answer(200, "", "{\"whole\":false,\"results\":[]}")
+    "HTTP/1.1 100 Continue\r\n\r\n" + Conversations.answer("m2"),
+    Conversations.answer(200, "", "{\"whole\":false,\"results\":[]}")
   };
   private static final String SPICE = "\r\n :\t0123456789HTTP/.aAcC{}[]\",\\\u007f\u0001\u00e9";
 
@@ -87,23 +87,25 @@
       }
       text.append(random.nextInt(3) == 0 ? from[0] : ""); // another message behind it
       byte[] bytes = text.toString().getBytes(StandardCharsets.ISO_8859_1);
-      Message.Found found = new Message.Found();
-      Message.Skim skim = Message.skim(bytes, 0, bytes.length, request, 1 << 16, found);
-      if (skim != Message.Skim.WHOLE) {
+      HttpMessage.MessageExtent found = new HttpMessage.MessageExtent();
+      HttpMessage.FastParseResult skim =
+          HttpMessage.parseFast(bytes, 0, bytes.length, request, 1 << 16, found);
+      if (skim != HttpMessage.FastParseResult.COMPLETE) {
         continue;
       }
       skimmed++;
       Object[] parsed = parsed(bytes, request);
       assertTrue(parsed != null, text::toString);
-      assertEquals(parsed[2], found.end, text::toString);
-      Message message = new Message(Arrays.copyOf(bytes, found.end), found.bodyAt);
+      assertEquals(parsed[2], found.endOffset, text::toString);
+      HttpMessage message =
+          new HttpMessage(Arrays.copyOf(bytes, found.endOffset), found.bodyOffset);
       assertArrayEquals((byte[]) parsed[1], message.body());
       assertEquals(parsed[0], message.head(), text::toString);
-      if (!request && message.status() == 200 && message.skimWhole() >= 0) {
-        Answer answer = Answer.read(message.head(), message.body());
+      if (!request && message.status() == 200 && message.parseWholeFlag() >= 0) {
+        ScanResponse answer = ScanResponse.parse(message.head(), message.body());
         assertEquals(
-            message.skimWhole() == 1 ? ScanOutcome.WHOLE : ScanOutcome.PART,
-            answer.fate(),
+            message.parseWholeFlag() == 1 ? ScanOutcome.WHOLE : ScanOutcome.PART,
+            answer.outcome(),
             text::toString);
       }
     }
--- a/traffic/src/test/java/gingerring/traffic/scan/StreamsTest.java
+++ b/traffic/src/test/java/gingerring/traffic/scan/StreamReassemblyTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import gingerring.traffic.Talks;
-import gingerring.traffic.Talks.Piece;
+import gingerring.traffic.Conversations;
+import gingerring.traffic.Conversations.TimedPacket;
 import gingerring.traffic.scan.ObservedScan.ScanOutcome;
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
@@ -22,11 +22,11 @@
 /**
  * Segments shuffled, repeated, cut in two, overlapping, lost: what is read against what was said.
  */
-class StreamsTest {
+class StreamReassemblyTest {
   private static final int TCP = 20;
 
   /** Cuts a packet's data in two that overlap by some bytes. */
-  private static List<Piece> split(Piece piece, SplittableRandom random) {
+  private static List<TimedPacket> split(TimedPacket piece, SplittableRandom random) {
     byte[] b = piece.bytes();
     int data = b.length - 20 - TCP;
     if (data < 2) {
@@ -35,8 +35,8 @@
     int cut = 1 + random.nextInt(data - 1);
     int back = random.nextInt(cut + 1);
     return List.of(
-        new Piece(piece.nanos(), part(b, 0, cut)),
-        new Piece(piece.nanos(), part(b, cut - back, data - cut + back)));
+        new TimedPacket(piece.timestampNanos(), part(b, 0, cut)),
+        new TimedPacket(piece.timestampNanos(), part(b, cut - back, data - cut + back)));
   }
 
   /**
@@ -53,11 +53,12 @@
     return some;
   }
 
-  private static List<Piece> disturbed(List<Piece> pieces, SplittableRandom random, int window) {
-    List<Piece> out = new ArrayList<>();
-    for (Piece piece : pieces) {
-      List<Piece> parts = random.nextInt(3) == 0 ? split(piece, random) : List.of(piece);
-      for (Piece part : parts) {
+  private static List<TimedPacket> disturbed(
+      List<TimedPacket> pieces, SplittableRandom random, int window) {
+    List<TimedPacket> out = new ArrayList<>();
+    for (TimedPacket piece : pieces) {
+      List<TimedPacket> parts = random.nextInt(3) == 0 ? split(piece, random) : List.of(piece);
+      for (TimedPacket part : parts) {
         out.add(part);
         if (random.nextInt(5) == 0) {
           out.add(part);
@@ -67,7 +68,7 @@
     // each moves by less than the window
     for (int i = 0; i + 1 < out.size(); i++) {
       int other = Math.min(out.size() - 1, i + random.nextInt(window));
-      Piece moved = out.get(i);
+      TimedPacket moved = out.get(i);
       out.set(i, out.get(other));
       out.set(other, moved);
     }
@@ -82,17 +83,18 @@
     SplittableRandom random = new SplittableRandom(seed);
     // sequence numbers that wrap within the conversation, at times
     long first = random.nextBoolean() ? seed : 0xFFFFF000FFFFFF00L;
-    List<Piece> pieces = Talks.conversation(4000, first, "m", scans, true);
+    List<TimedPacket> pieces = Conversations.ofScans(4000, first, "m", scans, true);
     // the ends stay last: after both no more is taken, as on the wire
-    List<Piece> body = disturbed(pieces.subList(0, pieces.size() - 3), random, window);
+    List<TimedPacket> body = disturbed(pieces.subList(0, pieces.size() - 3), random, window);
     body.addAll(pieces.subList(pieces.size() - 3, pieces.size()));
     Map<String, ObservedScan> read = new HashMap<>();
-    Talks.read(body).forEach(seen -> assertEquals(null, read.put(seen.mark(), seen)));
+    Conversations.read(body)
+        .forEach(seen -> assertEquals(null, read.put(seen.transactionId(), seen)));
     assertEquals(scans, read.size());
     read.forEach(
         (mark, seen) -> {
-          assertEquals(ScanOutcome.WHOLE, seen.outcome(), mark + seen.missing());
-          assertEquals("v-" + mark, seen.values().get(0));
+          assertEquals(ScanOutcome.WHOLE, seen.outcome(), mark + seen.problem());
+          assertEquals("v-" + mark, seen.valuesByPartition().get(0));
         });
   }
 
@@ -105,7 +107,7 @@
       @ForAll @IntRange(min = 2, max = 12) int scans,
       @ForAll @IntRange(min = 1, max = 3) int losses) {
     SplittableRandom random = new SplittableRandom(seed);
-    List<Piece> pieces = Talks.conversation(4000, seed, "m", scans, true);
+    List<TimedPacket> pieces = Conversations.ofScans(4000, seed, "m", scans, true);
     List<Integer> lost = new ArrayList<>();
     for (int i = 0; i < losses; i++) {
       lost.add(3 + random.nextInt(pieces.size() - 6));
@@ -115,7 +117,7 @@
     Set<String> hurt = new HashSet<>();
     int scan = -1;
     boolean answers = true;
-    List<Piece> left = new ArrayList<>();
+    List<TimedPacket> left = new ArrayList<>();
     for (int i = 0; i < pieces.size(); i++) {
       byte[] b = pieces.get(i).bytes();
       boolean fromMixer = b[15] == 2;
@@ -132,11 +134,14 @@
       }
     }
     Map<String, ObservedScan> whole = new HashMap<>();
-    for (ObservedScan seen : Talks.read(left)) {
+    for (ObservedScan seen : Conversations.read(left)) {
       if (seen.outcome() != ScanOutcome.INCOMPLETE) {
         assertEquals(ScanOutcome.WHOLE, seen.outcome());
-        assertEquals("v-" + seen.mark(), seen.values().get(0), "an answer of another scan");
-        whole.put(seen.mark(), seen);
+        assertEquals(
+            "v-" + seen.transactionId(),
+            seen.valuesByPartition().get(0),
+            "an answer of another scan");
+        whole.put(seen.transactionId(), seen);
       }
     }
     for (int i = 0; i < scans; i++) {
@@ -149,27 +154,30 @@
       @ForAll long seed,
       @ForAll @IntRange(min = 2, max = 8) int scans,
       @ForAll @IntRange(min = 0, max = 40) int skipped) {
-    List<Piece> pieces = Talks.conversation(4000, seed, "m", scans, true);
-    List<Piece> rest = pieces.subList(Math.min(skipped, pieces.size() - 1), pieces.size());
-    for (ObservedScan seen : Talks.read(rest)) {
+    List<TimedPacket> pieces = Conversations.ofScans(4000, seed, "m", scans, true);
+    List<TimedPacket> rest = pieces.subList(Math.min(skipped, pieces.size() - 1), pieces.size());
+    for (ObservedScan seen : Conversations.read(rest)) {
       if (seen.outcome() == ScanOutcome.WHOLE) {
-        assertEquals("v-" + seen.mark(), seen.values().get(0));
+        assertEquals("v-" + seen.transactionId(), seen.valuesByPartition().get(0));
       }
     }
     if (skipped <= 3) {
       assertEquals(
           scans,
-          Talks.read(rest).stream().filter(seen -> seen.outcome() == ScanOutcome.WHOLE).count());
+          Conversations.read(rest).stream()
+              .filter(seen -> seen.outcome() == ScanOutcome.WHOLE)
+              .count());
     }
   }
 
   @Test
   void portsUsedAgainAreAnotherConnection() {
-    List<Piece> pieces = new ArrayList<>(Talks.conversation(4000, 5, "a", 2, true));
+    List<TimedPacket> pieces = new ArrayList<>(Conversations.ofScans(4000, 5, "a", 2, true));
     pieces.subList(pieces.size() - 3, pieces.size()).clear(); // its end was not captured
-    pieces.addAll(Talks.conversation(4000, 99L << 33 | 77777, "b", 2, true));
-    List<ObservedScan> scans = Talks.read(pieces);
-    assertEquals(List.of("a0", "a1", "b0", "b1"), scans.stream().map(ObservedScan::mark).toList());
-    assertTrue(scans.get(0).connection() != scans.get(2).connection());
+    pieces.addAll(Conversations.ofScans(4000, 99L << 33 | 77777, "b", 2, true));
+    List<ObservedScan> scans = Conversations.read(pieces);
+    assertEquals(
+        List.of("a0", "a1", "b0", "b1"), scans.stream().map(ObservedScan::transactionId).toList());
+    assertTrue(scans.get(0).connectionNumber() != scans.get(2).connectionNumber());
   }
 }
