--- a/traffic/src/main/java/gingerring/traffic/pcap/PacketDecoder.java
+++ b/traffic/src/main/java/gingerring/traffic/pcap/PacketDecoder.java
@@ -36,7 +36,7 @@
   /** Fills the segment; false where the packet holds none. */
   public boolean decode(Packet packet, Segment segment) {
     output = segment;
-    segment.timestampNanos = packet.timestampNanos;
+    output.timestampNanos = packet.timestampNanos;
     byte[] b = packet.buffer;
     int at = packet.offset;
     int end = at + packet.length;
