--- a/emulator/src/main/java/gingerring/emulator/harness/Fleet.java
+++ b/emulator/src/main/java/gingerring/emulator/harness/Fleet.java
@@ -1,13 +1,13 @@
 package gingerring.emulator.harness;
 
-import gingerring.emulator.core.Referee;
+import gingerring.emulator.core.RuleChecker;
 import gingerring.emulator.core.Scenario;
 import gingerring.emulator.core.SeededDraw;
 import gingerring.emulator.core.Workload;
-import gingerring.emulator.experiment.Clients;
+import gingerring.emulator.experiment.ClientStatistics;
+import gingerring.emulator.experiment.EmulatedClients;
+import gingerring.emulator.experiment.EmulatedStore;
 import gingerring.emulator.experiment.MixerProcess;
-import gingerring.emulator.experiment.Store;
-import gingerring.emulator.experiment.Tally;
 import gingerring.emulator.harness.FleetScenario.Fault;
 import gingerring.peering.PeerQueryClient;
 import gingerring.peers.PeerAddress;
@@ -55,8 +55,8 @@
 
   /** What came of a run. */
   public static final class Result {
-    public Tally tally;
-    public Referee referee;
+    public ClientStatistics tally;
+    public RuleChecker referee;
 
     /** Mixers that ended by themselves, or with another code than 0 when told to end. */
     public final List<String> crashes = Collections.synchronizedList(new ArrayList<>());
@@ -86,7 +86,7 @@
 
     /** A rule that was broken is that whatever else is missing. */
     public Verdict verdict() {
-      return referee.fouls() > 0 || !crashes.isEmpty()
+      return referee.violationCount() > 0 || !crashes.isEmpty()
           ? Verdict.BROKEN
           : errors.isEmpty() ? Verdict.KEPT : Verdict.UNDECIDED;
     }
@@ -120,9 +120,9 @@
   private final FleetScenario fleetScenario;
   private final Scenario scenario;
   private final Reactor reactor = new Reactor();
-  private final Referee referee;
-  private final Store store;
-  private final List<Store.View> discoveryViews = new ArrayList<>();
+  private final RuleChecker referee;
+  private final EmulatedStore store;
+  private final List<EmulatedStore.MixerView> discoveryViews = new ArrayList<>();
   private final Map<Integer, Map<Integer, TcpRelay>> relaysByMixer = new HashMap<>();
 
   /** By mixer and box. */
@@ -151,9 +151,9 @@
       Executors.newCachedThreadPool(Fleet::daemonThread);
   private final ExecutorService signalExecutor =
       Executors.newSingleThreadExecutor(Fleet::daemonThread);
-  private final Tally tally = new Tally();
+  private final ClientStatistics tally = new ClientStatistics();
   private final Result result = new Result();
-  private Clients clients;
+  private EmulatedClients clients;
   private Duration startedAt = Duration.ZERO;
 
   private static Thread daemonThread(Runnable task) {
@@ -167,8 +167,8 @@
     scenario = fleetScenario.scenario();
     random = new SplittableRandom(scenario.seed());
     pendingStarts = new CountDownLatch(fleetScenario.mixers());
-    referee = new Referee(scenario);
-    store = new Store(scenario, reactor, referee, 1, fleetScenario.zones());
+    referee = new RuleChecker(scenario);
+    store = new EmulatedStore(scenario, reactor, referee, 1, fleetScenario.zones());
     tempDirectory = Files.createTempDirectory("gingerring-fleet");
     linkFaults = new TcpRelay.LinkFaults[fleetScenario.mixers()][scenario.boxes()];
     int peerCount = fleetScenario.mixers() + fleetScenario.byzantinePeers();
@@ -195,14 +195,14 @@
       for (int box = 0; box < scenario.boxes(); box++) {
         linkFaults[i][box] = new TcpRelay.LinkFaults();
       }
-      Store.View discoveryView =
-          store.view(
+      EmulatedStore.MixerView discoveryView =
+          store.addView(
               i,
               (box, port) ->
                   relaysByPort
-                      .computeIfAbsent(port, p -> openRelay(mixer, box, Store.loopback(p)))
+                      .computeIfAbsent(port, p -> openRelay(mixer, box, EmulatedStore.loopback(p)))
                       .port());
-      discoveryView.whenClosed(
+      discoveryView.onPortClosed(
           port -> {
             if (relaysByPort.containsKey(port)) {
               relaysByPort.get(port).close();
@@ -215,7 +215,12 @@
   private TcpRelay openRelay(int mixer, int box, InetSocketAddress target) {
     try {
       return new TcpRelay(
-          reactor, target, linkFaults[mixer][box], random::nextDouble, mixer, store::passes);
+          reactor,
+          target,
+          linkFaults[mixer][box],
+          random::nextDouble,
+          mixer,
+          store::registerSendTimes);
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
@@ -261,11 +266,11 @@
               SETTLE_TIME,
               () -> {
                 startedAt = reactor.now();
-                store.begin();
+                store.start();
                 fleetScenario.faults().forEach(this::scheduleFault);
                 heartbeat();
                 clients =
-                    new Clients(
+                    new EmulatedClients(
                         scenario,
                         reactor,
                         referee,
@@ -273,7 +278,7 @@
                         1,
                         tally,
                         workloadEnded::countDown);
-                clients.begin(Workload.of(scenario));
+                clients.start(Workload.generate(scenario));
               });
         });
     long timeoutMs =
@@ -290,7 +295,7 @@
   }
 
   private void heartbeat() {
-    referee.beat(reactor.now());
+    referee.heartbeat(reactor.now());
     reactor.schedule(HEARTBEAT_INTERVAL, this::heartbeat);
   }
 
@@ -306,7 +311,7 @@
 
   /** Whom a run that does not end waits for. */
   private List<String> unfinished() {
-    List<String> unfinished = new ArrayList<>(clients.waitsFor());
+    List<String> unfinished = new ArrayList<>(clients.describePending());
     for (int i = 0; i < fleetScenario.mixers(); i++) {
       String reason = supervisors.get(i).unavailableReason();
       if (!reason.isEmpty()) {
@@ -325,14 +330,14 @@
     }
     int zone = mixer % fleetScenario.zones().size();
     CompletableFuture<String> initialList = new CompletableFuture<>();
-    reactor.post(() -> initialList.complete(discoveryViews.get(mixer).list()));
+    reactor.post(() -> initialList.complete(discoveryViews.get(mixer).memberList()));
     MixerProcess process =
         MixerProcess.start(
             scenario,
-            discoveryViews.get(mixer).discovery(),
+            discoveryViews.get(mixer).discoveryAddress(),
             initialList.get(STEP_TIMEOUT_MS, TimeUnit.MILLISECONDS),
             null,
-            new MixerProcess.Member(
+            new MixerProcess.FleetMember(
                 "m" + mixer,
                 mixer,
                 fleetScenario.mixers(),
@@ -346,10 +351,10 @@
       }
     }
     if (peersFile != null) {
-      String port = process.await(BOUND_PORT, STEP_TIMEOUT_MS);
+      String port = process.awaitLine(BOUND_PORT, STEP_TIMEOUT_MS);
       if (port == null) {
         process.kill();
-        throw new IOException("it told no port of its peers: " + process.log());
+        throw new IOException("it told no port of its peers: " + process.drainLog());
       }
       reactor.post(() -> peerRelay.setBoundPort(mixer, Integer.parseInt(port)));
     }
@@ -395,7 +400,7 @@
       try {
         DatagramEndpoint datagrams =
             reactor.openDatagramEndpoint(
-                Store.loopback(0),
+                EmulatedStore.loopback(0),
                 (from, datagram) ->
                     peer.received(new PeerAddress(0x7F000001, from.getPort()), datagram));
         peerRelay.setBoundPort(index, datagrams.address().getPort());
@@ -414,7 +419,7 @@
    * Which mixer a client's connection goes to: its own by a draw, or the next while that is known
    * to be away.
    */
-  private final class LoadBalancer implements Clients.Way {
+  private final class LoadBalancer implements EmulatedClients.MixerSelector {
     @Override
     public int mixer(int client) {
       double totalWeight = fleetScenario.mixers() - 1 + fleetScenario.firstMixerWeight();
@@ -518,7 +523,7 @@
       int mixer = i;
       discoveryViews
           .get(i)
-          .silent(
+          .setSilent(
               activeFaults.stream()
                   .anyMatch(
                       fault ->
@@ -538,7 +543,7 @@
 
   /** Scans that were there when a mixer was made to fail, up to the longest patience back. */
   private void excuse(int mixer, Duration from, Duration to) {
-    referee.excuse(mixer, from, to);
+    referee.addExemption(mixer, from, to);
   }
 
   private void endFault(Fault fault) {
@@ -587,14 +592,14 @@
           result.elapsedSeconds = reactor.now().minus(startedAt).toNanos() / 1e9;
           int startSecond = (int) startedAt.toSeconds();
           store
-              .probes()
+              .probesBySecond()
               .forEach(
                   (second, count) ->
                       result.probesBySecond.merge(second - startSecond, count, Integer::sum));
-          result.connectionCounts = store.connections();
-          result.discoveryCalls = store.calls();
+          result.connectionCounts = store.connectionCounts();
+          result.discoveryCalls = store.discoveryCalls();
           result.datagramCounts = peerRelay.counts();
-          store.load().forEach((box, totals) -> result.partsByBox.put(box, totals[0]));
+          store.loadByBox().forEach((box, totals) -> result.partsByBox.put(box, totals[0]));
           result.eventFailures = reactor.failureCount();
           running.complete(supervisors.stream().map(MixerSupervisor::finish).toList());
         });
@@ -609,13 +614,13 @@
     signalExecutor.awaitTermination(STEP_TIMEOUT_MS, TimeUnit.MILLISECONDS);
     List<CompletableFuture<Integer>> exitCodes = new ArrayList<>();
     for (int i = 0; i < fleetScenario.mixers(); i++) {
-      if (processes.get(i) != null && processes.get(i).alive() && fleetScenario.peersEnabled()) {
+      if (processes.get(i) != null && processes.get(i).isAlive() && fleetScenario.peersEnabled()) {
         queryVisiblePeers(i);
       }
     }
     for (MixerProcess process : processes) {
       exitCodes.add(
-          process == null ? null : CompletableFuture.supplyAsync(process::end, blockingExecutor));
+          process == null ? null : CompletableFuture.supplyAsync(process::stop, blockingExecutor));
     }
     for (int i = 0; i < fleetScenario.mixers(); i++) {
       if (processes.get(i) != null) {
@@ -632,7 +637,7 @@
 
   private void recordExit(int mixer, MixerProcess process, int code) {
     if (code != 0) {
-      result.crashes.add("m" + mixer + " ended with " + code + ": " + process.log());
+      result.crashes.add("m" + mixer + " ended with " + code + ": " + process.drainLog());
     }
   }
 
--- a/emulator/src/main/java/gingerring/emulator/harness/MixerSupervisor.java
+++ b/emulator/src/main/java/gingerring/emulator/harness/MixerSupervisor.java
@@ -140,7 +140,7 @@
     resumeIfStopped(terminating);
     blockingExecutor.execute(
         () -> {
-          int code = terminating.end();
+          int code = terminating.stop();
           reactor.post(
               () -> {
                 terminating = null;
@@ -207,6 +207,6 @@
                     ? "not there"
                     : activeStops > 0
                         ? "stopped by the schedule"
-                        : process.alive() ? "" : "ended by itself";
+                        : process.isAlive() ? "" : "ended by itself";
   }
 }
--- a/emulator/src/main/java/gingerring/emulator/interleaving/InterleavingChecker.java
+++ b/emulator/src/main/java/gingerring/emulator/interleaving/InterleavingChecker.java
@@ -1,6 +1,6 @@
 package gingerring.emulator.interleaving;
 
-import gingerring.emulator.core.Referee;
+import gingerring.emulator.core.RuleChecker;
 import gingerring.emulator.core.Scenario;
 import java.time.Duration;
 import java.util.ArrayList;
@@ -9,9 +9,9 @@
 import java.util.Map;
 
 /**
- * Judges one crossing by what its parties' sockets saw: the {@link Referee}'s rules, and what holds
- * when a client goes and when a process ends. Times are the reactor's; each is judged from the
- * moment seen at a party's socket.
+ * Judges one crossing by what its parties' sockets saw: the {@link RuleChecker}'s rules, and what
+ * holds when a client goes and when a process ends. Times are the reactor's; each is judged from
+ * the moment seen at a party's socket.
  */
 final class InterleavingChecker {
   /** Of a request whose client has gone no attempt, first or further, begins later than this. */
@@ -72,7 +72,7 @@
   }
 
   private final Scenario scenario;
-  private final Referee referee;
+  private final RuleChecker referee;
   private final Map<String, Request> requests = new HashMap<>();
   private final List<Violation> ownViolations = new ArrayList<>();
   private final List<Duration[]> stalls = new ArrayList<>();
@@ -81,18 +81,18 @@
 
   InterleavingChecker(Scenario scenario) {
     this.scenario = scenario;
-    referee = new Referee(scenario);
+    referee = new RuleChecker(scenario);
   }
 
   /**
    * The rig runs: told often. Where it stood still, what it saw late is not held against the mixer.
    */
   void heartbeat(Duration now) {
-    if (lastHeartbeat != null && now.minus(lastHeartbeat).compareTo(Referee.SLACK) > 0) {
+    if (lastHeartbeat != null && now.minus(lastHeartbeat).compareTo(RuleChecker.SLACK) > 0) {
       stalls.add(new Duration[] {lastHeartbeat, now});
     }
     lastHeartbeat = now;
-    referee.beat(now);
+    referee.heartbeat(now);
   }
 
   private Duration stalledTime(Duration from, Duration to) {
@@ -108,9 +108,9 @@
   /** A client has written a request whole to a connection that is open for all that it has seen. */
   void requestSent(
       String requestId, String serviceClass, Map<Integer, Double> shares, String key, Duration at) {
-    Duration timeout = scenario.grade(serviceClass).patience().plus(ANSWER_GRACE);
+    Duration timeout = scenario.serviceClass(serviceClass).deadline().plus(ANSWER_GRACE);
     requests.put(requestId, new Request(at, at.plus(timeout)));
-    referee.asked(requestId, serviceClass, shares, key, at, timeout.minus(Referee.SLACK));
+    referee.requestSent(requestId, serviceClass, shares, key, at, timeout.minus(RuleChecker.SLACK));
   }
 
   /** The mixer had ended that connection before; the request is owed nothing, and not sent on. */
@@ -134,7 +134,7 @@
     if (request != null) {
       request.answeredAt = at;
     }
-    referee.answered(requestId, at, rejected, whole, values);
+    referee.requestAnswered(requestId, at, rejected, whole, values);
   }
 
   /** The connection never came up, so that the request was not taken. */
@@ -208,21 +208,21 @@
                     + " though it came to a connection that had ended"));
       }
     }
-    referee.part(requestId, partition, key, box, at);
+    referee.partReceived(requestId, partition, key, box, at);
   }
 
   void partAnswered(
       String requestId, int partition, int box, String outcome, String value, Duration at) {
-    referee.returned(requestId, partition, box, outcome, value, at);
+    referee.partAnswered(requestId, partition, box, outcome, value, at);
   }
 
   /** The mixer counts as told since then that a box drains or is gone, or (null) that it serves. */
   void mixerNotified(int box, Duration since) {
-    referee.told(box, since);
+    referee.boxStateNotified(box, since);
   }
 
   void boxFailed(int box, Duration at) {
-    referee.fell(box, at);
+    referee.boxOverloaded(box, at);
   }
 
   void terminationSignalled(Duration at) {
@@ -243,8 +243,8 @@
   /** The longest that a process may go on after SIGTERM, the machine's share in it. */
   Duration exitDeadline() {
     Duration longestDeadline =
-        scenario.grades().stream()
-            .map(Scenario.ServiceClass::patience)
+        scenario.serviceClasses().stream()
+            .map(Scenario.ServiceClass::deadline)
             .max(Duration::compareTo)
             .get();
     return terminatedAt.plus(longestDeadline).plus(KILL_GRACE).plus(EXIT_ALLOWANCE);
@@ -259,7 +259,7 @@
         (requestId, request) -> {
           if (awaitsAnswer(request) && now.compareTo(request.answerDeadline) > 0) {
             request.answeredAt = now;
-            referee.lost(requestId, now);
+            referee.answerMissing(requestId, now);
           }
         });
     if (terminatedAt != null
@@ -292,7 +292,7 @@
   List<Violation> violations() {
     List<Violation> violations = new ArrayList<>(ownViolations);
     referee
-        .shown()
+        .violations()
         .forEach(
             violation ->
                 violations.add(
@@ -302,6 +302,6 @@
 
   /** The longest time for which the rig stood still. */
   Duration longestStall() {
-    return referee.stall();
+    return referee.longestStall();
   }
 }
--- a/emulator/src/main/java/gingerring/emulator/interleaving/MixerEnvironment.java
+++ b/emulator/src/main/java/gingerring/emulator/interleaving/MixerEnvironment.java
@@ -6,8 +6,8 @@
 import gingerring.emulator.experiment.MixerProcess;
 import gingerring.http.HttpException;
 import gingerring.http.MessageHead;
-import gingerring.traffic.scan.ObservedScan;
 import gingerring.traffic.scan.ScanResponse;
+import gingerring.traffic.scan.ObservedScan;
 import gingerring.traffic.wire.HttpConnectionHandler;
 import gingerring.traffic.wire.Reactor;
 import gingerring.traffic.wire.ReactorConnection;
@@ -210,7 +210,7 @@
             && client.connected
             && (client.sentAt == null
                 || now().minus(client.sentAt).compareTo(WARM_UP_INTERVAL) > 0)) {
-          client.sendRequest(scenario.grades().get(0), 0, scenario.folios());
+          client.sendRequest(scenario.serviceClasses().get(0), 0, scenario.partitions());
         }
       }
     }
@@ -222,17 +222,17 @@
     active = true;
     boxes.forEach(box -> box.answerMode = AnswerMode.HOLD);
     Scenario.ServiceClass serviceClass =
-        scenario.grades().get(pair.serviceClassIndex(scenario.grades().size()));
+        scenario.serviceClasses().get(pair.serviceClassIndex(scenario.serviceClasses().size()));
     String requestId =
         observedClient.sendRequest(
-            serviceClass, pair.drawBetween("folio", 0, scenario.folios() - 1), 2);
+            serviceClass, pair.drawBetween("folio", 0, scenario.partitions() - 1), 2);
     triggersByFirstPart.put(
         requestId,
         () -> {
           record("the first frame is at " + targetBox.id);
           firstPartTrigger.run();
         });
-    secondClient.sendRequest(scenario.grades().get(0), 0, scenario.folios());
+    secondClient.sendRequest(scenario.serviceClasses().get(0), 0, scenario.partitions());
     sendBackgroundRequests(0);
   }
 
@@ -312,10 +312,15 @@
       if (client.connected && client.requestId == null) {
         Scenario.ServiceClass serviceClass =
             scenario
-                .grades()
-                .get((int) (pair.drawFraction("steady grade", index) * scenario.grades().size()));
+                .serviceClasses()
+                .get(
+                    (int)
+                        (pair.drawFraction("steady grade", index)
+                            * scenario.serviceClasses().size()));
         client.sendRequest(
-            serviceClass, (int) (pair.drawFraction("steady folio", index) * scenario.folios()), 1);
+            serviceClass,
+            (int) (pair.drawFraction("steady folio", index) * scenario.partitions()),
+            1);
         break;
       }
     }
@@ -336,8 +341,8 @@
           if (checker != null) {
             checker.heartbeat(now());
             if (mixer != null) {
-              mixer.log().forEach(this::mixerLogged);
-              if (!mixer.alive() && !exited) {
+              mixer.drainLog().forEach(this::mixerLogged);
+              if (!mixer.isAlive() && !exited) {
                 exited = true;
                 record("the mixer has ended with " + mixer.exitCode());
                 checker.processExited(mixer.exitCode(), now());
@@ -402,8 +407,7 @@
         DiscoveryAgent unavailableAgent = discoveryAgent;
         unavailableAgent.unavailable = true;
         unavailableAgent.dropsPendingCalls = event == Event.DISCOVERY_DOWN_FORGETS;
-        reactor.schedule(
-            Duration.ofMillis(pair.discoveryDownMs()), unavailableAgent::becomeAvailable);
+        reactor.schedule(Duration.ofMillis(pair.discoveryDownMs()), unavailableAgent::becomeAvailable);
         trigger.run();
       }
       case LIST_DRAINS -> {
@@ -491,7 +495,8 @@
           trigger.run();
         } else {
           triggerOnFirstPart(
-              idleClient.sendRequest(scenario.grades().get(pair.drawBetween("next", 0, 2)), 0, 2),
+              idleClient.sendRequest(
+                  scenario.serviceClasses().get(pair.drawBetween("next", 0, 2)), 0, 2),
               trigger);
         }
       }
@@ -502,7 +507,7 @@
           trigger.run();
         } else {
           idleClient.sendRequest(
-              scenario.grades().get(pair.drawBetween("next", 0, 2)),
+              scenario.serviceClasses().get(pair.drawBetween("next", 0, 2)),
               pair.drawBetween("next folio", 0, 3),
               2);
           reactor.schedule(
@@ -522,10 +527,11 @@
         Runnable[] pendingTrigger = {trigger};
         for (int i = 0; i < BURST_CLIENTS; i++) {
           TestClient client = new TestClient();
-          int partition = i % scenario.folios();
+          int partition = i % scenario.partitions();
           client.onConnected =
               () -> {
-                String requestId = client.sendRequest(scenario.grades().get(0), partition, 2);
+                String requestId =
+                    client.sendRequest(scenario.serviceClasses().get(0), partition, 2);
                 triggersByFirstPart.put(
                     requestId,
                     () -> {
@@ -1004,13 +1010,13 @@
     }
 
     @Override
-    public void after(Duration delay, Runnable task) {
+    public void schedule(Duration delay, Runnable task) {
       reactor.schedule(delay, task);
     }
 
     @Override
     public void answer(Box.Part part, String outcome) {
-      Runnable sendAnswer = () -> ((BoxConnection) part.link()).sendAnswer(part, outcome);
+      Runnable sendAnswer = () -> ((BoxConnection) part.connection()).sendAnswer(part, outcome);
       if (answerMode == AnswerMode.SEND || outcome.equals("full")) {
         sendAnswer.run();
       } else {
@@ -1019,12 +1025,12 @@
     }
 
     @Override
-    public boolean runs(Box.Part part) {
+    public boolean beginExecution(Box.Part part) {
       return true;
     }
 
     @Override
-    public void fell(Box failedBox) {
+    public void overloaded(Box failedBox) {
       checker.boxFailed(number, reactor.now());
       record(id + " fell");
     }
@@ -1121,7 +1127,7 @@
       if (trigger != null) {
         trigger.run();
       }
-      box.box.part(new Box.Part(this, partId, partition, key, text));
+      box.box.receive(new Box.Part(this, partId, partition, key, text));
     }
 
     private String requestId(String partId) {
@@ -1129,7 +1135,7 @@
     }
 
     private String loadReport() {
-      return "queue=" + box.box.queued() + ",inflight=" + box.box.inHand();
+      return "queue=" + box.box.queueLength() + ",inflight=" + box.box.inFlight();
     }
 
     void sendAnswer(Box.Part part, String outcome) {
@@ -1137,10 +1143,10 @@
         return;
       }
       partsInFlight--;
-      String value = SeededDraw.value(scenario.seed(), part.text(), part.folio());
+      String value = SeededDraw.value(scenario.seed(), part.query(), part.partition());
       boolean done = outcome.equals("done");
       checker.partAnswered(
-          requestId(part.id()), part.folio(), box.number, outcome, done ? value : null, now());
+          requestId(part.id()), part.partition(), box.number, outcome, done ? value : null, now());
       sendFrame(
           "R"
               + part.id()
@@ -1222,7 +1228,7 @@
               + "\r\nX-Lane: "
               + serviceClass.name()
               + "\r\nX-Remaining-Ms: "
-              + serviceClass.patience().toMillis()
+              + serviceClass.deadline().toMillis()
               + (idempotencyKey(requestId, serviceClass) == null
                   ? ""
                   : "\r\nIdempotency-Key: " + idempotencyKey(requestId, serviceClass))
@@ -1234,7 +1240,7 @@
     }
 
     private static String idempotencyKey(String requestId, Scenario.ServiceClass serviceClass) {
-      return serviceClass.repeats() == Scenario.RetrySafety.KEYED
+      return serviceClass.retrySafety() == Scenario.RetrySafety.KEYED
           ? String.format("%032x", SeededDraw.bits(5, requestId) >>> 1)
           : null;
     }
@@ -1251,7 +1257,7 @@
     /** Asks for so many folios from a first one; returns the request's mark. */
     String sendRequest(Scenario.ServiceClass serviceClass, int firstPartition, int count) {
       requestId = String.format("%08x%08x", generation, requestCount++);
-      Map<Integer, Double> shares = partitionShares(firstPartition, count, scenario.folios());
+      Map<Integer, Double> shares = partitionShares(firstPartition, count, scenario.partitions());
       connection.send(requestBytes(requestId, serviceClass, shares));
       sentAt = now();
       checker.requestSent(
@@ -1283,7 +1289,7 @@
           ("POST /api HTTP/1.1\r\nHost: mixer\r\nX-Txn: f"
                   + requestId
                   + "\r\nX-Lane: "
-                  + scenario.grades().get(0).name()
+                  + scenario.serviceClasses().get(0).name()
                   + "\r\nX-Remaining-Ms: 1000\r\nContent-Length: 60000\r\n\r\n")
               .getBytes(StandardCharsets.US_ASCII));
       connection.send(new byte[FLOOD_BYTES]);
@@ -1303,8 +1309,8 @@
         return false;
       }
       requestId = String.format("%08x%08x", generation, requestCount++);
-      Scenario.ServiceClass serviceClass = scenario.grades().get(0);
-      Map<Integer, Double> shares = partitionShares(0, 2, scenario.folios());
+      Scenario.ServiceClass serviceClass = scenario.serviceClasses().get(0);
+      Map<Integer, Double> shares = partitionShares(0, 2, scenario.partitions());
       checker.requestSentAfterClose(requestId, serviceClass.name(), shares, null, now());
       connection.send(requestBytes(requestId, serviceClass, shares));
       record("asked " + requestId + " after that");
@@ -1332,8 +1338,7 @@
       boolean served =
           answer.outcome() == ObservedScan.ScanOutcome.WHOLE
               || answer.outcome() == ObservedScan.ScanOutcome.PART;
-      record(
-          "answered " + requestId + ' ' + answer.status() + (served ? " " + answer.outcome() : ""));
+      record("answered " + requestId + ' ' + answer.status() + (served ? " " + answer.outcome() : ""));
       warmedUp |= answer.outcome() == ObservedScan.ScanOutcome.WHOLE;
       if (ownGeneration == generation && !leaving) {
         checker.answered(
@@ -1349,8 +1354,8 @@
       } else if (terminatedAt != null && backgroundClients.contains(this) && !leaving) {
         // until the connection ends, so that its end crosses a request
         sendRequest(
-            scenario.grades().get(requestCount % scenario.grades().size()),
-            requestCount % scenario.folios(),
+            scenario.serviceClasses().get(requestCount % scenario.serviceClasses().size()),
+            requestCount % scenario.partitions(),
             1);
       }
     }
