--- a/cli/src/main/java/gingerring/cli/FleetCommand.java
+++ b/cli/src/main/java/gingerring/cli/FleetCommand.java
@@ -472,9 +472,9 @@
         name,
         plan.mixers(),
         plan.peersEnabled(),
-        result.tally.serviceLevel(),
-        result.referee.violationCount(),
-        (int) result.referee.exempted(),
+        result.clientStatistics.serviceLevel(),
+        result.ruleChecker.violationCount(),
+        (int) result.ruleChecker.exempted(),
         result.crashes.size(),
         result.probeCount(0, Integer.MAX_VALUE),
         (int) result.connectionCounts[0],
@@ -483,10 +483,10 @@
         result.peakToMeanLoad(),
         result.datagramCounts[1] / Math.max(1e-9, result.elapsedSeconds) / plan.mixers(),
         result.visiblePeers.stream().mapToInt(Integer::intValue).min().orElse(0),
-        (int) result.referee.delayedCount(),
-        result.referee.longestStall().toNanos() / 1e6,
+        (int) result.ruleChecker.delayedCount(),
+        result.ruleChecker.longestStall().toNanos() / 1e6,
         result.verdict());
-    result.referee.violations().forEach(foul -> told(name, foul));
+    result.ruleChecker.violations().forEach(foul -> told(name, foul));
     result.crashes.forEach(crash -> told(name, crash));
     result.errors.forEach(error -> told(name, error.getMessage()));
     return !result.errors.isEmpty()
--- a/emulator/src/main/java/gingerring/emulator/harness/ByzantinePeer.java
+++ b/emulator/src/main/java/gingerring/emulator/harness/ByzantinePeer.java
@@ -56,8 +56,8 @@
     tick();
   }
 
-  void received(PeerAddress from, byte[] datagram) {
-    peerNode.received(from, datagram);
+  void received(PeerAddress source, byte[] datagram) {
+    peerNode.received(source, datagram);
   }
 
   private void tick() {
@@ -89,5 +89,5 @@
   public void boxAnswered(long boxId) {}
 
   @Override
-  public void peerChanged(PeerRecord now) {}
+  public void peerChanged(PeerRecord record) {}
 }
--- a/emulator/src/main/java/gingerring/emulator/harness/Fleet.java
+++ b/emulator/src/main/java/gingerring/emulator/harness/Fleet.java
@@ -55,8 +55,8 @@
 
   /** Result of a run. */
   public static final class Result {
-    public ClientStatistics tally;
-    public RuleChecker referee;
+    public ClientStatistics clientStatistics;
+    public RuleChecker ruleChecker;
 
     /** Mixers that exited unexpectedly, or with a code other than 0 when terminated. */
     public final List<String> crashes = Collections.synchronizedList(new ArrayList<>());
@@ -89,7 +89,7 @@
 
     /** Returns the verdict; a violation makes it BROKEN even if other results are missing. */
     public Verdict verdict() {
-      return referee.violationCount() > 0 || !crashes.isEmpty()
+      return ruleChecker.violationCount() > 0 || !crashes.isEmpty()
           ? Verdict.BROKEN
           : errors.isEmpty() ? Verdict.KEPT : Verdict.UNDECIDED;
     }
@@ -123,7 +123,7 @@
   private final FleetScenario fleetScenario;
   private final Scenario scenario;
   private final Reactor reactor = new Reactor();
-  private final RuleChecker referee;
+  private final RuleChecker ruleChecker;
   private final EmulatedStore store;
   private final List<EmulatedStore.MixerView> discoveryViews = new ArrayList<>();
   private final Map<Integer, Map<Integer, TcpRelay>> relaysByMixer = new HashMap<>();
@@ -154,7 +154,7 @@
       Executors.newCachedThreadPool(Fleet::daemonThread);
   private final ExecutorService signalExecutor =
       Executors.newSingleThreadExecutor(Fleet::daemonThread);
-  private final ClientStatistics tally = new ClientStatistics();
+  private final ClientStatistics clientStatistics = new ClientStatistics();
   private final Result result = new Result();
   private EmulatedClients clients;
   private Duration startedAt = Duration.ZERO;
@@ -170,8 +170,8 @@
     scenario = fleetScenario.scenario();
     random = new SplittableRandom(scenario.seed());
     pendingStarts = new CountDownLatch(fleetScenario.mixers());
-    referee = new RuleChecker(scenario);
-    store = new EmulatedStore(scenario, reactor, referee, 1, fleetScenario.zones());
+    ruleChecker = new RuleChecker(scenario);
+    store = new EmulatedStore(scenario, reactor, ruleChecker, 1, fleetScenario.zones());
     tempDirectory = Files.createTempDirectory("gingerring-fleet");
     linkFaults = new TcpRelay.LinkFaults[fleetScenario.mixers()][scenario.boxes()];
     int peerCount = fleetScenario.mixers() + fleetScenario.byzantinePeers();
@@ -252,8 +252,8 @@
       }
       collectResult();
       reactor.stop();
-      reactorThread.join(
-          STEP_TIMEOUT_MS); // joined so that the result it wrote is visible to this thread
+      // joined so that the result that the reactor's thread wrote is visible to this thread
+      reactorThread.join(STEP_TIMEOUT_MS);
       return result;
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
@@ -277,10 +277,10 @@
                     new EmulatedClients(
                         scenario,
                         reactor,
-                        referee,
+                        ruleChecker,
                         new LoadBalancer(),
                         1,
-                        tally,
+                        clientStatistics,
                         workloadEnded::countDown);
                 clients.start(Workload.generate(scenario));
               });
@@ -292,16 +292,15 @@
           () -> {
             result.errors.add(new HarnessError.NotEnded(timeoutMs, unfinished()));
             for (int i = 0; i < fleetScenario.mixers(); i++) {
-              excuse(
-                  i, startedAt,
-                  UNBOUNDED); // what is lost from here on is caused by the end of the run
+              // scans lost from here on are lost because the harness ends the run
+              exemptLostScans(i, startedAt, UNBOUNDED);
             }
           });
     }
   }
 
   private void heartbeat() {
-    referee.heartbeat(reactor.now());
+    ruleChecker.heartbeat(reactor.now());
     reactor.after(HEARTBEAT_INTERVAL, this::heartbeat);
   }
 
@@ -494,7 +493,7 @@
               .mixers()
               .forEach(
                   mixer -> {
-                    excuse(mixer, now, now.plus(fault.duration()));
+                    exemptLostScans(mixer, now, now.plus(fault.duration()));
                     supervisors.get(mixer).beginKill();
                   });
       case STOP ->
@@ -502,7 +501,7 @@
               .mixers()
               .forEach(
                   mixer -> {
-                    excuse(mixer, now, now.plus(fault.duration()).plusMillis(500));
+                    exemptLostScans(mixer, now, now.plus(fault.duration()).plusMillis(500));
                     MixerProcess stoppedProcess = supervisors.get(mixer).beginStop();
                     reactor.after(
                         fault.duration(), () -> supervisors.get(mixer).endStop(stoppedProcess));
@@ -557,8 +556,8 @@
    * Excuses lost scans of a mixer that a fault makes fail: those in progress during the given
    * interval.
    */
-  private void excuse(int mixer, Duration from, Duration to) {
-    referee.addExemption(mixer, from, to);
+  private void exemptLostScans(int mixer, Duration from, Duration to) {
+    ruleChecker.addExemption(mixer, from, to);
   }
 
   private void endFault(Fault fault) {
@@ -599,8 +598,8 @@
   }
 
   private void collectResult() throws InterruptedException {
-    result.tally = tally;
-    result.referee = referee;
+    result.clientStatistics = clientStatistics;
+    result.ruleChecker = ruleChecker;
     CompletableFuture<List<MixerProcess>> running = new CompletableFuture<>();
     reactor.post(
         () -> {
@@ -639,12 +638,8 @@
     }
     for (int i = 0; i < fleetScenario.mixers(); i++) {
       if (processes.get(i) != null) {
-        recordExit(
-            i,
-            processes.get(i),
-            exitCodes
-                .get(i)
-                .join()); // the process bounds its own termination, so the join is bounded
+        // MixerProcess.stop is bounded in time, and so is the join
+        recordExit(i, processes.get(i), exitCodes.get(i).join());
       }
     }
     if (result.eventFailures > 0) {
--- a/emulator/src/main/java/gingerring/emulator/harness/FleetScenario.java
+++ b/emulator/src/main/java/gingerring/emulator/harness/FleetScenario.java
@@ -22,12 +22,12 @@
  * @param peerSettings key {@code settings}: copied unchanged into each mixer's peers file
  * @param firstMixerWeight key {@code uneven}: the first mixer's number of clients relative to that
  *     of each other mixer
- * @param completionTimeout key {@code spareMs}: how long after the end of the run's length the
- *     remaining requests may still complete
  * @param byzantinePeers key {@code liars}: number of additional peers that have the fleet's key and
  *     send false reports
  * @param failoverDelay key {@code frontMs}: time after which the emulated load balancer sends the
  *     connections of an unavailable mixer to the next one
+ * @param completionTimeout key {@code spareMs}: how long after the end of the run's length the
+ *     remaining requests may still complete
  */
 public record FleetScenario(
     Scenario scenario,
@@ -135,7 +135,11 @@
       String path = "fleet.faults." + faults.size() + '.';
       faults.add(
           readFault(
-              scenario, mixers, JsonFields.object(element, path + " here"), path, faults.size()));
+              scenario,
+              mixers,
+              JsonFields.object(element, path + " (fault)"),
+              path,
+              faults.size()));
     }
     return new FleetScenario(
         scenario,
--- a/emulator/src/main/java/gingerring/emulator/harness/TcpRelay.java
+++ b/emulator/src/main/java/gingerring/emulator/harness/TcpRelay.java
@@ -129,7 +129,7 @@
     private final ReactorConnection boxConnection;
     private final Direction toBox;
     private final Direction toMixer;
-    private final SendTimes deliveryLog = new SendTimes(mixer);
+    private final SendTimes sendTimes = new SendTimes(mixer);
 
     ProxiedConnection(ReactorConnection mixerConnection) {
       this.mixerConnection = mixerConnection;
@@ -172,13 +172,13 @@
      */
     private void reportConnected() {
       if (boxConnection != null && boxConnection.open()) {
-        connectionListener.accept(boxConnection, deliveryLog);
+        connectionListener.accept(boxConnection, sendTimes);
       }
     }
 
     @Override
     public void bytes(byte[] bytes, int length) {
-      deliveryLog.recordSent(length, reactor.now());
+      sendTimes.recordSent(length, reactor.now());
       toBox.add(Arrays.copyOf(bytes, length));
     }
 
--- a/emulator/src/main/java/gingerring/emulator/interleaving/InterleavingChecker.java
+++ b/emulator/src/main/java/gingerring/emulator/interleaving/InterleavingChecker.java
@@ -46,10 +46,10 @@
   static final Duration EXIT_ALLOWANCE = Duration.ofSeconds(5);
 
   /** A violation of a rule. */
-  record Violation(String rule, Duration at, String description) {
+  record Violation(String rule, Duration time, String description) {
     @Override
     public String toString() {
-      return rule + " at " + at.toMillis() + " ms: " + description;
+      return rule + " at " + time.toMillis() + " ms: " + description;
     }
   }
 
@@ -74,7 +74,7 @@
   }
 
   private final Scenario scenario;
-  private final RuleChecker referee;
+  private final RuleChecker ruleChecker;
   private final Map<String, Request> requests = new HashMap<>();
   private final List<Violation> ownViolations = new ArrayList<>();
   private final List<Duration[]> stalls = new ArrayList<>();
@@ -83,7 +83,7 @@
 
   InterleavingChecker(Scenario scenario) {
     this.scenario = scenario;
-    referee = new RuleChecker(scenario);
+    ruleChecker = new RuleChecker(scenario);
   }
 
   /**
@@ -95,14 +95,14 @@
       stalls.add(new Duration[] {lastHeartbeat, now});
     }
     lastHeartbeat = now;
-    referee.heartbeat(now);
+    ruleChecker.heartbeat(now);
   }
 
-  private Duration stalledTime(Duration from, Duration to) {
+  private Duration stalledTime(Duration start, Duration end) {
     Duration total = Duration.ZERO;
     for (Duration[] stall : stalls) {
-      Duration stallStart = stall[0].compareTo(from) > 0 ? stall[0] : from;
-      Duration stallEnd = stall[1].compareTo(to) < 0 ? stall[1] : to;
+      Duration stallStart = stall[0].compareTo(start) > 0 ? stall[0] : start;
+      Duration stallEnd = stall[1].compareTo(end) < 0 ? stall[1] : end;
       total = stallEnd.compareTo(stallStart) > 0 ? total.plus(stallEnd.minus(stallStart)) : total;
     }
     return total;
@@ -110,10 +110,15 @@
 
   /** A client has written a whole request to a connection that it considers open. */
   void requestSent(
-      String requestId, String serviceClass, Map<Integer, Double> shares, String key, Duration at) {
+      String requestId,
+      String serviceClass,
+      Map<Integer, Double> shares,
+      String key,
+      Duration time) {
     Duration timeout = scenario.serviceClass(serviceClass).deadline().plus(ANSWER_GRACE);
-    requests.put(requestId, new Request(at, at.plus(timeout)));
-    referee.requestSent(requestId, serviceClass, shares, key, at, timeout.minus(RuleChecker.SLACK));
+    requests.put(requestId, new Request(time, time.plus(timeout)));
+    ruleChecker.requestSent(
+        requestId, serviceClass, shares, key, time, timeout.minus(RuleChecker.SLACK));
   }
 
   /**
@@ -121,26 +126,34 @@
    * answer, and no part may be sent for it.
    */
   void requestSentAfterClose(
-      String requestId, String serviceClass, Map<Integer, Double> shares, String key, Duration at) {
-    requestSent(requestId, serviceClass, shares, key, at);
+      String requestId,
+      String serviceClass,
+      Map<Integer, Double> shares,
+      String key,
+      Duration time) {
+    requestSent(requestId, serviceClass, shares, key, time);
     requests.get(requestId).notAccepted = true;
   }
 
   /** The client closed or reset its connection while it waited for the answer. */
-  void clientLeft(String requestId, Duration at) {
+  void clientLeft(String requestId, Duration time) {
     Request request = requests.get(requestId);
     if (request != null && request.answeredAt == null) {
-      request.clientLeftAt = at;
+      request.clientLeftAt = time;
     }
   }
 
-  void answered(
-      String requestId, Duration at, boolean rejected, boolean whole, Map<Integer, String> values) {
+  void requestAnswered(
+      String requestId,
+      Duration time,
+      boolean rejected,
+      boolean whole,
+      Map<Integer, String> values) {
     Request request = requests.get(requestId);
     if (request != null) {
-      request.answeredAt = at;
+      request.answeredAt = time;
     }
-    referee.requestAnswered(requestId, at, rejected, whole, values);
+    ruleChecker.requestAnswered(requestId, time, rejected, whole, values);
   }
 
   /** The connection was never established, so the mixer did not accept the request. */
@@ -149,55 +162,57 @@
   }
 
   /** The mixer closed the connection while a request on it had no answer. */
-  void connectionEnded(String requestId, Duration at) {
+  void connectionEnded(String requestId, Duration time) {
     Request request = requests.get(requestId);
     if (request.notAccepted || request.clientLeftAt != null || request.answeredAt != null) {
       return;
     }
     boolean closeRaced =
-        at.minus(request.sentAt).minus(stalledTime(request.sentAt, at)).compareTo(CLOSE_RACE_WINDOW)
+        time.minus(request.sentAt)
+                .minus(stalledTime(request.sentAt, time))
+                .compareTo(CLOSE_RACE_WINDOW)
             <= 0;
     if (request.partsSent > 0 || !closeRaced) {
       ownViolations.add(
           new Violation(
               "SCAN_LOST",
-              at,
+              time,
               requestId
                   + " had its connection closed by the mixer "
-                  + at.minus(request.sentAt).toMillis()
+                  + time.minus(request.sentAt).toMillis()
                   + " ms after it was written, with "
                   + request.partsSent
                   + " parts sent to boxes and no answer"));
-      request.answeredAt = at;
+      request.answeredAt = time;
     } else {
       request.notAccepted = true;
     }
   }
 
   /** A box has received a whole part. */
-  void partReceived(String requestId, int partition, String key, int box, Duration at) {
+  void partReceived(String requestId, int partition, String key, int box, Duration time) {
     if (lastHeartbeat != null) {
-      heartbeat(at);
+      heartbeat(time);
     }
     Request request = requests.get(requestId);
     if (request != null) {
       request.partsSent++;
       if (request.clientLeftAt != null
-          && at.minus(request.clientLeftAt)
-                  .minus(stalledTime(request.clientLeftAt, at))
+          && time.minus(request.clientLeftAt)
+                  .minus(stalledTime(request.clientLeftAt, time))
                   .compareTo(CANCEL_LIMIT.plus(SCHEDULING_ALLOWANCE))
               > 0) {
         ownViolations.add(
             new Violation(
                 "GONE_CLIENT",
-                at,
+                time,
                 requestId
                     + '.'
                     + partition
                     + " was sent to box "
                     + box
                     + ' '
-                    + at.minus(request.clientLeftAt).toMillis()
+                    + time.minus(request.clientLeftAt).toMillis()
                     + " ms after its client left, as attempt "
                     + request.partsSent));
       }
@@ -205,7 +220,7 @@
         ownViolations.add(
             new Violation(
                 "SHUTDOWN",
-                at,
+                time,
                 requestId
                     + '.'
                     + partition
@@ -214,12 +229,12 @@
                     + " though its request arrived on a closed connection"));
       }
     }
-    referee.partReceived(requestId, partition, key, box, at);
+    ruleChecker.partReceived(requestId, partition, key, box, time);
   }
 
   void partAnswered(
-      String requestId, int partition, int box, String outcome, String value, Duration at) {
-    referee.partAnswered(requestId, partition, box, outcome, value, at);
+      String requestId, int partition, int box, String outcome, String value, Duration time) {
+    ruleChecker.partAnswered(requestId, partition, box, outcome, value, time);
   }
 
   /**
@@ -227,25 +242,25 @@
    * list; null if the box serves.
    */
   void mixerNotified(int box, Duration since) {
-    referee.boxStateNotified(box, since);
+    ruleChecker.boxStateNotified(box, since);
   }
 
-  void boxFailed(int box, Duration at) {
-    referee.boxOverloaded(box, at);
+  void boxOverloaded(int box, Duration time) {
+    ruleChecker.boxOverloaded(box, time);
   }
 
-  void terminationSignalled(Duration at) {
-    terminatedAt = terminatedAt == null ? at : terminatedAt;
+  void terminationSignalled(Duration time) {
+    terminatedAt = terminatedAt == null ? time : terminatedAt;
   }
 
   /** The mixer process has exited. */
-  void processExited(int code, Duration at) {
+  void processExited(int code, Duration time) {
     if (terminatedAt == null) {
       ownViolations.add(
-          new Violation("CRASH", at, "the mixer exited with " + code + " without SIGTERM"));
+          new Violation("CRASH", time, "the mixer exited with " + code + " without SIGTERM"));
     } else if (code != 0) {
       ownViolations.add(
-          new Violation("CRASH", at, "the mixer exited with " + code + " after SIGTERM"));
+          new Violation("CRASH", time, "the mixer exited with " + code + " after SIGTERM"));
     }
   }
 
@@ -268,7 +283,7 @@
         (requestId, request) -> {
           if (awaitsAnswer(request) && now.compareTo(request.answerDeadline) > 0) {
             request.answeredAt = now;
-            referee.answerMissing(requestId, now);
+            ruleChecker.answerMissing(requestId, now);
           }
         });
     if (terminatedAt != null
@@ -294,13 +309,13 @@
     return requests.values().stream().filter(InterleavingChecker::awaitsAnswer).count();
   }
 
-  int requestSent() {
+  int requestCount() {
     return requests.size();
   }
 
   List<Violation> violations() {
     List<Violation> violations = new ArrayList<>(ownViolations);
-    referee
+    ruleChecker
         .violations()
         .forEach(
             violation ->
@@ -311,6 +326,6 @@
 
   /** Returns the longest stall of the harness. */
   Duration longestStall() {
-    return referee.longestStall();
+    return ruleChecker.longestStall();
   }
 }
--- a/emulator/src/main/java/gingerring/emulator/interleaving/InterleavingRunner.java
+++ b/emulator/src/main/java/gingerring/emulator/interleaving/InterleavingRunner.java
@@ -122,7 +122,7 @@
    *
    * @throws IOException if the harness itself fails
    */
-  public static List<Result> play(
+  public static List<Result> runPairs(
       List<EventPair> pairs, int concurrency, Consumer<Result> resultListener) throws IOException {
     InterleavingRunner runner = create();
     // pairs that shut their mixer down come last; longer ones come first, so that no worker is left
@@ -213,7 +213,7 @@
       dialTimeoutMs = pair.dialTimeoutMs();
       try (MixerUnderTest mixerUnderTest = new MixerUnderTest(scenario, dialTimeoutMs)) {
         for (boolean freshMixer = true; pair != null; freshMixer = false) {
-          Result result = mixerUnderTest.play(pair);
+          Result result = mixerUnderTest.runPair(pair);
           if (!freshMixer && !result.firstEventReached() && result.verdict().equals(UNDECIDED)) {
             // the previous pair left the mixer short of boxes: run this pair on a new mixer
             synchronized (pairsByDialTimeout) {
@@ -274,7 +274,7 @@
       }
     }
 
-    Result play(EventPair pair) throws IOException {
+    Result runPair(EventPair pair) throws IOException {
       long startNanos = System.nanoTime();
       String reason = "";
       boolean firstEventReached = false;
@@ -495,21 +495,21 @@
                 new EventPair(pairSeed, Event.valueOf(pairOption[0]), Event.valueOf(pairOption[1]));
     if (options.get("--seconds").equals("0")) {
       results.addAll(
-          play(List.of(pairForSeed.apply(seed)), 1, result -> out.println(result.report())));
+          runPairs(List.of(pairForSeed.apply(seed)), 1, result -> out.println(result.report())));
     }
     while (System.nanoTime() < endNanos) {
       List<EventPair> batch = new ArrayList<>();
       for (int i = 0; i < 8 * concurrency; i++) {
         batch.add(pairForSeed.apply(seed++));
       }
-      results.addAll(play(batch, concurrency, failurePrinter));
+      results.addAll(runPairs(batch, concurrency, failurePrinter));
     }
     table(results).forEach(out::println);
     out.println(
         results.size()
             + " played, "
             + results.stream().filter(Result::kept).count()
-            + " kept; the rig stood still for "
+            + " kept; the harness stalled for "
             + results.stream()
                 .map(result -> result.stall().toMillis())
                 .max(Long::compare)
--- a/emulator/src/main/java/gingerring/emulator/interleaving/MixerEnvironment.java
+++ b/emulator/src/main/java/gingerring/emulator/interleaving/MixerEnvironment.java
@@ -259,8 +259,8 @@
               box -> {
                 box.releaseAnswers(false);
                 List.copyOf(box.connections).stream()
-                    .filter(line -> line.partsInFlight > 0)
-                    .forEach(line -> line.connection.reset());
+                    .filter(connection -> connection.partsInFlight > 0)
+                    .forEach(connection -> connection.transport.reset());
               });
     }
     releaseAnswers();
@@ -424,7 +424,7 @@
         trigger.run();
       }
       case LIST_DRAINS -> {
-        targetBox.box.drain();
+        targetBox.model.drain();
         targetBox.publishPhase("DRAINING");
         trigger.run();
       }
@@ -436,7 +436,7 @@
         targetBox.crash();
         targetBox.listen();
         targetBox.upSinceMs = System.currentTimeMillis();
-        targetBox.box.start(true);
+        targetBox.model.start(true);
         targetBox.publishPhase("SERVING");
         trigger.run();
       }
@@ -445,29 +445,29 @@
         List<BoxConnection> previous = List.copyOf(targetBox.connections);
         targetBox.listen();
         targetBox.publishPhase("SERVING");
-        previous.forEach(line -> line.connection.close());
+        previous.forEach(connection -> connection.transport.close());
         trigger.run();
       }
       case BOXES_CLOSE_IDLE -> {
         for (EmulatedBox box : boxes) {
           List.copyOf(box.connections).stream()
-              .filter(line -> line.partsInFlight == 0)
-              .forEach(line -> line.connection.close());
+              .filter(connection -> connection.partsInFlight == 0)
+              .forEach(connection -> connection.transport.close());
         }
         trigger.run();
       }
       case BOX_RESETS -> {
         targetBox.releaseAnswers(false);
         List.copyOf(targetBox.connections).stream()
-            .filter(line -> line.partsInFlight > 0)
-            .forEach(line -> line.connection.reset());
+            .filter(connection -> connection.partsInFlight > 0)
+            .forEach(connection -> connection.transport.reset());
         trigger.run();
       }
       case BOX_ENDS -> {
         targetBox.releaseAnswers(false);
         List.copyOf(targetBox.connections).stream()
-            .filter(line -> line.partsInFlight > 0)
-            .forEach(line -> line.connection.close());
+            .filter(connection -> connection.partsInFlight > 0)
+            .forEach(connection -> connection.transport.close());
         trigger.run();
       }
       case BOX_HANGS -> {
@@ -549,9 +549,9 @@
                     requestId,
                     () -> {
                       if (pendingTrigger[0] != null) {
-                        Runnable due = pendingTrigger[0];
+                        Runnable callback = pendingTrigger[0];
                         pendingTrigger[0] = null;
-                        due.run();
+                        callback.run();
                       }
                     });
               };
@@ -603,8 +603,8 @@
     InetSocketAddress newAddress = discoveryAgent.listener.address();
     Thread thread =
         new Thread(
-            () -> { // the signal is sent by an external process, so the reactor must not wait for
-              // it
+            () -> {
+              // sends a signal through an external process, for which the reactor must not wait
               try {
                 mixer.reload(scenario, newAddress, emptyMemberList);
               } catch (IOException e) {
@@ -728,7 +728,7 @@
       record(
           "discovery is called"
               + (isWatch ? " for a watch" : "")
-              + (agent.unavailable ? ", and is unavailable" : ""));
+              + (agent.unavailable ? ", but is unavailable" : ""));
       if (agent.unavailable) {
         agent.pendingCalls.add(this);
       } else {
@@ -779,7 +779,7 @@
   private final class EmulatedBox implements Box.Host {
     final int number;
     final String id;
-    final Box box;
+    final Box model;
     final Set<BoxConnection> connections = new LinkedHashSet<>();
     private final List<Runnable> heldAnswers = new ArrayList<>();
     Reactor.Listening listener;
@@ -798,8 +798,8 @@
     EmulatedBox(int number, String id) throws IOException {
       this.number = number;
       this.id = id;
-      box = new Box(scenario, number, this);
-      box.start(false);
+      model = new Box(scenario, number, this);
+      model.start(false);
       listen();
     }
 
@@ -833,10 +833,10 @@
     }
 
     void crash() {
-      box.stop();
+      model.stop();
       heldAnswers.clear();
       listener.close();
-      List.copyOf(connections).forEach(connection -> connection.connection.reset());
+      List.copyOf(connections).forEach(connection -> connection.transport.reset());
     }
 
     void dismantle() {
@@ -873,7 +873,7 @@
       releaseAnswers(false);
       byte[] answerStart =
           ("R" + connection.lastPartId + " done 1 -\n").getBytes(StandardCharsets.US_ASCII);
-      connection.connection.put(
+      connection.transport.put(
           ByteBuffer.allocate(4 + answerStart.length)
               .order(ByteOrder.LITTLE_ENDIAN)
               .putInt(60_000)
@@ -887,8 +887,8 @@
       reactor.after(
           Duration.ofMillis(30),
           () -> {
-            if (!connection.connection.closed()) {
-              connection.connection.put(new byte[] {'x'});
+            if (!connection.transport.closed()) {
+              connection.transport.put(new byte[] {'x'});
               trickleByte(connection);
             }
           });
@@ -907,7 +907,7 @@
       int startIncarnation = incarnation;
       releaseAnswers(false);
       listener.close();
-      List.copyOf(connections).forEach(connection -> connection.connection.reset());
+      List.copyOf(connections).forEach(connection -> connection.transport.reset());
       fillBacklog(startIncarnation, trigger);
     }
 
@@ -925,9 +925,8 @@
               fullListener.bind(localAddress(port), 1);
               for (int i = 0; i < 2; i++) {
                 SocketChannel filler = SocketChannel.open();
-                filler.configureBlocking(
-                    false); // non-blocking, as the mixer's connection may have filled the backlog
-                // first
+                // non-blocking: the mixer's connection may have filled the backlog first
+                filler.configureBlocking(false);
                 filler.connect(localAddress(port));
                 backlogFillers.add(filler);
               }
@@ -940,9 +939,9 @@
                       acceptAgain(startIncarnation);
                     }
                   });
-            } catch (
-                BindException
-                    e) { // the selector keeps a closed channel's port until its next iteration
+            } catch (BindException e) {
+              // the selector keeps a closed channel's port until its next iteration
+
               freeBacklog();
               fillBacklog(startIncarnation, trigger);
             } catch (IOException e) {
@@ -992,14 +991,17 @@
       String tableEntry =
           String.format("%02X%02X%02X%02X:%04X 02 ", ip[3], ip[2], ip[1], ip[0], port); // SYN_SENT
       connectionTableReader.execute(
-          () -> { // the table can have thousands of lines; reading it here would stall the reactor
-            boolean dialled = isDialling(tableEntry);
+          () -> {
+            // the table can have thousands of lines; reading it on the reactor's thread would stall
+            // it
+
+            boolean dialling = isDialling(tableEntry);
             reactor.post(
                 () -> {
-                  if (dialled) {
+                  if (dialling) {
                     record("a connection to " + id + " is being established");
                   }
-                  if (dialled || now().compareTo(deadline) > 0) {
+                  if (dialling || now().compareTo(deadline) > 0) {
                     trigger.run();
                   } else {
                     reactor.after(TICK_INTERVAL, () -> awaitDial(deadline, trigger));
@@ -1013,7 +1015,7 @@
         for (String table : List.of("/proc/net/tcp", "/proc/net/tcp6")) {
           if (Files.isReadable(Path.of(table))
               && Files.readAllLines(Path.of(table)).stream()
-                  .anyMatch(connection -> connection.contains(tableEntry))) {
+                  .anyMatch(tableLine -> tableLine.contains(tableEntry))) {
             return true;
           }
         }
@@ -1052,7 +1054,7 @@
 
     @Override
     public void overloaded(Box failedBox) {
-      checker.boxFailed(number, reactor.now());
+      checker.boxOverloaded(number, reactor.now());
       record(id + " failed under load while cold");
     }
   }
@@ -1060,14 +1062,14 @@
   /** A connection from the mixer to a box. */
   private final class BoxConnection implements ReactorConnection.Handler {
     private final EmulatedBox box;
-    private final ReactorConnection connection;
+    private final ReactorConnection transport;
     private final ByteArrayOutputStream buffer = new ByteArrayOutputStream();
     private int partsInFlight;
     private String lastPartId;
 
     BoxConnection(EmulatedBox box, ReactorConnection connection) {
       this.box = box;
-      this.connection = connection;
+      this.transport = connection;
       box.connections.add(this);
     }
 
@@ -1079,7 +1081,7 @@
         int size = pending.getInt(pending.position());
         if (size < 1 || size > MAX_FRAME_BYTES) {
           record("a frame of " + size + " bytes at " + box.id);
-          connection.reset();
+          transport.reset();
           return;
         }
         if (pending.remaining() < 4 + size) {
@@ -1098,7 +1100,7 @@
       switch (frame[0]) {
         case 'S' -> scan(frame);
         case 'C' ->
-            box.box.cancel(new String(frame, 1, frame.length - 1, StandardCharsets.US_ASCII));
+            box.model.cancel(new String(frame, 1, frame.length - 1, StandardCharsets.US_ASCII));
         case 'H' -> {
           if (box.answerMode != AnswerMode.HANG) {
             sendFrame("Hdone");
@@ -1109,7 +1111,7 @@
             sendFrame("M" + loadReport());
           }
         }
-        default -> connection.reset();
+        default -> transport.reset();
       }
     }
 
@@ -1125,8 +1127,8 @@
         String text = new String(frame, end + 1, length, StandardCharsets.UTF_8);
         offset = end + 1 + length;
         String key = null;
-        for (String pair : fields[2].split(",")) {
-          key = pair.startsWith("k=") ? pair.substring(2) : key;
+        for (String option : fields[2].split(",")) {
+          key = option.startsWith("k=") ? option.substring(2) : key;
         }
         partReceived(fields[0], Integer.parseInt(fields[1]), key, text);
       }
@@ -1148,7 +1150,7 @@
       if (trigger != null) {
         trigger.run();
       }
-      box.box.receive(new Box.Part(this, partId, partition, key, text));
+      box.model.receive(new Box.Part(this, partId, partition, key, text));
     }
 
     private String requestId(String partId) {
@@ -1156,11 +1158,11 @@
     }
 
     private String loadReport() {
-      return "queue=" + box.box.queueLength() + ",inflight=" + box.box.inFlight();
+      return "queue=" + box.model.queueLength() + ",inflight=" + box.model.inFlight();
     }
 
     void sendAnswer(Box.Part part, String outcome) {
-      if (connection.closed()) {
+      if (transport.closed()) {
         return;
       }
       partsInFlight--;
@@ -1183,7 +1185,7 @@
 
     private void sendFrame(String frame) {
       byte[] bytes = frame.getBytes(StandardCharsets.UTF_8);
-      connection.put(
+      transport.put(
           ByteBuffer.allocate(4 + bytes.length)
               .order(ByteOrder.LITTLE_ENDIAN)
               .putInt(bytes.length)
@@ -1362,7 +1364,7 @@
       record("answered " + requestId + ' ' + answer.status() + (served ? " " + answer.fate() : ""));
       warmedUp |= answer.fate() == ObservedScan.ScanOutcome.WHOLE;
       if (ownGeneration == generation && !leaving) {
-        checker.answered(
+        checker.requestAnswered(
             requestId,
             now(),
             answer.fate() == ObservedScan.ScanOutcome.NACKED,
--- a/emulator/src/test/java/gingerring/emulator/harness/FleetHarnessTest.java
+++ b/emulator/src/test/java/gingerring/emulator/harness/FleetHarnessTest.java
@@ -40,8 +40,8 @@
   private static void assertNoViolation(Fleet.Result result) {
     assertEquals(
         List.of(),
-        result.referee.violations(),
-        "the harness itself stalled for " + result.referee.longestStall());
+        result.ruleChecker.violations(),
+        "the harness itself stalled for " + result.ruleChecker.longestStall());
     assertEquals(List.of(), result.crashes);
     assertEquals(0, result.eventFailures);
   }
@@ -56,7 +56,7 @@
   void fleetWithPeersAndNoFaultsKeepsTheRules() throws Exception {
     Fleet.Result result = run("", ", \"peers\": true, \"uneven\": 10");
     assertAllPeersVisible(result);
-    assertTrue(result.referee.requestCount() > 150);
+    assertTrue(result.ruleChecker.requestCount() > 150);
     double bytes = result.datagramCounts[1] / result.elapsedSeconds / 8;
     assertTrue(bytes < 16_384, bytes + " bytes per second and mixer");
   }
@@ -169,7 +169,9 @@
     assertNoViolation(result);
     assertEquals(
         Collections.nCopies(8, 8), result.visiblePeers, "the byzantine peer is present too");
-    assertTrue(result.tally.serviceLevel() > 0.9, "service " + result.tally.serviceLevel());
+    assertTrue(
+        result.clientStatistics.serviceLevel() > 0.9,
+        "service " + result.clientStatistics.serviceLevel());
   }
 
   /**
@@ -209,7 +211,7 @@
             "\"lengthMs\": 1500, ",
             ", \"spareMs\": 0, \"faults\": [{\"kind\": \"stop\", "
                 + "\"atMs\": 500, \"forMs\": 60000}]");
-    assertEquals(List.of(), result.referee.violations());
+    assertEquals(List.of(), result.ruleChecker.violations());
     assertEquals(List.of(), result.crashes, "a mixer that the schedule stopped has not crashed");
     assertEquals(Fleet.Verdict.UNDECIDED, result.verdict());
     HarnessError error = result.errors.get(0);
@@ -219,7 +221,9 @@
             && error.subject().contains("m0 is stopped by the schedule"),
         error.getMessage());
     assertTrue(
-        result.tally.attempts > 0 && result.connectionCounts[0] > 0 && !error.remedy().isEmpty());
+        result.clientStatistics.attempts > 0
+            && result.connectionCounts[0] > 0
+            && !error.remedy().isEmpty());
   }
 
   @Test
--- a/emulator/src/test/java/gingerring/emulator/harness/ViolationAttributionTest.java
+++ b/emulator/src/test/java/gingerring/emulator/harness/ViolationAttributionTest.java
@@ -42,7 +42,7 @@
   private final TcpRelay[][] relays = new TcpRelay[3][3];
   private final Map<String, TcpRelay> relaysByMixerAndPort = new HashMap<>();
   private final ReactorConnection[][] connections = new ReactorConnection[3][3];
-  private RuleChecker referee;
+  private RuleChecker ruleChecker;
   private EmulatedStore store;
   private int sentParts;
 
@@ -57,8 +57,8 @@
          "grades": [{"name": "search", "floor": 0.4, "patienceMs": 60000},
           {"name": "once", "repeats": "at-most-once", "patienceMs": 60000}]}"""
                 .getBytes());
-    referee = new RuleChecker(scenario);
-    store = new EmulatedStore(scenario, reactor, referee, 1);
+    ruleChecker = new RuleChecker(scenario);
+    store = new EmulatedStore(scenario, reactor, ruleChecker, 1);
     for (int i = 0; i < 3; i++) {
       int mixer = i;
       store
@@ -114,7 +114,7 @@
     while (!onReactor(condition)) {
       assertTrue(
           System.nanoTime() < deadlineNanos,
-          "condition not met in time; parts " + onReactor(referee::tripCount));
+          "condition not met in time; parts " + onReactor(ruleChecker::tripCount));
       Thread.sleep(5);
     }
   }
@@ -122,7 +122,7 @@
   private void recordRequest(int mixer, String requestId, String serviceClass) throws Exception {
     onReactor(
         () -> {
-          referee.requestSent(
+          ruleChecker.requestSent(
               mixer, requestId, serviceClass, SHARES, null, reactor.now(), Duration.ofMinutes(1));
           return null;
         });
@@ -132,7 +132,7 @@
       throws Exception {
     onReactor(
         () -> {
-          referee.requestAnswered(requestId, reactor.now(), rejected, false, values);
+          ruleChecker.requestAnswered(requestId, reactor.now(), rejected, false, values);
           return null;
         });
   }
@@ -167,13 +167,13 @@
                         .put(frame)
                         .array());
               }
-              return referee.tripCount() + requestIds.length;
+              return ruleChecker.tripCount() + requestIds.length;
             });
     awaitCondition(
         () ->
             linkFaults[mixer].cut
                 ? relays[mixer][box].bufferedBytes() > 0
-                : referee.tripCount() == expectedTrips || referee.violationCount() > 0);
+                : ruleChecker.tripCount() == expectedTrips || ruleChecker.violationCount() > 0);
   }
 
   private void setCut(String mixers, boolean isCut) throws Exception {
@@ -214,7 +214,7 @@
         onReactor(
             () -> {
               for (int mixer = 0; mixer < 3; mixer++) {
-                referee.boxStateNotified(mixer, 0, reactor.now());
+                ruleChecker.boxStateNotified(mixer, 0, reactor.now());
               }
               return null;
             });
@@ -257,14 +257,16 @@
       run.recordAnswer("good2", true, null);
       Thread.sleep(PAST_SLACK_MS);
       run.setCut(cutMixers, false);
-      run.awaitCondition(() -> run.referee.tripCount() == run.sentParts);
+      run.awaitCondition(() -> run.ruleChecker.tripCount() == run.sentParts);
       String context =
-          violation + ", cut off: " + cutMixers + ": " + run.onReactor(run.referee::violations);
+          violation + ", cut off: " + cutMixers + ": " + run.onReactor(run.ruleChecker::violations);
       Rule rule = Rule.valueOf(violation.replace("NACKED", "TWICE"));
-      assertEquals(Map.of(rule, 1), run.onReactor(run.referee::countsByRule), context);
-      assertEquals(Map.of(FAULTY_MIXER, 1), run.onReactor(run.referee::countsByMixer), context);
+      assertEquals(Map.of(rule, 1), run.onReactor(run.ruleChecker::countsByRule), context);
+      assertEquals(Map.of(FAULTY_MIXER, 1), run.onReactor(run.ruleChecker::countsByMixer), context);
       assertTrue(
-          cutMixers.isEmpty() || run.onReactor(run.referee::delayedCount) > 0 || run.sentParts == 2,
+          cutMixers.isEmpty()
+              || run.onReactor(run.ruleChecker::delayedCount) > 0
+              || run.sentParts == 2,
           context);
       run.stopReactor();
     }
@@ -293,18 +295,17 @@
     }
     sendParts(FAULTY_MIXER, 0, 0, requestIds);
     setCut(cutMixers, false);
-    awaitCondition(() -> referee.tripCount() == sentParts || referee.violationCount() > 0);
-    Thread.sleep(
-        300); // longer than the box's load interval, so that the next part triggers its check if
-    // none has yet
-    if (onReactor(referee::violationCount) == 0) {
+    awaitCondition(() -> ruleChecker.tripCount() == sentParts || ruleChecker.violationCount() > 0);
+    // longer than the box's load interval, so that the next part triggers the check if none has yet
+    Thread.sleep(300);
+    if (onReactor(ruleChecker::violationCount) == 0) {
       sendParts(FAULTY_MIXER, 0, 0, "bad");
     }
-    awaitCondition(() -> referee.violationCount() > 0);
+    awaitCondition(() -> ruleChecker.violationCount() > 0);
     assertEquals(
         Map.of(Rule.COLD_BOX, 1),
-        onReactor(referee::countsByRule),
-        onReactor(referee::violations).toString());
-    assertEquals(Map.of(FAULTY_MIXER, 1), onReactor(referee::countsByMixer));
+        onReactor(ruleChecker::countsByRule),
+        onReactor(ruleChecker::violations).toString());
+    assertEquals(Map.of(FAULTY_MIXER, 1), onReactor(ruleChecker::countsByMixer));
   }
 }
--- a/emulator/src/test/java/gingerring/emulator/interleaving/InterleavingCheckerTest.java
+++ b/emulator/src/test/java/gingerring/emulator/interleaving/InterleavingCheckerTest.java
@@ -61,7 +61,7 @@
     partReceived("a", 1, 5);
     partDone("a", 0, 10);
     partDone("a", 1, 10);
-    checker.answered("a", ms(12), false, true, Map.of(0, "v0", 1, "v1"));
+    checker.requestAnswered("a", ms(12), false, true, Map.of(0, "v0", 1, "v1"));
     checker.checkDeadlines(ms(9000), true);
     assertViolations();
     assertEquals(0, checker.unansweredRequests());
@@ -83,17 +83,17 @@
   void answerMayBeAtMostHalfASecondLate() {
     requestSent("a", "search", 0);
     requestSent("b", "search", 0);
-    checker.answered("a", ms(2499), true, false, null);
+    checker.requestAnswered("a", ms(2499), true, false, null);
     assertViolations();
-    checker.answered("b", ms(2501), true, false, null);
+    checker.requestAnswered("b", ms(2501), true, false, null);
     assertViolations("SCAN_LOST");
   }
 
   @Test
   void secondAnswerIsAViolation() {
     requestSent("a", "search", 0);
-    checker.answered("a", ms(10), true, false, null);
-    checker.answered("a", ms(20), true, false, null);
+    checker.requestAnswered("a", ms(10), true, false, null);
+    checker.requestAnswered("a", ms(20), true, false, null);
     assertViolations("SCAN_LOST");
   }
 
@@ -300,7 +300,7 @@
   void rejectionRequiresThatNothingWasSent() {
     requestSent("once", "once", 0);
     partReceived("once", 0, 5);
-    checker.answered("once", ms(50), true, false, null);
+    checker.requestAnswered("once", ms(50), true, false, null);
     assertViolations("EFFECT_TWICE");
   }
 
@@ -309,10 +309,10 @@
     requestSent("a", "search", 0);
     partReceived("a", 0, 5);
     partDone("a", 0, 6);
-    checker.answered("a", ms(7), false, true, Map.of(0, "v0"));
+    checker.requestAnswered("a", ms(7), false, true, Map.of(0, "v0"));
     assertViolations("HONEST_ANSWER");
     requestSent("b", "search", 0);
-    checker.answered("b", ms(7), false, true, Map.of(0, "v0", 1, "v1"));
+    checker.requestAnswered("b", ms(7), false, true, Map.of(0, "v0", 1, "v1"));
     assertViolations("HONEST_ANSWER", "HONEST_ANSWER", "HONEST_ANSWER");
   }
 
@@ -331,7 +331,7 @@
 
   @Test
   void failedColdBoxIsAViolation() {
-    checker.boxFailed(BOX, ms(5));
+    checker.boxOverloaded(BOX, ms(5));
     assertViolations("COLD_BOX");
   }
 }
--- a/emulator/src/test/java/gingerring/emulator/interleaving/InterleavingRunnerTest.java
+++ b/emulator/src/test/java/gingerring/emulator/interleaving/InterleavingRunnerTest.java
@@ -49,7 +49,8 @@
       pairs.add(new EventPair(FIRST_SEED + pairs.size(), pair[0], pair[1]));
       pairs.add(new EventPair(FIRST_SEED + pairs.size(), pair[1], pair[0]));
     }
-    List<InterleavingRunner.Result> results = InterleavingRunner.play(pairs, MIXERS, result -> {});
+    List<InterleavingRunner.Result> results =
+        InterleavingRunner.runPairs(pairs, MIXERS, result -> {});
     assertEquals(pairs.size(), results.size(), "number of pairs run");
     assertEquals(
         "",
