--- a/peering/src/test/java/gingerring/peering/PeerSettingsTest.java
+++ b/peering/src/test/java/gingerring/peering/PeerSettingsTest.java
@@ -24,7 +24,7 @@
   }
 
   @Test
-  void readsWhatItIsTold() throws IOException {
+  void readsAllSettings() throws IOException {
     PeerSettings settings =
         PeerSettings.read(
             file(
@@ -43,7 +43,7 @@
 
   /** All that is wrong is said at once, each with its place. */
   @Test
-  void saysAllThatIsWrong() throws IOException {
+  void reportsAllErrorsAtOnce() throws IOException {
     Path file =
         file(
             """
@@ -52,7 +52,7 @@
     String message =
         assertThrows(PeerSettings.InvalidPeerSettings.class, () -> PeerSettings.read(file))
             .getMessage();
-    for (String each :
+    for (String error :
         List.of(
             "listen is nowhere:1",
             "seeds.0 is 127.0.0.1:0",
@@ -63,21 +63,21 @@
             "say_ms is often",
             "say_to is 2.5, must be a whole number",
             "prefer is -1")) {
-      assertTrue(message.contains(file + ": " + each), () -> each + " is not in " + message);
+      assertTrue(message.contains(file + ": " + error), () -> error + " is not in " + message);
     }
     assertEquals(9, message.lines().count());
   }
 
   @Test
-  void whatDoesNotGoTogetherIsRefused() throws IOException {
+  void rejectsContradictorySettings() throws IOException {
     Path file = file("{\"listen\": \"127.0.0.1:0\", \"key_files\": [\"key\"], \"ack_ms\": 900}");
     assertTrue(
         assertThrows(PeerSettings.InvalidPeerSettings.class, () -> PeerSettings.read(file))
             .getMessage()
             .contains("an ack timeout of PT0.9S"));
-    Path none = file("{\"listen\": \"127.0.0.1:0\"}");
+    Path withoutKeys = file("{\"listen\": \"127.0.0.1:0\"}");
     assertTrue(
-        assertThrows(PeerSettings.InvalidPeerSettings.class, () -> PeerSettings.read(none))
+        assertThrows(PeerSettings.InvalidPeerSettings.class, () -> PeerSettings.read(withoutKeys))
             .getMessage()
             .contains("key_files must name"));
     Path broken = file("{\"listen\": ");
--- a/peering/src/test/java/gingerring/peering/PeeringTest.java
+++ b/peering/src/test/java/gingerring/peering/PeeringTest.java
@@ -43,13 +43,13 @@
     final long startMs = System.currentTimeMillis();
     final String name;
     final Peering peering;
-    final List<Long> heard = new CopyOnWriteArrayList<>();
+    final List<Long> answeredBoxes = new CopyOnWriteArrayList<>();
     int port;
 
     Member(String name, List<byte[]> keys, Member seed) throws IOException {
       this.name = name;
-      PeerNode.Settings usual = PeerNode.Settings.defaults();
-      PeerNode.Settings quick =
+      PeerNode.Settings defaults = PeerNode.Settings.defaults();
+      PeerNode.Settings fastSettings =
           new PeerNode.Settings(
               new Membership.Settings(
                   Duration.ofMillis(200),
@@ -61,8 +61,8 @@
               -1,
               Duration.ofMillis(100),
               3,
-              usual.observationSpan(),
-              usual.reportLifetime(),
+              defaults.observationSpan(),
+              defaults.reportLifetime(),
               2,
               Duration.ofMillis(500),
               Duration.ofMillis(100),
@@ -76,7 +76,7 @@
                   seed == null ? List.of() : List.of(PeerSettings.toPeerAddress(seed.address())),
                   keys,
                   0,
-                  quick));
+                  fastSettings));
       call(
           () -> {
             peering.start(this);
@@ -85,8 +85,8 @@
                     new MemberEntry(
                         new SearcherId(BOX), 0, 0, 0, MemberEntry.Status.READY, 1, null)));
           });
-      String shown = PeerQueryClient.query(address(), keys, 'p', 0);
-      assertTrue(shown.startsWith(name + " life " + startMs), shown);
+      String answer = PeerQueryClient.query(address(), keys, 'p', 0);
+      assertTrue(answer.startsWith(name + " life " + startMs), answer);
       members.add(this);
     }
 
@@ -100,7 +100,7 @@
       return address.join();
     }
 
-    String ask(char about) {
+    String query(char about) {
       try {
         return PeerQueryClient.query(address(), KEYS, about, BOX);
       } catch (IOException e) {
@@ -140,7 +140,7 @@
 
     @Override
     public void answeredElsewhere(long searcher) {
-      heard.add(searcher);
+      answeredBoxes.add(searcher);
     }
 
     @Override
@@ -173,9 +173,9 @@
     members.forEach(Member::stop);
   }
 
-  private static void until(BooleanSupplier holds, String what) {
+  private static void waitUntil(BooleanSupplier condition, String what) {
     long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
-    while (!holds.getAsBoolean()) {
+    while (!condition.getAsBoolean()) {
       assertTrue(System.nanoTime() < end, what);
       try {
         Thread.sleep(20);
@@ -185,74 +185,78 @@
     }
   }
 
-  private void fleet(int count) throws IOException {
+  private void startFleet(int count) throws IOException {
     for (int i = 0; i < count; i++) {
       new Member("m" + i, KEYS, members.isEmpty() ? null : members.get(0));
     }
-    until(
+    waitUntil(
         () ->
             members.stream()
                 .allMatch(
-                    each -> each.ask('p').contains((count - 1) + " of " + (count - 1) + " there")),
+                    each ->
+                        each.query('p').contains((count - 1) + " of " + (count - 1) + " there")),
         "all know all");
   }
 
   @Test
-  void theyMeetAndMissWhoIsGone() throws IOException {
-    fleet(4);
+  void peersDetectEachOtherAndGoneMembers() throws IOException {
+    startFleet(4);
     members.remove(3).stop();
-    until(
-        () -> members.stream().allMatch(each -> each.ask('p').contains("2 of 3 there")),
+    waitUntil(
+        () -> members.stream().allMatch(each -> each.query('p').contains("2 of 3 there")),
         "the fourth is gone");
-    Member back = new Member("m3", KEYS, members.get(1));
-    until(
-        () -> members.stream().allMatch(each -> each.ask('p').contains("3 of 3 there")),
+    Member restarted = new Member("m3", KEYS, members.get(1));
+    waitUntil(
+        () -> members.stream().allMatch(each -> each.query('p').contains("3 of 3 there")),
         "it is back");
-    back.call(() -> back.peering.shutDown(Duration.ofMillis(100)));
-    until(() -> members.get(0).ask('p').contains(" left "), "it has left");
+    restarted.call(() -> restarted.peering.shutDown(Duration.ofMillis(100)));
+    waitUntil(() -> members.get(0).query('p').contains(" left "), "it has left");
   }
 
   @Test
-  void whatOneFindsBackOthersHearOf() throws IOException {
-    fleet(3);
+  void peersAreNotifiedOfABoxThatAnswersAgain() throws IOException {
+    startFleet(3);
     members.forEach(each -> each.call(() -> each.peering.ejected(BOX)));
-    until(
+    waitUntil(
         () ->
             members.stream()
                 .allMatch(
                     each -> {
-                      CompletableFuture<Double> doubt = new CompletableFuture<>();
-                      each.loop.execute(() -> doubt.complete(each.peering.failureShare(BOX)));
-                      return doubt.join() == 1;
+                      CompletableFuture<Double> failureShare = new CompletableFuture<>();
+                      each.loop.execute(
+                          () -> failureShare.complete(each.peering.failureShare(BOX)));
+                      return failureShare.join() == 1;
                     }),
         "each hears of two others that it fails");
-    Member[] asker = new Member[1];
-    until(
+    Member[] prober = new Member[1];
+    waitUntil(
         () -> {
           for (Member each : members) {
             each.call(
                 () -> {
-                  if (asker[0] == null && each.peering.shouldProbe(BOX)) {
+                  if (prober[0] == null && each.peering.shouldProbe(BOX)) {
                     each.peering.probeStarted(BOX);
                     each.peering.probeEnded(BOX, true);
-                    asker[0] = each;
+                    prober[0] = each;
                   }
                 });
           }
-          return asker[0] != null;
+          return prober[0] != null;
         },
         "somebody's turn comes");
-    until(
-        () -> members.stream().allMatch(each -> each == asker[0] || each.heard.contains(BOX)),
+    waitUntil(
+        () ->
+            members.stream()
+                .allMatch(each -> each == prober[0] || each.answeredBoxes.contains(BOX)),
         "the others hear of its answer");
-    assertEquals(List.of(), asker[0].heard);
-    assertTrue(members.get(0).ask('w').contains("last asked by") || members.get(0) == asker[0]);
+    assertEquals(List.of(), prober[0].answeredBoxes);
+    assertTrue(members.get(0).query('w').contains("last asked by") || members.get(0) == prober[0]);
   }
 
   /** Noise, foreign keys and floods change nothing, and are counted. */
   @Test
-  void whatIsNotOfTheFleetIsCountedAndDropped() throws IOException {
-    fleet(2);
+  void foreignDatagramsAreCountedAndDropped() throws IOException {
+    startFleet(2);
     Member mixer = members.get(0);
     assertThrows(
         IOException.class,
@@ -266,25 +270,25 @@
         noise.send(new DatagramPacket(bytes, i % bytes.length, mixer.address()));
       }
     }
-    until(() -> mixer.ask('c').matches(".*REFUSED=[0-9]{2,}.*"), "refused are counted");
-    assertTrue(mixer.ask('p').contains("1 of 1 there"));
-    assertFalse(mixer.ask('p').contains("gone"));
+    waitUntil(() -> mixer.query('c').matches(".*REFUSED=[0-9]{2,}.*"), "refused are counted");
+    assertTrue(mixer.query('p').contains("1 of 1 there"));
+    assertFalse(mixer.query('p').contains("gone"));
   }
 
   @Test
-  void ofTwoWithOneNameTheLaterSpeaks() throws Exception {
-    fleet(2);
+  void theLaterOfTwoWithOneNameWins() throws Exception {
+    startFleet(2);
     Member other = members.get(1);
     Thread.sleep(5); // a later life
     Member twin = new Member("m0", KEYS, other);
-    until(() -> other.ask('p').contains("life " + twin.startMs), "the later life is known");
+    waitUntil(() -> other.query('p').contains("life " + twin.startMs), "the later life is known");
     assertEquals(PeerId.named("m0"), PeerId.named(twin.name));
-    assertTrue(other.ask('p').contains("1 of 1 there"));
+    assertTrue(other.query('p').contains("1 of 1 there"));
   }
 
   @Test
-  void tellsWhatEachAsksFor() throws IOException {
-    fleet(2);
+  void reportsEachMixersDemand() throws IOException {
+    startFleet(2);
     members
         .get(0)
         .call(
@@ -293,6 +297,6 @@
                 members.get(0).peering.attemptEnded(BOX, Outcome.SUCCEEDED);
               }
             });
-    until(() -> members.get(1).ask('s').contains("asks 10.0, due 9.0"), "its demand is told");
+    waitUntil(() -> members.get(1).query('s').contains("asks 10.0, due 9.0"), "its demand is told");
   }
 }
--- a/peers/src/test/java/gingerring/peers/MembershipExplorationTest.java
+++ b/peers/src/test/java/gingerring/peers/MembershipExplorationTest.java
@@ -19,56 +19,57 @@
  * where a later one was known.
  */
 class MembershipExplorationTest {
-  private static final long CALM_MS = 60_000;
+  private static final long QUIET_MS = 60_000;
 
-  private record Flying(int from, long life, int to, MessageBody body, List<PeerRecord> news) {}
+  private record InFlightMessage(
+      int from, long incarnation, int to, MessageBody body, List<PeerRecord> updates) {}
 
   /** What may happen next. */
-  private enum Choice {
+  private enum Step {
     DELIVER,
     DELIVER_LAST,
     LOSE,
-    PASS,
+    ADVANCE_TIME,
     RESTART,
-    STOP,
-    CONTINUE
+    PAUSE,
+    RESUME
   }
 
   /** One play. */
   private final class World {
     final Membership[] mixers = new Membership[3];
-    final long[] lives = {100, 200, 300};
-    final boolean[] stopped = new boolean[3];
-    final long[][] seen = new long[3][3];
-    final Deque<Flying> flying = new ArrayDeque<>();
-    final long restartedLife;
+    final long[] incarnations = {100, 200, 300};
+    final boolean[] paused = new boolean[3];
+    final long[][] knownIncarnations = new long[3][3];
+    final Deque<InFlightMessage> inFlight = new ArrayDeque<>();
+    final long restartedIncarnation;
     Duration now = Duration.ZERO;
     int lost;
     int restarts;
-    int stops;
+    int pauses;
 
-    World(long restartedLife) {
-      this.restartedLife = restartedLife;
+    World(long restartedIncarnation) {
+      this.restartedIncarnation = restartedIncarnation;
       for (int i = 0; i < 3; i++) {
         start(i);
       }
     }
 
-    private PeerAddress place(int mixer) {
+    private PeerAddress address(int mixer) {
       return new PeerAddress(1, 1 + mixer);
     }
 
-    void start(int who) {
-      seen[who] = new long[3];
-      Membership[] mine = new Membership[1];
-      long mineLife = lives[who];
-      mine[0] =
+    void start(int mixer) {
+      knownIncarnations[mixer] = new long[3];
+      Membership[] membership = new Membership[1];
+      long incarnation = incarnations[mixer];
+      membership[0] =
           new Membership(
-              new PeerId(1 + who),
-              place(who),
-              lives[who],
+              new PeerId(1 + mixer),
+              address(mixer),
+              incarnations[mixer],
               Membership.Settings.defaults(),
-              new SplittableRandom(who + lives[who]),
+              new SplittableRandom(mixer + incarnations[mixer]),
               new Membership.Host() {
                 @Override
                 public Duration now() {
@@ -77,107 +78,109 @@
 
                 @Override
                 public void send(PeerAddress to, MessageBody body) {
-                  flying.add(
-                      new Flying(who, mineLife, to.port() - 1, body, mine[0].takeUpdates(4)));
+                  inFlight.add(
+                      new InFlightMessage(
+                          mixer, incarnation, to.port() - 1, body, membership[0].takeUpdates(4)));
                 }
 
                 @Override
-                public void peerChanged(PeerRecord standing) {
-                  int other = (int) standing.peer().number() - 1;
+                public void peerChanged(PeerRecord record) {
+                  int other = (int) record.peer().number() - 1;
                   assertTrue(
-                      standing.incarnation() >= seen[who][other],
-                      "an earlier life of " + other + " at " + who);
-                  seen[who][other] = standing.incarnation();
+                      record.incarnation() >= knownIncarnations[mixer][other],
+                      "an earlier life of " + other + " at " + mixer);
+                  knownIncarnations[mixer][other] = record.incarnation();
                 }
               });
-      mixers[who] = mine[0];
-      mixers[who].start(List.of(place(0), place(1)));
+      mixers[mixer] = membership[0];
+      mixers[mixer].start(List.of(address(0), address(1)));
     }
 
-    List<Choice> choices() {
-      List<Choice> choices = new ArrayList<>(List.of(Choice.PASS));
-      if (!flying.isEmpty()) {
-        choices.add(Choice.DELIVER);
-        if (flying.size() > 1) {
-          choices.add(Choice.DELIVER_LAST);
+    List<Step> possibleSteps() {
+      List<Step> steps = new ArrayList<>(List.of(Step.ADVANCE_TIME));
+      if (!inFlight.isEmpty()) {
+        steps.add(Step.DELIVER);
+        if (inFlight.size() > 1) {
+          steps.add(Step.DELIVER_LAST);
         }
         if (lost == 0) {
-          choices.add(Choice.LOSE);
+          steps.add(Step.LOSE);
         }
       }
       if (restarts == 0) {
-        choices.add(Choice.RESTART);
+        steps.add(Step.RESTART);
       }
-      if (stops == 0) {
-        choices.add(Choice.STOP);
-      } else if (stopped[1]) {
-        choices.add(Choice.CONTINUE);
+      if (pauses == 0) {
+        steps.add(Step.PAUSE);
+      } else if (paused[1]) {
+        steps.add(Step.RESUME);
       }
-      return choices;
+      return steps;
     }
 
-    void act(Choice choice) {
-      switch (choice) {
-        case DELIVER -> deliver(flying.pollFirst());
-        case DELIVER_LAST -> deliver(flying.pollLast());
+    void apply(Step step) {
+      switch (step) {
+        case DELIVER -> deliver(inFlight.pollFirst());
+        case DELIVER_LAST -> deliver(inFlight.pollLast());
         case LOSE -> {
-          flying.pollFirst();
+          inFlight.pollFirst();
           lost++;
         }
-        case PASS -> pass(400);
+        case ADVANCE_TIME -> advanceTime(400);
         case RESTART -> {
           restarts++;
-          lives[2] = restartedLife;
+          incarnations[2] = restartedIncarnation;
           start(2);
         }
-        case STOP -> {
-          stops++;
-          stopped[1] = true;
+        case PAUSE -> {
+          pauses++;
+          paused[1] = true;
         }
-        default -> stopped[1] = false;
+        default -> paused[1] = false;
       }
     }
 
-    private void deliver(Flying letter) {
-      if (letter.to() < 3
-          && !stopped[letter.to()]) { // one who is stopped keeps no more than the rest does
-        mixers[letter.to()].messageReceived(
-            new PeerId(1 + letter.from()),
-            letter.life(),
-            place(letter.from()),
-            letter.body(),
-            letter.news());
+    private void deliver(InFlightMessage message) {
+      if (message.to() < 3
+          && !paused[message.to()]) { // one who is stopped keeps no more than the rest does
+        mixers[message.to()].messageReceived(
+            new PeerId(1 + message.from()),
+            message.incarnation(),
+            address(message.from()),
+            message.body(),
+            message.updates());
       }
     }
 
-    private void pass(long ms) {
+    private void advanceTime(long ms) {
       now = now.plusMillis(ms);
       for (int i = 0; i < 3; i++) {
-        if (!stopped[i]) {
+        if (!paused[i]) {
           mixers[i].tick();
         }
       }
     }
 
     /** No fault any more; returns what is wrong at the end, or nothing. */
-    String calm() {
-      stopped[1] = false;
-      for (long ms = 0; ms < CALM_MS; ms += 100) {
-        pass(100);
-        for (int most = flying.size(); most > 0; most--) {
-          deliver(flying.pollFirst());
+    String settle() {
+      paused[1] = false;
+      for (long ms = 0; ms < QUIET_MS; ms += 100) {
+        advanceTime(100);
+        for (int remaining = inFlight.size(); remaining > 0; remaining--) {
+          deliver(inFlight.pollFirst());
         }
       }
-      for (int one = 0; one < 3; one++) {
+      for (int observer = 0; observer < 3; observer++) {
         for (int other = 0; other < 3; other++) {
-          if (one != other && mixers[one].incarnation(new PeerId(1 + other)) != lives[other]) {
-            return one
+          if (observer != other
+              && mixers[observer].incarnation(new PeerId(1 + other)) != incarnations[other]) {
+            return observer
                 + " takes "
                 + other
                 + " for life "
-                + mixers[one].incarnation(new PeerId(1 + other))
+                + mixers[observer].incarnation(new PeerId(1 + other))
                 + " of "
-                + lives[other];
+                + incarnations[other];
           }
         }
       }
@@ -188,43 +191,43 @@
   /**
    * Plays every order of so many choices; returns how many there were, and how many ended wrong.
    */
-  private int[] explore(long restartedLife, int depth) {
-    int plays = 0;
-    int wrong = 0;
-    Deque<List<Choice>> open = new ArrayDeque<>();
-    open.add(List.of());
-    while (!open.isEmpty()) {
-      List<Choice> prefix = open.pollLast();
-      World world = new World(restartedLife);
-      prefix.forEach(world::act);
+  private int[] explore(long restartedIncarnation, int depth) {
+    int sequences = 0;
+    int failures = 0;
+    Deque<List<Step>> pending = new ArrayDeque<>();
+    pending.add(List.of());
+    while (!pending.isEmpty()) {
+      List<Step> prefix = pending.pollLast();
+      World world = new World(restartedIncarnation);
+      prefix.forEach(world::apply);
       if (prefix.size() == depth) {
-        plays++;
-        wrong += world.calm().isEmpty() ? 0 : 1;
+        sequences++;
+        failures += world.settle().isEmpty() ? 0 : 1;
       } else {
-        for (Choice each : world.choices()) {
+        for (Step step : world.possibleSteps()) {
           // many ways lead to the same: time twice in a row says nothing new before anything has
           // happened
           boolean idle =
-              each == Choice.PASS
+              step == Step.ADVANCE_TIME
                   && prefix.size() > 1
-                  && prefix.get(prefix.size() - 1) == Choice.PASS
-                  && prefix.get(prefix.size() - 2) == Choice.PASS;
+                  && prefix.get(prefix.size() - 1) == Step.ADVANCE_TIME
+                  && prefix.get(prefix.size() - 2) == Step.ADVANCE_TIME;
           if (!idle) {
-            List<Choice> longer = new ArrayList<>(prefix);
-            longer.add(each);
-            open.add(longer);
+            List<Step> longer = new ArrayList<>(prefix);
+            longer.add(step);
+            pending.add(longer);
           }
         }
       }
     }
-    return new int[] {plays, wrong};
+    return new int[] {sequences, failures};
   }
 
   @Test
-  void everyOrderEndsWithAllKnownInTheirLatestLives() {
-    int[] found = explore(400, 7);
-    assertTrue(found[0] > 10_000, found[0] + " orders");
-    assertEquals(0, found[1], found[1] + " of " + found[0] + " orders end wrong");
+  void everyOrderConvergesToTheLatestIncarnations() {
+    int[] result = explore(400, 7);
+    assertTrue(result[0] > 10_000, result[0] + " orders");
+    assertEquals(0, result[1], result[1] + " of " + result[0] + " orders end wrong");
   }
 
   /**
@@ -232,19 +235,19 @@
    * asked for it.
    */
   @Test
-  void aNewLifeWhoseWordWasLostIsKnownAllTheSame() {
+  void aNewIncarnationWhoseRecordWasLostIsStillLearned() {
     World world = new World(400);
     List.of(
-            Choice.DELIVER_LAST,
-            Choice.DELIVER,
-            Choice.LOSE,
-            Choice.PASS,
-            Choice.PASS,
-            Choice.RESTART,
-            Choice.PASS,
-            Choice.PASS)
-        .forEach(world::act);
-    assertEquals("", world.calm());
+            Step.DELIVER_LAST,
+            Step.DELIVER,
+            Step.LOSE,
+            Step.ADVANCE_TIME,
+            Step.ADVANCE_TIME,
+            Step.RESTART,
+            Step.ADVANCE_TIME,
+            Step.ADVANCE_TIME)
+        .forEach(world::apply);
+    assertEquals("", world.settle());
   }
 
   /**
@@ -252,7 +255,7 @@
    * out.
    */
   @Test
-  void aLifeThatGoesBackIsFound() {
+  void detectsAnIncarnationThatGoesBackwards() {
     assertTrue(explore(299, 5)[1] > 0);
   }
 }
--- a/peers/src/test/java/gingerring/peers/MessageCodecTest.java
+++ b/peers/src/test/java/gingerring/peers/MessageCodecTest.java
@@ -19,127 +19,133 @@
 
 class MessageCodecTest {
   private static final byte[] KEY = "a key of this fleet".getBytes();
-  private static final byte[] NEXT = "the key that follows".getBytes();
+  private static final byte[] NEXT_KEY = "the key that follows".getBytes();
 
-  private static MessageCodec with(byte[]... keys) {
+  private static MessageCodec codec(byte[]... keys) {
     return new MessageCodec(MessageAuthenticator.of(List.of(keys)));
   }
 
-  private static PeerRecord standing(SplittableRandom chance) {
+  private static PeerRecord randomRecord(SplittableRandom random) {
     return new PeerRecord(
-        new PeerId(chance.nextLong()),
-        new PeerAddress(chance.nextInt(), chance.nextInt(1, 65_536)),
-        chance.nextLong(),
-        chance.nextInt(),
-        PeerRecord.State.values()[chance.nextInt(4)],
-        new PeerId(chance.nextLong()));
+        new PeerId(random.nextLong()),
+        new PeerAddress(random.nextInt(), random.nextInt(1, 65_536)),
+        random.nextLong(),
+        random.nextInt(),
+        PeerRecord.State.values()[random.nextInt(4)],
+        new PeerId(random.nextLong()));
   }
 
-  private static List<PeerRecord> standings(SplittableRandom chance, int most) {
-    List<PeerRecord> standings = new ArrayList<>();
-    for (int i = chance.nextInt(most + 1); i > 0; i--) {
-      standings.add(standing(chance));
+  private static List<PeerRecord> randomRecords(SplittableRandom random, int max) {
+    List<PeerRecord> records = new ArrayList<>();
+    for (int i = random.nextInt(max + 1); i > 0; i--) {
+      records.add(randomRecord(random));
     }
-    return standings;
+    return records;
   }
 
-  private static PeerMessage letter(SplittableRandom chance) {
-    PeerId author = new PeerId(chance.nextLong());
-    long life = chance.nextLong();
-    long number = chance.nextLong();
-    int asked = chance.nextInt();
+  private static PeerMessage randomMessage(SplittableRandom random) {
+    PeerId author = new PeerId(random.nextLong());
+    long incarnation = random.nextLong();
+    long number = random.nextLong();
+    int pingNumber = random.nextInt();
     MessageBody body =
-        switch (chance.nextInt(10)) {
-          case 0 -> new MessageBody.Ping(asked, new PeerId(chance.nextLong()));
-          case 1 -> new MessageBody.Ack(asked);
-          case 2 -> new MessageBody.Nack(asked);
+        switch (random.nextInt(10)) {
+          case 0 -> new MessageBody.Ping(pingNumber, new PeerId(random.nextLong()));
+          case 1 -> new MessageBody.Ack(pingNumber);
+          case 2 -> new MessageBody.Nack(pingNumber);
           case 3 ->
               new MessageBody.PingRequest(
-                  asked, new PeerId(chance.nextLong()), standing(chance).address());
-          case 4 -> new MessageBody.MembersRequest(chance.nextLong());
-          case 5 -> new MessageBody.MembersPage(standings(chance, 20), chance.nextLong());
+                  pingNumber, new PeerId(random.nextLong()), randomRecord(random).address());
+          case 4 -> new MessageBody.MembersRequest(random.nextLong());
+          case 5 -> new MessageBody.MembersPage(randomRecords(random, 20), random.nextLong());
           case 6 -> {
             Map<Long, BoxObservation> boxes = new HashMap<>();
-            for (int i = chance.nextInt(MessageCodec.maxBoxes(6, 4) + 1); i > 0; i--) {
+            for (int i = random.nextInt(MessageCodec.maxBoxes(6, 4) + 1); i > 0; i--) {
               boxes.put(
-                  chance.nextLong(),
-                  new BoxObservation(chance.nextInt(65_536), chance.nextInt(65_536)));
+                  random.nextLong(),
+                  new BoxObservation(random.nextInt(65_536), random.nextInt(65_536)));
             }
             yield new MessageBody.Report(
                 new PeerReport(
-                    author, life, number, chance.nextInt(-1, 9), chance.nextInt(1000), boxes));
+                    author,
+                    incarnation,
+                    number,
+                    random.nextInt(-1, 9),
+                    random.nextInt(1000),
+                    boxes));
           }
-          case 7 -> new MessageBody.Query((char) chance.nextInt(256), chance.nextLong());
-          case 8 -> new MessageBody.Reply("x\u00e9".repeat(chance.nextInt(200)));
+          case 7 -> new MessageBody.Query((char) random.nextInt(256), random.nextLong());
+          case 8 -> new MessageBody.Reply("x\u00e9".repeat(random.nextInt(200)));
           default -> new MessageBody.Empty();
         };
-    List<ProbeNotice> notes = new ArrayList<>();
-    for (int i = chance.nextInt(5); i > 0; i--) {
-      notes.add(
+    List<ProbeNotice> notices = new ArrayList<>();
+    for (int i = random.nextInt(5); i > 0; i--) {
+      notices.add(
           new ProbeNotice(
-              new PeerId(chance.nextLong()),
-              chance.nextLong(),
-              chance.nextLong(),
-              chance.nextLong(),
-              chance.nextBoolean()));
+              new PeerId(random.nextLong()),
+              random.nextLong(),
+              random.nextLong(),
+              random.nextLong(),
+              random.nextBoolean()));
     }
-    return new PeerMessage(author, life, number, body, standings(chance, 6), notes);
+    return new PeerMessage(author, incarnation, number, body, randomRecords(random, 6), notices);
   }
 
   @Property(tries = 400, seed = "33")
-  void whatIsWrittenIsReadAndNothingElseIs(@ForAll long seed) throws MessageCodec.InvalidMessage {
-    SplittableRandom chance = new SplittableRandom(seed);
-    PeerMessage letter = letter(chance);
-    MessageCodec letters = with(KEY);
-    byte[] bytes = letters.encode(letter);
+  void decodesOnlyWhatWasEncoded(@ForAll long seed) throws MessageCodec.InvalidMessage {
+    SplittableRandom random = new SplittableRandom(seed);
+    PeerMessage message = randomMessage(random);
+    MessageCodec codec = codec(KEY);
+    byte[] bytes = codec.encode(message);
     assertTrue(bytes.length <= MessageCodec.MAX_BYTES);
-    assertEquals(letter, letters.decode(bytes));
-    byte[] bent = bytes.clone();
-    bent[chance.nextInt(bent.length)] ^= (byte) (1 << chance.nextInt(8));
-    assertThrows(MessageCodec.InvalidMessage.class, () -> letters.decode(bent));
+    assertEquals(message, codec.decode(bytes));
+    byte[] corrupted = bytes.clone();
+    corrupted[random.nextInt(corrupted.length)] ^= (byte) (1 << random.nextInt(8));
+    assertThrows(MessageCodec.InvalidMessage.class, () -> codec.decode(corrupted));
     assertThrows(
         MessageCodec.InvalidMessage.class,
-        () -> letters.decode(Arrays.copyOf(bytes, chance.nextInt(bytes.length))));
+        () -> codec.decode(Arrays.copyOf(bytes, random.nextInt(bytes.length))));
     assertThrows(
         MessageCodec.InvalidMessage.class,
-        () -> letters.decode(Arrays.copyOf(bytes, bytes.length + 1)));
-    assertThrows(MessageCodec.InvalidMessage.class, () -> with(NEXT).decode(bytes));
+        () -> codec.decode(Arrays.copyOf(bytes, bytes.length + 1)));
+    assertThrows(MessageCodec.InvalidMessage.class, () -> codec(NEXT_KEY).decode(bytes));
   }
 
   /** A key is changed in three steps, mixer by mixer; at no step is a letter refused. */
   @Test
-  void keysChangeWithoutAGap() throws MessageCodec.InvalidMessage {
-    PeerMessage letter = letter(new SplittableRandom(1));
-    List<MessageCodec> steps = List.of(with(KEY), with(KEY, NEXT), with(NEXT, KEY), with(NEXT));
+  void keysRotateWithoutRejectedMessages() throws MessageCodec.InvalidMessage {
+    PeerMessage message = randomMessage(new SplittableRandom(1));
+    List<MessageCodec> steps =
+        List.of(codec(KEY), codec(KEY, NEXT_KEY), codec(NEXT_KEY, KEY), codec(NEXT_KEY));
     for (int i = 0; i + 1 < steps.size(); i++) {
-      assertEquals(letter, steps.get(i).decode(steps.get(i + 1).encode(letter)));
-      assertEquals(letter, steps.get(i + 1).decode(steps.get(i).encode(letter)));
+      assertEquals(message, steps.get(i).decode(steps.get(i + 1).encode(message)));
+      assertEquals(message, steps.get(i + 1).decode(steps.get(i).encode(message)));
     }
     assertThrows(
-        MessageCodec.InvalidMessage.class, () -> steps.get(0).decode(steps.get(3).encode(letter)));
+        MessageCodec.InvalidMessage.class, () -> steps.get(0).decode(steps.get(3).encode(message)));
   }
 
   /** Who holds the key and writes nonsense is refused with a reason, whatever the nonsense. */
   @Property(tries = 400, seed = "34")
-  void provedNonsenseIsRefused(@ForAll long seed) throws Exception {
-    SplittableRandom chance = new SplittableRandom(seed);
-    byte[] bytes = with(KEY).encode(letter(chance));
+  void rejectsAuthenticatedMalformedMessages(@ForAll long seed) throws Exception {
+    SplittableRandom random = new SplittableRandom(seed);
+    byte[] bytes = codec(KEY).encode(randomMessage(random));
     int length = bytes.length - MessageAuthenticator.TAG_BYTES;
-    int cut = chance.nextInt(2) == 0 ? chance.nextInt(1, length) : length;
-    byte[] plain = Arrays.copyOf(bytes, cut);
-    for (int i = chance.nextInt(4); i >= 0; i--) {
-      plain[chance.nextInt(plain.length)] = (byte) chance.nextInt();
+    int cut = random.nextInt(2) == 0 ? random.nextInt(1, length) : length;
+    byte[] body = Arrays.copyOf(bytes, cut);
+    for (int i = random.nextInt(4); i >= 0; i--) {
+      body[random.nextInt(body.length)] = (byte) random.nextInt();
     }
     Mac mac = Mac.getInstance("HmacSHA256");
     mac.init(new SecretKeySpec(KEY, "HmacSHA256"));
-    byte[] proof = Arrays.copyOf(mac.doFinal(plain), MessageAuthenticator.TAG_BYTES);
-    byte[] sealed =
-        ByteBuffer.allocate(plain.length + MessageAuthenticator.TAG_BYTES)
-            .put(plain)
-            .put(proof)
+    byte[] tag = Arrays.copyOf(mac.doFinal(body), MessageAuthenticator.TAG_BYTES);
+    byte[] signed =
+        ByteBuffer.allocate(body.length + MessageAuthenticator.TAG_BYTES)
+            .put(body)
+            .put(tag)
             .array();
     try {
-      with(KEY).decode(sealed); // some changes make another letter
+      codec(KEY).decode(signed); // some changes make another letter
     } catch (MessageCodec.InvalidMessage e) {
       assertTrue(
           e.getMessage().startsWith("authenticated but malformed")
@@ -148,26 +154,31 @@
   }
 
   @Test
-  void shortKeysAreRefused() {
+  void rejectsShortKeys() {
     assertThrows(
         IllegalArgumentException.class, () -> MessageAuthenticator.of(List.of(new byte[15])));
     assertThrows(IllegalArgumentException.class, () -> MessageAuthenticator.of(List.of()));
   }
 
   @Test
-  void whatDoesNotFitIsCut() throws MessageCodec.InvalidMessage {
+  void clampsValuesThatDoNotFit() throws MessageCodec.InvalidMessage {
     PeerId author = new PeerId(1);
-    PeerReport much =
+    PeerReport oversized =
         new PeerReport(author, 1, 1, 0, 1e300, Map.of(1L, new BoxObservation(1e9, 70_000)));
-    PeerMessage read =
-        with(KEY)
+    PeerMessage decoded =
+        codec(KEY)
             .decode(
-                with(KEY)
+                codec(KEY)
                     .encode(
                         new PeerMessage(
-                            author, 1, 1, new MessageBody.Report(much), List.of(), List.of())));
-    PeerReport word = ((MessageBody.Report) read.body()).report();
-    assertEquals(new BoxObservation(65_535, 65_535), word.boxes().get(1L));
-    assertTrue(word.demand() <= Float.MAX_VALUE);
+                            author,
+                            1,
+                            1,
+                            new MessageBody.Report(oversized),
+                            List.of(),
+                            List.of())));
+    PeerReport report = ((MessageBody.Report) decoded.body()).report();
+    assertEquals(new BoxObservation(65_535, 65_535), report.boxes().get(1L));
+    assertTrue(report.demand() <= Float.MAX_VALUE);
   }
 }
--- a/peers/src/test/java/gingerring/peers/PeerRecordTest.java
+++ b/peers/src/test/java/gingerring/peers/PeerRecordTest.java
@@ -14,52 +14,52 @@
 class PeerRecordTest {
   private static final PeerId PEER = new PeerId(7);
 
-  private static PeerRecord draw(SplittableRandom chance) {
+  private static PeerRecord randomRecord(SplittableRandom random) {
     return new PeerRecord(
         PEER,
         new PeerAddress(1, 1),
-        chance.nextInt(3),
-        chance.nextInt(3),
-        PeerRecord.State.values()[chance.nextInt(4)],
+        random.nextInt(3),
+        random.nextInt(3),
+        PeerRecord.State.values()[random.nextInt(4)],
         PEER);
   }
 
-  private static PeerRecord fold(List<PeerRecord> words) {
-    PeerRecord believed = words.get(0);
-    for (PeerRecord each : words) {
-      believed = each.supersedes(believed) ? each : believed;
+  private static PeerRecord merge(List<PeerRecord> records) {
+    PeerRecord merged = records.get(0);
+    for (PeerRecord record : records) {
+      merged = record.supersedes(merged) ? record : merged;
     }
-    return believed;
+    return merged;
   }
 
   /** Whatever the order, and however often each comes, the same is believed of state and life. */
   @Property(tries = 500, seed = "41")
-  void theSameWordsInAnyOrderEndInTheSameBelief(@ForAll long seed) {
-    SplittableRandom chance = new SplittableRandom(seed);
-    List<PeerRecord> words = new ArrayList<>();
-    for (int i = chance.nextInt(1, 12); i > 0; i--) {
-      words.add(draw(chance));
+  void theSameRecordsInAnyOrderConverge(@ForAll long seed) {
+    SplittableRandom random = new SplittableRandom(seed);
+    List<PeerRecord> records = new ArrayList<>();
+    for (int i = random.nextInt(1, 12); i > 0; i--) {
+      records.add(randomRecord(random));
     }
-    PeerRecord believed = fold(words);
-    words.addAll(words.subList(0, chance.nextInt(words.size() + 1)));
-    Collections.shuffle(words, new Random(seed));
-    PeerRecord again = fold(words);
-    assertEquals(believed.incarnation(), again.incarnation());
-    assertEquals(believed.state(), again.state());
-    if (believed.state() != PeerRecord.State.LEFT) {
-      assertEquals(believed.refutations(), again.refutations());
+    PeerRecord merged = merge(records);
+    records.addAll(records.subList(0, random.nextInt(records.size() + 1)));
+    Collections.shuffle(records, new Random(seed));
+    PeerRecord remerged = merge(records);
+    assertEquals(merged.incarnation(), remerged.incarnation());
+    assertEquals(merged.state(), remerged.state());
+    if (merged.state() != PeerRecord.State.LEFT) {
+      assertEquals(merged.refutations(), remerged.refutations());
     }
   }
 
   @Property(tries = 300, seed = "42")
-  void anEarlierLifeNeverHoldsOverALaterOne(@ForAll long seed) {
-    SplittableRandom chance = new SplittableRandom(seed);
-    PeerRecord one = draw(chance);
-    PeerRecord other = draw(chance);
-    if (one.incarnation() < other.incarnation()) {
-      assertFalse(one.supersedes(other));
+  void anEarlierIncarnationNeverSupersedesALaterOne(@ForAll long seed) {
+    SplittableRandom random = new SplittableRandom(seed);
+    PeerRecord first = randomRecord(random);
+    PeerRecord second = randomRecord(random);
+    if (first.incarnation() < second.incarnation()) {
+      assertFalse(first.supersedes(second));
     }
-    assertFalse(one.supersedes(one));
-    assertFalse(one.supersedes(other) && other.supersedes(one));
+    assertFalse(first.supersedes(first));
+    assertFalse(first.supersedes(second) && second.supersedes(first));
   }
 }
--- a/peers/src/test/java/gingerring/peers/PeerReportsTest.java
+++ b/peers/src/test/java/gingerring/peers/PeerReportsTest.java
@@ -17,12 +17,17 @@
 
 class PeerReportsTest {
   private static final PeerId SELF = new PeerId(99);
-  private static final Duration APART = Duration.ofMillis(500);
-  private static final Duration AGE = Duration.ofSeconds(5);
+  private static final Duration MIN_INTERVAL = Duration.ofMillis(500);
+  private static final Duration LIFETIME = Duration.ofSeconds(5);
 
-  private static PeerReport word(long author, long life, long number) {
+  private static PeerReport report(long author, long incarnation, long number) {
     return new PeerReport(
-        new PeerId(author), life, number, 0, 1, Map.of(7L, new BoxObservation(number, life)));
+        new PeerId(author),
+        incarnation,
+        number,
+        0,
+        1,
+        Map.of(7L, new BoxObservation(number, incarnation)));
   }
 
   private static Duration ms(long millis) {
@@ -31,39 +36,39 @@
 
   /** The plain model keeps every word that ever came and looks through all of them. */
   @Property(tries = 300, seed = "30")
-  void keepsWhatPlainSearchingWould(@ForAll long seed) {
-    SplittableRandom chance = new SplittableRandom(seed);
-    PeerReports words = new PeerReports(SELF, 100, 4, APART, AGE);
-    List<PeerReports.TimedReport> taken = new ArrayList<>();
+  void keepsWhatALinearSearchFinds(@ForAll long seed) {
+    SplittableRandom random = new SplittableRandom(seed);
+    PeerReports reports = new PeerReports(SELF, 100, 4, MIN_INTERVAL, LIFETIME);
+    List<PeerReports.TimedReport> accepted = new ArrayList<>();
     long now = 0;
     for (int i = 0; i < 200; i++) {
-      now += chance.nextInt(400);
-      PeerReport word = word(chance.nextInt(8), chance.nextInt(3), chance.nextInt(40));
+      now += random.nextInt(400);
+      PeerReport report = report(random.nextInt(8), random.nextInt(3), random.nextInt(40));
       boolean newest = true;
-      for (PeerReports.TimedReport each : taken) {
-        if (each.report().author().equals(word.author())) {
+      for (PeerReports.TimedReport timed : accepted) {
+        if (timed.report().author().equals(report.author())) {
           newest &=
-              word.incarnation() > each.report().incarnation()
-                  || word.incarnation() == each.report().incarnation()
-                      && word.number() > each.report().number();
-          newest &= now - each.receivedAt().toMillis() >= APART.toMillis();
+              report.incarnation() > timed.report().incarnation()
+                  || report.incarnation() == timed.report().incarnation()
+                      && report.number() > timed.report().number();
+          newest &= now - timed.receivedAt().toMillis() >= MIN_INTERVAL.toMillis();
         }
       }
-      assertEquals(newest, words.accept(word, ms(now)) == Verdict.TAKEN);
+      assertEquals(newest, reports.accept(report, ms(now)) == Verdict.TAKEN);
       if (newest) {
-        taken.add(new PeerReports.TimedReport(word, ms(now)));
+        accepted.add(new PeerReports.TimedReport(report, ms(now)));
       }
     }
     Map<PeerId, PeerReport> last = new HashMap<>();
-    for (PeerReports.TimedReport each : taken) {
-      last.remove(each.report().author());
-      if (now - each.receivedAt().toMillis() < AGE.toMillis()) {
-        last.put(each.report().author(), each.report());
+    for (PeerReports.TimedReport timed : accepted) {
+      last.remove(timed.report().author());
+      if (now - timed.receivedAt().toMillis() < LIFETIME.toMillis()) {
+        last.put(timed.report().author(), timed.report());
       }
     }
-    Map<PeerId, PeerReport> fresh = new HashMap<>();
-    words.current(ms(now)).forEach(each -> fresh.put(each.report().author(), each.report()));
-    assertEquals(last, fresh);
+    Map<PeerId, PeerReport> current = new HashMap<>();
+    reports.current(ms(now)).forEach(timed -> current.put(timed.report().author(), timed.report()));
+    assertEquals(last, current);
   }
 
   /**
@@ -71,16 +76,18 @@
    * that is over.
    */
   @Test
-  void anEarlierLifeNeverWins() {
-    PeerReports words = new PeerReports(SELF, 10, 4, APART, AGE);
-    assertEquals(Verdict.TAKEN, words.accept(word(1, 100, 50), ms(0)));
-    assertEquals(Verdict.TAKEN, words.accept(word(1, 200, 1), ms(1000)));
-    assertEquals(Verdict.OLD_LIFE, words.accept(word(1, 100, 51), ms(2000)));
-    assertEquals(Verdict.OLD_NUMBER, words.accept(word(1, 200, 1), ms(3000)));
+  void anEarlierIncarnationNeverWins() {
+    PeerReports reports = new PeerReports(SELF, 10, 4, MIN_INTERVAL, LIFETIME);
+    assertEquals(Verdict.TAKEN, reports.accept(report(1, 100, 50), ms(0)));
+    assertEquals(Verdict.TAKEN, reports.accept(report(1, 200, 1), ms(1000)));
+    assertEquals(Verdict.OLD_LIFE, reports.accept(report(1, 100, 51), ms(2000)));
+    assertEquals(Verdict.OLD_NUMBER, reports.accept(report(1, 200, 1), ms(3000)));
     assertEquals(
-        Verdict.OLD_LIFE, words.accept(word(99, 300, 1), ms(3000)), "an own word that came back");
-    assertEquals(200, words.current(ms(3000)).get(0).report().incarnation());
-    assertEquals(2, words.count(Verdict.OLD_LIFE));
+        Verdict.OLD_LIFE,
+        reports.accept(report(99, 300, 1), ms(3000)),
+        "an own word that came back");
+    assertEquals(200, reports.current(ms(3000)).get(0).report().incarnation());
+    assertEquals(2, reports.count(Verdict.OLD_LIFE));
   }
 
   /**
@@ -88,23 +95,23 @@
    * at.
    */
   @Test
-  void twoByOneNameSpeakNoMoreThanOne() {
-    PeerReports words = new PeerReports(SELF, 10, 4, APART, AGE);
-    int taken = 0;
+  void twoMixersWithOneNameReportNoMoreOftenThanOne() {
+    PeerReports reports = new PeerReports(SELF, 10, 4, MIN_INTERVAL, LIFETIME);
+    int accepted = 0;
     for (int i = 0; i < 100; i++) {
-      taken += words.accept(word(1, 100 + i, 1), ms(i * 100)) == Verdict.TAKEN ? 1 : 0;
+      accepted += reports.accept(report(1, 100 + i, 1), ms(i * 100)) == Verdict.TAKEN ? 1 : 0;
     }
-    assertEquals(20, taken);
-    assertEquals(80, words.count(Verdict.TOO_SOON));
+    assertEquals(20, accepted);
+    assertEquals(80, reports.count(Verdict.TOO_SOON));
   }
 
   @Test
-  void itsBoundsHold() {
-    PeerReports words = new PeerReports(SELF, 3, 2, APART, AGE);
+  void enforcesItsLimits() {
+    PeerReports reports = new PeerReports(SELF, 3, 2, MIN_INTERVAL, LIFETIME);
     for (int i = 0; i < 3; i++) {
-      assertEquals(Verdict.TAKEN, words.accept(word(i, 1, 1), ms(i)));
+      assertEquals(Verdict.TAKEN, reports.accept(report(i, 1, 1), ms(i)));
     }
-    assertEquals(Verdict.NO_ROOM, words.accept(word(3, 1, 1), ms(100)));
+    assertEquals(Verdict.NO_ROOM, reports.accept(report(3, 1, 1), ms(100)));
     Map<Long, BoxObservation> many =
         Map.of(
             1L,
@@ -114,30 +121,37 @@
             3L,
             new BoxObservation(1, 0));
     assertEquals(
-        Verdict.TOO_LARGE, words.accept(new PeerReport(new PeerId(1), 1, 2, 0, 0, many), ms(1000)));
+        Verdict.TOO_LARGE,
+        reports.accept(new PeerReport(new PeerId(1), 1, 2, 0, 0, many), ms(1000)));
     assertEquals(
-        Verdict.TAKEN, words.accept(word(0, 1, 2), ms(4000)), "now 1 is the one heard longest ago");
-    assertEquals(Verdict.TAKEN, words.accept(word(3, 1, 1), ms(5002)));
-    assertEquals(Verdict.OLD_NUMBER, words.accept(word(0, 1, 2), ms(5002)));
+        Verdict.TAKEN,
+        reports.accept(report(0, 1, 2), ms(4000)),
+        "now 1 is the one heard longest ago");
+    assertEquals(Verdict.TAKEN, reports.accept(report(3, 1, 1), ms(5002)));
+    assertEquals(Verdict.OLD_NUMBER, reports.accept(report(0, 1, 2), ms(5002)));
     assertTrue(
-        words.current(ms(5003)).stream().noneMatch(each -> each.report().author().number() == 1));
+        reports.current(ms(5003)).stream().noneMatch(each -> each.report().author().number() == 1));
   }
 
   @Test
-  void whoLeavesIsForgottenAtOnceAndComesBackWithANewLifeAlone() {
-    PeerReports words = new PeerReports(SELF, 10, 4, APART, AGE);
-    words.accept(word(1, 100, 5), ms(0));
-    words.peerLeft(new PeerId(1), 100, ms(600));
-    assertEquals(List.of(), words.current(ms(600)));
+  void aPeerThatLeftReturnsOnlyWithANewIncarnation() {
+    PeerReports reports = new PeerReports(SELF, 10, 4, MIN_INTERVAL, LIFETIME);
+    reports.accept(report(1, 100, 5), ms(0));
+    reports.peerLeft(new PeerId(1), 100, ms(600));
+    assertEquals(List.of(), reports.current(ms(600)));
     assertEquals(
-        Verdict.OLD_NUMBER, words.accept(word(1, 100, 6), ms(1200)), "a word that was on its way");
-    assertEquals(Verdict.TAKEN, words.accept(word(1, 101, 1), ms(1200)));
+        Verdict.OLD_NUMBER,
+        reports.accept(report(1, 100, 6), ms(1200)),
+        "a word that was on its way");
+    assertEquals(Verdict.TAKEN, reports.accept(report(1, 101, 1), ms(1200)));
   }
 
   @Test
-  void refusesWhatCannotBe() {
-    assertThrows(IllegalArgumentException.class, () -> new PeerReports(SELF, 0, 1, APART, AGE));
-    assertThrows(IllegalArgumentException.class, () -> new PeerReports(SELF, 1, 1, AGE, APART));
+  void rejectsInvalidArguments() {
+    assertThrows(
+        IllegalArgumentException.class, () -> new PeerReports(SELF, 0, 1, MIN_INTERVAL, LIFETIME));
+    assertThrows(
+        IllegalArgumentException.class, () -> new PeerReports(SELF, 1, 1, LIFETIME, MIN_INTERVAL));
     assertThrows(IllegalArgumentException.class, () -> new BoxObservation(Double.NaN, 0));
     assertThrows(IllegalArgumentException.class, () -> new PeerReport(SELF, 1, 1, 0, -1, Map.of()));
   }
--- a/peers/src/test/java/gingerring/peers/PeersLayoutTest.java
+++ b/peers/src/test/java/gingerring/peers/PeersLayoutTest.java
@@ -12,7 +12,7 @@
    * modules.
    */
   @Test
-  void standsOnNothingButPlainData() {
+  void dependsOnlyOnPlainData() {
     JavaClasses classes =
         new ClassFileImporter()
             .withImportOption(new ImportOption.DoNotIncludeTests())
--- a/peers/src/test/java/gingerring/peers/ReplayFilterTest.java
+++ b/peers/src/test/java/gingerring/peers/ReplayFilterTest.java
@@ -16,38 +16,40 @@
 
   /** Against a plain set of all that ever came. */
   @Property(tries = 300, seed = "51")
-  void takesEachNumberOnceWithinItsWindow(@ForAll long seed) {
-    SplittableRandom chance = new SplittableRandom(seed);
-    ReplayFilter numbers = new ReplayFilter(4);
-    Set<Long> come = new HashSet<>();
+  void acceptsEachNumberOnceWithinTheWindow(@ForAll long seed) {
+    SplittableRandom random = new SplittableRandom(seed);
+    ReplayFilter filter = new ReplayFilter(4);
+    Set<Long> received = new HashSet<>();
     long highest = Long.MIN_VALUE;
-    long life = 5;
-    long next = chance.nextInt(100);
+    long incarnation = 5;
+    long next = random.nextInt(100);
     for (int i = 0; i < 300; i++) {
-      if (chance.nextInt(60) == 0) {
-        life++;
-        come.clear();
+      if (random.nextInt(60) == 0) {
+        incarnation++;
+        received.clear();
         highest = Long.MIN_VALUE;
-        next = chance.nextInt(1000);
+        next = random.nextInt(1000);
       }
-      next += chance.nextInt(3);
-      long number = next - chance.nextInt(80) + (chance.nextInt(20) == 0 ? 100 : 0);
+      next += random.nextInt(3);
+      long number = next - random.nextInt(80) + (random.nextInt(20) == 0 ? 100 : 0);
       boolean expected =
-          highest == Long.MIN_VALUE || number > highest - 64 && !come.contains(number);
+          highest == Long.MIN_VALUE || number > highest - 64 && !received.contains(number);
       assertEquals(
-          expected, numbers.accept(AUTHOR, life, number), "number " + number + " after " + highest);
-      assertFalse(numbers.accept(AUTHOR, life - 1, number + 1000), "an earlier life");
-      come.add(number);
+          expected,
+          filter.accept(AUTHOR, incarnation, number),
+          "number " + number + " after " + highest);
+      assertFalse(filter.accept(AUTHOR, incarnation - 1, number + 1000), "an earlier life");
+      received.add(number);
       highest = Math.max(highest, number);
     }
   }
 
   @Test
-  void keepsSoManyAuthors() {
-    ReplayFilter numbers = new ReplayFilter(3);
+  void limitsTheNumberOfAuthors() {
+    ReplayFilter filter = new ReplayFilter(3);
     for (int i = 0; i < 100; i++) {
-      assertTrue(numbers.accept(new PeerId(i), 1, 1));
+      assertTrue(filter.accept(new PeerId(i), 1, 1));
     }
-    assertEquals(3, numbers.size());
+    assertEquals(3, filter.size());
   }
 }
--- a/share/src/test/java/gingerring/share/FairSharesTest.java
+++ b/share/src/test/java/gingerring/share/FairSharesTest.java
@@ -13,9 +13,9 @@
 
 class FairSharesTest {
   /** The plain model pours the room out in small cups, by weight, to whoever still wants some. */
-  private static double[] poured(double room, double[] demands, double[] weights) {
+  private static double[] referenceShares(double capacity, double[] demands, double[] weights) {
     double[] shares = new double[demands.length];
-    for (int cup = 0; cup < 40_000; cup++) {
+    for (int increment = 0; increment < 40_000; increment++) {
       double weight = 0;
       for (int i = 0; i < demands.length; i++) {
         weight += shares[i] < demands[i] ? weights[i] : 0;
@@ -23,7 +23,7 @@
       for (int i = 0; i < demands.length && weight > 0; i++) {
         shares[i] =
             shares[i] < demands[i]
-                ? Math.min(demands[i], shares[i] + room / 40_000 * weights[i] / weight)
+                ? Math.min(demands[i], shares[i] + capacity / 40_000 * weights[i] / weight)
                 : shares[i];
       }
     }
@@ -31,31 +31,31 @@
   }
 
   @Property(tries = 60, seed = "27")
-  void sharesAsIfItWerePoured(@ForAll long seed) {
-    SplittableRandom chance = new SplittableRandom(seed);
-    int count = 1 + chance.nextInt(12);
-    double[] demands = chance.doubles(count, 0, 10).map(d -> d < 2 ? 0 : d).toArray();
-    double[] weights = chance.doubles(count, 0.5, 4).toArray();
-    double room = chance.nextDouble(0.1, 60);
-    double[] shares = FairShares.allocate(room, demands, weights);
-    double[] poured = poured(room, demands, weights);
+  void matchesTheReferenceModel(@ForAll long seed) {
+    SplittableRandom random = new SplittableRandom(seed);
+    int count = 1 + random.nextInt(12);
+    double[] demands = random.doubles(count, 0, 10).map(d -> d < 2 ? 0 : d).toArray();
+    double[] weights = random.doubles(count, 0.5, 4).toArray();
+    double capacity = random.nextDouble(0.1, 60);
+    double[] shares = FairShares.allocate(capacity, demands, weights);
+    double[] expected = referenceShares(capacity, demands, weights);
     // a cup that is poured past a demand is lost to the model: some cups for each that is full
-    assertArrayEquals(poured, shares, room * (count + 2) / 2_000.0);
+    assertArrayEquals(expected, shares, capacity * (count + 2) / 2_000.0);
     double sum = Arrays.stream(shares).sum();
-    assertEquals(Math.min(room, Arrays.stream(demands).sum()), sum, 1e-9 * (1 + room));
+    assertEquals(Math.min(capacity, Arrays.stream(demands).sum()), sum, 1e-9 * (1 + capacity));
     for (int i = 0; i < count; i++) {
       assertTrue(shares[i] <= demands[i]);
       for (int j = 0; j < count; j++) {
-        boolean shortShare = shares[i] < demands[i] - 1e-9;
+        boolean unsatisfied = shares[i] < demands[i] - 1e-9;
         assertTrue(
-            !shortShare || shares[j] / weights[j] <= shares[i] / weights[i] + 1e-9,
+            !unsatisfied || shares[j] / weights[j] <= shares[i] / weights[i] + 1e-9,
             "who is short has the most");
       }
     }
   }
 
   @Test
-  void whoHasNoWeightGetsWhatNobodyWants() {
+  void zeroWeightGetsOnlyTheRemainder() {
     assertArrayEquals(
         new double[] {3, 2},
         FairShares.allocate(5, new double[] {3, 9}, new double[] {1, 0}),
@@ -68,7 +68,7 @@
   }
 
   @Test
-  void refusesWhatIsNoMeasure() {
+  void rejectsInvalidArguments() {
     assertThrows(
         IllegalArgumentException.class,
         () -> FairShares.allocate(-1, new double[0], new double[0]));
--- a/share/src/test/java/gingerring/share/PreferredBoxesTest.java
+++ b/share/src/test/java/gingerring/share/PreferredBoxesTest.java
@@ -23,62 +23,62 @@
 
   /** Whatever fails and comes back, each folio keeps as many preferred holders as it can. */
   @Property(tries = 60, seed = "71")
-  void eachFolioKeepsItsHoldersWhileSomeAreTrusted(@ForAll long seed) {
-    SplittableRandom chance = new SplittableRandom(seed);
-    PreferredBoxes preference = new PreferredBoxes(new MixerId(chance.nextLong()), 2, 12, 4);
-    assertTrue(preference.prefers(new BoxId(1000)), "before any list");
-    preference.update(ring(12));
-    Set<BoxId> out = new HashSet<>();
+  void eachPartitionKeepsPreferredHoldersWhileSomeAreIncluded(@ForAll long seed) {
+    SplittableRandom random = new SplittableRandom(seed);
+    PreferredBoxes preferredBoxes = new PreferredBoxes(new MixerId(random.nextLong()), 2, 12, 4);
+    assertTrue(preferredBoxes.prefers(new BoxId(1000)), "before any list");
+    preferredBoxes.update(ring(12));
+    Set<BoxId> excluded = new HashSet<>();
     for (int step = 0; step < 40; step++) {
-      BoxId box = new BoxId(1000 + chance.nextInt(12));
-      if (chance.nextBoolean()) {
-        out.add(box);
-        preference.exclude(box);
+      BoxId box = new BoxId(1000 + random.nextInt(12));
+      if (random.nextBoolean()) {
+        excluded.add(box);
+        preferredBoxes.exclude(box);
       } else {
-        out.remove(box);
-        preference.include(box);
+        excluded.remove(box);
+        preferredBoxes.include(box);
       }
-      for (int folio = 0; folio < 12; folio++) {
-        int sound = 0;
+      for (int partition = 0; partition < 12; partition++) {
+        int included = 0;
         int preferred = 0;
         for (int j = 0; j < 4; j++) {
-          BoxId holder = new BoxId(1000 + (folio + j) % 12);
-          sound += out.contains(holder) ? 0 : 1;
-          preferred += !out.contains(holder) && preference.prefers(holder) ? 1 : 0;
+          BoxId holder = new BoxId(1000 + (partition + j) % 12);
+          included += excluded.contains(holder) ? 0 : 1;
+          preferred += !excluded.contains(holder) && preferredBoxes.prefers(holder) ? 1 : 0;
         }
         assertTrue(
-            preferred >= Math.min(2, sound),
-            "folio " + folio + " has " + preferred + " of " + sound);
+            preferred >= Math.min(2, included),
+            "folio " + partition + " has " + preferred + " of " + included);
       }
     }
   }
 
   @Test
-  void aBoxThatIsBackBringsTheOldChoiceBack() {
-    PreferredBoxes preference = new PreferredBoxes(new MixerId(5), 2, 12, 4);
-    preference.update(ring(12));
+  void includingABoxAgainRestoresTheSelection() {
+    PreferredBoxes preferredBoxes = new PreferredBoxes(new MixerId(5), 2, 12, 4);
+    preferredBoxes.update(ring(12));
     List<Boolean> before =
-        ring(12).stream().map(each -> preference.prefers(each.box().id())).toList();
+        ring(12).stream().map(each -> preferredBoxes.prefers(each.box().id())).toList();
     BoxId first =
         ring(12).stream()
             .map(each -> each.box().id())
-            .filter(preference::prefers)
+            .filter(preferredBoxes::prefers)
             .findFirst()
             .orElseThrow();
-    preference.exclude(first);
-    assertTrue(!preference.prefers(first));
-    preference.include(first);
+    preferredBoxes.exclude(first);
+    assertTrue(!preferredBoxes.prefers(first));
+    preferredBoxes.include(first);
     assertEquals(
-        before, ring(12).stream().map(each -> preference.prefers(each.box().id())).toList());
-    assertTrue(preference.size() < 12);
+        before, ring(12).stream().map(each -> preferredBoxes.prefers(each.box().id())).toList());
+    assertTrue(preferredBoxes.size() < 12);
   }
 
   @Test
-  void withNothingTrustedAllArePreferred() {
-    PreferredBoxes preference = new PreferredBoxes(new MixerId(5), 1, 3, 1);
-    preference.update(ring(3));
-    ring(3).forEach(each -> preference.exclude(each.box().id()));
-    assertTrue(ring(3).stream().allMatch(each -> preference.prefers(each.box().id())));
-    assertEquals(-1, preference.size());
+  void allArePreferredWhenAllAreExcluded() {
+    PreferredBoxes preferredBoxes = new PreferredBoxes(new MixerId(5), 1, 3, 1);
+    preferredBoxes.update(ring(3));
+    ring(3).forEach(each -> preferredBoxes.exclude(each.box().id()));
+    assertTrue(ring(3).stream().allMatch(each -> preferredBoxes.prefers(each.box().id())));
+    assertEquals(-1, preferredBoxes.size());
   }
 }
--- a/share/src/test/java/gingerring/share/ShareLayoutTest.java
+++ b/share/src/test/java/gingerring/share/ShareLayoutTest.java
@@ -12,7 +12,7 @@
    * modules.
    */
   @Test
-  void standsOnNothingButPlainData() {
+  void dependsOnlyOnPlainData() {
     JavaClasses classes =
         new ClassFileImporter()
             .withImportOption(new ImportOption.DoNotIncludeTests())
--- a/share/src/test/java/gingerring/share/SubsetSelectorTest.java
+++ b/share/src/test/java/gingerring/share/SubsetSelectorTest.java
@@ -26,63 +26,70 @@
     return boxes;
   }
 
-  private static List<List<BoxId>> folios(List<Box> ring, int copies) {
-    List<List<BoxId>> folios = new ArrayList<>();
+  private static List<List<BoxId>> partitions(List<Box> ring, int copies) {
+    List<List<BoxId>> partitions = new ArrayList<>();
     for (int i = 0; i < ring.size(); i++) {
       List<BoxId> holders = new ArrayList<>();
       for (int j = 0; j < Math.min(copies, ring.size()); j++) {
         holders.add(ring.get((i + j) % ring.size()).id());
       }
-      folios.add(holders);
+      partitions.add(holders);
     }
-    return folios;
+    return partitions;
   }
 
   /** By plain counting: each folio has what it is to have, and no preferred box could be spared. */
   @Property(tries = 300, seed = "26")
-  void coversEachFolioAndNoMore(
+  void coversEachPartitionWithNoRedundantBox(
       @ForAll long seed,
       @ForAll @IntRange(min = 1, max = 40) int size,
       @ForAll @IntRange(min = 1, max = 6) int copies,
-      @ForAll @IntRange(min = 1, max = 4) int keep,
+      @ForAll @IntRange(min = 1, max = 4) int holdersPerPartition,
       @ForAll @IntRange(min = 1, max = 3) int zones) {
-    SplittableRandom chance = new SplittableRandom(seed);
+    SplittableRandom random = new SplittableRandom(seed);
     List<Box> all = ring(size, zones);
-    List<List<BoxId>> folios = folios(all, copies);
-    List<Box> trusted = all.stream().filter(box -> chance.nextInt(5) > 0).toList();
-    Set<BoxId> chosen = new SubsetSelector(trusted, folios, keep).select(new MixerId(seed));
-    assertTrue(plainlyCovered(trusted, folios, keep, chosen));
-    for (BoxId spare : chosen) {
-      Set<BoxId> fewer = new HashSet<>(chosen);
-      fewer.remove(spare);
-      assertFalse(plainlyCovered(trusted, folios, keep, fewer), () -> spare + " could be spared");
+    List<List<BoxId>> partitions = partitions(all, copies);
+    List<Box> trusted = all.stream().filter(box -> random.nextInt(5) > 0).toList();
+    Set<BoxId> selected =
+        new SubsetSelector(trusted, partitions, holdersPerPartition).select(new MixerId(seed));
+    assertTrue(isCovered(trusted, partitions, holdersPerPartition, selected));
+    for (BoxId candidate : selected) {
+      Set<BoxId> fewer = new HashSet<>(selected);
+      fewer.remove(candidate);
+      assertFalse(
+          isCovered(trusted, partitions, holdersPerPartition, fewer),
+          () -> candidate + " could be spared");
     }
   }
 
-  private static boolean plainlyCovered(
-      List<Box> trusted, List<List<BoxId>> folios, int keep, Set<BoxId> chosen) {
+  private static boolean isCovered(
+      List<Box> trusted,
+      List<List<BoxId>> partitions,
+      int holdersPerPartition,
+      Set<BoxId> selected) {
     Map<BoxId, Integer> zones = new HashMap<>();
     trusted.forEach(box -> zones.put(box.id(), box.zone()));
-    if (!zones.keySet().containsAll(chosen)) {
+    if (!zones.keySet().containsAll(selected)) {
       return false;
     }
-    for (List<BoxId> holders : folios) {
-      Set<Integer> there = new HashSet<>();
-      Set<Integer> had = new HashSet<>();
-      int possible = 0;
+    for (List<BoxId> holders : partitions) {
+      Set<Integer> availableZones = new HashSet<>();
+      Set<Integer> selectedZones = new HashSet<>();
+      int available = 0;
       int count = 0;
       for (BoxId holder : holders) {
         if (zones.containsKey(holder)) {
-          possible++;
-          there.add(zones.get(holder));
-          if (chosen.contains(holder)) {
+          available++;
+          availableZones.add(zones.get(holder));
+          if (selected.contains(holder)) {
             count++;
-            had.add(zones.get(holder));
+            selectedZones.add(zones.get(holder));
           }
         }
       }
-      if (count < Math.min(keep, possible)
-          || had.size() < Math.min(there.size(), Math.min(2, keep))) {
+      if (count < Math.min(holdersPerPartition, available)
+          || selectedZones.size()
+              < Math.min(availableZones.size(), Math.min(2, holdersPerPartition))) {
         return false;
       }
     }
@@ -91,42 +98,44 @@
 
   /** A box that goes moves few others, and one that is not trusted is stood in for. */
   @Test
-  void aBoxThatGoesMovesFew() {
+  void aRemovedBoxChangesFewSelections() {
     List<Box> all = ring(60, 3);
-    List<List<BoxId>> folios = folios(all, 3);
-    int moved = 0;
-    int had = 0;
+    List<List<BoxId>> partitions = partitions(all, 3);
+    int changes = 0;
+    int totalSelected = 0;
     for (int m = 0; m < 200; m++) {
-      Set<BoxId> before = new SubsetSelector(all, folios, 2).select(new MixerId(m));
-      BoxId gone = before.iterator().next();
+      Set<BoxId> before = new SubsetSelector(all, partitions, 2).select(new MixerId(m));
+      BoxId removedBox = before.iterator().next();
       Set<BoxId> after =
-          new SubsetSelector(all.stream().filter(box -> !box.id().equals(gone)).toList(), folios, 2)
+          new SubsetSelector(
+                  all.stream().filter(box -> !box.id().equals(removedBox)).toList(), partitions, 2)
               .select(new MixerId(m));
-      assertFalse(after.contains(gone));
-      Set<BoxId> changed = new HashSet<>(before);
-      changed.removeAll(after);
-      moved += changed.size();
-      Set<BoxId> came = new HashSet<>(after);
-      came.removeAll(before);
-      moved += came.size();
-      had += before.size();
+      assertFalse(after.contains(removedBox));
+      Set<BoxId> removed = new HashSet<>(before);
+      removed.removeAll(after);
+      changes += removed.size();
+      Set<BoxId> added = new HashSet<>(after);
+      added.removeAll(before);
+      changes += added.size();
+      totalSelected += before.size();
     }
-    int all200 = moved;
-    int mean = had / 200;
-    assertTrue(moved / 200.0 <= 6, () -> all200 / 200.0 + " of " + mean + " moved");
+    int totalChanges = changes;
+    int mean = totalSelected / 200;
+    assertTrue(changes / 200.0 <= 6, () -> totalChanges / 200.0 + " of " + mean + " moved");
   }
 
   /** Larger boxes are preferred by more mixers, and boxes alike by as many. */
   @Test
-  void aBoxIsPreferredByItsSize() {
+  void preferenceIsProportionalToBoxSize() {
     List<Box> boxes = new ArrayList<>();
     for (int i = 0; i < 30; i++) {
       boxes.add(new Box(new BoxId(i), 0, i < 15 ? 1 : 2));
     }
-    List<List<BoxId>> one = List.of(boxes.stream().map(Box::id).toList()); // a folio that all hold
+    List<List<BoxId>> partition =
+        List.of(boxes.stream().map(Box::id).toList()); // a folio that all hold
     double[] mixers = new double[30];
     for (int m = 0; m < 9000; m++) {
-      new SubsetSelector(boxes, one, 1)
+      new SubsetSelector(boxes, partition, 1)
           .select(new MixerId(m))
           .forEach(id -> mixers[(int) id.number()]++);
     }
@@ -136,7 +145,7 @@
   }
 
   @Test
-  void refusesWhatCannotBe() {
+  void rejectsInvalidArguments() {
     assertThrows(
         IllegalArgumentException.class, () -> new SubsetSelector(ring(3, 1), List.of(), 0));
     assertThrows(IllegalArgumentException.class, () -> new Box(new BoxId(1), 0, 0));
--- a/share/src/test/java/gingerring/share/TurnOrderTest.java
+++ b/share/src/test/java/gingerring/share/TurnOrderTest.java
@@ -28,16 +28,16 @@
 
   /** Who agree on the members hold one place each; nobody owns a matter for good. */
   @Property(tries = 50, seed = "28")
-  void eachHoldsAPlaceOfItsOwn(@ForAll long matter, @ForAll int round) {
+  void eachMemberHasAUniqueRank(@ForAll long taskId, @ForAll int round) {
     List<MixerId> fleet = fleet(40);
-    Set<Integer> places = new TreeSet<>();
-    fleet.forEach(mixer -> places.add(new TurnOrder(mixer, STEP).rank(matter, round, fleet)));
-    assertEquals(40, places.size());
-    assertEquals(39, ((TreeSet<Integer>) places).last());
+    Set<Integer> ranks = new TreeSet<>();
+    fleet.forEach(mixer -> ranks.add(new TurnOrder(mixer, STEP).rank(taskId, round, fleet)));
+    assertEquals(40, ranks.size());
+    assertEquals(39, ((TreeSet<Integer>) ranks).last());
     Set<MixerId> firsts = new HashSet<>();
     for (long later = round; later < round + 40L; later++) {
       for (MixerId mixer : fleet) {
-        if (new TurnOrder(mixer, STEP).rank(matter, later, fleet) == 0) {
+        if (new TurnOrder(mixer, STEP).rank(taskId, later, fleet) == 0) {
           firsts.add(mixer);
         }
       }
@@ -50,46 +50,46 @@
    * are passed.
    */
   @Property(tries = 200, seed = "29")
-  void itsTwoFailuresAreBounded(@ForAll long seed) {
-    SplittableRandom chance = new SplittableRandom(seed);
+  void boundsDuplicateAndDelayedActions(@ForAll long seed) {
+    SplittableRandom random = new SplittableRandom(seed);
     List<MixerId> fleet = fleet(12);
-    int d = chance.nextInt(5);
-    int first = 0;
+    int difference = random.nextInt(5);
+    int firstRankCount = 0;
     for (MixerId mixer : fleet) {
       List<MixerId> view = new ArrayList<>(fleet);
-      for (int i = 0; i < d; i++) { // each misses some others of the same d, never itself
+      for (int i = 0; i < difference; i++) { // each misses some others of the same d, never itself
         MixerId missed = fleet.get(i);
-        if (chance.nextBoolean() && !missed.equals(mixer)) {
+        if (random.nextBoolean() && !missed.equals(mixer)) {
           view.remove(missed);
         }
       }
-      first += new TurnOrder(mixer, STEP).rank(seed, 1, view) == 0 ? 1 : 0;
+      firstRankCount += new TurnOrder(mixer, STEP).rank(seed, 1, view) == 0 ? 1 : 0;
     }
-    int holders = first;
+    int holders = firstRankCount;
     assertTrue(
-        holders >= 1 && holders <= d + 1,
-        () -> holders + " hold the first place, views differ by " + d);
-    List<MixerId> there = fleet.subList(d, 12);
+        holders >= 1 && holders <= difference + 1,
+        () -> holders + " hold the first place, views differ by " + difference);
+    List<MixerId> present = fleet.subList(difference, 12);
     Duration soonest =
-        there.stream()
+        present.stream()
             .map(mixer -> new TurnOrder(mixer, STEP).delay(seed, 1, fleet))
             .min(Duration::compareTo)
             .orElseThrow();
     assertTrue(
-        soonest.compareTo(STEP.multipliedBy(d)) <= 0,
-        () -> d + " are gone, the next acts after " + soonest);
+        soonest.compareTo(STEP.multipliedBy(difference)) <= 0,
+        () -> difference + " are gone, the next acts after " + soonest);
   }
 
   /** Without talk the rate over the fleet does not grow with it. */
   @Test
-  void spreadsByTheSizeOfTheFleet() {
+  void randomDelaysScaleWithTheFleetSize() {
     for (int size : new int[] {10, 100, 1000, 10_000}) {
       long within = 0;
-      for (long matter = 0; matter < 20; matter++) {
+      for (long taskId = 0; taskId < 20; taskId++) {
         for (MixerId mixer : fleet(size)) {
-          Duration at = new TurnOrder(mixer, STEP).randomDelay(matter, 1, size);
-          assertTrue(at.compareTo(STEP.multipliedBy(size)) <= 0);
-          within += at.compareTo(STEP.multipliedBy(5)) < 0 ? 1 : 0;
+          Duration delay = new TurnOrder(mixer, STEP).randomDelay(taskId, 1, size);
+          assertTrue(delay.compareTo(STEP.multipliedBy(size)) <= 0);
+          within += delay.compareTo(STEP.multipliedBy(5)) < 0 ? 1 : 0;
         }
       }
       long seen = within;
@@ -98,7 +98,7 @@
   }
 
   @Test
-  void refusesAStepOfNothing() {
+  void rejectsAZeroStep() {
     assertThrows(
         IllegalArgumentException.class, () -> new TurnOrder(new MixerId(1), Duration.ZERO));
   }
--- a/share/src/test/java/gingerring/share/TurnScheduleTest.java
+++ b/share/src/test/java/gingerring/share/TurnScheduleTest.java
@@ -17,8 +17,8 @@
 
 class TurnScheduleTest {
   private static final Duration STEP = Duration.ofMillis(100);
-  private static final Duration EVERY = Duration.ofMillis(400);
-  private static final long MATTER = 11;
+  private static final Duration ROUND_PERIOD = Duration.ofMillis(400);
+  private static final long TASK_ID = 11;
 
   private static List<MixerId> members(int count) {
     List<MixerId> members = new ArrayList<>();
@@ -28,8 +28,8 @@
     return members;
   }
 
-  private static TurnSchedule rota(int mixer) {
-    return new TurnSchedule(new MixerId(mixer + 1), MATTER, EVERY, STEP);
+  private static TurnSchedule schedule(int mixer) {
+    return new TurnSchedule(new MixerId(mixer + 1), TASK_ID, ROUND_PERIOD, STEP);
   }
 
   /**
@@ -39,54 +39,55 @@
    */
   private static final class World {
     static final int TICKS = 15;
-    static final int STOP = 5;
+    static final int PAUSE_TICKS = 5;
     final Set<String> seen = new HashSet<>();
-    final Set<String> wrong = new HashSet<>();
+    final Set<String> violations = new HashSet<>();
 
     /** Whether a mixer listens at all: false is a fault planted on purpose. */
-    final boolean listens;
+    final boolean receivesClaims;
 
-    World(boolean listens) {
-      this.listens = listens;
+    World(boolean receivesClaims) {
+      this.receivesClaims = receivesClaims;
     }
 
     /** What is the same from here on, whatever came before. */
     record State(
         int tick,
-        List<Long> done,
-        List<Integer> stoppedUntil,
-        List<long[]> words,
-        int losses,
-        int stops,
-        int restarts,
-        int acts,
-        int excuses,
-        int quiet) {
+        List<Long> lastDoneRounds,
+        List<Integer> pausedUntil,
+        List<long[]> claims,
+        int lossesLeft,
+        int pausesLeft,
+        int restartsLeft,
+        int actions,
+        int faults,
+        int idleTicks) {
       String key() {
         StringBuilder key = new StringBuilder();
         key.append(tick)
-            .append(done)
-            .append(stoppedUntil)
-            .append(losses)
-            .append(stops)
-            .append(restarts)
+            .append(lastDoneRounds)
+            .append(pausedUntil)
+            .append(lossesLeft)
+            .append(pausesLeft)
+            .append(restartsLeft)
             .append(' ')
-            .append(acts)
+            .append(actions)
             .append(' ')
-            .append(excuses)
+            .append(faults)
             .append(' ')
-            .append(quiet);
-        words.stream().map(Arrays::toString).sorted().forEach(key::append);
+            .append(idleTicks);
+        claims.stream().map(Arrays::toString).sorted().forEach(key::append);
         return key.toString();
       }
     }
 
-    static TurnSchedule at(int mixer, long done, List<MixerId> members) {
-      TurnSchedule rota = rota(mixer);
-      if (done >= 0) {
-        rota.claimRound(EVERY.multipliedBy(done)); // the same state, reached by itself
+    static TurnSchedule scheduleAfter(int mixer, long lastDoneRound, List<MixerId> members) {
+      TurnSchedule schedule = schedule(mixer);
+      if (lastDoneRound >= 0) {
+        schedule.claimRound(
+            ROUND_PERIOD.multipliedBy(lastDoneRound)); // the same state, reached by itself
       }
-      return rota;
+      return schedule;
     }
 
     void explore() {
@@ -97,32 +98,34 @@
       if (state.tick == TICKS || !seen.add(state.key())) {
         return;
       }
-      for (int stop = -1; stop < (state.stops > 0 ? 3 : 0); stop++) {
-        for (int restart = -1; restart < (state.restarts > 0 ? 3 : 0); restart++) {
-          if (stop >= 0 && stop == restart) {
+      for (int pausedMixer = -1; pausedMixer < (state.pausesLeft > 0 ? 3 : 0); pausedMixer++) {
+        for (int restartedMixer = -1;
+            restartedMixer < (state.restartsLeft > 0 ? 3 : 0);
+            restartedMixer++) {
+          if (pausedMixer >= 0 && pausedMixer == restartedMixer) {
             continue;
           }
-          List<Integer> stopped = new ArrayList<>(state.stoppedUntil);
-          List<Long> done = new ArrayList<>(state.done);
-          if (stop >= 0) {
-            stopped.set(stop, state.tick + STOP);
+          List<Integer> pausedUntil = new ArrayList<>(state.pausedUntil);
+          List<Long> lastDoneRounds = new ArrayList<>(state.lastDoneRounds);
+          if (pausedMixer >= 0) {
+            pausedUntil.set(pausedMixer, state.tick + PAUSE_TICKS);
           }
-          if (restart >= 0) {
-            done.set(restart, -1L);
+          if (restartedMixer >= 0) {
+            lastDoneRounds.set(restartedMixer, -1L);
           }
-          int excuse = (stop >= 0 ? 1 : 0) + (restart >= 0 ? 1 : 0);
+          int newFaults = (pausedMixer >= 0 ? 1 : 0) + (restartedMixer >= 0 ? 1 : 0);
           deliver(
               new State(
                   state.tick,
-                  done,
-                  stopped,
-                  state.words,
-                  state.losses,
-                  state.stops - (stop >= 0 ? 1 : 0),
-                  state.restarts - (restart >= 0 ? 1 : 0),
-                  state.acts,
-                  state.excuses + excuse,
-                  state.quiet),
+                  lastDoneRounds,
+                  pausedUntil,
+                  state.claims,
+                  state.lossesLeft,
+                  state.pausesLeft - (pausedMixer >= 0 ? 1 : 0),
+                  state.restartsLeft - (restartedMixer >= 0 ? 1 : 0),
+                  state.actions,
+                  state.faults + newFaults,
+                  state.idleTicks),
               0);
         }
       }
@@ -132,181 +135,182 @@
      * Words on their way: those from the last tick arrive now or are lost; the stopped hear later.
      */
     private void deliver(State state, int from) {
-      if (from == state.words.size()) {
+      if (from == state.claims.size()) {
         act(state);
         return;
       }
-      long[] word = state.words.get(from);
-      int to = (int) word[1];
-      boolean stopped = state.stoppedUntil.get(to) > state.tick;
-      if (stopped) {
+      long[] claim = state.claims.get(from);
+      int to = (int) claim[1];
+      boolean paused = state.pausedUntil.get(to) > state.tick;
+      if (paused) {
         deliver(state, from + 1); // it waits in the socket
         return;
       }
-      List<long[]> fewer = new ArrayList<>(state.words);
-      fewer.remove(from);
-      List<Long> done = new ArrayList<>(state.done);
-      TurnSchedule rota = at(to, state.done.get(to), members(3));
-      if (listens
-          && rota.receiveClaim(
-              new MixerId(word[0] + 1), word[2], members(3), STEP.multipliedBy(state.tick))) {
-        done.set(to, word[2]);
+      List<long[]> remainingClaims = new ArrayList<>(state.claims);
+      remainingClaims.remove(from);
+      List<Long> lastDoneRounds = new ArrayList<>(state.lastDoneRounds);
+      TurnSchedule schedule = scheduleAfter(to, state.lastDoneRounds.get(to), members(3));
+      if (receivesClaims
+          && schedule.receiveClaim(
+              new MixerId(claim[0] + 1), claim[2], members(3), STEP.multipliedBy(state.tick))) {
+        lastDoneRounds.set(to, claim[2]);
       }
       deliver(
           new State(
               state.tick,
-              done,
-              state.stoppedUntil,
-              fewer,
-              state.losses,
-              state.stops,
-              state.restarts,
-              state.acts,
-              state.excuses,
-              state.quiet),
+              lastDoneRounds,
+              state.pausedUntil,
+              remainingClaims,
+              state.lossesLeft,
+              state.pausesLeft,
+              state.restartsLeft,
+              state.actions,
+              state.faults,
+              state.idleTicks),
           from);
-      if (state.losses > 0) {
+      if (state.lossesLeft > 0) {
         deliver(
             new State(
                 state.tick,
-                state.done,
-                state.stoppedUntil,
-                fewer,
-                state.losses - 1,
-                state.stops,
-                state.restarts,
-                state.acts,
-                state.excuses + 1,
-                state.quiet),
+                state.lastDoneRounds,
+                state.pausedUntil,
+                remainingClaims,
+                state.lossesLeft - 1,
+                state.pausesLeft,
+                state.restartsLeft,
+                state.actions,
+                state.faults + 1,
+                state.idleTicks),
             from);
         deliver(
             new State(
                 state.tick,
-                state.done,
-                state.stoppedUntil,
-                state.words,
-                state.losses - 1,
-                state.stops,
-                state.restarts,
-                state.acts,
-                state.excuses + 1,
-                state.quiet),
+                state.lastDoneRounds,
+                state.pausedUntil,
+                state.claims,
+                state.lossesLeft - 1,
+                state.pausesLeft,
+                state.restartsLeft,
+                state.actions,
+                state.faults + 1,
+                state.idleTicks),
             from + 1);
       }
     }
 
     private void act(State state) {
       Duration now = STEP.multipliedBy(state.tick);
-      List<Long> done = new ArrayList<>(state.done);
-      List<long[]> words = new ArrayList<>(state.words);
-      int acts = state.tick % 4 == 0 ? 0 : state.acts; // counted by round
-      int excuses = state.tick % 4 == 0 && state.tick > 0 ? carried(state) : state.excuses;
-      int acted = 0;
+      List<Long> lastDoneRounds = new ArrayList<>(state.lastDoneRounds);
+      List<long[]> claims = new ArrayList<>(state.claims);
+      int actions = state.tick % 4 == 0 ? 0 : state.actions; // counted by round
+      int faults = state.tick % 4 == 0 && state.tick > 0 ? possibleFaults(state) : state.faults;
+      int newActions = 0;
       for (int m = 0; m < 3; m++) {
-        TurnSchedule rota = at(m, state.done.get(m), members(3));
-        if (state.stoppedUntil.get(m) <= state.tick
-            && rota.nextTurn(members(3), now).compareTo(now) <= 0) {
-          long round = rota.claimRound(now);
-          done.set(m, round);
-          acted++;
+        TurnSchedule schedule = scheduleAfter(m, state.lastDoneRounds.get(m), members(3));
+        if (state.pausedUntil.get(m) <= state.tick
+            && schedule.nextTurn(members(3), now).compareTo(now) <= 0) {
+          long round = schedule.claimRound(now);
+          lastDoneRounds.set(m, round);
+          newActions++;
           for (int to = 0; to < 3; to++) {
             if (to != m) {
-              words.add(new long[] {m, to, round});
+              claims.add(new long[] {m, to, round});
             }
           }
         }
       }
-      acts += acted;
-      int quiet = acted > 0 ? 0 : state.quiet + 1;
-      if (acts > 1 + excuses) {
-        wrong.add(
-            acts + " act in the round of tick " + state.tick + " with " + excuses + " excuses");
+      actions += newActions;
+      int idleTicks = newActions > 0 ? 0 : state.idleTicks + 1;
+      if (actions > 1 + faults) {
+        violations.add(
+            actions + " act in the round of tick " + state.tick + " with " + faults + " excuses");
       }
-      if (quiet > 4 + 3) { // a whole round, and a step for each who may be missing
-        wrong.add("nobody acts for " + quiet + " ticks");
+      if (idleTicks > 4 + 3) { // a whole round, and a step for each who may be missing
+        violations.add("nobody acts for " + idleTicks + " ticks");
       }
       tick(
           new State(
               state.tick + 1,
-              done,
-              state.stoppedUntil,
-              words,
-              state.losses,
-              state.stops,
-              state.restarts,
-              acts,
-              excuses,
-              quiet));
+              lastDoneRounds,
+              state.pausedUntil,
+              claims,
+              state.lossesLeft,
+              state.pausesLeft,
+              state.restartsLeft,
+              actions,
+              faults,
+              idleTicks));
     }
 
     /**
      * A stop, a loss or a new start of a round before may still show in the next, as a stop lasts
      * five ticks.
      */
-    private static int carried(State state) {
-      return 4 - state.losses - state.stops - state.restarts;
+    private static int possibleFaults(State state) {
+      return 4 - state.lossesLeft - state.pausesLeft - state.restartsLeft;
     }
   }
 
   @Test
-  void everyOrderOfASmallWorldKeepsItsTwoBounds() {
+  void everyEventOrderKeepsBothBounds() {
     World world = new World(true);
     world.explore();
-    assertEquals(Set.of(), world.wrong);
+    assertEquals(Set.of(), world.violations);
     assertTrue(world.seen.size() > 10_000, () -> world.seen.size() + " states");
-    World deaf = new World(false);
-    deaf.explore();
-    assertFalse(deaf.wrong.isEmpty(), "a fault planted on purpose is found");
+    World unreachable = new World(false);
+    unreachable.explore();
+    assertFalse(unreachable.violations.isEmpty(), "a fault planted on purpose is found");
   }
 
   /** A mixer that claims every round at once holds up its own turns alone. */
   @Property(tries = 30, seed = "32")
-  void whoClaimsFalselyHoldsUpItsOwnTurnsAlone(@ForAll int start) {
+  void falseClaimsDelayOnlyTheClaimantsRounds(@ForAll int start) {
     List<MixerId> members = members(8);
-    TurnSchedule honest = rota(0);
-    int heldUp = 0;
+    TurnSchedule honest = schedule(0);
+    int delayedRounds = 0;
     for (long round = start; round < start + 200L; round++) {
-      Duration begun = EVERY.multipliedBy(round);
-      boolean believed = false;
+      Duration roundStart = ROUND_PERIOD.multipliedBy(round);
+      boolean accepted = false;
       for (int liar = 5; liar < 8; liar++) { // three together
-        believed |= honest.receiveClaim(members.get(liar), round, members, begun);
+        accepted |= honest.receiveClaim(members.get(liar), round, members, roundStart);
       }
-      boolean theirs = false;
+      boolean liarsTurn = false;
       for (int liar = 5; liar < 8; liar++) {
         // give or take a step
-        theirs |= new TurnOrder(members.get(liar), STEP).rank(MATTER, round, members) <= 1;
+        liarsTurn |= new TurnOrder(members.get(liar), STEP).rank(TASK_ID, round, members) <= 1;
       }
-      assertTrue(!believed || theirs);
-      heldUp += believed ? 1 : 0;
+      assertTrue(!accepted || liarsTurn);
+      delayedRounds += accepted ? 1 : 0;
     }
     assertTrue(
-        honest.rejectedClaims() > 200 && heldUp < 160,
+        honest.rejectedClaims() > 200 && delayedRounds < 160,
         () -> "disbelieved " + honest.rejectedClaims());
     assertFalse(
         honest.receiveClaim(
-            new MixerId(77), start + 200L, members, EVERY.multipliedBy(start + 200L)),
+            new MixerId(77), start + 200L, members, ROUND_PERIOD.multipliedBy(start + 200L)),
         "a stranger");
     assertFalse(
         honest.receiveClaim(
-            members.get(5), Long.MAX_VALUE, members, EVERY.multipliedBy(start + 200L)));
+            members.get(5), Long.MAX_VALUE, members, ROUND_PERIOD.multipliedBy(start + 200L)));
   }
 
   /** Guards against one that wakes after a stop and does what others have long done. */
   @Test
-  void whoWakesKnowsTheRoundByTheClock() {
+  void aResumedMixerKnowsTheRoundByTheClock() {
     List<MixerId> members = members(3);
-    TurnSchedule rota = rota(0);
-    rota.claimRound(Duration.ZERO);
-    Duration woken = EVERY.multipliedBy(25).plus(STEP);
-    Duration due = rota.nextTurn(members, woken);
-    assertEquals(25, rota.roundAt(due), "no round is made up for");
-    rota.claimRound(due);
-    assertTrue(rota.roundAt(rota.nextTurn(members, due)) > 25);
+    TurnSchedule schedule = schedule(0);
+    schedule.claimRound(Duration.ZERO);
+    Duration resumedAt = ROUND_PERIOD.multipliedBy(25).plus(STEP);
+    Duration nextTurn = schedule.nextTurn(members, resumedAt);
+    assertEquals(25, schedule.roundAt(nextTurn), "no round is made up for");
+    schedule.claimRound(nextTurn);
+    assertTrue(schedule.roundAt(schedule.nextTurn(members, nextTurn)) > 25);
   }
 
   @Test
-  void refusesARoundShorterThanAStep() {
+  void rejectsARoundShorterThanAStep() {
     assertThrows(
-        IllegalArgumentException.class, () -> new TurnSchedule(new MixerId(1), 1, STEP, EVERY));
+        IllegalArgumentException.class,
+        () -> new TurnSchedule(new MixerId(1), 1, STEP, ROUND_PERIOD));
   }
 }
