--- a/peering/src/test/java/gingerring/peering/PeerSettingsTest.java
+++ b/peering/src/test/java/gingerring/peering/PeerSettingsTest.java
@@ -41,7 +41,7 @@
         PeerNode.Settings.defaults().reportLifetime(), settings.nodeSettings().reportLifetime());
   }
 
-  /** All that is wrong is said at once, each with its place. */
+  /** All errors are reported at once, each with the name of its setting. */
   @Test
   void reportsAllErrorsAtOnce() throws IOException {
     Path file =
--- a/peering/src/test/java/gingerring/peering/PeeringTest.java
+++ b/peering/src/test/java/gingerring/peering/PeeringTest.java
@@ -29,14 +29,14 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Peers over real sockets, several in one process, each on a loop of its own. */
+/** Runs peers over real sockets, several in one process, each on a loop of its own. */
 class PeeringTest {
   private static final List<byte[]> KEYS = List.of("a key of this fleet".getBytes());
   private static final long BOX = 42;
 
   private final List<Member> members = new ArrayList<>();
 
-  /** A mixer's loop, as far as peers need it. */
+  /** The part of a mixer's loop that peers need. */
   private final class Member implements PeerService.Context {
     final ScheduledExecutorService loop = Executors.newSingleThreadScheduledExecutor();
     final long start = System.nanoTime();
@@ -195,7 +195,7 @@
                 .allMatch(
                     each ->
                         each.query('p').contains((count - 1) + " of " + (count - 1) + " there")),
-        "all know all");
+        "every mixer knows all others");
   }
 
   @Test
@@ -204,13 +204,13 @@
     members.remove(3).stop();
     waitUntil(
         () -> members.stream().allMatch(each -> each.query('p').contains("2 of 3 there")),
-        "the fourth is gone");
+        "the fourth mixer is gone");
     Member restarted = new Member("m3", KEYS, members.get(1));
     waitUntil(
         () -> members.stream().allMatch(each -> each.query('p').contains("3 of 3 there")),
-        "it is back");
+        "the fourth mixer is back");
     restarted.call(() -> restarted.peering.shutDown(Duration.ofMillis(100)));
-    waitUntil(() -> members.get(0).query('p').contains(" left "), "it has left");
+    waitUntil(() -> members.get(0).query('p').contains(" left "), "the fourth mixer has left");
   }
 
   @Test
@@ -227,7 +227,7 @@
                           () -> failureShare.complete(each.peering.failureShare(BOX)));
                       return failureShare.join() == 1;
                     }),
-        "each hears of two others that it fails");
+        "each mixer has two reports that the box fails");
     Member[] prober = new Member[1];
     waitUntil(
         () -> {
@@ -243,17 +243,17 @@
           }
           return prober[0] != null;
         },
-        "somebody's turn comes");
+        "the turn of one mixer comes");
     waitUntil(
         () ->
             members.stream()
                 .allMatch(each -> each == prober[0] || each.answeredBoxes.contains(BOX)),
-        "the others hear of its answer");
+        "the others are notified of the answer");
     assertEquals(List.of(), prober[0].answeredBoxes);
     assertTrue(members.get(0).query('w').contains("last asked by") || members.get(0) == prober[0]);
   }
 
-  /** Noise, foreign keys and floods change nothing, and are counted. */
+  /** Random bytes, foreign keys and floods change nothing, and are counted. */
   @Test
   void foreignDatagramsAreCountedAndDropped() throws IOException {
     startFleet(2);
@@ -270,7 +270,8 @@
         noise.send(new DatagramPacket(bytes, i % bytes.length, mixer.address()));
       }
     }
-    waitUntil(() -> mixer.query('c').matches(".*REFUSED=[0-9]{2,}.*"), "refused are counted");
+    waitUntil(
+        () -> mixer.query('c').matches(".*REFUSED=[0-9]{2,}.*"), "rejected datagrams are counted");
     assertTrue(mixer.query('p').contains("1 of 1 there"));
     assertFalse(mixer.query('p').contains("gone"));
   }
@@ -279,9 +280,10 @@
   void theLaterOfTwoWithOneNameWins() throws Exception {
     startFleet(2);
     Member other = members.get(1);
-    Thread.sleep(5); // a later life
+    Thread.sleep(5); // gives the second mixer a later incarnation
     Member twin = new Member("m0", KEYS, other);
-    waitUntil(() -> other.query('p').contains("life " + twin.startMs), "the later life is known");
+    waitUntil(
+        () -> other.query('p').contains("life " + twin.startMs), "the later incarnation is known");
     assertEquals(PeerId.named("m0"), PeerId.named(twin.name));
     assertTrue(other.query('p').contains("1 of 1 there"));
   }
@@ -297,6 +299,7 @@
                 members.get(0).peering.attemptEnded(BOX, Outcome.SUCCEEDED);
               }
             });
-    waitUntil(() -> members.get(1).query('s').contains("asks 10.0, due 9.0"), "its demand is told");
+    waitUntil(
+        () -> members.get(1).query('s').contains("asks 10.0, due 9.0"), "the demand is reported");
   }
 }
--- a/peers/src/test/java/gingerring/peers/BoundsTest.java
+++ b/peers/src/test/java/gingerring/peers/BoundsTest.java
@@ -16,13 +16,16 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** Ceilings, sights and news against plain models. */
+/**
+ * Checks the byte limiter, the observation window and the gossip queue against simple reference
+ * models.
+ */
 class BoundsTest {
   private static Duration ms(long ms) {
     return Duration.ofMillis(ms);
   }
 
-  /** Over any span what is sent is at most its seconds' worth and one second's worth more. */
+  /** Over any span the bytes sent are at most the rate times the span plus one second's worth. */
   @Property(tries = 100, seed = "61")
   void neverExceedsTheByteLimitOverAnySpan(@ForAll long seed) {
     SplittableRandom random = new SplittableRandom(seed);
@@ -44,7 +47,8 @@
       long sum = 0;
       for (int to = from; to < sent.size(); to++) {
         sum += sent.get(to)[1];
-        assertTrue(sum <= 4000 + 4 * (sent.get(to)[0] - sent.get(from)[0]) + 1, "over the ceiling");
+        assertTrue(
+            sum <= 4000 + 4 * (sent.get(to)[0] - sent.get(from)[0]) + 1, "over the byte limit");
       }
     }
   }
@@ -62,7 +66,7 @@
         IllegalArgumentException.class, () -> new BandwidthLimiter(MessageCodec.MAX_BYTES - 1));
   }
 
-  /** Against a list of all that was seen and when. */
+  /** Compares the window with a list of all events and their times. */
   @Property(tries = 100, seed = "62")
   void observationsCoverTheWindow(@ForAll long seed) {
     SplittableRandom random = new SplittableRandom(seed);
@@ -107,8 +111,8 @@
   }
 
   /**
-   * Each is passed on so often and no more, the newest of a subject alone, and the least passed on
-   * first.
+   * Each update is sent a limited number of times, only the newest of a subject is kept, and the
+   * least often sent goes first.
    */
   @Test
   void sendsEachUpdateALimitedNumberOfTimes() {
@@ -122,7 +126,8 @@
     }
     assertEquals(
         Map.of("one", 2, "two", 2),
-        sendCounts); // 2 for each power of ten, and 9 and itself are one
+        sendCounts); // 2 for each power of ten; a fleet of 9 others and this mixer is one power of
+    // ten
     assertEquals(0, queue.size());
     for (int i = 0; i < 5; i++) {
       queue.add(i, "n" + i);
--- a/peers/src/test/java/gingerring/peers/MembershipExplorationTest.java
+++ b/peers/src/test/java/gingerring/peers/MembershipExplorationTest.java
@@ -12,11 +12,11 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Every order of a small world: three mixers, one letter lost, one of them started anew, one
- * stopped for a while and continued, letters delivered in any order of their ways, time passing
- * between any two. Each order is played from the start, then left alone without a fault, after
- * which all have to know all in their latest lives; and at no moment is an earlier life believed
- * where a later one was known.
+ * Explores every event order of a small group: three mixers, one lost message, one restart, one
+ * pause and resume, messages delivered first or last, and time advancing between any two events.
+ * Each order is replayed from the start and then settles without faults. After that every mixer has
+ * to know the latest incarnation of all others, and no mixer may ever replace a later known
+ * incarnation by an earlier one.
  */
 class MembershipExplorationTest {
   private static final long QUIET_MS = 60_000;
@@ -24,7 +24,7 @@
   private record InFlightMessage(
       int from, long incarnation, int to, MessageBody body, List<PeerRecord> updates) {}
 
-  /** What may happen next. */
+  /** The possible next events. */
   private enum Step {
     DELIVER,
     DELIVER_LAST,
@@ -35,7 +35,7 @@
     RESUME
   }
 
-  /** One play. */
+  /** One replay. */
   private final class World {
     final Membership[] mixers = new Membership[3];
     final long[] incarnations = {100, 200, 300};
@@ -88,7 +88,7 @@
                   int other = (int) record.peer().number() - 1;
                   assertTrue(
                       record.incarnation() >= knownIncarnations[mixer][other],
-                      "an earlier life of " + other + " at " + mixer);
+                      "an earlier incarnation of " + other + " at " + mixer);
                   knownIncarnations[mixer][other] = record.incarnation();
                 }
               });
@@ -142,7 +142,7 @@
 
     private void deliver(InFlightMessage message) {
       if (message.to() < 3
-          && !paused[message.to()]) { // one who is stopped keeps no more than the rest does
+          && !paused[message.to()]) { // a paused mixer loses the messages sent to it
         mixers[message.to()].messageReceived(
             new PeerId(1 + message.from()),
             message.incarnation(),
@@ -161,7 +161,9 @@
       }
     }
 
-    /** No fault any more; returns what is wrong at the end, or nothing. */
+    /**
+     * Runs without faults; returns a description of what is wrong at the end, or an empty string.
+     */
     String settle() {
       paused[1] = false;
       for (long ms = 0; ms < QUIET_MS; ms += 100) {
@@ -175,11 +177,11 @@
           if (observer != other
               && mixers[observer].incarnation(new PeerId(1 + other)) != incarnations[other]) {
             return observer
-                + " takes "
+                + " knows "
                 + other
-                + " for life "
+                + " in incarnation "
                 + mixers[observer].incarnation(new PeerId(1 + other))
-                + " of "
+                + " instead of "
                 + incarnations[other];
           }
         }
@@ -189,7 +191,8 @@
   }
 
   /**
-   * Plays every order of so many choices; returns how many there were, and how many ended wrong.
+   * Replays every sequence of {@code depth} steps; returns the number of sequences, and of those
+   * that ended wrong.
    */
   private int[] explore(long restartedIncarnation, int depth) {
     int sequences = 0;
@@ -205,8 +208,7 @@
         failures += world.settle().isEmpty() ? 0 : 1;
       } else {
         for (Step step : world.possibleSteps()) {
-          // many ways lead to the same: time twice in a row says nothing new before anything has
-          // happened
+          // prune equivalent sequences: advancing time three times in a row adds nothing new
           boolean idle =
               step == Step.ADVANCE_TIME
                   && prefix.size() > 1
@@ -231,8 +233,8 @@
   }
 
   /**
-   * Of 342,227 orders of eight choices 13 ended wrong: a new life's own word was lost, and nobody
-   * asked for it.
+   * Regression: of 342,227 sequences of eight steps 13 ended wrong, because the record of a new
+   * incarnation was lost and no mixer requested it.
    */
   @Test
   void aNewIncarnationWhoseRecordWasLostIsStillLearned() {
@@ -251,8 +253,8 @@
   }
 
   /**
-   * Planted: a process that starts anew with an earlier life, as with its clock set back, is found
-   * out.
+   * Planted fault: a process that restarts with an earlier incarnation, as after its clock was set
+   * back, is detected.
    */
   @Test
   void detectsAnIncarnationThatGoesBackwards() {
--- a/peers/src/test/java/gingerring/peers/MembershipTest.java
+++ b/peers/src/test/java/gingerring/peers/MembershipTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * One membership by itself, letter by letter. Fleets of them are played in the emulator's
+ * Tests one membership message by message. Whole fleets are simulated in the emulator's
  * SocietyTest.
  */
 class MembershipTest {
@@ -99,13 +99,13 @@
     int target = (int) ping.peer().number();
     advanceTime(300);
     List<MessageBody.PingRequest> pingRequests = sent(MessageBody.PingRequest.class);
-    assertEquals(2, pingRequests.size()); // all others
+    assertEquals(2, pingRequests.size()); // all other members
     assertTrue(
         pingRequests.stream()
             .allMatch(
                 request -> request.peer().number() == target && request.number() == ping.number()));
     assertEquals(State.HERE, state(target));
-    // a helper had its answer: nothing is suspected
+    // the helper got an ack: the target is not suspected
     int helper = target == 1 ? 2 : 1;
     membership.messageReceived(
         new PeerId(helper), 1, address(helper), new MessageBody.Ack(ping.number()), List.of());
@@ -120,27 +120,28 @@
     receiveRecords(peerRecord(1, 1, 0, State.HERE));
     advanceTime(2500);
     assertEquals(State.SUSPECTED, state(1));
-    assertTrue(membership.present().contains(new PeerId(1)), "a suspicion is no verdict");
+    assertTrue(membership.present().contains(new PeerId(1)), "a suspected member is still present");
     advanceTime(10_000);
     assertEquals(State.GONE, state(1));
     assertEquals(List.of(), membership.present());
-    // it is not forgotten: now and then it is asked whom it knows
+    // a gone member is kept, and its member list is requested from time to time
     sent.clear();
     advanceTime(15_000);
     assertFalse(sent(MessageBody.MembersRequest.class).isEmpty());
-    // it says that it lives: with a higher rise of the same life, and with a new life
+    // the member refutes: with a higher refutation number of the same incarnation, and with a new
+    // incarnation
     receiveRecords(peerRecord(1, 1, 0, State.HERE));
-    assertEquals(State.GONE, state(1), "an old word");
+    assertEquals(State.GONE, state(1), "an old record");
     receiveRecords(peerRecord(1, 1, 1, State.HERE));
     assertEquals(State.HERE, state(1));
     receiveRecords(peerRecord(1, 2, 0, State.HERE));
     receiveRecords(peerRecord(1, 1, 9, State.GONE));
-    assertEquals(State.HERE, state(1), "a word of an earlier life");
+    assertEquals(State.HERE, state(1), "a record of an earlier incarnation");
   }
 
   /**
-   * A cut that has ended leaves suspicions behind: one who answers the last ask is not taken for
-   * gone.
+   * A network partition that has ended leaves suspicions behind: a member that sends any message
+   * after the final ping is not declared gone.
    */
   @Test
   void aMemberThatAnswersTheFinalPingIsNotGone() {
@@ -161,7 +162,8 @@
   }
 
   /**
-   * After a cut one way it hears all, and nobody it: who is taken for gone and speaks is told so.
+   * After a one-way partition a member receives from all and reaches none: a gone member that sends
+   * again is notified that it is considered gone.
    */
   @Test
   void aGoneMemberThatSendsIsNotified() {
@@ -170,7 +172,7 @@
     membership.messageReceived(new PeerId(1), 1, address(1), new MessageBody.Empty(), List.of());
     membership.messageReceived(new PeerId(1), 1, address(1), new MessageBody.Empty(), List.of());
     List<MessageBody.MembersPage> received = sent(MessageBody.MembersPage.class);
-    assertEquals(1, received.size(), "once a period");
+    assertEquals(1, received.size(), "one notice in each period");
     assertEquals(State.GONE, received.get(0).records().get(0).state());
     assertEquals(address(1), recipients.get(sent.indexOf(received.get(0))));
   }
@@ -190,10 +192,13 @@
     assertEquals(1, own.refutations());
     assertEquals(1, membership.healthScore());
     receiveRecords(new PeerRecord(SELF, OWN_ADDRESS, INCARNATION, 0, State.GONE, new PeerId(1)));
-    assertEquals(1, membership.count(Membership.Count.REFUTED), "that was answered before");
+    assertEquals(1, membership.count(Membership.Count.REFUTED), "already refuted");
   }
 
-  /** Others who suspect the same shorten a suspicion; the same one saying it again does not. */
+  /**
+   * Suspicions by other mixers shorten the timeout; the same mixer repeating its suspicion does
+   * not.
+   */
   @Test
   void confirmationsShortenASuspicion() {
     membership.start(List.of());
@@ -215,7 +220,7 @@
     assertTrue(
         sent(MessageBody.Ping.class).stream()
             .noneMatch(ping -> ping.peer().equals(new PeerId(5)) && ping.number() > 1),
-        "nothing has run out");
+        "no suspicion has expired");
     receiveRecords(
         new PeerRecord(
             suspected.peer(), suspected.address(), 1, 0, State.SUSPECTED, new PeerId(3)));
@@ -242,7 +247,7 @@
     assertEquals(List.of(), sent);
   }
 
-  /** Whose own first word was lost is asked who it is as soon as it says anything. */
+  /** A mixer whose first record was lost is asked for it as soon as it sends anything. */
   @Test
   void whoIsUnknownIsAskedWhoItIs() {
     membership.start(List.of());
@@ -256,13 +261,13 @@
         new MessageBody.MembersPage(List.of(peerRecord(9, 3, 0, State.HERE)), 0),
         List.of());
     assertEquals(3, membership.incarnation(new PeerId(9)));
-    // and again where it speaks in a life that it was not known in
+    // and again when it sends in an unknown incarnation
     sent.clear();
     membership.messageReceived(new PeerId(9), 4, address(9), new MessageBody.Empty(), List.of());
     assertEquals(1, sent(MessageBody.MembersRequest.class).size());
   }
 
-  /** An address that is another's by now does not answer for whom it was before. */
+  /** A mixer that took over an address does not answer pings for the one that had it before. */
   @Test
   void answersOnlyPingsForItself() {
     membership.messageReceived(
@@ -295,7 +300,7 @@
         List.of());
     advanceTime(300);
     assertTrue(sent.contains(new MessageBody.Nack(8)));
-    // one peer has so many errands open at once, and no more
+    // the number of indirect pings for one peer is limited
     for (int i = 0; i < 20; i++) {
       membership.messageReceived(
           new PeerId(1),
@@ -318,7 +323,7 @@
       membership.messageReceived(
           new PeerId(1), 1, address(1), new MessageBody.MembersRequest(from), List.of());
       MessageBody.MembersPage page = (MessageBody.MembersPage) sent.get(sent.size() - 1);
-      assertEquals(SELF, page.records().get(0).peer(), "each page begins with who sends it");
+      assertEquals(SELF, page.records().get(0).peer(), "each page begins with the sender");
       page.records().forEach(each -> received.add(each.peer()));
       from = page.nextPeer();
     } while (from != 0);
@@ -372,7 +377,7 @@
     assertEquals(List.of(new PeerId(1), new PeerId(3), new PeerId(4)), limited.present());
   }
 
-  /** Fleets that began at two places would never hear of each other. */
+  /** Groups that started from two different seeds would otherwise never merge. */
   @Test
   void contactsSeedsWithoutAKnownMember() {
     membership.start(List.of(address(1), address(2)));
@@ -390,10 +395,10 @@
     advanceTime(5_000);
     for (int i = 0;
         i < sent.size();
-        i++) { // all are known: one page from somewhere, and no whole list
+        i++) { // all seeds are known: single pages from a random position, and no complete list
       assertTrue(
           !(sent.get(i) instanceof MessageBody.MembersRequest request) || request.fromPeer() != 0,
-          "asked anew at " + recipients.get(i));
+          "requested a complete list from " + recipients.get(i));
     }
   }
 
--- a/peers/src/test/java/gingerring/peers/MessageCodecTest.java
+++ b/peers/src/test/java/gingerring/peers/MessageCodecTest.java
@@ -111,7 +111,7 @@
     assertThrows(MessageCodec.InvalidMessage.class, () -> codec(NEXT_KEY).decode(bytes));
   }
 
-  /** A key is changed in three steps, mixer by mixer; at no step is a letter refused. */
+  /** A key is rotated in three steps, one mixer at a time; at no step is a message rejected. */
   @Test
   void keysRotateWithoutRejectedMessages() throws MessageCodec.InvalidMessage {
     PeerMessage message = randomMessage(new SplittableRandom(1));
@@ -125,7 +125,7 @@
         MessageCodec.InvalidMessage.class, () -> steps.get(0).decode(steps.get(3).encode(message)));
   }
 
-  /** Who holds the key and writes nonsense is refused with a reason, whatever the nonsense. */
+  /** A malformed message from a sender that has the key is rejected with a reason. */
   @Property(tries = 400, seed = "34")
   void rejectsAuthenticatedMalformedMessages(@ForAll long seed) throws Exception {
     SplittableRandom random = new SplittableRandom(seed);
@@ -145,7 +145,7 @@
             .put(tag)
             .array();
     try {
-      codec(KEY).decode(signed); // some changes make another letter
+      codec(KEY).decode(signed); // some changes yield another valid message
     } catch (MessageCodec.InvalidMessage e) {
       assertTrue(
           e.getMessage().startsWith("authenticated but malformed")
--- a/peers/src/test/java/gingerring/peers/PeerRecordTest.java
+++ b/peers/src/test/java/gingerring/peers/PeerRecordTest.java
@@ -32,7 +32,10 @@
     return merged;
   }
 
-  /** Whatever the order, and however often each comes, the same is believed of state and life. */
+  /**
+   * In whatever order and however often the records arrive, the resulting state and incarnation are
+   * the same.
+   */
   @Property(tries = 500, seed = "41")
   void theSameRecordsInAnyOrderConverge(@ForAll long seed) {
     SplittableRandom random = new SplittableRandom(seed);
--- a/peers/src/test/java/gingerring/peers/PeerReportsTest.java
+++ b/peers/src/test/java/gingerring/peers/PeerReportsTest.java
@@ -34,7 +34,7 @@
     return Duration.ofMillis(millis);
   }
 
-  /** The plain model keeps every word that ever came and looks through all of them. */
+  /** The reference model keeps every accepted report and searches all of them. */
   @Property(tries = 300, seed = "30")
   void keepsWhatALinearSearchFinds(@ForAll long seed) {
     SplittableRandom random = new SplittableRandom(seed);
@@ -72,8 +72,8 @@
   }
 
   /**
-   * Guards against a process that comes back from a stop, or a recording, that speaks for a life
-   * that is over.
+   * Guards against a process that resumes after a pause, or a replayed recording, that reports for
+   * an earlier incarnation.
    */
   @Test
   void anEarlierIncarnationNeverWins() {
@@ -85,14 +85,14 @@
     assertEquals(
         Verdict.OLD_LIFE,
         reports.accept(report(99, 300, 1), ms(3000)),
-        "an own word that came back");
+        "an own report that came back");
     assertEquals(200, reports.current(ms(3000)).get(0).report().incarnation());
     assertEquals(2, reports.count(Verdict.OLD_LIFE));
   }
 
   /**
-   * Two mixers by one name: each new life replaces the other, at the pace that one mixer may speak
-   * at.
+   * Two mixers with one name: each new incarnation replaces the other, no more often than one mixer
+   * may report.
    */
   @Test
   void twoMixersWithOneNameReportNoMoreOftenThanOne() {
@@ -126,7 +126,7 @@
     assertEquals(
         Verdict.TAKEN,
         reports.accept(report(0, 1, 2), ms(4000)),
-        "now 1 is the one heard longest ago");
+        "peer 1 is now the one silent for longest");
     assertEquals(Verdict.TAKEN, reports.accept(report(3, 1, 1), ms(5002)));
     assertEquals(Verdict.OLD_NUMBER, reports.accept(report(0, 1, 2), ms(5002)));
     assertTrue(
@@ -142,7 +142,7 @@
     assertEquals(
         Verdict.OLD_NUMBER,
         reports.accept(report(1, 100, 6), ms(1200)),
-        "a word that was on its way");
+        "a report that was in flight");
     assertEquals(Verdict.TAKEN, reports.accept(report(1, 101, 1), ms(1200)));
   }
 
--- a/peers/src/test/java/gingerring/peers/ReplayFilterTest.java
+++ b/peers/src/test/java/gingerring/peers/ReplayFilterTest.java
@@ -14,7 +14,7 @@
 class ReplayFilterTest {
   private static final PeerId AUTHOR = new PeerId(1);
 
-  /** Against a plain set of all that ever came. */
+  /** Compares the filter with a set of all numbers received. */
   @Property(tries = 300, seed = "51")
   void acceptsEachNumberOnceWithinTheWindow(@ForAll long seed) {
     SplittableRandom random = new SplittableRandom(seed);
@@ -38,7 +38,7 @@
           expected,
           filter.accept(AUTHOR, incarnation, number),
           "number " + number + " after " + highest);
-      assertFalse(filter.accept(AUTHOR, incarnation - 1, number + 1000), "an earlier life");
+      assertFalse(filter.accept(AUTHOR, incarnation - 1, number + 1000), "an earlier incarnation");
       received.add(number);
       highest = Math.max(highest, number);
     }
--- a/peers/src/test/java/gingerring/peers/ReportAggregatorTest.java
+++ b/peers/src/test/java/gingerring/peers/ReportAggregatorTest.java
@@ -29,7 +29,10 @@
         Duration.ZERO);
   }
 
-  /** Of 2f + 1 witnesses f may say what they like, together: the others' range is not left. */
+  /**
+   * Of 2f + 1 witnesses f may send arbitrary reports, even in agreement: the result stays in the
+   * range of the others' reports.
+   */
   @Property(tries = 500, seed = "31")
   void aMinorityOfLiarsCannotMoveTheResultOutOfRange(@ForAll long seed) {
     SplittableRandom random = new SplittableRandom(seed);
@@ -43,7 +46,7 @@
       low = Math.min(low, failed / 20);
       high = Math.max(high, failed / 20);
     }
-    boolean claimFailed = random.nextBoolean(); // they agree on it
+    boolean claimFailed = random.nextBoolean(); // all liars claim the same
     for (int i = 0; i < f; i++) {
       reports.add(report(100 + i, i % 3, 1, claimFailed ? 0 : 1e9, claimFailed ? 1e9 : 0));
     }
@@ -51,8 +54,9 @@
     double failureShare = aggregator.failureShare(5, NO_PARTS, reports);
     assertTrue(
         failureShare >= low - 1e-12 && failureShare <= high + 1e-12,
-        () -> "brought out of range to " + failureShare);
-    // and own sight comes first: 16 own parts without a failure, and they all count as four
+        () -> "moved out of range to " + failureShare);
+    // own observations come first: 16 own parts without a failure, and all reports together count
+    // as four parts
     assertTrue(
         aggregator.failureShare(5, new BoxObservation(16, 0), reports) <= 0.2 * high + 1e-12);
   }
@@ -63,12 +67,12 @@
     List<PeerReports.TimedReport> reports =
         new ArrayList<>(List.of(report(1, 0, 1, 0, 10), report(2, 1, 1, 0, 10)));
     assertEquals(Double.NaN, aggregator.failureShare(5, NO_PARTS, reports));
-    reports.add(report(3, 1, 1, 0, 4)); // it saw too little
+    reports.add(report(3, 1, 1, 0, 4)); // it saw too few parts
     assertEquals(0, aggregator.failureShare(5, new BoxObservation(2, 0), reports));
     reports.add(report(4, 1, 1, 0, 10));
     assertEquals(1, aggregator.failureShare(5, NO_PARTS, reports), 1e-12);
     assertEquals(
-        Double.NaN, aggregator.failureShare(6, NO_PARTS, reports), "nobody told of that one");
+        Double.NaN, aggregator.failureShare(6, NO_PARTS, reports), "no mixer reports that box");
     List<PeerReports.TimedReport> sameZoneReports =
         new ArrayList<>(
             List.of(report(1, 0, 1, 0, 10), report(2, 0, 1, 0, 10), report(3, 0, 1, 0, 10)));
@@ -76,13 +80,16 @@
         1,
         aggregator.failureShare(5, NO_PARTS, sameZoneReports),
         1e-12,
-        "all there are stand in one zone");
+        "all mixers are in one zone");
     sameZoneReports.add(
-        report(4, 1, 1, 1, 0)); // there is another zone, and nobody there saw enough
+        report(4, 1, 1, 1, 0)); // there is another zone, where no mixer saw enough parts
     assertEquals(Double.NaN, aggregator.failureShare(5, NO_PARTS, sameZoneReports));
   }
 
-  /** Guards against one that claims endless demand: it is held to a multiple of the middle one. */
+  /**
+   * Guards against a mixer that claims an excessive demand: it is capped at a multiple of the
+   * median.
+   */
   @Test
   void capsAnExcessiveDemand() {
     ReportAggregator aggregator = new ReportAggregator(3, 1, 4, 3);
--- a/share/src/test/java/gingerring/share/CapacityEstimatorTest.java
+++ b/share/src/test/java/gingerring/share/CapacityEstimatorTest.java
@@ -22,7 +22,7 @@
     CapacityEstimator estimator = new CapacityEstimator(1, 0.02, ms(2000));
     estimator.update(1000, 0, ms(0));
     assertEquals(70, estimator.share(new double[] {70, 900}, new double[] {1, 1}, 0));
-    estimator.update(1000, 5, ms(250)); // by chance
+    estimator.update(1000, 5, ms(250)); // below the noise threshold
     assertEquals(Double.POSITIVE_INFINITY, estimator.capacity());
   }
 
@@ -32,10 +32,10 @@
     estimator.update(800, 200, ms(0));
     assertEquals(800, estimator.capacity());
     assertEquals(700, estimator.share(new double[] {900, 100}, new double[] {1, 1}, 0));
-    // reports of unlike age sum up to less for a moment: no reason to believe in less room
+    // sums of reports of unequal age drop for a moment, which must not lower the estimate
     estimator.update(500, 50, ms(250));
     assertEquals(800, estimator.capacity());
-    // but there is, where no better is seen for the window
+    // it is lowered where no higher rate is seen for the whole window
     estimator.update(500, 50, ms(2400));
     assertEquals(500, estimator.capacity());
   }
@@ -45,7 +45,7 @@
     CapacityEstimator estimator = new CapacityEstimator(1, 0.02, ms(2000));
     estimator.update(800, 200, ms(0));
     estimator.update(800, 0, ms(1000));
-    assertEquals(800, estimator.capacity(), "the last refusal is too new");
+    assertEquals(800, estimator.capacity(), "the last refusal is too recent");
     double before = estimator.capacity();
     double step = 0;
     for (long timeMs = 2000; timeMs < 8000; timeMs += 250) {
@@ -57,11 +57,12 @@
     }
     assertEquals(0.02, step, 1e-9);
     double capacity = estimator.capacity();
-    estimator.update(0.5 * capacity, 0, ms(8000)); // it does not bind: nothing is learnt
+    estimator.update(
+        0.5 * capacity, 0, ms(8000)); // the capacity is not the limit: the estimate stays
     assertEquals(capacity, estimator.capacity());
   }
 
-  /** The most of a window, against a list of all. */
+  /** Compares the maximum of the window with a list of all samples. */
   @Property(tries = 100, seed = "81")
   void estimatesTheMaximumOfTheWindow(@ForAll long seed) {
     SplittableRandom random = new SplittableRandom(seed);
--- a/share/src/test/java/gingerring/share/FairSharesTest.java
+++ b/share/src/test/java/gingerring/share/FairSharesTest.java
@@ -12,7 +12,10 @@
 import org.junit.jupiter.api.Test;
 
 class FairSharesTest {
-  /** The plain model pours the room out in small cups, by weight, to whoever still wants some. */
+  /**
+   * Reference model: hands out the capacity in small increments, by weight, to every demand not yet
+   * met.
+   */
   private static double[] referenceShares(double capacity, double[] demands, double[] weights) {
     double[] shares = new double[demands.length];
     for (int increment = 0; increment < 40_000; increment++) {
@@ -39,7 +42,8 @@
     double capacity = random.nextDouble(0.1, 60);
     double[] shares = FairShares.allocate(capacity, demands, weights);
     double[] expected = referenceShares(capacity, demands, weights);
-    // a cup that is poured past a demand is lost to the model: some cups for each that is full
+    // an increment beyond a demand is lost in the model: allow some increments for each demand that
+    // is met
     assertArrayEquals(expected, shares, capacity * (count + 2) / 2_000.0);
     double sum = Arrays.stream(shares).sum();
     assertEquals(Math.min(capacity, Arrays.stream(demands).sum()), sum, 1e-9 * (1 + capacity));
@@ -49,7 +53,7 @@
         boolean unsatisfied = shares[i] < demands[i] - 1e-9;
         assertTrue(
             !unsatisfied || shares[j] / weights[j] <= shares[i] / weights[i] + 1e-9,
-            "who is short has the most");
+            "an unmet demand has the largest share for its weight");
       }
     }
   }
--- a/share/src/test/java/gingerring/share/PreferredBoxesTest.java
+++ b/share/src/test/java/gingerring/share/PreferredBoxesTest.java
@@ -21,7 +21,10 @@
     return ring;
   }
 
-  /** Whatever fails and comes back, each folio keeps as many preferred holders as it can. */
+  /**
+   * Whichever boxes are excluded and included, each partition keeps as many preferred holders as
+   * possible.
+   */
   @Property(tries = 60, seed = "71")
   void eachPartitionKeepsPreferredHoldersWhileSomeAreIncluded(@ForAll long seed) {
     SplittableRandom random = new SplittableRandom(seed);
@@ -48,7 +51,7 @@
         }
         assertTrue(
             preferred >= Math.min(2, included),
-            "folio " + partition + " has " + preferred + " of " + included);
+            "partition " + partition + " has " + preferred + " of " + included);
       }
     }
   }
--- a/share/src/test/java/gingerring/share/ShareLayoutTest.java
+++ b/share/src/test/java/gingerring/share/ShareLayoutTest.java
@@ -8,8 +8,8 @@
 
 class ShareLayoutTest {
   /**
-   * Cores decide alike everywhere: nothing of this machine, this moment or this program's other
-   * modules.
+   * The package must behave alike everywhere: it may not depend on the machine, the clock or the
+   * program's other modules.
    */
   @Test
   void dependsOnlyOnPlainData() {
--- a/share/src/test/java/gingerring/share/SubsetSelectorTest.java
+++ b/share/src/test/java/gingerring/share/SubsetSelectorTest.java
@@ -38,7 +38,7 @@
     return partitions;
   }
 
-  /** By plain counting: each folio has what it is to have, and no preferred box could be spared. */
+  /** Counts directly: each partition has the required holders, and no selected box is redundant. */
   @Property(tries = 300, seed = "26")
   void coversEachPartitionWithNoRedundantBox(
       @ForAll long seed,
@@ -58,7 +58,7 @@
       fewer.remove(candidate);
       assertFalse(
           isCovered(trusted, partitions, holdersPerPartition, fewer),
-          () -> candidate + " could be spared");
+          () -> candidate + " is redundant");
     }
   }
 
@@ -96,7 +96,7 @@
     return true;
   }
 
-  /** A box that goes moves few others, and one that is not trusted is stood in for. */
+  /** A removed box changes few selections, and other holders replace it. */
   @Test
   void aRemovedBoxChangesFewSelections() {
     List<Box> all = ring(60, 3);
@@ -121,10 +121,10 @@
     }
     int totalChanges = changes;
     int mean = totalSelected / 200;
-    assertTrue(changes / 200.0 <= 6, () -> totalChanges / 200.0 + " of " + mean + " moved");
+    assertTrue(changes / 200.0 <= 6, () -> totalChanges / 200.0 + " of " + mean + " changed");
   }
 
-  /** Larger boxes are preferred by more mixers, and boxes alike by as many. */
+  /** A box is preferred by mixers in proportion to its size. */
   @Test
   void preferenceIsProportionalToBoxSize() {
     List<Box> boxes = new ArrayList<>();
@@ -132,7 +132,7 @@
       boxes.add(new Box(new BoxId(i), 0, i < 15 ? 1 : 2));
     }
     List<List<BoxId>> partition =
-        List.of(boxes.stream().map(Box::id).toList()); // a folio that all hold
+        List.of(boxes.stream().map(Box::id).toList()); // one partition that all boxes hold
     double[] mixers = new double[30];
     for (int m = 0; m < 9000; m++) {
       new SubsetSelector(boxes, partition, 1)
--- a/share/src/test/java/gingerring/share/TurnOrderTest.java
+++ b/share/src/test/java/gingerring/share/TurnOrderTest.java
@@ -26,7 +26,7 @@
     return fleet;
   }
 
-  /** Who agree on the members hold one place each; nobody owns a matter for good. */
+  /** Mixers with the same member list have distinct ranks, and no mixer keeps a task for good. */
   @Property(tries = 50, seed = "28")
   void eachMemberHasAUniqueRank(@ForAll long taskId, @ForAll int round) {
     List<MixerId> fleet = fleet(40);
@@ -42,12 +42,12 @@
         }
       }
     }
-    assertTrue(firsts.size() > 15, () -> firsts.size() + " of 40 came first in 40 rounds");
+    assertTrue(firsts.size() > 15, () -> firsts.size() + " of 40 mixers had rank 0 in 40 rounds");
   }
 
   /**
-   * The two failures: of views that differ by d at most d + 1 share a place, of r who are gone all
-   * are passed.
+   * Bounds both ways in which the order degrades: with member lists that differ by d members at
+   * most d + 1 mixers have the same rank, and r absent members delay the task by at most r steps.
    */
   @Property(tries = 200, seed = "29")
   void boundsDuplicateAndDelayedActions(@ForAll long seed) {
@@ -57,7 +57,9 @@
     int firstRankCount = 0;
     for (MixerId mixer : fleet) {
       List<MixerId> view = new ArrayList<>(fleet);
-      for (int i = 0; i < difference; i++) { // each misses some others of the same d, never itself
+      for (int i = 0;
+          i < difference;
+          i++) { // each list lacks some of the same d members, never the mixer itself
         MixerId missed = fleet.get(i);
         if (random.nextBoolean() && !missed.equals(mixer)) {
           view.remove(missed);
@@ -68,7 +70,7 @@
     int holders = firstRankCount;
     assertTrue(
         holders >= 1 && holders <= difference + 1,
-        () -> holders + " hold the first place, views differ by " + difference);
+        () -> holders + " mixers have rank 0, member lists differ by " + difference);
     List<MixerId> present = fleet.subList(difference, 12);
     Duration soonest =
         present.stream()
@@ -77,10 +79,10 @@
             .orElseThrow();
     assertTrue(
         soonest.compareTo(STEP.multipliedBy(difference)) <= 0,
-        () -> difference + " are gone, the next acts after " + soonest);
+        () -> difference + " members are gone, the next acts after " + soonest);
   }
 
-  /** Without talk the rate over the fleet does not grow with it. */
+  /** Without messages the rate of actions over the fleet does not grow with its size. */
   @Test
   void randomDelaysScaleWithTheFleetSize() {
     for (int size : new int[] {10, 100, 1000, 10_000}) {
@@ -93,7 +95,8 @@
         }
       }
       long seen = within;
-      assertEquals(100, seen, 40, () -> seen + " of 20 matters act in 5 steps at " + size);
+      assertEquals(
+          100, seen, 40, () -> seen + " actions in 5 steps over 20 tasks at fleet size " + size);
     }
   }
 
--- a/share/src/test/java/gingerring/share/TurnScheduleTest.java
+++ b/share/src/test/java/gingerring/share/TurnScheduleTest.java
@@ -33,9 +33,9 @@
   }
 
   /**
-   * Three mixers in ticks of a step, every order of what can happen: each word takes a tick, but
-   * two are lost or take one more, one mixer stops for five ticks and goes on, one starts anew. No
-   * state is looked at twice.
+   * Explores three mixers in ticks of one step, through every order of events: each claim takes one
+   * tick, up to two claims are lost or take one more, one mixer pauses for five ticks and resumes,
+   * and one restarts. No state is visited twice.
    */
   private static final class World {
     static final int TICKS = 15;
@@ -43,14 +43,14 @@
     final Set<String> seen = new HashSet<>();
     final Set<String> violations = new HashSet<>();
 
-    /** Whether a mixer listens at all: false is a fault planted on purpose. */
+    /** Whether mixers receive claims at all; false is a planted fault. */
     final boolean receivesClaims;
 
     World(boolean receivesClaims) {
       this.receivesClaims = receivesClaims;
     }
 
-    /** What is the same from here on, whatever came before. */
+    /** The state that determines all further events. */
     record State(
         int tick,
         List<Long> lastDoneRounds,
@@ -85,7 +85,8 @@
       TurnSchedule schedule = schedule(mixer);
       if (lastDoneRound >= 0) {
         schedule.claimRound(
-            ROUND_PERIOD.multipliedBy(lastDoneRound)); // the same state, reached by itself
+            ROUND_PERIOD.multipliedBy(
+                lastDoneRound)); // reaches the same state through the public method
       }
       return schedule;
     }
@@ -132,7 +133,8 @@
     }
 
     /**
-     * Words on their way: those from the last tick arrive now or are lost; the stopped hear later.
+     * Delivers claims in flight: those of the last tick arrive now, are delayed or lost; a paused
+     * mixer receives them later.
      */
     private void deliver(State state, int from) {
       if (from == state.claims.size()) {
@@ -143,7 +145,7 @@
       int to = (int) claim[1];
       boolean paused = state.pausedUntil.get(to) > state.tick;
       if (paused) {
-        deliver(state, from + 1); // it waits in the socket
+        deliver(state, from + 1); // the claim waits in the socket
         return;
       }
       List<long[]> remainingClaims = new ArrayList<>(state.claims);
@@ -202,7 +204,7 @@
       Duration now = STEP.multipliedBy(state.tick);
       List<Long> lastDoneRounds = new ArrayList<>(state.lastDoneRounds);
       List<long[]> claims = new ArrayList<>(state.claims);
-      int actions = state.tick % 4 == 0 ? 0 : state.actions; // counted by round
+      int actions = state.tick % 4 == 0 ? 0 : state.actions; // counted per round
       int faults = state.tick % 4 == 0 && state.tick > 0 ? possibleFaults(state) : state.faults;
       int newActions = 0;
       for (int m = 0; m < 3; m++) {
@@ -223,10 +225,15 @@
       int idleTicks = newActions > 0 ? 0 : state.idleTicks + 1;
       if (actions > 1 + faults) {
         violations.add(
-            actions + " act in the round of tick " + state.tick + " with " + faults + " excuses");
+            actions
+                + " actions in the round of tick "
+                + state.tick
+                + " with "
+                + faults
+                + " faults");
       }
-      if (idleTicks > 4 + 3) { // a whole round, and a step for each who may be missing
-        violations.add("nobody acts for " + idleTicks + " ticks");
+      if (idleTicks > 4 + 3) { // a whole round, and a step for each mixer that may be missing
+        violations.add("no mixer acts for " + idleTicks + " ticks");
       }
       tick(
           new State(
@@ -243,7 +250,7 @@
     }
 
     /**
-     * A stop, a loss or a new start of a round before may still show in the next, as a stop lasts
+     * A pause, loss or restart of an earlier round may still show in the next, as a pause lasts
      * five ticks.
      */
     private static int possibleFaults(State state) {
@@ -259,10 +266,13 @@
     assertTrue(world.seen.size() > 10_000, () -> world.seen.size() + " states");
     World unreachable = new World(false);
     unreachable.explore();
-    assertFalse(unreachable.violations.isEmpty(), "a fault planted on purpose is found");
+    assertFalse(unreachable.violations.isEmpty(), "the planted fault is detected");
   }
 
-  /** A mixer that claims every round at once holds up its own turns alone. */
+  /**
+   * Mixers that claim every round at once delay only the rounds in which their own turn comes
+   * first.
+   */
   @Property(tries = 30, seed = "32")
   void falseClaimsDelayOnlyTheClaimantsRounds(@ForAll int start) {
     List<MixerId> members = members(8);
@@ -271,12 +281,12 @@
     for (long round = start; round < start + 200L; round++) {
       Duration roundStart = ROUND_PERIOD.multipliedBy(round);
       boolean accepted = false;
-      for (int liar = 5; liar < 8; liar++) { // three together
+      for (int liar = 5; liar < 8; liar++) { // three liars together
         accepted |= honest.receiveClaim(members.get(liar), round, members, roundStart);
       }
       boolean liarsTurn = false;
       for (int liar = 5; liar < 8; liar++) {
-        // give or take a step
+        // one step of tolerance
         liarsTurn |= new TurnOrder(members.get(liar), STEP).rank(TASK_ID, round, members) <= 1;
       }
       assertTrue(!accepted || liarsTurn);
@@ -284,17 +294,17 @@
     }
     assertTrue(
         honest.rejectedClaims() > 200 && delayedRounds < 160,
-        () -> "disbelieved " + honest.rejectedClaims());
+        () -> "rejected claims: " + honest.rejectedClaims());
     assertFalse(
         honest.receiveClaim(
             new MixerId(77), start + 200L, members, ROUND_PERIOD.multipliedBy(start + 200L)),
-        "a stranger");
+        "not a member");
     assertFalse(
         honest.receiveClaim(
             members.get(5), Long.MAX_VALUE, members, ROUND_PERIOD.multipliedBy(start + 200L)));
   }
 
-  /** Guards against one that wakes after a stop and does what others have long done. */
+  /** Guards against a mixer that resumes after a pause and repeats what others did long ago. */
   @Test
   void aResumedMixerKnowsTheRoundByTheClock() {
     List<MixerId> members = members(3);
@@ -302,7 +312,7 @@
     schedule.claimRound(Duration.ZERO);
     Duration resumedAt = ROUND_PERIOD.multipliedBy(25).plus(STEP);
     Duration nextTurn = schedule.nextTurn(members, resumedAt);
-    assertEquals(25, schedule.roundAt(nextTurn), "no round is made up for");
+    assertEquals(25, schedule.roundAt(nextTurn), "missed rounds are not made up");
     schedule.claimRound(nextTurn);
     assertTrue(schedule.roundAt(schedule.nextTurn(members, nextTurn)) > 25);
   }
