--- a/emulator/src/test/java/gingerring/emulator/harness/ViolationAttributionTest.java
+++ b/emulator/src/test/java/gingerring/emulator/harness/ViolationAttributionTest.java
@@ -26,9 +26,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Mixer 1 breaks one rule on purpose, 0 and 2 keep them, all through the rig's links to boxes: each
- * foul is booked once and on mixer 1, whichever links are cut between. The test plays the mixers
- * and their clients.
+ * Mixer 1 violates one rule on purpose while mixers 0 and 2 keep all rules. Each violation must be
+ * counted once and attributed to mixer 1, whichever links are cut. The test itself acts as the
+ * mixers and their clients, and sends through the harness's relays.
  */
 class ViolationAttributionTest {
   private static final int FAULTY_MIXER = 1;
@@ -42,7 +42,7 @@
   private final TcpRelay[][] relays = new TcpRelay[3][3];
   private final Map<String, TcpRelay> relaysByMixerAndPort = new HashMap<>();
   private final ReactorConnection[][] connections = new ReactorConnection[3][3];
-  private RuleChecker referee;
+  private RuleChecker ruleChecker;
   private EmulatedStore store;
   private int sentParts;
 
@@ -57,8 +57,8 @@
          "grades": [{"name": "search", "floor": 0.4, "patienceMs": 60000},
           {"name": "once", "repeats": "at-most-once", "patienceMs": 60000}]}"""
                 .getBytes());
-    referee = new RuleChecker(scenario);
-    store = new EmulatedStore(scenario, reactor, referee, 1);
+    ruleChecker = new RuleChecker(scenario);
+    store = new EmulatedStore(scenario, reactor, ruleChecker, 1);
     for (int i = 0; i < 3; i++) {
       int mixer = i;
       store
@@ -72,7 +72,7 @@
               })
           .memberList();
     }
-    Thread thread = new Thread(reactor::run, "planted");
+    Thread thread = new Thread(reactor::run, "violation-attribution");
     thread.setDaemon(true);
     thread.start();
   }
@@ -113,7 +113,8 @@
     long deadlineNanos = System.nanoTime() + 20_000_000_000L;
     while (!onReactor(condition)) {
       assertTrue(
-          System.nanoTime() < deadlineNanos, "in time; parts " + onReactor(referee::tripCount));
+          System.nanoTime() < deadlineNanos,
+          "condition not met in time; parts " + onReactor(ruleChecker::tripCount));
       Thread.sleep(5);
     }
   }
@@ -121,7 +122,7 @@
   private void recordRequest(int mixer, String requestId, String serviceClass) throws Exception {
     onReactor(
         () -> {
-          referee.requestSent(
+          ruleChecker.requestSent(
               mixer, requestId, serviceClass, SHARES, null, reactor.now(), Duration.ofMinutes(1));
           return null;
         });
@@ -131,13 +132,14 @@
       throws Exception {
     onReactor(
         () -> {
-          referee.requestAnswered(requestId, reactor.now(), rejected, false, values);
+          ruleChecker.requestAnswered(requestId, reactor.now(), rejected, false, values);
           return null;
         });
   }
 
   /**
-   * Sends a part of each scan as a mixer does, and waits until the link holds it or the box has it.
+   * Sends a part of each scan as a mixer does, and waits until the relay has buffered it or the box
+   * has received it.
    */
   private void sendParts(int mixer, int partition, int box, String... requestIds) throws Exception {
     sentParts += requestIds.length;
@@ -165,13 +167,13 @@
                         .put(frame)
                         .array());
               }
-              return referee.tripCount() + requestIds.length;
+              return ruleChecker.tripCount() + requestIds.length;
             });
     awaitCondition(
         () ->
             linkFaults[mixer].cut
                 ? relays[mixer][box].bufferedBytes() > 0
-                : referee.tripCount() == expectedTrips || referee.violationCount() > 0);
+                : ruleChecker.tripCount() == expectedTrips || ruleChecker.violationCount() > 0);
   }
 
   private void setCut(String mixers, boolean isCut) throws Exception {
@@ -194,7 +196,8 @@
     recordRequest(FAULTY_MIXER, "bad", serviceClass);
     switch (violation) {
       case "SCAN_LOST" -> {
-        sendParts(FAULTY_MIXER, 0, 0, "bad"); // one in time goes before it on the same way
+        sendParts(
+            FAULTY_MIXER, 0, 0, "bad"); // a part sent in time precedes it on the same connection
         recordAnswer("bad", true, null);
         Thread.sleep(PAST_SLACK_MS);
         sendParts(FAULTY_MIXER, 0, 0, "bad");
@@ -211,14 +214,14 @@
         onReactor(
             () -> {
               for (int mixer = 0; mixer < 3; mixer++) {
-                referee.boxStateNotified(mixer, 0, reactor.now());
+                ruleChecker.boxStateNotified(mixer, 0, reactor.now());
               }
               return null;
             });
         Thread.sleep(PAST_SLACK_MS);
         sendParts(FAULTY_MIXER, 0, 0, "bad");
       }
-      case "HONEST_ANSWER" -> recordAnswer("bad", false, Map.of(0, "made up"));
+      case "HONEST_ANSWER" -> recordAnswer("bad", false, Map.of(0, "not from a box"));
       case "TRIPS" -> sendParts(FAULTY_MIXER, 0, 0, "bad", "bad", "bad");
       case "STRANGE_PART" -> sendParts(FAULTY_MIXER, 1, 1, "good0");
       default -> throw new IllegalArgumentException(violation);
@@ -226,8 +229,8 @@
   }
 
   /**
-   * Mixers 0 and 2 send parts in time and end their scans; what a cut link holds arrives long
-   * after.
+   * Mixers 0 and 2 send parts in time and complete their scans; parts buffered at a cut link arrive
+   * long afterwards.
    */
   @ParameterizedTest
   @CsvSource({
@@ -254,20 +257,22 @@
       run.recordAnswer("good2", true, null);
       Thread.sleep(PAST_SLACK_MS);
       run.setCut(cutMixers, false);
-      run.awaitCondition(() -> run.referee.tripCount() == run.sentParts);
+      run.awaitCondition(() -> run.ruleChecker.tripCount() == run.sentParts);
       String context =
-          violation + ", cut off: " + cutMixers + ": " + run.onReactor(run.referee::violations);
+          violation + ", cut off: " + cutMixers + ": " + run.onReactor(run.ruleChecker::violations);
       Rule rule = Rule.valueOf(violation.replace("NACKED", "TWICE"));
-      assertEquals(Map.of(rule, 1), run.onReactor(run.referee::countsByRule), context);
-      assertEquals(Map.of(FAULTY_MIXER, 1), run.onReactor(run.referee::countsByMixer), context);
+      assertEquals(Map.of(rule, 1), run.onReactor(run.ruleChecker::countsByRule), context);
+      assertEquals(Map.of(FAULTY_MIXER, 1), run.onReactor(run.ruleChecker::countsByMixer), context);
       assertTrue(
-          cutMixers.isEmpty() || run.onReactor(run.referee::delayedCount) > 0 || run.sentParts == 2,
+          cutMixers.isEmpty()
+              || run.onReactor(run.ruleChecker::delayedCount) > 0
+              || run.sentParts == 2,
           context);
       run.stopReactor();
     }
   }
 
-  /** A cold box falls by what one mixer sends it, though others sent it parts as well. */
+  /** A cold box fails because of the load from one mixer, although others sent it parts as well. */
   @ParameterizedTest
   @CsvSource({"''", "02", "1"})
   void coldBoxFailureIsAttributedToTheHeaviestSender(String cutMixers) throws Exception {
@@ -290,18 +295,17 @@
     }
     sendParts(FAULTY_MIXER, 0, 0, requestIds);
     setCut(cutMixers, false);
-    awaitCondition(() -> referee.tripCount() == sentParts || referee.violationCount() > 0);
-    Thread.sleep(
-        300); // longer than a box's bucket: the next part has it judged, if that was not done
-    // before
-    if (onReactor(referee::violationCount) == 0) {
+    awaitCondition(() -> ruleChecker.tripCount() == sentParts || ruleChecker.violationCount() > 0);
+    // longer than the box's load interval, so that the next part triggers the check if none has yet
+    Thread.sleep(300);
+    if (onReactor(ruleChecker::violationCount) == 0) {
       sendParts(FAULTY_MIXER, 0, 0, "bad");
     }
-    awaitCondition(() -> referee.violationCount() > 0);
+    awaitCondition(() -> ruleChecker.violationCount() > 0);
     assertEquals(
         Map.of(Rule.COLD_BOX, 1),
-        onReactor(referee::countsByRule),
-        onReactor(referee::violations).toString());
-    assertEquals(Map.of(FAULTY_MIXER, 1), onReactor(referee::countsByMixer));
+        onReactor(ruleChecker::countsByRule),
+        onReactor(ruleChecker::violations).toString());
+    assertEquals(Map.of(FAULTY_MIXER, 1), onReactor(ruleChecker::countsByMixer));
   }
 }
