--- a/share/src/test/java/gingerring/share/TurnOrderTest.java
+++ b/share/src/test/java/gingerring/share/TurnOrderTest.java
@@ -26,79 +26,82 @@
     return fleet;
   }
 
-  /** Who agree on the members hold one place each; nobody owns a matter for good. */
+  /** Mixers with the same member list have distinct ranks, and no mixer keeps a task for good. */
   @Property(tries = 50, seed = "28")
-  void eachHoldsAPlaceOfItsOwn(@ForAll long matter, @ForAll int round) {
+  void eachMemberHasAUniqueRank(@ForAll long taskId, @ForAll int round) {
     List<MixerId> fleet = fleet(40);
-    Set<Integer> places = new TreeSet<>();
-    fleet.forEach(mixer -> places.add(new TurnOrder(mixer, STEP).rank(matter, round, fleet)));
-    assertEquals(40, places.size());
-    assertEquals(39, ((TreeSet<Integer>) places).last());
+    Set<Integer> ranks = new TreeSet<>();
+    fleet.forEach(mixer -> ranks.add(new TurnOrder(mixer, STEP).rank(taskId, round, fleet)));
+    assertEquals(40, ranks.size());
+    assertEquals(39, ((TreeSet<Integer>) ranks).last());
     Set<MixerId> firsts = new HashSet<>();
     for (long later = round; later < round + 40L; later++) {
       for (MixerId mixer : fleet) {
-        if (new TurnOrder(mixer, STEP).rank(matter, later, fleet) == 0) {
+        if (new TurnOrder(mixer, STEP).rank(taskId, later, fleet) == 0) {
           firsts.add(mixer);
         }
       }
     }
-    assertTrue(firsts.size() > 15, () -> firsts.size() + " of 40 came first in 40 rounds");
+    assertTrue(firsts.size() > 15, () -> firsts.size() + " of 40 mixers had rank 0 in 40 rounds");
   }
 
   /**
-   * The two failures: of views that differ by d at most d + 1 share a place, of r who are gone all
-   * are passed.
+   * Bounds both ways in which the order degrades: with member lists that differ by d members at
+   * most d + 1 mixers have the same rank, and r absent members delay the task by at most r steps.
    */
   @Property(tries = 200, seed = "29")
-  void itsTwoFailuresAreBounded(@ForAll long seed) {
-    SplittableRandom chance = new SplittableRandom(seed);
+  void boundsDuplicateAndDelayedActions(@ForAll long seed) {
+    SplittableRandom random = new SplittableRandom(seed);
     List<MixerId> fleet = fleet(12);
-    int d = chance.nextInt(5);
-    int first = 0;
+    int difference = random.nextInt(5);
+    int firstRankCount = 0;
     for (MixerId mixer : fleet) {
       List<MixerId> view = new ArrayList<>(fleet);
-      for (int i = 0; i < d; i++) { // each misses some others of the same d, never itself
+      for (int i = 0;
+          i < difference;
+          i++) { // each list lacks some of the same d members, never the mixer itself
         MixerId missed = fleet.get(i);
-        if (chance.nextBoolean() && !missed.equals(mixer)) {
+        if (random.nextBoolean() && !missed.equals(mixer)) {
           view.remove(missed);
         }
       }
-      first += new TurnOrder(mixer, STEP).rank(seed, 1, view) == 0 ? 1 : 0;
+      firstRankCount += new TurnOrder(mixer, STEP).rank(seed, 1, view) == 0 ? 1 : 0;
     }
-    int holders = first;
+    int holders = firstRankCount;
     assertTrue(
-        holders >= 1 && holders <= d + 1,
-        () -> holders + " hold the first place, views differ by " + d);
-    List<MixerId> there = fleet.subList(d, 12);
+        holders >= 1 && holders <= difference + 1,
+        () -> holders + " mixers have rank 0, member lists differ by " + difference);
+    List<MixerId> present = fleet.subList(difference, 12);
     Duration soonest =
-        there.stream()
+        present.stream()
             .map(mixer -> new TurnOrder(mixer, STEP).delay(seed, 1, fleet))
             .min(Duration::compareTo)
             .orElseThrow();
     assertTrue(
-        soonest.compareTo(STEP.multipliedBy(d)) <= 0,
-        () -> d + " are gone, the next acts after " + soonest);
+        soonest.compareTo(STEP.multipliedBy(difference)) <= 0,
+        () -> difference + " members are gone, the next acts after " + soonest);
   }
 
-  /** Without talk the rate over the fleet does not grow with it. */
+  /** Without messages the rate of actions over the fleet does not grow with its size. */
   @Test
-  void spreadsByTheSizeOfTheFleet() {
+  void randomDelaysScaleWithTheFleetSize() {
     for (int size : new int[] {10, 100, 1000, 10_000}) {
       long within = 0;
-      for (long matter = 0; matter < 20; matter++) {
+      for (long taskId = 0; taskId < 20; taskId++) {
         for (MixerId mixer : fleet(size)) {
-          Duration at = new TurnOrder(mixer, STEP).randomDelay(matter, 1, size);
-          assertTrue(at.compareTo(STEP.multipliedBy(size)) <= 0);
-          within += at.compareTo(STEP.multipliedBy(5)) < 0 ? 1 : 0;
+          Duration delay = new TurnOrder(mixer, STEP).randomDelay(taskId, 1, size);
+          assertTrue(delay.compareTo(STEP.multipliedBy(size)) <= 0);
+          within += delay.compareTo(STEP.multipliedBy(5)) < 0 ? 1 : 0;
         }
       }
       long seen = within;
-      assertEquals(100, seen, 40, () -> seen + " of 20 matters act in 5 steps at " + size);
+      assertEquals(
+          100, seen, 40, () -> seen + " actions in 5 steps over 20 tasks at fleet size " + size);
     }
   }
 
   @Test
-  void refusesAStepOfNothing() {
+  void rejectsAZeroStep() {
     assertThrows(
         IllegalArgumentException.class, () -> new TurnOrder(new MixerId(1), Duration.ZERO));
   }
