--- a/bench/src/main/java/gingerring/bench/ReadingBench.java
+++ b/bench/src/main/java/gingerring/bench/ReadingBench.java
@@ -2,8 +2,8 @@
 
 import gingerring.traffic.flow.ReassemblyLimits;
 import gingerring.traffic.pcap.CaptureReader;
-import gingerring.traffic.pcap.PacketDecoder;
 import gingerring.traffic.pcap.Packet;
+import gingerring.traffic.pcap.PacketDecoder;
 import gingerring.traffic.pcap.Segment;
 import gingerring.traffic.scan.ObservedScan;
 import gingerring.traffic.scan.RecordingReader;
@@ -108,6 +108,7 @@
   @Benchmark
   @OperationsPerInvocation(PACKETS)
   public long scans() throws IOException {
-    return RecordingReader.read(reader(), ReassemblyLimits.DEFAULT, segment -> true, seen -> {}).scans();
+    return RecordingReader.read(reader(), ReassemblyLimits.DEFAULT, segment -> true, seen -> {})
+        .scans();
   }
 }
--- a/bench/src/main/java/gingerring/bench/ReadingSpeed.java
+++ b/bench/src/main/java/gingerring/bench/ReadingSpeed.java
@@ -61,7 +61,8 @@
                 capture,
                 ReassemblyLimits.DEFAULT,
                 s -> true,
-                exchange -> whole[0] += exchange.outcome() == ObservedScan.ScanOutcome.WHOLE ? 1 : 0);
+                exchange ->
+                    whole[0] += exchange.outcome() == ObservedScan.ScanOutcome.WHOLE ? 1 : 0);
       }
       double took = (System.nanoTime() - start) / 1e9;
       cpu = ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime() - cpu;
--- a/cli/src/main/java/gingerring/cli/PcapCommand.java
+++ b/cli/src/main/java/gingerring/cli/PcapCommand.java
@@ -121,7 +121,8 @@
       out.println("not read:");
       it.skippedCounts().forEach((what, many) -> out.println("  " + many + ' ' + what));
       if (it.droppedPackets() > 0) {
-        out.println("  " + it.droppedPackets() + " packets that the recorder dropped, as the file says");
+        out.println(
+            "  " + it.droppedPackets() + " packets that the recorder dropped, as the file says");
       }
     }
     out.println(it.endReason().isEmpty() ? "the file is whole" : it.endReason());
@@ -161,7 +162,9 @@
                     seen.responseEndNanos() == 0
                         ? ""
                         : String.format(
-                            Locale.ROOT, "%.3f", (seen.responseEndNanos() - seen.requestEndNanos()) / 1e6),
+                            Locale.ROOT,
+                            "%.3f",
+                            (seen.responseEndNanos() - seen.requestEndNanos()) / 1e6),
                     quoted(seen.problem())));
     out.flush();
     if (!it.endReason().isEmpty()) {
@@ -193,7 +196,9 @@
       @Mixin Wanted wanted)
       throws IOException {
     different(List.of(file), to);
-    long first = RecordingReader.read(file, ReassemblyLimits.DEFAULT, segment -> false, seen -> {}).firstNanos();
+    long first =
+        RecordingReader.read(file, ReassemblyLimits.DEFAULT, segment -> false, seen -> {})
+            .firstNanos();
     long since = when(from, first);
     long before = until == null ? Long.MAX_VALUE : when(until, first);
     return done(CaptureEditor.cut(file, to, since, before, wanted.nets(), wanted.all()), to);
@@ -256,7 +261,8 @@
 
   private int done(CaptureEditor.EditResult done, Path to) {
     out().println(to + ": " + done.packetsWritten() + " of " + done.packetsRead() + " packets");
-    done.warnings().forEach(note -> spec.commandLine().getErr().println("gingerring pcap: " + note));
+    done.warnings()
+        .forEach(note -> spec.commandLine().getErr().println("gingerring pcap: " + note));
     return done.warnings().isEmpty() ? 0 : Gingerring.VERDICT;
   }
 }
--- a/cli/src/main/java/gingerring/cli/ReplayCommand.java
+++ b/cli/src/main/java/gingerring/cli/ReplayCommand.java
@@ -4,11 +4,11 @@
 import gingerring.traffic.flow.ReassemblyLimits;
 import gingerring.traffic.pcap.CaptureReader;
 import gingerring.traffic.replay.Comparison;
+import gingerring.traffic.replay.OutcomeTimeline;
 import gingerring.traffic.replay.Pacer;
 import gingerring.traffic.replay.ReplayPlan;
 import gingerring.traffic.replay.Replayer;
 import gingerring.traffic.replay.Retries;
-import gingerring.traffic.replay.OutcomeTimeline;
 import gingerring.traffic.scan.ObservedScan;
 import gingerring.traffic.scan.ObservedScan.ScanOutcome;
 import gingerring.traffic.scan.RecordingReader;
@@ -127,7 +127,9 @@
                 mixer,
                 times,
                 Duration.ofMillis(lateMost),
-                anew ? new Retries(Retries.RetryPolicy.DEFAULT, new SplittableRandom(seed)) : null));
+                anew
+                    ? new Retries(Retries.RetryPolicy.DEFAULT, new SplittableRandom(seed))
+                    : null));
     PrintWriter print = spec.commandLine().getOut();
     print(print, read, result);
     if (out != null) {
@@ -216,7 +218,9 @@
               }
               print.println();
             });
-    compared.countsByCause().forEach((cause, many) -> print.println("  " + many + " differ: " + cause));
+    compared
+        .countsByCause()
+        .forEach((cause, many) -> print.println("  " + many + " differ: " + cause));
   }
 
   private static double millis(Duration span) {
--- a/emulator/src/main/java/gingerring/emulator/experiment/ClientStatistics.java
+++ b/emulator/src/main/java/gingerring/emulator/experiment/ClientStatistics.java
@@ -2,8 +2,8 @@
 
 import gingerring.emulator.core.Scenario.ServiceClass;
 import gingerring.emulator.core.Workload.ClientRequest;
-import gingerring.traffic.scan.ScanResponse;
 import gingerring.traffic.scan.ObservedScan.ScanOutcome;
+import gingerring.traffic.scan.ScanResponse;
 import java.time.Duration;
 import java.util.EnumMap;
 import java.util.Map;
--- a/emulator/src/main/java/gingerring/emulator/experiment/EmulatedStore.java
+++ b/emulator/src/main/java/gingerring/emulator/experiment/EmulatedStore.java
@@ -508,7 +508,8 @@
     @Override
     public void onData(byte[] bytes, int length) {
       if (bytesRead == 0) {
-        sendTimes = sendTimesByPorts.get(portPair(connection.remoteAddress(), connection.localAddress()));
+        sendTimes =
+            sendTimesByPorts.get(portPair(connection.remoteAddress(), connection.localAddress()));
       }
       received.write(bytes, 0, length);
       ByteBuffer all = ByteBuffer.wrap(received.toByteArray()).order(ByteOrder.LITTLE_ENDIAN);
--- a/emulator/src/main/java/gingerring/emulator/interleaving/MixerEnvironment.java
+++ b/emulator/src/main/java/gingerring/emulator/interleaving/MixerEnvironment.java
@@ -6,8 +6,8 @@
 import gingerring.emulator.experiment.MixerProcess;
 import gingerring.http.HttpException;
 import gingerring.http.MessageHead;
-import gingerring.traffic.scan.ScanResponse;
 import gingerring.traffic.scan.ObservedScan;
+import gingerring.traffic.scan.ScanResponse;
 import gingerring.traffic.wire.HttpConnectionHandler;
 import gingerring.traffic.wire.Reactor;
 import gingerring.traffic.wire.ReactorConnection;
@@ -420,7 +420,8 @@
         DiscoveryAgent unavailableAgent = discoveryAgent;
         unavailableAgent.unavailable = true;
         unavailableAgent.dropsPendingCalls = event == Event.DISCOVERY_DOWN_FORGETS;
-        reactor.schedule(Duration.ofMillis(pair.discoveryDownMs()), unavailableAgent::becomeAvailable);
+        reactor.schedule(
+            Duration.ofMillis(pair.discoveryDownMs()), unavailableAgent::becomeAvailable);
         trigger.run();
       }
       case LIST_DRAINS -> {
@@ -1361,7 +1362,8 @@
       boolean served =
           answer.outcome() == ObservedScan.ScanOutcome.WHOLE
               || answer.outcome() == ObservedScan.ScanOutcome.PART;
-      record("answered " + requestId + ' ' + answer.status() + (served ? " " + answer.outcome() : ""));
+      record(
+          "answered " + requestId + ' ' + answer.status() + (served ? " " + answer.outcome() : ""));
       warmedUp |= answer.outcome() == ObservedScan.ScanOutcome.WHOLE;
       if (ownGeneration == generation && !leaving) {
         checker.requestAnswered(
