--- a/emulator/src/main/java/gingerring/emulator/experiment/EmulatedStore.java
+++ b/emulator/src/main/java/gingerring/emulator/experiment/EmulatedStore.java
@@ -41,7 +41,7 @@
   /** A box's sockets. */
   private final class BoxServer {
     final Box box;
-    Reactor.Listening listening;
+    Reactor.ListeningSocket listening;
     String phase = "SERVING";
     long upSinceMs;
 
@@ -84,7 +84,7 @@
     private final int mixer;
     private final IntBinaryOperator portMapping;
     private final Set<DiscoveryConnection> watchers = new LinkedHashSet<>();
-    private final Reactor.Listening listening;
+    private final Reactor.ListeningSocket listening;
     private boolean silent;
     private final List<Runnable> pendingUpdates = new ArrayList<>();
     private IntConsumer closedPortListener = port -> {};
@@ -191,7 +191,7 @@
 
   /** A link tells what it knows of a connection that it makes. */
   public void registerSendTimes(ReactorConnection made, SendTimes passage) {
-    sendTimesByPorts.put(portPair(made.local(), made.remote()), passage);
+    sendTimesByPorts.put(portPair(made.localAddress(), made.remoteAddress()), passage);
   }
 
   /** One port of a machine may be the near end of connections to several far ones. */
@@ -252,7 +252,7 @@
 
   private void scheduleAt(Duration worldTime, Runnable task) {
     Duration wait = toRealTime(worldTime).minus(reactor.now().minus(scenarioStart));
-    reactor.after(wait.isNegative() ? Duration.ZERO : wait, task);
+    reactor.schedule(wait.isNegative() ? Duration.ZERO : wait, task);
   }
 
   private Duration toRealTime(Duration worldTime) {
@@ -268,7 +268,7 @@
 
   @Override
   public void schedule(Duration span, Runnable task) {
-    reactor.after(span, task);
+    reactor.schedule(span, task);
   }
 
   @Override
@@ -318,7 +318,7 @@
       case DRAIN -> {
         seat.box.drain();
         publishPhase(seat, "DRAINING");
-        reactor.after(
+        reactor.schedule(
             toRealTime(DRAIN_DURATION),
             () -> {
               seat.box.stop();
@@ -339,7 +339,7 @@
           line.connection.reset();
         }
       }
-      reactor.after(toRealTime(Duration.ofSeconds(1)), () -> breakConnections(trouble, seat));
+      reactor.schedule(toRealTime(Duration.ofSeconds(1)), () -> breakConnections(trouble, seat));
     }
   }
 
@@ -390,7 +390,7 @@
             .max()
             .orElse(0);
     Duration wait = toRealTime(scenario.discoveryLag()).multipliedBy((long) (1 + lag));
-    reactor.after(
+    reactor.schedule(
         wait,
         () -> {
           seat.phase = phase;
@@ -417,7 +417,7 @@
 
   /** Connections that have stood idle for their time are closed, as the protocol has it. */
   private void closeIdleConnections() {
-    reactor.after(
+    reactor.schedule(
         Duration.ofSeconds(1),
         () -> {
           Duration now = reactor.now();
@@ -427,14 +427,14 @@
                     line ->
                         line.partsInFlight == 0
                             && now.minus(line.lastUsed).compareTo(scenario.idleTimeout()) > 0)
-                .forEach(line -> line.connection.close());
+                .forEach(line -> line.connection.closeAfterFlush());
           }
           closeIdleConnections();
         });
   }
 
   private void sendKeepAlives() {
-    reactor.after(
+    reactor.schedule(
         KEEP_ALIVE_INTERVAL,
         () -> {
           views.stream().filter(view -> !view.silent).forEach(view -> view.sendLine(""));
@@ -495,7 +495,7 @@
       this.server = seat;
       this.connection = wire;
       if (seat.connections.size() >= scenario.maxConnections()) {
-        wire.close();
+        wire.closeAfterFlush();
       }
       seat.connections.add(this);
       connectionsOpened++;
@@ -506,9 +506,10 @@
     }
 
     @Override
-    public void bytes(byte[] bytes, int length) {
+    public void onData(byte[] bytes, int length) {
       if (bytesRead == 0) {
-        sendTimes = sendTimesByPorts.get(portPair(connection.remote(), connection.local()));
+        sendTimes =
+            sendTimesByPorts.get(portPair(connection.remoteAddress(), connection.localAddress()));
       }
       received.write(bytes, 0, length);
       ByteBuffer all = ByteBuffer.wrap(received.toByteArray()).order(ByteOrder.LITTLE_ENDIAN);
@@ -516,7 +517,7 @@
         int size = all.getInt(all.position());
         if (size < 1 || size > MAX_FRAME_BYTES) {
           sendFrame("Fa frame of " + size + " bytes");
-          connection.close();
+          connection.closeAfterFlush();
           return;
         }
         if (all.remaining() < 4 + size) {
@@ -547,7 +548,7 @@
         case 'M' -> sendFrame("M" + loadReport());
         default -> {
           sendFrame("Funknown letter");
-          connection.close();
+          connection.closeAfterFlush();
         }
       }
     }
@@ -565,7 +566,7 @@
         String[] words = new String(frame, at, end - at, StandardCharsets.US_ASCII).split(" ");
         if (end == frame.length || words.length != 4) {
           sendFrame("Fno part's line");
-          connection.close();
+          connection.closeAfterFlush();
           return;
         }
         int length = Integer.parseInt(words[3]);
@@ -594,7 +595,7 @@
         if (firstCallSeen || scenario.handshake().isZero()) {
           server.box.receive(part);
         } else {
-          reactor.after(
+          reactor.schedule(
               scenario.handshake(), () -> server.box.receive(part)); // the first call on it waits
         }
       }
@@ -610,7 +611,7 @@
     }
 
     void answer(Box.Part part, String end) {
-      if (connection.closed() || server.unresponsive) {
+      if (connection.isClosed() || server.unresponsive) {
         return;
       }
       partsInFlight--;
@@ -643,7 +644,7 @@
 
     private void sendFrame(String frame) {
       byte[] bytes = frame.getBytes(StandardCharsets.UTF_8);
-      connection.put(
+      connection.send(
           ByteBuffer.allocate(4 + bytes.length)
               .order(ByteOrder.LITTLE_ENDIAN)
               .putInt(bytes.length)
@@ -652,7 +653,7 @@
     }
 
     @Override
-    public void closed() {
+    public void onClosed() {
       server.connections.remove(this);
       sendTimesByPorts.values().remove(sendTimes);
     }
@@ -671,7 +672,7 @@
     }
 
     @Override
-    public void bytes(byte[] bytes, int length) {
+    public void onData(byte[] bytes, int length) {
       request.append(new String(bytes, 0, length, StandardCharsets.ISO_8859_1));
       if (request.indexOf("\r\n\r\n") < 0) {
         return;
@@ -683,27 +684,27 @@
         return;
       }
       if (stream) {
-        connection.put(
+        connection.send(
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                 .getBytes(StandardCharsets.US_ASCII));
         view.watchers.add(this);
         sendLine(view.memberList());
       } else {
         String list = view.memberList();
-        connection.put(
+        connection.send(
             ("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list)
                 .getBytes(StandardCharsets.US_ASCII));
       }
     }
 
     void sendLine(String text) {
-      connection.put(
+      connection.send(
           (Integer.toHexString(text.length() + 1) + "\r\n" + text + "\n\r\n")
               .getBytes(StandardCharsets.US_ASCII));
     }
 
     @Override
-    public void closed() {
+    public void onClosed() {
       view.watchers.remove(this);
     }
   }
--- a/emulator/src/main/java/gingerring/emulator/interleaving/MixerEnvironment.java
+++ b/emulator/src/main/java/gingerring/emulator/interleaving/MixerEnvironment.java
@@ -6,9 +6,9 @@
 import gingerring.emulator.experiment.MixerProcess;
 import gingerring.http.HttpException;
 import gingerring.http.MessageHead;
-import gingerring.traffic.scan.Answer;
 import gingerring.traffic.scan.ObservedScan;
-import gingerring.traffic.wire.HttpHandler;
+import gingerring.traffic.scan.ScanResponse;
+import gingerring.traffic.wire.HttpConnectionHandler;
 import gingerring.traffic.wire.Reactor;
 import gingerring.traffic.wire.ReactorConnection;
 import java.io.ByteArrayOutputStream;
@@ -214,7 +214,7 @@
       if (!client.warmedUp) {
         allServed = false;
         // without a pause between requests the mixer answers some of them only in part
-        if (!client.connection.closed()
+        if (!client.connection.isClosed()
             && client.requestId == null
             && client.connected
             && (client.sentAt == null
@@ -259,8 +259,8 @@
               box -> {
                 box.releaseAnswers(false);
                 List.copyOf(box.connections).stream()
-                    .filter(line -> line.partsInFlight > 0)
-                    .forEach(line -> line.connection.reset());
+                    .filter(connection -> connection.partsInFlight > 0)
+                    .forEach(connection -> connection.transport.reset());
               });
     }
     releaseAnswers();
@@ -298,7 +298,7 @@
         .forEach(
             client -> {
               client.leaving = true;
-              client.connection.close();
+              client.connection.closeAfterFlush();
             });
     clients.clear();
     backgroundClients.clear();
@@ -315,7 +315,7 @@
     if (requestsStopped || !active) {
       return;
     }
-    backgroundClients.removeIf(client -> client.connection.closed() || client.mixerClosed);
+    backgroundClients.removeIf(client -> client.connection.isClosed() || client.mixerClosed);
     boolean mayConnect =
         terminatedAt == null || now().minus(terminatedAt).compareTo(CONNECT_AFTER_SIGTERM) < 0;
     while (backgroundClients.size() < BACKGROUND_CLIENTS && mayConnect && !exited) {
@@ -338,7 +338,7 @@
       }
     }
     int startGeneration = generation;
-    reactor.after(
+    reactor.schedule(
         BACKGROUND_INTERVAL,
         () -> {
           if (startGeneration == generation) {
@@ -348,7 +348,7 @@
   }
 
   private void tick() {
-    reactor.after(
+    reactor.schedule(
         TICK_INTERVAL,
         () -> {
           if (checker != null) {
@@ -380,7 +380,7 @@
   }
 
   private void keepWatchesAlive() {
-    reactor.after(
+    reactor.schedule(
         WATCH_KEEPALIVE_INTERVAL,
         () -> {
           discoveryAgent.sendLine("");
@@ -420,11 +420,12 @@
         DiscoveryAgent unavailableAgent = discoveryAgent;
         unavailableAgent.unavailable = true;
         unavailableAgent.dropsPendingCalls = event == Event.DISCOVERY_DOWN_FORGETS;
-        reactor.after(Duration.ofMillis(pair.discoveryDownMs()), unavailableAgent::becomeAvailable);
+        reactor.schedule(
+            Duration.ofMillis(pair.discoveryDownMs()), unavailableAgent::becomeAvailable);
         trigger.run();
       }
       case LIST_DRAINS -> {
-        targetBox.box.drain();
+        targetBox.model.drain();
         targetBox.publishPhase("DRAINING");
         trigger.run();
       }
@@ -436,7 +437,7 @@
         targetBox.crash();
         targetBox.listen();
         targetBox.upSinceMs = System.currentTimeMillis();
-        targetBox.box.start(true);
+        targetBox.model.start(true);
         targetBox.publishPhase("SERVING");
         trigger.run();
       }
@@ -445,29 +446,29 @@
         List<BoxConnection> previous = List.copyOf(targetBox.connections);
         targetBox.listen();
         targetBox.publishPhase("SERVING");
-        previous.forEach(line -> line.connection.close());
+        previous.forEach(connection -> connection.transport.closeAfterFlush());
         trigger.run();
       }
       case BOXES_CLOSE_IDLE -> {
         for (EmulatedBox box : boxes) {
           List.copyOf(box.connections).stream()
-              .filter(line -> line.partsInFlight == 0)
-              .forEach(line -> line.connection.close());
+              .filter(connection -> connection.partsInFlight == 0)
+              .forEach(connection -> connection.transport.closeAfterFlush());
         }
         trigger.run();
       }
       case BOX_RESETS -> {
         targetBox.releaseAnswers(false);
         List.copyOf(targetBox.connections).stream()
-            .filter(line -> line.partsInFlight > 0)
-            .forEach(line -> line.connection.reset());
+            .filter(connection -> connection.partsInFlight > 0)
+            .forEach(connection -> connection.transport.reset());
         trigger.run();
       }
       case BOX_ENDS -> {
         targetBox.releaseAnswers(false);
         List.copyOf(targetBox.connections).stream()
-            .filter(line -> line.partsInFlight > 0)
-            .forEach(line -> line.connection.close());
+            .filter(connection -> connection.partsInFlight > 0)
+            .forEach(connection -> connection.transport.closeAfterFlush());
         trigger.run();
       }
       case BOX_HANGS -> {
@@ -487,7 +488,7 @@
       case ANSWER -> {
         observedClient.answerTrigger = trigger;
         releaseAnswers();
-        reactor.after(TRIGGER_FALLBACK, () -> triggerOnce(observedClient, trigger));
+        reactor.schedule(TRIGGER_FALLBACK, () -> triggerOnce(observedClient, trigger));
       }
       case CLIENT_CLOSES -> {
         observedClient.leave(false);
@@ -502,7 +503,7 @@
         trigger.run();
       }
       case CLIENT_NEXT -> {
-        if (idleClient.connection.closed()
+        if (idleClient.connection.isClosed()
             || idleClient.requestId != null
             || idleClient.mixerClosed) {
           trigger.run();
@@ -514,7 +515,7 @@
         }
       }
       case CLIENT_ASKS_GOES -> {
-        if (idleClient.connection.closed()
+        if (idleClient.connection.isClosed()
             || idleClient.requestId != null
             || idleClient.mixerClosed) {
           trigger.run();
@@ -523,7 +524,7 @@
               scenario.serviceClasses().get(pair.drawBetween("next", 0, 2)),
               pair.drawBetween("next folio", 0, 3),
               2);
-          reactor.after(
+          reactor.schedule(
               Duration.ofMillis(pair.drawBetween("goes", 0, 60)),
               () -> {
                 idleClient.leave(pair.drawFraction("goes by reset") < 0.5);
@@ -549,14 +550,14 @@
                     requestId,
                     () -> {
                       if (pendingTrigger[0] != null) {
-                        Runnable due = pendingTrigger[0];
+                        Runnable callback = pendingTrigger[0];
                         pendingTrigger[0] = null;
-                        due.run();
+                        callback.run();
                       }
                     });
               };
         }
-        reactor.after(
+        reactor.schedule(
             TRIGGER_FALLBACK,
             () -> {
               if (pendingTrigger[0] != null) {
@@ -583,7 +584,7 @@
           }
         };
     triggersByFirstPart.put(requestId, callback);
-    reactor.after(TRIGGER_FALLBACK, callback);
+    reactor.schedule(TRIGGER_FALLBACK, callback);
   }
 
   private static void triggerOnce(TestClient client, Runnable trigger) {
@@ -603,8 +604,8 @@
     InetSocketAddress newAddress = discoveryAgent.listener.address();
     Thread thread =
         new Thread(
-            () -> { // the signal is sent by an external process, so the reactor must not wait for
-              // it
+            () -> {
+              // sends a signal through an external process, for which the reactor must not wait
               try {
                 mixer.reload(scenario, newAddress, emptyMemberList);
               } catch (IOException e) {
@@ -614,7 +615,7 @@
             "reload");
     thread.setDaemon(true);
     thread.start();
-    reactor.after(Duration.ofSeconds(10), previousAgent.listener::close);
+    reactor.schedule(Duration.ofSeconds(10), previousAgent.listener::close);
   }
 
   // ---- notification of the mixer ----
@@ -640,7 +641,7 @@
 
   /** Discovery agent: serves one member list and pushes its changes to all watches. */
   private final class DiscoveryAgent {
-    final Reactor.Listening listener;
+    final Reactor.ListeningSocket listener;
     final Set<DiscoveryCall> watches = new LinkedHashSet<>();
     final List<DiscoveryCall> pendingCalls = new ArrayList<>();
     boolean unavailable;
@@ -700,7 +701,7 @@
       sendLine(unnotified.isEmpty() ? "" : memberListJson(false, List.copyOf(unnotified)));
       List<DiscoveryCall> calls = dropsPendingCalls ? List.of() : List.copyOf(pendingCalls);
       pendingCalls.clear();
-      calls.stream().filter(call -> !call.connection.closed()).forEach(DiscoveryCall::respond);
+      calls.stream().filter(call -> !call.connection.isClosed()).forEach(DiscoveryCall::respond);
       notifyIfDelivered();
     }
   }
@@ -718,7 +719,7 @@
     }
 
     @Override
-    public void bytes(byte[] bytes, int length) {
+    public void onData(byte[] bytes, int length) {
       request.append(new String(bytes, 0, length, StandardCharsets.ISO_8859_1));
       if (request.indexOf("\r\n\r\n") < 0) {
         return;
@@ -728,7 +729,7 @@
       record(
           "discovery is called"
               + (isWatch ? " for a watch" : "")
-              + (agent.unavailable ? ", and is unavailable" : ""));
+              + (agent.unavailable ? ", but is unavailable" : ""));
       if (agent.unavailable) {
         agent.pendingCalls.add(this);
       } else {
@@ -744,7 +745,7 @@
     void respond() {
       String memberList = agent.memberListJson(true, boxes);
       if (isWatch) {
-        connection.put(
+        connection.send(
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                 .getBytes(StandardCharsets.US_ASCII));
         agent.watches.add(this);
@@ -755,20 +756,20 @@
           List.copyOf(unnotified).forEach(MixerEnvironment.this::mixerNotified);
         }
       } else {
-        connection.put(
+        connection.send(
             ("HTTP/1.1 200 OK\r\nContent-Length: " + memberList.length() + "\r\n\r\n" + memberList)
                 .getBytes(StandardCharsets.US_ASCII));
       }
     }
 
     void sendLine(String line) {
-      connection.put(
+      connection.send(
           (Integer.toHexString(line.length() + 1) + "\r\n" + line + "\n\r\n")
               .getBytes(StandardCharsets.US_ASCII));
     }
 
     @Override
-    public void closed() {
+    public void onClosed() {
       agent.watches.remove(this);
       agent.pendingCalls.remove(this);
     }
@@ -779,10 +780,10 @@
   private final class EmulatedBox implements Box.Host {
     final int number;
     final String id;
-    final Box box;
+    final Box model;
     final Set<BoxConnection> connections = new LinkedHashSet<>();
     private final List<Runnable> heldAnswers = new ArrayList<>();
-    Reactor.Listening listener;
+    Reactor.ListeningSocket listener;
     String phase = "SERVING";
     long upSinceMs;
     AnswerMode answerMode = AnswerMode.SEND;
@@ -798,8 +799,8 @@
     EmulatedBox(int number, String id) throws IOException {
       this.number = number;
       this.id = id;
-      box = new Box(scenario, number, this);
-      box.start(false);
+      model = new Box(scenario, number, this);
+      model.start(false);
       listen();
     }
 
@@ -833,10 +834,10 @@
     }
 
     void crash() {
-      box.stop();
+      model.stop();
       heldAnswers.clear();
       listener.close();
-      List.copyOf(connections).forEach(connection -> connection.connection.reset());
+      List.copyOf(connections).forEach(connection -> connection.transport.reset());
     }
 
     void dismantle() {
@@ -873,7 +874,7 @@
       releaseAnswers(false);
       byte[] answerStart =
           ("R" + connection.lastPartId + " done 1 -\n").getBytes(StandardCharsets.US_ASCII);
-      connection.connection.put(
+      connection.transport.send(
           ByteBuffer.allocate(4 + answerStart.length)
               .order(ByteOrder.LITTLE_ENDIAN)
               .putInt(60_000)
@@ -884,11 +885,11 @@
     }
 
     private void trickleByte(BoxConnection connection) {
-      reactor.after(
+      reactor.schedule(
           Duration.ofMillis(30),
           () -> {
-            if (!connection.connection.closed()) {
-              connection.connection.put(new byte[] {'x'});
+            if (!connection.transport.isClosed()) {
+              connection.transport.send(new byte[] {'x'});
               trickleByte(connection);
             }
           });
@@ -907,12 +908,12 @@
       int startIncarnation = incarnation;
       releaseAnswers(false);
       listener.close();
-      List.copyOf(connections).forEach(connection -> connection.connection.reset());
+      List.copyOf(connections).forEach(connection -> connection.transport.reset());
       fillBacklog(startIncarnation, trigger);
     }
 
     private void fillBacklog(int startIncarnation, Runnable trigger) {
-      reactor.after(
+      reactor.schedule(
           TICK_INTERVAL,
           () -> {
             if (startIncarnation != incarnation) {
@@ -925,24 +926,23 @@
               fullListener.bind(localAddress(port), 1);
               for (int i = 0; i < 2; i++) {
                 SocketChannel filler = SocketChannel.open();
-                filler.configureBlocking(
-                    false); // non-blocking, as the mixer's connection may have filled the backlog
-                // first
+                // non-blocking: the mixer's connection may have filled the backlog first
+                filler.configureBlocking(false);
                 filler.connect(localAddress(port));
                 backlogFillers.add(filler);
               }
               record("the backlog of " + id + " is full");
               awaitDial(now().plus(TRIGGER_FALLBACK), trigger);
-              reactor.after(
+              reactor.schedule(
                   Duration.ofMillis(pair.drawBetween("late", 150, 900)),
                   () -> {
                     if (startIncarnation == incarnation) {
                       acceptAgain(startIncarnation);
                     }
                   });
-            } catch (
-                BindException
-                    e) { // the selector keeps a closed channel's port until its next iteration
+            } catch (BindException e) {
+              // the selector keeps a closed channel's port until its next iteration
+
               freeBacklog();
               fillBacklog(startIncarnation, trigger);
             } catch (IOException e) {
@@ -962,7 +962,7 @@
         acceptsLate = false;
         record("the backlog of " + id + " is free");
       } catch (BindException e) { // a connection of the full backlog still holds the port
-        reactor.after(TICK_INTERVAL, () -> acceptAgain(startIncarnation));
+        reactor.schedule(TICK_INTERVAL, () -> acceptAgain(startIncarnation));
       } catch (IOException e) {
         throw new UncheckedIOException(e);
       }
@@ -992,17 +992,20 @@
       String tableEntry =
           String.format("%02X%02X%02X%02X:%04X 02 ", ip[3], ip[2], ip[1], ip[0], port); // SYN_SENT
       connectionTableReader.execute(
-          () -> { // the table can have thousands of lines; reading it here would stall the reactor
-            boolean dialled = isDialling(tableEntry);
+          () -> {
+            // the table can have thousands of lines; reading it on the reactor's thread would stall
+            // it
+
+            boolean dialling = isDialling(tableEntry);
             reactor.post(
                 () -> {
-                  if (dialled) {
+                  if (dialling) {
                     record("a connection to " + id + " is being established");
                   }
-                  if (dialled || now().compareTo(deadline) > 0) {
+                  if (dialling || now().compareTo(deadline) > 0) {
                     trigger.run();
                   } else {
-                    reactor.after(TICK_INTERVAL, () -> awaitDial(deadline, trigger));
+                    reactor.schedule(TICK_INTERVAL, () -> awaitDial(deadline, trigger));
                   }
                 });
           });
@@ -1013,7 +1016,7 @@
         for (String table : List.of("/proc/net/tcp", "/proc/net/tcp6")) {
           if (Files.isReadable(Path.of(table))
               && Files.readAllLines(Path.of(table)).stream()
-                  .anyMatch(connection -> connection.contains(tableEntry))) {
+                  .anyMatch(tableLine -> tableLine.contains(tableEntry))) {
             return true;
           }
         }
@@ -1032,7 +1035,7 @@
 
     @Override
     public void schedule(Duration delay, Runnable task) {
-      reactor.after(delay, task);
+      reactor.schedule(delay, task);
     }
 
     @Override
@@ -1052,7 +1055,7 @@
 
     @Override
     public void overloaded(Box failedBox) {
-      checker.boxFailed(number, reactor.now());
+      checker.boxOverloaded(number, reactor.now());
       record(id + " failed under load while cold");
     }
   }
@@ -1060,26 +1063,26 @@
   /** A connection from the mixer to a box. */
   private final class BoxConnection implements ReactorConnection.Handler {
     private final EmulatedBox box;
-    private final ReactorConnection connection;
+    private final ReactorConnection transport;
     private final ByteArrayOutputStream buffer = new ByteArrayOutputStream();
     private int partsInFlight;
     private String lastPartId;
 
     BoxConnection(EmulatedBox box, ReactorConnection connection) {
       this.box = box;
-      this.connection = connection;
+      this.transport = connection;
       box.connections.add(this);
     }
 
     @Override
-    public void bytes(byte[] bytes, int length) {
+    public void onData(byte[] bytes, int length) {
       buffer.write(bytes, 0, length);
       ByteBuffer pending = ByteBuffer.wrap(buffer.toByteArray()).order(ByteOrder.LITTLE_ENDIAN);
       while (pending.remaining() >= 4) {
         int size = pending.getInt(pending.position());
         if (size < 1 || size > MAX_FRAME_BYTES) {
           record("a frame of " + size + " bytes at " + box.id);
-          connection.reset();
+          transport.reset();
           return;
         }
         if (pending.remaining() < 4 + size) {
@@ -1098,7 +1101,7 @@
       switch (frame[0]) {
         case 'S' -> scan(frame);
         case 'C' ->
-            box.box.cancel(new String(frame, 1, frame.length - 1, StandardCharsets.US_ASCII));
+            box.model.cancel(new String(frame, 1, frame.length - 1, StandardCharsets.US_ASCII));
         case 'H' -> {
           if (box.answerMode != AnswerMode.HANG) {
             sendFrame("Hdone");
@@ -1109,7 +1112,7 @@
             sendFrame("M" + loadReport());
           }
         }
-        default -> connection.reset();
+        default -> transport.reset();
       }
     }
 
@@ -1125,8 +1128,8 @@
         String text = new String(frame, end + 1, length, StandardCharsets.UTF_8);
         offset = end + 1 + length;
         String key = null;
-        for (String pair : fields[2].split(",")) {
-          key = pair.startsWith("k=") ? pair.substring(2) : key;
+        for (String option : fields[2].split(",")) {
+          key = option.startsWith("k=") ? option.substring(2) : key;
         }
         partReceived(fields[0], Integer.parseInt(fields[1]), key, text);
       }
@@ -1148,7 +1151,7 @@
       if (trigger != null) {
         trigger.run();
       }
-      box.box.receive(new Box.Part(this, partId, partition, key, text));
+      box.model.receive(new Box.Part(this, partId, partition, key, text));
     }
 
     private String requestId(String partId) {
@@ -1156,11 +1159,11 @@
     }
 
     private String loadReport() {
-      return "queue=" + box.box.queueLength() + ",inflight=" + box.box.inFlight();
+      return "queue=" + box.model.queueLength() + ",inflight=" + box.model.inFlight();
     }
 
     void sendAnswer(Box.Part part, String outcome) {
-      if (connection.closed()) {
+      if (transport.isClosed()) {
         return;
       }
       partsInFlight--;
@@ -1183,7 +1186,7 @@
 
     private void sendFrame(String frame) {
       byte[] bytes = frame.getBytes(StandardCharsets.UTF_8);
-      connection.put(
+      transport.send(
           ByteBuffer.allocate(4 + bytes.length)
               .order(ByteOrder.LITTLE_ENDIAN)
               .putInt(bytes.length)
@@ -1192,7 +1195,7 @@
     }
 
     @Override
-    public void closed() {
+    public void onClosed() {
       box.connections.remove(this);
     }
   }
@@ -1200,7 +1203,7 @@
   // ---- clients ----
 
   /** A client with one connection, which sends one request at a time. */
-  private final class TestClient extends HttpHandler {
+  private final class TestClient extends HttpConnectionHandler {
     final ReactorConnection connection;
     private final int ownGeneration = generation;
     String requestId;
@@ -1216,11 +1219,11 @@
     TestClient() {
       super(false, 1 << 20);
       clients.add(this);
-      connection = reactor.dial(mixer.address(), this);
+      connection = reactor.connect(mixer.address(), this);
     }
 
     @Override
-    public void opened() {
+    public void onOpened() {
       connected = true;
       if (onConnected != null) {
         onConnected.run();
@@ -1279,7 +1282,7 @@
     String sendRequest(Scenario.ServiceClass serviceClass, int firstPartition, int count) {
       requestId = String.format("%08x%08x", generation, requestCount++);
       Map<Integer, Double> shares = partitionShares(firstPartition, count, scenario.partitions());
-      connection.put(requestBytes(requestId, serviceClass, shares));
+      connection.send(requestBytes(requestId, serviceClass, shares));
       sentAt = now();
       checker.requestSent(
           requestId, serviceClass.name(), shares, idempotencyKey(requestId, serviceClass), sentAt);
@@ -1297,25 +1300,25 @@
       if (reset) {
         connection.reset();
       } else {
-        connection.close();
+        connection.closeAfterFlush();
       }
     }
 
     /** Sends the start of a long request after the current one, and closes the connection. */
     void flood() {
-      if (connection.closed()) {
+      if (connection.isClosed()) {
         return;
       }
-      connection.put(
+      connection.send(
           ("POST /api HTTP/1.1\r\nHost: mixer\r\nX-Txn: f"
                   + requestId
                   + "\r\nX-Lane: "
                   + scenario.serviceClasses().get(0).name()
                   + "\r\nX-Remaining-Ms: 1000\r\nContent-Length: 60000\r\n\r\n")
               .getBytes(StandardCharsets.US_ASCII));
-      connection.put(new byte[FLOOD_BYTES]);
+      connection.send(new byte[FLOOD_BYTES]);
       leaving = true;
-      connection.close(); // closes once everything is sent; closed() then reports it
+      connection.closeAfterFlush(); // closes once everything is sent; closed() then reports it
     }
 
     @Override
@@ -1333,20 +1336,20 @@
       Scenario.ServiceClass serviceClass = scenario.serviceClasses().get(0);
       Map<Integer, Double> shares = partitionShares(0, 2, scenario.partitions());
       checker.requestSentAfterClose(requestId, serviceClass.name(), shares, null, now());
-      connection.put(requestBytes(requestId, serviceClass, shares));
+      connection.send(requestBytes(requestId, serviceClass, shares));
       record("sent request " + requestId + " on the closed connection");
-      reactor.after(Duration.ofMillis(200), connection::reset);
+      reactor.schedule(Duration.ofMillis(200), connection::reset);
       return true;
     }
 
     @Override
-    protected void malformed(HttpException e) {
+    protected void onMalformed(HttpException e) {
       record("the answer to " + requestId + " is not valid HTTP: " + e.getMessage());
       connection.reset();
     }
 
     @Override
-    protected void message(MessageHead head, byte[] json) {
+    protected void onMessage(MessageHead head, byte[] json) {
       if (answerTrigger != null) {
         Runnable trigger = answerTrigger;
         answerTrigger = null;
@@ -1355,23 +1358,24 @@
       if (requestId == null) {
         return;
       }
-      Answer answer = Answer.read(head, json);
+      ScanResponse answer = ScanResponse.parse(head, json);
       boolean served =
-          answer.fate() == ObservedScan.ScanOutcome.WHOLE
-              || answer.fate() == ObservedScan.ScanOutcome.PART;
-      record("answered " + requestId + ' ' + answer.status() + (served ? " " + answer.fate() : ""));
-      warmedUp |= answer.fate() == ObservedScan.ScanOutcome.WHOLE;
+          answer.outcome() == ObservedScan.ScanOutcome.WHOLE
+              || answer.outcome() == ObservedScan.ScanOutcome.PART;
+      record(
+          "answered " + requestId + ' ' + answer.status() + (served ? " " + answer.outcome() : ""));
+      warmedUp |= answer.outcome() == ObservedScan.ScanOutcome.WHOLE;
       if (ownGeneration == generation && !leaving) {
-        checker.answered(
+        checker.requestAnswered(
             requestId,
             now(),
-            answer.fate() == ObservedScan.ScanOutcome.NACKED,
+            answer.outcome() == ObservedScan.ScanOutcome.NACKED,
             answer.whole(),
-            served ? answer.values() : null);
+            served ? answer.valuesByPartition() : null);
       }
       requestId = null;
       if (head.hasToken("connection", "close")) {
-        connection.close();
+        connection.closeAfterFlush();
       } else if (terminatedAt != null && backgroundClients.contains(this) && !leaving) {
         // sends the next request at once until the mixer closes the connection, so that the close
         // coincides with a request
@@ -1383,7 +1387,7 @@
     }
 
     @Override
-    public void closed() {
+    public void onClosed() {
       clients.remove(this);
       if (ownGeneration != generation || requestId == null) {
         return;
