--- a/emulator/src/main/java/gingerring/emulator/experiment/ClientStatistics.java
+++ b/emulator/src/main/java/gingerring/emulator/experiment/ClientStatistics.java
@@ -2,8 +2,8 @@
 
 import gingerring.emulator.core.Scenario.ServiceClass;
 import gingerring.emulator.core.Workload.ClientRequest;
-import gingerring.traffic.scan.Answer;
 import gingerring.traffic.scan.ObservedScan.ScanOutcome;
+import gingerring.traffic.scan.ScanResponse;
 import java.time.Duration;
 import java.util.EnumMap;
 import java.util.Map;
@@ -36,21 +36,21 @@
   /** Attempts that had to wait for a connection. */
   public long waitedForConnection;
 
-  void attemptEnded(ClientRequest request, Answer answer, Duration duration, Duration now) {
-    classStatistics(request.serviceClass()).attemptOutcomes.merge(answer.fate(), 1L, Long::sum);
+  void attemptEnded(ClientRequest request, ScanResponse answer, Duration duration, Duration now) {
+    classStatistics(request.serviceClass()).attemptOutcomes.merge(answer.outcome(), 1L, Long::sum);
   }
 
-  void requestEnded(ClientRequest request, Answer answer, Duration duration) {
+  void requestEnded(ClientRequest request, ScanResponse answer, Duration duration) {
     ServiceClass serviceClass = request.serviceClass();
     ClassStatistics classStatistics = classStatistics(serviceClass);
-    classStatistics.requestOutcomes.merge(answer.fate(), 1L, Long::sum);
+    classStatistics.requestOutcomes.merge(answer.outcome(), 1L, Long::sum);
     double share = 0;
-    if (answer.fate() == ScanOutcome.WHOLE || answer.fate() == ScanOutcome.PART) {
+    if (answer.outcome() == ScanOutcome.WHOLE || answer.outcome() == ScanOutcome.PART) {
       classStatistics.latencyMicros.recordValue(Math.min(600_000_000L, duration.toNanos() / 1000));
       share =
-          answer.fate() == ScanOutcome.WHOLE
+          answer.outcome() == ScanOutcome.WHOLE
               ? 1
-              : answer.values().keySet().stream()
+              : answer.valuesByPartition().keySet().stream()
                   .mapToDouble(partition -> request.shares().getOrDefault(partition, 0.0))
                   .sum();
       share *=
--- a/emulator/src/main/java/gingerring/emulator/experiment/EmulatedClients.java
+++ b/emulator/src/main/java/gingerring/emulator/experiment/EmulatedClients.java
@@ -7,9 +7,9 @@
 import gingerring.http.HttpException;
 import gingerring.http.MessageHead;
 import gingerring.traffic.replay.Retries;
-import gingerring.traffic.scan.Answer;
 import gingerring.traffic.scan.ObservedScan;
-import gingerring.traffic.wire.HttpHandler;
+import gingerring.traffic.scan.ScanResponse;
+import gingerring.traffic.wire.HttpConnectionHandler;
 import gingerring.traffic.wire.Reactor;
 import gingerring.traffic.wire.ReactorConnection;
 import java.net.InetSocketAddress;
@@ -110,7 +110,7 @@
     this.onCompletion = onCompletion;
     retries =
         new Retries(
-            new Retries.Rule(scenario.maxRetries(), Duration.ofMillis(200), 2, 0.5),
+            new Retries.RetryPolicy(scenario.maxRetries(), Duration.ofMillis(200), 2, 0.5),
             new SplittableRandom(scenario.seed() + 1));
   }
 
@@ -120,7 +120,7 @@
       onCompletion.run();
     }
     for (ClientRequest request : requests) {
-      reactor.after(
+      reactor.schedule(
           Duration.ofNanos((long) (request.sendAt().toNanos() / speedFactor)),
           () -> send(new ClientAttempt(request, 0, reactor.now())));
     }
@@ -134,7 +134,7 @@
     Deque<ClientConnection> idle =
         idleByClient.computeIfAbsent(clientNumber, w -> new ArrayDeque<>());
     ClientConnection connection = idle.pollFirst();
-    while (connection != null && !connection.socket.open()) {
+    while (connection != null && !connection.socket.isOpen()) {
       connection = idle.pollFirst();
     }
     if (connection == null
@@ -161,19 +161,19 @@
     }
   }
 
-  private void attemptEnded(ClientAttempt attempt, Answer answer) {
+  private void attemptEnded(ClientAttempt attempt, ScanResponse answer) {
     Duration elapsed = reactor.now().minus(attempt.firstSentAt);
     Optional<Duration> retryDelay =
-        answer.fate() == ObservedScan.ScanOutcome.WHOLE
-                || answer.fate() == ObservedScan.ScanOutcome.PART
+        answer.outcome() == ObservedScan.ScanOutcome.WHOLE
+                || answer.outcome() == ObservedScan.ScanOutcome.PART
             ? Optional.empty()
-            : retries.next(attempt.number, answer.comeBack());
+            : retries.nextDelay(attempt.number, answer.retryAfter());
     statistics.attemptEnded(attempt.request, answer, elapsed, reactor.now());
     if (retryDelay.isPresent()
         && elapsed.plus(retryDelay.get()).compareTo(attempt.request.serviceClass().deadline())
             < 0) {
       statistics.retries++;
-      reactor.after(
+      reactor.schedule(
           retryDelay.get(),
           () -> send(new ClientAttempt(attempt.request, attempt.number + 1, attempt.firstSentAt)));
     } else {
@@ -214,7 +214,7 @@
   }
 
   /** A connection of a client, which carries one request at a time. */
-  private final class ClientConnection extends HttpHandler {
+  private final class ClientConnection extends HttpConnectionHandler {
     private final int client;
     private final int mixer;
     private final ReactorConnection socket;
@@ -227,7 +227,7 @@
       this.client = client;
       connectionCount++;
       mixer = mixerSelector.mixer(client);
-      socket = reactor.dial(mixerSelector.address(mixer), this);
+      socket = reactor.connect(mixerSelector.address(mixer), this);
     }
 
     void send(ClientAttempt next) {
@@ -252,8 +252,8 @@
               + "\r\nContent-Length: "
               + body.length
               + "\r\n\r\n";
-      socket.put(head.getBytes(StandardCharsets.US_ASCII));
-      socket.put(body);
+      socket.send(head.getBytes(StandardCharsets.US_ASCII));
+      socket.send(body);
       statistics.attempts++;
       ruleChecker.requestSent(
           mixer,
@@ -263,7 +263,7 @@
           serviceClass.retrySafety() == Scenario.RetrySafety.KEYED ? next.request.key() : null,
           reactor.now(),
           serviceClass.deadline());
-      reactor.after(
+      reactor.schedule(
           serviceClass.deadline().plus(RuleChecker.SLACK),
           () -> {
             if (sentScanId.equals(scanId) && attempt != null) {
@@ -274,28 +274,28 @@
     }
 
     @Override
-    protected void malformed(HttpException e) {
+    protected void onMalformed(HttpException e) {
       socket.reset();
     }
 
     @Override
-    protected void message(MessageHead head, byte[] body) {
+    protected void onMessage(MessageHead head, byte[] body) {
       ClientAttempt endedAttempt = attempt;
       if (endedAttempt == null) {
         return;
       }
       attempt = null;
       busyConnections.remove(this);
-      Answer answer = Answer.read(head, body);
+      ScanResponse answer = ScanResponse.parse(head, body);
       boolean hasValues =
-          answer.fate() == ObservedScan.ScanOutcome.WHOLE
-              || answer.fate() == ObservedScan.ScanOutcome.PART;
+          answer.outcome() == ObservedScan.ScanOutcome.WHOLE
+              || answer.outcome() == ObservedScan.ScanOutcome.PART;
       ruleChecker.requestAnswered(
           scanId,
           reactor.now(),
-          answer.fate() == ObservedScan.ScanOutcome.NACKED,
+          answer.outcome() == ObservedScan.ScanOutcome.NACKED,
           answer.whole(),
-          hasValues ? answer.values() : null);
+          hasValues ? answer.valuesByPartition() : null);
       if (head.hasToken("connection", "close")) {
         close();
       } else {
@@ -316,11 +316,11 @@
 
     private void close() {
       remove();
-      socket.close();
+      socket.closeAfterFlush();
     }
 
     @Override
-    public void closed() {
+    public void onClosed() {
       boolean wasOpen = !removed;
       remove();
       if (attempt == null) {
@@ -334,7 +334,7 @@
         ruleChecker.clientLeft(scanId, reactor.now());
         attemptEnded(
             endedAttempt,
-            new Answer(
+            new ScanResponse(
                 ObservedScan.ScanOutcome.LEFT,
                 0,
                 false,
@@ -344,7 +344,7 @@
       }
     }
 
-    private void attemptEnded(ClientAttempt attempt, Answer answer) {
+    private void attemptEnded(ClientAttempt attempt, ScanResponse answer) {
       EmulatedClients.this.attemptEnded(attempt, answer);
     }
   }
--- a/emulator/src/main/java/gingerring/emulator/experiment/EmulatedStore.java
+++ b/emulator/src/main/java/gingerring/emulator/experiment/EmulatedStore.java
@@ -41,7 +41,7 @@
   /** The listening socket and the connections of a box. */
   private final class BoxServer {
     final Box box;
-    Reactor.Listening listening;
+    Reactor.ListeningSocket listening;
     String phase = "SERVING";
     long upSinceMs;
 
@@ -85,7 +85,7 @@
     private final int mixer;
     private final IntBinaryOperator portMapping;
     private final Set<DiscoveryConnection> watchers = new LinkedHashSet<>();
-    private final Reactor.Listening listening;
+    private final Reactor.ListeningSocket listening;
     private boolean silent;
     private final List<Runnable> pendingUpdates = new ArrayList<>();
     private IntConsumer closedPortListener = port -> {};
@@ -200,7 +200,8 @@
 
   /** Registers the send times of a connection that a link has made. */
   public void registerSendTimes(ReactorConnection connection, SendTimes sendTimes) {
-    sendTimesByPorts.put(portPair(connection.local(), connection.remote()), sendTimes);
+    sendTimesByPorts.put(
+        portPair(connection.localAddress(), connection.remoteAddress()), sendTimes);
   }
 
   /** Returns a key of both ports, since one local port may connect to several remote ones. */
@@ -261,7 +262,7 @@
 
   private void scheduleAt(Duration scenarioTime, Runnable task) {
     Duration delay = toRealTime(scenarioTime).minus(reactor.now().minus(scenarioStart));
-    reactor.after(delay.isNegative() ? Duration.ZERO : delay, task);
+    reactor.schedule(delay.isNegative() ? Duration.ZERO : delay, task);
   }
 
   private Duration toRealTime(Duration scenarioTime) {
@@ -277,7 +278,7 @@
 
   @Override
   public void schedule(Duration delay, Runnable task) {
-    reactor.after(delay, task);
+    reactor.schedule(delay, task);
   }
 
   @Override
@@ -334,7 +335,7 @@
       case DRAIN -> {
         server.box.drain();
         publishPhase(server, "DRAINING");
-        reactor.after(
+        reactor.schedule(
             toRealTime(DRAIN_DURATION),
             () -> {
               server.box.stop();
@@ -355,7 +356,7 @@
           connection.connection.reset();
         }
       }
-      reactor.after(toRealTime(Duration.ofSeconds(1)), () -> breakConnections(fault, server));
+      reactor.schedule(toRealTime(Duration.ofSeconds(1)), () -> breakConnections(fault, server));
     }
   }
 
@@ -406,7 +407,7 @@
             .max()
             .orElse(0);
     Duration delay = toRealTime(scenario.discoveryLag()).multipliedBy((long) (1 + extraLagFactor));
-    reactor.after(
+    reactor.schedule(
         delay,
         () -> {
           server.phase = phase;
@@ -433,7 +434,7 @@
 
   /** Closes connections that have exceeded the idle timeout, as the protocol requires. */
   private void closeIdleConnections() {
-    reactor.after(
+    reactor.schedule(
         Duration.ofSeconds(1),
         () -> {
           Duration now = reactor.now();
@@ -443,14 +444,14 @@
                     connection ->
                         connection.partsInFlight == 0
                             && now.minus(connection.lastUsed).compareTo(scenario.idleTimeout()) > 0)
-                .forEach(connection -> connection.connection.close());
+                .forEach(connection -> connection.connection.closeAfterFlush());
           }
           closeIdleConnections();
         });
   }
 
   private void sendKeepAlives() {
-    reactor.after(
+    reactor.schedule(
         KEEP_ALIVE_INTERVAL,
         () -> {
           views.stream().filter(view -> !view.silent).forEach(view -> view.sendLine(""));
@@ -512,7 +513,7 @@
       this.server = server;
       this.connection = connection;
       if (server.connections.size() >= scenario.maxConnections()) {
-        connection.close();
+        connection.closeAfterFlush();
       }
       server.connections.add(this);
       connectionsOpened++;
@@ -523,9 +524,10 @@
     }
 
     @Override
-    public void bytes(byte[] bytes, int length) {
+    public void onData(byte[] bytes, int length) {
       if (bytesRead == 0) {
-        sendTimes = sendTimesByPorts.get(portPair(connection.remote(), connection.local()));
+        sendTimes =
+            sendTimesByPorts.get(portPair(connection.remoteAddress(), connection.localAddress()));
       }
       received.write(bytes, 0, length);
       ByteBuffer buffer = ByteBuffer.wrap(received.toByteArray()).order(ByteOrder.LITTLE_ENDIAN);
@@ -533,7 +535,7 @@
         int frameLength = buffer.getInt(buffer.position());
         if (frameLength < 1 || frameLength > MAX_FRAME_BYTES) {
           sendFrame("Fa frame of " + frameLength + " bytes");
-          connection.close();
+          connection.closeAfterFlush();
           return;
         }
         if (buffer.remaining() < 4 + frameLength) {
@@ -564,7 +566,7 @@
         case 'M' -> sendFrame("M" + loadReport());
         default -> {
           sendFrame("Funknown letter");
-          connection.close();
+          connection.closeAfterFlush();
         }
       }
     }
@@ -583,7 +585,7 @@
             new String(frame, start, lineEnd - start, StandardCharsets.US_ASCII).split(" ");
         if (lineEnd == frame.length || fields.length != 4) {
           sendFrame("Fno part's line");
-          connection.close();
+          connection.closeAfterFlush();
           return;
         }
         int length = Integer.parseInt(fields[3]);
@@ -613,7 +615,7 @@
         if (firstCallSeen || scenario.handshake().isZero()) {
           server.box.receive(part);
         } else {
-          reactor.after(
+          reactor.schedule(
               scenario.handshake(),
               () ->
                   server.box.receive(
@@ -632,7 +634,7 @@
     }
 
     void answer(Box.Part part, String outcome) {
-      if (connection.closed() || server.unresponsive) {
+      if (connection.isClosed() || server.unresponsive) {
         return;
       }
       partsInFlight--;
@@ -665,7 +667,7 @@
 
     private void sendFrame(String text) {
       byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-      connection.put(
+      connection.send(
           ByteBuffer.allocate(4 + bytes.length)
               .order(ByteOrder.LITTLE_ENDIAN)
               .putInt(bytes.length)
@@ -674,7 +676,7 @@
     }
 
     @Override
-    public void closed() {
+    public void onClosed() {
       server.connections.remove(this);
       sendTimesByPorts.values().remove(sendTimes);
     }
@@ -693,7 +695,7 @@
     }
 
     @Override
-    public void bytes(byte[] bytes, int length) {
+    public void onData(byte[] bytes, int length) {
       request.append(new String(bytes, 0, length, StandardCharsets.ISO_8859_1));
       if (request.indexOf("\r\n\r\n") < 0) {
         return;
@@ -705,27 +707,27 @@
         return;
       }
       if (stream) {
-        connection.put(
+        connection.send(
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                 .getBytes(StandardCharsets.US_ASCII));
         view.watchers.add(this);
         sendLine(view.memberList());
       } else {
         String list = view.memberList();
-        connection.put(
+        connection.send(
             ("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list)
                 .getBytes(StandardCharsets.US_ASCII));
       }
     }
 
     void sendLine(String line) {
-      connection.put(
+      connection.send(
           (Integer.toHexString(line.length() + 1) + "\r\n" + line + "\n\r\n")
               .getBytes(StandardCharsets.US_ASCII));
     }
 
     @Override
-    public void closed() {
+    public void onClosed() {
       view.watchers.remove(this);
     }
   }
--- a/emulator/src/main/java/gingerring/emulator/experiment/ExperimentRun.java
+++ b/emulator/src/main/java/gingerring/emulator/experiment/ExperimentRun.java
@@ -74,7 +74,7 @@
       reactor.post(
           () -> {
             Duration start = reactor.now().plus(START_DELAY);
-            reactor.after(
+            reactor.schedule(
                 START_DELAY,
                 () -> {
                   store.start();
@@ -106,7 +106,7 @@
           duration.get(),
           cpuSeconds,
           exitCode,
-          reactor.failures());
+          reactor.failureCount());
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
       throw new IOException("interrupted", e);
--- a/emulator/src/main/java/gingerring/emulator/experiment/RandomRouter.java
+++ b/emulator/src/main/java/gingerring/emulator/experiment/RandomRouter.java
@@ -7,7 +7,7 @@
 import gingerring.http.MessageHead;
 import gingerring.json.Json;
 import gingerring.json.JsonFields;
-import gingerring.traffic.wire.HttpHandler;
+import gingerring.traffic.wire.HttpConnectionHandler;
 import gingerring.traffic.wire.Reactor;
 import gingerring.traffic.wire.ReactorConnection;
 import java.io.ByteArrayOutputStream;
@@ -37,7 +37,7 @@
   private final Map<Integer, InetSocketAddress> boxAddresses = new HashMap<>();
   private final Map<Integer, BoxConnection> connections = new HashMap<>();
   private final Map<String, Scan> scans = new HashMap<>();
-  private final Reactor.Listening listening;
+  private final Reactor.ListeningSocket listening;
 
   /** Creates a router; {@code memberList} is in the format of the discovery service. */
   RandomRouter(Scenario scenario, Reactor reactor, String memberList) throws IOException {
@@ -115,7 +115,7 @@
   }
 
   /** A connection of a client. */
-  private final class ClientConnection extends HttpHandler {
+  private final class ClientConnection extends HttpConnectionHandler {
     private final ReactorConnection connection;
 
     ClientConnection(ReactorConnection connection) {
@@ -124,16 +124,16 @@
     }
 
     void send(byte[] response) {
-      connection.put(response);
+      connection.send(response);
     }
 
     @Override
-    protected void malformed(HttpException e) {
+    protected void onMalformed(HttpException e) {
       connection.reset();
     }
 
     @Override
-    protected void message(MessageHead head, byte[] body) throws HttpException {
+    protected void onMessage(MessageHead head, byte[] body) throws HttpException {
       try {
         Map<String, Object> request = JsonFields.object(Json.parse(body), "the body");
         Scan scan =
@@ -151,7 +151,7 @@
           connection(holders.get(random.nextInt(holders.size())))
               .send(scan, partition, key, JsonFields.string(request, "query"));
         }
-        reactor.after(
+        reactor.schedule(
             scan.serviceClass.latencyTarget(),
             () -> {
               if (scan.coverage() >= scan.serviceClass.minCoverage()) {
@@ -159,21 +159,21 @@
               }
             });
         Duration deadline = scan.serviceClass.deadline().minusMillis(20);
-        reactor.after(deadline, () -> finishIfSettled(scan, true));
+        reactor.schedule(deadline, () -> finishIfSettled(scan, true));
       } catch (Json.JsonException e) {
         throw new HttpException(400, e.getMessage());
       }
     }
 
     @Override
-    public void closed() {
+    public void onClosed() {
       scans.values().removeIf(scan -> scan.client == this);
     }
   }
 
   private BoxConnection connection(int boxNumber) {
     BoxConnection connection = connections.get(boxNumber);
-    if (connection == null || connection.connection.closed()) {
+    if (connection == null || connection.connection.isClosed()) {
       connection = new BoxConnection(boxNumber);
       connections.put(boxNumber, connection);
     }
@@ -187,7 +187,7 @@
     private final ByteArrayOutputStream received = new ByteArrayOutputStream();
 
     BoxConnection(int boxNumber) {
-      connection = reactor.dial(boxAddresses.get(boxNumber), this);
+      connection = reactor.connect(boxAddresses.get(boxNumber), this);
     }
 
     void send(Scan scan, int partition, String key, String query) {
@@ -207,7 +207,7 @@
               + '\n'
               + query;
       byte[] bytes = frameText.getBytes(StandardCharsets.US_ASCII);
-      connection.put(
+      connection.send(
           ByteBuffer.allocate(4 + bytes.length)
               .order(ByteOrder.LITTLE_ENDIAN)
               .putInt(bytes.length)
@@ -216,7 +216,7 @@
     }
 
     @Override
-    public void bytes(byte[] bytes, int length) {
+    public void onData(byte[] bytes, int length) {
       received.write(bytes, 0, length);
       ByteBuffer buffer = ByteBuffer.wrap(received.toByteArray()).order(ByteOrder.LITTLE_ENDIAN);
       while (buffer.remaining() >= 4
@@ -247,7 +247,7 @@
     }
 
     @Override
-    public void closed() {
+    public void onClosed() {
       for (String partId : List.copyOf(partsInFlight.keySet())) {
         partEnded(partId, null);
       }
--- a/emulator/src/main/java/gingerring/emulator/harness/ByzantinePeer.java
+++ b/emulator/src/main/java/gingerring/emulator/harness/ByzantinePeer.java
@@ -5,7 +5,7 @@
 import gingerring.peers.PeerId;
 import gingerring.peers.PeerNode;
 import gingerring.peers.PeerRecord;
-import gingerring.traffic.wire.Datagrams;
+import gingerring.traffic.wire.DatagramEndpoint;
 import gingerring.traffic.wire.Reactor;
 import java.net.InetSocketAddress;
 import java.time.Duration;
@@ -13,9 +13,9 @@
 import java.util.SplittableRandom;
 
 /**
- * A peer that holds the fleet's key and says what is false: that every box fails, that it has asked
- * each of them and had an answer, and that its clients want endlessly much. It calls no box and
- * serves no client.
+ * Peer that has the fleet's key and sends false reports: that it has ejected every box, that its
+ * probe of each box succeeded, and that it handles a very large number of attempts. It neither
+ * calls boxes nor serves clients.
  */
 final class ByzantinePeer implements PeerNode.Host {
   private static final Duration TICK_INTERVAL = Duration.ofMillis(100);
@@ -25,7 +25,7 @@
   private final PeerNode peerNode;
   private final List<Long> boxIds;
   private final Duration startedAt;
-  private Datagrams socket;
+  private DatagramEndpoint socket;
 
   ByzantinePeer(
       int index,
@@ -51,13 +51,13 @@
     peerNode.start(seeds);
   }
 
-  void start(Datagrams datagrams) {
+  void start(DatagramEndpoint datagrams) {
     socket = datagrams;
     tick();
   }
 
-  void received(PeerAddress from, byte[] datagram) {
-    peerNode.received(from, datagram);
+  void received(PeerAddress source, byte[] datagram) {
+    peerNode.received(source, datagram);
   }
 
   private void tick() {
@@ -70,7 +70,7 @@
       peerNode.attemptEnded(boxIds.get(i % boxIds.size()), false);
     }
     peerNode.tick();
-    reactor.after(TICK_INTERVAL, this::tick);
+    reactor.schedule(TICK_INTERVAL, this::tick);
   }
 
   @Override
@@ -89,5 +89,5 @@
   public void boxAnswered(long boxId) {}
 
   @Override
-  public void peerChanged(PeerRecord now) {}
+  public void peerChanged(PeerRecord record) {}
 }
--- a/emulator/src/main/java/gingerring/emulator/interleaving/MixerEnvironment.java
+++ b/emulator/src/main/java/gingerring/emulator/interleaving/MixerEnvironment.java
@@ -6,9 +6,9 @@
 import gingerring.emulator.experiment.MixerProcess;
 import gingerring.http.HttpException;
 import gingerring.http.MessageHead;
-import gingerring.traffic.scan.Answer;
 import gingerring.traffic.scan.ObservedScan;
-import gingerring.traffic.wire.HttpHandler;
+import gingerring.traffic.scan.ScanResponse;
+import gingerring.traffic.wire.HttpConnectionHandler;
 import gingerring.traffic.wire.Reactor;
 import gingerring.traffic.wire.ReactorConnection;
 import java.io.ByteArrayOutputStream;
@@ -40,20 +40,26 @@
 import java.util.stream.Collectors;
 
 /**
- * The parties about one mixer: discovery's agents, four boxes, clients. Everything runs on the
- * reactor's thread but the reading of the system's table of connections, which posts what it found.
- * A crossing gets boxes of its own, under names that were not there before, and a judge of its own.
+ * The emulated parties around one mixer: discovery agents, boxes and clients. Everything runs on
+ * the reactor's thread except the reading of the system's connection table, which posts its result
+ * to the reactor. Each event pair gets new boxes, under names not used before, and its own {@link
+ * InterleavingChecker}.
  */
 final class MixerEnvironment {
   private static final Duration TICK_INTERVAL = Duration.ofMillis(5);
   private static final Duration WATCH_KEEPALIVE_INTERVAL = Duration.ofSeconds(2);
 
   /**
-   * What a silent watch misses counts as told by then, and what a new discovery says after SIGHUP.
+   * Time after which the mixer counts as notified of a change that a silent watch did not deliver.
    */
   static final Duration MAX_WATCH_SILENCE = Duration.ofSeconds(6);
 
+  /**
+   * Time after SIGHUP after which the mixer counts as notified of all that its new discovery
+   * address serves.
+   */
   private static final Duration MAX_DISCOVERY_MOVE = Duration.ofSeconds(4);
+
   private static final Duration BACKGROUND_INTERVAL = Duration.ofMillis(40);
   private static final Duration WARM_UP_INTERVAL = Duration.ofMillis(60);
   private static final int BACKGROUND_CLIENTS = 5;
@@ -63,7 +69,7 @@
   private static final Duration CONNECT_AFTER_SIGTERM = Duration.ofMillis(300);
   private static final int MAX_FRAME_BYTES = 1 << 17;
 
-  /** What a box does with an answer that is ready. */
+  /** How a box treats an answer that is ready. */
   private enum AnswerMode {
     SEND,
     HOLD,
@@ -75,13 +81,13 @@
   private final Scenario scenario;
   private final Reactor reactor;
 
-  /** Of this scene alone: a port that a box has left must not become another scene's. */
-  private final InetAddress address;
-
   /**
-   * One look at a time at the system's table of connections, as long as the reactor's own would
-   * take.
+   * Loopback address of this environment alone, so that no other environment gets a port that a box
+   * has released.
    */
+  private final InetAddress address;
+
+  /** Reads the system's connection table, one reading at a time, outside the reactor's thread. */
   private final ThreadPoolExecutor connectionTableReader =
       new ThreadPoolExecutor(
           0,
@@ -164,9 +170,12 @@
     return reactor.now();
   }
 
-  // ---- one crossing ----
+  // ---- one event pair ----
 
-  /** New boxes, known to discovery, and clients of the crossing's own; the mixer may be another. */
+  /**
+   * Creates new boxes, publishes them through discovery, and creates clients for a pair. The mixer
+   * may differ from that of the pair before.
+   */
   void begin(MixerProcess process, EventPair eventPair) throws IOException {
     mixer = process;
     pair = eventPair;
@@ -196,16 +205,16 @@
   }
 
   /**
-   * Whether each client has had a whole answer, asking until it has: the mixer knows the boxes
-   * then.
+   * Returns whether each client has received a whole answer, which shows that the mixer has the
+   * boxes. Sends requests for the clients that have not.
    */
   boolean warmUp() {
     boolean allServed = true;
     for (TestClient client : List.copyOf(clients)) {
       if (!client.warmedUp) {
         allServed = false;
-        // a mixer that is asked without a pause serves parts of what it is asked
-        if (!client.connection.closed()
+        // without a pause between requests the mixer answers some of them only in part
+        if (!client.connection.isClosed()
             && client.requestId == null
             && client.connected
             && (client.sentAt == null
@@ -217,7 +226,7 @@
     return allServed;
   }
 
-  /** Two scans wait for boxes that hold their answers, and others come steadily. */
+  /** Sends two requests whose answers the boxes hold back, and starts the background requests. */
   void sendFirstRequests(Runnable firstPartTrigger) {
     active = true;
     boxes.forEach(box -> box.answerMode = AnswerMode.HOLD);
@@ -229,31 +238,35 @@
     triggersByFirstPart.put(
         requestId,
         () -> {
-          record("the first frame is at " + targetBox.id);
+          record("the first part arrived at " + targetBox.id);
           firstPartTrigger.run();
         });
     secondClient.sendRequest(scenario.serviceClasses().get(0), 0, scenario.partitions());
     sendBackgroundRequests(0);
   }
 
-  /** Boxes go on with what they held, but for those that hang: by answers, or by resets. */
+  /**
+   * Ends the holding back of answers. If the pair resumes by reset, the boxes drop the answers held
+   * so far and reset the connections that have outstanding parts; otherwise they send the answers.
+   * Boxes that hang stay as they are.
+   */
   void resumeBoxes() {
     if (pair.resumesByReset()) {
-      record("boxes reset what is out");
+      record("boxes reset the connections with outstanding parts");
       boxes.stream()
           .filter(box -> box.answerMode == AnswerMode.HOLD)
           .forEach(
               box -> {
                 box.releaseAnswers(false);
                 List.copyOf(box.connections).stream()
-                    .filter(line -> line.partsInFlight > 0)
-                    .forEach(line -> line.connection.reset());
+                    .filter(connection -> connection.partsInFlight > 0)
+                    .forEach(connection -> connection.transport.reset());
               });
     }
     releaseAnswers();
   }
 
-  /** Boxes answer what they held, but for those that hang. */
+  /** Makes all boxes that hold back answers send them; boxes that hang stay as they are. */
   private void releaseAnswers() {
     record("boxes answer again");
     for (EmulatedBox box : boxes) {
@@ -264,7 +277,7 @@
     }
   }
 
-  /** No more requests come. */
+  /** Stops the background requests. */
   void stopRequests() {
     requestsStopped = true;
   }
@@ -277,7 +290,7 @@
     return exited;
   }
 
-  /** All parties of the crossing go. */
+  /** Removes all clients and boxes of the pair and makes discovery available again. */
   void dismantle() {
     active = false;
     requestsStopped = true;
@@ -285,7 +298,7 @@
         .forEach(
             client -> {
               client.leaving = true;
-              client.connection.close();
+              client.connection.closeAfterFlush();
             });
     clients.clear();
     backgroundClients.clear();
@@ -302,7 +315,7 @@
     if (requestsStopped || !active) {
       return;
     }
-    backgroundClients.removeIf(client -> client.connection.closed() || client.mixerClosed);
+    backgroundClients.removeIf(client -> client.connection.isClosed() || client.mixerClosed);
     boolean mayConnect =
         terminatedAt == null || now().minus(terminatedAt).compareTo(CONNECT_AFTER_SIGTERM) < 0;
     while (backgroundClients.size() < BACKGROUND_CLIENTS && mayConnect && !exited) {
@@ -325,7 +338,7 @@
       }
     }
     int startGeneration = generation;
-    reactor.after(
+    reactor.schedule(
         BACKGROUND_INTERVAL,
         () -> {
           if (startGeneration == generation) {
@@ -335,7 +348,7 @@
   }
 
   private void tick() {
-    reactor.after(
+    reactor.schedule(
         TICK_INTERVAL,
         () -> {
           if (checker != null) {
@@ -344,7 +357,7 @@
               mixer.drainLog().forEach(this::mixerLogged);
               if (!mixer.isAlive() && !exited) {
                 exited = true;
-                record("the mixer has ended with " + mixer.exitCode());
+                record("the mixer exited with " + mixer.exitCode());
                 checker.processExited(mixer.exitCode(), now());
               }
             }
@@ -367,7 +380,7 @@
   }
 
   private void keepWatchesAlive() {
-    reactor.after(
+    reactor.schedule(
         WATCH_KEEPALIVE_INTERVAL,
         () -> {
           discoveryAgent.sendLine("");
@@ -377,7 +390,7 @@
 
   // ---- the events ----
 
-  /** Does what the event says; {@code seen} is run once its point has been reached. */
+  /** Injects an event. {@code trigger} runs once the event's trigger point is reached. */
   void inject(Event event, Runnable trigger) throws IOException {
     record("event " + event);
     switch (event) {
@@ -407,11 +420,12 @@
         DiscoveryAgent unavailableAgent = discoveryAgent;
         unavailableAgent.unavailable = true;
         unavailableAgent.dropsPendingCalls = event == Event.DISCOVERY_DOWN_FORGETS;
-        reactor.after(Duration.ofMillis(pair.discoveryDownMs()), unavailableAgent::becomeAvailable);
+        reactor.schedule(
+            Duration.ofMillis(pair.discoveryDownMs()), unavailableAgent::becomeAvailable);
         trigger.run();
       }
       case LIST_DRAINS -> {
-        targetBox.box.drain();
+        targetBox.model.drain();
         targetBox.publishPhase("DRAINING");
         trigger.run();
       }
@@ -423,7 +437,7 @@
         targetBox.crash();
         targetBox.listen();
         targetBox.upSinceMs = System.currentTimeMillis();
-        targetBox.box.start(true);
+        targetBox.model.start(true);
         targetBox.publishPhase("SERVING");
         trigger.run();
       }
@@ -432,29 +446,29 @@
         List<BoxConnection> previous = List.copyOf(targetBox.connections);
         targetBox.listen();
         targetBox.publishPhase("SERVING");
-        previous.forEach(line -> line.connection.close());
+        previous.forEach(connection -> connection.transport.closeAfterFlush());
         trigger.run();
       }
       case BOXES_CLOSE_IDLE -> {
         for (EmulatedBox box : boxes) {
           List.copyOf(box.connections).stream()
-              .filter(line -> line.partsInFlight == 0)
-              .forEach(line -> line.connection.close());
+              .filter(connection -> connection.partsInFlight == 0)
+              .forEach(connection -> connection.transport.closeAfterFlush());
         }
         trigger.run();
       }
       case BOX_RESETS -> {
         targetBox.releaseAnswers(false);
         List.copyOf(targetBox.connections).stream()
-            .filter(line -> line.partsInFlight > 0)
-            .forEach(line -> line.connection.reset());
+            .filter(connection -> connection.partsInFlight > 0)
+            .forEach(connection -> connection.transport.reset());
         trigger.run();
       }
       case BOX_ENDS -> {
         targetBox.releaseAnswers(false);
         List.copyOf(targetBox.connections).stream()
-            .filter(line -> line.partsInFlight > 0)
-            .forEach(line -> line.connection.close());
+            .filter(connection -> connection.partsInFlight > 0)
+            .forEach(connection -> connection.transport.closeAfterFlush());
         trigger.run();
       }
       case BOX_HANGS -> {
@@ -474,7 +488,7 @@
       case ANSWER -> {
         observedClient.answerTrigger = trigger;
         releaseAnswers();
-        reactor.after(TRIGGER_FALLBACK, () -> triggerOnce(observedClient, trigger));
+        reactor.schedule(TRIGGER_FALLBACK, () -> triggerOnce(observedClient, trigger));
       }
       case CLIENT_CLOSES -> {
         observedClient.leave(false);
@@ -489,7 +503,7 @@
         trigger.run();
       }
       case CLIENT_NEXT -> {
-        if (idleClient.connection.closed()
+        if (idleClient.connection.isClosed()
             || idleClient.requestId != null
             || idleClient.mixerClosed) {
           trigger.run();
@@ -501,7 +515,7 @@
         }
       }
       case CLIENT_ASKS_GOES -> {
-        if (idleClient.connection.closed()
+        if (idleClient.connection.isClosed()
             || idleClient.requestId != null
             || idleClient.mixerClosed) {
           trigger.run();
@@ -510,7 +524,7 @@
               scenario.serviceClasses().get(pair.drawBetween("next", 0, 2)),
               pair.drawBetween("next folio", 0, 3),
               2);
-          reactor.after(
+          reactor.schedule(
               Duration.ofMillis(pair.drawBetween("goes", 0, 60)),
               () -> {
                 idleClient.leave(pair.drawFraction("goes by reset") < 0.5);
@@ -536,14 +550,14 @@
                     requestId,
                     () -> {
                       if (pendingTrigger[0] != null) {
-                        Runnable due = pendingTrigger[0];
+                        Runnable callback = pendingTrigger[0];
                         pendingTrigger[0] = null;
-                        due.run();
+                        callback.run();
                       }
                     });
               };
         }
-        reactor.after(
+        reactor.schedule(
             TRIGGER_FALLBACK,
             () -> {
               if (pendingTrigger[0] != null) {
@@ -556,7 +570,10 @@
     }
   }
 
-  /** Runs it at the first frame of a request, or after a while where none comes. */
+  /**
+   * Runs the trigger when the first part of a request arrives at a box, or after {@link
+   * #TRIGGER_FALLBACK} if none does.
+   */
   private void triggerOnFirstPart(String requestId, Runnable trigger) {
     Runnable[] pending = {trigger};
     Runnable callback =
@@ -567,7 +584,7 @@
           }
         };
     triggersByFirstPart.put(requestId, callback);
-    reactor.after(TRIGGER_FALLBACK, callback);
+    reactor.schedule(TRIGGER_FALLBACK, callback);
   }
 
   private static void triggerOnce(TestClient client, Runnable trigger) {
@@ -587,7 +604,8 @@
     InetSocketAddress newAddress = discoveryAgent.listener.address();
     Thread thread =
         new Thread(
-            () -> { // the signal is another process's to send: the reactor does not wait
+            () -> {
+              // sends a signal through an external process, for which the reactor must not wait
               try {
                 mixer.reload(scenario, newAddress, emptyMemberList);
               } catch (IOException e) {
@@ -597,10 +615,10 @@
             "reload");
     thread.setDaemon(true);
     thread.start();
-    reactor.after(Duration.ofSeconds(10), previousAgent.listener::close);
+    reactor.schedule(Duration.ofSeconds(10), previousAgent.listener::close);
   }
 
-  // ---- what counts as told ----
+  // ---- notification of the mixer ----
 
   private void notifyIfDelivered() {
     if (unnotified.isEmpty() || discoveryAgent.unavailable) {
@@ -617,13 +635,13 @@
 
   private void mixerNotified(EmulatedBox box) {
     unnotified.remove(box);
-    record("told: " + box.id + " is " + box.phase);
+    record("notified: " + box.id + " is " + box.phase);
     checker.mixerNotified(box.number, box.phase.equals("SERVING") ? null : now());
   }
 
-  /** A mixer's agent of discovery: one list, pushed to whoever watches. */
+  /** Discovery agent: serves one member list and pushes its changes to all watches. */
   private final class DiscoveryAgent {
-    final Reactor.Listening listener;
+    final Reactor.ListeningSocket listener;
     final Set<DiscoveryCall> watches = new LinkedHashSet<>();
     final List<DiscoveryCall> pendingCalls = new ArrayList<>();
     boolean unavailable;
@@ -671,19 +689,19 @@
     }
 
     /**
-     * What it has been sent meanwhile, it says at once: to open watches, and to calls that still
-     * wait.
+     * Makes discovery available again and sends the missed changes at once: to open watches, and to
+     * pending calls unless these are dropped.
      */
     void becomeAvailable() {
       if (!unavailable) {
         return;
       }
       unavailable = false;
-      record("discovery is back");
+      record("discovery is available again");
       sendLine(unnotified.isEmpty() ? "" : memberListJson(false, List.copyOf(unnotified)));
       List<DiscoveryCall> calls = dropsPendingCalls ? List.of() : List.copyOf(pendingCalls);
       pendingCalls.clear();
-      calls.stream().filter(call -> !call.connection.closed()).forEach(DiscoveryCall::respond);
+      calls.stream().filter(call -> !call.connection.isClosed()).forEach(DiscoveryCall::respond);
       notifyIfDelivered();
     }
   }
@@ -701,7 +719,7 @@
     }
 
     @Override
-    public void bytes(byte[] bytes, int length) {
+    public void onData(byte[] bytes, int length) {
       request.append(new String(bytes, 0, length, StandardCharsets.ISO_8859_1));
       if (request.indexOf("\r\n\r\n") < 0) {
         return;
@@ -711,7 +729,7 @@
       record(
           "discovery is called"
               + (isWatch ? " for a watch" : "")
-              + (agent.unavailable ? ", and is down" : ""));
+              + (agent.unavailable ? ", but is unavailable" : ""));
       if (agent.unavailable) {
         agent.pendingCalls.add(this);
       } else {
@@ -727,7 +745,7 @@
     void respond() {
       String memberList = agent.memberListJson(true, boxes);
       if (isWatch) {
-        connection.put(
+        connection.send(
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                 .getBytes(StandardCharsets.US_ASCII));
         agent.watches.add(this);
@@ -738,20 +756,20 @@
           List.copyOf(unnotified).forEach(MixerEnvironment.this::mixerNotified);
         }
       } else {
-        connection.put(
+        connection.send(
             ("HTTP/1.1 200 OK\r\nContent-Length: " + memberList.length() + "\r\n\r\n" + memberList)
                 .getBytes(StandardCharsets.US_ASCII));
       }
     }
 
     void sendLine(String line) {
-      connection.put(
+      connection.send(
           (Integer.toHexString(line.length() + 1) + "\r\n" + line + "\n\r\n")
               .getBytes(StandardCharsets.US_ASCII));
     }
 
     @Override
-    public void closed() {
+    public void onClosed() {
       agent.watches.remove(this);
       agent.pendingCalls.remove(this);
     }
@@ -762,18 +780,16 @@
   private final class EmulatedBox implements Box.Host {
     final int number;
     final String id;
-    final Box box;
+    final Box model;
     final Set<BoxConnection> connections = new LinkedHashSet<>();
     private final List<Runnable> heldAnswers = new ArrayList<>();
-    Reactor.Listening listener;
+    Reactor.ListeningSocket listener;
     String phase = "SERVING";
     long upSinceMs;
     AnswerMode answerMode = AnswerMode.SEND;
     private int port;
 
-    /**
-     * How often it has listened anew: what was to come up late does not, once its place is taken.
-     */
+    /** Incremented at each new listener, so that a delayed start of an earlier one does nothing. */
     private int incarnation;
 
     private boolean acceptsLate;
@@ -783,8 +799,8 @@
     EmulatedBox(int number, String id) throws IOException {
       this.number = number;
       this.id = id;
-      box = new Box(scenario, number, this);
-      box.start(false);
+      model = new Box(scenario, number, this);
+      model.start(false);
       listen();
     }
 
@@ -818,10 +834,10 @@
     }
 
     void crash() {
-      box.stop();
+      model.stop();
       heldAnswers.clear();
       listener.close();
-      List.copyOf(connections).forEach(connection -> connection.connection.reset());
+      List.copyOf(connections).forEach(connection -> connection.transport.reset());
     }
 
     void dismantle() {
@@ -834,7 +850,7 @@
       releaseAnswers(true);
     }
 
-    /** Answers that were ready leave, or are lost. */
+    /** Sends the held answers, or drops them. */
     void releaseAnswers(boolean send) {
       List<Runnable> answers = List.copyOf(heldAnswers);
       heldAnswers.clear();
@@ -843,7 +859,7 @@
       }
     }
 
-    /** An answer that has begun, of which a byte comes now and then and never the last. */
+    /** Starts an answer and sends it byte by byte without ever completing it. */
     void trickleAnswer(Runnable trigger) {
       BoxConnection connection =
           connections.stream()
@@ -858,7 +874,7 @@
       releaseAnswers(false);
       byte[] answerStart =
           ("R" + connection.lastPartId + " done 1 -\n").getBytes(StandardCharsets.US_ASCII);
-      connection.connection.put(
+      connection.transport.send(
           ByteBuffer.allocate(4 + answerStart.length)
               .order(ByteOrder.LITTLE_ENDIAN)
               .putInt(60_000)
@@ -869,22 +885,22 @@
     }
 
     private void trickleByte(BoxConnection connection) {
-      reactor.after(
+      reactor.schedule(
           Duration.ofMillis(30),
           () -> {
-            if (!connection.connection.closed()) {
-              connection.connection.put(new byte[] {'x'});
+            if (!connection.transport.isClosed()) {
+              connection.transport.send(new byte[] {'x'});
               trickleByte(connection);
             }
           });
     }
 
     /**
-     * Its connections are reset and its backlog is full: a new one comes up when the system asks
-     * again.
+     * Resets all connections and fills the listen backlog, so that a new connection is established
+     * only when the system retransmits its SYN.
      */
     void acceptLate(Runnable trigger) throws IOException {
-      if (acceptsLate) { // it is already
+      if (acceptsLate) { // the backlog is already full
         trigger.run();
         return;
       }
@@ -892,12 +908,12 @@
       int startIncarnation = incarnation;
       releaseAnswers(false);
       listener.close();
-      List.copyOf(connections).forEach(connection -> connection.connection.reset());
+      List.copyOf(connections).forEach(connection -> connection.transport.reset());
       fillBacklog(startIncarnation, trigger);
     }
 
     private void fillBacklog(int startIncarnation, Runnable trigger) {
-      reactor.after(
+      reactor.schedule(
           TICK_INTERVAL,
           () -> {
             if (startIncarnation != incarnation) {
@@ -910,21 +926,23 @@
               fullListener.bind(localAddress(port), 1);
               for (int i = 0; i < 2; i++) {
                 SocketChannel filler = SocketChannel.open();
-                filler.configureBlocking(false); // the mixer may have come first
+                // non-blocking: the mixer's connection may have filled the backlog first
+                filler.configureBlocking(false);
                 filler.connect(localAddress(port));
                 backlogFillers.add(filler);
               }
               record("the backlog of " + id + " is full");
               awaitDial(now().plus(TRIGGER_FALLBACK), trigger);
-              reactor.after(
+              reactor.schedule(
                   Duration.ofMillis(pair.drawBetween("late", 150, 900)),
                   () -> {
                     if (startIncarnation == incarnation) {
                       acceptAgain(startIncarnation);
                     }
                   });
-            } catch (
-                BindException e) { // the selector holds a closed channel's port until its next turn
+            } catch (BindException e) {
+              // the selector keeps a closed channel's port until its next iteration
+
               freeBacklog();
               fillBacklog(startIncarnation, trigger);
             } catch (IOException e) {
@@ -943,8 +961,8 @@
             reactor.listen(localAddress(port), connection -> new BoxConnection(this, connection));
         acceptsLate = false;
         record("the backlog of " + id + " is free");
-      } catch (BindException e) { // a connection of the full backlog still has it
-        reactor.after(TICK_INTERVAL, () -> acceptAgain(startIncarnation));
+      } catch (BindException e) { // a connection of the full backlog still holds the port
+        reactor.schedule(TICK_INTERVAL, () -> acceptAgain(startIncarnation));
       } catch (IOException e) {
         throw new UncheckedIOException(e);
       }
@@ -965,23 +983,29 @@
       }
     }
 
-    /** Waits until the system shows a connection being made to the port, or for a while. */
+    /**
+     * Waits until the system's connection table shows a connection attempt to the port, or until
+     * the deadline.
+     */
     private void awaitDial(Duration deadline, Runnable trigger) {
       byte[] ip = address.getAddress();
       String tableEntry =
           String.format("%02X%02X%02X%02X:%04X 02 ", ip[3], ip[2], ip[1], ip[0], port); // SYN_SENT
       connectionTableReader.execute(
-          () -> { // thousands of lines take long to read: the reactor does not stand still for them
-            boolean dialled = isDialling(tableEntry);
+          () -> {
+            // the table can have thousands of lines; reading it on the reactor's thread would stall
+            // it
+
+            boolean dialling = isDialling(tableEntry);
             reactor.post(
                 () -> {
-                  if (dialled) {
-                    record("a connection to " + id + " is being made");
+                  if (dialling) {
+                    record("a connection to " + id + " is being established");
                   }
-                  if (dialled || now().compareTo(deadline) > 0) {
+                  if (dialling || now().compareTo(deadline) > 0) {
                     trigger.run();
                   } else {
-                    reactor.after(TICK_INTERVAL, () -> awaitDial(deadline, trigger));
+                    reactor.schedule(TICK_INTERVAL, () -> awaitDial(deadline, trigger));
                   }
                 });
           });
@@ -992,12 +1016,12 @@
         for (String table : List.of("/proc/net/tcp", "/proc/net/tcp6")) {
           if (Files.isReadable(Path.of(table))
               && Files.readAllLines(Path.of(table)).stream()
-                  .anyMatch(connection -> connection.contains(tableEntry))) {
+                  .anyMatch(tableLine -> tableLine.contains(tableEntry))) {
             return true;
           }
         }
       } catch (IOException e) {
-        reactor.post(() -> record("no table of connections: " + e.getMessage()));
+        reactor.post(() -> record("cannot read the connection table: " + e.getMessage()));
       }
       return false;
     }
@@ -1011,7 +1035,7 @@
 
     @Override
     public void schedule(Duration delay, Runnable task) {
-      reactor.after(delay, task);
+      reactor.schedule(delay, task);
     }
 
     @Override
@@ -1031,34 +1055,34 @@
 
     @Override
     public void overloaded(Box failedBox) {
-      checker.boxFailed(number, reactor.now());
-      record(id + " fell");
+      checker.boxOverloaded(number, reactor.now());
+      record(id + " failed under load while cold");
     }
   }
 
-  /** A connection to a box. */
+  /** A connection from the mixer to a box. */
   private final class BoxConnection implements ReactorConnection.Handler {
     private final EmulatedBox box;
-    private final ReactorConnection connection;
+    private final ReactorConnection transport;
     private final ByteArrayOutputStream buffer = new ByteArrayOutputStream();
     private int partsInFlight;
     private String lastPartId;
 
     BoxConnection(EmulatedBox box, ReactorConnection connection) {
       this.box = box;
-      this.connection = connection;
+      this.transport = connection;
       box.connections.add(this);
     }
 
     @Override
-    public void bytes(byte[] bytes, int length) {
+    public void onData(byte[] bytes, int length) {
       buffer.write(bytes, 0, length);
       ByteBuffer pending = ByteBuffer.wrap(buffer.toByteArray()).order(ByteOrder.LITTLE_ENDIAN);
       while (pending.remaining() >= 4) {
         int size = pending.getInt(pending.position());
         if (size < 1 || size > MAX_FRAME_BYTES) {
           record("a frame of " + size + " bytes at " + box.id);
-          connection.reset();
+          transport.reset();
           return;
         }
         if (pending.remaining() < 4 + size) {
@@ -1077,7 +1101,7 @@
       switch (frame[0]) {
         case 'S' -> scan(frame);
         case 'C' ->
-            box.box.cancel(new String(frame, 1, frame.length - 1, StandardCharsets.US_ASCII));
+            box.model.cancel(new String(frame, 1, frame.length - 1, StandardCharsets.US_ASCII));
         case 'H' -> {
           if (box.answerMode != AnswerMode.HANG) {
             sendFrame("Hdone");
@@ -1088,7 +1112,7 @@
             sendFrame("M" + loadReport());
           }
         }
-        default -> connection.reset();
+        default -> transport.reset();
       }
     }
 
@@ -1104,8 +1128,8 @@
         String text = new String(frame, end + 1, length, StandardCharsets.UTF_8);
         offset = end + 1 + length;
         String key = null;
-        for (String pair : fields[2].split(",")) {
-          key = pair.startsWith("k=") ? pair.substring(2) : key;
+        for (String option : fields[2].split(",")) {
+          key = option.startsWith("k=") ? option.substring(2) : key;
         }
         partReceived(fields[0], Integer.parseInt(fields[1]), key, text);
       }
@@ -1127,7 +1151,7 @@
       if (trigger != null) {
         trigger.run();
       }
-      box.box.receive(new Box.Part(this, partId, partition, key, text));
+      box.model.receive(new Box.Part(this, partId, partition, key, text));
     }
 
     private String requestId(String partId) {
@@ -1135,11 +1159,11 @@
     }
 
     private String loadReport() {
-      return "queue=" + box.box.queueLength() + ",inflight=" + box.box.inFlight();
+      return "queue=" + box.model.queueLength() + ",inflight=" + box.model.inFlight();
     }
 
     void sendAnswer(Box.Part part, String outcome) {
-      if (connection.closed()) {
+      if (transport.isClosed()) {
         return;
       }
       partsInFlight--;
@@ -1162,7 +1186,7 @@
 
     private void sendFrame(String frame) {
       byte[] bytes = frame.getBytes(StandardCharsets.UTF_8);
-      connection.put(
+      transport.send(
           ByteBuffer.allocate(4 + bytes.length)
               .order(ByteOrder.LITTLE_ENDIAN)
               .putInt(bytes.length)
@@ -1171,15 +1195,15 @@
     }
 
     @Override
-    public void closed() {
+    public void onClosed() {
       box.connections.remove(this);
     }
   }
 
   // ---- clients ----
 
-  /** One client's connection, a request at a time. */
-  private final class TestClient extends HttpHandler {
+  /** A client with one connection, which sends one request at a time. */
+  private final class TestClient extends HttpConnectionHandler {
     final ReactorConnection connection;
     private final int ownGeneration = generation;
     String requestId;
@@ -1195,11 +1219,11 @@
     TestClient() {
       super(false, 1 << 20);
       clients.add(this);
-      connection = reactor.dial(mixer.address(), this);
+      connection = reactor.connect(mixer.address(), this);
     }
 
     @Override
-    public void opened() {
+    public void onOpened() {
       connected = true;
       if (onConnected != null) {
         onConnected.run();
@@ -1254,56 +1278,56 @@
       return shares;
     }
 
-    /** Asks for so many folios from a first one; returns the request's mark. */
+    /** Sends a request for consecutive partitions and returns its id. */
     String sendRequest(Scenario.ServiceClass serviceClass, int firstPartition, int count) {
       requestId = String.format("%08x%08x", generation, requestCount++);
       Map<Integer, Double> shares = partitionShares(firstPartition, count, scenario.partitions());
-      connection.put(requestBytes(requestId, serviceClass, shares));
+      connection.send(requestBytes(requestId, serviceClass, shares));
       sentAt = now();
       checker.requestSent(
           requestId, serviceClass.name(), shares, idempotencyKey(requestId, serviceClass), sentAt);
-      record("asked " + requestId + ' ' + serviceClass.name());
+      record("sent request " + requestId + ' ' + serviceClass.name());
       return requestId;
     }
 
-    /** Closes, in order or by a reset, whatever it waits for. */
+    /** Closes or resets the connection, even if an answer is pending. */
     void leave(boolean reset) {
       leaving = true;
       if (requestId != null) {
         checker.clientLeft(requestId, now());
-        record(requestId + " has gone");
+        record(requestId + ": the client has left");
       }
       if (reset) {
         connection.reset();
       } else {
-        connection.close();
+        connection.closeAfterFlush();
       }
     }
 
-    /** Sends the beginning of a long request behind the one at hand, and closes. */
+    /** Sends the start of a long request after the current one, and closes the connection. */
     void flood() {
-      if (connection.closed()) {
+      if (connection.isClosed()) {
         return;
       }
-      connection.put(
+      connection.send(
           ("POST /api HTTP/1.1\r\nHost: mixer\r\nX-Txn: f"
                   + requestId
                   + "\r\nX-Lane: "
                   + scenario.serviceClasses().get(0).name()
                   + "\r\nX-Remaining-Ms: 1000\r\nContent-Length: 60000\r\n\r\n")
               .getBytes(StandardCharsets.US_ASCII));
-      connection.put(new byte[FLOOD_BYTES]);
+      connection.send(new byte[FLOOD_BYTES]);
       leaving = true;
-      connection.close(); // once all has left, which closed() tells
+      connection.closeAfterFlush(); // closes once everything is sent; closed() then reports it
     }
 
     @Override
     public boolean keepsHalfOpen() {
       mixerClosed = true;
       record(
-          "the mixer has ended "
+          "the mixer has closed "
               + (requestId == null
-                  ? "a resting client's connection"
+                  ? "an idle client's connection"
                   : "the connection of " + requestId));
       if (!sendsAfterClose || requestId != null) {
         return false;
@@ -1312,20 +1336,20 @@
       Scenario.ServiceClass serviceClass = scenario.serviceClasses().get(0);
       Map<Integer, Double> shares = partitionShares(0, 2, scenario.partitions());
       checker.requestSentAfterClose(requestId, serviceClass.name(), shares, null, now());
-      connection.put(requestBytes(requestId, serviceClass, shares));
-      record("asked " + requestId + " after that");
-      reactor.after(Duration.ofMillis(200), connection::reset);
+      connection.send(requestBytes(requestId, serviceClass, shares));
+      record("sent request " + requestId + " on the closed connection");
+      reactor.schedule(Duration.ofMillis(200), connection::reset);
       return true;
     }
 
     @Override
-    protected void malformed(HttpException e) {
-      record("the answer to " + requestId + " is no HTTP: " + e.getMessage());
+    protected void onMalformed(HttpException e) {
+      record("the answer to " + requestId + " is not valid HTTP: " + e.getMessage());
       connection.reset();
     }
 
     @Override
-    protected void message(MessageHead head, byte[] json) {
+    protected void onMessage(MessageHead head, byte[] json) {
       if (answerTrigger != null) {
         Runnable trigger = answerTrigger;
         answerTrigger = null;
@@ -1334,25 +1358,27 @@
       if (requestId == null) {
         return;
       }
-      Answer answer = Answer.read(head, json);
+      ScanResponse answer = ScanResponse.parse(head, json);
       boolean served =
-          answer.fate() == ObservedScan.ScanOutcome.WHOLE
-              || answer.fate() == ObservedScan.ScanOutcome.PART;
-      record("answered " + requestId + ' ' + answer.status() + (served ? " " + answer.fate() : ""));
-      warmedUp |= answer.fate() == ObservedScan.ScanOutcome.WHOLE;
+          answer.outcome() == ObservedScan.ScanOutcome.WHOLE
+              || answer.outcome() == ObservedScan.ScanOutcome.PART;
+      record(
+          "answered " + requestId + ' ' + answer.status() + (served ? " " + answer.outcome() : ""));
+      warmedUp |= answer.outcome() == ObservedScan.ScanOutcome.WHOLE;
       if (ownGeneration == generation && !leaving) {
-        checker.answered(
+        checker.requestAnswered(
             requestId,
             now(),
-            answer.fate() == ObservedScan.ScanOutcome.NACKED,
+            answer.outcome() == ObservedScan.ScanOutcome.NACKED,
             answer.whole(),
-            served ? answer.values() : null);
+            served ? answer.valuesByPartition() : null);
       }
       requestId = null;
       if (head.hasToken("connection", "close")) {
-        connection.close();
+        connection.closeAfterFlush();
       } else if (terminatedAt != null && backgroundClients.contains(this) && !leaving) {
-        // until the connection ends, so that its end crosses a request
+        // sends the next request at once until the mixer closes the connection, so that the close
+        // coincides with a request
         sendRequest(
             scenario.serviceClasses().get(requestCount % scenario.serviceClasses().size()),
             requestCount % scenario.partitions(),
@@ -1361,14 +1387,14 @@
     }
 
     @Override
-    public void closed() {
+    public void onClosed() {
       clients.remove(this);
       if (ownGeneration != generation || requestId == null) {
         return;
       }
       if (leaving) {
         checker.clientLeft(requestId, now());
-        record(requestId + " has gone");
+        record(requestId + ": the client has left");
       } else if (!connected) {
         checker.connectionRefused(requestId);
       } else {
@@ -1376,7 +1402,7 @@
             "the connection of "
                 + requestId
                 + " was "
-                + (mixerClosed ? "ended" : "reset")
+                + (mixerClosed ? "closed" : "reset")
                 + " by the mixer");
         checker.connectionEnded(requestId, now());
       }
