--- a/peering/src/main/java/gingerring/peering/PeerSocket.java
+++ b/peering/src/main/java/gingerring/peering/PeerSocket.java
@@ -60,9 +60,8 @@
   }
 
   private void run() {
-    ByteBuffer buffer =
-        ByteBuffer.allocateDirect(
-            MessageCodec.MAX_BYTES + 1); // a longer datagram fills the extra byte and is rejected
+    // a longer datagram fills the extra byte and is rejected
+    ByteBuffer buffer = ByteBuffer.allocateDirect(MessageCodec.MAX_BYTES + 1);
     while (channel.isOpen()) {
       try {
         buffer.clear();
@@ -85,9 +84,8 @@
       } catch (ClosedChannelException e) {
         return;
       } catch (IOException e) {
-        LOG.debug(
-            "failed to receive a datagram: {}",
-            e.toString()); // for example when a peer's port is closed
+        // for example when a peer's port is closed
+        LOG.debug("failed to receive a datagram: {}", e.toString());
       }
     }
   }
--- a/peering/src/test/java/gingerring/peering/PeeringTest.java
+++ b/peering/src/test/java/gingerring/peering/PeeringTest.java
@@ -154,9 +154,9 @@
     }
 
     @Override
-    public void schedule(Duration span, Runnable task) {
+    public void schedule(Duration delay, Runnable task) {
       if (!loop.isShutdown()) {
-        loop.schedule(task, span.toNanos(), TimeUnit.NANOSECONDS);
+        loop.schedule(task, delay.toNanos(), TimeUnit.NANOSECONDS);
       }
     }
 
@@ -173,10 +173,10 @@
     members.forEach(Member::stop);
   }
 
-  private static void waitUntil(BooleanSupplier condition, String what) {
+  private static void waitUntil(BooleanSupplier condition, String failureMessage) {
     long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(20);
     while (!condition.getAsBoolean()) {
-      assertTrue(System.nanoTime() < end, what);
+      assertTrue(System.nanoTime() < end, failureMessage);
       try {
         Thread.sleep(20);
       } catch (InterruptedException e) {
@@ -279,13 +279,14 @@
   @Test
   void theLaterOfTwoWithOneNameWins() throws Exception {
     startFleet(2);
-    Member other = members.get(1);
+    Member observer = members.get(1);
     Thread.sleep(5); // gives the second mixer a later incarnation
-    Member twin = new Member("m0", KEYS, other);
+    Member twin = new Member("m0", KEYS, observer);
     waitUntil(
-        () -> other.query('p').contains("life " + twin.startMs), "the later incarnation is known");
+        () -> observer.query('p').contains("life " + twin.startMs),
+        "the later incarnation is known");
     assertEquals(PeerId.named("m0"), PeerId.named(twin.name));
-    assertTrue(other.query('p').contains("1 of 1 there"));
+    assertTrue(observer.query('p').contains("1 of 1 there"));
   }
 
   @Test
--- a/peers/src/main/java/gingerring/peers/Membership.java
+++ b/peers/src/main/java/gingerring/peers/Membership.java
@@ -245,8 +245,8 @@
     host.send(source, new MessageBody.MembersRequest(0));
   }
 
-  private Duration randomDelay(Duration span) {
-    return Duration.ofNanos(random.nextLong(span.toNanos()));
+  private Duration randomDelay(Duration maxDelay) {
+    return Duration.ofNanos(random.nextLong(maxDelay.toNanos()));
   }
 
   private PeerRecord ownRecord() {
@@ -345,9 +345,8 @@
       if (target != null) {
         pendingPing = new PendingPing(target.peer(), ++lastPingNumber, now, healthScore);
         if (target.state() == State.SUSPECTED) {
-          gossip.add(
-              target.peer(),
-              target); // notifies the suspected member first, which can refute the suspicion
+          // notifies the suspected member first, which can refute the suspicion
+          gossip.add(target.peer(), target);
         }
         host.send(target.address(), new MessageBody.Ping(pendingPing.number, target.peer()));
       }
@@ -360,12 +359,12 @@
   private PeerRecord nextPingTarget() {
     for (int attempts = members.size() + 1; attempts > 0; attempts--) {
       if (pingOrder.isEmpty()) {
-        members.values().forEach(each -> pingOrder.add(each.record.peer()));
+        members.values().forEach(member -> pingOrder.add(member.record.peer()));
         for (int i = pingOrder.size() - 1; i > 0; i--) {
           PeerId swapped = pingOrder.get(i);
-          int other = random.nextInt(i + 1);
-          pingOrder.set(i, pingOrder.get(other));
-          pingOrder.set(other, swapped);
+          int swapIndex = random.nextInt(i + 1);
+          pingOrder.set(i, pingOrder.get(swapIndex));
+          pingOrder.set(swapIndex, swapped);
         }
       }
       if (pingOrder.isEmpty()) {
@@ -430,11 +429,8 @@
     if (maxConfirmations < 1) {
       return Duration.ofNanos((long) minNanos);
     }
-    double confirmedShare =
-        Math.log(member.suspectedBy.size())
-            / Math.log(
-                maxConfirmations
-                    + 1.0); // the mixer that raised the suspicion first is not a confirmation
+    // the mixer that raised the suspicion first is not a confirmation
+    double confirmedShare = Math.log(member.suspectedBy.size()) / Math.log(maxConfirmations + 1.0);
     return Duration.ofNanos(
         (long) Math.max(minNanos, minNanos * MAX_SUSPICION_FACTOR * (1 - confirmedShare)));
   }
--- a/peers/src/main/java/gingerring/peers/ObservationWindow.java
+++ b/peers/src/main/java/gingerring/peers/ObservationWindow.java
@@ -28,8 +28,8 @@
   private long dropped;
 
   /** {@code span}: the length of the window. */
-  ObservationWindow(Duration span, int maxBoxes) {
-    bucketNanos = Math.max(1, span.toNanos() / BUCKETS);
+  ObservationWindow(Duration windowLength, int maxBoxes) {
+    bucketNanos = Math.max(1, windowLength.toNanos() / BUCKETS);
     this.maxBoxes = maxBoxes;
   }
 
@@ -79,21 +79,21 @@
    * window are removed.
    */
   Map<Long, BoxObservation> mostRelevant(int maxReported, Duration now) {
-    Map<Long, BoxObservation> all = new HashMap<>();
+    Map<Long, BoxObservation> observations = new HashMap<>();
     rings
         .keySet()
         .removeIf(
             box -> {
               BoxObservation observation = observation(box, now);
               if (observation.parts() > 0) {
-                all.put(box, observation);
+                observations.put(box, observation);
               }
               return observation.parts() == 0;
             });
-    if (all.size() <= maxReported) {
-      return all;
+    if (observations.size() <= maxReported) {
+      return observations;
     }
-    List<Map.Entry<Long, BoxObservation>> ranked = new ArrayList<>(all.entrySet());
+    List<Map.Entry<Long, BoxObservation>> ranked = new ArrayList<>(observations.entrySet());
     ranked.sort(
         Comparator.<Map.Entry<Long, BoxObservation>>comparingDouble(
                 entry -> -entry.getValue().failed())
--- a/peers/src/main/java/gingerring/peers/PeerNode.java
+++ b/peers/src/main/java/gingerring/peers/PeerNode.java
@@ -195,7 +195,7 @@
     }
   }
 
-  private record Distrust(Duration until, int doublings) {}
+  private record Distrust(Duration endsAt, int doublings) {}
 
   private final PeerId self;
   private final long incarnation;
@@ -271,10 +271,8 @@
 
               @Override
               public void peerChanged(PeerRecord now) {
-                if (now.state()
-                    == PeerRecord.State
-                        .LEFT) { // reports of a mixer that is gone expire by themselves, as it may
-                  // return
+                // reports of a mixer that is gone expire by themselves, as it may return
+                if (now.state() == PeerRecord.State.LEFT) {
                   reports.peerLeft(now.peer(), now.incarnation(), host.now());
                 }
                 host.peerChanged(now);
@@ -313,13 +311,13 @@
     if (membership.isSuperseded()) {
       return;
     }
-    int maxUpdates = MessageCodec.maxUpdates(body);
+    int availableUpdates = MessageCodec.maxUpdates(body);
     List<ProbeNotice> sentNotices =
-        maxUpdates < 2 * MAX_NOTICES
+        availableUpdates < 2 * MAX_NOTICES
             ? List.of()
             : notices.take(MAX_NOTICES, membership.present().size() + 1);
     List<PeerRecord> updates =
-        membership.takeUpdates(Math.min(MAX_UPDATES, maxUpdates - sentNotices.size()));
+        membership.takeUpdates(Math.min(MAX_UPDATES, availableUpdates - sentNotices.size()));
     byte[] datagram =
         codec.encode(
             new PeerMessage(self, incarnation, ++lastMessageNumber, body, updates, sentNotices));
@@ -395,7 +393,7 @@
     count(Count.NOTES);
     Distrust authorDistrust = distrusted.get(notice.author());
     if (notice.answered()
-        && (authorDistrust == null || authorDistrust.until.compareTo(host.now()) <= 0)) {
+        && (authorDistrust == null || authorDistrust.endsAt.compareTo(host.now()) <= 0)) {
       state.answerSource = notice.author();
       // all mixers probe the box now, but not at the same moment
       Duration delay =
--- a/peers/src/test/java/gingerring/peers/BoundsTest.java
+++ b/peers/src/test/java/gingerring/peers/BoundsTest.java
@@ -124,10 +124,8 @@
     for (int i = 0; i < 10; i++) {
       queue.take(1, 9).forEach(each -> sendCounts.merge(each, 1, Integer::sum));
     }
-    assertEquals(
-        Map.of("one", 2, "two", 2),
-        sendCounts); // 2 for each power of ten; a fleet of 9 others and this mixer is one power of
-    // ten
+    // 2 for each power of ten; a fleet of 9 others and this mixer is one power of ten
+    assertEquals(Map.of("one", 2, "two", 2), sendCounts);
     assertEquals(0, queue.size());
     for (int i = 0; i < 5; i++) {
       queue.add(i, "n" + i);
--- a/peers/src/test/java/gingerring/peers/MembershipExplorationTest.java
+++ b/peers/src/test/java/gingerring/peers/MembershipExplorationTest.java
@@ -85,11 +85,11 @@
 
                 @Override
                 public void peerChanged(PeerRecord record) {
-                  int other = (int) record.peer().number() - 1;
+                  int target = (int) record.peer().number() - 1;
                   assertTrue(
-                      record.incarnation() >= knownIncarnations[mixer][other],
-                      "an earlier incarnation of " + other + " at " + mixer);
-                  knownIncarnations[mixer][other] = record.incarnation();
+                      record.incarnation() >= knownIncarnations[mixer][target],
+                      "an earlier incarnation of " + target + " at " + mixer);
+                  knownIncarnations[mixer][target] = record.incarnation();
                 }
               });
       mixers[mixer] = membership[0];
@@ -141,8 +141,8 @@
     }
 
     private void deliver(InFlightMessage message) {
-      if (message.to() < 3
-          && !paused[message.to()]) { // a paused mixer loses the messages sent to it
+      // a paused mixer loses the messages sent to it
+      if (message.to() < 3 && !paused[message.to()]) {
         mixers[message.to()].messageReceived(
             new PeerId(1 + message.from()),
             message.incarnation(),
@@ -173,16 +173,16 @@
         }
       }
       for (int observer = 0; observer < 3; observer++) {
-        for (int other = 0; other < 3; other++) {
-          if (observer != other
-              && mixers[observer].incarnation(new PeerId(1 + other)) != incarnations[other]) {
+        for (int target = 0; target < 3; target++) {
+          if (observer != target
+              && mixers[observer].incarnation(new PeerId(1 + target)) != incarnations[target]) {
             return observer
                 + " knows "
-                + other
+                + target
                 + " in incarnation "
-                + mixers[observer].incarnation(new PeerId(1 + other))
+                + mixers[observer].incarnation(new PeerId(1 + target))
                 + " instead of "
-                + incarnations[other];
+                + incarnations[target];
           }
         }
       }
--- a/peers/src/test/java/gingerring/peers/MembershipTest.java
+++ b/peers/src/test/java/gingerring/peers/MembershipTest.java
@@ -393,9 +393,8 @@
     sent.clear();
     recipients.clear();
     advanceTime(5_000);
-    for (int i = 0;
-        i < sent.size();
-        i++) { // all seeds are known: single pages from a random position, and no complete list
+    // all seeds are known: single pages from a random position, and no complete list
+    for (int i = 0; i < sent.size(); i++) {
       assertTrue(
           !(sent.get(i) instanceof MessageBody.MembersRequest request) || request.fromPeer() != 0,
           "requested a complete list from " + recipients.get(i));
--- a/peers/src/test/java/gingerring/peers/ReportAggregatorTest.java
+++ b/peers/src/test/java/gingerring/peers/ReportAggregatorTest.java
@@ -81,8 +81,8 @@
         aggregator.failureShare(5, NO_PARTS, sameZoneReports),
         1e-12,
         "all mixers are in one zone");
-    sameZoneReports.add(
-        report(4, 1, 1, 1, 0)); // there is another zone, where no mixer saw enough parts
+    // there is another zone, where no mixer saw enough parts
+    sameZoneReports.add(report(4, 1, 1, 1, 0));
     assertEquals(Double.NaN, aggregator.failureShare(5, NO_PARTS, sameZoneReports));
   }
 
--- a/share/src/main/java/gingerring/share/CapacityEstimator.java
+++ b/share/src/main/java/gingerring/share/CapacityEstimator.java
@@ -26,7 +26,7 @@
   /** The capacity is the limit where at least this share of it is used. */
   private static final double BINDING_USAGE = 0.97;
 
-  private record Sample(Duration at, double answered) {}
+  private record Sample(Duration time, double answered) {}
 
   private static final double MIN_STEP = 0.002;
   private static final double STEP_GROWTH = 1.25;
@@ -93,7 +93,7 @@
       samples.removeLast();
     }
     samples.addLast(new Sample(now, answered));
-    while (now.minus(samples.peekFirst().at).compareTo(window) > 0) {
+    while (now.minus(samples.peekFirst().time).compareTo(window) > 0) {
       samples.removeFirst();
     }
     return samples.peekFirst().answered;
--- a/share/src/main/java/gingerring/share/SubsetSelector.java
+++ b/share/src/main/java/gingerring/share/SubsetSelector.java
@@ -15,8 +15,8 @@
  * partition as many holders as retries need, in two zones where possible. Each mixer visits the
  * boxes in an order of its own, from a weighted hash of mixer and box by the box's size; adds each
  * box that some partition still needs; and then removes, in reverse order, each box that no
- * partition needs. Over many mixers a box is preferred roughly in proportion to its size, and a box
- * that joins or leaves changes few selections, since the order of all others stays.
+ * partition needs. Over many mixers a box is preferred in proportion to its size, and a box that
+ * joins or leaves changes few selections, since the order of all others stays.
  *
  * <p>To replace boxes that it does not trust, a mixer leaves them out of {@code boxes}: other
  * holders of the same partitions are selected instead. A box that holds no partition is never
--- a/share/src/main/java/gingerring/share/TurnSchedule.java
+++ b/share/src/main/java/gingerring/share/TurnSchedule.java
@@ -11,10 +11,10 @@
  * for a claim of another mixer. Rounds are numbered by the clock, so a mixer that restarts, or
  * resumes after a pause, knows the round at once without any message.
  *
- * <p>Several mixers act in a round: one more for each mixer that a claim did not reach within its
- * step, and one more for each mixer whose clock is off by more than a step. No mixer acts for a
- * while: absent mixers that come first take a step each, and where they fill a whole round the next
- * round has another order.
+ * <p>More than one mixer may act in a round: one more for each mixer that a claim did not reach
+ * within its step, and one more for each mixer whose clock is off by more than a step. No mixer may
+ * act for a while: absent mixers that come first take a step each, and where they fill a whole
+ * round the next round has another order.
  *
  * <p>A mixer that claims rounds falsely delays only its own: a claim is accepted only from a member
  * whose turn has come, by the receiver's order and clock, give or take a step. So of n members f
@@ -63,8 +63,8 @@
         Math.max(
             roundAt(now), lastDoneRound == Long.MIN_VALUE ? Long.MIN_VALUE : lastDoneRound + 1);
     Duration delay = order.delay(taskId, round, members);
-    while (delay.compareTo(roundPeriod)
-        >= 0) { // so many mixers come first that the round ends before this mixer's turn
+    // so many mixers come first that the round ends before this mixer's turn
+    while (delay.compareTo(roundPeriod) >= 0) {
       round++;
       delay = order.delay(taskId, round, members);
     }
--- a/share/src/test/java/gingerring/share/CapacityEstimatorTest.java
+++ b/share/src/test/java/gingerring/share/CapacityEstimatorTest.java
@@ -57,8 +57,8 @@
     }
     assertEquals(0.02, step, 1e-9);
     double capacity = estimator.capacity();
-    estimator.update(
-        0.5 * capacity, 0, ms(8000)); // the capacity is not the limit: the estimate stays
+    // the capacity is not the limit: the estimate stays
+    estimator.update(0.5 * capacity, 0, ms(8000));
     assertEquals(capacity, estimator.capacity());
   }
 
--- a/share/src/test/java/gingerring/share/SubsetSelectorTest.java
+++ b/share/src/test/java/gingerring/share/SubsetSelectorTest.java
@@ -47,9 +47,9 @@
       @ForAll @IntRange(min = 1, max = 4) int holdersPerPartition,
       @ForAll @IntRange(min = 1, max = 3) int zones) {
     SplittableRandom random = new SplittableRandom(seed);
-    List<Box> all = ring(size, zones);
-    List<List<BoxId>> partitions = partitions(all, copies);
-    List<Box> trusted = all.stream().filter(box -> random.nextInt(5) > 0).toList();
+    List<Box> boxes = ring(size, zones);
+    List<List<BoxId>> partitions = partitions(boxes, copies);
+    List<Box> trusted = boxes.stream().filter(box -> random.nextInt(5) > 0).toList();
     Set<BoxId> selected =
         new SubsetSelector(trusted, partitions, holdersPerPartition).select(new MixerId(seed));
     assertTrue(isCovered(trusted, partitions, holdersPerPartition, selected));
@@ -99,16 +99,18 @@
   /** A removed box changes few selections, and other holders replace it. */
   @Test
   void aRemovedBoxChangesFewSelections() {
-    List<Box> all = ring(60, 3);
-    List<List<BoxId>> partitions = partitions(all, 3);
+    List<Box> boxes = ring(60, 3);
+    List<List<BoxId>> partitions = partitions(boxes, 3);
     int changes = 0;
     int totalSelected = 0;
     for (int m = 0; m < 200; m++) {
-      Set<BoxId> before = new SubsetSelector(all, partitions, 2).select(new MixerId(m));
+      Set<BoxId> before = new SubsetSelector(boxes, partitions, 2).select(new MixerId(m));
       BoxId removedBox = before.iterator().next();
       Set<BoxId> after =
           new SubsetSelector(
-                  all.stream().filter(box -> !box.id().equals(removedBox)).toList(), partitions, 2)
+                  boxes.stream().filter(box -> !box.id().equals(removedBox)).toList(),
+                  partitions,
+                  2)
               .select(new MixerId(m));
       assertFalse(after.contains(removedBox));
       Set<BoxId> removed = new HashSet<>(before);
@@ -131,8 +133,8 @@
     for (int i = 0; i < 30; i++) {
       boxes.add(new Box(new BoxId(i), 0, i < 15 ? 1 : 2));
     }
-    List<List<BoxId>> partition =
-        List.of(boxes.stream().map(Box::id).toList()); // one partition that all boxes hold
+    // one partition that all boxes hold
+    List<List<BoxId>> partition = List.of(boxes.stream().map(Box::id).toList());
     double[] mixers = new double[30];
     for (int m = 0; m < 9000; m++) {
       new SubsetSelector(boxes, partition, 1)
--- a/share/src/test/java/gingerring/share/TurnOrderTest.java
+++ b/share/src/test/java/gingerring/share/TurnOrderTest.java
@@ -57,9 +57,8 @@
     int firstRankCount = 0;
     for (MixerId mixer : fleet) {
       List<MixerId> view = new ArrayList<>(fleet);
-      for (int i = 0;
-          i < difference;
-          i++) { // each list lacks some of the same d members, never the mixer itself
+      // each list lacks some of the same d members, never the mixer itself
+      for (int i = 0; i < difference; i++) {
         MixerId missed = fleet.get(i);
         if (random.nextBoolean() && !missed.equals(mixer)) {
           view.remove(missed);
@@ -94,9 +93,12 @@
           within += delay.compareTo(STEP.multipliedBy(5)) < 0 ? 1 : 0;
         }
       }
-      long seen = within;
+      long actions = within;
       assertEquals(
-          100, seen, 40, () -> seen + " actions in 5 steps over 20 tasks at fleet size " + size);
+          100,
+          actions,
+          40,
+          () -> actions + " actions in 5 steps over 20 tasks at fleet size " + size);
     }
   }
 
--- a/share/src/test/java/gingerring/share/TurnScheduleTest.java
+++ b/share/src/test/java/gingerring/share/TurnScheduleTest.java
@@ -40,7 +40,7 @@
   private static final class World {
     static final int TICKS = 15;
     static final int PAUSE_TICKS = 5;
-    final Set<String> seen = new HashSet<>();
+    final Set<String> visitedStates = new HashSet<>();
     final Set<String> violations = new HashSet<>();
 
     /** Whether mixers receive claims at all; false is a planted fault. */
@@ -84,9 +84,8 @@
     static TurnSchedule scheduleAfter(int mixer, long lastDoneRound, List<MixerId> members) {
       TurnSchedule schedule = schedule(mixer);
       if (lastDoneRound >= 0) {
-        schedule.claimRound(
-            ROUND_PERIOD.multipliedBy(
-                lastDoneRound)); // reaches the same state through the public method
+        // reaches the same state through the public method
+        schedule.claimRound(ROUND_PERIOD.multipliedBy(lastDoneRound));
       }
       return schedule;
     }
@@ -96,7 +95,7 @@
     }
 
     private void tick(State state) {
-      if (state.tick == TICKS || !seen.add(state.key())) {
+      if (state.tick == TICKS || !visitedStates.add(state.key())) {
         return;
       }
       for (int pausedMixer = -1; pausedMixer < (state.pausesLeft > 0 ? 3 : 0); pausedMixer++) {
@@ -263,7 +262,7 @@
     World world = new World(true);
     world.explore();
     assertEquals(Set.of(), world.violations);
-    assertTrue(world.seen.size() > 10_000, () -> world.seen.size() + " states");
+    assertTrue(world.visitedStates.size() > 10_000, () -> world.visitedStates.size() + " states");
     World unreachable = new World(false);
     unreachable.explore();
     assertFalse(unreachable.violations.isEmpty(), "the planted fault is detected");
