--- a/emulator/src/main/java/gingerring/emulator/experiment/EmulatedClients.java
+++ b/emulator/src/main/java/gingerring/emulator/experiment/EmulatedClients.java
@@ -7,9 +7,9 @@
 import gingerring.http.HttpException;
 import gingerring.http.MessageHead;
 import gingerring.traffic.replay.Retries;
-import gingerring.traffic.scan.Answer;
 import gingerring.traffic.scan.ObservedScan;
-import gingerring.traffic.wire.HttpHandler;
+import gingerring.traffic.scan.ScanResponse;
+import gingerring.traffic.wire.HttpConnectionHandler;
 import gingerring.traffic.wire.Reactor;
 import gingerring.traffic.wire.ReactorConnection;
 import java.net.InetSocketAddress;
@@ -109,7 +109,7 @@
     this.onCompletion = over;
     retries =
         new Retries(
-            new Retries.Rule(world.maxRetries(), Duration.ofMillis(200), 2, 0.5),
+            new Retries.RetryPolicy(world.maxRetries(), Duration.ofMillis(200), 2, 0.5),
             new SplittableRandom(world.seed() + 1));
   }
 
@@ -119,7 +119,7 @@
       onCompletion.run();
     }
     for (ClientRequest wish : wishes) {
-      reactor.after(
+      reactor.schedule(
           Duration.ofNanos((long) (wish.sendAt().toNanos() / speedFactor)),
           () -> send(new ClientAttempt(wish, 0, reactor.now())));
     }
@@ -132,7 +132,7 @@
                 * scenario.clients());
     Deque<ClientConnection> mine = idleByClient.computeIfAbsent(who, w -> new ArrayDeque<>());
     ClientConnection client = mine.pollFirst();
-    while (client != null && !client.connection.open()) {
+    while (client != null && !client.connection.isOpen()) {
       client = mine.pollFirst();
     }
     if (client == null && connectionCount >= 2 * scenario.clients() && !idleConnections.isEmpty()) {
@@ -157,18 +157,18 @@
     }
   }
 
-  private void attemptEnded(ClientAttempt which, Answer answer) {
+  private void attemptEnded(ClientAttempt which, ScanResponse answer) {
     Duration took = reactor.now().minus(which.firstSentAt);
     Optional<Duration> again =
-        answer.fate() == ObservedScan.ScanOutcome.WHOLE
-                || answer.fate() == ObservedScan.ScanOutcome.PART
+        answer.outcome() == ObservedScan.ScanOutcome.WHOLE
+                || answer.outcome() == ObservedScan.ScanOutcome.PART
             ? Optional.empty()
-            : retries.next(which.number, answer.comeBack());
+            : retries.nextDelay(which.number, answer.retryAfter());
     statistics.attemptEnded(which.request, answer, took, reactor.now());
     if (again.isPresent()
         && took.plus(again.get()).compareTo(which.request.serviceClass().deadline()) < 0) {
       statistics.retries++;
-      reactor.after(
+      reactor.schedule(
           again.get(),
           () -> send(new ClientAttempt(which.request, which.number + 1, which.firstSentAt)));
     } else {
@@ -208,7 +208,7 @@
   }
 
   /** One connection, a request at a time. */
-  private final class ClientConnection extends HttpHandler {
+  private final class ClientConnection extends HttpConnectionHandler {
     private final int client;
     private final int mixer;
     private final ReactorConnection connection;
@@ -221,7 +221,7 @@
       this.client = who;
       connectionCount++;
       mixer = mixerSelector.mixer(who);
-      connection = reactor.dial(mixerSelector.address(mixer), this);
+      connection = reactor.connect(mixerSelector.address(mixer), this);
     }
 
     void send(ClientAttempt next) {
@@ -246,8 +246,8 @@
               + "\r\nContent-Length: "
               + json.length
               + "\r\n\r\n";
-      connection.put(text.getBytes(StandardCharsets.US_ASCII));
-      connection.put(json);
+      connection.send(text.getBytes(StandardCharsets.US_ASCII));
+      connection.send(json);
       statistics.attempts++;
       ruleChecker.requestSent(
           mixer,
@@ -257,7 +257,7 @@
           grade.retrySafety() == Scenario.RetrySafety.KEYED ? next.request.key() : null,
           reactor.now(),
           grade.deadline());
-      reactor.after(
+      reactor.schedule(
           grade.deadline().plus(RuleChecker.SLACK),
           () -> {
             if (mine.equals(scanId) && attempt != null) {
@@ -268,28 +268,28 @@
     }
 
     @Override
-    protected void malformed(HttpException e) {
+    protected void onMalformed(HttpException e) {
       connection.reset();
     }
 
     @Override
-    protected void message(MessageHead head, byte[] json) {
+    protected void onMessage(MessageHead head, byte[] json) {
       ClientAttempt ended = attempt;
       if (ended == null) {
         return;
       }
       attempt = null;
       busyConnections.remove(this);
-      Answer answer = Answer.read(head, json);
+      ScanResponse answer = ScanResponse.parse(head, json);
       boolean served =
-          answer.fate() == ObservedScan.ScanOutcome.WHOLE
-              || answer.fate() == ObservedScan.ScanOutcome.PART;
+          answer.outcome() == ObservedScan.ScanOutcome.WHOLE
+              || answer.outcome() == ObservedScan.ScanOutcome.PART;
       ruleChecker.requestAnswered(
           scanId,
           reactor.now(),
-          answer.fate() == ObservedScan.ScanOutcome.NACKED,
+          answer.outcome() == ObservedScan.ScanOutcome.NACKED,
           answer.whole(),
-          served ? answer.values() : null);
+          served ? answer.valuesByPartition() : null);
       if (head.hasToken("connection", "close")) {
         close();
       } else {
@@ -310,11 +310,11 @@
 
     private void close() {
       remove();
-      connection.close();
+      connection.closeAfterFlush();
     }
 
     @Override
-    public void closed() {
+    public void onClosed() {
       boolean first = !removed;
       remove();
       if (attempt == null) {
@@ -328,7 +328,7 @@
         ruleChecker.clientLeft(scanId, reactor.now());
         attemptEnded(
             ended,
-            new Answer(
+            new ScanResponse(
                 ObservedScan.ScanOutcome.LEFT,
                 0,
                 false,
@@ -338,7 +338,7 @@
       }
     }
 
-    private void attemptEnded(ClientAttempt which, Answer answer) {
+    private void attemptEnded(ClientAttempt which, ScanResponse answer) {
       EmulatedClients.this.attemptEnded(which, answer);
     }
   }
--- a/emulator/src/main/java/gingerring/emulator/experiment/ExperimentRun.java
+++ b/emulator/src/main/java/gingerring/emulator/experiment/ExperimentRun.java
@@ -70,7 +70,7 @@
       reactor.post(
           () -> {
             Duration start = reactor.now().plus(START_DELAY);
-            reactor.after(
+            reactor.schedule(
                 START_DELAY,
                 () -> {
                   store.start();
@@ -95,7 +95,7 @@
       double cpu = mixer == null ? Double.NaN : mixer.cpuSeconds() - cpuBefore;
       int code = mixer == null ? 0 : mixer.stop();
       return new Result(
-          router, tally, referee, store.loadByBox(), took.get(), cpu, code, reactor.failures());
+          router, tally, referee, store.loadByBox(), took.get(), cpu, code, reactor.failureCount());
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
       throw new IOException("interrupted", e);
--- a/emulator/src/main/java/gingerring/emulator/experiment/RandomRouter.java
+++ b/emulator/src/main/java/gingerring/emulator/experiment/RandomRouter.java
@@ -7,7 +7,7 @@
 import gingerring.http.MessageHead;
 import gingerring.json.Json;
 import gingerring.json.JsonFields;
-import gingerring.traffic.wire.HttpHandler;
+import gingerring.traffic.wire.HttpConnectionHandler;
 import gingerring.traffic.wire.Reactor;
 import gingerring.traffic.wire.ReactorConnection;
 import java.io.ByteArrayOutputStream;
@@ -37,7 +37,7 @@
   private final Map<Integer, InetSocketAddress> boxAddresses = new HashMap<>();
   private final Map<Integer, BoxConnection> connections = new HashMap<>();
   private final Map<String, Scan> scans = new HashMap<>();
-  private final Reactor.Listening listening;
+  private final Reactor.ListeningSocket listening;
 
   /** {@code list}: the store's list, in discovery's form. */
   RandomRouter(Scenario world, Reactor reactor, String list) throws IOException {
@@ -114,7 +114,7 @@
   }
 
   /** A client's connection. */
-  private final class ClientConnection extends HttpHandler {
+  private final class ClientConnection extends HttpConnectionHandler {
     private final ReactorConnection connection;
 
     ClientConnection(ReactorConnection wire) {
@@ -123,16 +123,16 @@
     }
 
     void send(byte[] answer) {
-      connection.put(answer);
+      connection.send(answer);
     }
 
     @Override
-    protected void malformed(HttpException e) {
+    protected void onMalformed(HttpException e) {
       connection.reset();
     }
 
     @Override
-    protected void message(MessageHead head, byte[] json) throws HttpException {
+    protected void onMessage(MessageHead head, byte[] json) throws HttpException {
       try {
         Map<String, Object> asked = JsonFields.object(Json.parse(json), "the body");
         Scan scan =
@@ -150,7 +150,7 @@
           connection(holders.get(random.nextInt(holders.size())))
               .send(scan, folio, key, JsonFields.string(asked, "query"));
         }
-        reactor.after(
+        reactor.schedule(
             scan.serviceClass.latencyTarget(),
             () -> {
               if (scan.coverage() >= scan.serviceClass.minCoverage()) {
@@ -158,21 +158,21 @@
               }
             });
         Duration end = scan.serviceClass.deadline().minusMillis(20);
-        reactor.after(end, () -> finishIfSettled(scan, true));
+        reactor.schedule(end, () -> finishIfSettled(scan, true));
       } catch (Json.JsonException e) {
         throw new HttpException(400, e.getMessage());
       }
     }
 
     @Override
-    public void closed() {
+    public void onClosed() {
       scans.values().removeIf(scan -> scan.client == this);
     }
   }
 
   private BoxConnection connection(int number) {
     BoxConnection box = connections.get(number);
-    if (box == null || box.connection.closed()) {
+    if (box == null || box.connection.isClosed()) {
       box = new BoxConnection(number);
       connections.put(number, box);
     }
@@ -186,7 +186,7 @@
     private final ByteArrayOutputStream received = new ByteArrayOutputStream();
 
     BoxConnection(int number) {
-      connection = reactor.dial(boxAddresses.get(number), this);
+      connection = reactor.connect(boxAddresses.get(number), this);
     }
 
     void send(Scan scan, int folio, String key, String text) {
@@ -206,7 +206,7 @@
               + '\n'
               + text;
       byte[] bytes = line.getBytes(StandardCharsets.US_ASCII);
-      connection.put(
+      connection.send(
           ByteBuffer.allocate(4 + bytes.length)
               .order(ByteOrder.LITTLE_ENDIAN)
               .putInt(bytes.length)
@@ -215,7 +215,7 @@
     }
 
     @Override
-    public void bytes(byte[] bytes, int length) {
+    public void onData(byte[] bytes, int length) {
       received.write(bytes, 0, length);
       ByteBuffer all = ByteBuffer.wrap(received.toByteArray()).order(ByteOrder.LITTLE_ENDIAN);
       while (all.remaining() >= 4 && all.remaining() >= 4 + all.getInt(all.position())) {
@@ -245,7 +245,7 @@
     }
 
     @Override
-    public void closed() {
+    public void onClosed() {
       for (String id : List.copyOf(partsInFlight.keySet())) {
         partEnded(id, null);
       }
--- a/emulator/src/main/java/gingerring/emulator/harness/DatagramRelay.java
+++ b/emulator/src/main/java/gingerring/emulator/harness/DatagramRelay.java
@@ -1,7 +1,7 @@
 package gingerring.emulator.harness;
 
 import gingerring.emulator.experiment.EmulatedStore;
-import gingerring.traffic.wire.Datagrams;
+import gingerring.traffic.wire.DatagramEndpoint;
 import gingerring.traffic.wire.Reactor;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -26,7 +26,7 @@
   private final Reactor reactor;
   private final DoubleSupplier random;
   private final LinkCuts linkCuts;
-  private final List<Datagrams> advertisedSockets = new ArrayList<>();
+  private final List<DatagramEndpoint> advertisedSockets = new ArrayList<>();
   private final Map<Integer, Integer> mixerByPort = new HashMap<>();
   private final Map<Integer, InetSocketAddress> boundAddresses = new HashMap<>();
   double lossRate;
@@ -44,7 +44,7 @@
     for (int i = 0; i < mixers; i++) {
       int to = i;
       advertisedSockets.add(
-          reactor.datagrams(
+          reactor.openDatagramEndpoint(
               EmulatedStore.loopback(0), (from, datagram) -> relay(from.getPort(), to, datagram)));
     }
   }
@@ -80,7 +80,7 @@
     for (int copies = random.getAsDouble() < duplicationRate ? 2 : 1; copies > 0; copies--) {
       Runnable send = () -> advertisedSockets.get(from).send(boundAddresses.get(to), datagram);
       if (maxReorderDelayMs > 0) {
-        reactor.after(
+        reactor.schedule(
             Duration.ofNanos((long) (random.getAsDouble() * maxReorderDelayMs * 1e6)), send);
       } else {
         send.run();
