--- a/cli/src/main/java/gingerring/cli/DemoCommand.java
+++ b/cli/src/main/java/gingerring/cli/DemoCommand.java
@@ -31,7 +31,7 @@
             + " emulated boxes, "
             + (int) world.requestsPerSecond()
             + " scans a second for "
-            + world.length().toSeconds()
+            + world.duration().toSeconds()
             + " s, while one box fails fast, one vanishes and one is replaced ...");
     print.flush();
     ExperimentRun.Result mixer = ExperimentRun.run(world, ExperimentRun.Router.MIXER, 1, null);
--- a/emulator/src/main/java/gingerring/emulator/core/Box.java
+++ b/emulator/src/main/java/gingerring/emulator/core/Box.java
@@ -113,6 +113,7 @@
     return queue.size();
   }
 
+  /** Returns the number of parts that are queued or running. */
   public int inFlight() {
     return queue.size() + running;
   }
--- a/emulator/src/main/java/gingerring/emulator/core/RuleChecker.java
+++ b/emulator/src/main/java/gingerring/emulator/core/RuleChecker.java
@@ -264,8 +264,7 @@
     }
     scan.endedAt = time;
     if (time.compareTo(scan.dueAt.plus(SLACK)) > 0 && !exempted(scan, time)) {
-      addViolation(
-          Rule.SCAN_LOST, scan.mixer, time, scanId + " was answered after its client's time");
+      addViolation(Rule.SCAN_LOST, scan.mixer, time, scanId + " was answered after its deadline");
     }
     scan.rejected = rejected;
     if (rejected
@@ -274,7 +273,10 @@
             .flatMap(List::stream)
             .anyMatch(trip -> trip.mayHaveRun(time))) {
       addViolation(
-          Rule.EFFECT_TWICE, scan.mixer, time, scanId + " was nacked though a part may have run");
+          Rule.EFFECT_TWICE,
+          scan.mixer,
+          time,
+          scanId + " was rejected although a part may have run");
     }
     if (values != null) {
       checkAnswer(scanId, scan, time, whole, values);
@@ -294,7 +296,7 @@
             Rule.HONEST_ANSWER,
             scan.mixer,
             time,
-            scanId + " has a value of partition " + value.getKey() + " that no box gave");
+            scanId + " has a value of partition " + value.getKey() + " that no box returned");
       }
       coverage += share == null ? 0 : share;
     }
@@ -379,10 +381,7 @@
         && sentAt.compareTo(scan.endedAt) <= 0
         && scan.serviceClass.retrySafety() == RetrySafety.AT_MOST_ONCE) {
       addViolation(
-          Rule.EFFECT_TWICE,
-          mixer,
-          sentAt,
-          scanId + " was rejected although a part was on its way");
+          Rule.EFFECT_TWICE, mixer, sentAt, scanId + " was rejected while a part was on its way");
     }
     Duration drainedAt = drainNotices.get(mixerAndBox(mixer, box));
     if (drainedAt != null
@@ -412,7 +411,7 @@
     for (Trip earlierTrip : earlierTrips) {
       boolean outOfOrder =
           earlierTrip.sentAt.compareTo(sentAt)
-              > 0; // it was sent before a trip that arrived earlier
+              > 0; // this trip was sent before one that arrived earlier
       if (effectRepeated(scan, outOfOrder ? trip : earlierTrip, outOfOrder ? earlierTrip : trip)) {
         addViolation(
             Rule.EFFECT_TWICE,
@@ -462,9 +461,8 @@
     Duration stallStart = readAt;
     for (int i = stalls.size() - 1; i >= 0; i--) {
       Duration[] stall = stalls.get(i);
-      // The last stall may have ended up to READ_DELAY before the read. An earlier stall counts
-      // only if the
-      // next one followed immediately.
+      // The last stall may have ended up to READ_DELAY before the read.
+      // An earlier stall counts only if the next one followed immediately.
       Duration stallEnd = stallStart.equals(readAt) ? stall[1].plus(READ_DELAY) : stall[1];
       if (stall[0].compareTo(stallStart) < 0 && stallEnd.compareTo(stallStart) >= 0) {
         stalled =
--- a/emulator/src/main/java/gingerring/emulator/core/Scenario.java
+++ b/emulator/src/main/java/gingerring/emulator/core/Scenario.java
@@ -36,7 +36,7 @@
     Range pauseMs,
     Range pauseIntervalMs,
     double failingPartShare,
-    Duration length,
+    Duration duration,
     double requestsPerSecond,
     int clients,
     int maxRetries,
--- a/emulator/src/main/java/gingerring/emulator/core/Workload.java
+++ b/emulator/src/main/java/gingerring/emulator/core/Workload.java
@@ -54,7 +54,7 @@
     double seconds = 0;
     while (true) {
       seconds += -Math.log(1 - random.nextDouble()) / scenario.requestsPerSecond();
-      if (seconds > scenario.length().toNanos() / 1e9) {
+      if (seconds > scenario.duration().toNanos() / 1e9) {
         return requests;
       }
       double remaining = random.nextDouble() * totalShare;
--- a/emulator/src/main/java/gingerring/emulator/experiment/ClientStatistics.java
+++ b/emulator/src/main/java/gingerring/emulator/experiment/ClientStatistics.java
@@ -36,21 +36,23 @@
   /** Attempts that had to wait for a connection. */
   public long waitedForConnection;
 
-  void attemptEnded(ClientRequest request, ScanResponse answer, Duration duration, Duration now) {
-    classStatistics(request.serviceClass()).attemptOutcomes.merge(answer.outcome(), 1L, Long::sum);
+  void attemptEnded(ClientRequest request, ScanResponse response, Duration duration, Duration now) {
+    classStatistics(request.serviceClass())
+        .attemptOutcomes
+        .merge(response.outcome(), 1L, Long::sum);
   }
 
-  void requestEnded(ClientRequest request, ScanResponse answer, Duration duration) {
+  void requestEnded(ClientRequest request, ScanResponse response, Duration duration) {
     ServiceClass serviceClass = request.serviceClass();
     ClassStatistics classStatistics = classStatistics(serviceClass);
-    classStatistics.requestOutcomes.merge(answer.outcome(), 1L, Long::sum);
+    classStatistics.requestOutcomes.merge(response.outcome(), 1L, Long::sum);
     double share = 0;
-    if (answer.outcome() == ScanOutcome.WHOLE || answer.outcome() == ScanOutcome.PART) {
+    if (response.outcome() == ScanOutcome.WHOLE || response.outcome() == ScanOutcome.PART) {
       classStatistics.latencyMicros.recordValue(Math.min(600_000_000L, duration.toNanos() / 1000));
       share =
-          answer.outcome() == ScanOutcome.WHOLE
+          response.outcome() == ScanOutcome.WHOLE
               ? 1
-              : answer.valuesByPartition().keySet().stream()
+              : response.valuesByPartition().keySet().stream()
                   .mapToDouble(partition -> request.shares().getOrDefault(partition, 0.0))
                   .sum();
       share *=
@@ -70,17 +72,17 @@
 
   public double serviceLevel() {
     double offered =
-        byClass.values().stream().mapToDouble(serviceClass -> serviceClass.offeredValue).sum();
+        byClass.values().stream().mapToDouble(statistics -> statistics.offeredValue).sum();
     return offered == 0
         ? 1
-        : byClass.values().stream().mapToDouble(serviceClass -> serviceClass.earnedValue).sum()
+        : byClass.values().stream().mapToDouble(statistics -> statistics.earnedValue).sum()
             / offered;
   }
 
   /** Returns the number of attempts with an outcome. */
   public long attemptsWith(ScanOutcome outcome) {
     return byClass.values().stream()
-        .mapToLong(serviceClass -> serviceClass.attemptOutcomes.getOrDefault(outcome, 0L))
+        .mapToLong(statistics -> statistics.attemptOutcomes.getOrDefault(outcome, 0L))
         .sum();
   }
 }
--- a/emulator/src/main/java/gingerring/emulator/experiment/EmulatedClients.java
+++ b/emulator/src/main/java/gingerring/emulator/experiment/EmulatedClients.java
@@ -161,14 +161,14 @@
     }
   }
 
-  private void attemptEnded(ClientAttempt attempt, ScanResponse answer) {
+  private void attemptEnded(ClientAttempt attempt, ScanResponse response) {
     Duration elapsed = reactor.now().minus(attempt.firstSentAt);
     Optional<Duration> retryDelay =
-        answer.outcome() == ObservedScan.ScanOutcome.WHOLE
-                || answer.outcome() == ObservedScan.ScanOutcome.PART
+        response.outcome() == ObservedScan.ScanOutcome.WHOLE
+                || response.outcome() == ObservedScan.ScanOutcome.PART
             ? Optional.empty()
-            : retries.nextDelay(attempt.number, answer.retryAfter());
-    statistics.attemptEnded(attempt.request, answer, elapsed, reactor.now());
+            : retries.nextDelay(attempt.number, response.retryAfter());
+    statistics.attemptEnded(attempt.request, response, elapsed, reactor.now());
     if (retryDelay.isPresent()
         && elapsed.plus(retryDelay.get()).compareTo(attempt.request.serviceClass().deadline())
             < 0) {
@@ -177,7 +177,7 @@
           retryDelay.get(),
           () -> send(new ClientAttempt(attempt.request, attempt.number + 1, attempt.firstSentAt)));
     } else {
-      statistics.requestEnded(attempt.request, answer, elapsed);
+      statistics.requestEnded(attempt.request, response, elapsed);
       if (--openRequests == 0) {
         onCompletion.run();
       }
@@ -286,23 +286,23 @@
       }
       attempt = null;
       busyConnections.remove(this);
-      ScanResponse answer = ScanResponse.parse(head, body);
+      ScanResponse response = ScanResponse.parse(head, body);
       boolean hasValues =
-          answer.outcome() == ObservedScan.ScanOutcome.WHOLE
-              || answer.outcome() == ObservedScan.ScanOutcome.PART;
+          response.outcome() == ObservedScan.ScanOutcome.WHOLE
+              || response.outcome() == ObservedScan.ScanOutcome.PART;
       ruleChecker.requestAnswered(
           scanId,
           reactor.now(),
-          answer.outcome() == ObservedScan.ScanOutcome.NACKED,
-          answer.whole(),
-          hasValues ? answer.valuesByPartition() : null);
+          response.outcome() == ObservedScan.ScanOutcome.NACKED,
+          response.whole(),
+          hasValues ? response.valuesByPartition() : null);
       if (head.hasToken("connection", "close")) {
         close();
       } else {
         idleByClient.get(client).addFirst(this);
         idleConnections.add(this);
       }
-      attemptEnded(endedAttempt, answer);
+      attemptEnded(endedAttempt, response);
     }
 
     private void remove() {
@@ -344,8 +344,8 @@
       }
     }
 
-    private void attemptEnded(ClientAttempt attempt, ScanResponse answer) {
-      EmulatedClients.this.attemptEnded(attempt, answer);
+    private void attemptEnded(ClientAttempt attempt, ScanResponse response) {
+      EmulatedClients.this.attemptEnded(attempt, response);
     }
   }
 }
--- a/emulator/src/main/java/gingerring/emulator/experiment/EmulatedStore.java
+++ b/emulator/src/main/java/gingerring/emulator/experiment/EmulatedStore.java
@@ -41,7 +41,7 @@
   /** The listening socket and the connections of a box. */
   private final class BoxServer {
     final Box box;
-    Reactor.ListeningSocket listening;
+    Reactor.ListeningSocket listeningSocket;
     String phase = "SERVING";
     long upSinceMs;
 
@@ -63,7 +63,7 @@
       return "{\"id\":\""
           + id()
           + "\",\"host_port\":\"127.0.0.1:"
-          + view.portMapping.applyAsInt(box.number, listening.address().getPort())
+          + view.portMapping.applyAsInt(box.number, listeningSocket.address().getPort())
           + "\",\"locality\":\""
           + zones.get(box.number % zones.size())
           + "\",\"flavor\":\"emulated\",\"cell\":"
@@ -85,7 +85,7 @@
     private final int mixer;
     private final IntBinaryOperator portMapping;
     private final Set<DiscoveryConnection> watchers = new LinkedHashSet<>();
-    private final Reactor.ListeningSocket listening;
+    private final Reactor.ListeningSocket listeningSocket;
     private boolean silent;
     private final List<Runnable> pendingUpdates = new ArrayList<>();
     private IntConsumer closedPortListener = port -> {};
@@ -93,12 +93,12 @@
     MixerView(int mixer, IntBinaryOperator portMapping) throws IOException {
       this.mixer = mixer;
       this.portMapping = portMapping;
-      listening =
+      listeningSocket =
           reactor.listen(loopback(0), connection -> new DiscoveryConnection(this, connection));
     }
 
     public InetSocketAddress discoveryAddress() {
-      return listening.address();
+      return listeningSocket.address();
     }
 
     /** Returns the member list as this mixer receives it. */
@@ -191,7 +191,7 @@
   public MixerView addView(int mixer, IntBinaryOperator portMapping) throws IOException {
     views.stream()
         .filter(existing -> existing.mixer == mixer)
-        .forEach(existing -> existing.listening.close());
+        .forEach(existing -> existing.listeningSocket.close());
     views.removeIf(existing -> existing.mixer == mixer);
     MixerView view = new MixerView(mixer, portMapping);
     views.add(view);
@@ -299,8 +299,7 @@
       executedKeys
           .values()
           .removeIf(
-              scenarioTime ->
-                  now.minus(scenarioTime).compareTo(serviceClass.idempotencyWindow()) > 0);
+              executedAt -> now.minus(executedAt).compareTo(serviceClass.idempotencyWindow()) > 0);
     }
     Duration firstExecution = executedKeys.putIfAbsent(part.key() + '.' + part.partition(), now);
     if (firstExecution != null
@@ -329,7 +328,7 @@
       case VANISH -> {
         server.box.stop();
         server.unresponsive = true;
-        server.connections.forEach(connection -> connection.connection.pauseReading(true));
+        server.connections.forEach(connection -> connection.socket.pauseReading(true));
         publishPhase(server, "DELETED");
       }
       case DRAIN -> {
@@ -353,7 +352,7 @@
       for (BoxConnection connection : List.copyOf(server.connections)) {
         if (SeededDraw.draw(scenario.seed(), "break", server.box.number, breakDraws++)
             < fault.magnitude()) {
-          connection.connection.reset();
+          connection.socket.reset();
         }
       }
       reactor.schedule(toRealTime(Duration.ofSeconds(1)), () -> breakConnections(fault, server));
@@ -384,16 +383,17 @@
   }
 
   private void listen(BoxServer server) throws IOException {
-    server.listening = reactor.listen(loopback(0), wire -> new BoxConnection(server, wire));
+    server.listeningSocket =
+        reactor.listen(loopback(0), socket -> new BoxConnection(server, socket));
   }
 
   private void closeSockets(BoxServer server) {
-    if (server.listening.channel().isOpen()) {
-      int port = server.listening.address().getPort();
+    if (server.listeningSocket.channel().isOpen()) {
+      int port = server.listeningSocket.address().getPort();
       views.forEach(view -> view.closedPortListener.accept(port));
     }
-    server.listening.close();
-    List.copyOf(server.connections).forEach(connection -> connection.connection.reset());
+    server.listeningSocket.close();
+    List.copyOf(server.connections).forEach(connection -> connection.socket.reset());
   }
 
   /** Publishes a new phase of a box to all watchers after the discovery lag. */
@@ -444,7 +444,7 @@
                     connection ->
                         connection.partsInFlight == 0
                             && now.minus(connection.lastUsed).compareTo(scenario.idleTimeout()) > 0)
-                .forEach(connection -> connection.connection.closeAfterFlush());
+                .forEach(connection -> connection.socket.closeAfterFlush());
           }
           closeIdleConnections();
         });
@@ -488,14 +488,14 @@
 
   /** Resets every connection of a box, as a restart of its machine's network does. */
   public void resetConnections(int box) {
-    List.copyOf(servers.get(box).connections).forEach(connection -> connection.connection.reset());
+    List.copyOf(servers.get(box).connections).forEach(connection -> connection.socket.reset());
   }
 
   // ---- a connection to a box ----
 
   private final class BoxConnection implements ReactorConnection.Handler {
     private final BoxServer server;
-    private final ReactorConnection connection;
+    private final ReactorConnection socket;
     private final ByteArrayOutputStream received = new ByteArrayOutputStream();
 
     /** Parts of this connection that are not answered yet. */
@@ -509,25 +509,24 @@
 
     private long bytesRead;
 
-    BoxConnection(BoxServer server, ReactorConnection connection) {
+    BoxConnection(BoxServer server, ReactorConnection socket) {
       this.server = server;
-      this.connection = connection;
+      this.socket = socket;
       if (server.connections.size() >= scenario.maxConnections()) {
-        connection.closeAfterFlush();
+        socket.closeAfterFlush();
       }
       server.connections.add(this);
       connectionsOpened++;
       maxConnectionsPerBox = Math.max(maxConnectionsPerBox, server.connections.size());
       if (server.unresponsive) {
-        connection.pauseReading(true);
+        socket.pauseReading(true);
       }
     }
 
     @Override
     public void onData(byte[] bytes, int length) {
       if (bytesRead == 0) {
-        sendTimes =
-            sendTimesByPorts.get(portPair(connection.remoteAddress(), connection.localAddress()));
+        sendTimes = sendTimesByPorts.get(portPair(socket.remoteAddress(), socket.localAddress()));
       }
       received.write(bytes, 0, length);
       ByteBuffer buffer = ByteBuffer.wrap(received.toByteArray()).order(ByteOrder.LITTLE_ENDIAN);
@@ -535,7 +534,7 @@
         int frameLength = buffer.getInt(buffer.position());
         if (frameLength < 1 || frameLength > MAX_FRAME_BYTES) {
           sendFrame("Fa frame of " + frameLength + " bytes");
-          connection.closeAfterFlush();
+          socket.closeAfterFlush();
           return;
         }
         if (buffer.remaining() < 4 + frameLength) {
@@ -566,7 +565,7 @@
         case 'M' -> sendFrame("M" + loadReport());
         default -> {
           sendFrame("Funknown letter");
-          connection.closeAfterFlush();
+          socket.closeAfterFlush();
         }
       }
     }
@@ -585,7 +584,7 @@
             new String(frame, start, lineEnd - start, StandardCharsets.US_ASCII).split(" ");
         if (lineEnd == frame.length || fields.length != 4) {
           sendFrame("Fno part's line");
-          connection.closeAfterFlush();
+          socket.closeAfterFlush();
           return;
         }
         int length = Integer.parseInt(fields[3]);
@@ -634,7 +633,7 @@
     }
 
     void answer(Box.Part part, String outcome) {
-      if (connection.isClosed() || server.unresponsive) {
+      if (socket.isClosed() || server.unresponsive) {
         return;
       }
       partsInFlight--;
@@ -667,7 +666,7 @@
 
     private void sendFrame(String text) {
       byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-      connection.send(
+      socket.send(
           ByteBuffer.allocate(4 + bytes.length)
               .order(ByteOrder.LITTLE_ENDIAN)
               .putInt(bytes.length)
@@ -686,12 +685,12 @@
 
   private final class DiscoveryConnection implements ReactorConnection.Handler {
     private final MixerView view;
-    private final ReactorConnection connection;
+    private final ReactorConnection socket;
     private final StringBuilder request = new StringBuilder();
 
-    DiscoveryConnection(MixerView view, ReactorConnection connection) {
+    DiscoveryConnection(MixerView view, ReactorConnection socket) {
       this.view = view;
-      this.connection = connection;
+      this.socket = socket;
     }
 
     @Override
@@ -707,21 +706,21 @@
         return;
       }
       if (stream) {
-        connection.send(
+        socket.send(
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                 .getBytes(StandardCharsets.US_ASCII));
         view.watchers.add(this);
         sendLine(view.memberList());
       } else {
         String list = view.memberList();
-        connection.send(
+        socket.send(
             ("HTTP/1.1 200 OK\r\nContent-Length: " + list.length() + "\r\n\r\n" + list)
                 .getBytes(StandardCharsets.US_ASCII));
       }
     }
 
     void sendLine(String line) {
-      connection.send(
+      socket.send(
           (Integer.toHexString(line.length() + 1) + "\r\n" + line + "\n\r\n")
               .getBytes(StandardCharsets.US_ASCII));
     }
--- a/emulator/src/main/java/gingerring/emulator/experiment/ExperimentRun.java
+++ b/emulator/src/main/java/gingerring/emulator/experiment/ExperimentRun.java
@@ -92,7 +92,8 @@
                       .start(Workload.generate(scenario));
                 });
           });
-      long timeoutMs = (long) (scenario.length().toMillis() / speedFactor) + END_TIMEOUT.toMillis();
+      long timeoutMs =
+          (long) (scenario.duration().toMillis() / speedFactor) + END_TIMEOUT.toMillis();
       if (!completed.await(timeoutMs, TimeUnit.MILLISECONDS)) {
         throw new IOException("the run did not end within " + timeoutMs + " ms");
       }
--- a/emulator/src/main/java/gingerring/emulator/experiment/RandomRouter.java
+++ b/emulator/src/main/java/gingerring/emulator/experiment/RandomRouter.java
@@ -37,7 +37,7 @@
   private final Map<Integer, InetSocketAddress> boxAddresses = new HashMap<>();
   private final Map<Integer, BoxConnection> connections = new HashMap<>();
   private final Map<String, Scan> scans = new HashMap<>();
-  private final Reactor.ListeningSocket listening;
+  private final Reactor.ListeningSocket listeningSocket;
 
   /** Creates a router; {@code memberList} is in the format of the discovery service. */
   RandomRouter(Scenario scenario, Reactor reactor, String memberList) throws IOException {
@@ -56,11 +56,11 @@
     } catch (Json.JsonException e) {
       throw new IOException(e);
     }
-    listening = reactor.listen(EmulatedStore.loopback(0), ClientConnection::new);
+    listeningSocket = reactor.listen(EmulatedStore.loopback(0), ClientConnection::new);
   }
 
   InetSocketAddress address() {
-    return listening.address();
+    return listeningSocket.address();
   }
 
   private static final class Scan {
@@ -83,7 +83,7 @@
   }
 
   private void finishIfSettled(Scan scan, boolean deadlineReached) {
-    boolean complete = scan.values.size() == scan.shares.size();
+    boolean whole = scan.values.size() == scan.shares.size();
     if (!deadlineReached && scan.settledParts < scan.shares.size()) {
       return;
     }
@@ -94,11 +94,11 @@
         scan.serviceClass.retrySafety() == Scenario.RetrySafety.IDEMPOTENT
             && !scan.values.isEmpty()
             && scan.coverage() >= scan.serviceClass.minCoverage();
-    if (!complete && !partial) {
+    if (!whole && !partial) {
       scan.client.send(HttpWriter.response(500, false, "", new byte[0]));
       return;
     }
-    StringBuilder json = new StringBuilder("{\"whole\":" + complete + ",\"results\":[");
+    StringBuilder json = new StringBuilder("{\"whole\":" + whole + ",\"results\":[");
     String separator = "";
     for (Map.Entry<Integer, String> value : scan.values.entrySet()) {
       json.append(separator)
@@ -116,20 +116,20 @@
 
   /** A connection of a client. */
   private final class ClientConnection extends HttpConnectionHandler {
-    private final ReactorConnection connection;
+    private final ReactorConnection socket;
 
-    ClientConnection(ReactorConnection connection) {
+    ClientConnection(ReactorConnection socket) {
       super(true, 1 << 16);
-      this.connection = connection;
+      this.socket = socket;
     }
 
     void send(byte[] response) {
-      connection.send(response);
+      socket.send(response);
     }
 
     @Override
     protected void onMalformed(HttpException e) {
-      connection.reset();
+      socket.reset();
     }
 
     @Override
@@ -138,8 +138,8 @@
         Map<String, Object> request = JsonFields.object(Json.parse(body), "the body");
         Scan scan =
             new Scan(this, head.header("X-Txn"), scenario.serviceClass(head.header("X-Lane")));
-        for (Object each : JsonFields.list(request, "targets")) {
-          Map<String, Object> target = JsonFields.object(each, "a target");
+        for (Object targetJson : JsonFields.list(request, "targets")) {
+          Map<String, Object> target = JsonFields.object(targetJson, "a target");
           scan.shares.put(
               (int) JsonFields.nonNegativeInteger(target, "partition"),
               JsonFields.number(target, "share"));
@@ -173,7 +173,7 @@
 
   private BoxConnection connection(int boxNumber) {
     BoxConnection connection = connections.get(boxNumber);
-    if (connection == null || connection.connection.isClosed()) {
+    if (connection == null || connection.socket.isClosed()) {
       connection = new BoxConnection(boxNumber);
       connections.put(boxNumber, connection);
     }
@@ -182,12 +182,12 @@
 
   /** A connection to a box. */
   private final class BoxConnection implements ReactorConnection.Handler {
-    private final ReactorConnection connection;
+    private final ReactorConnection socket;
     private final Map<String, Integer> partsInFlight = new LinkedHashMap<>();
     private final ByteArrayOutputStream received = new ByteArrayOutputStream();
 
     BoxConnection(int boxNumber) {
-      connection = reactor.connect(boxAddresses.get(boxNumber), this);
+      socket = reactor.connect(boxAddresses.get(boxNumber), this);
     }
 
     void send(Scan scan, int partition, String key, String query) {
@@ -207,7 +207,7 @@
               + '\n'
               + query;
       byte[] bytes = frameText.getBytes(StandardCharsets.US_ASCII);
-      connection.send(
+      socket.send(
           ByteBuffer.allocate(4 + bytes.length)
               .order(ByteOrder.LITTLE_ENDIAN)
               .putInt(bytes.length)
--- a/emulator/src/main/java/gingerring/emulator/harness/Fleet.java
+++ b/emulator/src/main/java/gingerring/emulator/harness/Fleet.java
@@ -286,7 +286,7 @@
               });
         });
     long timeoutMs =
-        SETTLE_TIME.plus(scenario.length()).plus(fleetScenario.completionTimeout()).toMillis();
+        SETTLE_TIME.plus(scenario.duration()).plus(fleetScenario.completionTimeout()).toMillis();
     if (!workloadEnded.await(timeoutMs, TimeUnit.MILLISECONDS)) {
       reactor.post(
           () -> {
--- a/emulator/src/main/java/gingerring/emulator/simulation/CapacitySharingSimulation.java
+++ b/emulator/src/main/java/gingerring/emulator/simulation/CapacitySharingSimulation.java
@@ -19,7 +19,12 @@
    * each mixer lies between a half and one and a half of it.
    */
   public record Setup(
-      int mixers, double delayMs, double gain, double maxGrowth, double holdMs, long seed) {}
+      int mixers,
+      double delayMs,
+      double gain,
+      double maxStep,
+      double holdAfterRefusalMs,
+      long seed) {}
 
   /**
    * The result. {@code errors} has for each change (shift, leave, join, halved, restored) the
@@ -133,7 +138,7 @@
 
   private static CapacityEstimator newEstimator(Setup setup) {
     return new CapacityEstimator(
-        setup.gain, setup.maxGrowth, Duration.ofMillis((long) setup.holdMs));
+        setup.gain, setup.maxStep, Duration.ofMillis((long) setup.holdAfterRefusalMs));
   }
 
   private static double applyChange(
--- a/emulator/src/main/java/gingerring/emulator/simulation/PeerSimulation.java
+++ b/emulator/src/main/java/gingerring/emulator/simulation/PeerSimulation.java
@@ -27,8 +27,8 @@
  * parameters give the same run.
  *
  * <p>Boxes are alive or dead by the schedule. Each mixer sends parts at its own rate, ejects a box
- * that fails twice in a row, and probes it when it is the mixer's turn. The rest of a mixer is left
- * out: only the effect of the peer protocol is simulated.
+ * that fails twice in a row, and probes an ejected box when the mixer's turn comes. The rest of a
+ * mixer is left out: only the effect of the peer protocol is simulated.
  */
 public final class PeerSimulation {
   /**
@@ -71,8 +71,9 @@
 
   /**
    * Parameters. {@code lossShare} and {@code duplicateShare} are the shares of messages lost and
-   * duplicated; {@code maxDelayMs} is the largest of a uniform delay; {@code maxClockOffsetMs} the
-   * largest clock offset; {@code partsPerSecond} the parts a second of each mixer.
+   * duplicated; {@code maxDelayMs} is the upper bound of a uniformly distributed delay; {@code
+   * maxClockOffsetMs} the largest clock offset; {@code partsPerSecond} the parts a second of each
+   * mixer.
    */
   public record Setup(
       int mixers,
@@ -86,7 +87,7 @@
       double seconds,
       long seed,
       List<Fault> faults,
-      PeerNode.Settings rules) {
+      PeerNode.Settings settings) {
     public static Setup defaults(int mixers, double seconds, long seed, List<Fault> faults) {
       return new Setup(
           mixers,
@@ -177,7 +178,7 @@
               peer(number),
               address(number),
               START_UNIX_MS + (long) (startedAt + clockOffsetMs),
-              withZone(setup.rules, zone),
+              withZone(setup.settings, zone),
               MessageAuthenticator.of(List.of(SHARED_KEY)),
               random.split(),
               this);
@@ -198,8 +199,8 @@
     }
 
     /**
-     * Runs a task of this process after a delay: not at all if the process has ended by then, and
-     * once it continues if the process is stopped.
+     * Runs a task of this process after a delay. The task is dropped if the process has ended by
+     * then, and postponed until the process continues if it is stopped.
      */
     void runLater(double delayMs, PeerNode owner, Runnable task) {
       scheduler.schedule(scheduler.now() + delayMs, () -> run(owner, task));
@@ -334,14 +335,14 @@
     }
 
     @Override
-    public void peerChanged(PeerRecord now) {
-      if (now.state() != PeerRecord.State.GONE) {
+    public void peerChanged(PeerRecord record) {
+      if (record.state() != PeerRecord.State.GONE) {
         return;
       }
-      int changedMixer = (int) now.peer().number() - 1;
+      int changedMixer = (int) record.peer().number() - 1;
       Node node = nodes.get(changedMixer);
       if (node.alive
-          && now.incarnation() == node.peerNode.membership().incarnation(peer(changedMixer))) {
+          && record.incarnation() == node.peerNode.membership().incarnation(peer(changedMixer))) {
         return;
       }
       for (Restart restart : restarts) {
@@ -352,7 +353,7 @@
           return;
         }
       }
-      boolean excused =
+      boolean explained =
           setup.faults.stream()
               .anyMatch(
                   fault ->
@@ -363,7 +364,7 @@
                               || fault.targets.contains(number)
                               || fault.others.contains(changedMixer)
                               || fault.others.contains(number)));
-      if (!excused) {
+      if (!explained) {
         result.falselyMarkedGone++;
       }
     }
@@ -413,9 +414,9 @@
   }
 
   /** Returns consecutive numbers for the targets of a fault. */
-  public static Set<Integer> range(int first, int aliveMixers) {
+  public static Set<Integer> range(int first, int count) {
     Set<Integer> numbers = new LinkedHashSet<>();
-    for (int i = first; i < first + aliveMixers; i++) {
+    for (int i = first; i < first + count; i++) {
       numbers.add(i);
     }
     return numbers;
@@ -429,19 +430,19 @@
     return new PeerAddress(0x7F000001, mixer + 1);
   }
 
-  private static PeerNode.Settings withZone(PeerNode.Settings rules, int zone) {
+  private static PeerNode.Settings withZone(PeerNode.Settings settings, int zone) {
     return new PeerNode.Settings(
-        rules.membership(),
+        settings.membership(),
         zone,
-        rules.reportPeriod(),
-        rules.reportFanout(),
-        rules.observationSpan(),
-        rules.reportLifetime(),
-        rules.minWitnesses(),
-        rules.roundPeriod(),
-        rules.roundStep(),
-        rules.maxBoxes(),
-        rules.maxBytesPerSecond());
+        settings.reportPeriod(),
+        settings.reportFanout(),
+        settings.observationSpan(),
+        settings.reportLifetime(),
+        settings.minWitnesses(),
+        settings.roundPeriod(),
+        settings.roundStep(),
+        settings.maxBoxes(),
+        settings.maxBytesPerSecond());
   }
 
   private boolean isActive(Fault.Kind kind, int target) {
@@ -483,7 +484,7 @@
       scheduler.runUntil(second * 1000.0);
       measure();
     }
-    restarts.forEach(death -> result.detectionTimesMs.add(death.detectedAt - death.killedAt));
+    restarts.forEach(restart -> result.detectionTimesMs.add(restart.detectedAt - restart.killedAt));
     recoveries.forEach(
         recovery ->
             result.recoveryTimesMs.add(
@@ -502,8 +503,7 @@
       if (node.alive) {
         node.peerNode
             .counts()
-            .forEach(
-                (counter, aliveMixers) -> result.peerCounts.merge(counter, aliveMixers, Long::sum));
+            .forEach((counter, count) -> result.peerCounts.merge(counter, count, Long::sum));
         for (Membership.Count counter : Membership.Count.values()) {
           result.membershipCounts.merge(
               counter, node.peerNode.membership().count(counter), Long::sum);
@@ -573,9 +573,8 @@
           }
         }
         if (scheduler.now() > 15_000) {
-          // a node receives reports from a sample of the fleet; the ratio compares the demand that
-          // the
-          // node derives from them with the true demand of the honest mixers
+          // A node receives reports from a sample of the fleet. The ratio compares its estimate
+          // of the demand with the true demand of the honest mixers.
           result.maxDemandRatio =
               Math.max(
                   result.maxDemandRatio,
--- a/emulator/src/main/java/gingerring/emulator/simulation/RoutingSimulation.java
+++ b/emulator/src/main/java/gingerring/emulator/simulation/RoutingSimulation.java
@@ -123,7 +123,6 @@
   private Result simulate() {
     int highDemandMixers = Math.max(1, setup.mixers / 10);
     double totalWeight = 10.0 * highDemandMixers + setup.mixers - highDemandMixers;
-    // scans per millisecond
     double scansPerMs =
         setup.utilization
             * setup.boxes
--- a/emulator/src/test/java/gingerring/emulator/simulation/PeerSimulationTest.java
+++ b/emulator/src/test/java/gingerring/emulator/simulation/PeerSimulationTest.java
@@ -210,7 +210,7 @@
     Setup defaults =
         Setup.defaults(100, 70, 3, List.of(fault(Kind.BOXES_DEAD, 15_000, 30_000, Set.of(2))));
     Setup lossy =
-        new Setup(100, 3, 6, 0.35, 0, 20, 50, 8, 70, 3, defaults.faults(), defaults.rules());
+        new Setup(100, 3, 6, 0.35, 0, 20, 50, 8, 70, 3, defaults.faults(), defaults.settings());
     Result result = PeerSimulation.run(lossy);
     assertTrue(
         result.recoveryTimesMs.get(0)[1] < 15_000,
