--- a/peers/src/main/java/gingerring/peers/PeerNode.java
+++ b/peers/src/main/java/gingerring/peers/PeerNode.java
@@ -110,20 +110,23 @@
 
   /** Counted events; the names of the constants are printed. */
   public enum Count {
-    /** Messages sent, and accepted. */
+    /** Messages sent. */
     SENT,
+    /** Messages accepted. */
     TAKEN,
-    /** Not authenticated, or malformed. */
+    /** Messages not authenticated, or malformed. */
     REFUSED,
-    /** Repeated, too far behind the newest, or of an earlier incarnation. */
+    /** Messages repeated, too far behind the newest, or of an earlier incarnation. */
     REPEATED,
-    /** Not sent because of the byte limit. */
+    /** Messages not sent because of the byte limit. */
     OVER_CEILING,
-    /** Reports accepted, and rejected. */
+    /** Reports accepted. */
     WORDS,
+    /** Reports rejected. */
     WORDS_DROPPED,
-    /** Probe notices accepted, and rejected. */
+    /** Probe notices accepted. */
     NOTES,
+    /** Probe notices rejected. */
     NOTES_DISBELIEVED,
     /** Notices of boxes that are not on the member list. */
     STRANGE_BOX,
