--- a/lease/src/main/java/gingerring/lease/Candidate.java
+++ b/lease/src/main/java/gingerring/lease/Candidate.java
@@ -62,7 +62,10 @@
   /** One round of requests to all electors. */
   private static final class Round {
     final FencingToken token;
+
+    /** The current holder's token if this round requests a reservation; otherwise null. */
     final FencingToken currentToken;
+
     final Duration startedAt;
     final Duration duration;
     final Map<ElectorId, Long> requestNumbers = new HashMap<>();
@@ -93,6 +96,8 @@
   private List<MixerId> ranking = List.of();
   private Term highestTerm = Term.NONE;
   private Round round;
+
+  /** When the next round of requests starts; {@link #NEVER} if none is due. */
   private Duration nextRoundAt = NEVER;
 
   private FencingToken token;
--- a/lease/src/main/java/gingerring/lease/Elector.java
+++ b/lease/src/main/java/gingerring/lease/Elector.java
@@ -78,6 +78,7 @@
     }
   }
 
+  /** The highest term seen for one lease, its current grant and the reservation behind it. */
   private static final class LeaseRecord {
     Term highestTerm;
     Grant current;
--- a/lease/src/test/java/gingerring/lease/ClusterSimulation.java
+++ b/lease/src/test/java/gingerring/lease/ClusterSimulation.java
@@ -247,7 +247,9 @@
         each -> rankings.put(each, CandidateRanking.top(each, members, settings.candidateCount())));
     nodes.stream()
         .filter(each -> each.up && !each.paused)
-        .forEach(each -> each.candidates.values().forEach(first -> first.updateMembers(members)));
+        .forEach(
+            each ->
+                each.candidates.values().forEach(candidate -> candidate.updateMembers(members)));
   }
 
   private void recordAcquired(Node node, LeaseName lease, FencingToken token) {
@@ -260,7 +262,7 @@
     Set<Node> holders = holdersByLease.computeIfAbsent(lease, any -> new LinkedHashSet<>());
     if (holders.add(node)) {
       onAcquired.accept(node, lease);
-      work(node, node.incarnation, lease);
+      sendWork(node, node.incarnation, lease);
     }
   }
 
@@ -271,7 +273,7 @@
     }
   }
 
-  private void work(Node node, long incarnation, LeaseName lease) {
+  private void sendWork(Node node, long incarnation, LeaseName lease) {
     if (!node.up || node.incarnation != incarnation || node.paused) {
       return;
     }
@@ -283,7 +285,7 @@
               node.lastUsedTokens.put(lease, token);
               long transitTime = 1 + random.nextLong(maxDelay);
               scheduleAt(now + transitTime, () -> presentToken(node, incarnation, lease, token));
-              scheduleAt(now + workInterval, () -> work(node, incarnation, lease));
+              scheduleAt(now + workInterval, () -> sendWork(node, incarnation, lease));
             });
   }
 
@@ -318,8 +320,7 @@
         long activeCount =
             entry.getValue().stream()
                 .filter(
-                    first ->
-                        first.up && first.candidates.get(entry.getKey()).validToken().isPresent())
+                    node -> node.up && node.candidates.get(entry.getKey()).validToken().isPresent())
                 .count();
         if (activeCount > 1) {
           long since = overlapSince.computeIfAbsent(entry.getKey(), any -> now);
@@ -340,10 +341,10 @@
     Envelope envelope = new Envelope(from.id, from.incarnation, ++from.lastSequenceNumber, message);
     int index = messageCount++;
     SplittableRandom messageRandom = new SplittableRandom(seed * 31 + index);
-    for (Envelope each : messageFault.deliver(index, envelope, to)) {
-      transmit(from, each, to, messageRandom);
+    for (Envelope sent : messageFault.deliver(index, envelope, to)) {
+      transmit(from, sent, to, messageRandom);
       if (messageRandom.nextDouble() < duplicateRate) {
-        transmit(from, each, to, messageRandom);
+        transmit(from, sent, to, messageRandom);
       }
     }
     return envelope.sequenceNumber();
@@ -387,15 +388,17 @@
 
   void kill(Node node) {
     node.up = false;
-    leases.forEach(each -> recordLost(node, each));
+    leases.forEach(lease -> recordLost(node, lease));
     scheduleAt(now + 3_000 * MS, this::broadcastMembers);
   }
 
+  /** Starts a killed mixer again, with all memory lost. */
   void restart(Node node) {
     start(node);
     scheduleAt(now + 200 * MS, this::broadcastMembers);
   }
 
+  /** Stops a mixer without loss of memory; it receives its messages after {@link #resume}. */
   void pause(Node node) {
     node.paused = true;
   }
@@ -410,7 +413,7 @@
         (lease, token) -> presentToken(node, node.incarnation, lease, token));
     List<Envelope> delivered = new ArrayList<>(node.pendingMessages);
     node.pendingMessages.clear();
-    delivered.forEach(each -> deliver(node, each));
+    delivered.forEach(envelope -> deliver(node, envelope));
     broadcastMembers();
   }
 
@@ -422,11 +425,11 @@
     lossRate = 0;
     blockedLinks.clear();
     messageFault = (index, envelope, to) -> List.of(envelope);
-    for (Node lease : nodes) {
-      if (!lease.up) {
-        restart(lease);
+    for (Node node : nodes) {
+      if (!node.up) {
+        restart(node);
       }
-      resume(lease);
+      resume(node);
     }
     broadcastMembers();
     runUntil(now + durationMs * MS);
@@ -444,9 +447,9 @@
   void isolate(Node node, long durationMs) {
     if (node != null) {
       Set<Long> links = new TreeSet<>();
-      for (Node each : nodes) {
-        links.add(node.index * 10_000L + each.index);
-        links.add(each.index * 10_000L + node.index);
+      for (Node other : nodes) {
+        links.add(node.index * 10_000L + other.index);
+        links.add(other.index * 10_000L + node.index);
       }
       links.removeAll(blockedLinks);
       blockedLinks.addAll(links);
@@ -457,13 +460,13 @@
   long holderCount(LeaseName lease) {
     return nodes.stream()
         .filter(
-            each -> each.up && !each.paused && each.candidates.get(lease).validToken().isPresent())
+            node -> node.up && !node.paused && node.candidates.get(lease).validToken().isPresent())
         .count();
   }
 
   Node holder(LeaseName lease) {
     return nodes.stream()
-        .filter(each -> each.up && each.candidates.get(lease).validToken().isPresent())
+        .filter(node -> node.up && node.candidates.get(lease).validToken().isPresent())
         .findFirst()
         .orElse(null);
   }
--- a/lease/src/test/java/gingerring/lease/DisabledCheckTest.java
+++ b/lease/src/test/java/gingerring/lease/DisabledCheckTest.java
@@ -11,10 +11,10 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Guards against a safety check that has no effect: each check is disabled, and a run that is known
- * to detect that must report a violation. The long search ({@code -Dduty.planted=RUNS
- * -Dduty.changes=MUTATIONS}) reports the first run that detects it. {@link LeaseTest} covers EPOCH
- * and GUARD_LEASE.
+ * Guards against a safety check that has no effect: each check is disabled, and the run that is
+ * known to detect the missing check must report a violation. The long search ({@code
+ * -Dduty.planted=RUNS -Dduty.changes=MUTATIONS}) reports the first run that detects each missing
+ * check. {@link LeaseTest} covers EPOCH and GUARD_LEASE.
  */
 class DisabledCheckTest {
   private static final int RUNS = Integer.getInteger("duty.planted", 0);
@@ -60,7 +60,7 @@
       if (seed < 0) {
         violations = MessageMutationTest.runSlowTight(-seed, checks);
       } else if (seed > 1000) {
-        violations = MessageMutationTest.changed(seed, checks);
+        violations = MessageMutationTest.runMutation(seed, checks);
       } else {
         ClusterSimulation simulation = FaultSimulationTest.runFaulty(seed, 0.01, checks);
         simulation.checkRecovery(10_000);
@@ -77,8 +77,8 @@
 
   private static String searchViolation(Check check) {
     for (int seed = 1; seed <= RUNS; seed++) {
-      for (int each : new int[] {seed, -seed}) {
-        String violation = firstViolation(each, new SafetyChecks(check));
+      for (int signedSeed : new int[] {seed, -seed}) {
+        String violation = firstViolation(signedSeed, new SafetyChecks(check));
         if (!violation.isEmpty()) {
           return violation;
         }
@@ -104,7 +104,7 @@
     if (RUNS > 0 || MUTATIONS > 0) {
       Arrays.stream(Check.values())
           .parallel()
-          .forEach(each -> found.put(each, searchViolation(each)));
+          .forEach(check -> found.put(check, searchViolation(check)));
     }
     found.forEach(
         (check, violation) -> System.out.println(check + " disabled, searched: " + violation));
--- a/lease/src/test/java/gingerring/lease/FailoverMeasurement.java
+++ b/lease/src/test/java/gingerring/lease/FailoverMeasurement.java
@@ -150,8 +150,8 @@
     simulation.lossRate = 0.01;
     simulation.duplicateRate = 0.01;
     simulation.startAll(0.01);
-    for (LeaseName each : simulation.leases) {
-      scheduleHandover(simulation, each);
+    for (LeaseName lease : simulation.leases) {
+      scheduleHandover(simulation, lease);
     }
     while (simulation.acquisitionCount < 20_000) {
       simulation.runUntil(simulation.now + 10_000 * ClusterSimulation.MS);
--- a/lease/src/test/java/gingerring/lease/LeaseExplorationTest.java
+++ b/lease/src/test/java/gingerring/lease/LeaseExplorationTest.java
@@ -24,7 +24,7 @@
  * message.
  *
  * <p>To keep the number of states small, a request and its reply are delivered as one step, or the
- * reply is the lost message; a request stays in transit until a later one on its link displaces it.
+ * reply alone is lost; a request stays in transit until a later one on its link displaces it.
  * Electors are interchangeable, so only the first one crashes. States that differ only in the
  * absolute time and in the numbers of messages and terms count as one.
  */
@@ -259,28 +259,28 @@
                 map.entrySet().stream()
                     .collect(
                         java.util.stream.Collectors.toMap(
-                            each -> each.getKey().toString(), Map.Entry::getValue)))
+                            element -> element.getKey().toString(), Map.Entry::getValue)))
             .forEach(
-                (key, each) -> {
+                (key, element) -> {
                   out.append(key.length() > 12 ? key.substring(key.length() - 4) : key).append('=');
-                  appendState(each, out, numberNames);
+                  appendState(element, out, numberNames);
                 });
       } else if (value instanceof Set<?> set) {
         new TreeSet<>(set.stream().map(Object::toString).toList())
-            .forEach(each -> out.append(set.iterator().next() instanceof Long ? "n" : each));
+            .forEach(element -> out.append(set.iterator().next() instanceof Long ? "n" : element));
       } else if (value instanceof Collection<?> collection) {
-        collection.forEach(each -> appendState(each, out.append(','), numberNames));
+        collection.forEach(element -> appendState(element, out.append(','), numberNames));
       } else if (value.getClass().getName().startsWith("gingerring")
           && !(value instanceof Candidate.Host)) {
         out.append('{');
-        for (Field each : value.getClass().getDeclaredFields()) {
+        for (Field element : value.getClass().getDeclaredFields()) {
           try {
-            each.setAccessible(true);
-            if (!Modifier.isStatic(each.getModifiers())
-                && !each.getName().equals("sequenceNumber")
-                && !each.getName().equals("random")
-                && !each.getName().equals("lastCallAt")) {
-              appendState(each.get(value), out.append(';'), numberNames);
+            element.setAccessible(true);
+            if (!Modifier.isStatic(element.getModifiers())
+                && !element.getName().equals("sequenceNumber")
+                && !element.getName().equals("random")
+                && !element.getName().equals("lastCallAt")) {
+              appendState(element.get(value), out.append(';'), numberNames);
             }
           } catch (ReflectiveOperationException exception) {
             throw new AssertionError(exception);
@@ -326,8 +326,8 @@
 
   private static Model replay(SafetyChecks checks, int[] events) {
     Model model = new Model(checks);
-    for (int each : events) {
-      model.execute(each);
+    for (int event : events) {
+      model.execute(event);
     }
     return model;
   }
@@ -347,14 +347,14 @@
   @Test
   void disabledChecksAreDetected() {
     StringBuilder undetected = new StringBuilder();
-    for (SafetyChecks.Check each :
+    for (SafetyChecks.Check check :
         List.of(
             SafetyChecks.Check.QUIET,
             SafetyChecks.Check.SINGLE_GRANT,
             SafetyChecks.Check.MAJORITY)) {
-      String[] result = explore(new SafetyChecks(each), 99, 20_000);
-      System.out.println(each + " disabled, explored: " + result[0] + " " + result[1]);
-      undetected.append(result[1].isEmpty() ? each + " " : "");
+      String[] result = explore(new SafetyChecks(check), 99, 20_000);
+      System.out.println(check + " disabled, explored: " + result[0] + " " + result[1]);
+      undetected.append(result[1].isEmpty() ? check + " " : "");
     }
     assertEquals("", undetected.toString());
   }
--- a/lease/src/test/java/gingerring/lease/LeaseTest.java
+++ b/lease/src/test/java/gingerring/lease/LeaseTest.java
@@ -19,9 +19,9 @@
   private static final LeaseName LEASE = new LeaseName("clock");
   private static final LeaseSettings SETTINGS = LeaseSettings.defaults();
 
-  private static ElectorSet electors(long epoch, int... mixer) {
+  private static ElectorSet electors(long epoch, int... mixers) {
     return new ElectorSet(
-        epoch, IntStream.of(mixer).mapToObj(LeaseTest::elector).collect(Collectors.toSet()));
+        epoch, IntStream.of(mixers).mapToObj(LeaseTest::elector).collect(Collectors.toSet()));
   }
 
   private static ElectorId elector(int mixer) {
@@ -102,11 +102,11 @@
                         3)));
     assertEquals(errors.size(), errors.stream().map(LeaseException::code).distinct().count());
     errors.forEach(
-        each ->
+        error ->
             assertTrue(
-                each.getMessage().contains(each.code())
-                    && each.getMessage().contains(each.location())
-                    && each.getMessage().endsWith(each.remedy())));
+                error.getMessage().contains(error.code())
+                    && error.getMessage().contains(error.location())
+                    && error.getMessage().endsWith(error.remedy())));
   }
 
   @Test
@@ -160,8 +160,8 @@
       for (int ms = 10_000 * set; ms < 10_000 * set + 5_000; ms += 500) {
         for (int i = 0; i < 3 + set - 1; i++) {
           electors.get(i).tick(Duration.ofMillis(ms));
-          for (int from = 1; from < 3 + set; from++) {
-            electors.get(i).recordEpoch(elector(from), set - 1, Duration.ofMillis(ms));
+          for (int sender = 1; sender < 3 + set; sender++) {
+            electors.get(i).recordEpoch(elector(sender), set - 1, Duration.ofMillis(ms));
           }
         }
       }
@@ -170,8 +170,8 @@
       }
     }
     for (int ms = 25_000; ms <= 30_000; ms += 500) {
-      for (Elector each : electors) {
-        each.tick(Duration.ofMillis(ms));
+      for (Elector elector : electors) {
+        elector.tick(Duration.ofMillis(ms));
       }
     }
     int oldSetGrants = 0;
--- a/lease/src/test/java/gingerring/lease/MessageMutationTest.java
+++ b/lease/src/test/java/gingerring/lease/MessageMutationTest.java
@@ -56,21 +56,20 @@
     List<Envelope> apply(Envelope envelope, MixerId to);
   }
 
-  private static Object mapValue(
-      Object record, int[] remainingIndex, UnaryOperator<Object> change) {
-    if (record instanceof Long || record instanceof Duration || record instanceof LeaseName) {
-      return remainingIndex[0]-- == 0 ? change.apply(record) : record;
+  private static Object mapValue(Object node, int[] remainingIndex, UnaryOperator<Object> change) {
+    if (node instanceof Long || node instanceof Duration || node instanceof LeaseName) {
+      return remainingIndex[0]-- == 0 ? change.apply(node) : node;
     }
     try {
-      RecordComponent[] components = record.getClass().getRecordComponents();
+      RecordComponent[] components = node.getClass().getRecordComponents();
       Object[] values = new Object[components.length];
       Class<?>[] types = new Class<?>[components.length];
       for (int i = 0; i < components.length; i++) {
         types[i] = components[i].getType();
         components[i].getAccessor().setAccessible(true);
-        values[i] = mapValue(components[i].getAccessor().invoke(record), remainingIndex, change);
+        values[i] = mapValue(components[i].getAccessor().invoke(node), remainingIndex, change);
       }
-      var constructor = record.getClass().getDeclaredConstructor(types);
+      var constructor = node.getClass().getDeclaredConstructor(types);
       constructor.setAccessible(true);
       return constructor.newInstance(values);
     } catch (java.lang.reflect.InvocationTargetException | IllegalArgumentException invalid) {
@@ -80,19 +79,20 @@
     }
   }
 
-  private static Object changed(Object leaf, ValueChange change, Object replacement) {
-    if (change == ValueChange.FROM_EARLIER_MESSAGE || change == ValueChange.FROM_LATER_MESSAGE) {
-      return replacement == null ? leaf : replacement;
-    } else if (leaf instanceof Long number) {
-      return switch (change) {
+  private static Object changeValue(Object value, ValueChange mutationNumber, Object replacement) {
+    if (mutationNumber == ValueChange.FROM_EARLIER_MESSAGE
+        || mutationNumber == ValueChange.FROM_LATER_MESSAGE) {
+      return replacement == null ? value : replacement;
+    } else if (value instanceof Long number) {
+      return switch (mutationNumber) {
         case LOWERED -> number - 1;
         case RAISED -> number + 1;
         case RAISED_FAR -> number + 65_536 * 3;
         case HALVED -> number / 2;
         default -> 0L;
       };
-    } else if (leaf instanceof Duration time) {
-      return switch (change) {
+    } else if (value instanceof Duration time) {
+      return switch (mutationNumber) {
         case LOWERED -> time.minusMillis(300);
         case RAISED -> time.plusMillis(300);
         case RAISED_FAR -> time.plusSeconds(3600);
@@ -100,7 +100,7 @@
         default -> Duration.ZERO;
       };
     }
-    return new LeaseName(((LeaseName) leaf).value().equals("duty-0") ? "duty-1" : "duty-0");
+    return new LeaseName(((LeaseName) value).value().equals("duty-0") ? "duty-1" : "duty-0");
   }
 
   private static ClusterSimulation newSimulation(long seed, SafetyChecks checks) {
@@ -282,7 +282,8 @@
     }
     return (envelope, to) -> {
       Object changed =
-          mapValue(envelope, new int[] {valueIndex}, value -> changed(value, change, replacement));
+          mapValue(
+              envelope, new int[] {valueIndex}, value -> changeValue(value, change, replacement));
       return changed == null
           ? List.of()
           : changed.equals(envelope) ? null : List.of((Envelope) changed);
@@ -345,16 +346,16 @@
    * Returns the first mutation, out of at most {@code maxRuns}, that detects a disabled check; or
    * null.
    */
-  static String searchViolation(SafetyChecks without, int maxRuns) {
+  static String searchViolation(SafetyChecks checks, int maxRuns) {
     for (long seed = 2, runCount = 0; runCount < maxRuns; seed++) {
-      List<SentMessage> sent = recordMessages(seed, without);
+      List<SentMessage> sent = recordMessages(seed, checks);
       for (int i = (int) (seed % 13);
           i < sent.size() * mutationsPerMessage() && runCount < maxRuns;
           i += 13) {
         try {
           Set<String> violations =
               runMutated(
-                  seed, sent, i / mutationsPerMessage(), i % mutationsPerMessage(), without, false);
+                  seed, sent, i / mutationsPerMessage(), i % mutationsPerMessage(), checks, false);
           runCount += violations == null ? 0 : 1;
           if (violations != null && !violations.isEmpty()) {
             return "run "
@@ -375,14 +376,14 @@
   }
 
   /** Runs one mutation of the tight scenario, numbered over all messages. */
-  static Set<String> changed(int change, SafetyChecks without) {
+  static Set<String> runMutation(int mutationNumber, SafetyChecks checks) {
     Set<String> violations =
         runMutated(
             2,
-            recordMessages(2, without),
-            change / mutationsPerMessage(),
-            change % mutationsPerMessage(),
-            without,
+            recordMessages(2, checks),
+            mutationNumber / mutationsPerMessage(),
+            mutationNumber % mutationsPerMessage(),
+            checks,
             false);
     return violations == null ? Set.of() : violations;
   }
