--- a/traffic/src/main/java/gingerring/traffic/flow/Flow.java
+++ b/traffic/src/main/java/gingerring/traffic/flow/Flow.java
@@ -46,11 +46,11 @@
 
   boolean closed;
 
-  Flow(long number, Key key, long since) {
+  Flow(long number, Key key, long firstSeenNanos) {
     this.number = number;
     this.key = key;
-    this.firstSeenNanos = since;
-    lastSeenNanos = since;
+    this.firstSeenNanos = firstSeenNanos;
+    lastSeenNanos = firstSeenNanos;
   }
 
   public int port(int side) {
--- a/traffic/src/main/java/gingerring/traffic/flow/FlowTable.java
+++ b/traffic/src/main/java/gingerring/traffic/flow/FlowTable.java
@@ -25,22 +25,29 @@
      * were captured, {@code taken} how much of the other side's stream their sender had
      * acknowledged by then.
      */
-    void onData(Flow flow, int side, long nanos, long taken, byte[] bytes, int at, int length);
+    void onData(
+        Flow flow,
+        int side,
+        long timestampNanos,
+        long acknowledgedPeerBytes,
+        byte[] bytes,
+        int offset,
+        int length);
 
     /** So many bytes of the stream never came. */
-    void onGap(Flow flow, int side, long nanos, long missing);
+    void onGap(Flow flow, int side, long timestampNanos, long missingBytes);
 
     /** This side ended its stream. */
-    void onEndOfStream(Flow flow, int side, long nanos);
+    void onEndOfStream(Flow flow, int side, long timestampNanos);
 
-    void onFlowClosed(Flow flow, Flow.CloseReason how, long nanos);
+    void onFlowClosed(Flow flow, Flow.CloseReason reason, long timestampNanos);
   }
 
   /** After so many segments of a flow it is taken to begin with what was seen of it by then. */
   private static final int MAX_SEGMENTS_BEFORE_START = 32;
 
   private final ReassemblyLimits limits;
-  private final FlowListener sink;
+  private final FlowListener listener;
   private final LinkedHashMap<Flow.Key, Flow> flows = new LinkedHashMap<>(1024, 0.75f, true);
   private final Map<String, Long> counts = new TreeMap<>();
   private long flowsOpened;
@@ -50,113 +57,116 @@
   private Flow lastFlow;
   private int currentSide;
 
-  public FlowTable(ReassemblyLimits bounds, FlowListener sink) {
-    this.limits = bounds;
-    this.sink = sink;
+  public FlowTable(ReassemblyLimits limits, FlowListener listener) {
+    this.limits = limits;
+    this.listener = listener;
   }
 
-  public void process(Segment s) {
-    nowNanos = Math.max(nowNanos, s.timestampNanos);
-    Flow flow = find(s);
-    if (flow != null && s.has(Segment.SYN) && opensNewFlow(flow, s)) {
+  public void process(Segment segment) {
+    nowNanos = Math.max(nowNanos, segment.timestampNanos);
+    Flow flow = find(segment);
+    if (flow != null && segment.has(Segment.SYN) && opensNewFlow(flow, segment)) {
       close(flow, Flow.CloseReason.PORTS_REUSED);
       flow = null;
     }
     if (flow == null) {
-      flow = open(s);
+      flow = open(segment);
     }
     flow.lastSeenNanos = nowNanos;
     if (flow.closed) {
-      if (s.payloadLength > 0) {
+      if (segment.payloadLength > 0) {
         count("segments after the end of their flow");
       }
       return;
     }
-    StreamReassembler mine = flow.streams[currentSide];
-    StreamReassembler peers = flow.streams[1 - currentSide];
-    if (!mine.hasStart) {
-      mine.setProvisionalStart(s.has(Segment.SYN) ? s.sequenceNumber + 1 : s.sequenceNumber);
+    StreamReassembler stream = flow.streams[currentSide];
+    StreamReassembler peerStream = flow.streams[1 - currentSide];
+    if (!stream.hasStart) {
+      stream.setProvisionalStart(
+          segment.has(Segment.SYN) ? segment.sequenceNumber + 1 : segment.sequenceNumber);
     }
-    if (s.has(Segment.SYN)) {
-      mine.setStart(s.sequenceNumber + 1);
+    if (segment.has(Segment.SYN)) {
+      stream.setStart(segment.sequenceNumber + 1);
       flow.openingSeen = true;
     }
-    if (s.has(Segment.ACK)) {
-      if (!peers.hasStart) {
-        peers.setProvisionalStart(s.ackNumber);
+    if (segment.has(Segment.ACK)) {
+      if (!peerStream.hasStart) {
+        peerStream.setProvisionalStart(segment.ackNumber);
       }
-      peers.onAcknowledged(s.ackNumber);
+      peerStream.onAcknowledged(segment.ackNumber);
     }
-    if (!mine.delivering) {
+    if (!stream.delivering) {
       startDelivery(flow, ++flow.segmentsBeforeStart >= MAX_SEGMENTS_BEFORE_START);
     }
-    long offset = mine.offsetOf(s.has(Segment.SYN) ? s.sequenceNumber + 1 : s.sequenceNumber);
-    if (mine.isOutsideWindow(offset)) {
+    long offset =
+        stream.offsetOf(
+            segment.has(Segment.SYN) ? segment.sequenceNumber + 1 : segment.sequenceNumber);
+    if (stream.isOutsideWindow(offset)) {
       count("segments far outside their window");
       return;
     }
-    acceptPayload(flow, mine, offset, s);
-    if (s.has(Segment.FIN) && mine.finOffset < 0) {
-      mine.finOffset = offset + s.payloadLength + s.truncatedBytes;
+    acceptPayload(flow, stream, offset, segment);
+    if (segment.has(Segment.FIN) && stream.finOffset < 0) {
+      stream.finOffset = offset + segment.payloadLength + segment.truncatedBytes;
     }
-    for (int which = 0; which < 2; which++) {
-      if (flow.streams[which].isComplete() && !flow.streams[which].finReported) {
-        flow.streams[which].finReported = true;
-        sink.onEndOfStream(flow, which, nowNanos);
+    for (int eachSide = 0; eachSide < 2; eachSide++) {
+      if (flow.streams[eachSide].isComplete() && !flow.streams[eachSide].finReported) {
+        flow.streams[eachSide].finReported = true;
+        listener.onEndOfStream(flow, eachSide, nowNanos);
       }
     }
-    if (s.has(Segment.RST)) {
+    if (segment.has(Segment.RST)) {
       endFlow(flow, Flow.CloseReason.RESET);
-    } else if (mine.finReported && peers.finReported) {
+    } else if (stream.finReported && peerStream.finReported) {
       endFlow(flow, Flow.CloseReason.FINISHED);
     }
   }
 
   /** Both directions flow once it is sure where they begin, or {@code at once}. */
-  private void startDelivery(Flow flow, boolean atOnce) {
-    StreamReassembler one = flow.streams[0];
-    StreamReassembler other = flow.streams[1];
-    if (atOnce) {
-      one.settleStart();
-      other.settleStart();
+  private void startDelivery(Flow flow, boolean force) {
+    StreamReassembler firstStream = flow.streams[0];
+    StreamReassembler secondStream = flow.streams[1];
+    if (force) {
+      firstStream.settleStart();
+      secondStream.settleStart();
     }
-    if (one.startSettled && other.startSettled && !one.delivering) {
-      one.delivering = true;
-      other.delivering = true;
+    if (firstStream.startSettled && secondStream.startSettled && !firstStream.delivering) {
+      firstStream.delivering = true;
+      secondStream.delivering = true;
       deliverContiguous(flow, 0);
       deliverContiguous(flow, 1);
     }
   }
 
-  private void deliverContiguous(Flow flow, int which) {
-    StreamReassembler direction = flow.streams[which];
-    int before = direction.bufferedBytes;
-    direction.deliverContiguous(sinkAdapter.forStream(flow, which));
-    bufferedBytes += direction.bufferedBytes - before;
+  private void deliverContiguous(Flow flow, int streamSide) {
+    StreamReassembler stream = flow.streams[streamSide];
+    int bufferedBefore = stream.bufferedBytes;
+    stream.deliverContiguous(sinkAdapter.forStream(flow, streamSide));
+    bufferedBytes += stream.bufferedBytes - bufferedBefore;
   }
 
-  private void acceptPayload(Flow flow, StreamReassembler mine, long offset, Segment s) {
-    int before = mine.bufferedBytes;
-    long conflicts = mine.conflictingBlocks;
-    if (s.payloadLength > 0) {
-      mine.accept(
+  private void acceptPayload(Flow flow, StreamReassembler stream, long offset, Segment segment) {
+    int bufferedBefore = stream.bufferedBytes;
+    long conflictsBefore = stream.conflictingBlocks;
+    if (segment.payloadLength > 0) {
+      stream.accept(
           offset,
-          s.buffer,
-          s.payloadOffset,
-          s.payloadLength,
-          s.timestampNanos,
-          s.ackNumber,
+          segment.buffer,
+          segment.payloadOffset,
+          segment.payloadLength,
+          segment.timestampNanos,
+          segment.ackNumber,
           sinkAdapter.forStream(flow, currentSide));
     }
-    if (mine.conflictingBlocks > conflicts) {
+    if (stream.conflictingBlocks > conflictsBefore) {
       count("segments that contradict what came before");
     }
-    bufferedBytes += mine.bufferedBytes - before;
-    while (mine.hasGap()
-        && (mine.bufferedBytes > limits.maxBufferedPerDirection()
+    bufferedBytes += stream.bufferedBytes - bufferedBefore;
+    while (stream.hasGap()
+        && (stream.bufferedBytes > limits.maxBufferedPerDirection()
             || bufferedBytes > limits.maxBufferedTotal()
-            || nowNanos - mine.gapSinceNanos > limits.gapTimeout().toNanos())) {
-      if (mine.delivering) {
+            || nowNanos - stream.gapSinceNanos > limits.gapTimeout().toNanos())) {
+      if (stream.delivering) {
         skipGap(flow, currentSide);
       } else {
         startDelivery(flow, true);
@@ -164,11 +174,11 @@
     }
   }
 
-  private void skipGap(Flow flow, int which) {
-    StreamReassembler direction = flow.streams[which];
-    int before = direction.bufferedBytes;
-    direction.skipGap(nowNanos, sinkAdapter.forStream(flow, which));
-    bufferedBytes += direction.bufferedBytes - before;
+  private void skipGap(Flow flow, int streamSide) {
+    StreamReassembler stream = flow.streams[streamSide];
+    int bufferedBefore = stream.bufferedBytes;
+    stream.skipGap(nowNanos, sinkAdapter.forStream(flow, streamSide));
+    bufferedBytes += stream.bufferedBytes - bufferedBefore;
   }
 
   /** Passes on to the sink; one is enough, as nothing keeps it. */
@@ -176,162 +186,169 @@
     private Flow flow;
     private int side;
 
-    SinkAdapter forStream(Flow whose, int which) {
-      flow = whose;
-      side = which;
+    SinkAdapter forStream(Flow streamFlow, int streamSide) {
+      flow = streamFlow;
+      side = streamSide;
       return this;
     }
 
     @Override
-    public void onData(byte[] bytes, int at, int length, long nanos, int acknowledged) {
-      sink.onData(
-          flow, side, nanos, flow.streams[1 - side].offsetOf(acknowledged), bytes, at, length);
+    public void onData(byte[] bytes, int offset, int length, long timestampNanos, int ackNumber) {
+      listener.onData(
+          flow,
+          side,
+          timestampNanos,
+          flow.streams[1 - side].offsetOf(ackNumber),
+          bytes,
+          offset,
+          length);
     }
 
     @Override
-    public void onGap(long missing) {
+    public void onGap(long missingBytes) {
       count("gaps that never filled");
-      sink.onGap(flow, side, nowNanos, missing);
+      listener.onGap(flow, side, nowNanos, missingBytes);
     }
   }
 
   /** A SYN that is no repeat of the one that opened this flow. */
-  private boolean opensNewFlow(Flow flow, Segment s) {
-    return !s.has(Segment.ACK)
+  private boolean opensNewFlow(Flow flow, Segment segment) {
+    return !segment.has(Segment.ACK)
         && (flow.closed
-            || !flow.streams[currentSide].canStartAt(s.sequenceNumber + 1, flow.openingSeen));
+            || !flow.streams[currentSide].canStartAt(segment.sequenceNumber + 1, flow.openingSeen));
   }
 
-  private Flow find(Segment s) {
-    if (lastFlow != null && matches(lastFlow.key, s)) {
+  private Flow find(Segment segment) {
+    if (lastFlow != null && matches(lastFlow.key, segment)) {
       return lastFlow;
     }
     Flow flow =
         flows.get(
             new Flow.Key(
-                s.sourceHigh,
-                s.sourceLow,
-                s.sourcePort,
-                s.destinationHigh,
-                s.destinationLow,
-                s.destinationPort));
+                segment.sourceHigh,
+                segment.sourceLow,
+                segment.sourcePort,
+                segment.destinationHigh,
+                segment.destinationLow,
+                segment.destinationPort));
     currentSide = 0;
     if (flow == null) {
       flow =
           flows.get(
               new Flow.Key(
-                  s.destinationHigh,
-                  s.destinationLow,
-                  s.destinationPort,
-                  s.sourceHigh,
-                  s.sourceLow,
-                  s.sourcePort));
+                  segment.destinationHigh,
+                  segment.destinationLow,
+                  segment.destinationPort,
+                  segment.sourceHigh,
+                  segment.sourceLow,
+                  segment.sourcePort));
       currentSide = 1;
     }
     lastFlow = flow;
     return flow;
   }
 
-  private boolean matches(Flow.Key key, Segment s) {
-    if (key.port0() == s.sourcePort
-        && key.port1() == s.destinationPort
-        && key.addressLow0() == s.sourceLow
-        && key.addressLow1() == s.destinationLow
-        && key.addressHigh0() == s.sourceHigh
-        && key.addressHigh1() == s.destinationHigh) {
+  private boolean matches(Flow.Key key, Segment segment) {
+    if (key.port0() == segment.sourcePort
+        && key.port1() == segment.destinationPort
+        && key.addressLow0() == segment.sourceLow
+        && key.addressLow1() == segment.destinationLow
+        && key.addressHigh0() == segment.sourceHigh
+        && key.addressHigh1() == segment.destinationHigh) {
       currentSide = 0;
       return true;
     }
-    if (key.port1() == s.sourcePort
-        && key.port0() == s.destinationPort
-        && key.addressLow1() == s.sourceLow
-        && key.addressLow0() == s.destinationLow
-        && key.addressHigh1() == s.sourceHigh
-        && key.addressHigh0() == s.destinationHigh) {
+    if (key.port1() == segment.sourcePort
+        && key.port0() == segment.destinationPort
+        && key.addressLow1() == segment.sourceLow
+        && key.addressLow0() == segment.destinationLow
+        && key.addressHigh1() == segment.sourceHigh
+        && key.addressHigh0() == segment.destinationHigh) {
       currentSide = 1;
       return true;
     }
     return false;
   }
 
-  private Flow open(Segment s) {
-    for (Iterator<Flow> eldest = flows.values().iterator(); eldest.hasNext(); ) {
-      Flow flow = eldest.next();
+  private Flow open(Segment segment) {
+    for (Iterator<Flow> leastRecentlyUsed = flows.values().iterator();
+        leastRecentlyUsed.hasNext(); ) {
+      Flow flow = leastRecentlyUsed.next();
       boolean idle = nowNanos - flow.lastSeenNanos > limits.idleTimeout().toNanos();
       if (!idle && flows.size() < limits.maxFlows()) {
         break;
       }
-      eldest.remove();
+      leastRecentlyUsed.remove();
       remove(flow, idle ? Flow.CloseReason.IDLE : Flow.CloseReason.EVICTED);
     }
     // who answers a SYN did not open the flow
-    boolean answers = s.has(Segment.SYN) && s.has(Segment.ACK);
-    currentSide = answers ? 1 : 0;
+    boolean isSynAck = segment.has(Segment.SYN) && segment.has(Segment.ACK);
+    currentSide = isSynAck ? 1 : 0;
     Flow flow =
         new Flow(
             flowsOpened++,
-            answers
+            isSynAck
                 ? new Flow.Key(
-                    s.destinationHigh,
-                    s.destinationLow,
-                    s.destinationPort,
-                    s.sourceHigh,
-                    s.sourceLow,
-                    s.sourcePort)
+                    segment.destinationHigh,
+                    segment.destinationLow,
+                    segment.destinationPort,
+                    segment.sourceHigh,
+                    segment.sourceLow,
+                    segment.sourcePort)
                 : new Flow.Key(
-                    s.sourceHigh,
-                    s.sourceLow,
-                    s.sourcePort,
-                    s.destinationHigh,
-                    s.destinationLow,
-                    s.destinationPort),
+                    segment.sourceHigh,
+                    segment.sourceLow,
+                    segment.sourcePort,
+                    segment.destinationHigh,
+                    segment.destinationLow,
+                    segment.destinationPort),
             nowNanos);
-    flow.openingSeen = s.has(Segment.SYN);
+    flow.openingSeen = segment.has(Segment.SYN);
     flows.put(flow.key, flow);
     lastFlow = flow;
-    sink.onFlowOpened(flow);
+    listener.onFlowOpened(flow);
     return flow;
   }
 
   /** It has ended, and stays a while so that late segments of it open no new one. */
-  private void endFlow(Flow flow, Flow.CloseReason how) {
+  private void endFlow(Flow flow, Flow.CloseReason reason) {
     if (!flow.closed) {
       startDelivery(flow, true);
-      for (int which = 0; which < 2; which++) {
-        while (flow.streams[which].hasGap()) {
-          skipGap(flow, which);
+      for (int streamSide = 0; streamSide < 2; streamSide++) {
+        while (flow.streams[streamSide].hasGap()) {
+          skipGap(flow, streamSide);
         }
-        long missing = flow.streams[which].undeliveredBytes();
-        if (missing > 0) {
-          flow.streams[which].nextOffset += missing;
+        long missingBytes = flow.streams[streamSide].undeliveredBytes();
+        if (missingBytes > 0) {
+          flow.streams[streamSide].nextOffset += missingBytes;
           count("gaps that never filled");
-          sink.onGap(flow, which, nowNanos, missing);
+          listener.onGap(flow, streamSide, nowNanos, missingBytes);
         }
       }
       flow.closed = true;
-      sink.onFlowClosed(flow, how, nowNanos);
+      listener.onFlowClosed(flow, reason, nowNanos);
     }
   }
 
-  private void remove(Flow flow, Flow.CloseReason how) {
-    endFlow(flow, how);
+  private void remove(Flow flow, Flow.CloseReason reason) {
+    endFlow(flow, reason);
     if (lastFlow == flow) {
       lastFlow = null;
     }
-    for (StreamReassembler direction : flow.streams) {
-      bufferedBytes -= direction.bufferedBytes;
-      if (direction.repeatedBytes > 0) {
-        counts.merge("bytes that came again", direction.repeatedBytes, Long::sum);
+    for (StreamReassembler stream : flow.streams) {
+      bufferedBytes -= stream.bufferedBytes;
+      if (stream.repeatedBytes > 0) {
+        counts.merge("bytes that came again", stream.repeatedBytes, Long::sum);
       }
     }
-    if (how == Flow.CloseReason.EVICTED) {
+    if (reason == Flow.CloseReason.EVICTED) {
       count("flows pushed out by newer ones");
     }
   }
 
-  private void close(Flow flow, Flow.CloseReason how) {
+  private void close(Flow flow, Flow.CloseReason reason) {
     flows.remove(flow.key);
-    remove(flow, how);
+    remove(flow, reason);
   }
 
   /** The file has ended: so has every flow. */
--- a/traffic/src/main/java/gingerring/traffic/flow/StreamReassembler.java
+++ b/traffic/src/main/java/gingerring/traffic/flow/StreamReassembler.java
@@ -27,9 +27,9 @@
    * direction.
    */
   interface StreamSink {
-    void onData(byte[] bytes, int at, int length, long nanos, int acknowledged);
+    void onData(byte[] bytes, int offset, int length, long timestampNanos, int ackNumber);
 
-    void onGap(long missing);
+    void onGap(long missingBytes);
   }
 
   /** Bytes that came early: when, and what their sender had acknowledged by then. */
@@ -64,14 +64,14 @@
   long repeatedBytes;
 
   /** Its stream is counted from this sequence number, for now. */
-  void setProvisionalStart(int sequence) {
+  void setProvisionalStart(int sequenceNumber) {
     hasStart = true;
-    startSequence = sequence;
+    startSequence = sequenceNumber;
   }
 
   /** The peer has taken all before this sequence number. */
-  void onAcknowledged(int sequence) {
-    long offset = offsetOf(sequence);
+  void onAcknowledged(int ackNumber) {
+    long offset = offsetOf(ackNumber);
     if (!isOutsideWindow(offset)) {
       acknowledgedOffset = Math.max(acknowledgedOffset, offset);
       firstAcknowledgedOffset = Math.min(firstAcknowledgedOffset, offset);
@@ -79,33 +79,33 @@
   }
 
   /** Its stream begins at a SYN's sequence number. */
-  void setStart(int sequence) {
+  void setStart(int sequenceNumber) {
     if (!startSettled) {
-      rebase(offsetOf(sequence));
+      rebase(offsetOf(sequenceNumber));
     }
   }
 
   /** Its stream begins with the first byte held, or where its peer first waited for more. */
   void settleStart() {
     if (!startSettled) {
-      long lowest = outOfOrder.isEmpty() ? Long.MAX_VALUE : outOfOrder.firstKey();
-      long base = Math.min(lowest, firstAcknowledgedOffset);
-      rebase(base == Long.MAX_VALUE ? 0 : base);
+      long lowestBufferedOffset = outOfOrder.isEmpty() ? Long.MAX_VALUE : outOfOrder.firstKey();
+      long start = Math.min(lowestBufferedOffset, firstAcknowledgedOffset);
+      rebase(start == Long.MAX_VALUE ? 0 : start);
     }
   }
 
-  private void rebase(long base) {
+  private void rebase(long newStart) {
     startSettled = true;
-    startSequence += (int) base;
-    acknowledgedOffset = Math.max(0, acknowledgedOffset - base);
-    finOffset -= finOffset >= 0 ? base : 0;
+    startSequence += (int) newStart;
+    acknowledgedOffset = Math.max(0, acknowledgedOffset - newStart);
+    finOffset -= finOffset >= 0 ? newStart : 0;
     if (outOfOrder.isEmpty()) {
       return;
     }
-    TreeMap<Long, Block> moved = new TreeMap<>();
-    outOfOrder.forEach((offset, block) -> moved.put(offset - base, block));
+    TreeMap<Long, Block> rebased = new TreeMap<>();
+    outOfOrder.forEach((offset, block) -> rebased.put(offset - newStart, block));
     outOfOrder.clear();
-    outOfOrder.putAll(moved);
+    outOfOrder.putAll(rebased);
     while (!outOfOrder.isEmpty()
         && outOfOrder.firstKey() < 0) { // before the SYN: not of this stream
       bufferedBytes -= outOfOrder.pollFirstEntry().getValue().length();
@@ -113,17 +113,17 @@
   }
 
   /** Whether a SYN that makes the stream begin here can be this stream's own, come late. */
-  boolean canStartAt(int sequence, boolean opened) {
-    int before = startSequence - sequence;
+  boolean canStartAt(int sequenceNumber, boolean openingSeen) {
+    int bytesBeforeStart = startSequence - sequenceNumber;
     return !hasStart
-        || before == 0
-        || !startSettled && Math.abs(before) < MAX_LATE_SYN_BYTES
-        || !opened && before > 0 && before < MAX_LATE_SYN_BYTES;
+        || bytesBeforeStart == 0
+        || !startSettled && Math.abs(bytesBeforeStart) < MAX_LATE_SYN_BYTES
+        || !openingSeen && bytesBeforeStart > 0 && bytesBeforeStart < MAX_LATE_SYN_BYTES;
   }
 
   /** The offset of a sequence number, next to where the stream stands. */
-  long offsetOf(int sequence) {
-    return nextOffset + (sequence - (int) (startSequence + nextOffset));
+  long offsetOf(int sequenceNumber) {
+    return nextOffset + (sequenceNumber - (int) (startSequence + nextOffset));
   }
 
   boolean isOutsideWindow(long offset) {
@@ -139,86 +139,126 @@
   }
 
   void accept(
-      long offset, byte[] b, int at, int length, long nanos, int acknowledged, StreamSink out) {
+      long offset,
+      byte[] buffer,
+      int bufferOffset,
+      int length,
+      long timestampNanos,
+      int ackNumber,
+      StreamSink sink) {
     long end = offset + length;
     if (delivering) {
       if (offset < nextOffset) {
-        int known = (int) Math.min(length, nextOffset - offset);
-        repeatedBytes += known;
-        offset += known;
-        at += known;
+        int alreadyDelivered = (int) Math.min(length, nextOffset - offset);
+        repeatedBytes += alreadyDelivered;
+        offset += alreadyDelivered;
+        bufferOffset += alreadyDelivered;
       }
       if (offset >= end) {
         return;
       }
       if (offset == nextOffset && outOfOrder.isEmpty()) { // the ordinary case: nothing is copied
         nextOffset = end;
-        out.onData(b, at, (int) (end - offset), nanos, acknowledged);
+        sink.onData(buffer, bufferOffset, (int) (end - offset), timestampNanos, ackNumber);
         return;
       }
     }
-    gapSinceNanos = hasGap() ? gapSinceNanos : nanos;
-    bufferNewBytes(offset, b, at, (int) (end - offset), nanos, acknowledged);
-    deliverContiguous(out);
+    gapSinceNanos = hasGap() ? gapSinceNanos : timestampNanos;
+    bufferNewBytes(offset, buffer, bufferOffset, (int) (end - offset), timestampNanos, ackNumber);
+    deliverContiguous(sink);
   }
 
   /** Keeps those bytes that are not held yet. */
   private void bufferNewBytes(
-      long offset, byte[] b, int at, int length, long nanos, int acknowledged) {
+      long offset,
+      byte[] buffer,
+      int bufferOffset,
+      int length,
+      long timestampNanos,
+      int ackNumber) {
     long end = offset + length;
-    Map.Entry<Long, Block> before = outOfOrder.floorEntry(offset);
-    long from =
-        before != null && before.getKey() + before.getValue().length() > offset
-            ? before.getKey()
+    Map.Entry<Long, Block> precedingBlock = outOfOrder.floorEntry(offset);
+    long firstBlockOffset =
+        precedingBlock != null
+                && precedingBlock.getKey() + precedingBlock.getValue().length() > offset
+            ? precedingBlock.getKey()
             : offset;
     long cursor = offset;
     for (Map.Entry<Long, Block> block :
-        new TreeMap<>(outOfOrder.subMap(from, true, end, false)).entrySet()) {
-      long start = block.getKey();
-      long stop = start + block.getValue().length();
-      if (start > cursor) {
+        new TreeMap<>(outOfOrder.subMap(firstBlockOffset, true, end, false)).entrySet()) {
+      long blockStart = block.getKey();
+      long blockEnd = blockStart + block.getValue().length();
+      if (blockStart > cursor) {
         buffer(
-            cursor, b, at + (int) (cursor - offset), (int) (start - cursor), nanos, acknowledged);
+            cursor,
+            buffer,
+            bufferOffset + (int) (cursor - offset),
+            (int) (blockStart - cursor),
+            timestampNanos,
+            ackNumber);
       }
-      long shared = Math.max(cursor, start);
-      long sharedEnd = Math.min(end, stop);
-      if (shared < sharedEnd) {
-        int size = (int) (sharedEnd - shared);
-        int mine = at + (int) (shared - offset);
-        int its = (int) (shared - start);
+      long overlapStart = Math.max(cursor, blockStart);
+      long overlapEnd = Math.min(end, blockEnd);
+      if (overlapStart < overlapEnd) {
+        int size = (int) (overlapEnd - overlapStart);
+        int newIndex = bufferOffset + (int) (overlapStart - offset);
+        int blockIndex = (int) (overlapStart - blockStart);
         repeatedBytes += size;
-        if (!Arrays.equals(b, mine, mine + size, block.getValue().bytes, its, its + size)) {
+        if (!Arrays.equals(
+            buffer,
+            newIndex,
+            newIndex + size,
+            block.getValue().bytes,
+            blockIndex,
+            blockIndex + size)) {
           conflictingBlocks++;
         }
       }
-      cursor = Math.max(cursor, stop);
+      cursor = Math.max(cursor, blockEnd);
     }
     if (cursor < end) {
-      buffer(cursor, b, at + (int) (cursor - offset), (int) (end - cursor), nanos, acknowledged);
+      buffer(
+          cursor,
+          buffer,
+          bufferOffset + (int) (cursor - offset),
+          (int) (end - cursor),
+          timestampNanos,
+          ackNumber);
     }
   }
 
-  private void buffer(long offset, byte[] b, int at, int length, long nanos, int acknowledged) {
-    outOfOrder.put(offset, new Block(Arrays.copyOfRange(b, at, at + length), nanos, acknowledged));
+  private void buffer(
+      long offset,
+      byte[] source,
+      int sourceOffset,
+      int length,
+      long timestampNanos,
+      int ackNumber) {
+    outOfOrder.put(
+        offset,
+        new Block(
+            Arrays.copyOfRange(source, sourceOffset, sourceOffset + length),
+            timestampNanos,
+            ackNumber));
     bufferedBytes += length;
   }
 
-  void deliverContiguous(StreamSink out) {
+  void deliverContiguous(StreamSink sink) {
     while (delivering && !outOfOrder.isEmpty() && outOfOrder.firstKey() == nextOffset) {
       Block block = outOfOrder.pollFirstEntry().getValue();
       bufferedBytes -= block.length();
       nextOffset += block.length();
-      out.onData(block.bytes, 0, block.length(), block.nanos, block.ackNumber);
+      sink.onData(block.bytes, 0, block.length(), block.nanos, block.ackNumber);
     }
   }
 
   /** Gives the oldest gap up, and passes on what follows it. */
-  void skipGap(long nanos, StreamSink out) {
-    gapSinceNanos = nanos;
-    long missing = outOfOrder.firstKey() - nextOffset;
-    nextOffset += missing;
-    out.onGap(missing);
-    deliverContiguous(out);
+  void skipGap(long timestampNanos, StreamSink sink) {
+    gapSinceNanos = timestampNanos;
+    long missingBytes = outOfOrder.firstKey() - nextOffset;
+    nextOffset += missingBytes;
+    sink.onGap(missingBytes);
+    deliverContiguous(sink);
   }
 
   /** What is known to have been sent before the end and never came. */
--- a/traffic/src/main/java/gingerring/traffic/pcap/CaptureEditor.java
+++ b/traffic/src/main/java/gingerring/traffic/pcap/CaptureEditor.java
@@ -22,91 +22,104 @@
    * included.
    */
   public static EditResult cut(
-      Path from, Path to, long since, long before, Predicate<Segment> wanted, boolean rest)
+      Path input,
+      Path output,
+      long fromNanos,
+      long untilNanos,
+      Predicate<Segment> segmentFilter,
+      boolean keepsOtherPackets)
       throws IOException {
     return merge(
-        List.of(from),
-        to,
-        packet -> packet.timestampNanos >= since && packet.timestampNanos < before,
-        wanted,
-        rest);
+        List.of(input),
+        output,
+        packet -> packet.timestampNanos >= fromNanos && packet.timestampNanos < untilNanos,
+        segmentFilter,
+        keepsOtherPackets);
   }
 
   /** The packets of all files in the order of their times; each file is taken to be in order. */
-  public static EditResult merge(List<Path> from, Path to) throws IOException {
-    return merge(from, to, packet -> true, segment -> true, true);
+  public static EditResult merge(List<Path> inputs, Path output) throws IOException {
+    return merge(inputs, output, packet -> true, segment -> true, true);
   }
 
   private record NextPacket(CaptureReader reader, Packet packet, int fileNumber) {}
 
   /** {@code rest}: packets that hold no TCP segment go along too. */
   private static EditResult merge(
-      List<Path> from, Path to, Predicate<Packet> when, Predicate<Segment> wanted, boolean rest)
+      List<Path> inputs,
+      Path output,
+      Predicate<Packet> packetFilter,
+      Predicate<Segment> segmentFilter,
+      boolean keepsOtherPackets)
       throws IOException {
-    if (from.size() > MAX_FILES) {
+    if (inputs.size() > MAX_FILES) {
       throw new IOException("more than " + MAX_FILES + " files");
     }
-    PriorityQueue<NextPacket> heads =
+    PriorityQueue<NextPacket> nextPackets =
         new PriorityQueue<>(
             (one, other) -> {
               int byTime = Long.compare(one.packet.timestampNanos, other.packet.timestampNanos);
               return byTime != 0 ? byTime : Integer.compare(one.fileNumber, other.fileNumber);
             });
     List<CaptureReader> readers = new ArrayList<>();
-    CaptureWriter out = null;
+    CaptureWriter writer = null;
     try {
-      for (Path file : from) {
+      for (Path file : inputs) {
         CaptureReader reader = CaptureReader.open(file);
         readers.add(reader);
         Packet packet = new Packet();
         if (reader.next(packet)) {
-          heads.add(new NextPacket(reader, packet, readers.size()));
+          nextPackets.add(new NextPacket(reader, packet, readers.size()));
         }
       }
-      int link = heads.isEmpty() ? 101 : heads.peek().packet.linkType;
-      out = new CaptureWriter(to, link);
-      PacketDecoder layers = new PacketDecoder();
+      int linkType = nextPackets.isEmpty() ? 101 : nextPackets.peek().packet.linkType;
+      writer = new CaptureWriter(output, linkType);
+      PacketDecoder decoder = new PacketDecoder();
       Segment segment = new Segment();
-      long taken = 0;
-      long all = 0;
-      while (!heads.isEmpty()) {
-        NextPacket head = heads.poll();
-        Packet packet = head.packet;
-        all++;
-        if (packet.linkType != link) {
+      long packetsWritten = 0;
+      long packetsRead = 0;
+      while (!nextPackets.isEmpty()) {
+        NextPacket next = nextPackets.poll();
+        Packet packet = next.packet;
+        packetsRead++;
+        if (packet.linkType != linkType) {
           throw new IOException(
-              from.get(head.fileNumber - 1)
+              inputs.get(next.fileNumber - 1)
                   + ": offset "
-                  + head.reader.offset()
+                  + next.reader.offset()
                   + ": link type "
                   + packet.linkType
                   + " beside "
-                  + link
+                  + linkType
                   + ": one file holds one");
         }
-        boolean tcp = layers.decode(packet, segment);
-        if (when.test(packet) && (tcp ? wanted.test(segment) : rest)) {
-          out.writePacket(
+        boolean holdsSegment = decoder.decode(packet, segment);
+        if (packetFilter.test(packet)
+            && (holdsSegment ? segmentFilter.test(segment) : keepsOtherPackets)) {
+          writer.writePacket(
               packet.timestampNanos,
               packet.buffer,
               packet.offset,
               packet.length,
               packet.originalLength);
-          taken++;
+          packetsWritten++;
         }
-        if (head.reader.next(packet)) {
-          heads.add(head);
+        if (next.reader.next(packet)) {
+          nextPackets.add(next);
         }
       }
-      out.close();
-      out = null;
+      writer.close();
+      writer = null;
       return new EditResult(
-          taken,
-          all,
-          readers.stream().map(CaptureReader::endReason).filter(why -> !why.isEmpty()).toList());
+          packetsWritten,
+          packetsRead,
+          readers.stream()
+              .map(CaptureReader::endReason)
+              .filter(reason -> !reason.isEmpty())
+              .toList());
     } finally {
-      if (out != null) {
-        out.abandon();
+      if (writer != null) {
+        writer.abandon();
       }
       for (CaptureReader reader : readers) {
         reader.close();
--- a/traffic/src/main/java/gingerring/traffic/pcap/CaptureReader.java
+++ b/traffic/src/main/java/gingerring/traffic/pcap/CaptureReader.java
@@ -64,12 +64,12 @@
   private String endReason = "";
   private long droppedPackets;
 
-  private CaptureReader(String name, InputStream in) throws IOException {
-    this.fileName = name;
-    this.input = in;
+  private CaptureReader(String fileName, InputStream input) throws IOException {
+    this.fileName = fileName;
+    this.input = input;
     if (!ensureBuffered(4)) {
       throw new UnreadableCaptureException(
-          name,
+          fileName,
           limit,
           endState != EndState.GOING
               ? "it cannot be unpacked"
@@ -82,52 +82,52 @@
       littleEndian =
           magic == Integer.reverseBytes(PCAP_MICROS_MAGIC)
               || magic == Integer.reverseBytes(PCAP_NANOS_MAGIC);
-      int told = littleEndian ? Integer.reverseBytes(magic) : magic;
-      if (told != PCAP_MICROS_MAGIC && told != PCAP_NANOS_MAGIC) {
-        throw new UnreadableCaptureException(name, 0, "neither pcap nor pcapng");
+      int normalizedMagic = littleEndian ? Integer.reverseBytes(magic) : magic;
+      if (normalizedMagic != PCAP_MICROS_MAGIC && normalizedMagic != PCAP_NANOS_MAGIC) {
+        throw new UnreadableCaptureException(fileName, 0, "neither pcap nor pcapng");
       }
       if (!ensureBuffered(24)) {
-        throw new UnreadableCaptureException(name, limit, "the file ends in its header");
+        throw new UnreadableCaptureException(fileName, limit, "the file ends in its header");
       }
-      nanosecondFractions = told == PCAP_NANOS_MAGIC;
+      nanosecondFractions = normalizedMagic == PCAP_NANOS_MAGIC;
       linkType = u32(position + 20) & 0xFFFF;
       position += 24;
     }
   }
 
   public static CaptureReader open(Path file) throws IOException {
-    InputStream raw = Files.newInputStream(file);
+    InputStream fileInput = Files.newInputStream(file);
     try {
-      return new CaptureReader(file.toString(), decompress(raw));
+      return new CaptureReader(file.toString(), decompress(fileInput));
     } catch (UnreadableCaptureException e) {
-      raw.close();
+      fileInput.close();
       throw e;
     } catch (IOException e) {
-      raw.close();
+      fileInput.close();
       throw new UnreadableCaptureException(file.toString(), 0, String.valueOf(e.getMessage()));
     }
   }
 
   /** Reads from a stream that is not compressed; {@code name} is what complaints call it. */
-  public static CaptureReader fromStream(String name, InputStream in) throws IOException {
-    return new CaptureReader(name, in);
+  public static CaptureReader fromStream(String fileName, InputStream input) throws IOException {
+    return new CaptureReader(fileName, input);
   }
 
-  private static InputStream decompress(InputStream raw) throws IOException {
-    PushbackInputStream peeked = new PushbackInputStream(raw, 4);
-    byte[] head = peeked.readNBytes(4);
-    peeked.unread(head);
-    if (head.length == 4 && (head[0] & 0xFF) == 0x1f && (head[1] & 0xFF) == 0x8b) {
-      return new GZIPInputStream(peeked, 1 << 16);
+  private static InputStream decompress(InputStream fileInput) throws IOException {
+    PushbackInputStream pushback = new PushbackInputStream(fileInput, 4);
+    byte[] magic = pushback.readNBytes(4);
+    pushback.unread(magic);
+    if (magic.length == 4 && (magic[0] & 0xFF) == 0x1f && (magic[1] & 0xFF) == 0x8b) {
+      return new GZIPInputStream(pushback, 1 << 16);
     }
-    if (head.length == 4
-        && (head[0] & 0xFF) == 0x28
-        && (head[1] & 0xFF) == 0xb5
-        && (head[2] & 0xFF) == 0x2f
-        && (head[3] & 0xFF) == 0xfd) {
-      return new ZstdInputStreamNoFinalizer(peeked);
+    if (magic.length == 4
+        && (magic[0] & 0xFF) == 0x28
+        && (magic[1] & 0xFF) == 0xb5
+        && (magic[2] & 0xFF) == 0x2f
+        && (magic[3] & 0xFF) == 0xfd) {
+      return new ZstdInputStreamNoFinalizer(pushback);
     }
-    return peeked;
+    return pushback;
   }
 
   /** Reads the next packet; false once there is none, and {@link #endState} tells why. */
@@ -168,7 +168,7 @@
     long seconds = u32(position) & 0xFFFFFFFFL;
     long fraction = u32(position + 4) & 0xFFFFFFFFL;
     int length = u32(position + 8);
-    int original = u32(position + 12);
+    int originalLength = u32(position + 12);
     if (length < 0 || length > MAX_PACKET_BYTES) {
       return endAs(EndState.BROKEN, "a packet of " + (length & 0xFFFFFFFFL) + " bytes");
     }
@@ -177,16 +177,16 @@
     }
     packet.timestampNanos = seconds * 1_000_000_000L + fraction * (nanosecondFractions ? 1 : 1000);
     packet.linkType = linkType;
-    setData(packet, position + 16, length, original);
+    setData(packet, position + 16, length, originalLength);
     position += 16 + length;
     return true;
   }
 
-  private void setData(Packet packet, int from, int length, int original) {
+  private void setData(Packet packet, int dataOffset, int length, int originalLength) {
     packet.buffer = buffer;
-    packet.offset = from;
+    packet.offset = dataOffset;
     packet.length = length;
-    packet.originalLength = Math.max(original, length);
+    packet.originalLength = Math.max(originalLength, length);
   }
 
   /** One block; false where it holds no packet. */
@@ -196,11 +196,12 @@
     }
     int type = u32BigEndian(position);
     if (type == SECTION_HEADER_BLOCK) {
-      int order = u32BigEndian(position + 8);
-      if (order != BYTE_ORDER_MAGIC && order != Integer.reverseBytes(BYTE_ORDER_MAGIC)) {
+      int byteOrderMagic = u32BigEndian(position + 8);
+      if (byteOrderMagic != BYTE_ORDER_MAGIC
+          && byteOrderMagic != Integer.reverseBytes(BYTE_ORDER_MAGIC)) {
         return endAs(EndState.BROKEN, "a section of no byte order");
       }
-      littleEndian = order != BYTE_ORDER_MAGIC;
+      littleEndian = byteOrderMagic != BYTE_ORDER_MAGIC;
       interfaces = new ArrayList<>();
     }
     type = u32(position);
@@ -214,28 +215,28 @@
     if (u32(position + length - 4) != length) {
       return endAs(EndState.BROKEN, "a block whose two lengths differ");
     }
-    int body = position + 8;
-    int most = length - 12;
+    int bodyOffset = position + 8;
+    int bodyLength = length - 12;
     position += length;
     return switch (type) {
-      case 1 -> readInterfaceBlock(body, most);
-      case 2, 6 -> readPacketBlock(packet, type, body, most);
-      case 3 -> readSimplePacketBlock(packet, body, most);
-      case 5 -> readStatisticsBlock(body, most);
+      case 1 -> readInterfaceBlock(bodyOffset, bodyLength);
+      case 2, 6 -> readPacketBlock(packet, type, bodyOffset, bodyLength);
+      case 3 -> readSimplePacketBlock(packet, bodyOffset, bodyLength);
+      case 5 -> readStatisticsBlock(bodyOffset, bodyLength);
       default -> false; // names, decryption secrets, blocks of other makers
     };
   }
 
-  private boolean readInterfaceBlock(int body, int most) {
-    if (most < 8 || interfaces.size() == MAX_INTERFACES) {
+  private boolean readInterfaceBlock(int bodyOffset, int bodyLength) {
+    if (bodyLength < 8 || interfaces.size() == MAX_INTERFACES) {
       return endAs(EndState.BROKEN, "an interface that cannot be");
     }
-    long units = 1_000_000;
-    long offset = 0;
-    for (int option = body + 8; option + 4 <= body + most; ) {
+    long unitsPerSecond = 1_000_000;
+    long offsetSeconds = 0;
+    for (int option = bodyOffset + 8; option + 4 <= bodyOffset + bodyLength; ) {
       int code = u16(option);
       int size = u16(option + 2);
-      if (code == 0 || option + 4 + size > body + most) {
+      if (code == 0 || option + 4 + size > bodyOffset + bodyLength) {
         break;
       }
       if (code == 9 && size >= 1) {
@@ -244,61 +245,63 @@
         if (resolution < 0 ? power > 62 : power > 18) {
           return endAs(EndState.BROKEN, "an interface whose times count in no known unit");
         }
-        units = resolution < 0 ? 1L << power : powerOfTen(power);
+        unitsPerSecond = resolution < 0 ? 1L << power : powerOfTen(power);
       } else if (code == 14 && size >= 8) {
-        offset = u64(option + 4);
+        offsetSeconds = u64(option + 4);
       }
       option += 4 + (size + 3 & ~3);
     }
-    interfaces.add(new Interface(u16(body), u32(body + 4), units, offset));
+    interfaces.add(
+        new Interface(u16(bodyOffset), u32(bodyOffset + 4), unitsPerSecond, offsetSeconds));
     return false;
   }
 
-  private boolean readPacketBlock(Packet packet, int type, int body, int most) {
-    if (most < 20) {
+  private boolean readPacketBlock(Packet packet, int type, int bodyOffset, int bodyLength) {
+    if (bodyLength < 20) {
       return endAs(EndState.BROKEN, "a packet's block too short for one");
     }
-    int number = type == 2 ? u16(body) : u32(body);
-    int length = u32(body + 12);
-    if (number < 0 || number >= interfaces.size()) {
+    int interfaceId = type == 2 ? u16(bodyOffset) : u32(bodyOffset);
+    int length = u32(bodyOffset + 12);
+    if (interfaceId < 0 || interfaceId >= interfaces.size()) {
       return endAs(EndState.BROKEN, "a packet of an interface that is not described");
     }
-    if (length < 0 || length > most - 20) {
+    if (length < 0 || length > bodyLength - 20) {
       return endAs(EndState.BROKEN, "a packet longer than its block");
     }
-    Interface from = interfaces.get(number);
-    long time = (u32(body + 4) & 0xFFFFFFFFL) << 32 | u32(body + 8) & 0xFFFFFFFFL;
-    long seconds = Long.divideUnsigned(time, from.unitsPerSecond);
-    long rest = Long.remainderUnsigned(time, from.unitsPerSecond);
+    Interface source = interfaces.get(interfaceId);
+    long timestamp = (u32(bodyOffset + 4) & 0xFFFFFFFFL) << 32 | u32(bodyOffset + 8) & 0xFFFFFFFFL;
+    long seconds = Long.divideUnsigned(timestamp, source.unitsPerSecond);
+    long fraction = Long.remainderUnsigned(timestamp, source.unitsPerSecond);
     packet.timestampNanos =
-        (seconds + from.offsetSeconds) * 1_000_000_000L
-            + (long) (rest * (1e9 / from.unitsPerSecond) + 0.5);
-    packet.linkType = from.linkType;
-    setData(packet, body + 20, length, u32(body + 16));
+        (seconds + source.offsetSeconds) * 1_000_000_000L
+            + (long) (fraction * (1e9 / source.unitsPerSecond) + 0.5);
+    packet.linkType = source.linkType;
+    setData(packet, bodyOffset + 20, length, u32(bodyOffset + 16));
     return true;
   }
 
   /** A simple block has no time of its own: it keeps that of the packet before. */
-  private boolean readSimplePacketBlock(Packet packet, int body, int most) {
-    if (interfaces.isEmpty() || most < 4) {
+  private boolean readSimplePacketBlock(Packet packet, int bodyOffset, int bodyLength) {
+    if (interfaces.isEmpty() || bodyLength < 4) {
       return endAs(EndState.BROKEN, "a packet of an interface that is not described");
     }
-    int original = u32(body);
-    int snap = interfaces.get(0).snapLength;
+    int originalLength = u32(bodyOffset);
+    int snapLength = interfaces.get(0).snapLength;
     int length =
         (int)
             Math.min(
-                Math.min(original & 0xFFFFFFFFL, most - 4), snap > 0 ? snap : Integer.MAX_VALUE);
+                Math.min(originalLength & 0xFFFFFFFFL, bodyLength - 4),
+                snapLength > 0 ? snapLength : Integer.MAX_VALUE);
     packet.linkType = interfaces.get(0).linkType;
-    setData(packet, body + 4, length, original);
+    setData(packet, bodyOffset + 4, length, originalLength);
     return true;
   }
 
-  private boolean readStatisticsBlock(int body, int most) {
-    for (int option = body + 12; option + 4 <= body + most; ) {
+  private boolean readStatisticsBlock(int bodyOffset, int bodyLength) {
+    for (int option = bodyOffset + 12; option + 4 <= bodyOffset + bodyLength; ) {
       int code = u16(option);
       int size = u16(option + 2);
-      if (code == 0 || option + 4 + size > body + most) {
+      if (code == 0 || option + 4 + size > bodyOffset + bodyLength) {
         break;
       }
       if (code == 5 && size == 8) {
@@ -317,12 +320,12 @@
     return value;
   }
 
-  private boolean endAs(EndState how, String cause) {
+  private boolean endAs(EndState state, String cause) {
     if (endState != EndState.GOING) {
       return false; // the first cause is the true one
     }
-    endState = how;
-    endReason = how == EndState.WHOLE ? "" : fileName + ": offset " + offset() + ": " + cause;
+    endState = state;
+    endReason = state == EndState.WHOLE ? "" : fileName + ": offset " + offset() + ": " + cause;
     return false;
   }
 
@@ -356,28 +359,28 @@
   }
 
   /** In the file's own byte order, which is big endian unless {@code swapped}. */
-  private int u32(int from) {
-    int raw = u32BigEndian(from);
+  private int u32(int offset) {
+    int raw = u32BigEndian(offset);
     return littleEndian ? Integer.reverseBytes(raw) : raw;
   }
 
-  private int u32BigEndian(int from) {
-    return (buffer[from] & 0xFF) << 24
-        | (buffer[from + 1] & 0xFF) << 16
-        | (buffer[from + 2] & 0xFF) << 8
-        | buffer[from + 3] & 0xFF;
+  private int u32BigEndian(int offset) {
+    return (buffer[offset] & 0xFF) << 24
+        | (buffer[offset + 1] & 0xFF) << 16
+        | (buffer[offset + 2] & 0xFF) << 8
+        | buffer[offset + 3] & 0xFF;
   }
 
-  private int u16(int from) {
-    int one = buffer[from] & 0xFF;
-    int other = buffer[from + 1] & 0xFF;
-    return littleEndian ? other << 8 | one : one << 8 | other;
+  private int u16(int offset) {
+    int firstByte = buffer[offset] & 0xFF;
+    int secondByte = buffer[offset + 1] & 0xFF;
+    return littleEndian ? secondByte << 8 | firstByte : firstByte << 8 | secondByte;
   }
 
-  private long u64(int from) {
-    long one = u32(from) & 0xFFFFFFFFL;
-    long other = u32(from + 4) & 0xFFFFFFFFL;
-    return littleEndian ? other << 32 | one : one << 32 | other;
+  private long u64(int offset) {
+    long firstWord = u32(offset) & 0xFFFFFFFFL;
+    long secondWord = u32(offset + 4) & 0xFFFFFFFFL;
+    return littleEndian ? secondWord << 32 | firstWord : firstWord << 32 | secondWord;
   }
 
   @Override
--- a/traffic/src/main/java/gingerring/traffic/pcap/CaptureWriter.java
+++ b/traffic/src/main/java/gingerring/traffic/pcap/CaptureWriter.java
@@ -31,25 +31,26 @@
   private boolean closed;
 
   /** All packets of the file are of one link type. */
-  public CaptureWriter(Path file, int link) throws IOException {
+  public CaptureWriter(Path file, int linkType) throws IOException {
     this.file = file;
-    this.linkType = link;
+    this.linkType = linkType;
     String name = file.getFileName().toString();
     partialFile = file.resolveSibling(name + ".part");
-    OutputStream raw = Files.newOutputStream(partialFile);
-    OutputStream packed =
+    OutputStream fileOutput = Files.newOutputStream(partialFile);
+    OutputStream compressedOutput =
         name.endsWith(".gz")
-            ? new GZIPOutputStream(raw, 1 << 16)
-            : name.endsWith(".zst") ? new ZstdOutputStream(raw) : raw;
-    output = new BufferedOutputStream(packed, 1 << 18);
+            ? new GZIPOutputStream(fileOutput, 1 << 16)
+            : name.endsWith(".zst") ? new ZstdOutputStream(fileOutput) : fileOutput;
+    output = new BufferedOutputStream(compressedOutput, 1 << 18);
     isPcapng = name.contains(".pcapng");
     if (isPcapng) {
-      int at = putInts(0, 0x0a0d0d0a, 28, 0x1a2b3c4d, 1, -1, -1, 28);
-      at = putInts(at, 1, 32, link << 16, SNAP_LENGTH);
-      at = putInts(at, 9 << 16 | 1, 9 << 24, 0, 32); // times in nanoseconds; the end of options
-      writeHead(at);
+      int offset = putInts(0, 0x0a0d0d0a, 28, 0x1a2b3c4d, 1, -1, -1, 28);
+      offset = putInts(offset, 1, 32, linkType << 16, SNAP_LENGTH);
+      offset =
+          putInts(offset, 9 << 16 | 1, 9 << 24, 0, 32); // times in nanoseconds; the end of options
+      writeHead(offset);
     } else {
-      writeHead(putInts(0, PCAP_NANOS_MAGIC, 2 << 16 | 4, 0, 0, SNAP_LENGTH, link));
+      writeHead(putInts(0, PCAP_NANOS_MAGIC, 2 << 16 | 4, 0, 0, SNAP_LENGTH, linkType));
     }
   }
 
@@ -58,20 +59,34 @@
     return bytesWritten;
   }
 
-  public void writePacket(long nanos, byte[] bytes, int at, int length, int original)
+  public void writePacket(
+      long timestampNanos, byte[] bytes, int offset, int length, int originalLength)
       throws IOException {
     if (isPcapng) {
-      int padded = length + 3 & ~3;
-      writeHead(putInts(0, 6, 32 + padded, 0, (int) (nanos >>> 32), (int) nanos, length, original));
-      output.write(bytes, at, length);
-      output.write(head, 48, padded - length); // never written to, so zero
-      writeHead(putInts(0, 32 + padded));
-      bytesWritten += 32 + padded;
+      int paddedLength = length + 3 & ~3;
+      writeHead(
+          putInts(
+              0,
+              6,
+              32 + paddedLength,
+              0,
+              (int) (timestampNanos >>> 32),
+              (int) timestampNanos,
+              length,
+              originalLength));
+      output.write(bytes, offset, length);
+      output.write(head, 48, paddedLength - length); // never written to, so zero
+      writeHead(putInts(0, 32 + paddedLength));
+      bytesWritten += 32 + paddedLength;
     } else {
       writeHead(
           putInts(
-              0, (int) (nanos / 1_000_000_000L), (int) (nanos % 1_000_000_000L), length, original));
-      output.write(bytes, at, length);
+              0,
+              (int) (timestampNanos / 1_000_000_000L),
+              (int) (timestampNanos % 1_000_000_000L),
+              length,
+              originalLength));
+      output.write(bytes, offset, length);
       bytesWritten += 16 + length;
     }
   }
@@ -80,31 +95,32 @@
    * Marks that packets were dropped here; pcap without blocks has no place for that, and says
    * nothing.
    */
-  public void writeDropCount(long nanos, long many) throws IOException {
-    if (isPcapng && many > 0) {
-      byte[] comment = (many + " packets dropped before this").getBytes(StandardCharsets.US_ASCII);
-      int padded = comment.length + 3 & ~3;
-      int length = 12 + 12 + 12 + 4 + padded + 4;
-      int at = putInts(0, 5, length, 0, (int) (nanos >>> 32), (int) nanos);
-      at = putInts(at, 5 << 16 | 8, (int) (many >>> 32), (int) many);
-      at = putInts(at, 1 << 16 | comment.length);
-      writeHead(at);
+  public void writeDropCount(long timestampNanos, long droppedPackets) throws IOException {
+    if (isPcapng && droppedPackets > 0) {
+      byte[] comment =
+          (droppedPackets + " packets dropped before this").getBytes(StandardCharsets.US_ASCII);
+      int paddedLength = comment.length + 3 & ~3;
+      int length = 12 + 12 + 12 + 4 + paddedLength + 4;
+      int offset = putInts(0, 5, length, 0, (int) (timestampNanos >>> 32), (int) timestampNanos);
+      offset = putInts(offset, 5 << 16 | 8, (int) (droppedPackets >>> 32), (int) droppedPackets);
+      offset = putInts(offset, 1 << 16 | comment.length);
+      writeHead(offset);
       output.write(comment);
-      output.write(head, 60, padded - comment.length);
+      output.write(head, 60, paddedLength - comment.length);
       writeHead(putInts(0, 0, length));
       bytesWritten += length;
     }
   }
 
-  private int putInts(int at, int... values) {
+  private int putInts(int offset, int... values) {
     for (int value : values) {
-      head[at] = (byte) (value >>> 24);
-      head[at + 1] = (byte) (value >>> 16);
-      head[at + 2] = (byte) (value >>> 8);
-      head[at + 3] = (byte) value;
-      at += 4;
+      head[offset] = (byte) (value >>> 24);
+      head[offset + 1] = (byte) (value >>> 16);
+      head[offset + 2] = (byte) (value >>> 8);
+      head[offset + 3] = (byte) value;
+      offset += 4;
     }
-    return at;
+    return offset;
   }
 
   private void writeHead(int length) throws IOException {
--- a/traffic/src/main/java/gingerring/traffic/pcap/FragmentReassembler.java
+++ b/traffic/src/main/java/gingerring/traffic/pcap/FragmentReassembler.java
@@ -24,8 +24,8 @@
     final BitSet received = new BitSet();
     int totalLength = -1;
 
-    Datagram(long since) {
-      this.firstSeenNanos = since;
+    Datagram(long firstSeenNanos) {
+      this.firstSeenNanos = firstSeenNanos;
     }
   }
 
@@ -37,19 +37,34 @@
   }
 
   /** The whole datagram's payload once its last fragment has come, else null. */
-  byte[] add(Segment of, int id, int offset, boolean more, byte[] b, int at, int length) {
-    for (Iterator<Datagram> each = pending.values().iterator(); each.hasNext(); ) {
-      if (of.timestampNanos - each.next().firstSeenNanos <= TIMEOUT_NANOS) {
+  byte[] add(
+      Segment source,
+      int datagramId,
+      int fragmentOffset,
+      boolean moreFragments,
+      byte[] buffer,
+      int bufferOffset,
+      int length) {
+    for (Iterator<Datagram> oldest = pending.values().iterator(); oldest.hasNext(); ) {
+      if (source.timestampNanos - oldest.next().firstSeenNanos <= TIMEOUT_NANOS) {
         break;
       }
-      each.remove();
+      oldest.remove();
       discarded++;
     }
-    if (offset + length > MAX_DATAGRAM_BYTES || length == 0 || more && length % 8 != 0) {
+    if (fragmentOffset + length > MAX_DATAGRAM_BYTES
+        || length == 0
+        || moreFragments && length % 8 != 0) {
       discarded++;
       return null;
     }
-    Key key = new Key(of.sourceHigh, of.sourceLow, of.destinationHigh, of.destinationLow, id);
+    Key key =
+        new Key(
+            source.sourceHigh,
+            source.sourceLow,
+            source.destinationHigh,
+            source.destinationLow,
+            datagramId);
     Datagram datagram = pending.get(key);
     if (datagram == null) {
       if (pending.size() == MAX_DATAGRAMS) {
@@ -58,23 +73,25 @@
         eldest.remove();
         discarded++;
       }
-      datagram = new Datagram(of.timestampNanos);
+      datagram = new Datagram(source.timestampNanos);
       pending.put(key, datagram);
     }
-    if (datagram.bytes.length < offset + length) {
+    if (datagram.bytes.length < fragmentOffset + length) {
       datagram.bytes =
           Arrays.copyOf(
               datagram.bytes,
-              Math.min(MAX_DATAGRAM_BYTES, Math.max(offset + length, 2 * datagram.bytes.length)));
+              Math.min(
+                  MAX_DATAGRAM_BYTES,
+                  Math.max(fragmentOffset + length, 2 * datagram.bytes.length)));
     }
     for (int i = 0; i < length; i++) {
-      if (!datagram.received.get(offset + i)) {
-        datagram.bytes[offset + i] = b[at + i];
+      if (!datagram.received.get(fragmentOffset + i)) {
+        datagram.bytes[fragmentOffset + i] = buffer[bufferOffset + i];
       }
     }
-    datagram.received.set(offset, offset + length);
-    if (!more && datagram.totalLength < 0) {
-      datagram.totalLength = offset + length;
+    datagram.received.set(fragmentOffset, fragmentOffset + length);
+    if (!moreFragments && datagram.totalLength < 0) {
+      datagram.totalLength = fragmentOffset + length;
     }
     if (datagram.totalLength < 0 || datagram.received.nextClearBit(0) < datagram.totalLength) {
       return null;
--- a/traffic/src/main/java/gingerring/traffic/pcap/PacketDecoder.java
+++ b/traffic/src/main/java/gingerring/traffic/pcap/PacketDecoder.java
@@ -20,12 +20,12 @@
 
   /** What was not read, by cause, with how many packets. */
   public Map<String, Long> counts() {
-    Map<String, Long> all = new TreeMap<>();
-    counts.forEach((cause, many) -> all.put(cause, many[0]));
+    Map<String, Long> result = new TreeMap<>();
+    counts.forEach((cause, count) -> result.put(cause, count[0]));
     if (fragments.incompleteDatagrams() > 0) {
-      all.put("datagrams whose fragments did not all come", fragments.incompleteDatagrams());
+      result.put("datagrams whose fragments did not all come", fragments.incompleteDatagrams());
     }
-    return all;
+    return result;
   }
 
   private boolean skip(String cause) {
@@ -37,157 +37,161 @@
   public boolean decode(Packet packet, Segment segment) {
     output = segment;
     output.timestampNanos = packet.timestampNanos;
-    byte[] b = packet.buffer;
-    int at = packet.offset;
-    int end = at + packet.length;
-    int beyond = packet.originalLength - packet.length;
+    byte[] buffer = packet.buffer;
+    int offset = packet.offset;
+    int end = offset + packet.length;
+    int truncatedBytes = packet.originalLength - packet.length;
     if (packet.length == 0) {
       return skip("packets of no bytes");
     }
     switch (packet.linkType) {
       case 1: // Ethernet
-        return decodeEthernet(b, at + 12, end, beyond);
+        return decodeEthernet(buffer, offset + 12, end, truncatedBytes);
       case 113: // Linux cooked
-        return decodeEthernet(b, at + 14, end, beyond);
+        return decodeEthernet(buffer, offset + 14, end, truncatedBytes);
       case 276: // Linux cooked, version 2
-        if (end - at < 20) {
+        if (end - offset < 20) {
           return skip("packets cut in their headers");
         }
-        return decodeEtherType(u16(b, at), b, at + 20, end, beyond);
+        return decodeEtherType(u16(buffer, offset), buffer, offset + 20, end, truncatedBytes);
       case 0: // BSD loopback, the family in the capturing machine's byte order
       case 108:
-        return decodeIp(b, at + 4, end, beyond);
+        return decodeIp(buffer, offset + 4, end, truncatedBytes);
       case 12, 14, 101, 228, 229: // raw IP
-        return decodeIp(b, at, end, beyond);
+        return decodeIp(buffer, offset, end, truncatedBytes);
       default:
         return skip("packets of a link type that is not read");
     }
   }
 
-  private boolean decodeEthernet(byte[] b, int at, int end, int beyond) {
-    int type = at;
-    for (int tags = 0; tags < 4 && type + 2 <= end; tags++) {
-      int value = u16(b, type);
+  private boolean decodeEthernet(byte[] buffer, int offset, int end, int truncatedBytes) {
+    int typeOffset = offset;
+    for (int tags = 0; tags < 4 && typeOffset + 2 <= end; tags++) {
+      int value = u16(buffer, typeOffset);
       if (value != 0x8100 && value != 0x88a8 && value != 0x9100) {
-        return decodeEtherType(value, b, type + 2, end, beyond);
+        return decodeEtherType(value, buffer, typeOffset + 2, end, truncatedBytes);
       }
-      type += 4;
+      typeOffset += 4;
     }
     return skip("packets cut in their headers");
   }
 
-  private boolean decodeEtherType(int type, byte[] b, int at, int end, int beyond) {
+  private boolean decodeEtherType(
+      int type, byte[] buffer, int offset, int end, int truncatedBytes) {
     return type == 0x0800 || type == 0x86dd
-        ? decodeIp(b, at, end, beyond)
+        ? decodeIp(buffer, offset, end, truncatedBytes)
         : skip("packets that are not IP");
   }
 
-  private boolean decodeIp(byte[] b, int at, int end, int beyond) {
-    if (at >= end) {
+  private boolean decodeIp(byte[] buffer, int offset, int end, int truncatedBytes) {
+    if (offset >= end) {
       return skip("packets cut in their headers");
     }
-    return switch (b[at] >> 4 & 15) {
-      case 4 -> decodeIpv4(b, at, end, beyond);
-      case 6 -> decodeIpv6(b, at, end, beyond);
+    return switch (buffer[offset] >> 4 & 15) {
+      case 4 -> decodeIpv4(buffer, offset, end, truncatedBytes);
+      case 6 -> decodeIpv6(buffer, offset, end, truncatedBytes);
       default -> skip("packets that are not IP");
     };
   }
 
-  private boolean decodeIpv4(byte[] b, int at, int end, int beyond) {
-    if (end - at < 20) {
+  private boolean decodeIpv4(byte[] buffer, int offset, int end, int truncatedBytes) {
+    if (end - offset < 20) {
       return skip("packets cut in their headers");
     }
-    int head = (b[at] & 15) * 4;
-    int total = u16(b, at + 2);
-    if (total == 0) {
-      total = end - at + beyond; // the card cuts it into segments later
+    int headerLength = (buffer[offset] & 15) * 4;
+    int totalLength = u16(buffer, offset + 2);
+    if (totalLength == 0) {
+      totalLength = end - offset + truncatedBytes; // the card cuts it into segments later
     }
-    if (head < 20 || total < head) {
+    if (headerLength < 20 || totalLength < headerLength) {
       return skip("packets whose lengths lie");
     }
-    if (end - at < head) {
+    if (end - offset < headerLength) {
       return skip("packets cut in their headers");
     }
     // what follows the datagram is padding; what it has and the packet lacks was cut
-    int cut = Math.max(0, total - (end - at));
-    if (cut > beyond) {
+    int missingBytes = Math.max(0, totalLength - (end - offset));
+    if (missingBytes > truncatedBytes) {
       return skip("packets whose lengths lie");
     }
-    int stop = Math.min(end, at + total);
+    int payloadEnd = Math.min(end, offset + totalLength);
     output.sourceHigh = 0;
-    output.sourceLow = IPV4_MAPPED_PREFIX | u32(b, at + 12) & 0xFFFFFFFFL;
+    output.sourceLow = IPV4_MAPPED_PREFIX | u32(buffer, offset + 12) & 0xFFFFFFFFL;
     output.destinationHigh = 0;
-    output.destinationLow = IPV4_MAPPED_PREFIX | u32(b, at + 16) & 0xFFFFFFFFL;
-    int placing = u16(b, at + 6);
-    if ((placing & 0x3FFF) != 0) {
+    output.destinationLow = IPV4_MAPPED_PREFIX | u32(buffer, offset + 16) & 0xFFFFFFFFL;
+    int fragmentField = u16(buffer, offset + 6);
+    if ((fragmentField & 0x3FFF) != 0) {
       return addFragment(
-          b[at + 9] & 0xFF,
-          u16(b, at + 4),
-          (placing & 0x1FFF) * 8,
-          (placing & 0x2000) != 0,
-          b,
-          at + head,
-          stop,
-          cut);
-    }
-    return (b[at + 9] & 0xFF) == TCP
-        ? decodeTcp(b, at + head, stop, cut)
+          buffer[offset + 9] & 0xFF,
+          u16(buffer, offset + 4),
+          (fragmentField & 0x1FFF) * 8,
+          (fragmentField & 0x2000) != 0,
+          buffer,
+          offset + headerLength,
+          payloadEnd,
+          missingBytes);
+    }
+    return (buffer[offset + 9] & 0xFF) == TCP
+        ? decodeTcp(buffer, offset + headerLength, payloadEnd, missingBytes)
         : skip("packets that are not TCP");
   }
 
-  private boolean decodeIpv6(byte[] b, int at, int end, int beyond) {
-    if (end - at < 40) {
+  private boolean decodeIpv6(byte[] buffer, int offset, int end, int truncatedBytes) {
+    if (end - offset < 40) {
       return skip("packets cut in their headers");
     }
-    int payload = u16(b, at + 4);
-    int total = payload == 0 ? end - at + beyond : 40 + payload;
-    int cut = Math.max(0, total - (end - at));
-    if (cut > beyond) {
+    int payloadLength = u16(buffer, offset + 4);
+    int totalLength = payloadLength == 0 ? end - offset + truncatedBytes : 40 + payloadLength;
+    int missingBytes = Math.max(0, totalLength - (end - offset));
+    if (missingBytes > truncatedBytes) {
       return skip("packets whose lengths lie");
     }
-    int stop = Math.min(end, at + total);
-    output.sourceHigh = u64(b, at + 8);
-    output.sourceLow = u64(b, at + 16);
-    output.destinationHigh = u64(b, at + 24);
-    output.destinationLow = u64(b, at + 32);
-    int next = b[at + 6] & 0xFF;
-    at += 40;
+    int payloadEnd = Math.min(end, offset + totalLength);
+    output.sourceHigh = u64(buffer, offset + 8);
+    output.sourceLow = u64(buffer, offset + 16);
+    output.destinationHigh = u64(buffer, offset + 24);
+    output.destinationLow = u64(buffer, offset + 32);
+    int nextHeader = buffer[offset + 6] & 0xFF;
+    offset += 40;
     for (int headers = 0; headers < MAX_EXTENSION_HEADERS; headers++) {
-      switch (next) {
+      switch (nextHeader) {
         case TCP:
-          return decodeTcp(b, at, stop, cut);
+          return decodeTcp(buffer, offset, payloadEnd, missingBytes);
         case 0, 43, 60, 135: // hop by hop, routing, destination, mobility
         case 51: // authentication, which counts in units of four
-          if (stop - at < 8) {
+          if (payloadEnd - offset < 8) {
             return skip("packets cut in their headers");
           }
-          int length = next == 51 ? ((b[at + 1] & 0xFF) + 2) * 4 : ((b[at + 1] & 0xFF) + 1) * 8;
-          next = b[at] & 0xFF;
-          at += length;
+          int length =
+              nextHeader == 51
+                  ? ((buffer[offset + 1] & 0xFF) + 2) * 4
+                  : ((buffer[offset + 1] & 0xFF) + 1) * 8;
+          nextHeader = buffer[offset] & 0xFF;
+          offset += length;
           break;
         case 44:
-          if (stop - at < 8) {
+          if (payloadEnd - offset < 8) {
             return skip("packets cut in their headers");
           }
-          int placing = u16(b, at + 2);
-          if ((placing & 0xFFF9) != 0) {
+          int fragmentField = u16(buffer, offset + 2);
+          if ((fragmentField & 0xFFF9) != 0) {
             return addFragment(
-                b[at] & 0xFF,
-                u32(b, at + 4),
-                placing & 0xFFF8,
-                (placing & 1) != 0,
-                b,
-                at + 8,
-                stop,
-                cut);
+                buffer[offset] & 0xFF,
+                u32(buffer, offset + 4),
+                fragmentField & 0xFFF8,
+                (fragmentField & 1) != 0,
+                buffer,
+                offset + 8,
+                payloadEnd,
+                missingBytes);
           }
-          next = b[at] & 0xFF;
-          at += 8;
+          nextHeader = buffer[offset] & 0xFF;
+          offset += 8;
           break;
         default:
           return skip("packets that are not TCP");
       }
-      if (at > stop) {
+      if (offset > payloadEnd) {
         return skip("packets whose lengths lie");
       }
     }
@@ -195,52 +199,67 @@
   }
 
   private boolean addFragment(
-      int protocol, int id, int offset, boolean more, byte[] b, int at, int stop, int cut) {
+      int protocol,
+      int datagramId,
+      int fragmentOffset,
+      boolean moreFragments,
+      byte[] buffer,
+      int payloadOffset,
+      int payloadEnd,
+      int missingBytes) {
     if (protocol != TCP) {
       return skip("packets that are not TCP");
     }
-    if (cut > 0) {
+    if (missingBytes > 0) {
       return skip("fragments cut short");
     }
-    byte[] whole = fragments.add(output, id, offset, more, b, at, stop - at);
-    return whole != null && decodeTcp(whole, 0, whole.length, 0);
+    byte[] datagram =
+        fragments.add(
+            output,
+            datagramId,
+            fragmentOffset,
+            moreFragments,
+            buffer,
+            payloadOffset,
+            payloadEnd - payloadOffset);
+    return datagram != null && decodeTcp(datagram, 0, datagram.length, 0);
   }
 
-  private boolean decodeTcp(byte[] b, int at, int stop, int cut) {
-    if (stop - at < 20) {
+  private boolean decodeTcp(byte[] buffer, int offset, int payloadEnd, int missingBytes) {
+    if (payloadEnd - offset < 20) {
       return skip("packets cut in their headers");
     }
-    int head = (b[at + 12] >> 4 & 15) * 4;
-    if (head < 20 || head > stop - at + cut) {
+    int headerLength = (buffer[offset + 12] >> 4 & 15) * 4;
+    if (headerLength < 20 || headerLength > payloadEnd - offset + missingBytes) {
       return skip("packets whose lengths lie");
     }
-    if (head > stop - at) {
+    if (headerLength > payloadEnd - offset) {
       return skip("packets cut in their headers");
     }
-    output.sourcePort = u16(b, at);
-    output.destinationPort = u16(b, at + 2);
-    output.sequenceNumber = u32(b, at + 4);
-    output.ackNumber = u32(b, at + 8);
-    output.flags = b[at + 13] & 0xFF;
-    output.buffer = b;
-    output.payloadOffset = at + head;
-    output.payloadLength = stop - at - head;
-    output.truncatedBytes = cut;
-    if (cut > 0) {
+    output.sourcePort = u16(buffer, offset);
+    output.destinationPort = u16(buffer, offset + 2);
+    output.sequenceNumber = u32(buffer, offset + 4);
+    output.ackNumber = u32(buffer, offset + 8);
+    output.flags = buffer[offset + 13] & 0xFF;
+    output.buffer = buffer;
+    output.payloadOffset = offset + headerLength;
+    output.payloadLength = payloadEnd - offset - headerLength;
+    output.truncatedBytes = missingBytes;
+    if (missingBytes > 0) {
       counts.computeIfAbsent("segments cut short by the capture", c -> new long[1])[0]++;
     }
     return true;
   }
 
-  static int u16(byte[] b, int at) {
-    return (b[at] & 0xFF) << 8 | b[at + 1] & 0xFF;
+  static int u16(byte[] buffer, int offset) {
+    return (buffer[offset] & 0xFF) << 8 | buffer[offset + 1] & 0xFF;
   }
 
-  static int u32(byte[] b, int at) {
-    return u16(b, at) << 16 | u16(b, at + 2);
+  static int u32(byte[] buffer, int offset) {
+    return u16(buffer, offset) << 16 | u16(buffer, offset + 2);
   }
 
-  static long u64(byte[] b, int at) {
-    return (long) u32(b, at) << 32 | u32(b, at + 4) & 0xFFFFFFFFL;
+  static long u64(byte[] buffer, int offset) {
+    return (long) u32(buffer, offset) << 32 | u32(buffer, offset + 4) & 0xFFFFFFFFL;
   }
 }
--- a/traffic/src/main/java/gingerring/traffic/record/Anonymiser.java
+++ b/traffic/src/main/java/gingerring/traffic/record/Anonymiser.java
@@ -48,12 +48,13 @@
       streams[1] = new StreamRewriter(this, 1);
     }
 
-    void write(long nanos, int side, byte[] bytes) {
+    void write(long timestampNanos, int side, byte[] bytes) {
       if (!opened) {
         opened = true;
-        synthesizer.writeHandshake(nanos, Anonymiser.this::writePacket);
+        synthesizer.writeHandshake(timestampNanos, Anonymiser.this::writePacket);
       }
-      synthesizer.writeData(nanos, side, bytes, 0, bytes.length, Anonymiser.this::writePacket);
+      synthesizer.writeData(
+          timestampNanos, side, bytes, 0, bytes.length, Anonymiser.this::writePacket);
     }
   }
 
@@ -69,24 +70,24 @@
     private boolean givenUp;
     private long lastNanos;
 
-    StreamRewriter(RewrittenFlow flow, int number) {
+    StreamRewriter(RewrittenFlow flow, int side) {
       this.flow = flow;
-      this.side = number;
+      this.side = side;
     }
 
-    void accept(long at, byte[] bytes, int from, int length) {
-      lastNanos = at;
+    void accept(long timestampNanos, byte[] bytes, int offset, int length) {
+      lastNanos = timestampNanos;
       if (givenUp) {
         return;
       }
       if (parser == null && !carriesFrames) {
         // the first bytes tell; a segment holds a whole first line in all that we write and nearly
         // all else
-        String first = new String(bytes, from, Math.min(length, 8), StandardCharsets.ISO_8859_1);
-        boolean answers = first.startsWith("HTTP/1.");
-        if (answers || first.matches("(?s)[A-Z]{3,7} .*")) {
-          parser = new HttpParser(!answers, MAX_BODY_BYTES, this);
-        } else if (length >= 5 && "SCHMRF".indexOf(bytes[from + 4]) >= 0) {
+        String prefix = new String(bytes, offset, Math.min(length, 8), StandardCharsets.ISO_8859_1);
+        boolean isResponse = prefix.startsWith("HTTP/1.");
+        if (isResponse || prefix.matches("(?s)[A-Z]{3,7} .*")) {
+          parser = new HttpParser(!isResponse, MAX_BODY_BYTES, this);
+        } else if (length >= 5 && "SCHMRF".indexOf(bytes[offset + 4]) >= 0) {
           carriesFrames = true;
         } else {
           giveUp("directions that speak something else");
@@ -94,15 +95,15 @@
         }
       }
       if (carriesFrames) {
-        buffered.write(bytes, from, length);
+        buffered.write(bytes, offset, length);
         rewriteFrames();
         return;
       }
       try {
-        for (int done = 0; done < length; ) {
-          int count = Math.min(CHUNK_BYTES, length - done);
-          ring.put(bytes, from + done, count);
-          done += count;
+        for (int consumed = 0; consumed < length; ) {
+          int count = Math.min(CHUNK_BYTES, length - consumed);
+          ring.put(bytes, offset + consumed, count);
+          consumed += count;
           while (ring.size() > 0 && parser.parse(ring)) {
             // another message may follow
           }
@@ -112,16 +113,16 @@
       }
     }
 
-    void giveUp(String why) {
+    void giveUp(String cause) {
       if (!givenUp) {
         givenUp = true;
-        count(why);
+        count(cause);
       }
     }
 
     @Override
-    public void onHead(MessageHead read) {
-      head = read;
+    public void onHead(MessageHead parsedHead) {
+      head = parsedHead;
     }
 
     @Override
@@ -137,7 +138,7 @@
               : pseudonymizer.pseudonymizeBody(buffered.toString(StandardCharsets.UTF_8));
       buffered = new ByteArrayOutputStream();
       byte[] bytes = body.getBytes(StandardCharsets.UTF_8);
-      StringBuilder text =
+      StringBuilder headText =
           new StringBuilder(
               head.methodOrVersion()
                   + ' '
@@ -149,38 +150,38 @@
           .forEach(
               (name, value) -> {
                 if (!name.equals("content-length") && !name.equals("transfer-encoding")) {
-                  text.append(name).append(": ").append(value).append("\r\n");
+                  headText.append(name).append(": ").append(value).append("\r\n");
                 }
               });
       if (!head.targetOrStatus().startsWith("1")) {
-        text.append("content-length: ").append(bytes.length).append("\r\n");
+        headText.append("content-length: ").append(bytes.length).append("\r\n");
       }
-      ByteArrayOutputStream out = new ByteArrayOutputStream();
-      out.writeBytes(
+      ByteArrayOutputStream message = new ByteArrayOutputStream();
+      message.writeBytes(
           pseudonymizer
-              .pseudonymizeHeaders(text.append("\r\n").toString())
+              .pseudonymizeHeaders(headText.append("\r\n").toString())
               .getBytes(StandardCharsets.ISO_8859_1));
-      out.writeBytes(bytes);
+      message.writeBytes(bytes);
       messages++;
-      flow.write(lastNanos, side, out.toByteArray());
+      flow.write(lastNanos, side, message.toByteArray());
     }
 
     private void rewriteFrames() {
-      ByteBuffer all = ByteBuffer.wrap(buffered.toByteArray()).order(ByteOrder.LITTLE_ENDIAN);
-      while (all.remaining() >= 4) {
-        int size = all.getInt(all.position());
+      ByteBuffer input = ByteBuffer.wrap(buffered.toByteArray()).order(ByteOrder.LITTLE_ENDIAN);
+      while (input.remaining() >= 4) {
+        int size = input.getInt(input.position());
         if (size < 1 || size > MAX_FRAME_BYTES) {
           giveUp("directions that are not frames");
           return;
         }
-        if (all.remaining() < 4 + size) {
+        if (input.remaining() < 4 + size) {
           break;
         }
         byte[] frame = new byte[size];
-        all.position(all.position() + 4);
-        all.get(frame);
-        byte[] hidden = rewriteFrame(frame);
-        if (hidden == null) {
+        input.position(input.position() + 4);
+        input.get(frame);
+        byte[] rewritten = rewriteFrame(frame);
+        if (rewritten == null) {
           giveUp("directions that are not frames");
           return;
         }
@@ -188,62 +189,67 @@
         flow.write(
             lastNanos,
             side,
-            ByteBuffer.allocate(4 + hidden.length)
+            ByteBuffer.allocate(4 + rewritten.length)
                 .order(ByteOrder.LITTLE_ENDIAN)
-                .putInt(hidden.length)
-                .put(hidden)
+                .putInt(rewritten.length)
+                .put(rewritten)
                 .array());
       }
       buffered.reset();
-      buffered.write(all.array(), all.position(), all.remaining());
+      buffered.write(input.array(), input.position(), input.remaining());
     }
 
     /** A frame with its texts, keys or value hidden; null where it is none of the protocol. */
     private byte[] rewriteFrame(byte[] frame) {
       if (frame[0] == 'R') {
-        int end = endOfLine(frame, 1);
-        if (end < 0) {
+        int lineEnd = endOfLine(frame, 1);
+        if (lineEnd < 0) {
           return null;
         }
-        String value = new String(frame, end + 1, frame.length - end - 1, StandardCharsets.UTF_8);
+        String value =
+            new String(frame, lineEnd + 1, frame.length - lineEnd - 1, StandardCharsets.UTF_8);
         return concatenate(
-            new String(frame, 0, end + 1, StandardCharsets.ISO_8859_1),
+            new String(frame, 0, lineEnd + 1, StandardCharsets.ISO_8859_1),
             value.isEmpty() ? "" : pseudonymizer.pseudonym(value));
       }
       if (frame[0] != 'S') {
         return frame[0] == 'F' ? new byte[] {'F'} : frame;
       }
       StringBuilder call = new StringBuilder("S");
-      for (int at = 1; at < frame.length; ) {
-        int end = endOfLine(frame, at);
-        String[] words =
-            end < 0
+      for (int offset = 1; offset < frame.length; ) {
+        int lineEnd = endOfLine(frame, offset);
+        String[] fields =
+            lineEnd < 0
                 ? new String[0]
-                : new String(frame, at, end - at, StandardCharsets.ISO_8859_1).split(" ");
-        if (words.length != 4
-            || !words[3].matches("[0-9]{1,6}")
-            || end + 1 + Integer.parseInt(words[3]) > frame.length) {
+                : new String(frame, offset, lineEnd - offset, StandardCharsets.ISO_8859_1)
+                    .split(" ");
+        if (fields.length != 4
+            || !fields[3].matches("[0-9]{1,6}")
+            || lineEnd + 1 + Integer.parseInt(fields[3]) > frame.length) {
           return null;
         }
-        int length = Integer.parseInt(words[3]);
+        int length = Integer.parseInt(fields[3]);
         String text =
-            pseudonymizer.pseudonym(new String(frame, end + 1, length, StandardCharsets.UTF_8));
-        StringBuilder list = new StringBuilder();
-        for (String pair : words[2].split(",")) {
-          list.append(list.length() == 0 ? "" : ",")
+            pseudonymizer.pseudonym(new String(frame, lineEnd + 1, length, StandardCharsets.UTF_8));
+        StringBuilder attributes = new StringBuilder();
+        for (String attribute : fields[2].split(",")) {
+          attributes
+              .append(attributes.length() == 0 ? "" : ",")
               .append(
-                  pair.startsWith("k=") ? "k=" + pseudonymizer.pseudonym(pair.substring(2)) : pair);
+                  attribute.startsWith("k=")
+                      ? "k=" + pseudonymizer.pseudonym(attribute.substring(2))
+                      : attribute);
         }
-        call.append(words[0])
+        call.append(fields[0])
             .append(' ')
-            .append(words[1])
+            .append(fields[1])
             .append(' ')
-            .append(list)
+            .append(attributes)
             .append(' ')
             .append(text.length())
             .append('\n')
             .append(text);
-        at = end + 1 + length;
+        offset = lineEnd + 1 + length;
       }
       return call.toString().getBytes(StandardCharsets.ISO_8859_1);
     }
@@ -252,8 +258,8 @@
       return (line + rest).getBytes(StandardCharsets.ISO_8859_1);
     }
 
-    private static int endOfLine(byte[] frame, int at) {
-      for (int i = at; i < frame.length; i++) {
+    private static int endOfLine(byte[] frame, int start) {
+      for (int i = start; i < frame.length; i++) {
         if (frame[i] == '\n') {
           return i;
         }
@@ -267,29 +273,29 @@
   private final Map<String, Long> counts = new TreeMap<>();
   private long messages;
 
-  private Anonymiser(Pseudonymizer blanks, CaptureWriter out) {
-    this.pseudonymizer = blanks;
-    this.writer = out;
+  private Anonymiser(Pseudonymizer pseudonymizer, CaptureWriter writer) {
+    this.pseudonymizer = pseudonymizer;
+    this.writer = writer;
   }
 
   /** What was left out, by cause; under "messages" how many were written. */
-  public static Map<String, Long> run(Path from, Path to, String secret) throws IOException {
-    CaptureWriter out = null;
-    try (CaptureReader capture = CaptureReader.open(from)) {
-      out = new CaptureWriter(to, PacketSynthesizer.LINK_TYPE_RAW);
-      Anonymiser anonymiser = new Anonymiser(new Pseudonymizer(secret), out);
-      FlowTable table = new FlowTable(ReassemblyLimits.DEFAULT, anonymiser);
-      PacketDecoder layers = new PacketDecoder();
+  public static Map<String, Long> run(Path input, Path output, String secret) throws IOException {
+    CaptureWriter writer = null;
+    try (CaptureReader capture = CaptureReader.open(input)) {
+      writer = new CaptureWriter(output, PacketSynthesizer.LINK_TYPE_RAW);
+      Anonymiser anonymiser = new Anonymiser(new Pseudonymizer(secret), writer);
+      FlowTable flowTable = new FlowTable(ReassemblyLimits.DEFAULT, anonymiser);
+      PacketDecoder packetDecoder = new PacketDecoder();
       Packet packet = new Packet();
       Segment segment = new Segment();
       while (capture.next(packet)) {
-        if (layers.decode(packet, segment)) {
-          table.process(segment);
+        if (packetDecoder.decode(packet, segment)) {
+          flowTable.process(segment);
         }
       }
-      table.endAllFlows();
-      out.close();
-      out = null;
+      flowTable.endAllFlows();
+      writer.close();
+      writer = null;
       anonymiser.counts.put("messages", anonymiser.messages);
       if (!capture.endReason().isEmpty()) {
         anonymiser.counts.put(capture.endReason(), 1L);
@@ -298,8 +304,8 @@
     } catch (UncheckedIOException e) {
       throw e.getCause();
     } finally {
-      if (out != null) {
-        out.abandon();
+      if (writer != null) {
+        writer.abandon();
       }
     }
   }
@@ -308,16 +314,16 @@
     return new InetSocketAddress(flow.address(side), flow.port(side));
   }
 
-  private void writePacket(long nanos, byte[] bytes, int length) {
+  private void writePacket(long timestampNanos, byte[] bytes, int length) {
     try {
-      writer.writePacket(nanos, bytes, 0, length, length);
+      writer.writePacket(timestampNanos, bytes, 0, length, length);
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
   }
 
-  private void count(String what) {
-    counts.merge(what, 1L, Long::sum);
+  private void count(String cause) {
+    counts.merge(cause, 1L, Long::sum);
   }
 
   @Override
@@ -327,23 +333,31 @@
 
   @Override
   public void onData(
-      Flow flow, int side, long nanos, long taken, byte[] bytes, int at, int length) {
-    ((RewrittenFlow) flow.attachment).streams[side].accept(nanos, bytes, at, length);
+      Flow flow,
+      int side,
+      long timestampNanos,
+      long acknowledgedPeerBytes,
+      byte[] bytes,
+      int offset,
+      int length) {
+    ((RewrittenFlow) flow.attachment).streams[side].accept(timestampNanos, bytes, offset, length);
   }
 
   @Override
-  public void onGap(Flow flow, int side, long nanos, long missing) {
+  public void onGap(Flow flow, int side, long timestampNanos, long missingBytes) {
     ((RewrittenFlow) flow.attachment).streams[side].giveUp("directions with a hole, from there on");
   }
 
   @Override
-  public void onEndOfStream(Flow flow, int side, long nanos) {}
+  public void onEndOfStream(Flow flow, int side, long timestampNanos) {}
 
   @Override
-  public void onFlowClosed(Flow flow, Flow.CloseReason how, long nanos) {
-    RewrittenFlow anew = (RewrittenFlow) flow.attachment;
-    if (anew.opened && (how == Flow.CloseReason.FINISHED || how == Flow.CloseReason.RESET)) {
-      anew.synthesizer.writeClose(nanos, how == Flow.CloseReason.RESET, 0, this::writePacket);
+  public void onFlowClosed(Flow flow, Flow.CloseReason reason, long timestampNanos) {
+    RewrittenFlow rewritten = (RewrittenFlow) flow.attachment;
+    if (rewritten.opened
+        && (reason == Flow.CloseReason.FINISHED || reason == Flow.CloseReason.RESET)) {
+      rewritten.synthesizer.writeClose(
+          timestampNanos, reason == Flow.CloseReason.RESET, 0, this::writePacket);
     }
     flow.attachment = null;
   }
--- a/traffic/src/main/java/gingerring/traffic/record/PacketSynthesizer.java
+++ b/traffic/src/main/java/gingerring/traffic/record/PacketSynthesizer.java
@@ -12,7 +12,7 @@
 public final class PacketSynthesizer {
   /** Who takes the packets; {@code bytes} are used again. */
   public interface PacketConsumer {
-    void onPacket(long nanos, byte[] bytes, int length);
+    void onPacket(long timestampNanos, byte[] bytes, int length);
   }
 
   public static final int LINK_TYPE_RAW = 101;
@@ -43,11 +43,11 @@
     }
   }
 
-  private void setEndpoint(int side, InetSocketAddress where, int first) {
-    InetAddress address = where.getAddress();
+  private void setEndpoint(int side, InetSocketAddress endpoint, int initialSequence) {
+    InetAddress address = endpoint.getAddress();
     addresses[side] = address.getAddress();
-    ports[side] = where.getPort();
-    nextSequence[side] = first;
+    ports[side] = endpoint.getPort();
+    nextSequence[side] = initialSequence;
   }
 
   private static byte[] toIpv6(byte[] address) {
@@ -61,26 +61,38 @@
     return mapped;
   }
 
-  public void writeHandshake(long nanos, PacketConsumer out) {
-    writePacket(nanos, 0, SYN, null, 0, 0, out);
+  public void writeHandshake(long timestampNanos, PacketConsumer consumer) {
+    writePacket(timestampNanos, 0, SYN, null, 0, 0, consumer);
     nextSequence[0]++;
-    writePacket(nanos, 1, SYN | ACK, null, 0, 0, out);
+    writePacket(timestampNanos, 1, SYN | ACK, null, 0, 0, consumer);
     nextSequence[1]++;
-    writePacket(nanos, 0, ACK, null, 0, 0, out);
+    writePacket(timestampNanos, 0, ACK, null, 0, 0, consumer);
   }
 
   public void writeData(
-      long nanos, int side, byte[] bytes, int at, int length, PacketConsumer out) {
+      long timestampNanos,
+      int side,
+      byte[] bytes,
+      int offset,
+      int length,
+      PacketConsumer consumer) {
     for (int i = 0; i < length; i += MAX_SEGMENT_BYTES) {
       int count = Math.min(MAX_SEGMENT_BYTES, length - i);
-      writePacket(nanos, side, ACK | (i + count == length ? PUSH : 0), bytes, at + i, count, out);
+      writePacket(
+          timestampNanos,
+          side,
+          ACK | (i + count == length ? PUSH : 0),
+          bytes,
+          offset + i,
+          count,
+          consumer);
       nextSequence[side] += count;
     }
   }
 
   /** A bare acknowledgement, as a side sends one that has nothing to say yet. */
-  public void writeAcknowledgement(long nanos, int side, PacketConsumer out) {
-    writePacket(nanos, side, ACK, null, 0, 0, out);
+  public void writeAcknowledgement(long timestampNanos, int side, PacketConsumer consumer) {
+    writePacket(timestampNanos, side, ACK, null, 0, 0, consumer);
   }
 
   /** Bytes that went by unrecorded: their place in the stream stays empty. */
@@ -88,76 +100,83 @@
     nextSequence[side] += (int) length;
   }
 
-  public void writeClose(long nanos, boolean reset, int side, PacketConsumer out) {
+  public void writeClose(long timestampNanos, boolean reset, int side, PacketConsumer consumer) {
     if (reset) {
-      writePacket(nanos, side, RST | ACK, null, 0, 0, out);
+      writePacket(timestampNanos, side, RST | ACK, null, 0, 0, consumer);
       return;
     }
-    writePacket(nanos, side, FIN | ACK, null, 0, 0, out);
+    writePacket(timestampNanos, side, FIN | ACK, null, 0, 0, consumer);
     nextSequence[side]++;
-    writePacket(nanos, 1 - side, FIN | ACK, null, 0, 0, out);
+    writePacket(timestampNanos, 1 - side, FIN | ACK, null, 0, 0, consumer);
     nextSequence[1 - side]++;
-    writePacket(nanos, side, ACK, null, 0, 0, out);
+    writePacket(timestampNanos, side, ACK, null, 0, 0, consumer);
   }
 
   private void writePacket(
-      long nanos, int side, int flags, byte[] bytes, int at, int length, PacketConsumer out) {
-    byte[] from = addresses[side];
-    byte[] to = addresses[1 - side];
-    boolean four = from.length == 4;
-    int ip = four ? 20 : 40;
-    int tcp = 20 + length;
-    Arrays.fill(packet, 0, ip + 20, (byte) 0);
-    if (four) {
+      long timestampNanos,
+      int side,
+      int flags,
+      byte[] bytes,
+      int offset,
+      int length,
+      PacketConsumer consumer) {
+    byte[] source = addresses[side];
+    byte[] destination = addresses[1 - side];
+    boolean isIpv4 = source.length == 4;
+    int ipHeaderLength = isIpv4 ? 20 : 40;
+    int tcpLength = 20 + length;
+    Arrays.fill(packet, 0, ipHeaderLength + 20, (byte) 0);
+    if (isIpv4) {
       packet[0] = 0x45;
-      put16(2, ip + tcp);
+      put16(2, ipHeaderLength + tcpLength);
       put16(4, nextPacketId++);
       packet[6] = 0x40; // not to be cut
       packet[8] = 64;
       packet[9] = 6;
-      System.arraycopy(from, 0, packet, 12, 4);
-      System.arraycopy(to, 0, packet, 16, 4);
+      System.arraycopy(source, 0, packet, 12, 4);
+      System.arraycopy(destination, 0, packet, 16, 4);
       put16(10, fold(sum(packet, 0, 20)));
     } else {
       packet[0] = 0x60;
-      put16(4, tcp);
+      put16(4, tcpLength);
       packet[6] = 6;
       packet[7] = 64;
-      System.arraycopy(from, 0, packet, 8, 16);
-      System.arraycopy(to, 0, packet, 24, 16);
+      System.arraycopy(source, 0, packet, 8, 16);
+      System.arraycopy(destination, 0, packet, 24, 16);
     }
-    put16(ip, ports[side]);
-    put16(ip + 2, ports[1 - side]);
-    put32(ip + 4, nextSequence[side]);
-    put32(ip + 8, (flags & ACK) == 0 ? 0 : nextSequence[1 - side]);
-    packet[ip + 12] = 0x50;
-    packet[ip + 13] = (byte) flags;
-    put16(ip + 14, WINDOW);
+    put16(ipHeaderLength, ports[side]);
+    put16(ipHeaderLength + 2, ports[1 - side]);
+    put32(ipHeaderLength + 4, nextSequence[side]);
+    put32(ipHeaderLength + 8, (flags & ACK) == 0 ? 0 : nextSequence[1 - side]);
+    packet[ipHeaderLength + 12] = 0x50;
+    packet[ipHeaderLength + 13] = (byte) flags;
+    put16(ipHeaderLength + 14, WINDOW);
     if (length > 0) {
-      System.arraycopy(bytes, at, packet, ip + 20, length);
+      System.arraycopy(bytes, offset, packet, ipHeaderLength + 20, length);
     }
-    long pseudo = sum(from, 0, from.length) + sum(to, 0, to.length) + 6 + tcp;
-    put16(ip + 16, fold(pseudo + sum(packet, ip, tcp)));
-    out.onPacket(nanos, packet, ip + tcp);
+    long pseudoHeaderSum =
+        sum(source, 0, source.length) + sum(destination, 0, destination.length) + 6 + tcpLength;
+    put16(ipHeaderLength + 16, fold(pseudoHeaderSum + sum(packet, ipHeaderLength, tcpLength)));
+    consumer.onPacket(timestampNanos, packet, ipHeaderLength + tcpLength);
   }
 
-  private void put16(int at, int value) {
-    packet[at] = (byte) (value >>> 8);
-    packet[at + 1] = (byte) value;
+  private void put16(int offset, int value) {
+    packet[offset] = (byte) (value >>> 8);
+    packet[offset + 1] = (byte) value;
   }
 
-  private void put32(int at, int value) {
-    put16(at, value >>> 16);
-    put16(at + 2, value);
+  private void put32(int offset, int value) {
+    put16(offset, value >>> 16);
+    put16(offset + 2, value);
   }
 
-  private static long sum(byte[] bytes, int at, int length) {
+  private static long sum(byte[] bytes, int offset, int length) {
     long sum = 0;
     int i = 0;
     for (; i + 1 < length; i += 2) {
-      sum += (bytes[at + i] & 0xFF) << 8 | bytes[at + i + 1] & 0xFF;
+      sum += (bytes[offset + i] & 0xFF) << 8 | bytes[offset + i + 1] & 0xFF;
     }
-    return i < length ? sum + ((bytes[at + i] & 0xFF) << 8) : sum;
+    return i < length ? sum + ((bytes[offset + i] & 0xFF) << 8) : sum;
   }
 
   /** The ones' complement of the ones' complement sum (RFC 1071). */
--- a/traffic/src/main/java/gingerring/traffic/record/Pseudonymizer.java
+++ b/traffic/src/main/java/gingerring/traffic/record/Pseudonymizer.java
@@ -35,12 +35,12 @@
       Mac mac = Mac.getInstance("HmacSHA256");
       mac.init(secret);
       String hash = HexFormat.of().formatHex(mac.doFinal(text.getBytes(StandardCharsets.UTF_8)));
-      StringBuilder hidden = new StringBuilder();
+      StringBuilder result = new StringBuilder();
       int length = Math.max(MIN_DIGITS, text.length());
-      while (hidden.length() < length) {
-        hidden.append(hash, 0, Math.min(hash.length(), length - hidden.length()));
+      while (result.length() < length) {
+        result.append(hash, 0, Math.min(hash.length(), length - result.length()));
       }
-      return hidden.toString();
+      return result.toString();
     } catch (GeneralSecurityException e) {
       throw new IllegalStateException(e);
     }
@@ -48,9 +48,9 @@
 
   /** The headers of a request, its key hidden. */
   public String pseudonymizeHeaders(String headers) {
-    Matcher key = IDEMPOTENCY_KEY_HEADER.matcher(headers);
-    return key.replaceAll(
-        found -> Matcher.quoteReplacement(found.group(1) + pseudonym(found.group(2))));
+    Matcher matcher = IDEMPOTENCY_KEY_HEADER.matcher(headers);
+    return matcher.replaceAll(
+        match -> Matcher.quoteReplacement(match.group(1) + pseudonym(match.group(2))));
   }
 
   /** The body of a request or of an answer; what is no such body is hidden whole. */
@@ -70,12 +70,14 @@
   }
 
   /** Every string under this name, whatever its escapes. */
-  private static String replaceStrings(String json, String name, UnaryOperator<String> with) {
-    Pattern found =
+  private static String replaceStrings(
+      String json, String name, UnaryOperator<String> replacement) {
+    Pattern pattern =
         Pattern.compile("(\"" + name + "\"\\s*:\\s*\")((?:[^\"\\\\]|\\\\.)*)\"", Pattern.DOTALL);
-    return found
+    return pattern
         .matcher(json)
         .replaceAll(
-            each -> Matcher.quoteReplacement(each.group(1) + with.apply(each.group(2)) + '"'));
+            match ->
+                Matcher.quoteReplacement(match.group(1) + replacement.apply(match.group(2)) + '"'));
   }
 }
--- a/traffic/src/main/java/gingerring/traffic/record/Recorder.java
+++ b/traffic/src/main/java/gingerring/traffic/record/Recorder.java
@@ -80,15 +80,15 @@
   private volatile boolean hasDrops;
 
   /** {@code file} names the first; the next ones carry a number before its ending. */
-  public Recorder(Path file, Rotation rotation, long seed) throws IOException {
-    this(file, rotation, seed, MAX_QUEUED_EVENTS);
+  public Recorder(Path firstFile, Rotation rotation, long seed) throws IOException {
+    this(firstFile, rotation, seed, MAX_QUEUED_EVENTS);
   }
 
-  Recorder(Path file, Rotation rotation, long seed, int events) throws IOException {
-    this.firstFile = file;
+  Recorder(Path firstFile, Rotation rotation, long seed, int maxQueuedEvents) throws IOException {
+    this.firstFile = firstFile;
     this.rotation = rotation;
     this.seed = seed;
-    queue = new ArrayBlockingQueue<>(events);
+    queue = new ArrayBlockingQueue<>(maxQueuedEvents);
     openNextFile(System.currentTimeMillis() * 1_000_000);
     writerThread = new Thread(this::writeLoop, "record");
     writerThread.setDaemon(true);
@@ -182,11 +182,12 @@
           hasDrops = true;
           return;
         }
-        long[] hole = droppedBytesByConnection.computeIfAbsent(event.connection, c -> new long[2]);
-        hole[event.side] += size;
+        long[] droppedBytes =
+            droppedBytesByConnection.computeIfAbsent(event.connection, c -> new long[2]);
+        droppedBytes[event.side] += size;
         if (event.droppedBytes != null) {
-          hole[0] += event.droppedBytes[0];
-          hole[1] += event.droppedBytes[1];
+          droppedBytes[0] += event.droppedBytes[0];
+          droppedBytes[1] += event.droppedBytes[1];
         }
         hasDrops = true;
       }
@@ -199,9 +200,9 @@
       return null;
     }
     synchronized (droppedBytesByConnection) {
-      long[] hole = droppedBytesByConnection.remove(connection);
+      long[] droppedBytes = droppedBytesByConnection.remove(connection);
       hasDrops = !droppedBytesByConnection.isEmpty() || !connectionsWithDroppedClose.isEmpty();
-      return hole;
+      return droppedBytes;
     }
   }
 
@@ -240,60 +241,60 @@
     queuedBytes.addAndGet(event.bytes == null ? 0 : -event.bytes.length);
     rotateIfDue(event.nanos);
     if (droppedEvents.get() > reportedDrops) {
-      long many = droppedEvents.get();
-      writer.writeDropCount(event.nanos, many - reportedDrops);
-      reportedDrops = many;
+      long drops = droppedEvents.get();
+      writer.writeDropCount(event.nanos, drops - reportedDrops);
+      reportedDrops = drops;
     }
-    PacketSynthesizer.PacketConsumer into =
+    PacketSynthesizer.PacketConsumer consumer =
         (nanos, bytes, length) -> writePacket(nanos, bytes, length);
     if (event.type == EventType.OPENED) {
-      PacketSynthesizer forge =
+      PacketSynthesizer synthesizer =
           new PacketSynthesizer(event.opener, event.listener, mix(seed + event.connection));
-      synthesizers.put(event.connection, forge);
-      forge.writeHandshake(event.nanos, into);
+      synthesizers.put(event.connection, synthesizer);
+      synthesizer.writeHandshake(event.nanos, consumer);
       return;
     }
-    PacketSynthesizer forge = synthesizers.get(event.connection);
-    if (forge == null) {
+    PacketSynthesizer synthesizer = synthesizers.get(event.connection);
+    if (synthesizer == null) {
       return;
     }
     if (event.droppedBytes != null) {
-      forge.skipBytes(0, event.droppedBytes[0]);
-      forge.skipBytes(1, event.droppedBytes[1]);
+      synthesizer.skipBytes(0, event.droppedBytes[0]);
+      synthesizer.skipBytes(1, event.droppedBytes[1]);
     }
     if (event.type == EventType.DATA) {
-      forge.writeData(event.nanos, event.side, event.bytes, 0, event.bytes.length, into);
+      synthesizer.writeData(event.nanos, event.side, event.bytes, 0, event.bytes.length, consumer);
     } else {
-      forge.writeClose(event.nanos, false, event.side, into);
+      synthesizer.writeClose(event.nanos, false, event.side, consumer);
       synthesizers.remove(event.connection);
     }
   }
 
-  private void writePacket(long nanos, byte[] bytes, int length) {
+  private void writePacket(long timestampNanos, byte[] bytes, int length) {
     try {
-      writer.writePacket(nanos, bytes, 0, length, length);
+      writer.writePacket(timestampNanos, bytes, 0, length, length);
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
   }
 
-  private void rotateIfDue(long nanos) throws IOException {
+  private void rotateIfDue(long nowNanos) throws IOException {
     if (writer.bytesWritten() >= rotation.maxFileBytes
-        || nanos - fileStartNanos >= rotation.maxFileAge.toNanos()) {
+        || nowNanos - fileStartNanos >= rotation.maxFileAge.toNanos()) {
       writer.close();
-      openNextFile(nanos);
+      openNextFile(nowNanos);
       while (files.size() > rotation.maxFiles) {
         Files.deleteIfExists(files.poll());
       }
     }
   }
 
-  private void openNextFile(long nanos) throws IOException {
-    Path next = firstFile;
+  private void openNextFile(long startNanos) throws IOException {
+    Path nextFile = firstFile;
     if (nextFileNumber > 0) {
       String name = firstFile.getFileName().toString();
       int dot = name.indexOf('.');
-      next =
+      nextFile =
           firstFile.resolveSibling(
               (dot < 0 ? name : name.substring(0, dot))
                   + '-'
@@ -301,15 +302,15 @@
                   + (dot < 0 ? "" : name.substring(dot)));
     }
     nextFileNumber++;
-    writer = new CaptureWriter(next, PacketSynthesizer.LINK_TYPE_RAW);
-    files.add(next);
-    fileStartNanos = nanos;
+    writer = new CaptureWriter(nextFile, PacketSynthesizer.LINK_TYPE_RAW);
+    files.add(nextFile);
+    fileStartNanos = startNanos;
   }
 
-  private static long mix(long z) {
-    z = (z ^ z >>> 30) * 0xbf58476d1ce4e5b9L;
-    z = (z ^ z >>> 27) * 0x94d049bb133111ebL;
-    return z ^ z >>> 31;
+  private static long mix(long value) {
+    value = (value ^ value >>> 30) * 0xbf58476d1ce4e5b9L;
+    value = (value ^ value >>> 27) * 0x94d049bb133111ebL;
+    return value ^ value >>> 31;
   }
 
   @Override
--- a/traffic/src/main/java/gingerring/traffic/replay/Comparison.java
+++ b/traffic/src/main/java/gingerring/traffic/replay/Comparison.java
@@ -41,8 +41,8 @@
   private long notComparedCount;
 
   /** {@code lateMost}: the tool's own lateness from which a difference is put down to the tool. */
-  public Comparison(Duration lateMost) {
-    this.maxLateness = lateMost;
+  public Comparison(Duration maxLateness) {
+    this.maxLateness = maxLateness;
   }
 
   public void add(ObservedScan scan, ScanResult recorded, ScanResult replayed) {
@@ -66,23 +66,24 @@
     }
   }
 
-  static boolean agrees(ScanResult one, ScanResult other) {
-    return one.outcome() == other.outcome()
-        && one.partitions().equals(other.partitions())
-        && differingPartitions(one, other).isEmpty();
+  static boolean agrees(ScanResult recorded, ScanResult replayed) {
+    return recorded.outcome() == replayed.outcome()
+        && recorded.partitions().equals(replayed.partitions())
+        && differingPartitions(recorded, replayed).isEmpty();
   }
 
-  private static TreeSet<Integer> differingPartitions(ScanResult one, ScanResult other) {
-    TreeSet<Integer> shards = new TreeSet<>();
-    one.valuesByPartition()
+  private static TreeSet<Integer> differingPartitions(ScanResult recorded, ScanResult replayed) {
+    TreeSet<Integer> partitions = new TreeSet<>();
+    recorded
+        .valuesByPartition()
         .forEach(
-            (shard, value) -> {
-              String its = other.valuesByPartition().get(shard);
-              if (its != null && !its.equals(value)) {
-                shards.add(shard);
+            (partition, value) -> {
+              String otherValue = replayed.valuesByPartition().get(partition);
+              if (otherValue != null && !otherValue.equals(value)) {
+                partitions.add(partition);
               }
             });
-    return shards;
+    return partitions;
   }
 
   private String findCause(ObservedScan scan, ScanResult recorded, ScanResult replayed) {
@@ -95,8 +96,8 @@
     if (replayed.sendLateness().compareTo(maxLateness) > 0) {
       return "the tool sent it late";
     }
-    Duration patience = Duration.ofMillis(scan.remainingMs());
-    if (isNearDeadline(recorded, patience) || isNearDeadline(replayed, patience)) {
+    Duration timeLimit = Duration.ofMillis(scan.remainingMs());
+    if (isNearDeadline(recorded, timeLimit) || isNearDeadline(replayed, timeLimit)) {
       return "an answer close to the end of its client's time: open by nature";
     }
     if (replayed.holdDelay().compareTo(maxLateness) > 0) {
@@ -120,9 +121,9 @@
     return "answered from other parts: some came or were sent in one run alone";
   }
 
-  private static boolean isNearDeadline(ScanResult outcome, Duration patience) {
-    return !patience.isZero()
-        && outcome.responseTime().toNanos() > NEAR_DEADLINE_SHARE * patience.toNanos();
+  private static boolean isNearDeadline(ScanResult result, Duration timeLimit) {
+    return !timeLimit.isZero()
+        && result.responseTime().toNanos() > NEAR_DEADLINE_SHARE * timeLimit.toNanos();
   }
 
   public long comparedCount() {
--- a/traffic/src/main/java/gingerring/traffic/replay/OutcomeTimeline.java
+++ b/traffic/src/main/java/gingerring/traffic/replay/OutcomeTimeline.java
@@ -16,19 +16,19 @@
 
   private final List<Map<ScanOutcome, Integer>> countsBySecond = new ArrayList<>();
 
-  public void add(Duration at, ScanOutcome fate) {
-    int second = (int) Math.max(0, Math.min(MAX_SECONDS - 1, at.toSeconds()));
+  public void add(Duration elapsed, ScanOutcome outcome) {
+    int second = (int) Math.max(0, Math.min(MAX_SECONDS - 1, elapsed.toSeconds()));
     while (countsBySecond.size() <= second) {
       countsBySecond.add(new EnumMap<>(ScanOutcome.class));
     }
-    countsBySecond.get(second).merge(fate, 1, Integer::sum);
+    countsBySecond.get(second).merge(outcome, 1, Integer::sum);
   }
 
   public int seconds() {
     return countsBySecond.size();
   }
 
-  public int count(int second, ScanOutcome fate) {
-    return second < countsBySecond.size() ? countsBySecond.get(second).getOrDefault(fate, 0) : 0;
+  public int count(int second, ScanOutcome outcome) {
+    return second < countsBySecond.size() ? countsBySecond.get(second).getOrDefault(outcome, 0) : 0;
   }
 }
--- a/traffic/src/main/java/gingerring/traffic/replay/Pacer.java
+++ b/traffic/src/main/java/gingerring/traffic/replay/Pacer.java
@@ -57,11 +57,15 @@
    * valid. Without recorded times ({@code timed} false) there is no lateness.
    */
   public Pacer(
-      List<ReplayStep> steps, int laneCount, Duration lateMost, boolean timed, StepSender host) {
-    this.sender = host;
-    this.maxLateness = lateMost;
-    this.keepsRecordedTimes = timed;
-    for (int i = 0; i < laneCount; i++) {
+      List<ReplayStep> steps,
+      int connectionCount,
+      Duration maxLateness,
+      boolean keepsRecordedTimes,
+      StepSender sender) {
+    this.sender = sender;
+    this.maxLateness = maxLateness;
+    this.keepsRecordedTimes = keepsRecordedTimes;
+    for (int i = 0; i < connectionCount; i++) {
       stepsByConnection.add(new ArrayDeque<>());
       busyConnections.add(false);
     }
@@ -71,18 +75,18 @@
   /** One more step, in its turn by when it is due: a retry that is made anew. */
   public void add(ReplayStep step) {
     unsentSteps++;
-    Deque<ReplayStep> lane = stepsByConnection.get(step.connection());
-    if (lane.isEmpty() || lane.peekLast().dueTime().compareTo(step.dueTime()) <= 0) {
-      lane.addLast(step);
+    Deque<ReplayStep> queue = stepsByConnection.get(step.connection());
+    if (queue.isEmpty() || queue.peekLast().dueTime().compareTo(step.dueTime()) <= 0) {
+      queue.addLast(step);
     } else {
       Deque<ReplayStep> later = new ArrayDeque<>();
-      while (!lane.isEmpty() && lane.peekLast().dueTime().compareTo(step.dueTime()) > 0) {
-        later.addFirst(lane.pollLast());
+      while (!queue.isEmpty() && queue.peekLast().dueTime().compareTo(step.dueTime()) > 0) {
+        later.addFirst(queue.pollLast());
       }
-      lane.addLast(step);
-      lane.addAll(later);
+      queue.addLast(step);
+      queue.addAll(later);
     }
-    if (!busyConnections.get(step.connection()) && lane.peekFirst() == step) {
+    if (!busyConnections.get(step.connection()) && queue.peekFirst() == step) {
       ready.removeIf(each -> each.step.connection() == step.connection());
       ready.add(new ReadyStep(step.dueTime(), step));
     }
@@ -104,17 +108,17 @@
     }
   }
 
-  private static void recordMicros(Histogram histogram, Duration span) {
-    histogram.recordValue(Math.min(MAX_TRACKED_MICROS, Math.max(0, span.toNanos() / 1000)));
+  private static void recordMicros(Histogram histogram, Duration duration) {
+    histogram.recordValue(Math.min(MAX_TRACKED_MICROS, Math.max(0, duration.toNanos() / 1000)));
   }
 
   /** The request on this connection has ended, one way or another. */
-  public void onCompleted(int lane, Duration now) {
-    if (!busyConnections.get(lane)) {
+  public void onCompleted(int connection, Duration now) {
+    if (!busyConnections.get(connection)) {
       return; // nothing was out on it
     }
-    busyConnections.set(lane, false);
-    ReplayStep next = stepsByConnection.get(lane).peekFirst();
+    busyConnections.set(connection, false);
+    ReplayStep next = stepsByConnection.get(connection).peekFirst();
     if (next != null) {
       ready.add(new ReadyStep(next.dueTime().compareTo(now) > 0 ? next.dueTime() : now, next));
     }
@@ -133,13 +137,13 @@
   public Report report() {
     long heldCount =
         holdDelayMicros.getTotalCount() - holdDelayMicros.getCountBetweenValues(0, 1000);
-    Duration p99 = micros(latenessMicros.getValueAtPercentile(99));
-    boolean valid = !keepsRecordedTimes || p99.compareTo(maxLateness) <= 0;
-    String why =
+    Duration latenessP99 = micros(latenessMicros.getValueAtPercentile(99));
+    boolean valid = !keepsRecordedTimes || latenessP99.compareTo(maxLateness) <= 0;
+    String invalidReason =
         valid
             ? ""
             : "the tool sent "
-                + p99.toMillis()
+                + latenessP99.toMillis()
                 + " ms late at the 99th percentile, over "
                 + maxLateness.toMillis()
                 + " ms: its pace is not the one asked for";
@@ -148,10 +152,10 @@
         heldCount,
         micros(holdDelayMicros.getValueAtPercentile(99)),
         micros(latenessMicros.getValueAtPercentile(50)),
-        p99,
+        latenessP99,
         micros(latenessMicros.getMaxValue()),
         valid,
-        why);
+        invalidReason);
   }
 
   /** The tool's own lateness, microseconds. */
--- a/traffic/src/main/java/gingerring/traffic/replay/ReplayPlan.java
+++ b/traffic/src/main/java/gingerring/traffic/replay/ReplayPlan.java
@@ -31,44 +31,45 @@
   private final boolean marksRetries;
 
   /** {@code anew}: only first tries are planned, since a replay makes its retries itself. */
-  public ReplayPlan(List<ObservedScan> scans, double pace, boolean anew) {
-    if (!(pace > 0)) {
-      throw new IllegalArgumentException("the pace has to be above 0: " + pace);
+  public ReplayPlan(List<ObservedScan> scans, double speed, boolean regeneratesRetries) {
+    if (!(speed > 0)) {
+      throw new IllegalArgumentException("the pace has to be above 0: " + speed);
     }
     if (scans.size() > MAX_SCANS) {
       throw new IllegalArgumentException("more than " + MAX_SCANS + " scans: cut the recording");
     }
     chains = Retries.findChains(scans, RETRY_WINDOW);
     marksRetries = scans.stream().anyMatch(ObservedScan::resent);
-    List<ObservedScan> wanted = new ArrayList<>();
-    Map<ObservedScan, RetryChain> of = new IdentityHashMap<>();
-    int all = 0;
+    List<ObservedScan> planned = new ArrayList<>();
+    Map<ObservedScan, RetryChain> chainByScan = new IdentityHashMap<>();
+    int plannable = 0;
     for (RetryChain chain : chains) {
-      all += chain.attempts().size();
-      wanted.addAll(anew ? List.of(chain.first()) : chain.attempts());
-      chain.attempts().forEach(seen -> of.put(seen, chain));
+      plannable += chain.attempts().size();
+      planned.addAll(regeneratesRetries ? List.of(chain.first()) : chain.attempts());
+      chain.attempts().forEach(scan -> chainByScan.put(scan, chain));
     }
-    omittedScans = scans.size() - all;
-    wanted.sort(
+    omittedScans = scans.size() - plannable;
+    planned.sort(
         Comparator.comparingLong(ObservedScan::requestStartNanos)
             .thenComparingLong(ObservedScan::number));
-    long start = wanted.isEmpty() ? 0 : wanted.get(0).requestStartNanos();
-    Map<Long, Integer> laneOf = new HashMap<>();
-    for (ObservedScan seen : wanted) {
-      int lane = laneOf.computeIfAbsent(seen.connectionNumber(), c -> laneOf.size());
-      long due = pace == UNPACED ? 0 : Math.round((seen.requestStartNanos() - start) / pace);
-      RetryChain chain = of.get(seen);
+    long start = planned.isEmpty() ? 0 : planned.get(0).requestStartNanos();
+    Map<Long, Integer> connectionIndexes = new HashMap<>();
+    for (ObservedScan scan : planned) {
+      int connection =
+          connectionIndexes.computeIfAbsent(scan.connectionNumber(), c -> connectionIndexes.size());
+      long dueNanos = speed == UNPACED ? 0 : Math.round((scan.requestStartNanos() - start) / speed);
+      RetryChain chain = chainByScan.get(scan);
       steps.add(
           new ReplayStep(
               steps.size(),
-              lane,
-              Duration.ofNanos(due),
-              seen,
+              connection,
+              Duration.ofNanos(dueNanos),
+              scan,
               chain,
-              chain.attempts().indexOf(seen),
-              seen.requestBytes()));
+              chain.attempts().indexOf(scan),
+              scan.requestBytes()));
     }
-    connectionCount = laneOf.size();
+    connectionCount = connectionIndexes.size();
   }
 
   public List<ReplayStep> steps() {
@@ -90,12 +91,12 @@
   }
 
   /** The step that tries again what {@code step} did not get, under a fresh mark. */
-  public ReplayStep createRetry(ReplayStep step, int number, Duration due) {
+  public ReplayStep createRetry(ReplayStep step, int number, Duration dueTime) {
     int attempt = step.attempt() + 1;
     return new ReplayStep(
         number,
         step.connection(),
-        due,
+        dueTime,
         step.scan(),
         step.chain(),
         attempt,
@@ -104,21 +105,21 @@
   }
 
   /** A request under another mark; {@code resent} tells that it is a retry. */
-  static byte[] withTransactionId(byte[] request, String mark, boolean resent) {
+  static byte[] withTransactionId(byte[] request, String transactionId, boolean isRetry) {
     String text = new String(request, StandardCharsets.ISO_8859_1);
-    int body = text.indexOf("\r\n\r\n");
+    int headEnd = text.indexOf("\r\n\r\n");
     StringBuilder head = new StringBuilder();
-    for (String line : text.substring(0, body).split("\r\n")) {
+    for (String line : text.substring(0, headEnd).split("\r\n")) {
       String lower = line.toLowerCase(Locale.ROOT);
       if (lower.startsWith("x-txn:")) {
-        head.append("x-txn: ").append(mark).append("\r\n");
+        head.append("x-txn: ").append(transactionId).append("\r\n");
       } else if (!lower.startsWith("x-resent:")) {
         head.append(line).append("\r\n");
       }
     }
-    if (resent) {
+    if (isRetry) {
       head.append("x-resent: 1\r\n");
     }
-    return (head + "\r\n" + text.substring(body + 4)).getBytes(StandardCharsets.ISO_8859_1);
+    return (head + "\r\n" + text.substring(headEnd + 4)).getBytes(StandardCharsets.ISO_8859_1);
   }
 }
--- a/traffic/src/main/java/gingerring/traffic/replay/Replayer.java
+++ b/traffic/src/main/java/gingerring/traffic/replay/Replayer.java
@@ -56,18 +56,18 @@
   private int nextStepNumber;
   private long generatedRetries;
 
-  private Replayer(ReplayPlan plan, Options wish) {
+  private Replayer(ReplayPlan plan, Options options) {
     this.plan = plan;
-    this.options = wish;
-    comparison = new Comparison(wish.maxLateness);
+    this.options = options;
+    comparison = new Comparison(options.maxLateness);
     recordingStartNanos =
         plan.steps().isEmpty() ? 0 : plan.steps().get(0).scan().requestStartNanos();
     nextStepNumber = plan.steps().size();
   }
 
   /** Runs on the calling thread until the last answer. */
-  public static Result run(ReplayPlan plan, Options wish) {
-    return new Replayer(plan, wish).run();
+  public static Result run(ReplayPlan plan, Options options) {
+    return new Replayer(plan, options).run();
   }
 
   private Result run() {
@@ -109,17 +109,17 @@
 
   /** Wakes for the next step, and stops once there is nothing left to come. */
   private void scheduleNextSend() {
-    Duration next = pacer.nextDueTime();
-    if (next == null) {
+    Duration nextTime = pacer.nextDueTime();
+    if (nextTime == null) {
       if (pacer.unsentSteps() == 0 && stepsInFlight.isEmpty()) {
         reactor.stop();
       }
       return;
     }
-    if (nextWakeup == null || next.compareTo(nextWakeup) < 0) {
-      nextWakeup = next;
-      Duration wait = next.minus(elapsed());
-      reactor.schedule(wait.isNegative() ? Duration.ZERO : wait, this::sendDueSteps);
+    if (nextWakeup == null || nextTime.compareTo(nextWakeup) < 0) {
+      nextWakeup = nextTime;
+      Duration delay = nextTime.minus(elapsed());
+      reactor.schedule(delay.isNegative() ? Duration.ZERO : delay, this::sendDueSteps);
     }
   }
 
@@ -128,28 +128,28 @@
     connections.computeIfAbsent(step.connection(), lane -> new ReplayConnection()).send(step);
   }
 
-  private void onStepCompleted(ReplayStep step, ScanResult outcome, Duration comeBack) {
+  private void onStepCompleted(ReplayStep step, ScanResult result, Duration retryAfter) {
     stepsInFlight.remove(step.number());
     Duration now = elapsed();
     pacer.onCompleted(step.connection(), now);
-    boolean unmet =
-        outcome.outcome() == ScanOutcome.NACKED
-            || outcome.outcome() == ScanOutcome.SCRAPPED
-            || outcome.outcome() == ScanOutcome.LEFT;
-    Optional<Duration> again =
-        options.generatedRetries == null || !unmet
+    boolean failed =
+        result.outcome() == ScanOutcome.NACKED
+            || result.outcome() == ScanOutcome.SCRAPPED
+            || result.outcome() == ScanOutcome.LEFT;
+    Optional<Duration> retryDelay =
+        options.generatedRetries == null || !failed
             ? Optional.empty()
-            : options.generatedRetries.nextDelay(step.attempt(), comeBack);
-    if (again.isPresent()) {
+            : options.generatedRetries.nextDelay(step.attempt(), retryAfter);
+    if (retryDelay.isPresent()) {
       generatedRetries++;
-      pacer.add(plan.createRetry(step, nextStepNumber++, now.plus(again.get())));
+      pacer.add(plan.createRetry(step, nextStepNumber++, now.plus(retryDelay.get())));
     } else {
       // of retries made anew the last counts, against the last that was recorded
       ObservedScan scan = options.generatedRetries == null ? step.scan() : step.chain().last();
-      comparison.add(scan, ScanResult.of(scan, recordingStartNanos), outcome);
+      comparison.add(scan, ScanResult.of(scan, recordingStartNanos), result);
       replayedTimeline.add(
           Duration.ofNanos(step.scan().requestStartNanos() - recordingStartNanos),
-          outcome.outcome());
+          result.outcome());
     }
     scheduleNextSend();
   }
@@ -188,29 +188,29 @@
 
     /** Closes the connection; whatever it still says is of no request. */
     private void abandonConnection() {
-      HttpClientConnection old = client;
+      HttpClientConnection abandoned = client;
       client = null;
-      if (old != null) {
-        old.connection.reset();
+      if (abandoned != null) {
+        abandoned.connection.reset();
       }
     }
 
-    void onResponse(HttpClientConnection from, ScanResponse answer, boolean last) {
-      if (from == client) {
-        if (last) {
+    void onResponse(HttpClientConnection source, ScanResponse response, boolean closes) {
+      if (source == client) {
+        if (closes) {
           client = null;
-          from.connection.closeAfterFlush();
+          source.connection.closeAfterFlush();
         }
-        complete(answer);
+        complete(response);
       }
     }
 
-    void onConnectionLost(HttpClientConnection from, boolean begun) {
-      if (from != client) {
+    void onConnectionLost(HttpClientConnection source, boolean responseStarted) {
+      if (source != client) {
         return;
       }
       client = null;
-      if (step != null && !retried && !begun) {
+      if (step != null && !retried && !responseStarted) {
         // it may have crossed the mixer's closing of an idle connection: once more on a new one
         retried = true;
         sendRequest();
@@ -221,30 +221,30 @@
       }
     }
 
-    private void complete(ScanResponse answer) {
-      ReplayStep ended = step;
-      if (ended == null) {
+    private void complete(ScanResponse response) {
+      ReplayStep completed = step;
+      if (completed == null) {
         return; // an answer that nobody asked for, or the end of an idle connection
       }
       step = null;
       idleSince = elapsed();
-      double weight =
-          ended.scan().targets().stream()
-              .filter(target -> answer.valuesByPartition().containsKey(target.partition()))
+      double answeredShare =
+          completed.scan().targets().stream()
+              .filter(target -> response.valuesByPartition().containsKey(target.partition()))
               .mapToDouble(ObservedScan.Target::share)
               .sum();
       onStepCompleted(
-          ended,
+          completed,
           new ScanResult(
-              answer.outcome(),
-              answer.status(),
-              answer.valuesByPartition(),
-              weight,
+              response.outcome(),
+              response.status(),
+              response.valuesByPartition(),
+              answeredShare,
               sentAt,
               idleSince.minus(sentAt),
               sentAt.minus(readyTime),
-              readyTime.minus(ended.dueTime())),
-          answer.retryAfter());
+              readyTime.minus(completed.dueTime())),
+          response.retryAfter());
     }
   }
 
@@ -254,9 +254,9 @@
     private final ReactorConnection connection;
     private boolean requestSent;
 
-    HttpClientConnection(ReplayConnection lane) {
+    HttpClientConnection(ReplayConnection owner) {
       super(false, MAX_RESPONSE_BYTES);
-      this.owner = lane;
+      this.owner = owner;
       connection = reactor.connect(options.mixer, this);
     }
 
--- a/traffic/src/main/java/gingerring/traffic/replay/Retries.java
+++ b/traffic/src/main/java/gingerring/traffic/replay/Retries.java
@@ -38,9 +38,9 @@
   private final RetryPolicy policy;
   private final RandomGenerator random;
 
-  public Retries(RetryPolicy rule, RandomGenerator chance) {
-    this.policy = rule;
-    this.random = chance;
+  public Retries(RetryPolicy policy, RandomGenerator random) {
+    this.policy = policy;
+    this.random = random;
   }
 
   /**
@@ -49,57 +49,58 @@
    */
   public static List<RetryChain> findChains(List<ObservedScan> scans, Duration window) {
     List<RetryChain> chains = new ArrayList<>();
-    Map<String, List<RetryChain>> unmet = new HashMap<>();
+    Map<String, List<RetryChain>> chainsByKey = new HashMap<>();
     List<ObservedScan> ordered = new ArrayList<>(scans);
     ordered.sort(
         Comparator.comparingLong(ObservedScan::requestStartNanos)
             .thenComparingLong(ObservedScan::number));
-    for (ObservedScan seen : ordered) {
-      if (seen.requestBytes().length == 0) {
+    for (ObservedScan scan : ordered) {
+      if (scan.requestBytes().length == 0) {
         continue; // it never came whole
       }
-      List<RetryChain> same = unmet.computeIfAbsent(retryKey(seen), w -> new ArrayList<>());
-      same.removeIf(
+      List<RetryChain> candidates =
+          chainsByKey.computeIfAbsent(retryKey(scan), key -> new ArrayList<>());
+      candidates.removeIf(
           chain ->
-              seen.requestStartNanos()
+              scan.requestStartNanos()
                       - Math.max(chain.last().responseEndNanos(), chain.last().requestStartNanos())
                   > window.toNanos());
-      Optional<RetryChain> mine =
-          same.stream()
+      Optional<RetryChain> match =
+          candidates.stream()
               .filter(
                   chain ->
-                      chain.acceptsRetry(seen, window.toNanos())
-                          && chain.last().responseEndNanos() <= seen.requestStartNanos())
+                      chain.acceptsRetry(scan, window.toNanos())
+                          && chain.last().responseEndNanos() <= scan.requestStartNanos())
               .max(Comparator.comparingLong(chain -> chain.last().responseEndNanos()));
-      if (mine.isPresent()) {
-        mine.get().add(seen);
+      if (match.isPresent()) {
+        match.get().add(scan);
       } else {
-        RetryChain chain = new RetryChain(chains.size(), seen);
+        RetryChain chain = new RetryChain(chains.size(), scan);
         chains.add(chain);
-        same.add(chain);
+        candidates.add(chain);
       }
     }
     return chains;
   }
 
-  private static String retryKey(ObservedScan seen) {
-    return seen.serviceClass()
+  private static String retryKey(ObservedScan scan) {
+    return scan.serviceClass()
         + '\n'
-        + (seen.idempotencyKey() != null
-            ? seen.idempotencyKey()
-            : seen.queryText() + '\n' + seen.targets());
+        + (scan.idempotencyKey() != null
+            ? scan.idempotencyKey()
+            : scan.queryText() + '\n' + scan.targets());
   }
 
   /**
    * When the try after this one is due, counted from the end of this; empty where the client gives
    * up. Try 0 is the first. {@code comeBack} is what it was told, zero for nothing; it is followed.
    */
-  public Optional<Duration> nextDelay(int number, Duration comeBack) {
-    if (number >= policy.maxRetries) {
+  public Optional<Duration> nextDelay(int attempt, Duration retryAfter) {
+    if (attempt >= policy.maxRetries) {
       return Optional.empty();
     }
-    double wait = policy.initialDelay.toNanos() * Math.pow(policy.backoffFactor, number);
-    wait *= 1 + policy.jitter * (2 * random.nextDouble() - 1);
-    return Optional.of(Duration.ofNanos(Math.max(comeBack.toNanos(), (long) wait)));
+    double delayNanos = policy.initialDelay.toNanos() * Math.pow(policy.backoffFactor, attempt);
+    delayNanos *= 1 + policy.jitter * (2 * random.nextDouble() - 1);
+    return Optional.of(Duration.ofNanos(Math.max(retryAfter.toNanos(), (long) delayNanos)));
   }
 }
--- a/traffic/src/main/java/gingerring/traffic/replay/RetryChain.java
+++ b/traffic/src/main/java/gingerring/traffic/replay/RetryChain.java
@@ -34,14 +34,14 @@
   /** Whether one more try can belong here: the last has ended, and not with an answer. */
   boolean acceptsRetry(ObservedScan next, long windowNanos) {
     ObservedScan last = last();
-    boolean unmet =
+    boolean failed =
         last.outcome() == ScanOutcome.NACKED
             || last.outcome() == ScanOutcome.SCRAPPED
             || last.outcome() == ScanOutcome.LEFT
             || last.outcome() == ScanOutcome.INCOMPLETE;
-    long ended = Math.max(last.responseEndNanos(), last.requestStartNanos());
-    return unmet
+    long endNanos = Math.max(last.responseEndNanos(), last.requestStartNanos());
+    return failed
         && next.requestStartNanos() >= last.requestStartNanos()
-        && next.requestStartNanos() - ended <= windowNanos;
+        && next.requestStartNanos() - endNanos <= windowNanos;
   }
 }
--- a/traffic/src/main/java/gingerring/traffic/replay/ScanResult.java
+++ b/traffic/src/main/java/gingerring/traffic/replay/ScanResult.java
@@ -20,14 +20,14 @@
     Duration sendLateness,
     Duration holdDelay) {
   /** As the recording shows it; times from the recording's start. */
-  public static ScanResult of(ObservedScan seen, long start) {
+  public static ScanResult of(ObservedScan scan, long recordingStartNanos) {
     return new ScanResult(
-        seen.outcome(),
-        seen.status(),
-        seen.valuesByPartition(),
-        seen.answeredShare(),
-        Duration.ofNanos(seen.requestStartNanos() - start),
-        Duration.ofNanos(Math.max(0, seen.responseEndNanos() - seen.requestEndNanos())),
+        scan.outcome(),
+        scan.status(),
+        scan.valuesByPartition(),
+        scan.answeredShare(),
+        Duration.ofNanos(scan.requestStartNanos() - recordingStartNanos),
+        Duration.ofNanos(Math.max(0, scan.responseEndNanos() - scan.requestEndNanos())),
         Duration.ZERO,
         Duration.ZERO);
   }
--- a/traffic/src/main/java/gingerring/traffic/scan/FrameDecoder.java
+++ b/traffic/src/main/java/gingerring/traffic/scan/FrameDecoder.java
@@ -11,106 +11,118 @@
    * More parts than this are not out on one connection; the eldest is forgotten, and counted
    * unanswered.
    */
-  private static final int OUT_MOST = 1 << 16;
+  private static final int MAX_PARTS_IN_FLIGHT = 1 << 16;
 
   private final ScanReader reader;
-  private final SearcherTraffic trips;
-  private final int mixer;
+  private final SearcherTraffic traffic;
+  private final int mixerSide;
   private final String searcher;
-  private final FrameSplitter[] frames = {new FrameSplitter(), new FrameSplitter()};
-  private final Map<String, Long> out = new LinkedHashMap<>();
-  private boolean complained;
+  private final FrameSplitter[] splitters = {new FrameSplitter(), new FrameSplitter()};
+  private final Map<String, Long> callNanosByPartId = new LinkedHashMap<>();
+  private boolean undecodableReported;
 
-  FrameDecoder(ScanReader reader, Flow flow, int mixer) {
+  FrameDecoder(ScanReader reader, Flow flow, int mixerSide) {
     this.reader = reader;
-    this.mixer = mixer;
-    trips = reader.searcherTraffic();
-    searcher = flow.address(1 - mixer).getHostAddress() + ':' + flow.port(1 - mixer);
+    this.mixerSide = mixerSide;
+    traffic = reader.searcherTraffic();
+    searcher = flow.address(1 - mixerSide).getHostAddress() + ':' + flow.port(1 - mixerSide);
     reader.count("connections to searchers");
   }
 
   @Override
-  public void onData(int side, long nanos, long taken, byte[] bytes, int at, int length) {
-    if (!frames[side].append(bytes, at, length, nanos, side == mixer ? this::said : this::heard)) {
-      lost();
+  public void onData(
+      int side,
+      long timestampNanos,
+      long acknowledgedPeerBytes,
+      byte[] bytes,
+      int offset,
+      int length) {
+    if (!splitters[side].append(
+        bytes,
+        offset,
+        length,
+        timestampNanos,
+        side == mixerSide ? this::onMixerFrame : this::onSearcherFrame)) {
+      reportUndecodable();
     }
   }
 
-  private void lost() {
-    if (!complained) {
-      complained = true;
+  private void reportUndecodable() {
+    if (!undecodableReported) {
+      undecodableReported = true;
       reader.count("connections to searchers that could not be read on");
     }
   }
 
-  private void said(byte[] frame, long nanos) {
+  private void onMixerFrame(byte[] frame, long timestampNanos) {
     switch (frame[0]) {
-      case 'S' -> call(frame, nanos);
-      case 'C' -> trips.cancellations++;
-      case 'H', 'M' -> trips.probes++;
+      case 'S' -> onCallFrame(frame, timestampNanos);
+      case 'C' -> traffic.cancellations++;
+      case 'H', 'M' -> traffic.probes++;
       default -> reader.count("frames that are not of the protocol");
     }
   }
 
-  private void call(byte[] frame, long nanos) {
-    trips.calls++;
-    for (int at = 1; at < frame.length; ) {
-      int end = at;
-      while (end < frame.length && frame[end] != '\n') {
-        end++;
+  private void onCallFrame(byte[] frame, long timestampNanos) {
+    traffic.calls++;
+    for (int offset = 1; offset < frame.length; ) {
+      int lineEnd = offset;
+      while (lineEnd < frame.length && frame[lineEnd] != '\n') {
+        lineEnd++;
       }
-      String[] words = new String(frame, at, end - at, StandardCharsets.ISO_8859_1).split(" ");
-      if (end == frame.length || words.length != 4 || !words[3].matches("[0-9]{1,6}")) {
+      String[] fields =
+          new String(frame, offset, lineEnd - offset, StandardCharsets.ISO_8859_1).split(" ");
+      if (lineEnd == frame.length || fields.length != 4 || !fields[3].matches("[0-9]{1,6}")) {
         reader.count("frames that are not of the protocol");
         return;
       }
-      trips.parts++;
-      trips.partsBySearcher.merge(searcher, 1L, Long::sum);
-      out.put(words[0], nanos);
-      if (out.size() > OUT_MOST) {
-        out.remove(out.keySet().iterator().next());
-        trips.unanswered++;
+      traffic.parts++;
+      traffic.partsBySearcher.merge(searcher, 1L, Long::sum);
+      callNanosByPartId.put(fields[0], timestampNanos);
+      if (callNanosByPartId.size() > MAX_PARTS_IN_FLIGHT) {
+        callNanosByPartId.remove(callNanosByPartId.keySet().iterator().next());
+        traffic.unanswered++;
       }
-      at = end + 1 + Integer.parseInt(words[3]);
+      offset = lineEnd + 1 + Integer.parseInt(fields[3]);
     }
   }
 
-  private void heard(byte[] frame, long nanos) {
+  private void onSearcherFrame(byte[] frame, long timestampNanos) {
     if (frame[0] != 'R') {
       if (frame[0] != 'H' && frame[0] != 'M') {
         reader.count("frames that are not of the protocol");
       }
       return;
     }
-    int end = 1;
-    while (end < frame.length && frame[end] != '\n') {
-      end++;
+    int lineEnd = 1;
+    while (lineEnd < frame.length && frame[lineEnd] != '\n') {
+      lineEnd++;
     }
-    String[] words = new String(frame, 1, end - 1, StandardCharsets.ISO_8859_1).split(" ");
-    if (words.length != 4) {
+    String[] fields = new String(frame, 1, lineEnd - 1, StandardCharsets.ISO_8859_1).split(" ");
+    if (fields.length != 4) {
       reader.count("frames that are not of the protocol");
       return;
     }
-    Long since = out.remove(words[0]);
-    trips.returnsByStatus.merge(
-        words[1].matches("done|failed|full") ? words[1] : "other", 1L, Long::sum);
-    if (since != null) {
-      trips.matchedReturns++;
-      trips.totalWaitNanos += nanos - since;
+    Long callNanos = callNanosByPartId.remove(fields[0]);
+    traffic.returnsByStatus.merge(
+        fields[1].matches("done|failed|full") ? fields[1] : "other", 1L, Long::sum);
+    if (callNanos != null) {
+      traffic.matchedReturns++;
+      traffic.totalWaitNanos += timestampNanos - callNanos;
     }
   }
 
   @Override
-  public void onGap(int side, long nanos, long missing) {
-    frames[side].markUndecodable();
-    lost();
+  public void onGap(int side, long timestampNanos, long missingBytes) {
+    splitters[side].markUndecodable();
+    reportUndecodable();
   }
 
   @Override
-  public void onEndOfStream(int side, long nanos) {}
+  public void onEndOfStream(int side, long timestampNanos) {}
 
   @Override
-  public void onClosed(Flow.CloseReason how, long nanos) {
-    trips.unanswered += out.size();
+  public void onClosed(Flow.CloseReason reason, long timestampNanos) {
+    traffic.unanswered += callNanosByPartId.size();
   }
 }
--- a/traffic/src/main/java/gingerring/traffic/scan/FrameSplitter.java
+++ b/traffic/src/main/java/gingerring/traffic/scan/FrameSplitter.java
@@ -6,20 +6,20 @@
  */
 final class FrameSplitter {
   /** Longer than this no frame is; see the mixer's own reader. */
-  private static final int MOST = (1 << 16) + 1024;
+  private static final int MAX_FRAME_BYTES = (1 << 16) + 1024;
 
-  private static final String LETTERS = "SCHMRF";
+  private static final String FRAME_TYPES = "SCHMRF";
 
   /** Who is told of each whole frame: its letter first. */
   interface FrameHandler {
-    void onFrame(byte[] frame, long nanos);
+    void onFrame(byte[] frame, long timestampNanos);
   }
 
-  private final byte[] head = new byte[4];
-  private int headRead;
+  private final byte[] lengthField = new byte[4];
+  private int lengthBytesRead;
   private byte[] frame;
-  private int read;
-  private boolean lost;
+  private int frameBytesRead;
+  private boolean undecodable;
 
   static int frameLength(byte[] head) {
     return head[0] & 0xFF | (head[1] & 0xFF) << 8 | (head[2] & 0xFF) << 16 | (head[3] & 0xFF) << 24;
@@ -29,40 +29,40 @@
   static boolean startsWithFrame(byte[] head, int size) {
     return size >= 5
         && frameLength(head) >= 1
-        && frameLength(head) <= MOST
-        && LETTERS.indexOf(head[4]) >= 0;
+        && frameLength(head) <= MAX_FRAME_BYTES
+        && FRAME_TYPES.indexOf(head[4]) >= 0;
   }
 
   /** False once the stream cannot be read on. */
-  boolean append(byte[] bytes, int at, int length, long nanos, FrameHandler sink) {
-    int end = at + length;
-    while (at < end && !lost) {
+  boolean append(byte[] bytes, int offset, int length, long timestampNanos, FrameHandler handler) {
+    int endOffset = offset + length;
+    while (offset < endOffset && !undecodable) {
       if (frame == null) {
-        head[headRead++] = bytes[at++];
-        if (headRead == 4) {
-          int size = frameLength(head);
-          lost = size < 1 || size > MOST;
-          frame = new byte[lost ? 0 : size];
-          read = 0;
+        lengthField[lengthBytesRead++] = bytes[offset++];
+        if (lengthBytesRead == 4) {
+          int size = frameLength(lengthField);
+          undecodable = size < 1 || size > MAX_FRAME_BYTES;
+          frame = new byte[undecodable ? 0 : size];
+          frameBytesRead = 0;
         }
         continue;
       }
-      int count = Math.min(end - at, frame.length - read);
-      System.arraycopy(bytes, at, frame, read, count);
-      at += count;
-      read += count;
-      if (read == frame.length) {
-        byte[] whole = frame;
+      int count = Math.min(endOffset - offset, frame.length - frameBytesRead);
+      System.arraycopy(bytes, offset, frame, frameBytesRead, count);
+      offset += count;
+      frameBytesRead += count;
+      if (frameBytesRead == frame.length) {
+        byte[] complete = frame;
         frame = null;
-        headRead = 0;
-        sink.onFrame(whole, nanos);
+        lengthBytesRead = 0;
+        handler.onFrame(complete, timestampNanos);
       }
     }
-    return !lost;
+    return !undecodable;
   }
 
   /** Nothing tells where the next frame begins. */
   void markUndecodable() {
-    lost = true;
+    undecodable = true;
   }
 }
--- a/traffic/src/main/java/gingerring/traffic/scan/HttpDecoder.java
+++ b/traffic/src/main/java/gingerring/traffic/scan/HttpDecoder.java
@@ -20,48 +20,50 @@
  * it all the same. After a hole, reading goes on at the next line that begins a message.
  */
 final class HttpDecoder implements ProtocolDecoder {
-  private static final int REQUEST_MOST = 64 << 10;
-  private static final int ANSWER_MOST = 1 << 20;
+  private static final int MAX_REQUEST_BYTES = 64 << 10;
+  private static final int MAX_RESPONSE_BYTES = 1 << 20;
 
   /**
    * Requests without their answers, and answers without their requests, that are kept of one
    * connection.
    */
-  private static final int PENDING_MOST = 1024;
-
-  private static final int EARLY_MOST = 64;
-  private static final int PIECE = 1 << 12;
-  private static final int LINE_MOST = PIECE;
-  private static final Pattern REQUEST = Pattern.compile("[A-Z]{3,7} /[^ ]* HTTP/1\\.[01]\r\n\\z");
-  private static final Pattern ANSWER = Pattern.compile("HTTP/1\\.[01] [0-9]{3}[^\r\n]*\r\n\\z");
-  private static final String NO_REQUEST = "bytes of its request were not captured";
-  private static final String NO_ANSWER = "bytes of its answer were not captured";
+  private static final int MAX_PENDING_REQUESTS = 1024;
+
+  private static final int MAX_EARLY_RESPONSES = 64;
+  private static final int CHUNK_BYTES = 1 << 12;
+  private static final int MAX_LINE_BYTES = CHUNK_BYTES;
+  private static final Pattern REQUEST_LINE =
+      Pattern.compile("[A-Z]{3,7} /[^ ]* HTTP/1\\.[01]\r\n\\z");
+  private static final Pattern STATUS_LINE =
+      Pattern.compile("HTTP/1\\.[01] [0-9]{3}[^\r\n]*\r\n\\z");
+  private static final String REQUEST_NOT_CAPTURED = "bytes of its request were not captured";
+  private static final String RESPONSE_NOT_CAPTURED = "bytes of its answer were not captured";
 
   /** An answer as it was read: where in its stream it began, and when its last byte came. */
-  private record Answered(HttpMessage message, long begin, long at) {}
+  private record TimedResponse(HttpMessage message, long startOffset, long lastByteNanos) {}
 
   private final ScanReader reader;
   private final Flow flow;
-  private final String name;
-  private final int client;
-  private final Half[] halves = new Half[2];
-  private final HttpMessage.MessageExtent found = new HttpMessage.MessageExtent();
+  private final String clientAddress;
+  private final int clientSide;
+  private final MessageStream[] streams = new MessageStream[2];
+  private final HttpMessage.MessageExtent extent = new HttpMessage.MessageExtent();
   private final Deque<ScanExchange> pending = new ArrayDeque<>();
-  private final Deque<Answered> early = new ArrayDeque<>();
+  private final Deque<TimedResponse> earlyResponses = new ArrayDeque<>();
 
   /**
    * {@code begin}: where in the stream of {@code side} the first bytes stand that this is given.
    */
-  HttpDecoder(ScanReader reader, Flow flow, int client, int side, long begin) {
+  HttpDecoder(ScanReader reader, Flow flow, int clientSide, int side, long startOffset) {
     this.reader = reader;
     this.flow = flow;
-    this.client = client;
-    name = flow.address(client).getHostAddress() + ':' + flow.port(client);
-    halves[client] = new Half(true);
-    halves[1 - client] = new Half(false);
-    halves[side].offset = begin;
-    halves[1 - side].offset = flow.deliveredBytes(1 - side);
-    halves[1 - side].astray = flow.deliveredBytes(1 - side) > 0;
+    this.clientSide = clientSide;
+    clientAddress = flow.address(clientSide).getHostAddress() + ':' + flow.port(clientSide);
+    streams[clientSide] = new MessageStream(true);
+    streams[1 - clientSide] = new MessageStream(false);
+    streams[side].streamOffset = startOffset;
+    streams[1 - side].streamOffset = flow.deliveredBytes(1 - side);
+    streams[1 - side].resynchronizing = flow.deliveredBytes(1 - side) > 0;
     reader.count("connections of clients");
   }
 
@@ -69,36 +71,36 @@
    * One direction. Plain messages are told by a look over the bytes; what is unusual goes through
    * the parser, a message at a time.
    */
-  private final class Half implements HttpParser.Handler {
+  private final class MessageStream implements HttpParser.Handler {
     final boolean requests;
-    final int bodyMost;
+    final int maxBodyBytes;
 
     /**
      * Bytes that have come and belong to no whole message yet: from {@code first} up to {@code
      * end}.
      */
-    byte[] kept = new byte[PIECE];
+    byte[] buffered = new byte[CHUNK_BYTES];
 
-    int first;
-    int end;
+    int bufferStart;
+    int bufferEnd;
 
     /** Of a message whose head is in: its length, and where its body begins. */
-    int wanted;
+    int messageLength;
 
-    int wantedBody;
-    boolean begun;
-    long beginAt;
-    long beginTaken;
-    long begin;
+    int messageBodyOffset;
+    boolean inMessage;
+    long messageStartNanos;
+    long messageStartAcknowledged;
+    long messageStartOffset;
 
     /** Where in the stream the kept bytes end. */
-    long offset;
+    long streamOffset;
 
-    long nanos;
-    long taken;
+    long lastNanos;
+    long acknowledgedPeerBytes;
 
     /** After a hole: the bytes up to a line that begins a message are passed over. */
-    boolean astray;
+    boolean resynchronizing;
 
     final StringBuilder line = new StringBuilder();
 
@@ -109,69 +111,69 @@
     ByteArrayOutputStream body;
     MessageHead head;
 
-    Half(boolean requests) {
+    MessageStream(boolean requests) {
       this.requests = requests;
-      bodyMost = requests ? REQUEST_MOST : ANSWER_MOST;
+      maxBodyBytes = requests ? MAX_REQUEST_BYTES : MAX_RESPONSE_BYTES;
     }
 
-    void anew() {
+    void discardMessage() {
       parser = null;
       ring = null;
       head = null;
-      first = 0;
-      end = 0;
-      wanted = 0;
-      begun = false;
+      bufferStart = 0;
+      bufferEnd = 0;
+      messageLength = 0;
+      inMessage = false;
     }
 
-    void lose(long missing) {
-      anew();
-      offset += missing;
-      astray = true;
+    void skipTo(long missingBytes) {
+      discardMessage();
+      streamOffset += missingBytes;
+      resynchronizing = true;
       line.setLength(0);
     }
 
-    void add(byte[] bytes, int at, int length) {
-      int from = astray ? seek(bytes, at, length) : 0;
-      if (from < length) {
-        keep(bytes, at + from, length - from);
-        offset += length - from;
-        read();
+    void append(byte[] bytes, int offset, int length) {
+      int skipped = resynchronizing ? findMessageStart(bytes, offset, length) : 0;
+      if (skipped < length) {
+        buffer(bytes, offset + skipped, length - skipped);
+        streamOffset += length - skipped;
+        readMessages();
       }
     }
 
-    private void keep(byte[] bytes, int at, int length) {
-      if (end + length > kept.length) {
+    private void buffer(byte[] bytes, int offset, int length) {
+      if (bufferEnd + length > buffered.length) {
         byte[] larger =
-            end - first + length > kept.length
-                ? new byte[Math.max(2 * kept.length, end - first + length)]
-                : kept;
-        System.arraycopy(kept, first, larger, 0, end - first);
-        kept = larger;
-        end -= first;
-        first = 0;
+            bufferEnd - bufferStart + length > buffered.length
+                ? new byte[Math.max(2 * buffered.length, bufferEnd - bufferStart + length)]
+                : buffered;
+        System.arraycopy(buffered, bufferStart, larger, 0, bufferEnd - bufferStart);
+        buffered = larger;
+        bufferEnd -= bufferStart;
+        bufferStart = 0;
       }
-      System.arraycopy(bytes, at, kept, end, length);
-      end += length;
+      System.arraycopy(bytes, offset, buffered, bufferEnd, length);
+      bufferEnd += length;
     }
 
     /** Looks for a line that begins a message, and returns where reading goes on. */
-    private int seek(byte[] bytes, int at, int length) {
+    private int findMessageStart(byte[] bytes, int offset, int length) {
       for (int i = 0; i < length; i++) {
-        offset++;
-        line.append((char) (bytes[at + i] & 0xFF));
+        streamOffset++;
+        line.append((char) (bytes[offset + i] & 0xFF));
         if (line.charAt(line.length() - 1) != '\n') {
-          if (line.length() > LINE_MOST) {
-            line.delete(0, LINE_MOST / 2);
+          if (line.length() > MAX_LINE_BYTES) {
+            line.delete(0, MAX_LINE_BYTES / 2);
           }
           continue;
         }
         // the message before need not end in a line's end
-        Matcher found = (requests ? REQUEST : ANSWER).matcher(line);
-        if (found.find()) {
-          astray = false;
-          byte[] text = found.group().getBytes(StandardCharsets.ISO_8859_1);
-          keep(text, 0, text.length);
+        Matcher startLine = (requests ? REQUEST_LINE : STATUS_LINE).matcher(line);
+        if (startLine.find()) {
+          resynchronizing = false;
+          byte[] lineBytes = startLine.group().getBytes(StandardCharsets.ISO_8859_1);
+          buffer(lineBytes, 0, lineBytes.length);
           line.setLength(0);
           return i + 1;
         }
@@ -180,68 +182,71 @@
       return length;
     }
 
-    private void read() {
-      while (first < end || parser != null && ring.size() > 0) {
-        if (!begun) {
-          begun = true;
-          beginAt = nanos;
-          beginTaken = taken;
-          begin = offset - (end - first);
+    private void readMessages() {
+      while (bufferStart < bufferEnd || parser != null && ring.size() > 0) {
+        if (!inMessage) {
+          inMessage = true;
+          messageStartNanos = lastNanos;
+          messageStartAcknowledged = acknowledgedPeerBytes;
+          messageStartOffset = streamOffset - (bufferEnd - bufferStart);
         }
         if (parser != null) {
-          if (!parse()) {
+          if (!runParser()) {
             return;
           }
           continue;
         }
-        if (end - first < wanted) {
+        if (bufferEnd - bufferStart < messageLength) {
           return;
         }
-        HttpMessage.FastParseResult skim = HttpMessage.FastParseResult.COMPLETE;
-        if (wanted > 0) { // its head was looked at before
-          found.endOffset = first + wanted;
-          found.bodyOffset = first + wantedBody;
+        HttpMessage.FastParseResult result = HttpMessage.FastParseResult.COMPLETE;
+        if (messageLength > 0) { // its head was looked at before
+          extent.endOffset = bufferStart + messageLength;
+          extent.bodyOffset = bufferStart + messageBodyOffset;
         } else {
-          skim = HttpMessage.parseFast(kept, first, end, requests, bodyMost, found);
+          result =
+              HttpMessage.parseFast(
+                  buffered, bufferStart, bufferEnd, requests, maxBodyBytes, extent);
         }
-        if (skim == HttpMessage.FastParseResult.NEEDS_MORE) {
-          wanted = found.endOffset - first;
-          wantedBody = found.bodyOffset - first;
+        if (result == HttpMessage.FastParseResult.NEEDS_MORE) {
+          messageLength = extent.endOffset - bufferStart;
+          messageBodyOffset = extent.bodyOffset - bufferStart;
           return;
         }
-        wanted = 0;
-        if (skim == HttpMessage.FastParseResult.UNSUPPORTED) {
-          parser = new HttpParser(requests, bodyMost, this);
-          ring = new ByteRing(PIECE, 2 * PIECE);
+        messageLength = 0;
+        if (result == HttpMessage.FastParseResult.UNSUPPORTED) {
+          parser = new HttpParser(requests, maxBodyBytes, this);
+          ring = new ByteRing(CHUNK_BYTES, 2 * CHUNK_BYTES);
           body = new ByteArrayOutputStream();
           continue;
         }
         HttpMessage message =
             new HttpMessage(
-                Arrays.copyOfRange(kept, first, found.endOffset), found.bodyOffset - first);
-        first = found.endOffset;
-        begun = false;
-        tell(message);
+                Arrays.copyOfRange(buffered, bufferStart, extent.endOffset),
+                extent.bodyOffset - bufferStart);
+        bufferStart = extent.endOffset;
+        inMessage = false;
+        deliver(message);
       }
-      first = 0;
-      end = 0;
+      bufferStart = 0;
+      bufferEnd = 0;
     }
 
     /**
      * Gives the parser what there is, a piece at a time; true once a message or the stream's sense
      * has ended.
      */
-    private boolean parse() {
+    private boolean runParser() {
       try {
-        while (first < end) {
-          int count = Math.min(PIECE, end - first);
-          ring.put(kept, first, count);
-          first += count;
+        while (bufferStart < bufferEnd) {
+          int count = Math.min(CHUNK_BYTES, bufferEnd - bufferStart);
+          ring.put(buffered, bufferStart, count);
+          bufferStart += count;
           if (parser.parse(ring)) {
-            first -= ring.size(); // the next message is looked at anew
+            bufferStart -= ring.size(); // the next message is looked at anew
             ring.clear();
             parser = null;
-            begun = false;
+            inMessage = false;
             return true;
           }
         }
@@ -249,16 +254,16 @@
       } catch (HttpException e) {
         reader.count(requests ? "requests that are not HTTP/1.1" : "answers that are not HTTP/1.1");
         if (!requests) {
-          lost(begin, offset, "its answer is not HTTP/1.1");
+          failPending(messageStartOffset, streamOffset, "its answer is not HTTP/1.1");
         }
-        lose(0);
+        skipTo(0);
         return true;
       }
     }
 
     @Override
-    public void onHead(MessageHead read) {
-      head = read;
+    public void onHead(MessageHead parsedHead) {
+      head = parsedHead;
     }
 
     @Override
@@ -268,130 +273,154 @@
 
     @Override
     public void onMessageEnd() {
-      MessageHead whole = head;
+      MessageHead messageHead = head;
       head = null;
-      tell(HttpMessage.fromParsed(whole, body.toByteArray()));
+      deliver(HttpMessage.fromParsed(messageHead, body.toByteArray()));
     }
 
-    private void tell(HttpMessage message) {
+    private void deliver(HttpMessage message) {
       if (requests) {
-        asked(
+        onRequest(
             new ScanExchange(
-                reader.nextNumber(), flow.number, name, message, beginAt, nanos, beginTaken));
+                reader.nextNumber(),
+                flow.number,
+                clientAddress,
+                message,
+                messageStartNanos,
+                lastNanos,
+                messageStartAcknowledged));
       } else if (message.status() / 100 != 1) { // 100 Continue is no answer yet
-        answered(new Answered(message, begin, nanos));
+        onResponse(new TimedResponse(message, messageStartOffset, lastNanos));
       }
     }
   }
 
   @Override
-  public void onData(int side, long nanos, long taken, byte[] bytes, int at, int length) {
-    Half half = halves[side];
-    half.nanos = nanos;
-    half.taken = taken;
-    half.add(bytes, at, length);
+  public void onData(
+      int side,
+      long timestampNanos,
+      long acknowledgedPeerBytes,
+      byte[] bytes,
+      int offset,
+      int length) {
+    MessageStream stream = streams[side];
+    stream.lastNanos = timestampNanos;
+    stream.acknowledgedPeerBytes = acknowledgedPeerBytes;
+    stream.append(bytes, offset, length);
   }
 
-  private void asked(ScanExchange asked) {
-    if (!asked.isScan()) {
+  private void onRequest(ScanExchange exchange) {
+    if (!exchange.isScan()) {
       reader.count("requests that are no scans");
     }
-    while (!early.isEmpty() && early.peek().begin < asked.acknowledgedResponseBytes) {
-      early.poll();
+    while (!earlyResponses.isEmpty()
+        && earlyResponses.peek().startOffset < exchange.acknowledgedResponseBytes) {
+      earlyResponses.poll();
       reader.count("answers whose request was not captured");
     }
-    if (pending.isEmpty() && !early.isEmpty()) {
-      Answered answer = early.poll();
-      tell(asked.completeWith(answer.message, answer.at));
+    if (pending.isEmpty() && !earlyResponses.isEmpty()) {
+      TimedResponse response = earlyResponses.poll();
+      deliver(exchange.completeWith(response.message, response.lastByteNanos));
       return;
     }
-    pending.add(asked);
-    if (pending.size() > PENDING_MOST) {
+    pending.add(exchange);
+    if (pending.size() > MAX_PENDING_REQUESTS) {
       reader.count("requests pushed out by newer ones");
-      tell(pending.poll().markIncomplete("too many requests without answers"));
+      deliver(pending.poll().markIncomplete("too many requests without answers"));
     }
   }
 
-  private void answered(Answered answer) {
-    if (!pending.isEmpty() && pending.peek().acknowledgedResponseBytes <= answer.begin) {
-      tell(pending.poll().completeWith(answer.message, answer.at));
+  private void onResponse(TimedResponse response) {
+    if (!pending.isEmpty() && pending.peek().acknowledgedResponseBytes <= response.startOffset) {
+      deliver(pending.poll().completeWith(response.message, response.lastByteNanos));
       return;
     }
-    early.add(answer);
-    if (early.size() > EARLY_MOST) {
-      early.poll();
+    earlyResponses.add(response);
+    if (earlyResponses.size() > MAX_EARLY_RESPONSES) {
+      earlyResponses.poll();
       reader.count("answers whose request was not captured");
     }
   }
 
-  private void tell(ScanExchange exchange) {
+  private void deliver(ScanExchange exchange) {
     if (exchange.isScan()) {
       reader.deliver(exchange);
     }
   }
 
   @Override
-  public void onGap(int side, long nanos, long missing) {
-    Half half = halves[side];
-    boolean midway = half.begun;
-    long begin = midway ? half.begin : half.offset;
-    half.lose(missing);
-    if (side != client) {
-      lost(begin, half.offset, NO_ANSWER);
-    } else if (midway) {
-      incomplete(half, NO_REQUEST);
+  public void onGap(int side, long timestampNanos, long missingBytes) {
+    MessageStream stream = streams[side];
+    boolean wasMidMessage = stream.inMessage;
+    long rangeStart = wasMidMessage ? stream.messageStartOffset : stream.streamOffset;
+    stream.skipTo(missingBytes);
+    if (side != clientSide) {
+      failPending(rangeStart, stream.streamOffset, RESPONSE_NOT_CAPTURED);
+    } else if (wasMidMessage) {
+      deliverIncompleteRequest(stream, REQUEST_NOT_CAPTURED);
     }
   }
 
   /**
    * The answers' stream has a hole: every request that may have been answered in it is incomplete.
    */
-  private void lost(long from, long to, String why) {
-    while (!pending.isEmpty() && pending.peek().acknowledgedResponseBytes < to) {
-      tell(pending.poll().markIncomplete(why));
+  private void failPending(long rangeStart, long rangeEnd, String problem) {
+    while (!pending.isEmpty() && pending.peek().acknowledgedResponseBytes < rangeEnd) {
+      deliver(pending.poll().markIncomplete(problem));
     }
   }
 
-  private void incomplete(Half half, String why) {
+  private void deliverIncompleteRequest(MessageStream stream, String problem) {
     reader.count("requests that are incomplete");
-    tell(
-        new ScanExchange(reader.nextNumber(), flow.number, name, null, half.beginAt, 0, 0)
-            .markIncomplete(why));
+    deliver(
+        new ScanExchange(
+                reader.nextNumber(),
+                flow.number,
+                clientAddress,
+                null,
+                stream.messageStartNanos,
+                0,
+                0)
+            .markIncomplete(problem));
   }
 
   @Override
-  public void onEndOfStream(int side, long nanos) {
-    Half half = halves[side];
+  public void onEndOfStream(int side, long timestampNanos) {
+    MessageStream stream = streams[side];
     // an answer that tells no length ends with its connection
-    if (side != client
-        && half.head != null
-        && half.begun
-        && half.head.header("content-length") == null
-        && half.head.header("transfer-encoding") == null) {
-      half.nanos = nanos;
-      half.onMessageEnd();
-      half.anew();
+    if (side != clientSide
+        && stream.head != null
+        && stream.inMessage
+        && stream.head.header("content-length") == null
+        && stream.head.header("transfer-encoding") == null) {
+      stream.lastNanos = timestampNanos;
+      stream.onMessageEnd();
+      stream.discardMessage();
     }
   }
 
   @Override
-  public void onClosed(Flow.CloseReason how, long nanos) {
-    boolean seenToEnd = how == Flow.CloseReason.FINISHED || how == Flow.CloseReason.RESET;
-    String why =
-        switch (how) {
+  public void onClosed(Flow.CloseReason reason, long timestampNanos) {
+    boolean closeObserved = reason == Flow.CloseReason.FINISHED || reason == Flow.CloseReason.RESET;
+    String problem =
+        switch (reason) {
           case FINISHED, RESET -> "";
           case END_OF_FILE -> "the file ends before its answer";
           default -> "its connection was lost sight of before its answer";
         };
     while (!pending.isEmpty()) {
-      tell(seenToEnd ? pending.poll().markClientLeft(nanos) : pending.poll().markIncomplete(why));
+      deliver(
+          closeObserved
+              ? pending.poll().markClientLeft(timestampNanos)
+              : pending.poll().markIncomplete(problem));
     }
-    Half half = halves[client];
-    if (half.begun) {
-      incomplete(
-          half, seenToEnd ? "its client broke off in its request" : "the file ends in its request");
+    MessageStream stream = streams[clientSide];
+    if (stream.inMessage) {
+      deliverIncompleteRequest(
+          stream,
+          closeObserved ? "its client broke off in its request" : "the file ends in its request");
     }
-    for (; !early.isEmpty(); early.poll()) {
+    for (; !earlyResponses.isEmpty(); earlyResponses.poll()) {
       reader.count("answers whose request was not captured");
     }
   }
--- a/traffic/src/main/java/gingerring/traffic/scan/HttpMessage.java
+++ b/traffic/src/main/java/gingerring/traffic/scan/HttpMessage.java
@@ -51,9 +51,9 @@
   final byte[] bytes;
   final int bodyOffset;
 
-  HttpMessage(byte[] bytes, int bodyAt) {
+  HttpMessage(byte[] bytes, int bodyOffset) {
     this.bytes = bytes;
-    this.bodyOffset = bodyAt;
+    this.bodyOffset = bodyOffset;
   }
 
   /** One that the parser read. */
@@ -66,9 +66,9 @@
     head.headers()
         .forEach((name, value) -> text.append(name).append(": ").append(value).append("\r\n"));
     out.writeBytes(text.append("\r\n").toString().getBytes(StandardCharsets.ISO_8859_1));
-    int bodyAt = out.size();
+    int bodyOffset = out.size();
     out.writeBytes(body);
-    return new HttpMessage(out.toByteArray(), bodyAt);
+    return new HttpMessage(out.toByteArray(), bodyOffset);
   }
 
   /** Where a skimmed message ends, and where its body begins. */
@@ -83,112 +83,122 @@
    * know is unusual.
    */
   static FastParseResult parseFast(
-      byte[] b, int at, int end, boolean request, int bodyMost, MessageExtent found) {
-    found.endOffset = at; // not known
-    int line = at;
-    long length = -1;
-    boolean first = true;
-    for (int i = at; i < end; i++) {
-      int c = b[i];
+      byte[] buffer, int start, int end, boolean request, int maxBodyBytes, MessageExtent extent) {
+    extent.endOffset = start; // not known
+    int lineStart = start;
+    long contentLength = -1;
+    boolean isStartLine = true;
+    for (int i = start; i < end; i++) {
+      int c = buffer[i];
       if (IS_FIELD_CHARACTER[c & 0xFF]) {
         continue;
       }
       if (c == '\r') {
-        if (i + 1 < end && b[i + 1] != '\n') {
+        if (i + 1 < end && buffer[i + 1] != '\n') {
           return FastParseResult.UNSUPPORTED;
         }
         continue;
       }
       // other control characters, and all beyond ASCII
-      if (c != '\n' || i == line || b[i - 1] != '\r' || i - at > MAX_HEAD_BYTES) {
+      if (c != '\n' || i == lineStart || buffer[i - 1] != '\r' || i - start > MAX_HEAD_BYTES) {
         return FastParseResult.UNSUPPORTED;
       }
-      int stop = i - 1;
-      if (stop == line) {
-        if (first) {
+      int lineEnd = i - 1;
+      if (lineEnd == lineStart) {
+        if (isStartLine) {
           return FastParseResult.UNSUPPORTED;
         }
-        if (length > bodyMost || length < 0 && !request) {
+        if (contentLength > maxBodyBytes || contentLength < 0 && !request) {
           return FastParseResult
               .UNSUPPORTED; // to the end of the connection, or none: the parser knows
         }
-        found.bodyOffset = i + 1;
-        found.endOffset = (int) (i + 1 + Math.max(0, length));
-        return found.endOffset <= end ? FastParseResult.COMPLETE : FastParseResult.NEEDS_MORE;
+        extent.bodyOffset = i + 1;
+        extent.endOffset = (int) (i + 1 + Math.max(0, contentLength));
+        return extent.endOffset <= end ? FastParseResult.COMPLETE : FastParseResult.NEEDS_MORE;
       }
-      if (first) {
-        if (!isSupportedStartLine(b, line, stop, request)) {
+      if (isStartLine) {
+        if (!isSupportedStartLine(buffer, lineStart, lineEnd, request)) {
           return FastParseResult.UNSUPPORTED;
         }
-        first = false;
+        isStartLine = false;
       } else {
-        int colon = line;
-        while (colon < stop && b[colon] > 0 && IS_TOKEN_CHARACTER[b[colon]]) {
+        int colon = lineStart;
+        while (colon < lineEnd && buffer[colon] > 0 && IS_TOKEN_CHARACTER[buffer[colon]]) {
           colon++;
         }
-        if (colon == line
-            || colon == stop
-            || b[colon] != ':'
-            || colon - line == TRANSFER_ENCODING.length - 1
-                && startsWithIgnoringCase(b, line, stop, TRANSFER_ENCODING)) {
+        if (colon == lineStart
+            || colon == lineEnd
+            || buffer[colon] != ':'
+            || colon - lineStart == TRANSFER_ENCODING.length - 1
+                && startsWithIgnoringCase(buffer, lineStart, lineEnd, TRANSFER_ENCODING)) {
           return FastParseResult.UNSUPPORTED;
         }
-        if (colon - line == CONTENT_LENGTH.length - 1
-            && startsWithIgnoringCase(b, line, stop, CONTENT_LENGTH)) {
-          long told = parseContentLength(b, line + CONTENT_LENGTH.length, stop);
-          if (told < 0 || length >= 0) {
+        if (colon - lineStart == CONTENT_LENGTH.length - 1
+            && startsWithIgnoringCase(buffer, lineStart, lineEnd, CONTENT_LENGTH)) {
+          long declaredLength =
+              parseContentLength(buffer, lineStart + CONTENT_LENGTH.length, lineEnd);
+          if (declaredLength < 0 || contentLength >= 0) {
             return FastParseResult.UNSUPPORTED;
           }
-          length = told;
+          contentLength = declaredLength;
         }
       }
-      line = i + 1;
+      lineStart = i + 1;
     }
-    return end - at > MAX_HEAD_BYTES ? FastParseResult.UNSUPPORTED : FastParseResult.NEEDS_MORE;
+    return end - start > MAX_HEAD_BYTES ? FastParseResult.UNSUPPORTED : FastParseResult.NEEDS_MORE;
   }
 
-  private static boolean isSupportedStartLine(byte[] b, int line, int stop, boolean request) {
-    int version = request ? stop - 8 : line;
-    if (version < line
-        || stop - version < 8
-        || b[version] != 'H'
-        || b[version + 1] != 'T'
-        || b[version + 2] != 'T'
-        || b[version + 3] != 'P'
-        || b[version + 4] != '/'
-        || b[version + 5] != '1'
-        || b[version + 6] != '.'
-        || b[version + 7] != '0' && b[version + 7] != '1') {
+  private static boolean isSupportedStartLine(
+      byte[] buffer, int lineStart, int lineEnd, boolean request) {
+    int versionStart = request ? lineEnd - 8 : lineStart;
+    if (versionStart < lineStart
+        || lineEnd - versionStart < 8
+        || buffer[versionStart] != 'H'
+        || buffer[versionStart + 1] != 'T'
+        || buffer[versionStart + 2] != 'T'
+        || buffer[versionStart + 3] != 'P'
+        || buffer[versionStart + 4] != '/'
+        || buffer[versionStart + 5] != '1'
+        || buffer[versionStart + 6] != '.'
+        || buffer[versionStart + 7] != '0' && buffer[versionStart + 7] != '1') {
       return false;
     }
     if (!request) {
-      return stop - line >= 12
-          && b[line + 8] == ' '
-          && isDigit(b[line + 9])
-          && isDigit(b[line + 10])
-          && isDigit(b[line + 11])
-          && (stop - line == 12 || b[line + 12] == ' ')
-          && b[line + 9] != '1'
-          && !(b[line + 9] == '2' && b[line + 10] == '0' && b[line + 11] == '4')
-          && !(b[line + 9] == '3' && b[line + 10] == '0' && b[line + 11] == '4');
+      return lineEnd - lineStart >= 12
+          && buffer[lineStart + 8] == ' '
+          && isDigit(buffer[lineStart + 9])
+          && isDigit(buffer[lineStart + 10])
+          && isDigit(buffer[lineStart + 11])
+          && (lineEnd - lineStart == 12 || buffer[lineStart + 12] == ' ')
+          && buffer[lineStart + 9] != '1'
+          && !(buffer[lineStart + 9] == '2'
+              && buffer[lineStart + 10] == '0'
+              && buffer[lineStart + 11] == '4')
+          && !(buffer[lineStart + 9] == '3'
+              && buffer[lineStart + 10] == '0'
+              && buffer[lineStart + 11] == '4');
     }
     int spaces = 0;
-    for (int i = line; i < stop; i++) {
-      spaces += b[i] == ' ' ? 1 : 0;
+    for (int i = lineStart; i < lineEnd; i++) {
+      spaces += buffer[i] == ' ' ? 1 : 0;
     }
-    return spaces == 2 && b[line] != ' ' && b[version - 1] == ' ' && b[version - 2] != ' ';
+    return spaces == 2
+        && buffer[lineStart] != ' '
+        && buffer[versionStart - 1] == ' '
+        && buffer[versionStart - 2] != ' ';
   }
 
   private static boolean isDigit(byte b) {
     return b >= '0' && b <= '9';
   }
 
-  private static boolean startsWithIgnoringCase(byte[] b, int line, int stop, byte[] name) {
-    if (stop - line < name.length) {
+  private static boolean startsWithIgnoringCase(
+      byte[] buffer, int lineStart, int lineEnd, byte[] name) {
+    if (lineEnd - lineStart < name.length) {
       return false;
     }
     for (int i = 0; i < name.length; i++) {
-      int c = b[line + i];
+      int c = buffer[lineStart + i];
       if ((c >= 'A' && c <= 'Z' ? c + 32 : c) != name[i]) {
         return false;
       }
@@ -196,22 +206,22 @@
     return true;
   }
 
-  private static long parseContentLength(byte[] b, int at, int stop) {
-    while (at < stop && (b[at] == ' ' || b[at] == '\t')) {
-      at++;
+  private static long parseContentLength(byte[] buffer, int start, int end) {
+    while (start < end && (buffer[start] == ' ' || buffer[start] == '\t')) {
+      start++;
     }
-    while (stop > at && (b[stop - 1] == ' ' || b[stop - 1] == '\t')) {
-      stop--;
+    while (end > start && (buffer[end - 1] == ' ' || buffer[end - 1] == '\t')) {
+      end--;
     }
-    if (at == stop || stop - at > 9) {
+    if (start == end || end - start > 9) {
       return -1;
     }
     long value = 0;
-    for (; at < stop; at++) {
-      if (!isDigit(b[at])) {
+    for (; start < end; start++) {
+      if (!isDigit(buffer[start])) {
         return -1;
       }
-      value = 10 * value + b[at] - '0';
+      value = 10 * value + buffer[start] - '0';
     }
     return value;
   }
@@ -225,10 +235,10 @@
 
   /** Whether this is a request for a scan. */
   boolean isScanRequest() {
-    byte[] start = {'P', 'O', 'S', 'T', ' ', '/', 'a', 'p', 'i'};
-    return bytes.length > start.length
-        && Arrays.equals(bytes, 0, start.length, start, 0, start.length)
-        && (bytes[start.length] == ' ' || bytes[start.length] == '?');
+    byte[] prefix = {'P', 'O', 'S', 'T', ' ', '/', 'a', 'p', 'i'};
+    return bytes.length > prefix.length
+        && Arrays.equals(bytes, 0, prefix.length, prefix, 0, prefix.length)
+        && (bytes[prefix.length] == ' ' || bytes[prefix.length] == '?');
   }
 
   byte[] body() {
@@ -239,7 +249,7 @@
     String[] lines =
         new String(bytes, 0, Math.max(0, bodyOffset - 4), StandardCharsets.ISO_8859_1)
             .split("\r\n");
-    String[] words = lines[0].split(" ", 3);
+    String[] startLine = lines[0].split(" ", 3);
     Map<String, String> headers = new LinkedHashMap<>();
     for (int i = 1; i < lines.length; i++) {
       int colon = lines[i].indexOf(':');
@@ -248,7 +258,8 @@
           lines[i].substring(colon + 1).strip(),
           (one, other) -> one + ", " + other);
     }
-    return new MessageHead(words[0], words[1], words.length > 2 ? words[2] : "", headers);
+    return new MessageHead(
+        startLine[0], startLine[1], startLine.length > 2 ? startLine[2] : "", headers);
   }
 
   /**
@@ -256,52 +267,64 @@
    * whole, 0 where not, -1 where the form is another and has to be read.
    */
   int parseWholeFlag() {
-    int at = endOfMatch(bodyOffset, WHOLE_KEY);
+    int offset = endOfMatch(bodyOffset, WHOLE_KEY);
     int whole =
-        endOfMatch(at, WHOLE_RESULTS) >= 0 ? 1 : endOfMatch(at, PARTIAL_RESULTS) >= 0 ? 0 : -1;
-    if (at < 0 || whole < 0) {
+        endOfMatch(offset, WHOLE_RESULTS) >= 0
+            ? 1
+            : endOfMatch(offset, PARTIAL_RESULTS) >= 0 ? 0 : -1;
+    if (offset < 0 || whole < 0) {
       return -1;
     }
-    at = endOfMatch(at, whole == 1 ? WHOLE_RESULTS : PARTIAL_RESULTS);
-    for (boolean first = true; at >= 0 && at < bytes.length && bytes[at] != ']'; first = false) {
-      if (!first && bytes[at++] != ',') {
+    offset = endOfMatch(offset, whole == 1 ? WHOLE_RESULTS : PARTIAL_RESULTS);
+    for (boolean isFirstResult = true;
+        offset >= 0 && offset < bytes.length && bytes[offset] != ']';
+        isFirstResult = false) {
+      if (!isFirstResult && bytes[offset++] != ',') {
         return -1;
       }
-      int digits = endOfMatch(at, PARTITION_KEY);
-      for (at = digits; at >= 0 && at < bytes.length && isDigit(bytes[at]); ) {
-        at++;
+      int digitsStart = endOfMatch(offset, PARTITION_KEY);
+      for (offset = digitsStart; offset >= 0 && offset < bytes.length && isDigit(bytes[offset]); ) {
+        offset++;
       }
-      if (at <= digits || at - digits > 9 || bytes[digits] == '0' && at - digits > 1) {
+      if (offset <= digitsStart
+          || offset - digitsStart > 9
+          || bytes[digitsStart] == '0' && offset - digitsStart > 1) {
         return -1;
       }
-      at = endOfMatch(at, VALUE_KEY);
-      while (at >= 0
-          && at < bytes.length
-          && bytes[at] >= ' '
-          && bytes[at] != '"'
-          && bytes[at] != '\\') {
-        at++;
+      offset = endOfMatch(offset, VALUE_KEY);
+      while (offset >= 0
+          && offset < bytes.length
+          && bytes[offset] >= ' '
+          && bytes[offset] != '"'
+          && bytes[offset] != '\\') {
+        offset++;
       }
-      if (at < 0 || at + 1 >= bytes.length || bytes[at] != '"' || bytes[at + 1] != '}') {
+      if (offset < 0
+          || offset + 1 >= bytes.length
+          || bytes[offset] != '"'
+          || bytes[offset + 1] != '}') {
         return -1;
       }
-      at += 2;
+      offset += 2;
     }
-    return at >= 0 && at + 2 == bytes.length && bytes[at] == ']' && bytes[at + 1] == '}'
+    return offset >= 0
+            && offset + 2 == bytes.length
+            && bytes[offset] == ']'
+            && bytes[offset + 1] == '}'
         ? whole
         : -1;
   }
 
   /** Where what follows this text begins, or -1 where it does not stand here. */
-  private int endOfMatch(int at, byte[] text) {
-    if (at < 0 || at + text.length > bytes.length) {
+  private int endOfMatch(int offset, byte[] text) {
+    if (offset < 0 || offset + text.length > bytes.length) {
       return -1;
     }
     for (int i = 0; i < text.length; i++) {
-      if (bytes[at + i] != text[i]) {
+      if (bytes[offset + i] != text[i]) {
         return -1;
       }
     }
-    return at + text.length;
+    return offset + text.length;
   }
 }
--- a/traffic/src/main/java/gingerring/traffic/scan/ProtocolDecoder.java
+++ b/traffic/src/main/java/gingerring/traffic/scan/ProtocolDecoder.java
@@ -4,11 +4,17 @@
 
 /** One connection's bytes as messages of one protocol. */
 interface ProtocolDecoder {
-  void onData(int side, long nanos, long taken, byte[] bytes, int at, int length);
+  void onData(
+      int side,
+      long timestampNanos,
+      long acknowledgedPeerBytes,
+      byte[] bytes,
+      int offset,
+      int length);
 
-  void onGap(int side, long nanos, long missing);
+  void onGap(int side, long timestampNanos, long missingBytes);
 
-  void onEndOfStream(int side, long nanos);
+  void onEndOfStream(int side, long timestampNanos);
 
-  void onClosed(Flow.CloseReason how, long nanos);
+  void onClosed(Flow.CloseReason reason, long timestampNanos);
 }
--- a/traffic/src/main/java/gingerring/traffic/scan/RecordingReader.java
+++ b/traffic/src/main/java/gingerring/traffic/scan/RecordingReader.java
@@ -38,70 +38,73 @@
 
   /** Tells each scan once it has ended; {@code wanted} picks the segments that are looked at. */
   public static Summary read(
-      Path file, ReassemblyLimits bounds, Predicate<Segment> wanted, Consumer<ObservedScan> scans)
+      Path file,
+      ReassemblyLimits bounds,
+      Predicate<Segment> segmentFilter,
+      Consumer<ObservedScan> scanConsumer)
       throws IOException {
     try (CaptureReader capture = CaptureReader.open(file)) {
-      return read(capture, bounds, wanted, scans);
+      return read(capture, bounds, segmentFilter, scanConsumer);
     }
   }
 
   public static Summary read(
       CaptureReader capture,
       ReassemblyLimits bounds,
-      Predicate<Segment> wanted,
-      Consumer<ObservedScan> scans) {
+      Predicate<Segment> segmentFilter,
+      Consumer<ObservedScan> scanConsumer) {
     return readExchanges(
-        capture, bounds, wanted, exchange -> scans.accept(exchange.toObservedScan()));
+        capture, bounds, segmentFilter, exchange -> scanConsumer.accept(exchange.toObservedScan()));
   }
 
   /** The same for those who need not know everything of each scan. */
   public static Summary readExchanges(
       CaptureReader capture,
       ReassemblyLimits bounds,
-      Predicate<Segment> wanted,
-      Consumer<ScanExchange> scans) {
-    long[] told = {0};
+      Predicate<Segment> segmentFilter,
+      Consumer<ScanExchange> exchangeConsumer) {
+    long[] scanCount = {0};
     ScanReader reader =
         new ScanReader(
             exchange -> {
-              told[0]++;
-              scans.accept(exchange);
+              scanCount[0]++;
+              exchangeConsumer.accept(exchange);
             });
-    FlowTable table = new FlowTable(bounds, reader);
-    PacketDecoder layers = new PacketDecoder();
+    FlowTable flowTable = new FlowTable(bounds, reader);
+    PacketDecoder packetDecoder = new PacketDecoder();
     Packet packet = new Packet();
     Segment segment = new Segment();
     long packets = 0;
-    long bytes = 0;
+    long capturedBytes = 0;
     long segments = 0;
-    long first = 0;
-    long last = 0;
+    long firstNanos = 0;
+    long lastNanos = 0;
     while (capture.next(packet)) {
-      first = packets == 0 ? packet.timestampNanos : first;
-      last = Math.max(last, packet.timestampNanos);
+      firstNanos = packets == 0 ? packet.timestampNanos : firstNanos;
+      lastNanos = Math.max(lastNanos, packet.timestampNanos);
       packets++;
-      bytes += packet.length;
-      if (layers.decode(packet, segment) && wanted.test(segment)) {
+      capturedBytes += packet.length;
+      if (packetDecoder.decode(packet, segment) && segmentFilter.test(segment)) {
         segments++;
-        table.process(segment);
+        flowTable.process(segment);
       }
     }
-    table.endAllFlows();
-    Map<String, Long> notRead = new TreeMap<>(layers.counts());
-    notRead.putAll(table.counts());
+    flowTable.endAllFlows();
+    Map<String, Long> skippedCounts = new TreeMap<>(packetDecoder.counts());
+    skippedCounts.putAll(flowTable.counts());
     return new Summary(
         packets,
-        bytes,
+        capturedBytes,
         segments,
-        table.totalFlows(),
-        told[0],
-        first,
-        last,
+        flowTable.totalFlows(),
+        scanCount[0],
+        firstNanos,
+        lastNanos,
         capture.droppedPackets(),
         capture.endState(),
         capture.endReason(),
         reader.counts(),
-        notRead,
+        skippedCounts,
         reader.searcherTraffic());
   }
 }
--- a/traffic/src/main/java/gingerring/traffic/scan/ScanExchange.java
+++ b/traffic/src/main/java/gingerring/traffic/scan/ScanExchange.java
@@ -36,55 +36,55 @@
 
   ScanExchange(
       long number,
-      long connection,
+      long connectionNumber,
       String client,
       HttpMessage request,
-      long firstAt,
-      long wholeAt,
-      long taken) {
+      long requestStartNanos,
+      long requestEndNanos,
+      long acknowledgedResponseBytes) {
     this.number = number;
-    this.connectionNumber = connection;
+    this.connectionNumber = connectionNumber;
     this.client = client;
     this.request = request;
-    this.requestStartNanos = firstAt;
-    this.requestEndNanos = wholeAt;
-    this.acknowledgedResponseBytes = taken;
+    this.requestStartNanos = requestStartNanos;
+    this.requestEndNanos = requestEndNanos;
+    this.acknowledgedResponseBytes = acknowledgedResponseBytes;
   }
 
   boolean isScan() {
     return request == null || request.isScanRequest();
   }
 
-  ScanExchange completeWith(HttpMessage whole, long at) {
-    response = whole;
-    responseEndNanos = at;
+  ScanExchange completeWith(HttpMessage completeResponse, long nanos) {
+    response = completeResponse;
+    responseEndNanos = nanos;
     return this;
   }
 
-  ScanExchange markClientLeft(long at) {
+  ScanExchange markClientLeft(long nanos) {
     outcome = ScanOutcome.LEFT;
-    responseEndNanos = at;
+    responseEndNanos = nanos;
     return this;
   }
 
-  ScanExchange markIncomplete(String why) {
+  ScanExchange markIncomplete(String cause) {
     outcome = ScanOutcome.INCOMPLETE;
-    problem = why;
+    problem = cause;
     return this;
   }
 
   public ScanOutcome outcome() {
     if (outcome == null) {
       int status = response.status();
-      int whole = status == 200 ? response.parseWholeFlag() : 0;
+      int wholeFlag = status == 200 ? response.parseWholeFlag() : 0;
       outcome =
           status == 429 || status == 503
               ? ScanOutcome.NACKED
               : status != 200
                   ? ScanOutcome.SCRAPPED
-                  : whole > 0
+                  : wholeFlag > 0
                       ? ScanOutcome.WHOLE
-                      : whole == 0 ? ScanOutcome.PART : parseResponse().outcome();
+                      : wholeFlag == 0 ? ScanOutcome.PART : parseResponse().outcome();
     }
     return outcome;
   }
@@ -118,27 +118,27 @@
           0,
           problem);
     }
-    ScanResponse read =
+    ScanResponse parsed =
         response == null
             ? new ScanResponse(outcome, 0, false, Map.of(), Duration.ZERO, problem)
             : parseResponse();
     MessageHead head = request.head();
     byte[] body = request.body();
     List<Target> targets = new ArrayList<>();
-    String text = "";
-    String wrong = read.error();
+    String queryText = "";
+    String problem = parsed.error();
     try {
       Map<String, Object> object = JsonFields.object(Json.parse(body), "the body");
-      text = JsonFields.string(object, "query");
-      for (Object each : JsonFields.list(object, "targets")) {
-        Map<String, Object> target = JsonFields.object(each, "a target");
+      queryText = JsonFields.string(object, "query");
+      for (Object element : JsonFields.list(object, "targets")) {
+        Map<String, Object> target = JsonFields.object(element, "a target");
         targets.add(
             new Target(
                 (int) JsonFields.nonNegativeInteger(target, "partition"),
                 JsonFields.number(target, "share")));
       }
     } catch (Json.JsonException e) {
-      wrong = wrong.isEmpty() ? "no scan's body: " + e.getMessage() : wrong;
+      problem = problem.isEmpty() ? "no scan's body: " + e.getMessage() : problem;
     }
     String remaining = headerOrEmpty(head, "X-Remaining-Ms");
     return new ObservedScan(
@@ -154,14 +154,14 @@
         headerOrEmpty(head, "X-Resent").equals("1"),
         head.header("Idempotency-Key"),
         targets,
-        text,
+        queryText,
         rebuildRequest(head, body),
-        read.outcome(),
-        read.status(),
-        read.whole(),
-        read.valuesByPartition(),
-        read.retryAfter().toNanos() / 1e9,
-        wrong);
+        parsed.outcome(),
+        parsed.status(),
+        parsed.whole(),
+        parsed.valuesByPartition(),
+        parsed.retryAfter().toNanos() / 1e9,
+        problem);
   }
 
   private static String headerOrEmpty(MessageHead head, String name) {
--- a/traffic/src/main/java/gingerring/traffic/scan/ScanReader.java
+++ b/traffic/src/main/java/gingerring/traffic/scan/ScanReader.java
@@ -36,13 +36,19 @@
   private static final ProtocolDecoder IGNORING_DECODER =
       new ProtocolDecoder() {
         @Override
-        public void onData(int side, long nanos, long taken, byte[] bytes, int at, int length) {}
+        public void onData(
+            int side,
+            long timestampNanos,
+            long acknowledgedPeerBytes,
+            byte[] bytes,
+            int offset,
+            int length) {}
 
         @Override
-        public void onGap(int side, long nanos, long missing) {}
+        public void onGap(int side, long timestampNanos, long missingBytes) {}
 
         @Override
-        public void onEndOfStream(int side, long nanos) {}
+        public void onEndOfStream(int side, long timestampNanos) {}
 
         @Override
         public void onClosed(Flow.CloseReason how, long nanos) {}
@@ -55,8 +61,8 @@
   private final Map<String, Long> counts = new TreeMap<>();
   private long exchangesNumbered;
 
-  public ScanReader(Consumer<ScanExchange> scans) {
-    this.exchangeConsumer = scans;
+  public ScanReader(Consumer<ScanExchange> exchangeConsumer) {
+    this.exchangeConsumer = exchangeConsumer;
   }
 
   public Map<String, Long> counts() {
@@ -75,8 +81,8 @@
     exchangeConsumer.accept(exchange);
   }
 
-  void count(String what) {
-    counts.merge(what, 1L, Long::sum);
+  void count(String cause) {
+    counts.merge(cause, 1L, Long::sum);
   }
 
   @Override
@@ -86,66 +92,73 @@
 
   @Override
   public void onData(
-      Flow flow, int side, long nanos, long taken, byte[] bytes, int at, int length) {
-    if (flow.attachment instanceof UndetectedProtocol unknown) {
-      if (unknown.headSide >= 0 && unknown.headSide != side) {
-        unknown.discardHead();
+      Flow flow,
+      int side,
+      long timestampNanos,
+      long acknowledgedPeerBytes,
+      byte[] bytes,
+      int offset,
+      int length) {
+    if (flow.attachment instanceof UndetectedProtocol undetected) {
+      if (undetected.headSide >= 0 && undetected.headSide != side) {
+        undetected.discardHead();
       }
-      int used = Math.min(length, unknown.head.length - unknown.headSize);
-      System.arraycopy(bytes, at, unknown.head, unknown.headSize, used);
-      if (unknown.headSize == 0) {
-        unknown.headNanos = nanos;
-        unknown.headAcknowledgedPeerBytes = taken;
+      int headBytes = Math.min(length, undetected.head.length - undetected.headSize);
+      System.arraycopy(bytes, offset, undetected.head, undetected.headSize, headBytes);
+      if (undetected.headSize == 0) {
+        undetected.headNanos = timestampNanos;
+        undetected.headAcknowledgedPeerBytes = acknowledgedPeerBytes;
       }
-      unknown.headSide = side;
-      unknown.headSize += used;
-      if (unknown.headSize < unknown.head.length && !holdsWholeFrame(unknown)) {
+      undetected.headSide = side;
+      undetected.headSize += headBytes;
+      if (undetected.headSize < undetected.head.length && !holdsWholeFrame(undetected)) {
         return;
       }
-      long begin = flow.deliveredBytes(side) - (length - used) - unknown.headSize;
-      ProtocolDecoder talk = createDecoder(flow, side, unknown, begin);
-      if (talk == null) {
+      long startOffset = flow.deliveredBytes(side) - (length - headBytes) - undetected.headSize;
+      ProtocolDecoder decoder = createDecoder(flow, side, undetected, startOffset);
+      if (decoder == null) {
         // a capture that begins in the midst of a message: the next segment may begin another
-        unknown.discardHead();
+        undetected.discardHead();
         return;
       }
-      flow.attachment = talk;
-      talk.onData(
+      flow.attachment = decoder;
+      decoder.onData(
           side,
-          unknown.headNanos,
-          unknown.headAcknowledgedPeerBytes,
-          unknown.head,
+          undetected.headNanos,
+          undetected.headAcknowledgedPeerBytes,
+          undetected.head,
           0,
-          unknown.headSize);
-      at += used;
-      length -= used;
+          undetected.headSize);
+      offset += headBytes;
+      length -= headBytes;
     }
     if (length > 0) {
-      ((ProtocolDecoder) flow.attachment).onData(side, nanos, taken, bytes, at, length);
+      ((ProtocolDecoder) flow.attachment)
+          .onData(side, timestampNanos, acknowledgedPeerBytes, bytes, offset, length);
     }
   }
 
   /** A probe's frame is shorter than what tells an HTTP request. */
-  private static boolean holdsWholeFrame(UndetectedProtocol unknown) {
-    return unknown.headSize >= 5
-        && FrameSplitter.frameLength(unknown.head) >= 1
-        && unknown.headSize >= 4 + FrameSplitter.frameLength(unknown.head);
+  private static boolean holdsWholeFrame(UndetectedProtocol undetected) {
+    return undetected.headSize >= 5
+        && FrameSplitter.frameLength(undetected.head) >= 1
+        && undetected.headSize >= 4 + FrameSplitter.frameLength(undetected.head);
   }
 
   private ProtocolDecoder createDecoder(
-      Flow flow, int side, UndetectedProtocol unknown, long begin) {
-    String head = new String(unknown.head, 0, unknown.headSize, StandardCharsets.ISO_8859_1);
+      Flow flow, int side, UndetectedProtocol undetected, long startOffset) {
+    String head = new String(undetected.head, 0, undetected.headSize, StandardCharsets.ISO_8859_1);
     if (head.startsWith("HTTP/1.")) {
-      return new HttpDecoder(this, flow, 1 - side, side, begin);
+      return new HttpDecoder(this, flow, 1 - side, side, startOffset);
     }
     if (REQUEST_START.matcher(head).matches()) {
-      return new HttpDecoder(this, flow, side, side, begin);
+      return new HttpDecoder(this, flow, side, side, startOffset);
     }
-    if (FrameSplitter.startsWithFrame(unknown.head, unknown.headSize)) {
+    if (FrameSplitter.startsWithFrame(undetected.head, undetected.headSize)) {
       return new FrameDecoder(
-          this, flow, unknown.head[4] == 'R' || unknown.head[4] == 'F' ? 1 - side : side);
+          this, flow, undetected.head[4] == 'R' || undetected.head[4] == 'F' ? 1 - side : side);
     }
-    if (!flow.openingSeen || unknown.midStream) {
+    if (!flow.openingSeen || undetected.midStream) {
       return null;
     }
     count("connections that speak something else");
@@ -153,27 +166,27 @@
   }
 
   @Override
-  public void onGap(Flow flow, int side, long nanos, long missing) {
-    if (flow.attachment instanceof ProtocolDecoder talk) {
-      talk.onGap(side, nanos, missing);
+  public void onGap(Flow flow, int side, long timestampNanos, long missingBytes) {
+    if (flow.attachment instanceof ProtocolDecoder decoder) {
+      decoder.onGap(side, timestampNanos, missingBytes);
     } else {
       ((UndetectedProtocol) flow.attachment).discardHead();
     }
   }
 
   @Override
-  public void onEndOfStream(Flow flow, int side, long nanos) {
-    if (flow.attachment instanceof ProtocolDecoder talk) {
-      talk.onEndOfStream(side, nanos);
+  public void onEndOfStream(Flow flow, int side, long timestampNanos) {
+    if (flow.attachment instanceof ProtocolDecoder decoder) {
+      decoder.onEndOfStream(side, timestampNanos);
     }
   }
 
   @Override
-  public void onFlowClosed(Flow flow, Flow.CloseReason how, long nanos) {
-    if (flow.attachment instanceof ProtocolDecoder talk) {
-      talk.onClosed(how, nanos);
-    } else if (flow.attachment instanceof UndetectedProtocol unknown
-        && (unknown.headSize > 0 || unknown.midStream)) {
+  public void onFlowClosed(Flow flow, Flow.CloseReason reason, long timestampNanos) {
+    if (flow.attachment instanceof ProtocolDecoder decoder) {
+      decoder.onClosed(reason, timestampNanos);
+    } else if (flow.attachment instanceof UndetectedProtocol undetected
+        && (undetected.headSize > 0 || undetected.midStream)) {
       count("connections of which no message was seen to begin");
     }
     flow.attachment = IGNORING_DECODER;
--- a/traffic/src/main/java/gingerring/traffic/scan/ScanResponse.java
+++ b/traffic/src/main/java/gingerring/traffic/scan/ScanResponse.java
@@ -22,10 +22,10 @@
   public static ScanResponse parse(MessageHead head, byte[] body) {
     int status =
         head.targetOrStatus().matches("[0-9]{3}") ? Integer.parseInt(head.targetOrStatus()) : 0;
-    String told = head.header("retry-after");
-    Duration comeBack =
-        told != null && told.matches("[0-9]{1,6}(\\.[0-9]{1,6})?")
-            ? Duration.ofNanos((long) (Double.parseDouble(told) * 1e9))
+    String retryAfterHeader = head.header("retry-after");
+    Duration retryAfter =
+        retryAfterHeader != null && retryAfterHeader.matches("[0-9]{1,6}(\\.[0-9]{1,6})?")
+            ? Duration.ofNanos((long) (Double.parseDouble(retryAfterHeader) * 1e9))
             : Duration.ZERO;
     if (status != 200) {
       return new ScanResponse(
@@ -33,24 +33,29 @@
           status,
           false,
           Map.of(),
-          comeBack,
+          retryAfter,
           "");
     }
     try {
       Map<String, Object> object = JsonFields.object(Json.parse(body), "the answer");
-      Map<Integer, String> values = new TreeMap<>();
-      for (Object each : JsonFields.list(object, "results")) {
-        Map<String, Object> result = JsonFields.object(each, "a result");
-        values.put(
+      Map<Integer, String> valuesByPartition = new TreeMap<>();
+      for (Object element : JsonFields.list(object, "results")) {
+        Map<String, Object> result = JsonFields.object(element, "a result");
+        valuesByPartition.put(
             (int) JsonFields.nonNegativeInteger(result, "partition"),
             JsonFields.string(result, "value"));
       }
       boolean whole = JsonFields.booleanValue(object, "whole");
       return new ScanResponse(
-          whole ? ScanOutcome.WHOLE : ScanOutcome.PART, status, whole, values, comeBack, "");
+          whole ? ScanOutcome.WHOLE : ScanOutcome.PART,
+          status,
+          whole,
+          valuesByPartition,
+          retryAfter,
+          "");
     } catch (Json.JsonException e) {
       return new ScanResponse(
-          ScanOutcome.SCRAPPED, status, false, Map.of(), comeBack, "an answer without results");
+          ScanOutcome.SCRAPPED, status, false, Map.of(), retryAfter, "an answer without results");
     }
   }
 }
--- a/traffic/src/main/java/gingerring/traffic/wire/DatagramEndpoint.java
+++ b/traffic/src/main/java/gingerring/traffic/wire/DatagramEndpoint.java
@@ -20,27 +20,27 @@
   private final ByteBuffer buffer = ByteBuffer.allocate(MAX_DATAGRAM_BYTES);
 
   DatagramEndpoint(
-      Reactor reactor, InetSocketAddress address, BiConsumer<InetSocketAddress, byte[]> received)
+      Reactor reactor, InetSocketAddress address, BiConsumer<InetSocketAddress, byte[]> consumer)
       throws IOException {
     channel = DatagramChannel.open();
     channel.bind(address);
     channel.configureBlocking(false);
     SelectionKey key = channel.register(reactor.selector, SelectionKey.OP_READ);
-    key.attach((Runnable) () -> read(received));
+    key.attach((Runnable) () -> read(consumer));
   }
 
-  private void read(BiConsumer<InetSocketAddress, byte[]> received) {
+  private void read(BiConsumer<InetSocketAddress, byte[]> consumer) {
     try {
       for (int i = 0; i < MAX_READS_PER_EVENT; i++) {
         buffer.clear();
-        InetSocketAddress from = (InetSocketAddress) channel.receive(buffer);
-        if (from == null) {
+        InetSocketAddress sender = (InetSocketAddress) channel.receive(buffer);
+        if (sender == null) {
           return;
         }
         buffer.flip();
         byte[] bytes = new byte[buffer.remaining()];
         buffer.get(bytes);
-        received.accept(from, bytes);
+        consumer.accept(sender, bytes);
       }
     } catch (IOException e) {
       // a peer's port is closed, or this one is
@@ -51,9 +51,9 @@
     return (InetSocketAddress) channel.socket().getLocalSocketAddress();
   }
 
-  public void send(InetSocketAddress to, byte[] bytes) {
+  public void send(InetSocketAddress destination, byte[] bytes) {
     try {
-      channel.send(ByteBuffer.wrap(bytes), to);
+      channel.send(ByteBuffer.wrap(bytes), destination);
     } catch (IOException e) {
       // lost
     }
