--- a/traffic/src/main/java/gingerring/traffic/wire/HttpConnectionHandler.java
+++ b/traffic/src/main/java/gingerring/traffic/wire/HttpConnectionHandler.java
@@ -18,15 +18,15 @@
   private MessageHead head;
   private ByteArrayOutputStream body = new ByteArrayOutputStream();
 
-  protected HttpConnectionHandler(boolean requests, int bodyMost) {
+  protected HttpConnectionHandler(boolean parsesRequests, int maxBodyBytes) {
     parser =
         new HttpParser(
-            requests,
-            bodyMost,
+            parsesRequests,
+            maxBodyBytes,
             new HttpParser.Handler() {
               @Override
-              public void onHead(MessageHead read) {
-                head = read;
+              public void onHead(MessageHead parsedHead) {
+                head = parsedHead;
               }
 
               @Override
@@ -36,13 +36,15 @@
 
               @Override
               public void onMessageEnd() throws HttpException {
-                MessageHead whole = head;
+                MessageHead messageHead = head;
                 byte[] bytes = body.toByteArray();
                 head = null;
                 body = new ByteArrayOutputStream();
-                if (requests
-                    || !whole.targetOrStatus().startsWith("1")) { // 100 Continue is no answer yet
-                  onMessage(whole, bytes);
+                if (parsesRequests
+                    || !messageHead
+                        .targetOrStatus()
+                        .startsWith("1")) { // 100 Continue is no answer yet
+                  onMessage(messageHead, bytes);
                 }
               }
             });
@@ -61,10 +63,10 @@
   @Override
   public final void onData(byte[] bytes, int length) {
     try {
-      for (int at = 0; at < length; ) {
-        int count = Math.min(length - at, CHUNK_BYTES);
-        ring.put(bytes, at, count);
-        at += count;
+      for (int offset = 0; offset < length; ) {
+        int count = Math.min(length - offset, CHUNK_BYTES);
+        ring.put(bytes, offset, count);
+        offset += count;
         while (ring.size() > 0 && parser.parse(ring)) {
           // another message may follow
         }
--- a/traffic/src/main/java/gingerring/traffic/wire/Reactor.java
+++ b/traffic/src/main/java/gingerring/traffic/wire/Reactor.java
@@ -73,8 +73,9 @@
     return failureCount;
   }
 
-  public void schedule(Duration span, Runnable task) {
-    timers.add(new Timer(System.nanoTime() - startNanos + span.toNanos(), nextTimerNumber++, task));
+  public void schedule(Duration delay, Runnable task) {
+    timers.add(
+        new Timer(System.nanoTime() - startNanos + delay.toNanos(), nextTimerNumber++, task));
   }
 
   public void post(Runnable task) {
@@ -89,7 +90,8 @@
 
   /** Takes connections at a loopback address; {@code owner} is asked for whom each is. */
   public ListeningSocket listen(
-      InetSocketAddress address, Function<ReactorConnection, ReactorConnection.Handler> owner)
+      InetSocketAddress address,
+      Function<ReactorConnection, ReactorConnection.Handler> handlerFactory)
       throws IOException {
     requireLoopback(address);
     ServerSocketChannel channel = ServerSocketChannel.open();
@@ -99,7 +101,7 @@
       channel.configureBlocking(false);
       SelectionKey key = channel.register(selector, SelectionKey.OP_ACCEPT);
       ListeningSocket listening = new ListeningSocket(channel, key);
-      key.attach((Runnable) () -> accept(channel, owner));
+      key.attach((Runnable) () -> accept(channel, handlerFactory));
       return listening;
     } catch (IOException e) {
       channel.close();
@@ -112,10 +114,10 @@
    * thread.
    */
   public DatagramEndpoint openDatagramEndpoint(
-      InetSocketAddress address, BiConsumer<InetSocketAddress, byte[]> received)
+      InetSocketAddress address, BiConsumer<InetSocketAddress, byte[]> consumer)
       throws IOException {
     requireLoopback(address);
-    return new DatagramEndpoint(this, address, received);
+    return new DatagramEndpoint(this, address, consumer);
   }
 
   private static void requireLoopback(InetSocketAddress address) {
@@ -140,12 +142,15 @@
   }
 
   private void accept(
-      ServerSocketChannel server, Function<ReactorConnection, ReactorConnection.Handler> owner) {
+      ServerSocketChannel serverChannel,
+      Function<ReactorConnection, ReactorConnection.Handler> handlerFactory) {
     try {
-      for (SocketChannel channel = server.accept(); channel != null; channel = server.accept()) {
-        ReactorConnection wire = new ReactorConnection(this, channel);
+      for (SocketChannel channel = serverChannel.accept();
+          channel != null;
+          channel = serverChannel.accept()) {
+        ReactorConnection connection = new ReactorConnection(this, channel);
         connectionCount++;
-        wire.register(owner.apply(wire), true);
+        connection.register(handlerFactory.apply(connection), true);
       }
     } catch (IOException e) {
       LOG.warn("a connection could not be taken: {}", e.toString());
@@ -153,20 +158,20 @@
   }
 
   /** Calls an address. The owner is told once it is up, or that it never came up. */
-  public ReactorConnection connect(InetSocketAddress to, ReactorConnection.Handler owner) {
-    requireLoopback(to);
+  public ReactorConnection connect(InetSocketAddress address, ReactorConnection.Handler handler) {
+    requireLoopback(address);
     try {
       SocketChannel channel = SocketChannel.open();
-      ReactorConnection wire = new ReactorConnection(this, channel);
+      ReactorConnection connection = new ReactorConnection(this, channel);
       connectionCount++;
       try {
         channel.configureBlocking(false);
-        boolean up = channel.connect(to);
-        wire.register(owner, up);
+        boolean connected = channel.connect(address);
+        connection.register(handler, connected);
       } catch (IOException e) {
-        wire.failLater(owner);
+        connection.failLater(handler);
       }
-      return wire;
+      return connection;
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
@@ -176,25 +181,25 @@
     connectionCount--;
   }
 
-  void requestFlush(ReactorConnection wire) {
-    flushRequests.add(wire);
+  void requestFlush(ReactorConnection connection) {
+    flushRequests.add(connection);
   }
 
   /** Turns until it is stopped. */
   public void run() {
     while (running) {
       try {
-        long wait =
+        long waitMillis =
             timers.isEmpty()
                 ? 1000
                 : Math.max(
                     0,
                     (timers.peek().dueNanos - (System.nanoTime() - startNanos) + 999_999)
                         / 1_000_000);
-        if (wait == 0 || !postedTasks.isEmpty() || !flushRequests.isEmpty()) {
+        if (waitMillis == 0 || !postedTasks.isEmpty() || !flushRequests.isEmpty()) {
           selector.selectNow();
         } else {
-          selector.select(wait);
+          selector.select(waitMillis);
         }
       } catch (IOException e) {
         throw new UncheckedIOException(e);
@@ -202,8 +207,8 @@
       for (Iterator<SelectionKey> keys = selector.selectedKeys().iterator(); keys.hasNext(); ) {
         SelectionKey key = keys.next();
         keys.remove();
-        if (key.attachment() instanceof ReactorConnection wire) {
-          runGuarded(() -> wire.onReady(key, readBuffer, readBytes));
+        if (key.attachment() instanceof ReactorConnection connection) {
+          runGuarded(() -> connection.onReady(key, readBuffer, readBytes));
         } else if (key.isValid()) {
           runGuarded((Runnable) key.attachment());
         }
@@ -211,13 +216,13 @@
       for (Runnable task = postedTasks.poll(); task != null; task = postedTasks.poll()) {
         runGuarded(task);
       }
-      long now = System.nanoTime() - startNanos;
-      while (!timers.isEmpty() && timers.peek().dueNanos <= now) {
+      long nowNanos = System.nanoTime() - startNanos;
+      while (!timers.isEmpty() && timers.peek().dueNanos <= nowNanos) {
         runGuarded(timers.poll().task);
       }
-      List<ReactorConnection> flushed = flushRequests;
+      List<ReactorConnection> flushing = flushRequests;
       flushRequests = new ArrayList<>();
-      flushed.forEach(wire -> runGuarded(wire::flush));
+      flushing.forEach(connection -> runGuarded(connection::flush));
     }
     close();
   }
--- a/traffic/src/main/java/gingerring/traffic/wire/ReactorConnection.java
+++ b/traffic/src/main/java/gingerring/traffic/wire/ReactorConnection.java
@@ -50,16 +50,18 @@
     this.channel = channel;
   }
 
-  void register(Handler whose, boolean isUp) {
-    handler = whose;
+  void register(Handler newHandler, boolean alreadyConnected) {
+    handler = newHandler;
     try {
       channel.configureBlocking(false);
       channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
-      connected = isUp;
+      connected = alreadyConnected;
       key =
           channel.register(
-              reactor.selector, isUp ? SelectionKey.OP_READ : SelectionKey.OP_CONNECT, this);
-      if (isUp) {
+              reactor.selector,
+              alreadyConnected ? SelectionKey.OP_READ : SelectionKey.OP_CONNECT,
+              this);
+      if (alreadyConnected) {
         handler.onOpened();
       }
     } catch (IOException e) {
@@ -67,8 +69,8 @@
     }
   }
 
-  void failLater(Handler whose) {
-    handler = whose;
+  void failLater(Handler newHandler) {
+    handler = newHandler;
     reactor.post(this::closeNow);
   }
 
@@ -88,21 +90,21 @@
     return (InetSocketAddress) channel.socket().getRemoteSocketAddress();
   }
 
-  void onReady(SelectionKey ready, ByteBuffer read, byte[] bytes) {
-    if (closed || !ready.isValid()) {
+  void onReady(SelectionKey selectedKey, ByteBuffer readBuffer, byte[] bytes) {
+    if (closed || !selectedKey.isValid()) {
       return;
     }
     try {
-      if (ready.isConnectable()) {
+      if (selectedKey.isConnectable()) {
         channel.finishConnect();
         connected = true;
         updateInterest();
         handler.onOpened();
         requestFlush();
       }
-      if (!closed && ready.isValid() && ready.isReadable()) {
-        read.clear();
-        int count = channel.read(read);
+      if (!closed && selectedKey.isValid() && selectedKey.isReadable()) {
+        readBuffer.clear();
+        int count = channel.read(readBuffer);
         if (count < 0) {
           if (handler.keepsHalfOpen()) {
             readingPaused = true;
@@ -111,12 +113,12 @@
             closeNow();
           }
         } else {
-          read.flip();
-          read.get(bytes, 0, count);
+          readBuffer.flip();
+          readBuffer.get(bytes, 0, count);
           handler.onData(bytes, count);
         }
       }
-      if (!closed && ready.isValid() && ready.isWritable()) {
+      if (!closed && selectedKey.isValid() && selectedKey.isWritable()) {
         flush();
       }
     } catch (IOException e) {
@@ -128,7 +130,7 @@
     send(bytes, 0, bytes.length);
   }
 
-  public void send(byte[] bytes, int at, int length) {
+  public void send(byte[] bytes, int offset, int length) {
     if (closed || closing) {
       return;
     }
@@ -146,14 +148,14 @@
       unsentEnd -= unsentStart;
       unsentStart = 0;
     }
-    System.arraycopy(bytes, at, unsent, unsentEnd, length);
+    System.arraycopy(bytes, offset, unsent, unsentEnd, length);
     unsentEnd += length;
     requestFlush();
   }
 
   /** Nothing more is read, as of a machine that has gone silent; or reading goes on. */
-  public void pauseReading(boolean on) {
-    readingPaused = on;
+  public void pauseReading(boolean paused) {
+    readingPaused = paused;
     updateInterest();
   }
 
--- a/traffic/src/test/java/gingerring/traffic/Conversations.java
+++ b/traffic/src/test/java/gingerring/traffic/Conversations.java
@@ -26,38 +26,38 @@
 
   private Conversations() {}
 
-  public static String body(String text) {
+  public static String body(String queryText) {
     return "{\"targets\":[{\"partition\":0,\"share\":0.75},{\"partition\":3,\"share\":0.25}],\"query\":\""
-        + text
+        + queryText
         + "\"}";
   }
 
-  public static String request(String mark, String text, String more) {
-    String body = body(text);
+  public static String request(String transactionId, String queryText, String extraHeaders) {
+    String body = body(queryText);
     return "POST /api HTTP/1.1\r\nHost: x\r\nX-Txn: "
-        + mark
+        + transactionId
         + "\r\nX-Lane: search\r\nX-Remaining-Ms: 2000\r\n"
-        + more
+        + extraHeaders
         + "Content-Length: "
         + body.length()
         + "\r\n\r\n"
         + body;
   }
 
-  public static String answer(String mark) {
-    return answer(
+  public static String response(String transactionId) {
+    return response(
         200,
         "",
         "{\"whole\":true,\"results\":[{\"partition\":0,\"value\":\"v-"
-            + mark
+            + transactionId
             + "\"},{\"partition\":3,\"value\":\"w\"}]}");
   }
 
-  public static String answer(int status, String more, String body) {
+  public static String response(int status, String extraHeaders, String body) {
     return "HTTP/1.1 "
         + status
         + " X\r\n"
-        + more
+        + extraHeaders
         + "Content-Length: "
         + body.length()
         + "\r\n\r\n"
@@ -77,52 +77,53 @@
    * ends.
    */
   public static List<TimedPacket> ofScans(
-      int port, long seed, String mark, int scans, boolean opens) {
-    List<TimedPacket> pieces = new ArrayList<>();
-    PacketSynthesizer forge = new PacketSynthesizer(client(port), mixer(), seed);
-    PacketSynthesizer.PacketConsumer out =
-        (nanos, bytes, length) -> pieces.add(new TimedPacket(nanos, Arrays.copyOf(bytes, length)));
-    long now = START;
-    forge.writeHandshake(now, out);
-    if (!opens) {
-      pieces.clear();
+      int port, long seed, String transactionId, int scans, boolean includesHandshake) {
+    List<TimedPacket> packets = new ArrayList<>();
+    PacketSynthesizer synthesizer = new PacketSynthesizer(client(port), mixer(), seed);
+    PacketSynthesizer.PacketConsumer consumer =
+        (nanos, bytes, length) -> packets.add(new TimedPacket(nanos, Arrays.copyOf(bytes, length)));
+    long nowNanos = START;
+    synthesizer.writeHandshake(nowNanos, consumer);
+    if (!includesHandshake) {
+      packets.clear();
     }
     for (int i = 0; i < scans; i++) {
       byte[] request =
-          request(mark + i, "t" + i + "x".repeat(i * 700 % 4000), "")
+          request(transactionId + i, "t" + i + "x".repeat(i * 700 % 4000), "")
               .getBytes(StandardCharsets.US_ASCII);
-      forge.writeData(now += 1_000_000, 0, request, 0, request.length, out);
-      byte[] answer = answer(mark + i).getBytes(StandardCharsets.US_ASCII);
-      forge.writeData(now += 1_000_000, 1, answer, 0, answer.length, out);
+      synthesizer.writeData(nowNanos += 1_000_000, 0, request, 0, request.length, consumer);
+      byte[] response = response(transactionId + i).getBytes(StandardCharsets.US_ASCII);
+      synthesizer.writeData(nowNanos += 1_000_000, 1, response, 0, response.length, consumer);
     }
-    forge.writeClose(now + 1_000_000, false, 0, out);
-    return pieces;
+    synthesizer.writeClose(nowNanos + 1_000_000, false, 0, consumer);
+    return packets;
   }
 
-  public static byte[] pcap(List<TimedPacket> pieces) {
+  public static byte[] pcap(List<TimedPacket> packets) {
     ByteBuffer file =
-        ByteBuffer.allocate(24 + pieces.stream().mapToInt(piece -> 16 + piece.bytes.length).sum());
+        ByteBuffer.allocate(
+            24 + packets.stream().mapToInt(packet -> 16 + packet.bytes.length).sum());
     file.putInt(0xa1b23c4d)
         .putInt(2 << 16 | 4)
         .putInt(0)
         .putInt(0)
         .putInt(1 << 18)
         .putInt(PacketSynthesizer.LINK_TYPE_RAW);
-    for (TimedPacket piece : pieces) {
-      file.putInt((int) (piece.timestampNanos / 1_000_000_000))
-          .putInt((int) (piece.timestampNanos % 1_000_000_000))
-          .putInt(piece.bytes.length)
-          .putInt(piece.bytes.length)
-          .put(piece.bytes);
+    for (TimedPacket packet : packets) {
+      file.putInt((int) (packet.timestampNanos / 1_000_000_000))
+          .putInt((int) (packet.timestampNanos % 1_000_000_000))
+          .putInt(packet.bytes.length)
+          .putInt(packet.bytes.length)
+          .put(packet.bytes);
     }
     return file.array();
   }
 
-  public static void write(Path file, List<TimedPacket> pieces) throws IOException {
-    try (CaptureWriter out = new CaptureWriter(file, PacketSynthesizer.LINK_TYPE_RAW)) {
-      for (TimedPacket piece : pieces) {
-        out.writePacket(
-            piece.timestampNanos, piece.bytes, 0, piece.bytes.length, piece.bytes.length);
+  public static void write(Path file, List<TimedPacket> packets) throws IOException {
+    try (CaptureWriter consumer = new CaptureWriter(file, PacketSynthesizer.LINK_TYPE_RAW)) {
+      for (TimedPacket packet : packets) {
+        consumer.writePacket(
+            packet.timestampNanos, packet.bytes, 0, packet.bytes.length, packet.bytes.length);
       }
     }
   }
@@ -136,10 +137,10 @@
         scans::add);
   }
 
-  public static List<ObservedScan> read(List<TimedPacket> pieces) {
+  public static List<ObservedScan> read(List<TimedPacket> packets) {
     List<ObservedScan> scans = new ArrayList<>();
     try {
-      read(pcap(pieces), scans);
+      read(pcap(packets), scans);
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
--- a/traffic/src/test/java/gingerring/traffic/LayoutTest.java
+++ b/traffic/src/test/java/gingerring/traffic/LayoutTest.java
@@ -18,7 +18,7 @@
           .importPackages("gingerring.traffic");
 
   @Test
-  void coresArePure() {
+  void pureCoresUseNoResources() {
     noClasses()
         .that()
         .resideInAPackage("gingerring.traffic.flow..")
@@ -42,7 +42,7 @@
   }
 
   @Test
-  void ofTheMixerOnlyItsParsersAndItsTapAreUsed() {
+  void onlyTheMixersParsersAndTrafficListenerAreUsed() {
     noClasses()
         .should()
         .dependOnClassesThat()
--- a/traffic/src/test/java/gingerring/traffic/flow/ReassemblyLimitsTest.java
+++ b/traffic/src/test/java/gingerring/traffic/flow/ReassemblyLimitsTest.java
@@ -11,27 +11,27 @@
 
 /** What a table holds stays within its bounds, whatever comes. */
 class ReassemblyLimitsTest {
-  private static class Told implements FlowTable.FlowListener {
-    final List<String> said = new ArrayList<>();
-    long bytes;
-    long missing;
-    int open;
-    int openMost;
+  private static class RecordingListener implements FlowTable.FlowListener {
+    final List<String> closedFlows = new ArrayList<>();
+    long deliveredBytes;
+    long missingBytes;
+    int openFlows;
+    int maxOpenFlows;
 
     @Override
     public void onFlowOpened(Flow flow) {
-      openMost = Math.max(openMost, ++open);
+      maxOpenFlows = Math.max(maxOpenFlows, ++openFlows);
     }
 
     @Override
     public void onData(
         Flow flow, int side, long nanos, long taken, byte[] bytes, int at, int length) {
-      this.bytes += length;
+      this.deliveredBytes += length;
     }
 
     @Override
     public void onGap(Flow flow, int side, long nanos, long missing) {
-      this.missing += missing;
+      this.missingBytes += missing;
     }
 
     @Override
@@ -39,8 +39,8 @@
 
     @Override
     public void onFlowClosed(Flow flow, Flow.CloseReason how, long nanos) {
-      open--;
-      said.add(flow.number + " " + how);
+      openFlows--;
+      closedFlows.add(flow.number + " " + how);
     }
   }
 
@@ -58,7 +58,7 @@
     return s;
   }
 
-  private static Segment answered(int port) {
+  private static Segment synAck(int port) {
     Segment s = segment(port, 900, Segment.SYN | Segment.ACK, 0, 0);
     s.sourceLow = 2;
     s.destinationLow = 1;
@@ -69,89 +69,89 @@
   }
 
   @Test
-  void flowsBeyondTheBoundPushOutTheLongestIdle() {
-    Told told = new Told();
+  void flowsBeyondTheLimitEvictTheLongestIdle() {
+    RecordingListener listener = new RecordingListener();
     FlowTable table =
         new FlowTable(
             new ReassemblyLimits(10, 1000, 10_000, Duration.ofSeconds(1), Duration.ofSeconds(60)),
-            told);
+            listener);
     for (int port = 1; port <= 1000; port++) {
       table.process(segment(port, 100, Segment.SYN, 0, port));
       if (port > 1) {
         table.process(segment(1, 101, 0, 1, port)); // the first stays busy
       }
     }
-    assertTrue(told.openMost <= 10, "open: " + told.openMost);
-    assertEquals(990, told.said.size());
-    assertTrue(told.said.stream().noneMatch(said -> said.startsWith("0 ")));
+    assertTrue(listener.maxOpenFlows <= 10, "open: " + listener.maxOpenFlows);
+    assertEquals(990, listener.closedFlows.size());
+    assertTrue(listener.closedFlows.stream().noneMatch(closedFlow -> closedFlow.startsWith("0 ")));
     assertEquals(990L, table.counts().get("flows pushed out by newer ones"));
   }
 
   @Test
-  void bytesHeldForGapsStayWithinTheBounds() {
-    Told told = new Told();
-    ReassemblyLimits bounds =
+  void bytesBufferedBehindGapsStayWithinTheLimits() {
+    RecordingListener listener = new RecordingListener();
+    ReassemblyLimits limits =
         new ReassemblyLimits(1000, 5000, 20_000, Duration.ofHours(1), Duration.ofHours(1));
-    FlowTable table = new FlowTable(bounds, told);
+    FlowTable table = new FlowTable(limits, listener);
     long sent = 0;
     for (int port = 1; port <= 50; port++) {
       table.process(segment(port, 100, Segment.SYN, 0, 0));
-      table.process(answered(port));
+      table.process(synAck(port));
       for (int i = 0; i < 20; i++) {
         table.process(segment(port, 102 + i * 400, 0, 400, 1)); // the byte at 101 never comes
         sent += 400;
         assertTrue(
-            table.bufferedBytes() <= bounds.maxBufferedTotal() + 400,
+            table.bufferedBytes() <= limits.maxBufferedTotal() + 400,
             "held: " + table.bufferedBytes());
       }
     }
     table.endAllFlows();
     assertEquals(0, table.bufferedBytes());
-    assertEquals(sent, told.bytes);
-    assertEquals(50, told.missing);
+    assertEquals(sent, listener.deliveredBytes);
+    assertEquals(50, listener.missingBytes);
   }
 
   @Test
-  void gapsAreGivenUpAfterTheirTimeAndFlowsEndedAfterTheirs() {
-    Told told = new Told();
+  void gapsAreSkippedAndFlowsEndedAfterTheirTimeouts() {
+    RecordingListener listener = new RecordingListener();
     FlowTable table =
         new FlowTable(
             new ReassemblyLimits(10, 5000, 20_000, Duration.ofSeconds(2), Duration.ofSeconds(60)),
-            told);
+            listener);
     table.process(segment(1, 100, Segment.SYN, 0, 0));
-    table.process(answered(1));
+    table.process(synAck(1));
     table.process(segment(1, 111, 0, 10, 0));
     table.process(segment(1, 121, 0, 10, 1900));
-    assertEquals(0, told.bytes);
+    assertEquals(0, listener.deliveredBytes);
     table.process(segment(1, 131, 0, 10, 2100));
-    assertEquals(30, told.bytes);
-    assertEquals(10, told.missing);
+    assertEquals(30, listener.deliveredBytes);
+    assertEquals(10, listener.missingBytes);
     table.process(segment(2, 100, Segment.SYN, 0, 70_000));
-    assertEquals(List.of("0 IDLE"), told.said);
+    assertEquals(List.of("0 IDLE"), listener.closedFlows);
   }
 
   @Test
-  void whatContradictsIsCountedAndTheFirstStays() {
-    List<String> read = new ArrayList<>();
+  void conflictingBytesAreCountedAndTheFirstAreKept() {
+    List<String> delivered = new ArrayList<>();
     FlowTable table =
         new FlowTable(
             ReassemblyLimits.DEFAULT,
-            new Told() {
+            new RecordingListener() {
               @Override
               public void onData(
                   Flow flow, int side, long nanos, long taken, byte[] bytes, int at, int length) {
-                read.add(new String(bytes, at, length));
+                delivered.add(new String(bytes, at, length));
               }
             });
     table.process(segment(1, 100, Segment.SYN, 0, 0));
-    table.process(answered(1));
+    table.process(synAck(1));
     for (String text : List.of("bcd", "xcde", "a")) {
       Segment s = segment(1, text.equals("a") ? 101 : 102, 0, 0, 1);
       s.buffer = text.getBytes();
       s.payloadLength = s.buffer.length;
       table.process(s);
     }
-    assertEquals("abcde", String.join("", read));
+    assertEquals("abcde", String.join("", delivered));
     assertEquals(1L, table.counts().get("segments that contradict what came before"));
   }
 }
--- a/traffic/src/test/java/gingerring/traffic/pcap/CaptureFormatTest.java
+++ b/traffic/src/test/java/gingerring/traffic/pcap/CaptureFormatTest.java
@@ -27,16 +27,16 @@
 
   @Test
   void readsWhatItWrites() throws Exception {
-    List<TimedPacket> pieces = Conversations.ofScans(4000, 3, "m", 5, true);
+    List<TimedPacket> packets = Conversations.ofScans(4000, 3, "m", 5, true);
     for (String name : List.of("a.pcap", "a.pcapng", "a.pcap.gz", "a.pcapng.zst")) {
       Path file = folder.resolve(name);
-      Conversations.write(file, pieces);
+      Conversations.write(file, packets);
       assertFalse(Files.exists(folder.resolve(name + ".part")));
       List<ObservedScan> scans = new ArrayList<>();
       RecordingReader.Summary summary =
           RecordingReader.read(file, ReassemblyLimits.DEFAULT, s -> true, scans::add);
       assertEquals(5, scans.size(), name);
-      assertEquals(pieces.size(), summary.packets(), name);
+      assertEquals(packets.size(), summary.packets(), name);
       assertEquals(Conversations.START, summary.firstNanos(), name);
       assertEquals("v-m4", scans.get(4).valuesByPartition().get(0), name);
       byte[] bytes = Files.readAllBytes(file);
@@ -44,7 +44,7 @@
       if (name.endsWith(".zst")) { // one frame of it is unpacked whole or not at all
         assertThrows(
             UnreadableCaptureException.class,
-            () -> RecordingReader.read(file, ReassemblyLimits.DEFAULT, s -> true, seen -> {}));
+            () -> RecordingReader.read(file, ReassemblyLimits.DEFAULT, s -> true, scan -> {}));
       } else {
         assertEquals(
             CaptureReader.EndState.CUT,
@@ -55,7 +55,7 @@
   }
 
   @Test
-  void marksDropsInTheFile() throws Exception {
+  void recordsDropsInTheFile() throws Exception {
     Path file = folder.resolve("d.pcapng");
     try (CaptureWriter out = new CaptureWriter(file, 101)) {
       out.writeDropCount(Conversations.START, 7);
@@ -63,11 +63,11 @@
     }
     assertEquals(
         12,
-        RecordingReader.read(file, ReassemblyLimits.DEFAULT, s -> true, seen -> {})
+        RecordingReader.read(file, ReassemblyLimits.DEFAULT, s -> true, scan -> {})
             .droppedPackets());
   }
 
-  private static byte[] file(ByteOrder order, int magic, int link, byte[]... packets) {
+  private static byte[] pcapFile(ByteOrder order, int magic, int link, byte[]... packets) {
     ByteBuffer file = ByteBuffer.allocate(1 << 17).order(order);
     file.putInt(magic)
         .putShort((short) 2)
@@ -86,12 +86,12 @@
     return Arrays.copyOf(file.array(), file.position());
   }
 
-  private static byte[] data() {
+  private static byte[] dataPacket() {
     return Conversations.ofScans(4000, 3, "m", 1, true).get(3).bytes();
   }
 
-  private static byte[] framed(int... head) {
-    byte[] packet = data();
+  private static byte[] withLinkHeader(int... head) {
+    byte[] packet = dataPacket();
     byte[] framed = new byte[head.length + packet.length];
     for (int i = 0; i < head.length; i++) {
       framed[i] = (byte) head[i];
@@ -100,14 +100,14 @@
     return framed;
   }
 
-  private static Segment only(byte[] file) throws Exception {
+  private static Segment decodeOnly(byte[] file) throws Exception {
     CaptureReader reader = CaptureReader.fromStream("it", new ByteArrayInputStream(file));
     Packet packet = new Packet();
-    PacketDecoder layers = new PacketDecoder();
+    PacketDecoder decoder = new PacketDecoder();
     Segment found = null;
     while (reader.next(packet)) {
       Segment segment = new Segment();
-      if (layers.decode(packet, segment)) {
+      if (decoder.decode(packet, segment)) {
         found = segment;
       }
     }
@@ -115,10 +115,10 @@
     return found;
   }
 
-  private static void same(Segment segment) {
+  private static void assertIsDataSegment(Segment segment) {
     assertEquals(4000, segment.sourcePort);
     assertEquals(8081, segment.destinationPort);
-    assertEquals(data().length - 40, segment.payloadLength);
+    assertEquals(dataPacket().length - 40, segment.payloadLength);
     assertEquals('P', segment.buffer[segment.payloadOffset]);
     assertEquals(0xFFFF7F000001L, segment.sourceLow);
   }
@@ -126,11 +126,12 @@
   @Test
   void readsBothByteOrdersAndBothUnits() throws Exception {
     for (ByteOrder order : List.of(ByteOrder.BIG_ENDIAN, ByteOrder.LITTLE_ENDIAN)) {
-      Segment micros = only(file(order, 0xa1b2c3d4, 101, data()));
-      same(micros);
+      Segment micros = decodeOnly(pcapFile(order, 0xa1b2c3d4, 101, dataPacket()));
+      assertIsDataSegment(micros);
       assertEquals(1_790_000_000_500_000_000L, micros.timestampNanos);
       assertEquals(
-          1_790_000_000_000_500_000L, only(file(order, 0xa1b23c4d, 101, data())).timestampNanos);
+          1_790_000_000_000_500_000L,
+          decodeOnly(pcapFile(order, 0xa1b23c4d, 101, dataPacket())).timestampNanos);
     }
   }
 
@@ -139,25 +140,31 @@
     int[] mac = {1, 2, 3, 4, 5, 6, 1, 2, 3, 4, 5, 6};
     int[] ether = Arrays.copyOf(mac, 14);
     ether[12] = 8;
-    same(only(file(ByteOrder.BIG_ENDIAN, 0xa1b2c3d4, 1, framed(ether))));
+    assertIsDataSegment(
+        decodeOnly(pcapFile(ByteOrder.BIG_ENDIAN, 0xa1b2c3d4, 1, withLinkHeader(ether))));
     int[] tagged = {1, 2, 3, 4, 5, 6, 1, 2, 3, 4, 5, 6, 0x88, 0xa8, 0, 9, 0x81, 0, 0, 7, 8, 0};
-    same(only(file(ByteOrder.BIG_ENDIAN, 0xa1b2c3d4, 1, framed(tagged))));
+    assertIsDataSegment(
+        decodeOnly(pcapFile(ByteOrder.BIG_ENDIAN, 0xa1b2c3d4, 1, withLinkHeader(tagged))));
     int[] cooked = new int[16];
     cooked[14] = 8;
-    same(only(file(ByteOrder.BIG_ENDIAN, 0xa1b2c3d4, 113, framed(cooked))));
+    assertIsDataSegment(
+        decodeOnly(pcapFile(ByteOrder.BIG_ENDIAN, 0xa1b2c3d4, 113, withLinkHeader(cooked))));
     int[] cooked2 = new int[20];
     cooked2[0] = 8;
-    same(only(file(ByteOrder.BIG_ENDIAN, 0xa1b2c3d4, 276, framed(cooked2))));
-    same(only(file(ByteOrder.BIG_ENDIAN, 0xa1b2c3d4, 0, framed(2, 0, 0, 0))));
-    same(only(file(ByteOrder.BIG_ENDIAN, 0xa1b2c3d4, 108, framed(0, 0, 0, 2))));
-    assertEquals(null, only(file(ByteOrder.BIG_ENDIAN, 0xa1b2c3d4, 147, data())));
-    byte[] padded = Arrays.copyOf(framed(ether), data().length + 14 + 6);
-    same(only(file(ByteOrder.BIG_ENDIAN, 0xa1b2c3d4, 1, padded)));
+    assertIsDataSegment(
+        decodeOnly(pcapFile(ByteOrder.BIG_ENDIAN, 0xa1b2c3d4, 276, withLinkHeader(cooked2))));
+    assertIsDataSegment(
+        decodeOnly(pcapFile(ByteOrder.BIG_ENDIAN, 0xa1b2c3d4, 0, withLinkHeader(2, 0, 0, 0))));
+    assertIsDataSegment(
+        decodeOnly(pcapFile(ByteOrder.BIG_ENDIAN, 0xa1b2c3d4, 108, withLinkHeader(0, 0, 0, 2))));
+    assertEquals(null, decodeOnly(pcapFile(ByteOrder.BIG_ENDIAN, 0xa1b2c3d4, 147, dataPacket())));
+    byte[] padded = Arrays.copyOf(withLinkHeader(ether), dataPacket().length + 14 + 6);
+    assertIsDataSegment(decodeOnly(pcapFile(ByteOrder.BIG_ENDIAN, 0xa1b2c3d4, 1, padded)));
   }
 
   @Test
-  void readsLittleEndianBlocksWithTheirUnitsOfTime() throws Exception {
-    byte[] packet = data();
+  void readsLittleEndianBlocksWithTheirTimestampUnit() throws Exception {
+    byte[] packet = dataPacket();
     int padded = packet.length + 3 & ~3;
     ByteBuffer file = ByteBuffer.allocate(1 << 14).order(ByteOrder.LITTLE_ENDIAN);
     file.putInt(0x0a0d0d0a).putInt(28).putInt(0x1a2b3c4d).putInt(1).putLong(-1).putInt(28);
@@ -182,57 +189,58 @@
         .put(packet)
         .position(file.position() + padded - packet.length);
     file.putInt(32 + padded);
-    Segment segment = only(Arrays.copyOf(file.array(), file.position()));
-    same(segment);
+    Segment segment = decodeOnly(Arrays.copyOf(file.array(), file.position()));
+    assertIsDataSegment(segment);
     assertEquals(1_790_000_000_375_000_000L, segment.timestampNanos);
   }
 
   @Test
-  void putsFragmentsTogether() throws Exception {
-    byte[] whole = data();
+  void reassemblesFragments() throws Exception {
+    byte[] whole = dataPacket();
     int cut = 20 + 160;
-    byte[] one = Arrays.copyOf(whole, cut);
-    byte[] two = new byte[20 + whole.length - cut];
-    System.arraycopy(whole, 0, two, 0, 20);
-    System.arraycopy(whole, cut, two, 20, whole.length - cut);
-    one[2] = (byte) (one.length >> 8);
-    one[3] = (byte) one.length;
-    one[6] = 0x20;
-    two[2] = (byte) (two.length >> 8);
-    two[3] = (byte) two.length;
-    two[6] = 0;
-    two[7] = 160 / 8;
-    same(only(file(ByteOrder.BIG_ENDIAN, 0xa1b2c3d4, 101, one, two)));
-    same(only(file(ByteOrder.BIG_ENDIAN, 0xa1b2c3d4, 101, two, one, one)));
-    assertEquals(null, only(file(ByteOrder.BIG_ENDIAN, 0xa1b2c3d4, 101, one)));
+    byte[] first = Arrays.copyOf(whole, cut);
+    byte[] second = new byte[20 + whole.length - cut];
+    System.arraycopy(whole, 0, second, 0, 20);
+    System.arraycopy(whole, cut, second, 20, whole.length - cut);
+    first[2] = (byte) (first.length >> 8);
+    first[3] = (byte) first.length;
+    first[6] = 0x20;
+    second[2] = (byte) (second.length >> 8);
+    second[3] = (byte) second.length;
+    second[6] = 0;
+    second[7] = 160 / 8;
+    assertIsDataSegment(decodeOnly(pcapFile(ByteOrder.BIG_ENDIAN, 0xa1b2c3d4, 101, first, second)));
+    assertIsDataSegment(
+        decodeOnly(pcapFile(ByteOrder.BIG_ENDIAN, 0xa1b2c3d4, 101, second, first, first)));
+    assertEquals(null, decodeOnly(pcapFile(ByteOrder.BIG_ENDIAN, 0xa1b2c3d4, 101, first)));
   }
 
   @Test
-  void passesOverExtensionHeaders() throws Exception {
-    byte[] whole = data();
-    byte[] six = new byte[40 + 8 + 8 + whole.length - 20];
-    six[0] = 0x60;
-    six[4] = (byte) (six.length - 40 >> 8);
-    six[5] = (byte) (six.length - 40);
-    six[6] = 0; // hop by hop, then a fragment that is whole
-    six[23] = 1;
-    six[39] = 2;
-    six[40] = 44;
-    six[48] = 6;
-    System.arraycopy(whole, 20, six, 56, whole.length - 20);
-    Segment segment = only(file(ByteOrder.BIG_ENDIAN, 0xa1b2c3d4, 229, six));
+  void skipsExtensionHeaders() throws Exception {
+    byte[] whole = dataPacket();
+    byte[] ipv6Packet = new byte[40 + 8 + 8 + whole.length - 20];
+    ipv6Packet[0] = 0x60;
+    ipv6Packet[4] = (byte) (ipv6Packet.length - 40 >> 8);
+    ipv6Packet[5] = (byte) (ipv6Packet.length - 40);
+    ipv6Packet[6] = 0; // hop by hop, then a fragment that is whole
+    ipv6Packet[23] = 1;
+    ipv6Packet[39] = 2;
+    ipv6Packet[40] = 44;
+    ipv6Packet[48] = 6;
+    System.arraycopy(whole, 20, ipv6Packet, 56, whole.length - 20);
+    Segment segment = decodeOnly(pcapFile(ByteOrder.BIG_ENDIAN, 0xa1b2c3d4, 229, ipv6Packet));
     assertEquals(4000, segment.sourcePort);
     assertEquals(1, segment.sourceLow);
     assertEquals(whole.length - 40, segment.payloadLength);
   }
 
   @Test
-  void aPacketCutShortLosesItsEnd() throws Exception {
-    byte[] whole = data();
+  void aTruncatedPacketLosesItsEnd() throws Exception {
+    byte[] whole = dataPacket();
     ByteBuffer file = ByteBuffer.allocate(1 << 12);
     file.putInt(0xa1b2c3d4).putInt(2 << 16 | 4).putInt(0).putInt(0).putInt(96).putInt(101);
     file.putInt(1).putInt(0).putInt(96).putInt(whole.length).put(whole, 0, 96);
-    Segment segment = only(Arrays.copyOf(file.array(), file.position()));
+    Segment segment = decodeOnly(Arrays.copyOf(file.array(), file.position()));
     assertEquals(56, segment.payloadLength);
     assertEquals(whole.length - 96, segment.truncatedBytes);
     assertTrue(segment.truncatedBytes > 0);
--- a/traffic/src/test/java/gingerring/traffic/record/RecorderTest.java
+++ b/traffic/src/test/java/gingerring/traffic/record/RecorderTest.java
@@ -25,12 +25,12 @@
 
 /** Recordings written as a mixer's threads tell them, and files made from them. */
 class RecorderTest {
-  private static final Recorder.Rotation ONE =
+  private static final Recorder.Rotation NO_ROTATION =
       new Recorder.Rotation(1 << 30, Duration.ofHours(1), 100);
 
   @TempDir Path folder;
 
-  private static void say(Recorder recorder, long connection, int scan) {
+  private static void recordScan(Recorder recorder, long connection, int scan) {
     recorder.onData(
         connection,
         0,
@@ -42,16 +42,16 @@
     recorder.onData(
         connection,
         1,
-        Conversations.answer("m" + connection + '.' + scan).getBytes(StandardCharsets.US_ASCII));
+        Conversations.response("m" + connection + '.' + scan).getBytes(StandardCharsets.US_ASCII));
   }
 
-  private Path recorded(int connections, int scans) throws Exception {
+  private Path record(int connections, int scans) throws Exception {
     Path file = folder.resolve("r.pcapng");
-    try (Recorder recorder = new Recorder(file, ONE, 1).start()) {
+    try (Recorder recorder = new Recorder(file, NO_ROTATION, 1).start()) {
       for (long c = 1; c <= connections; c++) {
         recorder.onOpened(c, Conversations.client(4000 + (int) c), Conversations.mixer());
         for (int i = 0; i < scans; i++) {
-          say(recorder, c, i);
+          recordScan(recorder, c, i);
         }
         recorder.onClosed(c, 0);
       }
@@ -59,41 +59,41 @@
     return file;
   }
 
-  private static List<ObservedScan> scans(Path file) throws Exception {
+  private static List<ObservedScan> readScans(Path file) throws Exception {
     List<ObservedScan> scans = new ArrayList<>();
     RecordingReader.read(file, ReassemblyLimits.DEFAULT, s -> true, scans::add);
     return scans;
   }
 
   @Test
-  void whatIsRecordedIsReadBack() throws Exception {
-    List<ObservedScan> scans = scans(recorded(20, 10));
+  void recordedScansAreReadBack() throws Exception {
+    List<ObservedScan> scans = readScans(record(20, 10));
     assertEquals(200, scans.size());
-    assertTrue(scans.stream().allMatch(seen -> seen.outcome() == ScanOutcome.WHOLE));
+    assertTrue(scans.stream().allMatch(scan -> scan.outcome() == ScanOutcome.WHOLE));
     assertEquals("hush-3", scans.get(3).idempotencyKey());
   }
 
   @Test
-  void checksumsHold() throws Exception {
-    Path file = recorded(2, 3);
+  void checksumsAreValid() throws Exception {
+    Path file = record(2, 3);
     try (CaptureReader reader = CaptureReader.open(file)) {
       Packet packet = new Packet();
       int packets = 0;
       while (reader.next(packet)) {
         packets++;
-        byte[] b = packet.buffer;
-        assertEquals(0xFFFF, sum(0, b, packet.offset, 20), "IP");
-        long pseudo = sum(6 + packet.length - 20, b, packet.offset + 12, 8);
-        assertEquals(0xFFFF, sum(pseudo, b, packet.offset + 20, packet.length - 20), "TCP");
+        byte[] buffer = packet.buffer;
+        assertEquals(0xFFFF, sum(0, buffer, packet.offset, 20), "IP");
+        long pseudo = sum(6 + packet.length - 20, buffer, packet.offset + 12, 8);
+        assertEquals(0xFFFF, sum(pseudo, buffer, packet.offset + 20, packet.length - 20), "TCP");
       }
       assertTrue(packets > 20);
     }
   }
 
-  private static long sum(long from, byte[] b, int at, int length) {
+  private static long sum(long from, byte[] buffer, int offset, int length) {
     long sum = from;
     for (int i = 0; i < length; i++) {
-      sum += (b[at + i] & 0xFFL) << (i % 2 == 0 ? 8 : 0);
+      sum += (buffer[offset + i] & 0xFFL) << (i % 2 == 0 ? 8 : 0);
     }
     while (sum > 0xFFFF) {
       sum = (sum & 0xFFFF) + (sum >> 16);
@@ -103,19 +103,19 @@
 
   /** Guards against a recording that holds a mixer up, or that hides what it lost. */
   @Test
-  void aFullQueueDropsAndTheFileSaysSo() throws Exception {
+  void aFullQueueDropsEventsAndTheFileRecordsIt() throws Exception {
     Path file = folder.resolve("full.pcapng");
-    Recorder recorder = new Recorder(file, ONE, 1, 40);
+    Recorder recorder = new Recorder(file, NO_ROTATION, 1, 40);
     recorder.onOpened(1, Conversations.client(4001), Conversations.mixer());
     for (int i = 0; i < 30; i++) {
-      say(recorder, 1, i); // nothing takes from the queue yet
+      recordScan(recorder, 1, i); // nothing takes from the queue yet
     }
     assertEquals(21, recorder.droppedEvents());
     recorder.start();
     for (int i = 0; i < 200 && recorder.queuedEvents() > 0; i++) {
       Thread.sleep(10);
     }
-    say(recorder, 1, 30);
+    recordScan(recorder, 1, 30);
     recorder.onClosed(1, 0);
     recorder.close();
     List<ObservedScan> scans = new ArrayList<>();
@@ -124,7 +124,7 @@
     assertEquals(21, summary.droppedPackets());
     List<String> whole =
         scans.stream()
-            .filter(seen -> seen.outcome() == ScanOutcome.WHOLE)
+            .filter(scan -> scan.outcome() == ScanOutcome.WHOLE)
             .map(ObservedScan::transactionId)
             .toList();
     assertEquals(20, whole.size());
@@ -134,8 +134,8 @@
 
   /** Guards against connections whose end was dropped and that would be kept for good. */
   @Test
-  void connectionsWhoseEndWasDroppedAreForgotten() throws Exception {
-    Recorder recorder = new Recorder(folder.resolve("gone.pcapng"), ONE, 1, 40);
+  void connectionsWhoseCloseWasDroppedAreForgotten() throws Exception {
+    Recorder recorder = new Recorder(folder.resolve("gone.pcapng"), NO_ROTATION, 1, 40);
     for (int i = 0; i < 200; i++) {
       recorder.onOpened(i, Conversations.client(4001 + i), Conversations.mixer());
     }
@@ -153,13 +153,13 @@
   }
 
   @Test
-  void filesRotateAndTheEldestGoes() throws Exception {
+  void filesRotateAndTheOldestIsDeleted() throws Exception {
     Path file = folder.resolve("rot.pcap");
     try (Recorder recorder =
         new Recorder(file, new Recorder.Rotation(4000, Duration.ofHours(1), 3), 1).start()) {
       recorder.onOpened(1, Conversations.client(4001), Conversations.mixer());
       for (int i = 0; i < 100; i++) {
-        say(recorder, 1, i);
+        recordScan(recorder, 1, i);
       }
     }
     try (var files = Files.list(folder)) {
@@ -168,13 +168,13 @@
           names.size() <= 4 && names.stream().noneMatch(name -> name.endsWith(".part")),
           names.toString());
       assertFalse(names.contains("rot.pcap"));
-      assertFalse(scans(folder.resolve(names.get(0))).isEmpty());
+      assertFalse(readScans(folder.resolve(names.get(0))).isEmpty());
     }
   }
 
   @Test
-  void cutAndMergeKeepWhatTheyAreToKeep() throws Exception {
-    Path file = recorded(4, 5);
+  void cutAndMergeKeepTheSelectedPackets() throws Exception {
+    Path file = record(4, 5);
     Path one = folder.resolve("one.pcap");
     Path rest = folder.resolve("rest.pcap");
     Path all = folder.resolve("all.pcap.gz");
@@ -185,7 +185,7 @@
         Long.MAX_VALUE,
         new NetworkFilter(List.of("127.0.0.0/8"), List.of(4002)),
         false);
-    assertEquals(5, scans(one).size());
+    assertEquals(5, readScans(one).size());
     CaptureEditor.cut(
         file,
         rest,
@@ -194,23 +194,23 @@
         new NetworkFilter(List.of(), List.of(4001, 4003, 4004)),
         false);
     CaptureEditor.merge(List.of(rest, one), all);
-    assertEquals(20, scans(all).size());
+    assertEquals(20, readScans(all).size());
     CaptureEditor.cut(
         file, one, 0, Long.MAX_VALUE, new NetworkFilter(List.of("10.0.0.0/8"), List.of()), false);
-    assertEquals(0, scans(one).size());
+    assertEquals(0, readScans(one).size());
   }
 
   @Test
-  void anonymisedNothingCanBeReadAndRepeatsStayAlike() throws Exception {
-    Path file = recorded(3, 4);
-    Path hidden = folder.resolve("hidden.pcap");
-    Map<String, Long> left = Anonymiser.run(file, hidden, "a secret of some length");
-    assertEquals(Map.of("messages", 24L), left);
-    String bytes = new String(Files.readAllBytes(hidden), StandardCharsets.ISO_8859_1);
+  void anonymisedTextsAreHiddenAndEqualTextsStayEqual() throws Exception {
+    Path file = record(3, 4);
+    Path anonymised = folder.resolve("hidden.pcap");
+    Map<String, Long> counts = Anonymiser.run(file, anonymised, "a secret of some length");
+    assertEquals(Map.of("messages", 24L), counts);
+    String bytes = new String(Files.readAllBytes(anonymised), StandardCharsets.ISO_8859_1);
     assertFalse(
         bytes.contains("secret-") || bytes.contains("hush-") || bytes.contains("v-m"), "it shows");
-    List<ObservedScan> before = scans(file);
-    List<ObservedScan> after = scans(hidden);
+    List<ObservedScan> before = readScans(file);
+    List<ObservedScan> after = readScans(anonymised);
     assertEquals(before.size(), after.size());
     for (int i = 0; i < after.size(); i++) {
       assertEquals(before.get(i).transactionId(), after.get(i).transactionId());
--- a/traffic/src/test/java/gingerring/traffic/replay/ComparisonTest.java
+++ b/traffic/src/test/java/gingerring/traffic/replay/ComparisonTest.java
@@ -10,12 +10,12 @@
 
 class ComparisonTest {
   private static final ObservedScan SCAN =
-      RetriesTest.seen(0, 1, 0, 10, "a", null, ScanOutcome.WHOLE);
+      RetriesTest.observedScan(0, 1, 0, 10, "a", null, ScanOutcome.WHOLE);
 
-  private static ScanResult outcome(
-      ScanOutcome fate, Map<Integer, String> values, long tookMs, long lateMs, long heldMs) {
+  private static ScanResult result(
+      ScanOutcome outcome, Map<Integer, String> values, long tookMs, long lateMs, long heldMs) {
     return new ScanResult(
-        fate,
+        outcome,
         200,
         values,
         1,
@@ -34,50 +34,49 @@
   }
 
   @Test
-  void whatAgreesAndWhyNot() {
-    ScanResult whole = outcome(ScanOutcome.WHOLE, Map.of(0, "v", 1, "w"), 10, 0, 0);
+  void agreementAndTheCausesOfDifferences() {
+    ScanResult whole = result(ScanOutcome.WHOLE, Map.of(0, "v", 1, "w"), 10, 0, 0);
     assertEquals(
-        "agree", cause(whole, outcome(ScanOutcome.WHOLE, Map.of(0, "v", 1, "w"), 900, 50, 50)));
+        "agree", cause(whole, result(ScanOutcome.WHOLE, Map.of(0, "v", 1, "w"), 900, 50, 50)));
     assertEquals(
         "a value differs: the store is not in the recorded state",
-        cause(whole, outcome(ScanOutcome.WHOLE, Map.of(0, "v", 1, "x"), 10, 0, 0)));
-    ScanResult part = outcome(ScanOutcome.PART, Map.of(0, "v"), 10, 0, 0);
+        cause(whole, result(ScanOutcome.WHOLE, Map.of(0, "v", 1, "x"), 10, 0, 0)));
+    ScanResult part = result(ScanOutcome.PART, Map.of(0, "v"), 10, 0, 0);
     assertEquals("agree", cause(part, part));
     assertEquals(
         "answered from other parts: some came or were sent in one run alone", cause(part, whole));
     assertEquals(
         "answered from other parts: some came or were sent in one run alone",
-        cause(part, outcome(ScanOutcome.PART, Map.of(1, "w"), 10, 0, 0)));
+        cause(part, result(ScanOutcome.PART, Map.of(1, "w"), 10, 0, 0)));
     assertEquals(
-        "the tool sent it late",
-        cause(whole, outcome(ScanOutcome.PART, Map.of(0, "v"), 10, 30, 0)));
+        "the tool sent it late", cause(whole, result(ScanOutcome.PART, Map.of(0, "v"), 10, 30, 0)));
     assertEquals(
         "held back by the answer before it on its connection",
-        cause(whole, outcome(ScanOutcome.PART, Map.of(0, "v"), 10, 0, 30)));
+        cause(whole, result(ScanOutcome.PART, Map.of(0, "v"), 10, 0, 30)));
     assertEquals(
         "an answer close to the end of its client's time: open by nature",
-        cause(whole, outcome(ScanOutcome.LEFT, Map.of(), 2050, 0, 0)));
+        cause(whole, result(ScanOutcome.LEFT, Map.of(), 2050, 0, 0)));
     assertEquals(
         "turned away in the replay: more load or less trust than recorded",
-        cause(whole, outcome(ScanOutcome.NACKED, Map.of(), 10, 0, 0)));
+        cause(whole, result(ScanOutcome.NACKED, Map.of(), 10, 0, 0)));
     assertEquals(
         "given up in the replay: its parts or their holders failed",
-        cause(whole, outcome(ScanOutcome.SCRAPPED, Map.of(), 10, 0, 0)));
+        cause(whole, result(ScanOutcome.SCRAPPED, Map.of(), 10, 0, 0)));
   }
 
   @Test
-  void whatTheRecordingDoesNotShowIsNotCompared() {
+  void outcomesMissingFromTheRecordingAreNotCompared() {
     Comparison comparison = new Comparison(Duration.ofMillis(20));
     comparison.add(
         SCAN,
-        outcome(ScanOutcome.INCOMPLETE, Map.of(), 0, 0, 0),
-        outcome(ScanOutcome.WHOLE, Map.of(), 1, 0, 0));
+        result(ScanOutcome.INCOMPLETE, Map.of(), 0, 0, 0),
+        result(ScanOutcome.WHOLE, Map.of(), 1, 0, 0));
     assertEquals(0, comparison.comparedCount());
     assertEquals(1, comparison.notComparedCount());
     comparison.add(
         SCAN,
-        outcome(ScanOutcome.NACKED, Map.of(), 0, 0, 0),
-        outcome(ScanOutcome.WHOLE, Map.of(), 1, 0, 0));
+        result(ScanOutcome.NACKED, Map.of(), 0, 0, 0),
+        result(ScanOutcome.WHOLE, Map.of(), 1, 0, 0));
     assertEquals(0, comparison.agreement());
     assertEquals(1, comparison.differences().size());
   }
--- a/traffic/src/test/java/gingerring/traffic/replay/PacerTest.java
+++ b/traffic/src/test/java/gingerring/traffic/replay/PacerTest.java
@@ -27,26 +27,26 @@
   }
 
   @Property(tries = 500, seed = "7")
-  void sendsAsThePlainModelDoes(
+  void sendsAsTheReferenceModelDoes(
       @ForAll long seed,
       @ForAll @IntRange(min = 1, max = 40) int count,
       @ForAll @IntRange(min = 1, max = 6) int lanes) {
     SplittableRandom random = new SplittableRandom(seed);
     List<ReplayStep> steps = new ArrayList<>();
     long due = 0;
-    Map<Integer, Integer> takes = new HashMap<>();
+    Map<Integer, Integer> durations = new HashMap<>();
     for (int i = 0; i < count; i++) {
       due += random.nextInt(30);
       steps.add(step(i, random.nextInt(lanes), due));
-      takes.put(i, 1 + random.nextInt(100));
+      durations.put(i, 1 + random.nextInt(100));
     }
     // the model: by connection, in order
     Map<Integer, Long> expected = new TreeMap<>();
-    Map<Integer, Long> free = new HashMap<>();
+    Map<Integer, Long> freeAt = new HashMap<>();
     for (ReplayStep step : steps) {
-      long at = Math.max(step.dueTime().toMillis(), free.getOrDefault(step.connection(), 0L));
+      long at = Math.max(step.dueTime().toMillis(), freeAt.getOrDefault(step.connection(), 0L));
       expected.put(step.number(), at);
-      free.put(step.connection(), at + takes.get(step.number()));
+      freeAt.put(step.connection(), at + durations.get(step.number()));
     }
     // the pacer, driven by the moments at which something happens
     Map<Integer, Long> sent = new TreeMap<>();
@@ -60,7 +60,7 @@
             true,
             step -> {
               sent.put(step.number(), now[0]);
-              ends.computeIfAbsent(now[0] + takes.get(step.number()), t -> new ArrayList<>())
+              ends.computeIfAbsent(now[0] + durations.get(step.number()), t -> new ArrayList<>())
                   .add(step.connection());
             });
     while (pacer.nextDueTime() != null || !ends.isEmpty()) {
@@ -96,11 +96,11 @@
     assertTrue(
         slow.report().invalidReason().startsWith("the tool sent"), slow.report().invalidReason());
 
-    List<ReplayStep> one = new ArrayList<>();
+    List<ReplayStep> onOneConnection = new ArrayList<>();
     for (int i = 0; i < 100; i++) {
-      one.add(step(i, 0, 10 * i));
+      onOneConnection.add(step(i, 0, 10 * i));
     }
-    Pacer held = new Pacer(one, 1, Duration.ofMillis(20), true, step -> {});
+    Pacer held = new Pacer(onOneConnection, 1, Duration.ofMillis(20), true, step -> {});
     for (long now = 0; held.unsentSteps() > 0; now += 50) { // every answer takes 50 ms
       held.onCompleted(0, Duration.ofMillis(now));
       held.sendDueSteps(Duration.ofMillis(now));
@@ -110,7 +110,7 @@
   }
 
   @Test
-  void aRetryMadeAnewGoesInItsTurn() {
+  void aGeneratedRetryIsSentByItsDueTime() {
     List<Integer> sent = new ArrayList<>();
     Pacer pacer =
         new Pacer(
--- a/traffic/src/test/java/gingerring/traffic/replay/RetriesTest.java
+++ b/traffic/src/test/java/gingerring/traffic/replay/RetriesTest.java
@@ -17,14 +17,14 @@
 
 /** Chains of retries, found and made. */
 class RetriesTest {
-  static ObservedScan seen(
+  static ObservedScan observedScan(
       int number,
       long connection,
       long askedMs,
       long tookMs,
-      String text,
-      String key,
-      ScanOutcome fate) {
+      String queryText,
+      String idempotencyKey,
+      ScanOutcome outcome) {
     byte[] request =
         ("POST /api HTTP/1.1\r\nhost: x\r\nx-txn: m" + number + "\r\n\r\n{}")
             .getBytes(StandardCharsets.US_ASCII);
@@ -35,37 +35,37 @@
         "c",
         asked,
         asked,
-        fate == ScanOutcome.INCOMPLETE ? 0 : asked + tookMs * 1_000_000,
+        outcome == ScanOutcome.INCOMPLETE ? 0 : asked + tookMs * 1_000_000,
         "m" + number,
         "search",
         2000,
         false,
-        key,
+        idempotencyKey,
         List.of(new ObservedScan.Target(0, 1)),
-        text,
+        queryText,
         request,
-        fate,
+        outcome,
         200,
-        fate == ScanOutcome.WHOLE,
-        fate == ScanOutcome.WHOLE ? Map.of(0, "v") : Map.of(),
+        outcome == ScanOutcome.WHOLE,
+        outcome == ScanOutcome.WHOLE ? Map.of(0, "v") : Map.of(),
         0,
         "");
   }
 
   /** The plain model looks through all chains for each scan. */
-  private static List<List<Long>> model(List<ObservedScan> scans, long windowNanos) {
+  private static List<List<Long>> expectedChains(List<ObservedScan> scans, long windowNanos) {
     List<List<ObservedScan>> chains = new ArrayList<>();
-    for (ObservedScan seen : scans) {
+    for (ObservedScan scan : scans) {
       List<ObservedScan> best = null;
       for (List<ObservedScan> chain : chains) {
         ObservedScan last = chain.get(chain.size() - 1);
         long end = Math.max(last.responseEndNanos(), last.requestStartNanos());
-        boolean same = last.queryText().equals(seen.queryText());
-        boolean unmet = last.outcome() != ScanOutcome.WHOLE && last.outcome() != ScanOutcome.PART;
+        boolean same = last.queryText().equals(scan.queryText());
+        boolean failed = last.outcome() != ScanOutcome.WHOLE && last.outcome() != ScanOutcome.PART;
         if (same
-            && unmet
-            && last.responseEndNanos() <= seen.requestStartNanos()
-            && seen.requestStartNanos() - end <= windowNanos
+            && failed
+            && last.responseEndNanos() <= scan.requestStartNanos()
+            && scan.requestStartNanos() - end <= windowNanos
             && (best == null
                 || best.get(best.size() - 1).responseEndNanos() < last.responseEndNanos())) {
           best = chain;
@@ -75,17 +75,17 @@
         best = new ArrayList<>();
         chains.add(best);
       }
-      best.add(seen);
+      best.add(scan);
     }
     return chains.stream().map(chain -> chain.stream().map(ObservedScan::number).toList()).toList();
   }
 
   @Property(tries = 500, seed = "7")
-  void findsTheChainsThatThePlainModelFinds(@ForAll long seed) {
+  void findsTheChainsThatTheReferenceModelFinds(@ForAll long seed) {
     SplittableRandom random = new SplittableRandom(seed);
     List<ObservedScan> scans = new ArrayList<>();
     long at = 0;
-    ScanOutcome[] fates = {
+    ScanOutcome[] outcomes = {
       ScanOutcome.WHOLE,
       ScanOutcome.NACKED,
       ScanOutcome.SCRAPPED,
@@ -95,75 +95,76 @@
     for (int i = 0; i < 40; i++) {
       at += 1 + random.nextInt(400);
       scans.add(
-          seen(
+          observedScan(
               i,
               random.nextInt(5),
               at,
               7 * i % 300 + random.nextInt(2) * 1000,
               "t" + random.nextInt(4),
               null,
-              fates[random.nextInt(fates.length)]));
+              outcomes[random.nextInt(outcomes.length)]));
     }
     Duration window = Duration.ofMillis(900);
     List<List<Long>> found =
         Retries.findChains(scans, window).stream()
             .map(chain -> chain.attempts().stream().map(ObservedScan::number).toList())
             .toList();
-    assertEquals(model(scans, window.toNanos()), found);
+    assertEquals(expectedChains(scans, window.toNanos()), found);
   }
 
   @Test
-  void aRetryOnAnotherConnectionBelongsToItsFirstTry() {
+  void aRetryOnAnotherConnectionBelongsToItsFirstAttempt() {
     List<RetryChain> chains =
         Retries.findChains(
             List.of(
-                seen(0, 1, 0, 10, "a", "k1", ScanOutcome.NACKED),
-                seen(1, 2, 100, 10, "a", "k2", ScanOutcome.WHOLE),
-                seen(2, 3, 200, 10, "a", "k1", ScanOutcome.WHOLE),
-                seen(3, 4, 300, 10, "a", "k1", ScanOutcome.WHOLE)),
+                observedScan(0, 1, 0, 10, "a", "k1", ScanOutcome.NACKED),
+                observedScan(1, 2, 100, 10, "a", "k2", ScanOutcome.WHOLE),
+                observedScan(2, 3, 200, 10, "a", "k1", ScanOutcome.WHOLE),
+                observedScan(3, 4, 300, 10, "a", "k1", ScanOutcome.WHOLE)),
             Duration.ofSeconds(60));
     assertEquals(List.of(2, 1, 1), chains.stream().map(chain -> chain.attempts().size()).toList());
   }
 
   @Test
-  void waitsGrowAndFollowWhatTheClientWasTold() {
+  void delaysGrowAndHonourRetryAfter() {
     Retries retries =
         new Retries(
             new Retries.RetryPolicy(3, Duration.ofMillis(100), 2, 0.5), new SplittableRandom(1));
     for (int number = 0; number < 3; number++) {
       Duration wait = retries.nextDelay(number, Duration.ZERO).orElseThrow();
-      double usual = 100 * Math.pow(2, number);
+      double nominalMillis = 100 * Math.pow(2, number);
       assertTrue(
-          wait.toMillis() >= usual / 2 - 1 && wait.toMillis() <= usual * 1.5, number + ": " + wait);
+          wait.toMillis() >= nominalMillis / 2 - 1 && wait.toMillis() <= nominalMillis * 1.5,
+          number + ": " + wait);
     }
     assertEquals(Duration.ofSeconds(5), retries.nextDelay(0, Duration.ofSeconds(5)).orElseThrow());
     assertTrue(retries.nextDelay(3, Duration.ofSeconds(5)).isEmpty());
   }
 
   @Test
-  void aRetryHasAFreshMarkAndTheSameRest() {
+  void aRetryHasANewTransactionIdAndIsOtherwiseEqual() {
     ReplayPlan plan =
         new ReplayPlan(
             List.of(
-                seen(0, 1, 0, 10, "a", "k1", ScanOutcome.NACKED),
-                seen(1, 1, 100, 10, "a", "k1", ScanOutcome.WHOLE)),
+                observedScan(0, 1, 0, 10, "a", "k1", ScanOutcome.NACKED),
+                observedScan(1, 1, 100, 10, "a", "k1", ScanOutcome.WHOLE)),
             10,
             true);
     assertEquals(1, plan.steps().size());
-    ReplayStep again = plan.createRetry(plan.steps().get(0), 1, Duration.ofMillis(5));
+    ReplayStep retry = plan.createRetry(plan.steps().get(0), 1, Duration.ofMillis(5));
     assertEquals(
         "POST /api HTTP/1.1\r\nhost: x\r\nx-txn: m0~1\r\n\r\n{}",
-        new String(again.requestBytes(), StandardCharsets.US_ASCII));
-    assertEquals(1, again.attempt());
+        new String(retry.requestBytes(), StandardCharsets.US_ASCII));
+    assertEquals(1, retry.attempt());
   }
 
   @Test
-  void timesAreDividedByThePace() {
+  void timesAreDividedByTheSpeed() {
     ReplayPlan plan =
         new ReplayPlan(
             List.of(
-                seen(0, 1, 1000, 10, "a", null, ScanOutcome.WHOLE),
-                seen(1, 2, 3000, 10, "b", null, ScanOutcome.WHOLE)),
+                observedScan(0, 1, 1000, 10, "a", null, ScanOutcome.WHOLE),
+                observedScan(1, 2, 3000, 10, "b", null, ScanOutcome.WHOLE)),
             10,
             false);
     assertEquals(
--- a/traffic/src/test/java/gingerring/traffic/scan/DamagedCaptureTest.java
+++ b/traffic/src/test/java/gingerring/traffic/scan/DamagedCaptureTest.java
@@ -18,43 +18,44 @@
 /** Files cut at every offset, and files of mutated and of random bytes. */
 class DamagedCaptureTest {
   @Test
-  void aFileCutAnywhereKeepsTheScansBeforeTheCut() throws Exception {
-    List<TimedPacket> pieces = Conversations.ofScans(4000, 9, "m", 3, true);
-    byte[] file = Conversations.pcap(pieces);
+  void aFileTruncatedAnywhereKeepsTheScansBeforeTheEnd() throws Exception {
+    List<TimedPacket> packets = Conversations.ofScans(4000, 9, "m", 3, true);
+    byte[] file = Conversations.pcap(packets);
     // where the last packet of each scan's answer ends
     List<Integer> ends = new ArrayList<>();
-    int at = 24;
-    boolean inAnswer = false;
-    for (TimedPacket piece : pieces) {
-      boolean answers = piece.bytes().length > 40 && piece.bytes()[15] == 2;
-      if (inAnswer && !answers) {
-        ends.add(at);
+    int offset = 24;
+    boolean inResponse = false;
+    for (TimedPacket packet : packets) {
+      boolean fromMixer = packet.bytes().length > 40 && packet.bytes()[15] == 2;
+      if (inResponse && !fromMixer) {
+        ends.add(offset);
       }
-      inAnswer = answers;
-      at += 16 + piece.bytes().length;
+      inResponse = fromMixer;
+      offset += 16 + packet.bytes().length;
     }
     assertEquals(3, ends.size());
-    for (int cut = 0; cut <= file.length; cut++) {
-      byte[] some = Arrays.copyOf(file, cut);
-      if (cut < 24) {
+    for (int length = 0; length <= file.length; length++) {
+      byte[] truncated = Arrays.copyOf(file, length);
+      if (length < 24) {
         assertThrows(
-            UnreadableCaptureException.class, () -> Conversations.read(some, new ArrayList<>()));
+            UnreadableCaptureException.class,
+            () -> Conversations.read(truncated, new ArrayList<>()));
         continue;
       }
       List<ObservedScan> scans = new ArrayList<>();
-      RecordingReader.Summary summary = Conversations.read(some, scans);
-      int here = cut;
-      long expected = ends.stream().filter(end -> end <= here).count();
+      RecordingReader.Summary summary = Conversations.read(truncated, scans);
+      int truncatedLength = length;
+      long expected = ends.stream().filter(end -> end <= truncatedLength).count();
       assertEquals(
           expected,
-          scans.stream().filter(seen -> seen.outcome() == ScanOutcome.WHOLE).count(),
-          "cut at " + cut);
-      assertTrue(scans.size() <= expected + 1, "cut at " + cut);
-      for (ObservedScan seen : scans.subList((int) expected, scans.size())) {
-        assertEquals(ScanOutcome.INCOMPLETE, seen.outcome(), "cut at " + cut);
+          scans.stream().filter(scan -> scan.outcome() == ScanOutcome.WHOLE).count(),
+          "cut at " + length);
+      assertTrue(scans.size() <= expected + 1, "cut at " + length);
+      for (ObservedScan scan : scans.subList((int) expected, scans.size())) {
+        assertEquals(ScanOutcome.INCOMPLETE, scan.outcome(), "cut at " + length);
       }
-      boolean onEdge = summary.endState() == CaptureReader.EndState.WHOLE;
-      assertEquals(onEdge, summary.endReason().isEmpty());
+      boolean atRecordBoundary = summary.endState() == CaptureReader.EndState.WHOLE;
+      assertEquals(atRecordBoundary, summary.endReason().isEmpty());
     }
   }
 
@@ -67,14 +68,14 @@
       byte[] mutated = file.clone();
       int changes = 1 + random.nextInt(20);
       for (int c = 0; c < changes; c++) {
-        int where = 24 + random.nextInt(file.length - 24);
-        mutated[where] = (byte) random.nextInt(256);
+        int index = 24 + random.nextInt(file.length - 24);
+        mutated[index] = (byte) random.nextInt(256);
       }
-      List<ObservedScan> once = new ArrayList<>();
-      List<ObservedScan> twice = new ArrayList<>();
-      RecordingReader.Summary summary = Conversations.read(mutated, once);
-      assertEquals(summary.packets(), Conversations.read(mutated, twice).packets());
-      assertEquals(once.size(), twice.size());
+      List<ObservedScan> first = new ArrayList<>();
+      List<ObservedScan> second = new ArrayList<>();
+      RecordingReader.Summary summary = Conversations.read(mutated, first);
+      assertEquals(summary.packets(), Conversations.read(mutated, second).packets());
+      assertEquals(first.size(), second.size());
     }
   }
 
--- a/traffic/src/test/java/gingerring/traffic/scan/HttpMessageTest.java
+++ b/traffic/src/test/java/gingerring/traffic/scan/HttpMessageTest.java
@@ -27,17 +27,18 @@
     "POST /api HTTP/1.0\r\nA:b\r\nContent-length:  3 \r\n\r\nabc",
     "POST /api HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"
   };
-  private static final String[] ANSWERS = {
-    Conversations.answer("m1"),
-    Conversations.answer(503, "Retry-After: 0.5\r\n", ""),
+  private static final String[] RESPONSES = {
+    Conversations.response("m1"),
+    Conversations.response(503, "Retry-After: 0.5\r\n", ""),
     "HTTP/1.1 204 None\r\nA: b\r\n\r\n",
-    "HTTP/1.1 100 Continue\r\n\r\n" + Conversations.answer("m2"),
-    Conversations.answer(200, "", "{\"whole\":false,\"results\":[]}")
+    "HTTP/1.1 100 Continue\r\n\r\n" + Conversations.response("m2"),
+    Conversations.response(200, "", "{\"whole\":false,\"results\":[]}")
   };
-  private static final String SPICE = "\r\n :\t0123456789HTTP/.aAcC{}[]\",\\\u007f\u0001\u00e9";
+  private static final String MUTATION_CHARACTERS =
+      "\r\n :\t0123456789HTTP/.aAcC{}[]\",\\\u007f\u0001\u00e9";
 
   /** Takes one message as the parser does; null where it refuses, or wants more. */
-  private static Object[] parsed(byte[] bytes, boolean request) {
+  private static Object[] parseFully(byte[] bytes, boolean request) {
     ByteRing ring = new ByteRing(1 << 14, 1 << 14);
     ring.put(bytes);
     MessageHead[] head = {null};
@@ -70,45 +71,49 @@
   }
 
   @Test
-  void whatIsSkimmedTheParserTakesToo() {
-    int skimmed = 0;
+  void messagesAcceptedByTheFastParserAreAcceptedByTheFullParser() {
+    int accepted = 0;
     for (int i = 0; i < 60_000; i++) {
       SplittableRandom random = new SplittableRandom(i);
       boolean request = random.nextBoolean();
-      String[] from = request ? REQUESTS : ANSWERS;
-      StringBuilder text = new StringBuilder(from[random.nextInt(from.length)]);
+      String[] templates = request ? REQUESTS : RESPONSES;
+      StringBuilder text = new StringBuilder(templates[random.nextInt(templates.length)]);
       for (int changes = random.nextInt(4); changes > 0; changes--) {
-        int at = random.nextInt(text.length());
+        int index = random.nextInt(text.length());
         switch (random.nextInt(3)) {
-          case 0 -> text.setCharAt(at, SPICE.charAt(random.nextInt(SPICE.length())));
-          case 1 -> text.insert(at, SPICE.charAt(random.nextInt(SPICE.length())));
-          default -> text.deleteCharAt(at);
+          case 0 ->
+              text.setCharAt(
+                  index, MUTATION_CHARACTERS.charAt(random.nextInt(MUTATION_CHARACTERS.length())));
+          case 1 ->
+              text.insert(
+                  index, MUTATION_CHARACTERS.charAt(random.nextInt(MUTATION_CHARACTERS.length())));
+          default -> text.deleteCharAt(index);
         }
       }
-      text.append(random.nextInt(3) == 0 ? from[0] : ""); // another message behind it
+      text.append(random.nextInt(3) == 0 ? templates[0] : ""); // another message behind it
       byte[] bytes = text.toString().getBytes(StandardCharsets.ISO_8859_1);
-      HttpMessage.MessageExtent found = new HttpMessage.MessageExtent();
-      HttpMessage.FastParseResult skim =
-          HttpMessage.parseFast(bytes, 0, bytes.length, request, 1 << 16, found);
-      if (skim != HttpMessage.FastParseResult.COMPLETE) {
+      HttpMessage.MessageExtent extent = new HttpMessage.MessageExtent();
+      HttpMessage.FastParseResult result =
+          HttpMessage.parseFast(bytes, 0, bytes.length, request, 1 << 16, extent);
+      if (result != HttpMessage.FastParseResult.COMPLETE) {
         continue;
       }
-      skimmed++;
-      Object[] parsed = parsed(bytes, request);
+      accepted++;
+      Object[] parsed = parseFully(bytes, request);
       assertTrue(parsed != null, text::toString);
-      assertEquals(parsed[2], found.endOffset, text::toString);
+      assertEquals(parsed[2], extent.endOffset, text::toString);
       HttpMessage message =
-          new HttpMessage(Arrays.copyOf(bytes, found.endOffset), found.bodyOffset);
+          new HttpMessage(Arrays.copyOf(bytes, extent.endOffset), extent.bodyOffset);
       assertArrayEquals((byte[]) parsed[1], message.body());
       assertEquals(parsed[0], message.head(), text::toString);
       if (!request && message.status() == 200 && message.parseWholeFlag() >= 0) {
-        ScanResponse answer = ScanResponse.parse(message.head(), message.body());
+        ScanResponse response = ScanResponse.parse(message.head(), message.body());
         assertEquals(
             message.parseWholeFlag() == 1 ? ScanOutcome.WHOLE : ScanOutcome.PART,
-            answer.outcome(),
+            response.outcome(),
             text::toString);
       }
     }
-    assertTrue(skimmed > 20_000, "skimmed: " + skimmed);
+    assertTrue(accepted > 20_000, "skimmed: " + accepted);
   }
 }
--- a/traffic/src/test/java/gingerring/traffic/scan/StreamReassemblyTest.java
+++ b/traffic/src/test/java/gingerring/traffic/scan/StreamReassemblyTest.java
@@ -23,41 +23,43 @@
  * Segments shuffled, repeated, cut in two, overlapping, lost: what is read against what was said.
  */
 class StreamReassemblyTest {
-  private static final int TCP = 20;
+  private static final int TCP_HEADER_BYTES = 20;
 
   /** Cuts a packet's data in two that overlap by some bytes. */
-  private static List<TimedPacket> split(TimedPacket piece, SplittableRandom random) {
-    byte[] b = piece.bytes();
-    int data = b.length - 20 - TCP;
-    if (data < 2) {
-      return List.of(piece);
+  private static List<TimedPacket> split(TimedPacket packet, SplittableRandom random) {
+    byte[] bytes = packet.bytes();
+    int dataLength = bytes.length - 20 - TCP_HEADER_BYTES;
+    if (dataLength < 2) {
+      return List.of(packet);
     }
-    int cut = 1 + random.nextInt(data - 1);
-    int back = random.nextInt(cut + 1);
+    int splitOffset = 1 + random.nextInt(dataLength - 1);
+    int overlap = random.nextInt(splitOffset + 1);
     return List.of(
-        new TimedPacket(piece.timestampNanos(), part(b, 0, cut)),
-        new TimedPacket(piece.timestampNanos(), part(b, cut - back, data - cut + back)));
+        new TimedPacket(packet.timestampNanos(), dataRange(bytes, 0, splitOffset)),
+        new TimedPacket(
+            packet.timestampNanos(),
+            dataRange(bytes, splitOffset - overlap, dataLength - splitOffset + overlap)));
   }
 
   /**
    * Some of a packet's data as a packet; checksums are left as they were, since none are judged.
    */
-  private static byte[] part(byte[] b, int from, int length) {
-    byte[] some = new byte[40 + length];
-    System.arraycopy(b, 0, some, 0, 40);
-    System.arraycopy(b, 40 + from, some, 40, length);
-    some[2] = (byte) (some.length >> 8);
-    some[3] = (byte) some.length;
-    int sequence = ByteBuffer.wrap(b).getInt(24) + from;
-    ByteBuffer.wrap(some).putInt(24, sequence);
-    return some;
+  private static byte[] dataRange(byte[] bytes, int from, int length) {
+    byte[] packet = new byte[40 + length];
+    System.arraycopy(bytes, 0, packet, 0, 40);
+    System.arraycopy(bytes, 40 + from, packet, 40, length);
+    packet[2] = (byte) (packet.length >> 8);
+    packet[3] = (byte) packet.length;
+    int sequence = ByteBuffer.wrap(bytes).getInt(24) + from;
+    ByteBuffer.wrap(packet).putInt(24, sequence);
+    return packet;
   }
 
-  private static List<TimedPacket> disturbed(
-      List<TimedPacket> pieces, SplittableRandom random, int window) {
+  private static List<TimedPacket> reordered(
+      List<TimedPacket> packets, SplittableRandom random, int window) {
     List<TimedPacket> out = new ArrayList<>();
-    for (TimedPacket piece : pieces) {
-      List<TimedPacket> parts = random.nextInt(3) == 0 ? split(piece, random) : List.of(piece);
+    for (TimedPacket packet : packets) {
+      List<TimedPacket> parts = random.nextInt(3) == 0 ? split(packet, random) : List.of(packet);
       for (TimedPacket part : parts) {
         out.add(part);
         if (random.nextInt(5) == 0) {
@@ -76,25 +78,25 @@
   }
 
   @Property(tries = 300, seed = "7")
-  void disorderChangesNothing(
+  void reorderedSegmentsGiveTheSameScans(
       @ForAll long seed,
       @ForAll @IntRange(min = 1, max = 12) int scans,
       @ForAll @IntRange(min = 1, max = 6) int window) {
     SplittableRandom random = new SplittableRandom(seed);
     // sequence numbers that wrap within the conversation, at times
     long first = random.nextBoolean() ? seed : 0xFFFFF000FFFFFF00L;
-    List<TimedPacket> pieces = Conversations.ofScans(4000, first, "m", scans, true);
+    List<TimedPacket> packets = Conversations.ofScans(4000, first, "m", scans, true);
     // the ends stay last: after both no more is taken, as on the wire
-    List<TimedPacket> body = disturbed(pieces.subList(0, pieces.size() - 3), random, window);
-    body.addAll(pieces.subList(pieces.size() - 3, pieces.size()));
+    List<TimedPacket> body = reordered(packets.subList(0, packets.size() - 3), random, window);
+    body.addAll(packets.subList(packets.size() - 3, packets.size()));
     Map<String, ObservedScan> read = new HashMap<>();
     Conversations.read(body)
-        .forEach(seen -> assertEquals(null, read.put(seen.transactionId(), seen)));
+        .forEach(observed -> assertEquals(null, read.put(observed.transactionId(), observed)));
     assertEquals(scans, read.size());
     read.forEach(
-        (mark, seen) -> {
-          assertEquals(ScanOutcome.WHOLE, seen.outcome(), mark + seen.problem());
-          assertEquals("v-" + mark, seen.valuesByPartition().get(0));
+        (mark, observed) -> {
+          assertEquals(ScanOutcome.WHOLE, observed.outcome(), mark + observed.problem());
+          assertEquals("v-" + mark, observed.valuesByPartition().get(0));
         });
   }
 
@@ -102,50 +104,51 @@
    * What is lost makes the scan that it was part of incomplete, and no other; nothing is mistaken.
    */
   @Property(tries = 300, seed = "7")
-  void lossIsMarkedWhereItWas(
+  void aLostPacketMarksOnlyItsScan(
       @ForAll long seed,
       @ForAll @IntRange(min = 2, max = 12) int scans,
       @ForAll @IntRange(min = 1, max = 3) int losses) {
     SplittableRandom random = new SplittableRandom(seed);
-    List<TimedPacket> pieces = Conversations.ofScans(4000, seed, "m", scans, true);
+    List<TimedPacket> packets = Conversations.ofScans(4000, seed, "m", scans, true);
     List<Integer> lost = new ArrayList<>();
     for (int i = 0; i < losses; i++) {
-      lost.add(3 + random.nextInt(pieces.size() - 6));
+      lost.add(3 + random.nextInt(packets.size() - 6));
     }
     // which scans a lost packet belongs to: by counting data packets of the undisturbed
     // conversation
-    Set<String> hurt = new HashSet<>();
+    Set<String> affected = new HashSet<>();
     int scan = -1;
     boolean answers = true;
-    List<TimedPacket> left = new ArrayList<>();
-    for (int i = 0; i < pieces.size(); i++) {
-      byte[] b = pieces.get(i).bytes();
-      boolean fromMixer = b[15] == 2;
-      if (b.length > 40) {
+    List<TimedPacket> captured = new ArrayList<>();
+    for (int i = 0; i < packets.size(); i++) {
+      byte[] bytes = packets.get(i).bytes();
+      boolean fromMixer = bytes[15] == 2;
+      if (bytes.length > 40) {
         if (!fromMixer && answers) {
           scan++;
         }
         answers = fromMixer;
       }
       if (lost.contains(i)) {
-        hurt.add("m" + scan);
+        affected.add("m" + scan);
       } else {
-        left.add(pieces.get(i));
+        captured.add(packets.get(i));
       }
     }
     Map<String, ObservedScan> whole = new HashMap<>();
-    for (ObservedScan seen : Conversations.read(left)) {
-      if (seen.outcome() != ScanOutcome.INCOMPLETE) {
-        assertEquals(ScanOutcome.WHOLE, seen.outcome());
+    for (ObservedScan observed : Conversations.read(captured)) {
+      if (observed.outcome() != ScanOutcome.INCOMPLETE) {
+        assertEquals(ScanOutcome.WHOLE, observed.outcome());
         assertEquals(
-            "v-" + seen.transactionId(),
-            seen.valuesByPartition().get(0),
+            "v-" + observed.transactionId(),
+            observed.valuesByPartition().get(0),
             "an answer of another scan");
-        whole.put(seen.transactionId(), seen);
+        whole.put(observed.transactionId(), observed);
       }
     }
     for (int i = 0; i < scans; i++) {
-      assertEquals(!hurt.contains("m" + i), whole.containsKey("m" + i), "m" + i + " of " + hurt);
+      assertEquals(
+          !affected.contains("m" + i), whole.containsKey("m" + i), "m" + i + " of " + affected);
     }
   }
 
@@ -154,28 +157,29 @@
       @ForAll long seed,
       @ForAll @IntRange(min = 2, max = 8) int scans,
       @ForAll @IntRange(min = 0, max = 40) int skipped) {
-    List<TimedPacket> pieces = Conversations.ofScans(4000, seed, "m", scans, true);
-    List<TimedPacket> rest = pieces.subList(Math.min(skipped, pieces.size() - 1), pieces.size());
-    for (ObservedScan seen : Conversations.read(rest)) {
-      if (seen.outcome() == ScanOutcome.WHOLE) {
-        assertEquals("v-" + seen.transactionId(), seen.valuesByPartition().get(0));
+    List<TimedPacket> packets = Conversations.ofScans(4000, seed, "m", scans, true);
+    List<TimedPacket> captured =
+        packets.subList(Math.min(skipped, packets.size() - 1), packets.size());
+    for (ObservedScan observed : Conversations.read(captured)) {
+      if (observed.outcome() == ScanOutcome.WHOLE) {
+        assertEquals("v-" + observed.transactionId(), observed.valuesByPartition().get(0));
       }
     }
     if (skipped <= 3) {
       assertEquals(
           scans,
-          Conversations.read(rest).stream()
-              .filter(seen -> seen.outcome() == ScanOutcome.WHOLE)
+          Conversations.read(captured).stream()
+              .filter(observed -> observed.outcome() == ScanOutcome.WHOLE)
               .count());
     }
   }
 
   @Test
-  void portsUsedAgainAreAnotherConnection() {
-    List<TimedPacket> pieces = new ArrayList<>(Conversations.ofScans(4000, 5, "a", 2, true));
-    pieces.subList(pieces.size() - 3, pieces.size()).clear(); // its end was not captured
-    pieces.addAll(Conversations.ofScans(4000, 99L << 33 | 77777, "b", 2, true));
-    List<ObservedScan> scans = Conversations.read(pieces);
+  void reusedPortsAreAnotherConnection() {
+    List<TimedPacket> packets = new ArrayList<>(Conversations.ofScans(4000, 5, "a", 2, true));
+    packets.subList(packets.size() - 3, packets.size()).clear(); // its end was not captured
+    packets.addAll(Conversations.ofScans(4000, 99L << 33 | 77777, "b", 2, true));
+    List<ObservedScan> scans = Conversations.read(packets);
     assertEquals(
         List.of("a0", "a1", "b0", "b1"), scans.stream().map(ObservedScan::transactionId).toList());
     assertTrue(scans.get(0).connectionNumber() != scans.get(2).connectionNumber());
