--- a/traffic/src/main/java/gingerring/traffic/flow/Flow.java
+++ b/traffic/src/main/java/gingerring/traffic/flow/Flow.java
@@ -4,11 +4,11 @@
 import java.net.UnknownHostException;
 import java.nio.ByteBuffer;
 
-/** One TCP connection of a capture, from the first that was seen of it to its end. */
+/** One TCP connection of a capture, from its first observed segment to its end. */
 public final class Flow {
   /**
-   * How it ended: both sides said so, one broke it off, its ports were used again, it fell silent,
-   * the file ended.
+   * Why the flow ended: both sides sent FIN, one side reset, a new connection reused the ports, no
+   * segment came for the idle timeout, the flow was evicted by newer ones, or the file ended.
    */
   public enum CloseReason {
     FINISHED,
@@ -19,7 +19,7 @@
     END_OF_FILE
   }
 
-  /** Addresses in two halves, IPv4 as mapped; side 0 comes first. */
+  /** Addresses as two 64-bit halves, IPv4 in mapped form. Index 0 is side 0. */
   record Key(
       long addressHigh0,
       long addressLow0,
@@ -31,17 +31,17 @@
   public final long number;
   public final long firstSeenNanos;
 
-  /** The first segment seen opened it: what came before is not missing. */
+  /** Whether the capture shows the connection's SYN, so that no earlier bytes are missing. */
   public boolean openingSeen;
 
-  /** What the reader of this flow keeps for it. */
+  /** State that the flow's listener keeps for the flow. */
   public Object attachment;
 
   final Key key;
   final StreamReassembler[] streams = {new StreamReassembler(), new StreamReassembler()};
   long lastSeenNanos;
 
-  /** Segments that came before it was sure where its streams begin. */
+  /** Segments received before the start of both streams was certain. */
   int segmentsBeforeStart;
 
   boolean closed;
@@ -64,18 +64,18 @@
             .putLong(side == 0 ? key.addressLow0 : key.addressLow1)
             .array();
     try {
-      return InetAddress.getByAddress(bytes); // a mapped one becomes IPv4
+      return InetAddress.getByAddress(bytes); // a mapped address becomes IPv4
     } catch (UnknownHostException e) {
       throw new IllegalStateException(e);
     }
   }
 
-  /** How many bytes of this side's stream its peer was seen to acknowledge; a floor. */
+  /** How many bytes of this side's stream its peer was seen to acknowledge: a lower bound. */
   public long acknowledgedBytes(int side) {
     return streams[side].acknowledgedOffset;
   }
 
-  /** How many bytes of this side's stream have been passed on or given up. */
+  /** How many bytes of this side's stream have been delivered or skipped. */
   public long deliveredBytes(int side) {
     return streams[side].nextOffset;
   }
--- a/traffic/src/main/java/gingerring/traffic/flow/FlowTable.java
+++ b/traffic/src/main/java/gingerring/traffic/flow/FlowTable.java
@@ -8,22 +8,26 @@
 import java.util.TreeMap;
 
 /**
- * Call {@link #process} for each segment in the order of the file, then {@link #endAllFlows}. What
- * is in order goes to the {@link Sink} at once. The same segments give the same calls.
+ * Groups segments into flows and reassembles their streams. Call {@link #process} for each segment
+ * in file order, then {@link #endAllFlows}. Bytes in order go to the {@link FlowListener} at once.
+ * The same segments always produce the same calls.
  *
- * <p>A flow that was not seen to open begins with the lowest byte among its first segments, or
- * where its peer waited for more; until that is sure they are held. A SYN with another number on
- * the ports of a known flow ends that and begins a new one.
+ * <p>A flow whose SYN was not captured begins with the lowest byte among its first segments, or at
+ * the first acknowledged byte; segments are buffered until the start is certain. A SYN with a
+ * different sequence number on the ports of a known flow ends that flow and begins a new one.
  */
 public final class FlowTable {
-  /** Who is told of flows. Sides are 0, which opened it or was seen first, and 1. */
+  /**
+   * Receives the events of flows. Side 0 opened the connection or was seen first; side 1 is its
+   * peer.
+   */
   public interface FlowListener {
     void onFlowOpened(Flow flow);
 
     /**
-     * Bytes next in the stream of a side; they are to be copied if kept. {@code nanos} is when they
-     * were captured, {@code taken} how much of the other side's stream their sender had
-     * acknowledged by then.
+     * Delivers the next bytes of one side's stream; copy bytes to be kept. {@code timestampNanos}
+     * is their capture time, {@code acknowledgedPeerBytes} how much of the other side's stream
+     * their sender had acknowledged by then.
      */
     void onData(
         Flow flow,
@@ -34,16 +38,16 @@
         int offset,
         int length);
 
-    /** So many bytes of the stream never came. */
+    /** Reports that {@code missingBytes} of the stream were not captured. */
     void onGap(Flow flow, int side, long timestampNanos, long missingBytes);
 
-    /** This side ended its stream. */
+    /** Reports that this side ended its stream. */
     void onEndOfStream(Flow flow, int side, long timestampNanos);
 
     void onFlowClosed(Flow flow, Flow.CloseReason reason, long timestampNanos);
   }
 
-  /** After so many segments of a flow it is taken to begin with what was seen of it by then. */
+  /** After this many segments a flow is assumed to start at the lowest byte observed so far. */
   private static final int MAX_SEGMENTS_BEFORE_START = 32;
 
   private final ReassemblyLimits limits;
@@ -122,7 +126,10 @@
     }
   }
 
-  /** Both directions flow once it is sure where they begin, or {@code at once}. */
+  /**
+   * Starts delivery in both directions once both starts are certain, or at once if {@code force} is
+   * set.
+   */
   private void startDelivery(Flow flow, boolean force) {
     StreamReassembler firstStream = flow.streams[0];
     StreamReassembler secondStream = flow.streams[1];
@@ -181,7 +188,10 @@
     bufferedBytes += stream.bufferedBytes - bufferedBefore;
   }
 
-  /** Passes on to the sink; one is enough, as nothing keeps it. */
+  /**
+   * Passes a stream's events to the listener. One instance serves all streams, because no caller
+   * keeps a reference to the instance.
+   */
   private final class SinkAdapter implements StreamReassembler.StreamSink {
     private Flow flow;
     private int side;
@@ -211,7 +221,7 @@
     }
   }
 
-  /** A SYN that is no repeat of the one that opened this flow. */
+  /** Whether the segment is a SYN other than a retransmission of the one that opened the flow. */
   private boolean opensNewFlow(Flow flow, Segment segment) {
     return !segment.has(Segment.ACK)
         && (flow.closed
@@ -281,7 +291,7 @@
       leastRecentlyUsed.remove();
       remove(flow, idle ? Flow.CloseReason.IDLE : Flow.CloseReason.EVICTED);
     }
-    // who answers a SYN did not open the flow
+    // the sender of a SYN-ACK did not open the flow
     boolean isSynAck = segment.has(Segment.SYN) && segment.has(Segment.ACK);
     currentSide = isSynAck ? 1 : 0;
     Flow flow =
@@ -310,7 +320,10 @@
     return flow;
   }
 
-  /** It has ended, and stays a while so that late segments of it open no new one. */
+  /**
+   * Reports the flow's end. The flow stays in the table for some time, so that late segments do not
+   * open a new flow.
+   */
   private void endFlow(Flow flow, Flow.CloseReason reason) {
     if (!flow.closed) {
       startDelivery(flow, true);
@@ -351,7 +364,7 @@
     remove(flow, reason);
   }
 
-  /** The file has ended: so has every flow. */
+  /** Ends every flow at the end of the file. */
   public void endAllFlows() {
     for (Flow flow : List.copyOf(flows.values())) {
       close(flow, Flow.CloseReason.END_OF_FILE);
@@ -362,7 +375,7 @@
     return flows.size();
   }
 
-  /** Bytes held for gaps to fill, over all flows. */
+  /** Bytes buffered behind gaps, over all flows. */
   public long bufferedBytes() {
     return bufferedBytes;
   }
--- a/traffic/src/main/java/gingerring/traffic/flow/ReassemblyLimits.java
+++ b/traffic/src/main/java/gingerring/traffic/flow/ReassemblyLimits.java
@@ -3,10 +3,10 @@
 import java.time.Duration;
 
 /**
- * What a {@link FlowTable} may hold. At the bound of flows the one longest idle is ended; at the
- * bound of bytes held, in one direction or in all, the oldest gap of the direction at hand is given
- * up; a gap is given up too after {@code patience}, and a flow ended after {@code idle}, both in
- * the capture's time.
+ * Resource limits of a {@link FlowTable}. At {@code maxFlows} the flow idle for longest is ended.
+ * When the buffered bytes of one direction or of all flows exceed their limit, the oldest gap of
+ * the direction being read is skipped. A gap is also skipped after {@code gapTimeout}, and a flow
+ * ended after {@code idleTimeout}, both in capture time.
  */
 public record ReassemblyLimits(
     int maxFlows,
--- a/traffic/src/main/java/gingerring/traffic/flow/StreamReassembler.java
+++ b/traffic/src/main/java/gingerring/traffic/flow/StreamReassembler.java
@@ -5,25 +5,26 @@
 import java.util.TreeMap;
 
 /**
- * One direction of a flow: offsets from its first byte, unwrapped from sequence numbers. What comes
- * early is held, not overlapping, by offset; of bytes that come twice the first stay. Nothing is
- * passed on before it is {@code flowing}: where a stream begins has to be sure first, in both
- * directions.
+ * Reassembles one direction of a flow. Offsets count from the stream's first byte and are unwrapped
+ * from sequence numbers. Bytes that arrive out of order are buffered without overlaps, by offset;
+ * of duplicate bytes the first are kept. Nothing is delivered before {@code delivering} is set: the
+ * start of the stream must first be certain in both directions.
  */
 final class StreamReassembler {
   /**
-   * Farther off than this a segment is not of this stream: a window is 1 GiB at most (RFC 7323
-   * 2.2).
+   * A segment farther away than this does not belong to the stream: a window is at most 1 GiB (RFC
+   * 7323, section 2.2).
    */
   private static final int MAX_WINDOW_BYTES = 1 << 30;
 
   /**
-   * How far before the first byte seen a SYN may stand and still be taken for one that came late.
+   * How far before the first observed byte a SYN may lie and still count as this stream's own,
+   * delivered late.
    */
   private static final int MAX_LATE_SYN_BYTES = 1 << 20;
 
   /**
-   * Whom bytes go to once they are in order; {@code acknowledged} is a sequence number of the other
+   * Receives bytes in stream order. {@code ackNumber} is a sequence number of the opposite
    * direction.
    */
   interface StreamSink {
@@ -32,7 +33,10 @@
     void onGap(long missingBytes);
   }
 
-  /** Bytes that came early: when, and what their sender had acknowledged by then. */
+  /**
+   * Bytes received out of order, with their capture time and the acknowledgement number that came
+   * with them.
+   */
   private record Block(byte[] bytes, long nanos, int ackNumber) {
     int length() {
       return bytes.length;
@@ -42,20 +46,23 @@
   private final TreeMap<Long, Block> outOfOrder = new TreeMap<>();
   boolean hasStart;
 
-  /** Where the stream begins is sure: by its SYN, or by what was seen until it had to be. */
+  /**
+   * Whether the start of the stream is certain: from its SYN, or from the segments observed up to
+   * the limit.
+   */
   boolean startSettled;
 
   boolean delivering;
   private int startSequence;
   long nextOffset;
 
-  /** How far the peer was seen to have taken it, and the first that was seen of that. */
+  /** The highest offset that the peer was seen to acknowledge. */
   long acknowledgedOffset;
 
   private long firstAcknowledgedOffset = Long.MAX_VALUE;
   int bufferedBytes;
 
-  /** When the oldest gap was met. */
+  /** Capture time at which the oldest gap was found. */
   long gapSinceNanos;
 
   long finOffset = -1;
@@ -63,13 +70,13 @@
   long conflictingBlocks;
   long repeatedBytes;
 
-  /** Its stream is counted from this sequence number, for now. */
+  /** Counts offsets from this sequence number until the start is certain. */
   void setProvisionalStart(int sequenceNumber) {
     hasStart = true;
     startSequence = sequenceNumber;
   }
 
-  /** The peer has taken all before this sequence number. */
+  /** Records that the peer acknowledged all bytes before this sequence number. */
   void onAcknowledged(int ackNumber) {
     long offset = offsetOf(ackNumber);
     if (!isOutsideWindow(offset)) {
@@ -78,14 +85,17 @@
     }
   }
 
-  /** Its stream begins at a SYN's sequence number. */
+  /** Fixes the start of the stream at the sequence number after a SYN. */
   void setStart(int sequenceNumber) {
     if (!startSettled) {
       rebase(offsetOf(sequenceNumber));
     }
   }
 
-  /** Its stream begins with the first byte held, or where its peer first waited for more. */
+  /**
+   * Fixes the start of the stream at the lowest buffered byte or at the first acknowledged offset,
+   * whichever is lower.
+   */
   void settleStart() {
     if (!startSettled) {
       long lowestBufferedOffset = outOfOrder.isEmpty() ? Long.MAX_VALUE : outOfOrder.firstKey();
@@ -107,12 +117,15 @@
     outOfOrder.clear();
     outOfOrder.putAll(rebased);
     while (!outOfOrder.isEmpty()
-        && outOfOrder.firstKey() < 0) { // before the SYN: not of this stream
+        && outOfOrder.firstKey() < 0) { // bytes before the SYN do not belong to this stream
       bufferedBytes -= outOfOrder.pollFirstEntry().getValue().length();
     }
   }
 
-  /** Whether a SYN that makes the stream begin here can be this stream's own, come late. */
+  /**
+   * Whether a SYN that starts the stream at this sequence number can be this stream's own SYN,
+   * captured late.
+   */
   boolean canStartAt(int sequenceNumber, boolean openingSeen) {
     int bytesBeforeStart = startSequence - sequenceNumber;
     return !hasStart
@@ -121,7 +134,9 @@
         || !openingSeen && bytesBeforeStart > 0 && bytesBeforeStart < MAX_LATE_SYN_BYTES;
   }
 
-  /** The offset of a sequence number, next to where the stream stands. */
+  /**
+   * The stream offset of a sequence number, unwrapped to the value nearest the current position.
+   */
   long offsetOf(int sequenceNumber) {
     return nextOffset + (sequenceNumber - (int) (startSequence + nextOffset));
   }
@@ -157,7 +172,7 @@
       if (offset >= end) {
         return;
       }
-      if (offset == nextOffset && outOfOrder.isEmpty()) { // the ordinary case: nothing is copied
+      if (offset == nextOffset && outOfOrder.isEmpty()) { // common case: nothing is copied
         nextOffset = end;
         sink.onData(buffer, bufferOffset, (int) (end - offset), timestampNanos, ackNumber);
         return;
@@ -168,7 +183,7 @@
     deliverContiguous(sink);
   }
 
-  /** Keeps those bytes that are not held yet. */
+  /** Buffers those bytes of the segment that are not buffered yet. */
   private void bufferNewBytes(
       long offset,
       byte[] buffer,
@@ -252,7 +267,7 @@
     }
   }
 
-  /** Gives the oldest gap up, and passes on what follows it. */
+  /** Skips the oldest gap and delivers the bytes that follow. */
   void skipGap(long timestampNanos, StreamSink sink) {
     gapSinceNanos = timestampNanos;
     long missingBytes = outOfOrder.firstKey() - nextOffset;
@@ -261,7 +276,10 @@
     deliverContiguous(sink);
   }
 
-  /** What is known to have been sent before the end and never came. */
+  /**
+   * Bytes known to have been sent, by a FIN or by the peer's acknowledgements, that were never
+   * captured.
+   */
   long undeliveredBytes() {
     return Math.max(0, (finOffset >= 0 ? finOffset : acknowledgedOffset) - nextOffset);
   }
--- a/traffic/src/main/java/gingerring/traffic/pcap/CaptureEditor.java
+++ b/traffic/src/main/java/gingerring/traffic/pcap/CaptureEditor.java
@@ -7,19 +7,26 @@
 import java.util.PriorityQueue;
 import java.util.function.Predicate;
 
-/** Capture files made from others, packet by packet; the new one has its name once it is whole. */
+/**
+ * Cuts and merges capture files packet by packet. The output gets its final name only when it is
+ * complete.
+ */
 public final class CaptureEditor {
-  /** How many packets were taken, of how many; {@code notes} tell of files that ended early. */
+  /**
+   * How many of the packets read were written. {@code warnings} names the input files that ended
+   * early and why.
+   */
   public record EditResult(long packetsWritten, long packetsRead, List<String> warnings) {}
 
-  /** Files open at a time. */
+  /** How many input files one merge may open at a time. */
   public static final int MAX_FILES = 256;
 
   private CaptureEditor() {}
 
   /**
-   * The packets of {@code from} that are wanted; times in Unix nanoseconds, {@code before} not
-   * included.
+   * Copies the selected packets of {@code input} whose times lie from {@code fromNanos} up to but
+   * not including {@code untilNanos}, both in Unix nanoseconds. {@code keepsOtherPackets} also
+   * copies packets that hold no TCP segment.
    */
   public static EditResult cut(
       Path input,
@@ -37,14 +44,14 @@
         keepsOtherPackets);
   }
 
-  /** The packets of all files in the order of their times; each file is taken to be in order. */
+  /** Merges all packets of the files by time. Each input file is assumed to be in time order. */
   public static EditResult merge(List<Path> inputs, Path output) throws IOException {
     return merge(inputs, output, packet -> true, segment -> true, true);
   }
 
   private record NextPacket(CaptureReader reader, Packet packet, int fileNumber) {}
 
-  /** {@code rest}: packets that hold no TCP segment go along too. */
+  /** {@code keepsOtherPackets}: packets that hold no TCP segment are copied too. */
   private static EditResult merge(
       List<Path> inputs,
       Path output,
--- a/traffic/src/main/java/gingerring/traffic/pcap/CaptureReader.java
+++ b/traffic/src/main/java/gingerring/traffic/pcap/CaptureReader.java
@@ -14,15 +14,16 @@
 
 /**
  * Reads pcap (both byte orders, microseconds and nanoseconds) and pcapng, plain or compressed by
- * gzip or zstd, packet by packet in one buffer of {@link #BUFFER_BYTES} bytes however long the file
- * is. After the last packet {@link #endState} tells whether the file was whole; what stands before
- * a cut or a fault is read all the same.
+ * gzip or zstd, packet by packet in one buffer of {@link #BUFFER_BYTES} bytes, however long the
+ * file is. After the last packet {@link #endState} gives whether the file was complete. Packets
+ * before a truncation or a fault are read all the same.
  *
  * <p>Formats: draft-ietf-opsawg-pcap and draft-ietf-opsawg-pcapng.
  */
 public final class CaptureReader implements Closeable {
   /**
-   * How the file ended: not yet, whole, in the midst of a record, or where no record can be read.
+   * How reading ended: not yet ({@code GOING}), at a record boundary ({@code WHOLE}), inside a
+   * record ({@code CUT}), or at bytes that are no valid record ({@code BROKEN}).
    */
   public enum EndState {
     GOING,
@@ -33,7 +34,7 @@
 
   static final int BUFFER_BYTES = 1 << 20;
 
-  /** The longest packet that tcpdump writes; a length beyond it is taken for a fault. */
+  /** The longest packet that tcpdump writes. A greater length is treated as file corruption. */
   static final int MAX_PACKET_BYTES = 1 << 18;
 
   private static final int MAX_BLOCK_BYTES = MAX_PACKET_BYTES + (1 << 16);
@@ -43,7 +44,10 @@
   private static final int SECTION_HEADER_BLOCK = 0x0a0d0d0a;
   private static final int BYTE_ORDER_MAGIC = 0x1a2b3c4d;
 
-  /** What a pcapng file says of an interface: its link, and how its times count. */
+  /**
+   * A pcapng interface description: its link type, snap length, and the unit and offset of its
+   * timestamps.
+   */
   private record Interface(int linkType, int snapLength, long unitsPerSecond, long offsetSeconds) {}
 
   private final String fileName;
@@ -52,7 +56,7 @@
   private int position;
   private int limit;
 
-  /** Where the buffer's first byte stands in the file once unpacked. */
+  /** Offset of the buffer's first byte in the decompressed file. */
   private long bufferOffset;
 
   private boolean isPcapng;
@@ -108,7 +112,7 @@
     }
   }
 
-  /** Reads from a stream that is not compressed; {@code name} is what complaints call it. */
+  /** Reads from an uncompressed stream. {@code fileName} names the stream in error messages. */
   public static CaptureReader fromStream(String fileName, InputStream input) throws IOException {
     return new CaptureReader(fileName, input);
   }
@@ -130,7 +134,10 @@
     return pushback;
   }
 
-  /** Reads the next packet; false once there is none, and {@link #endState} tells why. */
+  /**
+   * Reads the next packet. Returns false after the last one; {@link #endState} then gives the
+   * reason.
+   */
   public boolean next(Packet packet) {
     while (endState == EndState.GOING) {
       if (!ensureBuffered(1)) {
@@ -146,17 +153,20 @@
     return endState;
   }
 
-  /** Why the file ended as it did: empty where it was whole, else file, offset and cause. */
+  /** Why reading ended: empty for a complete file, else file name, offset and cause. */
   public String endReason() {
     return endReason;
   }
 
-  /** Where in the file, once unpacked, reading stands. */
+  /** The current offset in the decompressed file. */
   public long offset() {
     return bufferOffset + position;
   }
 
-  /** How many packets the file itself says its writer dropped; pcapng alone can tell. */
+  /**
+   * How many packets the capturing program dropped, as recorded in the file. Only pcapng records
+   * this.
+   */
   public long droppedPackets() {
     return droppedPackets;
   }
@@ -189,7 +199,7 @@
     packet.originalLength = Math.max(originalLength, length);
   }
 
-  /** One block; false where it holds no packet. */
+  /** Reads one pcapng block. Returns false if the block holds no packet. */
   private boolean readBlock(Packet packet) {
     if (!ensureBuffered(12)) {
       return endAs(EndState.CUT, "the file ends in a block's header");
@@ -223,7 +233,7 @@
       case 2, 6 -> readPacketBlock(packet, type, bodyOffset, bodyLength);
       case 3 -> readSimplePacketBlock(packet, bodyOffset, bodyLength);
       case 5 -> readStatisticsBlock(bodyOffset, bodyLength);
-      default -> false; // names, decryption secrets, blocks of other makers
+      default -> false; // name resolution, decryption secrets, vendor blocks
     };
   }
 
@@ -280,7 +290,10 @@
     return true;
   }
 
-  /** A simple block has no time of its own: it keeps that of the packet before. */
+  /**
+   * Reads a simple packet block, which carries no timestamp: the packet keeps the time of the
+   * packet before it.
+   */
   private boolean readSimplePacketBlock(Packet packet, int bodyOffset, int bodyLength) {
     if (interfaces.isEmpty() || bodyLength < 4) {
       return endAs(EndState.BROKEN, "a packet of an interface that is not described");
@@ -322,7 +335,7 @@
 
   private boolean endAs(EndState state, String cause) {
     if (endState != EndState.GOING) {
-      return false; // the first cause is the true one
+      return false; // the first cause is the actual one
     }
     endState = state;
     endReason = state == EndState.WHOLE ? "" : fileName + ": offset " + offset() + ": " + cause;
@@ -330,8 +343,8 @@
   }
 
   /**
-   * Whether so many bytes stand in the buffer from {@code at} on, once more have been read if need
-   * be.
+   * Whether {@code count} bytes are buffered from {@code position} on, after reading more input if
+   * necessary.
    */
   private boolean ensureBuffered(int count) {
     if (limit - position >= count) {
@@ -358,7 +371,7 @@
     return false;
   }
 
-  /** In the file's own byte order, which is big endian unless {@code swapped}. */
+  /** An unsigned 32-bit value in the file's byte order: big endian unless {@code littleEndian}. */
   private int u32(int offset) {
     int raw = u32BigEndian(offset);
     return littleEndian ? Integer.reverseBytes(raw) : raw;
--- a/traffic/src/main/java/gingerring/traffic/pcap/CaptureWriter.java
+++ b/traffic/src/main/java/gingerring/traffic/pcap/CaptureWriter.java
@@ -12,10 +12,10 @@
 import java.util.zip.GZIPOutputStream;
 
 /**
- * Writes one capture file. The name tells the form: pcapng where it holds {@code .pcapng}, else
- * pcap with nanoseconds; compressed where it ends in {@code .gz} or {@code .zst}. The file stands
- * under its name with {@code .part} behind it until {@link #close}, so that none under its final
- * name is half written.
+ * Writes one capture file. The file name selects the format: pcapng if the name contains {@code
+ * .pcapng}, else pcap with nanosecond timestamps; compressed if the name ends in {@code .gz} or
+ * {@code .zst}. Until {@link #close} the file carries the suffix {@code .part}, so that no file
+ * under its final name is incomplete.
  */
 public final class CaptureWriter implements Closeable {
   private static final int PCAP_NANOS_MAGIC = 0xa1b23c4d;
@@ -30,7 +30,7 @@
   private long bytesWritten;
   private boolean closed;
 
-  /** All packets of the file are of one link type. */
+  /** Creates the file. All packets of one file have the same link type. */
   public CaptureWriter(Path file, int linkType) throws IOException {
     this.file = file;
     this.linkType = linkType;
@@ -47,14 +47,14 @@
       int offset = putInts(0, 0x0a0d0d0a, 28, 0x1a2b3c4d, 1, -1, -1, 28);
       offset = putInts(offset, 1, 32, linkType << 16, SNAP_LENGTH);
       offset =
-          putInts(offset, 9 << 16 | 1, 9 << 24, 0, 32); // times in nanoseconds; the end of options
+          putInts(offset, 9 << 16 | 1, 9 << 24, 0, 32); // if_tsresol: nanoseconds; end of options
       writeHead(offset);
     } else {
       writeHead(putInts(0, PCAP_NANOS_MAGIC, 2 << 16 | 4, 0, 0, SNAP_LENGTH, linkType));
     }
   }
 
-  /** How many bytes the packets so far take, before compression. */
+  /** Bytes of the packet records written so far, before compression. */
   public long bytesWritten() {
     return bytesWritten;
   }
@@ -75,7 +75,10 @@
               length,
               originalLength));
       output.write(bytes, offset, length);
-      output.write(head, 48, paddedLength - length); // never written to, so zero
+      output.write(
+          head,
+          48,
+          paddedLength - length); // padding: this part of the array is never written, so it is zero
       writeHead(putInts(0, 32 + paddedLength));
       bytesWritten += 32 + paddedLength;
     } else {
@@ -92,8 +95,8 @@
   }
 
   /**
-   * Marks that packets were dropped here; pcap without blocks has no place for that, and says
-   * nothing.
+   * Records that packets were dropped at this point. Only pcapng has a record for this; in a pcap
+   * file the call does nothing.
    */
   public void writeDropCount(long timestampNanos, long droppedPackets) throws IOException {
     if (isPcapng && droppedPackets > 0) {
@@ -131,7 +134,7 @@
     return linkType;
   }
 
-  /** Ends the file and gives it its name. */
+  /** Completes the file and moves it to its final name. */
   @Override
   public void close() throws IOException {
     if (!closed) {
@@ -141,7 +144,7 @@
     }
   }
 
-  /** Ends it without leaving a file. */
+  /** Closes the output and deletes the partial file. */
   public void abandon() throws IOException {
     if (!closed) {
       closed = true;
--- a/traffic/src/main/java/gingerring/traffic/pcap/FragmentReassembler.java
+++ b/traffic/src/main/java/gingerring/traffic/pcap/FragmentReassembler.java
@@ -7,9 +7,9 @@
 import java.util.Map;
 
 /**
- * Puts IP fragments together. Holds {@link #MAX_DATAGRAMS} datagrams of 64 KiB at most, each for
- * {@link #TIMEOUT_NANOS} of the capture's time; the oldest goes when another comes. Of bytes that
- * come twice the first are taken.
+ * Reassembles IP fragments. Holds at most {@link #MAX_DATAGRAMS} datagrams of 64 KiB, each for
+ * {@link #TIMEOUT_NANOS} of capture time; a new datagram evicts the oldest. Where fragments
+ * overlap, the bytes that came first are kept.
  */
 final class FragmentReassembler {
   static final int MAX_DATAGRAMS = 64;
@@ -36,7 +36,10 @@
     return discarded + pending.size();
   }
 
-  /** The whole datagram's payload once its last fragment has come, else null. */
+  /**
+   * Adds a fragment. Returns the datagram's payload when the last missing fragment has arrived,
+   * else null.
+   */
   byte[] add(
       Segment source,
       int datagramId,
--- a/traffic/src/main/java/gingerring/traffic/pcap/NetworkFilter.java
+++ b/traffic/src/main/java/gingerring/traffic/pcap/NetworkFilter.java
@@ -12,8 +12,8 @@
 import java.util.function.Predicate;
 
 /**
- * Which segments are wanted: by networks that an end of theirs is in, and by ports. Empty lists
- * want all.
+ * Selects segments by the networks of their endpoints and by their ports. An empty list selects
+ * everything.
  */
 public final class NetworkFilter implements Predicate<Segment> {
   private static final long IPV4_MAPPED_PREFIX = 0xFFFF00000000L;
@@ -24,8 +24,8 @@
   private final List<Integer> ports;
 
   /**
-   * Networks such as {@code 10.0.0.0/8}, {@code 2001:db8::/32} or one address; others are refused
-   * by name.
+   * Accepts networks such as {@code 10.0.0.0/8}, {@code 2001:db8::/32} or a single address; any
+   * other text is rejected with an error that quotes the text.
    */
   public NetworkFilter(List<String> networks, List<Integer> ports) {
     matchesAnyNetwork = networks.isEmpty();
--- a/traffic/src/main/java/gingerring/traffic/pcap/Packet.java
+++ b/traffic/src/main/java/gingerring/traffic/pcap/Packet.java
@@ -1,25 +1,25 @@
 package gingerring.traffic.pcap;
 
 /**
- * One packet of a capture file. A reader fills the same object again and again, and its bytes stand
- * in the reader's buffer until the next packet is asked for: whoever keeps any copies them.
+ * One packet of a capture file. A reader reuses the object, and the packet's bytes lie in the
+ * reader's buffer only until the next packet is read: copy any bytes to be kept.
  */
 public final class Packet {
-  /** Unix time, nanoseconds. */
+  /** Unix time in nanoseconds. */
   public long timestampNanos;
 
-  /** The link type, by the numbers of the tcpdump group's registry. */
+  /** The link type, numbered as in the tcpdump group's registry. */
   public int linkType;
 
   public byte[] buffer;
 
-  /** Where the captured bytes begin, and how many they are. */
+  /** Where the captured bytes begin in {@code buffer}. */
   public int offset;
 
   public int length;
 
   /**
-   * How long the packet was on the wire: {@code length}, or more where the capture cut it short.
+   * Length of the packet on the wire: {@code length}, or more if the capture truncated the packet.
    */
   public int originalLength;
 }
--- a/traffic/src/main/java/gingerring/traffic/pcap/PacketDecoder.java
+++ b/traffic/src/main/java/gingerring/traffic/pcap/PacketDecoder.java
@@ -4,10 +4,10 @@
 import java.util.TreeMap;
 
 /**
- * Takes a packet apart down to its TCP segment: Ethernet with VLAN tags, raw IP, Linux cooked (1
- * and 2) and loopback; IPv4 with fragments, IPv6 with extension headers. Checksums are not judged,
- * since a capture on the sending machine sees them before the card fills them in. What holds no
- * segment is counted by cause.
+ * Decodes a packet down to its TCP segment: Ethernet with VLAN tags, raw IP, Linux cooked capture
+ * (versions 1 and 2) and BSD loopback; IPv4 with fragments, IPv6 with extension headers. Checksums
+ * are not verified, because a capture on the sending machine sees packets before the network card
+ * fills checksums in. Packets without a segment are counted by cause.
  */
 public final class PacketDecoder {
   private static final int TCP = 6;
@@ -18,7 +18,7 @@
   private final FragmentReassembler fragments = new FragmentReassembler();
   private Segment output;
 
-  /** What was not read, by cause, with how many packets. */
+  /** The number of packets that were not decoded, by cause. */
   public Map<String, Long> counts() {
     Map<String, Long> result = new TreeMap<>();
     counts.forEach((cause, count) -> result.put(cause, count[0]));
@@ -33,7 +33,7 @@
     return false;
   }
 
-  /** Fills the segment; false where the packet holds none. */
+  /** Decodes the packet into {@code segment}. Returns false if the packet holds no TCP segment. */
   public boolean decode(Packet packet, Segment segment) {
     output = segment;
     output.timestampNanos = packet.timestampNanos;
@@ -54,7 +54,7 @@
           return skip("packets cut in their headers");
         }
         return decodeEtherType(u16(buffer, offset), buffer, offset + 20, end, truncatedBytes);
-      case 0: // BSD loopback, the family in the capturing machine's byte order
+      case 0: // BSD loopback; the address family is in the capturing machine's byte order
       case 108:
         return decodeIp(buffer, offset + 4, end, truncatedBytes);
       case 12, 14, 101, 228, 229: // raw IP
@@ -101,7 +101,10 @@
     int headerLength = (buffer[offset] & 15) * 4;
     int totalLength = u16(buffer, offset + 2);
     if (totalLength == 0) {
-      totalLength = end - offset + truncatedBytes; // the card cuts it into segments later
+      totalLength =
+          end
+              - offset
+              + truncatedBytes; // segmentation offload: the network card splits the packet later
     }
     if (headerLength < 20 || totalLength < headerLength) {
       return skip("packets whose lengths lie");
@@ -109,7 +112,7 @@
     if (end - offset < headerLength) {
       return skip("packets cut in their headers");
     }
-    // what follows the datagram is padding; what it has and the packet lacks was cut
+    // bytes after the datagram are padding; datagram bytes not in the packet were truncated
     int missingBytes = Math.max(0, totalLength - (end - offset));
     if (missingBytes > truncatedBytes) {
       return skip("packets whose lengths lie");
@@ -157,8 +160,8 @@
       switch (nextHeader) {
         case TCP:
           return decodeTcp(buffer, offset, payloadEnd, missingBytes);
-        case 0, 43, 60, 135: // hop by hop, routing, destination, mobility
-        case 51: // authentication, which counts in units of four
+        case 0, 43, 60, 135: // hop-by-hop, routing, destination, mobility
+        case 51: // authentication header: its length field counts units of four bytes
           if (payloadEnd - offset < 8) {
             return skip("packets cut in their headers");
           }
--- a/traffic/src/main/java/gingerring/traffic/pcap/Segment.java
+++ b/traffic/src/main/java/gingerring/traffic/pcap/Segment.java
@@ -1,7 +1,7 @@
 package gingerring.traffic.pcap;
 
 /**
- * One TCP segment as {@link PacketDecoder} found it in a packet; filled again and again, as {@link
+ * One TCP segment decoded by {@link PacketDecoder}. The object is reused for each packet, as {@link
  * Packet} is.
  */
 public final class Segment {
@@ -12,7 +12,7 @@
 
   public long timestampNanos;
 
-  /** Addresses as two halves; those of IPv4 as IPv6 has them mapped, ::ffff:a.b.c.d. */
+  /** Addresses as two 64-bit halves. IPv4 addresses are in IPv4-mapped form, ::ffff:a.b.c.d. */
   public long sourceHigh;
 
   public long sourceLow;
@@ -27,7 +27,7 @@
   public int payloadOffset;
   public int payloadLength;
 
-  /** Bytes of the payload that were on the wire and not captured; they follow those that were. */
+  /** Payload bytes that were on the wire but not captured. They follow the captured bytes. */
   public int truncatedBytes;
 
   public boolean has(int flag) {
--- a/traffic/src/main/java/gingerring/traffic/pcap/UnreadableCaptureException.java
+++ b/traffic/src/main/java/gingerring/traffic/pcap/UnreadableCaptureException.java
@@ -3,7 +3,8 @@
 import java.io.IOException;
 
 /**
- * A file that cannot be read at all; the message names the file, the offset in it and the cause.
+ * Thrown when a capture file cannot be read at all. The message names the file, the offset and the
+ * cause.
  */
 public final class UnreadableCaptureException extends IOException {
   private static final long serialVersionUID = 1;
--- a/traffic/src/main/java/gingerring/traffic/pcap/package-info.java
+++ b/traffic/src/main/java/gingerring/traffic/pcap/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Capture files, read and written: pcap and pcapng, and the layers below TCP. It opens files and
- * nothing else; whatever cannot be read is counted by cause, and ends neither the program nor what
- * was read before it.
+ * Reads and writes capture files (pcap and pcapng) and decodes the layers below TCP. The package
+ * opens capture files and no other resource. Input that cannot be read is counted by cause; it
+ * neither stops the program nor discards data read earlier.
  */
 package gingerring.traffic.pcap;
--- a/traffic/src/main/java/gingerring/traffic/record/Anonymiser.java
+++ b/traffic/src/main/java/gingerring/traffic/record/Anonymiser.java
@@ -24,17 +24,18 @@
 import java.util.TreeMap;
 
 /**
- * Makes a capture in which texts, values and keys are hidden (see {@link Pseudonymizer}): streams
- * are read into messages, these are written anew, and packets are forged for them. What is not read
- * as a whole message, and what speaks another protocol, could hold anything and is left out,
- * counted by cause. Addresses, times, marks, grades and weights stay.
+ * Writes a capture in which query texts, values and keys are replaced (see {@link Pseudonymizer}).
+ * Streams are decoded into messages, the messages are rewritten, and new packets are synthesized
+ * for them. Bytes that are not part of a complete message, and flows of other protocols, could hold
+ * private data: they are left out and counted by cause. Addresses, times, transaction ids, service
+ * classes and weights stay.
  */
 public final class Anonymiser implements FlowTable.FlowListener {
   private static final int CHUNK_BYTES = 1 << 12;
   private static final int MAX_BODY_BYTES = 1 << 20;
   private static final int MAX_FRAME_BYTES = (1 << 16) + 1024;
 
-  /** A flow being written anew. */
+  /** A flow that is being rewritten. */
   private final class RewrittenFlow {
     final PacketSynthesizer synthesizer;
     final StreamRewriter[] streams = new StreamRewriter[2];
@@ -58,7 +59,7 @@
     }
   }
 
-  /** One direction: HTTP messages, frames, or neither. */
+  /** One direction of a flow: HTTP messages, searcher frames, or another protocol. */
   private final class StreamRewriter implements HttpParser.Handler {
     private final RewrittenFlow flow;
     private final int side;
@@ -81,8 +82,8 @@
         return;
       }
       if (parser == null && !carriesFrames) {
-        // the first bytes tell; a segment holds a whole first line in all that we write and nearly
-        // all else
+        // the first bytes identify the protocol; a segment holds a complete first line in every
+        // recording of this project and in nearly all other captures
         String prefix = new String(bytes, offset, Math.min(length, 8), StandardCharsets.ISO_8859_1);
         boolean isResponse = prefix.startsWith("HTTP/1.");
         if (isResponse || prefix.matches("(?s)[A-Z]{3,7} .*")) {
@@ -199,7 +200,10 @@
       buffered.write(input.array(), input.position(), input.remaining());
     }
 
-    /** A frame with its texts, keys or value hidden; null where it is none of the protocol. */
+    /**
+     * Rewrites a frame with its query texts, keys or value replaced. Returns null if the frame is
+     * not valid.
+     */
     private byte[] rewriteFrame(byte[] frame) {
       if (frame[0] == 'R') {
         int lineEnd = endOfLine(frame, 1);
@@ -278,7 +282,10 @@
     this.writer = writer;
   }
 
-  /** What was left out, by cause; under "messages" how many were written. */
+  /**
+   * Anonymises a capture. Returns what was left out, by cause, and under "messages" the number of
+   * messages written.
+   */
   public static Map<String, Long> run(Path input, Path output, String secret) throws IOException {
     CaptureWriter writer = null;
     try (CaptureReader capture = CaptureReader.open(input)) {
--- a/traffic/src/main/java/gingerring/traffic/record/PacketSynthesizer.java
+++ b/traffic/src/main/java/gingerring/traffic/record/PacketSynthesizer.java
@@ -5,12 +5,12 @@
 import java.util.Arrays;
 
 /**
- * One connection's bytes as the packets that could have carried them: raw IP (link type 101),
- * handshake, data in segments of {@link #MAX_SEGMENT_BYTES} bytes with what each side has taken, an
- * end; checksums and sequence numbers as other tools expect them.
+ * Produces the packets that could have carried one connection's bytes: raw IP (link type 101),
+ * handshake, data in segments of {@link #MAX_SEGMENT_BYTES} bytes with acknowledgements, and close.
+ * Checksums and sequence numbers are valid for other tools.
  */
 public final class PacketSynthesizer {
-  /** Who takes the packets; {@code bytes} are used again. */
+  /** Receives the packets. The array {@code bytes} is reused. */
   public interface PacketConsumer {
     void onPacket(long timestampNanos, byte[] bytes, int length);
   }
@@ -33,7 +33,7 @@
   private final byte[] packet = new byte[60 + MAX_SEGMENT_BYTES];
   private int nextPacketId;
 
-  /** Side 0 opens the connection; {@code seed} gives the first sequence numbers. */
+  /** Side 0 opens the connection; {@code seed} determines the initial sequence numbers. */
   public PacketSynthesizer(InetSocketAddress opener, InetSocketAddress listener, long seed) {
     setEndpoint(0, opener, (int) seed);
     setEndpoint(1, listener, (int) (seed >>> 32));
@@ -90,12 +90,12 @@
     }
   }
 
-  /** A bare acknowledgement, as a side sends one that has nothing to say yet. */
+  /** A segment that only acknowledges, sent by a side that has no data to send. */
   public void writeAcknowledgement(long timestampNanos, int side, PacketConsumer consumer) {
     writePacket(timestampNanos, side, ACK, null, 0, 0, consumer);
   }
 
-  /** Bytes that went by unrecorded: their place in the stream stays empty. */
+  /** Skips bytes that were not recorded, which leaves a gap in the stream. */
   public void skipBytes(int side, long length) {
     nextSequence[side] += (int) length;
   }
@@ -130,7 +130,7 @@
       packet[0] = 0x45;
       put16(2, ipHeaderLength + tcpLength);
       put16(4, nextPacketId++);
-      packet[6] = 0x40; // not to be cut
+      packet[6] = 0x40; // don't fragment
       packet[8] = 64;
       packet[9] = 6;
       System.arraycopy(source, 0, packet, 12, 4);
--- a/traffic/src/main/java/gingerring/traffic/record/Pseudonymizer.java
+++ b/traffic/src/main/java/gingerring/traffic/record/Pseudonymizer.java
@@ -13,10 +13,10 @@
 import javax.crypto.spec.SecretKeySpec;
 
 /**
- * Hides query texts, values and idempotency keys behind a hash keyed by a secret: equal ones stay
- * equal, so that repeats are recognised, and none can be read or, without the secret, tried out.
- * Everything keeps its length where that is 16 or more; what is shorter becomes 16 hex digits, and
- * the body's length follows.
+ * Replaces query texts, values and idempotency keys by a keyed hash (HMAC-SHA256). Equal texts stay
+ * equal, so that repeats can be recognised; no text can be read or, without the secret, found by
+ * trying candidates. Texts of 16 or more characters keep their length; shorter ones become 16 hex
+ * digits, and the body's length changes accordingly.
  */
 public final class Pseudonymizer {
   private static final int MIN_DIGITS = 16;
@@ -29,7 +29,7 @@
     this.secret = new SecretKeySpec(secret.getBytes(StandardCharsets.UTF_8), "HmacSHA256");
   }
 
-  /** What stands for a text. */
+  /** The replacement of a text. */
   public String pseudonym(String text) {
     try {
       Mac mac = Mac.getInstance("HmacSHA256");
@@ -46,14 +46,17 @@
     }
   }
 
-  /** The headers of a request, its key hidden. */
+  /** The headers of a request with the idempotency key replaced. */
   public String pseudonymizeHeaders(String headers) {
     Matcher matcher = IDEMPOTENCY_KEY_HEADER.matcher(headers);
     return matcher.replaceAll(
         match -> Matcher.quoteReplacement(match.group(1) + pseudonym(match.group(2))));
   }
 
-  /** The body of a request or of an answer; what is no such body is hidden whole. */
+  /**
+   * The body of a request or response with its private strings replaced. A body that is not JSON is
+   * replaced as a whole.
+   */
   public String pseudonymizeBody(String json) {
     try {
       Map<String, Object> object = JsonFields.object(Json.parse(json), "it");
@@ -69,7 +72,7 @@
     }
   }
 
-  /** Every string under this name, whatever its escapes. */
+  /** Replaces every string value under this name, with or without escape sequences. */
   private static String replaceStrings(
       String json, String name, UnaryOperator<String> replacement) {
     Pattern pattern =
--- a/traffic/src/main/java/gingerring/traffic/record/Recorder.java
+++ b/traffic/src/main/java/gingerring/traffic/record/Recorder.java
@@ -23,13 +23,16 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A mixer's tap that writes a capture. The mixer's threads only copy and queue; one thread of its
- * own forges and writes. The queue is bounded in events and in bytes: what finds it full is
- * dropped, and the hole stands in the connection's stream and as a mark in the file. A disk that
- * fails ends the recording and nothing else.
+ * Records a mixer's traffic into a capture file. The mixer's threads only copy and queue; a writer
+ * thread synthesizes the packets and writes them. The queue is bounded in events and in bytes.
+ * Events that find the queue full are dropped, which leaves a gap in the connection's stream and a
+ * drop record in the file. A disk failure ends the recording and affects nothing else.
  */
 public final class Recorder implements TrafficListener, Closeable {
-  /** When a file is ended and the next begun, and how many are kept; the eldest goes. */
+  /**
+   * The size and age at which a new file is begun, and how many files are kept; the oldest is
+   * deleted.
+   */
   public record Rotation(long maxFileBytes, Duration maxFileAge, int maxFiles) {
     public static final Rotation DEFAULT = new Rotation(256L << 20, Duration.ofHours(1), 24);
   }
@@ -62,10 +65,13 @@
   private final AtomicLong queuedBytes = new AtomicLong();
   private final AtomicLong droppedEvents = new AtomicLong();
 
-  /** Bytes dropped since the last that were queued, by connection and side. */
+  /** Bytes dropped since the last queued event, by connection and side. */
   private final Map<Long, long[]> droppedBytesByConnection = new HashMap<>();
 
-  /** Connections whose end was dropped; under the holes' lock. */
+  /**
+   * Connections whose close event was dropped. Guarded by the lock on {@code
+   * droppedBytesByConnection}.
+   */
   private final Set<Long> connectionsWithDroppedClose = new HashSet<>();
 
   private final Map<Long, PacketSynthesizer> synthesizers = new HashMap<>();
@@ -79,7 +85,7 @@
   private volatile boolean failed;
   private volatile boolean hasDrops;
 
-  /** {@code file} names the first; the next ones carry a number before its ending. */
+  /** {@code firstFile} names the first file; later files have a number before their extension. */
   public Recorder(Path firstFile, Rotation rotation, long seed) throws IOException {
     this(firstFile, rotation, seed, MAX_QUEUED_EVENTS);
   }
@@ -99,24 +105,24 @@
     return this;
   }
 
-  /** Events that found the queue full. */
+  /** The number of events dropped because the queue was full. */
   public long droppedEvents() {
     return droppedEvents.get();
   }
 
-  /** Events that wait to be written. */
+  /** The number of events waiting to be written. */
   int queuedEvents() {
     return queue.size();
   }
 
-  /** Connections that something is kept for. */
+  /** The number of connections with state in memory. */
   int trackedConnections() {
     synchronized (droppedBytesByConnection) {
       return Math.max(synthesizers.size(), droppedBytesByConnection.size());
     }
   }
 
-  // ---- the mixer's threads ----
+  // ---- called on the mixer's threads ----
 
   @Override
   public void onOpened(long connection, InetSocketAddress opener, InetSocketAddress listener) {
@@ -176,7 +182,7 @@
       droppedEvents.incrementAndGet();
       synchronized (droppedBytesByConnection) {
         if (event.type == EventType.CLOSED) {
-          // nothing follows that could carry the hole, or end the forge
+          // no later event could carry the dropped bytes or remove the synthesizer
           droppedBytesByConnection.remove(event.connection);
           connectionsWithDroppedClose.add(event.connection);
           hasDrops = true;
@@ -194,7 +200,10 @@
     }
   }
 
-  /** What was dropped of a connection before the event at hand: that event carries it along. */
+  /**
+   * Removes and returns the bytes dropped of a connection before the current event, which carries
+   * them to the writer.
+   */
   private long[] takeDroppedBytes(long connection) {
     if (!hasDrops) {
       return null;
@@ -206,7 +215,7 @@
     }
   }
 
-  // ---- the writer's thread ----
+  // ---- called on the writer thread ----
 
   private void writeLoop() {
     try {
@@ -216,7 +225,7 @@
           process(event);
         }
         if (hasDrops
-            && queue.isEmpty()) { // whatever came before an end that was dropped has been taken
+            && queue.isEmpty()) { // every event queued before a dropped close has been processed
           synchronized (droppedBytesByConnection) {
             connectionsWithDroppedClose.forEach(synthesizers::remove);
             connectionsWithDroppedClose.clear();
@@ -318,7 +327,7 @@
     close();
   }
 
-  /** Writes what is queued and ends the file; waits some seconds at most. */
+  /** Writes the queued events and completes the file; waits a few seconds at most. */
   @Override
   public void close() {
     closing = true;
--- a/traffic/src/main/java/gingerring/traffic/record/package-info.java
+++ b/traffic/src/main/java/gingerring/traffic/record/package-info.java
@@ -1,8 +1,9 @@
 /**
- * Recording: what a mixer's connections carried becomes packets of a capture file. {@link
- * gingerring.traffic.record.PacketSynthesizer} makes the packets and {@link
- * gingerring.traffic.record.Blanks} hides what is private, both pure; {@link
- * gingerring.traffic.record.Recorder} stands between a mixer's threads and the disk, and never
- * holds a mixer up: what finds its queue full is dropped, counted and marked in the file.
+ * Records the traffic of a mixer's connections as packets of a capture file. {@link
+ * gingerring.traffic.record.PacketSynthesizer} produces the packets and {@link
+ * gingerring.traffic.record.Pseudonymizer} replaces private texts; both are pure. {@link
+ * gingerring.traffic.record.Recorder} queues events between a mixer's threads and the disk and
+ * never blocks a mixer: events that find the queue full are dropped, counted and recorded as
+ * dropped in the file.
  */
 package gingerring.traffic.record;
--- a/traffic/src/main/java/gingerring/traffic/replay/Comparison.java
+++ b/traffic/src/main/java/gingerring/traffic/replay/Comparison.java
@@ -11,13 +11,13 @@
 import java.util.TreeSet;
 
 /**
- * Compares outcomes scan by scan. Two agree where both were answered whole, or from the same parts,
- * or nacked, or scrapped, or left by their client, and no value that both have differs. Each
- * difference gets one cause, the first that fits of the list in {@link #findCause}. What the
- * recording does not show is not compared.
+ * Compares the results of scans one by one. Two results agree if both have the same outcome and the
+ * same partitions, and no value present in both differs. Each difference is given one cause, the
+ * first that applies in {@link #findCause}. Scans whose result the recording does not show are not
+ * compared.
  */
 public final class Comparison {
-  /** A scan whose outcomes differ. */
+  /** A scan whose results differ. */
   public record Difference(
       String transactionId,
       String serviceClass,
@@ -25,10 +25,13 @@
       ScanResult replayed,
       String cause) {}
 
-  /** Differences kept to be shown; all are counted. */
+  /** How many differences are kept for display; all are counted. */
   public static final int MAX_DIFFERENCES = 1000;
 
-  /** From this share of its client's time on an answer is close to its limit. */
+  /**
+   * A response that takes more than this share of its client's time limit counts as close to the
+   * limit.
+   */
   private static final double NEAR_DEADLINE_SHARE = 0.9;
 
   private final Duration maxLateness;
@@ -40,7 +43,10 @@
   private long agreedCount;
   private long notComparedCount;
 
-  /** {@code lateMost}: the tool's own lateness from which a difference is put down to the tool. */
+  /**
+   * {@code maxLateness}: a difference is attributed to the tool if the tool sent the scan later
+   * than this.
+   */
   public Comparison(Duration maxLateness) {
     this.maxLateness = maxLateness;
   }
@@ -139,12 +145,12 @@
     return notComparedCount;
   }
 
-  /** The share that agrees; 1 where nothing was compared. */
+  /** The share of compared scans that agree; 1 if none was compared. */
   public double agreement() {
     return comparedCount == 0 ? 1 : (double) agreedCount / comparedCount;
   }
 
-  /** Recorded fates, and for each the fates of the replay with how many. */
+  /** For each recorded outcome, how often each replayed outcome occurred. */
   public Map<ScanOutcome, Map<ScanOutcome, Long>> outcomeTable() {
     return outcomeTable;
   }
--- a/traffic/src/main/java/gingerring/traffic/replay/OutcomeTimeline.java
+++ b/traffic/src/main/java/gingerring/traffic/replay/OutcomeTimeline.java
@@ -8,8 +8,8 @@
 import java.util.Map;
 
 /**
- * Fates by the second of their asking, in the recording's time. Holds {@link #MAX_SECONDS} seconds;
- * later ones count as the last.
+ * Counts outcomes by the second in which the scan was requested, in recording time. Holds {@link
+ * #MAX_SECONDS} seconds; later scans count in the last second.
  */
 public final class OutcomeTimeline {
   public static final int MAX_SECONDS = 100_000;
--- a/traffic/src/main/java/gingerring/traffic/replay/Pacer.java
+++ b/traffic/src/main/java/gingerring/traffic/replay/Pacer.java
@@ -10,21 +10,23 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Decides when each step is sent. Call {@link #sendDueSteps} with the time whenever {@link
- * #nextDueTime} is due, and {@link #onCompleted} when a connection has its answer or its end; steps
- * go to {@link Host#send}. A connection carries a request at a time, in order.
+ * Decides when each step is sent. Call {@link #sendDueSteps} with the current time whenever {@link
+ * #nextDueTime} is due, and {@link #onCompleted} when a connection has its response or has ended.
+ * Steps go to {@link StepSender#send}. A connection carries one request at a time, in order.
  *
- * <p>Two kinds of lateness are kept apart, so that pace and outcome do not blur. A step is
- * <em>held</em> while the answer before it is not there: that is the mixer's doing. From then on
- * every moment is the tool's own.
+ * <p>Two kinds of delay are kept apart, so that the replay's own timing errors are not mistaken for
+ * results. A step is <em>held</em> while the response to the step before it is outstanding, which
+ * is the mixer's doing. Any delay after that is the replay tool's own lateness.
  */
 public final class Pacer {
-  /** Who sends. */
+  /** Sends the steps. */
   public interface StepSender {
     void send(ReplayStep step);
   }
 
-  /** How a run's sending went. {@code valid} is false where the tool itself was the bottleneck. */
+  /**
+   * Statistics of a run's sending. {@code valid} is false if the tool itself was the bottleneck.
+   */
   public record Report(
       long sent,
       long heldSteps,
@@ -53,8 +55,8 @@
   private int unsentSteps;
 
   /**
-   * {@code lateMost}: the tool's own lateness at the 99th percentile beyond which a run is not
-   * valid. Without recorded times ({@code timed} false) there is no lateness.
+   * {@code maxLateness}: the tool's own lateness at the 99th percentile above which a run is
+   * invalid. If {@code keepsRecordedTimes} is false, lateness is not measured.
    */
   public Pacer(
       List<ReplayStep> steps,
@@ -72,7 +74,7 @@
     steps.forEach(this::add);
   }
 
-  /** One more step, in its turn by when it is due: a retry that is made anew. */
+  /** Adds a step at the position of its due time, for example a generated retry. */
   public void add(ReplayStep step) {
     unsentSteps++;
     Deque<ReplayStep> queue = stepsByConnection.get(step.connection());
@@ -92,7 +94,7 @@
     }
   }
 
-  /** Sends what is due. */
+  /** Sends every step that is due. */
   public void sendDueSteps(Duration now) {
     while (!ready.isEmpty() && ready.peek().readyTime.compareTo(now) <= 0) {
       ReadyStep next = ready.poll();
@@ -112,10 +114,10 @@
     histogram.recordValue(Math.min(MAX_TRACKED_MICROS, Math.max(0, duration.toNanos() / 1000)));
   }
 
-  /** The request on this connection has ended, one way or another. */
+  /** Called when the request in flight on this connection has ended in any way. */
   public void onCompleted(int connection, Duration now) {
     if (!busyConnections.get(connection)) {
-      return; // nothing was out on it
+      return; // no request was in flight
     }
     busyConnections.set(connection, false);
     ReplayStep next = stepsByConnection.get(connection).peekFirst();
@@ -124,12 +126,15 @@
     }
   }
 
-  /** When the next step is due; null where none is, for now or for good. */
+  /**
+   * When the next step is due; null if none can be sent now, for example because every connection
+   * is busy.
+   */
   public Duration nextDueTime() {
     return ready.isEmpty() ? null : ready.peek().readyTime;
   }
 
-  /** How many steps have not been sent. */
+  /** The number of steps not sent yet. */
   public int unsentSteps() {
     return unsentSteps;
   }
@@ -158,7 +163,7 @@
         invalidReason);
   }
 
-  /** The tool's own lateness, microseconds. */
+  /** The tool's own lateness in microseconds. */
   public Histogram lateness() {
     return latenessMicros;
   }
--- a/traffic/src/main/java/gingerring/traffic/replay/ReplayPlan.java
+++ b/traffic/src/main/java/gingerring/traffic/replay/ReplayPlan.java
@@ -12,16 +12,17 @@
 import java.util.Map;
 
 /**
- * What a replay sends: every scan whose request the recording holds whole, on a connection for each
- * recorded one, at recorded times divided by the pace. Holds {@link #MAX_SCANS} scans at most.
+ * The scans that a replay sends: every scan whose request was recorded completely, on one
+ * connection for each recorded one, at the recorded times divided by the speed. Holds at most
+ * {@link #MAX_SCANS} scans.
  */
 public final class ReplayPlan {
   public static final int MAX_SCANS = 1_000_000;
 
-  /** How long after an end a retry may follow and still be taken for one. */
+  /** How long after the end of an attempt a scan still counts as its retry. */
   public static final Duration RETRY_WINDOW = Duration.ofSeconds(60);
 
-  /** A pace that does not wait for any recorded time. */
+  /** A speed that ignores the recorded times. */
   public static final double UNPACED = Double.POSITIVE_INFINITY;
 
   private final List<ReplayStep> steps = new ArrayList<>();
@@ -30,7 +31,10 @@
   private final int omittedScans;
   private final boolean marksRetries;
 
-  /** {@code anew}: only first tries are planned, since a replay makes its retries itself. */
+  /**
+   * {@code regeneratesRetries}: only first attempts are planned, because the replay generates its
+   * retries itself.
+   */
   public ReplayPlan(List<ObservedScan> scans, double speed, boolean regeneratesRetries) {
     if (!(speed > 0)) {
       throw new IllegalArgumentException("the pace has to be above 0: " + speed);
@@ -80,17 +84,17 @@
     return chains;
   }
 
-  /** How many connections the recording used for them. */
+  /** The number of recorded connections that the scans use. */
   public int connectionCount() {
     return connectionCount;
   }
 
-  /** Scans whose request is not in the recording whole. */
+  /** Scans whose request was not recorded completely. */
   public int omittedScans() {
     return omittedScans;
   }
 
-  /** The step that tries again what {@code step} did not get, under a fresh mark. */
+  /** A step that retries the scan of {@code step} under a new transaction id. */
   public ReplayStep createRetry(ReplayStep step, int number, Duration dueTime) {
     int attempt = step.attempt() + 1;
     return new ReplayStep(
@@ -104,7 +108,9 @@
             step.scan().requestBytes(), step.scan().transactionId() + '~' + attempt, marksRetries));
   }
 
-  /** A request under another mark; {@code resent} tells that it is a retry. */
+  /**
+   * The request with another transaction id; {@code isRetry} adds the header that marks a retry.
+   */
   static byte[] withTransactionId(byte[] request, String transactionId, boolean isRetry) {
     String text = new String(request, StandardCharsets.ISO_8859_1);
     int headEnd = text.indexOf("\r\n\r\n");
--- a/traffic/src/main/java/gingerring/traffic/replay/ReplayStep.java
+++ b/traffic/src/main/java/gingerring/traffic/replay/ReplayStep.java
@@ -4,8 +4,8 @@
 import java.time.Duration;
 
 /**
- * One sending of a replay: on which connection, when (from the replay's start, at its pace), and
- * what.
+ * One request of a replay: its connection, its due time (from the start of the replay, at the
+ * replay's speed) and its bytes.
  */
 public record ReplayStep(
     int number,
--- a/traffic/src/main/java/gingerring/traffic/replay/Replayer.java
+++ b/traffic/src/main/java/gingerring/traffic/replay/Replayer.java
@@ -15,16 +15,17 @@
 import java.util.Optional;
 
 /**
- * Carries a plan out against a mixer: a connection for each recorded one, a request at a time, its
- * answer read and compared. A client whose time is up closes its connection, as the protocol has
- * it, and dials again for the next. Ends once every step has had its end.
+ * Runs a plan against a mixer: one connection for each recorded one, one request at a time per
+ * connection, each response compared with the recorded one. A client whose time limit expires
+ * closes its connection, as the protocol requires, and reconnects for the next request. The run
+ * ends when every step has ended.
  */
 public final class Replayer {
-  /** What is wanted of a run. {@code retries} is null where they are sent as recorded. */
+  /** Options of a run. {@code generatedRetries} is null if retries are sent as recorded. */
   public record Options(
       InetSocketAddress mixer, double speed, Duration maxLateness, Retries generatedRetries) {}
 
-  /** What came of it. */
+  /** Result of a run. */
   public record Result(
       Comparison comparison,
       OutcomeTimeline recordedTimeline,
@@ -35,7 +36,7 @@
       int omittedScans,
       int connectionCount) {}
 
-  /** A client gives an answer this much longer than its time, for the way back. */
+  /** Added to a client's time limit before it gives up, to allow for the response's way back. */
   private static final Duration RESPONSE_GRACE = Duration.ofMillis(50);
 
   private static final Duration START_DELAY = Duration.ofMillis(100);
@@ -65,7 +66,7 @@
     nextStepNumber = plan.steps().size();
   }
 
-  /** Runs on the calling thread until the last answer. */
+  /** Runs the plan on the calling thread until the last response. */
   public static Result run(ReplayPlan plan, Options options) {
     return new Replayer(plan, options).run();
   }
@@ -107,7 +108,7 @@
     scheduleNextSend();
   }
 
-  /** Wakes for the next step, and stops once there is nothing left to come. */
+  /** Schedules the next send, and stops the reactor when no step is left. */
   private void scheduleNextSend() {
     Duration nextTime = pacer.nextDueTime();
     if (nextTime == null) {
@@ -144,7 +145,7 @@
       generatedRetries++;
       pacer.add(plan.createRetry(step, nextStepNumber++, now.plus(retryDelay.get())));
     } else {
-      // of retries made anew the last counts, against the last that was recorded
+      // with generated retries, the last attempt is compared with the last recorded one
       ObservedScan scan = options.generatedRetries == null ? step.scan() : step.chain().last();
       comparison.add(scan, ScanResult.of(scan, recordingStartNanos), result);
       replayedTimeline.add(
@@ -154,7 +155,7 @@
     scheduleNextSend();
   }
 
-  /** One recorded connection, played again. */
+  /** Replays one recorded connection. */
   private final class ReplayConnection {
     private HttpClientConnection client;
     private ReplayStep step;
@@ -186,7 +187,7 @@
       client.send(step.requestBytes());
     }
 
-    /** Closes the connection; whatever it still says is of no request. */
+    /** Resets the connection; any later response on it is ignored. */
     private void abandonConnection() {
       HttpClientConnection abandoned = client;
       client = null;
@@ -211,7 +212,8 @@
       }
       client = null;
       if (step != null && !retried && !responseStarted) {
-        // it may have crossed the mixer's closing of an idle connection: once more on a new one
+        // the request may have crossed the mixer's close of an idle connection: send it once more
+        // on a new connection
         retried = true;
         sendRequest();
       } else {
@@ -224,7 +226,7 @@
     private void complete(ScanResponse response) {
       ReplayStep completed = step;
       if (completed == null) {
-        return; // an answer that nobody asked for, or the end of an idle connection
+        return; // an unsolicited response, or the close of an idle connection
       }
       step = null;
       idleSince = elapsed();
@@ -248,7 +250,7 @@
     }
   }
 
-  /** A connection of a lane, as long as it lasts. */
+  /** One TCP connection of a {@link ReplayConnection}. */
   private final class HttpClientConnection extends HttpConnectionHandler {
     private final ReplayConnection owner;
     private final ReactorConnection connection;
--- a/traffic/src/main/java/gingerring/traffic/replay/Retries.java
+++ b/traffic/src/main/java/gingerring/traffic/replay/Retries.java
@@ -11,14 +11,15 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Finds a client's retries in a recording, and makes retries anew in a replay. A retry is a scan of
- * the same grade with the same key, or without keys of the same text and parts, asked after one
- * that was not answered; of several it could belong to, the one that ended last. Marked retries and
- * unmarked ones are found alike.
+ * Finds client retries in a recording, and generates retries in a replay. A retry is a scan of the
+ * same service class with the same idempotency key, or without keys with the same query text and
+ * partitions, sent after one that was not answered. If several earlier scans match, the one that
+ * ended last is chosen. Retries are found whether or not the client marks them.
  */
 public final class Retries {
   /**
-   * How clients retry: so many times, after a wait that grows by a factor and is spread by chance.
+   * A client's retry policy: a number of retries, each after a delay that grows by a factor and is
+   * randomised by the jitter.
    */
   public record RetryPolicy(
       int maxRetries, Duration initialDelay, double backoffFactor, double jitter) {
@@ -44,8 +45,8 @@
   }
 
   /**
-   * The recording's scans, in the order of their asking, as chains; a retry follows within {@code
-   * window}.
+   * Groups the recorded scans, ordered by request time, into chains of attempts. A retry follows
+   * within {@code window} of the end of the attempt before it.
    */
   public static List<RetryChain> findChains(List<ObservedScan> scans, Duration window) {
     List<RetryChain> chains = new ArrayList<>();
@@ -56,7 +57,7 @@
             .thenComparingLong(ObservedScan::number));
     for (ObservedScan scan : ordered) {
       if (scan.requestBytes().length == 0) {
-        continue; // it never came whole
+        continue; // the request was not captured completely
       }
       List<RetryChain> candidates =
           chainsByKey.computeIfAbsent(retryKey(scan), key -> new ArrayList<>());
@@ -92,8 +93,9 @@
   }
 
   /**
-   * When the try after this one is due, counted from the end of this; empty where the client gives
-   * up. Try 0 is the first. {@code comeBack} is what it was told, zero for nothing; it is followed.
+   * The delay after which the next attempt starts, counted from the end of this attempt (0 is the
+   * first), or empty if the client gives up. A {@code retryAfter} above zero, as named by the
+   * response, is a minimum.
    */
   public Optional<Duration> nextDelay(int attempt, Duration retryAfter) {
     if (attempt >= policy.maxRetries) {
--- a/traffic/src/main/java/gingerring/traffic/replay/RetryChain.java
+++ b/traffic/src/main/java/gingerring/traffic/replay/RetryChain.java
@@ -5,7 +5,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A client's first try and its retries, as a recording shows them: one wish. */
+/** A client's first attempt at a scan and its retries, as found in a recording. */
 public final class RetryChain {
   public final int number;
   private final List<ObservedScan> attempts = new ArrayList<>();
@@ -31,7 +31,10 @@
     return attempts;
   }
 
-  /** Whether one more try can belong here: the last has ended, and not with an answer. */
+  /**
+   * Whether {@code next} can be a retry of this chain: the last attempt has ended without an
+   * answer, and {@code next} follows within the window.
+   */
   boolean acceptsRetry(ObservedScan next, long windowNanos) {
     ObservedScan last = last();
     boolean failed =
--- a/traffic/src/main/java/gingerring/traffic/replay/ScanResult.java
+++ b/traffic/src/main/java/gingerring/traffic/replay/ScanResult.java
@@ -7,8 +7,8 @@
 import java.util.Set;
 
 /**
- * What became of one scan, as far as a comparison looks. {@code late}, {@code held}: of its
- * sending.
+ * The result of one scan, as far as a comparison needs it. {@code sendLateness} and {@code
+ * holdDelay} concern the sending of a replayed scan.
  */
 public record ScanResult(
     ScanOutcome outcome,
@@ -19,7 +19,7 @@
     Duration responseTime,
     Duration sendLateness,
     Duration holdDelay) {
-  /** As the recording shows it; times from the recording's start. */
+  /** The recorded result, with times relative to the start of the recording. */
   public static ScanResult of(ObservedScan scan, long recordingStartNanos) {
     return new ScanResult(
         scan.outcome(),
--- a/traffic/src/main/java/gingerring/traffic/scan/FrameDecoder.java
+++ b/traffic/src/main/java/gingerring/traffic/scan/FrameDecoder.java
@@ -5,11 +5,13 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** A mixer's connection to a searcher: calls and their returns, matched by the parts' ids. */
+/**
+ * Decodes a mixer's connection to a searcher: call frames and return frames, matched by part id.
+ */
 final class FrameDecoder implements ProtocolDecoder {
   /**
-   * More parts than this are not out on one connection; the eldest is forgotten, and counted
-   * unanswered.
+   * Limit on the unanswered parts of one connection. Beyond it the oldest part is dropped and
+   * counted as unanswered.
    */
   private static final int MAX_PARTS_IN_FLIGHT = 1 << 16;
 
--- a/traffic/src/main/java/gingerring/traffic/scan/FrameSplitter.java
+++ b/traffic/src/main/java/gingerring/traffic/scan/FrameSplitter.java
@@ -1,16 +1,16 @@
 package gingerring.traffic.scan;
 
 /**
- * The searchers' frames in a stream that may have holes: a length of four bytes, least first, then
- * the rest.
+ * Splits a stream that may have gaps into searcher frames: a length of four bytes, little endian,
+ * then the frame.
  */
 final class FrameSplitter {
-  /** Longer than this no frame is; see the mixer's own reader. */
+  /** Longest frame of the protocol; the mixer's frame reader has the same limit. */
   private static final int MAX_FRAME_BYTES = (1 << 16) + 1024;
 
   private static final String FRAME_TYPES = "SCHMRF";
 
-  /** Who is told of each whole frame: its letter first. */
+  /** Receives each complete frame, whose first byte is the frame type. */
   interface FrameHandler {
     void onFrame(byte[] frame, long timestampNanos);
   }
@@ -25,7 +25,7 @@
     return head[0] & 0xFF | (head[1] & 0xFF) << 8 | (head[2] & 0xFF) << 16 | (head[3] & 0xFF) << 24;
   }
 
-  /** Whether a stream that begins so can be one of frames. */
+  /** Whether a stream with these first bytes can be a stream of frames. */
   static boolean startsWithFrame(byte[] head, int size) {
     return size >= 5
         && frameLength(head) >= 1
@@ -33,7 +33,7 @@
         && FRAME_TYPES.indexOf(head[4]) >= 0;
   }
 
-  /** False once the stream cannot be read on. */
+  /** Appends bytes. Returns false once the stream cannot be decoded any further. */
   boolean append(byte[] bytes, int offset, int length, long timestampNanos, FrameHandler handler) {
     int endOffset = offset + length;
     while (offset < endOffset && !undecodable) {
@@ -61,7 +61,7 @@
     return !undecodable;
   }
 
-  /** Nothing tells where the next frame begins. */
+  /** Marks the stream as undecodable after a gap: nothing shows where the next frame begins. */
   void markUndecodable() {
     undecodable = true;
   }
--- a/traffic/src/main/java/gingerring/traffic/scan/HttpDecoder.java
+++ b/traffic/src/main/java/gingerring/traffic/scan/HttpDecoder.java
@@ -14,19 +14,17 @@
 import java.util.regex.Pattern;
 
 /**
- * A client's connection: requests and answers, matched in their order and by what the client had
- * taken of the answers when it asked. An answer that began before that is none to this request, so
- * that one lost in a hole shifts no other, and one that the capture shows before its request finds
- * it all the same. After a hole, reading goes on at the next line that begins a message.
+ * Decodes a client's connection: requests and responses, matched in order and by how many response
+ * bytes the client had acknowledged when it sent the request. A response that began before that
+ * offset does not belong to the request. So a response lost in a gap shifts no other pair, and a
+ * response that the capture shows before its request is still matched. After a gap, decoding
+ * resumes at the next line that begins a message.
  */
 final class HttpDecoder implements ProtocolDecoder {
   private static final int MAX_REQUEST_BYTES = 64 << 10;
   private static final int MAX_RESPONSE_BYTES = 1 << 20;
 
-  /**
-   * Requests without their answers, and answers without their requests, that are kept of one
-   * connection.
-   */
+  /** Limit on the unanswered requests of one connection. */
   private static final int MAX_PENDING_REQUESTS = 1024;
 
   private static final int MAX_EARLY_RESPONSES = 64;
@@ -39,7 +37,7 @@
   private static final String REQUEST_NOT_CAPTURED = "bytes of its request were not captured";
   private static final String RESPONSE_NOT_CAPTURED = "bytes of its answer were not captured";
 
-  /** An answer as it was read: where in its stream it began, and when its last byte came. */
+  /** A response, the stream offset where it began, and the time of its last byte. */
   private record TimedResponse(HttpMessage message, long startOffset, long lastByteNanos) {}
 
   private final ScanReader reader;
@@ -52,7 +50,8 @@
   private final Deque<TimedResponse> earlyResponses = new ArrayDeque<>();
 
   /**
-   * {@code begin}: where in the stream of {@code side} the first bytes stand that this is given.
+   * {@code startOffset} is the offset, in the stream of {@code side}, of the first bytes passed to
+   * this decoder.
    */
   HttpDecoder(ScanReader reader, Flow flow, int clientSide, int side, long startOffset) {
     this.reader = reader;
@@ -68,23 +67,22 @@
   }
 
   /**
-   * One direction. Plain messages are told by a look over the bytes; what is unusual goes through
-   * the parser, a message at a time.
+   * One direction of the connection. Common messages are split by the fast parser; all others go
+   * through the full parser, one message at a time.
    */
   private final class MessageStream implements HttpParser.Handler {
     final boolean requests;
     final int maxBodyBytes;
 
     /**
-     * Bytes that have come and belong to no whole message yet: from {@code first} up to {@code
-     * end}.
+     * Bytes of messages that are not complete yet, from {@code bufferStart} to {@code bufferEnd}.
      */
     byte[] buffered = new byte[CHUNK_BYTES];
 
     int bufferStart;
     int bufferEnd;
 
-    /** Of a message whose head is in: its length, and where its body begins. */
+    /** Length of the current message once its head has been parsed, else 0. */
     int messageLength;
 
     int messageBodyOffset;
@@ -93,18 +91,18 @@
     long messageStartAcknowledged;
     long messageStartOffset;
 
-    /** Where in the stream the kept bytes end. */
+    /** Stream offset of the end of the buffered bytes. */
     long streamOffset;
 
     long lastNanos;
     long acknowledgedPeerBytes;
 
-    /** After a hole: the bytes up to a line that begins a message are passed over. */
+    /** Set after a gap: bytes are skipped up to a line that begins a message. */
     boolean resynchronizing;
 
     final StringBuilder line = new StringBuilder();
 
-    /** While a message is unusual. */
+    /** The full parser, set while it reads a message that the fast parser does not support. */
     HttpParser parser;
 
     ByteRing ring;
@@ -157,7 +155,10 @@
       bufferEnd += length;
     }
 
-    /** Looks for a line that begins a message, and returns where reading goes on. */
+    /**
+     * Searches for a line that begins a message and returns the index after the line, or {@code
+     * length}.
+     */
     private int findMessageStart(byte[] bytes, int offset, int length) {
       for (int i = 0; i < length; i++) {
         streamOffset++;
@@ -168,7 +169,7 @@
           }
           continue;
         }
-        // the message before need not end in a line's end
+        // the message before may end without a line end, so the match is searched within the line
         Matcher startLine = (requests ? REQUEST_LINE : STATUS_LINE).matcher(line);
         if (startLine.find()) {
           resynchronizing = false;
@@ -200,7 +201,7 @@
           return;
         }
         HttpMessage.FastParseResult result = HttpMessage.FastParseResult.COMPLETE;
-        if (messageLength > 0) { // its head was looked at before
+        if (messageLength > 0) { // the head was parsed earlier
           extent.endOffset = bufferStart + messageLength;
           extent.bodyOffset = bufferStart + messageBodyOffset;
         } else {
@@ -233,8 +234,8 @@
     }
 
     /**
-     * Gives the parser what there is, a piece at a time; true once a message or the stream's sense
-     * has ended.
+     * Passes the buffered bytes to the full parser in chunks. Returns true once a message has ended
+     * or the stream has proved not to be HTTP/1.1.
      */
     private boolean runParser() {
       try {
@@ -243,7 +244,7 @@
           ring.put(buffered, bufferStart, count);
           bufferStart += count;
           if (parser.parse(ring)) {
-            bufferStart -= ring.size(); // the next message is looked at anew
+            bufferStart -= ring.size(); // the next message starts with the fast parser again
             ring.clear();
             parser = null;
             inMessage = false;
@@ -289,7 +290,7 @@
                 messageStartNanos,
                 lastNanos,
                 messageStartAcknowledged));
-      } else if (message.status() / 100 != 1) { // 100 Continue is no answer yet
+      } else if (message.status() / 100 != 1) { // 100 Continue is not the final response
         onResponse(new TimedResponse(message, messageStartOffset, lastNanos));
       }
     }
@@ -362,7 +363,8 @@
   }
 
   /**
-   * The answers' stream has a hole: every request that may have been answered in it is incomplete.
+   * Marks every request that may have been answered within a gap of the response stream as
+   * incomplete.
    */
   private void failPending(long rangeStart, long rangeEnd, String problem) {
     while (!pending.isEmpty() && pending.peek().acknowledgedResponseBytes < rangeEnd) {
@@ -387,7 +389,7 @@
   @Override
   public void onEndOfStream(int side, long timestampNanos) {
     MessageStream stream = streams[side];
-    // an answer that tells no length ends with its connection
+    // a response without a length ends with its connection
     if (side != clientSide
         && stream.head != null
         && stream.inMessage
--- a/traffic/src/main/java/gingerring/traffic/scan/HttpMessage.java
+++ b/traffic/src/main/java/gingerring/traffic/scan/HttpMessage.java
@@ -9,12 +9,11 @@
 import java.util.Map;
 
 /**
- * An HTTP/1.1 message that came whole, as its bytes; taken apart when it is asked for. {@link
- * #parseFast} tells plain messages from a buffer without making anything, and leaves all others to
- * the parser.
+ * The bytes of a complete HTTP/1.1 message, parsed on demand. {@link #parseFast} recognises common
+ * messages in a buffer without allocating and leaves all others to the full parser.
  */
 final class HttpMessage {
-  /** What {@link #parseFast} found. */
+  /** Result of {@link #parseFast}. */
   enum FastParseResult {
     COMPLETE,
     NEEDS_MORE,
@@ -56,7 +55,7 @@
     this.bodyOffset = bodyOffset;
   }
 
-  /** One that the parser read. */
+  /** A message read by the full parser. */
   static HttpMessage fromParsed(MessageHead head, byte[] body) {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     StringBuilder text =
@@ -71,20 +70,20 @@
     return new HttpMessage(out.toByteArray(), bodyOffset);
   }
 
-  /** Where a skimmed message ends, and where its body begins. */
+  /** Where a message found by the fast parser ends, and where its body begins. */
   static final class MessageExtent {
     int bodyOffset;
     int endOffset;
   }
 
   /**
-   * Looks whether a message that is framed by a content length, or has no body, stands whole from
-   * {@code at} on. What it takes the parser takes too, with the same ends; whatever it does not
-   * know is unusual.
+   * Whether a complete message, framed by a content length or without a body, begins at {@code
+   * start}. The full parser accepts every message accepted here, with the same end; any construct
+   * not handled here is reported as unsupported.
    */
   static FastParseResult parseFast(
       byte[] buffer, int start, int end, boolean request, int maxBodyBytes, MessageExtent extent) {
-    extent.endOffset = start; // not known
+    extent.endOffset = start; // unknown so far
     int lineStart = start;
     long contentLength = -1;
     boolean isStartLine = true;
@@ -99,7 +98,7 @@
         }
         continue;
       }
-      // other control characters, and all beyond ASCII
+      // other control characters, and all non-ASCII bytes
       if (c != '\n' || i == lineStart || buffer[i - 1] != '\r' || i - start > MAX_HEAD_BYTES) {
         return FastParseResult.UNSUPPORTED;
       }
@@ -109,8 +108,8 @@
           return FastParseResult.UNSUPPORTED;
         }
         if (contentLength > maxBodyBytes || contentLength < 0 && !request) {
-          return FastParseResult
-              .UNSUPPORTED; // to the end of the connection, or none: the parser knows
+          // the body may end with the connection, or be absent: left to the full parser
+          return FastParseResult.UNSUPPORTED;
         }
         extent.bodyOffset = i + 1;
         extent.endOffset = (int) (i + 1 + Math.max(0, contentLength));
@@ -226,14 +225,14 @@
     return value;
   }
 
-  /** The status of an answer. */
+  /** The status code of a response, or 0. */
   int status() {
     return bytes.length >= 12 && isDigit(bytes[9]) && isDigit(bytes[10]) && isDigit(bytes[11])
         ? (bytes[9] - '0') * 100 + (bytes[10] - '0') * 10 + bytes[11] - '0'
         : 0;
   }
 
-  /** Whether this is a request for a scan. */
+  /** Whether the message is a scan request. */
   boolean isScanRequest() {
     byte[] prefix = {'P', 'O', 'S', 'T', ' ', '/', 'a', 'p', 'i'};
     return bytes.length > prefix.length
@@ -263,8 +262,8 @@
   }
 
   /**
-   * Whether the body is an answer in the form in which the mixer writes it: 1 where it is marked
-   * whole, 0 where not, -1 where the form is another and has to be read.
+   * The flag {@code whole} of a response body in the form that the mixer writes: 1 if true, 0 if
+   * false, -1 if the body has another form and must be parsed as JSON.
    */
   int parseWholeFlag() {
     int offset = endOfMatch(bodyOffset, WHOLE_KEY);
@@ -315,7 +314,7 @@
         : -1;
   }
 
-  /** Where what follows this text begins, or -1 where it does not stand here. */
+  /** The offset after {@code text} if the message contains it at {@code offset}, else -1. */
   private int endOfMatch(int offset, byte[] text) {
     if (offset < 0 || offset + text.length > bytes.length) {
       return -1;
--- a/traffic/src/main/java/gingerring/traffic/scan/ObservedScan.java
+++ b/traffic/src/main/java/gingerring/traffic/scan/ObservedScan.java
@@ -4,10 +4,10 @@
 import java.util.Map;
 
 /**
- * A scan as a capture shows it. Times are Unix time in nanoseconds; {@code askedAt} is that of its
- * request's first byte, {@code wholeAt} of its last, {@code answeredAt} of its answer's last byte,
- * 0 where there was none. {@code fate} says what the capture shows of its end, and {@code missing}
- * why it shows no more.
+ * A scan as observed in a capture. Times are Unix time in nanoseconds: {@code requestStartNanos} of
+ * the request's first byte, {@code requestEndNanos} of its last, {@code responseEndNanos} of the
+ * response's last byte, or 0 without a response. {@code outcome} is the end that the capture shows,
+ * and {@code problem} says why the capture shows no more.
  */
 public record ObservedScan(
     long number,
@@ -30,12 +30,12 @@
     Map<Integer, String> valuesByPartition,
     double retryAfterSeconds,
     String problem) {
-  /** One part of what was asked. */
+  /** One requested partition and its share of the scan's weight. */
   public record Target(int partition, double share) {}
 
   /**
-   * What became of a scan: answered whole or in part, sent back, given up; its client left before;
-   * the capture does not tell.
+   * The outcome of a scan: answered completely or in part, rejected, failed, abandoned by its
+   * client before the response, or not shown by the capture.
    */
   public enum ScanOutcome {
     WHOLE,
@@ -46,7 +46,7 @@
     INCOMPLETE
   }
 
-  /** The weight of the parts that are in, of all that was asked. */
+  /** The total share of the requested partitions that the response contains. */
   public double answeredShare() {
     return targets.stream()
         .filter(target -> valuesByPartition.containsKey(target.partition))
--- a/traffic/src/main/java/gingerring/traffic/scan/ProtocolDecoder.java
+++ b/traffic/src/main/java/gingerring/traffic/scan/ProtocolDecoder.java
@@ -2,7 +2,7 @@
 
 import gingerring.traffic.flow.Flow;
 
-/** One connection's bytes as messages of one protocol. */
+/** Decodes the bytes of one connection into messages of one protocol. */
 interface ProtocolDecoder {
   void onData(
       int side,
--- a/traffic/src/main/java/gingerring/traffic/scan/RecordingReader.java
+++ b/traffic/src/main/java/gingerring/traffic/scan/RecordingReader.java
@@ -13,11 +13,11 @@
 import java.util.function.Consumer;
 import java.util.function.Predicate;
 
-/** A capture file read from end to end, in one pass and bounded memory. */
+/** Reads a capture file from start to end, in one pass and bounded memory. */
 public final class RecordingReader {
   /**
-   * What there was in it. {@code notRead} is by cause; {@code why} is empty where the file was
-   * whole.
+   * Totals of a capture. {@code skippedCounts} is by cause; {@code endReason} is empty if the file
+   * was complete.
    */
   public record Summary(
       long packets,
@@ -36,7 +36,10 @@
 
   private RecordingReader() {}
 
-  /** Tells each scan once it has ended; {@code wanted} picks the segments that are looked at. */
+  /**
+   * Passes each scan to {@code scanConsumer} when it has ended; {@code segmentFilter} selects the
+   * segments to read.
+   */
   public static Summary read(
       Path file,
       ReassemblyLimits bounds,
@@ -57,7 +60,7 @@
         capture, bounds, segmentFilter, exchange -> scanConsumer.accept(exchange.toObservedScan()));
   }
 
-  /** The same for those who need not know everything of each scan. */
+  /** Reads the capture without parsing each scan completely. */
   public static Summary readExchanges(
       CaptureReader capture,
       ReassemblyLimits bounds,
--- a/traffic/src/main/java/gingerring/traffic/scan/ScanExchange.java
+++ b/traffic/src/main/java/gingerring/traffic/scan/ScanExchange.java
@@ -13,8 +13,8 @@
 import java.util.Map;
 
 /**
- * A request for a scan and what became of it, still as bytes. {@link #outcome} costs a look over
- * them, {@link #toObservedScan} reads them whole. A request that did not come whole has none.
+ * A scan request and its response, still as bytes. {@link #outcome} examines the response briefly;
+ * {@link #toObservedScan} parses everything. A request that was not captured completely is null.
  */
 public final class ScanExchange {
   private static final long MAX_REMAINING_MS = 86_400_000;
@@ -26,7 +26,7 @@
   private final long requestStartNanos;
   private final long requestEndNanos;
 
-  /** How much of the answers the client had taken when it asked. */
+  /** How many response bytes the client had acknowledged when it sent the request. */
   final long acknowledgedResponseBytes;
 
   private HttpMessage response;
@@ -93,7 +93,7 @@
     return ScanResponse.parse(response.head(), response.body());
   }
 
-  /** Everything there is to know of it. */
+  /** Parses the request and the response completely. */
   public ObservedScan toObservedScan() {
     if (request == null) {
       return new ObservedScan(
@@ -169,7 +169,7 @@
     return value == null ? "" : value;
   }
 
-  /** The request anew, its body framed by its length. */
+  /** The request with its body framed by a content length. */
   private static byte[] rebuildRequest(MessageHead head, byte[] body) {
     StringBuilder text =
         new StringBuilder(head.methodOrVersion())
--- a/traffic/src/main/java/gingerring/traffic/scan/ScanReader.java
+++ b/traffic/src/main/java/gingerring/traffic/scan/ScanReader.java
@@ -9,13 +9,13 @@
 import java.util.regex.Pattern;
 
 /**
- * Tells what each flow speaks by its first bytes, and reads it: HTTP/1.1 with scans, the searchers'
- * frames, or something foreign, which is counted and left. Scans come out when they have ended,
- * which is not always the order in which they were asked: {@link ObservedScan#number} counts by
- * their asking.
+ * Detects the protocol of each flow from its first bytes and decodes it: HTTP/1.1 with scans,
+ * searcher frames, or an unknown protocol, which is counted and ignored. Scans are delivered when
+ * they end, which is not always the order of their requests; {@link ObservedScan#number} follows
+ * the order of the requests.
  */
 public final class ScanReader implements FlowTable.FlowListener {
-  /** What a flow's owner is until enough of it was seen to tell. */
+  /** A flow's attachment until its first bytes identify the protocol. */
   private static final class UndetectedProtocol {
     final byte[] head = new byte[8];
     int headSize;
@@ -23,7 +23,10 @@
     long headNanos;
     long headAcknowledgedPeerBytes;
 
-    /** Some of its bytes were passed over: any that follow may begin a message. */
+    /**
+     * Whether earlier bytes of the stream were skipped, so that the following bytes need not begin
+     * a message.
+     */
     boolean midStream;
 
     void discardHead() {
@@ -117,7 +120,7 @@
       long startOffset = flow.deliveredBytes(side) - (length - headBytes) - undetected.headSize;
       ProtocolDecoder decoder = createDecoder(flow, side, undetected, startOffset);
       if (decoder == null) {
-        // a capture that begins in the midst of a message: the next segment may begin another
+        // the capture begins inside a message: the next segment may begin another
         undetected.discardHead();
         return;
       }
@@ -138,7 +141,10 @@
     }
   }
 
-  /** A probe's frame is shorter than what tells an HTTP request. */
+  /**
+   * Whether the first bytes hold a whole frame. A probe frame is shorter than the prefix needed to
+   * recognise an HTTP request.
+   */
   private static boolean holdsWholeFrame(UndetectedProtocol undetected) {
     return undetected.headSize >= 5
         && FrameSplitter.frameLength(undetected.head) >= 1
--- a/traffic/src/main/java/gingerring/traffic/scan/ScanResponse.java
+++ b/traffic/src/main/java/gingerring/traffic/scan/ScanResponse.java
@@ -9,8 +9,8 @@
 import java.util.TreeMap;
 
 /**
- * What a mixer answered; {@code comeBack} is zero where it did not say, {@code wrong} empty where
- * all is well.
+ * A mixer's response to a scan. {@code retryAfter} is zero if the response names no delay; {@code
+ * error} is empty if the response could be parsed.
  */
 public record ScanResponse(
     ScanOutcome outcome,
--- a/traffic/src/main/java/gingerring/traffic/scan/SearcherTraffic.java
+++ b/traffic/src/main/java/gingerring/traffic/scan/SearcherTraffic.java
@@ -3,7 +3,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** What a capture shows on the searchers' side, in figures. */
+/** Counts of the traffic between mixers and searchers in a capture. */
 public final class SearcherTraffic {
   public long calls;
   public long parts;
@@ -11,13 +11,16 @@
   public long probes;
   public long unanswered;
 
-  /** Returns by how they ended. */
+  /** Return frames by status. */
   public final Map<String, Long> returnsByStatus = new TreeMap<>();
 
-  /** Parts by searcher. */
+  /** Called parts by searcher address. */
   public final Map<String, Long> partsBySearcher = new TreeMap<>();
 
-  /** Of the time between a part's call and its return, nanoseconds. */
+  /**
+   * Total time between the call of a part and its return, in nanoseconds, over {@code
+   * matchedReturns}.
+   */
   public long totalWaitNanos;
 
   public long matchedReturns;
--- a/traffic/src/main/java/gingerring/traffic/scan/package-info.java
+++ b/traffic/src/main/java/gingerring/traffic/scan/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Scans out of streams: requests and their answers on the clients' side of a mixer, calls and their
- * returns on the searchers' side. Pure state over {@link gingerring.traffic.flow}; only {@link
- * gingerring.traffic.scan.Recording} opens a file. What is incomplete is marked so where bytes were
- * lost, and never guessed.
+ * Extracts scans from TCP streams: requests and responses between clients and a mixer, calls and
+ * returns between a mixer and searchers. Pure state over {@link gingerring.traffic.flow}; only
+ * {@link gingerring.traffic.scan.RecordingReader} opens a file. A scan whose bytes were lost is
+ * marked incomplete; lost content is never guessed.
  */
 package gingerring.traffic.scan;
--- a/traffic/src/main/java/gingerring/traffic/wire/DatagramEndpoint.java
+++ b/traffic/src/main/java/gingerring/traffic/wire/DatagramEndpoint.java
@@ -7,13 +7,11 @@
 import java.nio.channels.SelectionKey;
 import java.util.function.BiConsumer;
 
-/**
- * One datagram socket of a {@link Reactor}; what cannot be sent at once is lost, as datagrams are.
- */
+/** One datagram socket of a {@link Reactor}. A datagram that cannot be sent at once is dropped. */
 public final class DatagramEndpoint {
   private static final int MAX_DATAGRAM_BYTES = 1 << 16;
 
-  /** So many a turn, so that one socket's flood does not keep the others waiting. */
+  /** Datagrams read per event, so that a flood on one socket does not delay the others. */
   private static final int MAX_READS_PER_EVENT = 64;
 
   private final DatagramChannel channel;
@@ -43,7 +41,7 @@
         consumer.accept(sender, bytes);
       }
     } catch (IOException e) {
-      // a peer's port is closed, or this one is
+      // this socket or a peer's port is closed
     }
   }
 
@@ -55,7 +53,7 @@
     try {
       channel.send(ByteBuffer.wrap(bytes), destination);
     } catch (IOException e) {
-      // lost
+      // dropped, as a network may drop any datagram
     }
   }
 }
--- a/traffic/src/main/java/gingerring/traffic/wire/HttpConnectionHandler.java
+++ b/traffic/src/main/java/gingerring/traffic/wire/HttpConnectionHandler.java
@@ -7,8 +7,8 @@
 import java.io.ByteArrayOutputStream;
 
 /**
- * Who owns a wire that carries HTTP/1.1, requests or answers: told of each message once it is
- * whole.
+ * Handles a connection that carries HTTP/1.1 requests or responses, and passes on each complete
+ * message.
  */
 public abstract class HttpConnectionHandler implements ReactorConnection.Handler {
   private static final int CHUNK_BYTES = 1 << 13;
@@ -43,7 +43,7 @@
                 if (parsesRequests
                     || !messageHead
                         .targetOrStatus()
-                        .startsWith("1")) { // 100 Continue is no answer yet
+                        .startsWith("1")) { // 100 Continue is not the final response
                   onMessage(messageHead, bytes);
                 }
               }
@@ -52,10 +52,13 @@
 
   protected abstract void onMessage(MessageHead head, byte[] body) throws HttpException;
 
-  /** What came is not HTTP/1.1, or the message was refused: nothing that follows can be read. */
+  /**
+   * Called when the input is not HTTP/1.1 or {@link #onMessage} rejected a message. No later input
+   * can be parsed.
+   */
   protected abstract void onMalformed(HttpException e);
 
-  /** Whether some of a message has come, and not all of it. */
+  /** Whether a message has been received in part. */
   protected final boolean isMidMessage() {
     return parser.isMidMessage();
   }
--- a/traffic/src/main/java/gingerring/traffic/wire/Reactor.java
+++ b/traffic/src/main/java/gingerring/traffic/wire/Reactor.java
@@ -22,8 +22,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One thread that owns all sockets, timers and state. {@link #run} it on a thread of its own;
- * everything but {@link #post} and {@link #stop} is for that thread, or for before it runs.
+ * Event loop: one thread that owns all sockets, timers and their state. {@link #run} needs a thread
+ * of its own; every method except {@link #post} and {@link #stop} must be called on that thread, or
+ * before it runs.
  */
 public final class Reactor implements Closeable {
   private record Timer(long dueNanos, long number, Runnable task) implements Comparable<Timer> {
@@ -63,12 +64,12 @@
     return Duration.ofNanos(System.nanoTime() - startNanos);
   }
 
-  /** How many connections there are. */
+  /** The number of open connections. */
   public int connectionCount() {
     return connectionCount;
   }
 
-  /** How many tasks and events failed; each is logged. */
+  /** The number of tasks and events that threw an exception. Each is logged. */
   public int failureCount() {
     return failureCount;
   }
@@ -88,7 +89,10 @@
     selector.wakeup();
   }
 
-  /** Takes connections at a loopback address; {@code owner} is asked for whom each is. */
+  /**
+   * Accepts connections at a loopback address. {@code handlerFactory} supplies the handler of each
+   * connection.
+   */
   public ListeningSocket listen(
       InetSocketAddress address,
       Function<ReactorConnection, ReactorConnection.Handler> handlerFactory)
@@ -110,8 +114,8 @@
   }
 
   /**
-   * A datagram socket at a loopback address; {@code received} is told of what comes, on this
-   * thread.
+   * Opens a datagram socket at a loopback address. {@code consumer} receives each datagram on the
+   * reactor's thread.
    */
   public DatagramEndpoint openDatagramEndpoint(
       InetSocketAddress address, BiConsumer<InetSocketAddress, byte[]> consumer)
@@ -126,7 +130,7 @@
     }
   }
 
-  /** A place where connections come in. */
+  /** A listening socket. */
   public record ListeningSocket(ServerSocketChannel channel, SelectionKey key) {
     public InetSocketAddress address() {
       return (InetSocketAddress) channel.socket().getLocalSocketAddress();
@@ -157,7 +161,10 @@
     }
   }
 
-  /** Calls an address. The owner is told once it is up, or that it never came up. */
+  /**
+   * Connects to a loopback address. The handler is notified when the connection is established or
+   * has failed.
+   */
   public ReactorConnection connect(InetSocketAddress address, ReactorConnection.Handler handler) {
     requireLoopback(address);
     try {
@@ -185,7 +192,7 @@
     flushRequests.add(connection);
   }
 
-  /** Turns until it is stopped. */
+  /** Runs the event loop until {@link #stop}. */
   public void run() {
     while (running) {
       try {
--- a/traffic/src/main/java/gingerring/traffic/wire/ReactorConnection.java
+++ b/traffic/src/main/java/gingerring/traffic/wire/ReactorConnection.java
@@ -9,26 +9,29 @@
 import java.util.Arrays;
 
 /**
- * One connection of a {@link Reactor}. What is put leaves in one write a turn; more than {@link
- * #MAX_UNSENT_BYTES} bytes unsent end the connection, as a peer that does not read would else take
- * all memory.
+ * One connection of a {@link Reactor}. Queued bytes leave in one write per iteration of the event
+ * loop. More than {@link #MAX_UNSENT_BYTES} unsent bytes reset the connection; otherwise a peer
+ * that does not read could exhaust the memory.
  */
 public final class ReactorConnection {
   static final int MAX_UNSENT_BYTES = 4 << 20;
 
-  /** Who owns it; called on the reactor's thread. */
+  /** Receives the connection's events on the reactor's thread. */
   public interface Handler {
     default void onOpened() {}
 
-    /** Bytes that came; the array is used again. */
+    /** Delivers received bytes. The array is reused after the call. */
     void onData(byte[] bytes, int length);
 
-    /** The other side sends no more. The connection ends unless this says to keep it. */
+    /**
+     * Called when the peer has closed its sending side. The connection is closed unless this
+     * returns true.
+     */
     default boolean keepsHalfOpen() {
       return false;
     }
 
-    /** It never came up, or has ended; nothing follows. */
+    /** Called once when the connection failed to open or was closed. No event follows. */
     void onClosed();
   }
 
@@ -153,7 +156,10 @@
     requestFlush();
   }
 
-  /** Nothing more is read, as of a machine that has gone silent; or reading goes on. */
+  /**
+   * Pauses or resumes reading; a paused connection behaves like a machine that has stopped
+   * responding.
+   */
   public void pauseReading(boolean paused) {
     readingPaused = paused;
     updateInterest();
@@ -202,7 +208,7 @@
     }
   }
 
-  /** Ends it once what was put has left. */
+  /** Closes the connection after all queued bytes have been sent. */
   public void closeAfterFlush() {
     if (!closed) {
       closing = true;
@@ -214,13 +220,13 @@
     }
   }
 
-  /** Ends it at once with a reset. */
+  /** Closes the connection at once with a TCP reset. */
   public void reset() {
     if (!closed) {
       try {
         channel.setOption(StandardSocketOptions.SO_LINGER, 0);
       } catch (IOException e) {
-        // it ends all the same
+        // the connection is closed in any case
       }
       closeNow();
     }
@@ -235,7 +241,7 @@
     try {
       channel.close();
     } catch (IOException e) {
-      // it is gone
+      // the channel is unusable either way
     }
     handler.onClosed();
   }
--- a/traffic/src/main/java/gingerring/traffic/wire/package-info.java
+++ b/traffic/src/main/java/gingerring/traffic/wire/package-info.java
@@ -1,6 +1,5 @@
 /**
- * Sockets for tools and stand-ins: one thread, one selector, a bounded buffer each way for every
- * connection. Only {@code 127.0.0.0/8} is listened at or called, unless a caller lifts that for a
- * replay.
+ * Sockets for tools and simulators: one thread, one selector, and a bounded buffer in each
+ * direction of every connection. Listens on and connects to {@code 127.0.0.0/8} only.
  */
 package gingerring.traffic.wire;
--- a/traffic/src/test/java/gingerring/traffic/Conversations.java
+++ b/traffic/src/test/java/gingerring/traffic/Conversations.java
@@ -17,11 +17,11 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** Conversations of clients with a mixer as packets, for the tests of this module. */
+/** Builds packets of conversations between clients and a mixer for the tests of this module. */
 public final class Conversations {
   public static final long START = 1_790_000_000_000_000_000L;
 
-  /** A packet in hand. */
+  /** A packet and its capture time. */
   public record TimedPacket(long timestampNanos, byte[] bytes) {}
 
   private Conversations() {}
@@ -73,8 +73,8 @@
   }
 
   /**
-   * A connection that asks so many scans a millisecond apart, marks from {@code mark}0 on, and
-   * ends.
+   * A connection that sends {@code scans} requests, each a millisecond after the response before
+   * it, with transaction ids from {@code mark}0 on, and then closes.
    */
   public static List<TimedPacket> ofScans(
       int port, long seed, String transactionId, int scans, boolean includesHandshake) {
--- a/traffic/src/test/java/gingerring/traffic/LayoutTest.java
+++ b/traffic/src/test/java/gingerring/traffic/LayoutTest.java
@@ -8,8 +8,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The cores of reading and replaying know no file, socket, thread or clock; the mixer's inside
- * stays its own.
+ * The logic of reading and replaying uses no files, sockets, threads or clocks, and the module uses
+ * only the mixer's parsers and its traffic listener.
  */
 class LayoutTest {
   private static final JavaClasses TRAFFIC =
--- a/traffic/src/test/java/gingerring/traffic/flow/ReassemblyLimitsTest.java
+++ b/traffic/src/test/java/gingerring/traffic/flow/ReassemblyLimitsTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What a table holds stays within its bounds, whatever comes. */
+/** A flow table stays within its limits for any input. */
 class ReassemblyLimitsTest {
   private static class RecordingListener implements FlowTable.FlowListener {
     final List<String> closedFlows = new ArrayList<>();
@@ -78,7 +78,7 @@
     for (int port = 1; port <= 1000; port++) {
       table.process(segment(port, 100, Segment.SYN, 0, port));
       if (port > 1) {
-        table.process(segment(1, 101, 0, 1, port)); // the first stays busy
+        table.process(segment(1, 101, 0, 1, port)); // the first flow stays active
       }
     }
     assertTrue(listener.maxOpenFlows <= 10, "open: " + listener.maxOpenFlows);
@@ -98,7 +98,9 @@
       table.process(segment(port, 100, Segment.SYN, 0, 0));
       table.process(synAck(port));
       for (int i = 0; i < 20; i++) {
-        table.process(segment(port, 102 + i * 400, 0, 400, 1)); // the byte at 101 never comes
+        table.process(
+            segment(
+                port, 102 + i * 400, 0, 400, 1)); // the byte at sequence number 101 is never sent
         sent += 400;
         assertTrue(
             table.bufferedBytes() <= limits.maxBufferedTotal() + 400,
--- a/traffic/src/test/java/gingerring/traffic/pcap/CaptureFormatTest.java
+++ b/traffic/src/test/java/gingerring/traffic/pcap/CaptureFormatTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** File forms, link types, fragments and headers. */
+/** Capture file formats, link types, fragments and extension headers. */
 class CaptureFormatTest {
   @TempDir Path folder;
 
@@ -41,7 +41,7 @@
       assertEquals("v-m4", scans.get(4).valuesByPartition().get(0), name);
       byte[] bytes = Files.readAllBytes(file);
       Files.write(file, Arrays.copyOf(bytes, bytes.length - 30));
-      if (name.endsWith(".zst")) { // one frame of it is unpacked whole or not at all
+      if (name.endsWith(".zst")) { // a zstd frame is decompressed completely or not at all
         assertThrows(
             UnreadableCaptureException.class,
             () -> RecordingReader.read(file, ReassemblyLimits.DEFAULT, s -> true, scan -> {}));
@@ -176,8 +176,8 @@
         .putShort((short) 1)
         .putInt(0x83)
         .putInt(0)
-        .putInt(32); // an eighth of a second
-    file.putInt(0x0BAD).putInt(16).putInt(0).putInt(16); // a block of another maker
+        .putInt(32); // unit of an eighth of a second
+    file.putInt(0x0BAD).putInt(16).putInt(0).putInt(16); // a vendor block
     long time = 1_790_000_000L * 8 + 3;
     file.putInt(6)
         .putInt(32 + padded)
@@ -222,7 +222,7 @@
     ipv6Packet[0] = 0x60;
     ipv6Packet[4] = (byte) (ipv6Packet.length - 40 >> 8);
     ipv6Packet[5] = (byte) (ipv6Packet.length - 40);
-    ipv6Packet[6] = 0; // hop by hop, then a fragment that is whole
+    ipv6Packet[6] = 0; // hop-by-hop header, then a fragment header of an unfragmented datagram
     ipv6Packet[23] = 1;
     ipv6Packet[39] = 2;
     ipv6Packet[40] = 44;
--- a/traffic/src/test/java/gingerring/traffic/record/RecorderTest.java
+++ b/traffic/src/test/java/gingerring/traffic/record/RecorderTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Recordings written as a mixer's threads tell them, and files made from them. */
+/** Recordings of events as a mixer's threads report them, and files derived from recordings. */
 class RecorderTest {
   private static final Recorder.Rotation NO_ROTATION =
       new Recorder.Rotation(1 << 30, Duration.ofHours(1), 100);
@@ -101,14 +101,16 @@
     return sum;
   }
 
-  /** Guards against a recording that holds a mixer up, or that hides what it lost. */
+  /**
+   * Guards against a recording that blocks a mixer, or that does not report the events it dropped.
+   */
   @Test
   void aFullQueueDropsEventsAndTheFileRecordsIt() throws Exception {
     Path file = folder.resolve("full.pcapng");
     Recorder recorder = new Recorder(file, NO_ROTATION, 1, 40);
     recorder.onOpened(1, Conversations.client(4001), Conversations.mixer());
     for (int i = 0; i < 30; i++) {
-      recordScan(recorder, 1, i); // nothing takes from the queue yet
+      recordScan(recorder, 1, i); // the writer thread has not been started
     }
     assertEquals(21, recorder.droppedEvents());
     recorder.start();
@@ -128,11 +130,11 @@
             .map(ObservedScan::transactionId)
             .toList();
     assertEquals(20, whole.size());
-    assertEquals("m1.30", whole.get(19)); // what follows the hole is read again
+    assertEquals("m1.30", whole.get(19)); // decoding resumes after the gap
     assertFalse(whole.contains("m1.25"));
   }
 
-  /** Guards against connections whose end was dropped and that would be kept for good. */
+  /** Guards against connections whose close event was dropped staying in memory for ever. */
   @Test
   void connectionsWhoseCloseWasDroppedAreForgotten() throws Exception {
     Recorder recorder = new Recorder(folder.resolve("gone.pcapng"), NO_ROTATION, 1, 40);
--- a/traffic/src/test/java/gingerring/traffic/replay/PacerTest.java
+++ b/traffic/src/test/java/gingerring/traffic/replay/PacerTest.java
@@ -18,8 +18,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The pacer against a plain model: on each connection a step goes when it is due and the one before
- * has ended.
+ * Compares the pacer with a simple model: on each connection a step is sent when it is due and the
+ * step before it has ended.
  */
 class PacerTest {
   private static ReplayStep step(int number, int lane, long dueMs) {
@@ -40,7 +40,7 @@
       steps.add(step(i, random.nextInt(lanes), due));
       durations.put(i, 1 + random.nextInt(100));
     }
-    // the model: by connection, in order
+    // reference model: in order on each connection
     Map<Integer, Long> expected = new TreeMap<>();
     Map<Integer, Long> freeAt = new HashMap<>();
     for (ReplayStep step : steps) {
@@ -48,7 +48,7 @@
       expected.put(step.number(), at);
       freeAt.put(step.connection(), at + durations.get(step.number()));
     }
-    // the pacer, driven by the moments at which something happens
+    // the pacer, driven from event to event
     Map<Integer, Long> sent = new TreeMap<>();
     TreeMap<Long, List<Integer>> ends = new TreeMap<>();
     long[] now = {0};
@@ -83,7 +83,7 @@
     assertEquals(held, pacer.report().heldSteps());
   }
 
-  /** Guards against a slow tool whose run looks like a slow mixer's. */
+  /** Guards against a slow replay tool being mistaken for a slow mixer. */
   @Test
   void aSlowToolMakesTheRunInvalidAndASlowMixerDoesNot() {
     List<ReplayStep> steps = new ArrayList<>();
--- a/traffic/src/test/java/gingerring/traffic/replay/RetriesTest.java
+++ b/traffic/src/test/java/gingerring/traffic/replay/RetriesTest.java
@@ -15,7 +15,7 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** Chains of retries, found and made. */
+/** Finding recorded retry chains and generating retries. */
 class RetriesTest {
   static ObservedScan observedScan(
       int number,
@@ -52,7 +52,7 @@
         "");
   }
 
-  /** The plain model looks through all chains for each scan. */
+  /** The reference model searches all chains for each scan. */
   private static List<List<Long>> expectedChains(List<ObservedScan> scans, long windowNanos) {
     List<List<ObservedScan>> chains = new ArrayList<>();
     for (ObservedScan scan : scans) {
--- a/traffic/src/test/java/gingerring/traffic/scan/DamagedCaptureTest.java
+++ b/traffic/src/test/java/gingerring/traffic/scan/DamagedCaptureTest.java
@@ -15,13 +15,13 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Files cut at every offset, and files of mutated and of random bytes. */
+/** Reads files truncated at every offset, and files of mutated and of random bytes. */
 class DamagedCaptureTest {
   @Test
   void aFileTruncatedAnywhereKeepsTheScansBeforeTheEnd() throws Exception {
     List<TimedPacket> packets = Conversations.ofScans(4000, 9, "m", 3, true);
     byte[] file = Conversations.pcap(packets);
-    // where the last packet of each scan's answer ends
+    // file offset after the last packet of each scan's response
     List<Integer> ends = new ArrayList<>();
     int offset = 24;
     boolean inResponse = false;
@@ -59,7 +59,9 @@
     }
   }
 
-  /** Whatever the bytes, reading ends and nothing is thrown; the same bytes give the same. */
+  /**
+   * Reading must end without an exception for any bytes, and equal bytes must give equal results.
+   */
   @Test
   void mutatedFilesAreReadToTheirEnd() throws Exception {
     byte[] file = Conversations.pcap(Conversations.ofScans(4000, 9, "m", 4, true));
--- a/traffic/src/test/java/gingerring/traffic/scan/HttpMessageTest.java
+++ b/traffic/src/test/java/gingerring/traffic/scan/HttpMessageTest.java
@@ -17,8 +17,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The quick look over a message against the parser: what the one takes, the other takes, with the
- * same result.
+ * Compares the fast parser with the full parser: each message that the fast parser accepts must be
+ * accepted by the full parser with the same result.
  */
 class HttpMessageTest {
   private static final String[] REQUESTS = {
@@ -37,7 +37,7 @@
   private static final String MUTATION_CHARACTERS =
       "\r\n :\t0123456789HTTP/.aAcC{}[]\",\\\u007f\u0001\u00e9";
 
-  /** Takes one message as the parser does; null where it refuses, or wants more. */
+  /** Parses one message with the full parser; null if the message is rejected or incomplete. */
   private static Object[] parseFully(byte[] bytes, boolean request) {
     ByteRing ring = new ByteRing(1 << 14, 1 << 14);
     ring.put(bytes);
@@ -90,7 +90,7 @@
           default -> text.deleteCharAt(index);
         }
       }
-      text.append(random.nextInt(3) == 0 ? templates[0] : ""); // another message behind it
+      text.append(random.nextInt(3) == 0 ? templates[0] : ""); // followed by another message
       byte[] bytes = text.toString().getBytes(StandardCharsets.ISO_8859_1);
       HttpMessage.MessageExtent extent = new HttpMessage.MessageExtent();
       HttpMessage.FastParseResult result =
--- a/traffic/src/test/java/gingerring/traffic/scan/ProtocolDecoderTest.java
+++ b/traffic/src/test/java/gingerring/traffic/scan/ProtocolDecoderTest.java
@@ -16,7 +16,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** What clients, mixers and boxes may say on a connection. */
+/** Decodes the messages and frames that clients, mixers and searchers may send on a connection. */
 class ProtocolDecoderTest {
   private final List<TimedPacket> packets = new ArrayList<>();
   private final PacketSynthesizer.PacketConsumer packetConsumer =
--- a/traffic/src/test/java/gingerring/traffic/scan/StreamReassemblyTest.java
+++ b/traffic/src/test/java/gingerring/traffic/scan/StreamReassemblyTest.java
@@ -20,12 +20,13 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Segments shuffled, repeated, cut in two, overlapping, lost: what is read against what was said.
+ * Reads conversations whose segments are reordered, repeated, split, overlapping or lost, and
+ * compares the scans with the original ones.
  */
 class StreamReassemblyTest {
   private static final int TCP_HEADER_BYTES = 20;
 
-  /** Cuts a packet's data in two that overlap by some bytes. */
+  /** Splits a packet's data in two packets that overlap by some bytes. */
   private static List<TimedPacket> split(TimedPacket packet, SplittableRandom random) {
     byte[] bytes = packet.bytes();
     int dataLength = bytes.length - 20 - TCP_HEADER_BYTES;
@@ -42,7 +43,8 @@
   }
 
   /**
-   * Some of a packet's data as a packet; checksums are left as they were, since none are judged.
+   * A range of a packet's data as a packet. Checksums are not updated, since readers do not verify
+   * them.
    */
   private static byte[] dataRange(byte[] bytes, int from, int length) {
     byte[] packet = new byte[40 + length];
@@ -67,7 +69,7 @@
         }
       }
     }
-    // each moves by less than the window
+    // each packet moves by less than the window
     for (int i = 0; i + 1 < out.size(); i++) {
       int other = Math.min(out.size() - 1, i + random.nextInt(window));
       TimedPacket moved = out.get(i);
@@ -83,10 +85,10 @@
       @ForAll @IntRange(min = 1, max = 12) int scans,
       @ForAll @IntRange(min = 1, max = 6) int window) {
     SplittableRandom random = new SplittableRandom(seed);
-    // sequence numbers that wrap within the conversation, at times
+    // in some runs the sequence numbers wrap around within the conversation
     long first = random.nextBoolean() ? seed : 0xFFFFF000FFFFFF00L;
     List<TimedPacket> packets = Conversations.ofScans(4000, first, "m", scans, true);
-    // the ends stay last: after both no more is taken, as on the wire
+    // the closing packets stay last: after both FINs the flow accepts no data
     List<TimedPacket> body = reordered(packets.subList(0, packets.size() - 3), random, window);
     body.addAll(packets.subList(packets.size() - 3, packets.size()));
     Map<String, ObservedScan> read = new HashMap<>();
@@ -101,7 +103,8 @@
   }
 
   /**
-   * What is lost makes the scan that it was part of incomplete, and no other; nothing is mistaken.
+   * A lost packet must make the scan that it carries incomplete and no other, and no response may
+   * be matched with another scan.
    */
   @Property(tries = 300, seed = "7")
   void aLostPacketMarksOnlyItsScan(
@@ -114,8 +117,7 @@
     for (int i = 0; i < losses; i++) {
       lost.add(3 + random.nextInt(packets.size() - 6));
     }
-    // which scans a lost packet belongs to: by counting data packets of the undisturbed
-    // conversation
+    // finds the scan of each lost packet by counting the data packets of the full conversation
     Set<String> affected = new HashSet<>();
     int scan = -1;
     boolean answers = true;
@@ -177,7 +179,7 @@
   @Test
   void reusedPortsAreAnotherConnection() {
     List<TimedPacket> packets = new ArrayList<>(Conversations.ofScans(4000, 5, "a", 2, true));
-    packets.subList(packets.size() - 3, packets.size()).clear(); // its end was not captured
+    packets.subList(packets.size() - 3, packets.size()).clear(); // the close was not captured
     packets.addAll(Conversations.ofScans(4000, 99L << 33 | 77777, "b", 2, true));
     List<ObservedScan> scans = Conversations.read(packets);
     assertEquals(
