--- a/emulator/src/main/java/gingerring/emulator/experiment/ClientStatistics.java
+++ b/emulator/src/main/java/gingerring/emulator/experiment/ClientStatistics.java
@@ -11,12 +11,12 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * What clients saw of a run. Service is the earnings answered within the quoted time, counted from
- * a wish's first try, over the earnings asked for; an answer in part earns its weight, a late one
- * the grade's late share.
+ * The results of a run as the clients saw them. The service level is the value answered within the
+ * latency target, counted from a request's first attempt, over the value of all requests. A partial
+ * answer has the value of its weight, a late answer the late share of its service class.
  */
 public final class ClientStatistics {
-  /** Of one grade. */
+  /** The results of one service class. */
   public static final class ClassStatistics {
     public double offeredValue;
     public double earnedValue;
@@ -27,57 +27,60 @@
 
   public final Map<String, ClassStatistics> byClass = new TreeMap<>();
 
-  /** By the second of the wish, as the world counts it: what was asked, and what was earned. */
+  /** By second of the request's scheduled time: the value requested and the value answered. */
   public final Map<Integer, double[]> valueBySecond = new TreeMap<>();
 
   public long attempts;
   public long retries;
 
-  /** Tries that found no connection idle. */
+  /** Attempts that had to wait for a connection. */
   public long waitedForConnection;
 
-  void attemptEnded(ClientRequest wish, ScanResponse answer, Duration took, Duration now) {
-    classStatistics(wish.serviceClass()).attemptOutcomes.merge(answer.outcome(), 1L, Long::sum);
+  void attemptEnded(ClientRequest request, ScanResponse answer, Duration duration, Duration now) {
+    classStatistics(request.serviceClass()).attemptOutcomes.merge(answer.outcome(), 1L, Long::sum);
   }
 
-  void requestEnded(ClientRequest wish, ScanResponse answer, Duration took) {
-    ServiceClass grade = wish.serviceClass();
-    ClassStatistics mine = classStatistics(grade);
-    mine.requestOutcomes.merge(answer.outcome(), 1L, Long::sum);
+  void requestEnded(ClientRequest request, ScanResponse answer, Duration duration) {
+    ServiceClass serviceClass = request.serviceClass();
+    ClassStatistics classStatistics = classStatistics(serviceClass);
+    classStatistics.requestOutcomes.merge(answer.outcome(), 1L, Long::sum);
     double share = 0;
     if (answer.outcome() == ScanOutcome.WHOLE || answer.outcome() == ScanOutcome.PART) {
-      mine.latencyMicros.recordValue(Math.min(600_000_000L, took.toNanos() / 1000));
+      classStatistics.latencyMicros.recordValue(Math.min(600_000_000L, duration.toNanos() / 1000));
       share =
           answer.outcome() == ScanOutcome.WHOLE
               ? 1
               : answer.valuesByPartition().keySet().stream()
-                  .mapToDouble(folio -> wish.shares().getOrDefault(folio, 0.0))
+                  .mapToDouble(partition -> request.shares().getOrDefault(partition, 0.0))
                   .sum();
-      share *= took.compareTo(grade.latencyTarget()) <= 0 ? 1 : grade.lateValueShare();
+      share *=
+          duration.compareTo(serviceClass.latencyTarget()) <= 0 ? 1 : serviceClass.lateValueShare();
     }
-    mine.offeredValue += grade.value();
-    mine.earnedValue += grade.value() * share;
-    double[] second =
-        valueBySecond.computeIfAbsent((int) wish.sendAt().toSeconds(), s -> new double[2]);
-    second[0] += grade.value();
-    second[1] += grade.value() * share;
+    classStatistics.offeredValue += serviceClass.value();
+    classStatistics.earnedValue += serviceClass.value() * share;
+    double[] totals =
+        valueBySecond.computeIfAbsent((int) request.sendAt().toSeconds(), s -> new double[2]);
+    totals[0] += serviceClass.value();
+    totals[1] += serviceClass.value() * share;
   }
 
-  private ClassStatistics classStatistics(ServiceClass grade) {
-    return byClass.computeIfAbsent(grade.name(), name -> new ClassStatistics());
+  private ClassStatistics classStatistics(ServiceClass serviceClass) {
+    return byClass.computeIfAbsent(serviceClass.name(), key -> new ClassStatistics());
   }
 
   public double serviceLevel() {
-    double all = byClass.values().stream().mapToDouble(grade -> grade.offeredValue).sum();
-    return all == 0
+    double offered =
+        byClass.values().stream().mapToDouble(serviceClass -> serviceClass.offeredValue).sum();
+    return offered == 0
         ? 1
-        : byClass.values().stream().mapToDouble(grade -> grade.earnedValue).sum() / all;
+        : byClass.values().stream().mapToDouble(serviceClass -> serviceClass.earnedValue).sum()
+            / offered;
   }
 
-  /** Of tries, how many ended so. */
-  public long attemptsWith(ScanOutcome fate) {
+  /** Returns the number of attempts with an outcome. */
+  public long attemptsWith(ScanOutcome outcome) {
     return byClass.values().stream()
-        .mapToLong(grade -> grade.attemptOutcomes.getOrDefault(fate, 0L))
+        .mapToLong(serviceClass -> serviceClass.attemptOutcomes.getOrDefault(outcome, 0L))
         .sum();
   }
 }
