--- a/emulator/src/test/java/gingerring/emulator/simulation/CapacitySharingSimulationTest.java
+++ b/emulator/src/test/java/gingerring/emulator/simulation/CapacitySharingSimulationTest.java
@@ -5,42 +5,42 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Shares of one box's room under late reports: within their bounds up to a delay, and no swing at
- * any.
+ * Sharing of one box's capacity under late reports: accurate up to a bounded delay, and without
+ * oscillation at any delay.
  */
 class CapacitySharingSimulationTest {
   @Test
   void sharesFollowDemandWithinFiveSeconds() {
     for (int mixers : new int[] {3, 30, 100}) {
-      for (double delay : new double[] {50, 250}) {
+      for (double delayMs : new double[] {50, 250}) {
         for (long seed = 1; seed <= 3; seed++) {
           CapacitySharingSimulation.Result result =
               CapacitySharingSimulation.run(
-                  new CapacitySharingSimulation.Setup(mixers, delay, 1, 0.02, 2000, seed));
-          String which = mixers + " mixers, delay " + delay + ": ";
+                  new CapacitySharingSimulation.Setup(mixers, delayMs, 1, 0.02, 2000, seed));
+          String label = mixers + " mixers, delay " + delayMs + ": ";
           for (int change :
-              new int[] {0, 2, 3}) { // demand shifts, some join, the box's capacity is halved
+              new int[] {
+                0, 2, 3
+              }) { // demand shifts, mixers join, the capacity of the box is halved
             assertTrue(
                 result.errors()[change] <= 0.05,
-                which + change + " off by " + result.errors()[change]);
+                label + change + " off by " + result.errors()[change]);
           }
-          // what those who left had, one with ten times the others' demand takes up as the room is
-          // tried
-          // larger
+          // The mixer with ten times the demand of the others takes up the capacity of those that
+          // left, as the
+          // estimated capacity grows.
           assertTrue(
               result.errors()[1] <= 0.12,
-              which + "off by " + result.errors()[1] + " after some left");
-          assertTrue(result.rejectedShare() <= 0.01, which + "refused " + result.rejectedShare());
+              label + "off by " + result.errors()[1] + " after some left");
+          assertTrue(result.rejectedShare() <= 0.01, label + "refused " + result.rejectedShare());
         }
       }
     }
   }
 
-  /**
-   * Reports a second old: no longer within the bound, and still no swing between all and nothing.
-   */
+  /** Reports that are a second old exceed the accuracy bound but cause no oscillation. */
   @Test
-  void lateReportsCostAccuracyAndNoStability() {
+  void lateReportsCostAccuracyButNotStability() {
     for (long seed = 1; seed <= 3; seed++) {
       CapacitySharingSimulation.Result result =
           CapacitySharingSimulation.run(
--- a/traffic/src/main/java/gingerring/traffic/record/Pseudonymizer.java
+++ b/traffic/src/main/java/gingerring/traffic/record/Pseudonymizer.java
@@ -13,10 +13,10 @@
 import javax.crypto.spec.SecretKeySpec;
 
 /**
- * Hides query texts, values and idempotency keys behind a hash keyed by a secret: equal ones stay
- * equal, so that repeats are recognised, and none can be read or, without the secret, tried out.
- * Everything keeps its length where that is 16 or more; what is shorter becomes 16 hex digits, and
- * the body's length follows.
+ * Replaces query texts, values and idempotency keys by a keyed hash (HMAC-SHA256). Equal texts stay
+ * equal, so that repeats can be recognised; no text can be read or, without the secret, found by
+ * trying candidates. Texts of 16 or more characters keep their length; shorter ones become 16 hex
+ * digits, and the body's length changes accordingly.
  */
 public final class Pseudonymizer {
   private static final int MIN_DIGITS = 16;
@@ -29,31 +29,34 @@
     this.secret = new SecretKeySpec(secret.getBytes(StandardCharsets.UTF_8), "HmacSHA256");
   }
 
-  /** What stands for a text. */
+  /** The replacement of a text. */
   public String pseudonym(String text) {
     try {
       Mac mac = Mac.getInstance("HmacSHA256");
       mac.init(secret);
       String hash = HexFormat.of().formatHex(mac.doFinal(text.getBytes(StandardCharsets.UTF_8)));
-      StringBuilder hidden = new StringBuilder();
+      StringBuilder result = new StringBuilder();
       int length = Math.max(MIN_DIGITS, text.length());
-      while (hidden.length() < length) {
-        hidden.append(hash, 0, Math.min(hash.length(), length - hidden.length()));
+      while (result.length() < length) {
+        result.append(hash, 0, Math.min(hash.length(), length - result.length()));
       }
-      return hidden.toString();
+      return result.toString();
     } catch (GeneralSecurityException e) {
       throw new IllegalStateException(e);
     }
   }
 
-  /** The headers of a request, its key hidden. */
+  /** The headers of a request with the idempotency key replaced. */
   public String pseudonymizeHeaders(String headers) {
-    Matcher key = IDEMPOTENCY_KEY_HEADER.matcher(headers);
-    return key.replaceAll(
-        found -> Matcher.quoteReplacement(found.group(1) + pseudonym(found.group(2))));
+    Matcher matcher = IDEMPOTENCY_KEY_HEADER.matcher(headers);
+    return matcher.replaceAll(
+        match -> Matcher.quoteReplacement(match.group(1) + pseudonym(match.group(2))));
   }
 
-  /** The body of a request or of an answer; what is no such body is hidden whole. */
+  /**
+   * The body of a request or response with its private strings replaced. A body that is not JSON is
+   * replaced as a whole.
+   */
   public String pseudonymizeBody(String json) {
     try {
       Map<String, Object> object = JsonFields.object(Json.parse(json), "it");
@@ -69,13 +72,15 @@
     }
   }
 
-  /** Every string under this name, whatever its escapes. */
-  private static String replaceStrings(String json, String name, UnaryOperator<String> with) {
-    Pattern found =
+  /** Replaces every string value under this name, with or without escape sequences. */
+  private static String replaceStrings(
+      String json, String name, UnaryOperator<String> replacement) {
+    Pattern pattern =
         Pattern.compile("(\"" + name + "\"\\s*:\\s*\")((?:[^\"\\\\]|\\\\.)*)\"", Pattern.DOTALL);
-    return found
+    return pattern
         .matcher(json)
         .replaceAll(
-            each -> Matcher.quoteReplacement(each.group(1) + with.apply(each.group(2)) + '"'));
+            match ->
+                Matcher.quoteReplacement(match.group(1) + replacement.apply(match.group(2)) + '"'));
   }
 }
--- a/traffic/src/main/java/gingerring/traffic/replay/Comparison.java
+++ b/traffic/src/main/java/gingerring/traffic/replay/Comparison.java
@@ -11,13 +11,13 @@
 import java.util.TreeSet;
 
 /**
- * Compares outcomes scan by scan. Two agree where both were answered whole, or from the same parts,
- * or nacked, or scrapped, or left by their client, and no value that both have differs. Each
- * difference gets one cause, the first that fits of the list in {@link #findCause}. What the
- * recording does not show is not compared.
+ * Compares the results of scans one by one. Two results agree if both have the same outcome and the
+ * same partitions, and no value present in both differs. Each difference is given one cause, the
+ * first that applies in {@link #findCause}. Scans whose result the recording does not show are not
+ * compared.
  */
 public final class Comparison {
-  /** A scan whose outcomes differ. */
+  /** A scan whose results differ. */
   public record Difference(
       String transactionId,
       String serviceClass,
@@ -25,10 +25,13 @@
       ScanResult replayed,
       String cause) {}
 
-  /** Differences kept to be shown; all are counted. */
+  /** How many differences are kept for display; all are counted. */
   public static final int MAX_DIFFERENCES = 1000;
 
-  /** From this share of its client's time on an answer is close to its limit. */
+  /**
+   * A response that takes more than this share of its client's time limit counts as close to the
+   * limit.
+   */
   private static final double NEAR_DEADLINE_SHARE = 0.9;
 
   private final Duration maxLateness;
@@ -40,9 +43,12 @@
   private long agreedCount;
   private long notComparedCount;
 
-  /** {@code lateMost}: the tool's own lateness from which a difference is put down to the tool. */
-  public Comparison(Duration lateMost) {
-    this.maxLateness = lateMost;
+  /**
+   * {@code maxLateness}: a difference is attributed to the tool if the tool sent the scan later
+   * than this.
+   */
+  public Comparison(Duration maxLateness) {
+    this.maxLateness = maxLateness;
   }
 
   public void add(ObservedScan scan, ScanResult recorded, ScanResult replayed) {
@@ -66,23 +72,24 @@
     }
   }
 
-  static boolean agrees(ScanResult one, ScanResult other) {
-    return one.outcome() == other.outcome()
-        && one.partitions().equals(other.partitions())
-        && differingPartitions(one, other).isEmpty();
+  static boolean agrees(ScanResult recorded, ScanResult replayed) {
+    return recorded.outcome() == replayed.outcome()
+        && recorded.partitions().equals(replayed.partitions())
+        && differingPartitions(recorded, replayed).isEmpty();
   }
 
-  private static TreeSet<Integer> differingPartitions(ScanResult one, ScanResult other) {
-    TreeSet<Integer> shards = new TreeSet<>();
-    one.valuesByPartition()
+  private static TreeSet<Integer> differingPartitions(ScanResult recorded, ScanResult replayed) {
+    TreeSet<Integer> partitions = new TreeSet<>();
+    recorded
+        .valuesByPartition()
         .forEach(
-            (shard, value) -> {
-              String its = other.valuesByPartition().get(shard);
-              if (its != null && !its.equals(value)) {
-                shards.add(shard);
+            (partition, value) -> {
+              String otherValue = replayed.valuesByPartition().get(partition);
+              if (otherValue != null && !otherValue.equals(value)) {
+                partitions.add(partition);
               }
             });
-    return shards;
+    return partitions;
   }
 
   private String findCause(ObservedScan scan, ScanResult recorded, ScanResult replayed) {
@@ -95,8 +102,8 @@
     if (replayed.sendLateness().compareTo(maxLateness) > 0) {
       return "the tool sent it late";
     }
-    Duration patience = Duration.ofMillis(scan.remainingMs());
-    if (isNearDeadline(recorded, patience) || isNearDeadline(replayed, patience)) {
+    Duration timeLimit = Duration.ofMillis(scan.remainingMs());
+    if (isNearDeadline(recorded, timeLimit) || isNearDeadline(replayed, timeLimit)) {
       return "an answer close to the end of its client's time: open by nature";
     }
     if (replayed.holdDelay().compareTo(maxLateness) > 0) {
@@ -120,9 +127,9 @@
     return "answered from other parts: some came or were sent in one run alone";
   }
 
-  private static boolean isNearDeadline(ScanResult outcome, Duration patience) {
-    return !patience.isZero()
-        && outcome.responseTime().toNanos() > NEAR_DEADLINE_SHARE * patience.toNanos();
+  private static boolean isNearDeadline(ScanResult result, Duration timeLimit) {
+    return !timeLimit.isZero()
+        && result.responseTime().toNanos() > NEAR_DEADLINE_SHARE * timeLimit.toNanos();
   }
 
   public long comparedCount() {
@@ -138,12 +145,12 @@
     return notComparedCount;
   }
 
-  /** The share that agrees; 1 where nothing was compared. */
+  /** The share of compared scans that agree; 1 if none was compared. */
   public double agreement() {
     return comparedCount == 0 ? 1 : (double) agreedCount / comparedCount;
   }
 
-  /** Recorded fates, and for each the fates of the replay with how many. */
+  /** For each recorded outcome, how often each replayed outcome occurred. */
   public Map<ScanOutcome, Map<ScanOutcome, Long>> outcomeTable() {
     return outcomeTable;
   }
--- a/traffic/src/main/java/gingerring/traffic/replay/Pacer.java
+++ b/traffic/src/main/java/gingerring/traffic/replay/Pacer.java
@@ -10,21 +10,23 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Decides when each step is sent. Call {@link #sendDueSteps} with the time whenever {@link
- * #nextDueTime} is due, and {@link #onCompleted} when a connection has its answer or its end; steps
- * go to {@link Host#send}. A connection carries a request at a time, in order.
+ * Decides when each step is sent. Call {@link #sendDueSteps} with the current time whenever {@link
+ * #nextDueTime} is due, and {@link #onCompleted} when a connection has its response or has ended.
+ * Steps go to {@link StepSender#send}. A connection carries one request at a time, in order.
  *
- * <p>Two kinds of lateness are kept apart, so that pace and outcome do not blur. A step is
- * <em>held</em> while the answer before it is not there: that is the mixer's doing. From then on
- * every moment is the tool's own.
+ * <p>Two kinds of delay are kept apart, so that the replay's own timing errors are not mistaken for
+ * results. A step is <em>held</em> while the response to the step before it is outstanding, which
+ * is the mixer's doing. Any delay after that is the replay tool's own lateness.
  */
 public final class Pacer {
-  /** Who sends. */
+  /** Sends the steps. */
   public interface StepSender {
     void send(ReplayStep step);
   }
 
-  /** How a run's sending went. {@code valid} is false where the tool itself was the bottleneck. */
+  /**
+   * Statistics of a run's sending. {@code valid} is false if the tool itself was the bottleneck.
+   */
   public record Report(
       long sent,
       long heldSteps,
@@ -53,42 +55,46 @@
   private int unsentSteps;
 
   /**
-   * {@code lateMost}: the tool's own lateness at the 99th percentile beyond which a run is not
-   * valid. Without recorded times ({@code timed} false) there is no lateness.
+   * {@code maxLateness}: the tool's own lateness at the 99th percentile above which a run is
+   * invalid. If {@code keepsRecordedTimes} is false, lateness is not measured.
    */
   public Pacer(
-      List<ReplayStep> steps, int laneCount, Duration lateMost, boolean timed, StepSender host) {
-    this.sender = host;
-    this.maxLateness = lateMost;
-    this.keepsRecordedTimes = timed;
-    for (int i = 0; i < laneCount; i++) {
+      List<ReplayStep> steps,
+      int connectionCount,
+      Duration maxLateness,
+      boolean keepsRecordedTimes,
+      StepSender sender) {
+    this.sender = sender;
+    this.maxLateness = maxLateness;
+    this.keepsRecordedTimes = keepsRecordedTimes;
+    for (int i = 0; i < connectionCount; i++) {
       stepsByConnection.add(new ArrayDeque<>());
       busyConnections.add(false);
     }
     steps.forEach(this::add);
   }
 
-  /** One more step, in its turn by when it is due: a retry that is made anew. */
+  /** Adds a step at the position of its due time, for example a generated retry. */
   public void add(ReplayStep step) {
     unsentSteps++;
-    Deque<ReplayStep> lane = stepsByConnection.get(step.connection());
-    if (lane.isEmpty() || lane.peekLast().dueTime().compareTo(step.dueTime()) <= 0) {
-      lane.addLast(step);
+    Deque<ReplayStep> queue = stepsByConnection.get(step.connection());
+    if (queue.isEmpty() || queue.peekLast().dueTime().compareTo(step.dueTime()) <= 0) {
+      queue.addLast(step);
     } else {
       Deque<ReplayStep> later = new ArrayDeque<>();
-      while (!lane.isEmpty() && lane.peekLast().dueTime().compareTo(step.dueTime()) > 0) {
-        later.addFirst(lane.pollLast());
+      while (!queue.isEmpty() && queue.peekLast().dueTime().compareTo(step.dueTime()) > 0) {
+        later.addFirst(queue.pollLast());
       }
-      lane.addLast(step);
-      lane.addAll(later);
+      queue.addLast(step);
+      queue.addAll(later);
     }
-    if (!busyConnections.get(step.connection()) && lane.peekFirst() == step) {
+    if (!busyConnections.get(step.connection()) && queue.peekFirst() == step) {
       ready.removeIf(each -> each.step.connection() == step.connection());
       ready.add(new ReadyStep(step.dueTime(), step));
     }
   }
 
-  /** Sends what is due. */
+  /** Sends every step that is due. */
   public void sendDueSteps(Duration now) {
     while (!ready.isEmpty() && ready.peek().readyTime.compareTo(now) <= 0) {
       ReadyStep next = ready.poll();
@@ -104,28 +110,31 @@
     }
   }
 
-  private static void recordMicros(Histogram histogram, Duration span) {
-    histogram.recordValue(Math.min(MAX_TRACKED_MICROS, Math.max(0, span.toNanos() / 1000)));
+  private static void recordMicros(Histogram histogram, Duration duration) {
+    histogram.recordValue(Math.min(MAX_TRACKED_MICROS, Math.max(0, duration.toNanos() / 1000)));
   }
 
-  /** The request on this connection has ended, one way or another. */
-  public void onCompleted(int lane, Duration now) {
-    if (!busyConnections.get(lane)) {
-      return; // nothing was out on it
+  /** Called when the request in flight on this connection has ended in any way. */
+  public void onCompleted(int connection, Duration now) {
+    if (!busyConnections.get(connection)) {
+      return; // no request was in flight
     }
-    busyConnections.set(lane, false);
-    ReplayStep next = stepsByConnection.get(lane).peekFirst();
+    busyConnections.set(connection, false);
+    ReplayStep next = stepsByConnection.get(connection).peekFirst();
     if (next != null) {
       ready.add(new ReadyStep(next.dueTime().compareTo(now) > 0 ? next.dueTime() : now, next));
     }
   }
 
-  /** When the next step is due; null where none is, for now or for good. */
+  /**
+   * When the next step is due; null if none can be sent now, for example because every connection
+   * is busy.
+   */
   public Duration nextDueTime() {
     return ready.isEmpty() ? null : ready.peek().readyTime;
   }
 
-  /** How many steps have not been sent. */
+  /** The number of steps not sent yet. */
   public int unsentSteps() {
     return unsentSteps;
   }
@@ -133,13 +142,13 @@
   public Report report() {
     long heldCount =
         holdDelayMicros.getTotalCount() - holdDelayMicros.getCountBetweenValues(0, 1000);
-    Duration p99 = micros(latenessMicros.getValueAtPercentile(99));
-    boolean valid = !keepsRecordedTimes || p99.compareTo(maxLateness) <= 0;
-    String why =
+    Duration latenessP99 = micros(latenessMicros.getValueAtPercentile(99));
+    boolean valid = !keepsRecordedTimes || latenessP99.compareTo(maxLateness) <= 0;
+    String invalidReason =
         valid
             ? ""
             : "the tool sent "
-                + p99.toMillis()
+                + latenessP99.toMillis()
                 + " ms late at the 99th percentile, over "
                 + maxLateness.toMillis()
                 + " ms: its pace is not the one asked for";
@@ -148,13 +157,13 @@
         heldCount,
         micros(holdDelayMicros.getValueAtPercentile(99)),
         micros(latenessMicros.getValueAtPercentile(50)),
-        p99,
+        latenessP99,
         micros(latenessMicros.getMaxValue()),
         valid,
-        why);
+        invalidReason);
   }
 
-  /** The tool's own lateness, microseconds. */
+  /** The tool's own lateness in microseconds. */
   public Histogram lateness() {
     return latenessMicros;
   }
--- a/traffic/src/main/java/gingerring/traffic/scan/ScanExchange.java
+++ b/traffic/src/main/java/gingerring/traffic/scan/ScanExchange.java
@@ -13,8 +13,8 @@
 import java.util.Map;
 
 /**
- * A request for a scan and what became of it, still as bytes. {@link #outcome} costs a look over
- * them, {@link #toObservedScan} reads them whole. A request that did not come whole has none.
+ * A scan request and its response, still as bytes. {@link #outcome} examines the response briefly;
+ * {@link #toObservedScan} parses everything. A request that was not captured completely is null.
  */
 public final class ScanExchange {
   private static final long MAX_REMAINING_MS = 86_400_000;
@@ -26,7 +26,7 @@
   private final long requestStartNanos;
   private final long requestEndNanos;
 
-  /** How much of the answers the client had taken when it asked. */
+  /** How many response bytes the client had acknowledged when it sent the request. */
   final long acknowledgedResponseBytes;
 
   private HttpMessage response;
@@ -36,55 +36,55 @@
 
   ScanExchange(
       long number,
-      long connection,
+      long connectionNumber,
       String client,
       HttpMessage request,
-      long firstAt,
-      long wholeAt,
-      long taken) {
+      long requestStartNanos,
+      long requestEndNanos,
+      long acknowledgedResponseBytes) {
     this.number = number;
-    this.connectionNumber = connection;
+    this.connectionNumber = connectionNumber;
     this.client = client;
     this.request = request;
-    this.requestStartNanos = firstAt;
-    this.requestEndNanos = wholeAt;
-    this.acknowledgedResponseBytes = taken;
+    this.requestStartNanos = requestStartNanos;
+    this.requestEndNanos = requestEndNanos;
+    this.acknowledgedResponseBytes = acknowledgedResponseBytes;
   }
 
   boolean isScan() {
     return request == null || request.isScanRequest();
   }
 
-  ScanExchange completeWith(HttpMessage whole, long at) {
-    response = whole;
-    responseEndNanos = at;
+  ScanExchange completeWith(HttpMessage completeResponse, long nanos) {
+    response = completeResponse;
+    responseEndNanos = nanos;
     return this;
   }
 
-  ScanExchange markClientLeft(long at) {
+  ScanExchange markClientLeft(long nanos) {
     outcome = ScanOutcome.LEFT;
-    responseEndNanos = at;
+    responseEndNanos = nanos;
     return this;
   }
 
-  ScanExchange markIncomplete(String why) {
+  ScanExchange markIncomplete(String cause) {
     outcome = ScanOutcome.INCOMPLETE;
-    problem = why;
+    problem = cause;
     return this;
   }
 
   public ScanOutcome outcome() {
     if (outcome == null) {
       int status = response.status();
-      int whole = status == 200 ? response.parseWholeFlag() : 0;
+      int wholeFlag = status == 200 ? response.parseWholeFlag() : 0;
       outcome =
           status == 429 || status == 503
               ? ScanOutcome.NACKED
               : status != 200
                   ? ScanOutcome.SCRAPPED
-                  : whole > 0
+                  : wholeFlag > 0
                       ? ScanOutcome.WHOLE
-                      : whole == 0 ? ScanOutcome.PART : parseResponse().outcome();
+                      : wholeFlag == 0 ? ScanOutcome.PART : parseResponse().outcome();
     }
     return outcome;
   }
@@ -93,7 +93,7 @@
     return ScanResponse.parse(response.head(), response.body());
   }
 
-  /** Everything there is to know of it. */
+  /** Parses the request and the response completely. */
   public ObservedScan toObservedScan() {
     if (request == null) {
       return new ObservedScan(
@@ -118,27 +118,27 @@
           0,
           problem);
     }
-    ScanResponse read =
+    ScanResponse parsed =
         response == null
             ? new ScanResponse(outcome, 0, false, Map.of(), Duration.ZERO, problem)
             : parseResponse();
     MessageHead head = request.head();
     byte[] body = request.body();
     List<Target> targets = new ArrayList<>();
-    String text = "";
-    String wrong = read.error();
+    String queryText = "";
+    String problem = parsed.error();
     try {
       Map<String, Object> object = JsonFields.object(Json.parse(body), "the body");
-      text = JsonFields.string(object, "query");
-      for (Object each : JsonFields.list(object, "targets")) {
-        Map<String, Object> target = JsonFields.object(each, "a target");
+      queryText = JsonFields.string(object, "query");
+      for (Object element : JsonFields.list(object, "targets")) {
+        Map<String, Object> target = JsonFields.object(element, "a target");
         targets.add(
             new Target(
                 (int) JsonFields.nonNegativeInteger(target, "partition"),
                 JsonFields.number(target, "share")));
       }
     } catch (Json.JsonException e) {
-      wrong = wrong.isEmpty() ? "no scan's body: " + e.getMessage() : wrong;
+      problem = problem.isEmpty() ? "no scan's body: " + e.getMessage() : problem;
     }
     String remaining = headerOrEmpty(head, "X-Remaining-Ms");
     return new ObservedScan(
@@ -154,14 +154,14 @@
         headerOrEmpty(head, "X-Resent").equals("1"),
         head.header("Idempotency-Key"),
         targets,
-        text,
+        queryText,
         rebuildRequest(head, body),
-        read.outcome(),
-        read.status(),
-        read.whole(),
-        read.valuesByPartition(),
-        read.retryAfter().toNanos() / 1e9,
-        wrong);
+        parsed.outcome(),
+        parsed.status(),
+        parsed.whole(),
+        parsed.valuesByPartition(),
+        parsed.retryAfter().toNanos() / 1e9,
+        problem);
   }
 
   private static String headerOrEmpty(MessageHead head, String name) {
@@ -169,7 +169,7 @@
     return value == null ? "" : value;
   }
 
-  /** The request anew, its body framed by its length. */
+  /** The request with its body framed by a content length. */
   private static byte[] rebuildRequest(MessageHead head, byte[] body) {
     StringBuilder text =
         new StringBuilder(head.methodOrVersion())
--- a/traffic/src/main/java/gingerring/traffic/wire/Reactor.java
+++ b/traffic/src/main/java/gingerring/traffic/wire/Reactor.java
@@ -22,8 +22,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One thread that owns all sockets, timers and state. {@link #run} it on a thread of its own;
- * everything but {@link #post} and {@link #stop} is for that thread, or for before it runs.
+ * Event loop: one thread that owns all sockets, timers and their state. {@link #run} needs a thread
+ * of its own; every method except {@link #post} and {@link #stop} must be called on that thread, or
+ * before it runs.
  */
 public final class Reactor implements Closeable {
   private record Timer(long dueNanos, long number, Runnable task) implements Comparable<Timer> {
@@ -63,18 +64,19 @@
     return Duration.ofNanos(System.nanoTime() - startNanos);
   }
 
-  /** How many connections there are. */
+  /** The number of open connections. */
   public int connectionCount() {
     return connectionCount;
   }
 
-  /** How many tasks and events failed; each is logged. */
+  /** The number of tasks and events that threw an exception. Each is logged. */
   public int failureCount() {
     return failureCount;
   }
 
-  public void schedule(Duration span, Runnable task) {
-    timers.add(new Timer(System.nanoTime() - startNanos + span.toNanos(), nextTimerNumber++, task));
+  public void schedule(Duration delay, Runnable task) {
+    timers.add(
+        new Timer(System.nanoTime() - startNanos + delay.toNanos(), nextTimerNumber++, task));
   }
 
   public void post(Runnable task) {
@@ -87,9 +89,13 @@
     selector.wakeup();
   }
 
-  /** Takes connections at a loopback address; {@code owner} is asked for whom each is. */
+  /**
+   * Accepts connections at a loopback address. {@code handlerFactory} supplies the handler of each
+   * connection.
+   */
   public ListeningSocket listen(
-      InetSocketAddress address, Function<ReactorConnection, ReactorConnection.Handler> owner)
+      InetSocketAddress address,
+      Function<ReactorConnection, ReactorConnection.Handler> handlerFactory)
       throws IOException {
     requireLoopback(address);
     ServerSocketChannel channel = ServerSocketChannel.open();
@@ -99,7 +105,7 @@
       channel.configureBlocking(false);
       SelectionKey key = channel.register(selector, SelectionKey.OP_ACCEPT);
       ListeningSocket listening = new ListeningSocket(channel, key);
-      key.attach((Runnable) () -> accept(channel, owner));
+      key.attach((Runnable) () -> accept(channel, handlerFactory));
       return listening;
     } catch (IOException e) {
       channel.close();
@@ -108,14 +114,14 @@
   }
 
   /**
-   * A datagram socket at a loopback address; {@code received} is told of what comes, on this
-   * thread.
+   * Opens a datagram socket at a loopback address. {@code consumer} receives each datagram on the
+   * reactor's thread.
    */
   public DatagramEndpoint openDatagramEndpoint(
-      InetSocketAddress address, BiConsumer<InetSocketAddress, byte[]> received)
+      InetSocketAddress address, BiConsumer<InetSocketAddress, byte[]> consumer)
       throws IOException {
     requireLoopback(address);
-    return new DatagramEndpoint(this, address, received);
+    return new DatagramEndpoint(this, address, consumer);
   }
 
   private static void requireLoopback(InetSocketAddress address) {
@@ -124,7 +130,7 @@
     }
   }
 
-  /** A place where connections come in. */
+  /** A listening socket. */
   public record ListeningSocket(ServerSocketChannel channel, SelectionKey key) {
     public InetSocketAddress address() {
       return (InetSocketAddress) channel.socket().getLocalSocketAddress();
@@ -140,33 +146,39 @@
   }
 
   private void accept(
-      ServerSocketChannel server, Function<ReactorConnection, ReactorConnection.Handler> owner) {
+      ServerSocketChannel serverChannel,
+      Function<ReactorConnection, ReactorConnection.Handler> handlerFactory) {
     try {
-      for (SocketChannel channel = server.accept(); channel != null; channel = server.accept()) {
-        ReactorConnection wire = new ReactorConnection(this, channel);
+      for (SocketChannel channel = serverChannel.accept();
+          channel != null;
+          channel = serverChannel.accept()) {
+        ReactorConnection connection = new ReactorConnection(this, channel);
         connectionCount++;
-        wire.register(owner.apply(wire), true);
+        connection.register(handlerFactory.apply(connection), true);
       }
     } catch (IOException e) {
       LOG.warn("a connection could not be taken: {}", e.toString());
     }
   }
 
-  /** Calls an address. The owner is told once it is up, or that it never came up. */
-  public ReactorConnection connect(InetSocketAddress to, ReactorConnection.Handler owner) {
-    requireLoopback(to);
+  /**
+   * Connects to a loopback address. The handler is notified when the connection is established or
+   * has failed.
+   */
+  public ReactorConnection connect(InetSocketAddress address, ReactorConnection.Handler handler) {
+    requireLoopback(address);
     try {
       SocketChannel channel = SocketChannel.open();
-      ReactorConnection wire = new ReactorConnection(this, channel);
+      ReactorConnection connection = new ReactorConnection(this, channel);
       connectionCount++;
       try {
         channel.configureBlocking(false);
-        boolean up = channel.connect(to);
-        wire.register(owner, up);
+        boolean connected = channel.connect(address);
+        connection.register(handler, connected);
       } catch (IOException e) {
-        wire.failLater(owner);
+        connection.failLater(handler);
       }
-      return wire;
+      return connection;
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
@@ -176,25 +188,25 @@
     connectionCount--;
   }
 
-  void requestFlush(ReactorConnection wire) {
-    flushRequests.add(wire);
+  void requestFlush(ReactorConnection connection) {
+    flushRequests.add(connection);
   }
 
-  /** Turns until it is stopped. */
+  /** Runs the event loop until {@link #stop}. */
   public void run() {
     while (running) {
       try {
-        long wait =
+        long waitMillis =
             timers.isEmpty()
                 ? 1000
                 : Math.max(
                     0,
                     (timers.peek().dueNanos - (System.nanoTime() - startNanos) + 999_999)
                         / 1_000_000);
-        if (wait == 0 || !postedTasks.isEmpty() || !flushRequests.isEmpty()) {
+        if (waitMillis == 0 || !postedTasks.isEmpty() || !flushRequests.isEmpty()) {
           selector.selectNow();
         } else {
-          selector.select(wait);
+          selector.select(waitMillis);
         }
       } catch (IOException e) {
         throw new UncheckedIOException(e);
@@ -202,8 +214,8 @@
       for (Iterator<SelectionKey> keys = selector.selectedKeys().iterator(); keys.hasNext(); ) {
         SelectionKey key = keys.next();
         keys.remove();
-        if (key.attachment() instanceof ReactorConnection wire) {
-          runGuarded(() -> wire.onReady(key, readBuffer, readBytes));
+        if (key.attachment() instanceof ReactorConnection connection) {
+          runGuarded(() -> connection.onReady(key, readBuffer, readBytes));
         } else if (key.isValid()) {
           runGuarded((Runnable) key.attachment());
         }
@@ -211,13 +223,13 @@
       for (Runnable task = postedTasks.poll(); task != null; task = postedTasks.poll()) {
         runGuarded(task);
       }
-      long now = System.nanoTime() - startNanos;
-      while (!timers.isEmpty() && timers.peek().dueNanos <= now) {
+      long nowNanos = System.nanoTime() - startNanos;
+      while (!timers.isEmpty() && timers.peek().dueNanos <= nowNanos) {
         runGuarded(timers.poll().task);
       }
-      List<ReactorConnection> flushed = flushRequests;
+      List<ReactorConnection> flushing = flushRequests;
       flushRequests = new ArrayList<>();
-      flushed.forEach(wire -> runGuarded(wire::flush));
+      flushing.forEach(connection -> runGuarded(connection::flush));
     }
     close();
   }
--- a/traffic/src/main/java/gingerring/traffic/wire/ReactorConnection.java
+++ b/traffic/src/main/java/gingerring/traffic/wire/ReactorConnection.java
@@ -9,26 +9,29 @@
 import java.util.Arrays;
 
 /**
- * One connection of a {@link Reactor}. What is put leaves in one write a turn; more than {@link
- * #MAX_UNSENT_BYTES} bytes unsent end the connection, as a peer that does not read would else take
- * all memory.
+ * One connection of a {@link Reactor}. Queued bytes leave in one write per iteration of the event
+ * loop. More than {@link #MAX_UNSENT_BYTES} unsent bytes reset the connection; otherwise a peer
+ * that does not read could exhaust the memory.
  */
 public final class ReactorConnection {
   static final int MAX_UNSENT_BYTES = 4 << 20;
 
-  /** Who owns it; called on the reactor's thread. */
+  /** Receives the connection's events on the reactor's thread. */
   public interface Handler {
     default void onOpened() {}
 
-    /** Bytes that came; the array is used again. */
+    /** Delivers received bytes. The array is reused after the call. */
     void onData(byte[] bytes, int length);
 
-    /** The other side sends no more. The connection ends unless this says to keep it. */
+    /**
+     * Called when the peer has closed its sending side. The connection is closed unless this
+     * returns true.
+     */
     default boolean keepsHalfOpen() {
       return false;
     }
 
-    /** It never came up, or has ended; nothing follows. */
+    /** Called once when the connection failed to open or was closed. No event follows. */
     void onClosed();
   }
 
@@ -50,16 +53,18 @@
     this.channel = channel;
   }
 
-  void register(Handler whose, boolean isUp) {
-    handler = whose;
+  void register(Handler newHandler, boolean alreadyConnected) {
+    handler = newHandler;
     try {
       channel.configureBlocking(false);
       channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
-      connected = isUp;
+      connected = alreadyConnected;
       key =
           channel.register(
-              reactor.selector, isUp ? SelectionKey.OP_READ : SelectionKey.OP_CONNECT, this);
-      if (isUp) {
+              reactor.selector,
+              alreadyConnected ? SelectionKey.OP_READ : SelectionKey.OP_CONNECT,
+              this);
+      if (alreadyConnected) {
         handler.onOpened();
       }
     } catch (IOException e) {
@@ -67,8 +72,8 @@
     }
   }
 
-  void failLater(Handler whose) {
-    handler = whose;
+  void failLater(Handler newHandler) {
+    handler = newHandler;
     reactor.post(this::closeNow);
   }
 
@@ -88,21 +93,21 @@
     return (InetSocketAddress) channel.socket().getRemoteSocketAddress();
   }
 
-  void onReady(SelectionKey ready, ByteBuffer read, byte[] bytes) {
-    if (closed || !ready.isValid()) {
+  void onReady(SelectionKey selectedKey, ByteBuffer readBuffer, byte[] bytes) {
+    if (closed || !selectedKey.isValid()) {
       return;
     }
     try {
-      if (ready.isConnectable()) {
+      if (selectedKey.isConnectable()) {
         channel.finishConnect();
         connected = true;
         updateInterest();
         handler.onOpened();
         requestFlush();
       }
-      if (!closed && ready.isValid() && ready.isReadable()) {
-        read.clear();
-        int count = channel.read(read);
+      if (!closed && selectedKey.isValid() && selectedKey.isReadable()) {
+        readBuffer.clear();
+        int count = channel.read(readBuffer);
         if (count < 0) {
           if (handler.keepsHalfOpen()) {
             readingPaused = true;
@@ -111,12 +116,12 @@
             closeNow();
           }
         } else {
-          read.flip();
-          read.get(bytes, 0, count);
+          readBuffer.flip();
+          readBuffer.get(bytes, 0, count);
           handler.onData(bytes, count);
         }
       }
-      if (!closed && ready.isValid() && ready.isWritable()) {
+      if (!closed && selectedKey.isValid() && selectedKey.isWritable()) {
         flush();
       }
     } catch (IOException e) {
@@ -128,7 +133,7 @@
     send(bytes, 0, bytes.length);
   }
 
-  public void send(byte[] bytes, int at, int length) {
+  public void send(byte[] bytes, int offset, int length) {
     if (closed || closing) {
       return;
     }
@@ -146,14 +151,17 @@
       unsentEnd -= unsentStart;
       unsentStart = 0;
     }
-    System.arraycopy(bytes, at, unsent, unsentEnd, length);
+    System.arraycopy(bytes, offset, unsent, unsentEnd, length);
     unsentEnd += length;
     requestFlush();
   }
 
-  /** Nothing more is read, as of a machine that has gone silent; or reading goes on. */
-  public void pauseReading(boolean on) {
-    readingPaused = on;
+  /**
+   * Pauses or resumes reading; a paused connection behaves like a machine that has stopped
+   * responding.
+   */
+  public void pauseReading(boolean paused) {
+    readingPaused = paused;
     updateInterest();
   }
 
@@ -200,7 +208,7 @@
     }
   }
 
-  /** Ends it once what was put has left. */
+  /** Closes the connection after all queued bytes have been sent. */
   public void closeAfterFlush() {
     if (!closed) {
       closing = true;
@@ -212,13 +220,13 @@
     }
   }
 
-  /** Ends it at once with a reset. */
+  /** Closes the connection at once with a TCP reset. */
   public void reset() {
     if (!closed) {
       try {
         channel.setOption(StandardSocketOptions.SO_LINGER, 0);
       } catch (IOException e) {
-        // it ends all the same
+        // the connection is closed in any case
       }
       closeNow();
     }
@@ -233,7 +241,7 @@
     try {
       channel.close();
     } catch (IOException e) {
-      // it is gone
+      // the channel is unusable either way
     }
     handler.onClosed();
   }
