--- a/emulator/src/main/java/gingerring/emulator/experiment/MixerProcess.java
+++ b/emulator/src/main/java/gingerring/emulator/experiment/MixerProcess.java
@@ -21,11 +21,9 @@
 import java.util.regex.Pattern;
 import java.util.stream.Collectors;
 
-/** A real mixer as a child of this process, from the same class path, configured for a world. */
+/** A real mixer as a child process on the same class path, configured for a scenario. */
 public final class MixerProcess implements AutoCloseable {
-  /**
-   * Which of a fleet a mixer is; {@code peers} is the file of its peers, or null where it has none.
-   */
+  /** The place of a mixer in a fleet; {@code peersFile} is null for a mixer without peers. */
   public record FleetMember(
       String name, int number, int fleetSize, List<String> zones, int zone, Path peersFile) {
     static final FleetMember STANDALONE = new FleetMember("emulated", 0, 1, List.of("a"), 0, null);
@@ -39,7 +37,8 @@
           "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-XX:-UsePerfData", "-Xms24m", "-Xss512k");
 
   /**
-   * The deployment's heap, in MB, and what a client's two connections may take on top of it, in KB.
+   * The heap of the deployment. {@link #HEAP_KB_PER_CLIENT} is added for each client, which may
+   * open two connections.
    */
   private static final int BASE_HEAP_MB = 64;
 
@@ -52,9 +51,9 @@
   private UnaryOperator<String> configEdit = UnaryOperator.identity();
   private InetSocketAddress address;
 
-  private MixerProcess(Process process, Path config) {
+  private MixerProcess(Process process, Path configFile) {
     this.process = process;
-    this.configFile = config;
+    this.configFile = configFile;
     Thread reader =
         new Thread(
             () -> {
@@ -64,7 +63,7 @@
                   unreadLines.offer(line);
                 }
               } catch (IOException e) {
-                unreadLines.offer("the mixer's output ended: " + e.getMessage());
+                unreadLines.offer("reading the mixer's output failed: " + e.getMessage());
               }
             },
             "mixer-log");
@@ -73,56 +72,70 @@
   }
 
   /**
-   * Starts one; {@code known} is the list it begins with, {@code record} a file to record to, or
-   * null.
+   * Starts a mixer without peers. {@code memberListJson} is its initial member list; {@code
+   * recordFile} is the capture file to write, or null.
    */
   public static MixerProcess start(
-      Scenario world, InetSocketAddress discovery, String known, Path record) throws IOException {
-    return start(world, discovery, known, record, FleetMember.STANDALONE);
+      Scenario scenario, InetSocketAddress discovery, String memberListJson, Path recordFile)
+      throws IOException {
+    return start(scenario, discovery, memberListJson, recordFile, FleetMember.STANDALONE);
   }
 
-  /** Starts one of a fleet. */
+  /** Starts a mixer of a fleet. */
   public static MixerProcess start(
-      Scenario world, InetSocketAddress discovery, String known, Path record, FleetMember member)
+      Scenario scenario,
+      InetSocketAddress discovery,
+      String memberListJson,
+      Path recordFile,
+      FleetMember member)
       throws IOException {
-    return start(world, discovery, known, record, member, UnaryOperator.identity());
+    return start(scenario, discovery, memberListJson, recordFile, member, UnaryOperator.identity());
   }
 
-  /** Starts one alone, with its configuration edited: for settings that a world does not tell. */
+  /**
+   * Starts a mixer without peers and with an edited configuration, for settings that a scenario
+   * does not contain.
+   */
   public static MixerProcess startEdited(
-      Scenario world, InetSocketAddress discovery, String known, UnaryOperator<String> edit)
+      Scenario scenario,
+      InetSocketAddress discovery,
+      String memberListJson,
+      UnaryOperator<String> configEdit)
       throws IOException {
-    return start(world, discovery, known, null, FleetMember.STANDALONE, edit);
+    return start(scenario, discovery, memberListJson, null, FleetMember.STANDALONE, configEdit);
   }
 
   private static MixerProcess start(
-      Scenario world,
+      Scenario scenario,
       InetSocketAddress discovery,
-      String known,
-      Path record,
+      String memberListJson,
+      Path recordFile,
       FleetMember member,
-      UnaryOperator<String> edit)
+      UnaryOperator<String> configEdit)
       throws IOException {
-    Path config = Files.createTempFile("gingerring-mixer", ".json");
-    Files.writeString(config, edit.apply(config(world, discovery, known, member)));
+    Path configFile = Files.createTempFile("gingerring-mixer", ".json");
+    Files.writeString(
+        configFile, configEdit.apply(config(scenario, discovery, memberListJson, member)));
     List<String> command =
         new ArrayList<>(
             List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString()));
     command.addAll(JVM_FLAGS);
     command.add(
-        "-Xmx" + (BASE_HEAP_MB + (int) ((long) world.clients() * HEAP_KB_PER_CLIENT >> 10)) + "m");
+        "-Xmx"
+            + (BASE_HEAP_MB + (int) ((long) scenario.clients() * HEAP_KB_PER_CLIENT >> 10))
+            + "m");
     command.addAll(List.of("-cp", System.getProperty("java.class.path")));
     command.addAll(
         member.peersFile() != null
             ? List.of("gingerring.peering.Main", "serve", "--peers", member.peersFile().toString())
-            : record == null
+            : recordFile == null
                 ? List.of("gingerring.Main", "serve")
-                : List.of("gingerring.cli.Gingerring", "serve", "--record", record.toString()));
+                : List.of("gingerring.cli.Gingerring", "serve", "--record", recordFile.toString()));
     ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
-    builder.environment().remove("GINGERRING_LOG"); // its lines are read here as plain ones
-    builder.environment().put("LB_CONFIG", config.toString());
-    MixerProcess mixer = new MixerProcess(builder.start(), config);
-    mixer.configEdit = edit;
+    builder.environment().remove("GINGERRING_LOG"); // the log lines are parsed here as plain text
+    builder.environment().put("LB_CONFIG", configFile.toString());
+    MixerProcess mixer = new MixerProcess(builder.start(), configFile);
+    mixer.configEdit = configEdit;
     try {
       mixer.awaitStart();
       return mixer;
@@ -133,9 +146,9 @@
   }
 
   private void awaitStart() throws IOException {
-    long until = System.currentTimeMillis() + START_TIMEOUT_MS;
+    long deadlineMs = System.currentTimeMillis() + START_TIMEOUT_MS;
     try {
-      while (System.currentTimeMillis() < until) {
+      while (System.currentTimeMillis() < deadlineMs) {
         String line = unreadLines.poll(100, TimeUnit.MILLISECONDS);
         if (line != null) {
           readLines.add(line);
@@ -162,12 +175,12 @@
     return process.pid();
   }
 
-  /** Whether it still runs. */
+  /** Returns whether the process is running. */
   public boolean isAlive() {
     return process.isAlive();
   }
 
-  /** Sends a signal by its name, as STOP or CONT. */
+  /** Sends a signal by its name, for example STOP or CONT. */
   public void signal(String name) throws IOException {
     try {
       new ProcessBuilder("kill", "-" + name, String.valueOf(process.pid()))
@@ -178,30 +191,31 @@
     }
   }
 
-  /**
-   * Has it read its configuration again (SIGHUP), which differs from before in where discovery is.
-   */
-  public void reload(Scenario world, InetSocketAddress discovery, String known) throws IOException {
+  /** Writes a configuration with a new discovery address and makes the mixer reload it (SIGHUP). */
+  public void reload(Scenario scenario, InetSocketAddress discovery, String memberListJson)
+      throws IOException {
     Files.writeString(
-        configFile, configEdit.apply(config(world, discovery, known, FleetMember.STANDALONE)));
+        configFile,
+        configEdit.apply(config(scenario, discovery, memberListJson, FleetMember.STANDALONE)));
     signal("HUP");
   }
 
   /**
-   * Asks it to end (SIGTERM), as a planned restart does, and does not wait. Its output is read on.
+   * Requests termination (SIGTERM), as a planned restart does, without waiting. The output is still
+   * read.
    */
   public void terminate() {
-    process.toHandle().destroy(); // the process's own would close its streams
+    process.toHandle().destroy(); // Process.destroy() would close the streams of the process
   }
 
-  /** The code that it ended with; null while it runs. */
+  /** Returns the exit code, or null while the process runs. */
   public Integer exitCode() {
     return process.isAlive() ? null : Integer.valueOf(process.exitValue());
   }
 
-  /** Waits for a line that matches and returns its first group; null where none comes in time. */
-  public String awaitLine(Pattern pattern, long ms) {
-    long until = System.currentTimeMillis() + ms;
+  /** Waits for a log line that matches and returns its first group, or null on timeout. */
+  public String awaitLine(Pattern pattern, long timeoutMs) {
+    long deadlineMs = System.currentTimeMillis() + timeoutMs;
     try {
       for (String line : readLines) {
         Matcher matcher = pattern.matcher(line);
@@ -209,7 +223,7 @@
           return matcher.group(1);
         }
       }
-      while (System.currentTimeMillis() < until) {
+      while (System.currentTimeMillis() < deadlineMs) {
         String line = unreadLines.poll(50, TimeUnit.MILLISECONDS);
         if (line != null) {
           readLines.add(line);
@@ -225,24 +239,24 @@
     return null;
   }
 
-  /** Kills it outright. */
+  /** Kills the process (SIGKILL). */
   public void kill() {
     process.destroyForcibly();
   }
 
-  /** CPU time used so far, in seconds; NaN where the system does not tell. */
+  /** Returns the CPU seconds used so far, or NaN if the system does not report them. */
   public double cpuSeconds() {
     return process.info().totalCpuDuration().map(cpu -> cpu.toNanos() / 1e9).orElse(Double.NaN);
   }
 
-  /** What it has logged and was not read yet. */
+  /** Returns the log lines that have not been read yet. */
   public List<String> drainLog() {
     List<String> log = new ArrayList<>();
     unreadLines.drainTo(log);
     return log;
   }
 
-  /** Ends it by the usual signal, and for good where it does not go; returns its exit code. */
+  /** Terminates the process, kills it after a timeout, and returns its exit code. */
   public int stop() {
     process.destroy();
     try {
@@ -266,11 +280,11 @@
     }
   }
 
-  /** The configuration of a mixer before this world's store, in the deployment's form. */
+  /** Returns the configuration of a mixer in front of the store of this scenario, as deployed. */
   static String config(
-      Scenario world, InetSocketAddress discovery, String known, FleetMember member) {
-    String grades =
-        world.serviceClasses().stream()
+      Scenario scenario, InetSocketAddress discovery, String memberListJson, FleetMember member) {
+    String classesJson =
+        scenario.serviceClasses().stream()
             .map(MixerProcess::serviceClassJson)
             .collect(Collectors.joining(",\n      "));
     return String.format(
@@ -294,36 +308,36 @@
         member.name(),
         discovery.getAddress().getHostAddress(),
         discovery.getPort(),
-        world.seed(),
-        known,
-        grades,
-        joinClasses(world, grade -> "0"),
-        joinClasses(world, grade -> String.valueOf(grade.minCoverage())),
-        joinClasses(world, grade -> "0.95"),
-        joinClasses(world, grade -> "1.0"),
-        world.boxes(),
-        world.replicas(),
-        world.partitions(),
+        scenario.seed(),
+        memberListJson,
+        classesJson,
+        joinClasses(scenario, serviceClass -> "0"),
+        joinClasses(scenario, serviceClass -> String.valueOf(serviceClass.minCoverage())),
+        joinClasses(scenario, serviceClass -> "0.95"),
+        joinClasses(scenario, serviceClass -> "1.0"),
+        scenario.boxes(),
+        scenario.replicas(),
+        scenario.partitions(),
         member.fleetSize(),
         member.number(),
-        millis(world.idleTimeout()),
-        world.maxTrips(),
-        world.coldCapacityShare(),
-        millis(world.drainGrace()),
-        millis(world.overloadDuration()),
-        world.overloadMultiple(),
-        millis(world.warmUp()),
+        millis(scenario.idleTimeout()),
+        scenario.maxTrips(),
+        scenario.coldCapacityShare(),
+        millis(scenario.drainGrace()),
+        millis(scenario.overloadDuration()),
+        scenario.overloadMultiple(),
+        millis(scenario.warmUp()),
         member.zone(),
         String.join("\", \"", member.zones()));
   }
 
-  private static String joinClasses(Scenario world, Function<ServiceClass, String> value) {
-    return world.serviceClasses().stream().map(value).collect(Collectors.joining(", "));
+  private static String joinClasses(Scenario scenario, Function<ServiceClass, String> toText) {
+    return scenario.serviceClasses().stream().map(toText).collect(Collectors.joining(", "));
   }
 
-  private static String serviceClassJson(ServiceClass grade) {
-    String repeats =
-        switch (grade.retrySafety()) {
+  private static String serviceClassJson(ServiceClass serviceClass) {
+    String idempotency =
+        switch (serviceClass.retrySafety()) {
           case IDEMPOTENT -> "idempotent";
           case KEYED -> "deduplicated";
           case AT_MOST_ONCE -> "at_most_once";
@@ -332,16 +346,16 @@
         Locale.ROOT,
         "{\"Name\": \"%s\", \"AimMs\": %f, \"HardLimitMs\": %f, "
             + "\"Idempotency\": \"%s\", \"LateWorth\": %f, \"WindowMs\": %f, \"Worth\": %f}",
-        grade.name(),
-        millis(grade.latencyTarget()),
-        millis(grade.deadline()),
-        repeats,
-        grade.lateValueShare(),
-        millis(grade.idempotencyWindow()),
-        grade.value());
+        serviceClass.name(),
+        millis(serviceClass.latencyTarget()),
+        millis(serviceClass.deadline()),
+        idempotency,
+        serviceClass.lateValueShare(),
+        millis(serviceClass.idempotencyWindow()),
+        serviceClass.value());
   }
 
-  private static double millis(Duration span) {
-    return span.toNanos() / 1e6;
+  private static double millis(Duration duration) {
+    return duration.toNanos() / 1e6;
   }
 }
--- a/emulator/src/main/java/gingerring/emulator/simulation/ProbeSimulation.java
+++ b/emulator/src/main/java/gingerring/emulator/simulation/ProbeSimulation.java
@@ -9,29 +9,36 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** A box that all mixers have benched, and who asks whether it is back. */
+/**
+ * Simulates a box that all mixers have ejected, and the probes by which they detect its recovery.
+ */
 public final class ProbeSimulation {
-  /** How a mixer decides that it is to probe. */
+  /** The strategy by which a mixer decides when to probe. */
   public enum Strategy {
-    /** Each for itself, after 2 s, then 4, then every 8: what a mixer does today. */
+    /**
+     * Each mixer probes independently: after 2 s, then 4 s, then every 8 s, as a mixer does today.
+     */
     ALONE,
-    /** In turns, each hearing of others' probes after a while, or not. */
+    /** The mixers take turns; each learns of the others' probes after a delay, or not at all. */
     TURNS,
-    /** At moments of its own drawn by the size of the fleet; nobody hears of others'. */
+    /**
+     * Each mixer probes at random times scaled to the fleet size and does not learn of the others'
+     * probes.
+     */
     SPREAD
   }
 
   /**
-   * {@code stopped}: the share of the mixers that are gone and that the others still count on;
-   * {@code lost}: the share of words that do not arrive; {@code back}: when the box answers again,
-   * in seconds from its bench.
+   * Parameters. {@code stoppedShare} is the share of the mixers that have stopped but are still
+   * counted as members; {@code lossShare} the share of messages that are lost; {@code
+   * recoverySeconds} the time from the ejection until the box answers again.
    */
   public record Setup(
       int mixers, double stoppedShare, double lossShare, double recoverySeconds, long seed) {}
 
   /**
-   * Probes a second until the box was back, the most in any one second, and how late the first
-   * found it back.
+   * The result: probes a second until the recovery, the most in any one second, and the seconds
+   * from the recovery to the first probe that detected it.
    */
   public record Result(double probesPerSecond, int maxInOneSecond, double detectionSeconds) {}
 
@@ -50,9 +57,9 @@
   private final List<Double> probeTimes = new ArrayList<>();
   private double detectedAt = Double.NaN;
 
-  private ProbeSimulation(Setup setup, Strategy way) {
+  private ProbeSimulation(Setup setup, Strategy strategy) {
     this.setup = setup;
-    this.strategy = way;
+    this.strategy = strategy;
     random = new SplittableRandom(setup.seed);
     for (int i = 0; i < setup.mixers; i++) {
       members.add(new MixerId(random.nextLong()));
@@ -61,37 +68,38 @@
     }
   }
 
-  public static Result run(Setup setup, Strategy way) {
-    return new ProbeSimulation(setup, way).simulate();
+  public static Result run(Setup setup, Strategy strategy) {
+    return new ProbeSimulation(setup, strategy).simulate();
   }
 
   private Result simulate() {
-    int there = (int) Math.max(1, setup.mixers * (1 - setup.stoppedShare));
-    for (int m = 0; m < there; m++) {
-      int mixer = m;
-      double benched = random.nextDouble() * 500; // each finds out by its own parts
+    int runningMixers = (int) Math.max(1, setup.mixers * (1 - setup.stoppedShare));
+    for (int index = 0; index < runningMixers; index++) {
+      int mixer = index;
+      double ejectedAt =
+          random.nextDouble() * 500; // each mixer detects the failure by its own parts
       switch (strategy) {
-        case ALONE -> scheduler.schedule(benched + EJECTION_MS[0], () -> probeAlone(mixer, 1));
-        case TURNS -> scheduler.schedule(benched, () -> scheduleTurn(mixer));
-        default -> scheduler.schedule(benched, () -> scheduleSpread(mixer, 1));
+        case ALONE -> scheduler.schedule(ejectedAt + EJECTION_MS[0], () -> probeAlone(mixer, 1));
+        case TURNS -> scheduler.schedule(ejectedAt, () -> scheduleTurn(mixer));
+        default -> scheduler.schedule(ejectedAt, () -> scheduleSpread(mixer, 1));
       }
     }
-    double end = setup.recoverySeconds * 1000;
-    while (Double.isNaN(detectedAt) && scheduler.now() < end + 600_000) {
+    double recoveryMs = setup.recoverySeconds * 1000;
+    while (Double.isNaN(detectedAt) && scheduler.now() < recoveryMs + 600_000) {
       scheduler.runUntil(scheduler.now() + 1000);
     }
     int[] bySecond = new int[(int) setup.recoverySeconds + 1];
-    long before = 0;
-    for (double at : probeTimes) {
-      if (at < end) {
-        before++;
-        bySecond[(int) (at / 1000)]++;
+    long probesBeforeRecovery = 0;
+    for (double probeTime : probeTimes) {
+      if (probeTime < recoveryMs) {
+        probesBeforeRecovery++;
+        bySecond[(int) (probeTime / 1000)]++;
       }
     }
     return new Result(
-        before / setup.recoverySeconds,
+        probesBeforeRecovery / setup.recoverySeconds,
         Arrays.stream(bySecond).max().orElse(0),
-        (detectedAt - end) / 1000);
+        (detectedAt - recoveryMs) / 1000);
   }
 
   private void probe() {
@@ -101,31 +109,34 @@
     }
   }
 
-  private void probeAlone(int mixer, int times) {
+  private void probeAlone(int mixer, int probeCount) {
     probe();
     scheduler.schedule(
-        scheduler.now() + EJECTION_MS[Math.min(times, EJECTION_MS.length - 1)],
-        () -> probeAlone(mixer, times + 1));
+        scheduler.now() + EJECTION_MS[Math.min(probeCount, EJECTION_MS.length - 1)],
+        () -> probeAlone(mixer, probeCount + 1));
   }
 
-  /** The rota of each decides; what one tells arrives after a while at the others, or is lost. */
+  /**
+   * Probes at the mixer's next turn; the claim of the turn reaches the others after a delay, or is
+   * lost.
+   */
   private void scheduleTurn(int mixer) {
-    Duration due = schedules.get(mixer).nextTurn(members, time());
+    Duration turnAt = schedules.get(mixer).nextTurn(members, time());
     scheduler.schedule(
-        due.toNanos() / 1e6,
+        turnAt.toNanos() / 1e6,
         () -> {
-          TurnSchedule rota = schedules.get(mixer);
-          if (rota.nextTurn(members, time()).compareTo(time()) <= 0) {
-            long round = rota.claimRound(time());
+          TurnSchedule schedule = schedules.get(mixer);
+          if (schedule.nextTurn(members, time()).compareTo(time()) <= 0) {
+            long round = schedule.claimRound(time());
             probe();
             for (int other = 0; other < setup.mixers; other++) {
-              int told = other;
+              int receiver = other;
               if (other != mixer && random.nextDouble() >= setup.lossShare) {
                 scheduler.schedule(
                     scheduler.now() + MESSAGE_DELAY_MS,
                     () ->
                         schedules
-                            .get(told)
+                            .get(receiver)
                             .receiveClaim(members.get(mixer), round, members, time()));
               }
             }
@@ -138,12 +149,13 @@
     return Duration.ofNanos((long) Math.ceil(scheduler.now() * 1e6));
   }
 
-  private void scheduleSpread(int mixer, long which) {
-    TurnOrder turns = new TurnOrder(members.get(mixer), Duration.ofMillis((long) ROUND_MS));
-    double length = ROUND_MS * setup.mixers;
-    double begun = scheduler.now();
+  private void scheduleSpread(int mixer, long roundNumber) {
+    TurnOrder turnOrder = new TurnOrder(members.get(mixer), Duration.ofMillis((long) ROUND_MS));
+    double roundMs = ROUND_MS * setup.mixers;
+    double startedAt = scheduler.now();
     scheduler.schedule(
-        begun + turns.randomDelay(TURN_KEY, which, setup.mixers).toMillis(), this::probe);
-    scheduler.schedule(begun + length, () -> scheduleSpread(mixer, which + 1));
+        startedAt + turnOrder.randomDelay(TURN_KEY, roundNumber, setup.mixers).toMillis(),
+        this::probe);
+    scheduler.schedule(startedAt + roundMs, () -> scheduleSpread(mixer, roundNumber + 1));
   }
 }
--- a/traffic/src/main/java/gingerring/traffic/replay/Replayer.java
+++ b/traffic/src/main/java/gingerring/traffic/replay/Replayer.java
@@ -15,16 +15,17 @@
 import java.util.Optional;
 
 /**
- * Carries a plan out against a mixer: a connection for each recorded one, a request at a time, its
- * answer read and compared. A client whose time is up closes its connection, as the protocol has
- * it, and dials again for the next. Ends once every step has had its end.
+ * Runs a plan against a mixer: one connection for each recorded one, one request at a time per
+ * connection, each response compared with the recorded one. A client whose time limit expires
+ * closes its connection, as the protocol requires, and reconnects for the next request. The run
+ * ends when every step has ended.
  */
 public final class Replayer {
-  /** What is wanted of a run. {@code retries} is null where they are sent as recorded. */
+  /** Options of a run. {@code generatedRetries} is null if retries are sent as recorded. */
   public record Options(
       InetSocketAddress mixer, double speed, Duration maxLateness, Retries generatedRetries) {}
 
-  /** What came of it. */
+  /** Result of a run. */
   public record Result(
       Comparison comparison,
       OutcomeTimeline recordedTimeline,
@@ -35,7 +36,7 @@
       int omittedScans,
       int connectionCount) {}
 
-  /** A client gives an answer this much longer than its time, for the way back. */
+  /** Added to a client's time limit before it gives up, to allow for the response's way back. */
   private static final Duration RESPONSE_GRACE = Duration.ofMillis(50);
 
   private static final Duration START_DELAY = Duration.ofMillis(100);
@@ -56,18 +57,18 @@
   private int nextStepNumber;
   private long generatedRetries;
 
-  private Replayer(ReplayPlan plan, Options wish) {
+  private Replayer(ReplayPlan plan, Options options) {
     this.plan = plan;
-    this.options = wish;
-    comparison = new Comparison(wish.maxLateness);
+    this.options = options;
+    comparison = new Comparison(options.maxLateness);
     recordingStartNanos =
         plan.steps().isEmpty() ? 0 : plan.steps().get(0).scan().requestStartNanos();
     nextStepNumber = plan.steps().size();
   }
 
-  /** Runs on the calling thread until the last answer. */
-  public static Result run(ReplayPlan plan, Options wish) {
-    return new Replayer(plan, wish).run();
+  /** Runs the plan on the calling thread until the last response. */
+  public static Result run(ReplayPlan plan, Options options) {
+    return new Replayer(plan, options).run();
   }
 
   private Result run() {
@@ -107,19 +108,19 @@
     scheduleNextSend();
   }
 
-  /** Wakes for the next step, and stops once there is nothing left to come. */
+  /** Schedules the next send, and stops the reactor when no step is left. */
   private void scheduleNextSend() {
-    Duration next = pacer.nextDueTime();
-    if (next == null) {
+    Duration nextTime = pacer.nextDueTime();
+    if (nextTime == null) {
       if (pacer.unsentSteps() == 0 && stepsInFlight.isEmpty()) {
         reactor.stop();
       }
       return;
     }
-    if (nextWakeup == null || next.compareTo(nextWakeup) < 0) {
-      nextWakeup = next;
-      Duration wait = next.minus(elapsed());
-      reactor.schedule(wait.isNegative() ? Duration.ZERO : wait, this::sendDueSteps);
+    if (nextWakeup == null || nextTime.compareTo(nextWakeup) < 0) {
+      nextWakeup = nextTime;
+      Duration delay = nextTime.minus(elapsed());
+      reactor.schedule(delay.isNegative() ? Duration.ZERO : delay, this::sendDueSteps);
     }
   }
 
@@ -128,33 +129,33 @@
     connections.computeIfAbsent(step.connection(), lane -> new ReplayConnection()).send(step);
   }
 
-  private void onStepCompleted(ReplayStep step, ScanResult outcome, Duration comeBack) {
+  private void onStepCompleted(ReplayStep step, ScanResult result, Duration retryAfter) {
     stepsInFlight.remove(step.number());
     Duration now = elapsed();
     pacer.onCompleted(step.connection(), now);
-    boolean unmet =
-        outcome.outcome() == ScanOutcome.NACKED
-            || outcome.outcome() == ScanOutcome.SCRAPPED
-            || outcome.outcome() == ScanOutcome.LEFT;
-    Optional<Duration> again =
-        options.generatedRetries == null || !unmet
+    boolean failed =
+        result.outcome() == ScanOutcome.NACKED
+            || result.outcome() == ScanOutcome.SCRAPPED
+            || result.outcome() == ScanOutcome.LEFT;
+    Optional<Duration> retryDelay =
+        options.generatedRetries == null || !failed
             ? Optional.empty()
-            : options.generatedRetries.nextDelay(step.attempt(), comeBack);
-    if (again.isPresent()) {
+            : options.generatedRetries.nextDelay(step.attempt(), retryAfter);
+    if (retryDelay.isPresent()) {
       generatedRetries++;
-      pacer.add(plan.createRetry(step, nextStepNumber++, now.plus(again.get())));
+      pacer.add(plan.createRetry(step, nextStepNumber++, now.plus(retryDelay.get())));
     } else {
-      // of retries made anew the last counts, against the last that was recorded
+      // with generated retries, the last attempt is compared with the last recorded one
       ObservedScan scan = options.generatedRetries == null ? step.scan() : step.chain().last();
-      comparison.add(scan, ScanResult.of(scan, recordingStartNanos), outcome);
+      comparison.add(scan, ScanResult.of(scan, recordingStartNanos), result);
       replayedTimeline.add(
           Duration.ofNanos(step.scan().requestStartNanos() - recordingStartNanos),
-          outcome.outcome());
+          result.outcome());
     }
     scheduleNextSend();
   }
 
-  /** One recorded connection, played again. */
+  /** Replays one recorded connection. */
   private final class ReplayConnection {
     private HttpClientConnection client;
     private ReplayStep step;
@@ -186,32 +187,33 @@
       client.send(step.requestBytes());
     }
 
-    /** Closes the connection; whatever it still says is of no request. */
+    /** Resets the connection; any later response on it is ignored. */
     private void abandonConnection() {
-      HttpClientConnection old = client;
+      HttpClientConnection abandoned = client;
       client = null;
-      if (old != null) {
-        old.connection.reset();
+      if (abandoned != null) {
+        abandoned.connection.reset();
       }
     }
 
-    void onResponse(HttpClientConnection from, ScanResponse answer, boolean last) {
-      if (from == client) {
-        if (last) {
+    void onResponse(HttpClientConnection source, ScanResponse response, boolean closes) {
+      if (source == client) {
+        if (closes) {
           client = null;
-          from.connection.closeAfterFlush();
+          source.connection.closeAfterFlush();
         }
-        complete(answer);
+        complete(response);
       }
     }
 
-    void onConnectionLost(HttpClientConnection from, boolean begun) {
-      if (from != client) {
+    void onConnectionLost(HttpClientConnection source, boolean responseStarted) {
+      if (source != client) {
         return;
       }
       client = null;
-      if (step != null && !retried && !begun) {
-        // it may have crossed the mixer's closing of an idle connection: once more on a new one
+      if (step != null && !retried && !responseStarted) {
+        // the request may have crossed the mixer's close of an idle connection: send it once more
+        // on a new connection
         retried = true;
         sendRequest();
       } else {
@@ -221,42 +223,42 @@
       }
     }
 
-    private void complete(ScanResponse answer) {
-      ReplayStep ended = step;
-      if (ended == null) {
-        return; // an answer that nobody asked for, or the end of an idle connection
+    private void complete(ScanResponse response) {
+      ReplayStep completed = step;
+      if (completed == null) {
+        return; // an unsolicited response, or the close of an idle connection
       }
       step = null;
       idleSince = elapsed();
-      double weight =
-          ended.scan().targets().stream()
-              .filter(target -> answer.valuesByPartition().containsKey(target.partition()))
+      double answeredShare =
+          completed.scan().targets().stream()
+              .filter(target -> response.valuesByPartition().containsKey(target.partition()))
               .mapToDouble(ObservedScan.Target::share)
               .sum();
       onStepCompleted(
-          ended,
+          completed,
           new ScanResult(
-              answer.outcome(),
-              answer.status(),
-              answer.valuesByPartition(),
-              weight,
+              response.outcome(),
+              response.status(),
+              response.valuesByPartition(),
+              answeredShare,
               sentAt,
               idleSince.minus(sentAt),
               sentAt.minus(readyTime),
-              readyTime.minus(ended.dueTime())),
-          answer.retryAfter());
+              readyTime.minus(completed.dueTime())),
+          response.retryAfter());
     }
   }
 
-  /** A connection of a lane, as long as it lasts. */
+  /** One TCP connection of a {@link ReplayConnection}. */
   private final class HttpClientConnection extends HttpConnectionHandler {
     private final ReplayConnection owner;
     private final ReactorConnection connection;
     private boolean requestSent;
 
-    HttpClientConnection(ReplayConnection lane) {
+    HttpClientConnection(ReplayConnection owner) {
       super(false, MAX_RESPONSE_BYTES);
-      this.owner = lane;
+      this.owner = owner;
       connection = reactor.connect(options.mixer, this);
     }
 
--- a/traffic/src/main/java/gingerring/traffic/wire/DatagramEndpoint.java
+++ b/traffic/src/main/java/gingerring/traffic/wire/DatagramEndpoint.java
@@ -7,43 +7,41 @@
 import java.nio.channels.SelectionKey;
 import java.util.function.BiConsumer;
 
-/**
- * One datagram socket of a {@link Reactor}; what cannot be sent at once is lost, as datagrams are.
- */
+/** One datagram socket of a {@link Reactor}. A datagram that cannot be sent at once is dropped. */
 public final class DatagramEndpoint {
   private static final int MAX_DATAGRAM_BYTES = 1 << 16;
 
-  /** So many a turn, so that one socket's flood does not keep the others waiting. */
+  /** Datagrams read per event, so that a flood on one socket does not delay the others. */
   private static final int MAX_READS_PER_EVENT = 64;
 
   private final DatagramChannel channel;
   private final ByteBuffer buffer = ByteBuffer.allocate(MAX_DATAGRAM_BYTES);
 
   DatagramEndpoint(
-      Reactor reactor, InetSocketAddress address, BiConsumer<InetSocketAddress, byte[]> received)
+      Reactor reactor, InetSocketAddress address, BiConsumer<InetSocketAddress, byte[]> consumer)
       throws IOException {
     channel = DatagramChannel.open();
     channel.bind(address);
     channel.configureBlocking(false);
     SelectionKey key = channel.register(reactor.selector, SelectionKey.OP_READ);
-    key.attach((Runnable) () -> read(received));
+    key.attach((Runnable) () -> read(consumer));
   }
 
-  private void read(BiConsumer<InetSocketAddress, byte[]> received) {
+  private void read(BiConsumer<InetSocketAddress, byte[]> consumer) {
     try {
       for (int i = 0; i < MAX_READS_PER_EVENT; i++) {
         buffer.clear();
-        InetSocketAddress from = (InetSocketAddress) channel.receive(buffer);
-        if (from == null) {
+        InetSocketAddress sender = (InetSocketAddress) channel.receive(buffer);
+        if (sender == null) {
           return;
         }
         buffer.flip();
         byte[] bytes = new byte[buffer.remaining()];
         buffer.get(bytes);
-        received.accept(from, bytes);
+        consumer.accept(sender, bytes);
       }
     } catch (IOException e) {
-      // a peer's port is closed, or this one is
+      // this socket or a peer's port is closed
     }
   }
 
@@ -51,11 +49,11 @@
     return (InetSocketAddress) channel.socket().getLocalSocketAddress();
   }
 
-  public void send(InetSocketAddress to, byte[] bytes) {
+  public void send(InetSocketAddress destination, byte[] bytes) {
     try {
-      channel.send(ByteBuffer.wrap(bytes), to);
+      channel.send(ByteBuffer.wrap(bytes), destination);
     } catch (IOException e) {
-      // lost
+      // dropped, as a network may drop any datagram
     }
   }
 }
--- a/traffic/src/test/java/gingerring/traffic/LayoutTest.java
+++ b/traffic/src/test/java/gingerring/traffic/LayoutTest.java
@@ -8,8 +8,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The cores of reading and replaying know no file, socket, thread or clock; the mixer's inside
- * stays its own.
+ * The logic of reading and replaying uses no files, sockets, threads or clocks, and the module uses
+ * only the mixer's parsers and its traffic listener.
  */
 class LayoutTest {
   private static final JavaClasses TRAFFIC =
@@ -18,7 +18,7 @@
           .importPackages("gingerring.traffic");
 
   @Test
-  void coresArePure() {
+  void pureCoresUseNoResources() {
     noClasses()
         .that()
         .resideInAPackage("gingerring.traffic.flow..")
@@ -42,7 +42,7 @@
   }
 
   @Test
-  void ofTheMixerOnlyItsParsersAndItsTapAreUsed() {
+  void onlyTheMixersParsersAndTrafficListenerAreUsed() {
     noClasses()
         .should()
         .dependOnClassesThat()
