--- a/traffic/src/main/java/gingerring/traffic/record/Recorder.java
+++ b/traffic/src/main/java/gingerring/traffic/record/Recorder.java
@@ -23,13 +23,16 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A mixer's tap that writes a capture. The mixer's threads only copy and queue; one thread of its
- * own forges and writes. The queue is bounded in events and in bytes: what finds it full is
- * dropped, and the hole stands in the connection's stream and as a mark in the file. A disk that
- * fails ends the recording and nothing else.
+ * Records a mixer's traffic into a capture file. The mixer's threads only copy and queue; a writer
+ * thread synthesizes the packets and writes them. The queue is bounded in events and in bytes.
+ * Events that find the queue full are dropped, which leaves a gap in the connection's stream and a
+ * drop record in the file. A disk failure ends the recording and affects nothing else.
  */
 public final class Recorder implements TrafficListener, Closeable {
-  /** When a file is ended and the next begun, and how many are kept; the eldest goes. */
+  /**
+   * The size and age at which a new file is begun, and how many files are kept; the oldest is
+   * deleted.
+   */
   public record Rotation(long maxFileBytes, Duration maxFileAge, int maxFiles) {
     public static final Rotation DEFAULT = new Rotation(256L << 20, Duration.ofHours(1), 24);
   }
@@ -62,10 +65,13 @@
   private final AtomicLong queuedBytes = new AtomicLong();
   private final AtomicLong droppedEvents = new AtomicLong();
 
-  /** Bytes dropped since the last that were queued, by connection and side. */
+  /** Bytes dropped since the last queued event, by connection and side. */
   private final Map<Long, long[]> droppedBytesByConnection = new HashMap<>();
 
-  /** Connections whose end was dropped; under the holes' lock. */
+  /**
+   * Connections whose close event was dropped. Guarded by the lock on {@code
+   * droppedBytesByConnection}.
+   */
   private final Set<Long> connectionsWithDroppedClose = new HashSet<>();
 
   private final Map<Long, PacketSynthesizer> synthesizers = new HashMap<>();
@@ -79,16 +85,16 @@
   private volatile boolean failed;
   private volatile boolean hasDrops;
 
-  /** {@code file} names the first; the next ones carry a number before its ending. */
-  public Recorder(Path file, Rotation rotation, long seed) throws IOException {
-    this(file, rotation, seed, MAX_QUEUED_EVENTS);
+  /** {@code firstFile} names the first file; later files have a number before their extension. */
+  public Recorder(Path firstFile, Rotation rotation, long seed) throws IOException {
+    this(firstFile, rotation, seed, MAX_QUEUED_EVENTS);
   }
 
-  Recorder(Path file, Rotation rotation, long seed, int events) throws IOException {
-    this.firstFile = file;
+  Recorder(Path firstFile, Rotation rotation, long seed, int maxQueuedEvents) throws IOException {
+    this.firstFile = firstFile;
     this.rotation = rotation;
     this.seed = seed;
-    queue = new ArrayBlockingQueue<>(events);
+    queue = new ArrayBlockingQueue<>(maxQueuedEvents);
     openNextFile(System.currentTimeMillis() * 1_000_000);
     writerThread = new Thread(this::writeLoop, "record");
     writerThread.setDaemon(true);
@@ -99,24 +105,24 @@
     return this;
   }
 
-  /** Events that found the queue full. */
+  /** The number of events dropped because the queue was full. */
   public long droppedEvents() {
     return droppedEvents.get();
   }
 
-  /** Events that wait to be written. */
+  /** The number of events waiting to be written. */
   int queuedEvents() {
     return queue.size();
   }
 
-  /** Connections that something is kept for. */
+  /** The number of connections with state in memory. */
   int trackedConnections() {
     synchronized (droppedBytesByConnection) {
       return Math.max(synthesizers.size(), droppedBytesByConnection.size());
     }
   }
 
-  // ---- the mixer's threads ----
+  // ---- called on the mixer's threads ----
 
   @Override
   public void onOpened(long connection, InetSocketAddress opener, InetSocketAddress listener) {
@@ -176,36 +182,40 @@
       droppedEvents.incrementAndGet();
       synchronized (droppedBytesByConnection) {
         if (event.type == EventType.CLOSED) {
-          // nothing follows that could carry the hole, or end the forge
+          // no later event could carry the dropped bytes or remove the synthesizer
           droppedBytesByConnection.remove(event.connection);
           connectionsWithDroppedClose.add(event.connection);
           hasDrops = true;
           return;
         }
-        long[] hole = droppedBytesByConnection.computeIfAbsent(event.connection, c -> new long[2]);
-        hole[event.side] += size;
+        long[] droppedBytes =
+            droppedBytesByConnection.computeIfAbsent(event.connection, c -> new long[2]);
+        droppedBytes[event.side] += size;
         if (event.droppedBytes != null) {
-          hole[0] += event.droppedBytes[0];
-          hole[1] += event.droppedBytes[1];
+          droppedBytes[0] += event.droppedBytes[0];
+          droppedBytes[1] += event.droppedBytes[1];
         }
         hasDrops = true;
       }
     }
   }
 
-  /** What was dropped of a connection before the event at hand: that event carries it along. */
+  /**
+   * Removes and returns the bytes dropped of a connection before the current event, which carries
+   * them to the writer.
+   */
   private long[] takeDroppedBytes(long connection) {
     if (!hasDrops) {
       return null;
     }
     synchronized (droppedBytesByConnection) {
-      long[] hole = droppedBytesByConnection.remove(connection);
+      long[] droppedBytes = droppedBytesByConnection.remove(connection);
       hasDrops = !droppedBytesByConnection.isEmpty() || !connectionsWithDroppedClose.isEmpty();
-      return hole;
+      return droppedBytes;
     }
   }
 
-  // ---- the writer's thread ----
+  // ---- called on the writer thread ----
 
   private void writeLoop() {
     try {
@@ -215,7 +225,7 @@
           process(event);
         }
         if (hasDrops
-            && queue.isEmpty()) { // whatever came before an end that was dropped has been taken
+            && queue.isEmpty()) { // every event queued before a dropped close has been processed
           synchronized (droppedBytesByConnection) {
             connectionsWithDroppedClose.forEach(synthesizers::remove);
             connectionsWithDroppedClose.clear();
@@ -240,60 +250,60 @@
     queuedBytes.addAndGet(event.bytes == null ? 0 : -event.bytes.length);
     rotateIfDue(event.nanos);
     if (droppedEvents.get() > reportedDrops) {
-      long many = droppedEvents.get();
-      writer.writeDropCount(event.nanos, many - reportedDrops);
-      reportedDrops = many;
+      long drops = droppedEvents.get();
+      writer.writeDropCount(event.nanos, drops - reportedDrops);
+      reportedDrops = drops;
     }
-    PacketSynthesizer.PacketConsumer into =
+    PacketSynthesizer.PacketConsumer consumer =
         (nanos, bytes, length) -> writePacket(nanos, bytes, length);
     if (event.type == EventType.OPENED) {
-      PacketSynthesizer forge =
+      PacketSynthesizer synthesizer =
           new PacketSynthesizer(event.opener, event.listener, mix(seed + event.connection));
-      synthesizers.put(event.connection, forge);
-      forge.writeHandshake(event.nanos, into);
+      synthesizers.put(event.connection, synthesizer);
+      synthesizer.writeHandshake(event.nanos, consumer);
       return;
     }
-    PacketSynthesizer forge = synthesizers.get(event.connection);
-    if (forge == null) {
+    PacketSynthesizer synthesizer = synthesizers.get(event.connection);
+    if (synthesizer == null) {
       return;
     }
     if (event.droppedBytes != null) {
-      forge.skipBytes(0, event.droppedBytes[0]);
-      forge.skipBytes(1, event.droppedBytes[1]);
+      synthesizer.skipBytes(0, event.droppedBytes[0]);
+      synthesizer.skipBytes(1, event.droppedBytes[1]);
     }
     if (event.type == EventType.DATA) {
-      forge.writeData(event.nanos, event.side, event.bytes, 0, event.bytes.length, into);
+      synthesizer.writeData(event.nanos, event.side, event.bytes, 0, event.bytes.length, consumer);
     } else {
-      forge.writeClose(event.nanos, false, event.side, into);
+      synthesizer.writeClose(event.nanos, false, event.side, consumer);
       synthesizers.remove(event.connection);
     }
   }
 
-  private void writePacket(long nanos, byte[] bytes, int length) {
+  private void writePacket(long timestampNanos, byte[] bytes, int length) {
     try {
-      writer.writePacket(nanos, bytes, 0, length, length);
+      writer.writePacket(timestampNanos, bytes, 0, length, length);
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
   }
 
-  private void rotateIfDue(long nanos) throws IOException {
+  private void rotateIfDue(long nowNanos) throws IOException {
     if (writer.bytesWritten() >= rotation.maxFileBytes
-        || nanos - fileStartNanos >= rotation.maxFileAge.toNanos()) {
+        || nowNanos - fileStartNanos >= rotation.maxFileAge.toNanos()) {
       writer.close();
-      openNextFile(nanos);
+      openNextFile(nowNanos);
       while (files.size() > rotation.maxFiles) {
         Files.deleteIfExists(files.poll());
       }
     }
   }
 
-  private void openNextFile(long nanos) throws IOException {
-    Path next = firstFile;
+  private void openNextFile(long startNanos) throws IOException {
+    Path nextFile = firstFile;
     if (nextFileNumber > 0) {
       String name = firstFile.getFileName().toString();
       int dot = name.indexOf('.');
-      next =
+      nextFile =
           firstFile.resolveSibling(
               (dot < 0 ? name : name.substring(0, dot))
                   + '-'
@@ -301,15 +311,15 @@
                   + (dot < 0 ? "" : name.substring(dot)));
     }
     nextFileNumber++;
-    writer = new CaptureWriter(next, PacketSynthesizer.LINK_TYPE_RAW);
-    files.add(next);
-    fileStartNanos = nanos;
+    writer = new CaptureWriter(nextFile, PacketSynthesizer.LINK_TYPE_RAW);
+    files.add(nextFile);
+    fileStartNanos = startNanos;
   }
 
-  private static long mix(long z) {
-    z = (z ^ z >>> 30) * 0xbf58476d1ce4e5b9L;
-    z = (z ^ z >>> 27) * 0x94d049bb133111ebL;
-    return z ^ z >>> 31;
+  private static long mix(long value) {
+    value = (value ^ value >>> 30) * 0xbf58476d1ce4e5b9L;
+    value = (value ^ value >>> 27) * 0x94d049bb133111ebL;
+    return value ^ value >>> 31;
   }
 
   @Override
@@ -317,7 +327,7 @@
     close();
   }
 
-  /** Writes what is queued and ends the file; waits some seconds at most. */
+  /** Writes the queued events and completes the file; waits a few seconds at most. */
   @Override
   public void close() {
     closing = true;
--- a/traffic/src/main/java/gingerring/traffic/replay/ScanResult.java
+++ b/traffic/src/main/java/gingerring/traffic/replay/ScanResult.java
@@ -7,8 +7,8 @@
 import java.util.Set;
 
 /**
- * What became of one scan, as far as a comparison looks. {@code late}, {@code held}: of its
- * sending.
+ * The result of one scan, as far as a comparison needs it. {@code sendLateness} and {@code
+ * holdDelay} concern the sending of a replayed scan.
  */
 public record ScanResult(
     ScanOutcome outcome,
@@ -19,15 +19,15 @@
     Duration responseTime,
     Duration sendLateness,
     Duration holdDelay) {
-  /** As the recording shows it; times from the recording's start. */
-  public static ScanResult of(ObservedScan seen, long start) {
+  /** The recorded result, with times relative to the start of the recording. */
+  public static ScanResult of(ObservedScan scan, long recordingStartNanos) {
     return new ScanResult(
-        seen.outcome(),
-        seen.status(),
-        seen.valuesByPartition(),
-        seen.answeredShare(),
-        Duration.ofNanos(seen.requestStartNanos() - start),
-        Duration.ofNanos(Math.max(0, seen.responseEndNanos() - seen.requestEndNanos())),
+        scan.outcome(),
+        scan.status(),
+        scan.valuesByPartition(),
+        scan.answeredShare(),
+        Duration.ofNanos(scan.requestStartNanos() - recordingStartNanos),
+        Duration.ofNanos(Math.max(0, scan.responseEndNanos() - scan.requestEndNanos())),
         Duration.ZERO,
         Duration.ZERO);
   }
--- a/traffic/src/main/java/gingerring/traffic/wire/HttpConnectionHandler.java
+++ b/traffic/src/main/java/gingerring/traffic/wire/HttpConnectionHandler.java
@@ -7,8 +7,8 @@
 import java.io.ByteArrayOutputStream;
 
 /**
- * Who owns a wire that carries HTTP/1.1, requests or answers: told of each message once it is
- * whole.
+ * Handles a connection that carries HTTP/1.1 requests or responses, and passes on each complete
+ * message.
  */
 public abstract class HttpConnectionHandler implements ReactorConnection.Handler {
   private static final int CHUNK_BYTES = 1 << 13;
@@ -18,15 +18,15 @@
   private MessageHead head;
   private ByteArrayOutputStream body = new ByteArrayOutputStream();
 
-  protected HttpConnectionHandler(boolean requests, int bodyMost) {
+  protected HttpConnectionHandler(boolean parsesRequests, int maxBodyBytes) {
     parser =
         new HttpParser(
-            requests,
-            bodyMost,
+            parsesRequests,
+            maxBodyBytes,
             new HttpParser.Handler() {
               @Override
-              public void onHead(MessageHead read) {
-                head = read;
+              public void onHead(MessageHead parsedHead) {
+                head = parsedHead;
               }
 
               @Override
@@ -36,13 +36,15 @@
 
               @Override
               public void onMessageEnd() throws HttpException {
-                MessageHead whole = head;
+                MessageHead messageHead = head;
                 byte[] bytes = body.toByteArray();
                 head = null;
                 body = new ByteArrayOutputStream();
-                if (requests
-                    || !whole.targetOrStatus().startsWith("1")) { // 100 Continue is no answer yet
-                  onMessage(whole, bytes);
+                if (parsesRequests
+                    || !messageHead
+                        .targetOrStatus()
+                        .startsWith("1")) { // 100 Continue is not the final response
+                  onMessage(messageHead, bytes);
                 }
               }
             });
@@ -50,10 +52,13 @@
 
   protected abstract void onMessage(MessageHead head, byte[] body) throws HttpException;
 
-  /** What came is not HTTP/1.1, or the message was refused: nothing that follows can be read. */
+  /**
+   * Called when the input is not HTTP/1.1 or {@link #onMessage} rejected a message. No later input
+   * can be parsed.
+   */
   protected abstract void onMalformed(HttpException e);
 
-  /** Whether some of a message has come, and not all of it. */
+  /** Whether a message has been received in part. */
   protected final boolean isMidMessage() {
     return parser.isMidMessage();
   }
@@ -61,10 +66,10 @@
   @Override
   public final void onData(byte[] bytes, int length) {
     try {
-      for (int at = 0; at < length; ) {
-        int count = Math.min(length - at, CHUNK_BYTES);
-        ring.put(bytes, at, count);
-        at += count;
+      for (int offset = 0; offset < length; ) {
+        int count = Math.min(length - offset, CHUNK_BYTES);
+        ring.put(bytes, offset, count);
+        offset += count;
         while (ring.size() > 0 && parser.parse(ring)) {
           // another message may follow
         }
