--- a/traffic/src/main/java/gingerring/traffic/flow/StreamReassembler.java
+++ b/traffic/src/main/java/gingerring/traffic/flow/StreamReassembler.java
@@ -37,7 +37,7 @@
    * Bytes received out of order, with their capture time and the acknowledgement number that came
    * with them.
    */
-  private record Block(byte[] bytes, long nanos, int ackNumber) {
+  private record Block(byte[] bytes, long timestampNanos, int ackNumber) {
     int length() {
       return bytes.length;
     }
@@ -263,7 +263,7 @@
       Block block = outOfOrder.pollFirstEntry().getValue();
       bufferedBytes -= block.length();
       nextOffset += block.length();
-      sink.onData(block.bytes, 0, block.length(), block.nanos, block.ackNumber);
+      sink.onData(block.bytes, 0, block.length(), block.timestampNanos, block.ackNumber);
     }
   }
 
--- a/traffic/src/main/java/gingerring/traffic/pcap/CaptureEditor.java
+++ b/traffic/src/main/java/gingerring/traffic/pcap/CaptureEditor.java
@@ -60,7 +60,7 @@
       boolean keepsOtherPackets)
       throws IOException {
     if (inputs.size() > MAX_FILES) {
-      throw new IOException("more than " + MAX_FILES + " files");
+      throw new IOException("more than " + MAX_FILES + " input files");
     }
     PriorityQueue<NextPacket> nextPackets =
         new PriorityQueue<>(
@@ -96,9 +96,9 @@
                   + next.reader.offset()
                   + ": link type "
                   + packet.linkType
-                  + " beside "
+                  + " differs from link type "
                   + linkType
-                  + ": one file holds one");
+                  + " of the output: a file has one link type");
         }
         boolean holdsSegment = decoder.decode(packet, segment);
         if (packetFilter.test(packet)
--- a/traffic/src/main/java/gingerring/traffic/pcap/CaptureReader.java
+++ b/traffic/src/main/java/gingerring/traffic/pcap/CaptureReader.java
@@ -76,8 +76,8 @@
           fileName,
           limit,
           endState != EndState.GOING
-              ? "it cannot be unpacked"
-              : limit == 0 ? "the file is empty" : "too short for a capture file");
+              ? "the file cannot be decompressed"
+              : limit == 0 ? "the file is empty" : "the file is too short for a capture file");
     }
     int magic = u32BigEndian(position);
     if (magic == SECTION_HEADER_BLOCK) {
@@ -91,7 +91,7 @@
         throw new UnreadableCaptureException(fileName, 0, "neither pcap nor pcapng");
       }
       if (!ensureBuffered(24)) {
-        throw new UnreadableCaptureException(fileName, limit, "the file ends in its header");
+        throw new UnreadableCaptureException(fileName, limit, "the file ends inside its header");
       }
       nanosecondFractions = normalizedMagic == PCAP_NANOS_MAGIC;
       linkType = u32(position + 20) & 0xFFFF;
@@ -173,17 +173,17 @@
 
   private boolean readPcapRecord(Packet packet) {
     if (!ensureBuffered(16)) {
-      return endAs(EndState.CUT, "the file ends in a packet's header");
+      return endAs(EndState.CUT, "the file ends inside a packet header");
     }
     long seconds = u32(position) & 0xFFFFFFFFL;
     long fraction = u32(position + 4) & 0xFFFFFFFFL;
     int length = u32(position + 8);
     int originalLength = u32(position + 12);
     if (length < 0 || length > MAX_PACKET_BYTES) {
-      return endAs(EndState.BROKEN, "a packet of " + (length & 0xFFFFFFFFL) + " bytes");
+      return endAs(EndState.BROKEN, "packet length " + (length & 0xFFFFFFFFL) + " is out of range");
     }
     if (!ensureBuffered(16 + length)) {
-      return endAs(EndState.CUT, "the file ends in a packet");
+      return endAs(EndState.CUT, "the file ends inside a packet");
     }
     packet.timestampNanos = seconds * 1_000_000_000L + fraction * (nanosecondFractions ? 1 : 1000);
     packet.linkType = linkType;
@@ -202,14 +202,14 @@
   /** Reads one pcapng block. Returns false if the block holds no packet. */
   private boolean readBlock(Packet packet) {
     if (!ensureBuffered(12)) {
-      return endAs(EndState.CUT, "the file ends in a block's header");
+      return endAs(EndState.CUT, "the file ends inside a block header");
     }
     int type = u32BigEndian(position);
     if (type == SECTION_HEADER_BLOCK) {
       int byteOrderMagic = u32BigEndian(position + 8);
       if (byteOrderMagic != BYTE_ORDER_MAGIC
           && byteOrderMagic != Integer.reverseBytes(BYTE_ORDER_MAGIC)) {
-        return endAs(EndState.BROKEN, "a section of no byte order");
+        return endAs(EndState.BROKEN, "section header without a valid byte-order magic");
       }
       littleEndian = byteOrderMagic != BYTE_ORDER_MAGIC;
       interfaces = new ArrayList<>();
@@ -217,13 +217,13 @@
     type = u32(position);
     int length = u32(position + 4);
     if (length < 12 || length % 4 != 0 || length > MAX_BLOCK_BYTES) {
-      return endAs(EndState.BROKEN, "a block of " + (length & 0xFFFFFFFFL) + " bytes");
+      return endAs(EndState.BROKEN, "block length " + (length & 0xFFFFFFFFL) + " is invalid");
     }
     if (!ensureBuffered(length)) {
-      return endAs(EndState.CUT, "the file ends in a block");
+      return endAs(EndState.CUT, "the file ends inside a block");
     }
     if (u32(position + length - 4) != length) {
-      return endAs(EndState.BROKEN, "a block whose two lengths differ");
+      return endAs(EndState.BROKEN, "the two length fields of a block differ");
     }
     int bodyOffset = position + 8;
     int bodyLength = length - 12;
@@ -239,7 +239,8 @@
 
   private boolean readInterfaceBlock(int bodyOffset, int bodyLength) {
     if (bodyLength < 8 || interfaces.size() == MAX_INTERFACES) {
-      return endAs(EndState.BROKEN, "an interface that cannot be");
+      return endAs(
+          EndState.BROKEN, "interface block is too short, or there are too many interfaces");
     }
     long unitsPerSecond = 1_000_000;
     long offsetSeconds = 0;
@@ -253,7 +254,7 @@
         int resolution = buffer[option + 4];
         int power = resolution & 0x7F;
         if (resolution < 0 ? power > 62 : power > 18) {
-          return endAs(EndState.BROKEN, "an interface whose times count in no known unit");
+          return endAs(EndState.BROKEN, "interface with an unsupported timestamp resolution");
         }
         unitsPerSecond = resolution < 0 ? 1L << power : powerOfTen(power);
       } else if (code == 14 && size >= 8) {
@@ -268,15 +269,15 @@
 
   private boolean readPacketBlock(Packet packet, int type, int bodyOffset, int bodyLength) {
     if (bodyLength < 20) {
-      return endAs(EndState.BROKEN, "a packet's block too short for one");
+      return endAs(EndState.BROKEN, "packet block is too short");
     }
     int interfaceId = type == 2 ? u16(bodyOffset) : u32(bodyOffset);
     int length = u32(bodyOffset + 12);
     if (interfaceId < 0 || interfaceId >= interfaces.size()) {
-      return endAs(EndState.BROKEN, "a packet of an interface that is not described");
+      return endAs(EndState.BROKEN, "packet of an interface without a description");
     }
     if (length < 0 || length > bodyLength - 20) {
-      return endAs(EndState.BROKEN, "a packet longer than its block");
+      return endAs(EndState.BROKEN, "packet is longer than its block");
     }
     Interface source = interfaces.get(interfaceId);
     long timestamp = (u32(bodyOffset + 4) & 0xFFFFFFFFL) << 32 | u32(bodyOffset + 8) & 0xFFFFFFFFL;
@@ -296,7 +297,7 @@
    */
   private boolean readSimplePacketBlock(Packet packet, int bodyOffset, int bodyLength) {
     if (interfaces.isEmpty() || bodyLength < 4) {
-      return endAs(EndState.BROKEN, "a packet of an interface that is not described");
+      return endAs(EndState.BROKEN, "packet of an interface without a description");
     }
     int originalLength = u32(bodyOffset);
     int snapLength = interfaces.get(0).snapLength;
@@ -364,9 +365,9 @@
       }
       return true;
     } catch (EOFException e) {
-      endAs(EndState.CUT, "the compressed file ends early");
+      endAs(EndState.CUT, "the compressed data ends early");
     } catch (IOException e) {
-      endAs(EndState.CUT, "the file cannot be read on: " + e.getMessage());
+      endAs(EndState.CUT, "the file cannot be read further: " + e.getMessage());
     }
     return false;
   }
--- a/traffic/src/main/java/gingerring/traffic/pcap/NetworkFilter.java
+++ b/traffic/src/main/java/gingerring/traffic/pcap/NetworkFilter.java
@@ -39,7 +39,7 @@
           ipv6Networks.add(address.toIPv6());
         }
       } catch (AddressStringException e) {
-        throw new IllegalArgumentException("no network: " + network);
+        throw new IllegalArgumentException("not a network address: " + network);
       }
     }
   }
--- a/traffic/src/main/java/gingerring/traffic/record/Recorder.java
+++ b/traffic/src/main/java/gingerring/traffic/record/Recorder.java
@@ -51,7 +51,7 @@
   private record Event(
       EventType type,
       long connection,
-      long nanos,
+      long timestampNanos,
       InetSocketAddress opener,
       InetSocketAddress listener,
       int side,
@@ -248,10 +248,10 @@
 
   private void process(Event event) throws IOException {
     queuedBytes.addAndGet(event.bytes == null ? 0 : -event.bytes.length);
-    rotateIfDue(event.nanos);
+    rotateIfDue(event.timestampNanos);
     if (droppedEvents.get() > reportedDrops) {
       long drops = droppedEvents.get();
-      writer.writeDropCount(event.nanos, drops - reportedDrops);
+      writer.writeDropCount(event.timestampNanos, drops - reportedDrops);
       reportedDrops = drops;
     }
     PacketSynthesizer.PacketConsumer consumer =
@@ -260,7 +260,7 @@
       PacketSynthesizer synthesizer =
           new PacketSynthesizer(event.opener, event.listener, mix(seed + event.connection));
       synthesizers.put(event.connection, synthesizer);
-      synthesizer.writeHandshake(event.nanos, consumer);
+      synthesizer.writeHandshake(event.timestampNanos, consumer);
       return;
     }
     PacketSynthesizer synthesizer = synthesizers.get(event.connection);
@@ -272,9 +272,10 @@
       synthesizer.skipBytes(1, event.droppedBytes[1]);
     }
     if (event.type == EventType.DATA) {
-      synthesizer.writeData(event.nanos, event.side, event.bytes, 0, event.bytes.length, consumer);
+      synthesizer.writeData(
+          event.timestampNanos, event.side, event.bytes, 0, event.bytes.length, consumer);
     } else {
-      synthesizer.writeClose(event.nanos, false, event.side, consumer);
+      synthesizer.writeClose(event.timestampNanos, false, event.side, consumer);
       synthesizers.remove(event.connection);
     }
   }
--- a/traffic/src/main/java/gingerring/traffic/replay/Pacer.java
+++ b/traffic/src/main/java/gingerring/traffic/replay/Pacer.java
@@ -48,7 +48,8 @@
   private final List<Boolean> busyConnections = new ArrayList<>();
   private final PriorityQueue<ReadyStep> ready =
       new PriorityQueue<>(
-          Comparator.comparing(ReadyStep::readyTime).thenComparing(each -> each.step.number()));
+          Comparator.comparing(ReadyStep::readyTime)
+              .thenComparing(readyStep -> readyStep.step.number()));
   private final Histogram latenessMicros = new Histogram(MAX_TRACKED_MICROS, 3);
   private final Histogram holdDelayMicros = new Histogram(MAX_TRACKED_MICROS, 3);
   private long sent;
@@ -89,7 +90,7 @@
       queue.addAll(later);
     }
     if (!busyConnections.get(step.connection()) && queue.peekFirst() == step) {
-      ready.removeIf(each -> each.step.connection() == step.connection());
+      ready.removeIf(readyStep -> readyStep.step.connection() == step.connection());
       ready.add(new ReadyStep(step.dueTime(), step));
     }
   }
--- a/traffic/src/main/java/gingerring/traffic/replay/ReplayPlan.java
+++ b/traffic/src/main/java/gingerring/traffic/replay/ReplayPlan.java
@@ -37,10 +37,11 @@
    */
   public ReplayPlan(List<ObservedScan> scans, double speed, boolean regeneratesRetries) {
     if (!(speed > 0)) {
-      throw new IllegalArgumentException("the pace has to be above 0: " + speed);
+      throw new IllegalArgumentException("the replay speed must be above 0: " + speed);
     }
     if (scans.size() > MAX_SCANS) {
-      throw new IllegalArgumentException("more than " + MAX_SCANS + " scans: cut the recording");
+      throw new IllegalArgumentException(
+          "more than " + MAX_SCANS + " scans; cut the recording first");
     }
     chains = Retries.findChains(scans, RETRY_WINDOW);
     marksRetries = scans.stream().anyMatch(ObservedScan::resent);
--- a/traffic/src/main/java/gingerring/traffic/replay/Replayer.java
+++ b/traffic/src/main/java/gingerring/traffic/replay/Replayer.java
@@ -126,7 +126,7 @@
 
   private void send(ReplayStep step) {
     stepsInFlight.put(step.number(), step);
-    connections.computeIfAbsent(step.connection(), lane -> new ReplayConnection()).send(step);
+    connections.computeIfAbsent(step.connection(), number -> new ReplayConnection()).send(step);
   }
 
   private void onStepCompleted(ReplayStep step, ScanResult result, Duration retryAfter) {
--- a/traffic/src/main/java/gingerring/traffic/replay/Retries.java
+++ b/traffic/src/main/java/gingerring/traffic/replay/Retries.java
@@ -31,7 +31,7 @@
           || !(backoffFactor >= 1)
           || !(jitter >= 0 && jitter <= 1)) {
         throw new IllegalArgumentException(
-            "retries: most and pause from 0, factor from 1, spread 0 to 1 are needed");
+            "retry policy needs maxRetries >= 0, initialDelay >= 0, backoffFactor >= 1, 0 <= jitter <= 1");
       }
     }
   }
--- a/traffic/src/main/java/gingerring/traffic/scan/HttpDecoder.java
+++ b/traffic/src/main/java/gingerring/traffic/scan/HttpDecoder.java
@@ -46,7 +46,7 @@
   private final int clientSide;
   private final MessageStream[] streams = new MessageStream[2];
   private final HttpMessage.MessageExtent extent = new HttpMessage.MessageExtent();
-  private final Deque<ScanExchange> pending = new ArrayDeque<>();
+  private final Deque<ScanExchange> pendingRequests = new ArrayDeque<>();
   private final Deque<TimedResponse> earlyResponses = new ArrayDeque<>();
 
   /**
@@ -124,7 +124,7 @@
       inMessage = false;
     }
 
-    void skipTo(long missingBytes) {
+    void skipGap(long missingBytes) {
       discardMessage();
       streamOffset += missingBytes;
       resynchronizing = true;
@@ -257,7 +257,7 @@
         if (!requests) {
           failPending(messageStartOffset, streamOffset, "its answer is not HTTP/1.1");
         }
-        skipTo(0);
+        skipGap(0);
         return true;
       }
     }
@@ -319,21 +319,22 @@
       earlyResponses.poll();
       reader.count("answers whose request was not captured");
     }
-    if (pending.isEmpty() && !earlyResponses.isEmpty()) {
+    if (pendingRequests.isEmpty() && !earlyResponses.isEmpty()) {
       TimedResponse response = earlyResponses.poll();
       deliver(exchange.completeWith(response.message, response.lastByteNanos));
       return;
     }
-    pending.add(exchange);
-    if (pending.size() > MAX_PENDING_REQUESTS) {
+    pendingRequests.add(exchange);
+    if (pendingRequests.size() > MAX_PENDING_REQUESTS) {
       reader.count("requests pushed out by newer ones");
-      deliver(pending.poll().markIncomplete("too many requests without answers"));
+      deliver(pendingRequests.poll().markIncomplete("too many requests without answers"));
     }
   }
 
   private void onResponse(TimedResponse response) {
-    if (!pending.isEmpty() && pending.peek().acknowledgedResponseBytes <= response.startOffset) {
-      deliver(pending.poll().completeWith(response.message, response.lastByteNanos));
+    if (!pendingRequests.isEmpty()
+        && pendingRequests.peek().acknowledgedResponseBytes <= response.startOffset) {
+      deliver(pendingRequests.poll().completeWith(response.message, response.lastByteNanos));
       return;
     }
     earlyResponses.add(response);
@@ -354,7 +355,7 @@
     MessageStream stream = streams[side];
     boolean wasMidMessage = stream.inMessage;
     long rangeStart = wasMidMessage ? stream.messageStartOffset : stream.streamOffset;
-    stream.skipTo(missingBytes);
+    stream.skipGap(missingBytes);
     if (side != clientSide) {
       failPending(rangeStart, stream.streamOffset, RESPONSE_NOT_CAPTURED);
     } else if (wasMidMessage) {
@@ -367,8 +368,9 @@
    * incomplete.
    */
   private void failPending(long rangeStart, long rangeEnd, String problem) {
-    while (!pending.isEmpty() && pending.peek().acknowledgedResponseBytes < rangeEnd) {
-      deliver(pending.poll().markIncomplete(problem));
+    while (!pendingRequests.isEmpty()
+        && pendingRequests.peek().acknowledgedResponseBytes < rangeEnd) {
+      deliver(pendingRequests.poll().markIncomplete(problem));
     }
   }
 
@@ -410,11 +412,11 @@
           case END_OF_FILE -> "the file ends before its answer";
           default -> "its connection was lost sight of before its answer";
         };
-    while (!pending.isEmpty()) {
+    while (!pendingRequests.isEmpty()) {
       deliver(
           closeObserved
-              ? pending.poll().markClientLeft(timestampNanos)
-              : pending.poll().markIncomplete(problem));
+              ? pendingRequests.poll().markClientLeft(timestampNanos)
+              : pendingRequests.poll().markIncomplete(problem));
     }
     MessageStream stream = streams[clientSide];
     if (stream.inMessage) {
--- a/traffic/src/main/java/gingerring/traffic/scan/HttpMessage.java
+++ b/traffic/src/main/java/gingerring/traffic/scan/HttpMessage.java
@@ -57,17 +57,17 @@
 
   /** A message read by the full parser. */
   static HttpMessage fromParsed(MessageHead head, byte[] body) {
-    ByteArrayOutputStream out = new ByteArrayOutputStream();
+    ByteArrayOutputStream message = new ByteArrayOutputStream();
     StringBuilder text =
         new StringBuilder(head.methodOrVersion()).append(' ').append(head.targetOrStatus());
     text.append(head.versionOrReason().isEmpty() ? "" : " " + head.versionOrReason())
         .append("\r\n");
     head.headers()
         .forEach((name, value) -> text.append(name).append(": ").append(value).append("\r\n"));
-    out.writeBytes(text.append("\r\n").toString().getBytes(StandardCharsets.ISO_8859_1));
-    int bodyOffset = out.size();
-    out.writeBytes(body);
-    return new HttpMessage(out.toByteArray(), bodyOffset);
+    message.writeBytes(text.append("\r\n").toString().getBytes(StandardCharsets.ISO_8859_1));
+    int bodyOffset = message.size();
+    message.writeBytes(body);
+    return new HttpMessage(message.toByteArray(), bodyOffset);
   }
 
   /** Where a message found by the fast parser ends, and where its body begins. */
--- a/traffic/src/main/java/gingerring/traffic/scan/ScanExchange.java
+++ b/traffic/src/main/java/gingerring/traffic/scan/ScanExchange.java
@@ -187,9 +187,9 @@
               }
             });
     text.append("content-length: ").append(body.length).append("\r\n\r\n");
-    ByteArrayOutputStream out = new ByteArrayOutputStream(text.length() + body.length);
-    out.writeBytes(text.toString().getBytes(StandardCharsets.ISO_8859_1));
-    out.writeBytes(body);
-    return out.toByteArray();
+    ByteArrayOutputStream message = new ByteArrayOutputStream(text.length() + body.length);
+    message.writeBytes(text.toString().getBytes(StandardCharsets.ISO_8859_1));
+    message.writeBytes(body);
+    return message.toByteArray();
   }
 }
--- a/traffic/src/main/java/gingerring/traffic/scan/ScanReader.java
+++ b/traffic/src/main/java/gingerring/traffic/scan/ScanReader.java
@@ -54,7 +54,7 @@
         public void onEndOfStream(int side, long timestampNanos) {}
 
         @Override
-        public void onClosed(Flow.CloseReason how, long nanos) {}
+        public void onClosed(Flow.CloseReason reason, long timestampNanos) {}
       };
 
   private static final Pattern REQUEST_START = Pattern.compile("(?s)[A-Z]{3,7} .*");
--- a/traffic/src/main/java/gingerring/traffic/wire/Reactor.java
+++ b/traffic/src/main/java/gingerring/traffic/wire/Reactor.java
@@ -157,7 +157,7 @@
         connection.register(handlerFactory.apply(connection), true);
       }
     } catch (IOException e) {
-      LOG.warn("a connection could not be taken: {}", e.toString());
+      LOG.warn("cannot accept a connection: {}", e.toString());
     }
   }
 
@@ -239,7 +239,7 @@
       task.run();
     } catch (RuntimeException | Error e) {
       failureCount++;
-      LOG.error("an event failed", e);
+      LOG.error("event handler failed", e);
     }
   }
 
@@ -250,7 +250,7 @@
       try {
         key.channel().close();
       } catch (IOException e) {
-        LOG.debug("closing: {}", e.toString());
+        LOG.debug("closing a channel failed: {}", e.toString());
       }
     }
     try {
--- a/traffic/src/test/java/gingerring/traffic/flow/ReassemblyLimitsTest.java
+++ b/traffic/src/test/java/gingerring/traffic/flow/ReassemblyLimitsTest.java
@@ -25,7 +25,13 @@
 
     @Override
     public void onData(
-        Flow flow, int side, long nanos, long taken, byte[] bytes, int at, int length) {
+        Flow flow,
+        int side,
+        long nanos,
+        long acknowledgedPeerBytes,
+        byte[] bytes,
+        int offset,
+        int length) {
       this.deliveredBytes += length;
     }
 
@@ -38,34 +44,34 @@
     public void onEndOfStream(Flow flow, int side, long nanos) {}
 
     @Override
-    public void onFlowClosed(Flow flow, Flow.CloseReason how, long nanos) {
+    public void onFlowClosed(Flow flow, Flow.CloseReason reason, long nanos) {
       openFlows--;
-      closedFlows.add(flow.number + " " + how);
+      closedFlows.add(flow.number + " " + reason);
     }
   }
 
   private static Segment segment(int port, int sequence, int flags, int length, long ms) {
-    Segment s = new Segment();
-    s.timestampNanos = ms * 1_000_000;
-    s.sourceLow = 1;
-    s.destinationLow = 2;
-    s.sourcePort = port;
-    s.destinationPort = 80;
-    s.sequenceNumber = sequence;
-    s.flags = flags;
-    s.buffer = new byte[length];
-    s.payloadLength = length;
-    return s;
+    Segment segment = new Segment();
+    segment.timestampNanos = ms * 1_000_000;
+    segment.sourceLow = 1;
+    segment.destinationLow = 2;
+    segment.sourcePort = port;
+    segment.destinationPort = 80;
+    segment.sequenceNumber = sequence;
+    segment.flags = flags;
+    segment.buffer = new byte[length];
+    segment.payloadLength = length;
+    return segment;
   }
 
   private static Segment synAck(int port) {
-    Segment s = segment(port, 900, Segment.SYN | Segment.ACK, 0, 0);
-    s.sourceLow = 2;
-    s.destinationLow = 1;
-    s.sourcePort = 80;
-    s.destinationPort = port;
-    s.ackNumber = 101;
-    return s;
+    Segment segment = segment(port, 900, Segment.SYN | Segment.ACK, 0, 0);
+    segment.sourceLow = 2;
+    segment.destinationLow = 1;
+    segment.sourcePort = 80;
+    segment.destinationPort = port;
+    segment.ackNumber = 101;
+    return segment;
   }
 
   @Test
@@ -148,10 +154,10 @@
     table.process(segment(1, 100, Segment.SYN, 0, 0));
     table.process(synAck(1));
     for (String text : List.of("bcd", "xcde", "a")) {
-      Segment s = segment(1, text.equals("a") ? 101 : 102, 0, 0, 1);
-      s.buffer = text.getBytes();
-      s.payloadLength = s.buffer.length;
-      table.process(s);
+      Segment segment = segment(1, text.equals("a") ? 101 : 102, 0, 0, 1);
+      segment.buffer = text.getBytes();
+      segment.payloadLength = segment.buffer.length;
+      table.process(segment);
     }
     assertEquals("abcde", String.join("", delivered));
     assertEquals(1L, table.counts().get("segments that contradict what came before"));
--- a/traffic/src/test/java/gingerring/traffic/pcap/CaptureFormatTest.java
+++ b/traffic/src/test/java/gingerring/traffic/pcap/CaptureFormatTest.java
@@ -57,9 +57,9 @@
   @Test
   void recordsDropsInTheFile() throws Exception {
     Path file = folder.resolve("d.pcapng");
-    try (CaptureWriter out = new CaptureWriter(file, 101)) {
-      out.writeDropCount(Conversations.START, 7);
-      out.writeDropCount(Conversations.START, 5);
+    try (CaptureWriter writer = new CaptureWriter(file, 101)) {
+      writer.writeDropCount(Conversations.START, 7);
+      writer.writeDropCount(Conversations.START, 5);
     }
     assertEquals(
         12,
--- a/traffic/src/test/java/gingerring/traffic/record/RecorderTest.java
+++ b/traffic/src/test/java/gingerring/traffic/record/RecorderTest.java
@@ -165,7 +165,7 @@
       }
     }
     try (var files = Files.list(folder)) {
-      List<String> names = files.map(each -> each.getFileName().toString()).sorted().toList();
+      List<String> names = files.map(path -> path.getFileName().toString()).sorted().toList();
       assertTrue(
           names.size() <= 4 && names.stream().noneMatch(name -> name.endsWith(".part")),
           names.toString());
@@ -177,17 +177,17 @@
   @Test
   void cutAndMergeKeepTheSelectedPackets() throws Exception {
     Path file = record(4, 5);
-    Path one = folder.resolve("one.pcap");
+    Path selected = folder.resolve("one.pcap");
     Path rest = folder.resolve("rest.pcap");
-    Path all = folder.resolve("all.pcap.gz");
+    Path merged = folder.resolve("all.pcap.gz");
     CaptureEditor.cut(
         file,
-        one,
+        selected,
         0,
         Long.MAX_VALUE,
         new NetworkFilter(List.of("127.0.0.0/8"), List.of(4002)),
         false);
-    assertEquals(5, readScans(one).size());
+    assertEquals(5, readScans(selected).size());
     CaptureEditor.cut(
         file,
         rest,
@@ -195,11 +195,16 @@
         Long.MAX_VALUE,
         new NetworkFilter(List.of(), List.of(4001, 4003, 4004)),
         false);
-    CaptureEditor.merge(List.of(rest, one), all);
-    assertEquals(20, readScans(all).size());
+    CaptureEditor.merge(List.of(rest, selected), merged);
+    assertEquals(20, readScans(merged).size());
     CaptureEditor.cut(
-        file, one, 0, Long.MAX_VALUE, new NetworkFilter(List.of("10.0.0.0/8"), List.of()), false);
-    assertEquals(0, readScans(one).size());
+        file,
+        selected,
+        0,
+        Long.MAX_VALUE,
+        new NetworkFilter(List.of("10.0.0.0/8"), List.of()),
+        false);
+    assertEquals(0, readScans(selected).size());
   }
 
   @Test
--- a/traffic/src/test/java/gingerring/traffic/replay/PacerTest.java
+++ b/traffic/src/test/java/gingerring/traffic/replay/PacerTest.java
@@ -22,8 +22,8 @@
  * step before it has ended.
  */
 class PacerTest {
-  private static ReplayStep step(int number, int lane, long dueMs) {
-    return new ReplayStep(number, lane, Duration.ofMillis(dueMs), null, null, 0, new byte[0]);
+  private static ReplayStep step(int number, int connection, long dueMs) {
+    return new ReplayStep(number, connection, Duration.ofMillis(dueMs), null, null, 0, new byte[0]);
   }
 
   @Property(tries = 500, seed = "7")
@@ -44,9 +44,10 @@
     Map<Integer, Long> expected = new TreeMap<>();
     Map<Integer, Long> freeAt = new HashMap<>();
     for (ReplayStep step : steps) {
-      long at = Math.max(step.dueTime().toMillis(), freeAt.getOrDefault(step.connection(), 0L));
-      expected.put(step.number(), at);
-      freeAt.put(step.connection(), at + durations.get(step.number()));
+      long sendMillis =
+          Math.max(step.dueTime().toMillis(), freeAt.getOrDefault(step.connection(), 0L));
+      expected.put(step.number(), sendMillis);
+      freeAt.put(step.connection(), sendMillis + durations.get(step.number()));
     }
     // the pacer, driven from event to event
     Map<Integer, Long> sent = new TreeMap<>();
@@ -71,16 +72,16 @@
       now[0] = Math.max(now[0], next);
       List<Integer> ended = ends.remove(now[0]);
       if (ended != null) {
-        ended.forEach(lane -> pacer.onCompleted(lane, Duration.ofMillis(now[0])));
+        ended.forEach(connection -> pacer.onCompleted(connection, Duration.ofMillis(now[0])));
       }
       pacer.sendDueSteps(Duration.ofMillis(now[0]));
     }
     assertEquals(expected, sent);
     assertEquals(0, pacer.unsentSteps());
     assertTrue(pacer.report().valid());
-    long held =
+    long heldSteps =
         steps.stream().filter(s -> sent.get(s.number()) - s.dueTime().toMillis() > 1).count();
-    assertEquals(held, pacer.report().heldSteps());
+    assertEquals(heldSteps, pacer.report().heldSteps());
   }
 
   /** Guards against a slow replay tool being mistaken for a slow mixer. */
--- a/traffic/src/test/java/gingerring/traffic/replay/RetriesTest.java
+++ b/traffic/src/test/java/gingerring/traffic/replay/RetriesTest.java
@@ -84,7 +84,7 @@
   void findsTheChainsThatTheReferenceModelFinds(@ForAll long seed) {
     SplittableRandom random = new SplittableRandom(seed);
     List<ObservedScan> scans = new ArrayList<>();
-    long at = 0;
+    long requestMillis = 0;
     ScanOutcome[] outcomes = {
       ScanOutcome.WHOLE,
       ScanOutcome.NACKED,
@@ -93,12 +93,12 @@
       ScanOutcome.INCOMPLETE
     };
     for (int i = 0; i < 40; i++) {
-      at += 1 + random.nextInt(400);
+      requestMillis += 1 + random.nextInt(400);
       scans.add(
           observedScan(
               i,
               random.nextInt(5),
-              at,
+              requestMillis,
               7 * i % 300 + random.nextInt(2) * 1000,
               "t" + random.nextInt(4),
               null,
--- a/traffic/src/test/java/gingerring/traffic/scan/StreamReassemblyTest.java
+++ b/traffic/src/test/java/gingerring/traffic/scan/StreamReassemblyTest.java
@@ -59,24 +59,24 @@
 
   private static List<TimedPacket> reordered(
       List<TimedPacket> packets, SplittableRandom random, int window) {
-    List<TimedPacket> out = new ArrayList<>();
+    List<TimedPacket> reorderedPackets = new ArrayList<>();
     for (TimedPacket packet : packets) {
       List<TimedPacket> parts = random.nextInt(3) == 0 ? split(packet, random) : List.of(packet);
       for (TimedPacket part : parts) {
-        out.add(part);
+        reorderedPackets.add(part);
         if (random.nextInt(5) == 0) {
-          out.add(part);
+          reorderedPackets.add(part);
         }
       }
     }
     // each packet moves by less than the window
-    for (int i = 0; i + 1 < out.size(); i++) {
-      int other = Math.min(out.size() - 1, i + random.nextInt(window));
-      TimedPacket moved = out.get(i);
-      out.set(i, out.get(other));
-      out.set(other, moved);
+    for (int i = 0; i + 1 < reorderedPackets.size(); i++) {
+      int other = Math.min(reorderedPackets.size() - 1, i + random.nextInt(window));
+      TimedPacket moved = reorderedPackets.get(i);
+      reorderedPackets.set(i, reorderedPackets.get(other));
+      reorderedPackets.set(other, moved);
     }
-    return out;
+    return reorderedPackets;
   }
 
   @Property(tries = 300, seed = "7")
