--- a/lease/src/test/java/gingerring/lease/LeaseTest.java
+++ b/lease/src/test/java/gingerring/lease/LeaseTest.java
@@ -248,8 +248,8 @@
               + " moved, minimum "
               + leaseCounts[0]);
     }
-    Set<MixerId> members3 = Set.of(new MixerId(1), new MixerId(2), new MixerId(3));
-    assertEquals(members3, new HashSet<>(CandidateRanking.top(LEASE, members3, 5)));
+    Set<MixerId> allMembers = Set.of(new MixerId(1), new MixerId(2), new MixerId(3));
+    assertEquals(allMembers, new HashSet<>(CandidateRanking.top(LEASE, allMembers, 5)));
   }
 
   @Test
--- a/lease/src/test/java/gingerring/lease/MessageMutationTest.java
+++ b/lease/src/test/java/gingerring/lease/MessageMutationTest.java
@@ -56,20 +56,20 @@
     List<Envelope> apply(Envelope envelope, MixerId to);
   }
 
-  private static Object mapValue(Object node, int[] remainingIndex, UnaryOperator<Object> change) {
-    if (node instanceof Long || node instanceof Duration || node instanceof LeaseName) {
-      return remainingIndex[0]-- == 0 ? change.apply(node) : node;
+  private static Object mapValue(Object value, int[] remainingIndex, UnaryOperator<Object> change) {
+    if (value instanceof Long || value instanceof Duration || value instanceof LeaseName) {
+      return remainingIndex[0]-- == 0 ? change.apply(value) : value;
     }
     try {
-      RecordComponent[] components = node.getClass().getRecordComponents();
+      RecordComponent[] components = value.getClass().getRecordComponents();
       Object[] values = new Object[components.length];
       Class<?>[] types = new Class<?>[components.length];
       for (int i = 0; i < components.length; i++) {
         types[i] = components[i].getType();
         components[i].getAccessor().setAccessible(true);
-        values[i] = mapValue(components[i].getAccessor().invoke(node), remainingIndex, change);
+        values[i] = mapValue(components[i].getAccessor().invoke(value), remainingIndex, change);
       }
-      var constructor = node.getClass().getDeclaredConstructor(types);
+      var constructor = value.getClass().getDeclaredConstructor(types);
       constructor.setAccessible(true);
       return constructor.newInstance(values);
     } catch (java.lang.reflect.InvocationTargetException | IllegalArgumentException invalid) {
@@ -79,12 +79,11 @@
     }
   }
 
-  private static Object changeValue(Object value, ValueChange mutationNumber, Object replacement) {
-    if (mutationNumber == ValueChange.FROM_EARLIER_MESSAGE
-        || mutationNumber == ValueChange.FROM_LATER_MESSAGE) {
+  private static Object changeValue(Object value, ValueChange change, Object replacement) {
+    if (change == ValueChange.FROM_EARLIER_MESSAGE || change == ValueChange.FROM_LATER_MESSAGE) {
       return replacement == null ? value : replacement;
     } else if (value instanceof Long number) {
-      return switch (mutationNumber) {
+      return switch (change) {
         case LOWERED -> number - 1;
         case RAISED -> number + 1;
         case RAISED_FAR -> number + 65_536 * 3;
@@ -92,7 +91,7 @@
         default -> 0L;
       };
     } else if (value instanceof Duration time) {
-      return switch (mutationNumber) {
+      return switch (change) {
         case LOWERED -> time.minusMillis(300);
         case RAISED -> time.plusMillis(300);
         case RAISED_FAR -> time.plusSeconds(3600);
