--- a/traffic/src/main/java/gingerring/traffic/replay/Replayer.java
+++ b/traffic/src/main/java/gingerring/traffic/replay/Replayer.java
@@ -23,7 +23,7 @@
 public final class Replayer {
   /** Options of a run. {@code generatedRetries} is null if retries are sent as recorded. */
   public record Options(
-      InetSocketAddress mixer, double speed, Duration maxLateness, Retries generatedRetries) {}
+      InetSocketAddress mixer, double speed, Duration maxLateness, Retries retries) {}
 
   /** Result of a run. */
   public record Result(
@@ -138,15 +138,15 @@
             || result.outcome() == ScanOutcome.SCRAPPED
             || result.outcome() == ScanOutcome.LEFT;
     Optional<Duration> retryDelay =
-        options.generatedRetries == null || !failed
+        options.retries == null || !failed
             ? Optional.empty()
-            : options.generatedRetries.nextDelay(step.attempt(), retryAfter);
+            : options.retries.nextDelay(step.attempt(), retryAfter);
     if (retryDelay.isPresent()) {
       generatedRetries++;
       pacer.add(plan.createRetry(step, nextStepNumber++, now.plus(retryDelay.get())));
     } else {
       // with generated retries, the last attempt is compared with the last recorded one
-      ObservedScan scan = options.generatedRetries == null ? step.scan() : step.chain().last();
+      ObservedScan scan = options.retries == null ? step.scan() : step.chain().last();
       comparison.add(scan, ScanResult.of(scan, recordingStartNanos), result);
       replayedTimeline.add(
           Duration.ofNanos(step.scan().requestStartNanos() - recordingStartNanos),
