--- a/emulator/src/main/java/gingerring/emulator/core/RuleChecker.java
+++ b/emulator/src/main/java/gingerring/emulator/core/RuleChecker.java
@@ -409,9 +409,8 @@
     }
     Trip trip = new Trip(box, sentAt);
     for (Trip earlierTrip : earlierTrips) {
-      boolean outOfOrder =
-          earlierTrip.sentAt.compareTo(sentAt)
-              > 0; // this trip was sent before one that arrived earlier
+      // this trip was sent before one that arrived earlier
+      boolean outOfOrder = earlierTrip.sentAt.compareTo(sentAt) > 0;
       if (effectRepeated(scan, outOfOrder ? trip : earlierTrip, outOfOrder ? earlierTrip : trip)) {
         addViolation(
             Rule.EFFECT_TWICE,
--- a/emulator/src/main/java/gingerring/emulator/experiment/EmulatedStore.java
+++ b/emulator/src/main/java/gingerring/emulator/experiment/EmulatedStore.java
@@ -614,11 +614,8 @@
         if (firstCallSeen || scenario.handshake().isZero()) {
           server.box.receive(part);
         } else {
-          reactor.schedule(
-              scenario.handshake(),
-              () ->
-                  server.box.receive(
-                      part)); // the first call of a connection waits for the handshake
+          // the first call of a connection waits for the handshake
+          reactor.schedule(scenario.handshake(), () -> server.box.receive(part));
         }
       }
       firstCallSeen = true;
--- a/emulator/src/main/java/gingerring/emulator/simulation/PeerSimulation.java
+++ b/emulator/src/main/java/gingerring/emulator/simulation/PeerSimulation.java
@@ -165,9 +165,8 @@
       this.number = number;
       zone = number % Math.max(1, setup.zones);
       clockOffsetMs = (random.nextDouble() * 2 - 1) * setup.maxClockOffsetMs;
-      partsPerSecond =
-          setup.partsPerSecond
-              * (number == 0 ? 10 : 1); // one mixer has ten times the demand of each other one
+      // one mixer has ten times the demand of each other one
+      partsPerSecond = setup.partsPerSecond * (number == 0 ? 10 : 1);
     }
 
     void start() {
--- a/emulator/src/main/java/gingerring/emulator/simulation/ProbeSimulation.java
+++ b/emulator/src/main/java/gingerring/emulator/simulation/ProbeSimulation.java
@@ -76,8 +76,8 @@
     int runningMixers = (int) Math.max(1, setup.mixers * (1 - setup.stoppedShare));
     for (int index = 0; index < runningMixers; index++) {
       int mixer = index;
-      double ejectedAt =
-          random.nextDouble() * 500; // each mixer detects the failure by its own parts
+      // each mixer detects the failure by its own parts
+      double ejectedAt = random.nextDouble() * 500;
       switch (strategy) {
         case ALONE -> scheduler.schedule(ejectedAt + EJECTION_MS[0], () -> probeAlone(mixer, 1));
         case TURNS -> scheduler.schedule(ejectedAt, () -> scheduleTurn(mixer));
--- a/emulator/src/test/java/gingerring/emulator/core/RuleCheckerTest.java
+++ b/emulator/src/test/java/gingerring/emulator/core/RuleCheckerTest.java
@@ -104,8 +104,8 @@
     ruleChecker.requestAnswered("a", ms(20), false, false, null);
     ruleChecker.partReceived(0, "a", 0, "key", 0, ms(15), ms(6000));
     assertEquals(Map.of(), ruleChecker.countsByRule());
-    ruleChecker.partReceived(
-        0, "a", 0, "key", 1, ms(12), ms(7000)); // sent before the one that has arrived
+    // sent before the one that has arrived
+    ruleChecker.partReceived(0, "a", 0, "key", 1, ms(12), ms(7000));
     assertSingleViolation(Rule.EFFECT_TWICE);
     assertEquals(3, ruleChecker.delayedCount());
   }
--- a/emulator/src/test/java/gingerring/emulator/simulation/CapacitySharingSimulationTest.java
+++ b/emulator/src/test/java/gingerring/emulator/simulation/CapacitySharingSimulationTest.java
@@ -18,21 +18,18 @@
               CapacitySharingSimulation.run(
                   new CapacitySharingSimulation.Setup(mixers, delayMs, 1, 0.02, 2000, seed));
           String label = mixers + " mixers, delay " + delayMs + ": ";
-          for (int change :
-              new int[] {
-                0, 2, 3
-              }) { // demand shifts, mixers join, the capacity of the box is halved
+          // demand shifts, mixers join, the capacity of the box is halved
+          for (int change : new int[] {0, 2, 3}) {
             assertTrue(
                 result.errors()[change] <= 0.05,
                 label + change + " off by " + result.errors()[change]);
           }
-          // The mixer with ten times the demand of the others takes up the capacity of those that
-          // left, as the
-          // estimated capacity grows.
+          // The mixer with ten times the demand of the others takes up the capacity of
+          // those that left, as the estimated capacity grows.
           assertTrue(
               result.errors()[1] <= 0.12,
-              label + "off by " + result.errors()[1] + " after some left");
-          assertTrue(result.rejectedShare() <= 0.01, label + "refused " + result.rejectedShare());
+              label + "off by " + result.errors()[1] + " after some mixers left");
+          assertTrue(result.rejectedShare() <= 0.01, label + "rejected " + result.rejectedShare());
         }
       }
     }
@@ -45,7 +42,7 @@
       CapacitySharingSimulation.Result result =
           CapacitySharingSimulation.run(
               new CapacitySharingSimulation.Setup(30, 1000, 1, 0.02, 3000, seed));
-      assertTrue(result.rejectedShare() <= 0.02, "refused " + result.rejectedShare());
+      assertTrue(result.rejectedShare() <= 0.02, "rejected " + result.rejectedShare());
       assertTrue(result.errors()[0] <= 0.25, "off by " + result.errors()[0]);
     }
   }
