--- a/emulator/src/test/java/gingerring/emulator/harness/ViolationAttributionTest.java
+++ b/emulator/src/test/java/gingerring/emulator/harness/ViolationAttributionTest.java
@@ -196,8 +196,8 @@
     recordRequest(FAULTY_MIXER, "bad", serviceClass);
     switch (violation) {
       case "SCAN_LOST" -> {
-        sendParts(
-            FAULTY_MIXER, 0, 0, "bad"); // a part sent in time precedes it on the same connection
+        // a part sent in time precedes the late one on the same connection
+        sendParts(FAULTY_MIXER, 0, 0, "bad");
         recordAnswer("bad", true, null);
         Thread.sleep(PAST_SLACK_MS);
         sendParts(FAULTY_MIXER, 0, 0, "bad");
--- a/emulator/src/test/java/gingerring/emulator/interleaving/InterleavingCheckerTest.java
+++ b/emulator/src/test/java/gingerring/emulator/interleaving/InterleavingCheckerTest.java
@@ -29,22 +29,26 @@
     return Duration.ofMillis(ms);
   }
 
-  private void requestSent(String requestId, String serviceClass, long at) {
+  private void requestSent(String requestId, String serviceClass, long timeMs) {
     checker.requestSent(
         requestId,
         serviceClass,
         SHARES,
         serviceClass.equals("post") ? "k" + requestId : null,
-        ms(at));
+        ms(timeMs));
   }
 
-  private void partReceived(String requestId, int partition, long at) {
+  private void partReceived(String requestId, int partition, long timeMs) {
     checker.partReceived(
-        requestId, partition, requestId.startsWith("post") ? "k" + requestId : null, BOX, ms(at));
+        requestId,
+        partition,
+        requestId.startsWith("post") ? "k" + requestId : null,
+        BOX,
+        ms(timeMs));
   }
 
-  private void partDone(String requestId, int partition, long at) {
-    checker.partAnswered(requestId, partition, BOX, "done", "v" + partition, ms(at));
+  private void partDone(String requestId, int partition, long timeMs) {
+    checker.partAnswered(requestId, partition, BOX, "done", "v" + partition, ms(timeMs));
   }
 
   private void assertViolations(String... rules) {
@@ -136,8 +140,8 @@
     partReceived("a", 0, 500); // read when the harness resumes after its stall
     assertViolations();
     checker.heartbeat(ms(505));
-    for (int at = 510; at <= 800; at += 10) {
-      checker.heartbeat(ms(at));
+    for (int timeMs = 510; timeMs <= 800; timeMs += 10) {
+      checker.heartbeat(ms(timeMs));
     }
     partReceived("a", 1, 800);
     assertViolations("GONE_CLIENT");
@@ -253,9 +257,9 @@
     assertViolations("EFFECT_TWICE");
   }
 
-  private void heartbeats(int from, int to) {
-    for (int at = from; at <= to; at += 5) {
-      checker.heartbeat(ms(at));
+  private void heartbeats(int startMs, int endMs) {
+    for (int timeMs = startMs; timeMs <= endMs; timeMs += 5) {
+      checker.heartbeat(ms(timeMs));
     }
   }
 
