--- a/emulator/src/main/java/gingerring/emulator/experiment/EmulatedClients.java
+++ b/emulator/src/main/java/gingerring/emulator/experiment/EmulatedClients.java
@@ -7,9 +7,9 @@
 import gingerring.http.HttpException;
 import gingerring.http.MessageHead;
 import gingerring.traffic.replay.Retries;
-import gingerring.traffic.scan.Answer;
 import gingerring.traffic.scan.ObservedScan;
-import gingerring.traffic.wire.HttpHandler;
+import gingerring.traffic.scan.ScanResponse;
+import gingerring.traffic.wire.HttpConnectionHandler;
 import gingerring.traffic.wire.Reactor;
 import gingerring.traffic.wire.ReactorConnection;
 import java.net.InetSocketAddress;
@@ -28,13 +28,14 @@
 import java.util.TreeMap;
 
 /**
- * The clients of a run. Each wish belongs to one of the world's clients, drawn from the seed, and
- * is asked at its time on a connection of that client that is idle, or on a new one; with twice as
- * many connections as clients open, another's that has been idle longest makes room, and where none
- * is idle it waits for the next that ends. A wish that was not answered is tried again.
+ * The clients of a run. A request belongs to one of the scenario's clients, drawn from the seed. It
+ * is sent at its time on an idle connection of that client or on a new one. At the limit of twice
+ * as many connections as clients, the connection of any client that has been idle longest is closed
+ * to make room; if none is idle, the request waits until a connection becomes free. A request that
+ * was not answered is retried.
  */
 public final class EmulatedClients {
-  /** Which of several mixers a client's next connection goes to, and where that one is now. */
+  /** Selects the mixer of a client's next connection and resolves the address of a mixer. */
   public interface MixerSelector {
     int mixer(int client);
 
@@ -50,7 +51,7 @@
   private final Retries retries;
   private final Map<Integer, Deque<ClientConnection>> idleByClient = new HashMap<>();
 
-  /** All that are idle, the one idle longest first. */
+  /** All idle connections, the longest idle first. */
   private final Set<ClientConnection> idleConnections = new LinkedHashSet<>();
 
   private final Deque<ClientAttempt> waitingAttempts = new ArrayDeque<>();
@@ -60,119 +61,123 @@
   private int openRequests;
   private int attemptNumber;
 
-  /** One try of a wish. {@code first} is when its wish was first asked. */
+  /** An attempt of a request; {@code firstSentAt} is the time of the request's first attempt. */
   private record ClientAttempt(ClientRequest request, int number, Duration firstSentAt) {}
 
   EmulatedClients(
-      Scenario world,
+      Scenario scenario,
       Reactor reactor,
-      RuleChecker referee,
-      InetSocketAddress mixer,
-      double pace,
-      ClientStatistics tally,
-      Runnable over) {
+      RuleChecker ruleChecker,
+      InetSocketAddress mixerAddress,
+      double speedFactor,
+      ClientStatistics statistics,
+      Runnable onCompletion) {
     this(
-        world,
+        scenario,
         reactor,
-        referee,
+        ruleChecker,
         new MixerSelector() {
           @Override
-          public int mixer(int client) {
+          public int mixer(int connection) {
             return 0;
           }
 
           @Override
           public InetSocketAddress address(int number) {
-            return mixer;
+            return mixerAddress;
           }
         },
-        pace,
-        tally,
-        over);
+        speedFactor,
+        statistics,
+        onCompletion);
   }
 
-  /** Clients of several mixers. */
+  /** Creates clients of several mixers. */
   public EmulatedClients(
-      Scenario world,
+      Scenario scenario,
       Reactor reactor,
-      RuleChecker referee,
-      MixerSelector way,
-      double pace,
-      ClientStatistics tally,
-      Runnable over) {
-    this.scenario = world;
+      RuleChecker ruleChecker,
+      MixerSelector mixerSelector,
+      double speedFactor,
+      ClientStatistics statistics,
+      Runnable onCompletion) {
+    this.scenario = scenario;
     this.reactor = reactor;
-    this.ruleChecker = referee;
-    this.mixerSelector = way;
-    this.speedFactor = pace;
-    this.statistics = tally;
-    this.onCompletion = over;
+    this.ruleChecker = ruleChecker;
+    this.mixerSelector = mixerSelector;
+    this.speedFactor = speedFactor;
+    this.statistics = statistics;
+    this.onCompletion = onCompletion;
     retries =
         new Retries(
-            new Retries.Rule(world.maxRetries(), Duration.ofMillis(200), 2, 0.5),
-            new SplittableRandom(world.seed() + 1));
+            new Retries.RetryPolicy(scenario.maxRetries(), Duration.ofMillis(200), 2, 0.5),
+            new SplittableRandom(scenario.seed() + 1));
   }
 
-  public void start(List<ClientRequest> wishes) {
-    openRequests = wishes.size();
+  public void start(List<ClientRequest> requests) {
+    openRequests = requests.size();
     if (openRequests == 0) {
       onCompletion.run();
     }
-    for (ClientRequest wish : wishes) {
-      reactor.after(
-          Duration.ofNanos((long) (wish.sendAt().toNanos() / speedFactor)),
-          () -> send(new ClientAttempt(wish, 0, reactor.now())));
+    for (ClientRequest request : requests) {
+      reactor.schedule(
+          Duration.ofNanos((long) (request.sendAt().toNanos() / speedFactor)),
+          () -> send(new ClientAttempt(request, 0, reactor.now())));
     }
   }
 
-  private void send(ClientAttempt next) {
-    int who =
+  private void send(ClientAttempt attempt) {
+    int clientNumber =
         (int)
-            (SeededDraw.draw(scenario.seed(), "client", next.request.number())
+            (SeededDraw.draw(scenario.seed(), "client", attempt.request.number())
                 * scenario.clients());
-    Deque<ClientConnection> mine = idleByClient.computeIfAbsent(who, w -> new ArrayDeque<>());
-    ClientConnection client = mine.pollFirst();
-    while (client != null && !client.connection.open()) {
-      client = mine.pollFirst();
+    Deque<ClientConnection> idle =
+        idleByClient.computeIfAbsent(clientNumber, w -> new ArrayDeque<>());
+    ClientConnection connection = idle.pollFirst();
+    while (connection != null && !connection.socket.isOpen()) {
+      connection = idle.pollFirst();
     }
-    if (client == null && connectionCount >= 2 * scenario.clients() && !idleConnections.isEmpty()) {
+    if (connection == null
+        && connectionCount >= 2 * scenario.clients()
+        && !idleConnections.isEmpty()) {
       idleConnections.iterator().next().close();
     }
-    if (client == null && connectionCount < 2 * scenario.clients()) {
-      client = new ClientConnection(who);
+    if (connection == null && connectionCount < 2 * scenario.clients()) {
+      connection = new ClientConnection(clientNumber);
     }
-    if (client == null) {
+    if (connection == null) {
       statistics.waitedForConnection++;
-      waitingAttempts.add(next);
+      waitingAttempts.add(attempt);
     } else {
-      client.send(next);
+      connection.send(attempt);
     }
   }
 
-  /** A connection is idle or gone: whoever waits longest is next. */
+  /** Sends the attempt that has waited longest, after a connection became idle or was closed. */
   private void sendWaiting() {
-    ClientAttempt next = waitingAttempts.poll();
-    if (next != null) {
-      send(next);
+    ClientAttempt attempt = waitingAttempts.poll();
+    if (attempt != null) {
+      send(attempt);
     }
   }
 
-  private void attemptEnded(ClientAttempt which, Answer answer) {
-    Duration took = reactor.now().minus(which.firstSentAt);
-    Optional<Duration> again =
-        answer.fate() == ObservedScan.ScanOutcome.WHOLE
-                || answer.fate() == ObservedScan.ScanOutcome.PART
+  private void attemptEnded(ClientAttempt attempt, ScanResponse response) {
+    Duration elapsed = reactor.now().minus(attempt.firstSentAt);
+    Optional<Duration> retryDelay =
+        response.outcome() == ObservedScan.ScanOutcome.WHOLE
+                || response.outcome() == ObservedScan.ScanOutcome.PART
             ? Optional.empty()
-            : retries.next(which.number, answer.comeBack());
-    statistics.attemptEnded(which.request, answer, took, reactor.now());
-    if (again.isPresent()
-        && took.plus(again.get()).compareTo(which.request.serviceClass().deadline()) < 0) {
+            : retries.nextDelay(attempt.number, response.retryAfter());
+    statistics.attemptEnded(attempt.request, response, elapsed, reactor.now());
+    if (retryDelay.isPresent()
+        && elapsed.plus(retryDelay.get()).compareTo(attempt.request.serviceClass().deadline())
+            < 0) {
       statistics.retries++;
-      reactor.after(
-          again.get(),
-          () -> send(new ClientAttempt(which.request, which.number + 1, which.firstSentAt)));
+      reactor.schedule(
+          retryDelay.get(),
+          () -> send(new ClientAttempt(attempt.request, attempt.number + 1, attempt.firstSentAt)));
     } else {
-      statistics.requestEnded(which.request, answer, took);
+      statistics.requestEnded(attempt.request, response, elapsed);
       if (--openRequests == 0) {
         onCompletion.run();
       }
@@ -181,122 +186,123 @@
   }
 
   /**
-   * What the wishes that have no end yet wait for, one line each party; empty once all have theirs.
+   * Describes what the unfinished requests wait for, one line for each cause; empty if all have
+   * finished.
    */
   public List<String> describePending() {
-    Map<Integer, Integer> asked = new TreeMap<>();
-    busyConnections.forEach(client -> asked.merge(client.mixer, 1, Integer::sum));
+    Map<Integer, Integer> busyByMixer = new TreeMap<>();
+    busyConnections.forEach(connection -> busyByMixer.merge(connection.mixer, 1, Integer::sum));
     List<String> lines = new ArrayList<>();
-    asked.forEach(
+    busyByMixer.forEach(
         (mixer, count) -> lines.add("m" + mixer + " owes " + count + " clients an answer"));
     if (!waitingAttempts.isEmpty()) {
       lines.add(
           waitingAttempts.size()
-              + " wishes wait for a client's connection, with "
+              + " requests wait for a client connection; "
               + connectionCount
               + " of "
               + 2 * scenario.clients()
-              + " open and "
+              + " connections are open and "
               + idleConnections.size()
               + " idle");
     }
-    int rest = openRequests - busyConnections.size() - waitingAttempts.size();
-    if (rest > 0) {
-      lines.add(rest + " wishes are to be asked later, or are asked no more");
+    int notSentYet = openRequests - busyConnections.size() - waitingAttempts.size();
+    if (notSentYet > 0) {
+      lines.add(notSentYet + " requests are not sent yet or will not be sent again");
     }
     return lines;
   }
 
-  /** One connection, a request at a time. */
-  private final class ClientConnection extends HttpHandler {
+  /** A connection of a client, which carries one request at a time. */
+  private final class ClientConnection extends HttpConnectionHandler {
     private final int client;
     private final int mixer;
-    private final ReactorConnection connection;
+    private final ReactorConnection socket;
     private ClientAttempt attempt;
     private String scanId;
     private boolean removed;
 
-    ClientConnection(int who) {
+    ClientConnection(int client) {
       super(false, 1 << 20);
-      this.client = who;
+      this.client = client;
       connectionCount++;
-      mixer = mixerSelector.mixer(who);
-      connection = reactor.dial(mixerSelector.address(mixer), this);
+      mixer = mixerSelector.mixer(client);
+      socket = reactor.connect(mixerSelector.address(mixer), this);
     }
 
     void send(ClientAttempt next) {
       attempt = next;
       idleConnections.remove(this);
       busyConnections.add(this);
-      String mine = String.format("%08x", attemptNumber++) + '-' + next.number;
-      scanId = mine;
-      Scenario.ServiceClass grade = next.request.serviceClass();
-      byte[] json = next.request.body(scenario);
-      String text =
+      String sentScanId = String.format("%08x", attemptNumber++) + '-' + next.number;
+      scanId = sentScanId;
+      Scenario.ServiceClass serviceClass = next.request.serviceClass();
+      byte[] body = next.request.body(scenario);
+      String head =
           "POST /api HTTP/1.1\r\nHost: mixer\r\nX-Txn: "
               + scanId
               + "\r\nX-Lane: "
-              + grade.name()
+              + serviceClass.name()
               + "\r\nX-Remaining-Ms: "
-              + grade.deadline().toMillis()
+              + serviceClass.deadline().toMillis()
               + (next.number > 0 ? "\r\nX-Resent: 1" : "")
-              + (grade.retrySafety() == Scenario.RetrySafety.KEYED
+              + (serviceClass.retrySafety() == Scenario.RetrySafety.KEYED
                   ? "\r\nIdempotency-Key: " + next.request.key()
                   : "")
               + "\r\nContent-Length: "
-              + json.length
+              + body.length
               + "\r\n\r\n";
-      connection.put(text.getBytes(StandardCharsets.US_ASCII));
-      connection.put(json);
+      socket.send(head.getBytes(StandardCharsets.US_ASCII));
+      socket.send(body);
       statistics.attempts++;
       ruleChecker.requestSent(
           mixer,
           scanId,
-          grade.name(),
+          serviceClass.name(),
           next.request.shares(),
-          grade.retrySafety() == Scenario.RetrySafety.KEYED ? next.request.key() : null,
+          serviceClass.retrySafety() == Scenario.RetrySafety.KEYED ? next.request.key() : null,
           reactor.now(),
-          grade.deadline());
-      reactor.after(
-          grade.deadline().plus(RuleChecker.SLACK),
+          serviceClass.deadline());
+      reactor.schedule(
+          serviceClass.deadline().plus(RuleChecker.SLACK),
           () -> {
-            if (mine.equals(scanId) && attempt != null) {
+            if (sentScanId.equals(scanId) && attempt != null) {
               ruleChecker.answerMissing(scanId, reactor.now());
-              connection.reset();
+              socket.reset();
             }
           });
     }
 
     @Override
-    protected void malformed(HttpException e) {
-      connection.reset();
+    protected void onMalformed(HttpException e) {
+      socket.reset();
     }
 
     @Override
-    protected void message(MessageHead head, byte[] json) {
-      ClientAttempt ended = attempt;
-      if (ended == null) {
+    protected void onMessage(MessageHead head, byte[] body) {
+      ClientAttempt endedAttempt = attempt;
+      if (endedAttempt == null) {
         return;
       }
       attempt = null;
       busyConnections.remove(this);
-      Answer answer = Answer.read(head, json);
-      boolean served =
-          answer.fate() == ObservedScan.ScanOutcome.WHOLE
-              || answer.fate() == ObservedScan.ScanOutcome.PART;
+      ScanResponse response = ScanResponse.parse(head, body);
+      boolean hasValues =
+          response.outcome() == ObservedScan.ScanOutcome.WHOLE
+              || response.outcome() == ObservedScan.ScanOutcome.PART;
       ruleChecker.requestAnswered(
           scanId,
           reactor.now(),
-          answer.fate() == ObservedScan.ScanOutcome.NACKED,
-          answer.whole(),
-          served ? answer.values() : null);
+          response.outcome() == ObservedScan.ScanOutcome.NACKED,
+          response.whole(),
+          hasValues ? response.valuesByPartition() : null);
       if (head.hasToken("connection", "close")) {
         close();
       } else {
         idleByClient.get(client).addFirst(this);
         idleConnections.add(this);
       }
-      attemptEnded(ended, answer);
+      attemptEnded(endedAttempt, response);
     }
 
     private void remove() {
@@ -310,36 +316,36 @@
 
     private void close() {
       remove();
-      connection.close();
+      socket.closeAfterFlush();
     }
 
     @Override
-    public void closed() {
-      boolean first = !removed;
+    public void onClosed() {
+      boolean wasOpen = !removed;
       remove();
       if (attempt == null) {
-        if (first) {
+        if (wasOpen) {
           sendWaiting();
         }
       } else {
-        ClientAttempt ended = attempt;
+        ClientAttempt endedAttempt = attempt;
         attempt = null;
         busyConnections.remove(this);
         ruleChecker.clientLeft(scanId, reactor.now());
         attemptEnded(
-            ended,
-            new Answer(
+            endedAttempt,
+            new ScanResponse(
                 ObservedScan.ScanOutcome.LEFT,
                 0,
                 false,
                 Map.of(),
                 Duration.ZERO,
-                "its connection ended"));
+                "the connection was closed"));
       }
     }
 
-    private void attemptEnded(ClientAttempt which, Answer answer) {
-      EmulatedClients.this.attemptEnded(which, answer);
+    private void attemptEnded(ClientAttempt attempt, ScanResponse response) {
+      EmulatedClients.this.attemptEnded(attempt, response);
     }
   }
 }
--- a/emulator/src/main/java/gingerring/emulator/experiment/ExperimentRun.java
+++ b/emulator/src/main/java/gingerring/emulator/experiment/ExperimentRun.java
@@ -13,18 +13,21 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicReference;
 
-/** One run: a world's store, a router before it, its clients; and what came of it. */
+/**
+ * Runs an experiment: the store of a scenario, a router in front of it, the clients, and the
+ * result.
+ */
 public final class ExperimentRun {
-  /** Which router stands before the store. */
+  /** The router in front of the store. */
   public enum Router {
     MIXER,
     RANDOM
   }
 
   /**
-   * What came of a run; {@code load} by box: parts done, and milliseconds of work. {@code
-   * mixerCpu}: seconds of CPU that the mixer used from its start to the last answer, NaN where
-   * there was none.
+   * The result of a run. {@code loadByBox} has the parts executed and the milliseconds of work of
+   * each box; {@code mixerCpuSeconds} is the CPU time of the mixer from its start to the last
+   * answer, or NaN without a mixer.
    */
   public record Result(
       Router router,
@@ -42,15 +45,15 @@
   private ExperimentRun() {}
 
   /**
-   * Runs until every wish has had its end; {@code record} names a capture file for the mixer, or is
+   * Runs until every request has ended; {@code recordFile} is the capture file of the mixer, or
    * null.
    */
-  public static Result run(Scenario world, Router router, double pace, Path record)
+  public static Result run(Scenario scenario, Router router, double speedFactor, Path recordFile)
       throws IOException {
     Reactor reactor = new Reactor();
-    RuleChecker referee = new RuleChecker(world);
-    EmulatedStore store = new EmulatedStore(world, reactor, referee, pace);
-    ClientStatistics tally = new ClientStatistics();
+    RuleChecker ruleChecker = new RuleChecker(scenario);
+    EmulatedStore store = new EmulatedStore(scenario, reactor, ruleChecker, speedFactor);
+    ClientStatistics statistics = new ClientStatistics();
     Thread thread = new Thread(reactor::run, "emulator");
     thread.setDaemon(true);
     MixerProcess mixer = null;
@@ -58,44 +61,53 @@
       InetSocketAddress address;
       if (router == Router.MIXER) {
         thread.start();
-        mixer = MixerProcess.start(world, store.discoveryAddress(), store.memberList(), record);
+        mixer =
+            MixerProcess.start(scenario, store.discoveryAddress(), store.memberList(), recordFile);
         address = mixer.address();
       } else {
-        address = new RandomRouter(world, reactor, store.memberList()).address();
+        address = new RandomRouter(scenario, reactor, store.memberList()).address();
         thread.start();
       }
       double cpuBefore = mixer == null ? Double.NaN : mixer.cpuSeconds();
-      CountDownLatch over = new CountDownLatch(1);
-      AtomicReference<Duration> took = new AtomicReference<>(Duration.ZERO);
+      CountDownLatch completed = new CountDownLatch(1);
+      AtomicReference<Duration> duration = new AtomicReference<>(Duration.ZERO);
       reactor.post(
           () -> {
             Duration start = reactor.now().plus(START_DELAY);
-            reactor.after(
+            reactor.schedule(
                 START_DELAY,
                 () -> {
                   store.start();
                   new EmulatedClients(
-                          world,
+                          scenario,
                           reactor,
-                          referee,
+                          ruleChecker,
                           address,
-                          pace,
-                          tally,
+                          speedFactor,
+                          statistics,
                           () -> {
-                            took.set(reactor.now().minus(start));
-                            over.countDown();
+                            duration.set(reactor.now().minus(start));
+                            completed.countDown();
                           })
-                      .start(Workload.generate(world));
+                      .start(Workload.generate(scenario));
                 });
           });
-      long most = (long) (world.length().toMillis() / pace) + END_TIMEOUT.toMillis();
-      if (!over.await(most, TimeUnit.MILLISECONDS)) {
-        throw new IOException("the run did not end within " + most + " ms");
+      long timeoutMs =
+          (long) (scenario.duration().toMillis() / speedFactor) + END_TIMEOUT.toMillis();
+      if (!completed.await(timeoutMs, TimeUnit.MILLISECONDS)) {
+        throw new IOException("the run did not end within " + timeoutMs + " ms");
       }
-      double cpu = mixer == null ? Double.NaN : mixer.cpuSeconds() - cpuBefore;
-      int code = mixer == null ? 0 : mixer.stop();
+      double cpuSeconds = mixer == null ? Double.NaN : mixer.cpuSeconds() - cpuBefore;
+      int exitCode = mixer == null ? 0 : mixer.stop();
       return new Result(
-          router, tally, referee, store.loadByBox(), took.get(), cpu, code, reactor.failures());
+          router,
+          statistics,
+          ruleChecker,
+          store.loadByBox(),
+          duration.get(),
+          cpuSeconds,
+          exitCode,
+          reactor.failureCount());
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
       throw new IOException("interrupted", e);
--- a/emulator/src/main/java/gingerring/emulator/experiment/LineCharts.java
+++ b/emulator/src/main/java/gingerring/emulator/experiment/LineCharts.java
@@ -11,49 +11,56 @@
 import org.jfree.data.xy.XYSeries;
 import org.jfree.data.xy.XYSeriesCollection;
 
-/** Lines over seconds, as PNG files. */
+/** Line charts as PNG files. */
 public final class LineCharts {
   private static final int WIDTH = 960;
   private static final int HEIGHT = 420;
 
   private LineCharts() {}
 
-  /** Each series by second; all are of emulated boxes, which the title says. */
+  /**
+   * Writes a chart of series over seconds; the title says that the figures are of emulated boxes.
+   */
   public static void write(
-      Path file, String title, String what, Map<String, Map<Integer, Double>> series)
+      Path file, String title, String valueLabel, Map<String, Map<Integer, Double>> series)
       throws IOException {
-    write(file, title + " (emulated boxes)", "second", what, series);
+    write(file, title + " (emulated boxes)", "second", valueLabel, series);
   }
 
   /**
-   * Each series by whatever the points are counted by; the title has to say what the figures are
+   * Writes a chart of series over any quantity; the caller's title has to say what the figures are
    * of.
    */
   public static void write(
-      Path file, String title, String by, String what, Map<String, Map<Integer, Double>> series)
+      Path file,
+      String title,
+      String xLabel,
+      String valueLabel,
+      Map<String, Map<Integer, Double>> series)
       throws IOException {
     System.setProperty("java.awt.headless", "true");
-    XYSeriesCollection all = new XYSeriesCollection();
+    XYSeriesCollection dataset = new XYSeriesCollection();
     series.forEach(
         (name, points) -> {
           XYSeries line = new XYSeries(name);
           points.forEach(line::add);
-          all.addSeries(line);
+          dataset.addSeries(line);
         });
-    JFreeChart chart = ChartFactory.createXYLineChart(title, by, what, all);
+    JFreeChart chart = ChartFactory.createXYLineChart(title, xLabel, valueLabel, dataset);
     if (file.toAbsolutePath().getParent() != null) {
       Files.createDirectories(file.toAbsolutePath().getParent());
     }
     ChartUtils.saveChartAsPNG(file.toFile(), chart, WIDTH, HEIGHT);
   }
 
-  /** Service by second of a run. */
+  /** Returns the service level of a run by second. */
   public static Map<Integer, Double> serviceLevelBySecond(ExperimentRun.Result result) {
     Map<Integer, Double> points = new TreeMap<>();
     result
         .statistics()
         .valueBySecond
-        .forEach((second, its) -> points.put(second, its[0] == 0 ? 1 : its[1] / its[0]));
+        .forEach(
+            (second, values) -> points.put(second, values[0] == 0 ? 1 : values[1] / values[0]));
     return points;
   }
 }
--- a/emulator/src/main/java/gingerring/emulator/harness/ByzantinePeer.java
+++ b/emulator/src/main/java/gingerring/emulator/harness/ByzantinePeer.java
@@ -5,7 +5,7 @@
 import gingerring.peers.PeerId;
 import gingerring.peers.PeerNode;
 import gingerring.peers.PeerRecord;
-import gingerring.traffic.wire.Datagrams;
+import gingerring.traffic.wire.DatagramEndpoint;
 import gingerring.traffic.wire.Reactor;
 import java.net.InetSocketAddress;
 import java.time.Duration;
@@ -25,7 +25,7 @@
   private final PeerNode peerNode;
   private final List<Long> boxIds;
   private final Duration startedAt;
-  private Datagrams socket;
+  private DatagramEndpoint socket;
 
   ByzantinePeer(
       int index,
@@ -51,7 +51,7 @@
     peerNode.start(seeds);
   }
 
-  void start(Datagrams datagrams) {
+  void start(DatagramEndpoint datagrams) {
     socket = datagrams;
     tick();
   }
@@ -70,7 +70,7 @@
       peerNode.attemptEnded(boxIds.get(i % boxIds.size()), false);
     }
     peerNode.tick();
-    reactor.after(TICK_INTERVAL, this::tick);
+    reactor.schedule(TICK_INTERVAL, this::tick);
   }
 
   @Override
--- a/emulator/src/main/java/gingerring/emulator/harness/Fleet.java
+++ b/emulator/src/main/java/gingerring/emulator/harness/Fleet.java
@@ -12,7 +12,7 @@
 import gingerring.peering.PeerQueryClient;
 import gingerring.peers.PeerAddress;
 import gingerring.peers.PeerId;
-import gingerring.traffic.wire.Datagrams;
+import gingerring.traffic.wire.DatagramEndpoint;
 import gingerring.traffic.wire.Reactor;
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -266,7 +266,7 @@
     reactor.post(
         () -> {
           startByzantinePeers();
-          reactor.after(
+          reactor.schedule(
               SETTLE_TIME,
               () -> {
                 startedAt = reactor.now();
@@ -286,7 +286,7 @@
               });
         });
     long timeoutMs =
-        SETTLE_TIME.plus(scenario.length()).plus(fleetScenario.completionTimeout()).toMillis();
+        SETTLE_TIME.plus(scenario.duration()).plus(fleetScenario.completionTimeout()).toMillis();
     if (!workloadEnded.await(timeoutMs, TimeUnit.MILLISECONDS)) {
       reactor.post(
           () -> {
@@ -301,7 +301,7 @@
 
   private void heartbeat() {
     ruleChecker.heartbeat(reactor.now());
-    reactor.after(HEARTBEAT_INTERVAL, this::heartbeat);
+    reactor.schedule(HEARTBEAT_INTERVAL, this::heartbeat);
   }
 
   private void reportNotStarted() {
@@ -406,8 +406,8 @@
       ByzantinePeer peer =
           new ByzantinePeer(i, reactor, advertisedAddress(index), seeds, keys, boxIds);
       try {
-        Datagrams datagrams =
-            reactor.datagrams(
+        DatagramEndpoint datagrams =
+            reactor.openDatagramEndpoint(
                 EmulatedStore.loopback(0),
                 (from, datagram) ->
                     peer.received(new PeerAddress(0x7F000001, from.getPort()), datagram));
@@ -476,8 +476,8 @@
   }
 
   private void scheduleFault(Fault fault) {
-    reactor.after(fault.start(), () -> beginFault(fault));
-    reactor.after(fault.start().plus(fault.duration()), () -> endFault(fault));
+    reactor.schedule(fault.start(), () -> beginFault(fault));
+    reactor.schedule(fault.start().plus(fault.duration()), () -> endFault(fault));
   }
 
   private Stream<TcpRelay.LinkFaults> affectedLinks(Fault fault) {
@@ -503,7 +503,7 @@
                   mixer -> {
                     exemptLostScans(mixer, now, now.plus(fault.duration()).plusMillis(500));
                     MixerProcess stoppedProcess = supervisors.get(mixer).beginStop();
-                    reactor.after(
+                    reactor.schedule(
                         fault.duration(), () -> supervisors.get(mixer).endStop(stoppedProcess));
                   });
       case ROLL ->
@@ -576,7 +576,7 @@
               mixer ->
                   List.copyOf(relaysByMixer.get(mixer).values())
                       .forEach(relay -> relay.reset(fault.magnitude())));
-      reactor.after(Duration.ofSeconds(1), () -> resetConnections(fault, end));
+      reactor.schedule(Duration.ofSeconds(1), () -> resetConnections(fault, end));
     }
   }
 
@@ -592,7 +592,7 @@
         .restart(
             reactor.now().minus(fleetScenario.failoverDelay()),
             code -> result.crashes.add("m" + mixer + " ended with " + code));
-    reactor.after(
+    reactor.schedule(
         interval.compareTo(MIN_RESTART_INTERVAL) > 0 ? interval : MIN_RESTART_INTERVAL,
         () -> rollingRestart(remaining, interval));
   }
@@ -614,14 +614,14 @@
           result.discoveryCalls = store.discoveryCalls();
           result.datagramCounts = peerRelay.counts();
           store.loadByBox().forEach((box, totals) -> result.partsByBox.put(box, totals[0]));
-          result.eventFailures = reactor.failures();
+          result.eventFailures = reactor.failureCount();
           running.complete(supervisors.stream().map(MixerSupervisor::finish).toList());
         });
     List<MixerProcess> processes;
     try {
       processes = running.get(STEP_TIMEOUT_MS, TimeUnit.MILLISECONDS);
     } catch (ExecutionException | TimeoutException e) {
-      result.errors.add(new HarnessError.HarnessFailure(reactor.failures()));
+      result.errors.add(new HarnessError.HarnessFailure(reactor.failureCount()));
       return;
     }
     signalExecutor.shutdown();
--- a/emulator/src/main/java/gingerring/emulator/harness/TcpRelay.java
+++ b/emulator/src/main/java/gingerring/emulator/harness/TcpRelay.java
@@ -65,7 +65,7 @@
   private final DoubleSupplier random;
   private final int mixer;
   private final BiConsumer<ReactorConnection, SendTimes> connectionListener;
-  private final Reactor.Listening listener;
+  private final Reactor.ListeningSocket listener;
   private final Set<ProxiedConnection> connections = new LinkedHashSet<>();
 
   /**
@@ -136,16 +136,16 @@
       connections.add(this);
       toMixer = new Direction(mixerConnection, false);
       boxConnection =
-          reactor.dial(
+          reactor.connect(
               target,
               new ReactorConnection.Handler() {
                 @Override
-                public void opened() {
+                public void onOpened() {
                   reportConnected();
                 }
 
                 @Override
-                public void bytes(byte[] bytes, int length) {
+                public void onData(byte[] bytes, int length) {
                   if (faults.truncationRate > 0 && random.getAsDouble() < faults.truncationRate) {
                     toMixer.add(Arrays.copyOf(bytes, length / 2));
                     toMixer.ending = true;
@@ -156,7 +156,7 @@
                 }
 
                 @Override
-                public void closed() {
+                public void onClosed() {
                   toMixer.ending = true;
                   toMixer.flush();
                 }
@@ -171,19 +171,19 @@
      * it.
      */
     private void reportConnected() {
-      if (boxConnection != null && boxConnection.open()) {
+      if (boxConnection != null && boxConnection.isOpen()) {
         connectionListener.accept(boxConnection, sendTimes);
       }
     }
 
     @Override
-    public void bytes(byte[] bytes, int length) {
+    public void onData(byte[] bytes, int length) {
       sendTimes.recordSent(length, reactor.now());
       toBox.add(Arrays.copyOf(bytes, length));
     }
 
     @Override
-    public void closed() {
+    public void onClosed() {
       connections.remove(this);
       boxConnection.reset();
     }
@@ -240,7 +240,7 @@
           }
           nextSendTime = sendTime.compareTo(nextSendTime) > 0 ? sendTime : nextSendTime;
           scheduled = true;
-          reactor.after(
+          reactor.schedule(
               nextSendTime.minus(now),
               () -> {
                 scheduled = false;
@@ -256,14 +256,14 @@
               });
         }
         if (ending && buffer.isEmpty() && !scheduled) {
-          destination.close();
+          destination.closeAfterFlush();
         }
       }
 
       private void sendNext() {
         byte[] bytes = buffer.poll();
         bufferedBytes -= bytes.length;
-        destination.put(bytes);
+        destination.send(bytes);
       }
     }
   }
--- a/emulator/src/main/java/gingerring/emulator/interleaving/InterleavingRunner.java
+++ b/emulator/src/main/java/gingerring/emulator/interleaving/InterleavingRunner.java
@@ -278,7 +278,7 @@
       long startNanos = System.nanoTime();
       String reason = "";
       boolean firstEventReached = false;
-      int failuresBefore = reactor.failures();
+      int failuresBefore = reactor.failureCount();
       try {
         onReactor(
             () -> {
@@ -326,7 +326,7 @@
                           .toMillis());
         }
         String undecidedReason =
-            reason.isEmpty() && reactor.failures() > failuresBefore
+            reason.isEmpty() && reactor.failureCount() > failuresBefore
                 ? "an event of the harness failed"
                 : reason;
         boolean reachedFirstEvent = firstEventReached;
--- a/emulator/src/main/java/gingerring/emulator/interleaving/MixerEnvironment.java
+++ b/emulator/src/main/java/gingerring/emulator/interleaving/MixerEnvironment.java
@@ -6,9 +6,9 @@
 import gingerring.emulator.experiment.MixerProcess;
 import gingerring.http.HttpException;
 import gingerring.http.MessageHead;
-import gingerring.traffic.scan.Answer;
 import gingerring.traffic.scan.ObservedScan;
-import gingerring.traffic.wire.HttpHandler;
+import gingerring.traffic.scan.ScanResponse;
+import gingerring.traffic.wire.HttpConnectionHandler;
 import gingerring.traffic.wire.Reactor;
 import gingerring.traffic.wire.ReactorConnection;
 import java.io.ByteArrayOutputStream;
@@ -214,7 +214,7 @@
       if (!client.warmedUp) {
         allServed = false;
         // without a pause between requests the mixer answers some of them only in part
-        if (!client.connection.closed()
+        if (!client.connection.isClosed()
             && client.requestId == null
             && client.connected
             && (client.sentAt == null
@@ -298,7 +298,7 @@
         .forEach(
             client -> {
               client.leaving = true;
-              client.connection.close();
+              client.connection.closeAfterFlush();
             });
     clients.clear();
     backgroundClients.clear();
@@ -315,7 +315,7 @@
     if (requestsStopped || !active) {
       return;
     }
-    backgroundClients.removeIf(client -> client.connection.closed() || client.mixerClosed);
+    backgroundClients.removeIf(client -> client.connection.isClosed() || client.mixerClosed);
     boolean mayConnect =
         terminatedAt == null || now().minus(terminatedAt).compareTo(CONNECT_AFTER_SIGTERM) < 0;
     while (backgroundClients.size() < BACKGROUND_CLIENTS && mayConnect && !exited) {
@@ -338,7 +338,7 @@
       }
     }
     int startGeneration = generation;
-    reactor.after(
+    reactor.schedule(
         BACKGROUND_INTERVAL,
         () -> {
           if (startGeneration == generation) {
@@ -348,7 +348,7 @@
   }
 
   private void tick() {
-    reactor.after(
+    reactor.schedule(
         TICK_INTERVAL,
         () -> {
           if (checker != null) {
@@ -380,7 +380,7 @@
   }
 
   private void keepWatchesAlive() {
-    reactor.after(
+    reactor.schedule(
         WATCH_KEEPALIVE_INTERVAL,
         () -> {
           discoveryAgent.sendLine("");
@@ -420,7 +420,8 @@
         DiscoveryAgent unavailableAgent = discoveryAgent;
         unavailableAgent.unavailable = true;
         unavailableAgent.dropsPendingCalls = event == Event.DISCOVERY_DOWN_FORGETS;
-        reactor.after(Duration.ofMillis(pair.discoveryDownMs()), unavailableAgent::becomeAvailable);
+        reactor.schedule(
+            Duration.ofMillis(pair.discoveryDownMs()), unavailableAgent::becomeAvailable);
         trigger.run();
       }
       case LIST_DRAINS -> {
@@ -445,14 +446,14 @@
         List<BoxConnection> previous = List.copyOf(targetBox.connections);
         targetBox.listen();
         targetBox.publishPhase("SERVING");
-        previous.forEach(connection -> connection.transport.close());
+        previous.forEach(connection -> connection.transport.closeAfterFlush());
         trigger.run();
       }
       case BOXES_CLOSE_IDLE -> {
         for (EmulatedBox box : boxes) {
           List.copyOf(box.connections).stream()
               .filter(connection -> connection.partsInFlight == 0)
-              .forEach(connection -> connection.transport.close());
+              .forEach(connection -> connection.transport.closeAfterFlush());
         }
         trigger.run();
       }
@@ -467,7 +468,7 @@
         targetBox.releaseAnswers(false);
         List.copyOf(targetBox.connections).stream()
             .filter(connection -> connection.partsInFlight > 0)
-            .forEach(connection -> connection.transport.close());
+            .forEach(connection -> connection.transport.closeAfterFlush());
         trigger.run();
       }
       case BOX_HANGS -> {
@@ -487,7 +488,7 @@
       case ANSWER -> {
         observedClient.answerTrigger = trigger;
         releaseAnswers();
-        reactor.after(TRIGGER_FALLBACK, () -> triggerOnce(observedClient, trigger));
+        reactor.schedule(TRIGGER_FALLBACK, () -> triggerOnce(observedClient, trigger));
       }
       case CLIENT_CLOSES -> {
         observedClient.leave(false);
@@ -502,7 +503,7 @@
         trigger.run();
       }
       case CLIENT_NEXT -> {
-        if (idleClient.connection.closed()
+        if (idleClient.connection.isClosed()
             || idleClient.requestId != null
             || idleClient.mixerClosed) {
           trigger.run();
@@ -514,7 +515,7 @@
         }
       }
       case CLIENT_ASKS_GOES -> {
-        if (idleClient.connection.closed()
+        if (idleClient.connection.isClosed()
             || idleClient.requestId != null
             || idleClient.mixerClosed) {
           trigger.run();
@@ -523,7 +524,7 @@
               scenario.serviceClasses().get(pair.drawBetween("next", 0, 2)),
               pair.drawBetween("next folio", 0, 3),
               2);
-          reactor.after(
+          reactor.schedule(
               Duration.ofMillis(pair.drawBetween("goes", 0, 60)),
               () -> {
                 idleClient.leave(pair.drawFraction("goes by reset") < 0.5);
@@ -556,7 +557,7 @@
                     });
               };
         }
-        reactor.after(
+        reactor.schedule(
             TRIGGER_FALLBACK,
             () -> {
               if (pendingTrigger[0] != null) {
@@ -583,7 +584,7 @@
           }
         };
     triggersByFirstPart.put(requestId, callback);
-    reactor.after(TRIGGER_FALLBACK, callback);
+    reactor.schedule(TRIGGER_FALLBACK, callback);
   }
 
   private static void triggerOnce(TestClient client, Runnable trigger) {
@@ -614,7 +615,7 @@
             "reload");
     thread.setDaemon(true);
     thread.start();
-    reactor.after(Duration.ofSeconds(10), previousAgent.listener::close);
+    reactor.schedule(Duration.ofSeconds(10), previousAgent.listener::close);
   }
 
   // ---- notification of the mixer ----
@@ -640,7 +641,7 @@
 
   /** Discovery agent: serves one member list and pushes its changes to all watches. */
   private final class DiscoveryAgent {
-    final Reactor.Listening listener;
+    final Reactor.ListeningSocket listener;
     final Set<DiscoveryCall> watches = new LinkedHashSet<>();
     final List<DiscoveryCall> pendingCalls = new ArrayList<>();
     boolean unavailable;
@@ -700,7 +701,7 @@
       sendLine(unnotified.isEmpty() ? "" : memberListJson(false, List.copyOf(unnotified)));
       List<DiscoveryCall> calls = dropsPendingCalls ? List.of() : List.copyOf(pendingCalls);
       pendingCalls.clear();
-      calls.stream().filter(call -> !call.connection.closed()).forEach(DiscoveryCall::respond);
+      calls.stream().filter(call -> !call.connection.isClosed()).forEach(DiscoveryCall::respond);
       notifyIfDelivered();
     }
   }
@@ -718,7 +719,7 @@
     }
 
     @Override
-    public void bytes(byte[] bytes, int length) {
+    public void onData(byte[] bytes, int length) {
       request.append(new String(bytes, 0, length, StandardCharsets.ISO_8859_1));
       if (request.indexOf("\r\n\r\n") < 0) {
         return;
@@ -744,7 +745,7 @@
     void respond() {
       String memberList = agent.memberListJson(true, boxes);
       if (isWatch) {
-        connection.put(
+        connection.send(
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
                 .getBytes(StandardCharsets.US_ASCII));
         agent.watches.add(this);
@@ -755,20 +756,20 @@
           List.copyOf(unnotified).forEach(MixerEnvironment.this::mixerNotified);
         }
       } else {
-        connection.put(
+        connection.send(
             ("HTTP/1.1 200 OK\r\nContent-Length: " + memberList.length() + "\r\n\r\n" + memberList)
                 .getBytes(StandardCharsets.US_ASCII));
       }
     }
 
     void sendLine(String line) {
-      connection.put(
+      connection.send(
           (Integer.toHexString(line.length() + 1) + "\r\n" + line + "\n\r\n")
               .getBytes(StandardCharsets.US_ASCII));
     }
 
     @Override
-    public void closed() {
+    public void onClosed() {
       agent.watches.remove(this);
       agent.pendingCalls.remove(this);
     }
@@ -782,7 +783,7 @@
     final Box model;
     final Set<BoxConnection> connections = new LinkedHashSet<>();
     private final List<Runnable> heldAnswers = new ArrayList<>();
-    Reactor.Listening listener;
+    Reactor.ListeningSocket listener;
     String phase = "SERVING";
     long upSinceMs;
     AnswerMode answerMode = AnswerMode.SEND;
@@ -873,7 +874,7 @@
       releaseAnswers(false);
       byte[] answerStart =
           ("R" + connection.lastPartId + " done 1 -\n").getBytes(StandardCharsets.US_ASCII);
-      connection.transport.put(
+      connection.transport.send(
           ByteBuffer.allocate(4 + answerStart.length)
               .order(ByteOrder.LITTLE_ENDIAN)
               .putInt(60_000)
@@ -884,11 +885,11 @@
     }
 
     private void trickleByte(BoxConnection connection) {
-      reactor.after(
+      reactor.schedule(
           Duration.ofMillis(30),
           () -> {
-            if (!connection.transport.closed()) {
-              connection.transport.put(new byte[] {'x'});
+            if (!connection.transport.isClosed()) {
+              connection.transport.send(new byte[] {'x'});
               trickleByte(connection);
             }
           });
@@ -912,7 +913,7 @@
     }
 
     private void fillBacklog(int startIncarnation, Runnable trigger) {
-      reactor.after(
+      reactor.schedule(
           TICK_INTERVAL,
           () -> {
             if (startIncarnation != incarnation) {
@@ -932,7 +933,7 @@
               }
               record("the backlog of " + id + " is full");
               awaitDial(now().plus(TRIGGER_FALLBACK), trigger);
-              reactor.after(
+              reactor.schedule(
                   Duration.ofMillis(pair.drawBetween("late", 150, 900)),
                   () -> {
                     if (startIncarnation == incarnation) {
@@ -961,7 +962,7 @@
         acceptsLate = false;
         record("the backlog of " + id + " is free");
       } catch (BindException e) { // a connection of the full backlog still holds the port
-        reactor.after(TICK_INTERVAL, () -> acceptAgain(startIncarnation));
+        reactor.schedule(TICK_INTERVAL, () -> acceptAgain(startIncarnation));
       } catch (IOException e) {
         throw new UncheckedIOException(e);
       }
@@ -1004,7 +1005,7 @@
                   if (dialling || now().compareTo(deadline) > 0) {
                     trigger.run();
                   } else {
-                    reactor.after(TICK_INTERVAL, () -> awaitDial(deadline, trigger));
+                    reactor.schedule(TICK_INTERVAL, () -> awaitDial(deadline, trigger));
                   }
                 });
           });
@@ -1034,7 +1035,7 @@
 
     @Override
     public void schedule(Duration delay, Runnable task) {
-      reactor.after(delay, task);
+      reactor.schedule(delay, task);
     }
 
     @Override
@@ -1074,7 +1075,7 @@
     }
 
     @Override
-    public void bytes(byte[] bytes, int length) {
+    public void onData(byte[] bytes, int length) {
       buffer.write(bytes, 0, length);
       ByteBuffer pending = ByteBuffer.wrap(buffer.toByteArray()).order(ByteOrder.LITTLE_ENDIAN);
       while (pending.remaining() >= 4) {
@@ -1162,7 +1163,7 @@
     }
 
     void sendAnswer(Box.Part part, String outcome) {
-      if (transport.closed()) {
+      if (transport.isClosed()) {
         return;
       }
       partsInFlight--;
@@ -1185,7 +1186,7 @@
 
     private void sendFrame(String frame) {
       byte[] bytes = frame.getBytes(StandardCharsets.UTF_8);
-      transport.put(
+      transport.send(
           ByteBuffer.allocate(4 + bytes.length)
               .order(ByteOrder.LITTLE_ENDIAN)
               .putInt(bytes.length)
@@ -1194,7 +1195,7 @@
     }
 
     @Override
-    public void closed() {
+    public void onClosed() {
       box.connections.remove(this);
     }
   }
@@ -1202,7 +1203,7 @@
   // ---- clients ----
 
   /** A client with one connection, which sends one request at a time. */
-  private final class TestClient extends HttpHandler {
+  private final class TestClient extends HttpConnectionHandler {
     final ReactorConnection connection;
     private final int ownGeneration = generation;
     String requestId;
@@ -1218,11 +1219,11 @@
     TestClient() {
       super(false, 1 << 20);
       clients.add(this);
-      connection = reactor.dial(mixer.address(), this);
+      connection = reactor.connect(mixer.address(), this);
     }
 
     @Override
-    public void opened() {
+    public void onOpened() {
       connected = true;
       if (onConnected != null) {
         onConnected.run();
@@ -1281,7 +1282,7 @@
     String sendRequest(Scenario.ServiceClass serviceClass, int firstPartition, int count) {
       requestId = String.format("%08x%08x", generation, requestCount++);
       Map<Integer, Double> shares = partitionShares(firstPartition, count, scenario.partitions());
-      connection.put(requestBytes(requestId, serviceClass, shares));
+      connection.send(requestBytes(requestId, serviceClass, shares));
       sentAt = now();
       checker.requestSent(
           requestId, serviceClass.name(), shares, idempotencyKey(requestId, serviceClass), sentAt);
@@ -1299,25 +1300,25 @@
       if (reset) {
         connection.reset();
       } else {
-        connection.close();
+        connection.closeAfterFlush();
       }
     }
 
     /** Sends the start of a long request after the current one, and closes the connection. */
     void flood() {
-      if (connection.closed()) {
+      if (connection.isClosed()) {
         return;
       }
-      connection.put(
+      connection.send(
           ("POST /api HTTP/1.1\r\nHost: mixer\r\nX-Txn: f"
                   + requestId
                   + "\r\nX-Lane: "
                   + scenario.serviceClasses().get(0).name()
                   + "\r\nX-Remaining-Ms: 1000\r\nContent-Length: 60000\r\n\r\n")
               .getBytes(StandardCharsets.US_ASCII));
-      connection.put(new byte[FLOOD_BYTES]);
+      connection.send(new byte[FLOOD_BYTES]);
       leaving = true;
-      connection.close(); // closes once everything is sent; closed() then reports it
+      connection.closeAfterFlush(); // closes once everything is sent; closed() then reports it
     }
 
     @Override
@@ -1335,20 +1336,20 @@
       Scenario.ServiceClass serviceClass = scenario.serviceClasses().get(0);
       Map<Integer, Double> shares = partitionShares(0, 2, scenario.partitions());
       checker.requestSentAfterClose(requestId, serviceClass.name(), shares, null, now());
-      connection.put(requestBytes(requestId, serviceClass, shares));
+      connection.send(requestBytes(requestId, serviceClass, shares));
       record("sent request " + requestId + " on the closed connection");
-      reactor.after(Duration.ofMillis(200), connection::reset);
+      reactor.schedule(Duration.ofMillis(200), connection::reset);
       return true;
     }
 
     @Override
-    protected void malformed(HttpException e) {
+    protected void onMalformed(HttpException e) {
       record("the answer to " + requestId + " is not valid HTTP: " + e.getMessage());
       connection.reset();
     }
 
     @Override
-    protected void message(MessageHead head, byte[] json) {
+    protected void onMessage(MessageHead head, byte[] json) {
       if (answerTrigger != null) {
         Runnable trigger = answerTrigger;
         answerTrigger = null;
@@ -1357,23 +1358,24 @@
       if (requestId == null) {
         return;
       }
-      Answer answer = Answer.read(head, json);
+      ScanResponse answer = ScanResponse.parse(head, json);
       boolean served =
-          answer.fate() == ObservedScan.ScanOutcome.WHOLE
-              || answer.fate() == ObservedScan.ScanOutcome.PART;
-      record("answered " + requestId + ' ' + answer.status() + (served ? " " + answer.fate() : ""));
-      warmedUp |= answer.fate() == ObservedScan.ScanOutcome.WHOLE;
+          answer.outcome() == ObservedScan.ScanOutcome.WHOLE
+              || answer.outcome() == ObservedScan.ScanOutcome.PART;
+      record(
+          "answered " + requestId + ' ' + answer.status() + (served ? " " + answer.outcome() : ""));
+      warmedUp |= answer.outcome() == ObservedScan.ScanOutcome.WHOLE;
       if (ownGeneration == generation && !leaving) {
         checker.requestAnswered(
             requestId,
             now(),
-            answer.fate() == ObservedScan.ScanOutcome.NACKED,
+            answer.outcome() == ObservedScan.ScanOutcome.NACKED,
             answer.whole(),
-            served ? answer.values() : null);
+            served ? answer.valuesByPartition() : null);
       }
       requestId = null;
       if (head.hasToken("connection", "close")) {
-        connection.close();
+        connection.closeAfterFlush();
       } else if (terminatedAt != null && backgroundClients.contains(this) && !leaving) {
         // sends the next request at once until the mixer closes the connection, so that the close
         // coincides with a request
@@ -1385,7 +1387,7 @@
     }
 
     @Override
-    public void closed() {
+    public void onClosed() {
       clients.remove(this);
       if (ownGeneration != generation || requestId == null) {
         return;
--- a/emulator/src/main/java/gingerring/emulator/simulation/PeerSimulation.java
+++ b/emulator/src/main/java/gingerring/emulator/simulation/PeerSimulation.java
@@ -21,16 +21,20 @@
 import java.util.TreeMap;
 
 /**
- * Mixers that talk, in simulated time: the cores of {@code peers} as a mixer runs them, with faults
- * by message (loss, delay, doubled and reordered, cut both ways or one way), processes stopped,
- * killed and started anew, clocks set off, and hostile ones. The same setup plays the same.
+ * Simulates the peer protocol of a fleet in simulated time. The nodes of {@code peers} run as in a
+ * mixer, with faults of messages (loss, delay, duplication, reordering, cuts in both directions or
+ * one), stopped, killed and restarted processes, clock offsets, and hostile peers. The same
+ * parameters give the same run.
  *
- * <p>Boxes are alive or dead by the schedule; each mixer sends them parts at its own rate, benches
- * one that fails it twice in a row, and asks it when it is its turn. What the mixer's own module
- * does is left out: only what talk adds is played here.
+ * <p>Boxes are alive or dead by the schedule. Each mixer sends parts at its own rate, ejects a box
+ * that fails twice in a row, and probes an ejected box when the mixer's turn comes. The rest of a
+ * mixer is left out: only the effect of the peer protocol is simulated.
  */
 public final class PeerSimulation {
-  /** What goes wrong; {@code some} are those it befalls, {@code others} the far side of a cut. */
+  /**
+   * A fault; {@code targets} are the mixers or boxes affected, {@code others} the far side of a
+   * cut.
+   */
   public record Fault(
       Kind kind,
       double startMs,
@@ -38,25 +42,25 @@
       Set<Integer> targets,
       Set<Integer> others,
       double magnitude) {
-    /** What goes wrong. */
+    /** The kinds of faults. */
     public enum Kind {
-      /** Nothing goes between some and others. */
+      /** No message passes between targets and others. */
       CUT,
-      /** Nothing goes from some to others. */
+      /** No message passes from targets to others. */
       CUT_ONE_WAY,
-      /** Processes stand still, and what comes for them waits, so much at most. */
+      /** The processes are stopped; a limited number of received messages waits for them. */
       STOP,
-      /** Processes end, and new ones start empty under their names. */
+      /** The processes are killed and restarted without state under the same ids. */
       KILL,
-      /** They say that all boxes fail. */
+      /** The mixers report that all boxes fail. */
       LIE,
-      /** They claim an endless demand. */
+      /** The mixers report an enormous demand. */
       GREED,
-      /** They send again what was sent to them before. */
+      /** The mixers resend messages that they received before. */
       REPEAT,
-      /** They claim turns that are not theirs, and that the dead box answers. */
+      /** The mixers claim turns of others and report that dead boxes answer. */
       CLAIM,
-      /** So many boxes are dead. */
+      /** The target boxes are dead. */
       BOXES_DEAD
     }
 
@@ -66,9 +70,10 @@
   }
 
   /**
-   * {@code loss}, {@code twice}: shares of letters lost and doubled; {@code delayMs}: the most of
-   * an even delay; {@code clockMs}: clocks are off by as much at the most; {@code rate}: parts a
-   * second and mixer.
+   * Parameters. {@code lossShare} and {@code duplicateShare} are the shares of messages lost and
+   * duplicated; {@code maxDelayMs} is the upper bound of a uniformly distributed delay; {@code
+   * maxClockOffsetMs} the largest clock offset; {@code partsPerSecond} the parts a second of each
+   * mixer.
    */
   public record Setup(
       int mixers,
@@ -82,7 +87,7 @@
       double seconds,
       long seed,
       List<Fault> faults,
-      PeerNode.Settings rules) {
+      PeerNode.Settings settings) {
     public static Setup defaults(int mixers, double seconds, long seed, List<Fault> faults) {
       return new Setup(
           mixers,
@@ -100,30 +105,33 @@
     }
   }
 
-  /** What came of it. Times in ms, bytes of letters without datagrams' heads. */
+  /** The result. Times are in ms; bytes are those of messages without datagram headers. */
   public static final class Result {
-    /** By second: the most and the mean bytes that one mixer sent. */
+    /** By second, the largest and the mean number of bytes that a mixer sent. */
     public final List<double[]> bytesBySecond = new ArrayList<>();
 
-    /** Living mixers taken for gone by others who could hear them, over the run. */
-    public int falselyGone;
+    /** How often a live, reachable mixer was marked as gone. */
+    public int falselyMarkedGone;
 
-    /** For each kill: when the last of the others knew. */
+    /** For each kill, the time until the last of the other mixers detected it. */
     public final List<Double> detectionTimesMs = new ArrayList<>();
 
-    /** Asks of dead boxes by second, and of boxes alive. */
+    /** Probes of dead boxes by second. */
     public final Map<Integer, Integer> deadBoxProbes = new TreeMap<>();
 
-    /** For each box that came back: when the first, and when all who had benched it, asked it. */
+    /**
+     * For each recovered box, the time to the first probe and to the last probe by a mixer that had
+     * ejected it.
+     */
     public final List<double[]> recoveryTimesMs = new ArrayList<>();
 
-    /** The largest doubt that an honest mixer had of a box that was alive. */
+    /** The largest failure share that an honest mixer estimated for a box that was alive. */
     public double maxFailureShareOfLiveBox;
 
-    /** The largest demand believed over the true one. */
+    /** The largest ratio of the estimated fleet demand to the true one. */
     public double maxDemandRatio;
 
-    /** Pairs of living mixers that do not know each other as there, at the end. */
+    /** Ordered pairs of live mixers of which one does not list the other as present at the end. */
     public int unknownPairs;
 
     public final Map<PeerNode.Count, Long> peerCounts = new TreeMap<>();
@@ -137,7 +145,7 @@
   private static final byte[] SHARED_KEY =
       "a key for play alone".getBytes(StandardCharsets.US_ASCII);
 
-  /** One mixer's process. */
+  /** The process of one mixer. */
   private final class Node implements PeerNode.Host {
     final int number;
     final int zone;
@@ -158,7 +166,8 @@
       zone = number % Math.max(1, setup.zones);
       clockOffsetMs = (random.nextDouble() * 2 - 1) * setup.maxClockOffsetMs;
       partsPerSecond =
-          setup.partsPerSecond * (number == 0 ? 10 : 1); // one has ten times what the others have
+          setup.partsPerSecond
+              * (number == 0 ? 10 : 1); // one mixer has ten times the demand of each other one
     }
 
     void start() {
@@ -169,7 +178,7 @@
               peer(number),
               address(number),
               START_UNIX_MS + (long) (startedAt + clockOffsetMs),
-              withZone(setup.rules, zone),
+              withZone(setup.settings, zone),
               MessageAuthenticator.of(List.of(SHARED_KEY)),
               random.split(),
               this);
@@ -182,22 +191,23 @@
       consecutiveFailures.clear();
       ejectedUntil.clear();
       probing.clear();
-      // the first few places are told to all, as a file would tell them
+      // the first three addresses are given to all nodes, as a peers file does
       peerNode.start(List.of(address(0), address(1 % setup.mixers), address(2 % setup.mixers)));
-      PeerNode mine = peerNode;
-      runLater(random.nextDouble() * TICK_MS, mine, this::tick);
-      runLater(1000 * random.nextDouble() / partsPerSecond, mine, this::sendPart);
+      PeerNode owner = peerNode;
+      runLater(random.nextDouble() * TICK_MS, owner, this::tick);
+      runLater(1000 * random.nextDouble() / partsPerSecond, owner, this::sendPart);
     }
 
     /**
-     * Something of this process, later; not if it has ended, and when it goes on if it is stopped.
+     * Runs a task of this process after a delay. The task is dropped if the process has ended by
+     * then, and postponed until the process continues if it is stopped.
      */
-    void runLater(double span, PeerNode mine, Runnable task) {
-      scheduler.schedule(scheduler.now() + span, () -> run(mine, task));
+    void runLater(double delayMs, PeerNode owner, Runnable task) {
+      scheduler.schedule(scheduler.now() + delayMs, () -> run(owner, task));
     }
 
-    private void run(PeerNode mine, Runnable task) {
-      if (alive && peerNode == mine) {
+    private void run(PeerNode owner, Runnable task) {
+      if (alive && peerNode == owner) {
         if (isActive(Fault.Kind.STOP, number)) {
           suspendedTasks.add(task);
         } else {
@@ -208,9 +218,9 @@
 
     void tick() {
       peerNode.tick();
-      for (Map.Entry<Long, Double> each : List.copyOf(ejectedUntil.entrySet())) {
-        long box = each.getKey();
-        if (each.getValue() <= scheduler.now()
+      for (Map.Entry<Long, Double> entry : List.copyOf(ejectedUntil.entrySet())) {
+        long box = entry.getKey();
+        if (entry.getValue() <= scheduler.now()
             && !probing.contains(box)
             && peerNode.shouldProbe(box)) {
           probe(box);
@@ -218,9 +228,9 @@
       }
       if (isActive(Fault.Kind.REPEAT, number) && !recordedMessages.isEmpty()) {
         for (int i = 0; i < 5; i++) {
-          byte[] again = recordedMessages.poll();
-          recordedMessages.add(again);
-          send(address(random.nextInt(setup.mixers)), again);
+          byte[] message = recordedMessages.poll();
+          recordedMessages.add(message);
+          send(address(random.nextInt(setup.mixers)), message);
         }
       }
       if (isActive(Fault.Kind.CLAIM, number)) {
@@ -235,24 +245,24 @@
     private void probe(long box) {
       probing.add(box);
       peerNode.probeStarted(box);
-      boolean answers = !isDead(box);
-      if (!answers) {
+      boolean responds = !isDead(box);
+      if (!responds) {
         result.deadBoxProbes.merge((int) (scheduler.now() / 1000), 1, Integer::sum);
       } else {
-        for (BoxRecovery each : recoveries) {
-          if (each.box == box && scheduler.now() >= each.recoveredAt) {
-            each.firstProbe = Math.min(each.firstProbe, scheduler.now());
-            each.lastProbe = Math.max(each.lastProbe, scheduler.now());
+        for (BoxRecovery recovery : recoveries) {
+          if (recovery.box == box && scheduler.now() >= recovery.recoveredAt) {
+            recovery.firstProbe = Math.min(recovery.firstProbe, scheduler.now());
+            recovery.lastProbe = Math.max(recovery.lastProbe, scheduler.now());
           }
         }
       }
       runLater(
-          answers ? 2 : 250,
+          responds ? 2 : 250,
           peerNode,
           () -> {
             probing.remove(box);
-            peerNode.probeEnded(box, answers);
-            if (answers) {
+            peerNode.probeEnded(box, responds);
+            if (responds) {
               ejectedUntil.remove(box);
               consecutiveFailures.remove(box);
             } else {
@@ -294,67 +304,68 @@
     }
 
     @Override
-    public void send(PeerAddress to, byte[] letter) {
-      int other = to.port() - 1;
-      if (random.nextDouble() < setup.lossShare || isCut(number, other)) {
+    public void send(PeerAddress target, byte[] message) {
+      int receiver = target.port() - 1;
+      if (random.nextDouble() < setup.lossShare || isCut(number, receiver)) {
         return;
       }
       for (int copies = random.nextDouble() < setup.duplicateShare ? 2 : 1; copies > 0; copies--) {
         scheduler.schedule(
             scheduler.now() + 0.1 + random.nextDouble() * setup.maxDelayMs,
-            () -> nodes.get(other).receive(number, letter));
+            () -> nodes.get(receiver).receive(number, message));
       }
     }
 
-    private void receive(int from, byte[] letter) {
+    private void receive(int sender, byte[] message) {
       if (alive && (!isActive(Fault.Kind.STOP, number) || suspendedTasks.size() < BUFFER_LIMIT)) {
         if (isActive(Fault.Kind.REPEAT, number)
             || recordedMessages.size() < BUFFER_LIMIT && hostileMixers.contains(number)) {
-          recordedMessages.add(letter);
+          recordedMessages.add(message);
           if (recordedMessages.size() > BUFFER_LIMIT) {
             recordedMessages.poll();
           }
         }
-        run(peerNode, () -> peerNode.received(address(from), letter));
+        run(peerNode, () -> peerNode.received(address(sender), message));
       }
     }
 
     @Override
     public void boxAnswered(long box) {
-      ejectedUntil.computeIfPresent(box, (each, until) -> scheduler.now());
+      ejectedUntil.computeIfPresent(box, (ejectedBox, until) -> scheduler.now());
     }
 
     @Override
-    public void peerChanged(PeerRecord now) {
-      if (now.state() != PeerRecord.State.GONE) {
+    public void peerChanged(PeerRecord record) {
+      if (record.state() != PeerRecord.State.GONE) {
         return;
       }
-      int who = (int) now.peer().number() - 1;
-      Node node = nodes.get(who);
-      if (node.alive && now.incarnation() == node.peerNode.membership().incarnation(peer(who))) {
+      int changedMixer = (int) record.peer().number() - 1;
+      Node node = nodes.get(changedMixer);
+      if (node.alive
+          && record.incarnation() == node.peerNode.membership().incarnation(peer(changedMixer))) {
         return;
       }
-      for (Restart death : restarts) {
-        if (death.mixer == who
-            && scheduler.now() >= death.killedAt
-            && scheduler.now() < death.killedAt + death.downMs) {
-          death.detectedAt = scheduler.now();
+      for (Restart restart : restarts) {
+        if (restart.mixer == changedMixer
+            && scheduler.now() >= restart.killedAt
+            && scheduler.now() < restart.killedAt + restart.downMs) {
+          restart.detectedAt = scheduler.now();
           return;
         }
       }
-      boolean excused =
+      boolean explained =
           setup.faults.stream()
               .anyMatch(
                   fault ->
                       scheduler.now() >= fault.startMs
                           && scheduler.now() < fault.startMs + fault.durationMs + 10_000
                           && fault.kind != Fault.Kind.BOXES_DEAD
-                          && (fault.targets.contains(who)
+                          && (fault.targets.contains(changedMixer)
                               || fault.targets.contains(number)
-                              || fault.others.contains(who)
+                              || fault.others.contains(changedMixer)
                               || fault.others.contains(number)));
-      if (!excused) {
-        result.falselyGone++;
+      if (!explained) {
+        result.falselyMarkedGone++;
       }
     }
   }
@@ -365,10 +376,10 @@
     final double downMs;
     double detectedAt = Double.NaN;
 
-    Restart(int who, double at, double away) {
-      this.mixer = who;
-      this.killedAt = at;
-      this.downMs = away;
+    Restart(int mixer, double killedAt, double downMs) {
+      this.mixer = mixer;
+      this.killedAt = killedAt;
+      this.downMs = downMs;
     }
   }
 
@@ -378,9 +389,9 @@
     double firstProbe = Double.POSITIVE_INFINITY;
     double lastProbe = Double.NEGATIVE_INFINITY;
 
-    BoxRecovery(long box, double at) {
+    BoxRecovery(long box, double recoveredAt) {
       this.box = box;
-      this.recoveredAt = at;
+      this.recoveredAt = recoveredAt;
     }
   }
 
@@ -402,54 +413,54 @@
     return new PeerSimulation(setup).simulate();
   }
 
-  /** So many numbers from one on, for a fault. */
-  public static Set<Integer> range(int from, int count) {
-    Set<Integer> some = new LinkedHashSet<>();
-    for (int i = from; i < from + count; i++) {
-      some.add(i);
+  /** Returns consecutive numbers for the targets of a fault. */
+  public static Set<Integer> range(int first, int count) {
+    Set<Integer> numbers = new LinkedHashSet<>();
+    for (int i = first; i < first + count; i++) {
+      numbers.add(i);
     }
-    return some;
+    return numbers;
   }
 
-  private static PeerId peer(int number) {
-    return new PeerId(number + 1L);
+  private static PeerId peer(int mixer) {
+    return new PeerId(mixer + 1L);
   }
 
-  private static PeerAddress address(int number) {
-    return new PeerAddress(0x7F000001, number + 1);
+  private static PeerAddress address(int mixer) {
+    return new PeerAddress(0x7F000001, mixer + 1);
   }
 
-  private static PeerNode.Settings withZone(PeerNode.Settings rules, int zone) {
+  private static PeerNode.Settings withZone(PeerNode.Settings settings, int zone) {
     return new PeerNode.Settings(
-        rules.membership(),
+        settings.membership(),
         zone,
-        rules.reportPeriod(),
-        rules.reportFanout(),
-        rules.observationSpan(),
-        rules.reportLifetime(),
-        rules.minWitnesses(),
-        rules.roundPeriod(),
-        rules.roundStep(),
-        rules.maxBoxes(),
-        rules.maxBytesPerSecond());
+        settings.reportPeriod(),
+        settings.reportFanout(),
+        settings.observationSpan(),
+        settings.reportLifetime(),
+        settings.minWitnesses(),
+        settings.roundPeriod(),
+        settings.roundStep(),
+        settings.maxBoxes(),
+        settings.maxBytesPerSecond());
   }
 
-  private boolean isActive(Fault.Kind kind, int number) {
+  private boolean isActive(Fault.Kind kind, int target) {
     for (Fault fault : setup.faults) {
-      if (fault.kind == kind && fault.isActive(scheduler.now()) && fault.targets.contains(number)) {
+      if (fault.kind == kind && fault.isActive(scheduler.now()) && fault.targets.contains(target)) {
         return true;
       }
     }
     return false;
   }
 
-  private boolean isCut(int from, int to) {
+  private boolean isCut(int sender, int receiver) {
     for (Fault fault : setup.faults) {
       if (fault.isActive(scheduler.now())) {
-        boolean forth = fault.targets.contains(from) && fault.others.contains(to);
-        boolean back = fault.targets.contains(to) && fault.others.contains(from);
-        if (fault.kind == Fault.Kind.CUT && (forth || back)
-            || fault.kind == Fault.Kind.CUT_ONE_WAY && forth) {
+        boolean forward = fault.targets.contains(sender) && fault.others.contains(receiver);
+        boolean backward = fault.targets.contains(receiver) && fault.others.contains(sender);
+        if (fault.kind == Fault.Kind.CUT && (forward || backward)
+            || fault.kind == Fault.Kind.CUT_ONE_WAY && forward) {
           return true;
         }
       }
@@ -473,25 +484,29 @@
       scheduler.runUntil(second * 1000.0);
       measure();
     }
-    restarts.forEach(death -> result.detectionTimesMs.add(death.detectedAt - death.killedAt));
+    restarts.forEach(restart -> result.detectionTimesMs.add(restart.detectedAt - restart.killedAt));
     recoveries.forEach(
-        each ->
+        recovery ->
             result.recoveryTimesMs.add(
                 new double[] {
-                  each.firstProbe - each.recoveredAt, each.lastProbe - each.recoveredAt
+                  recovery.firstProbe - recovery.recoveredAt,
+                  recovery.lastProbe - recovery.recoveredAt
                 }));
-    for (Node one : nodes) {
-      for (Node other : nodes) {
-        boolean both = one != other && one.alive && other.alive;
+    for (Node node : nodes) {
+      for (Node otherNode : nodes) {
+        boolean bothAlive = node != otherNode && node.alive && otherNode.alive;
         result.unknownPairs +=
-            both && one.peerNode.membership().incarnation(peer(other.number)) == 0 ? 1 : 0;
+            bothAlive && node.peerNode.membership().incarnation(peer(otherNode.number)) == 0
+                ? 1
+                : 0;
       }
-      if (one.alive) {
-        one.peerNode
+      if (node.alive) {
+        node.peerNode
             .counts()
-            .forEach((which, count) -> result.peerCounts.merge(which, count, Long::sum));
-        for (Membership.Count which : Membership.Count.values()) {
-          result.membershipCounts.merge(which, one.peerNode.membership().count(which), Long::sum);
+            .forEach((counter, count) -> result.peerCounts.merge(counter, count, Long::sum));
+        for (Membership.Count counter : Membership.Count.values()) {
+          result.membershipCounts.merge(
+              counter, node.peerNode.membership().count(counter), Long::sum);
         }
       }
     }
@@ -502,26 +517,27 @@
     switch (fault.kind) {
       case KILL ->
           fault.targets.forEach(
-              who -> {
-                restarts.add(new Restart(who, fault.startMs, fault.durationMs));
+              mixer -> {
+                restarts.add(new Restart(mixer, fault.startMs, fault.durationMs));
                 scheduler.schedule(
                     fault.startMs,
                     () -> {
-                      nodes.get(who).alive = false;
-                      nodes.get(who).suspendedTasks.clear();
+                      nodes.get(mixer).alive = false;
+                      nodes.get(mixer).suspendedTasks.clear();
                     });
-                scheduler.schedule(fault.startMs + fault.durationMs, () -> nodes.get(who).start());
+                scheduler.schedule(
+                    fault.startMs + fault.durationMs, () -> nodes.get(mixer).start());
               });
       case STOP ->
           fault.targets.forEach(
-              who ->
+              mixer ->
                   scheduler.schedule(
                       fault.startMs + fault.durationMs,
                       () -> {
-                        Node node = nodes.get(who);
-                        List<Runnable> due = new ArrayList<>(node.suspendedTasks);
+                        Node node = nodes.get(mixer);
+                        List<Runnable> tasks = new ArrayList<>(node.suspendedTasks);
                         node.suspendedTasks.clear();
-                        due.forEach(task -> node.run(node.peerNode, task));
+                        tasks.forEach(task -> node.run(node.peerNode, task));
                       }));
       case BOXES_DEAD ->
           fault.targets.forEach(
@@ -532,46 +548,49 @@
   }
 
   private void measure() {
-    double most = 0;
-    double sum = 0;
-    double asked = 0;
-    int count = 0;
+    double maxBytes = 0;
+    double totalBytes = 0;
+    double demandPerSecond = 0;
+    int aliveMixers = 0;
     for (Node node : nodes) {
       if (node.alive) {
-        double sent = node.peerNode.bytesSent() - node.bytesAtLastMeasure;
+        double bytes = node.peerNode.bytesSent() - node.bytesAtLastMeasure;
         node.bytesAtLastMeasure = node.peerNode.bytesSent();
-        most = Math.max(most, sent);
-        sum += sent;
-        count++;
-        asked += hostileMixers.contains(node.number) ? 0 : node.partsPerSecond;
+        maxBytes = Math.max(maxBytes, bytes);
+        totalBytes += bytes;
+        aliveMixers++;
+        demandPerSecond += hostileMixers.contains(node.number) ? 0 : node.partsPerSecond;
       }
     }
-    result.bytesBySecond.add(new double[] {most, sum / Math.max(1, count)});
+    result.bytesBySecond.add(new double[] {maxBytes, totalBytes / Math.max(1, aliveMixers)});
     for (Node node : nodes) {
       if (node.alive && !hostileMixers.contains(node.number)) {
         for (long box = 0; box < setup.boxes; box++) {
-          double doubt = node.peerNode.failureShare(box);
+          double failureShare = node.peerNode.failureShare(box);
           if (hasBeenAliveFor(box, 15_000)) {
-            result.maxFailureShareOfLiveBox = Math.max(result.maxFailureShareOfLiveBox, doubt);
+            result.maxFailureShareOfLiveBox =
+                Math.max(result.maxFailureShareOfLiveBox, failureShare);
           }
         }
         if (scheduler.now() > 15_000) {
-          // what is heard is a sample of the fleet: the sum of what it tells, over what those would
-          // ask
+          // A node receives reports from a sample of the fleet. The ratio compares its estimate
+          // of the demand with the true demand of the honest mixers.
           result.maxDemandRatio =
-              Math.max(result.maxDemandRatio, node.peerNode.fleetDemand() / Math.max(1, asked));
+              Math.max(
+                  result.maxDemandRatio,
+                  node.peerNode.fleetDemand() / Math.max(1, demandPerSecond));
         }
       }
     }
   }
 
-  private boolean hasBeenAliveFor(long box, double span) {
+  private boolean hasBeenAliveFor(long box, double durationMs) {
     return setup.faults.stream()
         .noneMatch(
             fault ->
                 fault.kind == Fault.Kind.BOXES_DEAD
                     && fault.targets.contains((int) box)
                     && scheduler.now() >= fault.startMs
-                    && scheduler.now() < fault.startMs + fault.durationMs + span);
+                    && scheduler.now() < fault.startMs + fault.durationMs + durationMs);
   }
 }
--- a/emulator/src/test/java/gingerring/emulator/harness/ViolationAttributionTest.java
+++ b/emulator/src/test/java/gingerring/emulator/harness/ViolationAttributionTest.java
@@ -146,21 +146,21 @@
     long expectedTrips =
         onReactor(
             () -> {
-              if (connections[mixer][box] == null || !connections[mixer][box].open()) {
+              if (connections[mixer][box] == null || !connections[mixer][box].isOpen()) {
                 connections[mixer][box] =
-                    reactor.dial(
+                    reactor.connect(
                         EmulatedStore.loopback(relays[mixer][box].port()),
                         new ReactorConnection.Handler() {
                           @Override
-                          public void bytes(byte[] bytes, int length) {}
+                          public void onData(byte[] bytes, int length) {}
 
                           @Override
-                          public void closed() {}
+                          public void onClosed() {}
                         });
               }
               for (String requestId : requestIds) {
                 byte[] frame = ("S" + requestId + ".1 " + partition + " - 8\nsearch:x").getBytes();
-                connections[mixer][box].put(
+                connections[mixer][box].send(
                     ByteBuffer.allocate(4 + frame.length)
                         .order(ByteOrder.LITTLE_ENDIAN)
                         .putInt(frame.length)
--- a/traffic/src/main/java/gingerring/traffic/flow/FlowTable.java
+++ b/traffic/src/main/java/gingerring/traffic/flow/FlowTable.java
@@ -8,316 +8,380 @@
 import java.util.TreeMap;
 
 /**
- * Call {@link #segment} for each segment in the order of the file, then {@link #end}. What is in
- * order goes to the {@link Sink} at once. The same segments give the same calls.
+ * Groups segments into flows and reassembles their streams. Call {@link #process} for each segment
+ * in file order, then {@link #endAllFlows}. Bytes in order go to the {@link FlowListener} at once.
+ * The same segments always produce the same calls.
  *
- * <p>A flow that was not seen to open begins with the lowest byte among its first segments, or
- * where its peer waited for more; until that is sure they are held. A SYN with another number on
- * the ports of a known flow ends that and begins a new one.
+ * <p>A flow whose SYN was not captured begins with the lowest byte among its first segments, or at
+ * the first acknowledged byte; segments are buffered until the start is certain. A SYN with a
+ * different sequence number on the ports of a known flow ends that flow and begins a new one.
  */
 public final class FlowTable {
-  /** Who is told of flows. Sides are 0, which opened it or was seen first, and 1. */
-  public interface Sink {
-    void opened(Flow flow);
+  /**
+   * Receives the events of flows. Side 0 opened the connection or was seen first; side 1 is its
+   * peer.
+   */
+  public interface FlowListener {
+    void onFlowOpened(Flow flow);
 
     /**
-     * Bytes next in the stream of a side; they are to be copied if kept. {@code nanos} is when they
-     * were captured, {@code taken} how much of the other side's stream their sender had
-     * acknowledged by then.
+     * Delivers the next bytes of one side's stream; copy bytes to be kept. {@code timestampNanos}
+     * is their capture time, {@code acknowledgedPeerBytes} how much of the other side's stream
+     * their sender had acknowledged by then.
      */
-    void bytes(Flow flow, int side, long nanos, long taken, byte[] bytes, int at, int length);
+    void onData(
+        Flow flow,
+        int side,
+        long timestampNanos,
+        long acknowledgedPeerBytes,
+        byte[] bytes,
+        int offset,
+        int length);
 
-    /** So many bytes of the stream never came. */
-    void gap(Flow flow, int side, long nanos, long missing);
+    /** Reports that {@code missingBytes} of the stream were not captured. */
+    void onGap(Flow flow, int side, long timestampNanos, long missingBytes);
 
-    /** This side ended its stream. */
-    void finished(Flow flow, int side, long nanos);
+    /** Reports that this side ended its stream. */
+    void onEndOfStream(Flow flow, int side, long timestampNanos);
 
-    void closed(Flow flow, Flow.How how, long nanos);
+    void onFlowClosed(Flow flow, Flow.CloseReason reason, long timestampNanos);
   }
 
-  /** After so many segments of a flow it is taken to begin with what was seen of it by then. */
-  private static final int UNSETTLED_MOST = 32;
+  /** After this many segments a flow is assumed to start at the lowest byte observed so far. */
+  private static final int MAX_SEGMENTS_BEFORE_START = 32;
 
-  private final Bounds bounds;
-  private final Sink sink;
+  private final ReassemblyLimits limits;
+  private final FlowListener listener;
   private final LinkedHashMap<Flow.Key, Flow> flows = new LinkedHashMap<>(1024, 0.75f, true);
   private final Map<String, Long> counts = new TreeMap<>();
-  private long numbers;
-  private long held;
-  private long now;
-  private final Out out = new Out();
-  private Flow last;
-  private int side;
+  private long flowsOpened;
+  private long bufferedBytes;
+  private long nowNanos;
+  private final SinkAdapter sinkAdapter = new SinkAdapter();
+  private Flow lastFlow;
+  private int currentSide;
 
-  public FlowTable(Bounds bounds, Sink sink) {
-    this.bounds = bounds;
-    this.sink = sink;
+  public FlowTable(ReassemblyLimits limits, FlowListener listener) {
+    this.limits = limits;
+    this.listener = listener;
   }
 
-  public void segment(Segment s) {
-    now = Math.max(now, s.nanos);
-    Flow flow = find(s);
-    if (flow != null && s.has(Segment.SYN) && opensAnew(flow, s)) {
-      close(flow, Flow.How.REUSED);
+  public void process(Segment segment) {
+    nowNanos = Math.max(nowNanos, segment.timestampNanos);
+    Flow flow = find(segment);
+    if (flow != null && segment.has(Segment.SYN) && opensNewFlow(flow, segment)) {
+      close(flow, Flow.CloseReason.PORTS_REUSED);
       flow = null;
     }
     if (flow == null) {
-      flow = open(s);
+      flow = open(segment);
     }
-    flow.seen = now;
-    if (flow.over) {
-      if (s.length > 0) {
+    flow.lastSeenNanos = nowNanos;
+    if (flow.closed) {
+      if (segment.payloadLength > 0) {
         count("segments after the end of their flow");
       }
       return;
     }
-    Direction mine = flow.directions[side];
-    Direction peers = flow.directions[1 - side];
-    if (!mine.known) {
-      mine.begin(s.has(Segment.SYN) ? s.sequence + 1 : s.sequence);
+    StreamReassembler stream = flow.streams[currentSide];
+    StreamReassembler peerStream = flow.streams[1 - currentSide];
+    if (!stream.hasStart) {
+      stream.setProvisionalStart(
+          segment.has(Segment.SYN) ? segment.sequenceNumber + 1 : segment.sequenceNumber);
     }
-    if (s.has(Segment.SYN)) {
-      mine.settleAt(s.sequence + 1);
-      flow.whole = true;
+    if (segment.has(Segment.SYN)) {
+      stream.setStart(segment.sequenceNumber + 1);
+      flow.openingSeen = true;
     }
-    if (s.has(Segment.ACK)) {
-      if (!peers.known) {
-        peers.begin(s.acknowledged);
+    if (segment.has(Segment.ACK)) {
+      if (!peerStream.hasStart) {
+        peerStream.setProvisionalStart(segment.ackNumber);
       }
-      peers.taken(s.acknowledged);
+      peerStream.onAcknowledged(segment.ackNumber);
     }
-    if (!mine.flowing) {
-      begin(flow, ++flow.unsettled >= UNSETTLED_MOST);
+    if (!stream.delivering) {
+      startDelivery(flow, ++flow.segmentsBeforeStart >= MAX_SEGMENTS_BEFORE_START);
     }
-    long offset = mine.offset(s.has(Segment.SYN) ? s.sequence + 1 : s.sequence);
-    if (mine.far(offset)) {
+    long offset =
+        stream.offsetOf(
+            segment.has(Segment.SYN) ? segment.sequenceNumber + 1 : segment.sequenceNumber);
+    if (stream.isOutsideWindow(offset)) {
       count("segments far outside their window");
       return;
     }
-    data(flow, mine, offset, s);
-    if (s.has(Segment.FIN) && mine.finAt < 0) {
-      mine.finAt = offset + s.length + s.missing;
+    acceptPayload(flow, stream, offset, segment);
+    if (segment.has(Segment.FIN) && stream.finOffset < 0) {
+      stream.finOffset = offset + segment.payloadLength + segment.truncatedBytes;
     }
-    for (int which = 0; which < 2; which++) {
-      if (flow.directions[which].finished() && !flow.directions[which].finTold) {
-        flow.directions[which].finTold = true;
-        sink.finished(flow, which, now);
+    for (int eachSide = 0; eachSide < 2; eachSide++) {
+      if (flow.streams[eachSide].isComplete() && !flow.streams[eachSide].finReported) {
+        flow.streams[eachSide].finReported = true;
+        listener.onEndOfStream(flow, eachSide, nowNanos);
       }
     }
-    if (s.has(Segment.RST)) {
-      end(flow, Flow.How.RESET);
-    } else if (mine.finTold && peers.finTold) {
-      end(flow, Flow.How.FINISHED);
+    if (segment.has(Segment.RST)) {
+      endFlow(flow, Flow.CloseReason.RESET);
+    } else if (stream.finReported && peerStream.finReported) {
+      endFlow(flow, Flow.CloseReason.FINISHED);
     }
   }
 
-  /** Both directions flow once it is sure where they begin, or {@code at once}. */
-  private void begin(Flow flow, boolean atOnce) {
-    Direction one = flow.directions[0];
-    Direction other = flow.directions[1];
-    if (atOnce) {
-      one.settle();
-      other.settle();
+  /**
+   * Starts delivery in both directions once both starts are certain, or at once if {@code force} is
+   * set.
+   */
+  private void startDelivery(Flow flow, boolean force) {
+    StreamReassembler firstStream = flow.streams[0];
+    StreamReassembler secondStream = flow.streams[1];
+    if (force) {
+      firstStream.settleStart();
+      secondStream.settleStart();
     }
-    if (one.settled && other.settled && !one.flowing) {
-      one.flowing = true;
-      other.flowing = true;
-      drain(flow, 0);
-      drain(flow, 1);
+    if (firstStream.startSettled && secondStream.startSettled && !firstStream.delivering) {
+      firstStream.delivering = true;
+      secondStream.delivering = true;
+      deliverContiguous(flow, 0);
+      deliverContiguous(flow, 1);
     }
   }
 
-  private void drain(Flow flow, int which) {
-    Direction direction = flow.directions[which];
-    int before = direction.held;
-    direction.drain(out.of(flow, which));
-    held += direction.held - before;
+  private void deliverContiguous(Flow flow, int streamSide) {
+    StreamReassembler stream = flow.streams[streamSide];
+    int bufferedBefore = stream.bufferedBytes;
+    stream.deliverContiguous(sinkAdapter.forStream(flow, streamSide));
+    bufferedBytes += stream.bufferedBytes - bufferedBefore;
   }
 
-  private void data(Flow flow, Direction mine, long offset, Segment s) {
-    int before = mine.held;
-    long conflicts = mine.conflicting;
-    if (s.length > 0) {
-      mine.add(offset, s.bytes, s.at, s.length, s.nanos, s.acknowledged, out.of(flow, side));
+  private void acceptPayload(Flow flow, StreamReassembler stream, long offset, Segment segment) {
+    int bufferedBefore = stream.bufferedBytes;
+    long conflictsBefore = stream.conflictingBlocks;
+    if (segment.payloadLength > 0) {
+      stream.accept(
+          offset,
+          segment.buffer,
+          segment.payloadOffset,
+          segment.payloadLength,
+          segment.timestampNanos,
+          segment.ackNumber,
+          sinkAdapter.forStream(flow, currentSide));
     }
-    if (mine.conflicting > conflicts) {
+    if (stream.conflictingBlocks > conflictsBefore) {
       count("segments that contradict what came before");
     }
-    held += mine.held - before;
-    while (mine.gapped()
-        && (mine.held > bounds.heldPerDirection()
-            || held > bounds.heldInAll()
-            || now - mine.gapSince > bounds.patience().toNanos())) {
-      if (mine.flowing) {
-        giveUp(flow, side);
+    bufferedBytes += stream.bufferedBytes - bufferedBefore;
+    while (stream.hasGap()
+        && (stream.bufferedBytes > limits.maxBufferedPerDirection()
+            || bufferedBytes > limits.maxBufferedTotal()
+            || nowNanos - stream.gapSinceNanos > limits.gapTimeout().toNanos())) {
+      if (stream.delivering) {
+        skipGap(flow, currentSide);
       } else {
-        begin(flow, true);
+        startDelivery(flow, true);
       }
     }
   }
 
-  private void giveUp(Flow flow, int which) {
-    Direction direction = flow.directions[which];
-    int before = direction.held;
-    direction.giveUp(now, out.of(flow, which));
-    held += direction.held - before;
+  private void skipGap(Flow flow, int streamSide) {
+    StreamReassembler stream = flow.streams[streamSide];
+    int bufferedBefore = stream.bufferedBytes;
+    stream.skipGap(nowNanos, sinkAdapter.forStream(flow, streamSide));
+    bufferedBytes += stream.bufferedBytes - bufferedBefore;
   }
 
-  /** Passes on to the sink; one is enough, as nothing keeps it. */
-  private final class Out implements Direction.Out {
+  /**
+   * Passes a stream's events to the listener. One instance serves all streams, because no caller
+   * keeps a reference to the instance.
+   */
+  private final class SinkAdapter implements StreamReassembler.StreamSink {
     private Flow flow;
     private int side;
 
-    Out of(Flow whose, int which) {
-      flow = whose;
-      side = which;
+    SinkAdapter forStream(Flow streamFlow, int streamSide) {
+      flow = streamFlow;
+      side = streamSide;
       return this;
     }
 
     @Override
-    public void bytes(byte[] bytes, int at, int length, long nanos, int acknowledged) {
-      sink.bytes(
-          flow, side, nanos, flow.directions[1 - side].offset(acknowledged), bytes, at, length);
+    public void onData(byte[] bytes, int offset, int length, long timestampNanos, int ackNumber) {
+      listener.onData(
+          flow,
+          side,
+          timestampNanos,
+          flow.streams[1 - side].offsetOf(ackNumber),
+          bytes,
+          offset,
+          length);
     }
 
     @Override
-    public void gap(long missing) {
+    public void onGap(long missingBytes) {
       count("gaps that never filled");
-      sink.gap(flow, side, now, missing);
+      listener.onGap(flow, side, nowNanos, missingBytes);
     }
   }
 
-  /** A SYN that is no repeat of the one that opened this flow. */
-  private boolean opensAnew(Flow flow, Segment s) {
-    return !s.has(Segment.ACK)
-        && (flow.over || !flow.directions[side].mayBeginAt(s.sequence + 1, flow.whole));
+  /** Whether the segment is a SYN other than a retransmission of the one that opened the flow. */
+  private boolean opensNewFlow(Flow flow, Segment segment) {
+    return !segment.has(Segment.ACK)
+        && (flow.closed
+            || !flow.streams[currentSide].canStartAt(segment.sequenceNumber + 1, flow.openingSeen));
   }
 
-  private Flow find(Segment s) {
-    if (last != null && matches(last.key, s)) {
-      return last;
+  private Flow find(Segment segment) {
+    if (lastFlow != null && matches(lastFlow.key, segment)) {
+      return lastFlow;
     }
     Flow flow =
-        flows.get(new Flow.Key(s.fromHigh, s.fromLow, s.fromPort, s.toHigh, s.toLow, s.toPort));
-    side = 0;
+        flows.get(
+            new Flow.Key(
+                segment.sourceHigh,
+                segment.sourceLow,
+                segment.sourcePort,
+                segment.destinationHigh,
+                segment.destinationLow,
+                segment.destinationPort));
+    currentSide = 0;
     if (flow == null) {
       flow =
-          flows.get(new Flow.Key(s.toHigh, s.toLow, s.toPort, s.fromHigh, s.fromLow, s.fromPort));
-      side = 1;
+          flows.get(
+              new Flow.Key(
+                  segment.destinationHigh,
+                  segment.destinationLow,
+                  segment.destinationPort,
+                  segment.sourceHigh,
+                  segment.sourceLow,
+                  segment.sourcePort));
+      currentSide = 1;
     }
-    last = flow;
+    lastFlow = flow;
     return flow;
   }
 
-  private boolean matches(Flow.Key key, Segment s) {
-    if (key.portA() == s.fromPort
-        && key.portB() == s.toPort
-        && key.lowA() == s.fromLow
-        && key.lowB() == s.toLow
-        && key.highA() == s.fromHigh
-        && key.highB() == s.toHigh) {
-      side = 0;
+  private boolean matches(Flow.Key key, Segment segment) {
+    if (key.port0() == segment.sourcePort
+        && key.port1() == segment.destinationPort
+        && key.addressLow0() == segment.sourceLow
+        && key.addressLow1() == segment.destinationLow
+        && key.addressHigh0() == segment.sourceHigh
+        && key.addressHigh1() == segment.destinationHigh) {
+      currentSide = 0;
       return true;
     }
-    if (key.portB() == s.fromPort
-        && key.portA() == s.toPort
-        && key.lowB() == s.fromLow
-        && key.lowA() == s.toLow
-        && key.highB() == s.fromHigh
-        && key.highA() == s.toHigh) {
-      side = 1;
+    if (key.port1() == segment.sourcePort
+        && key.port0() == segment.destinationPort
+        && key.addressLow1() == segment.sourceLow
+        && key.addressLow0() == segment.destinationLow
+        && key.addressHigh1() == segment.sourceHigh
+        && key.addressHigh0() == segment.destinationHigh) {
+      currentSide = 1;
       return true;
     }
     return false;
   }
 
-  private Flow open(Segment s) {
-    for (Iterator<Flow> eldest = flows.values().iterator(); eldest.hasNext(); ) {
-      Flow flow = eldest.next();
-      boolean idle = now - flow.seen > bounds.idle().toNanos();
-      if (!idle && flows.size() < bounds.flows()) {
+  private Flow open(Segment segment) {
+    for (Iterator<Flow> leastRecentlyUsed = flows.values().iterator();
+        leastRecentlyUsed.hasNext(); ) {
+      Flow flow = leastRecentlyUsed.next();
+      boolean idle = nowNanos - flow.lastSeenNanos > limits.idleTimeout().toNanos();
+      if (!idle && flows.size() < limits.maxFlows()) {
         break;
       }
-      eldest.remove();
-      finish(flow, idle ? Flow.How.IDLE : Flow.How.PUSHED_OUT);
+      leastRecentlyUsed.remove();
+      remove(flow, idle ? Flow.CloseReason.IDLE : Flow.CloseReason.EVICTED);
     }
-    // who answers a SYN did not open the flow
-    boolean answers = s.has(Segment.SYN) && s.has(Segment.ACK);
-    side = answers ? 1 : 0;
+    // the sender of a SYN-ACK did not open the flow
+    boolean isSynAck = segment.has(Segment.SYN) && segment.has(Segment.ACK);
+    currentSide = isSynAck ? 1 : 0;
     Flow flow =
         new Flow(
-            numbers++,
-            answers
-                ? new Flow.Key(s.toHigh, s.toLow, s.toPort, s.fromHigh, s.fromLow, s.fromPort)
-                : new Flow.Key(s.fromHigh, s.fromLow, s.fromPort, s.toHigh, s.toLow, s.toPort),
-            now);
-    flow.whole = s.has(Segment.SYN);
+            flowsOpened++,
+            isSynAck
+                ? new Flow.Key(
+                    segment.destinationHigh,
+                    segment.destinationLow,
+                    segment.destinationPort,
+                    segment.sourceHigh,
+                    segment.sourceLow,
+                    segment.sourcePort)
+                : new Flow.Key(
+                    segment.sourceHigh,
+                    segment.sourceLow,
+                    segment.sourcePort,
+                    segment.destinationHigh,
+                    segment.destinationLow,
+                    segment.destinationPort),
+            nowNanos);
+    flow.openingSeen = segment.has(Segment.SYN);
     flows.put(flow.key, flow);
-    last = flow;
-    sink.opened(flow);
+    lastFlow = flow;
+    listener.onFlowOpened(flow);
     return flow;
   }
 
-  /** It has ended, and stays a while so that late segments of it open no new one. */
-  private void end(Flow flow, Flow.How how) {
-    if (!flow.over) {
-      begin(flow, true);
-      for (int which = 0; which < 2; which++) {
-        while (flow.directions[which].gapped()) {
-          giveUp(flow, which);
+  /**
+   * Reports the flow's end. The flow stays in the table for some time, so that late segments do not
+   * open a new flow.
+   */
+  private void endFlow(Flow flow, Flow.CloseReason reason) {
+    if (!flow.closed) {
+      startDelivery(flow, true);
+      for (int streamSide = 0; streamSide < 2; streamSide++) {
+        while (flow.streams[streamSide].hasGap()) {
+          skipGap(flow, streamSide);
         }
-        long missing = flow.directions[which].missingAtEnd();
-        if (missing > 0) {
-          flow.directions[which].next += missing;
+        long missingBytes = flow.streams[streamSide].undeliveredBytes();
+        if (missingBytes > 0) {
+          flow.streams[streamSide].nextOffset += missingBytes;
           count("gaps that never filled");
-          sink.gap(flow, which, now, missing);
+          listener.onGap(flow, streamSide, nowNanos, missingBytes);
         }
       }
-      flow.over = true;
-      sink.closed(flow, how, now);
+      flow.closed = true;
+      listener.onFlowClosed(flow, reason, nowNanos);
     }
   }
 
-  private void finish(Flow flow, Flow.How how) {
-    end(flow, how);
-    if (last == flow) {
-      last = null;
+  private void remove(Flow flow, Flow.CloseReason reason) {
+    endFlow(flow, reason);
+    if (lastFlow == flow) {
+      lastFlow = null;
     }
-    for (Direction direction : flow.directions) {
-      held -= direction.held;
-      if (direction.repeated > 0) {
-        counts.merge("bytes that came again", direction.repeated, Long::sum);
+    for (StreamReassembler stream : flow.streams) {
+      bufferedBytes -= stream.bufferedBytes;
+      if (stream.repeatedBytes > 0) {
+        counts.merge("bytes that came again", stream.repeatedBytes, Long::sum);
       }
     }
-    if (how == Flow.How.PUSHED_OUT) {
+    if (reason == Flow.CloseReason.EVICTED) {
       count("flows pushed out by newer ones");
     }
   }
 
-  private void close(Flow flow, Flow.How how) {
+  private void close(Flow flow, Flow.CloseReason reason) {
     flows.remove(flow.key);
-    finish(flow, how);
+    remove(flow, reason);
   }
 
-  /** The file has ended: so has every flow. */
-  public void end() {
+  /** Ends every flow at the end of the file. */
+  public void endAllFlows() {
     for (Flow flow : List.copyOf(flows.values())) {
-      close(flow, Flow.How.FILE_ENDED);
+      close(flow, Flow.CloseReason.END_OF_FILE);
     }
   }
 
-  public int flows() {
+  public int activeFlows() {
     return flows.size();
   }
 
-  /** Bytes held for gaps to fill, over all flows. */
-  public long held() {
-    return held;
+  /** Bytes buffered behind gaps, over all flows. */
+  public long bufferedBytes() {
+    return bufferedBytes;
   }
 
-  public long flowsSeen() {
-    return numbers;
+  public long totalFlows() {
+    return flowsOpened;
   }
 
   public Map<String, Long> counts() {
--- a/traffic/src/main/java/gingerring/traffic/pcap/CaptureEditor.java
+++ b/traffic/src/main/java/gingerring/traffic/pcap/CaptureEditor.java
@@ -7,97 +7,126 @@
 import java.util.PriorityQueue;
 import java.util.function.Predicate;
 
-/** Capture files made from others, packet by packet; the new one has its name once it is whole. */
+/**
+ * Cuts and merges capture files packet by packet. The output gets its final name only when it is
+ * complete.
+ */
 public final class CaptureEditor {
-  /** How many packets were taken, of how many; {@code notes} tell of files that ended early. */
-  public record Done(long taken, long of, List<String> notes) {}
+  /**
+   * How many of the packets read were written. {@code warnings} names the input files that ended
+   * early and why.
+   */
+  public record EditResult(long packetsWritten, long packetsRead, List<String> warnings) {}
 
-  /** Files open at a time. */
-  public static final int FILES_MOST = 256;
+  /** How many input files one merge may open at a time. */
+  public static final int MAX_FILES = 256;
 
   private CaptureEditor() {}
 
   /**
-   * The packets of {@code from} that are wanted; times in Unix nanoseconds, {@code before} not
-   * included.
+   * Copies the selected packets of {@code input} whose times lie from {@code fromNanos} up to but
+   * not including {@code untilNanos}, both in Unix nanoseconds. {@code keepsOtherPackets} also
+   * copies packets that hold no TCP segment.
    */
-  public static Done cut(
-      Path from, Path to, long since, long before, Predicate<Segment> wanted, boolean rest)
+  public static EditResult cut(
+      Path input,
+      Path output,
+      long fromNanos,
+      long untilNanos,
+      Predicate<Segment> segmentFilter,
+      boolean keepsOtherPackets)
       throws IOException {
     return merge(
-        List.of(from), to, packet -> packet.nanos >= since && packet.nanos < before, wanted, rest);
+        List.of(input),
+        output,
+        packet -> packet.timestampNanos >= fromNanos && packet.timestampNanos < untilNanos,
+        segmentFilter,
+        keepsOtherPackets);
   }
 
-  /** The packets of all files in the order of their times; each file is taken to be in order. */
-  public static Done merge(List<Path> from, Path to) throws IOException {
-    return merge(from, to, packet -> true, segment -> true, true);
+  /** Merges all packets of the files by time. Each input file is assumed to be in time order. */
+  public static EditResult merge(List<Path> inputs, Path output) throws IOException {
+    return merge(inputs, output, packet -> true, segment -> true, true);
   }
 
-  private record Head(CaptureReader reader, Packet packet, int number) {}
+  private record NextPacket(CaptureReader reader, Packet packet, int fileNumber) {}
 
-  /** {@code rest}: packets that hold no TCP segment go along too. */
-  private static Done merge(
-      List<Path> from, Path to, Predicate<Packet> when, Predicate<Segment> wanted, boolean rest)
+  /** {@code keepsOtherPackets}: packets that hold no TCP segment are copied too. */
+  private static EditResult merge(
+      List<Path> inputs,
+      Path output,
+      Predicate<Packet> packetFilter,
+      Predicate<Segment> segmentFilter,
+      boolean keepsOtherPackets)
       throws IOException {
-    if (from.size() > FILES_MOST) {
-      throw new IOException("more than " + FILES_MOST + " files");
+    if (inputs.size() > MAX_FILES) {
+      throw new IOException("more than " + MAX_FILES + " input files");
     }
-    PriorityQueue<Head> heads =
+    PriorityQueue<NextPacket> nextPackets =
         new PriorityQueue<>(
             (one, other) -> {
-              int byTime = Long.compare(one.packet.nanos, other.packet.nanos);
-              return byTime != 0 ? byTime : Integer.compare(one.number, other.number);
+              int byTime = Long.compare(one.packet.timestampNanos, other.packet.timestampNanos);
+              return byTime != 0 ? byTime : Integer.compare(one.fileNumber, other.fileNumber);
             });
     List<CaptureReader> readers = new ArrayList<>();
-    CaptureWriter out = null;
+    CaptureWriter writer = null;
     try {
-      for (Path file : from) {
+      for (Path file : inputs) {
         CaptureReader reader = CaptureReader.open(file);
         readers.add(reader);
         Packet packet = new Packet();
         if (reader.next(packet)) {
-          heads.add(new Head(reader, packet, readers.size()));
+          nextPackets.add(new NextPacket(reader, packet, readers.size()));
         }
       }
-      int link = heads.isEmpty() ? 101 : heads.peek().packet.link;
-      out = new CaptureWriter(to, link);
-      Layers layers = new Layers();
+      int linkType = nextPackets.isEmpty() ? 101 : nextPackets.peek().packet.linkType;
+      writer = new CaptureWriter(output, linkType);
+      PacketDecoder decoder = new PacketDecoder();
       Segment segment = new Segment();
-      long taken = 0;
-      long all = 0;
-      while (!heads.isEmpty()) {
-        Head head = heads.poll();
-        Packet packet = head.packet;
-        all++;
-        if (packet.link != link) {
+      long packetsWritten = 0;
+      long packetsRead = 0;
+      while (!nextPackets.isEmpty()) {
+        NextPacket next = nextPackets.poll();
+        Packet packet = next.packet;
+        packetsRead++;
+        if (packet.linkType != linkType) {
           throw new IOException(
-              from.get(head.number - 1)
+              inputs.get(next.fileNumber - 1)
                   + ": offset "
-                  + head.reader.offset()
+                  + next.reader.offset()
                   + ": link type "
-                  + packet.link
-                  + " beside "
-                  + link
-                  + ": one file holds one");
+                  + packet.linkType
+                  + " differs from link type "
+                  + linkType
+                  + " of the output: a file has one link type");
         }
-        boolean tcp = layers.read(packet, segment);
-        if (when.test(packet) && (tcp ? wanted.test(segment) : rest)) {
-          out.packet(packet.nanos, packet.bytes, packet.at, packet.length, packet.original);
-          taken++;
+        boolean holdsSegment = decoder.decode(packet, segment);
+        if (packetFilter.test(packet)
+            && (holdsSegment ? segmentFilter.test(segment) : keepsOtherPackets)) {
+          writer.writePacket(
+              packet.timestampNanos,
+              packet.buffer,
+              packet.offset,
+              packet.length,
+              packet.originalLength);
+          packetsWritten++;
         }
-        if (head.reader.next(packet)) {
-          heads.add(head);
+        if (next.reader.next(packet)) {
+          nextPackets.add(next);
         }
       }
-      out.close();
-      out = null;
-      return new Done(
-          taken,
-          all,
-          readers.stream().map(CaptureReader::why).filter(why -> !why.isEmpty()).toList());
+      writer.close();
+      writer = null;
+      return new EditResult(
+          packetsWritten,
+          packetsRead,
+          readers.stream()
+              .map(CaptureReader::endReason)
+              .filter(reason -> !reason.isEmpty())
+              .toList());
     } finally {
-      if (out != null) {
-        out.abandon();
+      if (writer != null) {
+        writer.abandon();
       }
       for (CaptureReader reader : readers) {
         reader.close();
--- a/traffic/src/main/java/gingerring/traffic/pcap/CaptureWriter.java
+++ b/traffic/src/main/java/gingerring/traffic/pcap/CaptureWriter.java
@@ -12,124 +12,144 @@
 import java.util.zip.GZIPOutputStream;
 
 /**
- * Writes one capture file. The name tells the form: pcapng where it holds {@code .pcapng}, else
- * pcap with nanoseconds; compressed where it ends in {@code .gz} or {@code .zst}. The file stands
- * under its name with {@code .part} behind it until {@link #close}, so that none under its final
- * name is half written.
+ * Writes one capture file. The file name selects the format: pcapng if the name contains {@code
+ * .pcapng}, else pcap with nanosecond timestamps; compressed if the name ends in {@code .gz} or
+ * {@code .zst}. Until {@link #close} the file carries the suffix {@code .part}, so that no file
+ * under its final name is incomplete.
  */
 public final class CaptureWriter implements Closeable {
-  private static final int NANOS = 0xa1b23c4d;
-  private static final int SNAP = CaptureReader.PACKET_MOST;
+  private static final int PCAP_NANOS_MAGIC = 0xa1b23c4d;
+  private static final int SNAP_LENGTH = CaptureReader.MAX_PACKET_BYTES;
 
   private final Path file;
-  private final Path part;
-  private final OutputStream out;
-  private final boolean blocks;
-  private final int link;
+  private final Path partialFile;
+  private final OutputStream output;
+  private final boolean isPcapng;
+  private final int linkType;
   private final byte[] head = new byte[64];
-  private long written;
+  private long bytesWritten;
   private boolean closed;
 
-  /** All packets of the file are of one link type. */
-  public CaptureWriter(Path file, int link) throws IOException {
+  /** Creates the file. All packets of one file have the same link type. */
+  public CaptureWriter(Path file, int linkType) throws IOException {
     this.file = file;
-    this.link = link;
+    this.linkType = linkType;
     String name = file.getFileName().toString();
-    part = file.resolveSibling(name + ".part");
-    OutputStream raw = Files.newOutputStream(part);
-    OutputStream packed =
+    partialFile = file.resolveSibling(name + ".part");
+    OutputStream fileOutput = Files.newOutputStream(partialFile);
+    OutputStream compressedOutput =
         name.endsWith(".gz")
-            ? new GZIPOutputStream(raw, 1 << 16)
-            : name.endsWith(".zst") ? new ZstdOutputStream(raw) : raw;
-    out = new BufferedOutputStream(packed, 1 << 18);
-    blocks = name.contains(".pcapng");
-    if (blocks) {
-      int at = put(0, 0x0a0d0d0a, 28, 0x1a2b3c4d, 1, -1, -1, 28);
-      at = put(at, 1, 32, link << 16, SNAP);
-      at = put(at, 9 << 16 | 1, 9 << 24, 0, 32); // times in nanoseconds; the end of options
-      flushHead(at);
+            ? new GZIPOutputStream(fileOutput, 1 << 16)
+            : name.endsWith(".zst") ? new ZstdOutputStream(fileOutput) : fileOutput;
+    output = new BufferedOutputStream(compressedOutput, 1 << 18);
+    isPcapng = name.contains(".pcapng");
+    if (isPcapng) {
+      int offset = putInts(0, 0x0a0d0d0a, 28, 0x1a2b3c4d, 1, -1, -1, 28);
+      offset = putInts(offset, 1, 32, linkType << 16, SNAP_LENGTH);
+      offset =
+          putInts(offset, 9 << 16 | 1, 9 << 24, 0, 32); // if_tsresol: nanoseconds; end of options
+      writeHead(offset);
     } else {
-      flushHead(put(0, NANOS, 2 << 16 | 4, 0, 0, SNAP, link));
+      writeHead(putInts(0, PCAP_NANOS_MAGIC, 2 << 16 | 4, 0, 0, SNAP_LENGTH, linkType));
     }
   }
 
-  /** How many bytes the packets so far take, before compression. */
-  public long written() {
-    return written;
+  /** Bytes of the packet records written so far, before compression. */
+  public long bytesWritten() {
+    return bytesWritten;
   }
 
-  public void packet(long nanos, byte[] bytes, int at, int length, int original)
+  public void writePacket(
+      long timestampNanos, byte[] bytes, int offset, int length, int originalLength)
       throws IOException {
-    if (blocks) {
-      int padded = length + 3 & ~3;
-      flushHead(put(0, 6, 32 + padded, 0, (int) (nanos >>> 32), (int) nanos, length, original));
-      out.write(bytes, at, length);
-      out.write(head, 48, padded - length); // never written to, so zero
-      flushHead(put(0, 32 + padded));
-      written += 32 + padded;
+    if (isPcapng) {
+      int paddedLength = length + 3 & ~3;
+      writeHead(
+          putInts(
+              0,
+              6,
+              32 + paddedLength,
+              0,
+              (int) (timestampNanos >>> 32),
+              (int) timestampNanos,
+              length,
+              originalLength));
+      output.write(bytes, offset, length);
+      output.write(
+          head,
+          48,
+          paddedLength - length); // padding: this part of the array is never written, so it is zero
+      writeHead(putInts(0, 32 + paddedLength));
+      bytesWritten += 32 + paddedLength;
     } else {
-      flushHead(
-          put(0, (int) (nanos / 1_000_000_000L), (int) (nanos % 1_000_000_000L), length, original));
-      out.write(bytes, at, length);
-      written += 16 + length;
+      writeHead(
+          putInts(
+              0,
+              (int) (timestampNanos / 1_000_000_000L),
+              (int) (timestampNanos % 1_000_000_000L),
+              length,
+              originalLength));
+      output.write(bytes, offset, length);
+      bytesWritten += 16 + length;
     }
   }
 
   /**
-   * Marks that packets were dropped here; pcap without blocks has no place for that, and says
-   * nothing.
+   * Records that packets were dropped at this point. Only pcapng has a record for this; in a pcap
+   * file the call does nothing.
    */
-  public void drops(long nanos, long many) throws IOException {
-    if (blocks && many > 0) {
-      byte[] comment = (many + " packets dropped before this").getBytes(StandardCharsets.US_ASCII);
-      int padded = comment.length + 3 & ~3;
-      int length = 12 + 12 + 12 + 4 + padded + 4;
-      int at = put(0, 5, length, 0, (int) (nanos >>> 32), (int) nanos);
-      at = put(at, 5 << 16 | 8, (int) (many >>> 32), (int) many);
-      at = put(at, 1 << 16 | comment.length);
-      flushHead(at);
-      out.write(comment);
-      out.write(head, 60, padded - comment.length);
-      flushHead(put(0, 0, length));
-      written += length;
+  public void writeDropCount(long timestampNanos, long droppedPackets) throws IOException {
+    if (isPcapng && droppedPackets > 0) {
+      byte[] comment =
+          (droppedPackets + " packets dropped before this").getBytes(StandardCharsets.US_ASCII);
+      int paddedLength = comment.length + 3 & ~3;
+      int length = 12 + 12 + 12 + 4 + paddedLength + 4;
+      int offset = putInts(0, 5, length, 0, (int) (timestampNanos >>> 32), (int) timestampNanos);
+      offset = putInts(offset, 5 << 16 | 8, (int) (droppedPackets >>> 32), (int) droppedPackets);
+      offset = putInts(offset, 1 << 16 | comment.length);
+      writeHead(offset);
+      output.write(comment);
+      output.write(head, 60, paddedLength - comment.length);
+      writeHead(putInts(0, 0, length));
+      bytesWritten += length;
     }
   }
 
-  private int put(int at, int... values) {
+  private int putInts(int offset, int... values) {
     for (int value : values) {
-      head[at] = (byte) (value >>> 24);
-      head[at + 1] = (byte) (value >>> 16);
-      head[at + 2] = (byte) (value >>> 8);
-      head[at + 3] = (byte) value;
-      at += 4;
+      head[offset] = (byte) (value >>> 24);
+      head[offset + 1] = (byte) (value >>> 16);
+      head[offset + 2] = (byte) (value >>> 8);
+      head[offset + 3] = (byte) value;
+      offset += 4;
     }
-    return at;
+    return offset;
   }
 
-  private void flushHead(int length) throws IOException {
-    out.write(head, 0, length);
+  private void writeHead(int length) throws IOException {
+    output.write(head, 0, length);
   }
 
-  public int link() {
-    return link;
+  public int linkType() {
+    return linkType;
   }
 
-  /** Ends the file and gives it its name. */
+  /** Completes the file and moves it to its final name. */
   @Override
   public void close() throws IOException {
     if (!closed) {
       closed = true;
-      out.close();
-      Files.move(part, file, StandardCopyOption.REPLACE_EXISTING);
+      output.close();
+      Files.move(partialFile, file, StandardCopyOption.REPLACE_EXISTING);
     }
   }
 
-  /** Ends it without leaving a file. */
+  /** Closes the output and deletes the partial file. */
   public void abandon() throws IOException {
     if (!closed) {
       closed = true;
-      out.close();
-      Files.deleteIfExists(part);
+      output.close();
+      Files.deleteIfExists(partialFile);
     }
   }
 }
--- a/traffic/src/main/java/gingerring/traffic/record/PacketSynthesizer.java
+++ b/traffic/src/main/java/gingerring/traffic/record/PacketSynthesizer.java
@@ -5,18 +5,18 @@
 import java.util.Arrays;
 
 /**
- * One connection's bytes as the packets that could have carried them: raw IP (link type 101),
- * handshake, data in segments of {@link #SEGMENT} bytes with what each side has taken, an end;
- * checksums and sequence numbers as other tools expect them.
+ * Produces the packets that could have carried one connection's bytes: raw IP (link type 101),
+ * handshake, data in segments of {@link #MAX_SEGMENT_BYTES} bytes with acknowledgements, and close.
+ * Checksums and sequence numbers are valid for other tools.
  */
 public final class PacketSynthesizer {
-  /** Who takes the packets; {@code bytes} are used again. */
-  public interface Out {
-    void packet(long nanos, byte[] bytes, int length);
+  /** Receives the packets. The array {@code bytes} is reused. */
+  public interface PacketConsumer {
+    void onPacket(long timestampNanos, byte[] bytes, int length);
   }
 
-  public static final int LINK = 101;
-  public static final int SEGMENT = 1448;
+  public static final int LINK_TYPE_RAW = 101;
+  public static final int MAX_SEGMENT_BYTES = 1448;
   private static final int FIN = 1;
   private static final int SYN = 2;
   private static final int RST = 4;
@@ -28,29 +28,29 @@
   private final int[] ports = new int[2];
 
   /** The next sequence number of each side. */
-  private final int[] next = new int[2];
+  private final int[] nextSequence = new int[2];
 
-  private final byte[] packet = new byte[60 + SEGMENT];
-  private int ids;
+  private final byte[] packet = new byte[60 + MAX_SEGMENT_BYTES];
+  private int nextPacketId;
 
-  /** Side 0 opens the connection; {@code seed} gives the first sequence numbers. */
+  /** Side 0 opens the connection; {@code seed} determines the initial sequence numbers. */
   public PacketSynthesizer(InetSocketAddress opener, InetSocketAddress listener, long seed) {
-    place(0, opener, (int) seed);
-    place(1, listener, (int) (seed >>> 32));
+    setEndpoint(0, opener, (int) seed);
+    setEndpoint(1, listener, (int) (seed >>> 32));
     if (addresses[0].length != addresses[1].length) {
-      addresses[0] = sixteen(addresses[0]);
-      addresses[1] = sixteen(addresses[1]);
+      addresses[0] = toIpv6(addresses[0]);
+      addresses[1] = toIpv6(addresses[1]);
     }
   }
 
-  private void place(int side, InetSocketAddress where, int first) {
-    InetAddress address = where.getAddress();
+  private void setEndpoint(int side, InetSocketAddress endpoint, int initialSequence) {
+    InetAddress address = endpoint.getAddress();
     addresses[side] = address.getAddress();
-    ports[side] = where.getPort();
-    next[side] = first;
+    ports[side] = endpoint.getPort();
+    nextSequence[side] = initialSequence;
   }
 
-  private static byte[] sixteen(byte[] address) {
+  private static byte[] toIpv6(byte[] address) {
     if (address.length == 16) {
       return address;
     }
@@ -61,101 +61,122 @@
     return mapped;
   }
 
-  public void open(long nanos, Out out) {
-    send(nanos, 0, SYN, null, 0, 0, out);
-    next[0]++;
-    send(nanos, 1, SYN | ACK, null, 0, 0, out);
-    next[1]++;
-    send(nanos, 0, ACK, null, 0, 0, out);
+  public void writeHandshake(long timestampNanos, PacketConsumer consumer) {
+    writePacket(timestampNanos, 0, SYN, null, 0, 0, consumer);
+    nextSequence[0]++;
+    writePacket(timestampNanos, 1, SYN | ACK, null, 0, 0, consumer);
+    nextSequence[1]++;
+    writePacket(timestampNanos, 0, ACK, null, 0, 0, consumer);
   }
 
-  public void data(long nanos, int side, byte[] bytes, int at, int length, Out out) {
-    for (int i = 0; i < length; i += SEGMENT) {
-      int count = Math.min(SEGMENT, length - i);
-      send(nanos, side, ACK | (i + count == length ? PUSH : 0), bytes, at + i, count, out);
-      next[side] += count;
+  public void writeData(
+      long timestampNanos,
+      int side,
+      byte[] bytes,
+      int offset,
+      int length,
+      PacketConsumer consumer) {
+    for (int i = 0; i < length; i += MAX_SEGMENT_BYTES) {
+      int count = Math.min(MAX_SEGMENT_BYTES, length - i);
+      writePacket(
+          timestampNanos,
+          side,
+          ACK | (i + count == length ? PUSH : 0),
+          bytes,
+          offset + i,
+          count,
+          consumer);
+      nextSequence[side] += count;
     }
   }
 
-  /** A bare acknowledgement, as a side sends one that has nothing to say yet. */
-  public void acknowledge(long nanos, int side, Out out) {
-    send(nanos, side, ACK, null, 0, 0, out);
+  /** A segment that only acknowledges, sent by a side that has no data to send. */
+  public void writeAcknowledgement(long timestampNanos, int side, PacketConsumer consumer) {
+    writePacket(timestampNanos, side, ACK, null, 0, 0, consumer);
   }
 
-  /** Bytes that went by unrecorded: their place in the stream stays empty. */
-  public void skip(int side, long length) {
-    next[side] += (int) length;
+  /** Skips bytes that were not recorded, which leaves a gap in the stream. */
+  public void skipBytes(int side, long length) {
+    nextSequence[side] += (int) length;
   }
 
-  public void close(long nanos, boolean reset, int side, Out out) {
+  public void writeClose(long timestampNanos, boolean reset, int side, PacketConsumer consumer) {
     if (reset) {
-      send(nanos, side, RST | ACK, null, 0, 0, out);
+      writePacket(timestampNanos, side, RST | ACK, null, 0, 0, consumer);
       return;
     }
-    send(nanos, side, FIN | ACK, null, 0, 0, out);
-    next[side]++;
-    send(nanos, 1 - side, FIN | ACK, null, 0, 0, out);
-    next[1 - side]++;
-    send(nanos, side, ACK, null, 0, 0, out);
+    writePacket(timestampNanos, side, FIN | ACK, null, 0, 0, consumer);
+    nextSequence[side]++;
+    writePacket(timestampNanos, 1 - side, FIN | ACK, null, 0, 0, consumer);
+    nextSequence[1 - side]++;
+    writePacket(timestampNanos, side, ACK, null, 0, 0, consumer);
   }
 
-  private void send(long nanos, int side, int flags, byte[] bytes, int at, int length, Out out) {
-    byte[] from = addresses[side];
-    byte[] to = addresses[1 - side];
-    boolean four = from.length == 4;
-    int ip = four ? 20 : 40;
-    int tcp = 20 + length;
-    Arrays.fill(packet, 0, ip + 20, (byte) 0);
-    if (four) {
+  private void writePacket(
+      long timestampNanos,
+      int side,
+      int flags,
+      byte[] bytes,
+      int offset,
+      int length,
+      PacketConsumer consumer) {
+    byte[] source = addresses[side];
+    byte[] destination = addresses[1 - side];
+    boolean isIpv4 = source.length == 4;
+    int ipHeaderLength = isIpv4 ? 20 : 40;
+    int tcpLength = 20 + length;
+    Arrays.fill(packet, 0, ipHeaderLength + 20, (byte) 0);
+    if (isIpv4) {
       packet[0] = 0x45;
-      put16(2, ip + tcp);
-      put16(4, ids++);
-      packet[6] = 0x40; // not to be cut
+      put16(2, ipHeaderLength + tcpLength);
+      put16(4, nextPacketId++);
+      packet[6] = 0x40; // don't fragment
       packet[8] = 64;
       packet[9] = 6;
-      System.arraycopy(from, 0, packet, 12, 4);
-      System.arraycopy(to, 0, packet, 16, 4);
+      System.arraycopy(source, 0, packet, 12, 4);
+      System.arraycopy(destination, 0, packet, 16, 4);
       put16(10, fold(sum(packet, 0, 20)));
     } else {
       packet[0] = 0x60;
-      put16(4, tcp);
+      put16(4, tcpLength);
       packet[6] = 6;
       packet[7] = 64;
-      System.arraycopy(from, 0, packet, 8, 16);
-      System.arraycopy(to, 0, packet, 24, 16);
+      System.arraycopy(source, 0, packet, 8, 16);
+      System.arraycopy(destination, 0, packet, 24, 16);
     }
-    put16(ip, ports[side]);
-    put16(ip + 2, ports[1 - side]);
-    put32(ip + 4, next[side]);
-    put32(ip + 8, (flags & ACK) == 0 ? 0 : next[1 - side]);
-    packet[ip + 12] = 0x50;
-    packet[ip + 13] = (byte) flags;
-    put16(ip + 14, WINDOW);
+    put16(ipHeaderLength, ports[side]);
+    put16(ipHeaderLength + 2, ports[1 - side]);
+    put32(ipHeaderLength + 4, nextSequence[side]);
+    put32(ipHeaderLength + 8, (flags & ACK) == 0 ? 0 : nextSequence[1 - side]);
+    packet[ipHeaderLength + 12] = 0x50;
+    packet[ipHeaderLength + 13] = (byte) flags;
+    put16(ipHeaderLength + 14, WINDOW);
     if (length > 0) {
-      System.arraycopy(bytes, at, packet, ip + 20, length);
+      System.arraycopy(bytes, offset, packet, ipHeaderLength + 20, length);
     }
-    long pseudo = sum(from, 0, from.length) + sum(to, 0, to.length) + 6 + tcp;
-    put16(ip + 16, fold(pseudo + sum(packet, ip, tcp)));
-    out.packet(nanos, packet, ip + tcp);
+    long pseudoHeaderSum =
+        sum(source, 0, source.length) + sum(destination, 0, destination.length) + 6 + tcpLength;
+    put16(ipHeaderLength + 16, fold(pseudoHeaderSum + sum(packet, ipHeaderLength, tcpLength)));
+    consumer.onPacket(timestampNanos, packet, ipHeaderLength + tcpLength);
   }
 
-  private void put16(int at, int value) {
-    packet[at] = (byte) (value >>> 8);
-    packet[at + 1] = (byte) value;
+  private void put16(int offset, int value) {
+    packet[offset] = (byte) (value >>> 8);
+    packet[offset + 1] = (byte) value;
   }
 
-  private void put32(int at, int value) {
-    put16(at, value >>> 16);
-    put16(at + 2, value);
+  private void put32(int offset, int value) {
+    put16(offset, value >>> 16);
+    put16(offset + 2, value);
   }
 
-  private static long sum(byte[] bytes, int at, int length) {
+  private static long sum(byte[] bytes, int offset, int length) {
     long sum = 0;
     int i = 0;
     for (; i + 1 < length; i += 2) {
-      sum += (bytes[at + i] & 0xFF) << 8 | bytes[at + i + 1] & 0xFF;
+      sum += (bytes[offset + i] & 0xFF) << 8 | bytes[offset + i + 1] & 0xFF;
     }
-    return i < length ? sum + ((bytes[at + i] & 0xFF) << 8) : sum;
+    return i < length ? sum + ((bytes[offset + i] & 0xFF) << 8) : sum;
   }
 
   /** The ones' complement of the ones' complement sum (RFC 1071). */
--- a/traffic/src/main/java/gingerring/traffic/record/Recorder.java
+++ b/traffic/src/main/java/gingerring/traffic/record/Recorder.java
@@ -23,185 +23,222 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A mixer's tap that writes a capture. The mixer's threads only copy and queue; one thread of its
- * own forges and writes. The queue is bounded in events and in bytes: what finds it full is
- * dropped, and the hole stands in the connection's stream and as a mark in the file. A disk that
- * fails ends the recording and nothing else.
+ * Records a mixer's traffic into a capture file. The mixer's threads only copy and queue; a writer
+ * thread synthesizes the packets and writes them. The queue is bounded in events and in bytes.
+ * Events that find the queue full are dropped, which leaves a gap in the connection's stream and a
+ * drop record in the file. A disk failure ends the recording and affects nothing else.
  */
 public final class Recorder implements TrafficListener, Closeable {
-  /** When a file is ended and the next begun, and how many are kept; the eldest goes. */
-  public record Rotation(long bytes, Duration age, int files) {
-    public static final Rotation USUAL = new Rotation(256L << 20, Duration.ofHours(1), 24);
+  /**
+   * The size and age at which a new file is begun, and how many files are kept; the oldest is
+   * deleted.
+   */
+  public record Rotation(long maxFileBytes, Duration maxFileAge, int maxFiles) {
+    public static final Rotation DEFAULT = new Rotation(256L << 20, Duration.ofHours(1), 24);
   }
 
-  static final int EVENTS_MOST = 1 << 14;
-  static final int BYTES_MOST = 32 << 20;
+  static final int MAX_QUEUED_EVENTS = 1 << 14;
+  static final int MAX_QUEUED_BYTES = 32 << 20;
   private static final Logger LOG = LoggerFactory.getLogger("gingerring.record");
-  private static final long END_WAIT_MS = 5000;
+  private static final long CLOSE_TIMEOUT_MS = 5000;
 
-  private enum What {
+  private enum EventType {
     OPENED,
     DATA,
     CLOSED
   }
 
   private record Event(
-      What what,
+      EventType type,
       long connection,
-      long nanos,
+      long timestampNanos,
       InetSocketAddress opener,
       InetSocketAddress listener,
       int side,
       byte[] bytes,
-      long[] hole) {}
+      long[] droppedBytes) {}
 
-  private final Path file;
+  private final Path firstFile;
   private final Rotation rotation;
   private final long seed;
   private final ArrayBlockingQueue<Event> queue;
-  private final AtomicLong queued = new AtomicLong();
-  private final AtomicLong dropped = new AtomicLong();
+  private final AtomicLong queuedBytes = new AtomicLong();
+  private final AtomicLong droppedEvents = new AtomicLong();
 
-  /** Bytes dropped since the last that were queued, by connection and side. */
-  private final Map<Long, long[]> holes = new HashMap<>();
+  /** Bytes dropped since the last queued event, by connection and side. */
+  private final Map<Long, long[]> droppedBytesByConnection = new HashMap<>();
 
-  /** Connections whose end was dropped; under the holes' lock. */
-  private final Set<Long> gone = new HashSet<>();
+  /**
+   * Connections whose close event was dropped. Guarded by the lock on {@code
+   * droppedBytesByConnection}.
+   */
+  private final Set<Long> connectionsWithDroppedClose = new HashSet<>();
 
-  private final Map<Long, PacketSynthesizer> forges = new HashMap<>();
+  private final Map<Long, PacketSynthesizer> synthesizers = new HashMap<>();
   private final Deque<Path> files = new ArrayDeque<>();
-  private final Thread writer;
-  private CaptureWriter out;
-  private long began;
-  private long marked;
-  private int number;
-  private volatile boolean ending;
+  private final Thread writerThread;
+  private CaptureWriter writer;
+  private long fileStartNanos;
+  private long reportedDrops;
+  private int nextFileNumber;
+  private volatile boolean closing;
   private volatile boolean failed;
-  private volatile boolean holed;
+  private volatile boolean hasDrops;
 
-  /** {@code file} names the first; the next ones carry a number before its ending. */
-  public Recorder(Path file, Rotation rotation, long seed) throws IOException {
-    this(file, rotation, seed, EVENTS_MOST);
+  /** {@code firstFile} names the first file; later files have a number before their extension. */
+  public Recorder(Path firstFile, Rotation rotation, long seed) throws IOException {
+    this(firstFile, rotation, seed, MAX_QUEUED_EVENTS);
   }
 
-  Recorder(Path file, Rotation rotation, long seed, int events) throws IOException {
-    this.file = file;
+  Recorder(Path firstFile, Rotation rotation, long seed, int maxQueuedEvents) throws IOException {
+    this.firstFile = firstFile;
     this.rotation = rotation;
     this.seed = seed;
-    queue = new ArrayBlockingQueue<>(events);
-    begin(System.currentTimeMillis() * 1_000_000);
-    writer = new Thread(this::run, "record");
-    writer.setDaemon(true);
+    queue = new ArrayBlockingQueue<>(maxQueuedEvents);
+    openNextFile(System.currentTimeMillis() * 1_000_000);
+    writerThread = new Thread(this::writeLoop, "record");
+    writerThread.setDaemon(true);
   }
 
   public Recorder start() {
-    writer.start();
+    writerThread.start();
     return this;
   }
 
-  /** Events that found the queue full. */
-  public long dropped() {
-    return dropped.get();
+  /** The number of events dropped because the queue was full. */
+  public long droppedEvents() {
+    return droppedEvents.get();
   }
 
-  /** Events that wait to be written. */
-  int queued() {
+  /** The number of events waiting to be written. */
+  int queuedEvents() {
     return queue.size();
   }
 
-  /** Connections that something is kept for. */
-  int kept() {
-    synchronized (holes) {
-      return Math.max(forges.size(), holes.size());
+  /** The number of connections with state in memory. */
+  int trackedConnections() {
+    synchronized (droppedBytesByConnection) {
+      return Math.max(synthesizers.size(), droppedBytesByConnection.size());
     }
   }
 
-  // ---- the mixer's threads ----
+  // ---- called on the mixer's threads ----
 
   @Override
   public void onOpened(long connection, InetSocketAddress opener, InetSocketAddress listener) {
-    offer(new Event(What.OPENED, connection, now(), opener, listener, 0, null, hole(connection)));
+    enqueue(
+        new Event(
+            EventType.OPENED,
+            connection,
+            nowNanos(),
+            opener,
+            listener,
+            0,
+            null,
+            takeDroppedBytes(connection)));
   }
 
   @Override
   public void onData(long connection, int side, byte[] bytes) {
-    offer(new Event(What.DATA, connection, now(), null, null, side, bytes, hole(connection)));
+    enqueue(
+        new Event(
+            EventType.DATA,
+            connection,
+            nowNanos(),
+            null,
+            null,
+            side,
+            bytes,
+            takeDroppedBytes(connection)));
   }
 
   @Override
   public void onClosed(long connection, int side) {
-    offer(new Event(What.CLOSED, connection, now(), null, null, side, null, hole(connection)));
+    enqueue(
+        new Event(
+            EventType.CLOSED,
+            connection,
+            nowNanos(),
+            null,
+            null,
+            side,
+            null,
+            takeDroppedBytes(connection)));
   }
 
-  private static long now() {
+  private static long nowNanos() {
     Instant now = Instant.now();
     return now.getEpochSecond() * 1_000_000_000L + now.getNano();
   }
 
-  private void offer(Event event) {
+  private void enqueue(Event event) {
     int size = event.bytes == null ? 0 : event.bytes.length;
     if (failed) {
       return;
     }
-    boolean fits = queued.addAndGet(size) <= BYTES_MOST;
+    boolean fits = queuedBytes.addAndGet(size) <= MAX_QUEUED_BYTES;
     if (!fits || !queue.offer(event)) {
-      queued.addAndGet(-size);
-      dropped.incrementAndGet();
-      synchronized (holes) {
-        if (event.what == What.CLOSED) {
-          // nothing follows that could carry the hole, or end the forge
-          holes.remove(event.connection);
-          gone.add(event.connection);
-          holed = true;
+      queuedBytes.addAndGet(-size);
+      droppedEvents.incrementAndGet();
+      synchronized (droppedBytesByConnection) {
+        if (event.type == EventType.CLOSED) {
+          // no later event could carry the dropped bytes or remove the synthesizer
+          droppedBytesByConnection.remove(event.connection);
+          connectionsWithDroppedClose.add(event.connection);
+          hasDrops = true;
           return;
         }
-        long[] hole = holes.computeIfAbsent(event.connection, c -> new long[2]);
-        hole[event.side] += size;
-        if (event.hole != null) {
-          hole[0] += event.hole[0];
-          hole[1] += event.hole[1];
+        long[] droppedBytes =
+            droppedBytesByConnection.computeIfAbsent(event.connection, c -> new long[2]);
+        droppedBytes[event.side] += size;
+        if (event.droppedBytes != null) {
+          droppedBytes[0] += event.droppedBytes[0];
+          droppedBytes[1] += event.droppedBytes[1];
         }
-        holed = true;
+        hasDrops = true;
       }
     }
   }
 
-  /** What was dropped of a connection before the event at hand: that event carries it along. */
-  private long[] hole(long connection) {
-    if (!holed) {
+  /**
+   * Removes and returns the bytes dropped of a connection before the current event, which carries
+   * them to the writer.
+   */
+  private long[] takeDroppedBytes(long connection) {
+    if (!hasDrops) {
       return null;
     }
-    synchronized (holes) {
-      long[] hole = holes.remove(connection);
-      holed = !holes.isEmpty() || !gone.isEmpty();
-      return hole;
+    synchronized (droppedBytesByConnection) {
+      long[] droppedBytes = droppedBytesByConnection.remove(connection);
+      hasDrops = !droppedBytesByConnection.isEmpty() || !connectionsWithDroppedClose.isEmpty();
+      return droppedBytes;
     }
   }
 
-  // ---- the writer's thread ----
+  // ---- called on the writer thread ----
 
-  private void run() {
+  private void writeLoop() {
     try {
-      while (!ending || !queue.isEmpty()) {
+      while (!closing || !queue.isEmpty()) {
         Event event = queue.poll(100, TimeUnit.MILLISECONDS);
         if (event != null) {
-          take(event);
+          process(event);
         }
-        if (holed
-            && queue.isEmpty()) { // whatever came before an end that was dropped has been taken
-          synchronized (holes) {
-            gone.forEach(forges::remove);
-            gone.clear();
+        if (hasDrops
+            && queue.isEmpty()) { // every event queued before a dropped close has been processed
+          synchronized (droppedBytesByConnection) {
+            connectionsWithDroppedClose.forEach(synthesizers::remove);
+            connectionsWithDroppedClose.clear();
           }
         }
       }
-      out.drops(now(), dropped.get() - marked);
-      out.close();
+      writer.writeDropCount(nowNanos(), droppedEvents.get() - reportedDrops);
+      writer.close();
     } catch (IOException | RuntimeException e) {
       failed = true;
       queue.clear();
       LOG.atError()
-          .addKeyValue("file", file)
+          .addKeyValue("file", firstFile)
           .addKeyValue("cause", e.toString())
           .log("recording ended");
     } catch (InterruptedException e) {
@@ -209,78 +246,81 @@
     }
   }
 
-  private void take(Event event) throws IOException {
-    queued.addAndGet(event.bytes == null ? 0 : -event.bytes.length);
-    rotate(event.nanos);
-    if (dropped.get() > marked) {
-      long many = dropped.get();
-      out.drops(event.nanos, many - marked);
-      marked = many;
+  private void process(Event event) throws IOException {
+    queuedBytes.addAndGet(event.bytes == null ? 0 : -event.bytes.length);
+    rotateIfDue(event.timestampNanos);
+    if (droppedEvents.get() > reportedDrops) {
+      long drops = droppedEvents.get();
+      writer.writeDropCount(event.timestampNanos, drops - reportedDrops);
+      reportedDrops = drops;
     }
-    PacketSynthesizer.Out into = (nanos, bytes, length) -> write(nanos, bytes, length);
-    if (event.what == What.OPENED) {
-      PacketSynthesizer forge =
+    PacketSynthesizer.PacketConsumer consumer =
+        (nanos, bytes, length) -> writePacket(nanos, bytes, length);
+    if (event.type == EventType.OPENED) {
+      PacketSynthesizer synthesizer =
           new PacketSynthesizer(event.opener, event.listener, mix(seed + event.connection));
-      forges.put(event.connection, forge);
-      forge.open(event.nanos, into);
+      synthesizers.put(event.connection, synthesizer);
+      synthesizer.writeHandshake(event.timestampNanos, consumer);
       return;
     }
-    PacketSynthesizer forge = forges.get(event.connection);
-    if (forge == null) {
+    PacketSynthesizer synthesizer = synthesizers.get(event.connection);
+    if (synthesizer == null) {
       return;
     }
-    if (event.hole != null) {
-      forge.skip(0, event.hole[0]);
-      forge.skip(1, event.hole[1]);
+    if (event.droppedBytes != null) {
+      synthesizer.skipBytes(0, event.droppedBytes[0]);
+      synthesizer.skipBytes(1, event.droppedBytes[1]);
     }
-    if (event.what == What.DATA) {
-      forge.data(event.nanos, event.side, event.bytes, 0, event.bytes.length, into);
+    if (event.type == EventType.DATA) {
+      synthesizer.writeData(
+          event.timestampNanos, event.side, event.bytes, 0, event.bytes.length, consumer);
     } else {
-      forge.close(event.nanos, false, event.side, into);
-      forges.remove(event.connection);
+      synthesizer.writeClose(event.timestampNanos, false, event.side, consumer);
+      synthesizers.remove(event.connection);
     }
   }
 
-  private void write(long nanos, byte[] bytes, int length) {
+  private void writePacket(long timestampNanos, byte[] bytes, int length) {
     try {
-      out.packet(nanos, bytes, 0, length, length);
+      writer.writePacket(timestampNanos, bytes, 0, length, length);
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
   }
 
-  private void rotate(long nanos) throws IOException {
-    if (out.written() >= rotation.bytes || nanos - began >= rotation.age.toNanos()) {
-      out.close();
-      begin(nanos);
-      while (files.size() > rotation.files) {
+  private void rotateIfDue(long nowNanos) throws IOException {
+    if (writer.bytesWritten() >= rotation.maxFileBytes
+        || nowNanos - fileStartNanos >= rotation.maxFileAge.toNanos()) {
+      writer.close();
+      openNextFile(nowNanos);
+      while (files.size() > rotation.maxFiles) {
         Files.deleteIfExists(files.poll());
       }
     }
   }
 
-  private void begin(long nanos) throws IOException {
-    Path next = file;
-    if (number > 0) {
-      String name = file.getFileName().toString();
+  private void openNextFile(long startNanos) throws IOException {
+    Path nextFile = firstFile;
+    if (nextFileNumber > 0) {
+      String name = firstFile.getFileName().toString();
       int dot = name.indexOf('.');
-      next =
-          file.resolveSibling(
+      nextFile =
+          firstFile.resolveSibling(
               (dot < 0 ? name : name.substring(0, dot))
                   + '-'
-                  + number
+                  + nextFileNumber
                   + (dot < 0 ? "" : name.substring(dot)));
     }
-    number++;
-    out = new CaptureWriter(next, PacketSynthesizer.LINK);
-    files.add(next);
-    began = nanos;
+    nextFileNumber++;
+    writer = new CaptureWriter(nextFile, PacketSynthesizer.LINK_TYPE_RAW);
+    files.add(nextFile);
+    fileStartNanos = startNanos;
   }
 
-  private static long mix(long z) {
-    z = (z ^ z >>> 30) * 0xbf58476d1ce4e5b9L;
-    z = (z ^ z >>> 27) * 0x94d049bb133111ebL;
-    return z ^ z >>> 31;
+  private static long mix(long value) {
+    value = (value ^ value >>> 30) * 0xbf58476d1ce4e5b9L;
+    value = (value ^ value >>> 27) * 0x94d049bb133111ebL;
+    return value ^ value >>> 31;
   }
 
   @Override
@@ -288,12 +328,12 @@
     close();
   }
 
-  /** Writes what is queued and ends the file; waits some seconds at most. */
+  /** Writes the queued events and completes the file; waits a few seconds at most. */
   @Override
   public void close() {
-    ending = true;
+    closing = true;
     try {
-      writer.join(END_WAIT_MS);
+      writerThread.join(CLOSE_TIMEOUT_MS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
--- a/traffic/src/main/java/gingerring/traffic/replay/ReplayPlan.java
+++ b/traffic/src/main/java/gingerring/traffic/replay/ReplayPlan.java
@@ -12,111 +12,121 @@
 import java.util.Map;
 
 /**
- * What a replay sends: every scan whose request the recording holds whole, on a connection for each
- * recorded one, at recorded times divided by the pace. Holds {@link #MOST} scans at most.
+ * The scans that a replay sends: every scan whose request was recorded completely, on one
+ * connection for each recorded one, at the recorded times divided by the speed. Holds at most
+ * {@link #MAX_SCANS} scans.
  */
 public final class ReplayPlan {
-  public static final int MOST = 1_000_000;
+  public static final int MAX_SCANS = 1_000_000;
 
-  /** How long after an end a retry may follow and still be taken for one. */
+  /** How long after the end of an attempt a scan still counts as its retry. */
   public static final Duration RETRY_WINDOW = Duration.ofSeconds(60);
 
-  /** A pace that does not wait for any recorded time. */
-  public static final double AT_ONCE = Double.POSITIVE_INFINITY;
+  /** A speed that ignores the recorded times. */
+  public static final double UNPACED = Double.POSITIVE_INFINITY;
 
-  private final List<Step> steps = new ArrayList<>();
-  private final List<Chain> chains;
-  private final int lanes;
-  private final int leftOut;
-  private final boolean marked;
+  private final List<ReplayStep> steps = new ArrayList<>();
+  private final List<RetryChain> chains;
+  private final int connectionCount;
+  private final int omittedScans;
+  private final boolean marksRetries;
 
-  /** {@code anew}: only first tries are planned, since a replay makes its retries itself. */
-  public ReplayPlan(List<ObservedScan> scans, double pace, boolean anew) {
-    if (!(pace > 0)) {
-      throw new IllegalArgumentException("the pace has to be above 0: " + pace);
+  /**
+   * {@code regeneratesRetries}: only first attempts are planned, because the replay generates its
+   * retries itself.
+   */
+  public ReplayPlan(List<ObservedScan> scans, double speed, boolean regeneratesRetries) {
+    if (!(speed > 0)) {
+      throw new IllegalArgumentException("the replay speed must be above 0: " + speed);
     }
-    if (scans.size() > MOST) {
-      throw new IllegalArgumentException("more than " + MOST + " scans: cut the recording");
+    if (scans.size() > MAX_SCANS) {
+      throw new IllegalArgumentException(
+          "more than " + MAX_SCANS + " scans; cut the recording first");
     }
-    chains = Retries.chains(scans, RETRY_WINDOW);
-    marked = scans.stream().anyMatch(ObservedScan::resent);
-    List<ObservedScan> wanted = new ArrayList<>();
-    Map<ObservedScan, Chain> of = new IdentityHashMap<>();
-    int all = 0;
-    for (Chain chain : chains) {
-      all += chain.tries().size();
-      wanted.addAll(anew ? List.of(chain.first()) : chain.tries());
-      chain.tries().forEach(seen -> of.put(seen, chain));
+    chains = Retries.findChains(scans, RETRY_WINDOW);
+    marksRetries = scans.stream().anyMatch(ObservedScan::resent);
+    List<ObservedScan> planned = new ArrayList<>();
+    Map<ObservedScan, RetryChain> chainByScan = new IdentityHashMap<>();
+    int plannable = 0;
+    for (RetryChain chain : chains) {
+      plannable += chain.attempts().size();
+      planned.addAll(regeneratesRetries ? List.of(chain.first()) : chain.attempts());
+      chain.attempts().forEach(scan -> chainByScan.put(scan, chain));
     }
-    leftOut = scans.size() - all;
-    wanted.sort(
-        Comparator.comparingLong(ObservedScan::askedAt).thenComparingLong(ObservedScan::number));
-    long start = wanted.isEmpty() ? 0 : wanted.get(0).askedAt();
-    Map<Long, Integer> laneOf = new HashMap<>();
-    for (ObservedScan seen : wanted) {
-      int lane = laneOf.computeIfAbsent(seen.connection(), c -> laneOf.size());
-      long due = pace == AT_ONCE ? 0 : Math.round((seen.askedAt() - start) / pace);
-      Chain chain = of.get(seen);
+    omittedScans = scans.size() - plannable;
+    planned.sort(
+        Comparator.comparingLong(ObservedScan::requestStartNanos)
+            .thenComparingLong(ObservedScan::number));
+    long start = planned.isEmpty() ? 0 : planned.get(0).requestStartNanos();
+    Map<Long, Integer> connectionIndexes = new HashMap<>();
+    for (ObservedScan scan : planned) {
+      int connection =
+          connectionIndexes.computeIfAbsent(scan.connectionNumber(), c -> connectionIndexes.size());
+      long dueNanos = speed == UNPACED ? 0 : Math.round((scan.requestStartNanos() - start) / speed);
+      RetryChain chain = chainByScan.get(scan);
       steps.add(
-          new Step(
+          new ReplayStep(
               steps.size(),
-              lane,
-              Duration.ofNanos(due),
-              seen,
+              connection,
+              Duration.ofNanos(dueNanos),
+              scan,
               chain,
-              chain.tries().indexOf(seen),
-              seen.request()));
+              chain.attempts().indexOf(scan),
+              scan.requestBytes()));
     }
-    lanes = laneOf.size();
+    connectionCount = connectionIndexes.size();
   }
 
-  public List<Step> steps() {
+  public List<ReplayStep> steps() {
     return steps;
   }
 
-  public List<Chain> chains() {
+  public List<RetryChain> chains() {
     return chains;
   }
 
-  /** How many connections the recording used for them. */
-  public int lanes() {
-    return lanes;
+  /** The number of recorded connections that the scans use. */
+  public int connectionCount() {
+    return connectionCount;
   }
 
-  /** Scans whose request is not in the recording whole. */
-  public int leftOut() {
-    return leftOut;
+  /** Scans whose request was not recorded completely. */
+  public int omittedScans() {
+    return omittedScans;
   }
 
-  /** The step that tries again what {@code step} did not get, under a fresh mark. */
-  public Step again(Step step, int number, Duration due) {
+  /** A step that retries the scan of {@code step} under a new transaction id. */
+  public ReplayStep createRetry(ReplayStep step, int number, Duration dueTime) {
     int attempt = step.attempt() + 1;
-    return new Step(
+    return new ReplayStep(
         number,
-        step.lane(),
-        due,
+        step.connection(),
+        dueTime,
         step.scan(),
         step.chain(),
         attempt,
-        remarked(step.scan().request(), step.scan().mark() + '~' + attempt, marked));
+        withTransactionId(
+            step.scan().requestBytes(), step.scan().transactionId() + '~' + attempt, marksRetries));
   }
 
-  /** A request under another mark; {@code resent} tells that it is a retry. */
-  static byte[] remarked(byte[] request, String mark, boolean resent) {
+  /**
+   * The request with another transaction id; {@code isRetry} adds the header that marks a retry.
+   */
+  static byte[] withTransactionId(byte[] request, String transactionId, boolean isRetry) {
     String text = new String(request, StandardCharsets.ISO_8859_1);
-    int body = text.indexOf("\r\n\r\n");
+    int headEnd = text.indexOf("\r\n\r\n");
     StringBuilder head = new StringBuilder();
-    for (String line : text.substring(0, body).split("\r\n")) {
+    for (String line : text.substring(0, headEnd).split("\r\n")) {
       String lower = line.toLowerCase(Locale.ROOT);
       if (lower.startsWith("x-txn:")) {
-        head.append("x-txn: ").append(mark).append("\r\n");
+        head.append("x-txn: ").append(transactionId).append("\r\n");
       } else if (!lower.startsWith("x-resent:")) {
         head.append(line).append("\r\n");
       }
     }
-    if (resent) {
+    if (isRetry) {
       head.append("x-resent: 1\r\n");
     }
-    return (head + "\r\n" + text.substring(body + 4)).getBytes(StandardCharsets.ISO_8859_1);
+    return (head + "\r\n" + text.substring(headEnd + 4)).getBytes(StandardCharsets.ISO_8859_1);
   }
 }
--- a/traffic/src/main/java/gingerring/traffic/scan/ScanReader.java
+++ b/traffic/src/main/java/gingerring/traffic/scan/ScanReader.java
@@ -9,164 +9,192 @@
 import java.util.regex.Pattern;
 
 /**
- * Tells what each flow speaks by its first bytes, and reads it: HTTP/1.1 with scans, the searchers'
- * frames, or something foreign, which is counted and left. Scans come out when they have ended,
- * which is not always the order in which they were asked: {@link ObservedScan#number} counts by
- * their asking.
+ * Detects the protocol of each flow from its first bytes and decodes it: HTTP/1.1 with scans,
+ * searcher frames, or an unknown protocol, which is counted and ignored. Scans are delivered when
+ * they end, which is not always the order of their requests; {@link ObservedScan#number} follows
+ * the order of the requests.
  */
-public final class ScanReader implements FlowTable.Sink {
-  /** What a flow's owner is until enough of it was seen to tell. */
-  private static final class Unknown {
+public final class ScanReader implements FlowTable.FlowListener {
+  /** A flow's attachment until its first bytes identify the protocol. */
+  private static final class UndetectedProtocol {
     final byte[] head = new byte[8];
-    int size;
-    int side = -1;
-    long nanos;
-    long taken;
-
-    /** Some of its bytes were passed over: any that follow may begin a message. */
-    boolean amidst;
-
-    void forget() {
-      size = 0;
-      side = -1;
-      amidst = true;
+    int headSize;
+    int headSide = -1;
+    long headNanos;
+    long headAcknowledgedPeerBytes;
+
+    /**
+     * Whether earlier bytes of the stream were skipped, so that the following bytes need not begin
+     * a message.
+     */
+    boolean midStream;
+
+    void discardHead() {
+      headSize = 0;
+      headSide = -1;
+      midStream = true;
     }
   }
 
-  private static final Talk FOREIGN =
-      new Talk() {
+  private static final ProtocolDecoder IGNORING_DECODER =
+      new ProtocolDecoder() {
         @Override
-        public void bytes(int side, long nanos, long taken, byte[] bytes, int at, int length) {}
+        public void onData(
+            int side,
+            long timestampNanos,
+            long acknowledgedPeerBytes,
+            byte[] bytes,
+            int offset,
+            int length) {}
 
         @Override
-        public void gap(int side, long nanos, long missing) {}
+        public void onGap(int side, long timestampNanos, long missingBytes) {}
 
         @Override
-        public void finished(int side, long nanos) {}
+        public void onEndOfStream(int side, long timestampNanos) {}
 
         @Override
-        public void closed(Flow.How how, long nanos) {}
+        public void onClosed(Flow.CloseReason reason, long timestampNanos) {}
       };
 
-  private static final Pattern REQUEST = Pattern.compile("(?s)[A-Z]{3,7} .*");
+  private static final Pattern REQUEST_START = Pattern.compile("(?s)[A-Z]{3,7} .*");
 
-  private final Consumer<Exchange> scans;
-  private final Trips trips = new Trips();
+  private final Consumer<ScanExchange> exchangeConsumer;
+  private final SearcherTraffic searcherTraffic = new SearcherTraffic();
   private final Map<String, Long> counts = new TreeMap<>();
-  private long numbers;
+  private long exchangesNumbered;
 
-  public ScanReader(Consumer<Exchange> scans) {
-    this.scans = scans;
+  public ScanReader(Consumer<ScanExchange> exchangeConsumer) {
+    this.exchangeConsumer = exchangeConsumer;
   }
 
   public Map<String, Long> counts() {
     return counts;
   }
 
-  public Trips trips() {
-    return trips;
+  public SearcherTraffic searcherTraffic() {
+    return searcherTraffic;
   }
 
-  long number() {
-    return numbers++;
+  long nextNumber() {
+    return exchangesNumbered++;
   }
 
-  void scan(Exchange exchange) {
-    scans.accept(exchange);
+  void deliver(ScanExchange exchange) {
+    exchangeConsumer.accept(exchange);
   }
 
-  void count(String what) {
-    counts.merge(what, 1L, Long::sum);
+  void count(String cause) {
+    counts.merge(cause, 1L, Long::sum);
   }
 
   @Override
-  public void opened(Flow flow) {
-    flow.owner = new Unknown();
+  public void onFlowOpened(Flow flow) {
+    flow.attachment = new UndetectedProtocol();
   }
 
   @Override
-  public void bytes(Flow flow, int side, long nanos, long taken, byte[] bytes, int at, int length) {
-    if (flow.owner instanceof Unknown unknown) {
-      if (unknown.side >= 0 && unknown.side != side) {
-        unknown.forget();
+  public void onData(
+      Flow flow,
+      int side,
+      long timestampNanos,
+      long acknowledgedPeerBytes,
+      byte[] bytes,
+      int offset,
+      int length) {
+    if (flow.attachment instanceof UndetectedProtocol undetected) {
+      if (undetected.headSide >= 0 && undetected.headSide != side) {
+        undetected.discardHead();
       }
-      int used = Math.min(length, unknown.head.length - unknown.size);
-      System.arraycopy(bytes, at, unknown.head, unknown.size, used);
-      if (unknown.size == 0) {
-        unknown.nanos = nanos;
-        unknown.taken = taken;
+      int headBytes = Math.min(length, undetected.head.length - undetected.headSize);
+      System.arraycopy(bytes, offset, undetected.head, undetected.headSize, headBytes);
+      if (undetected.headSize == 0) {
+        undetected.headNanos = timestampNanos;
+        undetected.headAcknowledgedPeerBytes = acknowledgedPeerBytes;
       }
-      unknown.side = side;
-      unknown.size += used;
-      if (unknown.size < unknown.head.length && !ended(unknown)) {
+      undetected.headSide = side;
+      undetected.headSize += headBytes;
+      if (undetected.headSize < undetected.head.length && !holdsWholeFrame(undetected)) {
         return;
       }
-      long begin = flow.position(side) - (length - used) - unknown.size;
-      Talk talk = talk(flow, side, unknown, begin);
-      if (talk == null) {
-        // a capture that begins in the midst of a message: the next segment may begin another
-        unknown.forget();
+      long startOffset = flow.deliveredBytes(side) - (length - headBytes) - undetected.headSize;
+      ProtocolDecoder decoder = createDecoder(flow, side, undetected, startOffset);
+      if (decoder == null) {
+        // the capture begins inside a message: the next segment may begin another
+        undetected.discardHead();
         return;
       }
-      flow.owner = talk;
-      talk.bytes(side, unknown.nanos, unknown.taken, unknown.head, 0, unknown.size);
-      at += used;
-      length -= used;
+      flow.attachment = decoder;
+      decoder.onData(
+          side,
+          undetected.headNanos,
+          undetected.headAcknowledgedPeerBytes,
+          undetected.head,
+          0,
+          undetected.headSize);
+      offset += headBytes;
+      length -= headBytes;
     }
     if (length > 0) {
-      ((Talk) flow.owner).bytes(side, nanos, taken, bytes, at, length);
+      ((ProtocolDecoder) flow.attachment)
+          .onData(side, timestampNanos, acknowledgedPeerBytes, bytes, offset, length);
     }
   }
 
-  /** A probe's frame is shorter than what tells an HTTP request. */
-  private static boolean ended(Unknown unknown) {
-    return unknown.size >= 5
-        && Frames.length(unknown.head) >= 1
-        && unknown.size >= 4 + Frames.length(unknown.head);
+  /**
+   * Whether the first bytes hold a whole frame. A probe frame is shorter than the prefix needed to
+   * recognise an HTTP request.
+   */
+  private static boolean holdsWholeFrame(UndetectedProtocol undetected) {
+    return undetected.headSize >= 5
+        && FrameSplitter.frameLength(undetected.head) >= 1
+        && undetected.headSize >= 4 + FrameSplitter.frameLength(undetected.head);
   }
 
-  private Talk talk(Flow flow, int side, Unknown unknown, long begin) {
-    String head = new String(unknown.head, 0, unknown.size, StandardCharsets.ISO_8859_1);
+  private ProtocolDecoder createDecoder(
+      Flow flow, int side, UndetectedProtocol undetected, long startOffset) {
+    String head = new String(undetected.head, 0, undetected.headSize, StandardCharsets.ISO_8859_1);
     if (head.startsWith("HTTP/1.")) {
-      return new HttpTalk(this, flow, 1 - side, side, begin);
+      return new HttpDecoder(this, flow, 1 - side, side, startOffset);
     }
-    if (REQUEST.matcher(head).matches()) {
-      return new HttpTalk(this, flow, side, side, begin);
+    if (REQUEST_START.matcher(head).matches()) {
+      return new HttpDecoder(this, flow, side, side, startOffset);
     }
-    if (Frames.looksLike(unknown.head, unknown.size)) {
-      return new FrameTalk(
-          this, flow, unknown.head[4] == 'R' || unknown.head[4] == 'F' ? 1 - side : side);
+    if (FrameSplitter.startsWithFrame(undetected.head, undetected.headSize)) {
+      return new FrameDecoder(
+          this, flow, undetected.head[4] == 'R' || undetected.head[4] == 'F' ? 1 - side : side);
     }
-    if (!flow.whole || unknown.amidst) {
+    if (!flow.openingSeen || undetected.midStream) {
       return null;
     }
     count("connections that speak something else");
-    return FOREIGN;
+    return IGNORING_DECODER;
   }
 
   @Override
-  public void gap(Flow flow, int side, long nanos, long missing) {
-    if (flow.owner instanceof Talk talk) {
-      talk.gap(side, nanos, missing);
+  public void onGap(Flow flow, int side, long timestampNanos, long missingBytes) {
+    if (flow.attachment instanceof ProtocolDecoder decoder) {
+      decoder.onGap(side, timestampNanos, missingBytes);
     } else {
-      ((Unknown) flow.owner).forget();
+      ((UndetectedProtocol) flow.attachment).discardHead();
     }
   }
 
   @Override
-  public void finished(Flow flow, int side, long nanos) {
-    if (flow.owner instanceof Talk talk) {
-      talk.finished(side, nanos);
+  public void onEndOfStream(Flow flow, int side, long timestampNanos) {
+    if (flow.attachment instanceof ProtocolDecoder decoder) {
+      decoder.onEndOfStream(side, timestampNanos);
     }
   }
 
   @Override
-  public void closed(Flow flow, Flow.How how, long nanos) {
-    if (flow.owner instanceof Talk talk) {
-      talk.closed(how, nanos);
-    } else if (flow.owner instanceof Unknown unknown && (unknown.size > 0 || unknown.amidst)) {
+  public void onFlowClosed(Flow flow, Flow.CloseReason reason, long timestampNanos) {
+    if (flow.attachment instanceof ProtocolDecoder decoder) {
+      decoder.onClosed(reason, timestampNanos);
+    } else if (flow.attachment instanceof UndetectedProtocol undetected
+        && (undetected.headSize > 0 || undetected.midStream)) {
       count("connections of which no message was seen to begin");
     }
-    flow.owner = FOREIGN;
+    flow.attachment = IGNORING_DECODER;
   }
 }
--- a/traffic/src/main/java/gingerring/traffic/wire/Reactor.java
+++ b/traffic/src/main/java/gingerring/traffic/wire/Reactor.java
@@ -22,32 +22,35 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * One thread that owns all sockets, timers and state. {@link #run} it on a thread of its own;
- * everything but {@link #post} and {@link #stop} is for that thread, or for before it runs.
+ * Event loop: one thread that owns all sockets, timers and their state. {@link #run} needs a thread
+ * of its own; every method except {@link #post} and {@link #stop} must be called on that thread, or
+ * before it runs.
  */
 public final class Reactor implements Closeable {
-  private record Timer(long at, long number, Runnable task) implements Comparable<Timer> {
+  private record Timer(long dueNanos, long number, Runnable task) implements Comparable<Timer> {
     @Override
     public int compareTo(Timer other) {
-      return at != other.at ? Long.compare(at, other.at) : Long.compare(number, other.number);
+      return dueNanos != other.dueNanos
+          ? Long.compare(dueNanos, other.dueNanos)
+          : Long.compare(number, other.number);
     }
   }
 
   private static final Logger LOG = LoggerFactory.getLogger("gingerring.wire");
   private static final int BACKLOG = 1024;
-  static final int READ = 1 << 16;
+  static final int READ_BUFFER_BYTES = 1 << 16;
 
   final Selector selector;
-  private final long start = System.nanoTime();
+  private final long startNanos = System.nanoTime();
   private final PriorityQueue<Timer> timers = new PriorityQueue<>();
-  private final ConcurrentLinkedQueue<Runnable> posted = new ConcurrentLinkedQueue<>();
-  private final ByteBuffer read = ByteBuffer.allocateDirect(READ);
-  private final byte[] bytes = new byte[READ];
-  private List<ReactorConnection> dirty = new ArrayList<>();
-  private long timerNumber;
+  private final ConcurrentLinkedQueue<Runnable> postedTasks = new ConcurrentLinkedQueue<>();
+  private final ByteBuffer readBuffer = ByteBuffer.allocateDirect(READ_BUFFER_BYTES);
+  private final byte[] readBytes = new byte[READ_BUFFER_BYTES];
+  private List<ReactorConnection> flushRequests = new ArrayList<>();
+  private long nextTimerNumber;
   private volatile boolean running = true;
-  private int wires;
-  private int failures;
+  private int connectionCount;
+  private int failureCount;
 
   public Reactor() {
     try {
@@ -58,25 +61,26 @@
   }
 
   public Duration now() {
-    return Duration.ofNanos(System.nanoTime() - start);
+    return Duration.ofNanos(System.nanoTime() - startNanos);
   }
 
-  /** How many connections there are. */
-  public int connections() {
-    return wires;
+  /** The number of open connections. */
+  public int connectionCount() {
+    return connectionCount;
   }
 
-  /** How many tasks and events failed; each is logged. */
-  public int failures() {
-    return failures;
+  /** The number of tasks and events that threw an exception. Each is logged. */
+  public int failureCount() {
+    return failureCount;
   }
 
-  public void after(Duration span, Runnable task) {
-    timers.add(new Timer(System.nanoTime() - start + span.toNanos(), timerNumber++, task));
+  public void schedule(Duration delay, Runnable task) {
+    timers.add(
+        new Timer(System.nanoTime() - startNanos + delay.toNanos(), nextTimerNumber++, task));
   }
 
   public void post(Runnable task) {
-    posted.add(task);
+    postedTasks.add(task);
     selector.wakeup();
   }
 
@@ -85,19 +89,23 @@
     selector.wakeup();
   }
 
-  /** Takes connections at a loopback address; {@code owner} is asked for whom each is. */
-  public Listening listen(
-      InetSocketAddress address, Function<ReactorConnection, ReactorConnection.Handler> owner)
+  /**
+   * Accepts connections at a loopback address. {@code handlerFactory} supplies the handler of each
+   * connection.
+   */
+  public ListeningSocket listen(
+      InetSocketAddress address,
+      Function<ReactorConnection, ReactorConnection.Handler> handlerFactory)
       throws IOException {
-    loopback(address);
+    requireLoopback(address);
     ServerSocketChannel channel = ServerSocketChannel.open();
     try {
       channel.setOption(StandardSocketOptions.SO_REUSEADDR, true);
       channel.bind(address, BACKLOG);
       channel.configureBlocking(false);
       SelectionKey key = channel.register(selector, SelectionKey.OP_ACCEPT);
-      Listening listening = new Listening(channel, key);
-      key.attach((Runnable) () -> accept(channel, owner));
+      ListeningSocket listening = new ListeningSocket(channel, key);
+      key.attach((Runnable) () -> accept(channel, handlerFactory));
       return listening;
     } catch (IOException e) {
       channel.close();
@@ -106,24 +114,24 @@
   }
 
   /**
-   * A datagram socket at a loopback address; {@code received} is told of what comes, on this
-   * thread.
+   * Opens a datagram socket at a loopback address. {@code consumer} receives each datagram on the
+   * reactor's thread.
    */
-  public Datagrams datagrams(
-      InetSocketAddress address, BiConsumer<InetSocketAddress, byte[]> received)
+  public DatagramEndpoint openDatagramEndpoint(
+      InetSocketAddress address, BiConsumer<InetSocketAddress, byte[]> consumer)
       throws IOException {
-    loopback(address);
-    return new Datagrams(this, address, received);
+    requireLoopback(address);
+    return new DatagramEndpoint(this, address, consumer);
   }
 
-  private static void loopback(InetSocketAddress address) {
+  private static void requireLoopback(InetSocketAddress address) {
     if (!address.getAddress().isLoopbackAddress()) {
       throw new IllegalArgumentException("not a loopback address: " + address);
     }
   }
 
-  /** A place where connections come in. */
-  public record Listening(ServerSocketChannel channel, SelectionKey key) {
+  /** A listening socket. */
+  public record ListeningSocket(ServerSocketChannel channel, SelectionKey key) {
     public InetSocketAddress address() {
       return (InetSocketAddress) channel.socket().getLocalSocketAddress();
     }
@@ -138,59 +146,67 @@
   }
 
   private void accept(
-      ServerSocketChannel server, Function<ReactorConnection, ReactorConnection.Handler> owner) {
+      ServerSocketChannel serverChannel,
+      Function<ReactorConnection, ReactorConnection.Handler> handlerFactory) {
     try {
-      for (SocketChannel channel = server.accept(); channel != null; channel = server.accept()) {
-        ReactorConnection wire = new ReactorConnection(this, channel);
-        wires++;
-        wire.begin(owner.apply(wire), true);
+      for (SocketChannel channel = serverChannel.accept();
+          channel != null;
+          channel = serverChannel.accept()) {
+        ReactorConnection connection = new ReactorConnection(this, channel);
+        connectionCount++;
+        connection.register(handlerFactory.apply(connection), true);
       }
     } catch (IOException e) {
-      LOG.warn("a connection could not be taken: {}", e.toString());
+      LOG.warn("cannot accept a connection: {}", e.toString());
     }
   }
 
-  /** Calls an address. The owner is told once it is up, or that it never came up. */
-  public ReactorConnection dial(InetSocketAddress to, ReactorConnection.Handler owner) {
-    loopback(to);
+  /**
+   * Connects to a loopback address. The handler is notified when the connection is established or
+   * has failed.
+   */
+  public ReactorConnection connect(InetSocketAddress address, ReactorConnection.Handler handler) {
+    requireLoopback(address);
     try {
       SocketChannel channel = SocketChannel.open();
-      ReactorConnection wire = new ReactorConnection(this, channel);
-      wires++;
+      ReactorConnection connection = new ReactorConnection(this, channel);
+      connectionCount++;
       try {
         channel.configureBlocking(false);
-        boolean up = channel.connect(to);
-        wire.begin(owner, up);
+        boolean connected = channel.connect(address);
+        connection.register(handler, connected);
       } catch (IOException e) {
-        wire.fail(owner);
+        connection.failLater(handler);
       }
-      return wire;
+      return connection;
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
   }
 
-  void gone() {
-    wires--;
+  void connectionClosed() {
+    connectionCount--;
   }
 
-  void dirty(ReactorConnection wire) {
-    dirty.add(wire);
+  void requestFlush(ReactorConnection connection) {
+    flushRequests.add(connection);
   }
 
-  /** Turns until it is stopped. */
+  /** Runs the event loop until {@link #stop}. */
   public void run() {
     while (running) {
       try {
-        long wait =
+        long waitMillis =
             timers.isEmpty()
                 ? 1000
                 : Math.max(
-                    0, (timers.peek().at - (System.nanoTime() - start) + 999_999) / 1_000_000);
-        if (wait == 0 || !posted.isEmpty() || !dirty.isEmpty()) {
+                    0,
+                    (timers.peek().dueNanos - (System.nanoTime() - startNanos) + 999_999)
+                        / 1_000_000);
+        if (waitMillis == 0 || !postedTasks.isEmpty() || !flushRequests.isEmpty()) {
           selector.selectNow();
         } else {
-          selector.select(wait);
+          selector.select(waitMillis);
         }
       } catch (IOException e) {
         throw new UncheckedIOException(e);
@@ -198,32 +214,32 @@
       for (Iterator<SelectionKey> keys = selector.selectedKeys().iterator(); keys.hasNext(); ) {
         SelectionKey key = keys.next();
         keys.remove();
-        if (key.attachment() instanceof ReactorConnection wire) {
-          guard(() -> wire.ready(key, read, bytes));
+        if (key.attachment() instanceof ReactorConnection connection) {
+          runGuarded(() -> connection.onReady(key, readBuffer, readBytes));
         } else if (key.isValid()) {
-          guard((Runnable) key.attachment());
+          runGuarded((Runnable) key.attachment());
         }
       }
-      for (Runnable task = posted.poll(); task != null; task = posted.poll()) {
-        guard(task);
+      for (Runnable task = postedTasks.poll(); task != null; task = postedTasks.poll()) {
+        runGuarded(task);
       }
-      long now = System.nanoTime() - start;
-      while (!timers.isEmpty() && timers.peek().at <= now) {
-        guard(timers.poll().task);
+      long nowNanos = System.nanoTime() - startNanos;
+      while (!timers.isEmpty() && timers.peek().dueNanos <= nowNanos) {
+        runGuarded(timers.poll().task);
       }
-      List<ReactorConnection> flushed = dirty;
-      dirty = new ArrayList<>();
-      flushed.forEach(wire -> guard(wire::flush));
+      List<ReactorConnection> flushing = flushRequests;
+      flushRequests = new ArrayList<>();
+      flushing.forEach(connection -> runGuarded(connection::flush));
     }
     close();
   }
 
-  private void guard(Runnable task) {
+  private void runGuarded(Runnable task) {
     try {
       task.run();
     } catch (RuntimeException | Error e) {
-      failures++;
-      LOG.error("an event failed", e);
+      failureCount++;
+      LOG.error("event handler failed", e);
     }
   }
 
@@ -234,7 +250,7 @@
       try {
         key.channel().close();
       } catch (IOException e) {
-        LOG.debug("closing: {}", e.toString());
+        LOG.debug("closing a channel failed: {}", e.toString());
       }
     }
     try {
