--- a/emulator/src/main/java/gingerring/emulator/core/Box.java
+++ b/emulator/src/main/java/gingerring/emulator/core/Box.java
@@ -10,84 +10,90 @@
 import java.util.Set;
 
 /**
- * One box: cores that work off a queue, pauses, a warm-up in which it can do only part of its work,
- * and the fall when it is sent too much of that. Call {@link #part} and {@link #cancel} as frames
- * come, {@link #start} and {@link #stop} as its process lives and dies; it answers through {@link
- * Host}.
+ * An emulated box: cores that execute parts from a queue, periodic pauses, a warm-up during which
+ * the box has only part of its capacity, and the failure of a cold box that is overloaded. The
+ * caller passes frames to {@link #receive} and {@link #cancel} and reports the start and the end of
+ * the box's process with {@link #start} and {@link #stop}. The box answers through {@link Host}.
  */
 public final class Box {
-  /** What a box can do, and the clock it does it by. */
+  /** The clock, the timers and the connections of a box. */
   public interface Host {
     Duration now();
 
-    void after(Duration span, Runnable task);
+    void schedule(Duration delay, Runnable task);
 
-    /** {@code end} is done, failed, full, or spoilt: an answer that is not of the protocol. */
-    void answer(Part part, String end);
+    /**
+     * Answers a part. {@code outcome} is "done", "failed", "full" or "spoilt"; a spoilt answer
+     * violates the protocol.
+     */
+    void answer(Part part, String outcome);
 
-    /** Runs a numbered part unless its mark is known; false where it is. */
-    boolean runs(Part part);
+    /**
+     * Returns whether the part is to be executed. A keyed part is not executed again while its
+     * idempotency key is stored; otherwise its key is stored by this call.
+     */
+    boolean beginExecution(Part part);
 
-    /** It was sent too much while cold, and stays down. */
-    void fell(Box box);
+    /** Reports that the box was overloaded while cold; it stays down for the rest of the run. */
+    void overloaded(Box box);
   }
 
-  /** A part as a box has it; {@code link} is for whoever sent it. */
-  public record Part(Object link, String id, int folio, String key, String text) {}
+  /** A part received by a box; {@code connection} identifies the sender for {@link Host#answer}. */
+  public record Part(Object connection, String id, int partition, String key, String query) {}
 
   private static final Duration BUCKET = Duration.ofMillis(250);
-  private static final Duration FAST = Duration.ofMillis(2);
+  private static final Duration ERROR_DELAY = Duration.ofMillis(2);
 
   public final int number;
-  private final Scenario world;
+  private final Scenario scenario;
   private final Host host;
   private final double speed;
   private final Deque<Part> queue = new ArrayDeque<>();
-  private final Map<String, Part> waiting = new LinkedHashMap<>();
-  private final Set<BoxFault> troubles = new HashSet<>();
+  private final Map<String, Part> queuedById = new LinkedHashMap<>();
+  private final Set<BoxFault> faults = new HashSet<>();
   private int running;
-  private int life;
+  private int incarnation;
   private boolean up;
-  private boolean fallen;
+  private boolean overloaded;
   private boolean draining;
-  private Duration since;
-  private Duration bucket = Duration.ZERO;
-  private double sent;
-  private Duration overSince;
-  private long done;
-  private double worked;
+  private Duration coldSince;
+  private Duration bucketStart = Duration.ZERO;
+  private double bucketWorkMs;
+  private Duration overloadSince;
+  private long partsDone;
+  private double workDoneMs;
 
-  public Box(Scenario world, int number, Host host) {
-    this.world = world;
+  public Box(Scenario scenario, int number, Host host) {
+    this.scenario = scenario;
     this.number = number;
     this.host = host;
-    boolean slow = SeededDraw.draw(world.seed(), "slow", number) < world.slowShare();
-    double spread = SeededDraw.draw(world.seed(), "speed", number);
-    speed = slow ? 0.69 + 0.12 * spread : 0.92 + 0.18 * spread;
-    for (BoxFault trouble : world.troubles()) {
-      if (world.struck(trouble).contains(number)) {
-        troubles.add(trouble);
+    boolean slow = SeededDraw.draw(scenario.seed(), "slow", number) < scenario.slowShare();
+    double speedDraw = SeededDraw.draw(scenario.seed(), "speed", number);
+    speed = slow ? 0.69 + 0.12 * speedDraw : 0.92 + 0.18 * speedDraw;
+    for (BoxFault fault : scenario.faults()) {
+      if (scenario.affectedBoxes(fault).contains(number)) {
+        faults.add(fault);
       }
     }
   }
 
-  /** Its process starts: warm where it began long ago. */
+  /** Starts the process of the box, either cold or already warm. */
   public void start(boolean cold) {
-    up = !fallen;
+    up = !overloaded;
     draining = false;
-    life++;
-    since = cold ? host.now() : null;
-    bucket = host.now();
-    sent = 0;
-    overSince = null;
+    incarnation++;
+    coldSince = cold ? host.now() : null;
+    bucketStart = host.now();
+    bucketWorkMs = 0;
+    overloadSince = null;
   }
 
-  /** Its process dies, with all it had. */
+  /** Ends the process; parts that are queued or running are lost. */
   public void stop() {
     up = false;
-    life++;
+    incarnation++;
     queue.clear();
-    waiting.clear();
+    queuedById.clear();
     running = 0;
   }
 
@@ -95,175 +101,197 @@
     draining = true;
   }
 
-  public boolean up() {
+  public boolean isUp() {
     return up;
   }
 
-  public boolean fallen() {
-    return fallen;
+  public boolean isOverloaded() {
+    return overloaded;
   }
 
-  public int queued() {
+  public int queueLength() {
     return queue.size();
   }
 
-  public int inHand() {
+  /** Returns the number of parts that are queued or running. */
+  public int inFlight() {
     return queue.size() + running;
   }
 
-  /** Parts it has done, and the milliseconds of work in them. */
-  public long done() {
-    return done;
+  /** Returns the number of parts that the box has executed. */
+  public long partsDone() {
+    return partsDone;
   }
 
-  public double worked() {
-    return worked;
+  public double workDoneMs() {
+    return workDoneMs;
   }
 
-  /** What share of its full work it can do now. */
-  public double warmth() {
-    if (since == null || world.warmUp().isZero()) {
+  /**
+   * Returns the share of the full capacity that the box has now; it grows linearly during the
+   * warm-up.
+   */
+  public double capacityShare() {
+    if (coldSince == null || scenario.warmUp().isZero()) {
       return 1;
     }
-    double share = (double) host.now().minus(since).toNanos() / world.warmUp().toNanos();
-    return Math.min(1, world.coldFrom() + (1 - world.coldFrom()) * share);
+    double share = (double) host.now().minus(coldSince).toNanos() / scenario.warmUp().toNanos();
+    return Math.min(1, scenario.coldCapacityShare() + (1 - scenario.coldCapacityShare()) * share);
   }
 
-  public void part(Part part) {
-    if (!up || active(BoxFault.Kind.HANG) != null) {
+  public void receive(Part part) {
+    if (!up || activeFault(BoxFault.Kind.HANG) != null) {
       return;
     }
-    if (draining || queue.size() >= world.queueMost()) {
+    if (draining || queue.size() >= scenario.maxQueue()) {
       host.answer(part, "full");
       return;
     }
-    load(work(part));
+    recordColdWork(workMs(part));
     if (!up) {
       return;
     }
-    BoxFault errors = active(BoxFault.Kind.ERRORS);
-    boolean bad = SeededDraw.draw(world.seed(), "bad " + part.text, part.folio) < world.badParts();
-    if (bad
-        || errors != null
-            && SeededDraw.draw(world.seed(), "error " + part.text, part.folio, number)
-                < errors.size()) {
-      int mine = life;
-      host.after(
-          FAST,
+    BoxFault errorFault = activeFault(BoxFault.Kind.ERRORS);
+    boolean alwaysFails =
+        SeededDraw.draw(scenario.seed(), "bad " + part.query, part.partition)
+            < scenario.failingPartShare();
+    if (alwaysFails
+        || errorFault != null
+            && SeededDraw.draw(scenario.seed(), "error " + part.query, part.partition, number)
+                < errorFault.magnitude()) {
+      int startedIn = incarnation;
+      host.schedule(
+          ERROR_DELAY,
           () -> {
-            if (life == mine) {
+            if (incarnation == startedIn) {
               host.answer(part, "failed");
             }
           });
       return;
     }
     queue.add(part);
-    waiting.put(part.id, part);
-    next();
+    queuedById.put(part.id, part);
+    startQueued();
   }
 
-  /** Waiting work is dropped; what runs goes on, and is answered. */
+  /** Drops a part that is still queued. A running part is finished and answered. */
   public void cancel(String id) {
-    Part part = waiting.remove(id);
+    Part part = queuedById.remove(id);
     if (part != null) {
       queue.remove(part);
     }
   }
 
-  private double work(Part part) {
-    Scenario.ServiceClass grade = world.grade(part.text.replaceAll(":.*", ""));
-    Scenario.Range range = grade == null ? new Scenario.Range(10, 20) : grade.work();
-    return range.at(SeededDraw.draw(world.seed(), "work " + part.text, part.folio));
+  private double workMs(Part part) {
+    Scenario.ServiceClass serviceClass = scenario.serviceClass(part.query.replaceAll(":.*", ""));
+    Scenario.Range range =
+        serviceClass == null ? new Scenario.Range(10, 20) : serviceClass.workMs();
+    return range.interpolate(
+        SeededDraw.draw(scenario.seed(), "work " + part.query, part.partition));
   }
 
-  /** Takes note of work sent while cold; too much of it for too long brings the box down. */
-  private void load(double millis) {
+  /** Records work that arrives while the box is cold; too much of it for too long fails the box. */
+  private void recordColdWork(double workMs) {
     Duration now = host.now();
-    while (now.minus(bucket).compareTo(BUCKET) >= 0) {
-      judge(bucket.plus(BUCKET));
-      sent = 0;
-      bucket = bucket.plus(BUCKET);
+    while (now.minus(bucketStart).compareTo(BUCKET) >= 0) {
+      checkOverload(bucketStart.plus(BUCKET));
+      bucketWorkMs = 0;
+      bucketStart = bucketStart.plus(BUCKET);
     }
-    sent += millis;
+    bucketWorkMs += workMs;
   }
 
-  private void judge(Duration at) {
-    double can = world.cores() * speed * warmth() * BUCKET.toMillis();
-    if (warmth() >= 1 || sent <= world.tipMultiple() * can) {
-      overSince = null;
-    } else if (overSince == null) {
-      overSince = at.minus(BUCKET);
+  private void checkOverload(Duration bucketEnd) {
+    double capacityMs = scenario.cores() * speed * capacityShare() * BUCKET.toMillis();
+    if (capacityShare() >= 1 || bucketWorkMs <= scenario.overloadMultiple() * capacityMs) {
+      overloadSince = null;
+    } else if (overloadSince == null) {
+      overloadSince = bucketEnd.minus(BUCKET);
     }
-    if (overSince != null && at.minus(overSince).compareTo(world.tipAfter()) >= 0) {
-      fallen = true;
+    if (overloadSince != null
+        && bucketEnd.minus(overloadSince).compareTo(scenario.overloadDuration()) >= 0) {
+      overloaded = true;
       stop();
-      host.fell(this);
+      host.overloaded(this);
     }
   }
 
-  private void next() {
-    while (running < world.cores() && !queue.isEmpty()) {
+  private void startQueued() {
+    while (running < scenario.cores() && !queue.isEmpty()) {
       Part part = queue.poll();
-      waiting.remove(part.id);
+      queuedById.remove(part.id);
       running++;
-      boolean runs = host.runs(part);
-      double millis = runs ? work(part) : 1;
-      BoxFault slow = active(BoxFault.Kind.SLOW);
-      double takes = millis / (speed * warmth()) * (slow == null ? 1 : Math.max(1, slow.size()));
-      Duration span = Duration.ofNanos((long) (takes * 1e6));
-      int mine = life;
-      host.after(
-          span.plus(pauses(host.now(), span)),
+      boolean execute = host.beginExecution(part);
+      double workMs = execute ? workMs(part) : 1;
+      BoxFault slowFault = activeFault(BoxFault.Kind.SLOW);
+      double durationMs =
+          workMs
+              / (speed * capacityShare())
+              * (slowFault == null ? 1 : Math.max(1, slowFault.magnitude()));
+      Duration duration = Duration.ofNanos((long) (durationMs * 1e6));
+      int startedIn = incarnation;
+      host.schedule(
+          duration.plus(pauseTime(host.now(), duration)),
           () -> {
-            if (life != mine) {
+            if (incarnation != startedIn) {
               return;
             }
             running--;
-            done++;
-            worked += millis;
-            BoxFault spoil = active(BoxFault.Kind.SPOIL);
-            boolean spoilt =
-                spoil != null
-                    && SeededDraw.draw(world.seed(), "spoil " + part.text, part.folio, number)
-                        < spoil.size();
-            host.answer(part, spoilt ? "spoilt" : "done");
-            next();
+            partsDone++;
+            workDoneMs += workMs;
+            BoxFault spoilFault = activeFault(BoxFault.Kind.SPOIL);
+            boolean spoiled =
+                spoilFault != null
+                    && SeededDraw.draw(
+                            scenario.seed(), "spoil " + part.query, part.partition, number)
+                        < spoilFault.magnitude();
+            host.answer(part, spoiled ? "spoilt" : "done");
+            startQueued();
           });
     }
   }
 
-  /** How long the box stands still between now and then, and whatever that adds. */
-  private Duration pauses(Duration from, Duration span) {
-    if (world.pauseEvery().high() <= 0 || world.pause().high() <= 0) {
+  /**
+   * Returns for how long the box pauses while it executes work of the given duration from {@code
+   * start} on, including pauses that fall into the time added by earlier ones.
+   */
+  private Duration pauseTime(Duration start, Duration duration) {
+    if (scenario.pauseIntervalMs().high() <= 0 || scenario.pauseMs().high() <= 0) {
       return Duration.ZERO;
     }
-    double every =
-        Math.max(100, world.pauseEvery().at(SeededDraw.draw(world.seed(), "every", number)));
-    double length =
-        Math.min(every / 2, world.pause().at(SeededDraw.draw(world.seed(), "pause", number)));
-    double offset = SeededDraw.draw(world.seed(), "offset", number) * every;
-    double at = from.toNanos() / 1e6;
-    double left = span.toNanos() / 1e6;
-    double added = 0;
-    double phase = (at + offset) % every;
-    if (phase < length) {
-      added += length - phase;
-      phase = length;
+    double intervalMs =
+        Math.max(
+            100,
+            scenario
+                .pauseIntervalMs()
+                .interpolate(SeededDraw.draw(scenario.seed(), "every", number)));
+    double pauseMs =
+        Math.min(
+            intervalMs / 2,
+            scenario.pauseMs().interpolate(SeededDraw.draw(scenario.seed(), "pause", number)));
+    double offset = SeededDraw.draw(scenario.seed(), "offset", number) * intervalMs;
+    double startMs = start.toNanos() / 1e6;
+    double remainingMs = duration.toNanos() / 1e6;
+    double addedMs = 0;
+    double phaseMs = (startMs + offset) % intervalMs;
+    if (phaseMs < pauseMs) {
+      addedMs += pauseMs - phaseMs;
+      phaseMs = pauseMs;
     }
-    while (phase + left > every) {
-      added += length;
-      left -= every - phase;
-      phase = length;
+    while (phaseMs + remainingMs > intervalMs) {
+      addedMs += pauseMs;
+      remainingMs -= intervalMs - phaseMs;
+      phaseMs = pauseMs;
     }
-    return Duration.ofNanos((long) (added * 1e6));
+    return Duration.ofNanos((long) (addedMs * 1e6));
   }
 
-  /** The trouble of a kind that is on at this box now, or null. */
-  public BoxFault active(BoxFault.Kind kind) {
+  /** Returns the active fault of a kind at this box, or null. */
+  public BoxFault activeFault(BoxFault.Kind kind) {
     Duration now = host.now();
-    for (BoxFault trouble : troubles) {
-      if (trouble.kind() == kind && trouble.active(now)) {
-        return trouble;
+    for (BoxFault fault : faults) {
+      if (fault.kind() == kind && fault.isActive(now)) {
+        return fault;
       }
     }
     return null;
--- a/emulator/src/main/java/gingerring/emulator/experiment/MixerProcess.java
+++ b/emulator/src/main/java/gingerring/emulator/experiment/MixerProcess.java
@@ -21,50 +21,49 @@
 import java.util.regex.Pattern;
 import java.util.stream.Collectors;
 
-/** A real mixer as a child of this process, from the same class path, configured for a world. */
+/** A real mixer as a child process on the same class path, configured for a scenario. */
 public final class MixerProcess implements AutoCloseable {
-  /**
-   * Which of a fleet a mixer is; {@code peers} is the file of its peers, or null where it has none.
-   */
-  public record Member(
-      String name, int number, int fleet, List<String> zones, int zone, Path peers) {
-    static final Member ALONE = new Member("emulated", 0, 1, List.of("a"), 0, null);
+  /** The place of a mixer in a fleet; {@code peersFile} is null for a mixer without peers. */
+  public record FleetMember(
+      String name, int number, int fleetSize, List<String> zones, int zone, Path peersFile) {
+    static final FleetMember STANDALONE = new FleetMember("emulated", 0, 1, List.of("a"), 0, null);
   }
 
-  private static final Pattern LISTENS = Pattern.compile("listens at [^ ]*:([0-9]+),");
-  private static final long START_MS = 20_000;
-  private static final long END_MS = 5_000;
-  private static final List<String> FLAGS =
+  private static final Pattern LISTENING_LINE = Pattern.compile("listens at [^ ]*:([0-9]+),");
+  private static final long START_TIMEOUT_MS = 20_000;
+  private static final long STOP_TIMEOUT_MS = 5_000;
+  private static final List<String> JVM_FLAGS =
       List.of(
           "-XX:+UseSerialGC", "-XX:TieredStopAtLevel=1", "-XX:-UsePerfData", "-Xms24m", "-Xss512k");
 
   /**
-   * The deployment's heap, in MB, and what a client's two connections may take on top of it, in KB.
+   * The heap of the deployment. {@link #HEAP_KB_PER_CLIENT} is added for each client, which may
+   * open two connections.
    */
-  private static final int HEAP_MB = 64;
+  private static final int BASE_HEAP_MB = 64;
 
-  private static final int CLIENT_KB = 48;
+  private static final int HEAP_KB_PER_CLIENT = 48;
 
   private final Process process;
-  private final BlockingQueue<String> lines = new LinkedBlockingQueue<>(10_000);
-  private final List<String> last = new ArrayList<>();
-  private final Path config;
-  private UnaryOperator<String> edit = UnaryOperator.identity();
+  private final BlockingQueue<String> unreadLines = new LinkedBlockingQueue<>(10_000);
+  private final List<String> readLines = new ArrayList<>();
+  private final Path configFile;
+  private UnaryOperator<String> configEdit = UnaryOperator.identity();
   private InetSocketAddress address;
 
-  private MixerProcess(Process process, Path config) {
+  private MixerProcess(Process process, Path configFile) {
     this.process = process;
-    this.config = config;
+    this.configFile = configFile;
     Thread reader =
         new Thread(
             () -> {
               try (BufferedReader out =
                   new BufferedReader(new InputStreamReader(process.getInputStream()))) {
                 for (String line = out.readLine(); line != null; line = out.readLine()) {
-                  lines.offer(line);
+                  unreadLines.offer(line);
                 }
               } catch (IOException e) {
-                lines.offer("the mixer's output ended: " + e.getMessage());
+                unreadLines.offer("reading the mixer's output failed: " + e.getMessage());
               }
             },
             "mixer-log");
@@ -73,55 +72,70 @@
   }
 
   /**
-   * Starts one; {@code known} is the list it begins with, {@code record} a file to record to, or
-   * null.
+   * Starts a mixer without peers. {@code memberListJson} is its initial member list; {@code
+   * recordFile} is the capture file to write, or null.
    */
   public static MixerProcess start(
-      Scenario world, InetSocketAddress discovery, String known, Path record) throws IOException {
-    return start(world, discovery, known, record, Member.ALONE);
+      Scenario scenario, InetSocketAddress discovery, String memberListJson, Path recordFile)
+      throws IOException {
+    return start(scenario, discovery, memberListJson, recordFile, FleetMember.STANDALONE);
   }
 
-  /** Starts one of a fleet. */
+  /** Starts a mixer of a fleet. */
   public static MixerProcess start(
-      Scenario world, InetSocketAddress discovery, String known, Path record, Member member)
+      Scenario scenario,
+      InetSocketAddress discovery,
+      String memberListJson,
+      Path recordFile,
+      FleetMember member)
       throws IOException {
-    return start(world, discovery, known, record, member, UnaryOperator.identity());
+    return start(scenario, discovery, memberListJson, recordFile, member, UnaryOperator.identity());
   }
 
-  /** Starts one alone, with its configuration edited: for settings that a world does not tell. */
+  /**
+   * Starts a mixer without peers and with an edited configuration, for settings that a scenario
+   * does not contain.
+   */
   public static MixerProcess startEdited(
-      Scenario world, InetSocketAddress discovery, String known, UnaryOperator<String> edit)
+      Scenario scenario,
+      InetSocketAddress discovery,
+      String memberListJson,
+      UnaryOperator<String> configEdit)
       throws IOException {
-    return start(world, discovery, known, null, Member.ALONE, edit);
+    return start(scenario, discovery, memberListJson, null, FleetMember.STANDALONE, configEdit);
   }
 
   private static MixerProcess start(
-      Scenario world,
+      Scenario scenario,
       InetSocketAddress discovery,
-      String known,
-      Path record,
-      Member member,
-      UnaryOperator<String> edit)
+      String memberListJson,
+      Path recordFile,
+      FleetMember member,
+      UnaryOperator<String> configEdit)
       throws IOException {
-    Path config = Files.createTempFile("gingerring-mixer", ".json");
-    Files.writeString(config, edit.apply(config(world, discovery, known, member)));
+    Path configFile = Files.createTempFile("gingerring-mixer", ".json");
+    Files.writeString(
+        configFile, configEdit.apply(config(scenario, discovery, memberListJson, member)));
     List<String> command =
         new ArrayList<>(
             List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString()));
-    command.addAll(FLAGS);
-    command.add("-Xmx" + (HEAP_MB + (int) ((long) world.clients() * CLIENT_KB >> 10)) + "m");
+    command.addAll(JVM_FLAGS);
+    command.add(
+        "-Xmx"
+            + (BASE_HEAP_MB + (int) ((long) scenario.clients() * HEAP_KB_PER_CLIENT >> 10))
+            + "m");
     command.addAll(List.of("-cp", System.getProperty("java.class.path")));
     command.addAll(
-        member.peers() != null
-            ? List.of("gingerring.peering.Main", "serve", "--peers", member.peers().toString())
-            : record == null
+        member.peersFile() != null
+            ? List.of("gingerring.peering.Main", "serve", "--peers", member.peersFile().toString())
+            : recordFile == null
                 ? List.of("gingerring.Main", "serve")
-                : List.of("gingerring.cli.Gingerring", "serve", "--record", record.toString()));
+                : List.of("gingerring.cli.Gingerring", "serve", "--record", recordFile.toString()));
     ProcessBuilder builder = new ProcessBuilder(command).redirectErrorStream(true);
-    builder.environment().remove("GINGERRING_LOG"); // its lines are read here as plain ones
-    builder.environment().put("LB_CONFIG", config.toString());
-    MixerProcess mixer = new MixerProcess(builder.start(), config);
-    mixer.edit = edit;
+    builder.environment().remove("GINGERRING_LOG"); // the log lines are parsed here as plain text
+    builder.environment().put("LB_CONFIG", configFile.toString());
+    MixerProcess mixer = new MixerProcess(builder.start(), configFile);
+    mixer.configEdit = configEdit;
     try {
       mixer.awaitStart();
       return mixer;
@@ -132,15 +146,15 @@
   }
 
   private void awaitStart() throws IOException {
-    long until = System.currentTimeMillis() + START_MS;
+    long deadlineMs = System.currentTimeMillis() + START_TIMEOUT_MS;
     try {
-      while (System.currentTimeMillis() < until) {
-        String line = lines.poll(100, TimeUnit.MILLISECONDS);
+      while (System.currentTimeMillis() < deadlineMs) {
+        String line = unreadLines.poll(100, TimeUnit.MILLISECONDS);
         if (line != null) {
-          last.add(line);
-          Matcher listens = LISTENS.matcher(line);
+          readLines.add(line);
+          Matcher listens = LISTENING_LINE.matcher(line);
           if (listens.find()) {
-            address = Store.loopback(Integer.parseInt(listens.group(1)));
+            address = EmulatedStore.loopback(Integer.parseInt(listens.group(1)));
             return;
           }
         } else if (!process.isAlive()) {
@@ -150,7 +164,7 @@
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
-    throw new IOException("the mixer did not start: " + String.join(" | ", last));
+    throw new IOException("the mixer did not start: " + String.join(" | ", readLines));
   }
 
   public InetSocketAddress address() {
@@ -161,56 +175,58 @@
     return process.pid();
   }
 
-  /** Whether it still runs. */
-  public boolean alive() {
+  /** Returns whether the process is running. */
+  public boolean isAlive() {
     return process.isAlive();
   }
 
-  /** Sends a signal by its name, as STOP or CONT. */
+  /** Sends a signal by its name, for example STOP or CONT. */
   public void signal(String name) throws IOException {
     try {
       new ProcessBuilder("kill", "-" + name, String.valueOf(process.pid()))
           .start()
-          .waitFor(END_MS, TimeUnit.MILLISECONDS);
+          .waitFor(STOP_TIMEOUT_MS, TimeUnit.MILLISECONDS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
-  /**
-   * Has it read its configuration again (SIGHUP), which differs from before in where discovery is.
-   */
-  public void reload(Scenario world, InetSocketAddress discovery, String known) throws IOException {
-    Files.writeString(config, edit.apply(config(world, discovery, known, Member.ALONE)));
+  /** Writes a configuration with a new discovery address and makes the mixer reload it (SIGHUP). */
+  public void reload(Scenario scenario, InetSocketAddress discovery, String memberListJson)
+      throws IOException {
+    Files.writeString(
+        configFile,
+        configEdit.apply(config(scenario, discovery, memberListJson, FleetMember.STANDALONE)));
     signal("HUP");
   }
 
   /**
-   * Asks it to end (SIGTERM), as a planned restart does, and does not wait. Its output is read on.
+   * Requests termination (SIGTERM), as a planned restart does, without waiting. The output is still
+   * read.
    */
   public void terminate() {
-    process.toHandle().destroy(); // the process's own would close its streams
+    process.toHandle().destroy(); // Process.destroy() would close the streams of the process
   }
 
-  /** The code that it ended with; null while it runs. */
+  /** Returns the exit code, or null while the process runs. */
   public Integer exitCode() {
     return process.isAlive() ? null : Integer.valueOf(process.exitValue());
   }
 
-  /** Waits for a line that matches and returns its first group; null where none comes in time. */
-  public String await(Pattern pattern, long ms) {
-    long until = System.currentTimeMillis() + ms;
+  /** Waits for a log line that matches and returns its first group, or null on timeout. */
+  public String awaitLine(Pattern pattern, long timeoutMs) {
+    long deadlineMs = System.currentTimeMillis() + timeoutMs;
     try {
-      for (String line : last) {
+      for (String line : readLines) {
         Matcher matcher = pattern.matcher(line);
         if (matcher.find()) {
           return matcher.group(1);
         }
       }
-      while (System.currentTimeMillis() < until) {
-        String line = lines.poll(50, TimeUnit.MILLISECONDS);
+      while (System.currentTimeMillis() < deadlineMs) {
+        String line = unreadLines.poll(50, TimeUnit.MILLISECONDS);
         if (line != null) {
-          last.add(line);
+          readLines.add(line);
           Matcher matcher = pattern.matcher(line);
           if (matcher.find()) {
             return matcher.group(1);
@@ -223,29 +239,29 @@
     return null;
   }
 
-  /** Kills it outright. */
+  /** Kills the process (SIGKILL). */
   public void kill() {
     process.destroyForcibly();
   }
 
-  /** CPU time used so far, in seconds; NaN where the system does not tell. */
+  /** Returns the CPU seconds used so far, or NaN if the system does not report them. */
   public double cpuSeconds() {
     return process.info().totalCpuDuration().map(cpu -> cpu.toNanos() / 1e9).orElse(Double.NaN);
   }
 
-  /** What it has logged and was not read yet. */
-  public List<String> log() {
+  /** Returns the log lines that have not been read yet. */
+  public List<String> drainLog() {
     List<String> log = new ArrayList<>();
-    lines.drainTo(log);
+    unreadLines.drainTo(log);
     return log;
   }
 
-  /** Ends it by the usual signal, and for good where it does not go; returns its exit code. */
-  public int end() {
+  /** Terminates the process, kills it after a timeout, and returns its exit code. */
+  public int stop() {
     process.destroy();
     try {
-      if (!process.waitFor(END_MS + 5000, TimeUnit.MILLISECONDS)) {
-        process.destroyForcibly().waitFor(END_MS, TimeUnit.MILLISECONDS);
+      if (!process.waitFor(STOP_TIMEOUT_MS + 5000, TimeUnit.MILLISECONDS)) {
+        process.destroyForcibly().waitFor(STOP_TIMEOUT_MS, TimeUnit.MILLISECONDS);
       }
       return process.isAlive() ? -1 : process.exitValue();
     } catch (InterruptedException e) {
@@ -258,16 +274,19 @@
   public void close() {
     process.destroyForcibly();
     try {
-      Files.deleteIfExists(config);
+      Files.deleteIfExists(configFile);
     } catch (IOException e) {
-      config.toFile().deleteOnExit();
+      configFile.toFile().deleteOnExit();
     }
   }
 
-  /** The configuration of a mixer before this world's store, in the deployment's form. */
-  static String config(Scenario world, InetSocketAddress discovery, String known, Member member) {
-    String grades =
-        world.grades().stream().map(MixerProcess::grade).collect(Collectors.joining(",\n      "));
+  /** Returns the configuration of a mixer in front of the store of this scenario, as deployed. */
+  static String config(
+      Scenario scenario, InetSocketAddress discovery, String memberListJson, FleetMember member) {
+    String classesJson =
+        scenario.serviceClasses().stream()
+            .map(MixerProcess::serviceClassJson)
+            .collect(Collectors.joining(",\n      "));
     return String.format(
         Locale.ROOT,
         """
@@ -289,36 +308,36 @@
         member.name(),
         discovery.getAddress().getHostAddress(),
         discovery.getPort(),
-        world.seed(),
-        known,
-        grades,
-        list(world, grade -> "0"),
-        list(world, grade -> String.valueOf(grade.floor())),
-        list(world, grade -> "0.95"),
-        list(world, grade -> "1.0"),
-        world.boxes(),
-        world.copies(),
-        world.folios(),
-        member.fleet(),
+        scenario.seed(),
+        memberListJson,
+        classesJson,
+        joinClasses(scenario, serviceClass -> "0"),
+        joinClasses(scenario, serviceClass -> String.valueOf(serviceClass.minCoverage())),
+        joinClasses(scenario, serviceClass -> "0.95"),
+        joinClasses(scenario, serviceClass -> "1.0"),
+        scenario.boxes(),
+        scenario.replicas(),
+        scenario.partitions(),
+        member.fleetSize(),
         member.number(),
-        millis(world.idle()),
-        world.trips(),
-        world.coldFrom(),
-        millis(world.drainGrace()),
-        millis(world.tipAfter()),
-        world.tipMultiple(),
-        millis(world.warmUp()),
+        millis(scenario.idleTimeout()),
+        scenario.maxTrips(),
+        scenario.coldCapacityShare(),
+        millis(scenario.drainGrace()),
+        millis(scenario.overloadDuration()),
+        scenario.overloadMultiple(),
+        millis(scenario.warmUp()),
         member.zone(),
         String.join("\", \"", member.zones()));
   }
 
-  private static String list(Scenario world, Function<ServiceClass, String> value) {
-    return world.grades().stream().map(value).collect(Collectors.joining(", "));
+  private static String joinClasses(Scenario scenario, Function<ServiceClass, String> toText) {
+    return scenario.serviceClasses().stream().map(toText).collect(Collectors.joining(", "));
   }
 
-  private static String grade(ServiceClass grade) {
-    String repeats =
-        switch (grade.repeats()) {
+  private static String serviceClassJson(ServiceClass serviceClass) {
+    String idempotency =
+        switch (serviceClass.retrySafety()) {
           case IDEMPOTENT -> "idempotent";
           case KEYED -> "deduplicated";
           case AT_MOST_ONCE -> "at_most_once";
@@ -327,16 +346,16 @@
         Locale.ROOT,
         "{\"Name\": \"%s\", \"AimMs\": %f, \"HardLimitMs\": %f, "
             + "\"Idempotency\": \"%s\", \"LateWorth\": %f, \"WindowMs\": %f, \"Worth\": %f}",
-        grade.name(),
-        millis(grade.quoted()),
-        millis(grade.patience()),
-        repeats,
-        grade.late(),
-        millis(grade.window()),
-        grade.earnings());
+        serviceClass.name(),
+        millis(serviceClass.latencyTarget()),
+        millis(serviceClass.deadline()),
+        idempotency,
+        serviceClass.lateValueShare(),
+        millis(serviceClass.idempotencyWindow()),
+        serviceClass.value());
   }
 
-  private static double millis(Duration span) {
-    return span.toNanos() / 1e6;
+  private static double millis(Duration duration) {
+    return duration.toNanos() / 1e6;
   }
 }
--- a/emulator/src/main/java/gingerring/emulator/experiment/RandomRouter.java
+++ b/emulator/src/main/java/gingerring/emulator/experiment/RandomRouter.java
@@ -7,7 +7,7 @@
 import gingerring.http.MessageHead;
 import gingerring.json.Json;
 import gingerring.json.JsonFields;
-import gingerring.traffic.wire.HttpHandler;
+import gingerring.traffic.wire.HttpConnectionHandler;
 import gingerring.traffic.wire.Reactor;
 import gingerring.traffic.wire.ReactorConnection;
 import java.io.ByteArrayOutputStream;
@@ -25,187 +25,189 @@
 import java.util.TreeMap;
 
 /**
- * The baseline: a router without judgement. Each part goes once, to a holder chosen by plain chance
- * from the list at the start; the scan is answered once all parts are in, in part at the quoted
- * time where the floor is met, and given up otherwise. It keeps no drains and spares no cold box:
- * the referee shows that.
+ * The baseline router. Each part is sent once, to a holder chosen at random from the member list at
+ * the start. A scan is answered when all parts have ended, or partially at the latency target if
+ * the minimum coverage is reached; otherwise it fails. The router ignores drains and the limits of
+ * cold boxes, which the rule checker reports.
  */
 final class RandomRouter {
-  private final Scenario world;
+  private final Scenario scenario;
   private final Reactor reactor;
   private final SplittableRandom random;
-  private final Map<Integer, InetSocketAddress> boxes = new HashMap<>();
-  private final Map<Integer, Box> lines = new HashMap<>();
+  private final Map<Integer, InetSocketAddress> boxAddresses = new HashMap<>();
+  private final Map<Integer, BoxConnection> connections = new HashMap<>();
   private final Map<String, Scan> scans = new HashMap<>();
-  private final Reactor.Listening listening;
+  private final Reactor.ListeningSocket listeningSocket;
 
-  /** {@code list}: the store's list, in discovery's form. */
-  RandomRouter(Scenario world, Reactor reactor, String list) throws IOException {
-    this.world = world;
+  /** Creates a router; {@code memberList} is in the format of the discovery service. */
+  RandomRouter(Scenario scenario, Reactor reactor, String memberList) throws IOException {
+    this.scenario = scenario;
     this.reactor = reactor;
-    random = new SplittableRandom(world.seed() + 2);
+    random = new SplittableRandom(scenario.seed() + 2);
     try {
-      for (Object each : JsonFields.list(JsonFields.object(Json.parse(list), "list"), "members")) {
-        Map<String, Object> member = JsonFields.object(each, "member");
+      for (Object json :
+          JsonFields.list(JsonFields.object(Json.parse(memberList), "list"), "members")) {
+        Map<String, Object> member = JsonFields.object(json, "member");
         String address = JsonFields.string(member, "host_port");
-        boxes.put(
+        boxAddresses.put(
             (int) JsonFields.nonNegativeInteger(member, "cell"),
-            Store.loopback(Integer.parseInt(address.substring(address.indexOf(':') + 1))));
+            EmulatedStore.loopback(Integer.parseInt(address.substring(address.indexOf(':') + 1))));
       }
     } catch (Json.JsonException e) {
       throw new IOException(e);
     }
-    listening = reactor.listen(Store.loopback(0), Asker::new);
+    listeningSocket = reactor.listen(EmulatedStore.loopback(0), ClientConnection::new);
   }
 
   InetSocketAddress address() {
-    return listening.address();
+    return listeningSocket.address();
   }
 
   private static final class Scan {
-    final Asker asker;
-    final String mark;
-    final ServiceClass grade;
+    final ClientConnection client;
+    final String id;
+    final ServiceClass serviceClass;
     final Map<Integer, Double> shares = new LinkedHashMap<>();
     final Map<Integer, String> values = new TreeMap<>();
-    int settled;
+    int settledParts;
 
-    Scan(Asker asker, String mark, ServiceClass grade) {
-      this.asker = asker;
-      this.mark = mark;
-      this.grade = grade;
+    Scan(ClientConnection client, String id, ServiceClass serviceClass) {
+      this.client = client;
+      this.id = id;
+      this.serviceClass = serviceClass;
     }
 
-    double weight() {
+    double coverage() {
       return values.keySet().stream().mapToDouble(shares::get).sum();
     }
   }
 
-  private void settle(Scan scan, boolean last) {
+  private void finishIfSettled(Scan scan, boolean deadlineReached) {
     boolean whole = scan.values.size() == scan.shares.size();
-    if (!last && scan.settled < scan.shares.size()) {
+    if (!deadlineReached && scan.settledParts < scan.shares.size()) {
       return;
     }
-    if (scans.remove(scan.mark) == null) {
+    if (scans.remove(scan.id) == null) {
       return;
     }
     boolean partial =
-        scan.grade.repeats() == Scenario.RetrySafety.IDEMPOTENT
+        scan.serviceClass.retrySafety() == Scenario.RetrySafety.IDEMPOTENT
             && !scan.values.isEmpty()
-            && scan.weight() >= scan.grade.floor();
+            && scan.coverage() >= scan.serviceClass.minCoverage();
     if (!whole && !partial) {
-      scan.asker.put(HttpWriter.response(500, false, "", new byte[0]));
+      scan.client.send(HttpWriter.response(500, false, "", new byte[0]));
       return;
     }
     StringBuilder json = new StringBuilder("{\"whole\":" + whole + ",\"results\":[");
-    String between = "";
+    String separator = "";
     for (Map.Entry<Integer, String> value : scan.values.entrySet()) {
-      json.append(between)
+      json.append(separator)
           .append("{\"partition\":")
           .append(value.getKey())
           .append(",\"value\":\"")
           .append(value.getValue())
           .append("\"}");
-      between = ",";
+      separator = ",";
     }
-    scan.asker.put(
+    scan.client.send(
         HttpWriter.response(
             200, false, "", json.append("]}").toString().getBytes(StandardCharsets.US_ASCII)));
   }
 
-  /** A client's connection. */
-  private final class Asker extends HttpHandler {
-    private final ReactorConnection wire;
+  /** A connection of a client. */
+  private final class ClientConnection extends HttpConnectionHandler {
+    private final ReactorConnection socket;
 
-    Asker(ReactorConnection wire) {
+    ClientConnection(ReactorConnection socket) {
       super(true, 1 << 16);
-      this.wire = wire;
+      this.socket = socket;
     }
 
-    void put(byte[] answer) {
-      wire.put(answer);
+    void send(byte[] response) {
+      socket.send(response);
     }
 
     @Override
-    protected void malformed(HttpException e) {
-      wire.reset();
+    protected void onMalformed(HttpException e) {
+      socket.reset();
     }
 
     @Override
-    protected void message(MessageHead head, byte[] json) throws HttpException {
+    protected void onMessage(MessageHead head, byte[] body) throws HttpException {
       try {
-        Map<String, Object> asked = JsonFields.object(Json.parse(json), "the body");
-        Scan scan = new Scan(this, head.header("X-Txn"), world.grade(head.header("X-Lane")));
-        for (Object each : JsonFields.list(asked, "targets")) {
-          Map<String, Object> target = JsonFields.object(each, "a target");
+        Map<String, Object> request = JsonFields.object(Json.parse(body), "the body");
+        Scan scan =
+            new Scan(this, head.header("X-Txn"), scenario.serviceClass(head.header("X-Lane")));
+        for (Object targetJson : JsonFields.list(request, "targets")) {
+          Map<String, Object> target = JsonFields.object(targetJson, "a target");
           scan.shares.put(
               (int) JsonFields.nonNegativeInteger(target, "partition"),
               JsonFields.number(target, "share"));
         }
-        scans.put(scan.mark, scan);
+        scans.put(scan.id, scan);
         String key = head.header("Idempotency-Key");
-        for (int folio : scan.shares.keySet()) {
-          List<Integer> holders = world.holders(folio);
-          line(holders.get(random.nextInt(holders.size())))
-              .send(scan, folio, key, JsonFields.string(asked, "query"));
+        for (int partition : scan.shares.keySet()) {
+          List<Integer> holders = scenario.holders(partition);
+          connection(holders.get(random.nextInt(holders.size())))
+              .send(scan, partition, key, JsonFields.string(request, "query"));
         }
-        reactor.after(
-            scan.grade.quoted(),
+        reactor.schedule(
+            scan.serviceClass.latencyTarget(),
             () -> {
-              if (scan.weight() >= scan.grade.floor()) {
-                settle(scan, true);
+              if (scan.coverage() >= scan.serviceClass.minCoverage()) {
+                finishIfSettled(scan, true);
               }
             });
-        Duration end = scan.grade.patience().minusMillis(20);
-        reactor.after(end, () -> settle(scan, true));
+        Duration deadline = scan.serviceClass.deadline().minusMillis(20);
+        reactor.schedule(deadline, () -> finishIfSettled(scan, true));
       } catch (Json.JsonException e) {
         throw new HttpException(400, e.getMessage());
       }
     }
 
     @Override
-    public void closed() {
-      scans.values().removeIf(scan -> scan.asker == this);
+    public void onClosed() {
+      scans.values().removeIf(scan -> scan.client == this);
     }
   }
 
-  private Box line(int number) {
-    Box box = lines.get(number);
-    if (box == null || box.wire.closed()) {
-      box = new Box(number);
-      lines.put(number, box);
+  private BoxConnection connection(int boxNumber) {
+    BoxConnection connection = connections.get(boxNumber);
+    if (connection == null || connection.socket.isClosed()) {
+      connection = new BoxConnection(boxNumber);
+      connections.put(boxNumber, connection);
     }
-    return box;
+    return connection;
   }
 
   /** A connection to a box. */
-  private final class Box implements ReactorConnection.Handler {
-    private final ReactorConnection wire;
-    private final Map<String, Integer> out = new LinkedHashMap<>();
-    private final ByteArrayOutputStream kept = new ByteArrayOutputStream();
+  private final class BoxConnection implements ReactorConnection.Handler {
+    private final ReactorConnection socket;
+    private final Map<String, Integer> partsInFlight = new LinkedHashMap<>();
+    private final ByteArrayOutputStream received = new ByteArrayOutputStream();
 
-    Box(int number) {
-      wire = reactor.dial(boxes.get(number), this);
+    BoxConnection(int boxNumber) {
+      socket = reactor.connect(boxAddresses.get(boxNumber), this);
     }
 
-    void send(Scan scan, int folio, String key, String text) {
-      out.put(scan.mark + '.' + folio, folio);
-      String line =
+    void send(Scan scan, int partition, String key, String query) {
+      partsInFlight.put(scan.id + '.' + partition, partition);
+      String frameText =
           "S"
-              + scan.mark
+              + scan.id
               + '.'
-              + folio
+              + partition
               + ' '
-              + folio
+              + partition
               + " d="
-              + scan.grade.patience().toMillis()
+              + scan.serviceClass.deadline().toMillis()
               + (key == null ? "" : ",k=" + key)
               + ' '
-              + text.length()
+              + query.length()
               + '\n'
-              + text;
-      byte[] bytes = line.getBytes(StandardCharsets.US_ASCII);
-      wire.put(
+              + query;
+      byte[] bytes = frameText.getBytes(StandardCharsets.US_ASCII);
+      socket.send(
           ByteBuffer.allocate(4 + bytes.length)
               .order(ByteOrder.LITTLE_ENDIAN)
               .putInt(bytes.length)
@@ -214,39 +216,40 @@
     }
 
     @Override
-    public void bytes(byte[] bytes, int length) {
-      kept.write(bytes, 0, length);
-      ByteBuffer all = ByteBuffer.wrap(kept.toByteArray()).order(ByteOrder.LITTLE_ENDIAN);
-      while (all.remaining() >= 4 && all.remaining() >= 4 + all.getInt(all.position())) {
-        byte[] frame = new byte[all.getInt()];
-        all.get(frame);
-        String text = new String(frame, StandardCharsets.US_ASCII);
-        int end = text.indexOf('\n');
-        if (frame[0] == 'R' && end > 0) {
-          String[] words = text.substring(1, end).split(" ");
-          returned(words[0], words[1].equals("done") ? text.substring(end + 1) : null);
+    public void onData(byte[] bytes, int length) {
+      received.write(bytes, 0, length);
+      ByteBuffer buffer = ByteBuffer.wrap(received.toByteArray()).order(ByteOrder.LITTLE_ENDIAN);
+      while (buffer.remaining() >= 4
+          && buffer.remaining() >= 4 + buffer.getInt(buffer.position())) {
+        byte[] frame = new byte[buffer.getInt()];
+        buffer.get(frame);
+        String query = new String(frame, StandardCharsets.US_ASCII);
+        int lineEnd = query.indexOf('\n');
+        if (frame[0] == 'R' && lineEnd > 0) {
+          String[] fields = query.substring(1, lineEnd).split(" ");
+          partEnded(fields[0], fields[1].equals("done") ? query.substring(lineEnd + 1) : null);
         }
       }
-      kept.reset();
-      kept.write(all.array(), all.position(), all.remaining());
+      received.reset();
+      received.write(buffer.array(), buffer.position(), buffer.remaining());
     }
 
-    private void returned(String id, String value) {
-      Integer folio = out.remove(id);
-      Scan scan = scans.get(id.substring(0, id.lastIndexOf('.')));
-      if (folio != null && scan != null) {
-        scan.settled++;
+    private void partEnded(String partId, String value) {
+      Integer partition = partsInFlight.remove(partId);
+      Scan scan = scans.get(partId.substring(0, partId.lastIndexOf('.')));
+      if (partition != null && scan != null) {
+        scan.settledParts++;
         if (value != null) {
-          scan.values.put(folio, value);
+          scan.values.put(partition, value);
         }
-        settle(scan, false);
+        finishIfSettled(scan, false);
       }
     }
 
     @Override
-    public void closed() {
-      for (String id : List.copyOf(out.keySet())) {
-        returned(id, null);
+    public void onClosed() {
+      for (String partId : List.copyOf(partsInFlight.keySet())) {
+        partEnded(partId, null);
       }
     }
   }
--- a/emulator/src/main/java/gingerring/emulator/harness/FleetScenario.java
+++ b/emulator/src/main/java/gingerring/emulator/harness/FleetScenario.java
@@ -14,63 +14,80 @@
 import java.util.TreeSet;
 
 /**
- * A described run of a fleet: the world, and in {@code fleet} the mixers, their talk and the faults
- * at their times. Everything has a usual value; what is unknown or out of range is refused with its
- * place.
+ * Description of a run of several mixer processes: the base scenario and, under the key {@code
+ * fleet}, the mixers, their peer settings and the scheduled faults. Every key has a default;
+ * unknown keys and values out of range are rejected with their path.
  *
- * @param peers whether mixers talk; {@code settings} goes into the file of their peers as it is
- * @param uneven how many times the others' clients the first mixer has
- * @param spare how long after the run's time its last wishes may have their ends
- * @param liars so many further peers that hold the key and say what is false
+ * @param peersEnabled whether the mixers exchange peer datagrams
+ * @param peerSettings key {@code settings}: copied unchanged into each mixer's peers file
+ * @param firstMixerWeight key {@code uneven}: the first mixer's number of clients relative to that
+ *     of each other mixer
+ * @param byzantinePeers key {@code liars}: number of additional peers that have the fleet's key and
+ *     send false reports
+ * @param failoverDelay key {@code frontMs}: time after which the emulated load balancer sends the
+ *     connections of an unavailable mixer to the next one
+ * @param completionTimeout key {@code spareMs}: how long after the end of the run's length the
+ *     remaining requests may still complete
  */
 public record FleetScenario(
-    Scenario world,
+    Scenario scenario,
     int mixers,
     List<String> zones,
-    boolean peers,
-    Map<String, Object> settings,
-    double uneven,
-    int liars,
-    Duration front,
-    Duration spare,
+    boolean peersEnabled,
+    Map<String, Object> peerSettings,
+    double firstMixerWeight,
+    int byzantinePeers,
+    Duration failoverDelay,
+    Duration completionTimeout,
     List<Fault> faults) {
-  /** One thing that goes wrong; {@code size} by kind. */
+  /**
+   * One scheduled fault.
+   *
+   * @param magnitude key {@code size}; its meaning depends on the kind
+   */
   public record Fault(
-      Kind kind, Duration at, Duration span, Set<Integer> mixers, Set<Integer> boxes, double size) {
-    /** What goes wrong. */
+      Kind kind,
+      Duration start,
+      Duration duration,
+      Set<Integer> mixers,
+      Set<Integer> boxes,
+      double magnitude) {
+    /** Kind of fault; scenario files name it in lower case. */
     public enum Kind {
-      /** Processes are killed, and new ones start empty after the span. */
+      /** Kills the mixers' processes and starts new ones, without state, after the duration. */
       KILL,
-      /** Processes are stopped, and go on after the span. */
+      /** Suspends the processes (SIGSTOP) and resumes them after the duration. */
       STOP,
-      /** Processes are ended and started anew by turns over the span. */
+      /** Restarts the processes in order, one at a time, spread over the duration. */
       ROLL,
-      /** Mixers and boxes hear nothing of each other. */
+      /** Cuts the links between the mixers and the boxes in both directions. */
       CUT,
-      /** The mixers hear nothing of the other mixers, nor those of them. */
+      /** Cuts the peer links between these mixers and all others in both directions. */
       CUT_PEERS,
-      /** The other mixers hear nothing of these. */
+      /** Drops the peer datagrams that these mixers send to the others. */
       CUT_PEERS_ONE_WAY,
-      /** What goes between mixers and boxes takes so many ms more, each way. */
+      /** Adds {@code size} ms to the links between mixers and boxes, in each direction. */
       DELAY,
-      /** What boxes send to mixers comes at so many bytes a second. */
+      /** Limits what boxes send to mixers to {@code size} bytes per second. */
       DRIP,
-      /** Connections between mixers and boxes are reset, such a share of them each second. */
+      /** Resets the share {@code size} of the connections between mixers and boxes each second. */
       RESET,
-      /** Of such a share of what boxes send to mixers half is cut out, and the connection ends. */
+      /**
+       * Truncates the share {@code size} of the reads from a box to half and closes the connection.
+       */
       CUT_BYTES,
-      /** Such a share of datagrams is lost. */
+      /** Drops the share {@code size} of peer datagrams. */
       LOSE,
-      /** Such a share of datagrams comes twice. */
+      /** Duplicates the share {@code size} of peer datagrams. */
       DOUBLE,
-      /** Datagrams come up to so many ms late, and so in another order. */
+      /** Delays each peer datagram by up to {@code size} ms, which reorders them. */
       REORDER,
-      /** Discovery says nothing to the mixers, and then all. */
+      /** Discovery sends the mixers no updates during the fault and all of them afterwards. */
       LIST_SILENT
     }
   }
 
-  private static final List<String> FLEET =
+  private static final List<String> FLEET_KEYS =
       List.of(
           "mixers",
           "zones",
@@ -81,131 +98,145 @@
           "frontMs",
           "spareMs",
           "faults");
-  private static final List<String> FAULT =
+  private static final List<String> FAULT_KEYS =
       List.of("kind", "atMs", "forMs", "mixers", "share", "boxes", "size");
 
   public static FleetScenario read(byte[] json) throws InvalidScenario {
     try {
-      Map<String, Object> all =
-          new LinkedHashMap<>(JsonFields.object(Json.parse(json), "the description"));
-      Object fleet = all.remove("fleet");
-      return read(Scenario.read(all), fleet == null ? Map.of() : JsonFields.object(fleet, "fleet"));
+      Map<String, Object> root =
+          new LinkedHashMap<>(JsonFields.object(Json.parse(json), "the scenario"));
+      Object fleet = root.remove("fleet");
+      return read(
+          Scenario.read(root), fleet == null ? Map.of() : JsonFields.object(fleet, "fleet"));
     } catch (Json.JsonException e) {
       throw new InvalidScenario(e.getMessage());
     }
   }
 
-  private static FleetScenario read(Scenario world, Map<String, Object> fleet)
+  private static FleetScenario read(Scenario scenario, Map<String, Object> fleet)
       throws InvalidScenario, Json.JsonException {
-    known(fleet, FLEET, "fleet.");
-    int mixers = (int) number(fleet, "mixers", "fleet.", 8, 1, 1000);
+    requireKnownKeys(fleet, FLEET_KEYS, "fleet.");
+    int mixers = (int) numberInRange(fleet, "mixers", "fleet.", 8, 1, 1000);
     List<String> zones = new ArrayList<>();
-    for (Object each :
+    for (Object element :
         fleet.containsKey("zones") ? JsonFields.list(fleet, "zones") : List.of("a")) {
-      if (!(each instanceof String zone) || !zone.matches("[a-z0-9-]{1,20}")) {
-        throw new InvalidScenario("fleet.zones." + zones.size() + " is no name of a zone: " + each);
+      if (!(element instanceof String zone) || !zone.matches("[a-z0-9-]{1,20}")) {
+        throw new InvalidScenario(
+            "fleet.zones." + zones.size() + " is not a valid zone name: " + element);
       }
       zones.add(zone);
     }
     if (zones.isEmpty()) {
-      throw new InvalidScenario("fleet.zones names none");
+      throw new InvalidScenario("fleet.zones is empty");
     }
     List<Fault> faults = new ArrayList<>();
-    for (Object each : fleet.containsKey("faults") ? JsonFields.list(fleet, "faults") : List.of()) {
-      String place = "fleet.faults." + faults.size() + '.';
+    for (Object element :
+        fleet.containsKey("faults") ? JsonFields.list(fleet, "faults") : List.of()) {
+      String path = "fleet.faults." + faults.size() + '.';
       faults.add(
-          fault(world, mixers, JsonFields.object(each, place + " here"), place, faults.size()));
+          readFault(
+              scenario,
+              mixers,
+              JsonFields.object(element, path + " (fault)"),
+              path,
+              faults.size()));
     }
     return new FleetScenario(
-        world,
+        scenario,
         mixers,
         List.copyOf(zones),
         fleet.containsKey("peers") && JsonFields.booleanValue(fleet, "peers"),
         fleet.containsKey("settings")
             ? JsonFields.object(fleet.get("settings"), "fleet.settings")
             : Map.of(),
-        number(fleet, "uneven", "fleet.", 1, 0.01, 1000),
-        (int) number(fleet, "liars", "fleet.", 0, 0, 100),
-        millis(number(fleet, "frontMs", "fleet.", 1500, 0, 60_000)),
-        millis(number(fleet, "spareMs", "fleet.", 60_000, 0, 600_000)),
+        numberInRange(fleet, "uneven", "fleet.", 1, 0.01, 1000),
+        (int) numberInRange(fleet, "liars", "fleet.", 0, 0, 100),
+        millis(numberInRange(fleet, "frontMs", "fleet.", 1500, 0, 60_000)),
+        millis(numberInRange(fleet, "spareMs", "fleet.", 60_000, 0, 600_000)),
         List.copyOf(faults));
   }
 
-  private static Fault fault(
-      Scenario world, int mixers, Map<String, Object> told, String place, int number)
+  private static Fault readFault(
+      Scenario scenario, int mixers, Map<String, Object> fields, String path, int faultIndex)
       throws InvalidScenario, Json.JsonException {
-    known(told, FAULT, place);
-    String name = JsonFields.string(told, "kind");
+    requireKnownKeys(fields, FAULT_KEYS, path);
+    String kindName = JsonFields.string(fields, "kind");
     for (Fault.Kind kind : Fault.Kind.values()) {
-      if (kind.name().equalsIgnoreCase(name)) {
-        Set<Integer> some = numbers(told, "mixers", place, mixers);
-        if (told.containsKey("share")) {
-          int count = (int) Math.round(mixers * number(told, "share", place, 1, 0, 1));
-          for (long i = 0; some.size() < count; i++) {
-            some.add((int) (SeededDraw.draw(world.seed(), "mixers", number, i) * mixers));
+      if (kind.name().equalsIgnoreCase(kindName)) {
+        Set<Integer> affectedMixers = indexes(fields, "mixers", path, mixers);
+        if (fields.containsKey("share")) {
+          int count = (int) Math.round(mixers * numberInRange(fields, "share", path, 1, 0, 1));
+          for (long i = 0; affectedMixers.size() < count; i++) {
+            affectedMixers.add(
+                (int) (SeededDraw.draw(scenario.seed(), "mixers", faultIndex, i) * mixers));
           }
-        } else if (!told.containsKey("mixers")) {
+        } else if (!fields.containsKey("mixers")) {
           for (int i = 0; i < mixers; i++) {
-            some.add(i);
+            affectedMixers.add(i);
           }
         }
-        Set<Integer> boxes = numbers(told, "boxes", place, world.boxes());
-        if (!told.containsKey("boxes")) {
-          for (int i = 0; i < world.boxes(); i++) {
+        Set<Integer> boxes = indexes(fields, "boxes", path, scenario.boxes());
+        if (!fields.containsKey("boxes")) {
+          for (int i = 0; i < scenario.boxes(); i++) {
             boxes.add(i);
           }
         }
         return new Fault(
             kind,
-            millis(number(told, "atMs", place, 0, 0, 1e9)),
-            millis(number(told, "forMs", place, 5000, 1, 1e9)),
-            some,
+            millis(numberInRange(fields, "atMs", path, 0, 0, 1e9)),
+            millis(numberInRange(fields, "forMs", path, 5000, 1, 1e9)),
+            affectedMixers,
             boxes,
-            number(told, "size", place, 0.5, 0, 1e6));
+            numberInRange(fields, "size", path, 0.5, 0, 1e6));
       }
     }
-    throw new InvalidScenario(place + "kind is unknown: " + name);
+    throw new InvalidScenario(path + "kind is unknown: " + kindName);
   }
 
-  private static void known(Map<String, Object> told, List<String> names, String place)
-      throws InvalidScenario {
-    for (String name : told.keySet()) {
-      if (!names.contains(name)) {
+  private static void requireKnownKeys(
+      Map<String, Object> fields, List<String> knownKeys, String path) throws InvalidScenario {
+    for (String key : fields.keySet()) {
+      if (!knownKeys.contains(key)) {
         throw new InvalidScenario(
-            place + name + " is unknown; known are " + String.join(", ", names));
+            path + key + " is unknown; known are " + String.join(", ", knownKeys));
       }
     }
   }
 
-  private static double number(
-      Map<String, Object> told, String name, String place, double usual, double least, double most)
+  private static double numberInRange(
+      Map<String, Object> fields,
+      String key,
+      String path,
+      double defaultValue,
+      double min,
+      double max)
       throws InvalidScenario, Json.JsonException {
-    if (!told.containsKey(name)) {
-      return usual;
+    if (!fields.containsKey(key)) {
+      return defaultValue;
     }
-    double value = JsonFields.number(told, name);
-    if (value < least || value > most) {
+    double value = JsonFields.number(fields, key);
+    if (value < min || value > max) {
       throw new InvalidScenario(
-          place + name + " is out of range: " + value + " is not " + least + " to " + most);
+          path + key + " is out of range: " + value + " is not " + min + " to " + max);
     }
     return value;
   }
 
-  private static Set<Integer> numbers(
-      Map<String, Object> told, String name, String place, int count)
+  private static Set<Integer> indexes(
+      Map<String, Object> fields, String key, String path, int limit)
       throws InvalidScenario, Json.JsonException {
-    Set<Integer> numbers = new TreeSet<>();
-    for (Object each : told.containsKey(name) ? JsonFields.list(told, name) : List.of()) {
-      if (!(each instanceof Double number)
+    Set<Integer> indexes = new TreeSet<>();
+    for (Object element : fields.containsKey(key) ? JsonFields.list(fields, key) : List.of()) {
+      if (!(element instanceof Double number)
           || number != Math.rint(number)
           || number < 0
-          || number >= count) {
+          || number >= limit) {
         throw new InvalidScenario(
-            place + name + " has " + each + ", and there are " + count + " from 0 on");
+            path + key + " has " + element + ", but there are " + limit + " indexes, from 0 on");
       }
-      numbers.add(number.intValue());
+      indexes.add(number.intValue());
     }
-    return numbers;
+    return indexes;
   }
 
   private static Duration millis(double ms) {
--- a/emulator/src/main/java/gingerring/emulator/harness/HarnessError.java
+++ b/emulator/src/main/java/gingerring/emulator/harness/HarnessError.java
@@ -5,38 +5,39 @@
 import java.util.List;
 
 /**
- * Why a run of the rig has no verdict: a stable code, the party it is about, and what an operator
- * can do. The message has all three.
+ * Reason why a run of the harness has no verdict: a stable code, the subject concerned and a remedy
+ * for the operator. The message contains all three.
  */
 public abstract sealed class HarnessError extends IOException {
   private static final long serialVersionUID = 1;
-  private final String place;
+  private final String subject;
   private final String remedy;
 
-  HarnessError(String place, String what, String remedy, Throwable cause) {
-    super(what, cause);
-    this.place = place;
+  HarnessError(String subject, String problem, String remedy, Throwable cause) {
+    super(problem, cause);
+    this.subject = subject;
     this.remedy = remedy;
   }
 
+  /** Returns the stable code. */
   public abstract String code();
 
-  /** Which file, process or party it is about. */
-  public String place() {
-    return place;
+  /** Returns the file, process or other party concerned. */
+  public String subject() {
+    return subject;
   }
 
-  /** What an operator can do. */
+  /** Returns what an operator can do about the error. */
   public String remedy() {
     return remedy;
   }
 
   @Override
   public String getMessage() {
-    return code() + " at " + place + ": " + super.getMessage() + "; " + remedy;
+    return code() + " at " + subject + ": " + super.getMessage() + "; " + remedy;
   }
 
-  /** A file that describes no run. */
+  /** A scenario file that is missing or invalid. */
   public static final class InvalidScenarioFile extends HarnessError {
     private static final long serialVersionUID = 1;
 
@@ -44,7 +45,7 @@
       super(
           file.toString(),
           cause instanceof NoSuchFileException ? "no such file" : cause.getMessage(),
-          "mend the file (docs/emulator.md)",
+          "correct the file (docs/emulator.md)",
           cause);
     }
 
@@ -54,15 +55,15 @@
     }
   }
 
-  /** A process that did not come up. */
+  /** A mixer process that did not start. */
   public static final class NotStarted extends HarnessError {
     private static final long serialVersionUID = 1;
 
-    NotStarted(int mixer, String what, Throwable cause) {
+    NotStarted(int mixer, String problem, Throwable cause) {
       super(
           "m" + mixer,
-          "did not start: " + what,
-          "read its lines here; with many mixers look at free memory",
+          "did not start: " + problem,
+          "read its log lines in this message; with many mixers, check the free memory",
           cause);
     }
 
@@ -72,15 +73,18 @@
     }
   }
 
-  /** Wishes that had no end within the run's time and a minute; the place is whom they wait for. */
+  /**
+   * Requests that did not complete within the run's length and the completion timeout. The subject
+   * lists the parties that they wait for.
+   */
   public static final class NotEnded extends HarnessError {
     private static final long serialVersionUID = 1;
 
-    NotEnded(long ms, List<String> waits) {
+    NotEnded(long timeoutMs, List<String> unfinished) {
       super(
-          String.join(", ", waits),
-          "the run did not end within " + ms + " ms",
-          "the table tells of what ended; play the schedule again without the faults on that party",
+          String.join(", ", unfinished),
+          "the run did not end within " + timeoutMs + " ms",
+          "the table covers the requests that completed; run the scenario again without the faults of that party",
           null);
     }
 
@@ -90,15 +94,15 @@
     }
   }
 
-  /** A mixer that does not say whom it takes for there. */
-  public static final class NotTold extends HarnessError {
+  /** A mixer that does not report which peers it considers present. */
+  public static final class PeersNotReported extends HarnessError {
     private static final long serialVersionUID = 1;
 
-    NotTold(int mixer, Throwable cause) {
+    PeersNotReported(int mixer, Throwable cause) {
       super(
           "m" + mixer,
-          "did not say who is there: " + cause.getMessage(),
-          "ask it by hand: gingerring peers show",
+          "did not report the peers that are present: " + cause.getMessage(),
+          "query it by hand: gingerring peers show",
           cause);
     }
 
@@ -108,12 +112,13 @@
     }
   }
 
-  /** The rig's own events failed, and what they would have done is missing. */
-  public static final class Stumbled extends HarnessError {
+  /** Failed events of the harness itself; their effects are missing from the run. */
+  public static final class HarnessFailure extends HarnessError {
     private static final long serialVersionUID = 1;
 
-    Stumbled(int failures) {
-      super("rig", failures + " of its own events failed", "report it with the log's lines", null);
+    HarnessFailure(int failures) {
+      super(
+          "harness", failures + " of its own events failed", "report it with the log lines", null);
     }
 
     @Override
--- a/emulator/src/main/java/gingerring/emulator/simulation/PeerSimulation.java
+++ b/emulator/src/main/java/gingerring/emulator/simulation/PeerSimulation.java
@@ -21,167 +21,194 @@
 import java.util.TreeMap;
 
 /**
- * Mixers that talk, in simulated time: the cores of {@code peers} as a mixer runs them, with faults
- * by message (loss, delay, doubled and reordered, cut both ways or one way), processes stopped,
- * killed and started anew, clocks set off, and hostile ones. The same setup plays the same.
+ * Simulates the peer protocol of a fleet in simulated time. The nodes of {@code peers} run as in a
+ * mixer, with faults of messages (loss, delay, duplication, reordering, cuts in both directions or
+ * one), stopped, killed and restarted processes, clock offsets, and hostile peers. The same
+ * parameters give the same run.
  *
- * <p>Boxes are alive or dead by the schedule; each mixer sends them parts at its own rate, benches
- * one that fails it twice in a row, and asks it when it is its turn. What the mixer's own module
- * does is left out: only what talk adds is played here.
+ * <p>Boxes are alive or dead by the schedule. Each mixer sends parts at its own rate, ejects a box
+ * that fails twice in a row, and probes an ejected box when the mixer's turn comes. The rest of a
+ * mixer is left out: only the effect of the peer protocol is simulated.
  */
 public final class PeerSimulation {
-  /** What goes wrong; {@code some} are those it befalls, {@code others} the far side of a cut. */
+  /**
+   * A fault; {@code targets} are the mixers or boxes affected, {@code others} the far side of a
+   * cut.
+   */
   public record Fault(
-      Kind kind, double atMs, double forMs, Set<Integer> some, Set<Integer> others, double size) {
-    /** What goes wrong. */
+      Kind kind,
+      double startMs,
+      double durationMs,
+      Set<Integer> targets,
+      Set<Integer> others,
+      double magnitude) {
+    /** The kinds of faults. */
     public enum Kind {
-      /** Nothing goes between some and others. */
+      /** No message passes between targets and others. */
       CUT,
-      /** Nothing goes from some to others. */
+      /** No message passes from targets to others. */
       CUT_ONE_WAY,
-      /** Processes stand still, and what comes for them waits, so much at most. */
+      /** The processes are stopped; a limited number of received messages waits for them. */
       STOP,
-      /** Processes end, and new ones start empty under their names. */
+      /** The processes are killed and restarted without state under the same ids. */
       KILL,
-      /** They say that all boxes fail. */
+      /** The mixers report that all boxes fail. */
       LIE,
-      /** They claim an endless demand. */
+      /** The mixers report an enormous demand. */
       GREED,
-      /** They send again what was sent to them before. */
+      /** The mixers resend messages that they received before. */
       REPEAT,
-      /** They claim turns that are not theirs, and that the dead box answers. */
+      /** The mixers claim turns of others and report that dead boxes answer. */
       CLAIM,
-      /** So many boxes are dead. */
+      /** The target boxes are dead. */
       BOXES_DEAD
     }
 
-    boolean during(double now) {
-      return now >= atMs && now < atMs + forMs;
+    boolean isActive(double now) {
+      return now >= startMs && now < startMs + durationMs;
     }
   }
 
   /**
-   * {@code loss}, {@code twice}: shares of letters lost and doubled; {@code delayMs}: the most of
-   * an even delay; {@code clockMs}: clocks are off by as much at the most; {@code rate}: parts a
-   * second and mixer.
+   * Parameters. {@code lossShare} and {@code duplicateShare} are the shares of messages lost and
+   * duplicated; {@code maxDelayMs} is the upper bound of a uniformly distributed delay; {@code
+   * maxClockOffsetMs} the largest clock offset; {@code partsPerSecond} the parts a second of each
+   * mixer.
    */
   public record Setup(
       int mixers,
       int zones,
       int boxes,
-      double loss,
-      double twice,
-      double delayMs,
-      double clockMs,
-      double rate,
+      double lossShare,
+      double duplicateShare,
+      double maxDelayMs,
+      double maxClockOffsetMs,
+      double partsPerSecond,
       double seconds,
       long seed,
       List<Fault> faults,
-      PeerNode.Rules rules) {
-    public static Setup usual(int mixers, double seconds, long seed, List<Fault> faults) {
+      PeerNode.Settings settings) {
+    public static Setup defaults(int mixers, double seconds, long seed, List<Fault> faults) {
       return new Setup(
-          mixers, 3, 20, 0.02, 0.005, 20, 50, 5, seconds, seed, faults, PeerNode.Rules.usual());
+          mixers,
+          3,
+          20,
+          0.02,
+          0.005,
+          20,
+          50,
+          5,
+          seconds,
+          seed,
+          faults,
+          PeerNode.Settings.defaults());
     }
   }
 
-  /** What came of it. Times in ms, bytes of letters without datagrams' heads. */
+  /** The result. Times are in ms; bytes are those of messages without datagram headers. */
   public static final class Result {
-    /** By second: the most and the mean bytes that one mixer sent. */
-    public final List<double[]> bytes = new ArrayList<>();
+    /** By second, the largest and the mean number of bytes that a mixer sent. */
+    public final List<double[]> bytesBySecond = new ArrayList<>();
 
-    /** Living mixers taken for gone by others who could hear them, over the run. */
-    public int wronglyGone;
+    /** How often a live, reachable mixer was marked as gone. */
+    public int falselyMarkedGone;
 
-    /** For each kill: when the last of the others knew. */
-    public final List<Double> known = new ArrayList<>();
+    /** For each kill, the time until the last of the other mixers detected it. */
+    public final List<Double> detectionTimesMs = new ArrayList<>();
 
-    /** Asks of dead boxes by second, and of boxes alive. */
-    public final Map<Integer, Integer> asks = new TreeMap<>();
+    /** Probes of dead boxes by second. */
+    public final Map<Integer, Integer> deadBoxProbes = new TreeMap<>();
 
-    /** For each box that came back: when the first, and when all who had benched it, asked it. */
-    public final List<double[]> found = new ArrayList<>();
+    /**
+     * For each recovered box, the time to the first probe and to the last probe by a mixer that had
+     * ejected it.
+     */
+    public final List<double[]> recoveryTimesMs = new ArrayList<>();
 
-    /** The largest doubt that an honest mixer had of a box that was alive. */
-    public double doubtOfAlive;
+    /** The largest failure share that an honest mixer estimated for a box that was alive. */
+    public double maxFailureShareOfLiveBox;
 
-    /** The largest demand believed over the true one. */
-    public double demand;
+    /** The largest ratio of the estimated fleet demand to the true one. */
+    public double maxDemandRatio;
 
-    /** Pairs of living mixers that do not know each other as there, at the end. */
-    public int strangers;
+    /** Ordered pairs of live mixers of which one does not list the other as present at the end. */
+    public int unknownPairs;
 
-    public final Map<PeerNode.Count, Long> counts = new TreeMap<>();
-    public final Map<Membership.Count, Long> memberCounts = new TreeMap<>();
+    public final Map<PeerNode.Count, Long> peerCounts = new TreeMap<>();
+    public final Map<Membership.Count, Long> membershipCounts = new TreeMap<>();
   }
 
   private static final double TICK_MS = 100;
-  private static final int BUFFER = 64;
-  private static final double BENCH_MS = 2000;
-  private static final long UNIX = 1_700_000_000_000L;
-  private static final byte[] KEY = "a key for play alone".getBytes(StandardCharsets.US_ASCII);
+  private static final int BUFFER_LIMIT = 64;
+  private static final double EJECTION_MS = 2000;
+  private static final long START_UNIX_MS = 1_700_000_000_000L;
+  private static final byte[] SHARED_KEY =
+      "a key for play alone".getBytes(StandardCharsets.US_ASCII);
 
-  /** One mixer's process. */
+  /** The process of one mixer. */
   private final class Node implements PeerNode.Host {
     final int number;
     final int zone;
-    final double clockMs;
-    final double rate;
-    double begun;
-    PeerNode company;
+    final double clockOffsetMs;
+    final double partsPerSecond;
+    double startedAt;
+    PeerNode peerNode;
     boolean alive;
-    final Deque<Runnable> waiting = new ArrayDeque<>();
-    final Deque<byte[]> heard = new ArrayDeque<>();
-    final Map<Long, Integer> failures = new HashMap<>();
-    final Map<Long, Double> benched = new HashMap<>();
-    final Set<Long> asking = new HashSet<>();
-    long sentBefore;
+    final Deque<Runnable> suspendedTasks = new ArrayDeque<>();
+    final Deque<byte[]> recordedMessages = new ArrayDeque<>();
+    final Map<Long, Integer> consecutiveFailures = new HashMap<>();
+    final Map<Long, Double> ejectedUntil = new HashMap<>();
+    final Set<Long> probing = new HashSet<>();
+    long bytesAtLastMeasure;
 
     Node(int number) {
       this.number = number;
       zone = number % Math.max(1, setup.zones);
-      clockMs = (chance.nextDouble() * 2 - 1) * setup.clockMs;
-      rate = setup.rate * (number == 0 ? 10 : 1); // one has ten times what the others have
+      clockOffsetMs = (random.nextDouble() * 2 - 1) * setup.maxClockOffsetMs;
+      // one mixer has ten times the demand of each other one
+      partsPerSecond = setup.partsPerSecond * (number == 0 ? 10 : 1);
     }
 
     void start() {
       alive = true;
-      begun = agenda.now();
-      company =
+      startedAt = scheduler.now();
+      peerNode =
           new PeerNode(
               peer(number),
-              place(number),
-              UNIX + (long) (begun + clockMs),
-              withZone(setup.rules, zone),
-              MessageAuthenticator.of(List.of(KEY)),
-              chance.split(),
+              address(number),
+              START_UNIX_MS + (long) (startedAt + clockOffsetMs),
+              withZone(setup.settings, zone),
+              MessageAuthenticator.of(List.of(SHARED_KEY)),
+              random.split(),
               this);
       List<Long> boxes = new ArrayList<>();
       for (long box = 0; box < setup.boxes; box++) {
         boxes.add(box);
       }
-      company.listed(boxes);
-      sentBefore = 0;
-      failures.clear();
-      benched.clear();
-      asking.clear();
-      // the first few places are told to all, as a file would tell them
-      company.begin(List.of(place(0), place(1 % setup.mixers), place(2 % setup.mixers)));
-      PeerNode mine = company;
-      later(chance.nextDouble() * TICK_MS, mine, this::tick);
-      later(1000 * chance.nextDouble() / rate, mine, this::part);
+      peerNode.boxesListed(boxes);
+      bytesAtLastMeasure = 0;
+      consecutiveFailures.clear();
+      ejectedUntil.clear();
+      probing.clear();
+      // the first three addresses are given to all nodes, as a peers file does
+      peerNode.start(List.of(address(0), address(1 % setup.mixers), address(2 % setup.mixers)));
+      PeerNode owner = peerNode;
+      runLater(random.nextDouble() * TICK_MS, owner, this::tick);
+      runLater(1000 * random.nextDouble() / partsPerSecond, owner, this::sendPart);
     }
 
     /**
-     * Something of this process, later; not if it has ended, and when it goes on if it is stopped.
+     * Runs a task of this process after a delay. The task is dropped if the process has ended by
+     * then, and postponed until the process continues if it is stopped.
      */
-    void later(double span, PeerNode mine, Runnable task) {
-      agenda.at(agenda.now() + span, () -> run(mine, task));
+    void runLater(double delayMs, PeerNode owner, Runnable task) {
+      scheduler.schedule(scheduler.now() + delayMs, () -> run(owner, task));
     }
 
-    private void run(PeerNode mine, Runnable task) {
-      if (alive && company == mine) {
-        if (active(Fault.Kind.STOP, number)) {
-          waiting.add(task);
+    private void run(PeerNode owner, Runnable task) {
+      if (alive && peerNode == owner) {
+        if (isActive(Fault.Kind.STOP, number)) {
+          suspendedTasks.add(task);
         } else {
           task.run();
         }
@@ -189,244 +216,250 @@
     }
 
     void tick() {
-      company.tick();
-      for (Map.Entry<Long, Double> each : List.copyOf(benched.entrySet())) {
-        long box = each.getKey();
-        if (each.getValue() <= agenda.now() && !asking.contains(box) && company.shouldProbe(box)) {
-          ask(box);
+      peerNode.tick();
+      for (Map.Entry<Long, Double> entry : List.copyOf(ejectedUntil.entrySet())) {
+        long box = entry.getKey();
+        if (entry.getValue() <= scheduler.now()
+            && !probing.contains(box)
+            && peerNode.shouldProbe(box)) {
+          probe(box);
         }
       }
-      if (active(Fault.Kind.REPEAT, number) && !heard.isEmpty()) {
+      if (isActive(Fault.Kind.REPEAT, number) && !recordedMessages.isEmpty()) {
         for (int i = 0; i < 5; i++) {
-          byte[] again = heard.poll();
-          heard.add(again);
-          send(place(chance.nextInt(setup.mixers)), again);
+          byte[] message = recordedMessages.poll();
+          recordedMessages.add(message);
+          send(address(random.nextInt(setup.mixers)), message);
         }
       }
-      if (active(Fault.Kind.CLAIM, number)) {
+      if (isActive(Fault.Kind.CLAIM, number)) {
         for (long box = 0; box < setup.boxes; box++) {
-          company.probeStarted(box);
-          company.probeEnded(box, true);
+          peerNode.probeStarted(box);
+          peerNode.probeEnded(box, true);
         }
       }
-      later(TICK_MS, company, this::tick);
+      runLater(TICK_MS, peerNode, this::tick);
     }
 
-    private void ask(long box) {
-      asking.add(box);
-      company.probeStarted(box);
-      boolean answers = !dead(box);
-      if (!answers) {
-        result.asks.merge((int) (agenda.now() / 1000), 1, Integer::sum);
+    private void probe(long box) {
+      probing.add(box);
+      peerNode.probeStarted(box);
+      boolean responds = !isDead(box);
+      if (!responds) {
+        result.deadBoxProbes.merge((int) (scheduler.now() / 1000), 1, Integer::sum);
       } else {
-        for (Return each : returns) {
-          if (each.box == box && agenda.now() >= each.at) {
-            each.first = Math.min(each.first, agenda.now());
-            each.last = Math.max(each.last, agenda.now());
+        for (BoxRecovery recovery : recoveries) {
+          if (recovery.box == box && scheduler.now() >= recovery.recoveredAt) {
+            recovery.firstProbe = Math.min(recovery.firstProbe, scheduler.now());
+            recovery.lastProbe = Math.max(recovery.lastProbe, scheduler.now());
           }
         }
       }
-      later(
-          answers ? 2 : 250,
-          company,
+      runLater(
+          responds ? 2 : 250,
+          peerNode,
           () -> {
-            asking.remove(box);
-            company.probeEnded(box, answers);
-            if (answers) {
-              benched.remove(box);
-              failures.remove(box);
+            probing.remove(box);
+            peerNode.probeEnded(box, responds);
+            if (responds) {
+              ejectedUntil.remove(box);
+              consecutiveFailures.remove(box);
             } else {
-              benched.put(box, agenda.now() + BENCH_MS);
+              ejectedUntil.put(box, scheduler.now() + EJECTION_MS);
             }
           });
     }
 
-    void part() {
-      long box = chance.nextInt(setup.boxes);
-      if (!benched.containsKey(box)) {
-        boolean answered = !dead(box);
-        if (active(Fault.Kind.LIE, number)) {
-          company.attemptEnded(box, false);
-          company.ejected(box);
+    void sendPart() {
+      long box = random.nextInt(setup.boxes);
+      if (!ejectedUntil.containsKey(box)) {
+        boolean answered = !isDead(box);
+        if (isActive(Fault.Kind.LIE, number)) {
+          peerNode.attemptEnded(box, false);
+          peerNode.ejected(box);
         } else if (answered) {
-          company.attemptEnded(box, true);
-          failures.remove(box);
+          peerNode.attemptEnded(box, true);
+          consecutiveFailures.remove(box);
         } else {
-          company.attemptEnded(box, false);
-          if (failures.merge(box, 1, Integer::sum) >= 2) {
-            company.ejected(box);
-            benched.put(box, agenda.now() + BENCH_MS);
+          peerNode.attemptEnded(box, false);
+          if (consecutiveFailures.merge(box, 1, Integer::sum) >= 2) {
+            peerNode.ejected(box);
+            ejectedUntil.put(box, scheduler.now() + EJECTION_MS);
           }
         }
       }
-      if (active(Fault.Kind.GREED, number)) {
+      if (isActive(Fault.Kind.GREED, number)) {
         for (int i = 0; i < 1000; i++) {
-          company.attemptEnded(box, true);
+          peerNode.attemptEnded(box, true);
         }
       }
-      later(-1000 * Math.log(1 - chance.nextDouble()) / rate, company, this::part);
+      runLater(
+          -1000 * Math.log(1 - random.nextDouble()) / partsPerSecond, peerNode, this::sendPart);
     }
 
     @Override
     public Duration now() {
-      return Duration.ofNanos((long) Math.ceil((agenda.now() - begun) * 1e6));
+      return Duration.ofNanos((long) Math.ceil((scheduler.now() - startedAt) * 1e6));
     }
 
     @Override
-    public void send(PeerAddress to, byte[] letter) {
-      int other = to.port() - 1;
-      if (chance.nextDouble() < setup.loss || cut(number, other)) {
+    public void send(PeerAddress target, byte[] message) {
+      int receiver = target.port() - 1;
+      if (random.nextDouble() < setup.lossShare || isCut(number, receiver)) {
         return;
       }
-      for (int copies = chance.nextDouble() < setup.twice ? 2 : 1; copies > 0; copies--) {
-        agenda.at(
-            agenda.now() + 0.1 + chance.nextDouble() * setup.delayMs,
-            () -> nodes.get(other).arrive(number, letter));
+      for (int copies = random.nextDouble() < setup.duplicateShare ? 2 : 1; copies > 0; copies--) {
+        scheduler.schedule(
+            scheduler.now() + 0.1 + random.nextDouble() * setup.maxDelayMs,
+            () -> nodes.get(receiver).receive(number, message));
       }
     }
 
-    private void arrive(int from, byte[] letter) {
-      if (alive && (!active(Fault.Kind.STOP, number) || waiting.size() < BUFFER)) {
-        if (active(Fault.Kind.REPEAT, number)
-            || heard.size() < BUFFER && hostile.contains(number)) {
-          heard.add(letter);
-          if (heard.size() > BUFFER) {
-            heard.poll();
+    private void receive(int sender, byte[] message) {
+      if (alive && (!isActive(Fault.Kind.STOP, number) || suspendedTasks.size() < BUFFER_LIMIT)) {
+        if (isActive(Fault.Kind.REPEAT, number)
+            || recordedMessages.size() < BUFFER_LIMIT && hostileMixers.contains(number)) {
+          recordedMessages.add(message);
+          if (recordedMessages.size() > BUFFER_LIMIT) {
+            recordedMessages.poll();
           }
         }
-        run(company, () -> company.received(place(from), letter));
+        run(peerNode, () -> peerNode.received(address(sender), message));
       }
     }
 
     @Override
     public void boxAnswered(long box) {
-      benched.computeIfPresent(box, (each, until) -> agenda.now());
+      ejectedUntil.computeIfPresent(box, (ejectedBox, until) -> scheduler.now());
     }
 
     @Override
-    public void changed(PeerRecord now) {
-      if (now.state() != PeerRecord.State.GONE) {
+    public void peerChanged(PeerRecord record) {
+      if (record.state() != PeerRecord.State.GONE) {
         return;
       }
-      int who = (int) now.peer().number() - 1;
-      Node node = nodes.get(who);
-      if (node.alive && now.incarnation() == node.company.membership().incarnation(peer(who))) {
+      int changedMixer = (int) record.peer().number() - 1;
+      Node node = nodes.get(changedMixer);
+      if (node.alive
+          && record.incarnation() == node.peerNode.membership().incarnation(peer(changedMixer))) {
         return;
       }
-      for (Death death : deaths) {
-        if (death.who == who && agenda.now() >= death.at && agenda.now() < death.at + death.away) {
-          death.known = agenda.now();
+      for (Restart restart : restarts) {
+        if (restart.mixer == changedMixer
+            && scheduler.now() >= restart.killedAt
+            && scheduler.now() < restart.killedAt + restart.downMs) {
+          restart.detectedAt = scheduler.now();
           return;
         }
       }
-      boolean excused =
+      boolean explained =
           setup.faults.stream()
               .anyMatch(
                   fault ->
-                      agenda.now() >= fault.atMs
-                          && agenda.now() < fault.atMs + fault.forMs + 10_000
+                      scheduler.now() >= fault.startMs
+                          && scheduler.now() < fault.startMs + fault.durationMs + 10_000
                           && fault.kind != Fault.Kind.BOXES_DEAD
-                          && (fault.some.contains(who)
-                              || fault.some.contains(number)
-                              || fault.others.contains(who)
+                          && (fault.targets.contains(changedMixer)
+                              || fault.targets.contains(number)
+                              || fault.others.contains(changedMixer)
                               || fault.others.contains(number)));
-      if (!excused) {
-        result.wronglyGone++;
+      if (!explained) {
+        result.falselyMarkedGone++;
       }
     }
   }
 
-  private static final class Death {
-    final int who;
-    final double at;
-    final double away;
-    double known = Double.NaN;
+  private static final class Restart {
+    final int mixer;
+    final double killedAt;
+    final double downMs;
+    double detectedAt = Double.NaN;
 
-    Death(int who, double at, double away) {
-      this.who = who;
-      this.at = at;
-      this.away = away;
+    Restart(int mixer, double killedAt, double downMs) {
+      this.mixer = mixer;
+      this.killedAt = killedAt;
+      this.downMs = downMs;
     }
   }
 
-  private static final class Return {
+  private static final class BoxRecovery {
     final long box;
-    final double at;
-    double first = Double.POSITIVE_INFINITY;
-    double last = Double.NEGATIVE_INFINITY;
+    final double recoveredAt;
+    double firstProbe = Double.POSITIVE_INFINITY;
+    double lastProbe = Double.NEGATIVE_INFINITY;
 
-    Return(long box, double at) {
+    BoxRecovery(long box, double recoveredAt) {
       this.box = box;
-      this.at = at;
+      this.recoveredAt = recoveredAt;
     }
   }
 
   private final Setup setup;
-  private final Agenda agenda = new Agenda();
-  private final SplittableRandom chance;
+  private final EventScheduler scheduler = new EventScheduler();
+  private final SplittableRandom random;
   private final List<Node> nodes = new ArrayList<>();
-  private final List<Death> deaths = new ArrayList<>();
-  private final List<Return> returns = new ArrayList<>();
-  private final Set<Integer> hostile = new HashSet<>();
+  private final List<Restart> restarts = new ArrayList<>();
+  private final List<BoxRecovery> recoveries = new ArrayList<>();
+  private final Set<Integer> hostileMixers = new HashSet<>();
   private final Result result = new Result();
 
   private PeerSimulation(Setup setup) {
     this.setup = setup;
-    chance = new SplittableRandom(setup.seed);
+    random = new SplittableRandom(setup.seed);
   }
 
-  public static Result of(Setup setup) {
-    return new PeerSimulation(setup).play();
+  public static Result run(Setup setup) {
+    return new PeerSimulation(setup).simulate();
   }
 
-  /** So many numbers from one on, for a fault. */
-  public static Set<Integer> range(int from, int count) {
-    Set<Integer> some = new LinkedHashSet<>();
-    for (int i = from; i < from + count; i++) {
-      some.add(i);
+  /** Returns consecutive numbers for the targets of a fault. */
+  public static Set<Integer> range(int first, int count) {
+    Set<Integer> numbers = new LinkedHashSet<>();
+    for (int i = first; i < first + count; i++) {
+      numbers.add(i);
     }
-    return some;
+    return numbers;
   }
 
-  private static PeerId peer(int number) {
-    return new PeerId(number + 1L);
+  private static PeerId peer(int mixer) {
+    return new PeerId(mixer + 1L);
   }
 
-  private static PeerAddress place(int number) {
-    return new PeerAddress(0x7F000001, number + 1);
+  private static PeerAddress address(int mixer) {
+    return new PeerAddress(0x7F000001, mixer + 1);
   }
 
-  private static PeerNode.Rules withZone(PeerNode.Rules rules, int zone) {
-    return new PeerNode.Rules(
-        rules.membership(),
+  private static PeerNode.Settings withZone(PeerNode.Settings settings, int zone) {
+    return new PeerNode.Settings(
+        settings.membership(),
         zone,
-        rules.sayEvery(),
-        rules.sayTo(),
-        rules.sees(),
-        rules.believes(),
-        rules.witnesses(),
-        rules.roundEvery(),
-        rules.roundStep(),
-        rules.boxesMost(),
-        rules.bytesPerSecond());
+        settings.reportPeriod(),
+        settings.reportFanout(),
+        settings.observationSpan(),
+        settings.reportLifetime(),
+        settings.minWitnesses(),
+        settings.roundPeriod(),
+        settings.roundStep(),
+        settings.maxBoxes(),
+        settings.maxBytesPerSecond());
   }
 
-  private boolean active(Fault.Kind kind, int number) {
+  private boolean isActive(Fault.Kind kind, int target) {
     for (Fault fault : setup.faults) {
-      if (fault.kind == kind && fault.during(agenda.now()) && fault.some.contains(number)) {
+      if (fault.kind == kind && fault.isActive(scheduler.now()) && fault.targets.contains(target)) {
         return true;
       }
     }
     return false;
   }
 
-  private boolean cut(int from, int to) {
+  private boolean isCut(int sender, int receiver) {
     for (Fault fault : setup.faults) {
-      if (fault.during(agenda.now())) {
-        boolean forth = fault.some.contains(from) && fault.others.contains(to);
-        boolean back = fault.some.contains(to) && fault.others.contains(from);
-        if (fault.kind == Fault.Kind.CUT && (forth || back)
-            || fault.kind == Fault.Kind.CUT_ONE_WAY && forth) {
+      if (fault.isActive(scheduler.now())) {
+        boolean forward = fault.targets.contains(sender) && fault.others.contains(receiver);
+        boolean backward = fault.targets.contains(receiver) && fault.others.contains(sender);
+        if (fault.kind == Fault.Kind.CUT && (forward || backward)
+            || fault.kind == Fault.Kind.CUT_ONE_WAY && forward) {
           return true;
         }
       }
@@ -434,37 +467,45 @@
     return false;
   }
 
-  private boolean dead(long box) {
-    return active(Fault.Kind.BOXES_DEAD, (int) box);
+  private boolean isDead(long box) {
+    return isActive(Fault.Kind.BOXES_DEAD, (int) box);
   }
 
-  private Result play() {
+  private Result simulate() {
     for (int i = 0; i < setup.mixers; i++) {
       nodes.add(new Node(i));
     }
     for (Fault fault : setup.faults) {
       schedule(fault);
     }
-    nodes.forEach(node -> agenda.at(chance.nextDouble() * 500, node::start));
+    nodes.forEach(node -> scheduler.schedule(random.nextDouble() * 500, node::start));
     for (int second = 1; second <= setup.seconds; second++) {
-      agenda.until(second * 1000.0);
+      scheduler.runUntil(second * 1000.0);
       measure();
     }
-    deaths.forEach(death -> result.known.add(death.known - death.at));
-    returns.forEach(
-        each -> result.found.add(new double[] {each.first - each.at, each.last - each.at}));
-    for (Node one : nodes) {
-      for (Node other : nodes) {
-        boolean both = one != other && one.alive && other.alive;
-        result.strangers +=
-            both && one.company.membership().incarnation(peer(other.number)) == 0 ? 1 : 0;
+    restarts.forEach(restart -> result.detectionTimesMs.add(restart.detectedAt - restart.killedAt));
+    recoveries.forEach(
+        recovery ->
+            result.recoveryTimesMs.add(
+                new double[] {
+                  recovery.firstProbe - recovery.recoveredAt,
+                  recovery.lastProbe - recovery.recoveredAt
+                }));
+    for (Node node : nodes) {
+      for (Node otherNode : nodes) {
+        boolean bothAlive = node != otherNode && node.alive && otherNode.alive;
+        result.unknownPairs +=
+            bothAlive && node.peerNode.membership().incarnation(peer(otherNode.number)) == 0
+                ? 1
+                : 0;
       }
-      if (one.alive) {
-        one.company
+      if (node.alive) {
+        node.peerNode
             .counts()
-            .forEach((which, count) -> result.counts.merge(which, count, Long::sum));
-        for (Membership.Count which : Membership.Count.values()) {
-          result.memberCounts.merge(which, one.company.membership().count(which), Long::sum);
+            .forEach((counter, count) -> result.peerCounts.merge(counter, count, Long::sum));
+        for (Membership.Count counter : Membership.Count.values()) {
+          result.membershipCounts.merge(
+              counter, node.peerNode.membership().count(counter), Long::sum);
         }
       }
     }
@@ -474,75 +515,81 @@
   private void schedule(Fault fault) {
     switch (fault.kind) {
       case KILL ->
-          fault.some.forEach(
-              who -> {
-                deaths.add(new Death(who, fault.atMs, fault.forMs));
-                agenda.at(
-                    fault.atMs,
+          fault.targets.forEach(
+              mixer -> {
+                restarts.add(new Restart(mixer, fault.startMs, fault.durationMs));
+                scheduler.schedule(
+                    fault.startMs,
                     () -> {
-                      nodes.get(who).alive = false;
-                      nodes.get(who).waiting.clear();
+                      nodes.get(mixer).alive = false;
+                      nodes.get(mixer).suspendedTasks.clear();
                     });
-                agenda.at(fault.atMs + fault.forMs, () -> nodes.get(who).start());
+                scheduler.schedule(
+                    fault.startMs + fault.durationMs, () -> nodes.get(mixer).start());
               });
       case STOP ->
-          fault.some.forEach(
-              who ->
-                  agenda.at(
-                      fault.atMs + fault.forMs,
+          fault.targets.forEach(
+              mixer ->
+                  scheduler.schedule(
+                      fault.startMs + fault.durationMs,
                       () -> {
-                        Node node = nodes.get(who);
-                        List<Runnable> due = new ArrayList<>(node.waiting);
-                        node.waiting.clear();
-                        due.forEach(task -> node.run(node.company, task));
+                        Node node = nodes.get(mixer);
+                        List<Runnable> tasks = new ArrayList<>(node.suspendedTasks);
+                        node.suspendedTasks.clear();
+                        tasks.forEach(task -> node.run(node.peerNode, task));
                       }));
       case BOXES_DEAD ->
-          fault.some.forEach(box -> returns.add(new Return(box, fault.atMs + fault.forMs)));
-      case LIE, GREED, REPEAT, CLAIM -> hostile.addAll(fault.some);
+          fault.targets.forEach(
+              box -> recoveries.add(new BoxRecovery(box, fault.startMs + fault.durationMs)));
+      case LIE, GREED, REPEAT, CLAIM -> hostileMixers.addAll(fault.targets);
       default -> {}
     }
   }
 
   private void measure() {
-    double most = 0;
-    double sum = 0;
-    double asked = 0;
-    int count = 0;
+    double maxBytes = 0;
+    double totalBytes = 0;
+    double demandPerSecond = 0;
+    int aliveMixers = 0;
     for (Node node : nodes) {
       if (node.alive) {
-        double sent = node.company.bytes() - node.sentBefore;
-        node.sentBefore = node.company.bytes();
-        most = Math.max(most, sent);
-        sum += sent;
-        count++;
-        asked += hostile.contains(node.number) ? 0 : node.rate;
+        double bytes = node.peerNode.bytesSent() - node.bytesAtLastMeasure;
+        node.bytesAtLastMeasure = node.peerNode.bytesSent();
+        maxBytes = Math.max(maxBytes, bytes);
+        totalBytes += bytes;
+        aliveMixers++;
+        demandPerSecond += hostileMixers.contains(node.number) ? 0 : node.partsPerSecond;
       }
     }
-    result.bytes.add(new double[] {most, sum / Math.max(1, count)});
+    result.bytesBySecond.add(new double[] {maxBytes, totalBytes / Math.max(1, aliveMixers)});
     for (Node node : nodes) {
-      if (node.alive && !hostile.contains(node.number)) {
+      if (node.alive && !hostileMixers.contains(node.number)) {
         for (long box = 0; box < setup.boxes; box++) {
-          double doubt = node.company.failureShare(box);
-          if (aliveFor(box, 15_000)) {
-            result.doubtOfAlive = Math.max(result.doubtOfAlive, doubt);
+          double failureShare = node.peerNode.failureShare(box);
+          if (hasBeenAliveFor(box, 15_000)) {
+            result.maxFailureShareOfLiveBox =
+                Math.max(result.maxFailureShareOfLiveBox, failureShare);
           }
         }
-        if (agenda.now() > 15_000) {
-          // what is heard is a sample of the fleet: the sum of what it tells, over what those would
-          // ask
-          result.demand = Math.max(result.demand, node.company.demand() / Math.max(1, asked));
+        if (scheduler.now() > 15_000) {
+          // A node receives reports from a sample of the fleet. The ratio compares its estimate
+          // of the demand with the true demand of the honest mixers.
+          result.maxDemandRatio =
+              Math.max(
+                  result.maxDemandRatio,
+                  node.peerNode.fleetDemand() / Math.max(1, demandPerSecond));
         }
       }
     }
   }
 
-  private boolean aliveFor(long box, double span) {
+  private boolean hasBeenAliveFor(long box, double durationMs) {
     return setup.faults.stream()
         .noneMatch(
             fault ->
                 fault.kind == Fault.Kind.BOXES_DEAD
-                    && fault.some.contains((int) box)
-                    && agenda.now() >= fault.atMs
-                    && agenda.now() < fault.atMs + fault.forMs + span);
+                    && fault.targets.contains((int) box)
+                    && scheduler.now() >= fault.startMs
+                    && scheduler.now() < fault.startMs + fault.durationMs + durationMs);
   }
 }
--- a/peering/src/test/java/gingerring/peering/PeerSettingsTest.java
+++ b/peering/src/test/java/gingerring/peering/PeerSettingsTest.java
@@ -24,7 +24,7 @@
   }
 
   @Test
-  void readsWhatItIsTold() throws IOException {
+  void readsAllSettings() throws IOException {
     PeerSettings settings =
         PeerSettings.read(
             file(
@@ -34,23 +34,25 @@
     assertEquals(new PeerAddress(0x7F000009, 7100), settings.advertised());
     assertEquals(List.of(new PeerAddress(0x7F000002, 7101)), settings.seeds());
     assertEquals("127.0.0.2:7101", settings.seeds().get(0).toString());
-    assertEquals(2, settings.prefer());
-    assertEquals(Duration.ofMillis(50), settings.rules().membership().ackIn());
-    assertEquals(3, settings.rules().witnesses());
-    assertEquals(PeerNode.Rules.usual().believes(), settings.rules().believes());
+    assertEquals(2, settings.preferredHolders());
+    assertEquals(Duration.ofMillis(50), settings.nodeSettings().membership().ackTimeout());
+    assertEquals(3, settings.nodeSettings().minWitnesses());
+    assertEquals(
+        PeerNode.Settings.defaults().reportLifetime(), settings.nodeSettings().reportLifetime());
   }
 
-  /** All that is wrong is said at once, each with its place. */
+  /** All errors are reported at once, each with the name of its setting. */
   @Test
-  void saysAllThatIsWrong() throws IOException {
+  void reportsAllErrorsAtOnce() throws IOException {
     Path file =
         file(
             """
         {"listen": "nowhere:1", "seeds": ["127.0.0.1:0", 3], "key_files": ["short", "missing"], "witness": 3,
          "say_ms": "often", "say_to": 2.5, "prefer": -1}""");
     String message =
-        assertThrows(PeerSettings.Unfit.class, () -> PeerSettings.read(file)).getMessage();
-    for (String each :
+        assertThrows(PeerSettings.InvalidPeerSettings.class, () -> PeerSettings.read(file))
+            .getMessage();
+    for (String error :
         List.of(
             "listen is nowhere:1",
             "seeds.0 is 127.0.0.1:0",
@@ -59,26 +61,26 @@
             "key_files.1 names a file that cannot be read: missing",
             "witness is unknown",
             "say_ms is often",
-            "say_to is 2.5, and has to be a whole number",
+            "say_to is 2.5, must be a whole number",
             "prefer is -1")) {
-      assertTrue(message.contains(file + ": " + each), () -> each + " is not in " + message);
+      assertTrue(message.contains(file + ": " + error), () -> error + " is not in " + message);
     }
     assertEquals(9, message.lines().count());
   }
 
   @Test
-  void whatDoesNotGoTogetherIsRefused() throws IOException {
+  void rejectsContradictorySettings() throws IOException {
     Path file = file("{\"listen\": \"127.0.0.1:0\", \"key_files\": [\"key\"], \"ack_ms\": 900}");
     assertTrue(
-        assertThrows(PeerSettings.Unfit.class, () -> PeerSettings.read(file))
+        assertThrows(PeerSettings.InvalidPeerSettings.class, () -> PeerSettings.read(file))
             .getMessage()
-            .contains("answers in PT0.9S"));
-    Path none = file("{\"listen\": \"127.0.0.1:0\"}");
+            .contains("an ack timeout of PT0.9S"));
+    Path withoutKeys = file("{\"listen\": \"127.0.0.1:0\"}");
     assertTrue(
-        assertThrows(PeerSettings.Unfit.class, () -> PeerSettings.read(none))
+        assertThrows(PeerSettings.InvalidPeerSettings.class, () -> PeerSettings.read(withoutKeys))
             .getMessage()
-            .contains("key_files has to name"));
+            .contains("key_files must name"));
     Path broken = file("{\"listen\": ");
-    assertThrows(PeerSettings.Unfit.class, () -> PeerSettings.read(broken));
+    assertThrows(PeerSettings.InvalidPeerSettings.class, () -> PeerSettings.read(broken));
   }
 }
--- a/peers/src/main/java/gingerring/peers/MessageAuthenticator.java
+++ b/peers/src/main/java/gingerring/peers/MessageAuthenticator.java
@@ -9,19 +9,19 @@
 import javax.crypto.spec.SecretKeySpec;
 
 /**
- * The proof that a letter's author knows the fleet's key: HMAC-SHA256 (RFC 2104, FIPS 180-4) cut to
- * 16 bytes, over all that comes before it. Whoever knows the key can speak for any peer; a letter
- * cannot be changed or made by who does not. One that is sent again as it was is proved too: {@link
- * Numbers} drops it.
+ * Authenticates messages with the fleet's key: HMAC-SHA256 (RFC 2104, FIPS 180-4) truncated to a
+ * tag of 16 bytes, over all bytes before the tag. Anyone with the key can send messages in the name
+ * of any peer; without the key no message can be forged or altered. A replayed message verifies
+ * too: {@link ReplayFilter} drops it.
  *
- * <p>Keys change without a gap: {@link #seal} proves with the first key, {@link #open} believes any
- * of them. Not for use by several threads at once.
+ * <p>Keys can be rotated without interruption: {@link #sign} uses the first key, {@link #verify}
+ * accepts any of them. Not safe for use by several threads at once.
  */
 public final class MessageAuthenticator {
-  /** Bytes of a proof. */
-  static final int PROOF = 16;
+  /** Length of the authentication tag. */
+  static final int TAG_BYTES = 16;
 
-  private static final int KEY_LEAST = 16;
+  private static final int MIN_KEY_BYTES = 16;
   private static final String ALGORITHM = "HmacSHA256";
 
   private final List<Mac> macs;
@@ -30,10 +30,10 @@
     this.macs = macs;
   }
 
-  /** Keys of 16 bytes or more, the one to prove with first. */
+  /** Creates an authenticator from keys of 16 bytes or more, the signing key first. */
   public static MessageAuthenticator of(List<byte[]> keys) {
-    if (keys.isEmpty() || keys.stream().anyMatch(key -> key.length < KEY_LEAST)) {
-      throw new IllegalArgumentException("a key of at least " + KEY_LEAST + " bytes is needed");
+    if (keys.isEmpty() || keys.stream().anyMatch(key -> key.length < MIN_KEY_BYTES)) {
+      throw new IllegalArgumentException("a key of at least " + MIN_KEY_BYTES + " bytes is needed");
     }
     return new MessageAuthenticator(keys.stream().map(MessageAuthenticator::mac).toList());
   }
@@ -44,28 +44,33 @@
       mac.init(new SecretKeySpec(key, ALGORITHM));
       return mac;
     } catch (GeneralSecurityException e) {
-      throw new IllegalStateException("every Java platform has " + ALGORITHM, e);
+      throw new IllegalStateException("every Java platform provides " + ALGORITHM, e);
     }
   }
 
-  /** Puts the proof behind the first {@code length} bytes, which have to leave room for it. */
-  void seal(byte[] bytes, int length) {
-    ByteBuffer.wrap(bytes, length, PROOF).put(proof(macs.get(0), bytes, length));
+  /**
+   * Writes the tag after the first {@code length} bytes, where the array has to have room for it.
+   */
+  void sign(byte[] bytes, int length) {
+    ByteBuffer.wrap(bytes, length, TAG_BYTES).put(tag(macs.get(0), bytes, length));
   }
 
-  private static byte[] proof(Mac mac, byte[] bytes, int length) {
+  private static byte[] tag(Mac mac, byte[] bytes, int length) {
     mac.update(bytes, 0, length);
-    return Arrays.copyOf(mac.doFinal(), PROOF);
+    return Arrays.copyOf(mac.doFinal(), TAG_BYTES);
   }
 
-  /** Whether the last 16 bytes prove those before them; the count of those, or -1. */
-  int proved(byte[] bytes) {
-    int length = bytes.length - PROOF;
+  /**
+   * Verifies the tag in the last 16 bytes; returns the number of bytes before it, or -1 if the tag
+   * is not valid.
+   */
+  int verify(byte[] bytes) {
+    int length = bytes.length - TAG_BYTES;
     if (length <= 0) {
       return -1;
     }
-    byte[] proof = Arrays.copyOfRange(bytes, length, bytes.length);
-    return macs.stream().anyMatch(mac -> MessageDigest.isEqual(proof, proof(mac, bytes, length)))
+    byte[] tag = Arrays.copyOfRange(bytes, length, bytes.length);
+    return macs.stream().anyMatch(mac -> MessageDigest.isEqual(tag, tag(mac, bytes, length)))
         ? length
         : -1;
   }
--- a/peers/src/main/java/gingerring/peers/PeerNode.java
+++ b/peers/src/main/java/gingerring/peers/PeerNode.java
@@ -1,8 +1,8 @@
 package gingerring.peers;
 
 import gingerring.share.MixerId;
+import gingerring.share.TurnOrder;
 import gingerring.share.TurnSchedule;
-import gingerring.share.Turns;
 import java.time.Duration;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -16,83 +16,85 @@
 import java.util.random.RandomGenerator;
 
 /**
- * One mixer among its peers: who they are ({@link Membership}), what they say and how much it
- * weighs ({@link PeerReports}, {@link Hearsay}), and whose turn it is to ask a benched box for all
- * ({@link TurnSchedule}). Its owner calls {@link #begin} once, {@link #tick} ten times a second,
- * {@link #received} for each datagram, {@link #attemptEnded}, {@link #ejected}, {@link
- * #probeStarted} and {@link #probeEnded} for what the mixer meets, and asks {@link #shouldProbe}
- * and {@link #failureShare} when the mixer wants to know; it acts by {@link Host}.
+ * One mixer among its peers: group membership ({@link Membership}), load reports and their
+ * aggregation ({@link PeerReports}, {@link ReportAggregator}), and the turns in which mixers probe
+ * an ejected box on behalf of all ({@link TurnSchedule}). The owner calls {@link #start} once,
+ * {@link #tick} ten times a second, {@link #received} for each datagram, {@link #attemptEnded},
+ * {@link #ejected}, {@link #probeStarted} and {@link #probeEnded} for events of the mixer, and
+ * {@link #shouldProbe} and {@link #failureShare} for decisions; the class acts through {@link
+ * Host}.
  *
- * <p>Nothing that others say is an order. A note that a box has answered lets this mixer ask it
- * too, sooner than it would have; a word that a box fails shortens how long its silence is borne.
- * What any one peer can move is so much and no more, and with nobody heard every answer is what it
- * would be without peers.
+ * <p>Messages of peers are never commands. A notice that a box has answered lets this mixer probe
+ * that box sooner than it would have; a report that a box fails shortens how long the mixer waits
+ * for that box. The influence of any one peer is bounded, and without peers every answer is the
+ * same as without this class.
  *
- * <p>Bounds: as of its parts; {@link Rules#boxesMost} boxes in hand; one note a box is passed on,
- * the newest; and {@link Rules#bytesPerSecond} sent at the most.
+ * <p>Bounds: those of the classes it uses; {@link Settings#maxBoxes} boxes with a probe state; one
+ * notice of a box is gossiped, the newest; and {@link Settings#maxBytesPerSecond} sent at most.
  */
 public final class PeerNode {
-  /** How it acts, and the clock. */
+  /** Transport, clock and listener of a node. */
   public interface Host {
-    /** Time since the start of this mixer. */
+    /** The time since the start of this mixer. */
     Duration now();
 
     /** Sends a datagram, which may be lost. */
-    void send(PeerAddress to, byte[] letter);
+    void send(PeerAddress recipient, byte[] datagram);
 
-    /** Another mixer had an answer of a benched box: it may be asked. */
+    /** Another mixer has received an answer of an ejected box, so this mixer may probe it. */
     void boxAnswered(long box);
 
-    /** A peer came, went or is in doubt. */
-    void changed(PeerRecord now);
+    /** Called when a peer becomes known, changes its state or restarts. */
+    void peerChanged(PeerRecord record);
 
-    /** What to answer an operator who asks. */
-    default String explain(MessageBody.Query query) {
+    /** Answers an operator's query. */
+    default String answerQuery(MessageBody.Query query) {
       return "";
     }
   }
 
   /**
-   * {@code zone}: where this mixer stands, -1 where that is not told; {@code sayEvery} and {@code
-   * sayTo}: how often its word goes out, and to how many drawn by chance; {@code sees}: what span a
-   * word tells of; {@code believes}: how long one counts; {@code witnesses}: how many are needed,
-   * see {@link Hearsay} (2f + 1 stand against f that lie together); {@code roundEvery} and {@code
-   * roundStep}: the rota of asks; {@code bytesPerSecond}: the ceiling.
+   * {@code zone}: the mixer's zone, -1 where unknown; {@code reportPeriod} and {@code
+   * reportFanout}: how often a report is sent, and to how many randomly drawn peers; {@code
+   * observationSpan}: the time that a report covers; {@code reportLifetime}: how long a report
+   * counts; {@code minWitnesses}: see {@link ReportAggregator} (2f + 1 withstand f that lie
+   * together); {@code roundPeriod} and {@code roundStep}: the schedule of probes; {@code maxBoxes}:
+   * the most boxes observed and probed; {@code maxBytesPerSecond}: the limit on bytes sent.
    */
-  public record Rules(
-      Membership.Rules membership,
+  public record Settings(
+      Membership.Settings membership,
       int zone,
-      Duration sayEvery,
-      int sayTo,
-      Duration sees,
-      Duration believes,
-      int witnesses,
-      Duration roundEvery,
+      Duration reportPeriod,
+      int reportFanout,
+      Duration observationSpan,
+      Duration reportLifetime,
+      int minWitnesses,
+      Duration roundPeriod,
       Duration roundStep,
-      int boxesMost,
-      int bytesPerSecond) {
-    public Rules {
-      if (sayEvery.isZero()
-          || sayEvery.isNegative()
-          || sayTo < 0
-          || boxesMost < 1
-          || believes.compareTo(sayEvery) <= 0) {
+      int maxBoxes,
+      int maxBytesPerSecond) {
+    public Settings {
+      if (reportPeriod.isZero()
+          || reportPeriod.isNegative()
+          || reportFanout < 0
+          || maxBoxes < 1
+          || reportLifetime.compareTo(reportPeriod) <= 0) {
         throw new IllegalArgumentException(
-            "a word each "
-                + sayEvery
+            "a report every "
+                + reportPeriod
                 + " to "
-                + sayTo
-                + ", believed for "
-                + believes
-                + ", of "
-                + boxesMost
+                + reportFanout
+                + " peers, valid for "
+                + reportLifetime
+                + ", about up to "
+                + maxBoxes
                 + " boxes");
       }
     }
 
-    public static Rules usual() {
-      return new Rules(
-          Membership.Rules.usual(),
+    public static Settings defaults() {
+      return new Settings(
+          Membership.Settings.defaults(),
           -1,
           Duration.ofSeconds(1),
           3,
@@ -106,145 +108,159 @@
     }
   }
 
-  /** What happened, by cause. */
+  /** Counted events; the names of the constants are printed. */
   public enum Count {
-    /** Letters sent, and taken. */
+    /** Messages sent. */
     SENT,
+    /** Messages accepted. */
     TAKEN,
-    /** Not proved, or no letter. */
+    /** Messages not authenticated, or malformed. */
     REFUSED,
-    /** Came before, far behind, or of an earlier life. */
+    /** Messages repeated, too far behind the newest, or of an earlier incarnation. */
     REPEATED,
-    /** Not sent for the ceiling. */
+    /** Messages not sent because of the byte limit. */
     OVER_CEILING,
-    /** Words taken, and not. */
+    /** Reports accepted. */
     WORDS,
+    /** Reports rejected. */
     WORDS_DROPPED,
-    /** Notes believed, and not. */
+    /** Probe notices accepted. */
     NOTES,
+    /** Probe notices rejected. */
     NOTES_DISBELIEVED,
-    /** Of boxes that no list names. */
+    /** Notices of boxes that are not on the member list. */
     STRANGE_BOX,
-    /** Asked a box for all. */
+    /** Probes of an ejected box on behalf of all mixers. */
     ASKED,
-    /** Asked one on another's word, in vain. */
+    /** Probes without an answer after another mixer had announced one. */
     MISLED
   }
 
-  private static final double PARTS_LEAST = 1;
-  private static final double LENT = 4;
-  private static final double DEMAND_MOST = 4;
-  private static final int NEWS = 6;
-  private static final int NOTES = 4;
-  private static final int PASS_TO = 3;
-  private static final double NOTES_PASSED_ON = 4;
+  private static final double MIN_WITNESS_PARTS = 1;
+  private static final double REPORTS_WEIGHT_PARTS = 4;
+  private static final double MAX_DEMAND_RATIO = 4;
+  private static final int MAX_UPDATES = 6;
+  private static final int MAX_NOTICES = 4;
+  private static final int NOTICE_FANOUT = 3;
+  private static final double NOTICE_RETRANSMIT_FACTOR = 4;
 
-  /** So much later asks of their own each further mixer draws, after one had an answer. */
-  private static final Duration AFTER_ANSWER = Duration.ofMillis(5);
+  /**
+   * After one mixer had an answer, the others spread their own probes randomly, one in each step of
+   * this length on average.
+   */
+  private static final Duration PROBE_SPREAD_STEP = Duration.ofMillis(5);
 
   /**
-   * A box of which others see less fail is sound; how often their words alone may lead to an ask.
+   * A box whose reported failure share is below this is considered healthy; {@link
+   * #REPORT_PROBE_INTERVAL} is how often reports alone may lead to a probe.
    */
-  private static final double SOUND = 0.5;
+  private static final double HEALTHY_FAILURE_SHARE = 0.5;
 
-  private static final Duration BY_WORDS = Duration.ofSeconds(5);
+  private static final Duration REPORT_PROBE_INTERVAL = Duration.ofSeconds(5);
 
   /**
-   * How long who was wrong of an answer is not believed in one: an honest one may be wrong of a box
-   * that falls.
+   * For how long notices of an answer are ignored from a mixer whose last one was wrong. The time
+   * is short at first because an honest mixer may be wrong about a box that is just failing.
    */
-  private static final Duration MISLED = Duration.ofSeconds(10);
+  private static final Duration DISTRUST_TIME = Duration.ofSeconds(10);
 
-  private static final int MISLED_DOUBLED = 8;
+  private static final int MAX_DISTRUST_DOUBLINGS = 8;
 
-  /** What a bench for silence counts for in one's word, in parts that failed. */
-  private static final double SILENCE_PARTS = 3;
+  /** The number of failed parts that the ejection of a silent box counts as in a report. */
+  private static final double EJECTION_FAILED_PARTS = 3;
 
-  /** A box that this mixer asks about, or hears of. */
-  private static final class Matter {
-    final TurnSchedule rota;
+  /** Probe state of a box that this mixer probes, or receives notices of. */
+  private static final class ProbeState {
+    final TurnSchedule schedule;
 
-    /** From when on it may ask by itself since another had an answer; null where none had. */
-    Duration answered;
+    /**
+     * From when on this mixer may probe because another mixer had an answer; null where none had.
+     */
+    Duration probeAllowedAt;
 
-    /** The round that it acts for, while its ask is out. */
-    Long round;
+    /** The round of the pending probe; null while there is none. */
+    Long pendingRound;
 
-    /** Whose note was believed last. */
-    Note last;
+    /** The notice accepted last. */
+    ProbeNotice lastNotice;
 
-    /** Whose word of an answer the ask that is out goes by; null where it is a turn. */
-    PeerId onWordOf;
+    /**
+     * The mixer whose notice of an answer led to the pending probe; null where the probe is by
+     * turn.
+     */
+    PeerId answerSource;
 
-    /** When others' words may next lead to an ask. */
-    Duration byWords = Duration.ZERO;
+    /** When reports of others may next lead to a probe. */
+    Duration nextReportProbeAt = Duration.ZERO;
 
-    Matter(TurnSchedule rota) {
-      this.rota = rota;
+    ProbeState(TurnSchedule schedule) {
+      this.schedule = schedule;
     }
   }
 
-  private record Misled(Duration until, int times) {}
+  private record Distrust(Duration endsAt, int doublings) {}
 
   private final PeerId self;
-  private final long life;
-  private final Rules rules;
+  private final long incarnation;
+  private final Settings settings;
   private final Host host;
-  private final MessageCodec letters;
+  private final MessageCodec codec;
   private final Membership membership;
-  private final Numbers numbers;
-  private final PeerReports words;
-  private final Hearsay hearsay;
-  private final Sight sight;
-  private final Budget budget;
-  private final Spread<Long, Note> notes;
-  private final Map<Long, Matter> matters = new LinkedHashMap<>(16, 0.75f, true);
+  private final ReplayFilter replayFilter;
+  private final PeerReports reports;
+  private final ReportAggregator aggregator;
+  private final ObservationWindow observations;
+  private final BandwidthLimiter limiter;
+  private final GossipQueue<Long, ProbeNotice> notices;
+  private final Map<Long, ProbeState> probeStates = new LinkedHashMap<>(16, 0.75f, true);
 
   /**
-   * Who said of a box that it answers, and it did not: until when nothing of that is believed, and
-   * how often.
+   * Mixers that announced an answer of a box that then did not answer: until when their notices of
+   * answers are ignored, and how often that has happened.
    */
-  private final Map<PeerId, Misled> misled = new LinkedHashMap<>();
+  private final Map<PeerId, Distrust> distrusted = new LinkedHashMap<>();
 
   private final Map<Count, Long> counts = new TreeMap<>();
-  private Set<Long> listed = Set.of();
-  private long number;
-  private Duration sayNext = Duration.ZERO;
-  private long bytes;
+  private Set<Long> listedBoxes = Set.of();
+  private long lastMessageNumber;
+  private Duration nextReportAt = Duration.ZERO;
+  private long bytesSent;
 
-  /** {@code life}: Unix time in milliseconds at which {@link Host#now} was zero. */
+  /** {@code incarnation}: Unix time in milliseconds at which {@link Host#now} was zero. */
   public PeerNode(
       PeerId self,
-      PeerAddress here,
-      long life,
-      Rules rules,
-      MessageAuthenticator seal,
-      RandomGenerator chance,
+      PeerAddress ownAddress,
+      long incarnation,
+      Settings settings,
+      MessageAuthenticator authenticator,
+      RandomGenerator random,
       Host host) {
     this.self = self;
-    this.life = life;
-    this.rules = rules;
+    this.incarnation = incarnation;
+    this.settings = settings;
     this.host = host;
-    letters = new MessageCodec(seal);
-    numbers = new Numbers(2 * rules.membership.peersMost());
-    words =
+    codec = new MessageCodec(authenticator);
+    replayFilter = new ReplayFilter(2 * settings.membership.maxPeers());
+    reports =
         new PeerReports(
             self,
-            rules.membership.peersMost(),
-            MessageCodec.boxes(0, 0),
-            rules.sayEvery.dividedBy(2),
-            rules.believes);
-    hearsay = new Hearsay(rules.witnesses, PARTS_LEAST, LENT, DEMAND_MOST);
-    sight = new Sight(rules.sees, rules.boxesMost);
-    budget = new Budget(rules.bytesPerSecond);
-    notes = new Spread<>(rules.boxesMost, NOTES_PASSED_ON);
+            settings.membership.maxPeers(),
+            MessageCodec.maxBoxes(0, 0),
+            settings.reportPeriod.dividedBy(2),
+            settings.reportLifetime);
+    aggregator =
+        new ReportAggregator(
+            settings.minWitnesses, MIN_WITNESS_PARTS, REPORTS_WEIGHT_PARTS, MAX_DEMAND_RATIO);
+    observations = new ObservationWindow(settings.observationSpan, settings.maxBoxes);
+    limiter = new BandwidthLimiter(settings.maxBytesPerSecond);
+    notices = new GossipQueue<>(settings.maxBoxes, NOTICE_RETRANSMIT_FACTOR);
     membership =
         new Membership(
             self,
-            here,
-            life,
-            rules.membership,
-            chance,
+            ownAddress,
+            incarnation,
+            settings.membership,
+            random,
             new Membership.Host() {
               @Override
               public Duration now() {
@@ -252,317 +268,338 @@
               }
 
               @Override
-              public void send(PeerAddress to, MessageBody body) {
-                PeerNode.this.send(to, body, false);
+              public void send(PeerAddress recipient, MessageBody body) {
+                PeerNode.this.send(recipient, body, false);
               }
 
               @Override
-              public void changed(PeerRecord now) {
-                if (now.state()
-                    == PeerRecord.State
-                        .LEFT) { // what one who is gone said ages by itself: it may be back
-                  words.left(now.peer(), now.incarnation(), host.now());
+              public void peerChanged(PeerRecord now) {
+                // reports of a mixer that is gone expire by themselves, as it may return
+                if (now.state() == PeerRecord.State.LEFT) {
+                  reports.peerLeft(now.peer(), now.incarnation(), host.now());
                 }
-                host.changed(now);
+                host.peerChanged(now);
               }
             });
   }
 
-  public void begin(List<PeerAddress> places) {
-    membership.begin(places);
+  public void start(List<PeerAddress> seeds) {
+    membership.start(seeds);
   }
 
-  /** Time has passed. */
+  /**
+   * Runs the membership's timeouts, and sends a report when one is due; to be called ten times a
+   * second.
+   */
   public void tick() {
     membership.tick();
     Duration now = host.now();
-    if (now.compareTo(sayNext) >= 0) {
-      sayNext = now.plus(rules.sayEvery);
-      PeerReport word =
+    if (now.compareTo(nextReportAt) >= 0) {
+      nextReportAt = now.plus(settings.reportPeriod);
+      PeerReport report =
           new PeerReport(
               self,
-              life,
-              number,
-              rules.zone,
-              sight.demand(now),
-              sight.worth(MessageCodec.boxes(NEWS, NOTES), now));
+              incarnation,
+              lastMessageNumber,
+              settings.zone,
+              observations.demand(now),
+              observations.mostRelevant(MessageCodec.maxBoxes(MAX_UPDATES, MAX_NOTICES), now));
       membership
-          .some(rules.sayTo)
-          .forEach(each -> send(each.address(), new MessageBody.Report(word), true));
+          .randomPeers(settings.reportFanout)
+          .forEach(peer -> send(peer.address(), new MessageBody.Report(report), true));
     }
   }
 
-  private void send(PeerAddress to, MessageBody body, boolean word) {
-    if (membership.superseded()) {
+  private void send(PeerAddress recipient, MessageBody body, boolean lowPriority) {
+    if (membership.isSuperseded()) {
       return;
     }
-    int room = MessageCodec.newsBeside(body);
-    List<Note> passed =
-        room < 2 * NOTES ? List.of() : notes.take(NOTES, membership.present().size() + 1);
-    List<PeerRecord> news = membership.news(Math.min(NEWS, room - passed.size()));
-    byte[] letter = letters.write(new PeerMessage(self, life, ++number, body, news, passed));
-    if (!budget.take(letter.length, word, host.now())) {
+    int availableUpdates = MessageCodec.maxUpdates(body);
+    List<ProbeNotice> sentNotices =
+        availableUpdates < 2 * MAX_NOTICES
+            ? List.of()
+            : notices.take(MAX_NOTICES, membership.present().size() + 1);
+    List<PeerRecord> updates =
+        membership.takeUpdates(Math.min(MAX_UPDATES, availableUpdates - sentNotices.size()));
+    byte[] datagram =
+        codec.encode(
+            new PeerMessage(self, incarnation, ++lastMessageNumber, body, updates, sentNotices));
+    if (!limiter.tryTake(datagram.length, lowPriority, host.now())) {
       count(Count.OVER_CEILING);
       return;
     }
-    bytes += letter.length;
+    bytesSent += datagram.length;
     count(Count.SENT);
-    host.send(to, letter);
+    host.send(recipient, datagram);
   }
 
-  /** A datagram has come. */
+  /** Handles a received datagram. */
   public void received(PeerAddress from, byte[] datagram) {
-    PeerMessage letter;
+    PeerMessage message;
     try {
-      letter = letters.read(datagram);
+      message = codec.decode(datagram);
     } catch (MessageCodec.InvalidMessage e) {
       count(Count.REFUSED);
       return;
     }
-    if (letter.author().equals(self) && letter.incarnation() == life
-        || !numbers.take(letter.author(), letter.incarnation(), letter.number())) {
+    if (message.author().equals(self) && message.incarnation() == incarnation
+        || !replayFilter.accept(message.author(), message.incarnation(), message.number())) {
       count(Count.REPEATED);
       return;
     }
     count(Count.TAKEN);
-    membership.heard(letter.author(), letter.incarnation(), from, letter.body(), letter.updates());
-    if (letter.body() instanceof MessageBody.Report say) {
+    membership.messageReceived(
+        message.author(), message.incarnation(), from, message.body(), message.updates());
+    if (message.body() instanceof MessageBody.Report reportBody) {
       count(
-          words.heard(say.report(), host.now()) == PeerReports.Verdict.TAKEN
+          reports.accept(reportBody.report(), host.now()) == PeerReports.Verdict.TAKEN
               ? Count.WORDS
               : Count.WORDS_DROPPED);
-    } else if (letter.body() instanceof MessageBody.Query query) {
-      send(from, new MessageBody.Reply(host.explain(query)), true);
+    } else if (message.body() instanceof MessageBody.Query query) {
+      send(from, new MessageBody.Reply(host.answerQuery(query)), true);
     }
-    letter.notes().forEach(this::noted);
+    message.notices().forEach(this::noticeReceived);
   }
 
-  /** A note that came, perhaps by others: believed only of one whose turn had come. */
-  private void noted(Note note) {
-    if (note.author().equals(self)) {
+  /**
+   * Handles a probe notice, perhaps forwarded by others: accepted only from a mixer whose turn has
+   * come.
+   */
+  private void noticeReceived(ProbeNotice notice) {
+    if (notice.author().equals(self)) {
       return;
     }
-    if (!listed.contains(note.box())) {
+    if (!listedBoxes.contains(notice.box())) {
       count(Count.STRANGE_BOX);
       return;
     }
-    Matter matter = matter(note.box());
-    long before = matter.rota.rejectedClaims();
-    // who had asked in this round has had its answer
-    boolean more =
-        note.answered()
-            && matter.last != null
-            && !matter.last.answered()
-            && matter.last.author().equals(note.author())
-            && matter.last.round() == note.round();
-    boolean itsLife = note.incarnation() == membership.incarnation(note.author());
-    if (!itsLife
-        || !more
-            && !matter.rota.receiveClaim(id(note.author()), note.round(), mixers(), common())) {
-      if (!itsLife || matter.rota.rejectedClaims() > before) {
+    ProbeState state = probeState(notice.box());
+    long rejectedBefore = state.schedule.rejectedClaims();
+    // the mixer that probed in this round has received its answer
+    boolean answersLastNotice =
+        notice.answered()
+            && state.lastNotice != null
+            && !state.lastNotice.answered()
+            && state.lastNotice.author().equals(notice.author())
+            && state.lastNotice.round() == notice.round();
+    boolean currentIncarnation = notice.incarnation() == membership.incarnation(notice.author());
+    if (!currentIncarnation
+        || !answersLastNotice
+            && !state.schedule.receiveClaim(
+                mixerId(notice.author()), notice.round(), mixers(), wallClock())) {
+      if (!currentIncarnation || state.schedule.rejectedClaims() > rejectedBefore) {
         count(Count.NOTES_DISBELIEVED);
       }
       return;
     }
-    matter.last = note;
+    state.lastNotice = notice;
     count(Count.NOTES);
-    Misled liar = misled.get(note.author());
-    if (note.answered() && (liar == null || liar.until.compareTo(host.now()) <= 0)) {
-      matter.onWordOf = note.author();
-      // all are to ask it now, and not all in one moment
-      Duration wait =
-          new Turns(id(self), AFTER_ANSWER).spread(note.box(), note.round(), mixers().size());
-      matter.answered = host.now().plus(wait);
-      host.boxAnswered(note.box());
+    Distrust authorDistrust = distrusted.get(notice.author());
+    if (notice.answered()
+        && (authorDistrust == null || authorDistrust.endsAt.compareTo(host.now()) <= 0)) {
+      state.answerSource = notice.author();
+      // all mixers probe the box now, but not at the same moment
+      Duration delay =
+          new TurnOrder(mixerId(self), PROBE_SPREAD_STEP)
+              .randomDelay(notice.box(), notice.round(), mixers().size());
+      state.probeAllowedAt = host.now().plus(delay);
+      host.boxAnswered(notice.box());
     }
-    pass(note);
+    sendNotice(notice);
   }
 
   /**
-   * News that does not bear waiting for the next letter: to some at once, each of whom does the
-   * same.
+   * Gossips a notice at once instead of with the next message: sends it to a few peers, each of
+   * which does the same.
    */
-  private void pass(Note note) {
-    notes.add(note.box(), note);
-    membership.some(PASS_TO).forEach(each -> send(each.address(), new MessageBody.Empty(), false));
-  }
-
-  private Matter matter(long box) {
-    Matter matter = matters.get(box);
-    if (matter == null) {
-      if (matters.size() >= rules.boxesMost) {
-        matters.remove(matters.keySet().iterator().next());
+  private void sendNotice(ProbeNotice notice) {
+    notices.add(notice.box(), notice);
+    membership
+        .randomPeers(NOTICE_FANOUT)
+        .forEach(peer -> send(peer.address(), new MessageBody.Empty(), false));
+  }
+
+  private ProbeState probeState(long box) {
+    ProbeState state = probeStates.get(box);
+    if (state == null) {
+      if (probeStates.size() >= settings.maxBoxes) {
+        probeStates.remove(probeStates.keySet().iterator().next());
       }
-      matter = new Matter(new TurnSchedule(id(self), box, rules.roundEvery, rules.roundStep));
-      matters.put(box, matter);
+      state =
+          new ProbeState(
+              new TurnSchedule(mixerId(self), box, settings.roundPeriod, settings.roundStep));
+      probeStates.put(box, state);
     }
-    return matter;
+    return state;
   }
 
-  private static MixerId id(PeerId peer) {
+  private static MixerId mixerId(PeerId peer) {
     return new MixerId(peer.number());
   }
 
   private Collection<MixerId> mixers() {
     List<MixerId> mixers = new ArrayList<>();
-    membership.present().forEach(each -> mixers.add(id(each)));
-    mixers.add(id(self));
+    membership.present().forEach(peer -> mixers.add(mixerId(peer)));
+    mixers.add(mixerId(self));
     return mixers;
   }
 
-  private Duration common() {
-    return host.now().plusMillis(life);
+  private Duration wallClock() {
+    return host.now().plusMillis(incarnation);
   }
 
-  // ---- what the mixer meets, and what it asks ----
+  // ---- events of the mixer, and its queries ----
 
-  /** Discovery's list: of other boxes nothing is taken in. */
-  public void listed(Collection<Long> boxes) {
-    listed = new HashSet<>(boxes);
-    matters.keySet().retainAll(listed);
+  /** Sets the boxes that discovery lists; notices of other boxes are ignored. */
+  public void boxesListed(Collection<Long> boxes) {
+    listedBoxes = new HashSet<>(boxes);
+    probeStates.keySet().retainAll(listedBoxes);
   }
 
-  /** A trip ended: answered, or failed in a way that tells against the box. */
+  /** Records the end of a trip: answered, or failed in a way that speaks against the box. */
   public void attemptEnded(long box, boolean answered) {
-    sight.add(box, answered ? 1 : 0, answered ? 0 : 1, host.now());
+    observations.add(box, answered ? 1 : 0, answered ? 0 : 1, host.now());
   }
 
-  /** This mixer has benched a box, as it is silent. */
+  /** Records that this mixer has ejected a silent box. */
   public void ejected(long box) {
-    sight.add(box, 0, SILENCE_PARTS, host.now());
+    observations.add(box, 0, EJECTION_FAILED_PARTS, host.now());
   }
 
   /**
-   * Whether this mixer may ask a benched box now: where its turn has come and nobody was heard to
-   * have asked in this round, or another had an answer. Alone, always.
+   * Whether this mixer may probe an ejected box now: its turn has come and no other mixer is known
+   * to have probed in this round, or another mixer had an answer. Without peers it always may.
    */
   public boolean shouldProbe(long box) {
     List<PeerId> present = membership.present();
-    if (present.isEmpty() || membership.superseded()) {
+    if (present.isEmpty() || membership.isSuperseded()) {
       return true;
     }
-    Matter matter = matter(box);
-    if (matter.answered != null) {
-      return matter.answered.compareTo(host.now()) <= 0;
+    ProbeState state = probeState(box);
+    if (state.probeAllowedAt != null) {
+      return state.probeAllowedAt.compareTo(host.now()) <= 0;
     }
-    // a note may have been missed: then others' words tell that they are served there
-    if (host.now().compareTo(matter.byWords) >= 0 && answersOthers(box)) {
+    // a notice may have been lost: the reports of others then show that the box serves them
+    if (host.now().compareTo(state.nextReportProbeAt) >= 0 && servesOthers(box)) {
       return true;
     }
-    return matter.rota.due(mixers(), common()).compareTo(common()) <= 0;
+    return state.schedule.nextTurn(mixers(), wallClock()).compareTo(wallClock()) <= 0;
   }
 
-  private boolean answersOthers(long box) {
-    return hearsay.failing(box, new BoxObservation(0, 0), words.fresh(host.now())) < SOUND;
+  private boolean servesOthers(long box) {
+    return aggregator.failureShare(box, new BoxObservation(0, 0), reports.current(host.now()))
+        < HEALTHY_FAILURE_SHARE;
   }
 
-  /** This mixer asks a benched box now. */
+  /** Records that this mixer probes an ejected box now, and notifies the peers. */
   public void probeStarted(long box) {
-    Matter matter = matter(box);
-    if (matter.answered == null) {
-      matter.onWordOf = null;
+    ProbeState state = probeState(box);
+    if (state.probeAllowedAt == null) {
+      state.answerSource = null;
     }
-    matter.answered = null;
-    matter.byWords = host.now().plus(BY_WORDS);
-    matter.round = matter.rota.claimRound(common());
+    state.probeAllowedAt = null;
+    state.nextReportProbeAt = host.now().plus(REPORT_PROBE_INTERVAL);
+    state.pendingRound = state.schedule.claimRound(wallClock());
     count(Count.ASKED);
-    pass(new Note(self, life, box, matter.round, false));
+    sendNotice(new ProbeNotice(self, incarnation, box, state.pendingRound, false));
   }
 
-  /** What came of it. */
+  /** Records the result of a probe, and notifies the peers of an answer. */
   public void probeEnded(long box, boolean answered) {
-    Matter matter = matters.get(box);
-    if (matter != null && matter.round != null) {
+    ProbeState state = probeStates.get(box);
+    if (state != null && state.pendingRound != null) {
       if (answered) {
-        pass(new Note(self, life, box, matter.round, true));
-      } else if (matter.onWordOf != null) {
-        misledBy(matter.onWordOf);
+        sendNotice(new ProbeNotice(self, incarnation, box, state.pendingRound, true));
+      } else if (state.answerSource != null) {
+        distrust(state.answerSource);
       }
-      matter.onWordOf = null;
-      matter.round = null;
+      state.answerSource = null;
+      state.pendingRound = null;
     }
   }
 
-  /**
-   * Who says falsely that a box answers is not believed in it for a while, twice as long each time.
-   */
-  private void misledBy(PeerId author) {
-    Misled before = misled.remove(author);
-    int times = before == null ? 0 : Math.min(before.times + 1, MISLED_DOUBLED);
-    if (misled.size() >= rules.boxesMost) {
-      misled.remove(misled.keySet().iterator().next());
+  /** Ignores notices of answers from this mixer for a while, twice as long each time. */
+  private void distrust(PeerId author) {
+    Distrust previous = distrusted.remove(author);
+    int doublings = previous == null ? 0 : Math.min(previous.doublings + 1, MAX_DISTRUST_DOUBLINGS);
+    if (distrusted.size() >= settings.maxBoxes) {
+      distrusted.remove(distrusted.keySet().iterator().next());
     }
-    misled.put(author, new Misled(host.now().plus(MISLED.multipliedBy(1L << times)), times));
+    distrusted.put(
+        author,
+        new Distrust(host.now().plus(DISTRUST_TIME.multipliedBy(1L << doublings)), doublings));
     count(Count.MISLED);
   }
 
   /**
-   * The share of a box's parts that fail as others see it: 0 where too few tell, or nothing does.
+   * The share of a box's parts that fail as reported by the peers; 0 where too few of them report
+   * the box.
    */
   public double failureShare(long box) {
-    double failing = hearsay.failing(box, new BoxObservation(0, 0), words.fresh(host.now()));
-    return Double.isNaN(failing) ? 0 : failing;
+    double failureShare =
+        aggregator.failureShare(box, new BoxObservation(0, 0), reports.current(host.now()));
+    return Double.isNaN(failureShare) ? 0 : failureShare;
   }
 
-  /** Parts a second that the whole fleet's clients ask for, as far as it is heard. */
-  public double demand() {
-    return hearsay.demand(sight.demand(host.now()), words.fresh(host.now()));
+  /** Parts per second that the clients of the whole fleet request, as far as reported. */
+  public double fleetDemand() {
+    return aggregator.totalDemand(observations.demand(host.now()), reports.current(host.now()));
   }
 
-  /** Parts a second that this mixer's own clients ask for. */
+  /** Parts per second that this mixer's own clients request. */
   public double ownDemand() {
-    return sight.demand(host.now());
+    return observations.demand(host.now());
   }
 
-  /** What this mixer saw of a box, as its next word would tell it. */
-  public BoxObservation own(long box) {
-    return sight.of(box, host.now());
+  /** This mixer's own observation of a box, as its next report would state it. */
+  public BoxObservation ownObservation(long box) {
+    return observations.observation(box, host.now());
   }
 
-  /** The words that count now. */
+  /** The reports that have not expired. */
   public List<PeerReports.TimedReport> reports() {
-    return words.fresh(host.now());
+    return reports.current(host.now());
   }
 
-  /** It ends on purpose. */
+  /** Leaves the group. */
   public void leave() {
     membership.leave();
   }
 
   /**
-   * Which asks of a box are told, and by whom last: a line for operators; empty where none is in
-   * hand.
+   * Describes this mixer's next turn to probe a box and the last notice of it, as a line for
+   * operators; empty if the box has no probe state.
    */
   public String describeTurn(long box) {
-    Matter matter = matters.get(box);
-    if (matter == null) {
+    ProbeState state = probeStates.get(box);
+    if (state == null) {
       return "";
     }
-    Duration due = matter.rota.due(mixers(), common()).minus(common());
+    Duration untilTurn = state.schedule.nextTurn(mixers(), wallClock()).minus(wallClock());
     return "own turn in "
-        + due.toMillis()
+        + untilTurn.toMillis()
         + " ms"
-        + (matter.last == null
+        + (state.lastNotice == null
             ? ""
             : ", last asked by "
-                + Long.toHexString(matter.last.author().number())
-                + (matter.last.answered() ? ": answered" : ": no answer yet"));
+                + Long.toHexString(state.lastNotice.author().number())
+                + (state.lastNotice.answered() ? ": answered" : ": no answer yet"));
   }
 
   public Membership membership() {
     return membership;
   }
 
-  /** Bytes sent so far, without those of the datagrams' own heads. */
-  public long bytes() {
-    return bytes;
+  /** Bytes sent so far, without the datagrams' own headers. */
+  public long bytesSent() {
+    return bytesSent;
   }
 
   public Map<Count, Long> counts() {
     return new HashMap<>(counts);
   }
 
-  private void count(Count which) {
-    counts.merge(which, 1L, Long::sum);
+  private void count(Count cause) {
+    counts.merge(cause, 1L, Long::sum);
   }
 }
--- a/peers/src/main/java/gingerring/peers/PeerReports.java
+++ b/peers/src/main/java/gingerring/peers/PeerReports.java
@@ -8,126 +8,137 @@
 import java.util.Map;
 
 /**
- * The latest word of each peer. Call {@link #heard} for each word that came and whose sender was
- * proved; {@link #fresh} for those that still count.
+ * Keeps the latest report of each peer. Call {@link #accept} for each report whose sender was
+ * authenticated; {@link #current} returns the reports that have not expired.
  *
- * <p>Bounds: {@code peersMost} peers, of whom the one silent longest goes for a newcomer once its
- * word has aged, and a newcomer is turned away while none has; {@code boxesMost} boxes a word; one
- * word a peer in each {@code apart}. What is not taken is counted by cause ({@link #count}).
- * Memory: the words kept, and some 100 bytes a peer.
+ * <p>Bounds: {@code maxPeers} peers, where the peer silent for longest is evicted for a new one
+ * once its report has expired, and a new peer is rejected while no report has; {@code maxBoxes}
+ * boxes in a report; one report of a peer in each {@code minInterval}. Rejected reports are counted
+ * by cause ({@link #count}). Memory: the reports kept, and some 100 bytes a peer.
  */
 public final class PeerReports {
-  /** What became of a word. */
+  /** Result of {@link #accept}. */
   public enum Verdict {
     TAKEN,
-    /** Its author has since started anew, or it is an own word that came back. */
+    /** The author has restarted since, or the report is this mixer's own. */
     OLD_LIFE,
-    /** Its author has said something newer, or the same word came twice. */
+    /** The author has sent a newer report, or this report is a duplicate. */
     OLD_NUMBER,
-    /** Its author speaks too often. */
+    /** The author sends reports too often. */
     TOO_SOON,
-    /** It tells of more boxes than one word may. */
+    /** The report covers more boxes than one report may. */
     TOO_LARGE,
-    /** There are as many peers as are kept, and none of them has fallen silent. */
+    /** The maximum number of peers is kept, and none of their reports has expired. */
     NO_ROOM
   }
 
-  /** A word and when it came. */
-  public record TimedReport(PeerReport report, Duration at) {}
+  /** A report and when it arrived. */
+  public record TimedReport(PeerReport report, Duration receivedAt) {}
 
   private final PeerId self;
-  private final int peersMost;
-  private final int boxesMost;
-  private final Duration apart;
-  private final Duration age;
+  private final int maxPeers;
+  private final int maxBoxes;
+  private final Duration minInterval;
+  private final Duration lifetime;
 
-  /** The one heard longest ago first. */
-  private final Map<PeerId, TimedReport> kept = new LinkedHashMap<>();
+  /** Ordered by arrival, the oldest report first. */
+  private final Map<PeerId, TimedReport> latest = new LinkedHashMap<>();
 
   private final Map<Verdict, Long> counts = new EnumMap<>(Verdict.class);
 
-  /** {@code age}: how long a word counts. */
-  public PeerReports(PeerId self, int peersMost, int boxesMost, Duration apart, Duration age) {
-    if (peersMost < 1 || boxesMost < 1 || apart.isNegative() || age.compareTo(apart) <= 0) {
+  /**
+   * {@code minInterval}: the shortest time between two reports of one peer; {@code lifetime}: how
+   * long a report counts.
+   */
+  public PeerReports(
+      PeerId self, int maxPeers, int maxBoxes, Duration minInterval, Duration lifetime) {
+    if (maxPeers < 1
+        || maxBoxes < 1
+        || minInterval.isNegative()
+        || lifetime.compareTo(minInterval) <= 0) {
       throw new IllegalArgumentException(
           "peers "
-              + peersMost
+              + maxPeers
               + ", boxes "
-              + boxesMost
-              + ", words "
-              + apart
-              + " apart that count for "
-              + age);
+              + maxBoxes
+              + ", interval between reports "
+              + minInterval
+              + ", lifetime "
+              + lifetime);
     }
     this.self = self;
-    this.peersMost = peersMost;
-    this.boxesMost = boxesMost;
-    this.apart = apart;
-    this.age = age;
+    this.maxPeers = maxPeers;
+    this.maxBoxes = maxBoxes;
+    this.minInterval = minInterval;
+    this.lifetime = lifetime;
   }
 
-  /** A word has come. */
-  public Verdict heard(PeerReport word, Duration now) {
-    Verdict verdict = judge(word, now);
+  /** Checks a report and keeps it if it is accepted. */
+  public Verdict accept(PeerReport report, Duration now) {
+    Verdict verdict = check(report, now);
     counts.merge(verdict, 1L, Long::sum);
     if (verdict == Verdict.TAKEN) {
-      kept.remove(word.author()); // so that it stands last
-      if (kept.size() >= peersMost) {
-        kept.remove(kept.keySet().iterator().next());
+      latest.remove(report.author()); // reinserted at the end of the order
+      if (latest.size() >= maxPeers) {
+        latest.remove(latest.keySet().iterator().next());
       }
-      kept.put(word.author(), new TimedReport(word, now));
+      latest.put(report.author(), new TimedReport(report, now));
     }
     return verdict;
   }
 
-  private Verdict judge(PeerReport word, Duration now) {
-    TimedReport last = kept.get(word.author());
-    if (word.author().equals(self)
-        || last != null && word.incarnation() < last.report.incarnation()) {
+  private Verdict check(PeerReport report, Duration now) {
+    TimedReport previous = latest.get(report.author());
+    if (report.author().equals(self)
+        || previous != null && report.incarnation() < previous.report.incarnation()) {
       return Verdict.OLD_LIFE;
     }
-    boolean sameLife = last != null && word.incarnation() == last.report.incarnation();
-    if (sameLife && word.number() <= last.report.number()) {
+    boolean sameIncarnation =
+        previous != null && report.incarnation() == previous.report.incarnation();
+    if (sameIncarnation && report.number() <= previous.report.number()) {
       return Verdict.OLD_NUMBER;
     }
-    // of a new life too: who claims one life after the other is not heard more often than others
-    if (last != null && now.minus(last.at).compareTo(apart) < 0) {
+    // applies to a new incarnation too: a peer that claims one incarnation after another must not
+    // be accepted more often than others
+    if (previous != null && now.minus(previous.receivedAt).compareTo(minInterval) < 0) {
       return Verdict.TOO_SOON;
     }
-    if (word.boxes().size() > boxesMost) {
+    if (report.boxes().size() > maxBoxes) {
       return Verdict.TOO_LARGE;
     }
-    boolean room =
-        last != null
-            || kept.size() < peersMost
-            || now.minus(kept.values().iterator().next().at).compareTo(age) >= 0;
-    return room ? Verdict.TAKEN : Verdict.NO_ROOM;
+    boolean hasRoom =
+        previous != null
+            || latest.size() < maxPeers
+            || now.minus(latest.values().iterator().next().receivedAt).compareTo(lifetime) >= 0;
+    return hasRoom ? Verdict.TAKEN : Verdict.NO_ROOM;
   }
 
   /**
-   * The peer has said that it leaves: what it said counts no more. Its life is remembered until it
-   * is forgotten.
+   * Handles a peer that leaves: its report no longer counts. Its incarnation is kept until the peer
+   * is evicted.
    */
-  public void left(PeerId peer, long life, Duration now) {
-    TimedReport last = kept.get(peer);
-    if (last != null && last.report.incarnation() <= life) {
-      kept.put(
+  public void peerLeft(PeerId peer, long incarnation, Duration now) {
+    TimedReport previous = latest.get(peer);
+    if (previous != null && previous.report.incarnation() <= incarnation) {
+      latest.put(
           peer,
           new TimedReport(
-              new PeerReport(peer, life, Long.MAX_VALUE, last.report.zone(), 0, Map.of()),
-              last.at));
+              new PeerReport(
+                  peer, incarnation, Long.MAX_VALUE, previous.report.zone(), 0, Map.of()),
+              previous.receivedAt));
     }
   }
 
-  /** The words that still count, the oldest first. */
-  public List<TimedReport> fresh(Duration now) {
-    List<TimedReport> fresh = new ArrayList<>();
-    for (TimedReport each : kept.values()) {
-      if (now.minus(each.at).compareTo(age) < 0 && each.report.number() != Long.MAX_VALUE) {
-        fresh.add(each);
+  /** The reports that have not expired, the oldest first. */
+  public List<TimedReport> current(Duration now) {
+    List<TimedReport> reports = new ArrayList<>();
+    for (TimedReport timed : latest.values()) {
+      if (now.minus(timed.receivedAt).compareTo(lifetime) < 0
+          && timed.report.number() != Long.MAX_VALUE) {
+        reports.add(timed);
       }
     }
-    return fresh;
+    return reports;
   }
 
   public long count(Verdict verdict) {
--- a/share/src/main/java/gingerring/share/TurnSchedule.java
+++ b/share/src/main/java/gingerring/share/TurnSchedule.java
@@ -4,99 +4,109 @@
 import java.util.Collection;
 
 /**
- * One matter that is done once in each span by one mixer for all, as one mixer knows it. All times
- * are of the common clock: since a moment that all know. Ask {@link #due} when this mixer acts if
- * it hears of nobody who has; call {@link #claimRound} when it does, and tell the others the round
- * that it returns; {@link #receiveClaim} when another tells so. Rounds are numbered by the clock,
- * so that one who starts anew, or wakes after a stop, knows the round at once and needs nobody's
- * word for it.
+ * Schedule of a task that one mixer performs in each round on behalf of all, as one mixer knows it.
+ * All times are those of a common clock: the time since a moment that all mixers know. {@link
+ * #nextTurn} returns when this mixer acts if it receives no claim of another before; call {@link
+ * #claimRound} when it acts, and send the returned round to the others; call {@link #receiveClaim}
+ * for a claim of another mixer. Rounds are numbered by the clock, so a mixer that restarts, or
+ * resumes after a pause, knows the round at once without any message.
  *
- * <p>Two act in a round: one more for each mixer that a word did not reach within its step, and one
- * more for each whose clock is off by more than a step. Nobody acts: those who come first and are
- * not there take a step each, and where they fill a whole span the next round has another order.
+ * <p>More than one mixer may act in a round: one more for each mixer that a claim did not reach
+ * within its step, and one more for each mixer whose clock is off by more than a step. No mixer may
+ * act for a while: absent mixers that come first take a step each, and where they fill a whole
+ * round the next round has another order.
  *
- * <p>Who claims rounds that it did not do holds up only its own: a claim is believed only from a
- * member whose place has come, by this mixer's own order and clock, give or take a step. So of n
- * members f that claim falsely, alone or together, hold up no round in which none of them comes
- * first among those there. State: two numbers.
+ * <p>A mixer that claims rounds falsely delays only its own: a claim is accepted only from a member
+ * whose turn has come, by the receiver's order and clock, give or take a step. So of n members f
+ * that claim falsely, alone or together, delay no round in which none of them comes first among the
+ * present members. State: two numbers.
  */
 public final class TurnSchedule {
-  private final Turns turns;
+  private final TurnOrder order;
   private final MixerId self;
-  private final long matter;
-  private final Duration every;
+  private final long taskId;
+  private final Duration roundPeriod;
   private final Duration step;
 
-  /** The last round that is known to have been done. */
-  private long done = Long.MIN_VALUE;
+  /** The last round known to be done. */
+  private long lastDoneRound = Long.MIN_VALUE;
 
-  private long disbelieved;
+  private long rejectedClaims;
 
   /**
-   * {@code every}: a round's span; {@code step}: how long one who acts takes until the others know.
+   * {@code roundPeriod}: the length of a round; {@code step}: the time from a mixer's action until
+   * the others have its claim.
    */
-  public TurnSchedule(MixerId self, long matter, Duration every, Duration step) {
-    if (every.compareTo(step) < 0) {
+  public TurnSchedule(MixerId self, long taskId, Duration roundPeriod, Duration step) {
+    if (roundPeriod.compareTo(step) < 0) {
       throw new IllegalArgumentException(
-          "a round of " + every + " is shorter than a step of " + step);
+          "round period " + roundPeriod + " is shorter than step " + step);
     }
-    turns = new Turns(self, step);
+    order = new TurnOrder(self, step);
     this.self = self;
-    this.matter = matter;
-    this.every = every;
+    this.taskId = taskId;
+    this.roundPeriod = roundPeriod;
     this.step = step;
   }
 
-  /** The round that a moment is in. */
-  public long round(Duration now) {
-    return Math.floorDiv(now.toNanos(), every.toNanos());
+  /** The round at the given time. */
+  public long roundAt(Duration now) {
+    return Math.floorDiv(now.toNanos(), roundPeriod.toNanos());
   }
 
   /**
-   * When this mixer next acts, unless it hears of another before: now, where its turn has passed
-   * unused.
+   * When this mixer next acts unless another mixer's claim arrives before: {@code now} where its
+   * turn has passed unused.
    */
-  public Duration due(Collection<MixerId> members, Duration now) {
-    long next = Math.max(round(now), done == Long.MIN_VALUE ? Long.MIN_VALUE : done + 1);
-    Duration wait = turns.wait(matter, next, members);
-    while (wait.compareTo(every) >= 0) { // so many come first that the round is over before
-      next++;
-      wait = turns.wait(matter, next, members);
+  public Duration nextTurn(Collection<MixerId> members, Duration now) {
+    long round =
+        Math.max(
+            roundAt(now), lastDoneRound == Long.MIN_VALUE ? Long.MIN_VALUE : lastDoneRound + 1);
+    Duration delay = order.delay(taskId, round, members);
+    // so many mixers come first that the round ends before this mixer's turn
+    while (delay.compareTo(roundPeriod) >= 0) {
+      round++;
+      delay = order.delay(taskId, round, members);
     }
-    Duration turn = every.multipliedBy(next).plus(wait);
+    Duration turn = roundPeriod.multipliedBy(round).plus(delay);
     return turn.compareTo(now) > 0 ? turn : now;
   }
 
-  /** This mixer acts; returns the round to tell. */
+  /** Records that this mixer acts now; returns the round to send to the others. */
   public long claimRound(Duration now) {
-    done = Math.max(done, round(now));
-    return done;
+    lastDoneRound = Math.max(lastDoneRound, roundAt(now));
+    return lastDoneRound;
   }
 
-  /** Another says that it has done a round; returns whether that is believed and new. */
+  /**
+   * Handles another mixer's claim to have done a round; returns whether the claim is valid and new.
+   */
   public boolean receiveClaim(
-      MixerId author, long told, Collection<MixerId> members, Duration now) {
-    if (told <= done) {
+      MixerId author, long claimedRound, Collection<MixerId> members, Duration now) {
+    if (claimedRound <= lastDoneRound) {
       return false;
     }
-    Duration turn = step.multipliedBy(new Turns(author, step).place(matter, told, members) - 1L);
-    boolean round =
-        told == round(now) || told == round(now.plus(step)) || told == round(now.minus(step));
-    boolean its =
+    Duration turnOffset =
+        step.multipliedBy(new TurnOrder(author, step).rank(taskId, claimedRound, members) - 1L);
+    boolean currentRound =
+        claimedRound == roundAt(now)
+            || claimedRound == roundAt(now.plus(step))
+            || claimedRound == roundAt(now.minus(step));
+    boolean valid =
         members.contains(author)
             && !author.equals(self)
-            && round
-            && now.minus(every.multipliedBy(told)).compareTo(turn) >= 0;
-    if (!its) {
-      disbelieved++;
+            && currentRound
+            && now.minus(roundPeriod.multipliedBy(claimedRound)).compareTo(turnOffset) >= 0;
+    if (!valid) {
+      rejectedClaims++;
       return false;
     }
-    done = told;
+    lastDoneRound = claimedRound;
     return true;
   }
 
-  /** Claims that were not believed. */
+  /** The number of claims that were rejected. */
   public long rejectedClaims() {
-    return disbelieved;
+    return rejectedClaims;
   }
 }
