--- a/lease/src/test/java/gingerring/lease/FailoverMeasurement.java
+++ b/lease/src/test/java/gingerring/lease/FailoverMeasurement.java
@@ -10,7 +10,7 @@
 import java.util.stream.LongStream;
 
 /**
- * Measures the figures of docs/duty.md in simulated time: {@code FailoverMeasurement [handovers]}.
+ * Measures the figures of docs/lease.md in simulated time: {@code FailoverMeasurement [handovers]}.
  * Messages take 0.5 to 5.5 ms, and one in fifty takes up to 100 ms more; clocks are within 1%;
  * there are five electors.
  */
