--- a/emulator/src/main/java/gingerring/emulator/core/RuleChecker.java
+++ b/emulator/src/main/java/gingerring/emulator/core/RuleChecker.java
@@ -426,7 +426,11 @@
     earlierTrips.add(trip);
   }
 
-  /** Returns whether a later trip may have repeated the effect of an earlier one. */
+  /**
+   * Returns whether a part may have been executed by an earlier trip and then, by a later one,
+   * again with effect: in an at-most-once class any second execution has an effect, in a keyed
+   * class one after the idempotency window.
+   */
   private boolean effectRepeated(Scan scan, Trip earlier, Trip later) {
     return earlier.mayHaveRun(later.sentAt)
         && (scan.serviceClass.retrySafety() == RetrySafety.AT_MOST_ONCE
--- a/emulator/src/main/java/gingerring/emulator/experiment/EmulatedStore.java
+++ b/emulator/src/main/java/gingerring/emulator/experiment/EmulatedStore.java
@@ -137,7 +137,7 @@
   private final List<String> zones;
   private final List<MixerView> views = new ArrayList<>();
 
-  /** Probes of boxes by second since the start of the reactor. */
+  /** Probes that the boxes received, by second of real time since the creation of the reactor. */
   private final Map<Integer, Integer> probesBySecond = new TreeMap<>();
 
   private long connectionsOpened;
@@ -471,7 +471,10 @@
     return load;
   }
 
-  /** Returns the number of probes by second of the reactor's time. */
+  /**
+   * Returns the number of probes that the boxes received in each second of real time, counted from
+   * the creation of the reactor.
+   */
   public Map<Integer, Integer> probesBySecond() {
     return probesBySecond;
   }
--- a/emulator/src/main/java/gingerring/emulator/harness/Fleet.java
+++ b/emulator/src/main/java/gingerring/emulator/harness/Fleet.java
@@ -128,7 +128,7 @@
   private final List<EmulatedStore.MixerView> discoveryViews = new ArrayList<>();
   private final Map<Integer, Map<Integer, TcpRelay>> relaysByMixer = new HashMap<>();
 
-  /** Indexed by mixer and box. */
+  /** The faults applied to the link between a mixer and a box, indexed by mixer and then by box. */
   private final TcpRelay.LinkFaults[][] linkFaults;
 
   /** Faults that are active now. */
--- a/emulator/src/main/java/gingerring/emulator/harness/FleetScenario.java
+++ b/emulator/src/main/java/gingerring/emulator/harness/FleetScenario.java
@@ -54,21 +54,35 @@
       double magnitude) {
     /** Kind of fault; scenario files name it in lower case. */
     public enum Kind {
-      /** Kills the mixers' processes and starts new ones, without state, after the duration. */
+      /**
+       * Kills the processes of the fault's mixers and starts new ones, without state, after the
+       * fault's duration.
+       */
       KILL,
-      /** Suspends the processes (SIGSTOP) and resumes them after the duration. */
+      /**
+       * Suspends the processes of the fault's mixers (SIGSTOP) and resumes them after the fault's
+       * duration.
+       */
       STOP,
-      /** Restarts the processes in order, one at a time, spread over the duration. */
+      /**
+       * Restarts the processes of the fault's mixers in order, one at a time, spread over the
+       * fault's duration.
+       */
       ROLL,
-      /** Cuts the links between the mixers and the boxes in both directions. */
+      /** Cuts the links between the fault's mixers and the fault's boxes in both directions. */
       CUT,
-      /** Cuts the peer links between these mixers and all others in both directions. */
+      /** Cuts the peer links between the fault's mixers and all other mixers in both directions. */
       CUT_PEERS,
-      /** Drops the peer datagrams that these mixers send to the others. */
+      /** Drops the peer datagrams that the fault's mixers send to the other mixers. */
       CUT_PEERS_ONE_WAY,
-      /** Adds {@code size} ms to the links between mixers and boxes, in each direction. */
+      /**
+       * Adds a delay of {@code size} ms, in each direction, to the links between the fault's mixers
+       * and boxes.
+       */
       DELAY,
-      /** Limits what boxes send to mixers to {@code size} bytes per second. */
+      /**
+       * Limits what the fault's boxes send to the fault's mixers to {@code size} bytes per second.
+       */
       DRIP,
       /** Resets the share {@code size} of the connections between mixers and boxes each second. */
       RESET,
@@ -76,13 +90,19 @@
        * Truncates the share {@code size} of the reads from a box to half and closes the connection.
        */
       CUT_BYTES,
-      /** Drops the share {@code size} of peer datagrams. */
+      /** Drops the share {@code size} of the peer datagrams of all mixers. */
       LOSE,
-      /** Duplicates the share {@code size} of peer datagrams. */
+      /** Duplicates the share {@code size} of the peer datagrams of all mixers. */
       DOUBLE,
-      /** Delays each peer datagram by up to {@code size} ms, which reorders them. */
+      /**
+       * Delays each peer datagram of any mixer by up to {@code size} ms, which reorders the
+       * datagrams.
+       */
       REORDER,
-      /** Discovery sends the mixers no updates during the fault and all of them afterwards. */
+      /**
+       * Discovery sends the fault's mixers no updates during the fault, and all the missed updates
+       * afterwards.
+       */
       LIST_SILENT
     }
   }
--- a/emulator/src/main/java/gingerring/emulator/harness/MixerSupervisor.java
+++ b/emulator/src/main/java/gingerring/emulator/harness/MixerSupervisor.java
@@ -21,7 +21,10 @@
   private final Reactor reactor;
   private final ExecutorService blockingExecutor;
 
-  /** Single-threaded, so that signals arrive in the order in which they were sent. */
+  /**
+   * Sends signals to mixer processes; single-threaded, so that signals arrive in the order in which
+   * they were sent.
+   */
   private final ExecutorService signalExecutor;
 
   private final Callable<MixerProcess> launcher;
--- a/emulator/src/main/java/gingerring/emulator/simulation/PeerSimulation.java
+++ b/emulator/src/main/java/gingerring/emulator/simulation/PeerSimulation.java
@@ -44,23 +44,32 @@
       double magnitude) {
     /** The kinds of faults. */
     public enum Kind {
-      /** No message passes between targets and others. */
+      /** No message passes between the fault's {@code targets} and its {@code others}. */
       CUT,
-      /** No message passes from targets to others. */
+      /**
+       * No message passes from the fault's {@code targets} to its {@code others}; messages in the
+       * opposite direction pass.
+       */
       CUT_ONE_WAY,
-      /** The processes are stopped; a limited number of received messages waits for them. */
+      /**
+       * The processes of the target mixers are stopped; a limited number of received messages waits
+       * for each of them.
+       */
       STOP,
-      /** The processes are killed and restarted without state under the same ids. */
+      /**
+       * The processes of the target mixers are killed, and restarted without state under the same
+       * ids.
+       */
       KILL,
-      /** The mixers report that all boxes fail. */
+      /** The target mixers report that all boxes fail. */
       LIE,
-      /** The mixers report an enormous demand. */
+      /** The target mixers report an enormous demand. */
       GREED,
-      /** The mixers resend messages that they received before. */
+      /** The target mixers resend messages that they received before. */
       REPEAT,
-      /** The mixers claim turns of others and report that dead boxes answer. */
+      /** The target mixers claim the turns of other mixers and report that dead boxes answer. */
       CLAIM,
-      /** The target boxes are dead. */
+      /** The boxes in the fault's {@code targets} are dead. */
       BOXES_DEAD
     }
 
--- a/emulator/src/main/java/gingerring/emulator/simulation/ProbeSimulation.java
+++ b/emulator/src/main/java/gingerring/emulator/simulation/ProbeSimulation.java
@@ -19,7 +19,10 @@
      * Each mixer probes independently: after 2 s, then 4 s, then every 8 s, as a mixer does today.
      */
     ALONE,
-    /** The mixers take turns; each learns of the others' probes after a delay, or not at all. */
+    /**
+     * The mixers take turns; each mixer learns of another mixer's probe after a delay, or not at
+     * all.
+     */
     TURNS,
     /**
      * Each mixer probes at random times scaled to the fleet size and does not learn of the others'
--- a/emulator/src/main/java/gingerring/emulator/simulation/RoutingSimulation.java
+++ b/emulator/src/main/java/gingerring/emulator/simulation/RoutingSimulation.java
@@ -18,14 +18,17 @@
 public final class RoutingSimulation {
   /** The policy by which a mixer selects among the holders of a partition. */
   public enum Policy {
-    /** A holder at random. */
+    /** The mixer selects a holder at random. */
     RANDOM,
     /**
      * The holder with the fewest parts in flight from this mixer; ties go to the first one in ring
      * order from the scan's home holder. This is the mixer's current policy.
      */
     LEAST_OWN,
-    /** The one of two random holders with fewer parts in flight from this mixer. */
+    /**
+     * The mixer draws two holders at random and selects the one with fewer parts in flight from
+     * this mixer.
+     */
     TWO,
     /**
      * The holder with the fewest parts in flight from this mixer among the mixer's preferred subset
--- a/layout/src/main/java/gingerring/layout/LayoutSequencer.java
+++ b/layout/src/main/java/gingerring/layout/LayoutSequencer.java
@@ -24,7 +24,7 @@
     QUEUE_FULL
   }
 
-  /** Maximum number of steps that wait for a missing one. */
+  /** Maximum number of steps that are queued until an earlier step, still missing, has arrived. */
   public static final int MAX_QUEUED_STEPS = 1024;
 
   private final TreeMap<Long, LayoutStep> queued = new TreeMap<>();
--- a/lease/src/main/java/gingerring/lease/Candidate.java
+++ b/lease/src/main/java/gingerring/lease/Candidate.java
@@ -72,7 +72,10 @@
     final Set<ElectorId> grantedBy = new HashSet<>();
     final Map<ElectorId, Duration> rejectedBy = new HashMap<>();
 
-    /** Whether a request with a higher term may succeed at once. */
+    /**
+     * Whether an elector that did not grant this round's request reported a term above the round's.
+     * The next round, with a higher term, is then not delayed by the reply timeout.
+     */
     boolean termTooLow;
 
     final Set<Long> readyNumbers = new HashSet<>();
@@ -206,7 +209,7 @@
         : Optional.empty();
   }
 
-  /** Gives the lease up, to the next mixer in rank or to nobody, and stops requesting it. */
+  /** Gives the lease up, to the next mixer in rank or to nobody, and stops requesting the lease. */
   public void resign() {
     resigning = true;
     prohibited = true;
--- a/lease/src/main/java/gingerring/lease/SafetyChecks.java
+++ b/lease/src/main/java/gingerring/lease/SafetyChecks.java
@@ -20,11 +20,14 @@
     EXPIRY_FROM_REQUEST,
     /** The holder uses the lease for a shorter time than the elector keeps the grant. */
     SHORTER,
-    /** The holder checks its clock before it uses the lease. */
+    /** Before the holder uses the lease, it checks by its clock that the lease has not expired. */
     HOLDER_EXPIRY,
-    /** A reply cites the request that the elector got. */
+    /** An elector's reply cites the sequence number of the request that it answers. */
     REPLY_NUMBER,
-    /** The grant in a reply cites the same request. */
+    /**
+     * The grant in an elector's reply cites the sequence number of the request that the reply
+     * answers.
+     */
     GRANT_NUMBER,
     /** The grant in a reply names the candidate as its holder. */
     GRANT_HOLDER,
@@ -50,7 +53,7 @@
     RELEASE_TOKEN,
     /** A token belongs to the lease that it is sent for. */
     DUTY_TOKEN,
-    /** An elector grants nothing to a request from another epoch. */
+    /** An elector grants nothing to a request from another epoch of the set of electors. */
     EPOCH,
     /** The guard rejects a token older than the newest one. */
     GUARD_STALE_TOKEN,
--- a/mixer/src/main/java/gingerring/backend/SearcherConnection.java
+++ b/mixer/src/main/java/gingerring/backend/SearcherConnection.java
@@ -42,7 +42,7 @@
   private final Connection connection;
   private final FrameCodec frameCodec = new FrameCodec();
 
-  /** Cancel frames, sent after the calls of the same turn. */
+  /** Cancel frames that wait to be sent after the calls of the same turn of the event loop. */
   private final List<byte[]> pendingCancels = new ArrayList<>();
 
   private final Map<String, OutboundTrip> tripsInFlight = new LinkedHashMap<>();
@@ -56,7 +56,10 @@
   private final Deque<PendingProbe> probesInFlight = new ArrayDeque<>();
   private boolean opened;
 
-  /** Whether the dial has exceeded its timeout: it may still succeed but is not counted on. */
+  /**
+   * Whether the dial of this connection has exceeded its timeout: the dial may still succeed but is
+   * not counted on.
+   */
   private boolean dialOverdue;
 
   /** Whether no new frames are sent here; the connection is closed once nothing is in flight. */
@@ -65,7 +68,10 @@
   final Duration dialledAt;
   private Duration lastUsedAt;
 
-  /** When all earlier output had last been sent. */
+  /**
+   * The latest time at which no output was waiting: when all output had been sent, or when a frame
+   * was put into the empty output.
+   */
   private Duration outputEmptyAt;
 
   private Duration lastReadAt;
--- a/mixer/src/main/java/gingerring/decide/Mixer.java
+++ b/mixer/src/main/java/gingerring/decide/Mixer.java
@@ -155,7 +155,10 @@
   private static final double COLD_CONCURRENT_MIXERS = 4;
   private static final Duration WARM_RATE_WINDOW = Duration.ofSeconds(30);
 
-  /** The expected number of scans is lowered by this many standard errors of the count. */
+  /**
+   * For the cold-start limit, the expected arrivals are lowered by this many standard errors of the
+   * number of scans from which they are estimated.
+   */
   private static final double ARRIVAL_STANDARD_ERRORS = 1.5;
 
   /**
--- a/mixer/src/main/java/gingerring/decide/Scan.java
+++ b/mixer/src/main/java/gingerring/decide/Scan.java
@@ -17,13 +17,22 @@
 
   public final List<Part> parts = new ArrayList<>();
 
-  /** The time by which the client should have its answer. */
+  /**
+   * The time by which the client should have its answer: {@link #fullLatencyTarget}, or shortly
+   * before the client's deadline if that is earlier.
+   */
   public Duration latencyTarget;
 
-  /** The latency target that applies if the client's deadline is late enough for it. */
+  /**
+   * The latency target from the service class and the scan's work alone, which may be later than
+   * the client's deadline.
+   */
   public Duration fullLatencyTarget;
 
-  /** The time by which the current step has to be answered. */
+  /**
+   * The time by which the parts of the current step have to be answered: the latency target, or
+   * earlier if a second step follows.
+   */
   public Duration stepDeadline;
 
   /**
--- a/mixer/src/main/java/gingerring/decide/Searcher.java
+++ b/mixer/src/main/java/gingerring/decide/Searcher.java
@@ -14,7 +14,10 @@
   public MemberEntry entry;
   public Duration startedAt;
 
-  /** Open trips of this mixer, oldest first, and the number of open calls that they share. */
+  /**
+   * This mixer's open trips to the searcher, oldest first; {@link #openCalls} is the number of
+   * calls that they share.
+   */
   public final Set<Trip> openTrips = new LinkedHashSet<>();
 
   public int openCalls;
@@ -32,10 +35,16 @@
   public int assignedParts;
   public Duration busySince;
 
-  /** Time with open trips since the last answer, rejection or error. */
+  /**
+   * How long the searcher has had open trips of this mixer since its latest answer, rejection or
+   * error.
+   */
   public Duration silentTime = Duration.ZERO;
 
-  /** Time with open trips, and the same time multiplied by the number of open trips. */
+  /**
+   * The time during which the searcher had open trips of this mixer; {@link #openTripTime} is that
+   * time multiplied by the number of open trips.
+   */
   public final RollingSum busyTime;
 
   public final RollingSum openTripTime;
@@ -89,12 +98,14 @@
     List.of(busyTime, openTripTime, answers, errors).forEach(RollingSum::clear);
   }
 
-  /** Excludes the time up to now from the measurements. */
+  /** Leaves the time since the latest update out of the measured busy time and silent time. */
   public void excludeTimeUntil(Duration now) {
     busySince = openTrips.isEmpty() ? null : now;
   }
 
-  /** Adds the time with open trips since the last update. */
+  /**
+   * Adds the time since the latest update to the busy time and the silent time if trips were open.
+   */
   public void recordBusyTime(Duration now) {
     if (busySince != null) {
       Duration elapsed = now.minus(busySince);
--- a/mixer/src/main/java/gingerring/discovery/DiscoveryWatch.java
+++ b/mixer/src/main/java/gingerring/discovery/DiscoveryWatch.java
@@ -56,21 +56,28 @@
   /** The service sends an empty line every 2 s; a watch without a line for this long has failed. */
   private static final Duration SILENCE_TIMEOUT = Duration.ofMillis(2500);
 
-  /** How long the first line, and the rest of a line that has begun, may take. */
+  /**
+   * A call fails if no byte arrives for this long before its first line is complete or after a
+   * later line has begun.
+   */
   private static final Duration LINE_TIMEOUT = Duration.ofSeconds(1);
 
-  /** The longest time between two checks of a call for silence. */
+  /**
+   * The longest time between two checks whether the discovery service has kept a call, which is one
+   * GET request, waiting for longer than {@link #SILENCE_TIMEOUT} or {@link #LINE_TIMEOUT} allows.
+   */
   private static final Duration SILENCE_CHECK_INTERVAL = Duration.ofMillis(250);
 
   /**
-   * The longest delay of discovery that the protocol allows, and so the most that a watch may miss
-   * that has fallen silent. A complete list that stays outdated for longer is not merely delayed.
+   * The longest time that the protocol allows from a change of the member list until the mixer
+   * knows of the change. A watch that has fallen silent may miss at most the changes of this time.
+   * A complete list that stays outdated for longer is not merely delayed.
    */
   private static final Duration MAX_DISCOVERY_DELAY = Duration.ofSeconds(6);
 
   /**
-   * Most watches that may be pending at one time; {@link #LINE_TIMEOUT} divided by it is the
-   * shortest retry interval.
+   * The largest number of watches that may be pending at one time; {@link #LINE_TIMEOUT} divided by
+   * this number is the shortest retry interval.
    */
   private static final int MAX_PENDING_CALLS = 8;
 
@@ -80,7 +87,9 @@
    */
   private static final int CALLS_WITHIN_DELAY = 3;
 
-  /** Shortest time between two warnings in the log. */
+  /**
+   * Shortest time between two warnings in the log that a call to the discovery service has failed.
+   */
   private static final Duration WARNING_INTERVAL = Duration.ofSeconds(10);
 
   /**
@@ -92,8 +101,8 @@
     long revision;
 
     /**
-     * Since when complete lists have been older than {@link #revision}; null if the last one was
-     * not.
+     * Since when the service has sent complete lists older than {@link #revision}; null if the
+     * service has sent none since the latest list that was accepted.
      */
     Duration staleSince;
 
@@ -108,7 +117,7 @@
   private final Counters counters;
   private final LoopTimer clock;
 
-  /** How long after the last call a new watch is opened while none works. */
+  /** While no watch works, the time from the opening of one watch to the opening of the next. */
   private final Duration retryInterval;
 
   private Endpoint endpoint;
@@ -125,8 +134,8 @@
   private final List<Call> pendingFetches = new ArrayList<>();
 
   /**
-   * The last active watch at an earlier address, kept until the first list from the current
-   * address.
+   * The watch that was active at an earlier address of the service, kept until the first list from
+   * the current address.
    */
   private Call previousWatch;
 
@@ -321,10 +330,10 @@
     private final Connection connection;
     private final Duration startedAt = clock.now();
 
-    /** When the last byte arrived. */
+    /** When bytes of the response last arrived; before that, the start of the call. */
     private Duration lastByteAt = startedAt;
 
-    /** When the last complete line arrived. */
+    /** When a complete line last arrived; before that, the start of the call. */
     private Duration lastLineAt = startedAt;
 
     /** When the first byte of the current line arrived. */
--- a/mixer/src/main/java/gingerring/net/Connection.java
+++ b/mixer/src/main/java/gingerring/net/Connection.java
@@ -26,7 +26,10 @@
   /** How long {@link #closeGracefully} waits for the remaining output to be sent. */
   private static final Duration FLUSH_TIMEOUT = Duration.ofSeconds(10);
 
-  /** Input that is discarded at full speed; beyond it, reads of discarded input are paced. */
+  /**
+   * How many bytes of discarded input a connection reads at full speed; further reads of discarded
+   * input are paced.
+   */
   private static final long UNPACED_DISCARD_BYTES = 1 << 20;
 
   public final ByteRing input = new ByteRing(INPUT_BYTES, INPUT_BYTES);
--- a/mixer/src/main/java/gingerring/net/EventQueue.java
+++ b/mixer/src/main/java/gingerring/net/EventQueue.java
@@ -7,6 +7,6 @@
   /** Queues an event to run on the loop's thread. */
   void post(Runnable event);
 
-  /** The current time since the start. */
+  /** Returns the current time since the event loop was created. */
   Duration currentTime();
 }
--- a/mixer/src/main/java/gingerring/net/Network.java
+++ b/mixer/src/main/java/gingerring/net/Network.java
@@ -375,7 +375,10 @@
     executor.shutdown();
   }
 
-  /** The current time since the start, not the time at which the loop iteration began. */
+  /**
+   * Returns the current time since the event loop was created; {@link LoopTimer#now} returns the
+   * start of the loop iteration instead.
+   */
   public Duration currentTime() {
     return eventQueue.currentTime();
   }
--- a/mixer/src/main/java/gingerring/net/TrafficListener.java
+++ b/mixer/src/main/java/gingerring/net/TrafficListener.java
@@ -12,7 +12,10 @@
   /** A connection was established. */
   void onOpened(long connection, InetSocketAddress opener, InetSocketAddress listener);
 
-  /** One end has sent bytes. */
+  /**
+   * The end {@code side} of a connection has sent bytes; side 0 opened the connection, side 1
+   * accepted it.
+   */
   void onData(long connection, int side, byte[] bytes);
 
   /** A connection has ended. {@code side} is the end that closed it, as far as known. */
--- a/mixer/src/main/java/gingerring/server/MixerHost.java
+++ b/mixer/src/main/java/gingerring/server/MixerHost.java
@@ -402,7 +402,10 @@
     }
   }
 
-  /** Removes a searcher that has left; it gets the same number if it is listed again. */
+  /**
+   * Removes a searcher that has left the member list. If listed again, the searcher gets the same
+   * number, unless the hash of its name collides with another searcher's (see {@link #newId}).
+   */
   private void removeSearcher(SearcherId id) {
     backend.remove(id);
     listedMembers.remove(id);
@@ -422,8 +425,9 @@
   }
 
   /**
-   * Derives a number from a searcher's name, the same at every mixer. If two names hash to the same
-   * number, the second gets the next free one.
+   * Derives a searcher's number from its name. Every mixer derives the same number from a name,
+   * unless another searcher known to the mixer already has that number: the name then gets the next
+   * free number, which depends on the order in which the mixer came to know the names.
    */
   private SearcherId newId(String name) {
     long hash = 0xcbf29ce484222325L;
--- a/mixer/src/main/java/gingerring/server/MixerServer.java
+++ b/mixer/src/main/java/gingerring/server/MixerServer.java
@@ -26,19 +26,31 @@
   /** How long new connections are accepted after SIGTERM; later ones may go unanswered. */
   private static final Duration ACCEPT_AFTER_SIGTERM = Duration.ofMillis(700);
 
-  /** The longest client deadline that a shutdown waits for. */
+  /**
+   * The longest drain time of a shutdown; a shorter drain time is the longest deadline of the
+   * service classes.
+   */
   private static final Duration MAX_DRAIN_TIME = Duration.ofSeconds(3);
 
-  /** How long before the end the last scans are closed. */
+  /**
+   * In a shutdown, the scans still open are failed this long before the end of the drain time,
+   * which starts when the mixer stops accepting connections.
+   */
   private static final Duration END_MARGIN = Duration.ofMillis(300);
 
-  /** How long before the end connections are closed after their next response. */
+  /**
+   * How long before the shutdown deadline the mixer begins to close each client connection after
+   * its next response.
+   */
   private static final Duration CLOSE_AFTER_RESPONSE_PERIOD = Duration.ofMillis(600);
 
-  /** How long before the end idle connections are closed. */
+  /** How long before the shutdown deadline the mixer begins to close idle client connections. */
   private static final Duration CLOSE_IDLE_PERIOD = Duration.ofMillis(200);
 
-  /** Time for responses to be sent. */
+  /**
+   * Time between two checks at the end of a shutdown whether any scan or client is left; the last
+   * responses are sent in the last such interval.
+   */
   private static final Duration FLUSH_INTERVAL = Duration.ofMillis(100);
 
   /** The mixer becomes ready after this time even if the socket warm-up or a dial takes longer. */
@@ -46,10 +58,16 @@
 
   private static final Duration STATUS_INTERVAL = Duration.ofSeconds(60);
 
-  /** Descriptors reserved for the process itself. */
+  /**
+   * File descriptors, out of the configured socket limit, that connections do not use, because the
+   * process itself needs them.
+   */
   private static final int RESERVED_SOCKETS = 40;
 
-  /** Descriptors left for connections even with a small limit. */
+  /**
+   * File descriptors that connections may use even if the configured socket limit is too small for
+   * them and {@link #RESERVED_SOCKETS}.
+   */
   private static final int MIN_CONNECTION_SOCKETS = 16;
 
   private final Map<String, String> env;
--- a/mixer/src/main/java/gingerring/server/PeerService.java
+++ b/mixer/src/main/java/gingerring/server/PeerService.java
@@ -32,7 +32,7 @@
 
     int cellsPerShard();
 
-    /** Returns the Unix time in milliseconds at which the clock was zero. */
+    /** Returns the Unix time in milliseconds at which {@link #now} was zero. */
     long startEpochMs();
 
     /** Reports that a searcher has answered another mixer. */
--- a/peers/src/main/java/gingerring/peers/Membership.java
+++ b/peers/src/main/java/gingerring/peers/Membership.java
@@ -102,15 +102,15 @@
     SUSPECTED,
     /** Members declared gone by this mixer. */
     GONE,
-    /** Suspicions of this mixer that it refuted. */
+    /** Suspicions against this mixer that this mixer refuted. */
     REFUTED,
-    /** Records of an earlier incarnation or refutation number. */
+    /** Received records of an earlier incarnation or refutation number than the known record. */
     STALE,
-    /** New members rejected at the limit. */
+    /** New members rejected because the largest number of members is kept already. */
     NO_ROOM,
     /** Pings meant for another mixer at this address. */
     NOT_ME,
-    /** Ping requests rejected at the limit. */
+    /** Ping requests rejected because too many pings on behalf of other mixers are pending. */
     TOO_BUSY
   }
 
@@ -165,7 +165,10 @@
 
   private static final double MAX_SUSPICION_FACTOR = 6;
 
-  /** With this many confirmations by other mixers a suspicion timeout is at its shortest. */
+  /**
+   * The number of other mixers' confirmations of a suspicion from which on the suspicion timeout is
+   * at its shortest.
+   */
   private static final int MAX_CONFIRMATIONS = 2;
 
   private static final double RETRANSMIT_FACTOR = 4;
@@ -174,7 +177,11 @@
   private static final int MAX_INDIRECT_PINGS_PER_PEER = 4;
   private static final double NACK_TIMEOUT_SHARE = 0.8;
 
-  /** Requests the end of the member list: each page begins with the sender's own record. */
+  /**
+   * Value of a {@link MessageBody.MembersRequest} that asks only for the recipient's own record: it
+   * requests the end of the member list, and each page begins with the own record of the mixer that
+   * sends the page.
+   */
   private static final long OWN_RECORD_ONLY = -1;
 
   private final PeerId self;
--- a/peers/src/main/java/gingerring/peers/MessageBody.java
+++ b/peers/src/main/java/gingerring/peers/MessageBody.java
@@ -7,15 +7,22 @@
  * in {@link PeerMessage}.
  */
 public sealed interface MessageBody {
-  /** Checks whether {@code peer} is present; another mixer at the same address does not answer. */
+  /**
+   * Checks whether {@code peer} is present; another mixer at the same address does not answer. The
+   * sender numbers its pings by {@code number}.
+   */
   record Ping(int number, PeerId peer) implements MessageBody {}
 
-  /** Answers a ping. */
+  /**
+   * Answers the ping or the ping request with the same number; a ping request once its target has
+   * answered.
+   */
   record Ack(int number) implements MessageBody {}
 
   /**
-   * Answers a ping request whose target has not answered yet, to show that the helper itself is
-   * present.
+   * Answers the ping request with the same number if its target has not answered yet. The answer
+   * shows that its sender, the peer that was asked to ping the target on another mixer's behalf, is
+   * itself present.
    */
   record Nack(int number) implements MessageBody {}
 
@@ -42,7 +49,7 @@
   /** Carries the sender's load report. */
   record Report(PeerReport report) implements MessageBody {}
 
-  /** Carries only the updates and notices beside it. */
+  /** Has no content: the message carries only membership updates and probe notices. */
   record Empty() implements MessageBody {}
 
   /**
--- a/peers/src/main/java/gingerring/peers/ObservationWindow.java
+++ b/peers/src/main/java/gingerring/peers/ObservationWindow.java
@@ -27,7 +27,7 @@
   private final Map<Long, Ring> rings = new HashMap<>();
   private long dropped;
 
-  /** {@code span}: the length of the window. */
+  /** {@code windowLength}: how far back the window reaches. */
   ObservationWindow(Duration windowLength, int maxBoxes) {
     bucketNanos = Math.max(1, windowLength.toNanos() / BUCKETS);
     this.maxBoxes = maxBoxes;
--- a/peers/src/main/java/gingerring/peers/PeerNode.java
+++ b/peers/src/main/java/gingerring/peers/PeerNode.java
@@ -35,7 +35,7 @@
 public final class PeerNode {
   /** Transport, clock and listener of a node. */
   public interface Host {
-    /** The time since the start of this mixer. */
+    /** Returns the time since the start of this mixer. */
     Duration now();
 
     /** Sends a datagram, which may be lost. */
@@ -128,11 +128,14 @@
     NOTES,
     /** Probe notices rejected. */
     NOTES_DISBELIEVED,
-    /** Notices of boxes that are not on the member list. */
+    /** Probe notices of boxes that are not on the member list. */
     STRANGE_BOX,
-    /** Probes of an ejected box on behalf of all mixers. */
+    /** Probes that this mixer sent to an ejected box on behalf of all mixers. */
     ASKED,
-    /** Probes without an answer after another mixer had announced one. */
+    /**
+     * Probes of this mixer that a box did not answer although another mixer had announced an answer
+     * from the box.
+     */
     MISLED
   }
 
@@ -145,8 +148,8 @@
   private static final double NOTICE_RETRANSMIT_FACTOR = 4;
 
   /**
-   * After one mixer had an answer, the others spread their own probes randomly, one in each step of
-   * this length on average.
+   * After one mixer has had an answer from an ejected box, the other mixers probe the box at random
+   * times, on average one mixer in each step of this length.
    */
   private static final Duration PROBE_SPREAD_STEP = Duration.ofMillis(5);
 
@@ -159,8 +162,9 @@
   private static final Duration REPORT_PROBE_INTERVAL = Duration.ofSeconds(5);
 
   /**
-   * For how long notices of an answer are ignored from a mixer whose last one was wrong. The time
-   * is short at first because an honest mixer may be wrong about a box that is just failing.
+   * For how long this mixer ignores another mixer's notices that a box has answered, after such a
+   * notice proved wrong for the first time; each further wrong notice doubles the time. The time is
+   * short at first because an honest mixer may be wrong about a box that is just failing.
    */
   private static final Duration DISTRUST_TIME = Duration.ofSeconds(10);
 
@@ -169,19 +173,27 @@
   /** The number of failed parts that the ejection of a silent box counts as in a report. */
   private static final double EJECTION_FAILED_PARTS = 3;
 
-  /** Probe state of a box that this mixer probes, or receives notices of. */
+  /**
+   * State of the probes of one ejected box: those that this mixer sends, and those that other
+   * mixers announce by a {@link ProbeNotice}, which says that the author has probed the box on
+   * behalf of all mixers and whether the box answered.
+   */
   private static final class ProbeState {
     final TurnSchedule schedule;
 
     /**
-     * From when on this mixer may probe because another mixer had an answer; null where none had.
+     * From when on this mixer may probe the box because another mixer reported an answer from the
+     * box; null if none did.
      */
     Duration probeAllowedAt;
 
-    /** The round of the pending probe; null while there is none. */
+    /**
+     * The round of {@link #schedule} in which this mixer sent the probe that is pending; null while
+     * no probe is pending.
+     */
     Long pendingRound;
 
-    /** The notice accepted last. */
+    /** The notice of the box that this mixer accepted most recently. */
     ProbeNotice lastNotice;
 
     /**
@@ -190,7 +202,7 @@
      */
     PeerId answerSource;
 
-    /** When reports of others may next lead to a probe. */
+    /** From when on load reports of other mixers may again lead this mixer to probe the box. */
     Duration nextReportProbeAt = Duration.ZERO;
 
     ProbeState(TurnSchedule schedule) {
@@ -518,7 +530,10 @@
     }
   }
 
-  /** Ignores notices of answers from this mixer for a while, twice as long each time. */
+  /**
+   * Ignores the author's notices of answers for a while: {@link #DISTRUST_TIME} at first, twice as
+   * long at each further call up to a limit.
+   */
   private void distrust(PeerId author) {
     Distrust previous = distrusted.remove(author);
     int doublings = previous == null ? 0 : Math.min(previous.doublings + 1, MAX_DISTRUST_DOUBLINGS);
--- a/peers/src/main/java/gingerring/peers/PeerRecord.java
+++ b/peers/src/main/java/gingerring/peers/PeerRecord.java
@@ -26,7 +26,10 @@
     LEFT
   }
 
-  /** Whether this record replaces the one known before. */
+  /**
+   * Returns whether this record replaces {@code before}, the record of the same mixer known until
+   * now.
+   */
   public boolean supersedes(PeerRecord before) {
     if (incarnation != before.incarnation) {
       return incarnation > before.incarnation;
--- a/peers/src/main/java/gingerring/peers/ReplayFilter.java
+++ b/peers/src/main/java/gingerring/peers/ReplayFilter.java
@@ -16,7 +16,7 @@
     long incarnation;
     long highest;
 
-    /** Bit i is set if the number i below the highest was received. */
+    /** Bit i is set if the message with the number {@code highest - i} was received. */
     long receivedBits;
   }
 
--- a/share/src/main/java/gingerring/share/CapacityEstimator.java
+++ b/share/src/main/java/gingerring/share/CapacityEstimator.java
@@ -20,10 +20,13 @@
  * {@code maxStep} times the delay of reports over the interval between updates.
  */
 public final class CapacityEstimator {
-  /** Refused shares below this are noise. */
+  /** Refusals of at most this share of all answered and refused parts count as noise. */
   private static final double MIN_REFUSED_SHARE = 0.01;
 
-  /** The capacity is the limit where at least this share of it is used. */
+  /**
+   * The capacity counts as the limit if the answered parts are at least this share of the estimated
+   * capacity.
+   */
   private static final double BINDING_USAGE = 0.97;
 
   private record Sample(Duration time, double answered) {}
@@ -36,7 +39,10 @@
   private final Duration holdAfterRefusal;
   private final Duration window;
 
-  /** Decreasing from the maximum on: the samples that may yet become the maximum of the window. */
+  /**
+   * The samples that are or may yet become the maximum of the window: in order of time, with the
+   * answered rate decreasing from the maximum on.
+   */
   private final Deque<Sample> samples = new ArrayDeque<>();
 
   private double capacity = Double.POSITIVE_INFINITY;
--- a/share/src/main/java/gingerring/share/TurnSchedule.java
+++ b/share/src/main/java/gingerring/share/TurnSchedule.java
@@ -28,7 +28,10 @@
   private final Duration roundPeriod;
   private final Duration step;
 
-  /** The last round known to be done. */
+  /**
+   * The highest number of a round in which, as far as this mixer knows, a mixer has performed the
+   * task: this mixer itself, or another one whose claim was accepted.
+   */
   private long lastDoneRound = Long.MIN_VALUE;
 
   private long rejectedClaims;
@@ -55,8 +58,8 @@
   }
 
   /**
-   * When this mixer next acts unless another mixer's claim arrives before: {@code now} where its
-   * turn has passed unused.
+   * Returns when this mixer next acts unless another mixer's claim arrives before; {@code now} if
+   * this mixer's turn has passed without any claim.
    */
   public Duration nextTurn(Collection<MixerId> members, Duration now) {
     long round =
--- a/traffic/src/main/java/gingerring/traffic/flow/Flow.java
+++ b/traffic/src/main/java/gingerring/traffic/flow/Flow.java
@@ -41,7 +41,7 @@
   final StreamReassembler[] streams = {new StreamReassembler(), new StreamReassembler()};
   long lastSeenNanos;
 
-  /** Segments received before the start of both streams was certain. */
+  /** Number of segments of this flow received before the start of both its streams was certain. */
   int segmentsBeforeStart;
 
   boolean closed;
--- a/traffic/src/main/java/gingerring/traffic/flow/FlowTable.java
+++ b/traffic/src/main/java/gingerring/traffic/flow/FlowTable.java
@@ -41,7 +41,7 @@
     /** Reports that {@code missingBytes} of the stream were not captured. */
     void onGap(Flow flow, int side, long timestampNanos, long missingBytes);
 
-    /** Reports that this side ended its stream. */
+    /** Reports that the end {@code side} of the flow has ended its stream. */
     void onEndOfStream(Flow flow, int side, long timestampNanos);
 
     void onFlowClosed(Flow flow, Flow.CloseReason reason, long timestampNanos);
--- a/traffic/src/main/java/gingerring/traffic/flow/StreamReassembler.java
+++ b/traffic/src/main/java/gingerring/traffic/flow/StreamReassembler.java
@@ -56,7 +56,7 @@
   private int startSequence;
   long nextOffset;
 
-  /** The highest offset that the peer was seen to acknowledge. */
+  /** The highest offset in this stream, in bytes, that the peer was seen to acknowledge. */
   long acknowledgedOffset;
 
   private long firstAcknowledgedOffset = Long.MAX_VALUE;
