--- a/emulator/src/main/java/gingerring/emulator/experiment/ClientStatistics.java
+++ b/emulator/src/main/java/gingerring/emulator/experiment/ClientStatistics.java
@@ -33,7 +33,7 @@
   public long attempts;
   public long retries;
 
-  /** Attempts that had to wait for a connection. */
+  /** Number of attempts that had to wait until a connection became free. */
   public long waitedForConnection;
 
   void attemptEnded(ClientRequest request, ScanResponse response, Duration duration, Duration now) {
--- a/emulator/src/main/java/gingerring/emulator/harness/DatagramRelay.java
+++ b/emulator/src/main/java/gingerring/emulator/harness/DatagramRelay.java
@@ -49,7 +49,7 @@
     }
   }
 
-  /** Returns the address at which the other mixers reach a mixer. */
+  /** Returns the address of the relay's socket at which the other mixers reach a mixer. */
   InetSocketAddress advertisedAddress(int mixer) {
     return advertisedSockets.get(mixer).address();
   }
--- a/emulator/src/main/java/gingerring/emulator/interleaving/Event.java
+++ b/emulator/src/main/java/gingerring/emulator/interleaving/Event.java
@@ -6,23 +6,28 @@
  * as soon as it has been injected.
  */
 public enum Event {
-  /** The mixer gets SIGTERM; trigger point: its log line that it shuts down. */
+  /** The mixer gets SIGTERM; trigger point: the mixer's log line that it shuts down. */
   SIGTERM,
   /**
    * The configuration names another discovery address, and the mixer gets SIGHUP; trigger point:
-   * the mixer requests a watch there.
+   * the mixer requests a watch at the new address.
    */
   SIGHUP_MOVES,
-  /** All open watches get no further data; new ones are served. */
+  /**
+   * The mixer's open watches of the member list get no further data; watches opened later are
+   * served.
+   */
   WATCH_SILENT,
-  /** All open watches are reset. */
+  /** The connections of all open watches of the member list are reset. */
   WATCH_RESET,
   /**
    * Discovery accepts calls without an answer for 0.4 to 5 s, then answers them and sends the
    * missed changes.
    */
   DISCOVERY_DOWN,
-  /** As DISCOVERY_DOWN, but calls that arrive meanwhile are never answered. */
+  /**
+   * As {@link #DISCOVERY_DOWN}, but calls that arrive while discovery is down are never answered.
+   */
   DISCOVERY_DOWN_FORGETS,
   /**
    * The box that received the first part starts to drain; trigger point: discovery has sent the
@@ -31,29 +36,35 @@
   LIST_DRAINS,
   /** The box that received the first part leaves the member list. */
   LIST_GONE,
-  /** That box's process crashes, and a cold one with the same name starts at another address. */
+  /**
+   * The process of the box that received the first part crashes, and a cold box with the same name
+   * starts at another address.
+   */
   LIST_BACK_COLD,
   /**
-   * That box keeps its name and start time but listens at another address; the old connections are
-   * closed.
+   * The box that received the first part keeps its name and start time but listens at another
+   * address; the old connections are closed.
    */
   LIST_MOVED,
   /** The boxes close all connections without outstanding parts. */
   BOXES_CLOSE_IDLE,
-  /** The box resets its connections that have outstanding parts. */
+  /** The box that received the first part resets its connections that have outstanding parts. */
   BOX_RESETS,
-  /** The box closes its connections that have outstanding parts, without a reset. */
+  /**
+   * The box that received the first part closes its connections that have outstanding parts,
+   * without a reset.
+   */
   BOX_ENDS,
-  /** The box sends no further answers. */
+  /** The box that received the first part sends no further answers. */
   BOX_HANGS,
   /**
-   * The box starts an answer that arrives byte by byte and never completes; trigger point: its
-   * first bytes have been sent.
+   * The box that received the first part starts an answer that arrives byte by byte and never
+   * completes; trigger point: the first bytes of the answer have been sent.
    */
   BOX_TRICKLES,
   /**
-   * The box resets its connections and accepts new ones late; trigger point: a connection is being
-   * established, or 300 ms have passed.
+   * The box that received the first part resets its connections and accepts new ones late; trigger
+   * point: a connection is being established, or 300 ms have passed.
    */
   BOX_LATE,
   /** As BOX_LATE for all boxes, so that a request has to wait for its first attempt. */
@@ -76,12 +87,12 @@
   CLIENT_NEXT,
   /**
    * An idle client sends a request and closes or resets its connection within 60 ms; trigger point:
-   * it has done so.
+   * the client has closed or reset the connection.
    */
   CLIENT_ASKS_GOES,
   /**
    * A client connects and stays idle; when the mixer closes the connection, the client still sends
-   * a request. Trigger point: it has connected.
+   * a request. Trigger point: the client has connected.
    */
   CLIENT_RESTS,
   /**
--- a/emulator/src/main/java/gingerring/emulator/interleaving/InterleavingChecker.java
+++ b/emulator/src/main/java/gingerring/emulator/interleaving/InterleavingChecker.java
@@ -108,7 +108,10 @@
     return total;
   }
 
-  /** A client has written a whole request to a connection that it considers open. */
+  /**
+   * Records that a client has written a whole request to a connection that the client considers
+   * open.
+   */
   void requestSent(
       String requestId,
       String serviceClass,
@@ -135,7 +138,10 @@
     requests.get(requestId).notAccepted = true;
   }
 
-  /** The client closed or reset its connection while it waited for the answer. */
+  /**
+   * Records that the client of a request closed or reset its connection while it waited for the
+   * answer.
+   */
   void clientLeft(String requestId, Duration time) {
     Request request = requests.get(requestId);
     if (request != null && request.answeredAt == null) {
@@ -156,12 +162,15 @@
     ruleChecker.requestAnswered(requestId, time, rejected, whole, values);
   }
 
-  /** The connection was never established, so the mixer did not accept the request. */
+  /**
+   * Records that the connection for a request was never established, so the mixer did not accept
+   * the request.
+   */
   void connectionRefused(String requestId) {
     requests.get(requestId).notAccepted = true;
   }
 
-  /** The mixer closed the connection while a request on it had no answer. */
+  /** Records that the mixer closed a connection while a request on the connection had no answer. */
   void connectionEnded(String requestId, Duration time) {
     Request request = requests.get(requestId);
     if (request.notAccepted || request.clientLeftAt != null || request.answeredAt != null) {
@@ -189,7 +198,7 @@
     }
   }
 
-  /** A box has received a whole part. */
+  /** Records that a box has received a whole part of a request. */
   void partReceived(String requestId, int partition, String key, int box, Duration time) {
     if (lastHeartbeat != null) {
       heartbeat(time);
@@ -324,7 +333,7 @@
     return violations;
   }
 
-  /** Returns the longest stall of the harness. */
+  /** Returns the longest period in which the test harness itself made no progress. */
   Duration longestStall() {
     return ruleChecker.longestStall();
   }
--- a/layout/src/main/java/gingerring/layout/RetryGuard.java
+++ b/layout/src/main/java/gingerring/layout/RetryGuard.java
@@ -49,7 +49,10 @@
     this.idempotencyWindow = idempotencyWindow;
   }
 
-  /** Returns whether a trip for all of these keys is allowed now. */
+  /**
+   * Returns whether a trip for all keys from {@code from} up to but not including {@code to} is
+   * allowed now.
+   */
   public boolean maySend(long from, long to, Duration now) {
     for (TripHistory history :
         historyByRange.subRangeMap(Range.closedOpen(from, to)).asMapOfRanges().values()) {
@@ -67,7 +70,9 @@
     return true;
   }
 
-  /** Records that a trip for these keys is sent. */
+  /**
+   * Records that a trip for the keys from {@code from} up to but not including {@code to} is sent.
+   */
   public void recordSent(long from, long to, Duration now) {
     Range<Long> keys = Range.closedOpen(from, to);
     List<Map.Entry<Range<Long>, TripHistory>> previousEntries =
@@ -103,7 +108,10 @@
     }
   }
 
-  /** Returns whether a trip for any of these keys may have been executed. */
+  /**
+   * Returns whether a trip for any key from {@code from} up to but not including {@code to} may
+   * have been executed.
+   */
   public boolean mayHaveExecuted(long from, long to) {
     return historyByRange.subRangeMap(Range.closedOpen(from, to)).asMapOfRanges().values().stream()
         .anyMatch(history -> history.possibleExecutions > 0);
--- a/mixer/src/main/java/gingerring/backend/Backend.java
+++ b/mixer/src/main/java/gingerring/backend/Backend.java
@@ -225,7 +225,10 @@
     return counts;
   }
 
-  /** Returns the time since the start, read now rather than at the start of the turn. */
+  /**
+   * Returns the current time since the event loop was created; {@link #now} returns the start of
+   * the loop's turn instead.
+   */
   Duration currentTime() {
     return network.currentTime();
   }
--- a/mixer/src/main/java/gingerring/net/Network.java
+++ b/mixer/src/main/java/gingerring/net/Network.java
@@ -47,7 +47,10 @@
   private static final int BACKLOG = 512;
   private static final int THREAD_STACK_BYTES = 1 << 18;
 
-  /** How long input of a half-closed connection is read before the connection is closed. */
+  /**
+   * How long at most the input of a connection whose output has been shut down is read before the
+   * connection is closed.
+   */
   private static final Duration LINGER_TIMEOUT = Duration.ofMillis(300);
 
   /** How often the deadlines of closing connections are checked. */
@@ -109,16 +112,16 @@
    */
   final Object acceptLock = new Object();
 
-  /** Inbound connections whose descriptor is not free yet. */
+  /** Number of inbound connections whose file descriptor is not free yet. */
   private final AtomicInteger inboundCount = new AtomicInteger();
 
-  /** Limit of inbound and dialled connections together. */
+  /** Limit on the number of inbound and dialled connections together. */
   private volatile int maxConnections = Integer.MAX_VALUE;
 
-  /** Dialled connections that have not ended. */
+  /** Number of dialled connections that have not ended. */
   private volatile int dialledCount;
 
-  /** Dials that wait for a free descriptor, in order. */
+  /** Dials that wait for a free file descriptor, in the order in which they were requested. */
   private final Map<Connection, Runnable> waitingDials = new LinkedHashMap<>();
 
   private Runnable shortageHandler = () -> {};
--- a/traffic/src/main/java/gingerring/traffic/replay/ReplayPlan.java
+++ b/traffic/src/main/java/gingerring/traffic/replay/ReplayPlan.java
@@ -19,7 +19,10 @@
 public final class ReplayPlan {
   public static final int MAX_SCANS = 1_000_000;
 
-  /** How long after the end of an attempt a scan still counts as its retry. */
+  /**
+   * How long after the end of an attempt another recorded scan may still count as a retry of that
+   * attempt.
+   */
   public static final Duration RETRY_WINDOW = Duration.ofSeconds(60);
 
   /** A speed that ignores the recorded times. */
