--- a/bench/src/main/java/gingerring/bench/LayoutBench.java
+++ b/bench/src/main/java/gingerring/bench/LayoutBench.java
@@ -36,6 +36,7 @@
 public class LayoutBench {
   private static final long KEYS_PER_PARTITION = 1000;
 
+  /** Number of partitions. */
   @Param({"100", "10000", "1000000"})
   private int folios;
 
--- a/bench/src/main/java/gingerring/bench/ReadingBench.java
+++ b/bench/src/main/java/gingerring/bench/ReadingBench.java
@@ -93,6 +93,7 @@
     return bytes;
   }
 
+  /** Parses exchanges up to the outcome of each scan. */
   @Benchmark
   @OperationsPerInvocation(PACKET_COUNT)
   public long fates() throws IOException {
