--- a/bench/src/main/java/gingerring/bench/ReadingBench.java
+++ b/bench/src/main/java/gingerring/bench/ReadingBench.java
@@ -24,7 +24,10 @@
 import org.openjdk.jmh.annotations.State;
 import org.openjdk.jmh.annotations.Warmup;
 
-/** Packets a second of each stage over the same capture in memory, so that their ratios show what costs. */
+/**
+ * Packets a second of each stage over the same capture in memory, so that their ratios show what
+ * costs.
+ */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.Throughput)
 @OutputTimeUnit(TimeUnit.SECONDS)
@@ -36,22 +39,27 @@
 
   private byte[] file;
 
-  @Setup public void make() throws IOException {
+  @Setup
+  public void make() throws IOException {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     DataOutputStream out = new DataOutputStream(bytes);
     for (int value : new int[] {0xa1b23c4d, 2 << 16 | 4, 0, 0, 1 << 18, 101}) {
       out.writeInt(value);
     }
     int[] packets = {0};
-    new Traffic().write(500, 64L << 20, (nanos, packet, length) -> {
-      if (packets[0]++ < PACKETS) {
-        out.writeInt((int) (nanos / 1_000_000_000));
-        out.writeInt((int) (nanos % 1_000_000_000));
-        out.writeInt(length);
-        out.writeInt(length);
-        out.write(packet, 0, length);
-      }
-    });
+    new Traffic()
+        .write(
+            500,
+            64L << 20,
+            (nanos, packet, length) -> {
+              if (packets[0]++ < PACKETS) {
+                out.writeInt((int) (nanos / 1_000_000_000));
+                out.writeInt((int) (nanos % 1_000_000_000));
+                out.writeInt(length);
+                out.writeInt(length);
+                out.write(packet, 0, length);
+              }
+            });
     file = bytes.toByteArray();
   }
 
@@ -59,7 +67,9 @@
     return CaptureReader.of("it", new ByteArrayInputStream(file));
   }
 
-  @Benchmark @OperationsPerInvocation(PACKETS) public long packets() throws IOException {
+  @Benchmark
+  @OperationsPerInvocation(PACKETS)
+  public long packets() throws IOException {
     CaptureReader reader = reader();
     Packet packet = new Packet();
     long bytes = 0;
@@ -69,7 +79,9 @@
     return bytes;
   }
 
-  @Benchmark @OperationsPerInvocation(PACKETS) public long segments() throws IOException {
+  @Benchmark
+  @OperationsPerInvocation(PACKETS)
+  public long segments() throws IOException {
     CaptureReader reader = reader();
     Packet packet = new Packet();
     Segment segment = new Segment();
@@ -81,14 +93,21 @@
     return bytes;
   }
 
-  @Benchmark @OperationsPerInvocation(PACKETS) public long fates() throws IOException {
+  @Benchmark
+  @OperationsPerInvocation(PACKETS)
+  public long fates() throws IOException {
     long[] whole = {0};
-    Recording.skim(reader(), Bounds.USUAL, segment -> true,
+    Recording.skim(
+        reader(),
+        Bounds.USUAL,
+        segment -> true,
         exchange -> whole[0] += exchange.fate() == Seen.Fate.WHOLE ? 1 : 0);
     return whole[0];
   }
 
-  @Benchmark @OperationsPerInvocation(PACKETS) public long scans() throws IOException {
+  @Benchmark
+  @OperationsPerInvocation(PACKETS)
+  public long scans() throws IOException {
     return Recording.read(reader(), Bounds.USUAL, segment -> true, seen -> {}).scans();
   }
 }
--- a/cli/src/main/java/gingerring/cli/DemoCommand.java
+++ b/cli/src/main/java/gingerring/cli/DemoCommand.java
@@ -10,20 +10,29 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Spec;
 
-@Command(name = "demo", mixinStandardHelpOptions = true,
-    description = "Shows a mixer at work before an emulated store under load and trouble; half a minute.")
+@Command(
+    name = "demo",
+    mixinStandardHelpOptions = true,
+    description =
+        "Shows a mixer at work before an emulated store under load and trouble; half a minute.")
 final class DemoCommand implements Callable<Integer> {
   @Spec private CommandSpec spec;
 
-  @Override public Integer call() throws Exception {
+  @Override
+  public Integer call() throws Exception {
     World world;
     try (InputStream in = DemoCommand.class.getResourceAsStream("demo.json")) {
       world = World.read(in.readAllBytes());
     }
     PrintWriter print = spec.commandLine().getOut();
-    print.println("a mixer before " + world.boxes() + " emulated boxes, " + (int) world.rate()
-        + " scans a second for " + world.length().toSeconds()
-        + " s, while one box fails fast, one vanishes and one is replaced ...");
+    print.println(
+        "a mixer before "
+            + world.boxes()
+            + " emulated boxes, "
+            + (int) world.rate()
+            + " scans a second for "
+            + world.length().toSeconds()
+            + " s, while one box fails fast, one vanishes and one is replaced ...");
     print.flush();
     Run.Result mixer = Run.of(world, Run.Router.MIXER, 1, null);
     print.print(Tables.text(mixer));
--- a/cli/src/main/java/gingerring/cli/EmulateCommand.java
+++ b/cli/src/main/java/gingerring/cli/EmulateCommand.java
@@ -16,38 +16,50 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-@Command(name = "emulate", mixinStandardHelpOptions = true,
-    description = {"Runs a described store (boxes and discovery) on 127.0.0.1 until standard input ends.",
-        "Its troubles come at their times, counted from the first part that is sent to it."})
+@Command(
+    name = "emulate",
+    mixinStandardHelpOptions = true,
+    description = {
+      "Runs a described store (boxes and discovery) on 127.0.0.1 until standard input ends.",
+      "Its troubles come at their times, counted from the first part that is sent to it."
+    })
 final class EmulateCommand implements Callable<Integer> {
   @Parameters(index = "0", paramLabel = "FILE", description = "the description, in JSON")
   private Path file;
 
-  @Option(names = "--pace", defaultValue = "1",
+  @Option(
+      names = "--pace",
+      defaultValue = "1",
       description = "how much faster troubles and warm-ups run (${DEFAULT-VALUE})")
   private double pace;
 
   @Option(names = "--with-mixer", description = "run a mixer before it too")
   private boolean mixer;
 
-  @Option(names = "--record", paramLabel = "FILE", description = "with --with-mixer: what it records to")
+  @Option(
+      names = "--record",
+      paramLabel = "FILE",
+      description = "with --with-mixer: what it records to")
   private Path record;
 
   @Spec private CommandSpec spec;
 
-  @Override public Integer call() throws Exception {
+  @Override
+  public Integer call() throws Exception {
     World world = Worlds.read(file);
     Reactor reactor = new Reactor();
     Referee referee = new Referee(world);
     Store store = new Store(world, reactor, referee, Worlds.pace(pace));
     // a replay of a run's recording meets each trouble when the run did
-    store.beginWithFirstPart(Script.of(world).stream().findFirst().map(Script.Wish::at).orElse(Duration.ZERO));
+    store.beginWithFirstPart(
+        Script.of(world).stream().findFirst().map(Script.Wish::at).orElse(Duration.ZERO));
     Thread thread = new Thread(reactor::run, "emulator");
     thread.setDaemon(true);
     thread.start();
     spec.commandLine().getOut().println("discovery at 127.0.0.1:" + store.discovery().getPort());
     if (mixer) {
-      try (MixerProcess process = MixerProcess.start(world, store.discovery(), store.list(), record)) {
+      try (MixerProcess process =
+          MixerProcess.start(world, store.discovery(), store.list(), record)) {
         spec.commandLine().getOut().println("mixer at 127.0.0.1:" + process.address().getPort());
         awaitEnd();
         process.end();
--- a/cli/src/main/java/gingerring/cli/ExperimentCommand.java
+++ b/cli/src/main/java/gingerring/cli/ExperimentCommand.java
@@ -15,8 +15,11 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-@Command(name = "experiment", mixinStandardHelpOptions = true,
-    description = "Plays a described run with a mixer, and with plain random choice beside it; tables and a chart.")
+@Command(
+    name = "experiment",
+    mixinStandardHelpOptions = true,
+    description =
+        "Plays a described run with a mixer, and with plain random choice beside it; tables and a chart.")
 final class ExperimentCommand implements Callable<Integer> {
   @Parameters(index = "0", paramLabel = "FILE", description = "the description, in JSON")
   private Path file;
@@ -24,7 +27,10 @@
   @Option(names = "--out", paramLabel = "FOLDER", description = "where CSV files and the chart go")
   private Path out;
 
-  @Option(names = "--pace", defaultValue = "1", description = "how much faster it is played (${DEFAULT-VALUE})")
+  @Option(
+      names = "--pace",
+      defaultValue = "1",
+      description = "how much faster it is played (${DEFAULT-VALUE})")
   private double pace;
 
   @Option(names = "--no-baseline", description = "without plain random choice")
@@ -35,7 +41,8 @@
 
   @Spec private CommandSpec spec;
 
-  @Override public Integer call() throws Exception {
+  @Override
+  public Integer call() throws Exception {
     World world = Worlds.read(file);
     String name = file.getFileName().toString().replaceAll("\\.json$", "");
     PrintWriter print = spec.commandLine().getOut();
--- a/cli/src/main/java/gingerring/cli/Gingerring.java
+++ b/cli/src/main/java/gingerring/cli/Gingerring.java
@@ -13,17 +13,34 @@
 import picocli.CommandLine.Spec;
 
 /**
- * The command line for operators. {@code serve} and {@code drill} alone go straight to the mixer's own start.
+ * The command line for operators. {@code serve} and {@code drill} alone go straight to the mixer's
+ * own start.
  */
-@Command(name = "gingerring", mixinStandardHelpOptions = true, version = "gingerring 0.2.0-SNAPSHOT",
+@Command(
+    name = "gingerring",
+    mixinStandardHelpOptions = true,
+    version = "gingerring 0.2.0-SNAPSHOT",
     description = "A query router in front of a sharded, replicated store.",
-    subcommands = {ServeCommand.class, DemoCommand.class, ExperimentCommand.class, EmulateCommand.class,
-        PcapCommand.class, ReplayCommand.class, LayoutCommand.class, FleetCommand.class, PeersCommand.class,
-        AutoComplete.GenerateCompletion.class,
-        CommandLine.HelpCommand.class},
+    subcommands = {
+      ServeCommand.class,
+      DemoCommand.class,
+      ExperimentCommand.class,
+      EmulateCommand.class,
+      PcapCommand.class,
+      ReplayCommand.class,
+      LayoutCommand.class,
+      FleetCommand.class,
+      PeersCommand.class,
+      AutoComplete.GenerateCompletion.class,
+      CommandLine.HelpCommand.class
+    },
     exitCodeListHeading = "%nExit codes:%n",
-    exitCodeList = {"0:done", "1:it could not be done: a file, an address, a run that failed",
-        "2:the arguments cannot be used", "3:done, and the verdict is no: a rule broken, a run not valid"})
+    exitCodeList = {
+      "0:done",
+      "1:it could not be done: a file, an address, a run that failed",
+      "2:the arguments cannot be used",
+      "3:done, and the verdict is no: a rule broken, a run not valid"
+    })
 public final class Gingerring implements Runnable {
   /** Done, with a verdict of no. */
   static final int VERDICT = 3;
@@ -43,25 +60,32 @@
 
   /** Runs a command and returns its exit code. */
   static int run(PrintWriter out, PrintWriter err, String... args) {
-    return new CommandLine(new Gingerring()).setOut(out).setErr(err)
+    return new CommandLine(new Gingerring())
+        .setOut(out)
+        .setErr(err)
         .setCaseInsensitiveEnumValuesAllowed(true)
-        .setExecutionExceptionHandler((e, command, parsed) -> {
-          // one plain line; what is wrong with a file or an address names itself
-          if (e instanceof IOException || e instanceof IllegalArgumentException) {
-            err.println(command.getCommandSpec().qualifiedName() + ": " + plain(e));
-            return e instanceof IllegalArgumentException ? 2 : 1;
-          }
-          throw e;
-        }).execute(args);
+        .setExecutionExceptionHandler(
+            (e, command, parsed) -> {
+              // one plain line; what is wrong with a file or an address names itself
+              if (e instanceof IOException || e instanceof IllegalArgumentException) {
+                err.println(command.getCommandSpec().qualifiedName() + ": " + plain(e));
+                return e instanceof IllegalArgumentException ? 2 : 1;
+              }
+              throw e;
+            })
+        .execute(args);
   }
 
   private static String plain(Exception e) {
-    return e instanceof NoSuchFileException ? e.getMessage() + ": no such file"
-        : e instanceof AccessDeniedException ? e.getMessage() + ": may not be opened"
-        : String.valueOf(e.getMessage());
+    return e instanceof NoSuchFileException
+        ? e.getMessage() + ": no such file"
+        : e instanceof AccessDeniedException
+            ? e.getMessage() + ": may not be opened"
+            : String.valueOf(e.getMessage());
   }
 
-  @Override public void run() {
+  @Override
+  public void run() {
     throw new ParameterException(spec.commandLine(), "a command is needed");
   }
 }
--- a/cli/src/main/java/gingerring/cli/LayoutCommand.java
+++ b/cli/src/main/java/gingerring/cli/LayoutCommand.java
@@ -23,13 +23,17 @@
 import picocli.CommandLine.Spec;
 
 /** Layouts of folios in files. */
-@Command(name = "layout", mixinStandardHelpOptions = true,
+@Command(
+    name = "layout",
+    mixinStandardHelpOptions = true,
     description = "Shows, checks and compares layouts of folios, and plans the steps between two.")
 final class LayoutCommand implements Runnable {
   @Spec private CommandSpec spec;
 
-  @Override public void run() {
-    throw new ParameterException(spec.commandLine(), "a command is needed: show, check, diff, plan");
+  @Override
+  public void run() {
+    throw new ParameterException(
+        spec.commandLine(), "a command is needed: show, check, diff, plan");
   }
 
   private PrintWriter out() {
@@ -43,35 +47,70 @@
   }
 
   private static String text(Folio folio) {
-    return folio.id() + " holds " + folio.slices() + " at " + folio.holders()
+    return folio.id()
+        + " holds "
+        + folio.slices()
+        + " at "
+        + folio.holders()
         + (folio.moving() ? ", moving from " + folio.source() + " to " + folio.successor() : "")
         + String.format(Locale.ROOT, ", weight %.4g", folio.weight());
   }
 
-  @Command(name = "show", mixinStandardHelpOptions = true, description = "Each folio, and what each box holds.")
+  @Command(
+      name = "show",
+      mixinStandardHelpOptions = true,
+      description = "Each folio, and what each box holds.")
   int show(@Parameters(paramLabel = "FILE") Path file) throws IOException {
     Layout layout = LayoutFile.read(file);
-    out().println("version " + layout.version() + ", " + layout.keys() + " keys, " + layout.size() + " folios");
+    out()
+        .println(
+            "version "
+                + layout.version()
+                + ", "
+                + layout.keys()
+                + " keys, "
+                + layout.size()
+                + " folios");
     sorted(layout).forEach(folio -> out().println("  " + text(folio)));
     for (BoxId box : layout.boxes().stream().sorted().toList()) {
-      List<Folio> held = sorted(layout).stream().filter(folio -> folio.holders().contains(box)).toList();
-      out().printf(Locale.ROOT, "  box %s: %d folios, weight %.4g%n", box, held.size(),
-          held.stream().mapToDouble(Folio::weight).sum());
+      List<Folio> held =
+          sorted(layout).stream().filter(folio -> folio.holders().contains(box)).toList();
+      out()
+          .printf(
+              Locale.ROOT,
+              "  box %s: %d folios, weight %.4g%n",
+              box,
+              held.size(),
+              held.stream().mapToDouble(Folio::weight).sum());
     }
     return 0;
   }
 
-  @Command(name = "check", mixinStandardHelpOptions = true, description = "Whether every key has one owner.")
+  @Command(
+      name = "check",
+      mixinStandardHelpOptions = true,
+      description = "Whether every key has one owner.")
   int check(@Parameters(paramLabel = "FILE") Path file) throws IOException {
     Layout layout = LayoutFile.read(file);
-    out().println(file + ": version " + layout.version() + ", " + layout.size() + " folios: every key has one owner");
+    out()
+        .println(
+            file
+                + ": version "
+                + layout.version()
+                + ", "
+                + layout.size()
+                + " folios: every key has one owner");
     return 0;
   }
 
-  @Command(name = "diff", mixinStandardHelpOptions = true,
+  @Command(
+      name = "diff",
+      mixinStandardHelpOptions = true,
       description = "Folios that differ; exit code 3 where any does.")
-  int diff(@Parameters(index = "0", paramLabel = "FROM") Path from,
-      @Parameters(index = "1", paramLabel = "TO") Path to) throws IOException {
+  int diff(
+      @Parameters(index = "0", paramLabel = "FROM") Path from,
+      @Parameters(index = "1", paramLabel = "TO") Path to)
+      throws IOException {
     Layout one = LayoutFile.read(from);
     Layout other = LayoutFile.read(to);
     int differ = 0;
@@ -93,12 +132,20 @@
     return differ == 0 ? 0 : Gingerring.VERDICT;
   }
 
-  @Command(name = "plan", mixinStandardHelpOptions = true,
+  @Command(
+      name = "plan",
+      mixinStandardHelpOptions = true,
       description = "The steps from one layout to another; exit code 3 where there are none.")
-  int plan(@Parameters(index = "0", paramLabel = "FROM") Path from,
+  int plan(
+      @Parameters(index = "0", paramLabel = "FROM") Path from,
       @Parameters(index = "1", paramLabel = "TO") Path to,
-      @Option(names = "--at-once", defaultValue = "1", paramLabel = "N",
-          description = "moves that copy to one box at a time (${DEFAULT-VALUE})") int atOnce) throws IOException {
+      @Option(
+              names = "--at-once",
+              defaultValue = "1",
+              paramLabel = "N",
+              description = "moves that copy to one box at a time (${DEFAULT-VALUE})")
+          int atOnce)
+      throws IOException {
     Layout one = LayoutFile.read(from);
     Layout other = LayoutFile.read(to);
     try {
@@ -113,14 +160,26 @@
   }
 
   private static String text(Step step) {
-    String what = step instanceof Step.Split split ? "split " + split.from() + " into "
-        + split.into().stream().map(folio -> folio.id() + " " + folio.slices()).collect(Collectors.joining(", "))
-        : step instanceof Step.Merge merge ? "merge " + merge.from() + " into " + merge.into() + " at "
-        + merge.holders()
-        : step instanceof Step.MoveBegins begins ? "begin to move " + begins.folio() + " from " + begins.source()
-        + " to " + begins.successor()
-        : step instanceof Step.MoveEnds ends ? "end the move of " + ends.folio()
-        : "give up the move of " + ((Step.MoveFails) step).folio();
+    String what =
+        step instanceof Step.Split split
+            ? "split "
+                + split.from()
+                + " into "
+                + split.into().stream()
+                    .map(folio -> folio.id() + " " + folio.slices())
+                    .collect(Collectors.joining(", "))
+            : step instanceof Step.Merge merge
+                ? "merge " + merge.from() + " into " + merge.into() + " at " + merge.holders()
+                : step instanceof Step.MoveBegins begins
+                    ? "begin to move "
+                        + begins.folio()
+                        + " from "
+                        + begins.source()
+                        + " to "
+                        + begins.successor()
+                    : step instanceof Step.MoveEnds ends
+                        ? "end the move of " + ends.folio()
+                        : "give up the move of " + ((Step.MoveFails) step).folio();
     return step.version() + ": " + what;
   }
 }
--- a/cli/src/main/java/gingerring/cli/LayoutFile.java
+++ b/cli/src/main/java/gingerring/cli/LayoutFile.java
@@ -16,8 +16,9 @@
 import java.util.Map;
 
 /**
- * Layouts in files, as JSON: {@code version}, {@code keys}, and {@code folios} with {@code id}, {@code slices} (first
- * key, the key after the last, weight), {@code holders}, and while it moves {@code source} and {@code successor}.
+ * Layouts in files, as JSON: {@code version}, {@code keys}, and {@code folios} with {@code id},
+ * {@code slices} (first key, the key after the last, weight), {@code holders}, and while it moves
+ * {@code source} and {@code successor}.
  */
 final class LayoutFile {
   private LayoutFile() {}
@@ -42,10 +43,15 @@
   private static Folio folio(Map<String, Object> from) throws Json.Malformed {
     List<Slice> slices = new ArrayList<>();
     for (Object each : Fields.list(from, "slices")) {
-      if (!(each instanceof List<?> slice) || slice.size() != 3 || !(slice.get(0) instanceof Double low)
-          || !(slice.get(1) instanceof Double high) || !(slice.get(2) instanceof Double weight)
-          || low != Math.rint(low) || high != Math.rint(high)) {
-        throw new Json.Malformed("a slice is its first key, the key after its last, and its weight");
+      if (!(each instanceof List<?> slice)
+          || slice.size() != 3
+          || !(slice.get(0) instanceof Double low)
+          || !(slice.get(1) instanceof Double high)
+          || !(slice.get(2) instanceof Double weight)
+          || low != Math.rint(low)
+          || high != Math.rint(high)) {
+        throw new Json.Malformed(
+            "a slice is its first key, the key after its last, and its weight");
       }
       slices.add(new Slice(low.longValue(), high.longValue(), weight));
     }
@@ -56,7 +62,11 @@
       }
       holders.add(new BoxId(name));
     }
-    return new Folio(new FolioId((int) Fields.whole(from, "id")), slices, holders, box(from, "source"),
+    return new Folio(
+        new FolioId((int) Fields.whole(from, "id")),
+        slices,
+        holders,
+        box(from, "source"),
         box(from, "successor"));
   }
 
--- a/cli/src/main/java/gingerring/cli/PcapCommand.java
+++ b/cli/src/main/java/gingerring/cli/PcapCommand.java
@@ -28,22 +28,31 @@
 import picocli.CommandLine.Spec;
 
 /** Capture files: what is in them, and new ones made from them. */
-@Command(name = "pcap", mixinStandardHelpOptions = true,
+@Command(
+    name = "pcap",
+    mixinStandardHelpOptions = true,
     description = "Reads, cuts, merges and anonymises capture files (pcap, pcapng; .gz, .zst).")
 final class PcapCommand implements Runnable {
   @Spec private CommandSpec spec;
 
-  @Override public void run() {
-    throw new ParameterException(spec.commandLine(), "a command is needed: info, scans, cut, merge, anonymise");
+  @Override
+  public void run() {
+    throw new ParameterException(
+        spec.commandLine(), "a command is needed: info, scans, cut, merge, anonymise");
   }
 
   /** Which packets are looked at. */
   static final class Wanted {
-    @Option(names = "--net", paramLabel = "NETWORK",
+    @Option(
+        names = "--net",
+        paramLabel = "NETWORK",
         description = "only connections with an end in it, such as 10.0.0.0/8; may be repeated")
     private List<String> networks = new ArrayList<>();
 
-    @Option(names = "--port", paramLabel = "N", description = "only connections with this port; may be repeated")
+    @Option(
+        names = "--port",
+        paramLabel = "N",
+        description = "only connections with this port; may be repeated")
     private List<Integer> ports = new ArrayList<>();
 
     Nets nets() {
@@ -64,25 +73,48 @@
     return spec.commandLine().getOut();
   }
 
-  @Command(name = "info", mixinStandardHelpOptions = true, description = "What is in a file, and what could not be read.")
+  @Command(
+      name = "info",
+      mixinStandardHelpOptions = true,
+      description = "What is in a file, and what could not be read.")
   int info(@Parameters(paramLabel = "FILE") Path file, @Mixin Wanted wanted) throws IOException {
     Map<Seen.Fate, Long> fates = new EnumMap<>(Seen.Fate.class);
     Recording.Summary it;
     try (CaptureReader capture = CaptureReader.open(file)) {
-      it = Recording.skim(capture, Bounds.USUAL, wanted.nets(),
-          exchange -> fates.merge(exchange.fate(), 1L, Long::sum));
+      it =
+          Recording.skim(
+              capture,
+              Bounds.USUAL,
+              wanted.nets(),
+              exchange -> fates.merge(exchange.fate(), 1L, Long::sum));
     }
     PrintWriter out = out();
     double seconds = (it.lastNanos() - it.firstNanos()) / 1e9;
-    out.printf(Locale.ROOT, "%s: %d packets, %d bytes, %.3f s from %s%n", file, it.packets(), it.bytes(),
-        seconds, it.packets() == 0 ? "nowhen" : Instant.ofEpochSecond(0, it.firstNanos()));
-    out.printf("%d TCP segments in %d connections; %d scans %s%n", it.segments(), it.flows(), it.scans(), fates);
+    out.printf(
+        Locale.ROOT,
+        "%s: %d packets, %d bytes, %.3f s from %s%n",
+        file,
+        it.packets(),
+        it.bytes(),
+        seconds,
+        it.packets() == 0 ? "nowhen" : Instant.ofEpochSecond(0, it.firstNanos()));
+    out.printf(
+        "%d TCP segments in %d connections; %d scans %s%n",
+        it.segments(), it.flows(), it.scans(), fates);
     it.read().forEach((what, many) -> out.println("  " + many + ' ' + what));
     Trips trips = it.trips();
     if (trips.parts > 0) {
-      out.printf(Locale.ROOT, "%d parts in %d calls to %d searchers; returned %s, %.2f ms each; %d recalled, "
-          + "%d probes, %d unanswered%n", trips.parts, trips.calls, trips.bySearcher.size(), trips.ends,
-          trips.returned == 0 ? 0 : trips.waited / 1e6 / trips.returned, trips.recalls, trips.probes,
+      out.printf(
+          Locale.ROOT,
+          "%d parts in %d calls to %d searchers; returned %s, %.2f ms each; %d recalled, "
+              + "%d probes, %d unanswered%n",
+          trips.parts,
+          trips.calls,
+          trips.bySearcher.size(),
+          trips.ends,
+          trips.returned == 0 ? 0 : trips.waited / 1e6 / trips.returned,
+          trips.recalls,
+          trips.probes,
           trips.unanswered);
     }
     if (!it.notRead().isEmpty() || it.drops() > 0) {
@@ -96,17 +128,41 @@
     return verdict(it);
   }
 
-  @Command(name = "scans", mixinStandardHelpOptions = true, description = "Each scan of a file, as CSV.")
+  @Command(
+      name = "scans",
+      mixinStandardHelpOptions = true,
+      description = "Each scan of a file, as CSV.")
   int scans(@Parameters(paramLabel = "FILE") Path file, @Mixin Wanted wanted) throws IOException {
     PrintWriter out = out();
-    out.println("number,connection,client,asked_at,mark,grade,remaining_ms,resent,parts,fate,status,weight,took_ms,"
-        + "missing");
-    Recording.Summary it = Recording.read(file, Bounds.USUAL, wanted.nets(), seen -> out.printf(Locale.ROOT,
-        "%d,%d,%s,%s,%s,%s,%d,%s,%d,%s,%d,%.4f,%s,%s%n", seen.number(), seen.connection(), seen.client(),
-        Instant.ofEpochSecond(0, seen.askedAt()), quoted(seen.mark()), quoted(seen.grade()), seen.remainingMs(),
-        seen.resent(), seen.targets().size(), seen.fate(), seen.status(), seen.weight(),
-        seen.answeredAt() == 0 ? "" : String.format(Locale.ROOT, "%.3f",
-            (seen.answeredAt() - seen.wholeAt()) / 1e6), quoted(seen.missing())));
+    out.println(
+        "number,connection,client,asked_at,mark,grade,remaining_ms,resent,parts,fate,status,weight,took_ms,"
+            + "missing");
+    Recording.Summary it =
+        Recording.read(
+            file,
+            Bounds.USUAL,
+            wanted.nets(),
+            seen ->
+                out.printf(
+                    Locale.ROOT,
+                    "%d,%d,%s,%s,%s,%s,%d,%s,%d,%s,%d,%.4f,%s,%s%n",
+                    seen.number(),
+                    seen.connection(),
+                    seen.client(),
+                    Instant.ofEpochSecond(0, seen.askedAt()),
+                    quoted(seen.mark()),
+                    quoted(seen.grade()),
+                    seen.remainingMs(),
+                    seen.resent(),
+                    seen.targets().size(),
+                    seen.fate(),
+                    seen.status(),
+                    seen.weight(),
+                    seen.answeredAt() == 0
+                        ? ""
+                        : String.format(
+                            Locale.ROOT, "%.3f", (seen.answeredAt() - seen.wholeAt()) / 1e6),
+                    quoted(seen.missing())));
     out.flush();
     if (!it.why().isEmpty()) {
       spec.commandLine().getErr().println("gingerring pcap scans: " + it.why());
@@ -118,13 +174,24 @@
     return text.matches("[^,\"\r\n]*") ? text : '"' + text.replace("\"", "\"\"") + '"';
   }
 
-  @Command(name = "cut", mixinStandardHelpOptions = true, description = "A part of a file, by time and by connections.")
-  int cut(@Parameters(index = "0", paramLabel = "FILE") Path file,
+  @Command(
+      name = "cut",
+      mixinStandardHelpOptions = true,
+      description = "A part of a file, by time and by connections.")
+  int cut(
+      @Parameters(index = "0", paramLabel = "FILE") Path file,
       @Parameters(index = "1", paramLabel = "OUT") Path to,
-      @Option(names = "--from", paramLabel = "WHEN", defaultValue = "0",
-          description = "seconds after the first packet, or an instant such as 2026-12-01T08:00:00Z") String from,
-      @Option(names = "--to", paramLabel = "WHEN", description = "likewise; not included") String until,
-      @Mixin Wanted wanted) throws IOException {
+      @Option(
+              names = "--from",
+              paramLabel = "WHEN",
+              defaultValue = "0",
+              description =
+                  "seconds after the first packet, or an instant such as 2026-12-01T08:00:00Z")
+          String from,
+      @Option(names = "--to", paramLabel = "WHEN", description = "likewise; not included")
+          String until,
+      @Mixin Wanted wanted)
+      throws IOException {
     different(List.of(file), to);
     long first = Recording.read(file, Bounds.USUAL, segment -> false, seen -> {}).firstNanos();
     long since = when(from, first);
@@ -144,19 +211,31 @@
     }
   }
 
-  @Command(name = "merge", mixinStandardHelpOptions = true, description = "Several files as one, by time.")
-  int merge(@Parameters(index = "0", paramLabel = "OUT") Path to,
-      @Parameters(index = "1..*", arity = "1..*", paramLabel = "FILE") List<Path> files) throws IOException {
+  @Command(
+      name = "merge",
+      mixinStandardHelpOptions = true,
+      description = "Several files as one, by time.")
+  int merge(
+      @Parameters(index = "0", paramLabel = "OUT") Path to,
+      @Parameters(index = "1..*", arity = "1..*", paramLabel = "FILE") List<Path> files)
+      throws IOException {
     different(files, to);
     return done(Edits.merge(files, to), to);
   }
 
-  @Command(name = "anonymise", mixinStandardHelpOptions = true,
+  @Command(
+      name = "anonymise",
+      mixinStandardHelpOptions = true,
       description = "Texts, values and keys behind a keyed hash; what is not read is left out.")
-  int anonymise(@Parameters(index = "0", paramLabel = "FILE") Path file,
+  int anonymise(
+      @Parameters(index = "0", paramLabel = "FILE") Path file,
       @Parameters(index = "1", paramLabel = "OUT") Path to,
-      @Option(names = "--secret-file", required = true, paramLabel = "FILE",
-          description = "holds the hash's key; the same key hides the same texts alike") Path secret)
+      @Option(
+              names = "--secret-file",
+              required = true,
+              paramLabel = "FILE",
+              description = "holds the hash's key; the same key hides the same texts alike")
+          Path secret)
       throws IOException {
     different(List.of(file), to);
     String key = Files.readString(secret).strip();
--- a/cli/src/main/java/gingerring/cli/PeersCommand.java
+++ b/cli/src/main/java/gingerring/cli/PeersCommand.java
@@ -16,21 +16,30 @@
 import picocli.CommandLine.Spec;
 
 /** What a running mixer knows of its peers. */
-@Command(name = "peers", mixinStandardHelpOptions = true,
+@Command(
+    name = "peers",
+    mixinStandardHelpOptions = true,
     description = "Asks a running mixer what it knows of its peers, over their socket.")
 final class PeersCommand implements Runnable {
   @Spec private CommandSpec spec;
 
-  @Option(names = "--peers", paramLabel = "FILE", defaultValue = "deploy/peers.json",
+  @Option(
+      names = "--peers",
+      paramLabel = "FILE",
+      defaultValue = "deploy/peers.json",
       description = "the file that mixers have (${DEFAULT-VALUE}): its keys, and where it listens")
   private Path file;
 
-  @Option(names = "--at", paramLabel = "ADDRESS:PORT",
+  @Option(
+      names = "--at",
+      paramLabel = "ADDRESS:PORT",
       description = "another mixer than the one of that file")
   private String at;
 
-  @Override public void run() {
-    throw new ParameterException(spec.commandLine(), "a command is needed: check, show, why, share, counts");
+  @Override
+  public void run() {
+    throw new ParameterException(
+        spec.commandLine(), "a command is needed: check, show, why, share, counts");
   }
 
   private void ask(char about, long box) throws IOException {
@@ -39,8 +48,10 @@
     if (at != null) {
       int colon = at.lastIndexOf(':');
       try {
-        mixer = new InetSocketAddress(InetAddress.getByName(at.substring(0, Math.max(0, colon))),
-            Integer.parseInt(at.substring(colon + 1)));
+        mixer =
+            new InetSocketAddress(
+                InetAddress.getByName(at.substring(0, Math.max(0, colon))),
+                Integer.parseInt(at.substring(colon + 1)));
       } catch (NumberFormatException e) {
         throw new IllegalArgumentException("--at has to be an address and a port: " + at, e);
       }
@@ -50,34 +61,55 @@
     out.flush();
   }
 
-  @Command(name = "check", mixinStandardHelpOptions = true,
+  @Command(
+      name = "check",
+      mixinStandardHelpOptions = true,
       description = "Reads the file whole, and says all that is wrong with it.")
   void check() throws IOException {
     PeerSettings settings = PeerSettings.read(file);
-    spec.commandLine().getOut().println(file + ": " + settings.seeds().size() + " seeds, "
-        + settings.keys().size()
-        + " keys, at most " + settings.rules().bytesPerSecond() + " bytes a second");
+    spec.commandLine()
+        .getOut()
+        .println(
+            file
+                + ": "
+                + settings.seeds().size()
+                + " seeds, "
+                + settings.keys().size()
+                + " keys, at most "
+                + settings.rules().bytesPerSecond()
+                + " bytes a second");
   }
 
-  @Command(name = "show", mixinStandardHelpOptions = true, description = "Who its peers are, as it believes.")
+  @Command(
+      name = "show",
+      mixinStandardHelpOptions = true,
+      description = "Who its peers are, as it believes.")
   void show() throws IOException {
     ask('p', 0);
   }
 
-  @Command(name = "why", mixinStandardHelpOptions = true,
+  @Command(
+      name = "why",
+      mixinStandardHelpOptions = true,
       description = "What it and others saw of a box, and whose turn it is to ask it.")
-  void why(@Parameters(paramLabel = "BOX", description = "the id by which discovery lists it") String box)
+  void why(
+      @Parameters(paramLabel = "BOX", description = "the id by which discovery lists it")
+          String box)
       throws IOException {
     ask('w', PeerId.named(box).number());
   }
 
-  @Command(name = "share", mixinStandardHelpOptions = true,
+  @Command(
+      name = "share",
+      mixinStandardHelpOptions = true,
       description = "What each peer's clients ask for, and what its fair share would be.")
   void share() throws IOException {
     ask('s', 0);
   }
 
-  @Command(name = "counts", mixinStandardHelpOptions = true,
+  @Command(
+      name = "counts",
+      mixinStandardHelpOptions = true,
       description = "What happened among peers, by cause.")
   void counts() throws IOException {
     ask('c', 0);
--- a/cli/src/main/java/gingerring/cli/ReplayCommand.java
+++ b/cli/src/main/java/gingerring/cli/ReplayCommand.java
@@ -34,60 +34,100 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-@Command(name = "replay", mixinStandardHelpOptions = true,
-    description = "Sends a recording's scans again to a mixer on this machine, and compares what becomes of them.")
+@Command(
+    name = "replay",
+    mixinStandardHelpOptions = true,
+    description =
+        "Sends a recording's scans again to a mixer on this machine, and compares what becomes of them.")
 final class ReplayCommand implements Callable<Integer> {
   /** How retries are sent. */
-  enum RetryMode { RECORDED, ANEW }
+  enum RetryMode {
+    RECORDED,
+    ANEW
+  }
 
   @Parameters(index = "0", paramLabel = "FILE", description = "the recording")
   private Path file;
 
-  @Option(names = "--to", required = true, paramLabel = "ADDRESS", description = "the mixer, as 127.0.0.1:8081")
+  @Option(
+      names = "--to",
+      required = true,
+      paramLabel = "ADDRESS",
+      description = "the mixer, as 127.0.0.1:8081")
   private String to;
 
-  @Option(names = "--pace", defaultValue = "1", paramLabel = "N|max",
+  @Option(
+      names = "--pace",
+      defaultValue = "1",
+      paramLabel = "N|max",
       description = "recorded times are divided by it; max does not wait (${DEFAULT-VALUE})")
   private String pace;
 
-  @Option(names = "--retries", defaultValue = "recorded", paramLabel = "recorded|anew",
-      description = "clients' retries as recorded, or made anew from what the replay answers (${DEFAULT-VALUE})")
+  @Option(
+      names = "--retries",
+      defaultValue = "recorded",
+      paramLabel = "recorded|anew",
+      description =
+          "clients' retries as recorded, or made anew from what the replay answers (${DEFAULT-VALUE})")
   private RetryMode retries;
 
-  @Option(names = "--late-most", defaultValue = "20", paramLabel = "MS",
-      description = "how late this tool may send, at the 99th percentile, in a valid run (${DEFAULT-VALUE})")
+  @Option(
+      names = "--late-most",
+      defaultValue = "20",
+      paramLabel = "MS",
+      description =
+          "how late this tool may send, at the 99th percentile, in a valid run (${DEFAULT-VALUE})")
   private long lateMost;
 
   @Option(names = "--out", paramLabel = "FOLDER", description = "where the tables and the chart go")
   private Path out;
 
-  @Option(names = "--at-least", defaultValue = "0", paramLabel = "SHARE",
+  @Option(
+      names = "--at-least",
+      defaultValue = "0",
+      paramLabel = "SHARE",
       description = "the agreement under which the verdict is no (${DEFAULT-VALUE})")
   private double atLeast;
 
-  @Option(names = "--seed", defaultValue = "1", paramLabel = "N", description = "for retries made anew")
+  @Option(
+      names = "--seed",
+      defaultValue = "1",
+      paramLabel = "N",
+      description = "for retries made anew")
   private long seed;
 
   @Mixin private PcapCommand.Wanted wanted;
 
   @Spec private CommandSpec spec;
 
-  @Override public Integer call() throws Exception {
+  @Override
+  public Integer call() throws Exception {
     InetSocketAddress mixer = address(to);
     double times = paceOf(pace);
     List<Seen> scans = new ArrayList<>();
-    Recording.Summary read = Recording.read(file, Bounds.USUAL, wanted.nets(), seen -> {
-      if (scans.size() <= Plan.MOST) {
-        scans.add(seen);
-      }
-    });
+    Recording.Summary read =
+        Recording.read(
+            file,
+            Bounds.USUAL,
+            wanted.nets(),
+            seen -> {
+              if (scans.size() <= Plan.MOST) {
+                scans.add(seen);
+              }
+            });
     if (read.scans() == 0) {
       throw new IOException(file + ": no scans in it");
     }
     boolean anew = retries == RetryMode.ANEW;
     Plan plan = new Plan(scans, times, anew);
-    Replayer.Result result = Replayer.run(plan, new Replayer.Wish(mixer, times,
-        Duration.ofMillis(lateMost), anew ? new Retries(Retries.Rule.USUAL, new SplittableRandom(seed)) : null));
+    Replayer.Result result =
+        Replayer.run(
+            plan,
+            new Replayer.Wish(
+                mixer,
+                times,
+                Duration.ofMillis(lateMost),
+                anew ? new Retries(Retries.Rule.USUAL, new SplittableRandom(seed)) : null));
     PrintWriter print = spec.commandLine().getOut();
     print(print, read, result);
     if (out != null) {
@@ -95,7 +135,9 @@
       print.println("written to " + out);
     }
     print.flush();
-    return result.pacing().valid() && result.comparison().agreement() >= atLeast ? 0 : Gingerring.VERDICT;
+    return result.pacing().valid() && result.comparison().agreement() >= atLeast
+        ? 0
+        : Gingerring.VERDICT;
   }
 
   private static double paceOf(String text) {
@@ -110,15 +152,18 @@
     } catch (NumberFormatException e) {
       // told below
     }
-    throw new IllegalArgumentException("--pace is a number above 0 and 10000 at most, or max: " + text);
+    throw new IllegalArgumentException(
+        "--pace is a number above 0 and 10000 at most, or max: " + text);
   }
 
   private static InetSocketAddress address(String text) throws IOException {
     if (!text.matches("127\\.[0-9]{1,3}\\.[0-9]{1,3}\\.[0-9]{1,3}:[0-9]{1,5}")) {
-      throw new IllegalArgumentException("--to is an address of this machine such as 127.0.0.1:8081: " + text);
+      throw new IllegalArgumentException(
+          "--to is an address of this machine such as 127.0.0.1:8081: " + text);
     }
     int colon = text.indexOf(':');
-    return new InetSocketAddress(InetAddress.getByName(text.substring(0, colon)),
+    return new InetSocketAddress(
+        InetAddress.getByName(text.substring(0, colon)),
         Integer.parseInt(text.substring(colon + 1)));
   }
 
@@ -128,30 +173,49 @@
     if (read.end() != CaptureReader.End.WHOLE) {
       print.println("the recording is not whole: " + read.why());
     }
-    print.printf(Locale.ROOT, "%d scans sent on %d connections in %.1f s, %d retries made anew, %d left out as their "
-        + "request is not whole%n", pacing.sent(), result.lanes(), result.took().toNanos() / 1e9,
-        result.retriesMade(), result.leftOut());
-    print.printf(Locale.ROOT, "pace: the tool sent %.2f ms late in the median, %.2f ms at the 99th percentile, "
-        + "%.2f ms at most; %d sends were held by the answer before, %.1f ms at the 99th percentile%n",
-        millis(pacing.lateP50()), millis(pacing.lateP99()), millis(pacing.lateMost()), pacing.held(),
+    print.printf(
+        Locale.ROOT,
+        "%d scans sent on %d connections in %.1f s, %d retries made anew, %d left out as their "
+            + "request is not whole%n",
+        pacing.sent(),
+        result.lanes(),
+        result.took().toNanos() / 1e9,
+        result.retriesMade(),
+        result.leftOut());
+    print.printf(
+        Locale.ROOT,
+        "pace: the tool sent %.2f ms late in the median, %.2f ms at the 99th percentile, "
+            + "%.2f ms at most; %d sends were held by the answer before, %.1f ms at the 99th percentile%n",
+        millis(pacing.lateP50()),
+        millis(pacing.lateP99()),
+        millis(pacing.lateMost()),
+        pacing.held(),
         millis(pacing.heldP99()));
     if (!pacing.valid()) {
       print.println("NOT VALID: " + pacing.why());
     }
-    print.printf(Locale.ROOT, "%d of %d scans agree: %.4f; %d not compared%n", compared.agreed(),
-        compared.compared(), compared.agreement(), compared.notCompared());
+    print.printf(
+        Locale.ROOT,
+        "%d of %d scans agree: %.4f; %d not compared%n",
+        compared.agreed(),
+        compared.compared(),
+        compared.agreement(),
+        compared.notCompared());
     print.printf("%-12s", "recorded");
     for (Fate fate : Fate.values()) {
       print.printf(" %10s", fate.name().toLowerCase(Locale.ROOT));
     }
     print.println("   <- replayed");
-    compared.table().forEach((recorded, replayed) -> {
-      print.printf("%-12s", recorded.name().toLowerCase(Locale.ROOT));
-      for (Fate fate : Fate.values()) {
-        print.printf(" %10d", replayed.getOrDefault(fate, 0L));
-      }
-      print.println();
-    });
+    compared
+        .table()
+        .forEach(
+            (recorded, replayed) -> {
+              print.printf("%-12s", recorded.name().toLowerCase(Locale.ROOT));
+              for (Fate fate : Fate.values()) {
+                print.printf(" %10d", replayed.getOrDefault(fate, 0L));
+              }
+              print.println();
+            });
     compared.causes().forEach((cause, many) -> print.println("  " + many + " differ: " + cause));
   }
 
@@ -161,13 +225,25 @@
 
   private void keep(Replayer.Result result) throws IOException {
     Files.createDirectories(out);
-    StringBuilder differences = new StringBuilder(
-        "mark,grade,recorded,replayed,recorded_weight,replayed_weight,recorded_ms,replayed_ms,late_ms,held_ms,cause\n");
+    StringBuilder differences =
+        new StringBuilder(
+            "mark,grade,recorded,replayed,recorded_weight,replayed_weight,recorded_ms,replayed_ms,late_ms,held_ms,cause\n");
     for (Comparison.Difference each : result.comparison().differences()) {
-      differences.append(String.format(Locale.ROOT, "%s,%s,%s,%s,%.4f,%.4f,%.2f,%.2f,%.2f,%.2f,\"%s\"%n",
-          each.mark(), each.grade(), each.recorded().fate(), each.replayed().fate(), each.recorded().weight(),
-          each.replayed().weight(), millis(each.recorded().took()), millis(each.replayed().took()),
-          millis(each.replayed().late()), millis(each.replayed().held()), each.cause()));
+      differences.append(
+          String.format(
+              Locale.ROOT,
+              "%s,%s,%s,%s,%.4f,%.4f,%.2f,%.2f,%.2f,%.2f,\"%s\"%n",
+              each.mark(),
+              each.grade(),
+              each.recorded().fate(),
+              each.replayed().fate(),
+              each.recorded().weight(),
+              each.replayed().weight(),
+              millis(each.recorded().took()),
+              millis(each.replayed().took()),
+              millis(each.replayed().late()),
+              millis(each.replayed().held()),
+              each.cause()));
     }
     Files.writeString(out.resolve("differences.csv"), differences);
     StringBuilder seconds = new StringBuilder("second,run");
@@ -181,7 +257,8 @@
     Map<String, Map<Integer, Double>> series = new LinkedHashMap<>();
     series.put("recorded", answered(result.recorded()));
     series.put("replayed", answered(result.replayed()));
-    Charts.lines(out.resolve("timelines.png"), "answered scans", "answered, whole or in part", series);
+    Charts.lines(
+        out.resolve("timelines.png"), "answered scans", "answered, whole or in part", series);
   }
 
   private static void append(StringBuilder text, String run, Timeline timeline) {
@@ -197,7 +274,8 @@
   private static Map<Integer, Double> answered(Timeline timeline) {
     Map<Integer, Double> points = new TreeMap<>();
     for (int second = 0; second < timeline.length(); second++) {
-      points.put(second, (double) timeline.count(second, Fate.WHOLE) + timeline.count(second, Fate.PART));
+      points.put(
+          second, (double) timeline.count(second, Fate.WHOLE) + timeline.count(second, Fate.PART));
     }
     return points;
   }
--- a/cli/src/main/java/gingerring/cli/package-info.java
+++ b/cli/src/main/java/gingerring/cli/package-info.java
@@ -1,2 +1,5 @@
-/** The command {@code gingerring}: reads arguments, prints, and ends with a code. What it does stands elsewhere. */
+/**
+ * The command {@code gingerring}: reads arguments, prints, and ends with a code. What it does
+ * stands elsewhere.
+ */
 package gingerring.cli;
--- a/deploy/sites/Variants.java
+++ b/deploy/sites/Variants.java
@@ -10,18 +10,19 @@
 import java.util.regex.Pattern;
 
 /**
- * Writes two deployments of our own, made from those handed over, for days that the operators judge on others
- * than theirs: {@code java deploy/sites/Variants.java [GIVEN]} from the root; GIVEN is the folder handed
- * over, {@code ../given} unless said. Each goes to {@code deploy/sites/out/NAME/}, with the files that the
- * bench wants beside it.
+ * Writes two deployments of our own, made from those handed over, for days that the operators judge
+ * on others than theirs: {@code java deploy/sites/Variants.java [GIVEN]} from the root; GIVEN is
+ * the folder handed over, {@code ../given} unless said. Each goes to {@code
+ * deploy/sites/out/NAME/}, with the files that the bench wants beside it.
  *
- * <p>A change is a line {@code PLACE : FORMER => NEW}. A place is an entry of a table ({@code TABLE/ENTRY}) or
- * a whole table with the entry that it is known by; a table that stands more than once has its number, from 0
- * on. What is {@code absent} must not be there before, or is not after. A former value that is not there ends
- * the program: a site that has changed under it is not to be passed off as a variant.
+ * <p>A change is a line {@code PLACE : FORMER => NEW}. A place is an entry of a table ({@code
+ * TABLE/ENTRY}) or a whole table with the entry that it is known by; a table that stands more than
+ * once has its number, from 0 on. What is {@code absent} must not be there before, or is not after.
+ * A former value that is not there ends the program: a site that has changed under it is not to be
+ * passed off as a variant.
  *
- * <p>Exit code 0, and on standard output what was written; or 2 after one line on standard error. Nothing is
- * written before both are made.
+ * <p>Exit code 0, and on standard output what was written; or 2 after one line on standard error.
+ * Nothing is written before both are made.
  */
 final class Variants {
   private static final Path OUT = Path.of("deploy/sites/out");
@@ -29,10 +30,12 @@
   private static final String ABSENT = "absent";
 
   /**
-   * Lists on request, three zones behind a front, one that may run again, one only once, one numbered with a
-   * window shorter than its deadline; nothing can be cancelled, no second copies, and a budget.
+   * Lists on request, three zones behind a front, one that may run again, one only once, one
+   * numbered with a window shorter than its deadline; nothing can be cancelled, no second copies,
+   * and a budget.
    */
-  private static final String FJELL = """
+  private static final String FJELL =
+      """
       /name : "taichung-xitun" => "fjell-tromso"
       day/start_spread_ms : 0 => [50, 700]
       scale/servers : [12, 16] => [15, 18]
@@ -138,10 +141,12 @@
       """;
 
   /**
-   * Pushed lists, one zone, a mixer beside each client; no probes, calls of several parts, connections that
-   * carry few and rest for less than a second, four grades of which one may be answered from little.
+   * Pushed lists, one zone, a mixer beside each client; no probes, calls of several parts,
+   * connections that carry few and rest for less than a second, four grades of which one may be
+   * answered from little.
    */
-  private static final String KAROO = """
+  private static final String KAROO =
+      """
       /name : "mandacaru-recife" => "karoo-gqeberha"
       day/start_spread_ms : [100, 1000] => 0
       scale/servers : [10, 14] => [18, 23]
@@ -242,9 +247,10 @@
 
   private record Variant(String from, String changes) {}
 
-  private static final List<Variant> VARIANTS = List.of(
-      new Variant("kit/sites/taichung-xitun.toml", FJELL),
-      new Variant("kit/more/mass/other/mandacaru-recife.toml", KAROO));
+  private static final List<Variant> VARIANTS =
+      List.of(
+          new Variant("kit/sites/taichung-xitun.toml", FJELL),
+          new Variant("kit/more/mass/other/mandacaru-recife.toml", KAROO));
 
   /** What ends the program; the message says where and why. */
   private static final class Unfit extends Exception {
@@ -255,7 +261,10 @@
     }
   }
 
-  /** A table with its entries in their order; {@code header} as it stands in the file, empty for the top. */
+  /**
+   * A table with its entries in their order; {@code header} as it stands in the file, empty for the
+   * top.
+   */
   private record Table(String header, Map<String, String> entries) {
     String name() {
       return header.replace("[", "").replace("]", "");
@@ -263,7 +272,8 @@
   }
 
   private static final Pattern ENTRY = Pattern.compile("(\\w+) = (.+)");
-  private static final Pattern CHANGE = Pattern.compile("([^\\[/]*)(?:\\[(\\d+)\\])?(/\\w+)? : (.+) => (.+)");
+  private static final Pattern CHANGE =
+      Pattern.compile("([^\\[/]*)(?:\\[(\\d+)\\])?(/\\w+)? : (.+) => (.+)");
 
   private final Path file;
   private final List<Table> tables = new ArrayList<>();
@@ -311,11 +321,13 @@
     }
   }
 
-  private void entry(Map<String, String> entries, String entry, String former, String next, String line)
+  private void entry(
+      Map<String, String> entries, String entry, String former, String next, String line)
       throws Unfit {
     String found = entries.getOrDefault(entry, ABSENT);
     if (!found.equals(former)) {
-      throw new Unfit(file + ": " + line.replaceAll(" : .*", "") + " is not " + former + " but " + found);
+      throw new Unfit(
+          file + ": " + line.replaceAll(" : .*", "") + " is not " + former + " but " + found);
     }
     if (next.equals(ABSENT)) {
       entries.remove(entry);
@@ -340,7 +352,8 @@
   private void append(String name, int number, String known, String line) throws Unfit {
     List<Table> found = named(name);
     if (number != found.size()) {
-      throw new Unfit(file + ": " + line.replaceAll(" : .*", "") + " is not absent or not the next");
+      throw new Unfit(
+          file + ": " + line.replaceAll(" : .*", "") + " is not absent or not the next");
     }
     Table table = new Table("[[" + name + "]]", new LinkedHashMap<>());
     String[] entry = known.split(" = ", 2);
@@ -352,7 +365,9 @@
     StringBuilder text = new StringBuilder();
     for (Table table : tables) {
       text.append(table.header().isEmpty() ? "" : "\n" + table.header() + "\n");
-      table.entries().forEach((entry, value) -> text.append(entry).append(" = ").append(value).append('\n'));
+      table
+          .entries()
+          .forEach((entry, value) -> text.append(entry).append(" = ").append(value).append('\n'));
     }
     return text.toString();
   }
--- a/duty/src/main/java/gingerring/duty/Candidate.java
+++ b/duty/src/main/java/gingerring/duty/Candidate.java
@@ -13,19 +13,21 @@
 import java.util.random.RandomGenerator;
 
 /**
- * One mixer's side of one duty: asks electors for it where its rank is among the first, holds it by its own
- * clock for a shorter span than electors keep it ({@link Rules#held}), renews, hands over, and steps down
- * where it cannot renew. See {@link Elector} for why one holds at a time; that rests on clocks whose rate is
- * within the drift, and on nothing of how long words take.
+ * One mixer's side of one duty: asks electors for it where its rank is among the first, holds it by
+ * its own clock for a shorter span than electors keep it ({@link Rules#held}), renews, hands over,
+ * and steps down where it cannot renew. See {@link Elector} for why one holds at a time; that rests
+ * on clocks whose rate is within the drift, and on nothing of how long words take.
  *
- * <p><b>Handing over.</b> The holder invites the next; the invited stands in line with electors, behind the
- * holder's lease; when a majority keeps the duty for it, it tells the holder, who stops and says so. In
- * between nobody holds for as long as that one word takes; if it is lost, until the next one, or at most a
- * vote's span and an ask. One that gives up and finds nobody releases its lease.
+ * <p><b>Handing over.</b> The holder invites the next; the invited stands in line with electors,
+ * behind the holder's lease; when a majority keeps the duty for it, it tells the holder, who stops
+ * and says so. In between nobody holds for as long as that one word takes; if it is lost, until the
+ * next one, or at most a vote's span and an ask. One that gives up and finds nobody releases its
+ * lease.
  *
- * <p><b>Two hold</b> only where clocks drift past the bound, jump, or an elector was replaced unseen; for no
- * longer than the excess over a lease. <b>Nobody holds</b> after a holder's end for a lease with drift, an
- * ask and the steps of ranks; longer with a majority of electors away or quiet.
+ * <p><b>Two hold</b> only where clocks drift past the bound, jump, or an elector was replaced
+ * unseen; for no longer than the excess over a lease. <b>Nobody holds</b> after a holder's end for
+ * a lease with drift, an ask and the steps of ranks; longer with a majority of electors away or
+ * quiet.
  */
 public final class Candidate {
   private static final Duration NEVER = Duration.ofSeconds(Long.MAX_VALUE / 4);
@@ -38,7 +40,10 @@
     /** Sends a word; tells the letter's number. */
     long send(MixerId to, Word word);
 
-    /** It holds from now on, by this token; also with a later token while it holds. Show it to the gate. */
+    /**
+     * It holds from now on, by this token; also with a later token while it holds. Show it to the
+     * gate.
+     */
     void took(DutyName duty, Token token);
 
     /** It holds no more. */
@@ -54,8 +59,10 @@
     final Map<ElectorId, Long> asked = new HashMap<>();
     final Set<ElectorId> granted = new HashSet<>();
     final Map<ElectorId, Duration> refused = new HashMap<>();
+
     /** A later term may do at once. */
     boolean low;
+
     final Set<Long> readies = new HashSet<>();
 
     Attempt(Token token, Token behind, Duration start, Duration span) {
@@ -88,6 +95,7 @@
 
   /** The token that was yielded to it, and the letters that asked electors for it. */
   private Token lined;
+
   private Map<ElectorId, Long> lines = Map.of();
 
   private boolean forbidden;
@@ -105,13 +113,26 @@
   private long inviteNumber;
   private Duration readyAt = NEVER;
 
-  public Candidate(DutyName duty, MixerId me, long life, Electors electors, Rules rules, Host host,
+  public Candidate(
+      DutyName duty,
+      MixerId me,
+      long life,
+      Electors electors,
+      Rules rules,
+      Host host,
       RandomGenerator chance) {
     this(duty, me, life, electors, rules, host, chance, Checks.ALL);
   }
 
-  Candidate(DutyName duty, MixerId me, long life, Electors electors, Rules rules, Host host,
-      RandomGenerator chance, Checks checks) {
+  Candidate(
+      DutyName duty,
+      MixerId me,
+      long life,
+      Electors electors,
+      Rules rules,
+      Host host,
+      RandomGenerator chance,
+      Checks checks) {
     this.duty = duty;
     this.me = me;
     this.life = life;
@@ -122,7 +143,10 @@
     this.checks = checks;
   }
 
-  /** Who is there, as this mixer believes; a holder who is not first any more hands over after a lease. */
+  /**
+   * Who is there, as this mixer believes; a holder who is not first any more hands over after a
+   * lease.
+   */
   public void members(Collection<MixerId> members) {
     Duration now = host.now();
     List<MixerId> before = ranks;
@@ -152,8 +176,10 @@
   /** The token to show with work, while it holds: to be asked before each piece of it. */
   public Optional<Token> holds() {
     Duration now = host.now();
-    return token != null && (now.compareTo(until) < 0 && now.compareTo(last) >= 0
-        || !checks.on(Check.OWN_CLOCK)) ? Optional.of(token) : Optional.empty();
+    return token != null
+            && (now.compareTo(until) < 0 && now.compareTo(last) >= 0 || !checks.on(Check.OWN_CLOCK))
+        ? Optional.of(token)
+        : Optional.empty();
   }
 
   /** Gives the duty up, to the next in rank, or to nobody; and asks for it no more. */
@@ -200,8 +226,11 @@
   public Duration due() {
     Duration due = token != null ? earlier(until, earlier(renewAt, handAt)) : wake;
     if (attempt != null) {
-      due = earlier(due, attempt.start.plus(attempt.behind != null ? rules.held(attempt.span)
-          : rules.patience()));
+      due =
+          earlier(
+              due,
+              attempt.start.plus(
+                  attempt.behind != null ? rules.held(attempt.span) : rules.patience()));
       due = attempt.behind != null ? earlier(due, readyAt) : due;
     }
     return due;
@@ -236,8 +265,8 @@
       step(now);
     }
     if (attempt != null) {
-      Duration over = attempt.start.plus(attempt.behind != null ? rules.held(attempt.span)
-          : rules.patience());
+      Duration over =
+          attempt.start.plus(attempt.behind != null ? rules.held(attempt.span) : rules.patience());
       if (now.compareTo(over) >= 0) {
         fail(now, Duration.ZERO);
       } else if (attempt.behind != null && now.compareTo(readyAt) >= 0) {
@@ -271,8 +300,8 @@
     attempt = new Attempt(with, null, now, span);
     for (ElectorId each : electors.members()) {
       long line = with.equals(lined) ? lines.getOrDefault(each, 0L) : 0;
-      attempt.asked.put(each, host.send(each.mixer(),
-          new Word.Ask(duty, electors.epoch(), with, span, line)));
+      attempt.asked.put(
+          each, host.send(each.mixer(), new Word.Ask(duty, electors.epoch(), with, span, line)));
     }
   }
 
@@ -296,11 +325,12 @@
     inviter = null;
     readyAt = NEVER;
     if (token == null) {
-      failed.asked.forEach((each, asked) -> {
-        if (!failed.refused.containsKey(each)) {
-          host.send(each.mixer(), new Word.Release(duty, failed.token, asked));
-        }
-      });
+      failed.asked.forEach(
+          (each, asked) -> {
+            if (!failed.refused.containsKey(each)) {
+              host.send(each.mixer(), new Word.Release(duty, failed.token, asked));
+            }
+          });
       wake = now.plus(pause).plus(turn());
     }
   }
@@ -346,9 +376,11 @@
     } else {
       attempt.low |= answer.seen().compareTo(attempt.token.term()) > 0;
       raise |= token != null && answer.seen().compareTo(token.term()) > 0;
-      attempt.refused.put(from, earlier(rules.lease(), longer(answer.held().left(), answer.next().left())));
+      attempt.refused.put(
+          from, earlier(rules.lease(), longer(answer.held().left(), answer.next().left())));
     }
-    int enough = checks.on(Check.MAJORITY) ? electors.majority() : (electors.members().size() + 1) / 2 - 1;
+    int enough =
+        checks.on(Check.MAJORITY) ? electors.majority() : (electors.members().size() + 1) / 2 - 1;
     if (attempt.granted.size() >= enough) {
       if (attempt.behind == null) {
         take(host.now());
@@ -406,8 +438,11 @@
     invited = null;
     handTries = 0;
     wished = null;
-    boolean sent = inviter != null && ranks.contains(inviter)
-        && (rank() < 0 || ranks.indexOf(inviter) < rank()); // by one above: on purpose, so it stays
+    boolean sent =
+        inviter != null
+            && ranks.contains(inviter)
+            && (rank() < 0
+                || ranks.indexOf(inviter) < rank()); // by one above: on purpose, so it stays
     handAt = leaving ? now : rank() == 0 || sent ? NEVER : now.plus(rules.lease());
     inviter = null;
   }
@@ -451,8 +486,11 @@
   }
 
   private void invited(Letter letter, Word.Invite invite) {
-    if (token != null || forbidden || attempt != null && attempt.behind != null
-        || !invite.token().fits(duty) || invite.token().term().leaps(seen, life)) {
+    if (token != null
+        || forbidden
+        || attempt != null && attempt.behind != null
+        || !invite.token().fits(duty)
+        || invite.token().term().leaps(seen, life)) {
       return;
     }
     Duration now = host.now();
@@ -467,26 +505,34 @@
     seen = Term.later(seen, attempt.token.term());
     readyAt = NEVER;
     for (ElectorId each : electors.members()) {
-      attempt.asked.put(each, host.send(each.mixer(), new Word.Line(duty, electors.epoch(), attempt.token,
-          invite.token(), rules.vote())));
+      attempt.asked.put(
+          each,
+          host.send(
+              each.mixer(),
+              new Word.Line(duty, electors.epoch(), attempt.token, invite.token(), rules.vote())));
     }
   }
 
   private void ready(Duration now) {
-    attempt.readies.add(host.send(inviter,
-        new Word.Ready(duty, attempt.behind, attempt.token, inviteNumber)));
+    attempt.readies.add(
+        host.send(inviter, new Word.Ready(duty, attempt.behind, attempt.token, inviteNumber)));
     readyAt = now.plus(rules.step());
   }
 
   private void makeWay(Letter letter, Word.Ready ready) {
-    if (yielded != null && letter.author().equals(yieldedTo) && ready.token().equals(yielded.token())
+    if (yielded != null
+        && letter.author().equals(yieldedTo)
+        && ready.token().equals(yielded.token())
         && ready.next().equals(yielded.next())) {
       host.send(yieldedTo, new Word.Yield(duty, yielded.token(), yielded.next(), letter.number()));
       return;
     }
     boolean asked = letter.author().equals(invited) && ready.invited() == invitation;
-    if (token == null || !asked && checks.on(Check.INVITED) || !ready.token().equals(token)
-        || ready.next().compareTo(token) <= 0 || !ready.next().fits(duty)) {
+    if (token == null
+        || !asked && checks.on(Check.INVITED)
+        || !ready.token().equals(token)
+        || ready.next().compareTo(token) <= 0
+        || !ready.next().fits(duty)) {
       return;
     }
     yielded = new Word.Yield(duty, token, ready.next(), letter.number());
@@ -504,8 +550,10 @@
       return;
     }
     boolean from = letter.author().equals(inviter) && letter.life() == inviterLife;
-    boolean cites = attempt.readies.contains(yield.ready()) && yield.next().equals(attempt.token)
-        && yield.token().equals(attempt.behind);
+    boolean cites =
+        attempt.readies.contains(yield.ready())
+            && yield.next().equals(attempt.token)
+            && yield.token().equals(attempt.behind);
     if (from && (cites || !checks.on(Check.YIELD_CITES))) {
       readyAt = NEVER;
       lined = attempt.token;
--- a/duty/src/main/java/gingerring/duty/DutyError.java
+++ b/duty/src/main/java/gingerring/duty/DutyError.java
@@ -33,7 +33,11 @@
     private static final long serialVersionUID = 1;
 
     BadName(String text) {
-      super("duty-name", "name of a duty", "\"" + text + "\"", "give 1 to 64 of a-z, 0-9, hyphen, dot");
+      super(
+          "duty-name",
+          "name of a duty",
+          "\"" + text + "\"",
+          "give 1 to 64 of a-z, 0-9, hyphen, dot");
     }
   }
 
@@ -42,7 +46,10 @@
     private static final long serialVersionUID = 1;
 
     BadRules(String what) {
-      super("duty-rules", "rules of leases", what,
+      super(
+          "duty-rules",
+          "rules of leases",
+          what,
           "let patience < vote <= lease, renew + patience < lease, 0 <= drift < 0.5, all spans above zero");
     }
   }
@@ -52,7 +59,10 @@
     private static final long serialVersionUID = 1;
 
     BadElectors(String what) {
-      super("duty-electors", "set of electors", what,
+      super(
+          "duty-electors",
+          "set of electors",
+          what,
           "name 1 to 9 mixers, best 3, 5 or 7 in different zones");
     }
   }
@@ -62,7 +72,10 @@
     private static final long serialVersionUID = 1;
 
     ElectorsApart(Electors from, Electors to) {
-      super("duty-electors-apart", "change of electors", "from " + from + " to " + to,
+      super(
+          "duty-electors-apart",
+          "change of electors",
+          "from " + from + " to " + to,
           "add or remove one at a time, each with the next epoch");
     }
   }
@@ -72,7 +85,9 @@
     private static final long serialVersionUID = 1;
 
     ElectorsUnsettled(Electors now) {
-      super("duty-electors-unsettled", "change of electors",
+      super(
+          "duty-electors-unsettled",
+          "change of electors",
           now + " is not known to a majority for a lease yet",
           "wait for two leases and try again; look which electors of it are not there");
     }
@@ -83,7 +98,10 @@
     private static final long serialVersionUID = 1;
 
     BadTerm(long count) {
-      super("duty-term", "term of a duty", String.valueOf(count),
+      super(
+          "duty-term",
+          "term of a duty",
+          String.valueOf(count),
           "look for a mixer whose clock is far ahead");
     }
   }
@@ -93,7 +111,8 @@
     private static final long serialVersionUID = 1;
 
     TooManyDuties(int most) {
-      super("duty-many", "table of duties", "more than " + most, "raise the bound, or retire duties");
+      super(
+          "duty-many", "table of duties", "more than " + most, "raise the bound, or retire duties");
     }
   }
 
@@ -103,7 +122,10 @@
     private final transient Token newest;
 
     OldToken(DutyName duty, Token shown, Token newest) {
-      super("duty-token", "gate of " + duty.text(), "shown " + shown.number() + ", newest " + newest.number(),
+      super(
+          "duty-token",
+          "gate of " + duty.text(),
+          "shown " + shown.number() + ", newest " + newest.number(),
           "nothing, if a mixer was slow or stopped; else look for two mixers with one name");
       this.newest = newest;
     }
--- a/duty/src/main/java/gingerring/duty/Elector.java
+++ b/duty/src/main/java/gingerring/duty/Elector.java
@@ -7,28 +7,30 @@
 import java.util.Optional;
 
 /**
- * Grants leases of duties, one of each at a time, from memory alone. After Gray and Cheriton, "Leases: an
- * efficient fault-tolerant mechanism for distributed file cache consistency" (SOSP 1989), and Trencseni,
- * Gazso and Reinhardt, "PaxosLease: diskless Paxos for leases" (arXiv:1209.4187, 2012): whoever has the
- * leases of a majority holds; since majorities meet in one elector, and that one has one lease at a time, one
- * holds. Unlike PaxosLease it needs no first phase: nothing has to be learnt of an earlier holder but its
- * term, which refusals tell, and a first lease is short, so that a split vote is soon over.
+ * Grants leases of duties, one of each at a time, from memory alone. After Gray and Cheriton,
+ * "Leases: an efficient fault-tolerant mechanism for distributed file cache consistency" (SOSP
+ * 1989), and Trencseni, Gazso and Reinhardt, "PaxosLease: diskless Paxos for leases"
+ * (arXiv:1209.4187, 2012): whoever has the leases of a majority holds; since majorities meet in one
+ * elector, and that one has one lease at a time, one holds. Unlike PaxosLease it needs no first
+ * phase: nothing has to be learnt of an earlier holder but its term, which refusals tell, and a
+ * first lease is short, so that a split vote is soon over.
  *
- * <p><b>Memory lost.</b> One that starts grants nothing for {@link Rules#quiet()}: by then each lease of its
- * earlier life is over. What it knew of terms comes back through what it hears in that time, and its own life
- * (Unix time in ms) is its least term. So terms grow while, of any majority that granted one, one elector has
- * not forgotten; or else while clocks at starts grow over electors. Past both a new holder may get a token
- * that is too low: the gate refuses it, it is told the newest (see {@link Candidate#newest}), and takes a
- * later one.
+ * <p><b>Memory lost.</b> One that starts grants nothing for {@link Rules#quiet()}: by then each
+ * lease of its earlier life is over. What it knew of terms comes back through what it hears in that
+ * time, and its own life (Unix time in ms) is its least term. So terms grow while, of any majority
+ * that granted one, one elector has not forgotten; or else while clocks at starts grow over
+ * electors. Past both a new holder may get a token that is too low: the gate refuses it, it is told
+ * the newest (see {@link Candidate#newest}), and takes a later one.
  *
- * <p><b>Woken.</b> One that was not called for half of its quiet span takes itself for one that may have been
- * replaced, and is quiet again; {@link #displaced()} makes it so for good.
+ * <p><b>Woken.</b> One that was not called for half of its quiet span takes itself for one that may
+ * have been replaced, and is quiet again; {@link #displaced()} makes it so for good.
  *
- * <p><b>The set of electors</b> changes one at a time ({@link #move}); asks of another epoch get an answer
- * but no lease.
+ * <p><b>The set of electors</b> changes one at a time ({@link #move}); asks of another epoch get an
+ * answer but no lease.
  *
- * <p>At most so many duties, some 200 bytes each; asks for more are left without an answer and counted. Times
- * are by its own clock, which must not go back; a jump ahead by more than the drift ends leases too early.
+ * <p>At most so many duties, some 200 bytes each; asks for more are left without an answer and
+ * counted. Times are by its own clock, which must not go back; a jump ahead by more than the drift
+ * ends leases too early.
  */
 public final class Elector {
   private static final Word.Lease NOBODY =
@@ -39,6 +41,7 @@
     long life;
     Token token;
     Duration until;
+
     /** The letter that asked last. */
     long asked;
 
@@ -88,7 +91,14 @@
     this(me, life, electors, rules, most, now, Checks.ALL);
   }
 
-  Elector(ElectorId me, long life, Electors electors, Rules rules, int most, Duration now, Checks checks) {
+  Elector(
+      ElectorId me,
+      long life,
+      Electors electors,
+      Rules rules,
+      int most,
+      Duration now,
+      Checks checks) {
     this.me = me;
     this.life = life;
     this.electors = electors;
@@ -99,7 +109,10 @@
     this.quietUntil = checks.on(Check.QUIET) ? now.plus(rules.quiet()) : now;
   }
 
-  /** What it says to a letter's author, if anything. Words that are not for electors say nothing to it. */
+  /**
+   * What it says to a letter's author, if anything. Words that are not for electors say nothing to
+   * it.
+   */
   public Optional<Word> heard(Letter letter, Duration now) {
     called(now);
     if (displaced || !electors.members().contains(me)) {
@@ -136,15 +149,19 @@
     Record record = records.get(duty);
     if (record == null && records.size() < most) {
       record = new Record();
-      record.seen = checks.on(Check.LIFE_FLOOR) ? new Term(Math.floorMod(life, Term.END)) : Term.NONE;
+      record.seen =
+          checks.on(Check.LIFE_FLOOR) ? new Term(Math.floorMod(life, Term.END)) : Term.NONE;
       records.put(duty, record);
     }
     return record;
   }
 
   private boolean sound(DutyName duty, Record record, Token token, Duration span) {
-    return token.number() >= 0 && (token.fits(duty) || !checks.on(Check.DUTY_TOKEN))
-        && !token.term().leaps(record.seen, life) && !span.isNegative() && !span.isZero()
+    return token.number() >= 0
+        && (token.fits(duty) || !checks.on(Check.DUTY_TOKEN))
+        && !token.term().leaps(record.seen, life)
+        && !span.isNegative()
+        && !span.isZero()
         && span.compareTo(rules.lease()) <= 0;
   }
 
@@ -179,16 +196,20 @@
       if (mine && held.token.equals(ask.token())) {
         held.until = later(held.until, until);
         held.asked = Math.max(held.asked, letter.number());
-      } else if (next != null && next.of(letter.author(), letter.life()) && next.token.equals(ask.token())
+      } else if (next != null
+          && next.of(letter.author(), letter.life())
+          && next.token.equals(ask.token())
           && (next.asked == ask.lined() || !checks.on(Check.LINE_CITES))) {
-        record.held = new Grant(next.holder, next.life, next.token, later(next.until, until),
-            letter.number());
+        record.held =
+            new Grant(
+                next.holder, next.life, next.token, later(next.until, until), letter.number());
         record.next = null;
       } else if ((free || !checks.on(Check.ONE_LEASE))
           && (ask.token().term().compareTo(record.seen) > 0 || !checks.on(Check.LATER_TOKEN))) {
         Duration least = mine ? held.until : Duration.ZERO;
-        record.held = new Grant(letter.author(), letter.life(), ask.token(), later(least, until),
-            letter.number());
+        record.held =
+            new Grant(
+                letter.author(), letter.life(), ask.token(), later(least, until), letter.number());
         record.next = null;
         record.seen = Term.later(record.seen, ask.token().term());
       }
@@ -204,13 +225,20 @@
     }
     if (open(record, line.epoch(), line.token(), now)) {
       boolean behind = !live(record.held, now) || record.held.token.equals(line.behind());
-      boolean again = record.next != null && record.next.of(letter.author(), letter.life())
-          && record.next.token.equals(line.token());
+      boolean again =
+          record.next != null
+              && record.next.of(letter.author(), letter.life())
+              && record.next.token.equals(line.token());
       boolean free = !live(record.next, now) && line.token().term().compareTo(record.seen) > 0;
       if (behind && (again || free)) {
         Duration least = again ? record.next.until : Duration.ZERO;
-        record.next = new Grant(letter.author(), letter.life(), line.token(),
-            later(least, now.plus(line.span())), letter.number());
+        record.next =
+            new Grant(
+                letter.author(),
+                letter.life(),
+                line.token(),
+                later(least, now.plus(line.span())),
+                letter.number());
         record.seen = Term.later(record.seen, line.token().term());
       }
     }
@@ -231,15 +259,21 @@
   }
 
   private boolean named(Grant grant, Letter letter, Word.Release release) {
-    return grant != null && grant.of(letter.author(), letter.life())
+    return grant != null
+        && grant.of(letter.author(), letter.life())
         && (grant.token.equals(release.token()) || !checks.on(Check.RELEASE_TOKEN))
         && (grant.asked == release.asked() || !checks.on(Check.RELEASE_CITES));
   }
 
   private Optional<Word> answer(DutyName duty, Record record, long asked, Duration now) {
-    return Optional.of(new Word.Answer(duty, electors.epoch(), asked, record.seen,
-        record.held == null ? NOBODY : record.held.left(now),
-        record.next == null ? NOBODY : record.next.left(now)));
+    return Optional.of(
+        new Word.Answer(
+            duty,
+            electors.epoch(),
+            asked,
+            record.seen,
+            record.held == null ? NOBODY : record.held.left(now),
+            record.next == null ? NOBODY : record.next.left(now)));
   }
 
   /** How much longer it grants nothing; zero once it does. */
@@ -254,8 +288,8 @@
   }
 
   /**
-   * Notes that an elector (oneself too) says, as it does every fourth of a lease, in which epoch it is. Where
-   * it falls behind, its time there begins anew.
+   * Notes that an elector (oneself too) says, as it does every fourth of a lease, in which epoch it
+   * is. Where it falls behind, its time there begins anew.
    */
   public void heardEpoch(ElectorId from, long epoch, Duration now) {
     if (epoch < electors.epoch()) {
@@ -266,9 +300,9 @@
   }
 
   /**
-   * Goes to the next set of electors. Any majority of one set meets any of the next; so that none meets none
-   * two sets on, it goes only once a majority of the present set was in the present epoch for a quiet span:
-   * no lease of the epoch before is left then. Leases on record go on.
+   * Goes to the next set of electors. Any majority of one set meets any of the next; so that none
+   * meets none two sets on, it goes only once a majority of the present set was in the present
+   * epoch for a quiet span: no lease of the epoch before is left then. Leases on record go on.
    *
    * @throws DutyError.ElectorsApart for any but one more or one less in the next epoch
    * @throws DutyError.ElectorsUnsettled too soon after the last change; never from epoch 0
@@ -278,8 +312,10 @@
       throw new DutyError.ElectorsApart(electors, next);
     }
     Duration since = now.minus(rules.quiet());
-    long there = electors.members().stream()
-        .filter(each -> settled.containsKey(each) && settled.get(each).compareTo(since) <= 0).count();
+    long there =
+        electors.members().stream()
+            .filter(each -> settled.containsKey(each) && settled.get(each).compareTo(since) <= 0)
+            .count();
     if (electors.epoch() > 0 && there < electors.majority()) {
       throw new DutyError.ElectorsUnsettled(electors);
     }
--- a/duty/src/main/java/gingerring/duty/ElectorId.java
+++ b/duty/src/main/java/gingerring/duty/ElectorId.java
@@ -2,7 +2,8 @@
 
 /** A mixer in its part as an elector. */
 public record ElectorId(MixerId mixer) implements Comparable<ElectorId> {
-  @Override public int compareTo(ElectorId other) {
+  @Override
+  public int compareTo(ElectorId other) {
     return mixer.compareTo(other.mixer);
   }
 }
--- a/duty/src/main/java/gingerring/duty/Electors.java
+++ b/duty/src/main/java/gingerring/duty/Electors.java
@@ -13,7 +13,9 @@
 public record Electors(long epoch, Set<ElectorId> members) {
   private static final int MOST = 9;
 
-  /** @throws DutyError.BadElectors for none, too many, or an epoch below zero */
+  /**
+   * @throws DutyError.BadElectors for none, too many, or an epoch below zero
+   */
   public Electors {
     members = Collections.unmodifiableSet(new TreeSet<>(members));
     if (members.isEmpty() || members.size() > MOST || epoch < 0) {
@@ -26,7 +28,8 @@
   }
 
   /**
-   * Whether another set is the next one: one epoch on, and one member more or less, so that majorities meet.
+   * Whether another set is the next one: one epoch on, and one member more or less, so that
+   * majorities meet.
    */
   public boolean leadsTo(Electors other) {
     Set<ElectorId> apart = new TreeSet<>(members);
--- a/duty/src/main/java/gingerring/duty/Gate.java
+++ b/duty/src/main/java/gingerring/duty/Gate.java
@@ -4,10 +4,10 @@
 import java.util.Map;
 
 /**
- * The receiver of duties' work: takes it only with the newest token that it has seen, so that an old holder
- * that wakes changes nothing (fencing; Burrows, "The Chubby lock service", OSDI 2006, 2.4). Keep the newest
- * token beside what the work writes: a gate that has forgotten takes the first that comes. At most so many
- * duties, some 100 bytes each; no more are taken then.
+ * The receiver of duties' work: takes it only with the newest token that it has seen, so that an
+ * old holder that wakes changes nothing (fencing; Burrows, "The Chubby lock service", OSDI 2006,
+ * 2.4). Keep the newest token beside what the work writes: a gate that has forgotten takes the
+ * first that comes. At most so many duties, some 100 bytes each; no more are taken then.
  */
 public final class Gate {
   private final int most;
@@ -25,8 +25,8 @@
   }
 
   /**
-   * Takes a piece of work, or not. A new holder shows its token at once, also where it has no work yet: from
-   * then on the earlier is shut out.
+   * Takes a piece of work, or not. A new holder shows its token at once, also where it has no work
+   * yet: from then on the earlier is shut out.
    *
    * @throws DutyError.OldToken where a later holder was here, or the token is another duty's
    * @throws DutyError.TooManyDuties
@@ -40,7 +40,8 @@
     boolean alien = !token.fits(duty) && checks.on(Checks.Check.GATE_DUTY);
     if (old || alien) {
       refused++;
-      throw new DutyError.OldToken(duty, token, before == null ? Token.of(duty, Term.NONE) : before);
+      throw new DutyError.OldToken(
+          duty, token, before == null ? Token.of(duty, Term.NONE) : before);
     }
     newest.put(duty, token);
   }
--- a/duty/src/main/java/gingerring/duty/Ranks.java
+++ b/duty/src/main/java/gingerring/duty/Ranks.java
@@ -9,9 +9,10 @@
 import java.util.List;
 
 /**
- * Who is to hold a duty, first to last, by rendezvous (Thaler and Ravishankar, IEEE/ACM Transactions on
- * Networking 6(1), 1998): all who know the same members rank alike; a member that goes moves its own duties
- * alone, one that comes takes only those in which it is first. O(members) for each duty.
+ * Who is to hold a duty, first to last, by rendezvous (Thaler and Ravishankar, IEEE/ACM
+ * Transactions on Networking 6(1), 1998): all who know the same members rank alike; a member that
+ * goes moves its own duties alone, one that comes takes only those in which it is first. O(members)
+ * for each duty.
  */
 public final class Ranks {
   private Ranks() {}
--- a/emulator/src/main/java/gingerring/emulator/core/Box.java
+++ b/emulator/src/main/java/gingerring/emulator/core/Box.java
@@ -10,9 +10,10 @@
 import java.util.Set;
 
 /**
- * One box: cores that work off a queue, pauses, a warm-up in which it can do only part of its work, and the
- * fall when it is sent too much of that. Call {@link #part} and {@link #cancel} as frames come, {@link #start}
- * and {@link #stop} as its process lives and dies; it answers through {@link Host}.
+ * One box: cores that work off a queue, pauses, a warm-up in which it can do only part of its work,
+ * and the fall when it is sent too much of that. Call {@link #part} and {@link #cancel} as frames
+ * come, {@link #start} and {@link #stop} as its process lives and dies; it answers through {@link
+ * Host}.
  */
 public final class Box {
   /** What a box can do, and the clock it does it by. */
@@ -142,14 +143,17 @@
     }
     Trouble errors = active(Trouble.Kind.ERRORS);
     boolean bad = Fate.draw(world.seed(), "bad " + part.text, part.folio) < world.badParts();
-    if (bad || errors != null
-        && Fate.draw(world.seed(), "error " + part.text, part.folio, number) < errors.size()) {
+    if (bad
+        || errors != null
+            && Fate.draw(world.seed(), "error " + part.text, part.folio, number) < errors.size()) {
       int mine = life;
-      host.after(FAST, () -> {
-        if (life == mine) {
-          host.answer(part, "failed");
-        }
-      });
+      host.after(
+          FAST,
+          () -> {
+            if (life == mine) {
+              host.answer(part, "failed");
+            }
+          });
       return;
     }
     queue.add(part);
@@ -207,19 +211,23 @@
       double takes = millis / (speed * warmth()) * (slow == null ? 1 : Math.max(1, slow.size()));
       Duration span = Duration.ofNanos((long) (takes * 1e6));
       int mine = life;
-      host.after(span.plus(pauses(host.now(), span)), () -> {
-        if (life != mine) {
-          return;
-        }
-        running--;
-        done++;
-        worked += millis;
-        Trouble spoil = active(Trouble.Kind.SPOIL);
-        boolean spoilt = spoil != null
-            && Fate.draw(world.seed(), "spoil " + part.text, part.folio, number) < spoil.size();
-        host.answer(part, spoilt ? "spoilt" : "done");
-        next();
-      });
+      host.after(
+          span.plus(pauses(host.now(), span)),
+          () -> {
+            if (life != mine) {
+              return;
+            }
+            running--;
+            done++;
+            worked += millis;
+            Trouble spoil = active(Trouble.Kind.SPOIL);
+            boolean spoilt =
+                spoil != null
+                    && Fate.draw(world.seed(), "spoil " + part.text, part.folio, number)
+                        < spoil.size();
+            host.answer(part, spoilt ? "spoilt" : "done");
+            next();
+          });
     }
   }
 
--- a/emulator/src/main/java/gingerring/emulator/core/Fate.java
+++ b/emulator/src/main/java/gingerring/emulator/core/Fate.java
@@ -1,8 +1,8 @@
 package gingerring.emulator.core;
 
 /**
- * What is drawn once and for all for a thing, from the seed and what names it: the same part meets the same at
- * the same box in every run, in whatever order and at whatever pace things happen.
+ * What is drawn once and for all for a thing, from the seed and what names it: the same part meets
+ * the same at the same box in every run, in whatever order and at whatever pace things happen.
  */
 public final class Fate {
   private Fate() {}
--- a/emulator/src/main/java/gingerring/emulator/core/Referee.java
+++ b/emulator/src/main/java/gingerring/emulator/core/Referee.java
@@ -13,24 +13,40 @@
 import java.util.stream.Stream;
 
 /**
- * Judges the rules of a scan from outside: told of every request, answer, part and return as the stand-ins
- * see them, it says where a mixer broke one, and which. A part is judged by when it was sent, which is not
- * when it arrives where a link holds it. Times allow {@link #SLACK} for the way over sockets. Scans are
- * forgotten {@link #KEPT} after their end, so that memory is bounded by the rate.
+ * Judges the rules of a scan from outside: told of every request, answer, part and return as the
+ * stand-ins see them, it says where a mixer broke one, and which. A part is judged by when it was
+ * sent, which is not when it arrives where a link holds it. Times allow {@link #SLACK} for the way
+ * over sockets. Scans are forgotten {@link #KEPT} after their end, so that memory is bounded by the
+ * rate.
  */
 public final class Referee {
   public static final Duration SLACK = Duration.ofMillis(50);
   static final Duration KEPT = Duration.ofSeconds(30);
-  /** A frame that came while the rig stood still is read this soon after: in its first turn or the next. */
+
+  /**
+   * A frame that came while the rig stood still is read this soon after: in its first turn or the
+   * next.
+   */
   static final Duration READ_AFTER = Duration.ofMillis(10);
+
   private static final int SHOWN_MOST = 100;
+
   /** How long before a box's overload what came to it still counts. */
   private static final Duration LATELY = Duration.ofSeconds(1);
+
   /** Blamed where it can't be told which mixer it was. */
   static final int NOBODY = -1;
 
   /** The rules, and what only a mixer gone wrong does: parts that nobody asked for. */
-  public enum Rule { SCAN_LOST, EFFECT_TWICE, DRAIN, COLD_BOX, HONEST_ANSWER, TRIPS, STRANGE_PART }
+  public enum Rule {
+    SCAN_LOST,
+    EFFECT_TWICE,
+    DRAIN,
+    COLD_BOX,
+    HONEST_ANSWER,
+    TRIPS,
+    STRANGE_PART
+  }
 
   /** A rule broken, and by which mixer. */
   public record Foul(Rule rule, int mixer, Duration at, String what) {}
@@ -50,7 +66,13 @@
     boolean left;
     boolean nacked;
 
-    Scan(Grade grade, Map<Integer, Double> shares, String key, Duration since, Duration until, int mixer) {
+    Scan(
+        Grade grade,
+        Map<Integer, Double> shares,
+        String key,
+        Duration since,
+        Duration until,
+        int mixer) {
       this.grade = grade;
       this.shares = shares;
       this.key = key;
@@ -80,19 +102,25 @@
 
   private final World world;
   private final Map<String, Scan> scans = new HashMap<>();
+
   /** By mixer and box: since when that one has been told. */
   private final Map<Long, Duration> drained = new HashMap<>();
+
   /** By mixer: spans in which it was stopped, cut off or killed, and owed no answer in time. */
   private final Map<Integer, List<Duration[]>> excuses = new HashMap<>();
+
   /** Spans in which whoever tells the referee stood still, and when it last said that it runs. */
   private final List<Duration[]> stood = new ArrayList<>();
+
   private Duration beat;
   private Duration stall = Duration.ZERO;
   private final Map<Rule, Integer> counts = new HashMap<>();
   private final Map<Integer, Integer> blamed = new TreeMap<>();
   private final List<Foul> shown = new ArrayList<>();
+
   /** By box, what came to it lately. */
   private final Map<Integer, Deque<Load>> loads = new HashMap<>();
+
   private Duration swept = Duration.ZERO;
   private long trips;
   private long judged;
@@ -112,13 +140,23 @@
   }
 
   /** A client has sent a request whole. */
-  public void asked(String mark, String grade, Map<Integer, Double> shares, String key, Duration at,
+  public void asked(
+      String mark,
+      String grade,
+      Map<Integer, Double> shares,
+      String key,
+      Duration at,
       Duration patience) {
     asked(0, mark, grade, shares, key, at, patience);
   }
 
   /** A client has sent a request whole to one of several mixers. */
-  public void asked(int mixer, String mark, String grade, Map<Integer, Double> shares, String key,
+  public void asked(
+      int mixer,
+      String mark,
+      String grade,
+      Map<Integer, Double> shares,
+      String key,
       Duration at,
       Duration patience) {
     judged++;
@@ -126,14 +164,17 @@
     sweep(at);
   }
 
-  /** A mixer was made to stand still, or ended, from then to then: its scans of that time may be lost. */
+  /**
+   * A mixer was made to stand still, or ended, from then to then: its scans of that time may be
+   * lost.
+   */
   public void excuse(int mixer, Duration from, Duration to) {
     excuses.computeIfAbsent(mixer, m -> new ArrayList<>()).add(new Duration[] {from, to});
   }
 
   /**
-   * Whoever tells the referee says often that it runs itself. Where it stood still for longer than the slack,
-   * all it saw of that time is late by its own doing, and no mixer owes it.
+   * Whoever tells the referee says often that it runs itself. Where it stood still for longer than
+   * the slack, all it saw of that time is late by its own doing, and no mixer owes it.
    */
   public void beat(Duration now) {
     if (beat != null && now.minus(beat).compareTo(SLACK) > 0) {
@@ -152,13 +193,17 @@
     if (beat != null && at.compareTo(beat) > 0) {
       beat(at);
     }
-    boolean excused = Stream.concat(stood.stream(), excuses.getOrDefault(scan.mixer, List.of()).stream())
-        .anyMatch(span -> scan.since.compareTo(span[1]) <= 0 && at.compareTo(span[0]) >= 0);
+    boolean excused =
+        Stream.concat(stood.stream(), excuses.getOrDefault(scan.mixer, List.of()).stream())
+            .anyMatch(span -> scan.since.compareTo(span[1]) <= 0 && at.compareTo(span[0]) >= 0);
     this.excused += excused ? 1 : 0;
     return excused;
   }
 
-  /** What was lost, late or sent again while its mixer, or the rig itself, had been made to stand still. */
+  /**
+   * What was lost, late or sent again while its mixer, or the rig itself, had been made to stand
+   * still.
+   */
   public long excused() {
     return excused;
   }
@@ -184,7 +229,8 @@
   }
 
   /** An answer's last byte came; {@code values} are null for one that refuses or gives up. */
-  public void answered(String mark, Duration at, boolean nacked, boolean whole, Map<Integer, String> values) {
+  public void answered(
+      String mark, Duration at, boolean nacked, boolean whole, Map<Integer, String> values) {
     Scan scan = scans.get(mark);
     if (scan == null) {
       foul(Rule.SCAN_LOST, NOBODY, at, mark + " was answered and not asked");
@@ -201,8 +247,11 @@
       foul(Rule.SCAN_LOST, scan.mixer, at, mark + " was answered after its client's time");
     }
     scan.nacked = nacked;
-    if (nacked && scan.grade.repeats() == Repeats.AT_MOST_ONCE && scan.trips.values().stream()
-        .flatMap(List::stream).anyMatch(trip -> trip.mayHaveRun(at))) {
+    if (nacked
+        && scan.grade.repeats() == Repeats.AT_MOST_ONCE
+        && scan.trips.values().stream()
+            .flatMap(List::stream)
+            .anyMatch(trip -> trip.mayHaveRun(at))) {
       foul(Rule.EFFECT_TWICE, scan.mixer, at, mark + " was nacked though a part may have run");
     }
     if (values != null) {
@@ -210,26 +259,41 @@
     }
   }
 
-  private void honest(String mark, Scan scan, Duration at, boolean whole, Map<Integer, String> values) {
+  private void honest(
+      String mark, Scan scan, Duration at, boolean whole, Map<Integer, String> values) {
     double weight = 0;
     for (Map.Entry<Integer, String> value : values.entrySet()) {
       Double share = scan.shares.get(value.getKey());
-      boolean given = scan.trips.getOrDefault(value.getKey(), List.of()).stream()
-          .anyMatch(trip -> value.getValue().equals(trip.value));
+      boolean given =
+          scan.trips.getOrDefault(value.getKey(), List.of()).stream()
+              .anyMatch(trip -> value.getValue().equals(trip.value));
       if (share == null || !given) {
-        foul(Rule.HONEST_ANSWER, scan.mixer, at,
+        foul(
+            Rule.HONEST_ANSWER,
+            scan.mixer,
+            at,
             mark + " has a value of folio " + value.getKey() + " that no box gave");
       }
       weight += share == null ? 0 : share;
     }
     double all = scan.shares.values().stream().mapToDouble(Double::doubleValue).sum();
     if (whole && values.size() < scan.shares.size()) {
-      foul(Rule.HONEST_ANSWER, scan.mixer, at, mark + " is marked whole with " + values.size() + " of "
-          + scan.shares.size() + " parts");
+      foul(
+          Rule.HONEST_ANSWER,
+          scan.mixer,
+          at,
+          mark + " is marked whole with " + values.size() + " of " + scan.shares.size() + " parts");
     }
     if (weight < scan.grade.floor() * all - 1e-6) {
-      foul(Rule.HONEST_ANSWER, scan.mixer, at,
-          mark + " is answered from " + weight + " of its weight, under the floor " + scan.grade.floor());
+      foul(
+          Rule.HONEST_ANSWER,
+          scan.mixer,
+          at,
+          mark
+              + " is answered from "
+              + weight
+              + " of its weight, under the floor "
+              + scan.grade.floor());
     }
   }
 
@@ -240,7 +304,8 @@
   }
 
   /** A part has arrived at a box whole that a mixer had {@code sent} before. */
-  public void part(int mixer, String mark, int folio, String key, int box, Duration sent, Duration at) {
+  public void part(
+      int mixer, String mark, int folio, String key, int box, Duration sent, Duration at) {
     trips++;
     held += at.minus(sent).compareTo(SLACK) > 0 ? 1 : 0;
     carried(mixer, box, sent);
@@ -251,7 +316,11 @@
       return;
     }
     if (!world.holders(folio).contains(box)) {
-      foul(Rule.STRANGE_PART, mixer, sent, what + " was sent to box " + box + ", which does not hold it");
+      foul(
+          Rule.STRANGE_PART,
+          mixer,
+          sent,
+          what + " was sent to box " + box + ", which does not hold it");
     }
     if (scan.key != null && scan.grade.repeats() == Repeats.NUMBERED && !scan.key.equals(key)) {
       foul(Rule.STRANGE_PART, mixer, sent, what + " was sent without its key");
@@ -259,14 +328,20 @@
     if (scan.ended != null && sent.compareTo(scan.ended.plus(SLACK)) > 0 && !excused(scan, sent)) {
       foul(Rule.SCAN_LOST, mixer, sent, what + " was sent after the answer");
     }
-    if (scan.nacked && sent.compareTo(scan.ended) <= 0 && scan.grade.repeats() == Repeats.AT_MOST_ONCE) {
+    if (scan.nacked
+        && sent.compareTo(scan.ended) <= 0
+        && scan.grade.repeats() == Repeats.AT_MOST_ONCE) {
       foul(Rule.EFFECT_TWICE, mixer, sent, mark + " was nacked though a part was on its way");
     }
     Duration since = drained.get(place(mixer, box));
-    if (since != null && sent.compareTo(since.plus(world.drainGrace()).plus(SLACK)) > 0
+    if (since != null
+        && sent.compareTo(since.plus(world.drainGrace()).plus(SLACK)) > 0
         && !excused(scan, sent)) {
-      foul(Rule.DRAIN, mixer, sent, what + " was sent to box " + box + ", told as drained at "
-          + since.toMillis() + " ms");
+      foul(
+          Rule.DRAIN,
+          mixer,
+          sent,
+          what + " was sent to box " + box + ", told as drained at " + since.toMillis() + " ms");
     }
     List<Trip> others = scan.trips.computeIfAbsent(folio, f -> new ArrayList<>());
     if (others.size() >= world.trips()) {
@@ -276,8 +351,14 @@
     for (Trip other : others) {
       boolean late = other.sent.compareTo(sent) > 0; // sent before one that came before it
       if (twice(scan, late ? mine : other, late ? other : mine)) {
-        foul(Rule.EFFECT_TWICE, mixer, sent, what + (scan.grade.repeats() == Repeats.AT_MOST_ONCE
-            ? " was sent again though it may have run" : " was sent again after its mark was forgotten"));
+        foul(
+            Rule.EFFECT_TWICE,
+            mixer,
+            sent,
+            what
+                + (scan.grade.repeats() == Repeats.AT_MOST_ONCE
+                    ? " was sent again though it may have run"
+                    : " was sent again after its mark was forgotten"));
         break;
       }
     }
@@ -286,8 +367,10 @@
 
   /** Whether a later trip may have done what an earlier one had done. */
   private boolean twice(Scan scan, Trip earlier, Trip later) {
-    return earlier.mayHaveRun(later.sent) && (scan.grade.repeats() == Repeats.AT_MOST_ONCE
-        || scan.grade.repeats() == Repeats.NUMBERED && forgotten(scan, earlier.sent, later.sent));
+    return earlier.mayHaveRun(later.sent)
+        && (scan.grade.repeats() == Repeats.AT_MOST_ONCE
+            || scan.grade.repeats() == Repeats.NUMBERED
+                && forgotten(scan, earlier.sent, later.sent));
   }
 
   /** Whether a numbered part was sent again after its mark was forgotten. */
@@ -303,8 +386,8 @@
   }
 
   /**
-   * How long the rig had stood still when it read a frame, which may have come at any moment since. A stall
-   * that had ended before does not count, for what came in it was read at its end.
+   * How long the rig had stood still when it read a frame, which may have come at any moment since.
+   * A stall that had ended before does not count, for what came in it was read at its end.
    */
   private Duration stillBefore(Duration read) {
     if (beat != null && read.compareTo(beat) > 0) {
@@ -314,7 +397,8 @@
     Duration begin = read;
     for (int i = stood.size() - 1; i >= 0; i--) {
       Duration[] span = stood.get(i);
-      // the last may have ended a little before; of earlier ones only those count that it follows at once
+      // the last may have ended a little before; of earlier ones only those count that it follows
+      // at once
       Duration end = begin.equals(read) ? span[1].plus(READ_AFTER) : span[1];
       if (span[0].compareTo(begin) < 0 && end.compareTo(begin) >= 0) {
         still = still.plus((span[1].compareTo(begin) < 0 ? span[1] : begin).minus(span[0]));
@@ -370,17 +454,27 @@
   /** A box fell; blamed is the mixer that sent it most of its last parts. */
   public void fell(int box, Duration at) {
     Map<Integer, Integer> shares = new TreeMap<>();
-    loads.getOrDefault(box, new ArrayDeque<>()).forEach(load -> shares.merge(load.mixer, 1, Integer::sum));
-    int most = shares.entrySet().stream().max(Map.Entry.comparingByValue()).map(Map.Entry::getKey)
-        .orElse(NOBODY);
-    foul(Rule.COLD_BOX, most, at, "box " + box + " was pushed over while cold; its last parts by mixer: "
-        + shares);
+    loads
+        .getOrDefault(box, new ArrayDeque<>())
+        .forEach(load -> shares.merge(load.mixer, 1, Integer::sum));
+    int most =
+        shares.entrySet().stream()
+            .max(Map.Entry.comparingByValue())
+            .map(Map.Entry::getKey)
+            .orElse(NOBODY);
+    foul(
+        Rule.COLD_BOX,
+        most,
+        at,
+        "box " + box + " was pushed over while cold; its last parts by mixer: " + shares);
   }
 
   private void sweep(Duration now) {
     if (now.minus(swept).compareTo(KEPT) > 0) {
       swept = now;
-      scans.values().removeIf(scan -> scan.ended != null && now.minus(scan.ended).compareTo(KEPT) > 0);
+      scans
+          .values()
+          .removeIf(scan -> scan.ended != null && now.minus(scan.ended).compareTo(KEPT) > 0);
     }
   }
 
--- a/emulator/src/main/java/gingerring/emulator/core/Script.java
+++ b/emulator/src/main/java/gingerring/emulator/core/Script.java
@@ -11,15 +11,23 @@
 /** What clients ask, drawn from the seed: when, of which grade, which folios with which weights. */
 public final class Script {
   /** A wish of a client; its tries share text and key. */
-  public record Wish(int number, Duration at, Grade grade, Map<Integer, Double> shares, String key, String text) {
+  public record Wish(
+      int number, Duration at, Grade grade, Map<Integer, Double> shares, String key, String text) {
     /** The body of its request, with a rough guess at each part's work. */
     public byte[] body(World world) {
       StringBuilder json = new StringBuilder("{\"targets\":[");
       String between = "";
       for (Map.Entry<Integer, Double> share : shares.entrySet()) {
-        double guess = grade.work().at(0.5) * (0.7 + 0.6 * Fate.draw(world.seed(), text, share.getKey(), 7));
-        json.append(between).append("{\"partition\":").append(share.getKey()).append(",\"share\":")
-            .append(share.getValue()).append(",\"est_us\":").append((long) (guess * 1000)).append('}');
+        double guess =
+            grade.work().at(0.5) * (0.7 + 0.6 * Fate.draw(world.seed(), text, share.getKey(), 7));
+        json.append(between)
+            .append("{\"partition\":")
+            .append(share.getKey())
+            .append(",\"share\":")
+            .append(share.getValue())
+            .append(",\"est_us\":")
+            .append((long) (guess * 1000))
+            .append('}');
         between = ",";
       }
       return json.append("],\"query\":\"").append(text).append("\"}").toString().getBytes();
@@ -49,10 +57,17 @@
         pick -= each.share();
       }
       int number = wishes.size();
-      String text = grade.name() + ':' + String.format("%08x", (int) Fate.bits(world.seed(), "text", number));
+      String text =
+          grade.name() + ':' + String.format("%08x", (int) Fate.bits(world.seed(), "text", number));
       String key = String.format("%016x", Fate.bits(world.seed(), "key", number));
-      wishes.add(new Wish(number, Duration.ofNanos((long) (at * 1e9)), grade, shares(world, grade, random), key,
-          text));
+      wishes.add(
+          new Wish(
+              number,
+              Duration.ofNanos((long) (at * 1e9)),
+              grade,
+              shares(world, grade, random),
+              key,
+              text));
     }
   }
 
@@ -62,7 +77,8 @@
     double[] weights = new double[count];
     double sum = 0;
     for (int i = 0; i < count; i++) {
-      weights[i] = grade.skewed() ? 1 / (1.0 + random.nextInt(count)) : 1 + 0.1 * random.nextDouble();
+      weights[i] =
+          grade.skewed() ? 1 / (1.0 + random.nextInt(count)) : 1 + 0.1 * random.nextDouble();
       sum += weights[i];
     }
     Map<Integer, Double> shares = new LinkedHashMap<>();
