--- a/mixer/src/test/java/gingerring/LayoutTest.java
+++ b/mixer/src/test/java/gingerring/LayoutTest.java
@@ -9,8 +9,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Which way the deployed program depends: nothing heavier than MINA and SLF4J, and decisions on
- * nothing.
+ * Dependencies of the deployed program: no libraries other than MINA and SLF4J, and no I/O, threads
+ * or clock in the decision module.
  */
 class LayoutTest {
   private static final JavaClasses MAIN_CLASSES =
