--- a/mixer/src/main/java/gingerring/server/MixerServer.java
+++ b/mixer/src/main/java/gingerring/server/MixerServer.java
@@ -1,12 +1,12 @@
 package gingerring.server;
 
-import gingerring.backend.Back;
+import gingerring.backend.Backend;
 import gingerring.decide.Settings;
-import gingerring.discovery.Watch;
-import gingerring.frontend.Front;
-import gingerring.net.Counts;
+import gingerring.discovery.DiscoveryWatch;
+import gingerring.frontend.Frontend;
+import gingerring.net.Counters;
 import gingerring.net.Network;
-import gingerring.net.Tap;
+import gingerring.net.TrafficListener;
 import java.io.IOException;
 import java.io.PrintStream;
 import java.net.InetSocketAddress;
@@ -19,203 +19,209 @@
 import sun.misc.Signal;
 import sun.misc.SignalHandler;
 
-/** Starts a real mixer, runs it in the foreground, and ends it at SIGTERM. */
+/** Starts a mixer on real sockets, runs it in the foreground, and shuts it down on SIGTERM. */
 public final class MixerServer {
   private static final Logger LOG = LoggerFactory.getLogger("gingerring.serve");
 
-  /** How long after SIGTERM clients may still come: what comes later may go unanswered. */
-  private static final Duration STILL_COMING = Duration.ofMillis(700);
+  /** How long new connections are accepted after SIGTERM; later ones may go unanswered. */
+  private static final Duration ACCEPT_AFTER_SIGTERM = Duration.ofMillis(700);
 
-  /**
-   * The longest patience that a restart waits for, and how long before the end the last scans are
-   * closed.
-   */
-  private static final Duration PATIENCE_MOST = Duration.ofSeconds(3);
+  /** The longest client deadline that a shutdown waits for. */
+  private static final Duration MAX_DRAIN_TIME = Duration.ofSeconds(3);
 
+  /** How long before the end the last scans are closed. */
   private static final Duration END_MARGIN = Duration.ofMillis(300);
 
-  /**
-   * How long before that each answer becomes its connection's last, and how long the idle ones stay
-   * on.
-   */
-  private static final Duration LAST_CALL = Duration.ofMillis(600);
+  /** How long before the end connections are closed after their next response. */
+  private static final Duration CLOSE_AFTER_RESPONSE_PERIOD = Duration.ofMillis(600);
 
-  private static final Duration CLOSING = Duration.ofMillis(200);
+  /** How long before the end idle connections are closed. */
+  private static final Duration CLOSE_IDLE_PERIOD = Duration.ofMillis(200);
 
-  /** Answers need a moment to leave. */
-  private static final Duration FLUSH = Duration.ofMillis(100);
+  /** Time for responses to be sent. */
+  private static final Duration FLUSH_INTERVAL = Duration.ofMillis(100);
 
-  /**
-   * Whatever holds practice up, and however long a dial may take, it is no longer in the way then.
-   */
-  private static final Duration PRACTICE_MOST = Duration.ofSeconds(1);
+  /** The mixer becomes ready after this time even if the socket warm-up or a dial takes longer. */
+  private static final Duration MAX_WARM_UP_TIME = Duration.ofSeconds(1);
 
-  private static final Duration STATUS_EVERY = Duration.ofSeconds(60);
+  private static final Duration STATUS_INTERVAL = Duration.ofSeconds(60);
 
-  /** Descriptors for the process itself, and for connections at least. */
-  private static final int SOCKETS_OWN = 40;
+  /** Descriptors reserved for the process itself. */
+  private static final int RESERVED_SOCKETS = 40;
 
-  private static final int SOCKETS_LEAST = 16;
+  /** Descriptors left for connections even with a small limit. */
+  private static final int MIN_CONNECTION_SOCKETS = 16;
 
   private final Map<String, String> env;
-  private final Tap tap;
-  private final PeerService neighbours;
-  final Counts counts = new Counts();
-  final Loop loop = new Loop(counts);
+  private final TrafficListener tap;
+  private final PeerService peers;
+  final Counters counts = new Counters();
+  final EventLoop loop = new EventLoop(counts);
   private final CountDownLatch ended = new CountDownLatch(1);
   private Network network;
-  Front front;
-  private MixerHost desk;
-  private Back back;
-  private Watch watch;
+  Frontend frontend;
+  private MixerHost host;
+  private Backend backend;
+  private DiscoveryWatch watch;
 
-  /** What holds for this process; of later configurations, only where discovery is. */
-  private MixerConfig atStart;
+  /**
+   * The configuration in force. Of later configurations, only the address of discovery is applied.
+   */
+  private MixerConfig startConfig;
 
-  private Duration endBy;
+  private Duration shutdownDeadline;
 
-  MixerServer(Map<String, String> env, Tap tap, PeerService neighbours) {
+  MixerServer(Map<String, String> env, TrafficListener tap, PeerService peers) {
     this.env = env;
     this.tap = tap;
-    this.neighbours = neighbours;
+    this.peers = peers;
   }
 
-  /** Returns the exit code. */
-  public static int run(Map<String, String> env, PrintStream complaints) {
-    return run(env, complaints, null, null);
+  /** Runs a mixer until it has ended; returns the exit code. */
+  public static int run(Map<String, String> env, PrintStream errorOutput) {
+    return run(env, errorOutput, null, null);
   }
 
   /**
-   * The same, with all that its connections carry told to a tap, and among other mixers; null for
-   * none of either.
+   * Runs a mixer with a tap that receives all traffic of its connections, and with peers; either
+   * may be null.
    */
   public static int run(
-      Map<String, String> env, PrintStream complaints, Tap tap, PeerService neighbours) {
-    MixerServer serve = new MixerServer(env, tap, neighbours);
-    // before anything is read: untended, SIGHUP ends a process, and one that comes early is not to
-    // be lost
-    SignalHandler before = Signal.handle(new Signal("HUP"), signal -> serve.reload());
-    if (before
+      Map<String, String> env, PrintStream errorOutput, TrafficListener tap, PeerService peers) {
+    MixerServer server = new MixerServer(env, tap, peers);
+    // Install the handler before anything is read: SIGHUP ends a process without a handler, and an
+    // early one is not to be lost.
+    SignalHandler previousHandler = Signal.handle(new Signal("HUP"), signal -> server.reload());
+    if (previousHandler
         == SignalHandler
-            .SIG_IGN) { // the virtual machine leaves a signal that it was started without
+            .SIG_IGN) { // the JVM keeps ignoring a signal that was ignored when it started
       LOG.warn(
           "SIGHUP is ignored, as whoever started this process wanted (nohup?): there is no reload");
     }
     try {
-      return serve.serve(
+      return server.serve(
           MixerConfig.read(env),
-          complaints,
-          listening -> Runtime.getRuntime().addShutdownHook(new Thread(serve::terminate, "end")));
+          errorOutput,
+          listenAddress ->
+              Runtime.getRuntime().addShutdownHook(new Thread(server::shutDownAndHalt, "end")));
     } catch (MixerConfig.InvalidConfig | IllegalArgumentException e) {
-      complaints.println("gingerring serve: " + e.getMessage());
+      errorOutput.println("gingerring serve: " + e.getMessage());
       return 2;
     }
   }
 
   /**
-   * Runs it until it has ended; {@code up} is told the address it listens at. Returns the exit
-   * code.
+   * Runs the mixer until it has ended and returns the exit code; {@code onListening} receives the
+   * address that it listens at.
    */
-  int serve(MixerConfig orders, PrintStream complaints, Consumer<InetSocketAddress> up) {
-    Settings terms = orders.terms();
-    int rehearsed = new Rehearsal(terms).run();
-    // one reading of both clocks
-    double startMs = System.currentTimeMillis() - loop.clock().toNanos() / 1e6;
+  int serve(MixerConfig config, PrintStream errorOutput, Consumer<InetSocketAddress> onListening) {
+    Settings settings = config.settings();
+    int warmUpScans = new ScanWarmUp(settings).run();
+    // both clocks are read at the same time
+    double startEpochMs = System.currentTimeMillis() - loop.currentTime().toNanos() / 1e6;
     network = new Network(loop, counts, false, tap);
-    desk = new MixerHost(loop, terms, counts, startMs);
-    back = new Back(network, desk, terms, counts, loop);
-    atStart = orders;
+    host = new MixerHost(loop, settings, counts, startEpochMs);
+    backend = new Backend(network, host, settings, counts, loop);
+    startConfig = config;
     watch =
-        new Watch(
-            network, orders.discovery(), orders.known().revision(), desk, counts, loop, terms);
-    front =
-        new Front(
+        new DiscoveryWatch(
+            network,
+            config.discoveryAddress(),
+            config.knownMembers().revision(),
+            host,
+            counts,
+            loop,
+            settings);
+    frontend =
+        new Frontend(
             network,
-            desk,
-            terms,
+            host,
+            settings,
             counts,
             loop,
             loop::post,
-            Math.max(SOCKETS_LEAST, orders.sockets() - SOCKETS_OWN));
-    if (neighbours != null) {
-      desk.among(neighbours);
-      neighbours.begin(new Lent(orders, startMs));
+            Math.max(MIN_CONNECTION_SOCKETS, config.socketLimit() - RESERVED_SOCKETS));
+    if (peers != null) {
+      host.setPeers(peers);
+      peers.start(new PeerContext(config, startEpochMs));
     }
-    desk.practises();
-    desk.start(back, watch, orders.seed(), orders.known());
-    InetSocketAddress listening;
+    host.startWarmUp();
+    host.start(backend, watch, config.seed(), config.knownMembers());
+    InetSocketAddress listenAddress;
     try {
-      listening = front.listen(orders.listen());
+      listenAddress = frontend.listen(config.listenAddress());
     } catch (IOException e) {
-      complaints.println(
-          "gingerring serve: cannot listen at " + orders.listen() + ": " + e.getMessage());
+      errorOutput.println(
+          "gingerring serve: cannot listen at " + config.listenAddress() + ": " + e.getMessage());
       return 1;
     }
-    up.accept(listening);
+    onListening.accept(listenAddress);
     LOG.info(
         "{} listens at {}, {} searchers known, {} scans rehearsed",
-        orders.name(),
-        listening,
-        orders.known().members().size(),
-        rehearsed);
-    status();
-    Practice practice = new Practice(network, listening, orders.sockets(), counts, desk::practised);
-    practice.begin();
-    Duration dial = terms.span("PolicyLimits.DialTimeoutMs");
-    loop.wakeAfter(
-        dial.compareTo(PRACTICE_MOST) < 0 ? dial : PRACTICE_MOST, desk::practised); // may go on
-    loop.wakeAfter(PRACTICE_MOST, practice::end);
-    loop.run(back::dispatch, network::flush);
+        config.name(),
+        listenAddress,
+        config.knownMembers().members().size(),
+        warmUpScans);
+    scheduleStatusLog();
+    SocketWarmUp socketWarmUp =
+        new SocketWarmUp(network, listenAddress, config.socketLimit(), counts, host::finishWarmUp);
+    socketWarmUp.start();
+    Duration dialTimeout = settings.duration("PolicyLimits.DialTimeoutMs");
+    loop.schedule(
+        dialTimeout.compareTo(MAX_WARM_UP_TIME) < 0 ? dialTimeout : MAX_WARM_UP_TIME,
+        host::finishWarmUp); // the warm-up itself may go on
+    loop.schedule(MAX_WARM_UP_TIME, socketWarmUp::closeAll);
+    loop.run(backend::dispatch, network::flush);
     LOG.info("ended; counts: {}", counts);
     if (tap != null) {
-      tap.end();
+      tap.onShutdown();
     }
     ended.countDown();
     return 0;
   }
 
   /**
-   * SIGHUP: the file is read again, on the signal's own thread and one reading at a time, so that
-   * the newest is taken last. What cannot be used changes nothing; what holds for a process from
-   * its start waits for the next.
+   * Reads the configuration again on SIGHUP. This runs on the signal's thread, one reading at a
+   * time, so that the newest is applied last. An unusable file changes nothing; entries that only
+   * apply at the start wait for a restart.
    */
   synchronized void reload() {
     try {
-      MixerConfig orders = MixerConfig.read(env);
-      loop.post(() -> takeOver(orders));
+      MixerConfig config = MixerConfig.read(env);
+      loop.post(() -> applyReload(config));
     } catch (MixerConfig.InvalidConfig e) {
       LOG.warn("reload: the configuration in force stays: {}", e.getMessage());
     }
   }
 
-  private void takeOver(MixerConfig orders) {
+  private void applyReload(MixerConfig config) {
     LOG.info(
         "reload: discovery at {}{}",
-        orders.discovery(),
-        orders.differsOnlyInDiscovery(atStart) ? "" : "; what else is new waits for a restart");
-    watch.move(orders.discovery());
+        config.discoveryAddress(),
+        config.differsOnlyInDiscovery(startConfig) ? "" : "; all other changes wait for a restart");
+    watch.changeAddress(config.discoveryAddress());
   }
 
-  private void status() {
-    loop.wakeAfter(
-        STATUS_EVERY,
+  private void scheduleStatusLog() {
+    loop.schedule(
+        STATUS_INTERVAL,
         () -> {
           LOG.info(
               "{} scans open, {} clients, {} connections; counts: {}",
-              desk.open(),
-              front.clients(),
-              network.connections(),
+              host.openScanCount(),
+              frontend.clientCount(),
+              network.connectionCount(),
               counts);
-          if (neighbours != null) {
-            LOG.info("{}", neighbours.status());
+          if (peers != null) {
+            LOG.info("{}", peers.statusLine());
           }
-          status();
+          scheduleStatusLog();
         });
   }
 
-  /** SIGTERM: the loop ends in its own time, and the process with code 0. */
-  private void terminate() {
-    loop.post(this::announceEnd);
+  /** Handles SIGTERM: waits until the event loop has ended, then halts the process with code 0. */
+  private void shutDownAndHalt() {
+    loop.post(this::beginShutdown);
     try {
       ended.await();
     } catch (InterruptedException e) {
@@ -225,101 +231,104 @@
   }
 
   /**
-   * Clients stay while their connections do, and may have nowhere else to go while other mixers
-   * restart too: they are served on as ever for most of the time that is left, and then moved over
-   * answer by answer.
+   * Begins the shutdown. Clients stay as long as their connections are open, and may have no other
+   * mixer while others restart too. So they are served as usual for most of the time left, and then
+   * moved to other mixers by closing each connection after a response.
    */
-  void announceEnd() {
-    if (endBy != null) {
+  void beginShutdown() {
+    if (shutdownDeadline != null) {
       return;
     }
     counts.add("ends announced", 1);
-    LOG.info("ending: {} scans open", desk.open());
-    if (neighbours != null) {
-      neighbours.end(STILL_COMING);
+    LOG.info("ending: {} scans open", host.openScanCount());
+    if (peers != null) {
+      peers.shutDown(ACCEPT_AFTER_SIGTERM);
     }
-    Settings terms = atStart.terms();
-    Duration patience = Duration.ZERO;
-    for (int i = 0; i < terms.count("Classes.count"); i++) {
-      Duration its = terms.span("Classes." + i + ".HardLimitMs");
-      patience = its.compareTo(patience) > 0 ? its : patience;
+    Settings settings = startConfig.settings();
+    Duration drainTime = Duration.ZERO;
+    for (int i = 0; i < settings.count("Classes.count"); i++) {
+      Duration maxDeadline = settings.duration("Classes." + i + ".HardLimitMs");
+      drainTime = maxDeadline.compareTo(drainTime) > 0 ? maxDeadline : drainTime;
     }
-    patience = patience.compareTo(PATIENCE_MOST) < 0 ? patience : PATIENCE_MOST;
-    endBy = loop.now().plus(patience).plus(STILL_COMING).minus(END_MARGIN);
-    desk.announceEnd(endBy);
-    loop.wakeAfter(STILL_COMING, network::stopListening);
-    loop.wakeAfter(
-        endBy.minus(LAST_CALL).minus(loop.now()),
+    drainTime = drainTime.compareTo(MAX_DRAIN_TIME) < 0 ? drainTime : MAX_DRAIN_TIME;
+    shutdownDeadline = loop.now().plus(drainTime).plus(ACCEPT_AFTER_SIGTERM).minus(END_MARGIN);
+    host.beginShutdown(shutdownDeadline);
+    loop.schedule(ACCEPT_AFTER_SIGTERM, network::stopListening);
+    loop.schedule(
+        shutdownDeadline.minus(CLOSE_AFTER_RESPONSE_PERIOD).minus(loop.now()),
         () -> {
-          desk.lastCall();
-          loop.wakeAfter(LAST_CALL.minus(CLOSING), this::watchEnd);
+          host.closeConnectionsAfterResponses();
+          loop.schedule(CLOSE_AFTER_RESPONSE_PERIOD.minus(CLOSE_IDLE_PERIOD), this::finishShutdown);
         });
   }
 
   /**
-   * Clients send on for as long as their connections stay open: each is closed as it becomes idle,
-   * and the process ends once none is left, or at its time. Guards against a request that is read
-   * after the last look at what is open, and goes unanswered.
+   * Finishes the shutdown. Clients send requests as long as their connections are open, so each
+   * connection is closed when it becomes idle, and the process ends when none is left or its time
+   * is up. Otherwise a request read after the last check for open scans would go unanswered.
    */
-  private void watchEnd() {
+  private void finishShutdown() {
     network.stopListening();
-    boolean late = loop.now().compareTo(endBy) >= 0;
-    if (late) {
-      desk.scrapAll();
-      front.endNow();
+    boolean timeUp = loop.now().compareTo(shutdownDeadline) >= 0;
+    if (timeUp) {
+      host.failOpenScans();
+      frontend.closeAllClients();
     }
-    front.end();
-    boolean over = late || desk.open() == 0 && front.clients() == 0;
-    loop.wakeAfter(FLUSH, over ? loop::stop : this::watchEnd);
+    frontend.closeIdleClients();
+    boolean finished = timeUp || host.openScanCount() == 0 && frontend.clientCount() == 0;
+    loop.schedule(FLUSH_INTERVAL, finished ? loop::stop : this::finishShutdown);
   }
 
   Network network() {
     return network;
   }
 
-  /** Closes what a process that has ended leaves to the system. */
+  /**
+   * Closes the sockets and threads of a mixer that runs inside another process; a mixer's own
+   * process leaves them to the system.
+   */
   void dispose() {
     network.dispose();
   }
 
-  /** What neighbours are lent of this process. */
-  private final class Lent implements PeerService.Context {
-    private final MixerConfig orders;
-    private final long startMs;
+  /** What this process provides to its peer service. */
+  private final class PeerContext implements PeerService.Context {
+    private final MixerConfig config;
+    private final long startEpochMs;
 
-    Lent(MixerConfig orders, double startMs) {
-      this.orders = orders;
-      this.startMs = Math.round(startMs);
+    PeerContext(MixerConfig config, double startEpochMs) {
+      this.config = config;
+      this.startEpochMs = Math.round(startEpochMs);
     }
 
     @Override
     public String name() {
-      return orders.name();
+      return config.name();
     }
 
     @Override
     public int zone() {
-      return orders.terms().has("Zone") ? orders.terms().count("Zone") : -1;
+      return config.settings().has("Zone") ? config.settings().count("Zone") : -1;
     }
 
     @Override
-    public int places() {
-      return orders.terms().count("Domain.Places");
+    public int cellCount() {
+      return config.settings().count("Domain.Places");
     }
 
     @Override
-    public int reach() {
-      return orders.terms().count("Domain.Reach");
+    public int cellsPerShard() {
+      return config.settings().count("Domain.Reach");
     }
 
     @Override
-    public long startMs() {
-      return startMs;
+    public long startEpochMs() {
+      return startEpochMs;
     }
 
     @Override
     public void answeredElsewhere(long searcher) {
-      desk.othersHeard(searcher);
+      host.answeredElsewhere(searcher);
     }
 
     @Override
@@ -328,8 +337,8 @@
     }
 
     @Override
-    public void wakeAfter(Duration span, Runnable task) {
-      loop.wakeAfter(span, task);
+    public void schedule(Duration span, Runnable task) {
+      loop.schedule(span, task);
     }
 
     @Override
@@ -338,8 +347,8 @@
     }
 
     @Override
-    public Duration clock() {
-      return loop.clock();
+    public Duration currentTime() {
+      return loop.currentTime();
     }
   }
 }
