--- a/cli/src/main/java/gingerring/cli/DemoCommand.java
+++ b/cli/src/main/java/gingerring/cli/DemoCommand.java
@@ -20,26 +20,27 @@
 
   @Override
   public Integer call() throws Exception {
-    Scenario world;
+    Scenario scenario;
     try (InputStream in = DemoCommand.class.getResourceAsStream("demo.json")) {
-      world = Scenario.read(in.readAllBytes());
+      scenario = Scenario.read(in.readAllBytes());
     }
-    PrintWriter print = spec.commandLine().getOut();
-    print.println(
+    PrintWriter out = spec.commandLine().getOut();
+    out.println(
         "a mixer before "
-            + world.boxes()
+            + scenario.boxes()
             + " emulated boxes, "
-            + (int) world.requestsPerSecond()
+            + (int) scenario.requestsPerSecond()
             + " scans a second for "
-            + world.duration().toSeconds()
+            + scenario.duration().toSeconds()
             + " s, while one box fails fast, one vanishes and one is replaced ...");
-    print.flush();
-    ExperimentRun.Result mixer = ExperimentRun.run(world, ExperimentRun.Router.MIXER, 1, null);
-    print.print(ResultTables.text(mixer));
-    print.println("\nthe same with plain random choice ...");
-    print.flush();
-    print.print(ResultTables.text(ExperimentRun.run(world, ExperimentRun.Router.RANDOM, 1, null)));
-    print.flush();
-    return mixer.ruleChecker().violationCount() == 0 ? 0 : Gingerring.VERDICT;
+    out.flush();
+    ExperimentRun.Result mixerResult =
+        ExperimentRun.run(scenario, ExperimentRun.Router.MIXER, 1, null);
+    out.print(ResultTables.text(mixerResult));
+    out.println("\nthe same with plain random choice ...");
+    out.flush();
+    out.print(ResultTables.text(ExperimentRun.run(scenario, ExperimentRun.Router.RANDOM, 1, null)));
+    out.flush();
+    return mixerResult.ruleChecker().violationCount() == 0 ? 0 : Gingerring.EXIT_NEGATIVE_VERDICT;
   }
 }
--- a/cli/src/main/java/gingerring/cli/EmulateCommand.java
+++ b/cli/src/main/java/gingerring/cli/EmulateCommand.java
@@ -25,7 +25,7 @@
     })
 final class EmulateCommand implements Callable<Integer> {
   @Parameters(index = "0", paramLabel = "FILE", description = "the description, in JSON")
-  private Path file;
+  private Path scenarioFile;
 
   @Option(
       names = "--pace",
@@ -34,49 +34,53 @@
   private double pace;
 
   @Option(names = "--with-mixer", description = "run a mixer before it too")
-  private boolean mixer;
+  private boolean withMixer;
 
   @Option(
       names = "--record",
       paramLabel = "FILE",
       description = "with --with-mixer: what it records to")
-  private Path record;
+  private Path recordingFile;
 
   @Spec private CommandSpec spec;
 
   @Override
   public Integer call() throws Exception {
-    Scenario world = Worlds.read(file);
+    Scenario scenario = ScenarioFile.read(scenarioFile);
     Reactor reactor = new Reactor();
-    RuleChecker referee = new RuleChecker(world);
-    EmulatedStore store = new EmulatedStore(world, reactor, referee, Worlds.pace(pace));
+    RuleChecker ruleChecker = new RuleChecker(scenario);
+    EmulatedStore store =
+        new EmulatedStore(scenario, reactor, ruleChecker, ScenarioFile.validatePace(pace));
     // a replay of a run's recording meets each trouble when the run did
     store.startOnFirstPart(
-        Workload.generate(world).stream()
+        Workload.generate(scenario).stream()
             .findFirst()
             .map(Workload.ClientRequest::sendAt)
             .orElse(Duration.ZERO));
-    Thread thread = new Thread(reactor::run, "emulator");
-    thread.setDaemon(true);
-    thread.start();
+    Thread reactorThread = new Thread(reactor::run, "emulator");
+    reactorThread.setDaemon(true);
+    reactorThread.start();
     spec.commandLine()
         .getOut()
         .println("discovery at 127.0.0.1:" + store.discoveryAddress().getPort());
-    if (mixer) {
-      try (MixerProcess process =
-          MixerProcess.start(world, store.discoveryAddress(), store.memberList(), record)) {
-        spec.commandLine().getOut().println("mixer at 127.0.0.1:" + process.address().getPort());
-        awaitEnd();
-        process.stop();
+    if (withMixer) {
+      try (MixerProcess mixerProcess =
+          MixerProcess.start(
+              scenario, store.discoveryAddress(), store.memberList(), recordingFile)) {
+        spec.commandLine()
+            .getOut()
+            .println("mixer at 127.0.0.1:" + mixerProcess.address().getPort());
+        awaitEndOfInput();
+        mixerProcess.stop();
       }
     } else {
-      awaitEnd();
+      awaitEndOfInput();
     }
     reactor.stop();
     return 0;
   }
 
-  private static void awaitEnd() throws IOException {
+  private static void awaitEndOfInput() throws IOException {
     while (System.in.read() >= 0) {
       // until it ends
     }
--- a/cli/src/main/java/gingerring/cli/ExperimentCommand.java
+++ b/cli/src/main/java/gingerring/cli/ExperimentCommand.java
@@ -22,10 +22,10 @@
         "Plays a described run with a mixer, and with plain random choice beside it; tables and a chart.")
 final class ExperimentCommand implements Callable<Integer> {
   @Parameters(index = "0", paramLabel = "FILE", description = "the description, in JSON")
-  private Path file;
+  private Path scenarioFile;
 
   @Option(names = "--out", paramLabel = "FOLDER", description = "where CSV files and the chart go")
-  private Path out;
+  private Path outputFolder;
 
   @Option(
       names = "--pace",
@@ -34,41 +34,42 @@
   private double pace;
 
   @Option(names = "--no-baseline", description = "without plain random choice")
-  private boolean alone;
+  private boolean skipBaseline;
 
   @Option(names = "--record", paramLabel = "FILE", description = "what the mixer records to")
-  private Path record;
+  private Path recordingFile;
 
   @Spec private CommandSpec spec;
 
   @Override
   public Integer call() throws Exception {
-    Scenario world = Worlds.read(file);
-    String name = file.getFileName().toString().replaceAll("\\.json$", "");
-    PrintWriter print = spec.commandLine().getOut();
-    ExperimentRun.Result mixer =
-        ExperimentRun.run(world, ExperimentRun.Router.MIXER, Worlds.pace(pace), record);
-    print.print(ResultTables.text(mixer));
+    Scenario scenario = ScenarioFile.read(scenarioFile);
+    String name = scenarioFile.getFileName().toString().replaceAll("\\.json$", "");
+    PrintWriter out = spec.commandLine().getOut();
+    ExperimentRun.Result mixerResult =
+        ExperimentRun.run(
+            scenario, ExperimentRun.Router.MIXER, ScenarioFile.validatePace(pace), recordingFile);
+    out.print(ResultTables.text(mixerResult));
     Map<String, Map<Integer, Double>> series = new LinkedHashMap<>();
-    series.put("mixer", LineCharts.serviceLevelBySecond(mixer));
-    if (!alone) {
-      ExperimentRun.Result random =
-          ExperimentRun.run(world, ExperimentRun.Router.RANDOM, pace, null);
-      print.println();
-      print.print(ResultTables.text(random));
-      series.put("plain random choice", LineCharts.serviceLevelBySecond(random));
-      if (out != null) {
-        ResultTables.writeCsv(random, out, name + "-random");
+    series.put("mixer", LineCharts.serviceLevelBySecond(mixerResult));
+    if (!skipBaseline) {
+      ExperimentRun.Result randomResult =
+          ExperimentRun.run(scenario, ExperimentRun.Router.RANDOM, pace, null);
+      out.println();
+      out.print(ResultTables.text(randomResult));
+      series.put("plain random choice", LineCharts.serviceLevelBySecond(randomResult));
+      if (outputFolder != null) {
+        ResultTables.writeCsv(randomResult, outputFolder, name + "-random");
       }
     }
-    if (out != null) {
-      ResultTables.writeCsv(mixer, out, name + "-mixer");
-      LineCharts.write(out.resolve(name + ".png"), name, "service", series);
-      print.println("written to " + out);
+    if (outputFolder != null) {
+      ResultTables.writeCsv(mixerResult, outputFolder, name + "-mixer");
+      LineCharts.write(outputFolder.resolve(name + ".png"), name, "service", series);
+      out.println("written to " + outputFolder);
     }
-    print.flush();
-    return mixer.ruleChecker().violationCount() == 0 && mixer.exitCode() == 0
+    out.flush();
+    return mixerResult.ruleChecker().violationCount() == 0 && mixerResult.exitCode() == 0
         ? 0
-        : Gingerring.VERDICT;
+        : Gingerring.EXIT_NEGATIVE_VERDICT;
   }
 }
--- a/cli/src/main/java/gingerring/cli/FleetCommand.java
+++ b/cli/src/main/java/gingerring/cli/FleetCommand.java
@@ -51,43 +51,44 @@
     private final List<String> rows = new ArrayList<>();
     private final Map<String, Map<Integer, Double>> series = new TreeMap<>();
 
-    Table(String... names) {
-      row((Object[]) names);
+    Table(String... columnNames) {
+      addRow((Object[]) columnNames);
     }
 
-    void row(Object... cells) {
-      List<String> texts = new ArrayList<>();
+    void addRow(Object... cells) {
+      List<String> cellTexts = new ArrayList<>();
       for (Object cell : cells) {
-        texts.add(
+        cellTexts.add(
             cell instanceof Double number
                 ? String.format(Locale.ROOT, "%.3f", number)
                 : cell.toString());
       }
-      rows.add(String.join(",", texts));
-      texts.replaceAll(text -> String.format("%14s", text));
-      out.println(String.join("", texts));
+      rows.add(String.join(",", cellTexts));
+      cellTexts.replaceAll(text -> String.format("%14s", text));
+      out.println(String.join("", cellTexts));
       out.flush();
     }
 
-    void point(String name, int mixers, double value) {
+    void addPoint(String seriesName, int mixers, double value) {
       // decades side by side
       series
-          .computeIfAbsent(name, each -> new TreeMap<>())
+          .computeIfAbsent(seriesName, key -> new TreeMap<>())
           .put((int) Math.round(Math.log10(mixers)), value);
     }
 
-    void write(Path folder, String name, String title, String what) throws IOException {
+    void write(Path folder, String baseName, String chartTitle, String yAxisLabel)
+        throws IOException {
       if (folder != null) {
         Files.createDirectories(folder);
-        Files.write(folder.resolve(name + ".csv"), rows);
-        if (title == null) {
+        Files.write(folder.resolve(baseName + ".csv"), rows);
+        if (chartTitle == null) {
           return;
         }
         LineCharts.write(
-            folder.resolve(name + ".png"),
-            title + " (simulated time)",
+            folder.resolve(baseName + ".png"),
+            chartTitle + " (simulated time)",
             "mixers, power of ten",
-            what,
+            yAxisLabel,
             series);
       }
     }
@@ -104,29 +105,29 @@
               split = ",",
               defaultValue = "10,100,1000,10000",
               description = "Fleet sizes.")
-          int[] sizes,
+          int[] fleetSizes,
       @Option(names = "--boxes", defaultValue = "60") int boxes,
       @Option(names = "--copies", defaultValue = "3", description = "Holders of each folio.")
-          int copies,
+          int replicas,
       @Option(
               names = "--keep",
               defaultValue = "2",
               description = "How many of them a cover prefers.")
-          int keep,
+          int preferredReplicas,
       @Option(
               names = "--use",
               defaultValue = "0.55",
               description = "Share of the boxes' capacity asked for.")
-          double use,
+          double utilization,
       @Option(names = "--seconds", defaultValue = "60", description = "Simulated seconds.")
           double seconds,
       @Option(names = "--seed", defaultValue = "1") long seed,
-      @Option(names = "--out", description = "A folder for table and chart.") Path folder)
+      @Option(names = "--out", description = "A folder for table and chart.") Path outputFolder)
       throws IOException {
-    least("--mixers", Arrays.stream(sizes).min().orElse(0), 1);
-    least("--boxes", boxes, 1);
-    least("--keep", keep, 1);
-    if (copies < 1 || copies > boxes || !(use > 0) || !(seconds > 0)) {
+    requireAtLeast("--mixers", Arrays.stream(fleetSizes).min().orElse(0), 1);
+    requireAtLeast("--boxes", boxes, 1);
+    requireAtLeast("--keep", preferredReplicas, 1);
+    if (replicas < 1 || replicas > boxes || !(utilization > 0) || !(seconds > 0)) {
       throw new IllegalArgumentException(
           "--copies has to be 1 to --boxes, --use and --seconds above 0");
     }
@@ -140,13 +141,15 @@
             "p50 ms",
             "p99 ms",
             "parts");
-    for (int size : sizes) {
+    for (int fleetSize : fleetSizes) {
       for (RoutingSimulation.Policy policy : RoutingSimulation.Policy.values()) {
         RoutingSimulation.Result result =
             RoutingSimulation.run(
-                new RoutingSimulation.Setup(size, boxes, copies, keep, use, seconds, seed), policy);
-        table.row(
-            size,
+                new RoutingSimulation.Setup(
+                    fleetSize, boxes, replicas, preferredReplicas, utilization, seconds, seed),
+                policy);
+        table.addRow(
+            fleetSize,
             policy,
             result.maxOverMeanBusyTime(),
             result.meanConnections(),
@@ -154,10 +157,10 @@
             result.p50Ms(),
             result.p99Ms(),
             result.parts());
-        table.point(policy.name(), size, result.maxOverMeanBusyTime());
+        table.addPoint(policy.name(), fleetSize, result.maxOverMeanBusyTime());
       }
     }
-    table.write(folder, "choices", "The busiest box over the mean", "largest / mean");
+    table.write(outputFolder, "choices", "The busiest box over the mean", "largest / mean");
   }
 
   @Command(
@@ -171,56 +174,68 @@
               split = ",",
               defaultValue = "10,100,1000,10000",
               description = "Fleet sizes.")
-          int[] sizes,
+          int[] fleetSizes,
       @Option(
               names = "--stopped",
               defaultValue = "0.3",
               description = "Share of mixers that are gone unnoticed.")
-          double stopped,
+          double stoppedShare,
       @Option(
               names = "--lost",
               defaultValue = "0.05",
               description = "Share of words that do not arrive.")
-          double lost,
+          double lossShare,
       @Option(
               names = "--back",
               defaultValue = "30",
               description = "When the box answers again, in seconds.")
-          double back,
+          double recoverySeconds,
       @Option(
               names = "--seeds",
               defaultValue = "5",
               description = "So many seeds from 1 on; means are told.")
-          int seeds,
-      @Option(names = "--out", description = "A folder for table and chart.") Path folder)
+          int seedCount,
+      @Option(names = "--out", description = "A folder for table and chart.") Path outputFolder)
       throws IOException {
-    least("--mixers", Arrays.stream(sizes).min().orElse(0), 1);
-    least("--seeds", seeds, 1);
-    if (!(stopped >= 0 && stopped < 1) || !(lost >= 0 && lost <= 1) || !(back > 0)) {
+    requireAtLeast("--mixers", Arrays.stream(fleetSizes).min().orElse(0), 1);
+    requireAtLeast("--seeds", seedCount, 1);
+    if (!(stoppedShare >= 0 && stoppedShare < 1)
+        || !(lossShare >= 0 && lossShare <= 1)
+        || !(recoverySeconds > 0)) {
       throw new IllegalArgumentException(
           "--stopped has to be 0 to below 1, --lost 0 to 1, --back above 0");
     }
     Table table =
         new Table("mixers", "way", "probes/s", "most in 1 s", "found after s", "latest s");
-    for (int size : sizes) {
-      for (ProbeSimulation.Strategy way : ProbeSimulation.Strategy.values()) {
-        double rate = 0;
-        int most = 0;
-        double found = 0;
-        double latest = 0;
-        for (int seed = 1; seed <= seeds; seed++) {
+    for (int fleetSize : fleetSizes) {
+      for (ProbeSimulation.Strategy strategy : ProbeSimulation.Strategy.values()) {
+        double meanProbesPerSecond = 0;
+        int maxInOneSecond = 0;
+        double meanDetectionSeconds = 0;
+        double maxDetectionSeconds = 0;
+        for (int seed = 1; seed <= seedCount; seed++) {
           ProbeSimulation.Result result =
-              ProbeSimulation.run(new ProbeSimulation.Setup(size, stopped, lost, back, seed), way);
-          rate += result.probesPerSecond() / seeds;
-          most = Math.max(most, result.maxInOneSecond());
-          found += result.detectionSeconds() / seeds;
-          latest = Math.max(latest, result.detectionSeconds());
+              ProbeSimulation.run(
+                  new ProbeSimulation.Setup(
+                      fleetSize, stoppedShare, lossShare, recoverySeconds, seed),
+                  strategy);
+          meanProbesPerSecond += result.probesPerSecond() / seedCount;
+          maxInOneSecond = Math.max(maxInOneSecond, result.maxInOneSecond());
+          meanDetectionSeconds += result.detectionSeconds() / seedCount;
+          maxDetectionSeconds = Math.max(maxDetectionSeconds, result.detectionSeconds());
         }
-        table.row(size, way, rate, most, found, latest);
-        table.point(way.name(), size, Math.log10(rate));
+        table.addRow(
+            fleetSize,
+            strategy,
+            meanProbesPerSecond,
+            maxInOneSecond,
+            meanDetectionSeconds,
+            maxDetectionSeconds);
+        table.addPoint(strategy.name(), fleetSize, Math.log10(meanProbesPerSecond));
       }
     }
-    table.write(folder, "probes", "Probes of one benched box", "probes a second, power of ten");
+    table.write(
+        outputFolder, "probes", "Probes of one benched box", "probes a second, power of ten");
   }
 
   @Command(
@@ -234,28 +249,28 @@
               split = ",",
               defaultValue = "10,32,100,320",
               description = "Fleet sizes.")
-          int[] sizes,
+          int[] fleetSizes,
       @Option(names = "--seconds", defaultValue = "90", description = "Simulated seconds.")
           double seconds,
       @Option(
               names = "--seeds",
               defaultValue = "3",
               description = "So many seeds from 1 on; worst are told.")
-          int seeds,
+          int seedCount,
       @Option(
               names = "--cases",
               split = ",",
               description = "Only these cases, by name; all where none is named.")
-          List<String> only,
-      @Option(names = "--out", description = "A folder for table and chart.") Path folder)
+          List<String> selectedCases,
+      @Option(names = "--out", description = "A folder for table and chart.") Path outputFolder)
       throws IOException {
-    least("--mixers", Arrays.stream(sizes).min().orElse(0), 4);
-    Set<String> known = cases(16, seconds).keySet();
-    if (only != null && !known.containsAll(only)) {
+    requireAtLeast("--mixers", Arrays.stream(fleetSizes).min().orElse(0), 4);
+    Set<String> knownCases = faultCases(16, seconds).keySet();
+    if (selectedCases != null && !knownCases.containsAll(selectedCases)) {
       throw new IllegalArgumentException(
-          "--cases has " + only + "; known are " + String.join(", ", known));
+          "--cases has " + selectedCases + "; known are " + String.join(", ", knownCases));
     }
-    least("--seeds", seeds, 1);
+    requireAtLeast("--seeds", seedCount, 1);
     Table table =
         new Table(
             "mixers",
@@ -270,21 +285,22 @@
             "all found s",
             "sound doubted",
             "demand x");
-    for (int size : sizes) {
-      for (Map.Entry<String, List<PeerSimulation.Fault>> each : cases(size, seconds).entrySet()) {
-        if (only != null && !only.contains(each.getKey())) {
+    for (int fleetSize : fleetSizes) {
+      for (Map.Entry<String, List<PeerSimulation.Fault>> faultCase :
+          faultCases(fleetSize, seconds).entrySet()) {
+        if (selectedCases != null && !selectedCases.contains(faultCase.getKey())) {
           continue;
         }
         double[] worst = new double[10];
-        for (int seed = 1; seed <= seeds; seed++) {
+        for (int seed = 1; seed <= seedCount; seed++) {
           PeerSimulation.Result result =
               PeerSimulation.run(
-                  PeerSimulation.Setup.defaults(size, seconds, seed, each.getValue()));
-          double asks = 0;
+                  PeerSimulation.Setup.defaults(fleetSize, seconds, seed, faultCase.getValue()));
+          double probesPerSecondAndBox = 0;
           for (int second = 30; second < 50; second++) {
-            asks += result.deadBoxProbes.getOrDefault(second, 0) / 20.0 / 2;
+            probesPerSecondAndBox += result.deadBoxProbes.getOrDefault(second, 0) / 20.0 / 2;
           }
-          double[] now = {
+          double[] measured = {
             result.bytesBySecond.stream()
                 .skip(10)
                 .mapToDouble(bytes -> bytes[1])
@@ -293,32 +309,32 @@
             result.bytesBySecond.stream().skip(10).mapToDouble(bytes -> bytes[0]).max().orElse(0),
             result.detectionTimesMs.stream()
                 .mapToDouble(ms -> ms / 1000)
-                .filter(s -> !Double.isNaN(s))
+                .filter(value -> !Double.isNaN(value))
                 .max()
                 .orElse(0),
             result.falselyMarkedGone,
             result.unknownPairs,
-            asks,
+            probesPerSecondAndBox,
             result.recoveryTimesMs.stream()
-                .mapToDouble(found -> found[0] / 1000)
+                .mapToDouble(recoveryMs -> recoveryMs[0] / 1000)
                 .filter(Double::isFinite)
                 .max()
                 .orElse(0),
             result.recoveryTimesMs.stream()
-                .mapToDouble(found -> found[1] / 1000)
+                .mapToDouble(recoveryMs -> recoveryMs[1] / 1000)
                 .filter(Double::isFinite)
                 .max()
                 .orElse(0),
             result.maxFailureShareOfLiveBox,
             result.maxDemandRatio
           };
-          for (int i = 0; i < now.length; i++) {
-            worst[i] = Math.max(worst[i], now[i]);
+          for (int i = 0; i < measured.length; i++) {
+            worst[i] = Math.max(worst[i], measured[i]);
           }
         }
-        table.row(
-            size,
-            each.getKey(),
+        table.addRow(
+            fleetSize,
+            faultCase.getKey(),
             worst[0],
             worst[1],
             worst[2],
@@ -329,75 +345,81 @@
             worst[7],
             worst[8],
             worst[9]);
-        table.point(each.getKey(), size, worst[0]);
+        table.addPoint(faultCase.getKey(), fleetSize, worst[0]);
       }
     }
-    table.write(folder, "talk", "What a mixer sends its peers", "bytes a second, mean");
+    table.write(outputFolder, "talk", "What a mixer sends its peers", "bytes a second, mean");
   }
 
   /** Cases by name: two boxes are dead from 20 to 60 s in all but the first. */
-  private static Map<String, List<PeerSimulation.Fault>> cases(int size, double seconds) {
-    PeerSimulation.Fault dead =
+  private static Map<String, List<PeerSimulation.Fault>> faultCases(int fleetSize, double seconds) {
+    PeerSimulation.Fault deadBoxes =
         fault(PeerSimulation.Fault.Kind.BOXES_DEAD, 20_000, 40_000, PeerSimulation.range(1, 2));
     Map<String, List<PeerSimulation.Fault>> cases = new LinkedHashMap<>();
     cases.put("calm", List.of());
-    cases.put("boxes dead", List.of(dead));
+    cases.put("boxes dead", List.of(deadBoxes));
     cases.put(
         "one gone",
         List.of(
-            dead, fault(PeerSimulation.Fault.Kind.KILL, 25_000, 1e9, PeerSimulation.range(3, 1))));
+            deadBoxes,
+            fault(PeerSimulation.Fault.Kind.KILL, 25_000, 1e9, PeerSimulation.range(3, 1))));
     cases.put(
         "7/10 killed",
         List.of(
-            dead,
+            deadBoxes,
             fault(
                 PeerSimulation.Fault.Kind.KILL,
                 30_000,
                 900,
-                PeerSimulation.range(size - size * 7 / 10, size * 7 / 10))));
+                PeerSimulation.range(fleetSize - fleetSize * 7 / 10, fleetSize * 7 / 10))));
     cases.put(
         "halves",
         List.of(
-            dead,
+            deadBoxes,
             new PeerSimulation.Fault(
                 PeerSimulation.Fault.Kind.CUT,
                 25_000,
                 20_000,
-                PeerSimulation.range(0, size / 2),
-                PeerSimulation.range(size / 2, size - size / 2),
+                PeerSimulation.range(0, fleetSize / 2),
+                PeerSimulation.range(fleetSize / 2, fleetSize - fleetSize / 2),
                 0)));
     cases.put(
         "stopped",
         List.of(
-            dead,
+            deadBoxes,
             fault(PeerSimulation.Fault.Kind.STOP, 30_000, 10_000, PeerSimulation.range(1, 2))));
     cases.put(
         "one lies",
-        List.of(dead, fault(PeerSimulation.Fault.Kind.LIE, 0, 1e9, PeerSimulation.range(3, 1))));
+        List.of(
+            deadBoxes, fault(PeerSimulation.Fault.Kind.LIE, 0, 1e9, PeerSimulation.range(3, 1))));
     cases.put(
         "3/16 lie",
         List.of(
-            dead,
+            deadBoxes,
             fault(
                 PeerSimulation.Fault.Kind.LIE,
                 0,
                 1e9,
-                PeerSimulation.range(1, Math.max(1, size * 3 / 16)))));
+                PeerSimulation.range(1, Math.max(1, fleetSize * 3 / 16)))));
     cases.put(
         "greed",
-        List.of(dead, fault(PeerSimulation.Fault.Kind.GREED, 0, 1e9, PeerSimulation.range(3, 1))));
+        List.of(
+            deadBoxes, fault(PeerSimulation.Fault.Kind.GREED, 0, 1e9, PeerSimulation.range(3, 1))));
     cases.put(
         "repeats",
-        List.of(dead, fault(PeerSimulation.Fault.Kind.REPEAT, 0, 1e9, PeerSimulation.range(3, 1))));
+        List.of(
+            deadBoxes,
+            fault(PeerSimulation.Fault.Kind.REPEAT, 0, 1e9, PeerSimulation.range(3, 1))));
     cases.put(
         "false claims",
-        List.of(dead, fault(PeerSimulation.Fault.Kind.CLAIM, 0, 1e9, PeerSimulation.range(3, 1))));
+        List.of(
+            deadBoxes, fault(PeerSimulation.Fault.Kind.CLAIM, 0, 1e9, PeerSimulation.range(3, 1))));
     return cases;
   }
 
   private static PeerSimulation.Fault fault(
-      PeerSimulation.Fault.Kind kind, double at, double span, Set<Integer> some) {
-    return new PeerSimulation.Fault(kind, at, span, some, Set.of(), 0);
+      PeerSimulation.Fault.Kind kind, double startMs, double durationMs, Set<Integer> targets) {
+    return new PeerSimulation.Fault(kind, startMs, durationMs, targets, Set.of(), 0);
   }
 
   @Command(
@@ -410,7 +432,7 @@
               paramLabel = "FILE",
               description = "the run, described in JSON; several are played in turn")
           List<Path> files,
-      @Option(names = "--out", description = "A folder for the table.") Path folder)
+      @Option(names = "--out", description = "A folder for the table.") Path outputFolder)
       throws IOException {
     Table table =
         new Table(
@@ -431,18 +453,23 @@
             "held",
             "stall ms",
             "verdict");
-    Set<Integer> codes = new TreeSet<>();
+    Set<Integer> exitCodes = new TreeSet<>();
     for (Path file : files) {
-      String name = file.getFileName().toString().replaceAll("\\.json$", "");
+      String scenarioName = file.getFileName().toString().replaceAll("\\.json$", "");
       try {
-        codes.add(played(table, name, FleetScenario.read(Files.readAllBytes(file))));
+        exitCodes.add(
+            runScenario(table, scenarioName, FleetScenario.read(Files.readAllBytes(file))));
       } catch (Scenario.InvalidScenario | NoSuchFileException e) {
-        told(name, new HarnessError.InvalidScenarioFile(file, e).getMessage());
-        codes.add(1);
+        printError(scenarioName, new HarnessError.InvalidScenarioFile(file, e).getMessage());
+        exitCodes.add(1);
       }
     }
-    table.write(folder, "fleet-run", null, null);
-    return codes.contains(1) ? 1 : codes.contains(Gingerring.VERDICT) ? Gingerring.VERDICT : 0;
+    table.write(outputFolder, "fleet-run", null, null);
+    return exitCodes.contains(1)
+        ? 1
+        : exitCodes.contains(Gingerring.EXIT_NEGATIVE_VERDICT)
+            ? Gingerring.EXIT_NEGATIVE_VERDICT
+            : 0;
   }
 
   @Command(
@@ -456,9 +483,9 @@
       @Option(names = "--boxes", defaultValue = "12") int boxes,
       @Option(names = "--seconds", defaultValue = "25", description = "Length of the run.")
           int seconds) {
-    least("--mixers", mixers, 2);
-    least("--boxes", boxes, 4);
-    least("--seconds", seconds, 5);
+    requireAtLeast("--mixers", mixers, 2);
+    requireAtLeast("--boxes", boxes, 4);
+    requireAtLeast("--seconds", seconds, 5);
     spec.commandLine()
         .getOut()
         .print(OverlappingFaults.generate(seed, mixers, boxes, seconds * 1000L));
@@ -466,12 +493,13 @@
   }
 
   /** One run's row and all that is wrong with it; returns its exit code. */
-  private int played(Table table, String name, FleetScenario plan) throws IOException {
-    Fleet.Result result = Fleet.run(plan);
-    table.row(
-        name,
-        plan.mixers(),
-        plan.peersEnabled(),
+  private int runScenario(Table table, String scenarioName, FleetScenario scenario)
+      throws IOException {
+    Fleet.Result result = Fleet.run(scenario);
+    table.addRow(
+        scenarioName,
+        scenario.mixers(),
+        scenario.peersEnabled(),
         result.clientStatistics.serviceLevel(),
         result.ruleChecker.violationCount(),
         (int) result.ruleChecker.exempted(),
@@ -481,27 +509,27 @@
         (int) result.connectionCounts[1],
         (int) result.discoveryCalls,
         result.peakToMeanLoad(),
-        result.datagramCounts[1] / Math.max(1e-9, result.elapsedSeconds) / plan.mixers(),
+        result.datagramCounts[1] / Math.max(1e-9, result.elapsedSeconds) / scenario.mixers(),
         result.visiblePeers.stream().mapToInt(Integer::intValue).min().orElse(0),
         (int) result.ruleChecker.delayedCount(),
         result.ruleChecker.longestStall().toNanos() / 1e6,
         result.verdict());
-    result.ruleChecker.violations().forEach(foul -> told(name, foul));
-    result.crashes.forEach(crash -> told(name, crash));
-    result.errors.forEach(error -> told(name, error.getMessage()));
+    result.ruleChecker.violations().forEach(violation -> printError(scenarioName, violation));
+    result.crashes.forEach(crash -> printError(scenarioName, crash));
+    result.errors.forEach(error -> printError(scenarioName, error.getMessage()));
     return !result.errors.isEmpty()
         ? 1
-        : result.verdict() == Fleet.Verdict.KEPT ? 0 : Gingerring.VERDICT;
+        : result.verdict() == Fleet.Verdict.KEPT ? 0 : Gingerring.EXIT_NEGATIVE_VERDICT;
   }
 
-  private void told(String name, Object what) {
-    spec.commandLine().getErr().println(name + ": " + what);
+  private void printError(String scenarioName, Object message) {
+    spec.commandLine().getErr().println(scenarioName + ": " + message);
   }
 
-  private static void least(String name, int value, int least) {
-    if (value < least) {
+  private static void requireAtLeast(String optionName, int value, int minimum) {
+    if (value < minimum) {
       throw new IllegalArgumentException(
-          name + " is " + value + ", and has to be " + least + " or more");
+          optionName + " is " + value + ", and has to be " + minimum + " or more");
     }
   }
 }
--- a/cli/src/main/java/gingerring/cli/Gingerring.java
+++ b/cli/src/main/java/gingerring/cli/Gingerring.java
@@ -43,7 +43,7 @@
     })
 public final class Gingerring implements Runnable {
   /** Done, with a verdict of no. */
-  static final int VERDICT = 3;
+  static final int EXIT_NEGATIVE_VERDICT = 3;
 
   @Spec private CommandSpec spec;
 
@@ -65,10 +65,10 @@
         .setErr(err)
         .setCaseInsensitiveEnumValuesAllowed(true)
         .setExecutionExceptionHandler(
-            (e, command, parsed) -> {
+            (e, command, parseResult) -> {
               // one plain line; what is wrong with a file or an address names itself
               if (e instanceof IOException || e instanceof IllegalArgumentException) {
-                err.println(command.getCommandSpec().qualifiedName() + ": " + plain(e));
+                err.println(command.getCommandSpec().qualifiedName() + ": " + errorText(e));
                 return e instanceof IllegalArgumentException ? 2 : 1;
               }
               throw e;
@@ -76,7 +76,7 @@
         .execute(args);
   }
 
-  private static String plain(Exception e) {
+  private static String errorText(Exception e) {
     return e instanceof NoSuchFileException
         ? e.getMessage() + ": no such file"
         : e instanceof AccessDeniedException
--- a/cli/src/main/java/gingerring/cli/LayoutCommand.java
+++ b/cli/src/main/java/gingerring/cli/LayoutCommand.java
@@ -40,20 +40,22 @@
     return spec.commandLine().getOut();
   }
 
-  private static List<Partition> sorted(Layout layout) {
-    List<Partition> folios = new ArrayList<>(layout.partitions());
-    folios.sort(Comparator.comparing(Partition::id));
-    return folios;
+  private static List<Partition> sortedPartitions(Layout layout) {
+    List<Partition> partitions = new ArrayList<>(layout.partitions());
+    partitions.sort(Comparator.comparing(Partition::id));
+    return partitions;
   }
 
-  private static String text(Partition folio) {
-    return folio.id()
+  private static String describe(Partition partition) {
+    return partition.id()
         + " holds "
-        + folio.ranges()
+        + partition.ranges()
         + " at "
-        + folio.holders()
-        + (folio.isMoving() ? ", moving from " + folio.source() + " to " + folio.successor() : "")
-        + String.format(Locale.ROOT, ", weight %.4g", folio.weight());
+        + partition.holders()
+        + (partition.isMoving()
+            ? ", moving from " + partition.source() + " to " + partition.successor()
+            : "")
+        + String.format(Locale.ROOT, ", weight %.4g", partition.weight());
   }
 
   @Command(
@@ -71,17 +73,19 @@
                 + " keys, "
                 + layout.partitionCount()
                 + " folios");
-    sorted(layout).forEach(folio -> out().println("  " + text(folio)));
+    sortedPartitions(layout).forEach(partition -> out().println("  " + describe(partition)));
     for (BoxId box : layout.boxes().stream().sorted().toList()) {
-      List<Partition> held =
-          sorted(layout).stream().filter(folio -> folio.holders().contains(box)).toList();
+      List<Partition> heldPartitions =
+          sortedPartitions(layout).stream()
+              .filter(partition -> partition.holders().contains(box))
+              .toList();
       out()
           .printf(
               Locale.ROOT,
               "  box %s: %d folios, weight %.4g%n",
               box,
-              held.size(),
-              held.stream().mapToDouble(Partition::weight).sum());
+              heldPartitions.size(),
+              heldPartitions.stream().mapToDouble(Partition::weight).sum());
     }
     return 0;
   }
@@ -108,28 +112,28 @@
       mixinStandardHelpOptions = true,
       description = "Folios that differ; exit code 3 where any does.")
   int diff(
-      @Parameters(index = "0", paramLabel = "FROM") Path from,
-      @Parameters(index = "1", paramLabel = "TO") Path to)
+      @Parameters(index = "0", paramLabel = "FROM") Path fromFile,
+      @Parameters(index = "1", paramLabel = "TO") Path toFile)
       throws IOException {
-    Layout one = LayoutFile.read(from);
-    Layout other = LayoutFile.read(to);
-    int differ = 0;
-    for (Partition folio : sorted(one)) {
-      Optional<Partition> its = other.partition(folio.id());
-      if (!its.equals(Optional.of(folio))) {
-        differ++;
-        out().println("- " + text(folio));
-        its.ifPresent(now -> out().println("+ " + text(now)));
+    Layout fromLayout = LayoutFile.read(fromFile);
+    Layout toLayout = LayoutFile.read(toFile);
+    int differenceCount = 0;
+    for (Partition partition : sortedPartitions(fromLayout)) {
+      Optional<Partition> counterpart = toLayout.partition(partition.id());
+      if (!counterpart.equals(Optional.of(partition))) {
+        differenceCount++;
+        out().println("- " + describe(partition));
+        counterpart.ifPresent(changed -> out().println("+ " + describe(changed)));
       }
     }
-    for (Partition folio : sorted(other)) {
-      if (one.partition(folio.id()).isEmpty()) {
-        differ++;
-        out().println("+ " + text(folio));
+    for (Partition partition : sortedPartitions(toLayout)) {
+      if (fromLayout.partition(partition.id()).isEmpty()) {
+        differenceCount++;
+        out().println("+ " + describe(partition));
       }
     }
-    out().println(differ + " folios differ");
-    return differ == 0 ? 0 : Gingerring.VERDICT;
+    out().println(differenceCount + " folios differ");
+    return differenceCount == 0 ? 0 : Gingerring.EXIT_NEGATIVE_VERDICT;
   }
 
   @Command(
@@ -137,36 +141,36 @@
       mixinStandardHelpOptions = true,
       description = "The steps from one layout to another; exit code 3 where there are none.")
   int plan(
-      @Parameters(index = "0", paramLabel = "FROM") Path from,
-      @Parameters(index = "1", paramLabel = "TO") Path to,
+      @Parameters(index = "0", paramLabel = "FROM") Path fromFile,
+      @Parameters(index = "1", paramLabel = "TO") Path toFile,
       @Option(
               names = "--at-once",
               defaultValue = "1",
               paramLabel = "N",
               description = "moves that copy to one box at a time (${DEFAULT-VALUE})")
-          int atOnce)
+          int maxConcurrentMoves)
       throws IOException {
-    Layout one = LayoutFile.read(from);
-    Layout other = LayoutFile.read(to);
+    Layout fromLayout = LayoutFile.read(fromFile);
+    Layout toLayout = LayoutFile.read(toFile);
     try {
-      List<LayoutStep> steps = LayoutPlanner.plan(one, other, atOnce);
-      steps.forEach(step -> out().println(text(step)));
-      out().println(steps.size() + " steps, from version " + one.version());
+      List<LayoutStep> steps = LayoutPlanner.plan(fromLayout, toLayout, maxConcurrentMoves);
+      steps.forEach(step -> out().println(describe(step)));
+      out().println(steps.size() + " steps, from version " + fromLayout.version());
       return 0;
     } catch (LayoutException e) {
       spec.commandLine().getErr().println("gingerring layout plan: " + e.getMessage());
-      return Gingerring.VERDICT;
+      return Gingerring.EXIT_NEGATIVE_VERDICT;
     }
   }
 
-  private static String text(LayoutStep step) {
-    String what =
+  private static String describe(LayoutStep step) {
+    String action =
         step instanceof LayoutStep.Split split
             ? "split "
                 + split.from()
                 + " into "
                 + split.into().stream()
-                    .map(folio -> folio.id() + " " + folio.ranges())
+                    .map(partition -> partition.id() + " " + partition.ranges())
                     .collect(Collectors.joining(", "))
             : step instanceof LayoutStep.Merge merge
                 ? "merge " + merge.from() + " into " + merge.into() + " at " + merge.holders()
@@ -180,6 +184,6 @@
                     : step instanceof LayoutStep.MoveEnds ends
                         ? "end the move of " + ends.partition()
                         : "give up the move of " + ((LayoutStep.MoveFails) step).partition();
-    return step.version() + ": " + what;
+    return step.version() + ": " + action;
   }
 }
--- a/cli/src/main/java/gingerring/cli/LayoutFile.java
+++ b/cli/src/main/java/gingerring/cli/LayoutFile.java
@@ -25,55 +25,56 @@
 
   static Layout read(Path file) throws IOException {
     byte[] json = Files.readAllBytes(file);
-    String place = "";
+    String location = "";
     try {
-      Map<String, Object> object = JsonFields.object(Json.parse(json), "the layout");
-      List<Partition> folios = new ArrayList<>();
-      for (Object each : JsonFields.list(object, "folios")) {
-        place = "folios." + folios.size() + ": ";
-        folios.add(folio(JsonFields.object(each, "it")));
+      Map<String, Object> root = JsonFields.object(Json.parse(json), "the layout");
+      List<Partition> partitions = new ArrayList<>();
+      for (Object element : JsonFields.list(root, "folios")) {
+        location = "folios." + partitions.size() + ": ";
+        partitions.add(partition(JsonFields.object(element, "it")));
       }
-      place = "";
+      location = "";
       return Layout.of(
-          JsonFields.nonNegativeInteger(object, "version"),
-          JsonFields.nonNegativeInteger(object, "keys"),
-          folios);
+          JsonFields.nonNegativeInteger(root, "version"),
+          JsonFields.nonNegativeInteger(root, "keys"),
+          partitions);
     } catch (Json.JsonException | LayoutException | IllegalArgumentException e) {
-      throw new IOException(file + ": " + place + e.getMessage());
+      throw new IOException(file + ": " + location + e.getMessage());
     }
   }
 
-  private static Partition folio(Map<String, Object> from) throws Json.JsonException {
-    List<KeyRange> slices = new ArrayList<>();
-    for (Object each : JsonFields.list(from, "slices")) {
-      if (!(each instanceof List<?> slice)
-          || slice.size() != 3
-          || !(slice.get(0) instanceof Double low)
-          || !(slice.get(1) instanceof Double high)
-          || !(slice.get(2) instanceof Double weight)
-          || low != Math.rint(low)
-          || high != Math.rint(high)) {
+  private static Partition partition(Map<String, Object> object) throws Json.JsonException {
+    List<KeyRange> ranges = new ArrayList<>();
+    for (Object element : JsonFields.list(object, "slices")) {
+      if (!(element instanceof List<?> range)
+          || range.size() != 3
+          || !(range.get(0) instanceof Double firstKey)
+          || !(range.get(1) instanceof Double endKey)
+          || !(range.get(2) instanceof Double weight)
+          || firstKey != Math.rint(firstKey)
+          || endKey != Math.rint(endKey)) {
         throw new Json.JsonException(
             "a slice is its first key, the key after its last, and its weight");
       }
-      slices.add(new KeyRange(low.longValue(), high.longValue(), weight));
+      ranges.add(new KeyRange(firstKey.longValue(), endKey.longValue(), weight));
     }
     List<BoxId> holders = new ArrayList<>();
-    for (Object each : JsonFields.list(from, "holders")) {
-      if (!(each instanceof String name) || name.isEmpty()) {
+    for (Object element : JsonFields.list(object, "holders")) {
+      if (!(element instanceof String name) || name.isEmpty()) {
         throw new Json.JsonException("a holder is a name");
       }
       holders.add(new BoxId(name));
     }
     return new Partition(
-        new PartitionId((int) JsonFields.nonNegativeInteger(from, "id")),
-        slices,
+        new PartitionId((int) JsonFields.nonNegativeInteger(object, "id")),
+        ranges,
         holders,
-        box(from, "source"),
-        box(from, "successor"));
+        optionalBox(object, "source"),
+        optionalBox(object, "successor"));
   }
 
-  private static BoxId box(Map<String, Object> from, String name) throws Json.JsonException {
-    return from.containsKey(name) ? new BoxId(JsonFields.string(from, name)) : null;
+  private static BoxId optionalBox(Map<String, Object> object, String key)
+      throws Json.JsonException {
+    return object.containsKey(key) ? new BoxId(JsonFields.string(object, key)) : null;
   }
 }
--- a/cli/src/main/java/gingerring/cli/PcapCommand.java
+++ b/cli/src/main/java/gingerring/cli/PcapCommand.java
@@ -42,7 +42,7 @@
   }
 
   /** Which packets are looked at. */
-  static final class Wanted {
+  static final class ConnectionFilterOptions {
     @Option(
         names = "--net",
         paramLabel = "NETWORK",
@@ -55,18 +55,20 @@
         description = "only connections with this port; may be repeated")
     private List<Integer> ports = new ArrayList<>();
 
-    NetworkFilter nets() {
+    NetworkFilter networkFilter() {
       return new NetworkFilter(networks, ports);
     }
 
-    boolean all() {
+    boolean matchesEverything() {
       return networks.isEmpty() && ports.isEmpty();
     }
   }
 
   /** 0 where the file was whole, else the verdict's code: what could be read was. */
-  private int verdict(RecordingReader.Summary summary) {
-    return summary.endState() == CaptureReader.EndState.WHOLE ? 0 : Gingerring.VERDICT;
+  private int exitCode(RecordingReader.Summary summary) {
+    return summary.endState() == CaptureReader.EndState.WHOLE
+        ? 0
+        : Gingerring.EXIT_NEGATIVE_VERDICT;
   }
 
   private PrintWriter out() {
@@ -77,103 +79,111 @@
       name = "info",
       mixinStandardHelpOptions = true,
       description = "What is in a file, and what could not be read.")
-  int info(@Parameters(paramLabel = "FILE") Path file, @Mixin Wanted wanted) throws IOException {
-    Map<ObservedScan.ScanOutcome, Long> fates = new EnumMap<>(ObservedScan.ScanOutcome.class);
-    RecordingReader.Summary it;
+  int info(@Parameters(paramLabel = "FILE") Path file, @Mixin ConnectionFilterOptions filterOptions)
+      throws IOException {
+    Map<ObservedScan.ScanOutcome, Long> outcomeCounts =
+        new EnumMap<>(ObservedScan.ScanOutcome.class);
+    RecordingReader.Summary summary;
     try (CaptureReader capture = CaptureReader.open(file)) {
-      it =
+      summary =
           RecordingReader.readExchanges(
               capture,
               ReassemblyLimits.DEFAULT,
-              wanted.nets(),
-              exchange -> fates.merge(exchange.outcome(), 1L, Long::sum));
+              filterOptions.networkFilter(),
+              exchange -> outcomeCounts.merge(exchange.outcome(), 1L, Long::sum));
     }
     PrintWriter out = out();
-    double seconds = (it.lastNanos() - it.firstNanos()) / 1e9;
+    double seconds = (summary.lastNanos() - summary.firstNanos()) / 1e9;
     out.printf(
         Locale.ROOT,
         "%s: %d packets, %d bytes, %.3f s from %s%n",
         file,
-        it.packets(),
-        it.capturedBytes(),
+        summary.packets(),
+        summary.capturedBytes(),
         seconds,
-        it.packets() == 0 ? "nowhen" : Instant.ofEpochSecond(0, it.firstNanos()));
+        summary.packets() == 0 ? "nowhen" : Instant.ofEpochSecond(0, summary.firstNanos()));
     out.printf(
         "%d TCP segments in %d connections; %d scans %s%n",
-        it.segments(), it.flows(), it.scans(), fates);
-    it.messageCounts().forEach((what, many) -> out.println("  " + many + ' ' + what));
-    SearcherTraffic trips = it.searcherTraffic();
-    if (trips.parts > 0) {
+        summary.segments(), summary.flows(), summary.scans(), outcomeCounts);
+    summary.messageCounts().forEach((kind, count) -> out.println("  " + count + ' ' + kind));
+    SearcherTraffic searcherTraffic = summary.searcherTraffic();
+    if (searcherTraffic.parts > 0) {
       out.printf(
           Locale.ROOT,
           "%d parts in %d calls to %d searchers; returned %s, %.2f ms each; %d recalled, "
               + "%d probes, %d unanswered%n",
-          trips.parts,
-          trips.calls,
-          trips.partsBySearcher.size(),
-          trips.returnsByStatus,
-          trips.matchedReturns == 0 ? 0 : trips.totalWaitNanos / 1e6 / trips.matchedReturns,
-          trips.cancellations,
-          trips.probes,
-          trips.unanswered);
+          searcherTraffic.parts,
+          searcherTraffic.calls,
+          searcherTraffic.partsBySearcher.size(),
+          searcherTraffic.returnsByStatus,
+          searcherTraffic.matchedReturns == 0
+              ? 0
+              : searcherTraffic.totalWaitNanos / 1e6 / searcherTraffic.matchedReturns,
+          searcherTraffic.cancellations,
+          searcherTraffic.probes,
+          searcherTraffic.unanswered);
     }
-    if (!it.skippedCounts().isEmpty() || it.droppedPackets() > 0) {
+    if (!summary.skippedCounts().isEmpty() || summary.droppedPackets() > 0) {
       out.println("not read:");
-      it.skippedCounts().forEach((what, many) -> out.println("  " + many + ' ' + what));
-      if (it.droppedPackets() > 0) {
+      summary.skippedCounts().forEach((kind, count) -> out.println("  " + count + ' ' + kind));
+      if (summary.droppedPackets() > 0) {
         out.println(
-            "  " + it.droppedPackets() + " packets that the recorder dropped, as the file says");
+            "  "
+                + summary.droppedPackets()
+                + " packets that the recorder dropped, as the file says");
       }
     }
-    out.println(it.endReason().isEmpty() ? "the file is whole" : it.endReason());
-    return verdict(it);
+    out.println(summary.endReason().isEmpty() ? "the file is whole" : summary.endReason());
+    return exitCode(summary);
   }
 
   @Command(
       name = "scans",
       mixinStandardHelpOptions = true,
       description = "Each scan of a file, as CSV.")
-  int scans(@Parameters(paramLabel = "FILE") Path file, @Mixin Wanted wanted) throws IOException {
+  int scans(
+      @Parameters(paramLabel = "FILE") Path file, @Mixin ConnectionFilterOptions filterOptions)
+      throws IOException {
     PrintWriter out = out();
     out.println(
         "number,connection,client,asked_at,mark,grade,remaining_ms,resent,parts,fate,status,weight,took_ms,"
             + "missing");
-    RecordingReader.Summary it =
+    RecordingReader.Summary summary =
         RecordingReader.read(
             file,
             ReassemblyLimits.DEFAULT,
-            wanted.nets(),
-            seen ->
+            filterOptions.networkFilter(),
+            scan ->
                 out.printf(
                     Locale.ROOT,
                     "%d,%d,%s,%s,%s,%s,%d,%s,%d,%s,%d,%.4f,%s,%s%n",
-                    seen.number(),
-                    seen.connectionNumber(),
-                    seen.client(),
-                    Instant.ofEpochSecond(0, seen.requestStartNanos()),
-                    quoted(seen.transactionId()),
-                    quoted(seen.serviceClass()),
-                    seen.remainingMs(),
-                    seen.resent(),
-                    seen.targets().size(),
-                    seen.outcome(),
-                    seen.status(),
-                    seen.answeredShare(),
-                    seen.responseEndNanos() == 0
+                    scan.number(),
+                    scan.connectionNumber(),
+                    scan.client(),
+                    Instant.ofEpochSecond(0, scan.requestStartNanos()),
+                    csvField(scan.transactionId()),
+                    csvField(scan.serviceClass()),
+                    scan.remainingMs(),
+                    scan.resent(),
+                    scan.targets().size(),
+                    scan.outcome(),
+                    scan.status(),
+                    scan.answeredShare(),
+                    scan.responseEndNanos() == 0
                         ? ""
                         : String.format(
                             Locale.ROOT,
                             "%.3f",
-                            (seen.responseEndNanos() - seen.requestEndNanos()) / 1e6),
-                    quoted(seen.problem())));
+                            (scan.responseEndNanos() - scan.requestEndNanos()) / 1e6),
+                    csvField(scan.problem())));
     out.flush();
-    if (!it.endReason().isEmpty()) {
-      spec.commandLine().getErr().println("gingerring pcap scans: " + it.endReason());
+    if (!summary.endReason().isEmpty()) {
+      spec.commandLine().getErr().println("gingerring pcap scans: " + summary.endReason());
     }
-    return verdict(it);
+    return exitCode(summary);
   }
 
-  private static String quoted(String text) {
+  private static String csvField(String text) {
     return text.matches("[^,\"\r\n]*") ? text : '"' + text.replace("\"", "\"\"") + '"';
   }
 
@@ -183,34 +193,42 @@
       description = "A part of a file, by time and by connections.")
   int cut(
       @Parameters(index = "0", paramLabel = "FILE") Path file,
-      @Parameters(index = "1", paramLabel = "OUT") Path to,
+      @Parameters(index = "1", paramLabel = "OUT") Path output,
       @Option(
               names = "--from",
               paramLabel = "WHEN",
               defaultValue = "0",
               description =
                   "seconds after the first packet, or an instant such as 2026-12-01T08:00:00Z")
-          String from,
+          String fromTime,
       @Option(names = "--to", paramLabel = "WHEN", description = "likewise; not included")
-          String until,
-      @Mixin Wanted wanted)
+          String toTime,
+      @Mixin ConnectionFilterOptions filterOptions)
       throws IOException {
-    different(List.of(file), to);
-    long first =
-        RecordingReader.read(file, ReassemblyLimits.DEFAULT, segment -> false, seen -> {})
+    requireDifferentFiles(List.of(file), output);
+    long firstPacketNanos =
+        RecordingReader.read(file, ReassemblyLimits.DEFAULT, segment -> false, scan -> {})
             .firstNanos();
-    long since = when(from, first);
-    long before = until == null ? Long.MAX_VALUE : when(until, first);
-    return done(CaptureEditor.cut(file, to, since, before, wanted.nets(), wanted.all()), to);
+    long startNanos = parseTimeNanos(fromTime, firstPacketNanos);
+    long endNanos = toTime == null ? Long.MAX_VALUE : parseTimeNanos(toTime, firstPacketNanos);
+    return printResult(
+        CaptureEditor.cut(
+            file,
+            output,
+            startNanos,
+            endNanos,
+            filterOptions.networkFilter(),
+            filterOptions.matchesEverything()),
+        output);
   }
 
-  private static long when(String text, long first) {
+  private static long parseTimeNanos(String text, long firstPacketNanos) {
     try {
       if (text.matches("[0-9]{1,9}(\\.[0-9]+)?")) {
-        return first + Math.round(Double.parseDouble(text) * 1e9);
+        return firstPacketNanos + Math.round(Double.parseDouble(text) * 1e9);
       }
-      Instant at = Instant.parse(text);
-      return at.getEpochSecond() * 1_000_000_000L + at.getNano();
+      Instant instant = Instant.parse(text);
+      return instant.getEpochSecond() * 1_000_000_000L + instant.getNano();
     } catch (DateTimeParseException e) {
       throw new IllegalArgumentException("neither seconds nor an instant: " + text);
     }
@@ -221,11 +239,11 @@
       mixinStandardHelpOptions = true,
       description = "Several files as one, by time.")
   int merge(
-      @Parameters(index = "0", paramLabel = "OUT") Path to,
+      @Parameters(index = "0", paramLabel = "OUT") Path output,
       @Parameters(index = "1..*", arity = "1..*", paramLabel = "FILE") List<Path> files)
       throws IOException {
-    different(files, to);
-    return done(CaptureEditor.merge(files, to), to);
+    requireDifferentFiles(files, output);
+    return printResult(CaptureEditor.merge(files, output), output);
   }
 
   @Command(
@@ -234,35 +252,39 @@
       description = "Texts, values and keys behind a keyed hash; what is not read is left out.")
   int anonymise(
       @Parameters(index = "0", paramLabel = "FILE") Path file,
-      @Parameters(index = "1", paramLabel = "OUT") Path to,
+      @Parameters(index = "1", paramLabel = "OUT") Path output,
       @Option(
               names = "--secret-file",
               required = true,
               paramLabel = "FILE",
               description = "holds the hash's key; the same key hides the same texts alike")
-          Path secret)
+          Path secretFile)
       throws IOException {
-    different(List.of(file), to);
-    String key = Files.readString(secret).strip();
+    requireDifferentFiles(List.of(file), output);
+    String key = Files.readString(secretFile).strip();
     if (key.length() < 8) {
-      throw new IOException(secret + ": a key of 8 characters or more is needed");
+      throw new IOException(secretFile + ": a key of 8 characters or more is needed");
     }
-    Anonymiser.run(file, to, key).forEach((what, many) -> out().println("  " + many + ' ' + what));
+    Anonymiser.run(file, output, key)
+        .forEach((kind, count) -> out().println("  " + count + ' ' + kind));
     return 0;
   }
 
-  private static void different(List<Path> from, Path to) throws IOException {
-    for (Path file : from) {
-      if (Files.exists(to) && Files.exists(file) && Files.isSameFile(file, to)) {
-        throw new IllegalArgumentException("a file cannot be made from itself: " + to);
+  private static void requireDifferentFiles(List<Path> inputs, Path output) throws IOException {
+    for (Path file : inputs) {
+      if (Files.exists(output) && Files.exists(file) && Files.isSameFile(file, output)) {
+        throw new IllegalArgumentException("a file cannot be made from itself: " + output);
       }
     }
   }
 
-  private int done(CaptureEditor.EditResult done, Path to) {
-    out().println(to + ": " + done.packetsWritten() + " of " + done.packetsRead() + " packets");
-    done.warnings()
-        .forEach(note -> spec.commandLine().getErr().println("gingerring pcap: " + note));
-    return done.warnings().isEmpty() ? 0 : Gingerring.VERDICT;
+  private int printResult(CaptureEditor.EditResult result, Path output) {
+    out()
+        .println(
+            output + ": " + result.packetsWritten() + " of " + result.packetsRead() + " packets");
+    result
+        .warnings()
+        .forEach(warning -> spec.commandLine().getErr().println("gingerring pcap: " + warning));
+    return result.warnings().isEmpty() ? 0 : Gingerring.EXIT_NEGATIVE_VERDICT;
   }
 }
--- a/cli/src/main/java/gingerring/cli/PeersCommand.java
+++ b/cli/src/main/java/gingerring/cli/PeersCommand.java
@@ -28,13 +28,13 @@
       paramLabel = "FILE",
       defaultValue = "deploy/peers.json",
       description = "the file that mixers have (${DEFAULT-VALUE}): its keys, and where it listens")
-  private Path file;
+  private Path settingsFile;
 
   @Option(
       names = "--at",
       paramLabel = "ADDRESS:PORT",
       description = "another mixer than the one of that file")
-  private String at;
+  private String mixerAddress;
 
   @Override
   public void run() {
@@ -42,22 +42,23 @@
         spec.commandLine(), "a command is needed: check, show, why, share, counts");
   }
 
-  private void ask(char about, long box) throws IOException {
-    PeerSettings settings = PeerSettings.read(file);
+  private void printAnswer(char queryType, long boxId) throws IOException {
+    PeerSettings settings = PeerSettings.read(settingsFile);
     InetSocketAddress mixer = settings.listen();
-    if (at != null) {
-      int colon = at.lastIndexOf(':');
+    if (mixerAddress != null) {
+      int colon = mixerAddress.lastIndexOf(':');
       try {
         mixer =
             new InetSocketAddress(
-                InetAddress.getByName(at.substring(0, Math.max(0, colon))),
-                Integer.parseInt(at.substring(colon + 1)));
+                InetAddress.getByName(mixerAddress.substring(0, Math.max(0, colon))),
+                Integer.parseInt(mixerAddress.substring(colon + 1)));
       } catch (NumberFormatException e) {
-        throw new IllegalArgumentException("--at has to be an address and a port: " + at, e);
+        throw new IllegalArgumentException(
+            "--at has to be an address and a port: " + mixerAddress, e);
       }
     }
     PrintWriter out = spec.commandLine().getOut();
-    out.println(PeerQueryClient.query(mixer, settings.keys(), about, box));
+    out.println(PeerQueryClient.query(mixer, settings.keys(), queryType, boxId));
     out.flush();
   }
 
@@ -66,11 +67,11 @@
       mixinStandardHelpOptions = true,
       description = "Reads the file whole, and says all that is wrong with it.")
   void check() throws IOException {
-    PeerSettings settings = PeerSettings.read(file);
+    PeerSettings settings = PeerSettings.read(settingsFile);
     spec.commandLine()
         .getOut()
         .println(
-            file
+            settingsFile
                 + ": "
                 + settings.seeds().size()
                 + " seeds, "
@@ -85,7 +86,7 @@
       mixinStandardHelpOptions = true,
       description = "Who its peers are, as it believes.")
   void show() throws IOException {
-    ask('p', 0);
+    printAnswer('p', 0);
   }
 
   @Command(
@@ -94,9 +95,9 @@
       description = "What it and others saw of a box, and whose turn it is to ask it.")
   void why(
       @Parameters(paramLabel = "BOX", description = "the id by which discovery lists it")
-          String box)
+          String boxName)
       throws IOException {
-    ask('w', PeerId.named(box).number());
+    printAnswer('w', PeerId.named(boxName).number());
   }
 
   @Command(
@@ -104,7 +105,7 @@
       mixinStandardHelpOptions = true,
       description = "What each peer's clients ask for, and what its fair share would be.")
   void share() throws IOException {
-    ask('s', 0);
+    printAnswer('s', 0);
   }
 
   @Command(
@@ -112,6 +113,6 @@
       mixinStandardHelpOptions = true,
       description = "What happened among peers, by cause.")
   void counts() throws IOException {
-    ask('c', 0);
+    printAnswer('c', 0);
   }
 }
--- a/cli/src/main/java/gingerring/cli/ReplayCommand.java
+++ b/cli/src/main/java/gingerring/cli/ReplayCommand.java
@@ -47,14 +47,14 @@
   }
 
   @Parameters(index = "0", paramLabel = "FILE", description = "the recording")
-  private Path file;
+  private Path recordingFile;
 
   @Option(
       names = "--to",
       required = true,
       paramLabel = "ADDRESS",
       description = "the mixer, as 127.0.0.1:8081")
-  private String to;
+  private String mixerAddress;
 
   @Option(
       names = "--pace",
@@ -69,7 +69,7 @@
       paramLabel = "recorded|anew",
       description =
           "clients' retries as recorded, or made anew from what the replay answers (${DEFAULT-VALUE})")
-  private RetryMode retries;
+  private RetryMode retryMode;
 
   @Option(
       names = "--late-most",
@@ -77,17 +77,17 @@
       paramLabel = "MS",
       description =
           "how late this tool may send, at the 99th percentile, in a valid run (${DEFAULT-VALUE})")
-  private long lateMost;
+  private long maxLatenessMs;
 
   @Option(names = "--out", paramLabel = "FOLDER", description = "where the tables and the chart go")
-  private Path out;
+  private Path outputFolder;
 
   @Option(
       names = "--at-least",
       defaultValue = "0",
       paramLabel = "SHARE",
       description = "the agreement under which the verdict is no (${DEFAULT-VALUE})")
-  private double atLeast;
+  private double minAgreement;
 
   @Option(
       names = "--seed",
@@ -96,60 +96,60 @@
       description = "for retries made anew")
   private long seed;
 
-  @Mixin private PcapCommand.Wanted wanted;
+  @Mixin private PcapCommand.ConnectionFilterOptions filterOptions;
 
   @Spec private CommandSpec spec;
 
   @Override
   public Integer call() throws Exception {
-    InetSocketAddress mixer = address(to);
-    double times = paceOf(pace);
+    InetSocketAddress mixer = parseAddress(mixerAddress);
+    double speedFactor = parsePace(pace);
     List<ObservedScan> scans = new ArrayList<>();
-    RecordingReader.Summary read =
+    RecordingReader.Summary summary =
         RecordingReader.read(
-            file,
+            recordingFile,
             ReassemblyLimits.DEFAULT,
-            wanted.nets(),
-            seen -> {
+            filterOptions.networkFilter(),
+            scan -> {
               if (scans.size() <= ReplayPlan.MAX_SCANS) {
-                scans.add(seen);
+                scans.add(scan);
               }
             });
-    if (read.scans() == 0) {
-      throw new IOException(file + ": no scans in it");
+    if (summary.scans() == 0) {
+      throw new IOException(recordingFile + ": no scans in it");
     }
-    boolean anew = retries == RetryMode.ANEW;
-    ReplayPlan plan = new ReplayPlan(scans, times, anew);
+    boolean generateRetries = retryMode == RetryMode.ANEW;
+    ReplayPlan plan = new ReplayPlan(scans, speedFactor, generateRetries);
     Replayer.Result result =
         Replayer.run(
             plan,
             new Replayer.Options(
                 mixer,
-                times,
-                Duration.ofMillis(lateMost),
-                anew
+                speedFactor,
+                Duration.ofMillis(maxLatenessMs),
+                generateRetries
                     ? new Retries(Retries.RetryPolicy.DEFAULT, new SplittableRandom(seed))
                     : null));
-    PrintWriter print = spec.commandLine().getOut();
-    print(print, read, result);
-    if (out != null) {
-      keep(result);
-      print.println("written to " + out);
+    PrintWriter out = spec.commandLine().getOut();
+    printReport(out, summary, result);
+    if (outputFolder != null) {
+      writeFiles(result);
+      out.println("written to " + outputFolder);
     }
-    print.flush();
-    return result.pacingReport().valid() && result.comparison().agreement() >= atLeast
+    out.flush();
+    return result.pacingReport().valid() && result.comparison().agreement() >= minAgreement
         ? 0
-        : Gingerring.VERDICT;
+        : Gingerring.EXIT_NEGATIVE_VERDICT;
   }
 
-  private static double paceOf(String text) {
+  private static double parsePace(String text) {
     if (text.equals("max")) {
       return ReplayPlan.UNPACED;
     }
     try {
-      double pace = Double.parseDouble(text);
-      if (pace > 0 && pace <= 10_000) {
-        return pace;
+      double factor = Double.parseDouble(text);
+      if (factor > 0 && factor <= 10_000) {
+        return factor;
       }
     } catch (NumberFormatException e) {
       // told below
@@ -158,7 +158,7 @@
         "--pace is a number above 0 and 10000 at most, or max: " + text);
   }
 
-  private static InetSocketAddress address(String text) throws IOException {
+  private static InetSocketAddress parseAddress(String text) throws IOException {
     if (!text.matches("127\\.[0-9]{1,3}\\.[0-9]{1,3}\\.[0-9]{1,3}:[0-9]{1,5}")) {
       throw new IllegalArgumentException(
           "--to is an address of this machine such as 127.0.0.1:8081: " + text);
@@ -169,113 +169,117 @@
         Integer.parseInt(text.substring(colon + 1)));
   }
 
-  private void print(PrintWriter print, RecordingReader.Summary read, Replayer.Result result) {
-    Comparison compared = result.comparison();
-    Pacer.Report pacing = result.pacingReport();
-    if (read.endState() != CaptureReader.EndState.WHOLE) {
-      print.println("the recording is not whole: " + read.endReason());
+  private void printReport(
+      PrintWriter out, RecordingReader.Summary summary, Replayer.Result result) {
+    Comparison comparison = result.comparison();
+    Pacer.Report pacingReport = result.pacingReport();
+    if (summary.endState() != CaptureReader.EndState.WHOLE) {
+      out.println("the recording is not whole: " + summary.endReason());
     }
-    print.printf(
+    out.printf(
         Locale.ROOT,
         "%d scans sent on %d connections in %.1f s, %d retries made anew, %d left out as their "
             + "request is not whole%n",
-        pacing.sent(),
+        pacingReport.sent(),
         result.connectionCount(),
         result.duration().toNanos() / 1e9,
         result.generatedRetries(),
         result.omittedScans());
-    print.printf(
+    out.printf(
         Locale.ROOT,
         "pace: the tool sent %.2f ms late in the median, %.2f ms at the 99th percentile, "
             + "%.2f ms at most; %d sends were held by the answer before, %.1f ms at the 99th percentile%n",
-        millis(pacing.latenessP50()),
-        millis(pacing.latenessP99()),
-        millis(pacing.maxLateness()),
-        pacing.heldSteps(),
-        millis(pacing.holdDelayP99()));
-    if (!pacing.valid()) {
-      print.println("NOT VALID: " + pacing.invalidReason());
+        toMillis(pacingReport.latenessP50()),
+        toMillis(pacingReport.latenessP99()),
+        toMillis(pacingReport.maxLateness()),
+        pacingReport.heldSteps(),
+        toMillis(pacingReport.holdDelayP99()));
+    if (!pacingReport.valid()) {
+      out.println("NOT VALID: " + pacingReport.invalidReason());
     }
-    print.printf(
+    out.printf(
         Locale.ROOT,
         "%d of %d scans agree: %.4f; %d not compared%n",
-        compared.agreedCount(),
-        compared.comparedCount(),
-        compared.agreement(),
-        compared.notComparedCount());
-    print.printf("%-12s", "recorded");
-    for (ScanOutcome fate : ScanOutcome.values()) {
-      print.printf(" %10s", fate.name().toLowerCase(Locale.ROOT));
+        comparison.agreedCount(),
+        comparison.comparedCount(),
+        comparison.agreement(),
+        comparison.notComparedCount());
+    out.printf("%-12s", "recorded");
+    for (ScanOutcome outcome : ScanOutcome.values()) {
+      out.printf(" %10s", outcome.name().toLowerCase(Locale.ROOT));
     }
-    print.println("   <- replayed");
-    compared
+    out.println("   <- replayed");
+    comparison
         .outcomeTable()
         .forEach(
             (recorded, replayed) -> {
-              print.printf("%-12s", recorded.name().toLowerCase(Locale.ROOT));
-              for (ScanOutcome fate : ScanOutcome.values()) {
-                print.printf(" %10d", replayed.getOrDefault(fate, 0L));
+              out.printf("%-12s", recorded.name().toLowerCase(Locale.ROOT));
+              for (ScanOutcome outcome : ScanOutcome.values()) {
+                out.printf(" %10d", replayed.getOrDefault(outcome, 0L));
               }
-              print.println();
+              out.println();
             });
-    compared
+    comparison
         .countsByCause()
-        .forEach((cause, many) -> print.println("  " + many + " differ: " + cause));
+        .forEach((cause, count) -> out.println("  " + count + " differ: " + cause));
   }
 
-  private static double millis(Duration span) {
-    return span.toNanos() / 1e6;
+  private static double toMillis(Duration duration) {
+    return duration.toNanos() / 1e6;
   }
 
-  private void keep(Replayer.Result result) throws IOException {
-    Files.createDirectories(out);
-    StringBuilder differences =
+  private void writeFiles(Replayer.Result result) throws IOException {
+    Files.createDirectories(outputFolder);
+    StringBuilder differencesCsv =
         new StringBuilder(
             "mark,grade,recorded,replayed,recorded_weight,replayed_weight,recorded_ms,replayed_ms,late_ms,held_ms,cause\n");
-    for (Comparison.Difference each : result.comparison().differences()) {
-      differences.append(
+    for (Comparison.Difference difference : result.comparison().differences()) {
+      differencesCsv.append(
           String.format(
               Locale.ROOT,
               "%s,%s,%s,%s,%.4f,%.4f,%.2f,%.2f,%.2f,%.2f,\"%s\"%n",
-              each.transactionId(),
-              each.serviceClass(),
-              each.recorded().outcome(),
-              each.replayed().outcome(),
-              each.recorded().answeredShare(),
-              each.replayed().answeredShare(),
-              millis(each.recorded().responseTime()),
-              millis(each.replayed().responseTime()),
-              millis(each.replayed().sendLateness()),
-              millis(each.replayed().holdDelay()),
-              each.cause()));
+              difference.transactionId(),
+              difference.serviceClass(),
+              difference.recorded().outcome(),
+              difference.replayed().outcome(),
+              difference.recorded().answeredShare(),
+              difference.replayed().answeredShare(),
+              toMillis(difference.recorded().responseTime()),
+              toMillis(difference.replayed().responseTime()),
+              toMillis(difference.replayed().sendLateness()),
+              toMillis(difference.replayed().holdDelay()),
+              difference.cause()));
     }
-    Files.writeString(out.resolve("differences.csv"), differences);
-    StringBuilder seconds = new StringBuilder("second,run");
-    for (ScanOutcome fate : ScanOutcome.values()) {
-      seconds.append(',').append(fate.name().toLowerCase(Locale.ROOT));
+    Files.writeString(outputFolder.resolve("differences.csv"), differencesCsv);
+    StringBuilder timelineCsv = new StringBuilder("second,run");
+    for (ScanOutcome outcome : ScanOutcome.values()) {
+      timelineCsv.append(',').append(outcome.name().toLowerCase(Locale.ROOT));
     }
-    seconds.append('\n');
-    append(seconds, "recorded", result.recordedTimeline());
-    append(seconds, "replayed", result.replayedTimeline());
-    Files.writeString(out.resolve("seconds.csv"), seconds);
+    timelineCsv.append('\n');
+    appendTimeline(timelineCsv, "recorded", result.recordedTimeline());
+    appendTimeline(timelineCsv, "replayed", result.replayedTimeline());
+    Files.writeString(outputFolder.resolve("seconds.csv"), timelineCsv);
     Map<String, Map<Integer, Double>> series = new LinkedHashMap<>();
-    series.put("recorded", answered(result.recordedTimeline()));
-    series.put("replayed", answered(result.replayedTimeline()));
+    series.put("recorded", answeredBySecond(result.recordedTimeline()));
+    series.put("replayed", answeredBySecond(result.replayedTimeline()));
     LineCharts.write(
-        out.resolve("timelines.png"), "answered scans", "answered, whole or in part", series);
+        outputFolder.resolve("timelines.png"),
+        "answered scans",
+        "answered, whole or in part",
+        series);
   }
 
-  private static void append(StringBuilder text, String run, OutcomeTimeline timeline) {
+  private static void appendTimeline(StringBuilder csv, String runName, OutcomeTimeline timeline) {
     for (int second = 0; second < timeline.seconds(); second++) {
-      text.append(second).append(',').append(run);
-      for (ScanOutcome fate : ScanOutcome.values()) {
-        text.append(',').append(timeline.count(second, fate));
+      csv.append(second).append(',').append(runName);
+      for (ScanOutcome outcome : ScanOutcome.values()) {
+        csv.append(',').append(timeline.count(second, outcome));
       }
-      text.append('\n');
+      csv.append('\n');
     }
   }
 
-  private static Map<Integer, Double> answered(OutcomeTimeline timeline) {
+  private static Map<Integer, Double> answeredBySecond(OutcomeTimeline timeline) {
     Map<Integer, Double> points = new TreeMap<>();
     for (int second = 0; second < timeline.seconds(); second++) {
       points.put(
--- a/cli/src/main/java/gingerring/cli/Worlds.java
+++ b/cli/src/main/java/gingerring/cli/ScenarioFile.java
@@ -6,8 +6,8 @@
 import java.nio.file.Path;
 
 /** Descriptions of runs from files. */
-final class Worlds {
-  private Worlds() {}
+final class ScenarioFile {
+  private ScenarioFile() {}
 
   static Scenario read(Path file) throws IOException {
     try {
@@ -17,7 +17,7 @@
     }
   }
 
-  static double pace(double pace) {
+  static double validatePace(double pace) {
     if (!(pace > 0 && pace <= 1000)) {
       throw new IllegalArgumentException("--pace is above 0 and 1000 at most");
     }
--- a/cli/src/main/java/gingerring/cli/ServeCommand.java
+++ b/cli/src/main/java/gingerring/cli/ServeCommand.java
@@ -21,51 +21,53 @@
       names = "--record",
       paramLabel = "FILE",
       description = "capture file; .pcapng marks drops, .gz and .zst compress")
-  private Path record;
+  private Path recordingFile;
 
   @Option(
       names = "--record-mb",
       paramLabel = "N",
       defaultValue = "256",
       description = "begin another file after so many MB (${DEFAULT-VALUE})")
-  private long megabytes;
+  private long maxFileMegabytes;
 
   @Option(
       names = "--record-minutes",
       paramLabel = "N",
       defaultValue = "60",
       description = "begin another file after so many minutes (${DEFAULT-VALUE})")
-  private long minutes;
+  private long maxFileMinutes;
 
   @Option(
       names = "--record-files",
       paramLabel = "N",
       defaultValue = "24",
       description = "keep so many files, the newest (${DEFAULT-VALUE})")
-  private int files;
+  private int maxFiles;
 
   @Option(
       names = "--peers",
       paramLabel = "FILE",
       description = "hears other mixers, and tells them what it sees, as this file says")
-  private Path peers;
+  private Path peerSettingsFile;
 
   @Override
   public Integer call() throws Exception {
-    PeerService neighbours = peers == null ? null : new Peering(PeerSettings.read(peers));
-    if (record == null) {
-      return MixerServer.run(System.getenv(), System.err, null, neighbours);
+    PeerService peerService =
+        peerSettingsFile == null ? null : new Peering(PeerSettings.read(peerSettingsFile));
+    if (recordingFile == null) {
+      return MixerServer.run(System.getenv(), System.err, null, peerService);
     }
-    if (megabytes < 1 || minutes < 1 || files < 1) {
+    if (maxFileMegabytes < 1 || maxFileMinutes < 1 || maxFiles < 1) {
       throw new IllegalArgumentException(
           "--record-mb, --record-minutes and --record-files are 1 or more");
     }
     try (Recorder recorder =
         new Recorder(
-            record,
-            new Recorder.Rotation(megabytes << 20, Duration.ofMinutes(minutes), files),
+            recordingFile,
+            new Recorder.Rotation(
+                maxFileMegabytes << 20, Duration.ofMinutes(maxFileMinutes), maxFiles),
             System.nanoTime())) {
-      return MixerServer.run(System.getenv(), System.err, recorder.start(), neighbours);
+      return MixerServer.run(System.getenv(), System.err, recorder.start(), peerService);
     }
   }
 }
--- a/deploy/sites/Variants.java
+++ b/deploy/sites/Variants.java
@@ -25,8 +25,9 @@
  * Nothing is written before both are made.
  */
 final class Variants {
-  private static final Path OUT = Path.of("deploy/sites/out");
-  private static final List<String> BESIDE = List.of("real.json", "wire.json", "unlock.txt");
+  private static final Path OUTPUT_FOLDER = Path.of("deploy/sites/out");
+  private static final List<String> COMPANION_FILES =
+      List.of("real.json", "wire.json", "unlock.txt");
   private static final String ABSENT = "absent";
 
   /**
@@ -34,7 +35,7 @@
    * numbered with a window shorter than its deadline; nothing can be cancelled, no second copies,
    * and a budget.
    */
-  private static final String FJELL =
+  private static final String FJELL_CHANGES =
       """
       /name : "taichung-xitun" => "fjell-tromso"
       day/start_spread_ms : 0 => [50, 700]
@@ -145,7 +146,7 @@
    * connections that carry few and rest for less than a second, four grades of which one may be
    * answered from little.
    */
-  private static final String KAROO =
+  private static final String KAROO_CHANGES =
       """
       /name : "mandacaru-recife" => "karoo-gqeberha"
       day/start_spread_ms : [100, 1000] => 0
@@ -245,18 +246,18 @@
       trouble[1]/part : absent => [0.08, 0.2]
       """;
 
-  private record Variant(String from, String changes) {}
+  private record Variant(String originalFile, String changes) {}
 
   private static final List<Variant> VARIANTS =
       List.of(
-          new Variant("kit/sites/taichung-xitun.toml", FJELL),
-          new Variant("kit/more/mass/other/mandacaru-recife.toml", KAROO));
+          new Variant("kit/sites/taichung-xitun.toml", FJELL_CHANGES),
+          new Variant("kit/more/mass/other/mandacaru-recife.toml", KAROO_CHANGES));
 
   /** What ends the program; the message says where and why. */
-  private static final class Unfit extends Exception {
+  private static final class VariantException extends Exception {
     private static final long serialVersionUID = 1;
 
-    Unfit(String message) {
+    VariantException(String message) {
       super(message);
     }
   }
@@ -275,11 +276,11 @@
   private static final Pattern CHANGE =
       Pattern.compile("([^\\[/]*)(?:\\[(\\d+)\\])?(/\\w+)? : (.+) => (.+)");
 
-  private final Path file;
+  private final Path sourceFile;
   private final List<Table> tables = new ArrayList<>();
 
-  private Variants(Path file) throws Unfit {
-    this.file = file;
+  private Variants(Path file) throws VariantException {
+    this.sourceFile = file;
     tables.add(new Table("", new LinkedHashMap<>()));
     for (String line : read(file).split("\n")) {
       Matcher entry = ENTRY.matcher(line.strip());
@@ -288,80 +289,99 @@
       } else if (entry.matches()) {
         tables.get(tables.size() - 1).entries().put(entry.group(1), entry.group(2));
       } else if (!line.isBlank()) {
-        throw new Unfit(file + ": a line that is neither table nor entry: " + line);
+        throw new VariantException(file + ": a line that is neither table nor entry: " + line);
       }
     }
   }
 
-  private static String read(Path file) throws Unfit {
+  private static String read(Path file) throws VariantException {
     try {
       return Files.readString(file);
     } catch (IOException e) {
-      throw new Unfit(file + ": cannot be read; name the folder handed over as the argument");
+      throw new VariantException(
+          file + ": cannot be read; name the folder handed over as the argument");
     }
   }
 
-  private void change(String line) throws Unfit {
-    Matcher change = CHANGE.matcher(line);
-    if (!change.matches()) {
-      throw new Unfit("no change: " + line);
+  private void applyChange(String line) throws VariantException {
+    Matcher matcher = CHANGE.matcher(line);
+    if (!matcher.matches()) {
+      throw new VariantException("no change: " + line);
     }
-    String name = change.group(1);
-    int number = change.group(2) == null ? 0 : Integer.parseInt(change.group(2));
-    String former = change.group(4);
-    String next = change.group(5);
-    if (change.group(3) != null) {
-      entry(table(name, number, line).entries(), change.group(3).substring(1), former, next, line);
-    } else if (former.equals(ABSENT)) {
-      append(name, number, next, line);
+    String tableName = matcher.group(1);
+    int tableIndex = matcher.group(2) == null ? 0 : Integer.parseInt(matcher.group(2));
+    String oldValue = matcher.group(4);
+    String newValue = matcher.group(5);
+    if (matcher.group(3) != null) {
+      changeEntry(
+          table(tableName, tableIndex, line).entries(),
+          matcher.group(3).substring(1),
+          oldValue,
+          newValue,
+          line);
+    } else if (oldValue.equals(ABSENT)) {
+      appendTable(tableName, tableIndex, newValue, line);
     } else {
-      String[] was = former.split(" = ", 2);
-      String[] is = next.split(" = ", 2);
-      entry(table(name, number, line).entries(), was[0], was[1], is[1], line);
+      String[] oldEntry = oldValue.split(" = ", 2);
+      String[] newEntry = newValue.split(" = ", 2);
+      changeEntry(
+          table(tableName, tableIndex, line).entries(),
+          oldEntry[0],
+          oldEntry[1],
+          newEntry[1],
+          line);
     }
   }
 
-  private void entry(
-      Map<String, String> entries, String entry, String former, String next, String line)
-      throws Unfit {
-    String found = entries.getOrDefault(entry, ABSENT);
-    if (!found.equals(former)) {
-      throw new Unfit(
-          file + ": " + line.replaceAll(" : .*", "") + " is not " + former + " but " + found);
+  private void changeEntry(
+      Map<String, String> entries, String key, String oldValue, String newValue, String line)
+      throws VariantException {
+    String currentValue = entries.getOrDefault(key, ABSENT);
+    if (!currentValue.equals(oldValue)) {
+      throw new VariantException(
+          sourceFile
+              + ": "
+              + line.replaceAll(" : .*", "")
+              + " is not "
+              + oldValue
+              + " but "
+              + currentValue);
     }
-    if (next.equals(ABSENT)) {
-      entries.remove(entry);
+    if (newValue.equals(ABSENT)) {
+      entries.remove(key);
     } else {
-      entries.put(entry, next);
+      entries.put(key, newValue);
     }
   }
 
-  private List<Table> named(String name) {
+  private List<Table> tablesNamed(String name) {
     return tables.stream().filter(table -> table.name().equals(name)).toList();
   }
 
-  private Table table(String name, int number, String line) throws Unfit {
-    List<Table> found = named(name);
-    if (number >= found.size()) {
-      throw new Unfit(file + ": no table for " + line.replaceAll(" =>.*", ""));
+  private Table table(String name, int index, String line) throws VariantException {
+    List<Table> sameName = tablesNamed(name);
+    if (index >= sameName.size()) {
+      throw new VariantException(sourceFile + ": no table for " + line.replaceAll(" =>.*", ""));
     }
-    return found.get(number);
+    return sameName.get(index);
   }
 
   /** A further table goes behind the last of its name: the top-level ones may stand anywhere. */
-  private void append(String name, int number, String known, String line) throws Unfit {
-    List<Table> found = named(name);
-    if (number != found.size()) {
-      throw new Unfit(
-          file + ": " + line.replaceAll(" : .*", "") + " is not absent or not the next");
+  private void appendTable(String name, int index, String firstEntry, String line)
+      throws VariantException {
+    List<Table> sameName = tablesNamed(name);
+    if (index != sameName.size()) {
+      throw new VariantException(
+          sourceFile + ": " + line.replaceAll(" : .*", "") + " is not absent or not the next");
     }
     Table table = new Table("[[" + name + "]]", new LinkedHashMap<>());
-    String[] entry = known.split(" = ", 2);
-    table.entries().put(entry[0], entry[1]);
-    tables.add(found.isEmpty() ? tables.size() : tables.indexOf(found.get(number - 1)) + 1, table);
+    String[] keyAndValue = firstEntry.split(" = ", 2);
+    table.entries().put(keyAndValue[0], keyAndValue[1]);
+    tables.add(
+        sameName.isEmpty() ? tables.size() : tables.indexOf(sameName.get(index - 1)) + 1, table);
   }
 
-  private String text() {
+  private String toToml() {
     StringBuilder text = new StringBuilder();
     for (Table table : tables) {
       text.append(table.header().isEmpty() ? "" : "\n" + table.header() + "\n");
@@ -373,17 +393,19 @@
   }
 
   /** The files of a variant by their paths. */
-  private static Map<Path, String> make(Path given, Variant variant) throws Unfit {
-    Path from = given.resolve(variant.from());
-    Variants site = new Variants(from);
+  private static Map<Path, String> createFiles(Path sitesFolder, Variant variant)
+      throws VariantException {
+    Path original = sitesFolder.resolve(variant.originalFile());
+    Variants site = new Variants(original);
     for (String line : variant.changes().split("\n")) {
-      site.change(line);
+      site.applyChange(line);
     }
     String name = site.tables.get(0).entries().get("name").replace("\"", "");
     Map<Path, String> files = new LinkedHashMap<>();
-    files.put(OUT.resolve(name).resolve(name + ".toml"), site.text());
-    for (String each : BESIDE) {
-      files.put(OUT.resolve(name).resolve(each), read(from.resolveSibling(each)));
+    files.put(OUTPUT_FOLDER.resolve(name).resolve(name + ".toml"), site.toToml());
+    for (String companion : COMPANION_FILES) {
+      files.put(
+          OUTPUT_FOLDER.resolve(name).resolve(companion), read(original.resolveSibling(companion)));
     }
     return files;
   }
@@ -392,16 +414,16 @@
     Map<Path, String> files = new LinkedHashMap<>();
     try {
       if (args.length > 1) {
-        throw new Unfit("usage: java deploy/sites/Variants.java [GIVEN]");
+        throw new VariantException("usage: java deploy/sites/Variants.java [GIVEN]");
       }
       for (Variant variant : VARIANTS) {
-        files.putAll(make(Path.of(args.length == 0 ? "../given" : args[0]), variant));
+        files.putAll(createFiles(Path.of(args.length == 0 ? "../given" : args[0]), variant));
       }
-      for (Map.Entry<Path, String> file : files.entrySet()) {
-        Files.createDirectories(file.getKey().getParent());
-        Files.writeString(file.getKey(), file.getValue());
+      for (Map.Entry<Path, String> output : files.entrySet()) {
+        Files.createDirectories(output.getKey().getParent());
+        Files.writeString(output.getKey(), output.getValue());
       }
-    } catch (Unfit | IOException | UncheckedIOException e) {
+    } catch (VariantException | IOException | UncheckedIOException e) {
       System.err.println("variants: " + e.getMessage());
       System.exit(2);
     }
