--- a/bench/src/main/java/gingerring/bench/LayoutBench.java
+++ b/bench/src/main/java/gingerring/bench/LayoutBench.java
@@ -24,8 +24,8 @@
 import org.openjdk.jmh.annotations.Warmup;
 
 /**
- * What a look-up and a change of a layout cost, by its number of folios; with {@code -prof gc} also
- * memory.
+ * Measures the cost of a lookup and of a change of a layout by its number of partitions; with
+ * {@code -prof gc} also the allocated memory.
  */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
@@ -63,7 +63,7 @@
     return layout.owner(random.nextLong(folios * KEYS_PER_PARTITION));
   }
 
-  /** A split of one folio into two: the next version, which shares the rest. */
+  /** Splits one partition into two. The new version shares all other partitions with the old. */
   @Benchmark
   public Layout split() throws LayoutException {
     int index = random.nextInt(folios);
--- a/bench/src/main/java/gingerring/bench/ReadingBench.java
+++ b/bench/src/main/java/gingerring/bench/ReadingBench.java
@@ -25,8 +25,8 @@
 import org.openjdk.jmh.annotations.Warmup;
 
 /**
- * Packets a second of each stage over the same capture in memory, so that their ratios show what
- * costs.
+ * Measures packets per second of each parsing stage on the same capture in memory. Each stage
+ * includes the stages before it, so the ratios show the cost of each.
  */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.Throughput)
@@ -64,7 +64,7 @@
   }
 
   private CaptureReader reader() throws IOException {
-    return CaptureReader.fromStream("it", new ByteArrayInputStream(capture));
+    return CaptureReader.fromStream("capture", new ByteArrayInputStream(capture));
   }
 
   @Benchmark
--- a/bench/src/main/java/gingerring/bench/ReadingSpeed.java
+++ b/bench/src/main/java/gingerring/bench/ReadingSpeed.java
@@ -16,9 +16,10 @@
 import java.util.Locale;
 
 /**
- * How fast whole files are read into scans, beside reading their bare bytes in the same run, and
- * with how much memory: files of 1/8, 1/2 and the whole of so many MB are made in a folder, read,
- * and deleted. Run with {@code -Xmx256m}: {@code ReadingSpeed FOLDER MEGABYTES}.
+ * Measures how fast whole capture files are parsed into scans and how much memory that takes,
+ * compared with reading only the bytes in the same run. {@code ReadingSpeed FOLDER MEGABYTES}
+ * writes files of 1/8, 1/2 and all of the given size to the folder, reads them and deletes them.
+ * Run it with {@code -Xmx256m}.
  */
 public final class ReadingSpeed {
   private static final int CONNECTIONS = 2000;
@@ -45,7 +46,7 @@
       try (InputStream in = Files.newInputStream(file)) {
         byte[] buffer = new byte[1 << 20];
         while (in.read(buffer) >= 0) {
-          // the bytes alone
+          // read the bytes without parsing them
         }
       }
       double rawSeconds = (System.nanoTime() - startNanos) / 1e9;
@@ -83,7 +84,7 @@
           cpuNanos / 1e9,
           peakHeapBytes >> 20);
       if (wholeScans[0] != writtenScans) {
-        throw new IOException("read " + wholeScans[0] + " scans of " + writtenScans);
+        throw new IOException("read " + wholeScans[0] + " whole scans of " + writtenScans);
       }
       Files.delete(file);
     }
--- a/bench/src/main/java/gingerring/bench/RecordingCost.java
+++ b/bench/src/main/java/gingerring/bench/RecordingCost.java
@@ -9,9 +9,9 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * What recording costs a mixer: the same described run by turns without and with it, CPU for each
- * scan and the 99th percentile of the time to an answer. {@code RecordingCost WORLD FOLDER ROUNDS};
- * emulated boxes.
+ * Measures the cost of recording in a mixer. {@code RecordingCost WORLD FOLDER ROUNDS} runs the
+ * same scenario with emulated boxes alternately without and with recording, and prints the CPU time
+ * per scan and the median and 99th percentile of the response time.
  */
 public final class RecordingCost {
   private RecordingCost() {}
--- a/bench/src/main/java/gingerring/bench/SyntheticTraffic.java
+++ b/bench/src/main/java/gingerring/bench/SyntheticTraffic.java
@@ -6,12 +6,12 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Conversations for benchmarks: a request of twelve parts, its acknowledgement, its answer and that
- * one's, on as many connections as wanted. Five packets a scan, 520 bytes in the mean, as a capture
- * on the wire has them.
+ * Generates captured traffic for benchmarks: on each connection, requests of twelve parts, answers
+ * and the acknowledgement of each. A scan takes five packets of 520 bytes on average, as in
+ * captures of real traffic.
  */
 final class SyntheticTraffic {
-  /** Who takes a packet. */
+  /** Receives the generated packets. */
   interface PacketSink {
     void write(long nanos, byte[] bytes, int length) throws IOException;
   }
@@ -51,7 +51,8 @@
   }
 
   /**
-   * Scans on connections by turns until {@code bytes} have been put out; returns how many scans.
+   * Writes scans to the connections in turn until at least {@code minBytes} have been written.
+   * Returns the number of scans.
    */
   long write(int connections, long minBytes, PacketSink sink) throws IOException {
     PacketSynthesizer[] synthesizers = new PacketSynthesizer[connections];
--- a/cli/src/main/java/gingerring/cli/DemoCommand.java
+++ b/cli/src/main/java/gingerring/cli/DemoCommand.java
@@ -14,7 +14,7 @@
     name = "demo",
     mixinStandardHelpOptions = true,
     description =
-        "Shows a mixer at work before an emulated store under load and trouble; half a minute.")
+        "Runs a mixer against an emulated store under load and with faults; takes half a minute.")
 final class DemoCommand implements Callable<Integer> {
   @Spec private CommandSpec spec;
 
--- a/cli/src/main/java/gingerring/cli/EmulateCommand.java
+++ b/cli/src/main/java/gingerring/cli/EmulateCommand.java
@@ -20,26 +20,26 @@
     name = "emulate",
     mixinStandardHelpOptions = true,
     description = {
-      "Runs a described store (boxes and discovery) on 127.0.0.1 until standard input ends.",
-      "Its troubles come at their times, counted from the first part that is sent to it."
+      "Runs the store of a scenario (boxes and discovery) on 127.0.0.1 until standard input ends.",
+      "Faults start at their configured times, counted from the first part that the store receives."
     })
 final class EmulateCommand implements Callable<Integer> {
-  @Parameters(index = "0", paramLabel = "FILE", description = "the description, in JSON")
+  @Parameters(index = "0", paramLabel = "FILE", description = "the scenario, in JSON")
   private Path scenarioFile;
 
   @Option(
       names = "--pace",
       defaultValue = "1",
-      description = "how much faster troubles and warm-ups run (${DEFAULT-VALUE})")
+      description = "speed factor of faults and warm-ups (${DEFAULT-VALUE})")
   private double pace;
 
-  @Option(names = "--with-mixer", description = "run a mixer before it too")
+  @Option(names = "--with-mixer", description = "also run a mixer in front of the store")
   private boolean withMixer;
 
   @Option(
       names = "--record",
       paramLabel = "FILE",
-      description = "with --with-mixer: what it records to")
+      description = "with --with-mixer: the capture file that the mixer records to")
   private Path recordingFile;
 
   @Spec private CommandSpec spec;
@@ -51,7 +51,8 @@
     RuleChecker ruleChecker = new RuleChecker(scenario);
     EmulatedStore store =
         new EmulatedStore(scenario, reactor, ruleChecker, ScenarioFile.validatePace(pace));
-    // a replay of a run's recording meets each trouble when the run did
+    // Faults count from the first part, so that a replay of the run's recording meets each fault at
+    // the same point as the run did.
     store.startOnFirstPart(
         Workload.generate(scenario).stream()
             .findFirst()
@@ -82,7 +83,7 @@
 
   private static void awaitEndOfInput() throws IOException {
     while (System.in.read() >= 0) {
-      // until it ends
+      // discard input until its end
     }
   }
 }
--- a/cli/src/main/java/gingerring/cli/ExperimentCommand.java
+++ b/cli/src/main/java/gingerring/cli/ExperimentCommand.java
@@ -19,24 +19,30 @@
     name = "experiment",
     mixinStandardHelpOptions = true,
     description =
-        "Plays a described run with a mixer, and with plain random choice beside it; tables and a chart.")
+        "Runs a scenario with a mixer and, as baseline, with random choice; writes tables and a chart.")
 final class ExperimentCommand implements Callable<Integer> {
-  @Parameters(index = "0", paramLabel = "FILE", description = "the description, in JSON")
+  @Parameters(index = "0", paramLabel = "FILE", description = "the scenario, in JSON")
   private Path scenarioFile;
 
-  @Option(names = "--out", paramLabel = "FOLDER", description = "where CSV files and the chart go")
+  @Option(
+      names = "--out",
+      paramLabel = "FOLDER",
+      description = "the folder for CSV files and the chart")
   private Path outputFolder;
 
   @Option(
       names = "--pace",
       defaultValue = "1",
-      description = "how much faster it is played (${DEFAULT-VALUE})")
+      description = "speed factor of the run (${DEFAULT-VALUE})")
   private double pace;
 
-  @Option(names = "--no-baseline", description = "without plain random choice")
+  @Option(names = "--no-baseline", description = "skip the run with random choice")
   private boolean skipBaseline;
 
-  @Option(names = "--record", paramLabel = "FILE", description = "what the mixer records to")
+  @Option(
+      names = "--record",
+      paramLabel = "FILE",
+      description = "the capture file that the mixer records to")
   private Path recordingFile;
 
   @Spec private CommandSpec spec;
--- a/cli/src/main/java/gingerring/cli/FleetCommand.java
+++ b/cli/src/main/java/gingerring/cli/FleetCommand.java
@@ -30,12 +30,12 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** What many mixers' choices add up to, in simulated time. */
+/** Runs fleets of mixers, in simulated time or as processes, and reports their combined load. */
 @Command(
     name = "fleet",
     mixinStandardHelpOptions = true,
     description =
-        "Plays many mixers in simulated time, or as processes; a seed gives one schedule.")
+        "Runs many mixers in simulated time or as processes; a seed determines the schedule.")
 final class FleetCommand implements Runnable {
   @Spec private CommandSpec spec;
 
@@ -45,7 +45,7 @@
         spec.commandLine(), "a command is needed: choices, probes, talk, run, overlap");
   }
 
-  /** One table on the terminal, and as CSV and chart where a folder is given. */
+  /** A table that is printed row by row, and written as CSV and chart if a folder is given. */
   private final class Table {
     private final PrintWriter out = spec.commandLine().getOut();
     private final List<String> rows = new ArrayList<>();
@@ -70,7 +70,7 @@
     }
 
     void addPoint(String seriesName, int mixers, double value) {
-      // decades side by side
+      // logarithmic x axis: one unit per decade of the fleet size
       series
           .computeIfAbsent(seriesName, key -> new TreeMap<>())
           .put((int) Math.round(Math.log10(mixers)), value);
@@ -98,7 +98,7 @@
       name = "choices",
       mixinStandardHelpOptions = true,
       description =
-          "Which holder each mixer gives its parts to: evenness of boxes, connections, waits.")
+          "Compares policies for choosing a holder: load balance, connections, response times.")
   void choices(
       @Option(
               names = "--mixers",
@@ -107,17 +107,17 @@
               description = "Fleet sizes.")
           int[] fleetSizes,
       @Option(names = "--boxes", defaultValue = "60") int boxes,
-      @Option(names = "--copies", defaultValue = "3", description = "Holders of each folio.")
+      @Option(names = "--copies", defaultValue = "3", description = "Replicas of each partition.")
           int replicas,
       @Option(
               names = "--keep",
               defaultValue = "2",
-              description = "How many of them a cover prefers.")
+              description = "Replicas of each partition in a mixer's preferred subset.")
           int preferredReplicas,
       @Option(
               names = "--use",
               defaultValue = "0.55",
-              description = "Share of the boxes' capacity asked for.")
+              description = "Requested share of the boxes' capacity.")
           double utilization,
       @Option(names = "--seconds", defaultValue = "60", description = "Simulated seconds.")
           double seconds,
@@ -129,7 +129,7 @@
     requireAtLeast("--keep", preferredReplicas, 1);
     if (replicas < 1 || replicas > boxes || !(utilization > 0) || !(seconds > 0)) {
       throw new IllegalArgumentException(
-          "--copies has to be 1 to --boxes, --use and --seconds above 0");
+          "--copies must be from 1 to --boxes; --use and --seconds must be greater than 0");
     }
     Table table =
         new Table(
@@ -167,7 +167,7 @@
       name = "probes",
       mixinStandardHelpOptions = true,
       description =
-          "Who asks whether a benched box is back: probes at the box, and how late it is found.")
+          "Compares strategies for probing an ejected box: probe rate and time to detect its recovery.")
   void probes(
       @Option(
               names = "--mixers",
@@ -178,22 +178,22 @@
       @Option(
               names = "--stopped",
               defaultValue = "0.3",
-              description = "Share of mixers that are gone unnoticed.")
+              description = "Share of mixers that stopped but still count as members.")
           double stoppedShare,
       @Option(
               names = "--lost",
               defaultValue = "0.05",
-              description = "Share of words that do not arrive.")
+              description = "Share of messages that are lost.")
           double lossShare,
       @Option(
               names = "--back",
               defaultValue = "30",
-              description = "When the box answers again, in seconds.")
+              description = "Seconds until the box answers again.")
           double recoverySeconds,
       @Option(
               names = "--seeds",
               defaultValue = "5",
-              description = "So many seeds from 1 on; means are told.")
+              description = "Number of seeds, starting at 1; the table shows means.")
           int seedCount,
       @Option(names = "--out", description = "A folder for table and chart.") Path outputFolder)
       throws IOException {
@@ -203,7 +203,7 @@
         || !(lossShare >= 0 && lossShare <= 1)
         || !(recoverySeconds > 0)) {
       throw new IllegalArgumentException(
-          "--stopped has to be 0 to below 1, --lost 0 to 1, --back above 0");
+          "--stopped must be at least 0 and less than 1, --lost from 0 to 1, --back greater than 0");
     }
     Table table =
         new Table("mixers", "way", "probes/s", "most in 1 s", "found after s", "latest s");
@@ -242,7 +242,7 @@
       name = "talk",
       mixinStandardHelpOptions = true,
       description =
-          "What mixers that talk know, send and ask, with faults by message, in simulated time.")
+          "Simulates the peer protocol under faults: detection, traffic and probes of each fault case.")
   void talk(
       @Option(
               names = "--mixers",
@@ -255,12 +255,12 @@
       @Option(
               names = "--seeds",
               defaultValue = "3",
-              description = "So many seeds from 1 on; worst are told.")
+              description = "Number of seeds, starting at 1; the table shows the worst.")
           int seedCount,
       @Option(
               names = "--cases",
               split = ",",
-              description = "Only these cases, by name; all where none is named.")
+              description = "Names of the fault cases to run; all by default.")
           List<String> selectedCases,
       @Option(names = "--out", description = "A folder for table and chart.") Path outputFolder)
       throws IOException {
@@ -268,7 +268,10 @@
     Set<String> knownCases = faultCases(16, seconds).keySet();
     if (selectedCases != null && !knownCases.containsAll(selectedCases)) {
       throw new IllegalArgumentException(
-          "--cases has " + selectedCases + "; known are " + String.join(", ", knownCases));
+          "--cases contains an unknown name: "
+              + selectedCases
+              + "; known cases: "
+              + String.join(", ", knownCases));
     }
     requireAtLeast("--seeds", seedCount, 1);
     Table table =
@@ -351,7 +354,7 @@
     table.write(outputFolder, "talk", "What a mixer sends its peers", "bytes a second, mean");
   }
 
-  /** Cases by name: two boxes are dead from 20 to 60 s in all but the first. */
+  /** Returns the fault cases by name. In all but the first, two boxes are dead from 20 to 60 s. */
   private static Map<String, List<PeerSimulation.Fault>> faultCases(int fleetSize, double seconds) {
     PeerSimulation.Fault deadBoxes =
         fault(PeerSimulation.Fault.Kind.BOXES_DEAD, 20_000, 40_000, PeerSimulation.range(1, 2));
@@ -426,11 +429,11 @@
       name = "run",
       mixinStandardHelpOptions = true,
       description =
-          "Starts real mixers as processes before an emulated store, with faults on every link.")
+          "Starts mixer processes in front of an emulated store and injects faults on every link.")
   int run(
       @Parameters(
               paramLabel = "FILE",
-              description = "the run, described in JSON; several are played in turn")
+              description = "the fleet scenario, in JSON; several run one after another")
           List<Path> files,
       @Option(names = "--out", description = "A folder for the table.") Path outputFolder)
       throws IOException {
@@ -476,12 +479,15 @@
       name = "overlap",
       mixinStandardHelpOptions = true,
       description =
-          "Writes the description of a run whose faults overlap, drawn from a seed, for fleet run.")
+          "Prints a fleet scenario with overlapping faults, drawn from a seed, as input for fleet run.")
   void overlap(
       @Option(names = "--seed", defaultValue = "1") long seed,
       @Option(names = "--mixers", defaultValue = "9") int mixers,
       @Option(names = "--boxes", defaultValue = "12") int boxes,
-      @Option(names = "--seconds", defaultValue = "25", description = "Length of the run.")
+      @Option(
+              names = "--seconds",
+              defaultValue = "25",
+              description = "Duration of the run, in seconds.")
           int seconds) {
     requireAtLeast("--mixers", mixers, 2);
     requireAtLeast("--boxes", boxes, 4);
@@ -492,7 +498,7 @@
     spec.commandLine().getOut().flush();
   }
 
-  /** One run's row and all that is wrong with it; returns its exit code. */
+  /** Runs a scenario, adds its row to the table, prints its errors and returns the exit code. */
   private int runScenario(Table table, String scenarioName, FleetScenario scenario)
       throws IOException {
     Fleet.Result result = Fleet.run(scenario);
@@ -529,7 +535,7 @@
   private static void requireAtLeast(String optionName, int value, int minimum) {
     if (value < minimum) {
       throw new IllegalArgumentException(
-          optionName + " is " + value + ", and has to be " + minimum + " or more");
+          optionName + " is " + value + ", but must be " + minimum + " or more");
     }
   }
 }
--- a/cli/src/main/java/gingerring/cli/Gingerring.java
+++ b/cli/src/main/java/gingerring/cli/Gingerring.java
@@ -13,8 +13,8 @@
 import picocli.CommandLine.Spec;
 
 /**
- * The command line for operators. {@code serve} and {@code drill} alone go straight to the mixer's
- * own start.
+ * Entry point of the operators' command line. {@code serve} and {@code drill} without options are
+ * passed to the mixer's own main class.
  */
 @Command(
     name = "gingerring",
@@ -36,13 +36,13 @@
     },
     exitCodeListHeading = "%nExit codes:%n",
     exitCodeList = {
-      "0:done",
-      "1:it could not be done: a file, an address, a run that failed",
-      "2:the arguments cannot be used",
-      "3:done, and the verdict is no: a rule broken, a run not valid"
+      "0:success",
+      "1:failure: unusable file or address, or a failed run",
+      "2:invalid arguments",
+      "3:completed with a negative verdict: a rule violation or an invalid run"
     })
 public final class Gingerring implements Runnable {
-  /** Done, with a verdict of no. */
+  /** Exit code of a command that completed with a negative verdict. */
   static final int EXIT_NEGATIVE_VERDICT = 3;
 
   @Spec private CommandSpec spec;
@@ -66,7 +66,7 @@
         .setCaseInsensitiveEnumValuesAllowed(true)
         .setExecutionExceptionHandler(
             (e, command, parseResult) -> {
-              // one plain line; what is wrong with a file or an address names itself
+              // Print one line without a stack trace; the message names the faulty file or address.
               if (e instanceof IOException || e instanceof IllegalArgumentException) {
                 err.println(command.getCommandSpec().qualifiedName() + ": " + errorText(e));
                 return e instanceof IllegalArgumentException ? 2 : 1;
@@ -80,7 +80,7 @@
     return e instanceof NoSuchFileException
         ? e.getMessage() + ": no such file"
         : e instanceof AccessDeniedException
-            ? e.getMessage() + ": may not be opened"
+            ? e.getMessage() + ": permission denied"
             : String.valueOf(e.getMessage());
   }
 
--- a/cli/src/main/java/gingerring/cli/LayoutCommand.java
+++ b/cli/src/main/java/gingerring/cli/LayoutCommand.java
@@ -22,11 +22,12 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Layouts of folios in files. */
+/** Shows, checks, compares and plans layouts that are stored in files. */
 @Command(
     name = "layout",
     mixinStandardHelpOptions = true,
-    description = "Shows, checks and compares layouts of folios, and plans the steps between two.")
+    description =
+        "Shows, checks and compares layouts of partitions (folios), and plans the steps between two.")
 final class LayoutCommand implements Runnable {
   @Spec private CommandSpec spec;
 
@@ -61,7 +62,7 @@
   @Command(
       name = "show",
       mixinStandardHelpOptions = true,
-      description = "Each folio, and what each box holds.")
+      description = "Prints each partition and the partitions of each box.")
   int show(@Parameters(paramLabel = "FILE") Path file) throws IOException {
     Layout layout = LayoutFile.read(file);
     out()
@@ -93,7 +94,7 @@
   @Command(
       name = "check",
       mixinStandardHelpOptions = true,
-      description = "Whether every key has one owner.")
+      description = "Checks that every key has exactly one owner.")
   int check(@Parameters(paramLabel = "FILE") Path file) throws IOException {
     Layout layout = LayoutFile.read(file);
     out()
@@ -110,7 +111,7 @@
   @Command(
       name = "diff",
       mixinStandardHelpOptions = true,
-      description = "Folios that differ; exit code 3 where any does.")
+      description = "Prints the partitions that differ; exit code 3 if there are any.")
   int diff(
       @Parameters(index = "0", paramLabel = "FROM") Path fromFile,
       @Parameters(index = "1", paramLabel = "TO") Path toFile)
@@ -139,7 +140,7 @@
   @Command(
       name = "plan",
       mixinStandardHelpOptions = true,
-      description = "The steps from one layout to another; exit code 3 where there are none.")
+      description = "Prints the steps from one layout to another; exit code 3 if no plan exists.")
   int plan(
       @Parameters(index = "0", paramLabel = "FROM") Path fromFile,
       @Parameters(index = "1", paramLabel = "TO") Path toFile,
@@ -147,7 +148,7 @@
               names = "--at-once",
               defaultValue = "1",
               paramLabel = "N",
-              description = "moves that copy to one box at a time (${DEFAULT-VALUE})")
+              description = "maximum concurrent moves to the same box (${DEFAULT-VALUE})")
           int maxConcurrentMoves)
       throws IOException {
     Layout fromLayout = LayoutFile.read(fromFile);
--- a/cli/src/main/java/gingerring/cli/LayoutFile.java
+++ b/cli/src/main/java/gingerring/cli/LayoutFile.java
@@ -16,9 +16,10 @@
 import java.util.Map;
 
 /**
- * Layouts in files, as JSON: {@code version}, {@code keys}, and {@code folios} with {@code id},
- * {@code slices} (first key, the key after the last, weight), {@code holders}, and while it moves
- * {@code source} and {@code successor}.
+ * Reads layouts from JSON files. A layout has {@code version}, {@code keys} and {@code folios} (its
+ * partitions). Each partition has {@code id}, {@code slices} (key ranges as first key, key after
+ * the last, weight), {@code holders} and, while it is being moved, {@code source} and {@code
+ * successor}.
  */
 final class LayoutFile {
   private LayoutFile() {}
@@ -31,7 +32,7 @@
       List<Partition> partitions = new ArrayList<>();
       for (Object element : JsonFields.list(root, "folios")) {
         location = "folios." + partitions.size() + ": ";
-        partitions.add(partition(JsonFields.object(element, "it")));
+        partitions.add(partition(JsonFields.object(element, "the folio")));
       }
       location = "";
       return Layout.of(
@@ -53,8 +54,7 @@
           || !(range.get(2) instanceof Double weight)
           || firstKey != Math.rint(firstKey)
           || endKey != Math.rint(endKey)) {
-        throw new Json.JsonException(
-            "a slice is its first key, the key after its last, and its weight");
+        throw new Json.JsonException("a slice must be [first key, key after the last, weight]");
       }
       ranges.add(new KeyRange(firstKey.longValue(), endKey.longValue(), weight));
     }
--- a/cli/src/main/java/gingerring/cli/PcapCommand.java
+++ b/cli/src/main/java/gingerring/cli/PcapCommand.java
@@ -27,7 +27,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Capture files: what is in them, and new ones made from them. */
+/** Inspects capture files and creates new ones from them. */
 @Command(
     name = "pcap",
     mixinStandardHelpOptions = true,
@@ -41,12 +41,13 @@
         spec.commandLine(), "a command is needed: info, scans, cut, merge, anonymise");
   }
 
-  /** Which packets are looked at. */
+  /** Options that select connections. */
   static final class ConnectionFilterOptions {
     @Option(
         names = "--net",
         paramLabel = "NETWORK",
-        description = "only connections with an end in it, such as 10.0.0.0/8; may be repeated")
+        description =
+            "only connections with an endpoint in this network, such as 10.0.0.0/8; may be repeated")
     private List<String> networks = new ArrayList<>();
 
     @Option(
@@ -64,7 +65,10 @@
     }
   }
 
-  /** 0 where the file was whole, else the verdict's code: what could be read was. */
+  /**
+   * Returns 0 if the file was complete, else the exit code of a negative verdict: the readable part
+   * has been processed.
+   */
   private int exitCode(RecordingReader.Summary summary) {
     return summary.endState() == CaptureReader.EndState.WHOLE
         ? 0
@@ -78,7 +82,7 @@
   @Command(
       name = "info",
       mixinStandardHelpOptions = true,
-      description = "What is in a file, and what could not be read.")
+      description = "Summarizes the content of a file and lists what could not be read.")
   int info(@Parameters(paramLabel = "FILE") Path file, @Mixin ConnectionFilterOptions filterOptions)
       throws IOException {
     Map<ObservedScan.ScanOutcome, Long> outcomeCounts =
@@ -140,7 +144,7 @@
   @Command(
       name = "scans",
       mixinStandardHelpOptions = true,
-      description = "Each scan of a file, as CSV.")
+      description = "Prints each scan of a file as CSV.")
   int scans(
       @Parameters(paramLabel = "FILE") Path file, @Mixin ConnectionFilterOptions filterOptions)
       throws IOException {
@@ -190,7 +194,7 @@
   @Command(
       name = "cut",
       mixinStandardHelpOptions = true,
-      description = "A part of a file, by time and by connections.")
+      description = "Copies a part of a file, selected by time and connections.")
   int cut(
       @Parameters(index = "0", paramLabel = "FILE") Path file,
       @Parameters(index = "1", paramLabel = "OUT") Path output,
@@ -201,7 +205,10 @@
               description =
                   "seconds after the first packet, or an instant such as 2026-12-01T08:00:00Z")
           String fromTime,
-      @Option(names = "--to", paramLabel = "WHEN", description = "likewise; not included")
+      @Option(
+              names = "--to",
+              paramLabel = "WHEN",
+              description = "end of the range (exclusive), in the same formats")
           String toTime,
       @Mixin ConnectionFilterOptions filterOptions)
       throws IOException {
@@ -230,14 +237,14 @@
       Instant instant = Instant.parse(text);
       return instant.getEpochSecond() * 1_000_000_000L + instant.getNano();
     } catch (DateTimeParseException e) {
-      throw new IllegalArgumentException("neither seconds nor an instant: " + text);
+      throw new IllegalArgumentException("not a number of seconds or an instant: " + text);
     }
   }
 
   @Command(
       name = "merge",
       mixinStandardHelpOptions = true,
-      description = "Several files as one, by time.")
+      description = "Merges several files into one, ordered by time.")
   int merge(
       @Parameters(index = "0", paramLabel = "OUT") Path output,
       @Parameters(index = "1..*", arity = "1..*", paramLabel = "FILE") List<Path> files)
@@ -249,7 +256,8 @@
   @Command(
       name = "anonymise",
       mixinStandardHelpOptions = true,
-      description = "Texts, values and keys behind a keyed hash; what is not read is left out.")
+      description =
+          "Replaces texts, values and keys by a keyed hash; drops content that could not be parsed.")
   int anonymise(
       @Parameters(index = "0", paramLabel = "FILE") Path file,
       @Parameters(index = "1", paramLabel = "OUT") Path output,
@@ -257,13 +265,14 @@
               names = "--secret-file",
               required = true,
               paramLabel = "FILE",
-              description = "holds the hash's key; the same key hides the same texts alike")
+              description =
+                  "file with the key of the hash; equal texts get equal hashes under the same key")
           Path secretFile)
       throws IOException {
     requireDifferentFiles(List.of(file), output);
     String key = Files.readString(secretFile).strip();
     if (key.length() < 8) {
-      throw new IOException(secretFile + ": a key of 8 characters or more is needed");
+      throw new IOException(secretFile + ": the key must have at least 8 characters");
     }
     Anonymiser.run(file, output, key)
         .forEach((kind, count) -> out().println("  " + count + ' ' + kind));
@@ -273,7 +282,8 @@
   private static void requireDifferentFiles(List<Path> inputs, Path output) throws IOException {
     for (Path file : inputs) {
       if (Files.exists(output) && Files.exists(file) && Files.isSameFile(file, output)) {
-        throw new IllegalArgumentException("a file cannot be made from itself: " + output);
+        throw new IllegalArgumentException(
+            "the output must not be one of the input files: " + output);
       }
     }
   }
--- a/cli/src/main/java/gingerring/cli/PeersCommand.java
+++ b/cli/src/main/java/gingerring/cli/PeersCommand.java
@@ -15,11 +15,11 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** What a running mixer knows of its peers. */
+/** Queries the peer state of a running mixer. */
 @Command(
     name = "peers",
     mixinStandardHelpOptions = true,
-    description = "Asks a running mixer what it knows of its peers, over their socket.")
+    description = "Queries a running mixer about its peers, over the peer socket.")
 final class PeersCommand implements Runnable {
   @Spec private CommandSpec spec;
 
@@ -27,13 +27,14 @@
       names = "--peers",
       paramLabel = "FILE",
       defaultValue = "deploy/peers.json",
-      description = "the file that mixers have (${DEFAULT-VALUE}): its keys, and where it listens")
+      description =
+          "the mixer's peer settings file (${DEFAULT-VALUE}), with its keys and its listen address")
   private Path settingsFile;
 
   @Option(
       names = "--at",
       paramLabel = "ADDRESS:PORT",
-      description = "another mixer than the one of that file")
+      description = "address of the mixer to query, instead of the one in the file")
   private String mixerAddress;
 
   @Override
@@ -54,7 +55,7 @@
                 Integer.parseInt(mixerAddress.substring(colon + 1)));
       } catch (NumberFormatException e) {
         throw new IllegalArgumentException(
-            "--at has to be an address and a port: " + mixerAddress, e);
+            "--at must be an address and a port: " + mixerAddress, e);
       }
     }
     PrintWriter out = spec.commandLine().getOut();
@@ -65,7 +66,7 @@
   @Command(
       name = "check",
       mixinStandardHelpOptions = true,
-      description = "Reads the file whole, and says all that is wrong with it.")
+      description = "Validates the whole settings file and reports all errors.")
   void check() throws IOException {
     PeerSettings settings = PeerSettings.read(settingsFile);
     spec.commandLine()
@@ -84,7 +85,7 @@
   @Command(
       name = "show",
       mixinStandardHelpOptions = true,
-      description = "Who its peers are, as it believes.")
+      description = "Prints the mixer's current view of its peers.")
   void show() throws IOException {
     printAnswer('p', 0);
   }
@@ -92,10 +93,10 @@
   @Command(
       name = "why",
       mixinStandardHelpOptions = true,
-      description = "What it and others saw of a box, and whose turn it is to ask it.")
+      description =
+          "Prints what the mixer and its peers observed of a box, and which mixer is next to probe it.")
   void why(
-      @Parameters(paramLabel = "BOX", description = "the id by which discovery lists it")
-          String boxName)
+      @Parameters(paramLabel = "BOX", description = "the box's id in discovery") String boxName)
       throws IOException {
     printAnswer('w', PeerId.named(boxName).number());
   }
@@ -103,7 +104,7 @@
   @Command(
       name = "share",
       mixinStandardHelpOptions = true,
-      description = "What each peer's clients ask for, and what its fair share would be.")
+      description = "Prints each peer's client demand and fair share.")
   void share() throws IOException {
     printAnswer('s', 0);
   }
@@ -111,7 +112,7 @@
   @Command(
       name = "counts",
       mixinStandardHelpOptions = true,
-      description = "What happened among peers, by cause.")
+      description = "Prints counters of peer events by cause.")
   void counts() throws IOException {
     printAnswer('c', 0);
   }
--- a/cli/src/main/java/gingerring/cli/ReplayCommand.java
+++ b/cli/src/main/java/gingerring/cli/ReplayCommand.java
@@ -38,7 +38,7 @@
     name = "replay",
     mixinStandardHelpOptions = true,
     description =
-        "Sends a recording's scans again to a mixer on this machine, and compares what becomes of them.")
+        "Replays the scans of a recording to a mixer on this machine, and compares their outcomes.")
 final class ReplayCommand implements Callable<Integer> {
   /** How retries are sent. */
   enum RetryMode {
@@ -53,14 +53,14 @@
       names = "--to",
       required = true,
       paramLabel = "ADDRESS",
-      description = "the mixer, as 127.0.0.1:8081")
+      description = "the mixer's address, such as 127.0.0.1:8081")
   private String mixerAddress;
 
   @Option(
       names = "--pace",
       defaultValue = "1",
       paramLabel = "N|max",
-      description = "recorded times are divided by it; max does not wait (${DEFAULT-VALUE})")
+      description = "speed factor of the replay; max sends without waiting (${DEFAULT-VALUE})")
   private String pace;
 
   @Option(
@@ -68,7 +68,7 @@
       defaultValue = "recorded",
       paramLabel = "recorded|anew",
       description =
-          "clients' retries as recorded, or made anew from what the replay answers (${DEFAULT-VALUE})")
+          "send the recorded retries, or generate new ones from the replayed answers (${DEFAULT-VALUE})")
   private RetryMode retryMode;
 
   @Option(
@@ -76,24 +76,27 @@
       defaultValue = "20",
       paramLabel = "MS",
       description =
-          "how late this tool may send, at the 99th percentile, in a valid run (${DEFAULT-VALUE})")
+          "maximum send lateness of a valid run, at the 99th percentile (${DEFAULT-VALUE})")
   private long maxLatenessMs;
 
-  @Option(names = "--out", paramLabel = "FOLDER", description = "where the tables and the chart go")
+  @Option(
+      names = "--out",
+      paramLabel = "FOLDER",
+      description = "the folder for the tables and the chart")
   private Path outputFolder;
 
   @Option(
       names = "--at-least",
       defaultValue = "0",
       paramLabel = "SHARE",
-      description = "the agreement under which the verdict is no (${DEFAULT-VALUE})")
+      description = "minimum agreement for a positive verdict (${DEFAULT-VALUE})")
   private double minAgreement;
 
   @Option(
       names = "--seed",
       defaultValue = "1",
       paramLabel = "N",
-      description = "for retries made anew")
+      description = "seed for generated retries")
   private long seed;
 
   @Mixin private PcapCommand.ConnectionFilterOptions filterOptions;
@@ -116,7 +119,7 @@
               }
             });
     if (summary.scans() == 0) {
-      throw new IOException(recordingFile + ": no scans in it");
+      throw new IOException(recordingFile + ": the recording contains no scans");
     }
     boolean generateRetries = retryMode == RetryMode.ANEW;
     ReplayPlan plan = new ReplayPlan(scans, speedFactor, generateRetries);
@@ -152,16 +155,16 @@
         return factor;
       }
     } catch (NumberFormatException e) {
-      // told below
+      // reported below
     }
     throw new IllegalArgumentException(
-        "--pace is a number above 0 and 10000 at most, or max: " + text);
+        "--pace must be a number greater than 0 and at most 10000, or max: " + text);
   }
 
   private static InetSocketAddress parseAddress(String text) throws IOException {
     if (!text.matches("127\\.[0-9]{1,3}\\.[0-9]{1,3}\\.[0-9]{1,3}:[0-9]{1,5}")) {
       throw new IllegalArgumentException(
-          "--to is an address of this machine such as 127.0.0.1:8081: " + text);
+          "--to must be a loopback address and a port, such as 127.0.0.1:8081: " + text);
     }
     int colon = text.indexOf(':');
     return new InetSocketAddress(
--- a/cli/src/main/java/gingerring/cli/ScenarioFile.java
+++ b/cli/src/main/java/gingerring/cli/ScenarioFile.java
@@ -5,7 +5,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 
-/** Descriptions of runs from files. */
+/** Reads scenarios from files and validates their speed factor. */
 final class ScenarioFile {
   private ScenarioFile() {}
 
@@ -19,7 +19,7 @@
 
   static double validatePace(double pace) {
     if (!(pace > 0 && pace <= 1000)) {
-      throw new IllegalArgumentException("--pace is above 0 and 1000 at most");
+      throw new IllegalArgumentException("--pace must be greater than 0 and at most 1000");
     }
     return pace;
   }
--- a/cli/src/main/java/gingerring/cli/ServeCommand.java
+++ b/cli/src/main/java/gingerring/cli/ServeCommand.java
@@ -14,40 +14,39 @@
 @Command(
     name = "serve",
     mixinStandardHelpOptions = true,
-    description =
-        "Runs a real mixer, as LB_CONFIG tells; with --record it writes what it sends and receives.")
+    description = "Runs a mixer configured by LB_CONFIG; with --record it records its traffic.")
 final class ServeCommand implements Callable<Integer> {
   @Option(
       names = "--record",
       paramLabel = "FILE",
-      description = "capture file; .pcapng marks drops, .gz and .zst compress")
+      description = "capture file; .pcapng notes dropped packets, .gz and .zst compress")
   private Path recordingFile;
 
   @Option(
       names = "--record-mb",
       paramLabel = "N",
       defaultValue = "256",
-      description = "begin another file after so many MB (${DEFAULT-VALUE})")
+      description = "start a new file after this many MB (${DEFAULT-VALUE})")
   private long maxFileMegabytes;
 
   @Option(
       names = "--record-minutes",
       paramLabel = "N",
       defaultValue = "60",
-      description = "begin another file after so many minutes (${DEFAULT-VALUE})")
+      description = "start a new file after this many minutes (${DEFAULT-VALUE})")
   private long maxFileMinutes;
 
   @Option(
       names = "--record-files",
       paramLabel = "N",
       defaultValue = "24",
-      description = "keep so many files, the newest (${DEFAULT-VALUE})")
+      description = "number of newest files to keep (${DEFAULT-VALUE})")
   private int maxFiles;
 
   @Option(
       names = "--peers",
       paramLabel = "FILE",
-      description = "hears other mixers, and tells them what it sees, as this file says")
+      description = "peer settings file; the mixer exchanges observations with the peers in it")
   private Path peerSettingsFile;
 
   @Override
@@ -59,7 +58,7 @@
     }
     if (maxFileMegabytes < 1 || maxFileMinutes < 1 || maxFiles < 1) {
       throw new IllegalArgumentException(
-          "--record-mb, --record-minutes and --record-files are 1 or more");
+          "--record-mb, --record-minutes and --record-files must be at least 1");
     }
     try (Recorder recorder =
         new Recorder(
--- a/cli/src/main/java/gingerring/cli/package-info.java
+++ b/cli/src/main/java/gingerring/cli/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The command {@code gingerring}: reads arguments, prints, and ends with a code. What it does
- * stands elsewhere.
+ * The command line {@code gingerring}: parses arguments, prints results and returns exit codes. The
+ * functions themselves are in other packages.
  */
 package gingerring.cli;
--- a/deploy/sites/Variants.java
+++ b/deploy/sites/Variants.java
@@ -10,19 +10,20 @@
 import java.util.regex.Pattern;
 
 /**
- * Writes two deployments of our own, made from those handed over, for days that the operators judge
- * on others than theirs: {@code java deploy/sites/Variants.java [GIVEN]} from the root; GIVEN is
- * the folder handed over, {@code ../given} unless said. Each goes to {@code
- * deploy/sites/out/NAME/}, with the files that the bench wants beside it.
+ * Writes two of the project's own deployments, derived from given ones, to evaluate the mixer on
+ * deployments that it was not developed with. Run {@code java deploy/sites/Variants.java [GIVEN]}
+ * from the root; GIVEN is the folder of the given deployments, by default {@code ../given}. Each
+ * variant is written to {@code deploy/sites/out/NAME/}, together with the files that the bench
+ * needs beside it.
  *
- * <p>A change is a line {@code PLACE : FORMER => NEW}. A place is an entry of a table ({@code
- * TABLE/ENTRY}) or a whole table with the entry that it is known by; a table that stands more than
- * once has its number, from 0 on. What is {@code absent} must not be there before, or is not after.
- * A former value that is not there ends the program: a site that has changed under it is not to be
- * passed off as a variant.
+ * <p>A change is a line {@code PLACE : OLD => NEW}. A place is an entry of a table ({@code
+ * TABLE/ENTRY}), or a whole table together with its first entry; tables of the same name have an
+ * index, starting at 0. An old value {@code absent} means that the entry must not exist before the
+ * change, and a new value {@code absent} removes it. A different old value ends the program, since
+ * a given deployment that has changed in the meantime would result in a wrong variant.
  *
- * <p>Exit code 0, and on standard output what was written; or 2 after one line on standard error.
- * Nothing is written before both are made.
+ * <p>Exits with 0 after printing the written files, or with 2 after one line on standard error.
+ * Writes nothing until both variants have been created.
  */
 final class Variants {
   private static final Path OUTPUT_FOLDER = Path.of("deploy/sites/out");
@@ -31,9 +32,9 @@
   private static final String ABSENT = "absent";
 
   /**
-   * Lists on request, three zones behind a front, one that may run again, one only once, one
-   * numbered with a window shorter than its deadline; nothing can be cancelled, no second copies,
-   * and a budget.
+   * Polled discovery and three zones behind a front proxy. One class is idempotent, one must run at
+   * most once, and one has idempotency keys with a window shorter than its deadline. No
+   * cancellation and no second copies, but a retry budget.
    */
   private static final String FJELL_CHANGES =
       """
@@ -142,9 +143,9 @@
       """;
 
   /**
-   * Pushed lists, one zone, a mixer beside each client; no probes, calls of several parts,
-   * connections that carry few and rest for less than a second, four grades of which one may be
-   * answered from little.
+   * Pushed discovery and one zone, with a mixer beside each client. No probes; calls of several
+   * parts; connections with few concurrent streams and an idle timeout below one second; four
+   * service classes, of which one accepts answers from a small share of its parts.
    */
   private static final String KAROO_CHANGES =
       """
@@ -253,7 +254,7 @@
           new Variant("kit/sites/taichung-xitun.toml", FJELL_CHANGES),
           new Variant("kit/more/mass/other/mandacaru-recife.toml", KAROO_CHANGES));
 
-  /** What ends the program; the message says where and why. */
+  /** Ends the program; the message names the location and the cause. */
   private static final class VariantException extends Exception {
     private static final long serialVersionUID = 1;
 
@@ -263,8 +264,8 @@
   }
 
   /**
-   * A table with its entries in their order; {@code header} as it stands in the file, empty for the
-   * top.
+   * A table with its entries in order. {@code header} is the header line of the file; empty for the
+   * top-level entries.
    */
   private record Table(String header, Map<String, String> entries) {
     String name() {
@@ -289,7 +290,7 @@
       } else if (entry.matches()) {
         tables.get(tables.size() - 1).entries().put(entry.group(1), entry.group(2));
       } else if (!line.isBlank()) {
-        throw new VariantException(file + ": a line that is neither table nor entry: " + line);
+        throw new VariantException(file + ": a line is neither table nor entry: " + line);
       }
     }
   }
@@ -299,14 +300,14 @@
       return Files.readString(file);
     } catch (IOException e) {
       throw new VariantException(
-          file + ": cannot be read; name the folder handed over as the argument");
+          file + ": cannot be read; pass the folder of the given deployments as argument");
     }
   }
 
   private void applyChange(String line) throws VariantException {
     Matcher matcher = CHANGE.matcher(line);
     if (!matcher.matches()) {
-      throw new VariantException("no change: " + line);
+      throw new VariantException("not a valid change: " + line);
     }
     String tableName = matcher.group(1);
     int tableIndex = matcher.group(2) == null ? 0 : Integer.parseInt(matcher.group(2));
@@ -366,13 +367,16 @@
     return sameName.get(index);
   }
 
-  /** A further table goes behind the last of its name: the top-level ones may stand anywhere. */
+  /** Inserts a table behind the last one of the same name, or at the end of the file. */
   private void appendTable(String name, int index, String firstEntry, String line)
       throws VariantException {
     List<Table> sameName = tablesNamed(name);
     if (index != sameName.size()) {
       throw new VariantException(
-          sourceFile + ": " + line.replaceAll(" : .*", "") + " is not absent or not the next");
+          sourceFile
+              + ": "
+              + line.replaceAll(" : .*", "")
+              + " is not absent, or its index is not the next");
     }
     Table table = new Table("[[" + name + "]]", new LinkedHashMap<>());
     String[] keyAndValue = firstEntry.split(" = ", 2);
@@ -392,7 +396,7 @@
     return text.toString();
   }
 
-  /** The files of a variant by their paths. */
+  /** Returns the contents of a variant's files by path. */
   private static Map<Path, String> createFiles(Path sitesFolder, Variant variant)
       throws VariantException {
     Path original = sitesFolder.resolve(variant.originalFile());
--- a/example/ToyStore.java
+++ b/example/ToyStore.java
@@ -16,20 +16,24 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /**
- * A toy store to try a mixer with: some searchers and the discovery that lists them, all on
- * 127.0.0.1.
+ * A minimal store for trying out a mixer: a number of searchers and the discovery service that
+ * lists them, all on 127.0.0.1.
  *
  * <p>java example/ToyStore.java DISCOVERY_PORT SEARCHERS
  *
- * <p>Port 0 takes a free one; the first line printed says where discovery listens. Searcher I
- * stands in cell I. A query's text is words SHARD:WHAT. WHAT is full, failed, silent, reset, one of
- * junk, noline, words, long, short, stranger, end, bytes, nothing (what is not of the protocol),
- * one of report, twice, noise (a good answer with more than belongs to it), or a number of
- * milliseconds to wait; shards not named are answered at once. With 'once-' before it
- * (3:once-reset) only the first part of that scan and shard is treated so. Commands on standard
- * input: drain I, serve I, gone I, crash I, revive I, say TEXT (a raw line to all watches), cut
- * (ends all watches), hush (they stay open and are told nothing more), seen (prints what was
- * recalled). It ends with its standard input.
+ * <p>Port 0 selects a free port; the first line printed is the address of discovery. Searcher I is
+ * in cell I.
+ *
+ * <p>The text of a query consists of words SHARD:BEHAVIOR. BEHAVIOR is one of full, failed, silent
+ * and reset; one of junk, noline, words, long, short, stranger, end, bytes and nothing, which
+ * violate the protocol; one of report, twice and noise, which give a valid answer with additional
+ * content; or a delay in milliseconds. A shard that is not named answers without delay. With the
+ * prefix 'once-' (3:once-reset) only the first attempt at that scan's part is treated so.
+ *
+ * <p>Commands on standard input: drain I, serve I, gone I, crash I, revive I, say TEXT (sends a raw
+ * line to all watches), cut (closes all watches), hush (keeps the watches open but sends nothing
+ * more on them), seen (prints the cancelled parts). The program exits at the end of its standard
+ * input.
  */
 public final class ToyStore {
   private static final class Searcher {
@@ -108,7 +112,7 @@
               try {
                 task.run();
               } catch (Exception e) {
-                // a peer has gone, or this searcher has been crashed
+                // the other end has closed the connection, or this searcher has crashed
               }
             });
     thread.setDaemon(true);
@@ -126,7 +130,8 @@
       WATCHES.clear();
     } else if (words[0].equals("hush")) {
       broadcast("");
-      HUSHED_WATCHES.addAll(WATCHES); // kept, since what nobody refers to any more is closed
+      HUSHED_WATCHES.addAll(
+          WATCHES); // an unreferenced connection would be garbage-collected and closed
       WATCHES.clear();
     } else if (words[0].equals("seen")) {
       System.out.println("recalled " + CANCELLED_PARTS);
@@ -142,7 +147,7 @@
             socket.setSoLinger(true, 0);
             socket.close();
           }
-          return; // discovery does not know yet
+          return; // discovery keeps listing the searcher as it was
         }
         case "revive" -> {
           searcher.upSinceMs = System.currentTimeMillis();
